--- a/src/main/java/org/granitepath/bookkeeping/JobRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobRecord.java
@@ -19,7 +19,10 @@
     }
 
     public static JobRecord fromMap(Map<String, Object> m) {
-        return new JobRecord(JobSpec.fromMap(Fields.mapOf(m, "spec")), Fields.longOf(m, "at", 0),
-                Fields.intOf(m, "claimed", 0), Fields.longOf(m, "term", 0));
+        return new JobRecord(
+                JobSpec.fromMap(Fields.mapOf(m, "spec")),
+                Fields.longOf(m, "at", 0),
+                Fields.intOf(m, "claimed", 0),
+                Fields.longOf(m, "term", 0));
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/JobSpec.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobSpec.java
@@ -8,13 +8,34 @@
  * What a user asked for. Amounts are whole thousandths (of a CPU, a GPU, a gigabyte), rounded up, so that sums are
  * exact; times are microseconds.
  */
-public record JobSpec(String id, String jobClass, String team, Shape shape, Rank rank, int tasks,
-                      long cpuMillis, long gpuMillis, long memoryMillis, String image, double imageGb,
-                      List<String> types, String zone, boolean oneZone, boolean spread, boolean spot,
-                      long estimateMicros, long checkpointMicros, long saveMicros, long deadlineMicros) {
+public record JobSpec(
+        String id,
+        String jobClass,
+        String team,
+        Shape shape,
+        Rank rank,
+        int tasks,
+        long cpuMillis,
+        long gpuMillis,
+        long memoryMillis,
+        String image,
+        double imageGb,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        long estimateMicros,
+        long checkpointMicros,
+        long saveMicros,
+        long deadlineMicros) {
 
     /** {@code GANG}: its tasks work together; they start whole, and none goes on without the others. */
-    public enum Shape { BATCH, GANG, SERVICE }
+    public enum Shape {
+        BATCH,
+        GANG,
+        SERVICE
+    }
 
     public static final long NO_DEADLINE = -1;
 
@@ -73,13 +94,29 @@
     }
 
     public static JobSpec fromMap(Map<String, Object> m) {
-        List<String> types = m.get("types") instanceof List<?> l ? l.stream().map(String::valueOf).toList() : null;
-        return new JobSpec(Fields.textOf(m, "id"), Fields.textOf(m, "class"), Fields.textOf(m, "team"),
-                Shape.values()[Fields.intOf(m, "shape", 0)], Rank.values()[Fields.intOf(m, "rank", 3)], Fields.intOf(m, "tasks", 1),
-                Fields.longOf(m, "cpu", 0), Fields.longOf(m, "gpu", 0), Fields.longOf(m, "mem", 0),
-                Fields.textOf(m, "image"), Fields.doubleOf(m, "imageGb", 0), types, Fields.textOf(m, "zone"),
-                Fields.boolOf(m, "oneZone"), Fields.boolOf(m, "spread"), Fields.boolOf(m, "spot"),
-                Fields.longOf(m, "estimate", 0), Fields.longOf(m, "checkpoint", 0), Fields.longOf(m, "save", 0),
+        List<String> types = m.get("types") instanceof List<?> l
+                ? l.stream().map(String::valueOf).toList()
+                : null;
+        return new JobSpec(
+                Fields.textOf(m, "id"),
+                Fields.textOf(m, "class"),
+                Fields.textOf(m, "team"),
+                Shape.values()[Fields.intOf(m, "shape", 0)],
+                Rank.values()[Fields.intOf(m, "rank", 3)],
+                Fields.intOf(m, "tasks", 1),
+                Fields.longOf(m, "cpu", 0),
+                Fields.longOf(m, "gpu", 0),
+                Fields.longOf(m, "mem", 0),
+                Fields.textOf(m, "image"),
+                Fields.doubleOf(m, "imageGb", 0),
+                types,
+                Fields.textOf(m, "zone"),
+                Fields.boolOf(m, "oneZone"),
+                Fields.boolOf(m, "spread"),
+                Fields.boolOf(m, "spot"),
+                Fields.longOf(m, "estimate", 0),
+                Fields.longOf(m, "checkpoint", 0),
+                Fields.longOf(m, "save", 0),
                 Fields.longOf(m, "deadline", NO_DEADLINE));
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/MachineType.java
+++ b/src/main/java/org/granitepath/bookkeeping/MachineType.java
@@ -5,11 +5,21 @@
 import java.util.Map;
 
 /** A machine type that the cloud rents. */
-public record MachineType(String name, long cpuMillis, long gpuMillis, long memoryMillis, double fetchGbPerSecond,
-                          double price, double spotPrice, long bootMicros, List<String> zones) {
+public record MachineType(
+        String name,
+        long cpuMillis,
+        long gpuMillis,
+        long memoryMillis,
+        double fetchGbPerSecond,
+        double price,
+        double spotPrice,
+        long bootMicros,
+        List<String> zones) {
 
     public boolean fits(JobSpec spec) {
-        return spec.allowsType(name) && spec.cpuMillis() <= cpuMillis && spec.gpuMillis() <= gpuMillis
+        return spec.allowsType(name)
+                && spec.cpuMillis() <= cpuMillis
+                && spec.gpuMillis() <= gpuMillis
                 && spec.memoryMillis() <= memoryMillis
                 && (spec.zone() == null || zones.contains(spec.zone()));
     }
@@ -53,9 +63,15 @@
     }
 
     public static MachineType fromMap(Map<String, Object> m) {
-        return new MachineType(Fields.textOf(m, "name"), Fields.longOf(m, "cpu", 0), Fields.longOf(m, "gpu", 0),
-                Fields.longOf(m, "mem", 0), Fields.doubleOf(m, "fetch", 1), Fields.doubleOf(m, "price", 0),
-                Fields.doubleOf(m, "spot", 0), Fields.longOf(m, "boot", 0),
+        return new MachineType(
+                Fields.textOf(m, "name"),
+                Fields.longOf(m, "cpu", 0),
+                Fields.longOf(m, "gpu", 0),
+                Fields.longOf(m, "mem", 0),
+                Fields.doubleOf(m, "fetch", 1),
+                Fields.doubleOf(m, "price", 0),
+                Fields.doubleOf(m, "spot", 0),
+                Fields.longOf(m, "boot", 0),
                 Fields.listOf(m, "zones").stream().map(String::valueOf).toList());
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/Mirror.java
+++ b/src/main/java/org/granitepath/bookkeeping/Mirror.java
@@ -25,7 +25,10 @@
     /** While barriers follow one another faster than this many spacings, they bring the changes and no long poll waits. */
     private static final int BARRIERS_SUFFICE = 3;
 
-    public enum Phase { LOADING, FOLLOWING }
+    public enum Phase {
+        LOADING,
+        FOLLOWING
+    }
 
     /** Told of every change of a record, in order; {@code value} null: removed. */
     public interface Listener {
--- a/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
@@ -52,7 +52,7 @@
         for (int i = 0; i + 1 < ends.size(); i += 2) {
             done.add(Range.closedOpen(((Number) ends.get(i)).intValue(), ((Number) ends.get(i + 1)).intValue()));
         }
-        return new ProgressRecord(Fields.textOf(m, "owner"), Fields.intOf(m, "claimed", 0), done,
-                Fields.intOf(m, "running", 0));
+        return new ProgressRecord(
+                Fields.textOf(m, "owner"), Fields.intOf(m, "claimed", 0), done, Fields.intOf(m, "running", 0));
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/RosterRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/RosterRecord.java
@@ -27,8 +27,13 @@
         List<Host> hosts = new ArrayList<>();
         for (Object row : Fields.listOf(m, "hosts")) {
             List<?> r = (List<?>) row;
-            hosts.add(new Host((String) r.get(0), (String) r.get(1), (String) r.get(2), (String) r.get(3),
-                    ((Number) r.get(4)).intValue() == 1, ((Number) r.get(5)).longValue()));
+            hosts.add(new Host(
+                    (String) r.get(0),
+                    (String) r.get(1),
+                    (String) r.get(2),
+                    (String) r.get(3),
+                    ((Number) r.get(4)).intValue() == 1,
+                    ((Number) r.get(5)).longValue()));
         }
         return new RosterRecord(hosts);
     }
--- a/src/main/java/org/granitepath/bookkeeping/StatePort.java
+++ b/src/main/java/org/granitepath/bookkeeping/StatePort.java
@@ -8,7 +8,14 @@
 public interface StatePort {
 
     /** How a call ended. {@code UNKNOWN}: no answer, so it may have been carried out, or may yet be. */
-    enum Outcome { OK, CONFLICT, NOT_FOUND, GONE, REFUSED, UNKNOWN }
+    enum Outcome {
+        OK,
+        CONFLICT,
+        NOT_FOUND,
+        GONE,
+        REFUSED,
+        UNKNOWN
+    }
 
     record Guard(String key, long stamp) {}
 
--- a/src/main/java/org/granitepath/cli/CheckConfigCommand.java
+++ b/src/main/java/org/granitepath/cli/CheckConfigCommand.java
@@ -7,8 +7,8 @@
     @Override
     int run() throws Settings.Invalid {
         Settings s = settings();
-        System.out.println("ok: " + s.config().node() + " with " + s.peerAddresses().size() + " others, "
-                + s.config().teams().size() + " teams");
+        System.out.println("ok: " + s.config().node() + " with "
+                + s.peerAddresses().size() + " others, " + s.config().teams().size() + " teams");
         return OK;
     }
 }
--- a/src/main/java/org/granitepath/cli/Command.java
+++ b/src/main/java/org/granitepath/cli/Command.java
@@ -8,10 +8,14 @@
 abstract class Command {
     /** What the shell is told. */
     static final int OK = 0;
+
     static final int FAILED = 1;
     static final int BAD_USE = 2;
 
-    @Parameter(names = {"-h", "--help"}, help = true, description = "shows this text")
+    @Parameter(
+            names = {"-h", "--help"},
+            help = true,
+            description = "shows this text")
     boolean help;
 
     /** Runs and returns the exit status; {@code OK} leaves the process alive while its threads live. */
@@ -19,11 +23,16 @@
 
     /** The options of commands that read settings. */
     abstract static class WithSettings extends Command {
-        @Parameter(names = "--config", required = true, converter = PathConverter.class,
+        @Parameter(
+                names = "--config",
+                required = true,
+                converter = PathConverter.class,
                 description = "FILE: the platform's settings (TOML)")
         Path config;
 
-        @Parameter(names = "--tuning", converter = PathConverter.class,
+        @Parameter(
+                names = "--tuning",
+                converter = PathConverter.class,
                 description = "FILE: operators' own settings (YAML)")
         Path tuning;
 
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -49,8 +49,9 @@
             return Command.BAD_USE;
         } catch (ParameterException e) {
             // The parser takes an option that it does not know for an argument.
-            System.err.println("granitepath: " + e.getMessage().replaceFirst(
-                    "Was passed main parameter ('.*?') but.*", "unknown option or argument $1"));
+            System.err.println("granitepath: "
+                    + e.getMessage()
+                            .replaceFirst("Was passed main parameter ('.*?') but.*", "unknown option or argument $1"));
             return Command.BAD_USE;
         } catch (Exception e) {
             System.err.println("granitepath: can't go on: " + e.getMessage());
@@ -61,8 +62,8 @@
     /** Before the first logger is made. */
     private static void configureLogging(String level) {
         String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", wanted.matches("error|warn|info|debug") ? wanted
-                : "info");
+        System.setProperty(
+                "org.slf4j.simpleLogger.defaultLogLevel", wanted.matches("error|warn|info|debug") ? wanted : "info");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         System.setProperty("org.slf4j.simpleLogger.log.org.xnio", "warn");
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -48,11 +48,26 @@
     private static void serve(Settings s, EventLoop loop) {
         Logger log = LoggerFactory.getLogger(ServeCommand.class);
         HttpCalls http = new HttpCalls(loop);
-        Controller controller = new Controller(s.config(), new StateClient(http, s.state()),
-                new CloudClient(http, s.cloud()), new WorkerClient(http), new PeerClient(http, s.peerAddresses()), loop);
-        ServiceServer.listen(controller, s.config(), loop, s.listen().host(), s.listen().port(), s.peerListen().host(),
+        Controller controller = new Controller(
+                s.config(),
+                new StateClient(http, s.state()),
+                new CloudClient(http, s.cloud()),
+                new WorkerClient(http),
+                new PeerClient(http, s.peerAddresses()),
+                loop);
+        ServiceServer.listen(
+                controller,
+                s.config(),
+                loop,
+                s.listen().host(),
+                s.listen().port(),
+                s.peerListen().host(),
                 s.peerListen().port());
         controller.start();
-        log.info("{} serves on {}:{}", s.config().node(), s.listen().host(), s.listen().port());
+        log.info(
+                "{} serves on {}:{}",
+                s.config().node(),
+                s.listen().host(),
+                s.listen().port());
     }
 }
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -17,8 +17,13 @@
 import org.snakeyaml.engine.v2.api.LoadSettings;
 
 /** The platform's settings file, checked. Fields that we don't know are left alone. */
-public record Settings(Config config, Address listen, Address peerListen, Map<String, String> peerAddresses,
-                       String cloud, String state) {
+public record Settings(
+        Config config,
+        Address listen,
+        Address peerListen,
+        Map<String, String> peerAddresses,
+        String cloud,
+        String state) {
 
     private static final int DEFAULT_CONNECTIONS = 1_000;
     /** Fewer leave no room for the state service, the cloud, the other controllers and a few machines and users. */
@@ -56,51 +61,81 @@
         }
         Map<String, Config.Team> teams = new LinkedHashMap<>();
         for (UnmodifiableConfig t : tables(toml, "facts.teams")) {
-            teams.put(text(t, "name"), new Config.Team(text(t, "name"), millis(t, "cpus"), millis(t, "cpus_max"),
-                    millis(t, "gpus"), millis(t, "gpus_max")));
+            teams.put(
+                    text(t, "name"),
+                    new Config.Team(
+                            text(t, "name"),
+                            millis(t, "cpus"),
+                            millis(t, "cpus_max"),
+                            millis(t, "gpus"),
+                            millis(t, "gpus_max")));
         }
         Map<String, Config.Objective> objectives = new LinkedHashMap<>();
         for (UnmodifiableConfig o : tables(toml, "facts.objectives")) {
             String jobClass = o.get("class");
             if (jobClass != null) {
                 Config.Objective old = objectives.getOrDefault(jobClass, Config.Objective.NONE);
-                objectives.put(jobClass, switch (String.valueOf((Object) o.get("kind"))) {
-                    case "wait" -> new Config.Objective(micros(o, "within_s"), old.deadlineTimes(),
-                            old.finishMicros());
-                    case "deadline" -> new Config.Objective(old.waitMicros(),
-                            Math.max(old.deadlineTimes(), o.get("times") instanceof Number n ? n.doubleValue() : 1),
-                            old.finishMicros());
-                    case "finished" -> new Config.Objective(old.waitMicros(), old.deadlineTimes(),
-                            micros(o, "within_s"));
-                    default -> old;
-                });
+                objectives.put(
+                        jobClass,
+                        switch (String.valueOf((Object) o.get("kind"))) {
+                            case "wait" ->
+                                new Config.Objective(micros(o, "within_s"), old.deadlineTimes(), old.finishMicros());
+                            case "deadline" ->
+                                new Config.Objective(
+                                        old.waitMicros(),
+                                        Math.max(
+                                                old.deadlineTimes(),
+                                                o.get("times") instanceof Number n ? n.doubleValue() : 1),
+                                        old.finishMicros());
+                            case "finished" ->
+                                new Config.Objective(old.waitMicros(), old.deadlineTimes(), micros(o, "within_s"));
+                            default -> old;
+                        });
             }
         }
         Object zones = toml.get("facts.zones");
-        Config config = new Config(text(toml, "node_name"), UUID.randomUUID().toString(), text(toml, "site"), peerZones,
-                zones instanceof List<?> l ? l.stream().map(String::valueOf).toList() : List.of(), teams, objectives,
-                positive(toml, "facts.workers.report_s"), positive(toml, "facts.workers.lease_s"),
-                positive(toml, "facts.workers.cancel_s"), number(toml, "facts.state.rps", 0.1),
-                number(toml, "facts.state.write_rps", 0.1), (int) (number(toml, "facts.state.value_kb", 0.5) * 1024),
-                (int) number(toml, "facts.state.txn_ops", 4), number(toml, "facts.cloud.rps", 0.01),
+        Config config = new Config(
+                text(toml, "node_name"),
+                UUID.randomUUID().toString(),
+                text(toml, "site"),
+                peerZones,
+                zones instanceof List<?> l ? l.stream().map(String::valueOf).toList() : List.of(),
+                teams,
+                objectives,
+                positive(toml, "facts.workers.report_s"),
+                positive(toml, "facts.workers.lease_s"),
+                positive(toml, "facts.workers.cancel_s"),
+                number(toml, "facts.state.rps", 0.1),
+                number(toml, "facts.state.write_rps", 0.1),
+                (int) (number(toml, "facts.state.value_kb", 0.5) * 1024),
+                (int) number(toml, "facts.state.txn_ops", 4),
+                number(toml, "facts.cloud.rps", 0.01),
                 Math.round(number(toml, "facts.skew_ms", 0) * 1000),
-                toml.get("facts.resources.max_connections") == null ? DEFAULT_CONNECTIONS
+                toml.get("facts.resources.max_connections") == null
+                        ? DEFAULT_CONNECTIONS
                         : (int) number(toml, "facts.resources.max_connections", LEAST_CONNECTIONS),
                 tuning(tuningFile));
         checkTimes(config);
         checkTeams(teams.values());
-        return new Settings(config, address(text(toml, "serve_on"), "serve_on"), address(text(toml, "back"), "back"),
-                peers, addressText(toml, "services.cloud"), addressText(toml, "services.state"));
+        return new Settings(
+                config,
+                address(text(toml, "serve_on"), "serve_on"),
+                address(text(toml, "back"), "back"),
+                peers,
+                addressText(toml, "services.cloud"),
+                addressText(toml, "services.state"));
     }
 
     /** Times under which no rule could be kept, whatever the service does. */
     private static void checkTimes(Config c) throws Invalid {
         if (c.leaseMicros() < 2 * c.reportMicros()) {
-            throw new Invalid("facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
+            throw new Invalid(
+                    "facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
         }
         if (c.holdMicros() < Config.LEAST_HOLD_MICROS) {
             throw new Invalid("facts.workers.cancel_s must be more than lease_s by at least "
-                    + Math.ceil((c.cancelMicros() - c.holdMicros() + Config.LEAST_HOLD_MICROS - c.leaseMicros()) / 1e5) / 10
+                    + Math.ceil((c.cancelMicros() - c.holdMicros() + Config.LEAST_HOLD_MICROS - c.leaseMicros()) / 1e5)
+                            / 10
                     + " s, or cancelled tasks could outlive their time");
         }
     }
@@ -110,7 +145,8 @@
             if (t.cpuGuarantee() < 0 || t.cpuLimit() < 0 || t.gpuGuarantee() < 0 || t.gpuLimit() < 0) {
                 throw new Invalid("facts.teams: team " + t.name() + ": guarantees and limits can't be negative");
             }
-            if (t.cpuLimit() > 0 && t.cpuGuarantee() > t.cpuLimit() || t.gpuLimit() > 0 && t.gpuGuarantee() > t.gpuLimit()) {
+            if (t.cpuLimit() > 0 && t.cpuGuarantee() > t.cpuLimit()
+                    || t.gpuLimit() > 0 && t.gpuGuarantee() > t.gpuLimit()) {
                 throw new Invalid("facts.teams: team " + t.name() + " is guaranteed more than its limit");
             }
         }
@@ -154,7 +190,8 @@
                 seconds(rest, "longest-yield-s", d.longestYieldMicros(), 1, 86_400),
                 real(rest, "headroom-share", d.headroomShare(), 0, 10));
         if (!rest.isEmpty()) {
-            throw new Invalid(file + ": unknown setting " + rest.keySet().iterator().next());
+            throw new Invalid(
+                    file + ": unknown setting " + rest.keySet().iterator().next());
         }
         return t;
     }
--- a/src/main/java/org/granitepath/coordination/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/ActiveJob.java
@@ -18,12 +18,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(ActiveJob.class);
 
     /** {@code ENDING}: all tasks done, to be recorded. {@code OVER}: its final state is on record. */
-    enum Phase { OPEN, ENDING, OVER }
+    enum Phase {
+        OPEN,
+        ENDING,
+        OVER
+    }
 
     final JobSpec spec;
     final long acceptedMicros;
     /** When this leader learnt of it, on the steady clock. */
     final long sinceMicros;
+
     final RangeSet<Integer> done;
     final Int2ObjectMap<Placement> placements = new Int2ObjectLinkedOpenHashMap<>();
     final Object2IntOpenHashMap<String> zoneCounts = new Object2IntOpenHashMap<>();
@@ -31,22 +36,27 @@
     final IntAVLTreeSet free = new IntAVLTreeSet();
     /** Claimed by a predecessor; may be running on a machine not yet heard. */
     final IntOpenHashSet doubt = new IntOpenHashSet();
+
     Phase phase = Phase.OPEN;
     int doneCount;
     /** Tasks below this are ours by record. */
     int claimed;
+
     int claimWanted;
     /** Tasks at or above this were never handed out. */
     int fresh;
+
     int failureStreak;
     /** Run time of those of its tasks that finished in this term, and their number. */
     double ranMicros;
+
     int ranCount;
     long notBeforeMicros;
     /** Since when freed room is held for this gang; negative when it is not. */
     long heldSinceMicros = -1;
     /** When it last had a task on a machine, as far as this term knows; negative: never. */
     long lastRunningMicros = -1;
+
     Outlook.Turn turn = Outlook.Turn.ANY;
     /** Whether it can wait for cheap room. */
     boolean patient;
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -46,6 +46,7 @@
     private long bookings;
     /** CPUs that live services could take beyond the headroom wanted for them. */
     private double headroomSpare = Double.MAX_VALUE;
+
     private boolean renting;
     private boolean returning;
     private boolean listing;
@@ -55,8 +56,14 @@
     private double tokens = 1;
     private long tokensAtMicros;
 
-    Autoscaler(Config config, Dispatcher dispatcher, Leadership leadership, Peers peers, CloudPort cloud,
-               Timers timers, long baton) {
+    Autoscaler(
+            Config config,
+            Dispatcher dispatcher,
+            Leadership leadership,
+            Peers peers,
+            CloudPort cloud,
+            Timers timers,
+            long baton) {
         this.config = config;
         this.dispatcher = dispatcher;
         this.leadership = leadership;
@@ -119,9 +126,19 @@
             waiting += Math.max(0, j.waiting());
             running += j.running();
         }
-        LOG.info("fleet: {} machines ({} idle, {} on their way), CPUs used {}/{} and spot {}/{}; tasks {} running, {} "
-                + "waiting, {} jobs", dispatcher.machines().size(), idle, booting.size(), used[0] / 1000, cpu[0] / 1000,
-                used[1] / 1000, cpu[1] / 1000, running, waiting, dispatcher.jobs().size());
+        LOG.info(
+                "fleet: {} machines ({} idle, {} on their way), CPUs used {}/{} and spot {}/{}; tasks {} running, {} "
+                        + "waiting, {} jobs",
+                dispatcher.machines().size(),
+                idle,
+                booting.size(),
+                used[0] / 1000,
+                cpu[0] / 1000,
+                used[1] / 1000,
+                cpu[1] / 1000,
+                running,
+                waiting,
+                dispatcher.jobs().size());
     }
 
     private boolean mayCall(long now) {
@@ -185,7 +202,9 @@
     // ---- renting -------------------------------------------------------------------------------------------------
 
     private boolean buysFor(ActiveJob job, long now) {
-        return job.waiting() > 0 && job.waitingSinceMicros >= 0 && job.notBeforeMicros <= now
+        return job.waiting() > 0
+                && job.waitingSinceMicros >= 0
+                && job.notBeforeMicros <= now
                 && dispatcher.teamAllows(job.spec);
     }
 
@@ -194,8 +213,8 @@
             return;
         }
         dispatcher.outlook().look(now);
-        RentalPlan plan = new RentalPlan(config, dispatcher, refusedUntil::containsKey,
-                zone -> silence.cutOff(zone, now), now);
+        RentalPlan plan =
+                new RentalPlan(config, dispatcher, refusedUntil::containsKey, zone -> silence.cutOff(zone, now), now);
         for (Booting b : booting.values()) {
             if (!b.overdue(now) && !silence.cutOff(b.zone(), now)) {
                 plan.coming(b.type(), b.zone(), b.spot());
@@ -203,7 +222,10 @@
         }
         for (Machine m : dispatcher.machines()) {
             // Just arrived and not yet ready for tasks.
-            if (m.phase == Machine.Phase.UNCONFIRMED && m.type != null && m.placements.isEmpty() && !m.inherited
+            if (m.phase == Machine.Phase.UNCONFIRMED
+                    && m.type != null
+                    && m.placements.isEmpty()
+                    && !m.inherited
                     && !dispatcher.overdue(m, now)) {
                 plan.coming(m.type, m.zone, m.spot);
             }
@@ -222,9 +244,17 @@
         int count = Math.min(purchase.count(), RENT_AT_ONCE);
         // The baton is unique to this term of ownership, so no booking's name is ever used twice.
         String booking = "b" + baton + "-" + ++bookings;
-        LOG.info("renting {} of {} in {}{} as {}, first for {} ({}, {} tasks wait; batch drains in {} s)", count,
-                offer.type().name(), offer.zone(), offer.spot() ? " (spot)" : "", booking, offer.job().spec.id(),
-                offer.job().spec.jobClass(), offer.job().waiting(), drainSeconds);
+        LOG.info(
+                "renting {} of {} in {}{} as {}, first for {} ({}, {} tasks wait; batch drains in {} s)",
+                count,
+                offer.type().name(),
+                offer.zone(),
+                offer.spot() ? " (spot)" : "",
+                booking,
+                offer.job().spec.id(),
+                offer.job().spec.jobClass(),
+                offer.job().waiting(),
+                drainSeconds);
         send(new CloudPort.Rental(booking, offer.type().name(), offer.zone(), offer.spot(), count), offer, 0);
     }
 
@@ -242,7 +272,11 @@
                     if (answer.hosts().size() < rental.count()) {
                         refusedUntil.put(offer.key(), now + REFUSED_MICROS);
                     }
-                    LOG.info("rental {} brought {} of {}", rental.booking(), answer.hosts().size(), rental.count());
+                    LOG.info(
+                            "rental {} brought {} of {}",
+                            rental.booking(),
+                            answer.hosts().size(),
+                            rental.count());
                     renting = false;
                     rent(now);
                 }
@@ -285,8 +319,10 @@
             }
             boolean trust = trustSilence && !silence.waitedFor(m, now) || now - m.heardMicros > cutPatienceMicros();
             boolean dead = trust && now - m.heardMicros > silenceMicros(m);
-            boolean idle = m.phase == Machine.Phase.READY && m.placements.isEmpty()
-                    && now - m.idleSinceMicros > idleMicros(m) && now - m.rentedMicros > LEAST_CHARGE_MICROS;
+            boolean idle = m.phase == Machine.Phase.READY
+                    && m.placements.isEmpty()
+                    && now - m.idleSinceMicros > idleMicros(m)
+                    && now - m.rentedMicros > LEAST_CHARGE_MICROS;
             m.kept = idle && !m.spot && headroomSpare < m.cpuFree();
             if (m.kept) {
                 idle = false;
@@ -294,13 +330,17 @@
                 headroomSpare -= m.cpuFree();
             }
             // Its reports come, but our answers and orders don't get there.
-            boolean deaf = m.phase == Machine.Phase.UNCONFIRMED && !m.inherited && m.rostered
-                    && now - m.unconfirmedMicros > config.leaseMicros() && trust;
+            boolean deaf = m.phase == Machine.Phase.UNCONFIRMED
+                    && !m.inherited
+                    && m.rostered
+                    && now - m.unconfirmedMicros > config.leaseMicros()
+                    && trust;
             boolean drained = m.phase == Machine.Phase.DRAINING && m.placements.isEmpty();
             if (m.phase == Machine.Phase.RETURNING || dead || deaf || idle || drained) {
                 if (m.phase != Machine.Phase.RETURNING) {
-                    m.transition(Machine.Phase.RETURNING, dead ? "silent" : deaf ? "does not hear us"
-                            : idle ? "idle" : "drained");
+                    m.transition(
+                            Machine.Phase.RETURNING,
+                            dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
                 }
                 ids.add(m.id);
             }
@@ -327,7 +367,8 @@
      * more than letting it go; longer on spot machines, which cost little and may not be had again.
      */
     private long idleMicros(Machine m) {
-        double share = m.spot ? config.tuning().idleShareSpot() : config.tuning().idleShare();
+        double share =
+                m.spot ? config.tuning().idleShareSpot() : config.tuning().idleShare();
         return m.type == null ? 30_000_000 : (long) (share * m.type.bootMicros());
     }
 
--- a/src/main/java/org/granitepath/coordination/Beat.java
+++ b/src/main/java/org/granitepath/coordination/Beat.java
@@ -3,12 +3,34 @@
 import java.util.List;
 
 /** A worker's report. {@code noticeMicros} is negative when the cloud has announced nothing. */
-public record Beat(String host, String address, String type, String zone, boolean spot, long session, long sequence,
-                   long baton, long noticeMicros, List<TaskReport> tasks) {
+public record Beat(
+        String host,
+        String address,
+        String type,
+        String zone,
+        boolean spot,
+        long session,
+        long sequence,
+        long baton,
+        long noticeMicros,
+        List<TaskReport> tasks) {
 
-    public enum TaskState { FETCHING, RUNNING, SAVING, EXITED }
+    public enum TaskState {
+        FETCHING,
+        RUNNING,
+        SAVING,
+        EXITED
+    }
 
-    public enum Cause { NONE, DONE, STOPPED, FAILED, NO_ROOM, BUSY, UNKNOWN_JOB }
+    public enum Cause {
+        NONE,
+        DONE,
+        STOPPED,
+        FAILED,
+        NO_ROOM,
+        BUSY,
+        UNKNOWN_JOB
+    }
 
     public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
 
--- a/src/main/java/org/granitepath/coordination/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/CloudPort.java
@@ -6,16 +6,25 @@
 
 /** The cloud as the decision code sees it. Every call answers once, later, on the event loop. */
 public interface CloudPort {
-    enum Outcome { OK, NO_CAPACITY, REFUSED, UNKNOWN }
-
-    enum HostState { BOOTING, RUNNING, FAILED }
+    enum Outcome {
+        OK,
+        NO_CAPACITY,
+        REFUSED,
+        UNKNOWN
+    }
+
+    enum HostState {
+        BOOTING,
+        RUNNING,
+        FAILED
+    }
 
     record Rental(String booking, String type, String zone, boolean spot, int count) {}
 
     record Rented(Outcome outcome, List<String> hosts) {}
 
-    record ListedHost(String id, String address, String type, String zone, boolean spot, HostState state,
-                      long ageMicros) {}
+    record ListedHost(
+            String id, String address, String type, String zone, boolean spot, HostState state, long ageMicros) {}
 
     record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
 
--- a/src/main/java/org/granitepath/coordination/Config.java
+++ b/src/main/java/org/granitepath/coordination/Config.java
@@ -10,10 +10,25 @@
  *
  * @param zone where this controller stands; {@code peerZones} the other controllers, each with its zone
  */
-public record Config(String node, String incarnation, String zone, Map<String, String> peerZones, List<String> zones,
-                     Map<String, Team> teams, Map<String, Objective> objectives, long reportMicros, long leaseMicros, long cancelMicros,
-                     double stateRequests, double stateWrites, int valueBytes, int txnOps, double cloudRequests,
-                     long skewMicros, int maxConnections, Tuning tuning) {
+public record Config(
+        String node,
+        String incarnation,
+        String zone,
+        Map<String, String> peerZones,
+        List<String> zones,
+        Map<String, Team> teams,
+        Map<String, Objective> objectives,
+        long reportMicros,
+        long leaseMicros,
+        long cancelMicros,
+        double stateRequests,
+        double stateWrites,
+        int valueBytes,
+        int txnOps,
+        double cloudRequests,
+        long skewMicros,
+        int maxConnections,
+        Tuning tuning) {
 
     public Collection<String> peers() {
         return peerZones.keySet();
@@ -49,9 +64,19 @@
      * @param longestYieldMicros how long a job may be without any task before it no longer gives way to others
      * @param headroomShare most room kept for live services to come, as a share of what the present ones use
      */
-    public record Tuning(long leaderLeaseMicros, double idleShare, double idleShareSpot, double criticalWeight,
-                         double highWeight, double standardWeight, double bestEffortWeight, double patienceShare,
-                         long gangHoldMicros, int claimBlock, long longestYieldMicros, double headroomShare) {
+    public record Tuning(
+            long leaderLeaseMicros,
+            double idleShare,
+            double idleShareSpot,
+            double criticalWeight,
+            double highWeight,
+            double standardWeight,
+            double bestEffortWeight,
+            double patienceShare,
+            long gangHoldMicros,
+            int claimBlock,
+            long longestYieldMicros,
+            double headroomShare) {
         private static final int BLOCKS_OF_A_WIDE_JOB = 6;
         private static final int WIDE_SERVICE = 32;
 
@@ -61,7 +86,8 @@
 
         /** Tasks claimed with the acceptance: of work that runs together, all. */
         public int firstBlock(JobSpec spec) {
-            return spec.gang() ? spec.tasks()
+            return spec.gang()
+                    ? spec.tasks()
                     : Math.min(spec.tasks(), spec.service() ? Math.max(claimBlock, WIDE_SERVICE) : claimBlock);
         }
 
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/Consolidator.java
@@ -25,6 +25,7 @@
     private final Collection<Machine> machines;
     /** Room promised in this round. */
     private final Map<Machine, long[]> taken = new LinkedHashMap<>();
+
     private long dueMicros;
 
     Consolidator(Dispatcher dispatcher, Collection<Machine> machines) {
@@ -73,7 +74,8 @@
             return false;
         }
         for (Placement p : m.placements.values()) {
-            if (!p.job.spec.service() || p.phase != Placement.Phase.RUNNING
+            if (!p.job.spec.service()
+                    || p.phase != Placement.Phase.RUNNING
                     || now - p.runningSinceMicros < SETTLED_MICROS) {
                 return false;
             }
@@ -91,8 +93,12 @@
             JobSpec s = p.job.spec;
             boolean placed = false;
             for (Machine m : machines) {
-                if (m == from || !m.takesTasks() || !m.allowedFor(s) || !m.zone.equals(from.zone) && s.spread()
-                        || !soonHas(m, s) || m.cpuUsedShare() <= from.cpuUsedShare()) {
+                if (m == from
+                        || !m.takesTasks()
+                        || !m.allowedFor(s)
+                        || !m.zone.equals(from.zone) && s.spread()
+                        || !soonHas(m, s)
+                        || m.cpuUsedShare() <= from.cpuUsedShare()) {
                     continue;
                 }
                 long[] used = taken.computeIfAbsent(m, k -> new long[3]);
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -20,6 +20,7 @@
     private static final long TICK_MICROS = 1_000_000;
     /** Without word from the state service for this long a controller counts as out of touch. */
     static final long CUT_OFF_MICROS = 2_500_000;
+
     private static final long TURNED_AWAY_MICROS = 5_000_000;
     private static final long TYPES_MICROS = 60_000_000;
     /** Share of the state service's requests that all controllers together may spend on reading the latest changes. */
@@ -40,33 +41,33 @@
     private Dispatcher dispatcher;
     /** Machines that reported here while another controller owned them, and when. */
     private final Map<String, Long> turnedAway = new LinkedHashMap<>();
+
     private boolean askingTypes;
     private long typesDueMicros;
 
-    public Controller(Config config, StatePort state, CloudPort cloud, WorkerPort workers, PeerPort peerPort,
-                      Timers timers) {
+    public Controller(
+            Config config, StatePort state, CloudPort cloud, WorkerPort workers, PeerPort peerPort, Timers timers) {
         this.config = config;
         this.state = state;
         this.cloud = cloud;
         this.workers = workers;
         this.timers = timers;
-        double readsPerSecond = config.stateRequests() * READ_SHARE / (config.peers().size() + 1);
-        this.mirror = new Mirror(state, timers, (long) (1e6 / readsPerSecond),
-                new Mirror.Listener() {
-                    @Override
-                    public void changed(String key, Map<String, Object> value, long stamp) {
-                        recordChanged(key, value);
-                    }
+        double readsPerSecond =
+                config.stateRequests() * READ_SHARE / (config.peers().size() + 1);
+        this.mirror = new Mirror(state, timers, (long) (1e6 / readsPerSecond), new Mirror.Listener() {
+            @Override
+            public void changed(String key, Map<String, Object> value, long stamp) {
+                recordChanged(key, value);
+            }
 
-                    @Override
-                    public void loaded() {
-                        LOG.info("records read: {} open jobs, owner {}", book.openJobs().size(),
-                                leadership.ownerNode());
-                    }
-                });
+            @Override
+            public void loaded() {
+                LOG.info("records read: {} open jobs, owner {}", book.openJobs().size(), leadership.ownerNode());
+            }
+        });
         this.peers = new Peers(config, peerPort, timers, this::greeting);
-        this.leadership = new Leadership(config, state, mirror, timers, () -> peers.allOutOfTouch(CUT_OFF_MICROS),
-                new Leadership.Listener() {
+        this.leadership = new Leadership(
+                config, state, mirror, timers, () -> peers.allOutOfTouch(CUT_OFF_MICROS), new Leadership.Listener() {
                     @Override
                     public void elected(Leadership.Term term) {
                         takeOffice(term);
@@ -78,7 +79,13 @@
                     }
                 });
         this.deputy = new Deputy(config, mirror, book, peers, timers);
-        this.desk = new UserDesk(config, state, mirror, book, timers, () -> types,
+        this.desk = new UserDesk(
+                config,
+                state,
+                mirror,
+                book,
+                timers,
+                () -> types,
                 (word, then) -> peers.tellCancelled(word, leadership.ownerNode(), then));
     }
 
@@ -105,8 +112,8 @@
     }
 
     private PeerPort.Greeting greeting() {
-        return new PeerPort.Greeting(config.node(), mirror.loaded() ? contactAgeMicros() : -1, dispatcher != null,
-                turnedAway.size());
+        return new PeerPort.Greeting(
+                config.node(), mirror.loaded() ? contactAgeMicros() : -1, dispatcher != null, turnedAway.size());
     }
 
     /** A peer tells how it is, and is told the same. */
@@ -143,9 +150,11 @@
             }
             turnedAway.put(beat.host(), timers.nowMicros());
             String owner = leadership.ownerNode();
-            // An owner that is cut from us is cut from the machines around us as well: going there would cost them time.
+            // An owner that is cut from us is cut from the machines around us as well: going there would cost them
+            // time.
             boolean current = contactAgeMicros() < CUT_OFF_MICROS || peers.ownerHeard();
-            return current && owner != null && !owner.equals(config.node()) ? new BeatAnswer.Elsewhere(owner)
+            return current && owner != null && !owner.equals(config.node())
+                    ? new BeatAnswer.Elsewhere(owner)
                     : new BeatAnswer.Unavailable();
         }
         return leadership.answersWorkers() ? dispatcher.beat(beat) : new BeatAnswer.Unavailable();
@@ -154,7 +163,7 @@
     private void tick() {
         timers.after(TICK_MICROS, this::tick);
         if (mirror.loaded()) {
-            mirror.barrier(fresh -> { });
+            mirror.barrier(fresh -> {});
         }
         long now = timers.nowMicros();
         turnedAway.values().removeIf(at -> at < now - TURNED_AWAY_MICROS);
@@ -200,7 +209,8 @@
             // So that a controller that starts while the cloud is down can judge submissions.
             @SuppressWarnings("unchecked")
             List<MachineType> list = Fields.listOf(value, "types").stream()
-                    .map(t -> MachineType.fromMap((Map<String, Object>) t)).toList();
+                    .map(t -> MachineType.fromMap((Map<String, Object>) t))
+                    .toList();
             learnTypes(list, false);
         } else {
             book.changed(key, value);
--- a/src/main/java/org/granitepath/coordination/Deputy.java
+++ b/src/main/java/org/granitepath/coordination/Deputy.java
@@ -30,6 +30,7 @@
     private final Timers timers;
     /** The present baton of each machine on record, as of the contact with the state service at {@link #asOfMicros}. */
     private final Object2LongOpenHashMap<String> batons = new Object2LongOpenHashMap<>();
+
     private long asOfMicros = Long.MIN_VALUE;
 
     Deputy(Config config, Mirror mirror, JobBook book, Peers peers, Timers timers) {
@@ -45,14 +46,17 @@
             return false;
         }
         long age = timers.nowMicros() - mirror.lastContactMicros();
-        if (age < Controller.CUT_OFF_MICROS || age > config.holdMicros()
-                || peers.ownerHeard() || peers.anyInTouch(Controller.CUT_OFF_MICROS)) {
+        if (age < Controller.CUT_OFF_MICROS
+                || age > config.holdMicros()
+                || peers.ownerHeard()
+                || peers.anyInTouch(Controller.CUT_OFF_MICROS)) {
             return false;
         }
         if (asOfMicros != mirror.lastContactMicros()) {
             asOfMicros = mirror.lastContactMicros();
             readBatons();
-            LOG.info("out of touch, and the owner is not heard: keeping the machines of {} alive for it", config.zone());
+            LOG.info(
+                    "out of touch, and the owner is not heard: keeping the machines of {} alive for it", config.zone());
         }
         return beat.baton() > 0 && batons.getLong(beat.host()) == beat.baton();
     }
@@ -62,7 +66,8 @@
         Map<String, Object> owners = mirror.value(Keys.BATON);
         long term = owners == null ? 0 : Fields.longOf(owners, "term", 0);
         for (int i = 0; mirror.value(Keys.ROSTER + i) != null; i++) {
-            for (RosterRecord.Host h : RosterRecord.fromMap(mirror.value(Keys.ROSTER + i)).hosts()) {
+            for (RosterRecord.Host h :
+                    RosterRecord.fromMap(mirror.value(Keys.ROSTER + i)).hosts()) {
                 batons.put(h.id(), Math.max(term, h.baton()));
             }
         }
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/Dispatcher.java
@@ -36,9 +36,11 @@
     private static final long TICK_MICROS = 500_000;
     /** A tick that comes later than this after the last one: we stood still, or fell far behind. */
     private static final long PAUSE_MICROS = 1_000_000;
+
     private static final long PASS_DELAY_MICROS = 2_000;
     /** The next pass comes no sooner than this many times as long as the last one took. */
     private static final int PASS_SPACING = 4;
+
     private static final long LONGEST_PASS_SPACING_MICROS = 250_000;
     private static final long ASK_AGAIN_MICROS = 300_000;
     private static final double OVERDUE_REPORTS = 1.5;
@@ -78,6 +80,7 @@
             return size() > DEPARTED_REMEMBERED;
         }
     };
+
     private final long startedMicros;
     private long tickedMicros;
     private boolean ended;
@@ -89,8 +92,15 @@
     private int calls;
     private int takeoverCalls;
 
-    Dispatcher(Config config, Leadership leadership, Leadership.Term term, StatePort state, Mirror mirror, JobBook book,
-               Timers timers, WorkerPort workers) {
+    Dispatcher(
+            Config config,
+            Leadership leadership,
+            Leadership.Term term,
+            StatePort state,
+            Mirror mirror,
+            JobBook book,
+            Timers timers,
+            WorkerPort workers) {
         this.config = config;
         this.leadership = leadership;
         this.term = term;
@@ -104,8 +114,15 @@
         this.consolidator = new Consolidator(this, machines.values());
         this.startedMicros = timers.nowMicros();
         this.tickedMicros = startedMicros;
-        this.ledger = new Ledger(state, mirror, timers, config.txnOps(), config.stateWrites() * 0.65, false,
-                () -> List.of(new Guard(Keys.LEADER, term.leaderStamp())), () -> !ended);
+        this.ledger = new Ledger(
+                state,
+                mirror,
+                timers,
+                config.txnOps(),
+                config.stateWrites() * 0.65,
+                false,
+                () -> List.of(new Guard(Keys.LEADER, term.leaderStamp())),
+                () -> !ended);
         this.rosters = new Rosters(config, term, mirror, ledger, timers, machines, this::raised, this::scheduleSoon);
         inheritMachines();
         for (JobRecord record : book.openJobs()) {
@@ -115,8 +132,8 @@
         if (inheritedLeft == 0) {
             settleDoubts();
         }
-        LOG.info("term with baton {}: {} machines taken over, {} open jobs", term.baton(), machines.size(),
-                jobs.size());
+        LOG.info(
+                "term with baton {}: {} machines taken over, {} open jobs", term.baton(), machines.size(), jobs.size());
         timers.after(TICK_MICROS, this::tick);
         scheduleSoon();
         askInherited();
@@ -160,9 +177,20 @@
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
     void recordTypes(List<MachineType> list) {
         if (mirror.value(Keys.TYPES) == null) {
-            ledger.want(Keys.TYPES, Ledger.Urgency.NEWS, 2_000_000, () -> mirror.value(Keys.TYPES) != null ? List.of()
-                    : List.of(Change.write(Keys.TYPES,
-                            Map.of("types", list.stream().map(MachineType::toMap).toList()))), epoch -> { });
+            ledger.want(
+                    Keys.TYPES,
+                    Ledger.Urgency.NEWS,
+                    2_000_000,
+                    () -> mirror.value(Keys.TYPES) != null
+                            ? List.of()
+                            : List.of(Change.write(
+                                    Keys.TYPES,
+                                    Map.of(
+                                            "types",
+                                            list.stream()
+                                                    .map(MachineType::toMap)
+                                                    .toList()))),
+                    epoch -> {});
         }
     }
 
@@ -255,7 +283,7 @@
     /** Shows the worker its present baton by a call without orders; when too many are under way, a later tick does. */
     private void showBaton(Machine m) {
         if (!m.callUnderWay && m.session >= 0 && calls < config.callsAtOnce()) {
-            callWorker(m, List.of(), List.of(), () -> { });
+            callWorker(m, List.of(), List.of(), () -> {});
         }
     }
 
@@ -281,8 +309,13 @@
      * again, in a later session, it must show that it hears us before it is given work.
      */
     private void lapse(Machine m) {
-        LOG.info("machine {} ({} {}{}): its lease is over, {} tasks are proved gone", m.id, m.typeName, m.zone,
-                m.spot ? " spot" : "", m.placements.size());
+        LOG.info(
+                "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
+                m.id,
+                m.typeName,
+                m.zone,
+                m.spot ? " spot" : "",
+                m.placements.size());
         m.leaseOverMicros = 0; // until it is heard again
         m.session = Math.max(m.session, 0) + 1;
         m.sequence = -1;
@@ -319,7 +352,8 @@
         for (Machine m : machines.values()) {
             silent += m.quiet(now, config.reportMicros()) ? 1 : 0;
         }
-        return silent >= MOST_SILENT_SHARE * machines.size() && turnedAwayByPeer >= Math.max(2, silent / 2)
+        return silent >= MOST_SILENT_SHARE * machines.size()
+                && turnedAwayByPeer >= Math.max(2, silent / 2)
                 && now - startedMicros > config.leaseMicros();
     }
 
@@ -348,22 +382,23 @@
             if (beat.baton() > m.baton) {
                 return new BeatAnswer.Unavailable();
             }
-            LOG.info("machine {} ({} {}{}) reports for the first time", m.id, m.typeName, m.zone,
-                    m.spot ? " spot" : "");
+            LOG.info(
+                    "machine {} ({} {}{}) reports for the first time", m.id, m.typeName, m.zone, m.spot ? " spot" : "");
             machines.put(m.id, m);
             rosters.enrol(m);
         }
         if (beat.baton() > m.baton) {
             // Someone with a higher baton gives commands there: either we are deposed, or our own raise is under way.
             LOG.info("machine {} has seen baton {}, ours is {}", m.id, beat.baton(), m.baton);
-            mirror.barrier(fresh -> { });
+            mirror.barrier(fresh -> {});
             return new BeatAnswer.Unavailable();
         }
         if (!hear(m, beat, true)) {
             m.fenced = false;
             // Overtaken by the answer to a direct order: nothing to learn, but the worker is where it should be.
             return m.phase != Machine.Phase.GONE && beat.session() == m.session
-                    ? new BeatAnswer.Accepted(m.baton, stopsFor(m)) : new BeatAnswer.Unavailable();
+                    ? new BeatAnswer.Accepted(m.baton, stopsFor(m))
+                    : new BeatAnswer.Unavailable();
         }
         if (scheduleDue && timers.nowMicros() >= passDueMicros) {
             schedule();
@@ -508,8 +543,12 @@
         if (job.failureStreak <= 2) {
             m.failures++;
         }
-        LOG.info("a task of {} failed on {}: {} in a row for the job, {} for the machine", job.spec.id(), m.id,
-                job.failureStreak, m.failures);
+        LOG.info(
+                "a task of {} failed on {}: {} in a row for the job, {} for the machine",
+                job.spec.id(),
+                m.id,
+                job.failureStreak,
+                m.failures);
         if (m.failures >= FAILURES_OF_A_FAULTY_MACHINE) {
             drain(m, "faulty: " + m.failures + " failures in a row");
         }
@@ -533,8 +572,11 @@
             }
             return false;
         }
-        if (open && !job.done.contains(id.index()) && !job.placements.containsKey(id.index())
-                && !m.placements.containsKey(id) && id.index() < job.claimed) {
+        if (open
+                && !job.done.contains(id.index())
+                && !job.placements.containsKey(id.index())
+                && !m.placements.containsKey(id)
+                && id.index() < job.claimed) {
             Placement p = new Placement(id, job, m, r.attempt(), m.session, now);
             p.seen = true;
             p.certain = current;
@@ -653,12 +695,15 @@
             }
             if (!m.callUnderWay && m.session >= 0 && !m.quiet(now, config.reportMicros())) {
                 // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
-                List<Placement> starts = m.placements.values().stream().filter(p -> p.phase == Placement.Phase.ASSIGNED)
+                List<Placement> starts = m.placements.values().stream()
+                        .filter(p -> p.phase == Placement.Phase.ASSIGNED)
                         .toList();
                 List<Order> orders = ordersFor(m, false);
-                starts = starts.stream().filter(p -> p.phase == Placement.Phase.SENT).toList();
+                starts = starts.stream()
+                        .filter(p -> p.phase == Placement.Phase.SENT)
+                        .toList();
                 if (!orders.isEmpty()) {
-                    callWorker(m, orders, starts, () -> { });
+                    callWorker(m, orders, starts, () -> {});
                 }
             }
         }
@@ -696,7 +741,9 @@
             }
         }
         hear(m, reply.report(), false);
-        if (!reply.executed() && m.phase == Machine.Phase.UNCONFIRMED && reply.report().baton() <= m.baton) {
+        if (!reply.executed()
+                && m.phase == Machine.Phase.UNCONFIRMED
+                && reply.report().baton() <= m.baton) {
             showBaton(m);
         }
     }
@@ -755,9 +802,16 @@
         job.transition(ActiveJob.Phase.OVER, how.toString());
         if (how == JobBook.Final.DONE) {
             boolean late = job.spec.hasDeadline() && age > job.spec.deadlineMicros();
-            LOG.info("job {} of {} ({} tasks) done after {} s{}", id, job.spec.jobClass(), job.spec.tasks(),
-                    age / 1_000_000, !job.spec.hasDeadline() ? "" : (late ? ", LATE, due after " : ", due after ")
-                    + job.spec.deadlineMicros() / 1_000_000 + " s");
+            LOG.info(
+                    "job {} of {} ({} tasks) done after {} s{}",
+                    id,
+                    job.spec.jobClass(),
+                    job.spec.tasks(),
+                    age / 1_000_000,
+                    !job.spec.hasDeadline()
+                            ? ""
+                            : (late ? ", LATE, due after " : ", due after ") + job.spec.deadlineMicros() / 1_000_000
+                                    + " s");
         }
         for (Placement p : List.copyOf(job.placements.values())) {
             stop(p, 0, "job " + how);
@@ -781,15 +835,28 @@
 
     private void recordProgress(ActiveJob job, Ledger.Urgency urgency, long delayMicros) {
         String key = Keys.PROGRESS + job.spec.id();
-        ledger.want(key, urgency, delayMicros, () -> job.phase == ActiveJob.Phase.OVER ? List.of()
-                : List.of(Change.write(key, new ProgressRecord(config.node(), job.claimWanted, job.done,
-                        job.running()).toMap())), epoch -> scheduleSoon());
+        ledger.want(
+                key,
+                urgency,
+                delayMicros,
+                () -> job.phase == ActiveJob.Phase.OVER
+                        ? List.of()
+                        : List.of(Change.write(
+                                key,
+                                new ProgressRecord(config.node(), job.claimWanted, job.done, job.running()).toMap())),
+                epoch -> scheduleSoon());
     }
 
     private void recordDone(ActiveJob job) {
         String key = Keys.FINAL + job.spec.id();
-        ledger.want(key, Ledger.Urgency.SAFETY, 0, () -> mirror.value(key) != null ? List.of()
-                : List.of(Change.write(key, JobBook.finalRecord(JobBook.Final.DONE))), epoch -> { });
+        ledger.want(
+                key,
+                Ledger.Urgency.SAFETY,
+                0,
+                () -> mirror.value(key) != null
+                        ? List.of()
+                        : List.of(Change.write(key, JobBook.finalRecord(JobBook.Final.DONE))),
+                epoch -> {});
     }
 
     // ---- passes ------------------------------------------------------------------------------------------------
@@ -857,8 +924,13 @@
      * it is over before a return could save anything.
      */
     boolean suits(Machine m, ActiveJob job, long now) {
-        return m.allowedFor(job.spec) && job.zoneAllows(m.zone) && (!job.patient || m.spot || m.hostsService() || m.kept
-                || now + estimates.taskMicros(job) < m.rentedMicros + Autoscaler.LEAST_CHARGE_MICROS);
+        return m.allowedFor(job.spec)
+                && job.zoneAllows(m.zone)
+                && (!job.patient
+                        || m.spot
+                        || m.hostsService()
+                        || m.kept
+                        || now + estimates.taskMicros(job) < m.rentedMicros + Autoscaler.LEAST_CHARGE_MICROS);
     }
 
     /**
@@ -882,8 +954,8 @@
     }
 
     private boolean strangersGone() {
-        return machines.values().stream().noneMatch(m -> m.housekeeping.stream()
-                .anyMatch(o -> o.verb() == Order.Verb.STOP));
+        return machines.values().stream()
+                .noneMatch(m -> m.housekeeping.stream().anyMatch(o -> o.verb() == Order.Verb.STOP));
     }
 
     /** Time since the job was accepted, as far as the clocks agree. */
@@ -924,9 +996,13 @@
 
     /** A report is overdue: whether the machine can be reached at all is soon known. */
     private void probe(Machine m, long now) {
-        if (overdue(m, now) && !m.fenced && !m.inherited && !m.callUnderWay
-                && now - m.probedMicros > config.reportMicros() && calls < config.callsAtOnce() / 2) {
-            callWorker(m, List.of(), List.of(), () -> { });
+        if (overdue(m, now)
+                && !m.fenced
+                && !m.inherited
+                && !m.callUnderWay
+                && now - m.probedMicros > config.reportMicros()
+                && calls < config.callsAtOnce() / 2) {
+            callWorker(m, List.of(), List.of(), () -> {});
         }
     }
 
@@ -956,7 +1032,11 @@
             }
             probe(m, now);
             boolean quiet = m.quiet(now, config.reportMicros());
-            if (m.phase == Machine.Phase.UNCONFIRMED && !m.inherited && m.rostered && !m.wantsNewBaton && !quiet
+            if (m.phase == Machine.Phase.UNCONFIRMED
+                    && !m.inherited
+                    && m.rostered
+                    && !m.wantsNewBaton
+                    && !quiet
                     && calls < config.callsAtOnce()) {
                 showBaton(m);
             }
--- a/src/main/java/org/granitepath/coordination/Estimates.java
+++ b/src/main/java/org/granitepath/coordination/Estimates.java
@@ -10,6 +10,7 @@
 final class Estimates {
     /** How many finished tasks it takes to outweigh the owners' word. */
     private static final double CLASS_PRIOR = 10;
+
     private static final double JOB_PRIOR = 2;
     /** Older experience fades. */
     private static final double MEMORY = 200;
--- a/src/main/java/org/granitepath/coordination/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/FairShare.java
@@ -13,8 +13,9 @@
     private final double[] weights;
 
     public FairShare(Config.Tuning tuning) {
-        weights = new double[] {tuning.criticalWeight(), tuning.highWeight(), tuning.standardWeight(),
-            tuning.bestEffortWeight()};
+        weights = new double[] {
+            tuning.criticalWeight(), tuning.highWeight(), tuning.standardWeight(), tuning.bestEffortWeight()
+        };
     }
 
     public double weight(Rank rank) {
--- a/src/main/java/org/granitepath/coordination/JobBook.java
+++ b/src/main/java/org/granitepath/coordination/JobBook.java
@@ -10,7 +10,10 @@
 
 /** All jobs as the state service has them; every controller keeps this and answers users from it. */
 public final class JobBook {
-    public enum Final { DONE, CANCELLED }
+    public enum Final {
+        DONE,
+        CANCELLED
+    }
 
     /** Told when the records of a job change. */
     public interface Listener {
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/Leadership.java
@@ -32,7 +32,13 @@
      * workers are still answered, since an outage looks the same. {@code SILENT}: for so long that a cancellation might
      * be missed; workers are left to their leases.
      */
-    enum Phase { FOLLOWING, CAMPAIGNING, LEADING, HOLDING, SILENT }
+    enum Phase {
+        FOLLOWING,
+        CAMPAIGNING,
+        LEADING,
+        HOLDING,
+        SILENT
+    }
 
     /** What a won campaign brings: the baton, and the guard for all later writes. */
     record Term(long baton, long leaderStamp) {}
@@ -58,8 +64,13 @@
     private long quietUntilMicros;
 
     /** @param othersOutOfTouch whether every other controller lately told that the state service doesn't answer it */
-    Leadership(Config config, StatePort state, Mirror mirror, Timers timers, BooleanSupplier othersOutOfTouch,
-               Listener listener) {
+    Leadership(
+            Config config,
+            StatePort state,
+            Mirror mirror,
+            Timers timers,
+            BooleanSupplier othersOutOfTouch,
+            Listener listener) {
         this.config = config;
         this.state = state;
         this.mirror = mirror;
@@ -119,7 +130,8 @@
     void leaderChanged() {
         Map<String, Object> v = mirror.value(Keys.LEADER);
         if (term != null) {
-            boolean mine = v != null && config.incarnation().equals(Fields.textOf(v, "incarnation"))
+            boolean mine = v != null
+                    && config.incarnation().equals(Fields.textOf(v, "incarnation"))
                     && Fields.longOf(v, "baton", 0) == term.baton();
             if (!mine && mirror.stamp(Keys.LEADER) != term.leaderStamp()) {
                 depose(v == null ? "our lease ran out" : "taken over by " + Fields.textOf(v, "node"));
@@ -169,7 +181,8 @@
         }
         Map<String, Object> v = mirror.value(Keys.LEADER);
         // A leader of our own name and another incarnation is our former process, and that has ended.
-        boolean formerSelf = v != null && config.node().equals(Fields.textOf(v, "node"))
+        boolean formerSelf = v != null
+                && config.node().equals(Fields.textOf(v, "node"))
                 && !config.incarnation().equals(Fields.textOf(v, "incarnation"));
         if (v == null || formerSelf) {
             campaign(formerSelf);
@@ -288,8 +301,9 @@
             return;
         }
         // Should this be lost, the lease runs out by itself.
-        state.commit(new Txn(List.of(new Guard(Keys.LEADER, term.leaderStamp())),
-                List.of(Change.remove(Keys.LEADER))), answer -> { });
+        state.commit(
+                new Txn(List.of(new Guard(Keys.LEADER, term.leaderStamp())), List.of(Change.remove(Keys.LEADER))),
+                answer -> {});
         quietUntilMicros = timers.nowMicros() + QUIET_AFTER_ABDICATION_MICROS;
         depose(why);
     }
--- a/src/main/java/org/granitepath/coordination/Ledger.java
+++ b/src/main/java/org/granitepath/coordination/Ledger.java
@@ -31,10 +31,15 @@
     private static final int BEHIND_SECONDS = 3;
     /** How an elastic ledger yields when the service refuses, and takes up again when it does not. */
     private static final double LEAST_RATE = 0.03;
+
     private static final double RATE_STEP = 0.01;
 
     /** What goes first when the budget is short: what keeps work safe, what lets it start, what merely tells of it. */
-    public enum Urgency { SAFETY, WORK, NEWS }
+    public enum Urgency {
+        SAFETY,
+        WORK,
+        NEWS
+    }
 
     /** One thing to be written: a few changes that belong together. */
     private record Entry(Urgency urgency, Supplier<List<Change>> content, LongConsumer committed, long dueMicros) {}
@@ -51,6 +56,7 @@
     private boolean behind;
     /** Changes to a transaction, at present. */
     private int mostAtOnce;
+
     private boolean timerSet;
     private double tokens;
     private long tokensAtMicros;
@@ -64,8 +70,15 @@
      * @param fence guards on every transaction
      * @param open whether to write at all; once false, false for ever
      */
-    public Ledger(StatePort state, Mirror mirror, Timers timers, int txnOps, double writesPerSecond, boolean elastic,
-                  Supplier<List<Guard>> fence, BooleanSupplier open) {
+    public Ledger(
+            StatePort state,
+            Mirror mirror,
+            Timers timers,
+            int txnOps,
+            double writesPerSecond,
+            boolean elastic,
+            Supplier<List<Guard>> fence,
+            BooleanSupplier open) {
         this.elastic = elastic;
         this.rate = writesPerSecond;
         this.state = state;
@@ -93,13 +106,19 @@
      * Asks for a write. A later wish under the same name replaces an earlier one, but never puts it off. An empty
      * content withdraws it.
      */
-    public void want(String name, Urgency urgency, long delayMicros, Supplier<List<Change>> content,
-                     LongConsumer committed) {
+    public void want(
+            String name, Urgency urgency, long delayMicros, Supplier<List<Change>> content, LongConsumer committed) {
         long due = timers.nowMicros() + delayMicros;
         Entry old = wanted.get(name);
-        wanted.put(name, old == null ? new Entry(urgency, content, committed, due)
-                : new Entry(urgency.compareTo(old.urgency()) < 0 ? urgency : old.urgency(), content, committed,
-                Math.min(due, old.dueMicros())));
+        wanted.put(
+                name,
+                old == null
+                        ? new Entry(urgency, content, committed, due)
+                        : new Entry(
+                                urgency.compareTo(old.urgency()) < 0 ? urgency : old.urgency(),
+                                content,
+                                committed,
+                                Math.min(due, old.dueMicros())));
         pump();
     }
 
@@ -135,11 +154,14 @@
         busy = true;
         tokens -= changes.size();
         wanted.keySet().removeAll(sent.keySet());
-        behind = wanted.values().stream().filter(e -> e.urgency() != Urgency.NEWS).count()
+        behind = wanted.values().stream()
+                        .filter(e -> e.urgency() != Urgency.NEWS)
+                        .count()
                 > BEHIND_SECONDS * writesPerSecond;
         state.commit(new Txn(guards, changes), answer -> {
             if (elastic) {
-                rate = answer.outcome() == Outcome.REFUSED ? Math.max(LEAST_RATE * writesPerSecond, rate / 2)
+                rate = answer.outcome() == Outcome.REFUSED
+                        ? Math.max(LEAST_RATE * writesPerSecond, rate / 2)
                         : Math.min(writesPerSecond, rate + RATE_STEP * writesPerSecond);
             }
             if (answer.outcome() == Outcome.OK) {
@@ -177,8 +199,8 @@
         List<String> withdrawn = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
             // News leave part of the budget free, so that what is urgent need not wait for it.
-            int room = urgency != Urgency.NEWS ? most
-                    : Math.min(most, (int) (tokens - writesPerSecond * KEPT_FROM_NEWS));
+            int room =
+                    urgency != Urgency.NEWS ? most : Math.min(most, (int) (tokens - writesPerSecond * KEPT_FROM_NEWS));
             for (var named : wanted.entrySet()) {
                 Entry e = named.getValue();
                 if (changes.size() >= room) {
@@ -192,7 +214,9 @@
                     withdrawn.add(named.getKey());
                     continue;
                 }
-                int size = content.stream().mapToInt(c -> String.valueOf(c.value()).length() + 100).sum();
+                int size = content.stream()
+                        .mapToInt(c -> String.valueOf(c.value()).length() + 100)
+                        .sum();
                 if (!changes.isEmpty() && (changes.size() + content.size() > most || bytes + size > TXN_BYTES)) {
                     continue;
                 }
@@ -205,17 +229,19 @@
     }
 
     private void readBack(long delayMicros) {
-        timers.after(delayMicros, () -> mirror.barrier(fresh -> {
-            if (!open.getAsBoolean()) {
-                return;
-            }
-            if (fresh) {
-                busy = false;
-                pump();
-            } else {
-                readBack(RETRY_MICROS);
-            }
-        }));
+        timers.after(
+                delayMicros,
+                () -> mirror.barrier(fresh -> {
+                    if (!open.getAsBoolean()) {
+                        return;
+                    }
+                    if (fresh) {
+                        busy = false;
+                        pump();
+                    } else {
+                        readBack(RETRY_MICROS);
+                    }
+                }));
     }
 
     private void wake(long delayMicros) {
--- a/src/main/java/org/granitepath/coordination/Machine.java
+++ b/src/main/java/org/granitepath/coordination/Machine.java
@@ -21,7 +21,13 @@
      * {@code UNCONFIRMED}: not heard under its present baton, so its tasks are not known for certain. {@code
      * DRAINING}: takes no new tasks. {@code RETURNING}: the cloud was asked to take it; it may vanish at any moment.
      */
-    enum Phase { UNCONFIRMED, READY, DRAINING, RETURNING, GONE }
+    enum Phase {
+        UNCONFIRMED,
+        READY,
+        DRAINING,
+        RETURNING,
+        GONE
+    }
 
     final String id;
     final String typeName;
@@ -35,11 +41,13 @@
     boolean rostered;
     /** The value that holds its row on record. */
     int roster = -1;
+
     boolean wantsNewBaton;
     /** The same, but only for upkeep, so it can wait. */
     boolean wantsUpkeep;
     /** Taken over with its tasks unknown. */
     boolean inherited;
+
     long session = -1;
     long sequence = -1;
     /** Its latest report. */
@@ -57,19 +65,23 @@
      * state service lets the worker go on under the one it has. While this holds, it is not called.
      */
     boolean fenced;
+
     boolean callUnderWay;
     /** Idle, but kept as headroom for live services: other work may use it meanwhile. */
     boolean kept;
+
     int failures;
     long idleSinceMicros;
     long firstHeardMicros;
     /** When it was rented, as far as we know. */
     long rentedMicros;
+
     final Map<TaskId, Placement> placements = new LinkedHashMap<>();
     /** Attempts started by a direct order, with its baton: a late copy of the order must find them still listed. */
     final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
     /** Orders that the latest report calls for: stops of strangers and clean-up. */
     final List<Order> housekeeping = new ArrayList<>();
+
     private final LinkedHashSet<String> images = new LinkedHashSet<>();
     private long cpuUsed;
     private long gpuUsed;
@@ -182,7 +194,10 @@
         if (type == null) {
             return 0;
         }
-        return MachineType.slots(s, type.cpuMillis() - cpuUsed + moreCpu, type.gpuMillis() - gpuUsed + moreGpu,
+        return MachineType.slots(
+                s,
+                type.cpuMillis() - cpuUsed + moreCpu,
+                type.gpuMillis() - gpuUsed + moreGpu,
                 type.memoryMillis() - memoryUsed + moreMemory);
     }
 
--- a/src/main/java/org/granitepath/coordination/Order.java
+++ b/src/main/java/org/granitepath/coordination/Order.java
@@ -2,7 +2,11 @@
 
 /** A command to a worker. */
 public record Order(Verb verb, TaskId task, long attempt, long graceMicros) {
-    public enum Verb { START, STOP, FORGET }
+    public enum Verb {
+        START,
+        STOP,
+        FORGET
+    }
 
     public static Order start(TaskId task, long attempt) {
         return new Order(Verb.START, task, attempt, 0);
--- a/src/main/java/org/granitepath/coordination/Outlook.java
+++ b/src/main/java/org/granitepath/coordination/Outlook.java
@@ -22,7 +22,13 @@
      * all together go before those that can make the longest multiple that the aims name, and these before what is late
      * all the same or has no deadline.
      */
-    enum Turn { LIVE, GUARANTEED, IN_TIME, NEARLY, ANY }
+    enum Turn {
+        LIVE,
+        GUARANTEED,
+        IN_TIME,
+        NEARLY,
+        ANY
+    }
 
     private record Due(ActiveJob job, double work, double micros) {}
 
@@ -33,6 +39,7 @@
     private double batchWork;
     /** Of it, that with a deadline: it goes before the rest. */
     private double urgentWork;
+
     private double room;
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
     private double cheapRoom;
@@ -61,15 +68,15 @@
             } else if (stalled(j, now)) {
                 j.turn = Turn.IN_TIME;
             } else if (j.spec.hasDeadline() || finishAim(j) > 0) {
-                long left = (finishAim(j) > 0 ? finishAim(j) : j.spec.deadlineMicros())
-                        - dispatcher.ageMicros(j, now);
+                long left = (finishAim(j) > 0 ? finishAim(j) : j.spec.deadlineMicros()) - dispatcher.ageMicros(j, now);
                 (estimates.taskMicros(j) <= left ? inTime : later).add(new Due(j, work(j), left));
             }
         }
         double taken = settle(inTime, later, Turn.IN_TIME, 0);
         List<Due> extended = new ArrayList<>();
         for (Due d : later) {
-            double times = config.objectives().getOrDefault(d.job().spec.jobClass(), Config.Objective.NONE)
+            double times = config.objectives()
+                    .getOrDefault(d.job().spec.jobClass(), Config.Objective.NONE)
                     .deadlineTimes();
             double left = d.micros() + (times - 1) * d.job().spec.deadlineMicros();
             if (times > 1 && estimates.taskMicros(d.job()) <= left) {
@@ -99,7 +106,8 @@
             }
             cpu.addTo(team.name(), j.left() * j.spec.cpuMillis());
             gpu.addTo(team.name(), j.left() * j.spec.gpuMillis());
-            if (!isLive(j) && cpu.getLong(team.name()) <= team.cpuGuarantee()
+            if (!isLive(j)
+                    && cpu.getLong(team.name()) <= team.cpuGuarantee()
                     && gpu.getLong(team.name()) <= team.gpuGuarantee()) {
                 j.turn = Turn.GUARANTEED;
             }
@@ -112,7 +120,8 @@
      */
     private double settle(List<Due> jobs, List<Due> leftOut, Turn turn, double before) {
         jobs.sort(Comparator.comparingDouble(Due::micros));
-        PriorityQueue<Due> taken = new PriorityQueue<>(Comparator.comparingDouble(Due::work).reversed());
+        PriorityQueue<Due> taken =
+                new PriorityQueue<>(Comparator.comparingDouble(Due::work).reversed());
         double sum = before;
         for (Due d : jobs) {
             taken.add(d);
@@ -197,13 +206,18 @@
         if (o.waitMicros() == 0 && o.finishMicros() == 0) {
             return !stalled(job, now);
         }
-        double aim = Math.min(o.waitMicros() == 0 ? Double.MAX_VALUE : o.waitMicros(),
+        double aim = Math.min(
+                o.waitMicros() == 0 ? Double.MAX_VALUE : o.waitMicros(),
                 o.finishMicros() == 0 ? Double.MAX_VALUE : o.finishMicros() - estimates.taskMicros(job));
         long waited = job.waitingSinceMicros < 0 ? 0 : now - job.waitingSinceMicros;
-        return waited + batchWork / Math.max(1, cheapRoom + moreRoom) <= aim * config.tuning().patienceShare();
+        return waited + batchWork / Math.max(1, cheapRoom + moreRoom)
+                <= aim * config.tuning().patienceShare();
     }
 
     private double quickestBootMicros() {
-        return dispatcher.types().values().stream().mapToLong(MachineType::bootMicros).min().orElse(0);
+        return dispatcher.types().values().stream()
+                .mapToLong(MachineType::bootMicros)
+                .min()
+                .orElse(0);
     }
 }
--- a/src/main/java/org/granitepath/coordination/Peers.java
+++ b/src/main/java/org/granitepath/coordination/Peers.java
@@ -51,8 +51,11 @@
     /** The most machines that one peer lately turned away; negative when no peer has been heard. */
     int mostTurnedAway() {
         long now = timers.nowMicros();
-        return heard.values().stream().filter(h -> now - h.atMicros() < FRESH_MICROS)
-                .mapToInt(h -> h.greeting().turnedAway()).max().orElse(-1);
+        return heard.values().stream()
+                .filter(h -> now - h.atMicros() < FRESH_MICROS)
+                .mapToInt(h -> h.greeting().turnedAway())
+                .max()
+                .orElse(-1);
     }
 
     /** Whether every peer was lately heard and told that the state service had not answered it for so long, or never. */
@@ -102,7 +105,8 @@
     /** Whether the owner was lately heard. */
     boolean ownerHeard() {
         long now = timers.nowMicros();
-        return heard.values().stream().anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.greeting().owner());
+        return heard.values().stream()
+                .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.greeting().owner());
     }
 
     /** Whether a peer lately had word from the state service, at most {@code ageMicros} old when it told us. */
--- a/src/main/java/org/granitepath/coordination/Placement.java
+++ b/src/main/java/org/granitepath/coordination/Placement.java
@@ -8,7 +8,14 @@
     private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
 
     /** {@code ASSIGNED}: decided, not sent. {@code SENT}: a start is under way or was answered. */
-    enum Phase { ASSIGNED, SENT, FETCHING, RUNNING, STOPPING, FREED }
+    enum Phase {
+        ASSIGNED,
+        SENT,
+        FETCHING,
+        RUNNING,
+        STOPPING,
+        FREED
+    }
 
     final TaskId task;
     final ActiveJob job;
@@ -16,17 +23,20 @@
     final long attempt;
     /** The worker's session that the start is meant for; a later session proves this attempt gone. */
     final long session;
+
     final long placedMicros;
     Phase phase = Phase.ASSIGNED;
     /** A direct start without an answer yet, and the baton it carries: it may be carried out late. */
     long unansweredBaton;
     /** Went out in the answer to a report: only a later report, not a direct answer, tells whether it was taken. */
     boolean sentInAnswer;
+
     boolean seen;
     /** Ours, or listed by a report under the present baton: then the task can be nowhere else. */
     boolean certain = true;
     /** Found on the machine: when it began is not known. */
     boolean takenOver;
+
     long runningSinceMicros = -1;
     long graceMicros;
 
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -17,6 +17,7 @@
     private static final long SERVICE_HORIZON_MICROS = 600_000_000;
     /** A service that starts this much later is worth half as much to its users. */
     private static final double LATE_START_MICROS = 120e6;
+
     private static final int MOST_PLANNED = 2000;
     /** More machines than a few rentals bring are not planned for: the plan is made anew after each. */
     private static final int MOST_MACHINES = 400;
@@ -48,8 +49,12 @@
         }
 
         boolean take(JobSpec s) {
-            if (!s.allowsType(type.name()) || !s.allowsZone(zone) || spot && !s.spot() || s.cpuMillis() > cpu
-                    || s.gpuMillis() > gpu || s.memoryMillis() > memory) {
+            if (!s.allowsType(type.name())
+                    || !s.allowsZone(zone)
+                    || spot && !s.spot()
+                    || s.cpuMillis() > cpu
+                    || s.gpuMillis() > gpu
+                    || s.memoryMillis() > memory) {
                 return false;
             }
             cpu -= s.cpuMillis();
@@ -77,6 +82,7 @@
     private final Object2IntOpenHashMap<Alike> alikeLeft = new Object2IntOpenHashMap<>();
     /** CPUs for batch work on machines on their way. */
     private double roomComing;
+
     private double headroomSpare = Double.MAX_VALUE;
     private int newMachines;
 
@@ -176,13 +182,15 @@
         if (offer == null) {
             return;
         }
-        double wanted = Math.min(dispatcher.arrivals().cpuPerMicro(now) * offer.type().bootMicros(),
+        double wanted = Math.min(
+                dispatcher.arrivals().cpuPerMicro(now) * offer.type().bootMicros(),
                 config.tuning().headroomShare() * live);
         headroomSpare = room - wanted;
         if (room < wanted) {
-            String zone = offer.type().zones().stream().filter(z -> !cutOff.test(z) && !refused.test(
-                    new Offer(offer.type(), z, false, newest).key()))
-                    .min(Comparator.comparingDouble(z -> roomByZone.getOrDefault(z, 0.0))).orElse(offer.zone());
+            String zone = offer.type().zones().stream()
+                    .filter(z -> !cutOff.test(z) && !refused.test(new Offer(offer.type(), z, false, newest).key()))
+                    .min(Comparator.comparingDouble(z -> roomByZone.getOrDefault(z, 0.0)))
+                    .orElse(offer.zone());
             Offer there = new Offer(offer.type(), zone, false, newest);
             buy(there, (int) Math.ceil((wanted - room) / offer.type().cpuMillis()));
         }
@@ -197,7 +205,9 @@
         int others = Outlook.isLive(job) ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
         boolean patient = dispatcher.outlook().patient(job, roomComing, now);
         for (Bin bin : bins) {
-            while (left > 0 && (bin.spot || !patient) && zoneCounts.getOrDefault(bin.zone, 0) < spec.zoneCap()
+            while (left > 0
+                    && (bin.spot || !patient)
+                    && zoneCounts.getOrDefault(bin.zone, 0) < spec.zoneCap()
                     && bin.take(spec)) {
                 zoneCounts.merge(bin.zone, 1, Integer::sum);
                 left--;
@@ -205,8 +215,7 @@
         }
         while (left > 0 && newMachines < MOST_MACHINES) {
             newMachines++;
-            Offer offer = cheapest(job, !dispatcher.outlook().patient(job, roomComing, now), left + others,
-                    zoneCounts);
+            Offer offer = cheapest(job, !dispatcher.outlook().patient(job, roomComing, now), left + others, zoneCounts);
             if (offer == null) {
                 return;
             }
@@ -230,7 +239,8 @@
         JobSpec spec = job.spec;
         Offer best = null;
         double bestCost = Double.POSITIVE_INFINITY;
-        long horizon = spec.service() ? SERVICE_HORIZON_MICROS : dispatcher.estimates().taskMicros(job);
+        long horizon =
+                spec.service() ? SERVICE_HORIZON_MICROS : dispatcher.estimates().taskMicros(job);
         for (MachineType type : dispatcher.types().values()) {
             if (!type.fits(spec)) {
                 continue;
@@ -246,8 +256,10 @@
                     if (spot && !spec.spot() || !spot && !fullPrice || refused.test(offer.key())) {
                         continue;
                     }
-                    double cost = type.priceFor(spot) * Math.max(ready + horizon, Autoscaler.LEAST_CHARGE_MICROS) / used;
-                    if (spec.hasDeadline() && ready + horizon > spec.deadlineMicros() - dispatcher.ageMicros(job, now)) {
+                    double cost =
+                            type.priceFor(spot) * Math.max(ready + horizon, Autoscaler.LEAST_CHARGE_MICROS) / used;
+                    if (spec.hasDeadline()
+                            && ready + horizon > spec.deadlineMicros() - dispatcher.ageMicros(job, now)) {
                         if (!spot && spec.spot()) {
                             continue; // late all the same: then it can wait for cheaper room
                         }
--- a/src/main/java/org/granitepath/coordination/RoomMaker.java
+++ b/src/main/java/org/granitepath/coordination/RoomMaker.java
@@ -129,9 +129,10 @@
     }
 
     /** No team is made to give back more than it has borrowed: counts the tasks of one machine that only loans explain. */
-    private static boolean withinLoans(Sacrifice s, ActiveJob job, boolean live, Object2LongOpenHashMap<String> borrowed,
-                                       long now) {
-        List<Placement> lent = s.victims().stream().filter(p -> !mayStopFor(job, live, p, now)).toList();
+    private static boolean withinLoans(
+            Sacrifice s, ActiveJob job, boolean live, Object2LongOpenHashMap<String> borrowed, long now) {
+        List<Placement> lent =
+                s.victims().stream().filter(p -> !mayStopFor(job, live, p, now)).toList();
         for (Placement p : lent) {
             if (borrowed.getLong(p.job.spec.team()) <= 0) {
                 return false;
@@ -146,8 +147,10 @@
         if (!job.spec.rank().above(victim.rank()) || victim.service()) {
             return false;
         }
-        return live || victim.checkpointMicros() > 0 && p.runningSinceMicros >= 0
-                && now - p.runningSinceMicros > SETTLED_MICROS;
+        return live
+                || victim.checkpointMicros() > 0
+                        && p.runningSinceMicros >= 0
+                        && now - p.runningSinceMicros > SETTLED_MICROS;
     }
 
     /** CPU time that stopping this task throws away. */
@@ -155,7 +158,8 @@
         long ran = p.runningSinceMicros < 0 ? 0 : now - p.runningSinceMicros;
         long interval = p.job.spec.checkpointMicros();
         long unsaved = interval > 0 ? ran % interval : ran;
-        return (double) p.job.spec.cpuMillis() * (unsaved + 1_000_000) * (p.job.spec.rank().above(Rank.BEST_EFFORT)
-                ? 3 : 1);
+        return (double) p.job.spec.cpuMillis()
+                * (unsaved + 1_000_000)
+                * (p.job.spec.rank().above(Rank.BEST_EFFORT) ? 3 : 1);
     }
 }
--- a/src/main/java/org/granitepath/coordination/Rosters.java
+++ b/src/main/java/org/granitepath/coordination/Rosters.java
@@ -22,10 +22,12 @@
     private static final int ROW_BYTES = 110;
     /** Larger values would only be read over and over by every controller. */
     private static final int MOST_VALUE_BYTES = 8 * 1024;
+
     private static final int MOST_TRANSACTION_BYTES = 48 * 1024;
     private static final long LEAST_GATHER_MICROS = 30_000;
     /** Share of the budget that rosters may take: their writes go first, and claims must not starve behind them. */
     private static final double WRITE_SHARE = 0.3;
+
     private static final long UPKEEP_MICROS = 15_000_000;
 
     private final Config config;
@@ -40,6 +42,7 @@
     private final Timers timers;
     /** Before this the next write would take more than the rosters' share of the budget. */
     private long nextMicros;
+
     private boolean upkeepTimerSet;
     private boolean upkeepDue;
     private final List<Set<String>> values = new ArrayList<>();
@@ -51,8 +54,15 @@
     private long drawn;
 
     /** @param raisedListener told of each machine whose new baton is on record; {@code recordedListener} of each write */
-    Rosters(Config config, Leadership.Term term, Mirror mirror, Ledger ledger, Timers timers,
-            Map<String, Machine> machines, Consumer<Machine> raisedListener, Runnable recordedListener) {
+    Rosters(
+            Config config,
+            Leadership.Term term,
+            Mirror mirror,
+            Ledger ledger,
+            Timers timers,
+            Map<String, Machine> machines,
+            Consumer<Machine> raisedListener,
+            Runnable recordedListener) {
         this.timers = timers;
         this.config = config;
         this.term = term;
@@ -71,7 +81,8 @@
         List<Machine> inherited = new ArrayList<>();
         for (int i = 0; mirror.value(Keys.ROSTER + i) != null; i++) {
             Set<String> row = new LinkedHashSet<>();
-            for (RosterRecord.Host h : RosterRecord.fromMap(mirror.value(Keys.ROSTER + i)).hosts()) {
+            for (RosterRecord.Host h :
+                    RosterRecord.fromMap(mirror.value(Keys.ROSTER + i)).hosts()) {
                 Machine m = new Machine(h.id(), h.address(), h.type(), h.zone(), h.spot());
                 m.roster = i;
                 m.rostered = true;
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -19,19 +19,32 @@
 
     private record Candidate(ActiveJob job, Outlook.Turn turn, double share) {}
 
-    private static final Comparator<Candidate> LOWEST_FIRST = Comparator
-            .comparing(Candidate::turn)
+    private static final Comparator<Candidate> LOWEST_FIRST = Comparator.comparing(Candidate::turn)
             .thenComparingDouble(Candidate::share)
             .thenComparing(c -> c.job().spec.rank())
             .thenComparingLong(c -> c.job().acceptedMicros);
 
     /** What a task needs. When one finds no room, none that needs as much or more at the same places does either. */
-    private record Needs(long cpu, long gpu, long memory, List<String> types, String zone, List<String> closedZones,
-                         boolean spot, boolean patient, Rank rank) {
+    private record Needs(
+            long cpu,
+            long gpu,
+            long memory,
+            List<String> types,
+            String zone,
+            List<String> closedZones,
+            boolean spot,
+            boolean patient,
+            Rank rank) {
         boolean atMost(Needs other) {
-            return cpu <= other.cpu && gpu <= other.gpu && memory <= other.memory && spot == other.spot
-                    && patient == other.patient && rank == other.rank && Objects.equals(types, other.types)
-                    && Objects.equals(zone, other.zone) && closedZones.equals(other.closedZones);
+            return cpu <= other.cpu
+                    && gpu <= other.gpu
+                    && memory <= other.memory
+                    && spot == other.spot
+                    && patient == other.patient
+                    && rank == other.rank
+                    && Objects.equals(types, other.types)
+                    && Objects.equals(zone, other.zone)
+                    && closedZones.equals(other.closedZones);
         }
     }
 
@@ -87,7 +100,8 @@
                 continue;
             }
             // A moment's patience gets a live replica onto a machine that already has its image.
-            if (Outlook.isLive(job) && !m.hasImage(job.spec.image())
+            if (Outlook.isLive(job)
+                    && !m.hasImage(job.spec.image())
                     && now - job.waitingSinceMicros < ROOM_PATIENCE_MICROS
                     && roomMaker.makeRoom(job, 1, true, now) > 0) {
                 continue;
@@ -157,14 +171,25 @@
     private Needs needs(ActiveJob job) {
         JobSpec s = job.spec;
         List<String> closed = s.spread() || s.oneZone()
-                ? config.zones().stream().filter(z -> !job.zoneAllows(z)).toList() : List.of();
-        return new Needs(s.cpuMillis(), s.gpuMillis(), s.memoryMillis(), s.types(), s.zone(), closed, s.spot(),
-                job.patient, s.rank());
+                ? config.zones().stream().filter(z -> !job.zoneAllows(z)).toList()
+                : List.of();
+        return new Needs(
+                s.cpuMillis(),
+                s.gpuMillis(),
+                s.memoryMillis(),
+                s.types(),
+                s.zone(),
+                closed,
+                s.spot(),
+                job.patient,
+                s.rank());
     }
 
     private Candidate candidate(ActiveJob job) {
-        return new Candidate(job, Outlook.isLive(job) ? Outlook.Turn.LIVE : job.turn, fairShare.share(job.spec.rank(),
-                job.spec.hasDeadline(), job.spec.tasks(), job.left(), job.running()));
+        return new Candidate(
+                job,
+                Outlook.isLive(job) ? Outlook.Turn.LIVE : job.turn,
+                fairShare.share(job.spec.rank(), job.spec.hasDeadline(), job.spec.tasks(), job.left(), job.running()));
     }
 
     // ---- machines ----------------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/Silence.java
+++ b/src/main/java/org/granitepath/coordination/Silence.java
@@ -19,6 +19,7 @@
     private static final int LEAST_MACHINES = 4;
     /** Overdue share of a zone's machines, and at most of the others', for the zone to count as cut off. */
     private static final double CUT_OFF_SHARE = 0.7;
+
     private static final double REST_SHARE = 0.3;
     private static final double FEW_SHARE = 0.2;
 
@@ -28,6 +29,7 @@
     private final Set<String> cutOff = new HashSet<>();
     /** When each zone was last found cut off. */
     private final Map<String, Long> lastCutMicros = new HashMap<>();
+
     private int overdue;
 
     Silence(Config config, Dispatcher dispatcher, Peers peers) {
@@ -51,14 +53,20 @@
         for (String zone : all.keySet()) {
             int inZone = all.getInt(zone);
             int lateInZone = late.getInt(zone);
-            boolean isCut = inZone >= LEAST_MACHINES && lateInZone >= CUT_OFF_SHARE * inZone
+            boolean isCut = inZone >= LEAST_MACHINES
+                    && lateInZone >= CUT_OFF_SHARE * inZone
                     && overdue - lateInZone < REST_SHARE * (machines - inZone);
             if (isCut) {
                 lastCutMicros.put(zone, now);
             }
             if (isCut && cutOff.add(zone)) {
-                LOG.info("zone {} seems cut off: {} of {} machines are overdue there, {} of {} elsewhere", zone, lateInZone,
-                        inZone, overdue - lateInZone, machines - inZone);
+                LOG.info(
+                        "zone {} seems cut off: {} of {} machines are overdue there, {} of {} elsewhere",
+                        zone,
+                        lateInZone,
+                        inZone,
+                        overdue - lateInZone,
+                        machines - inZone);
             } else if (!isCut && cutOff.remove(zone)) {
                 LOG.info("zone {} is heard again: {} of {} machines are overdue", zone, lateInZone, inZone);
             }
--- a/src/main/java/org/granitepath/coordination/UserAnswer.java
+++ b/src/main/java/org/granitepath/coordination/UserAnswer.java
@@ -2,7 +2,12 @@
 
 /** What a user is told. */
 public sealed interface UserAnswer {
-    enum JobState { PENDING, RUNNING, DONE, CANCELLED }
+    enum JobState {
+        PENDING,
+        RUNNING,
+        DONE,
+        CANCELLED
+    }
 
     record Status(boolean created, String job, JobState state, int done, int running) implements UserAnswer {}
 
--- a/src/main/java/org/granitepath/coordination/UserDesk.java
+++ b/src/main/java/org/granitepath/coordination/UserDesk.java
@@ -28,6 +28,7 @@
     private static final long SUBMIT_PATIENCE_MICROS = 4_000_000;
     /** A cancellation may have to wait for an owner that is out of reach; users wait for five seconds. */
     private static final long CANCEL_PATIENCE_MICROS = 4_700_000;
+
     private static final long POLL_PATIENCE_MICROS = 1_600_000;
     private static final int MOST_WAITING = 2_000;
     private static final int RETRY_SECONDS = 2;
@@ -45,21 +46,35 @@
     private final Supplier<Map<String, MachineType>> types;
     /** Told of each cancellation that we have put on record; runs what it is given once the owner starts no more of it. */
     private final BiConsumer<PeerPort.Cancelled, Runnable> cancelled;
+
     private final Map<String, Tickets> submitting = new LinkedHashMap<>();
     private final Map<String, Tickets> cancelling = new LinkedHashMap<>();
     private int waiting;
 
-    UserDesk(Config config, StatePort state, Mirror mirror, JobBook book, Timers timers,
-             Supplier<Map<String, MachineType>> types, BiConsumer<PeerPort.Cancelled, Runnable> cancelled) {
+    UserDesk(
+            Config config,
+            StatePort state,
+            Mirror mirror,
+            JobBook book,
+            Timers timers,
+            Supplier<Map<String, MachineType>> types,
+            BiConsumer<PeerPort.Cancelled, Runnable> cancelled) {
         this.cancelled = cancelled;
         this.config = config;
         this.mirror = mirror;
         this.book = book;
         this.timers = timers;
         this.types = types;
-        this.ledger = new Ledger(state, mirror, timers, config.txnOps(), config.stateWrites() * 0.5, true,
+        this.ledger = new Ledger(
+                state,
+                mirror,
+                timers,
+                config.txnOps(),
+                config.stateWrites() * 0.5,
+                true,
                 // An acceptance claims tasks for the owner that we know of: it must be the owner still.
-                () -> List.of(new Guard(Keys.LEADER, mirror.stamp(Keys.LEADER))), () -> true);
+                () -> List.of(new Guard(Keys.LEADER, mirror.stamp(Keys.LEADER))),
+                () -> true);
     }
 
     // ---- submissions -------------------------------------------------------------------------------------------
@@ -80,8 +95,9 @@
         String reason = impossible(spec);
         if (reason != null) {
             // Another controller may know it already, under a description that can run.
-            fresh(then, () -> then.accept(known(spec.id()) ? status(spec.id(), false)
-                    : new UserAnswer.Impossible(reason)));
+            fresh(
+                    then,
+                    () -> then.accept(known(spec.id()) ? status(spec.id(), false) : new UserAnswer.Impossible(reason)));
             return;
         }
         if (types.get().isEmpty()) {
@@ -93,21 +109,31 @@
             return;
         }
         String key = Keys.JOB + spec.id();
-        ledger.want(key, Ledger.Urgency.WORK, 0, () -> {
-            if (known(spec.id())) {
-                resolve(submitting, spec.id(), status(spec.id(), false));
-                return List.of();
-            }
-            return submitting.containsKey(spec.id())
-                    ? List.of(Change.write(key, accepted(spec).toMap())) : List.of();
-        }, epoch -> resolve(submitting, spec.id(), status(spec.id(), true)));
+        ledger.want(
+                key,
+                Ledger.Urgency.WORK,
+                0,
+                () -> {
+                    if (known(spec.id())) {
+                        resolve(submitting, spec.id(), status(spec.id(), false));
+                        return List.of();
+                    }
+                    return submitting.containsKey(spec.id())
+                            ? List.of(Change.write(key, accepted(spec).toMap()))
+                            : List.of();
+                },
+                epoch -> resolve(submitting, spec.id(), status(spec.id(), true)));
     }
 
     private JobRecord accepted(JobSpec spec) {
         Map<String, Object> owner = mirror.value(Keys.LEADER);
-        return owner == null ? new JobRecord(spec, timers.timeOfDayMicros(), 0, 0)
-                : new JobRecord(spec, timers.timeOfDayMicros(), config.tuning().firstBlock(spec),
-                Fields.longOf(owner, "baton", 0));
+        return owner == null
+                ? new JobRecord(spec, timers.timeOfDayMicros(), 0, 0)
+                : new JobRecord(
+                        spec,
+                        timers.timeOfDayMicros(),
+                        config.tuning().firstBlock(spec),
+                        Fields.longOf(owner, "baton", 0));
     }
 
     /** Why a job can never run, or null. */
@@ -172,14 +198,20 @@
             return;
         }
         String key = Keys.FINAL + id;
-        ledger.want(key, Ledger.Urgency.SAFETY, 0, () -> {
-            if (book.finalOf(id) != null) {
-                confirm(id);
-                return List.of();
-            }
-            return cancelling.containsKey(id)
-                    ? List.of(Change.write(key, JobBook.finalRecord(JobBook.Final.CANCELLED))) : List.of();
-        }, epoch -> confirm(id));
+        ledger.want(
+                key,
+                Ledger.Urgency.SAFETY,
+                0,
+                () -> {
+                    if (book.finalOf(id) != null) {
+                        confirm(id);
+                        return List.of();
+                    }
+                    return cancelling.containsKey(id)
+                            ? List.of(Change.write(key, JobBook.finalRecord(JobBook.Final.CANCELLED)))
+                            : List.of();
+                },
+                epoch -> confirm(id));
     }
 
     /** Its cancellation is on record, and whoever asked for it has no answer yet. */
@@ -193,7 +225,8 @@
      */
     private void confirm(String id) {
         if (book.finalOf(id) == JobBook.Final.CANCELLED) {
-            cancelled.accept(new PeerPort.Cancelled(id, mirror.stamp(Keys.FINAL + id)),
+            cancelled.accept(
+                    new PeerPort.Cancelled(id, mirror.stamp(Keys.FINAL + id)),
                     () -> resolve(cancelling, id, status(id, false)));
         } else {
             resolve(cancelling, id, status(id, false));
@@ -209,14 +242,14 @@
     private UserAnswer.Status status(String id, boolean created) {
         JobBook.Final how = book.finalOf(id);
         if (how != null) {
-            return new UserAnswer.Status(created, id, how == JobBook.Final.DONE ? JobState.DONE : JobState.CANCELLED,
-                    0, 0);
+            return new UserAnswer.Status(
+                    created, id, how == JobBook.Final.DONE ? JobState.DONE : JobState.CANCELLED, 0, 0);
         }
         ProgressRecord progress = book.progressOf(id);
         int done = ProgressRecord.count(progress.done());
         boolean running = progress.running() > 0;
-        return new UserAnswer.Status(created, id, running ? JobState.RUNNING : JobState.PENDING, done,
-                progress.running());
+        return new UserAnswer.Status(
+                created, id, running ? JobState.RUNNING : JobState.PENDING, done, progress.running());
     }
 
     /** Runs {@code action} once the mirror is as new as this moment, or answers that it can't be told now. */
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -19,9 +19,14 @@
         List<MachineType> types = new ArrayList<>();
         for (Object o : Fields.listOf(body, "models")) {
             Map<String, Object> m = (Map<String, Object>) o;
-            types.add(new MachineType(Fields.textOf(m, "sku"), millis(m, "cpus"), millis(m, "cards"),
-                    millis(m, "mem_gb"), Math.max(0.001, Fields.doubleOf(m, "fetch_gb_per_s", 0.1)),
-                    Fields.doubleOf(m, "rate", 0), Fields.doubleOf(m, "market_price", 0),
+            types.add(new MachineType(
+                    Fields.textOf(m, "sku"),
+                    millis(m, "cpus"),
+                    millis(m, "cards"),
+                    millis(m, "mem_gb"),
+                    Math.max(0.001, Fields.doubleOf(m, "fetch_gb_per_s", 0.1)),
+                    Fields.doubleOf(m, "rate", 0),
+                    Fields.doubleOf(m, "market_price", 0),
                     Math.round(Fields.doubleOf(m, "ready_s", 60) * 1e6),
                     Fields.listOf(m, "sites").stream().map(String::valueOf).toList()));
         }
@@ -60,8 +65,13 @@
                 case "failed" -> HostState.FAILED;
                 default -> HostState.BOOTING;
             };
-            hosts.add(new ListedHost(Fields.textOf(m, "uid"), Fields.textOf(m, "address"), Fields.textOf(m, "model"),
-                    Fields.textOf(m, "site"), Fields.boolOf(m, "loaner"), state,
+            hosts.add(new ListedHost(
+                    Fields.textOf(m, "uid"),
+                    Fields.textOf(m, "address"),
+                    Fields.textOf(m, "model"),
+                    Fields.textOf(m, "site"),
+                    Fields.boolOf(m, "loaner"),
+                    state,
                     Math.round(Fields.doubleOf(m, "held_s", 0) * 1e6)));
         }
         return hosts;
--- a/src/main/java/org/granitepath/protocol/Json.java
+++ b/src/main/java/org/granitepath/protocol/Json.java
@@ -9,8 +9,9 @@
 /** JSON objects as maps. A field named twice is an error. */
 public final class Json {
     private static final JSON JR = JSON.builder(JsonFactory.builder()
-            .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build())
+                    .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                    .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+                    .build())
             .build();
 
     private Json() {}
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -18,8 +18,12 @@
 
     public static byte[] encode(Greeting g) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packArrayHeader(FIELDS).packInt(VERSION).packString(g.node()).packLong(g.contactAgeMicros())
-                    .packBoolean(g.owner()).packInt(g.turnedAway());
+            packer.packArrayHeader(FIELDS)
+                    .packInt(VERSION)
+                    .packString(g.node())
+                    .packLong(g.contactAgeMicros())
+                    .packBoolean(g.owner())
+                    .packInt(g.turnedAway());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("packing in memory failed", e);
@@ -28,7 +32,10 @@
 
     public static byte[] encode(Cancelled word) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packArrayHeader(CANCELLED_FIELDS).packInt(VERSION).packString(word.job()).packLong(word.stamp());
+            packer.packArrayHeader(CANCELLED_FIELDS)
+                    .packInt(VERSION)
+                    .packString(word.job())
+                    .packLong(word.stamp());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("packing in memory failed", e);
@@ -54,8 +61,8 @@
             if (unpacker.unpackArrayHeader() < FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
             }
-            return new Greeting(unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackBoolean(),
-                    unpacker.unpackInt());
+            return new Greeting(
+                    unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackBoolean(), unpacker.unpackInt());
         } catch (IOException | MessagePackException e) {
             return null;
         }
--- a/src/main/java/org/granitepath/protocol/StateCodec.java
+++ b/src/main/java/org/granitepath/protocol/StateCodec.java
@@ -57,8 +57,10 @@
         for (Object o : Fields.listOf(body, "events")) {
             Map<String, Object> m = (Map<String, Object>) o;
             String written = Fields.textOf(m, "write");
-            items.add(new Item(written != null ? written : Fields.textOf(m, "remove"),
-                    written != null ? Fields.mapOf(m, "v") : null, Fields.longOf(m, "stamp", 0)));
+            items.add(new Item(
+                    written != null ? written : Fields.textOf(m, "remove"),
+                    written != null ? Fields.mapOf(m, "v") : null,
+                    Fields.longOf(m, "stamp", 0)));
         }
         return new Page(Outcome.OK, items, false, Fields.longOf(body, "epoch", 0));
     }
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -44,11 +44,27 @@
             throw new Malformed("pieces: must be a whole number from 1 to " + MOST_TASKS);
         }
         Object due = m.get("due_s");
-        return new JobSpec(id, text(m, "lane"), text(m, "owner"), shape(text(m, "shape")), rank(text(m, "rank")), pieces,
-                millis(m, "cpus"), millis(m, "cards"), millis(m, "mem_gb"), text(m, "bundle"), amount(m, "size_gb"),
-                models(m.get("models")), m.get("site") == null ? null : text(m, "site"), flag(m, "same_place"),
-                flag(m, "scatter"), flag(m, "loaner"), micros(m, "expect_s"), micros(m, "snapshot_s"),
-                micros(m, "flush_s"), due == null ? JobSpec.NO_DEADLINE : micros(m, "due_s"));
+        return new JobSpec(
+                id,
+                text(m, "lane"),
+                text(m, "owner"),
+                shape(text(m, "shape")),
+                rank(text(m, "rank")),
+                pieces,
+                millis(m, "cpus"),
+                millis(m, "cards"),
+                millis(m, "mem_gb"),
+                text(m, "bundle"),
+                amount(m, "size_gb"),
+                models(m.get("models")),
+                m.get("site") == null ? null : text(m, "site"),
+                flag(m, "same_place"),
+                flag(m, "scatter"),
+                flag(m, "loaner"),
+                micros(m, "expect_s"),
+                micros(m, "snapshot_s"),
+                micros(m, "flush_s"),
+                due == null ? JobSpec.NO_DEADLINE : micros(m, "due_s"));
     }
 
     private static JobSpec.Shape shape(String word) throws Malformed {
@@ -131,12 +147,14 @@
         Map<String, Object> m = new LinkedHashMap<>();
         if (answer instanceof UserAnswer.Status s) {
             m.put("uid", s.job());
-            m.put("status", switch (s.state()) {
-                case PENDING -> "pending";
-                case RUNNING -> "running";
-                case DONE -> "done";
-                case CANCELLED -> "aborted";
-            });
+            m.put(
+                    "status",
+                    switch (s.state()) {
+                        case PENDING -> "pending";
+                        case RUNNING -> "running";
+                        case DONE -> "done";
+                        case CANCELLED -> "aborted";
+                    });
             m.put("done", s.done());
             m.put("running", s.running());
         } else if (answer instanceof UserAnswer.Impossible i) {
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -20,9 +20,13 @@
     /** Null when it is no report. */
     public static Beat decodeBeat(String body) {
         Map<String, Object> m = Json.object(body);
-        if (m == null || Fields.textOf(m, "host") == null || Fields.textOf(m, "address") == null
-                || Fields.textOf(m, "model") == null || Fields.textOf(m, "site") == null
-                || !(m.get("shift") instanceof Number) || !(m.get("tally") instanceof Number)) {
+        if (m == null
+                || Fields.textOf(m, "host") == null
+                || Fields.textOf(m, "address") == null
+                || Fields.textOf(m, "model") == null
+                || Fields.textOf(m, "site") == null
+                || !(m.get("shift") instanceof Number)
+                || !(m.get("tally") instanceof Number)) {
             return null;
         }
         List<TaskReport> tasks = new ArrayList<>();
@@ -38,10 +42,17 @@
             tasks.add(r);
         }
         double notice = Fields.doubleOf(m, "warning_s", -1);
-        return new Beat(Fields.textOf(m, "host"), Fields.textOf(m, "address"), Fields.textOf(m, "model"),
-                Fields.textOf(m, "site"), Fields.boolOf(m, "loaner"), Fields.longOf(m, "shift", 0),
-                Fields.longOf(m, "tally", 0), Fields.longOf(m, "baton", 0),
-                notice < 0 ? -1 : Math.round(notice * 1e6), tasks);
+        return new Beat(
+                Fields.textOf(m, "host"),
+                Fields.textOf(m, "address"),
+                Fields.textOf(m, "model"),
+                Fields.textOf(m, "site"),
+                Fields.boolOf(m, "loaner"),
+                Fields.longOf(m, "shift", 0),
+                Fields.longOf(m, "tally", 0),
+                Fields.longOf(m, "baton", 0),
+                notice < 0 ? -1 : Math.round(notice * 1e6),
+                tasks);
     }
 
     private static TaskReport decodeTask(Map<String, Object> m) {
@@ -64,14 +75,16 @@
             default -> TaskState.FETCHING;
         };
         String cause = Fields.textOf(m, "cause");
-        Cause why = cause == null ? Cause.NONE : switch (cause) {
-            case "done" -> Cause.DONE;
-            case "error" -> Cause.FAILED;
-            case "full" -> Cause.NO_ROOM;
-            case "in_use" -> Cause.BUSY;
-            case "no_such" -> Cause.UNKNOWN_JOB;
-            default -> Cause.STOPPED;
-        };
+        Cause why = cause == null
+                ? Cause.NONE
+                : switch (cause) {
+                    case "done" -> Cause.DONE;
+                    case "error" -> Cause.FAILED;
+                    case "full" -> Cause.NO_ROOM;
+                    case "in_use" -> Cause.BUSY;
+                    case "no_such" -> Cause.UNKNOWN_JOB;
+                    default -> Cause.STOPPED;
+                };
         return new TaskReport(id, Fields.longOf(m, "try", 0), state, why, Fields.boolOf(m, "kept"));
     }
 
@@ -94,11 +107,13 @@
         List<Object> list = new ArrayList<>(orders.size());
         for (Order o : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("verb", switch (o.verb()) {
-                case START -> "start";
-                case STOP -> "halt";
-                case FORGET -> "clear";
-            });
+            m.put(
+                    "verb",
+                    switch (o.verb()) {
+                        case START -> "start";
+                        case STOP -> "halt";
+                        case FORGET -> "clear";
+                    });
             m.put("piece", o.task().toString());
             m.put("try", o.attempt());
             if (o.verb() == Order.Verb.STOP) {
--- a/src/main/java/org/granitepath/transport/BackServer.java
+++ b/src/main/java/org/granitepath/transport/BackServer.java
@@ -19,8 +19,8 @@
     }
 
     Undertow listen(EventLoop loop, String host, int port, int backlog) {
-        Undertow server = ServiceServer.builder(loop, host, port, backlog).setHandler(exchange -> exchange.dispatch(
-                SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> {
+        Undertow server = ServiceServer.builder(loop, host, port, backlog)
+                .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> {
                     if (exchange.getRequestPath().equals("/metrics")) {
                         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
                         exchange.getResponseSender().send(metrics.text());
@@ -30,8 +30,8 @@
                             if (theirs == null) {
                                 ex.setStatusCode(400).endExchange();
                             } else {
-                                ex.getResponseSender().send(ByteBuffer.wrap(
-                                        PeerCodec.encode(controller.greeted(theirs))));
+                                ex.getResponseSender()
+                                        .send(ByteBuffer.wrap(PeerCodec.encode(controller.greeted(theirs))));
                             }
                         });
                     } else if (exchange.getRequestPath().equals(PeerClient.CANCELLED)) {
@@ -47,7 +47,8 @@
                     } else {
                         exchange.setStatusCode(404).endExchange();
                     }
-                }))).build();
+                })))
+                .build();
         server.start();
         return server;
     }
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -31,7 +31,13 @@
 
     @Override
     public void rent(Rental rental, Consumer<Rented> then) {
-        http.call(address, Methods.POST, "/rentals", CloudCodec.encodeRental(rental), TIMEOUT_MICROS, false,
+        http.call(
+                address,
+                Methods.POST,
+                "/rentals",
+                CloudCodec.encodeRental(rental),
+                TIMEOUT_MICROS,
+                false,
                 (status, body) -> {
                     Map<String, Object> m = status == 0 ? null : Json.object(body);
                     if (status == 200 && m != null) {
@@ -46,7 +52,13 @@
 
     @Override
     public void giveBack(List<String> hosts, Consumer<Boolean> then) {
-        http.call(address, Methods.POST, "/rentals/return", CloudCodec.encodeHosts(hosts), TIMEOUT_MICROS, false,
+        http.call(
+                address,
+                Methods.POST,
+                "/rentals/return",
+                CloudCodec.encodeHosts(hosts),
+                TIMEOUT_MICROS,
+                false,
                 (status, body) -> then.accept(status == 200));
     }
 
@@ -55,8 +67,11 @@
         String path = "/rentals?most=" + limit + (from.isEmpty() ? "" : "&from=" + from);
         http.call(address, Methods.GET, path, null, TIMEOUT_MICROS, false, (status, body) -> {
             Map<String, Object> m = status == 200 ? Json.object(body) : null;
-            then.accept(m == null ? new Listing(Outcome.UNKNOWN, List.of(), false)
-                    : new Listing(Outcome.OK, CloudCodec.decodeListing(m), Boolean.TRUE.equals(m.get("has_next"))));
+            then.accept(
+                    m == null
+                            ? new Listing(Outcome.UNKNOWN, List.of(), false)
+                            : new Listing(
+                                    Outcome.OK, CloudCodec.decodeListing(m), Boolean.TRUE.equals(m.get("has_next"))));
         });
     }
 }
--- a/src/main/java/org/granitepath/transport/Connections.java
+++ b/src/main/java/org/granitepath/transport/Connections.java
@@ -11,6 +11,7 @@
  */
 final class Connections {
     private static final Logger LOG = LoggerFactory.getLogger(Connections.class);
+
     private static final class Held {
         boolean machine;
     }
@@ -56,8 +57,12 @@
             exchange.setPersistent(false);
         }
         if (over != full) {
-            LOG.debug("connections of machines {} (kept {}), of others {} (kept in all {})", machines, mostMachines,
-                    others, most);
+            LOG.debug(
+                    "connections of machines {} (kept {}), of others {} (kept in all {})",
+                    machines,
+                    mostMachines,
+                    others,
+                    most);
             full = over;
         }
     }
--- a/src/main/java/org/granitepath/transport/Connector.java
+++ b/src/main/java/org/granitepath/transport/Connector.java
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public IoFuture<StreamConnection> openStreamConnection(SocketAddress destination,
-            ChannelListener<? super StreamConnection> listener, OptionMap options) {
+    public IoFuture<StreamConnection> openStreamConnection(
+            SocketAddress destination, ChannelListener<? super StreamConnection> listener, OptionMap options) {
         latest = thread.openStreamConnection(destination, listener, options);
         return latest;
     }
--- a/src/main/java/org/granitepath/transport/EventLoop.java
+++ b/src/main/java/org/granitepath/transport/EventLoop.java
@@ -24,12 +24,13 @@
     private final ByteBufferPool buffers;
 
     public EventLoop() throws IOException {
-        worker = Xnio.getInstance("nio", EventLoop.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, false)
-                .getMap());
+        worker = Xnio.getInstance("nio", EventLoop.class.getClassLoader())
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.THREAD_DAEMON, false)
+                        .getMap());
         thread = worker.getIoThread();
         buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 4);
     }
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -47,15 +47,35 @@
     }
 
     /** @param keep whether the connection is kept for later requests to the same address */
-    public void call(String address, HttpString method, String path, String body, long timeoutMicros, boolean keep,
-                     Reply reply) {
-        exchange(address, method, path, body == null ? null : body.getBytes(StandardCharsets.UTF_8),
-                "application/json", timeoutMicros, keep, (status, bytes) -> reply.done(status,
-                        bytes == null ? null : new String(bytes, StandardCharsets.UTF_8)));
+    public void call(
+            String address,
+            HttpString method,
+            String path,
+            String body,
+            long timeoutMicros,
+            boolean keep,
+            Reply reply) {
+        exchange(
+                address,
+                method,
+                path,
+                body == null ? null : body.getBytes(StandardCharsets.UTF_8),
+                "application/json",
+                timeoutMicros,
+                keep,
+                (status, bytes) ->
+                        reply.done(status, bytes == null ? null : new String(bytes, StandardCharsets.UTF_8)));
     }
 
-    void exchange(String address, HttpString method, String path, byte[] body, String type, long timeoutMicros,
-                  boolean keep, BytesReply reply) {
+    void exchange(
+            String address,
+            HttpString method,
+            String path,
+            byte[] body,
+            String type,
+            long timeoutMicros,
+            boolean keep,
+            BytesReply reply) {
         new Call(address, method, path, body, type, keep, reply).begin(timeoutMicros);
     }
 
@@ -72,8 +92,7 @@
         private XnioExecutor.Key timer;
         private boolean over;
 
-        Call(String address, HttpString method, String path, byte[] body, String type, boolean keep,
-             BytesReply reply) {
+        Call(String address, HttpString method, String path, byte[] body, String type, boolean keep, BytesReply reply) {
             this.address = address;
             this.method = method;
             this.path = path;
@@ -84,8 +103,11 @@
         }
 
         void begin(long timeoutMicros) {
-            timer = loop.thread().executeAfter(EventLoop.guarded(() -> fail("timed out")), timeoutMicros / 1000,
-                    java.util.concurrent.TimeUnit.MILLISECONDS);
+            timer = loop.thread()
+                    .executeAfter(
+                            EventLoop.guarded(() -> fail("timed out")),
+                            timeoutMicros / 1000,
+                            java.util.concurrent.TimeUnit.MILLISECONDS);
             ArrayDeque<ClientConnection> kept = idle.get(address);
             while (keep && kept != null && !kept.isEmpty()) {
                 ClientConnection c = kept.pop();
@@ -94,22 +116,27 @@
                     return;
                 }
             }
-            UndertowClient.getInstance().connect(new ClientCallback<>() {
-                @Override
-                public void completed(ClientConnection c) {
-                    if (over) {
-                        IoUtils.safeClose(c);
-                    } else {
-                        send(c);
-                    }
-                }
-
-                @Override
-                public void failed(IOException e) {
-                    fail(String.valueOf(e.getMessage()));
-                }
-            }, URI.create("http://" + address), connector, loop.buffers(),
-                    OptionMap.create(Options.TCP_NODELAY, true));
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<>() {
+                                @Override
+                                public void completed(ClientConnection c) {
+                                    if (over) {
+                                        IoUtils.safeClose(c);
+                                    } else {
+                                        send(c);
+                                    }
+                                }
+
+                                @Override
+                                public void failed(IOException e) {
+                                    fail(String.valueOf(e.getMessage()));
+                                }
+                            },
+                            URI.create("http://" + address),
+                            connector,
+                            loop.buffers(),
+                            OptionMap.create(Options.TCP_NODELAY, true));
             connecting = connector.latest();
         }
 
@@ -122,8 +149,7 @@
             }
             if (body != null) {
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, type);
-                request.getRequestHeaders().put(Headers.CONTENT_LENGTH,
-                        Integer.toString(body.length));
+                request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
             }
             c.sendRequest(request, new ClientCallback<>() {
                 @Override
@@ -153,8 +179,8 @@
 
         private void read(ClientExchange exchange) {
             int status = exchange.getResponse().getResponseCode();
-            new BytesReader(loop.buffers(), bytes -> finish(status, bytes),
-                    e -> fail(String.valueOf(e.getMessage()))).setup(exchange.getResponseChannel());
+            new BytesReader(loop.buffers(), bytes -> finish(status, bytes), e -> fail(String.valueOf(e.getMessage())))
+                    .setup(exchange.getResponseChannel());
         }
 
         private void finish(int status, byte[] bytes) {
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -24,7 +24,8 @@
     }
 
     void served(String what, int status, long micros) {
-        latencies.computeIfAbsent(what, k -> new Histogram(LONGEST_MICROS, 2))
+        latencies
+                .computeIfAbsent(what, k -> new Histogram(LONGEST_MICROS, 2))
                 .recordValue(Math.max(0, Math.min(micros, LONGEST_MICROS)));
         answers.addTo(what + " " + status, 1);
     }
@@ -33,15 +34,18 @@
     String text() {
         if (registry == null) {
             registry = new SimpleMeterRegistry();
-            Gauge.builder("granitepath.connections", connections, Connections::machines).tags("of", "machines")
+            Gauge.builder("granitepath.connections", connections, Connections::machines)
+                    .tags("of", "machines")
                     .register(registry);
-            Gauge.builder("granitepath.connections", connections, Connections::others).tags("of", "others")
+            Gauge.builder("granitepath.connections", connections, Connections::others)
+                    .tags("of", "others")
                     .register(registry);
         }
         for (Map.Entry<String, Histogram> e : latencies.entrySet()) {
             for (double q : QUANTILES) {
                 Gauge.builder("granitepath.request.micros", e.getValue(), h -> h.getValueAtPercentile(q))
-                        .tags("request", e.getKey(), "percentile", String.valueOf(q)).register(registry);
+                        .tags("request", e.getKey(), "percentile", String.valueOf(q))
+                        .register(registry);
             }
         }
         for (String key : answers.keySet()) {
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -23,13 +23,27 @@
 
     @Override
     public void greet(String peer, Greeting ours, Consumer<Greeting> then) {
-        http.exchange(addresses.get(peer), Methods.POST, GREETING, PeerCodec.encode(ours), TYPE,
-                TIMEOUT_MICROS, true, (status, body) -> then.accept(status == 200 ? PeerCodec.decode(body) : null));
+        http.exchange(
+                addresses.get(peer),
+                Methods.POST,
+                GREETING,
+                PeerCodec.encode(ours),
+                TYPE,
+                TIMEOUT_MICROS,
+                true,
+                (status, body) -> then.accept(status == 200 ? PeerCodec.decode(body) : null));
     }
 
     @Override
     public void tell(String peer, Cancelled word, Consumer<Boolean> then) {
-        http.exchange(addresses.get(peer), Methods.POST, CANCELLED, PeerCodec.encode(word), TYPE, TIMEOUT_MICROS, true,
+        http.exchange(
+                addresses.get(peer),
+                Methods.POST,
+                CANCELLED,
+                PeerCodec.encode(word),
+                TYPE,
+                TIMEOUT_MICROS,
+                true,
                 (status, body) -> then.accept(status == 200));
     }
 }
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -23,6 +23,7 @@
     private static final int PARSE_TIMEOUT_MILLIS = 10_000;
     /** A machine that is gone closes nothing: what is silent for longer than any lease or poll is closed from here. */
     private static final int IDLE_TIMEOUT_MILLIS = 40_000;
+
     private static final String REPORTS = "/agent/beat";
     private static final String JOBS = "/submissions";
     private static final String CANCEL = "/cancel";
@@ -40,15 +41,24 @@
     }
 
     /** Begins to listen; requests are handled on the event loop. */
-    public static void listen(Controller controller, Config config, EventLoop loop, String host, int port,
-                              String backHost, int backPort) {
+    public static void listen(
+            Controller controller,
+            Config config,
+            EventLoop loop,
+            String host,
+            int port,
+            String backHost,
+            int backPort) {
         Metrics metrics = new Metrics();
         Connections connections = new Connections(config.machineConnections(), config.heldConnections());
         metrics.watch(connections);
         ServiceServer service = new ServiceServer(controller, metrics, loop, connections);
         new BackServer(controller, metrics).listen(loop, backHost, backPort, config.backlog());
-        builder(loop, host, port, config.backlog()).setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE,
-                EventLoop.guarded(() -> service.route(exchange)))).build().start();
+        builder(loop, host, port, config.backlog())
+                .setHandler(exchange -> exchange.dispatch(
+                        SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> service.route(exchange))))
+                .build()
+                .start();
     }
 
     static Undertow.Builder builder(EventLoop loop, String host, int port, int backlog) {
@@ -131,9 +141,11 @@
     }
 
     private static void body(HttpServerExchange exchange, Taker then) {
-        exchange.getRequestReceiver().receiveFullBytes(
-                (ex, bytes) -> EventLoop.guarded(() -> then.take(new String(bytes, StandardCharsets.UTF_8))).run(),
-                (ex, e) -> reply(ex, 400, "{\"error\":\"unreadable or over 64 KiB\"}"));
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (ex, bytes) -> EventLoop.guarded(() -> then.take(new String(bytes, StandardCharsets.UTF_8)))
+                                .run(),
+                        (ex, e) -> reply(ex, 400, "{\"error\":\"unreadable or over 64 KiB\"}"));
     }
 
     private static void answer(HttpServerExchange exchange, UserAnswer answer) {
--- a/src/main/java/org/granitepath/transport/StateClient.java
+++ b/src/main/java/org/granitepath/transport/StateClient.java
@@ -26,8 +26,14 @@
         http.call(address, Methods.POST, "/commit", StateCodec.encodeTxn(txn), TIMEOUT_MICROS, true, (status, body) -> {
             Map<String, Object> m = status == 0 ? null : Json.object(body);
             Outcome outcome = outcome(status, m);
-            then.accept(new Committed(outcome, m == null ? 0 : Fields.longOf(m, "epoch", 0),
-                    m == null ? List.of() : Fields.listOf(m, "failed").stream().map(String::valueOf).toList()));
+            then.accept(new Committed(
+                    outcome,
+                    m == null ? 0 : Fields.longOf(m, "epoch", 0),
+                    m == null
+                            ? List.of()
+                            : Fields.listOf(m, "failed").stream()
+                                    .map(String::valueOf)
+                                    .toList()));
         });
     }
 
@@ -51,7 +57,13 @@
 
     @Override
     public void openLease(long lifeMicros, Consumer<Leased> then) {
-        http.call(address, Methods.POST, "/leases", StateCodec.encodeLease(lifeMicros), TIMEOUT_MICROS, true,
+        http.call(
+                address,
+                Methods.POST,
+                "/leases",
+                StateCodec.encodeLease(lifeMicros),
+                TIMEOUT_MICROS,
+                true,
                 (status, body) -> {
                     Map<String, Object> m = status == 0 ? null : Json.object(body);
                     then.accept(new Leased(outcome(status, m), m == null ? 0 : StateCodec.decodeLease(m)));
@@ -60,7 +72,13 @@
 
     @Override
     public void touchLease(long lease, Consumer<Outcome> then) {
-        http.call(address, Methods.POST, "/leases/" + lease + "/touch", "{}", TIMEOUT_MICROS / 2, true,
+        http.call(
+                address,
+                Methods.POST,
+                "/leases/" + lease + "/touch",
+                "{}",
+                TIMEOUT_MICROS / 2,
+                true,
                 (status, body) -> then.accept(status == 200 ? Outcome.OK : outcome(status, Map.of())));
     }
 
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -19,8 +19,14 @@
 
     @Override
     public void send(String address, long baton, long session, List<Order> orders, Consumer<Reply> then) {
-        http.call(address, Methods.POST, "/orders", WorkerCodec.encodeOrders(baton, session, orders), TIMEOUT_MICROS,
-                false, (status, body) -> then.accept(new Reply(status == 200,
-                        status == 200 || status == 409 ? WorkerCodec.decodeBeat(body) : null)));
+        http.call(
+                address,
+                Methods.POST,
+                "/orders",
+                WorkerCodec.encodeOrders(baton, session, orders),
+                TIMEOUT_MICROS,
+                false,
+                (status, body) -> then.accept(new Reply(
+                        status == 200, status == 200 || status == 409 ? WorkerCodec.decodeBeat(body) : null)));
     }
 }
--- a/src/test/java/org/granitepath/LayersTest.java
+++ b/src/test/java/org/granitepath/LayersTest.java
@@ -14,8 +14,8 @@
 
 /** A package uses only those below it, and decision code does neither I/O nor threads. */
 class LayersTest {
-    private static final List<String> DOWNWARDS = List.of("cli", "transport", "protocol", "coordination",
-            "bookkeeping");
+    private static final List<String> DOWNWARDS =
+            List.of("cli", "transport", "protocol", "coordination", "bookkeeping");
     private static final Pattern OURS = Pattern.compile("org\\.granitepath\\.([a-z]+)\\.");
     private static final Pattern IMPURE = Pattern.compile(
             "import (java\\.(io|net|nio|util\\.concurrent)|io\\.undertow|org\\.xnio)\\b.*|.*System\\.(nano|current).*");
@@ -33,7 +33,8 @@
                             breaches.add(file.getFileName() + ": " + line.strip());
                         }
                     }
-                    if (layer >= DOWNWARDS.indexOf("coordination") && IMPURE.matcher(line).matches()) {
+                    if (layer >= DOWNWARDS.indexOf("coordination")
+                            && IMPURE.matcher(line).matches()) {
                         breaches.add(file.getFileName() + ": " + line.strip());
                     }
                 }
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -99,6 +99,8 @@
         assertEquals(Command.BAD_USE, Main.execute("serve"));
         assertEquals(Command.BAD_USE, Main.execute("serve", "--config", "/nonexistent"));
         assertEquals(Command.BAD_USE, Main.execute("dance"));
-        assertEquals(Command.OK, Main.execute("check-config", "--config", file("d.toml", GOOD).toString()));
+        assertEquals(
+                Command.OK,
+                Main.execute("check-config", "--config", file("d.toml", GOOD).toString()));
     }
 }
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -30,9 +30,12 @@
     @BeforeAll
     static void serve(@TempDir Path dir) throws Exception {
         port = freePort();
-        Path file = Files.writeString(dir.resolve("n.toml"), MainTest.GOOD.replace("127.0.0.1:1\"",
-                "127.0.0.1:" + port + "\"").replace("127.0.0.1:2\"", "127.0.0.1:" + freePort() + "\"")
-                + "[facts.resources]\nmax_connections = " + MOST + "\n");
+        Path file = Files.writeString(
+                dir.resolve("n.toml"),
+                MainTest.GOOD
+                                .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"")
+                                .replace("127.0.0.1:2\"", "127.0.0.1:" + freePort() + "\"")
+                        + "[facts.resources]\nmax_connections = " + MOST + "\n");
         ServeCommand.start(Settings.read(file, null));
     }
 
@@ -43,8 +46,11 @@
     }
 
     private static HttpResponse<String> ask(String method, String path, String body) throws Exception {
-        return CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .method(method, HttpRequest.BodyPublishers.ofString(body)).build(), HttpResponse.BodyHandlers.ofString());
+        return CLIENT.send(
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                        .method(method, HttpRequest.BodyPublishers.ofString(body))
+                        .build(),
+                HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
@@ -63,7 +69,10 @@
     @Test
     void malformedRequestsAreNotToBeRetried() throws Exception {
         assertEquals(400, ask("POST", "/submissions", "{").statusCode());
-        assertEquals(400, ask("POST", "/submissions", "{\"uid\":\"" + "x".repeat(70_000) + "\"}").statusCode());
+        assertEquals(
+                400,
+                ask("POST", "/submissions", "{\"uid\":\"" + "x".repeat(70_000) + "\"}")
+                        .statusCode());
         assertEquals(400, ask("POST", "/agent/beat", "[]").statusCode());
         assertEquals(404, ask("GET", "/submissions/nonsense", "").statusCode());
         assertEquals(404, ask("GET", "/nowhere", "").statusCode());
@@ -80,7 +89,8 @@
             open.add(s);
             s.setSoTimeout(5_000);
             s.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
             boolean closes = false;
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                 closes |= line.equalsIgnoreCase("Connection: close");
@@ -95,7 +105,13 @@
 
     @Test
     void workersAreSentElsewhereWhileNoOwnerIsKnown() throws Exception {
-        assertEquals(503, ask("POST", "/agent/beat", "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\","
-                + "\"site\":\"z\",\"loaner\":false,\"shift\":1,\"tally\":1,\"baton\":0,\"pieces\":[]}").statusCode());
+        assertEquals(
+                503,
+                ask(
+                                "POST",
+                                "/agent/beat",
+                                "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\","
+                                        + "\"site\":\"z\",\"loaner\":false,\"shift\":1,\"tally\":1,\"baton\":0,\"pieces\":[]}")
+                        .statusCode());
     }
 }
--- a/src/test/java/org/granitepath/coordination/FairShareTest.java
+++ b/src/test/java/org/granitepath/coordination/FairShareTest.java
@@ -26,7 +26,10 @@
             int left = 1 + random.nextInt(total);
             int running = random.nextInt(Math.min(left, 5_000) + 1);
             double plain = plainSum(total, left, running);
-            assertEquals(plain, FairShare.logSum(total, left, running), 1e-6 * (1 + plain),
+            assertEquals(
+                    plain,
+                    FairShare.logSum(total, left, running),
+                    1e-6 * (1 + plain),
                     total + " " + left + " " + running);
         }
     }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -35,11 +35,26 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"\"pieces\":16>\"pieces\":0", "\"pieces\":16>\"pieces\":100001", "\"pieces\":16>\"pieces\":1.5",
-        "\"pieces\":16>\"pieces\":\"16\"", "\"cpus\":8.0>\"cpus\":-1", "\"cpus\":8.0>\"cpus\":1e99",
-        "\"cpus\":8.0>\"cpus\":NaN", "\"cpus\":8.0>\"cpus\":null", "run-000412>job-1", "run-000412>run-../x",
-        "\"rank\":\"high\">\"rank\":\"top\"", "\"batch\">\"crowd\"", "[\"g8\"]>[1]", "\"same_place\":true>\"same_place\":1",
-        "\"loaner\":true,>", "\"lane\":\"train\">\"lane\":\"train\",\"lane\":\"x\"", "{\"uid\">[\"uid\""})
+    @ValueSource(
+            strings = {
+                "\"pieces\":16>\"pieces\":0",
+                "\"pieces\":16>\"pieces\":100001",
+                "\"pieces\":16>\"pieces\":1.5",
+                "\"pieces\":16>\"pieces\":\"16\"",
+                "\"cpus\":8.0>\"cpus\":-1",
+                "\"cpus\":8.0>\"cpus\":1e99",
+                "\"cpus\":8.0>\"cpus\":NaN",
+                "\"cpus\":8.0>\"cpus\":null",
+                "run-000412>job-1",
+                "run-000412>run-../x",
+                "\"rank\":\"high\">\"rank\":\"top\"",
+                "\"batch\">\"crowd\"",
+                "[\"g8\"]>[1]",
+                "\"same_place\":true>\"same_place\":1",
+                "\"loaner\":true,>",
+                "\"lane\":\"train\">\"lane\":\"train\",\"lane\":\"x\"",
+                "{\"uid\">[\"uid\""
+            })
     void malformedSubmissionsAreRefused(String change) {
         int at = change.indexOf('>');
         String body = GOOD.replace(change.substring(0, at), change.substring(at + 1));
@@ -48,9 +63,10 @@
 
     @Test
     void reportIsRead() {
-        Beat b = WorkerCodec.decodeBeat("{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\","
-                + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
-                + "{\"piece\":\"run-000398/0\",\"try\":7,\"status\":\"ended\",\"cause\":\"done\"}]}");
+        Beat b = WorkerCodec.decodeBeat(
+                "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\","
+                        + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
+                        + "{\"piece\":\"run-000398/0\",\"try\":7,\"status\":\"ended\",\"cause\":\"done\"}]}");
         assertEquals(new TaskId("run-000398", 0), b.tasks().get(0).task());
         assertEquals(Beat.Cause.DONE, b.tasks().get(0).cause());
         assertEquals(-1, b.noticeMicros());
@@ -60,9 +76,10 @@
 
     @Test
     void ordersAreWritten() {
-        Map<String, Object> m = Json.object(WorkerCodec.encode(new BeatAnswer.Accepted(41,
-                List.of(Order.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
-        assertEquals(Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
+        Map<String, Object> m = Json.object(WorkerCodec.encode(
+                new BeatAnswer.Accepted(41, List.of(Order.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
+        assertEquals(
+                Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
                 ((List<?>) m.get("orders")).get(0));
     }
 
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -36,19 +36,17 @@
 
     private Mirror mirror() {
         Mirror mirror = mirrorOf(state, "n");
-        world.run(1_000_000, () -> { });
+        world.run(1_000_000, () -> {});
         return mirror;
     }
 
     private Mirror mirrorOf(SimState of, String node) {
         Mirror mirror = new Mirror(of.portFor(node), timers, 50_000, new Mirror.Listener() {
             @Override
-            public void changed(String key, Map<String, Object> value, long stamp) {
-            }
+            public void changed(String key, Map<String, Object> value, long stamp) {}
 
             @Override
-            public void loaded() {
-            }
+            public void loaded() {}
         });
         mirror.start();
         return mirror;
@@ -65,11 +63,13 @@
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
-            world.after(i * 66_000, () -> ledger.want(key, Urgency.WORK, 0,
-                    () -> List.of(Change.write(key, Map.of("x", 1))), epoch -> { }));
+            world.after(
+                    i * 66_000,
+                    () -> ledger.want(
+                            key, Urgency.WORK, 0, () -> List.of(Change.write(key, Map.of("x", 1))), epoch -> {}));
         }
         int before = state.reads;
-        world.run(14_000_000, () -> { });
+        world.run(14_000_000, () -> {});
         assertEquals(2_000, answered[0]);
         assertTrue(state.reads - before <= 10_000_000 / 50_000 * 1.1, state.reads - before + " reads in 10 s");
     }
@@ -82,17 +82,26 @@
         int[] made = new int[1];
         for (int i = 0; i < 300; i++) {
             String key = "g/n/" + i;
-            ledger.want(key, Urgency.NEWS, 0, () -> {
-                made[0]++;
-                return List.of(Change.write(key, Map.of("x", 1)));
-            }, epoch -> written.add(key));
+            ledger.want(
+                    key,
+                    Urgency.NEWS,
+                    0,
+                    () -> {
+                        made[0]++;
+                        return List.of(Change.write(key, Map.of("x", 1)));
+                    },
+                    epoch -> written.add(key));
         }
-        world.run(3_000_000, () -> { });
-        ledger.want("g/safe", Urgency.SAFETY, 0, () -> List.of(Change.write("g/safe", Map.of("x", 1))),
+        world.run(3_000_000, () -> {});
+        ledger.want(
+                "g/safe",
+                Urgency.SAFETY,
+                0,
+                () -> List.of(Change.write("g/safe", Map.of("x", 1))),
                 epoch -> written.add("g/safe"));
-        world.run(3_300_000, () -> { });
+        world.run(3_300_000, () -> {});
         assertTrue(written.contains("g/safe"), "an urgent wish waits behind news");
-        world.run(61_000_000, () -> { });
+        world.run(61_000_000, () -> {});
         assertEquals(301, written.size());
         assertTrue(made[0] <= 310, "contents were made " + made[0] + " times");
     }
@@ -105,15 +114,21 @@
         for (int n = 0; n < 6; n++) {
             int node = n;
             Mirror mirror = mirrorOf(tight, "n" + n);
-            Ledger ledger = new Ledger(tight.portFor("n" + n), mirror, timers, 8, n == 0 ? 11.7 : 9, n > 0, List::of,
-                    () -> true);
+            Ledger ledger = new Ledger(
+                    tight.portFor("n" + n), mirror, timers, 8, n == 0 ? 11.7 : 9, n > 0, List::of, () -> true);
             for (int i = 0; i < 900; i++) {
                 String key = "g/" + node + "/" + i;
-                world.after(1_000_000 + i * 60_000, () -> ledger.want(key, Urgency.WORK, 0,
-                        () -> List.of(Change.write(key, Map.of("x", 1))), epoch -> owners[0] += node == 0 ? 1 : 0));
+                world.after(
+                        1_000_000 + i * 60_000,
+                        () -> ledger.want(
+                                key,
+                                Urgency.WORK,
+                                0,
+                                () -> List.of(Change.write(key, Map.of("x", 1))),
+                                epoch -> owners[0] += node == 0 ? 1 : 0));
             }
         }
-        world.run(61_000_000, () -> { });
+        world.run(61_000_000, () -> {});
         assertTrue(owners[0] > 60 * 7, owners[0] + " writes of the owner in a minute");
     }
 }
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -28,10 +28,11 @@
 class CombinedFaultsTest {
     private static final long SECOND = Simulation.SECOND;
     /** Long leases and little time beside them; then short ones, and reports that come often. */
-    private static final Simulation.Shape LONG = new Simulation.Shape(5, 4, 3 * SECOND, 27 * SECOND, 52 * SECOND, 150, 18,
-            8 * 1024, 8, 1_500);
-    private static final Simulation.Shape SHORT = new Simulation.Shape(5, 4, 2 * SECOND, 13 * SECOND, 33 * SECOND, 300, 90,
-            32 * 1024, 16, 2_000);
+    private static final Simulation.Shape LONG =
+            new Simulation.Shape(5, 4, 3 * SECOND, 27 * SECOND, 52 * SECOND, 150, 18, 8 * 1024, 8, 1_500);
+
+    private static final Simulation.Shape SHORT =
+            new Simulation.Shape(5, 4, 2 * SECOND, 13 * SECOND, 33 * SECOND, 300, 90, 32 * 1024, 16, 2_000);
 
     private static Simulation simulation(long seed) {
         return new Simulation(seed, seed % 2 == 0 ? LONG : SHORT);
@@ -146,8 +147,9 @@
             Set<String> hosts = new HashSet<>();
             s.rules.running().stream().limit(3).forEach(j -> hosts.addAll(s.rules.hostsOf(j)));
             cut[0] = hosts.size();
-            s.cloud.workers().stream().filter(w -> hosts.contains(w.id)).forEach(w -> s.cutMachine(w, World.Cut.HOLD,
-                    10 * SECOND));
+            s.cloud.workers().stream()
+                    .filter(w -> hosts.contains(w.id))
+                    .forEach(w -> s.cutMachine(w, World.Cut.HOLD, 10 * SECOND));
             s.crash(s.owner(), 6 * SECOND);
         });
         s.run(60 * SECOND, 700 * SECOND);
@@ -162,7 +164,8 @@
         Simulation s = withJobs(simulation(seed), 40, 100 * SECOND);
         s.world.after(10 * SECOND, () -> s.state.lateWrites = 0.3);
         for (int i = 0; i < 4; i++) {
-            s.world.after((30 + 20 * i) * SECOND, () -> s.crash(s.owner(), 300_000 + s.world.random.nextInt(4_000_000)));
+            s.world.after(
+                    (30 + 20 * i) * SECOND, () -> s.crash(s.owner(), 300_000 + s.world.random.nextInt(4_000_000)));
         }
         s.world.after(120 * SECOND, () -> s.state.lateWrites = 0);
         s.run(135 * SECOND, 500 * SECOND);
@@ -199,7 +202,9 @@
             });
         });
         s.run(70 * SECOND + s.shape.cancel() + 20 * SECOND, 400 * SECOND);
-        assertTrue(running[0] >= 10 && confirmed[0] >= 10, running[0] + " jobs ran, " + confirmed[0] + " cancellations confirmed");
+        assertTrue(
+                running[0] >= 10 && confirmed[0] >= 10,
+                running[0] + " jobs ran, " + confirmed[0] + " cancellations confirmed");
         assertTrue(answered[0] > 5, "the leader answered " + answered[0] + " reports in the outage");
         assertRules(s);
     }
@@ -235,8 +240,12 @@
         Simulation s = simulation(seed);
         longWork(s, 6, 8, 70 * SECOND);
         int[] told = new int[1];
-        s.world.after(50 * SECOND, () -> s.cutZone(seed % 3 == 0 ? s.zoneOf(s.owner()) : "south", seed % 2 == 0
-                ? World.Cut.HOLD : World.Cut.DROP, s.shape.lease() + 12 * SECOND));
+        s.world.after(
+                50 * SECOND,
+                () -> s.cutZone(
+                        seed % 3 == 0 ? s.zoneOf(s.owner()) : "south",
+                        seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP,
+                        s.shape.lease() + 12 * SECOND));
         s.world.after(53 * SECOND, () -> s.cancelRunning(5, 0));
         s.world.after(50 * SECOND + s.shape.lease(), () -> told[0] = s.rules.cancellationsTold());
         s.run(65 * SECOND + s.shape.lease(), 500 * SECOND);
@@ -256,8 +265,9 @@
         int[] told = new int[1];
         s.world.after(60 * SECOND, () -> {
             String zone = s.zoneOf(s.owner()).equals("south") ? "north" : "south";
-            s.cloud.workers().stream().filter(w -> w.zone.equals(zone)).forEach(w -> s.cut(s.owner(), w.id, World.Cut.DROP,
-                    60 * SECOND));
+            s.cloud.workers().stream()
+                    .filter(w -> w.zone.equals(zone))
+                    .forEach(w -> s.cut(s.owner(), w.id, World.Cut.DROP, 60 * SECOND));
             s.cancelRunning(10, 0);
             s.world.after(6 * SECOND, () -> {
                 told[0] = s.rules.cancellationsTold();
@@ -277,7 +287,8 @@
         longWork(s, 5, 6, 70 * SECOND);
         int[] left = {-1};
         s.world.after(50 * SECOND, () -> s.names.forEach(n -> s.crash(n, s.shape.lease() + 5 * SECOND)));
-        s.world.after(54 * SECOND + s.shape.lease(), () -> left[0] = s.rules.running().size());
+        s.world.after(
+                54 * SECOND + s.shape.lease(), () -> left[0] = s.rules.running().size());
         s.run(57 * SECOND + s.shape.lease(), 400 * SECOND);
         assertEquals(0, left[0], "every lease ran out");
         assertRulesAndAllDone(s);
@@ -324,14 +335,18 @@
             Set<String> hosts = new HashSet<>();
             running.forEach(j -> hosts.addAll(s.rules.hostsOf(j)));
             met[0] = s.rules.usedBy("tight") == 12_000 && !hosts.isEmpty();
-            s.cloud.workers().stream().filter(w -> hosts.contains(w.id)).limit(2).forEach(w -> s.cutMachine(w,
-                    World.Cut.HOLD, 20 * SECOND));
+            s.cloud.workers().stream()
+                    .filter(w -> hosts.contains(w.id))
+                    .limit(2)
+                    .forEach(w -> s.cutMachine(w, World.Cut.HOLD, 20 * SECOND));
             s.crash(s.owner(), 10 * SECOND);
             s.world.after(2 * SECOND, () -> s.cancelRunning(2, 0));
             // Accepted in the new leader's own term, so nothing but the limit holds them back.
             for (int i = 0; i < 8; i++) {
-                s.world.after(4 * SECOND + i * SECOND / 2, () -> s.submit(s.job(false, 3, Rank.STANDARD, "tight", true,
-                        false, false, 20 * SECOND, 0), -1));
+                s.world.after(
+                        4 * SECOND + i * SECOND / 2,
+                        () -> s.submit(
+                                s.job(false, 3, Rank.STANDARD, "tight", true, false, false, 20 * SECOND, 0), -1));
             }
         });
         s.run(80 * SECOND, 600 * SECOND);
@@ -388,10 +403,12 @@
         Simulation s = simulation(seed);
         longWork(s, 5, 8, 40 * SECOND);
         int[] muted = new int[1];
-        s.world.after(45 * SECOND, () -> s.cloud.workers().stream().filter(w -> w.busy()).limit(6).forEach(w -> {
-            muted[0]++;
-            s.mute(w, s.shape.lease() + 10 * SECOND);
-        }));
+        s.world.after(
+                45 * SECOND,
+                () -> s.cloud.workers().stream().filter(w -> w.busy()).limit(6).forEach(w -> {
+                    muted[0]++;
+                    s.mute(w, s.shape.lease() + 10 * SECOND);
+                }));
         s.world.after(48 * SECOND, () -> s.crash(s.owner(), 5 * SECOND));
         s.world.after(50 * SECOND, () -> s.cancelRunning(3, 0));
         s.run(60 * SECOND + s.shape.lease(), 400 * SECOND);
@@ -460,7 +477,8 @@
         longWork(s, 4, 6, 40 * SECOND);
         s.world.after(25 * SECOND, () -> s.world.heldUp = 0.08);
         for (int i = 0; i < 6; i++) {
-            s.world.after((35 + 8 * i) * SECOND, () -> s.cancelRunning(2, 6 * SECOND + s.world.random.nextInt(30_000_000)));
+            s.world.after(
+                    (35 + 8 * i) * SECOND, () -> s.cancelRunning(2, 6 * SECOND + s.world.random.nextInt(30_000_000)));
         }
         s.world.after(85 * SECOND, () -> s.world.heldUp = 0);
         s.run(125 * SECOND, 500 * SECOND);
@@ -502,7 +520,9 @@
         s.world.after(60 * SECOND, () -> {
             String leader = s.owner();
             s.state.blindFor(leader, 2 * s.shape.cancel());
-            s.world.after(2 * SECOND, () -> jobs.forEach(j -> s.cancelAt(others(s, leader).get(0), j.id())));
+            s.world.after(
+                    2 * SECOND,
+                    () -> jobs.forEach(j -> s.cancelAt(others(s, leader).get(0), j.id())));
         });
         s.run(60 * SECOND + 2 * s.shape.cancel(), 300 * SECOND);
         assertTrue(s.rules.cancellationsTold() >= 10);
@@ -517,7 +537,8 @@
         longWork(s, 6, 8, 200 * SECOND);
         int[] hung = new int[1];
         s.world.after(60 * SECOND, () -> {
-            hung[0] = s.cancelRunning(8, seed < 3 ? 8 * SECOND : s.shape.lease() + 6 * SECOND).size();
+            hung[0] = s.cancelRunning(8, seed < 3 ? 8 * SECOND : s.shape.lease() + 6 * SECOND)
+                    .size();
             s.world.after(SECOND, () -> s.crash(s.owner(), 300_000));
         });
         s.run(75 * SECOND + s.shape.lease(), 800 * SECOND);
@@ -539,7 +560,9 @@
             s.world.after((30 + 6 * i) * SECOND, () -> {
                 String leader = s.owner();
                 s.state.blindFor(leader, 2_500_000);
-                s.rules.running().stream().limit(6).forEach(j -> s.cancelAt(others(s, leader).get(0), j));
+                s.rules.running().stream()
+                        .limit(6)
+                        .forEach(j -> s.cancelAt(others(s, leader).get(0), j));
             });
         }
         s.run(85 * SECOND, 500 * SECOND);
@@ -598,7 +621,9 @@
     static LongStream pairs() {
         Long one = Long.getLong("granitepath.pair");
         long first = Long.getLong("granitepath.firstpair", 0);
-        return one != null ? LongStream.of(one) : LongStream.range(first, first + Long.getLong("granitepath.pairs", 16));
+        return one != null
+                ? LongStream.of(one)
+                : LongStream.range(first, first + Long.getLong("granitepath.pairs", 16));
     }
 
     /** Any two troubles close in time, three times over. */
@@ -609,8 +634,20 @@
         longWork(s, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: room is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
-            s.world.after((5 + 14 * i) * SECOND, () -> s.submit(s.job(false, 1 + s.world.random.nextInt(8), Rank.STANDARD,
-                    s.world.random.nextBoolean() ? "granted" : "lender", true, false, false, 15 * SECOND, 0), -1));
+            s.world.after(
+                    (5 + 14 * i) * SECOND,
+                    () -> s.submit(
+                            s.job(
+                                    false,
+                                    1 + s.world.random.nextInt(8),
+                                    Rank.STANDARD,
+                                    s.world.random.nextBoolean() ? "granted" : "lender",
+                                    true,
+                                    false,
+                                    false,
+                                    15 * SECOND,
+                                    0),
+                            -1));
         }
         List<Consumer<Simulation>> troubles = troubles();
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -16,15 +16,23 @@
     /** Many machines, reports every five seconds, few writes. */
     @Test
     void aThousandAndSevenHundredMachines() {
-        day(new Simulation(1, new Simulation.Shape(5, 213, 5 * SECOND, 27 * SECOND, 52 * SECOND, 150, 18, 8 * 1024, 8,
-                1_519)), 1_500);
+        day(
+                new Simulation(
+                        1,
+                        new Simulation.Shape(
+                                5, 213, 5 * SECOND, 27 * SECOND, 52 * SECOND, 150, 18, 8 * 1024, 8, 1_519)),
+                1_500);
     }
 
     /** Fewer machines that report every two seconds, and short leases. */
     @Test
     void sevenHundredMachinesThatReportOften() {
-        day(new Simulation(2, new Simulation.Shape(5, 97, 2 * SECOND, 13 * SECOND, 33 * SECOND, 300, 90, 32 * 1024, 16,
-                2_257)), 700);
+        day(
+                new Simulation(
+                        2,
+                        new Simulation.Shape(
+                                5, 97, 2 * SECOND, 13 * SECOND, 33 * SECOND, 300, 90, 32 * 1024, 16, 2_257)),
+                700);
     }
 
     /** An owner that stands still, a zone cut off with a crash in it, and all controllers down at once. */
@@ -35,8 +43,10 @@
             s.submit(services.get(i), -1);
         }
         for (int i = 0; i < 40; i++) {
-            s.world.after(3 * SECOND + i * 3 * SECOND / 2, () -> s.submit(s.job(false, machines / 4, Rank.STANDARD, "free",
-                    true, false, false, 60 * SECOND, 0), -1));
+            s.world.after(
+                    3 * SECOND + i * 3 * SECOND / 2,
+                    () -> s.submit(
+                            s.job(false, machines / 4, Rank.STANDARD, "free", true, false, false, 60 * SECOND, 0), -1));
         }
         int[] most = new int[1];
         s.world.after(70 * SECOND, () -> {
@@ -45,7 +55,8 @@
         });
         s.world.after(112 * SECOND, () -> s.cutZone("south", World.Cut.HOLD, 30 * SECOND));
         s.world.after(118 * SECOND, () -> s.crash(s.owner(), 300_000));
-        s.world.after(160 * SECOND, () -> s.names.forEach(n -> s.crash(n, 300_000 + s.world.random.nextInt(4_000_000))));
+        s.world.after(
+                160 * SECOND, () -> s.names.forEach(n -> s.crash(n, 300_000 + s.world.random.nextInt(4_000_000))));
         s.run(170 * SECOND, 400 * SECOND);
         assertEquals(List.of(), s.rules.broken.stream().distinct().limit(5).toList());
         assertTrue(most[0] >= machines, "only " + most[0] + " machines");
@@ -53,8 +64,9 @@
         s.rules.checkServed();
         assertEquals(List.of(), s.rules.broken);
         assertEquals(0, s.state.oversized, "a transaction or a value over its limit");
-        assertTrue(s.state.refusals < s.state.requests / 20, s.state.refusals + " of " + s.state.requests
-                + " requests came too fast");
+        assertTrue(
+                s.state.refusals < s.state.requests / 20,
+                s.state.refusals + " of " + s.state.requests + " requests came too fast");
         assertTrue(s.mostCalls <= s.shape.connections() / 6, s.mostCalls + " calls to machines at once");
         int busy = s.cloud.returnedBusy.size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -55,8 +55,11 @@
     void nobodyGivesBackMoreThanItBorrowed(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
         s.submit(wide(s, "free", 10, 300 * SECOND), -1);
-        // Of low rank, so that stopping it costs least, and on all machines, so that many of its tasks could go at once.
-        s.submit(s.withoutDeadline(s.job(false, 10, Rank.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)), -1);
+        // Of low rank, so that stopping it costs least, and on all machines, so that many of its tasks could go at
+        // once.
+        s.submit(
+                s.withoutDeadline(s.job(false, 10, Rank.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)),
+                -1);
         long[] lent = {0, Long.MAX_VALUE, 0};
         s.world.after(60 * SECOND, () -> {
             lent[0] = s.rules.usedBy("lender");
@@ -92,7 +95,8 @@
         s.run(300 * SECOND);
         assertRules(s);
         for (JobSpec j : granted) {
-            assertTrue(s.rules.begunAfter(j.id()) < 6 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / 1e6 + " s");
+            assertTrue(
+                    s.rules.begunAfter(j.id()) < 6 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / 1e6 + " s");
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -48,7 +48,7 @@
     int starts;
 
     Rules(World world, Map<String, Config.Team> teams, long cancelMicros) {
-        this(world, teams, cancelMicros, job -> { });
+        this(world, teams, cancelMicros, job -> {});
     }
 
     /** @param lastTaskDone told of each job whose last task has just completed */
@@ -130,13 +130,21 @@
 
     /** Jobs with a task on a machine, that nobody has cancelled. */
     List<String> running() {
-        return on.keySet().stream().map(TaskId::job).filter(j -> !cancelAsked.contains(j)).distinct().sorted().toList();
+        return on.keySet().stream()
+                .map(TaskId::job)
+                .filter(j -> !cancelAsked.contains(j))
+                .distinct()
+                .sorted()
+                .toList();
     }
 
     /** CPUs that a team's tasks use. */
     long usedBy(String team) {
-        return on.keySet().stream().map(t -> submitted.get(t.job())).filter(j -> j.team().equals(team))
-                .mapToLong(JobSpec::cpuMillis).sum();
+        return on.keySet().stream()
+                .map(t -> submitted.get(t.job()))
+                .filter(j -> j.team().equals(team))
+                .mapToLong(JobSpec::cpuMillis)
+                .sum();
     }
 
     Set<String> hostsOf(String job) {
@@ -151,7 +159,8 @@
 
     /** Jobs of which users were told that they are cancelled, so far. */
     int cancellationsTold() {
-        return (int) toldFinal.values().stream().filter(s -> s == JobState.CANCELLED).count();
+        return (int)
+                toldFinal.values().stream().filter(s -> s == JobState.CANCELLED).count();
     }
 
     /** After each step: nothing of a cancelled job may be left when its time is over. */
@@ -201,18 +210,25 @@
             JobSpec s = submitted.get(job);
             int left = s.tasks() - completed.getOrDefault(job, Set.of()).size() - held.getOrDefault(job, 0);
             long limit = teams.get(s.team()).cpuLimit();
-            boolean could = left > 0 && !s.gang() && !cancelAsked.contains(job) && toldFinal.get(job) == null
+            boolean could = left > 0
+                    && !s.gang()
+                    && !cancelAsked.contains(job)
+                    && toldFinal.get(job) == null
                     && (limit == 0 || teamCpu.getOrDefault(s.team(), 0L) + s.cpuMillis() <= limit)
-                    && machines.stream().anyMatch(w -> w.wouldTake(s)
-                    && (!s.oneZone() || Set.of(w.zone).containsAll(zones.getOrDefault(job, Set.of())))
-                    && (!s.spread() || inZone.getOrDefault(job + w.zone, 0) < s.zoneCap()));
+                    && machines.stream()
+                            .anyMatch(w -> w.wouldTake(s)
+                                    && (!s.oneZone() || Set.of(w.zone).containsAll(zones.getOrDefault(job, Set.of())))
+                                    && (!s.spread() || inZone.getOrDefault(job + w.zone, 0) < s.zoneCap()));
             if (!could) {
                 couldRunSince.remove(job);
                 continue;
             }
-            long since = Math.max(couldRunSince.computeIfAbsent(job, k -> world.now()), orderedAt.getOrDefault(job, 0L));
+            long since =
+                    Math.max(couldRunSince.computeIfAbsent(job, k -> world.now()), orderedAt.getOrDefault(job, 0L));
             if (world.now() - since > NEGLECTED_MICROS) {
-                breach("neglected", job + " of team " + s.team() + " waits with " + left + " tasks while a machine has room");
+                breach(
+                        "neglected",
+                        job + " of team " + s.team() + " waits with " + left + " tasks while a machine has room");
             }
         }
     }
@@ -226,8 +242,10 @@
         for (String id : submittedAt.keySet()) {
             JobSpec s = submitted.get(id);
             if (accepted.contains(id) && !cancelAsked.contains(id) || s.service() && begunAt.containsKey(id)) {
-                groups.computeIfAbsent("class " + s.jobClass(), k -> new ArrayList<>()).add(s);
-                groups.computeIfAbsent("team " + s.team(), k -> new ArrayList<>()).add(s);
+                groups.computeIfAbsent("class " + s.jobClass(), k -> new ArrayList<>())
+                        .add(s);
+                groups.computeIfAbsent("team " + s.team(), k -> new ArrayList<>())
+                        .add(s);
             }
         }
         for (String name : List.copyOf(groups.keySet())) {
@@ -238,8 +256,11 @@
             }
         }
         groups.forEach((name, list) -> {
-            long served = list.stream().filter(s -> s.service() ? begunAt.containsKey(s.id())
-                    : completed.getOrDefault(s.id(), Set.of()).size() == s.tasks()).count();
+            long served = list.stream()
+                    .filter(s -> s.service()
+                            ? begunAt.containsKey(s.id())
+                            : completed.getOrDefault(s.id(), Set.of()).size() == s.tasks())
+                    .count();
             if (served * 2 < list.size()) {
                 breach("unserved", name + ": " + served + " of " + list.size());
             }
@@ -274,7 +295,9 @@
 
     /** Tasks of services that are on a machine. */
     long replicasUp() {
-        return on.keySet().stream().filter(t -> submitted.get(t.job()).service()).count();
+        return on.keySet().stream()
+                .filter(t -> submitted.get(t.job()).service())
+                .count();
     }
 
     /** From submission to the last task that completed so far. */
@@ -314,7 +337,10 @@
             if (s.state() == JobState.DONE) {
                 Set<Integer> done = completed.getOrDefault(job, Set.of());
                 if (done.size() < submitted.get(job).tasks()) {
-                    breach("not_done", job + ": " + done.size() + " of " + submitted.get(job).tasks());
+                    breach(
+                            "not_done",
+                            job + ": " + done.size() + " of "
+                                    + submitted.get(job).tasks());
                 }
                 toldFinal.put(job, JobState.DONE);
             } else if (s.state() == JobState.CANCELLED) {
--- a/src/test/java/org/granitepath/simulation/RulesTest.java
+++ b/src/test/java/org/granitepath/simulation/RulesTest.java
@@ -36,8 +36,27 @@
     }
 
     private static JobSpec spec(String id, boolean spread, boolean oneZone, long runMicros) {
-        return new JobSpec(id, "c", "t", JobSpec.Shape.BATCH, Rank.HIGH, 2, 1_000, 0, 1_000, "i", 1, null, null, oneZone, spread,
-                false, runMicros, 0, 0, JobSpec.NO_DEADLINE);
+        return new JobSpec(
+                id,
+                "c",
+                "t",
+                JobSpec.Shape.BATCH,
+                Rank.HIGH,
+                2,
+                1_000,
+                0,
+                1_000,
+                "i",
+                1,
+                null,
+                null,
+                oneZone,
+                spread,
+                false,
+                runMicros,
+                0,
+                0,
+                JobSpec.NO_DEADLINE);
     }
 
     private void assertBroken(String rule) {
@@ -105,10 +124,10 @@
         start("run-1", 0, "a", "z");
         rules.cancelling("run-1");
         rules.told("run-1", status("run-1", JobState.CANCELLED));
-        world.run(10_000_000, () -> { });
+        world.run(10_000_000, () -> {});
         rules.check();
         assertTrue(rules.broken.isEmpty());
-        world.run(10_000_001, () -> { });
+        world.run(10_000_001, () -> {});
         rules.check();
         assertBroken("ran_cancelled");
     }
@@ -117,11 +136,11 @@
     void noAnswerForLong() {
         rules.told("run-1", status("run-1", JobState.PENDING));
         rules.told("run-2", status("run-2", JobState.PENDING));
-        world.run(70_000_000, () -> { });
+        world.run(70_000_000, () -> {});
         rules.told("run-2", status("run-2", JobState.PENDING));
         rules.checkKnown(0);
         assertTrue(rules.broken.isEmpty());
-        world.run(76_000_000, () -> { });
+        world.run(76_000_000, () -> {});
         rules.checkKnown(5_000_000);
         assertTrue(rules.broken.isEmpty(), "troubles were over only 71 s ago");
         rules.checkKnown(0);
@@ -170,33 +189,43 @@
         SimWorker worker = worker();
         rules.told("run-1", status("run-1", JobState.PENDING));
         for (long at = 0; at <= 89; at++) {
-            world.run(at * 1_000_000, () -> { });
+            world.run(at * 1_000_000, () -> {});
             rules.checkWaiting(List.of(worker));
         }
         assertTrue(rules.broken.isEmpty(), rules.broken.toString());
-        world.run(91_000_000, () -> { });
+        world.run(91_000_000, () -> {});
         rules.checkWaiting(List.of());
         assertTrue(rules.broken.isEmpty(), "no machine is there");
         for (long at = 92; at <= 183; at++) {
-            world.run(at * 1_000_000, () -> { });
+            world.run(at * 1_000_000, () -> {});
             rules.checkWaiting(List.of(worker));
         }
         assertBroken("neglected");
     }
 
     private SimWorker worker() {
-        return new SimWorker(world, rules, new SimWorker.Controllers() {
-            @Override
-            public List<String> names() {
-                return List.of("n");
-            }
+        return new SimWorker(
+                world,
+                rules,
+                new SimWorker.Controllers() {
+                    @Override
+                    public List<String> names() {
+                        return List.of("n");
+                    }
 
-            @Override
-            public BeatAnswer beat(String node, Beat beat) {
-                return new BeatAnswer.Accepted(1, List.of());
-            }
-        }, job -> spec(job, false, false, 300_000_000), new HashSet<>(), "i-1", new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1,
-                List.of("z")), "z", false, 1_000_000, 20_000_000);
+                    @Override
+                    public BeatAnswer beat(String node, Beat beat) {
+                        return new BeatAnswer.Accepted(1, List.of());
+                    }
+                },
+                job -> spec(job, false, false, 300_000_000),
+                new HashSet<>(),
+                "i-1",
+                new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")),
+                "z",
+                false,
+                1_000_000,
+                20_000_000);
     }
 
     @Test
@@ -214,7 +243,7 @@
         }
         rules.checkServed();
         assertTrue(rules.broken.isEmpty(), rules.broken.toString());
-        world.run(241_000_000, () -> { });
+        world.run(241_000_000, () -> {});
         rules.submitting(spec("run-0", false, false));
         rules.submitting(wide("run-4"));
         rules.told("run-4", status("run-4", JobState.PENDING));
@@ -226,7 +255,7 @@
     void largestBeginsLate() {
         rules.submitting(wide("run-4"));
         rules.told("run-4", status("run-4", JobState.PENDING));
-        world.run(241_000_000, () -> { });
+        world.run(241_000_000, () -> {});
         for (int i = 0; i < 3; i++) {
             start("run-4", i, "a", "z");
             rules.completed(new TaskId("run-4", i));
@@ -236,8 +265,27 @@
     }
 
     private static JobSpec wide(String id) {
-        return new JobSpec(id, "c", "t", JobSpec.Shape.BATCH, Rank.HIGH, 3, 1_000, 0, 1_000, "i", 1, null, null, false,
-                false, false, 1_000_000, 0, 0, JobSpec.NO_DEADLINE);
+        return new JobSpec(
+                id,
+                "c",
+                "t",
+                JobSpec.Shape.BATCH,
+                Rank.HIGH,
+                3,
+                1_000,
+                0,
+                1_000,
+                "i",
+                1,
+                null,
+                null,
+                false,
+                false,
+                false,
+                1_000_000,
+                0,
+                0,
+                JobSpec.NO_DEADLINE);
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -37,11 +37,16 @@
     final List<String> returnedBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
     int neverUp;
+
     private int created;
     private boolean outage;
 
-    SimCloud(World world, List<MachineType> types, int perOffer, long listLag,
-             BiFunction<String, CloudPort.ListedHost, SimWorker> boot) {
+    SimCloud(
+            World world,
+            List<MachineType> types,
+            int perOffer,
+            long listLag,
+            BiFunction<String, CloudPort.ListedHost, SimWorker> boot) {
         this.world = world;
         this.types = types;
         this.perOffer = perOffer;
@@ -56,13 +61,23 @@
     }
 
     List<SimWorker> workers() {
-        return hosts.values().stream().filter(h -> h.worker != null && h.worker.alive()).map(h -> h.worker).toList();
+        return hosts.values().stream()
+                .filter(h -> h.worker != null && h.worker.alive())
+                .map(h -> h.worker)
+                .toList();
     }
 
     private void snapshot() {
-        List<CloudPort.ListedHost> list = hosts.values().stream().map(h -> new CloudPort.ListedHost(h.id, h.id,
-                h.type.name(), h.zone, h.spot, h.worker == null ? CloudPort.HostState.BOOTING
-                        : CloudPort.HostState.RUNNING, world.now() - h.rented)).toList();
+        List<CloudPort.ListedHost> list = hosts.values().stream()
+                .map(h -> new CloudPort.ListedHost(
+                        h.id,
+                        h.id,
+                        h.type.name(),
+                        h.zone,
+                        h.spot,
+                        h.worker == null ? CloudPort.HostState.BOOTING : CloudPort.HostState.RUNNING,
+                        world.now() - h.rented))
+                .toList();
         snapshots.put(world.now(), list);
         snapshots.headMap(world.now() - 3 * listLag - 1_000_000).clear();
         world.after(1_000_000, this::snapshot);
@@ -72,8 +87,9 @@
         if (bookings.containsKey(r.booking())) {
             return new CloudPort.Rented(CloudPort.Outcome.OK, bookings.get(r.booking()));
         }
-        long there = hosts.values().stream().filter(h -> h.type.name().equals(r.type()) && h.zone.equals(r.zone())
-                && h.spot == r.spot()).count();
+        long there = hosts.values().stream()
+                .filter(h -> h.type.name().equals(r.type()) && h.zone.equals(r.zone()) && h.spot == r.spot())
+                .count();
         int count = (int) Math.min(r.count(), perOffer - there);
         if (count <= 0) {
             return new CloudPort.Rented(CloudPort.Outcome.NO_CAPACITY, List.of());
@@ -82,20 +98,27 @@
         for (int i = 0; i < count; i++) {
             Host h = new Host();
             h.id = String.format("i-%06d", ++created);
-            h.type = types.stream().filter(t -> t.name().equals(r.type())).findFirst().orElseThrow();
+            h.type = types.stream()
+                    .filter(t -> t.name().equals(r.type()))
+                    .findFirst()
+                    .orElseThrow();
             h.zone = r.zone();
             h.spot = r.spot();
             h.rented = world.now();
             boolean never = world.random.nextInt(30) == 0 || neverUp-- > 0;
-            h.up = world.now() + (never ? Long.MAX_VALUE / 4
-                    : (long) (h.type.bootMicros() * (0.1 + 1.4 * world.random.nextDouble())));
+            h.up = world.now()
+                    + (never
+                            ? Long.MAX_VALUE / 4
+                            : (long) (h.type.bootMicros() * (0.1 + 1.4 * world.random.nextDouble())));
             hosts.put(h.id, h);
             ids.add(h.id);
             if (!never) {
                 world.after(h.up - world.now(), () -> {
                     if (hosts.containsKey(h.id)) {
-                        h.worker = boot.apply(h.id, new CloudPort.ListedHost(h.id, h.id, h.type.name(), h.zone, h.spot,
-                                CloudPort.HostState.RUNNING, 0));
+                        h.worker = boot.apply(
+                                h.id,
+                                new CloudPort.ListedHost(
+                                        h.id, h.id, h.type.name(), h.zone, h.spot, CloudPort.HostState.RUNNING, 0));
                     }
                 });
             }
@@ -118,36 +141,57 @@
         return new CloudPort() {
             @Override
             public void types(Consumer<List<MachineType>> then) {
-                world.call(node, NAME, TIMEOUT, () -> outage ? List.<MachineType>of() : types,
+                world.call(
+                        node,
+                        NAME,
+                        TIMEOUT,
+                        () -> outage ? List.<MachineType>of() : types,
                         l -> then.accept(l == null || l.isEmpty() ? null : l));
             }
 
             @Override
             public void rent(Rental rental, Consumer<Rented> then) {
-                world.call(node, NAME, TIMEOUT, () -> outage ? new Rented(Outcome.REFUSED, List.of())
-                        : SimCloud.this.rent(rental),
+                world.call(
+                        node,
+                        NAME,
+                        TIMEOUT,
+                        () -> outage ? new Rented(Outcome.REFUSED, List.of()) : SimCloud.this.rent(rental),
                         r -> then.accept(r == null ? new Rented(Outcome.UNKNOWN, List.of()) : r));
             }
 
             @Override
             public void giveBack(List<String> ids, Consumer<Boolean> then) {
-                world.call(node, NAME, TIMEOUT, () -> {
-                    if (!outage) {
-                        ids.forEach(SimCloud.this::remove);
-                    }
-                    return !outage;
-                }, done -> then.accept(done != null && done));
+                world.call(
+                        node,
+                        NAME,
+                        TIMEOUT,
+                        () -> {
+                            if (!outage) {
+                                ids.forEach(SimCloud.this::remove);
+                            }
+                            return !outage;
+                        },
+                        done -> then.accept(done != null && done));
             }
 
             @Override
             public void list(String from, int limit, Consumer<Listing> then) {
-                world.call(node, NAME, TIMEOUT, () -> {
-                    long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
-                    var seen = snapshots.floorEntry(at);
-                    List<ListedHost> all = seen == null ? List.of() : seen.getValue();
-                    return new Listing(outage ? Outcome.REFUSED : Outcome.OK,
-                            all.stream().filter(h -> h.id().compareTo(from) > 0).toList(), false);
-                }, l -> then.accept(l == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : l));
+                world.call(
+                        node,
+                        NAME,
+                        TIMEOUT,
+                        () -> {
+                            long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
+                            var seen = snapshots.floorEntry(at);
+                            List<ListedHost> all = seen == null ? List.of() : seen.getValue();
+                            return new Listing(
+                                    outage ? Outcome.REFUSED : Outcome.OK,
+                                    all.stream()
+                                            .filter(h -> h.id().compareTo(from) > 0)
+                                            .toList(),
+                                    false);
+                        },
+                        l -> then.accept(l == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : l));
             }
         };
     }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -23,6 +23,7 @@
 final class SimWorker {
     /** A worker looks at its tasks this many times between two reports. */
     private static final int TICKS = 10;
+
     private static final long PATIENCE = 4_000_000;
 
     private static final class Run {
@@ -73,10 +74,21 @@
     private Beat latest;
     /** A machine on which every task fails. */
     boolean faulty;
+
     private long noticeEnd = -1;
 
-    SimWorker(World world, Rules rules, Controllers controllers, Function<String, JobSpec> jobs, Set<TaskId> results,
-              String id, MachineType type, String zone, boolean spot, long reportMicros, long leaseMicros) {
+    SimWorker(
+            World world,
+            Rules rules,
+            Controllers controllers,
+            Function<String, JobSpec> jobs,
+            Set<TaskId> results,
+            String id,
+            MachineType type,
+            String zone,
+            boolean spot,
+            long reportMicros,
+            long leaseMicros) {
         this.world = world;
         this.rules = rules;
         this.controllers = controllers;
@@ -109,8 +121,9 @@
     /** Tasks that are here or on their way, by job. */
     Map<String, Integer> held() {
         Map<String, Integer> held = new HashMap<>();
-        runs.values().stream().filter(r -> r.state != TaskState.EXITED).forEach(r -> held.merge(r.task.job(), 1,
-                Integer::sum));
+        runs.values().stream()
+                .filter(r -> r.state != TaskState.EXITED)
+                .forEach(r -> held.merge(r.task.job(), 1, Integer::sum));
         return held;
     }
 
@@ -130,8 +143,14 @@
 
     /** Whether one more such task fits here now, and could start. */
     boolean wouldTake(JobSpec spec) {
-        return !dead && !hanging && !faulty && noticeEnd < 0 && hasRoom(spec, null)
-                && spec.allowsType(type.name()) && spec.allowsZone(zone) && (spec.spot() || !spot);
+        return !dead
+                && !hanging
+                && !faulty
+                && noticeEnd < 0
+                && hasRoom(spec, null)
+                && spec.allowsType(type.name())
+                && spec.allowsZone(zone)
+                && (spec.spot() || !spot);
     }
 
     boolean alive() {
@@ -208,8 +227,9 @@
             images.add(spec.image());
             rules.started(r.task, id, type.name(), zone, spot);
             r.state = TaskState.RUNNING;
-            long run = results.contains(r.task) ? 0 : spec.estimateMicros() / 2
-                    + (long) (world.random.nextDouble() * spec.estimateMicros());
+            long run = results.contains(r.task)
+                    ? 0
+                    : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
             r.until = spec.service() ? Long.MAX_VALUE : world.now() + run;
             if (faulty) {
                 r.until = world.now() + 200_000;
@@ -239,8 +259,17 @@
         for (Run r : runs.values()) {
             list.add(new TaskReport(r.task, r.attempt, r.state, r.cause, r.saved));
         }
-        return new Beat(id, id, type.name(), zone, spot, session, ++sequence, baton,
-                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()), list);
+        return new Beat(
+                id,
+                id,
+                type.name(),
+                zone,
+                spot,
+                session,
+                ++sequence,
+                baton,
+                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
+                list);
     }
 
     private void report() {
@@ -335,15 +364,15 @@
             r.cause = Cause.UNKNOWN_JOB;
             return;
         }
-        boolean busy = runs.values().stream().anyMatch(other -> other != r && other.state != TaskState.EXITED
-                && other.task.equals(r.task));
+        boolean busy = runs.values().stream()
+                .anyMatch(other -> other != r && other.state != TaskState.EXITED && other.task.equals(r.task));
         if (busy || !hasRoom(spec, r)) {
             r.state = TaskState.EXITED;
             r.cause = busy ? Cause.BUSY : Cause.NO_ROOM;
             return;
         }
-        r.until = world.now() + (images.contains(spec.image()) ? 0
-                : (long) (spec.imageGb() / type.fetchGbPerSecond() * 1e6));
+        r.until = world.now()
+                + (images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / type.fetchGbPerSecond() * 1e6));
     }
 
     private void stop(Run r, long grace) {
