--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -54,32 +54,50 @@
             life++;
             world.setDown(name, false);
             int ours = life;
-            Config config = new Config(name, name + "-" + life, zoneOf(name), names.stream()
-                    .filter(n -> !n.equals(name)).collect(Collectors.toMap(n -> n, Simulation.this::zoneOf)), ZONES, TEAMS, Map.of("svc", new Config.Objective(8 * SECOND, 1, 0)), shape.report, shape.lease,
-                    shape.cancel, shape.requests, shape.writes, shape.valueBytes, shape.txnOps, 5, 250_000,
-                    shape.connections, Config.Tuning.defaults());
-            controller = new Controller(config, state.portFor(name), cloud.portFor(name), workerPort(name), peerPort(name),
-                    new Timers() {
-                @Override
-                public long nowMicros() {
-                    return Node.this.nowMicros();
-                }
+            Config config = new Config(
+                    name,
+                    name + "-" + life,
+                    zoneOf(name),
+                    names.stream()
+                            .filter(n -> !n.equals(name))
+                            .collect(Collectors.toMap(n -> n, Simulation.this::zoneOf)),
+                    ZONES,
+                    TEAMS,
+                    Map.of("svc", new Config.Objective(8 * SECOND, 1, 0)),
+                    shape.report,
+                    shape.lease,
+                    shape.cancel,
+                    shape.requests,
+                    shape.writes,
+                    shape.valueBytes,
+                    shape.txnOps,
+                    5,
+                    250_000,
+                    shape.connections,
+                    Config.Tuning.defaults());
+            controller = new Controller(
+                    config, state.portFor(name), cloud.portFor(name), workerPort(name), peerPort(name), new Timers() {
+                        @Override
+                        public long nowMicros() {
+                            return Node.this.nowMicros();
+                        }
 
-                @Override
-                public long timeOfDayMicros() {
-                    return Node.this.timeOfDayMicros();
-                }
+                        @Override
+                        public long timeOfDayMicros() {
+                            return Node.this.timeOfDayMicros();
+                        }
 
-                @Override
-                public void after(long delayMicros, Runnable action) {
-                    world.after((long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
-                            () -> world.fire(name, () -> {
-                                if (life == ours && controller != null) {
-                                    action.run();
-                                }
-                            }));
-                }
-            });
+                        @Override
+                        public void after(long delayMicros, Runnable action) {
+                            world.after(
+                                    (long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
+                                    () -> world.fire(name, () -> {
+                                        if (life == ours && controller != null) {
+                                            action.run();
+                                        }
+                                    }));
+                        }
+                    });
             controller.start();
         }
 
@@ -111,13 +129,22 @@
      * A deployment: its controllers, how many machines of each type, zone and kind there are, the workers' times, and
      * the limits of the state service.
      */
-    record Shape(int controllers, int perOffer, long report, long lease, long cancel, double requests, double writes,
-                 int valueBytes, int txnOps, int connections) {
+    record Shape(
+            int controllers,
+            int perOffer,
+            long report,
+            long lease,
+            long cancel,
+            double requests,
+            double writes,
+            int valueBytes,
+            int txnOps,
+            int connections) {
         static final Shape SMALL = new Shape(3, 5, SECOND, LEASE, 31 * SECOND, 1000, 200, 2048, 8, 1_000);
 
         Shape with(int controllers, int perOffer) {
-            return new Shape(controllers, perOffer, report, lease, cancel, requests, writes, valueBytes, txnOps,
-                    connections);
+            return new Shape(
+                    controllers, perOffer, report, lease, cancel, requests, writes, valueBytes, txnOps, connections);
         }
     }
 
@@ -145,6 +172,7 @@
     int impossibleRefused;
     /** The most direct calls to machines that one controller had under way at once. */
     int mostCalls;
+
     private int submissions;
     int doneTold;
 
@@ -166,25 +194,42 @@
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
-        cloud = new SimCloud(world, types, shape.perOffer, 4 * SECOND, (id, h) -> new SimWorker(world, rules,
-                new SimWorker.Controllers() {
-                    @Override
-                    public List<String> names() {
-                        return names;
-                    }
-
-                    @Override
-                    public BeatAnswer beat(String node, Beat beat) {
-                        Controller c = nodes.get(node).controller;
-                        BeatAnswer answer = c == null ? new BeatAnswer.Unavailable() : c.beat(beat);
-                        if (answer instanceof BeatAnswer.Accepted a) {
-                            reportsAccepted.merge(node, 1, Integer::sum);
-                            countStarts(beat.host(), a.orders());
-                        }
-                        return answer;
-                    }
-                }, jobs::get, results, id, types.stream().filter(t -> t.name().equals(h.type())).findFirst()
-                .orElseThrow(), h.zone(), h.spot(), shape.report, shape.lease));
+        cloud = new SimCloud(
+                world,
+                types,
+                shape.perOffer,
+                4 * SECOND,
+                (id, h) -> new SimWorker(
+                        world,
+                        rules,
+                        new SimWorker.Controllers() {
+                            @Override
+                            public List<String> names() {
+                                return names;
+                            }
+
+                            @Override
+                            public BeatAnswer beat(String node, Beat beat) {
+                                Controller c = nodes.get(node).controller;
+                                BeatAnswer answer = c == null ? new BeatAnswer.Unavailable() : c.beat(beat);
+                                if (answer instanceof BeatAnswer.Accepted a) {
+                                    reportsAccepted.merge(node, 1, Integer::sum);
+                                    countStarts(beat.host(), a.orders());
+                                }
+                                return answer;
+                            }
+                        },
+                        jobs::get,
+                        results,
+                        id,
+                        types.stream()
+                                .filter(t -> t.name().equals(h.type()))
+                                .findFirst()
+                                .orElseThrow(),
+                        h.zone(),
+                        h.spot(),
+                        shape.report,
+                        shape.lease));
         for (String n : names) {
             nodes.put(n, new Node(n));
         }
@@ -213,23 +258,33 @@
         return new PeerPort() {
             @Override
             public void greet(String peer, Greeting ours, Consumer<Greeting> then) {
-                world.<Greeting>callLater(node, peer, SECOND, answer -> {
-                    Controller c = nodes.get(peer).controller;
-                    if (c != null) {
-                        answer.accept(c.greeted(ours));
-                    }
-                }, then);
+                world.<Greeting>callLater(
+                        node,
+                        peer,
+                        SECOND,
+                        answer -> {
+                            Controller c = nodes.get(peer).controller;
+                            if (c != null) {
+                                answer.accept(c.greeted(ours));
+                            }
+                        },
+                        then);
             }
 
             @Override
             public void tell(String peer, Cancelled word, Consumer<Boolean> then) {
-                world.<Boolean>callLater(node, peer, SECOND, answer -> {
-                    Controller c = nodes.get(peer).controller;
-                    if (c != null && !peersTellNothing) {
-                        c.cancelledElsewhere(word);
-                        answer.accept(true);
-                    }
-                }, taken -> then.accept(taken != null));
+                world.<Boolean>callLater(
+                        node,
+                        peer,
+                        SECOND,
+                        answer -> {
+                            Controller c = nodes.get(peer).controller;
+                            if (c != null && !peersTellNothing) {
+                                c.cancelledElsewhere(word);
+                                answer.accept(true);
+                            }
+                        },
+                        taken -> then.accept(taken != null));
             }
         };
     }
@@ -243,22 +298,28 @@
                 countStarts(address, orders);
                 boolean starts = orders.stream().anyMatch(o -> o.verb() == Order.Verb.START);
                 mostCalls = Math.max(mostCalls, ++calls);
-                world.<Reply>callLater(node, address, 2 * SECOND, answer -> {
-                    Runnable serve = () -> serveWhenAwake(address, w -> w.orders(baton, session, orders), answer);
-                    if (starts && heldStarts > 0) {
-                        world.after(heldStarts, serve);
-                    } else {
-                        serve.run();
-                    }
-                }, r -> {
-                    calls--;
-                    then.accept(r == null ? new Reply(false, null) : r);
-                });
+                world.<Reply>callLater(
+                        node,
+                        address,
+                        2 * SECOND,
+                        answer -> {
+                            Runnable serve =
+                                    () -> serveWhenAwake(address, w -> w.orders(baton, session, orders), answer);
+                            if (starts && heldStarts > 0) {
+                                world.after(heldStarts, serve);
+                            } else {
+                                serve.run();
+                            }
+                        },
+                        r -> {
+                            calls--;
+                            then.accept(r == null ? new Reply(false, null) : r);
+                        });
             }
 
             // A hanging machine carries commands out when it goes on.
-            private void serveWhenAwake(String address, java.util.function.Function<SimWorker, Reply> serve,
-                                        Consumer<Reply> answer) {
+            private void serveWhenAwake(
+                    String address, java.util.function.Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
                 for (SimWorker w : cloud.workers()) {
                     if (w.id.equals(address)) {
                         if (w.hangs()) {
@@ -364,9 +425,15 @@
     /** Users call off so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
     List<String> cancelRunning(int count, long hangMicros) {
         List<String> chosen = rules.running().stream().limit(count).toList();
-        List<String> hosts = chosen.stream().flatMap(j -> rules.hostsOf(j).stream()).distinct().limit(8).toList();
+        List<String> hosts = chosen.stream()
+                .flatMap(j -> rules.hostsOf(j).stream())
+                .distinct()
+                .limit(8)
+                .toList();
         chosen.forEach(j -> world.after(world.random.nextInt(200_000), () -> cancel(j)));
-        cloud.workers().stream().filter(w -> hangMicros > 0 && hosts.contains(w.id)).forEach(w -> w.hangFor(hangMicros));
+        cloud.workers().stream()
+                .filter(w -> hangMicros > 0 && hosts.contains(w.id))
+                .forEach(w -> w.hangFor(hangMicros));
         return chosen;
     }
 
@@ -384,7 +451,7 @@
                 if (!known.isEmpty()) {
                     JobSpec spec = jobs.get(known.get(world.random.nextInt(known.size())));
                     if (rules.acceptedJob(spec.id())) {
-                        ask(spec.id(), (c, then) -> c.submit(spec, then), answer -> { });
+                        ask(spec.id(), (c, then) -> c.submit(spec, then), answer -> {});
                     }
                     if (rules.finalTold(spec.id()) == JobState.DONE) {
                         cancel(spec.id());
@@ -392,8 +459,10 @@
                 }
                 JobSpec odd = withCpu(job(false, 3, Rank.STANDARD, "free", true, false, false, SECOND, 0), 3, 90_000);
                 rules.submittingImpossible(odd.id());
-                ask(odd.id(), (c, then) -> c.submit(odd, then), answer -> impossibleRefused
-                        += answer instanceof UserAnswer.Impossible ? 1 : 0);
+                ask(
+                        odd.id(),
+                        (c, then) -> c.submit(odd, then),
+                        answer -> impossibleRefused += answer instanceof UserAnswer.Impossible ? 1 : 0);
             });
         }
     }
@@ -408,7 +477,9 @@
     }
 
     private Stream<String> ownersBut(String one) {
-        return nodes.values().stream().filter(n -> n.controller != null && n.controller.owner()).map(n -> n.name)
+        return nodes.values().stream()
+                .filter(n -> n.controller != null && n.controller.owner())
+                .map(n -> n.name)
                 .filter(n -> !n.equals(one));
     }
 
@@ -428,35 +499,101 @@
 
     // ---- users -------------------------------------------------------------------------------------------------
 
-    JobSpec job(boolean service, int tasks, Rank rank, String team, boolean spot, boolean spread, boolean oneZone,
-                long runMicros, long checkpointMicros) {
+    JobSpec job(
+            boolean service,
+            int tasks,
+            Rank rank,
+            String team,
+            boolean spot,
+            boolean spread,
+            boolean oneZone,
+            long runMicros,
+            long checkpointMicros) {
         String id = String.format("run-%06d", ++submissions);
-        return new JobSpec(id, service ? "svc" : "bat", team,
-                service ? JobSpec.Shape.SERVICE : tasks % 5 == 4 ? JobSpec.Shape.GANG : JobSpec.Shape.BATCH, rank, tasks, service ? 1_000 : 2_000, 0, 3_000,
-                "img-" + world.random.nextInt(3), 1.0, null, null, oneZone, spread, spot, runMicros, checkpointMicros,
-                checkpointMicros > 0 ? SECOND : 0, service ? JobSpec.NO_DEADLINE : 2 * runMicros + 30 * SECOND);
+        return new JobSpec(
+                id,
+                service ? "svc" : "bat",
+                team,
+                service ? JobSpec.Shape.SERVICE : tasks % 5 == 4 ? JobSpec.Shape.GANG : JobSpec.Shape.BATCH,
+                rank,
+                tasks,
+                service ? 1_000 : 2_000,
+                0,
+                3_000,
+                "img-" + world.random.nextInt(3),
+                1.0,
+                null,
+                null,
+                oneZone,
+                spread,
+                spot,
+                runMicros,
+                checkpointMicros,
+                checkpointMicros > 0 ? SECOND : 0,
+                service ? JobSpec.NO_DEADLINE : 2 * runMicros + 30 * SECOND);
     }
 
     /** Another job like this one, of so many tasks that take so little. */
     JobSpec withCpu(JobSpec j, int tasks, long cpuMillis) {
-        return new JobSpec(String.format("run-%06d", ++submissions), j.jobClass(), j.team(), j.shape(), j.rank(), tasks,
-                cpuMillis, 0, 100, j.image(), j.imageGb(), j.types(), j.zone(), j.oneZone(), j.spread(), j.spot(),
-                j.estimateMicros(), j.checkpointMicros(), j.saveMicros(), j.deadlineMicros());
+        return new JobSpec(
+                String.format("run-%06d", ++submissions),
+                j.jobClass(),
+                j.team(),
+                j.shape(),
+                j.rank(),
+                tasks,
+                cpuMillis,
+                0,
+                100,
+                j.image(),
+                j.imageGb(),
+                j.types(),
+                j.zone(),
+                j.oneZone(),
+                j.spread(),
+                j.spot(),
+                j.estimateMicros(),
+                j.checkpointMicros(),
+                j.saveMicros(),
+                j.deadlineMicros());
     }
 
     JobSpec withoutDeadline(JobSpec j) {
-        return new JobSpec(j.id(), j.jobClass(), j.team(), j.shape(), j.rank(), j.tasks(), j.cpuMillis(), 0,
-                j.memoryMillis(), j.image(), j.imageGb(), j.types(), j.zone(), j.oneZone(), j.spread(), j.spot(),
-                j.estimateMicros(), j.checkpointMicros(), j.saveMicros(), JobSpec.NO_DEADLINE);
+        return new JobSpec(
+                j.id(),
+                j.jobClass(),
+                j.team(),
+                j.shape(),
+                j.rank(),
+                j.tasks(),
+                j.cpuMillis(),
+                0,
+                j.memoryMillis(),
+                j.image(),
+                j.imageGb(),
+                j.types(),
+                j.zone(),
+                j.oneZone(),
+                j.spread(),
+                j.spot(),
+                j.estimateMicros(),
+                j.checkpointMicros(),
+                j.saveMicros(),
+                JobSpec.NO_DEADLINE);
     }
 
     JobSpec randomJob() {
         boolean service = world.random.nextInt(3) == 0;
-        return job(service, 1 + world.random.nextInt(service ? 5 : 12), service ? Rank.CRITICAL
-                : world.random.nextBoolean() ? Rank.STANDARD : Rank.BEST_EFFORT,
-                world.random.nextInt(3) == 0 ? "tight" : "free", !service && world.random.nextBoolean(),
-                service && world.random.nextBoolean(), !service && world.random.nextInt(4) == 0,
-                (2 + world.random.nextInt(15)) * SECOND, world.random.nextInt(2) * 3 * SECOND);
+        return job(
+                service,
+                1 + world.random.nextInt(service ? 5 : 12),
+                service ? Rank.CRITICAL : world.random.nextBoolean() ? Rank.STANDARD : Rank.BEST_EFFORT,
+                world.random.nextInt(3) == 0 ? "tight" : "free",
+                !service && world.random.nextBoolean(),
+                service && world.random.nextBoolean(),
+                !service && world.random.nextInt(4) == 0,
+                (2 + world.random.nextInt(15)) * SECOND,
+                world.random.nextInt(2) * 3 * SECOND);
     }
 
     /** A user submits, polls to the end and may cancel after a while (negative: never). */
@@ -489,12 +626,14 @@
     }
 
     private void poll(String id) {
-        world.after(5 * SECOND, () -> ask(id, (c, then) -> c.poll(id, then), answer -> {
-            poll(id);
-            if (answer instanceof UserAnswer.Status s && s.state() == JobState.DONE) {
-                doneTold++;
-            }
-        }));
+        world.after(
+                5 * SECOND,
+                () -> ask(id, (c, then) -> c.poll(id, then), answer -> {
+                    poll(id);
+                    if (answer instanceof UserAnswer.Status s && s.state() == JobState.DONE) {
+                        doneTold++;
+                    }
+                }));
     }
 
     void cancel(String id) {
@@ -529,23 +668,28 @@
             return;
         }
         asking.put(id, 1);
-        world.<UserAnswer>callLater(user, node, USER_TIMEOUT, answer -> {
-            Controller c = nodes.get(node).controller;
-            if (c != null && !unreachable.contains(node)) {
-                question.ask(c, answer);
-            }
-        }, answer -> {
-            asking.put(id, 0);
-            if (answer != null) {
-                rules.told(id, answer);
-            }
-            then.accept(answer);
-        });
+        world.<UserAnswer>callLater(
+                user,
+                node,
+                USER_TIMEOUT,
+                answer -> {
+                    Controller c = nodes.get(node).controller;
+                    if (c != null && !unreachable.contains(node)) {
+                        question.ask(c, answer);
+                    }
+                },
+                answer -> {
+                    asking.put(id, 0);
+                    if (answer != null) {
+                        rules.told(id, answer);
+                    }
+                    then.accept(answer);
+                });
     }
 
     void pollStranger() {
         String id = "run-999" + world.random.nextInt(1000);
-        ask(id, (c, then) -> c.poll(id, then), answer -> { });
+        ask(id, (c, then) -> c.poll(id, then), answer -> {});
     }
 
     List<String> unfinishedBatches() {
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -52,8 +52,11 @@
     /** A fixed few for every build; by hand {@code -Dgranitepath.seeds=N} for more, {@code .seed=S} for one alone. */
     static LongStream seeds() {
         Long one = Long.getLong("granitepath.seed");
-        return one != null ? LongStream.of(one) : LongStream.concat(LongStream.range(0,
-                Long.getLong("granitepath.seeds", 25)), LongStream.of(129, 163, 553, 630, 657, 682));
+        return one != null
+                ? LongStream.of(one)
+                : LongStream.concat(
+                        LongStream.range(0, Long.getLong("granitepath.seeds", 25)),
+                        LongStream.of(129, 163, 553, 630, 657, 682));
     }
 
     @Test
@@ -140,7 +143,8 @@
     void ownersCrashDuringTakeover(long seed) {
         Simulation s = withJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
-            s.world.after((20 + 6 * i) * SECOND + s.world.random.nextInt(4_000_000),
+            s.world.after(
+                    (20 + 6 * i) * SECOND + s.world.random.nextInt(4_000_000),
                     () -> s.crash(s.owner(), 500_000 + s.world.random.nextInt(3_000_000)));
         }
         s.run(300 * SECOND);
@@ -156,8 +160,9 @@
     void machineCutInOneDirection(long seed) {
         Simulation s = new Simulation(seed, 3, 2);
         for (int i = 0; i < 12; i++) {
-            s.world.after(2 * SECOND + i * 8 * SECOND, () -> s.submit(s.job(false, 40, Rank.STANDARD, "free", true, false,
-                    false, 8 * SECOND, 0), -1));
+            s.world.after(
+                    2 * SECOND + i * 8 * SECOND,
+                    () -> s.submit(s.job(false, 40, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
         }
         SimWorker[] cut = new SimWorker[1];
         int[] before = new int[1];
@@ -188,11 +193,13 @@
         }
         List<SimWorker> deaf = new ArrayList<>();
         List<Integer> before = new ArrayList<>();
-        s.world.after(45 * SECOND, () -> s.cloud.workers().stream().limit(5).forEach(w -> {
-            deaf.add(w);
-            before.add(s.startsAskedOf(w));
-            s.deafen(w, 80 * SECOND);
-        }));
+        s.world.after(
+                45 * SECOND,
+                () -> s.cloud.workers().stream().limit(5).forEach(w -> {
+                    deaf.add(w);
+                    before.add(s.startsAskedOf(w));
+                    s.deafen(w, 80 * SECOND);
+                }));
         s.run(125 * SECOND);
         for (int i = 0; i < deaf.size(); i++) {
             int slots = (int) (deaf.get(i).type.cpuMillis() / 2_000);
@@ -207,8 +214,9 @@
     @Test
     void lateReportOfAMachineThatIsGone() {
         Simulation s = new Simulation(15, 3, 1);
-        s.world.after(2 * SECOND, () -> s.submit(s.job(false, 900, Rank.STANDARD, "free", true, false, false, 8 * SECOND,
-                0), -1));
+        s.world.after(
+                2 * SECOND,
+                () -> s.submit(s.job(false, 900, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
         SimWorker[] gone = new SimWorker[1];
         int[] before = new int[1];
         s.world.after(40 * SECOND, () -> {
@@ -232,7 +240,8 @@
         Simulation s = withJobs(seed, 35, 120 * SECOND);
         s.world.lateCopies = 0.25;
         for (int i = 0; i < 5; i++) {
-            s.world.after((20 + 25 * i) * SECOND, () -> s.crash(s.owner(), 300_000 + s.world.random.nextInt(5_000_000)));
+            s.world.after(
+                    (20 + 25 * i) * SECOND, () -> s.crash(s.owner(), 300_000 + s.world.random.nextInt(5_000_000)));
             s.world.after((32 + 25 * i) * SECOND, () -> machineTrouble(s, World.Cut.HOLD, 15 * SECOND));
         }
         s.run(180 * SECOND, 420 * SECOND);
@@ -247,8 +256,9 @@
         for (int i = 0; i < 3; i++) {
             s.submit(s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0), (30 + 6 * i) * SECOND);
         }
-        s.world.after(32 * SECOND, () -> s.cutFromPeersAndState(s.owner(), seed % 2 == 0 ? World.Cut.HOLD
-                : World.Cut.DROP, 70 * SECOND));
+        s.world.after(
+                32 * SECOND,
+                () -> s.cutFromPeersAndState(s.owner(), seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND));
         s.run(110 * SECOND, 300 * SECOND);
         assertRulesAndAllDone(s);
     }
@@ -267,11 +277,15 @@
             List<SimWorker> all = s.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
                 String host = all.get(i).id;
-                s.names.stream().filter(n -> !n.equals(former)).forEach(n -> s.cut(n, host, World.Cut.DROP, 8 * SECOND));
+                s.names.stream()
+                        .filter(n -> !n.equals(former))
+                        .forEach(n -> s.cut(n, host, World.Cut.DROP, 8 * SECOND));
             }
             for (int i = 0; i < 12; i++) {
-                s.world.after(3_800_000 + i * 30_000, () -> s.submitAt(former, s.job(false, 5, Rank.STANDARD, "free", false,
-                        false, false, 20 * SECOND, 0)));
+                s.world.after(
+                        3_800_000 + i * 30_000,
+                        () -> s.submitAt(
+                                former, s.job(false, 5, Rank.STANDARD, "free", false, false, false, 20 * SECOND, 0)));
             }
         });
         s.run(60 * SECOND, 300 * SECOND);
@@ -286,8 +300,8 @@
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
     void ownerStandsStillAndWakes(long seed) {
-        Simulation s = new Simulation(seed, new Simulation.Shape(2, 5, 2 * SECOND, 27 * SECOND, 46 * SECOND, 1000, 200,
-                2048, 8, 1_000));
+        Simulation s = new Simulation(
+                seed, new Simulation.Shape(2, 5, 2 * SECOND, 27 * SECOND, 46 * SECOND, 1000, 200, 2048, 8, 1_000));
         JobSpec[] services = new JobSpec[6];
         for (int i = 0; i < services.length; i++) {
             services[i] = s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0);
@@ -310,8 +324,8 @@
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
     void aPauseIsNotSilence(long seed) {
-        Simulation s = new Simulation(seed, new Simulation.Shape(3, 1, 5 * SECOND, 11 * SECOND, 31 * SECOND, 1000, 200,
-                2048, 8, 1_000));
+        Simulation s = new Simulation(
+                seed, new Simulation.Shape(3, 1, 5 * SECOND, 11 * SECOND, 31 * SECOND, 1000, 200, 2048, 8, 1_000));
         s.submit(s.job(true, 2, Rank.CRITICAL, "free", false, true, false, 0, 0), -1);
         // In an outage no successor is found, and the owner is the owner still when all goes on.
         s.world.after(60 * SECOND, () -> s.state.outage(12_900_000));
@@ -411,7 +425,8 @@
         s.world.lateCopies = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean owner = i % 3 > 0;
-            s.world.after(20 * SECOND + i * 2 * SECOND + s.world.random.nextInt(2_000_000),
+            s.world.after(
+                    20 * SECOND + i * 2 * SECOND + s.world.random.nextInt(2_000_000),
                     () -> s.crash(owner ? s.owner() : s.anyNode(), 20_000 + s.world.random.nextInt(400_000)));
             s.world.after(21 * SECOND + i * 2 * SECOND, () -> {
                 SimWorker w = s.anyWorker();
@@ -433,10 +448,23 @@
     void fiveControllersAndHundredsOfMachines(long seed) {
         Simulation s = new Simulation(seed, 5, 30);
         for (int i = 0; i < 12; i++) {
-            s.world.after(2 * SECOND + i * 5 * SECOND, () -> s.submit(s.job(false, 120, Rank.STANDARD, "free",
-                    s.world.random.nextBoolean(), false, false, 25 * SECOND, 0), -1));
-            s.world.after(2 * SECOND + i * 5 * SECOND, () -> s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true,
-                    false, 0, 0), 120 * SECOND));
+            s.world.after(
+                    2 * SECOND + i * 5 * SECOND,
+                    () -> s.submit(
+                            s.job(
+                                    false,
+                                    120,
+                                    Rank.STANDARD,
+                                    "free",
+                                    s.world.random.nextBoolean(),
+                                    false,
+                                    false,
+                                    25 * SECOND,
+                                    0),
+                            -1));
+            s.world.after(
+                    2 * SECOND + i * 5 * SECOND,
+                    () -> s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0), 120 * SECOND));
         }
         int[] most = new int[1];
         s.world.after(45 * SECOND, () -> {
@@ -460,12 +488,34 @@
         Simulation s = new Simulation(seed, 3, 1);
         for (int i = 0; i < 60; i++) {
             int n = i;
-            s.world.after(2 * SECOND + i * 5 * SECOND, () -> s.submit(s.job(false, n % 10 == 3 ? 60 : 16, Rank.STANDARD,
-                    n % 7 == 0 ? "tight" : "free", true, false, false, 15 * SECOND, 0), -1));
+            s.world.after(
+                    2 * SECOND + i * 5 * SECOND,
+                    () -> s.submit(
+                            s.job(
+                                    false,
+                                    n % 10 == 3 ? 60 : 16,
+                                    Rank.STANDARD,
+                                    n % 7 == 0 ? "tight" : "free",
+                                    true,
+                                    false,
+                                    false,
+                                    15 * SECOND,
+                                    0),
+                            -1));
             s.world.after(2 * SECOND + i * 5 * SECOND, () -> {
                 if (n % 4 == 0) {
-                    s.submit(s.job(false, n % 8 == 0 ? 40 : 6, Rank.BEST_EFFORT, "free", true, false, false, 12 * SECOND,
-                            3 * SECOND), -1);
+                    s.submit(
+                            s.job(
+                                    false,
+                                    n % 8 == 0 ? 40 : 6,
+                                    Rank.BEST_EFFORT,
+                                    "free",
+                                    true,
+                                    false,
+                                    false,
+                                    12 * SECOND,
+                                    3 * SECOND),
+                            -1);
                 }
             });
         }
@@ -488,7 +538,9 @@
         }
         s.run(200 * SECOND);
         assertRules(s);
-        long prompt = late.stream().filter(j -> s.rules.begunAfter(j.id()) < 5 * SECOND).count();
+        long prompt = late.stream()
+                .filter(j -> s.rules.begunAfter(j.id()) < 5 * SECOND)
+                .count();
         assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
     }
 
@@ -522,7 +574,9 @@
         }
         s.run(30 * SECOND);
         assertRules(s);
-        long large = s.cloud.workers().stream().filter(w -> w.type.name().equals("large")).count();
+        long large = s.cloud.workers().stream()
+                .filter(w -> w.type.name().equals("large"))
+                .count();
         assertTrue(large >= 2, large + " large machines");
     }
 
@@ -536,7 +590,8 @@
         s.submit(j, -1);
         s.run(90 * SECOND);
         assertRules(s);
-        assertTrue(s.rules.begunAfter(j.id()) < 45 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / SECOND + " s");
+        assertTrue(
+                s.rules.begunAfter(j.id()) < 45 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / SECOND + " s");
     }
 
     /** On a full site the jobs that can be in time together are, instead of all being late together. */
@@ -553,7 +608,9 @@
         }
         s.run(700 * SECOND);
         assertRulesAndAllDone(s);
-        long inTime = jobs.stream().filter(j -> s.rules.finishedAfter(j.id()) <= j.deadlineMicros()).count();
+        long inTime = jobs.stream()
+                .filter(j -> s.rules.finishedAfter(j.id()) <= j.deadlineMicros())
+                .count();
         assertTrue(inTime >= 4, inTime + " of " + jobs.size() + " in time");
     }
 }
--- a/src/test/java/org/granitepath/simulation/World.java
+++ b/src/test/java/org/granitepath/simulation/World.java
@@ -16,22 +16,27 @@
     private record Event(long at, long order, Runnable action) {}
 
     /** What a cut does with packets under way: keeps them for later, or loses them. */
-    enum Cut { HOLD, DROP }
+    enum Cut {
+        HOLD,
+        DROP
+    }
 
     final Random random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Cut> cuts = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> held = new HashMap<>();
     private final Map<String, Long> lastArrival = new HashMap<>();
     private final Set<String> down = new HashSet<>();
     /** Hosts that stand still while their clocks run on, each with the packets and the timers that wait. */
     private final Map<String, ArrayDeque<Runnable>> frozenPackets = new HashMap<>();
+
     private final Map<String, ArrayDeque<Runnable>> frozenTimers = new HashMap<>();
     /** Share of requests of which a copy arrives once more, much later. */
     double lateCopies;
     /** Share of packets that are held up for seconds. */
     double heldUp;
+
     private long now;
     private long order;
 
@@ -155,13 +160,15 @@
         }));
         send(from, to, request);
         if (lateCopies > 0 && random.nextDouble() < lateCopies) {
-            after(100_000 + random.nextInt(60_000_000), () -> serve.accept(ignored -> { }));
+            after(100_000 + random.nextInt(60_000_000), () -> serve.accept(ignored -> {}));
         }
-        after(timeout, () -> fire(from, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                then.accept(null);
-            }
-        }));
+        after(
+                timeout,
+                () -> fire(from, () -> {
+                    if (!over[0]) {
+                        over[0] = true;
+                        then.accept(null);
+                    }
+                }));
     }
 }
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -41,7 +41,13 @@
             List<Integer> statuses = new ArrayList<>();
             loop.run(() -> {
                 for (int i = 0; i < CALLS; i++) {
-                    http.call("127.0.0.1:" + full.getLocalPort(), Methods.GET, "/", null, 300_000, false,
+                    http.call(
+                            "127.0.0.1:" + full.getLocalPort(),
+                            Methods.GET,
+                            "/",
+                            null,
+                            300_000,
+                            false,
                             (status, body) -> {
                                 statuses.add(status);
                                 ended.countDown();
