--- a/src/main/java/org/granitepath/coordination/Outlook.java
+++ b/src/main/java/org/granitepath/coordination/Outlook.java
@@ -214,6 +214,17 @@
                 <= aim * config.tuning().patienceShare();
     }
 
+    /**
+     * Whether waiting for cheap room would already miss what is expected: the job is within its team's guarantee, or its
+     * class is expected to start sooner than a machine boots. Such work takes whatever room there is.
+     */
+    boolean mustStartAtOnce(ActiveJob job) {
+        long aim = config.objectives()
+                .getOrDefault(job.spec.jobClass(), Config.Objective.NONE)
+                .waitMicros();
+        return job.turn == Turn.GUARANTEED || (aim > 0 && aim < quickestBootMicros());
+    }
+
     private double quickestBootMicros() {
         return dispatcher.types().values().stream()
                 .mapToLong(MachineType::bootMicros)
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -140,6 +140,7 @@
     /** However well a job could wait, it is not left without a start for long while room stands empty. */
     private boolean patient(ActiveJob job, long now) {
         return now - Math.max(job.waitingSinceMicros, job.lastStartMicros) < LONGEST_BESIDE_ROOM_MICROS
+                && !outlook.mustStartAtOnce(job)
                 && outlook.patient(job, 0, now);
     }
 
