--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -99,4 +99,34 @@
                     s.rules.begunAfter(j.id()) < 6 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / 1e6 + " s");
         }
     }
+
+    /**
+     * Spot machines are full and a full-price machine has room. Jobs that could wait for cheap room by their deadlines take
+     * it all the same when they are within their team's guarantee, or of a class that is to start sooner than a machine
+     * boots; nothing is stopped for them.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void urgentWorkDoesNotWaitBesideFullPriceRoom(long seed) {
+        Simulation s = new Simulation(seed, 3, 1);
+        JobSpec like = s.job(false, 1, Rank.STANDARD, "free", false, false, false, 600 * SECOND, 0);
+        s.submit(s.withCpu(like, 1, 9_000), -1); // holds a part of a full-price machine
+        s.submit(wide(s, "free", 30, 300 * SECOND), -1); // fills the spot machines, and asks for no others
+        boolean guaranteed = seed % 2 == 1;
+        JobSpec job =
+                s.job(false, 2, Rank.STANDARD, guaranteed ? "granted" : "free", true, false, false, 300 * SECOND, 0);
+        JobSpec urgent = guaranteed ? job : s.ofClass(job, Simulation.PROMPT);
+        long[] used = new long[2];
+        s.world.after(60 * SECOND, () -> {
+            used[0] = s.rules.usedBy("free");
+            s.submit(urgent, -1);
+        });
+        s.world.after(80 * SECOND, () -> used[1] = s.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
+        s.run(90 * SECOND);
+        assertRules(s);
+        assertTrue(used[1] == used[0], "the others use " + used[1] + " after " + used[0]);
+        assertTrue(
+                s.rules.begunAfter(urgent.id()) < 6 * SECOND,
+                "begun after " + s.rules.begunAfter(urgent.id()) / 1e6 + " s");
+    }
 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -30,6 +30,9 @@
 final class Simulation {
     static final long SECOND = 1_000_000;
     private static final long USER_TIMEOUT = 5 * SECOND;
+    /** A class of batch jobs that is expected to start sooner than any machine boots. */
+    static final String PROMPT = "prompt";
+
     private static final List<String> ZONES = List.of("north", "south");
     private static final Map<String, Config.Team> TEAMS = Map.of(
             "free", new Config.Team("free", 0, 0, 0, 0),
@@ -63,7 +66,11 @@
                             .collect(Collectors.toMap(n -> n, Simulation.this::zoneOf)),
                     ZONES,
                     TEAMS,
-                    Map.of("svc", new Config.Objective(8 * SECOND, 1, 0)),
+                    Map.of(
+                            "svc",
+                            new Config.Objective(8 * SECOND, 1, 0),
+                            PROMPT,
+                            new Config.Objective(4 * SECOND, 1, 0)),
                     shape.report,
                     shape.lease,
                     shape.cancel,
@@ -582,6 +589,31 @@
                 JobSpec.NO_DEADLINE);
     }
 
+    /** The same job, of another class. */
+    JobSpec ofClass(JobSpec j, String jobClass) {
+        return new JobSpec(
+                j.id(),
+                jobClass,
+                j.team(),
+                j.shape(),
+                j.rank(),
+                j.tasks(),
+                j.cpuMillis(),
+                0,
+                j.memoryMillis(),
+                j.image(),
+                j.imageGb(),
+                j.types(),
+                j.zone(),
+                j.oneZone(),
+                j.spread(),
+                j.spot(),
+                j.estimateMicros(),
+                j.checkpointMicros(),
+                j.saveMicros(),
+                j.deadlineMicros());
+    }
+
     JobSpec randomJob() {
         boolean service = world.random.nextInt(3) == 0;
         return job(
