--- a/src/main/java/org/granitepath/coordination/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/ActiveJob.java
@@ -46,7 +46,6 @@
     /** Tasks at or above this were never handed out. */
     int fresh;
 
-    int failureStreak;
     /** Run time of those of its tasks that finished in this term, and their number. */
     double ranMicros;
 
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/Dispatcher.java
@@ -48,8 +48,6 @@
     private static final int DEPARTED_REMEMBERED = 4096;
     private static final double MOST_SILENT_SHARE = 0.6;
     private static final int UNCLEARED_ATTEMPTS = 24;
-    private static final int FAILURES_OF_A_FAULTY_MACHINE = 3;
-    private static final long LONGEST_BACKOFF_MICROS = 60_000_000;
 
     private final Config config;
     private final Leadership.Term term;
@@ -65,6 +63,7 @@
     private final Rosters rosters;
     private final TeamLimits teamLimits;
     private final Estimates estimates = new Estimates();
+    private final FaultTracker faults = new FaultTracker();
     private final Arrivals arrivals = new Arrivals();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
@@ -297,6 +296,7 @@
             free(p, "machine gone: " + why);
         }
         machines.remove(m.id);
+        faults.forget(m);
         ordersDue.remove(m);
         departed.put(m.id, m.session);
         rosters.strike(m);
@@ -510,6 +510,9 @@
                 if (p.phase != Placement.Phase.STOPPING) {
                     p.transition(Placement.Phase.RUNNING, "reported");
                 }
+                if (now - p.runningSinceMicros >= FaultTracker.PROOF_MICROS && faults.wantsProof(p)) {
+                    drainFaulty(faults.proved(p, now));
+                }
             }
             case SAVING -> p.transition(Placement.Phase.STOPPING, "saving");
             case EXITED -> exited(m, p, r, now);
@@ -520,8 +523,7 @@
         ActiveJob job = p.job;
         if (r.cause() == Cause.DONE && !job.spec.service()) {
             job.markDone(r.task().index());
-            job.failureStreak = 0;
-            m.failures = 0;
+            drainFaulty(faults.proved(p, now));
             if (p.runningSinceMicros >= 0 && p.certain && !p.takenOver) {
                 estimates.finished(job, now - p.runningSinceMicros);
             }
@@ -536,21 +538,15 @@
         scheduleDue = true;
     }
 
-    /** A failure mostly means a faulty machine; a job that fails on several is itself at fault and backs off. */
+    /** A failure mostly means a faulty machine, now and then a faulty job. */
     private void failed(Machine m, ActiveJob job, long now) {
-        job.failureStreak++;
-        job.notBeforeMicros = now + Math.min(LONGEST_BACKOFF_MICROS, 500_000L << Math.min(job.failureStreak, 8));
-        if (job.failureStreak <= 2) {
-            m.failures++;
-        }
-        LOG.info(
-                "a task of {} failed on {}: {} in a row for the job, {} for the machine",
-                job.spec.id(),
-                m.id,
-                job.failureStreak,
-                m.failures);
-        if (m.failures >= FAILURES_OF_A_FAULTY_MACHINE) {
-            drain(m, "faulty: " + m.failures + " failures in a row");
+        LOG.info("a task of {} failed on {}", job.spec.id(), m.id);
+        drainFaulty(faults.failed(m, job, now));
+    }
+
+    private void drainFaulty(List<Machine> faulty) {
+        for (Machine machine : faulty) {
+            drain(machine, "faulty: tasks of several jobs failed there");
         }
     }
 
@@ -627,6 +623,7 @@
         p.job.unplace(p, !p.certain && inheritedLeft > 0);
         if (p.job.phase == ActiveJob.Phase.OVER && p.job.placements.isEmpty()) {
             jobs.remove(p.job.spec.id());
+            faults.forget(p.job);
         }
         scheduleDue = true;
     }
@@ -818,6 +815,7 @@
         }
         if (job.placements.isEmpty()) {
             jobs.remove(id);
+            faults.forget(job);
         }
         scheduleSoon();
     }
@@ -916,7 +914,7 @@
 
     /** Whether a job may use this machine now, room aside. */
     boolean eligible(Machine m, ActiveJob job, long now) {
-        return m.takesTasks() && suits(m, job, now) && !m.quiet(now, config.reportMicros());
+        return m.takesTasks() && suits(m, job, now) && faults.mayTry(m, job) && !m.quiet(now, config.reportMicros());
     }
 
     /**
@@ -967,6 +965,10 @@
         return estimates;
     }
 
+    FaultTracker faults() {
+        return faults;
+    }
+
     Arrivals arrivals() {
         return arrivals;
     }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/FaultTracker.java
@@ -0,0 +1,141 @@
+package org.granitepath.coordination;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Decides whether a failed task is the fault of its machine or of its job.
+ *
+ * <p>A failure makes the machine a suspect. A suspect is offered one task at a time, of a job that has not failed there,
+ * and is cleared by a task that started after the failure and ran to its end or for {@link #PROOF_MICROS}. A second job
+ * that fails there makes it faulty. A job is cleared by any task of its own that ran that long. Until then its failures on
+ * several machines, none of which is known to be faulty, count against the job: it is retried less and less often, and it
+ * makes no further machine a suspect.
+ */
+final class FaultTracker {
+    /** A task that has run for this long is sound, and so is the machine on which it started. */
+    static final long PROOF_MICROS = 5_000_000;
+    /** A job without proof that failed on this many machines is itself in question. */
+    private static final int MACHINES_OF_A_FAULTY_JOB = 3;
+    /** A machine on which this many jobs failed, with no success in between, is faulty. */
+    private static final int JOBS_OF_A_FAULTY_MACHINE = 2;
+
+    private static final long FIRST_BACKOFF_MICROS = 250_000;
+    private static final long LONGEST_BACKOFF_MICROS = 60_000_000;
+    private static final int MOST_DOUBLINGS = 8;
+
+    /** A machine on which tasks failed since it last proved to be sound. */
+    private static final class Suspect {
+        final Set<ActiveJob> failedJobs = new HashSet<>();
+        long failedMicros;
+        boolean faulty;
+    }
+
+    private final Map<Machine, Suspect> suspects = new HashMap<>();
+    /** For each job without proof, the machines on which it failed and that are not known to be faulty. */
+    private final Map<ActiveJob, Set<Machine>> failedOn = new HashMap<>();
+
+    private final Set<ActiveJob> provenJobs = new HashSet<>();
+
+    /** A task of the job failed there. Returns the machines that have turned out to be faulty. */
+    List<Machine> failed(Machine machine, ActiveJob job, long now) {
+        if (provenJobs.contains(job)) {
+            return blame(machine, job, now) ? List.of(machine) : List.of();
+        }
+        Set<Machine> machines = failedOn.computeIfAbsent(job, unknown -> new LinkedHashSet<>());
+        machines.add(machine);
+        boolean jobInQuestion = machines.size() >= MACHINES_OF_A_FAULTY_JOB;
+        boolean turnedFaulty = !jobInQuestion && blame(machine, job, now);
+        job.notBeforeMicros = now + backoffMicros(machines.size());
+        return turnedFaulty ? List.of(machine) : List.of();
+    }
+
+    /**
+     * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty: those
+     * on which the job failed before, which is now known not to be the job's own fault.
+     */
+    List<Machine> proved(Placement placement, long now) {
+        ActiveJob job = placement.job;
+        Suspect suspect = suspects.get(placement.machine);
+        if (suspect != null && !placement.takenOver && placement.runningSinceMicros > suspect.failedMicros) {
+            clear(placement.machine, suspect);
+        }
+        if (!provenJobs.add(job)) {
+            return List.of();
+        }
+        Set<Machine> machines = failedOn.remove(job);
+        if (machines == null) {
+            return List.of();
+        }
+        job.notBeforeMicros = now;
+        return machines.stream()
+                .filter(machine -> machine.phase != Machine.Phase.GONE && blame(machine, job, now))
+                .toList();
+    }
+
+    /** Whether a task's further running could prove anything that is not known yet. */
+    boolean wantsProof(Placement placement) {
+        return !suspects.isEmpty() && suspects.containsKey(placement.machine) || !provenJobs.contains(placement.job);
+    }
+
+    boolean suspects(Machine machine) {
+        return suspects.containsKey(machine);
+    }
+
+    /** Whether a task of this job may be started there: on a suspect only one at a time, and of no job that failed there. */
+    boolean mayTry(Machine machine, ActiveJob job) {
+        Suspect suspect = suspects.get(machine);
+        if (suspect == null) {
+            return true;
+        }
+        return !suspect.faulty
+                && !suspect.failedJobs.contains(job)
+                && machine.placements.values().stream().noneMatch(p -> p.placedMicros > suspect.failedMicros);
+    }
+
+    /** Forgets a machine that is gone or whose tasks all ended with its lease. */
+    void forget(Machine machine) {
+        suspects.remove(machine);
+        failedOn.values().forEach(machines -> machines.remove(machine));
+    }
+
+    /** Forgets a job that is over. */
+    void forget(ActiveJob job) {
+        provenJobs.remove(job);
+        failedOn.remove(job);
+        suspects.values().forEach(suspect -> suspect.failedJobs.remove(job));
+    }
+
+    /** Notes that the machine failed a task; true when that makes it faulty. */
+    private boolean blame(Machine machine, ActiveJob job, long now) {
+        Suspect suspect = suspects.computeIfAbsent(machine, unknown -> new Suspect());
+        suspect.failedMicros = now;
+        suspect.failedJobs.add(job);
+        if (suspect.faulty || suspect.failedJobs.size() < JOBS_OF_A_FAULTY_MACHINE) {
+            return false;
+        }
+        suspect.faulty = true;
+        // What failed there is not the jobs' own fault: they need not wait any longer.
+        for (ActiveJob failedJob : suspect.failedJobs) {
+            Set<Machine> machines = failedOn.get(failedJob);
+            if (machines != null && machines.remove(machine) && machines.isEmpty()) {
+                failedJob.notBeforeMicros = now;
+            }
+        }
+        return true;
+    }
+
+    private void clear(Machine machine, Suspect suspect) {
+        if (!suspect.faulty) {
+            suspects.remove(machine);
+        }
+    }
+
+    private static long backoffMicros(int machines) {
+        return Math.min(LONGEST_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << Math.min(machines, MOST_DOUBLINGS));
+    }
+}
--- a/src/main/java/org/granitepath/coordination/Machine.java
+++ b/src/main/java/org/granitepath/coordination/Machine.java
@@ -70,7 +70,6 @@
     /** Idle, but kept as headroom for live services: other work may use it meanwhile. */
     boolean kept;
 
-    int failures;
     long idleSinceMicros;
     long firstHeardMicros;
     /** When it was rented, as far as we know. */
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -16,6 +16,8 @@
 final class Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
     private static final long ROOM_PATIENCE_MICROS = 1_500_000;
+    /** A machine on which tasks failed lately comes after all others. */
+    private static final double SUSPECT_PENALTY = 100;
 
     private record Candidate(ActiveJob job, Outlook.Turn turn, double share) {}
 
@@ -198,7 +200,8 @@
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (Machine m : roomy) {
-            if (m.hasRoom(job.spec) && m.takesTasks() && dispatcher.suits(m, job, now)) {
+            if (m.hasRoom(job.spec) && m.takesTasks()
+ && dispatcher.suits(m, job, now) && dispatcher.faults().mayTry(m, job)) {
                 double score = score(m, job.spec);
                 if (score > bestScore) {
                     bestScore = score;
@@ -213,10 +216,10 @@
      * Machines that have the image come first, then tight fits. Services gather on machines that already hold some,
      * batch work on the others and on spot machines, so that emptied machines can be returned.
      */
-    private static double score(Machine m, JobSpec spec) {
+    private double score(Machine m, JobSpec spec) {
         double score = m.hasImage(spec.image()) ? 20 : m.fetches(spec.image()) ? 10 : m.type.fetchGbPerSecond();
         score -= 4.0 * (m.cpuFree() - spec.cpuMillis()) / m.type.cpuMillis();
-        score -= 5.0 * m.failures;
+        score -= dispatcher.faults().suspects(m) ? SUSPECT_PENALTY : 0;
         boolean mixed = m.hostsService();
         return spec.service() ? score + (mixed ? 12 : 0) : score + (m.spot ? 6 : 0) - (mixed ? 6 : 0);
     }
