--- a/src/main/java/org/granitepath/coordination/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/FaultTracker.java
@@ -13,8 +13,8 @@
  * <p>A failure makes the machine a suspect. A suspect is offered one task at a time, of a job that has not failed there,
  * and is cleared by a task that started after the failure and ran to its end or for {@link #PROOF_MICROS}. A second job
  * that fails there makes it faulty. A job is cleared by any task of its own that ran that long. Until then its failures on
- * several machines, none of which is known to be faulty, count against the job: it is retried less and less often, and it
- * makes no further machine a suspect.
+ * several machines, none of which is known to be faulty, count against the job: it is retried less and less often, one
+ * task at a time, and it makes no further machine a suspect.
  */
 final class FaultTracker {
     /** A task that has run for this long is sound, and so is the machine on which it started. */
@@ -97,7 +97,13 @@
                 && machine.placements.values().stream().noneMatch(p -> p.placedMicros > suspect.failedMicros);
     }
 
-    /** Forgets a machine that is gone or whose tasks all ended with its lease. */
+    /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
+    boolean mayStartAnother(ActiveJob job) {
+        Set<Machine> machines = failedOn.get(job);
+        return machines == null || machines.size() < MACHINES_OF_A_FAULTY_JOB || job.placements.isEmpty();
+    }
+
+    /** Forgets a machine that is gone. */
     void forget(Machine machine) {
         suspects.remove(machine);
         failedOn.values().forEach(machines -> machines.remove(machine));
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -86,7 +86,9 @@
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
             Needs needs = needs(job);
-            if (hopeless.stream().anyMatch(h -> h.atMost(needs)) || !dispatcher.teamAllows(job.spec)) {
+            if (hopeless.stream().anyMatch(h -> h.atMost(needs))
+                    || !dispatcher.teamAllows(job.spec)
+                    || !dispatcher.faults().mayStartAnother(job)) {
                 continue;
             }
             if (job.spec.gang()) {
@@ -201,8 +203,10 @@
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (Machine m : roomy) {
-            if (m.hasRoom(job.spec) && m.takesTasks()
- && dispatcher.suits(m, job, now) && dispatcher.faults().mayTry(m, job)) {
+            if (m.hasRoom(job.spec)
+                    && m.takesTasks()
+                    && dispatcher.suits(m, job, now)
+                    && dispatcher.faults().mayTry(m, job)) {
                 double score = score(m, job.spec);
                 if (score > bestScore) {
                     bestScore = score;
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -6,6 +6,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.URI;
@@ -85,7 +86,7 @@
         List<Socket> open = new ArrayList<>();
         int kept = 0;
         for (int i = 0; i < 2 * MOST; i++) {
-            Socket s = new Socket("127.0.0.1", port);
+            Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
             open.add(s);
             s.setSoTimeout(5_000);
             s.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -59,12 +59,12 @@
         Ledger ledger = new Ledger(state.portFor("n"), mirror, timers, 8, 20, false, List::of, () -> true);
         int[] answered = new int[1];
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000, () -> mirror.barrier(fresh -> answered[0] += fresh ? 1 : 0));
+            world.after(i * 5_000L, () -> mirror.barrier(fresh -> answered[0] += fresh ? 1 : 0));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
             world.after(
-                    i * 66_000,
+                    i * 66_000L,
                     () -> ledger.want(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, Map.of("x", 1))), epoch -> {}));
         }
@@ -119,7 +119,7 @@
             for (int i = 0; i < 900; i++) {
                 String key = "g/" + node + "/" + i;
                 world.after(
-                        1_000_000 + i * 60_000,
+                        1_000_000 + i * 60_000L,
                         () -> ledger.want(
                                 key,
                                 Urgency.WORK,
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -44,7 +44,7 @@
         }
         for (int i = 0; i < 40; i++) {
             s.world.after(
-                    3 * SECOND + i * 3 * SECOND / 2,
+                    3 * SECOND + 3L * i * SECOND / 2,
                     () -> s.submit(
                             s.job(false, machines / 4, Rank.STANDARD, "free", true, false, false, 60 * SECOND, 0), -1));
         }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -74,7 +74,7 @@
             breach("ran_twice", task + " starts on " + host + " while on " + other.host());
         }
         on.put(task, new Where(host, zone));
-        if (!spec.allowsType(type) || !spec.allowsZone(zone) || spot && !spec.spot()) {
+        if (!spec.allowsType(type) || !spec.allowsZone(zone) || (spot && !spec.spot())) {
             breach("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
         }
         int here = 0;
@@ -92,11 +92,11 @@
                 elsewhere |= !e.getValue().zone().equals(zone);
             }
         }
-        if (spec.spread() && here > spec.zoneCap() || spec.oneZone() && elsewhere) {
+        if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere)) {
             breach("wrong_place", task + ": " + here + " of its job in " + zone);
         }
         Config.Team team = teams.get(spec.team());
-        if (team.cpuLimit() > 0 && cpu > team.cpuLimit() || team.gpuLimit() > 0 && gpu > team.gpuLimit()) {
+        if ((team.cpuLimit() > 0 && cpu > team.cpuLimit()) || (team.gpuLimit() > 0 && gpu > team.gpuLimit())) {
             breach("quota", "team " + spec.team() + " uses " + cpu + " and " + gpu);
         }
         Long told = cancelTold.get(task.job());
@@ -241,7 +241,7 @@
         Map<String, List<JobSpec>> groups = new TreeMap<>();
         for (String id : submittedAt.keySet()) {
             JobSpec s = submitted.get(id);
-            if (accepted.contains(id) && !cancelAsked.contains(id) || s.service() && begunAt.containsKey(id)) {
+            if ((accepted.contains(id) && !cancelAsked.contains(id)) || (s.service() && begunAt.containsKey(id))) {
                 groups.computeIfAbsent("class " + s.jobClass(), k -> new ArrayList<>())
                         .add(s);
                 groups.computeIfAbsent("team " + s.team(), k -> new ArrayList<>())
--- a/src/test/java/org/granitepath/simulation/RulesTest.java
+++ b/src/test/java/org/granitepath/simulation/RulesTest.java
@@ -217,6 +217,11 @@
                     public BeatAnswer beat(String node, Beat beat) {
                         return new BeatAnswer.Accepted(1, List.of());
                     }
+
+                    @Override
+                    public boolean fails(String job) {
+                        return false;
+                    }
                 },
                 job -> spec(job, false, false, 300_000_000),
                 new HashSet<>(),
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -45,6 +45,9 @@
         List<String> names();
 
         BeatAnswer beat(String node, Beat beat);
+
+        /** Whether every task of this job fails, wherever it runs. */
+        boolean fails(String job);
     }
 
     private final World world;
@@ -74,6 +77,8 @@
     private Beat latest;
     /** A machine on which every task fails. */
     boolean faulty;
+    /** How many tasks have failed here. */
+    int failures;
 
     private long noticeEnd = -1;
 
@@ -215,11 +220,15 @@
                 advance(r);
             }
         }
-        if (!reporting && (world.now() >= nextReport || changed && world.now() >= nextReport - reportMicros / 2)) {
+        if (!reporting && (world.now() >= nextReport || (changed && world.now() >= nextReport - reportMicros / 2))) {
             report();
         }
     }
 
+    private boolean fails(Run r) {
+        return faulty || controllers.fails(r.task.job());
+    }
+
     private void advance(Run r) {
         changed = true;
         JobSpec spec = jobs.apply(r.task.job());
@@ -231,12 +240,13 @@
                     ? 0
                     : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
             r.until = spec.service() ? Long.MAX_VALUE : world.now() + run;
-            if (faulty) {
+            if (fails(r)) {
+                failures++;
                 r.until = world.now() + 200_000;
             }
         } else {
             boolean saving = r.state == TaskState.SAVING;
-            end(r, saving ? Cause.STOPPED : faulty ? Cause.FAILED : Cause.DONE);
+            end(r, saving ? Cause.STOPPED : fails(r) ? Cause.FAILED : Cause.DONE);
             r.saved = saving;
         }
     }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -50,7 +50,7 @@
         Node(String name) {
             this.name = name;
             this.drift = 1 + world.random.nextDouble() * 0.0005;
-            this.skew = world.random.nextInt(500_000) - 250_000;
+            this.skew = world.random.nextInt(500_000) - 250_000L;
         }
 
         void boot() {
@@ -175,6 +175,8 @@
     boolean peersTellNothing;
     /** Share of jobs that are called off at the very moment at which their last task ends. */
     double cancelledAtEnd;
+    /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
+    final Set<String> brokenJobs = new HashSet<>();
     /** Jobs that can never run, and were told so. */
     int impossibleRefused;
     /** The most direct calls to machines that one controller had under way at once. */
@@ -225,6 +227,11 @@
                                 }
                                 return answer;
                             }
+
+                            @Override
+                            public boolean fails(String job) {
+                                return brokenJobs.contains(job);
+                            }
                         },
                         jobs::get,
                         results,
@@ -625,7 +632,7 @@
                 service && world.random.nextBoolean(),
                 !service && world.random.nextInt(4) == 0,
                 (2 + world.random.nextInt(15)) * SECOND,
-                world.random.nextInt(2) * 3 * SECOND);
+                world.random.nextInt(2) * 3L * SECOND);
     }
 
     /** A user submits, polls to the end and may cancel after a while (negative: never). */
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -161,7 +161,7 @@
         Simulation s = new Simulation(seed, 3, 2);
         for (int i = 0; i < 12; i++) {
             s.world.after(
-                    2 * SECOND + i * 8 * SECOND,
+                    2 * SECOND + 8L * i * SECOND,
                     () -> s.submit(s.job(false, 40, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
         }
         SimWorker[] cut = new SimWorker[1];
@@ -283,7 +283,7 @@
             }
             for (int i = 0; i < 12; i++) {
                 s.world.after(
-                        3_800_000 + i * 30_000,
+                        3_800_000 + i * 30_000L,
                         () -> s.submitAt(
                                 former, s.job(false, 5, Rank.STANDARD, "free", false, false, false, 20 * SECOND, 0)));
             }
@@ -426,9 +426,9 @@
         for (int i = 0; i < 40; i++) {
             boolean owner = i % 3 > 0;
             s.world.after(
-                    20 * SECOND + i * 2 * SECOND + s.world.random.nextInt(2_000_000),
+                    20 * SECOND + 2L * i * SECOND + s.world.random.nextInt(2_000_000),
                     () -> s.crash(owner ? s.owner() : s.anyNode(), 20_000 + s.world.random.nextInt(400_000)));
-            s.world.after(21 * SECOND + i * 2 * SECOND, () -> {
+            s.world.after(21 * SECOND + 2L * i * SECOND, () -> {
                 SimWorker w = s.anyWorker();
                 if (w != null) {
                     w.hangFor(100_000 + s.world.random.nextInt(800_000));
@@ -449,7 +449,7 @@
         Simulation s = new Simulation(seed, 5, 30);
         for (int i = 0; i < 12; i++) {
             s.world.after(
-                    2 * SECOND + i * 5 * SECOND,
+                    2 * SECOND + 5L * i * SECOND,
                     () -> s.submit(
                             s.job(
                                     false,
@@ -463,7 +463,7 @@
                                     0),
                             -1));
             s.world.after(
-                    2 * SECOND + i * 5 * SECOND,
+                    2 * SECOND + 5L * i * SECOND,
                     () -> s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0), 120 * SECOND));
         }
         int[] most = new int[1];
@@ -489,7 +489,7 @@
         for (int i = 0; i < 60; i++) {
             int n = i;
             s.world.after(
-                    2 * SECOND + i * 5 * SECOND,
+                    2 * SECOND + 5L * i * SECOND,
                     () -> s.submit(
                             s.job(
                                     false,
@@ -502,7 +502,7 @@
                                     15 * SECOND,
                                     0),
                             -1));
-            s.world.after(2 * SECOND + i * 5 * SECOND, () -> {
+            s.world.after(2 * SECOND + 5L * i * SECOND, () -> {
                 if (n % 4 == 0) {
                     s.submit(
                             s.job(
@@ -531,7 +531,7 @@
         List<JobSpec> late = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             JobSpec j = s.job(true, 2, Rank.CRITICAL, "free", false, true, false, 0, 0);
-            s.world.after(2 * SECOND + i * 3 * SECOND, () -> s.submit(j, -1));
+            s.world.after(2 * SECOND + 3L * i * SECOND, () -> s.submit(j, -1));
             if (i >= 25) {
                 late.add(j);
             }
@@ -604,7 +604,7 @@
         for (int i = 0; i < 16; i++) {
             jobs.add(s.job(false, i % 4 == 0 ? 240 : 50, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0));
             JobSpec j = jobs.get(i);
-            s.world.after(30 * SECOND + 6 * i * SECOND, () -> s.submit(j, -1));
+            s.world.after(30 * SECOND + 6L * i * SECOND, () -> s.submit(j, -1));
         }
         s.run(700 * SECOND);
         assertRulesAndAllDone(s);
--- a/src/test/java/org/granitepath/simulation/World.java
+++ b/src/test/java/org/granitepath/simulation/World.java
@@ -26,7 +26,6 @@
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Cut> cuts = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> held = new HashMap<>();
-    private final Map<String, Long> lastArrival = new HashMap<>();
     private final Set<String> down = new HashSet<>();
     /** Hosts that stand still while their clocks run on, each with the packets and the timers that wait. */
     private final Map<String, ArrayDeque<Runnable>> frozenPackets = new HashMap<>();
@@ -108,8 +107,8 @@
             held.computeIfAbsent(link(from, to), l -> new ArrayDeque<>()).add(arrive);
             return;
         }
-        long delay = 300 + random.nextInt(4_000) + (random.nextInt(500) == 0 ? 400_000 : 0);
-        long more = heldUp > 0 && random.nextDouble() < heldUp ? 1_000_000 + random.nextInt(9_000_000) : 0;
+        long delay = 300L + random.nextInt(4_000) + (random.nextInt(500) == 0 ? 400_000 : 0);
+        long more = heldUp > 0 && random.nextDouble() < heldUp ? 1_000_000L + random.nextInt(9_000_000) : 0;
         after(delay + more, () -> arrive(to, arrive));
     }
 
