--- a/src/main/java/org/granitepath/bookkeeping/JobSpec.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobSpec.java
@@ -32,9 +32,30 @@
 
     /** {@code GANG}: its tasks work together; they start whole, and none goes on without the others. */
     public enum Shape {
-        BATCH,
-        GANG,
-        SERVICE
+        BATCH(0),
+        GANG(1),
+        SERVICE(2);
+
+        private final int code;
+
+        Shape(int code) {
+            this.code = code;
+        }
+
+        /** The number that stands for it in records. */
+        public int code() {
+            return code;
+        }
+
+        /** The shape with this number; independent tasks for a number that is not known. */
+        public static Shape ofCode(int code) {
+            for (Shape shape : values()) {
+                if (shape.code == code) {
+                    return shape;
+                }
+            }
+            return BATCH;
+        }
     }
 
     public static final long NO_DEADLINE = -1;
@@ -69,8 +90,8 @@
         m.put("id", id);
         m.put("class", jobClass);
         m.put("team", team);
-        m.put("shape", shape.ordinal());
-        m.put("rank", rank.ordinal());
+        m.put("shape", shape.code());
+        m.put("rank", rank.code());
         m.put("tasks", tasks);
         m.put("cpu", cpuMillis);
         m.put("gpu", gpuMillis);
@@ -101,8 +122,8 @@
                 Fields.textOf(m, "id"),
                 Fields.textOf(m, "class"),
                 Fields.textOf(m, "team"),
-                Shape.values()[Fields.intOf(m, "shape", 0)],
-                Rank.values()[Fields.intOf(m, "rank", 3)],
+                Shape.ofCode(Fields.intOf(m, "shape", 0)),
+                Rank.ofCode(Fields.intOf(m, "rank", 3)),
                 Fields.intOf(m, "tasks", 1),
                 Fields.longOf(m, "cpu", 0),
                 Fields.longOf(m, "gpu", 0),
--- a/src/main/java/org/granitepath/bookkeeping/Rank.java
+++ b/src/main/java/org/granitepath/bookkeeping/Rank.java
@@ -2,12 +2,34 @@
 
 /** Priority of a job, highest first. */
 public enum Rank {
-    CRITICAL,
-    HIGH,
-    STANDARD,
-    BEST_EFFORT;
+    CRITICAL(0),
+    HIGH(1),
+    STANDARD(2),
+    BEST_EFFORT(3);
 
+    private final int code;
+
+    Rank(int code) {
+        this.code = code;
+    }
+
+    /** The number that stands for it in records. */
+    public int code() {
+        return code;
+    }
+
+    /** The priority with this number; the lowest for a number that is not known. */
+    public static Rank ofCode(int code) {
+        for (Rank rank : values()) {
+            if (rank.code == code) {
+                return rank;
+            }
+        }
+        return BEST_EFFORT;
+    }
+
+    /** Whether work of this priority goes before, and may stop, work of the other. */
     public boolean above(Rank other) {
-        return ordinal() < other.ordinal();
+        return compareTo(other) < 0;
     }
 }
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -75,9 +75,11 @@
             String jobClass = o.get("class");
             if (jobClass != null) {
                 Config.Objective old = objectives.getOrDefault(jobClass, Config.Objective.NONE);
+                Object kindField = o.get("kind");
+                String kind = String.valueOf(kindField);
                 objectives.put(
                         jobClass,
-                        switch (String.valueOf((Object) o.get("kind"))) {
+                        switch (kind) {
                             case "wait" ->
                                 new Config.Objective(micros(o, "within_s"), old.deadlineTimes(), old.finishMicros());
                             case "deadline" ->
@@ -145,8 +147,8 @@
             if (t.cpuGuarantee() < 0 || t.cpuLimit() < 0 || t.gpuGuarantee() < 0 || t.gpuLimit() < 0) {
                 throw new Invalid("facts.teams: team " + t.name() + ": guarantees and limits can't be negative");
             }
-            if (t.cpuLimit() > 0 && t.cpuGuarantee() > t.cpuLimit()
-                    || t.gpuLimit() > 0 && t.gpuGuarantee() > t.gpuLimit()) {
+            if ((t.cpuLimit() > 0 && t.cpuGuarantee() > t.cpuLimit())
+                    || (t.gpuLimit() > 0 && t.gpuGuarantee() > t.gpuLimit())) {
                 throw new Invalid("facts.teams: team " + t.name() + " is guaranteed more than its limit");
             }
         }
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -317,7 +317,7 @@
             if (ids.size() >= RETURN_AT_ONCE) {
                 break;
             }
-            boolean trust = trustSilence && !silence.waitedFor(m, now) || now - m.heardMicros > cutPatienceMicros();
+            boolean trust = (trustSilence && !silence.waitedFor(m, now)) || now - m.heardMicros > cutPatienceMicros();
             boolean dead = trust && now - m.heardMicros > silenceMicros(m);
             boolean idle = m.phase == Machine.Phase.READY
                     && m.placements.isEmpty()
--- a/src/main/java/org/granitepath/coordination/Beat.java
+++ b/src/main/java/org/granitepath/coordination/Beat.java
@@ -36,6 +36,6 @@
 
     /** Whether this report was made later than one with the given session and sequence. */
     public boolean newerThan(long otherSession, long otherSequence) {
-        return session > otherSession || session == otherSession && sequence > otherSequence;
+        return session > otherSession || (session == otherSession && sequence > otherSequence);
     }
 }
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/Consolidator.java
@@ -96,7 +96,7 @@
                 if (m == from
                         || !m.takesTasks()
                         || !m.allowedFor(s)
-                        || !m.zone.equals(from.zone) && s.spread()
+                        || (!m.zone.equals(from.zone) && s.spread())
                         || !soonHas(m, s)
                         || m.cpuUsedShare() <= from.cpuUsedShare()) {
                     continue;
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -170,7 +170,7 @@
         if (dispatcher != null && dispatcher.cutFromWorkers(peers.mostTurnedAway())) {
             leadership.abdicate("the machines reach the others, but not us");
         }
-        if ((types.isEmpty() || dispatcher != null && now >= typesDueMicros) && !askingTypes) {
+        if ((types.isEmpty() || (dispatcher != null && now >= typesDueMicros)) && !askingTypes) {
             askTypes();
         }
     }
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/Dispatcher.java
@@ -935,7 +935,7 @@
      * While tasks are in doubt, or tasks of jobs that are over are still to be stopped, what a team uses is not known.
      */
     boolean teamAllows(JobSpec spec) {
-        return teamLimits.allows(spec) && (!teamLimits.limits(spec) || inheritedLeft == 0 && strangersGone());
+        return teamLimits.allows(spec) && (!teamLimits.limits(spec) || (inheritedLeft == 0 && strangersGone()));
     }
 
     /** CPUs that a team's tasks use beyond its guarantee, without those that are being stopped. */
--- a/src/main/java/org/granitepath/coordination/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/FairShare.java
@@ -1,5 +1,7 @@
 package org.granitepath.coordination;
 
+import java.util.EnumMap;
+import java.util.Map;
 import org.apache.commons.numbers.gamma.LogGamma;
 import org.granitepath.bookkeeping.Rank;
 
@@ -10,19 +12,26 @@
  * The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
  */
 public final class FairShare {
-    private final double[] weights;
+    private final Map<Rank, Double> weights = new EnumMap<>(Rank.class);
 
     public FairShare(Config.Tuning tuning) {
-        weights = new double[] {
-            tuning.criticalWeight(), tuning.highWeight(), tuning.standardWeight(), tuning.bestEffortWeight()
-        };
+        weights.put(Rank.CRITICAL, tuning.criticalWeight());
+        weights.put(Rank.HIGH, tuning.highWeight());
+        weights.put(Rank.STANDARD, tuning.standardWeight());
+        weights.put(Rank.BEST_EFFORT, tuning.bestEffortWeight());
     }
 
     public double weight(Rank rank) {
-        return weights[rank.ordinal()];
+        return weights.get(rank);
     }
 
-    /** @param total T, @param left L (running or not yet started), @param running R */
+    /**
+     * The weighted workforce of a job.
+     *
+     * @param total T, the number of its tasks
+     * @param left L, those that are running or have not yet started
+     * @param running R, those that are running
+     */
     public double share(Rank rank, boolean deadline, int total, int left, int running) {
         double scale = 1.0 / (weight(rank) * total);
         return deadline ? scale * logSum(total, left, running) : scale * running;
--- a/src/main/java/org/granitepath/coordination/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/FaultTracker.java
@@ -79,7 +79,7 @@
 
     /** Whether a task's further running could prove anything that is not known yet. */
     boolean wantsProof(Placement placement) {
-        return !suspects.isEmpty() && suspects.containsKey(placement.machine) || !provenJobs.contains(placement.job);
+        return suspects.containsKey(placement.machine) || !provenJobs.contains(placement.job);
     }
 
     boolean suspects(Machine machine) {
--- a/src/main/java/org/granitepath/coordination/JobBook.java
+++ b/src/main/java/org/granitepath/coordination/JobBook.java
@@ -11,8 +11,18 @@
 /** All jobs as the state service has them; every controller keeps this and answers users from it. */
 public final class JobBook {
     public enum Final {
-        DONE,
-        CANCELLED
+        DONE(0),
+        CANCELLED(1);
+
+        private final int code;
+
+        Final(int code) {
+            this.code = code;
+        }
+
+        private static Final ofCode(int code) {
+            return code == CANCELLED.code ? CANCELLED : DONE;
+        }
     }
 
     /** Told when the records of a job change. */
@@ -36,7 +46,7 @@
     }
 
     public static Map<String, Object> finalRecord(Final how) {
-        return Map.of(FINAL_FIELD, how.ordinal());
+        return Map.of(FINAL_FIELD, how.code);
     }
 
     public Collection<JobRecord> openJobs() {
@@ -80,7 +90,7 @@
             }
         } else if (key.startsWith(Keys.FINAL)) {
             String id = key.substring(Keys.FINAL.length());
-            Final how = Final.values()[Fields.intOf(value, FINAL_FIELD, 0)];
+            Final how = Final.ofCode(Fields.intOf(value, FINAL_FIELD, 0));
             finals.put(id, how);
             open.remove(id);
             progress.remove(id);
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/Leadership.java
@@ -105,7 +105,7 @@
      * of them can have confirmed one.
      */
     boolean mayStart() {
-        return certain() || phase == Phase.HOLDING && othersOutOfTouch.getAsBoolean();
+        return certain() || (phase == Phase.HOLDING && othersOutOfTouch.getAsBoolean());
     }
 
     /** When the last request was sent that the state service answered with our being the leader. */
@@ -200,7 +200,7 @@
             // The record as it is now: another may have won meanwhile.
             mirror.barrier(fresh -> {
                 Map<String, Object> v = mirror.value(Keys.LEADER);
-                boolean free = v == null || formerSelf && config.node().equals(Fields.textOf(v, "node"));
+                boolean free = v == null || (formerSelf && config.node().equals(Fields.textOf(v, "node")));
                 if (!fresh || !free) {
                     retreat(fresh ? "another was faster" : "can't read the records");
                 } else {
@@ -250,7 +250,7 @@
      */
     private void takeOver(Term ours) {
         mirror.barrier(fresh -> {
-            if (term != ours) {
+            if (!ours.equals(term)) {
                 return;
             }
             if (fresh) {
@@ -280,7 +280,7 @@
         long sent = timers.nowMicros();
         touchDueMicros = sent + config.tuning().leaderLeaseMicros() / 4;
         state.touchLease(lease, outcome -> {
-            if (term != ours) {
+            if (!ours.equals(term)) {
                 return;
             }
             touching = false;
--- a/src/main/java/org/granitepath/coordination/Ledger.java
+++ b/src/main/java/org/granitepath/coordination/Ledger.java
@@ -206,7 +206,7 @@
                 if (changes.size() >= room) {
                     break;
                 }
-                if (e.urgency() != urgency || e.dueMicros() > now && changes.size() * 2 >= txnOps) {
+                if (e.urgency() != urgency || (e.dueMicros() > now && changes.size() * 2 >= txnOps)) {
                     continue;
                 }
                 List<Change> content = e.content().get();
--- a/src/main/java/org/granitepath/coordination/Outlook.java
+++ b/src/main/java/org/granitepath/coordination/Outlook.java
@@ -141,7 +141,7 @@
     }
 
     static boolean isLive(ActiveJob job) {
-        return job.spec.service() && job.spec.rank().ordinal() <= Rank.HIGH.ordinal();
+        return job.spec.service() && !Rank.HIGH.above(job.spec.rank());
     }
 
     /** Giving way has a bound: a job that has long had nothing on a machine competes by its share alone again. */
--- a/src/main/java/org/granitepath/coordination/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/PeerPort.java
@@ -5,6 +5,8 @@
 /** What controllers tell one another. Every call answers once, later, on the event loop. */
 public interface PeerPort {
     /**
+     * How a controller is.
+     *
      * @param contactAgeMicros how long ago the state service last brought this controller up to date; negative: never
      * @param turnedAway how many machines lately reported to this controller although it does not own them
      */
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -51,7 +51,7 @@
         boolean take(JobSpec s) {
             if (!s.allowsType(type.name())
                     || !s.allowsZone(zone)
-                    || spot && !s.spot()
+                    || (spot && !s.spot())
                     || s.cpuMillis() > cpu
                     || s.gpuMillis() > gpu
                     || s.memoryMillis() > memory) {
@@ -130,7 +130,7 @@
             Purchase p = new Purchase(offers.get(e.getKey()), e.getValue());
             boolean live = Outlook.isLive(p.offer().job());
             boolean bestLive = best != null && Outlook.isLive(best.offer().job());
-            if (best == null || live && !bestLive || live == bestLive && p.count() > best.count()) {
+            if (best == null || (live && !bestLive) || (live == bestLive && p.count() > best.count())) {
                 best = p;
             }
         }
@@ -253,7 +253,7 @@
                 }
                 for (boolean spot : new boolean[] {true, false}) {
                     Offer offer = new Offer(type, zone, spot, job);
-                    if (spot && !spec.spot() || !spot && !fullPrice || refused.test(offer.key())) {
+                    if ((spot && !spec.spot()) || (!spot && !fullPrice) || refused.test(offer.key())) {
                         continue;
                     }
                     double cost =
--- a/src/main/java/org/granitepath/coordination/RoomMaker.java
+++ b/src/main/java/org/granitepath/coordination/RoomMaker.java
@@ -55,7 +55,7 @@
         int coming = 0;
         List<Sacrifice> offers = new ArrayList<>();
         for (Machine m : machines) {
-            if (!dispatcher.eligible(m, job, now) || withImageOnly && !m.hasImage(job.spec.image())) {
+            if (!dispatcher.eligible(m, job, now) || (withImageOnly && !m.hasImage(job.spec.image()))) {
                 continue;
             }
             long[] more = new long[3];
@@ -63,7 +63,7 @@
             for (Placement p : m.placements.values()) {
                 if (p.phase == Placement.Phase.STOPPING) {
                     add(more, p.job.spec);
-                } else if (mayStopFor(job, live, p, now) || reclaims && lent(job, p, borrowed)) {
+                } else if (mayStopFor(job, live, p, now) || (reclaims && lent(job, p, borrowed))) {
                     candidates.add(p);
                 }
             }
@@ -148,9 +148,9 @@
             return false;
         }
         return live
-                || victim.checkpointMicros() > 0
+                || (victim.checkpointMicros() > 0
                         && p.runningSinceMicros >= 0
-                        && now - p.runningSinceMicros > SETTLED_MICROS;
+                        && now - p.runningSinceMicros > SETTLED_MICROS);
     }
 
     /** CPU time that stopping this task throws away. */
--- a/src/main/java/org/granitepath/coordination/Silence.java
+++ b/src/main/java/org/granitepath/coordination/Silence.java
@@ -95,6 +95,6 @@
         int machines = dispatcher.machines().size();
         int elsewhere = peers.mostTurnedAway();
         return overdue <= Math.max(2, machines * FEW_SHARE)
-                || overdue <= machines / 2 && elsewhere >= 0 && elsewhere < overdue / 4;
+                || (overdue <= machines / 2 && elsewhere >= 0 && elsewhere < overdue / 4);
     }
 }
--- a/src/main/java/org/granitepath/coordination/UserDesk.java
+++ b/src/main/java/org/granitepath/coordination/UserDesk.java
@@ -143,8 +143,8 @@
             return "unknown team " + spec.team();
         }
         int counted = spec.service() || spec.gang() ? spec.tasks() : 1;
-        if (team.cpuLimit() > 0 && spec.cpuMillis() * counted > team.cpuLimit()
-                || team.gpuLimit() > 0 && spec.gpuMillis() * counted > team.gpuLimit()) {
+        if ((team.cpuLimit() > 0 && spec.cpuMillis() * counted > team.cpuLimit())
+                || (team.gpuLimit() > 0 && spec.gpuMillis() * counted > team.gpuLimit())) {
             return "more than the limit of team " + spec.team();
         }
         if (!types.get().isEmpty() && types.get().values().stream().noneMatch(t -> t.fits(spec))) {
--- a/src/main/java/org/granitepath/transport/Connections.java
+++ b/src/main/java/org/granitepath/transport/Connections.java
@@ -52,7 +52,7 @@
             held.machine = machine;
             count(held, 1);
         }
-        boolean over = machine && machines > mostMachines || machines + others > most;
+        boolean over = (machine && machines > mostMachines) || machines + others > most;
         if (over) {
             exchange.setPersistent(false);
         }
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -46,7 +46,11 @@
         this.connector = new Connector(loop.thread());
     }
 
-    /** @param keep whether the connection is kept for later requests to the same address */
+    /**
+     * Sends a request with a text for its body.
+     *
+     * @param keep whether the connection is kept for later requests to the same address
+     */
     public void call(
             String address,
             HttpString method,
--- /dev/null
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -0,0 +1,110 @@
+package org.granitepath.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.bookkeeping.JobRecord;
+import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.ProgressRecord;
+import org.granitepath.bookkeeping.RosterRecord;
+import org.granitepath.coordination.JobBook;
+import org.granitepath.coordination.PeerPort;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The records in the state service and the messages between controllers, byte for byte: running controllers of other
+ * versions and stored records use them, so they stay as they are whatever the code calls its parts.
+ */
+class StoredFormatsTest {
+    private static final String SPEC = "{\"id\":\"run-000412\",\"class\":\"train\",\"team\":\"vision\",\"shape\":0,"
+            + "\"rank\":1,\"tasks\":16,\"cpu\":8000,\"gpu\":1000,\"mem\":64000,\"image\":\"img-07\",\"imageGb\":6.2,"
+            + "\"types\":[\"g8\"],\"oneZone\":true,\"spread\":false,\"spot\":true,\"estimate\":240000000,"
+            + "\"checkpoint\":30000000,\"save\":4000000,\"deadline\":900000000}";
+
+    @Test
+    void keys() {
+        assertEquals(
+                List.of("g/", "g/j/", "g/p/", "g/f/", "g/roster/", "g/leader", "g/baton", "g/types"),
+                List.of(
+                        Keys.ALL,
+                        Keys.JOB,
+                        Keys.PROGRESS,
+                        Keys.FINAL,
+                        Keys.ROSTER,
+                        Keys.LEADER,
+                        Keys.BATON,
+                        Keys.TYPES));
+    }
+
+    @Test
+    void jobs() {
+        String json = "{\"spec\":" + SPEC + ",\"at\":1700000000000000,\"claimed\":6,\"term\":41}";
+        JobRecord record = JobRecord.fromMap(Json.object(json));
+        assertEquals(JobSpec.Shape.BATCH, record.spec().shape());
+        assertEquals("HIGH", record.spec().rank().name());
+        assertEquals(json, Json.text(record.toMap()));
+    }
+
+    @Test
+    void services() {
+        String json = SPEC.replace("\"shape\":0", "\"shape\":2").replace("\"rank\":1", "\"rank\":0");
+        JobSpec spec = JobSpec.fromMap(Json.object(json));
+        assertEquals(JobSpec.Shape.SERVICE, spec.shape());
+        assertEquals("CRITICAL", spec.rank().name());
+        assertEquals(json, Json.text(spec.toMap()));
+        assertEquals(
+                JobSpec.Shape.GANG,
+                JobSpec.fromMap(Json.object(SPEC.replace("\"shape\":0", "\"shape\":1")))
+                        .shape());
+    }
+
+    @Test
+    void progress() {
+        String json = "{\"owner\":\"worker-1\",\"claimed\":12,\"done\":[0,3,5,6],\"running\":4}";
+        ProgressRecord record = ProgressRecord.fromMap(Json.object(json));
+        assertEquals(4, ProgressRecord.count(record.done()));
+        assertEquals(json, Json.text(record.toMap()));
+    }
+
+    @Test
+    void finalStates() {
+        assertEquals("{\"how\":0}", Json.text(JobBook.finalRecord(JobBook.Final.DONE)));
+        assertEquals("{\"how\":1}", Json.text(JobBook.finalRecord(JobBook.Final.CANCELLED)));
+    }
+
+    @Test
+    void machines() {
+        String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
+        RosterRecord record = RosterRecord.fromMap(Json.object(json));
+        assertEquals(
+                new RosterRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
+                record.hosts().get(0));
+        assertEquals(json, Json.text(record.toMap()));
+    }
+
+    @Test
+    void machineTypes() {
+        String json = "{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,\"price\":12.0,"
+                + "\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}";
+        assertEquals(json, Json.text(MachineType.fromMap(Json.object(json)).toMap()));
+    }
+
+    @Test
+    void messagesBetweenControllers() {
+        assertEquals(
+                "9502a8776f726b65722d31cd04d2c311",
+                HexFormat.of().formatHex(PeerCodec.encode(new PeerPort.Greeting("worker-1", 1234, true, 17))));
+        assertEquals(
+                "9302aa72756e2d3030303431324d",
+                HexFormat.of().formatHex(PeerCodec.encode(new PeerPort.Cancelled("run-000412", 77))));
+    }
+
+    @Test
+    void leaseRequests() {
+        assertEquals(Map.of("life_ms", 3000), Json.object(StateCodec.encodeLease(3_000_000)));
+    }
+}
