--- a/src/main/java/org/granitepath/bookkeeping/RosterRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 
 /**
- * Which machines there are; one value holds many. Whose they are says the owner's record; {@code baton} matters only
- * where it is higher than the one there: this machine's own, drawn when an order to it had no answer.
+ * Which machines there are; one value holds many. Whose they are says the leader's record; {@code fencingToken}
+ * matters only where it is higher than the one there: this machine's own, drawn when an order to it had no answer.
  */
-public record RosterRecord(List<Host> hosts) {
+public record InventoryRecord(List<Host> hosts) {
 
-    public record Host(String id, String address, String type, String zone, boolean spot, long baton) {}
+    public record Host(String id, String address, String type, String zone, boolean spot, long fencingToken) {}
 
     public Map<String, Object> toMap() {
         List<Object> rows = new ArrayList<>();
         for (Host h : hosts) {
-            rows.add(List.of(h.id(), h.address(), h.type(), h.zone(), h.spot() ? 1 : 0, h.baton()));
+            rows.add(List.of(h.id(), h.address(), h.type(), h.zone(), h.spot() ? 1 : 0, h.fencingToken()));
         }
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("hosts", rows);
         return m;
     }
 
-    public static RosterRecord fromMap(Map<String, Object> m) {
+    public static InventoryRecord fromMap(Map<String, Object> m) {
         List<Host> hosts = new ArrayList<>();
         for (Object row : Fields.listOf(m, "hosts")) {
             List<?> r = (List<?>) row;
@@ -35,6 +35,6 @@
                     ((Number) r.get(4)).intValue() == 1,
                     ((Number) r.get(5)).longValue()));
         }
-        return new RosterRecord(hosts);
+        return new InventoryRecord(hosts);
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/JobSpec.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobSpec.java
@@ -13,7 +13,7 @@
         String jobClass,
         String team,
         Shape shape,
-        Rank rank,
+        Priority priority,
         int tasks,
         long cpuMillis,
         long gpuMillis,
@@ -91,7 +91,7 @@
         m.put("class", jobClass);
         m.put("team", team);
         m.put("shape", shape.code());
-        m.put("rank", rank.code());
+        m.put("rank", priority.code());
         m.put("tasks", tasks);
         m.put("cpu", cpuMillis);
         m.put("gpu", gpuMillis);
@@ -123,7 +123,7 @@
                 Fields.textOf(m, "class"),
                 Fields.textOf(m, "team"),
                 Shape.ofCode(Fields.intOf(m, "shape", 0)),
-                Rank.ofCode(Fields.intOf(m, "rank", 3)),
+                Priority.ofCode(Fields.intOf(m, "rank", 3)),
                 Fields.intOf(m, "tasks", 1),
                 Fields.longOf(m, "cpu", 0),
                 Fields.longOf(m, "gpu", 0),
--- a/src/main/java/org/granitepath/bookkeeping/Rank.java
+++ b/src/main/java/org/granitepath/bookkeeping/Priority.java
@@ -1,7 +1,7 @@
 package org.granitepath.bookkeeping;
 
 /** Priority of a job, highest first. */
-public enum Rank {
+public enum Priority {
     CRITICAL(0),
     HIGH(1),
     STANDARD(2),
@@ -9,7 +9,7 @@
 
     private final int code;
 
-    Rank(int code) {
+    Priority(int code) {
         this.code = code;
     }
 
@@ -19,17 +19,17 @@
     }
 
     /** The priority with this number; the lowest for a number that is not known. */
-    public static Rank ofCode(int code) {
-        for (Rank rank : values()) {
-            if (rank.code == code) {
-                return rank;
+    public static Priority ofCode(int code) {
+        for (Priority priority : values()) {
+            if (priority.code == code) {
+                return priority;
             }
         }
         return BEST_EFFORT;
     }
 
     /** Whether work of this priority goes before, and may stop, work of the other. */
-    public boolean above(Rank other) {
+    public boolean above(Priority other) {
         return compareTo(other) < 0;
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 
 /**
- * How far a job has come: task numbers below {@code claimed} belong to {@code owner}, which alone may start them;
+ * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
  * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
  */
-public record ProgressRecord(String owner, int claimed, RangeSet<Integer> done, int running) {
+public record ProgressRecord(String leader, int claimed, RangeSet<Integer> done, int running) {
 
     public static ProgressRecord none() {
         return new ProgressRecord("", 0, TreeRangeSet.create(), 0);
@@ -39,7 +39,7 @@
             ends.add(r.upperEndpoint());
         }
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("owner", owner);
+        m.put("owner", leader);
         m.put("claimed", claimed);
         m.put("done", ends);
         m.put("running", running);
--- a/src/main/java/org/granitepath/bookkeeping/Mirror.java
+++ b/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
@@ -15,14 +15,17 @@
 
 /**
  * A copy of our records, kept by following the state service. Entries only move forward by stamp. A read barrier is a
- * follow begun after the question arrived: whatever any controller committed before is in the mirror when it ends.
+ * follow begun after the question arrived: whatever any controller committed before is in the replica when it ends.
  */
-public final class Mirror {
-    private static final Logger LOG = LoggerFactory.getLogger(Mirror.class);
+public final class RecordReplica {
+    private static final Logger LOG = LoggerFactory.getLogger(RecordReplica.class);
     private static final long LONG_POLL_MICROS = 20_000_000;
     private static final long RETRY_MICROS = 400_000;
     private static final int PAGE = 500;
-    /** While barriers follow one another faster than this many spacings, they bring the changes and no long poll waits. */
+    /**
+     * While barriers follow one another faster than this many spacings, they bring the changes and no long poll
+     * waits.
+     */
     private static final int BARRIERS_SUFFICE = 3;
 
     public enum Phase {
@@ -56,7 +59,7 @@
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
 
     /** @param spacingMicros least time between two reads of one kind, from this controller's share of requests */
-    public Mirror(StatePort state, Timers timers, long spacingMicros, Listener listener) {
+    public RecordReplica(StatePort state, Timers timers, long spacingMicros, Listener listener) {
         this.state = state;
         this.timers = timers;
         this.spacingMicros = spacingMicros;
@@ -72,7 +75,7 @@
         return loadedOnce;
     }
 
-    /** When the last request was sent whose answer brought the mirror up to date. */
+    /** When the last request was sent whose answer brought the replica up to date. */
     public long lastContactMicros() {
         return lastContactMicros;
     }
@@ -97,7 +100,7 @@
         apply(key, value, stamp);
     }
 
-    /** Calls back with true once the mirror is as new as this moment, false when that can't be had now. */
+    /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
     public void barrier(Consumer<Boolean> then) {
         if (phase != Phase.FOLLOWING) {
             then.accept(false);
@@ -109,7 +112,7 @@
 
     private void transition(Phase next) {
         if (phase != next) {
-            LOG.debug("mirror {} -> {}", phase, next);
+            LOG.debug("replica {} -> {}", phase, next);
             phase = next;
         }
     }
--- a/src/main/java/org/granitepath/bookkeeping/StatePort.java
+++ b/src/main/java/org/granitepath/bookkeeping/StatePort.java
@@ -49,5 +49,5 @@
 
     void openLease(long lifeMicros, Consumer<Leased> then);
 
-    void touchLease(long lease, Consumer<Outcome> then);
+    void renewLease(long lease, Consumer<Outcome> then);
 }
--- a/src/main/java/org/granitepath/cli/RehearseCommand.java
+++ b/src/main/java/org/granitepath/cli/RehearseCommand.java
@@ -21,8 +21,9 @@
             + "\"rank\":\"high\",\"pieces\":1,\"cpus\":1.0,\"cards\":0.0,\"mem_gb\":1.0,\"bundle\":\"b\","
             + "\"size_gb\":1.0,\"same_place\":false,\"scatter\":false,\"loaner\":false,\"expect_s\":1.0,"
             + "\"snapshot_s\":0.0,\"flush_s\":0.0}";
-    private static final String BEAT = "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\",\"site\":\"z\","
-            + "\"loaner\":false,\"shift\":1,\"tally\":1,\"baton\":0,\"pieces\":[]}";
+    private static final String HEARTBEAT =
+            "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\",\"site\":\"z\","
+                    + "\"loaner\":false,\"shift\":1,\"tally\":1,\"baton\":0,\"pieces\":[]}";
 
     @Override
     int run() throws Exception {
@@ -69,7 +70,7 @@
         HttpCalls.Reply count = (status, body) -> answered.countDown();
         http.call(address, Methods.GET, "/up", null, 2_000_000, false, count);
         http.call(address, Methods.POST, "/submissions", SUBMISSION, 2_000_000, true, count);
-        http.call(address, Methods.POST, "/agent/beat", BEAT, 2_000_000, true, count);
+        http.call(address, Methods.POST, "/agent/beat", HEARTBEAT, 2_000_000, true, count);
         http.call(address, Methods.GET, "/submissions/run-1", null, 2_000_000, true, count);
         answered.await(5, TimeUnit.SECONDS);
         System.exit(OK);
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -134,9 +134,13 @@
             throw new Invalid(
                     "facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
         }
-        if (c.holdMicros() < Config.LEAST_HOLD_MICROS) {
+        if (c.maxDisconnectedMicros() < Config.MIN_DISCONNECTED_MICROS) {
             throw new Invalid("facts.workers.cancel_s must be more than lease_s by at least "
-                    + Math.ceil((c.cancelMicros() - c.holdMicros() + Config.LEAST_HOLD_MICROS - c.leaseMicros()) / 1e5)
+                    + Math.ceil((c.cancelMicros()
+                                            - c.maxDisconnectedMicros()
+                                            + Config.MIN_DISCONNECTED_MICROS
+                                            - c.leaseMicros())
+                                    / 1e5)
                             / 10
                     + " s, or cancelled tasks could outlive their time");
         }
@@ -186,10 +190,10 @@
                 real(rest, "weight-high", d.highWeight(), 1, 1e6),
                 real(rest, "weight-standard", d.standardWeight(), 1, 1e6),
                 real(rest, "weight-best-effort", d.bestEffortWeight(), 1, 1e6),
-                real(rest, "patience-share", d.patienceShare(), 0, 1),
+                real(rest, "patience-share", d.deferralShare(), 0, 1),
                 seconds(rest, "gang-hold-s", d.gangHoldMicros(), 0, 600),
                 (int) real(rest, "claim-block", d.claimBlock(), 1, 100_000),
-                seconds(rest, "longest-yield-s", d.longestYieldMicros(), 1, 86_400),
+                seconds(rest, "longest-yield-s", d.maxStarvationMicros(), 1, 86_400),
                 real(rest, "headroom-share", d.headroomShare(), 0, 10));
         if (!rest.isEmpty()) {
             throw new Invalid(
--- a/src/main/java/org/granitepath/coordination/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/ActiveJob.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An unfinished job as its leader sees it: which tasks are done, placed, free to start, or in doubt. */
+/** An unfinished job as its leader sees it: which tasks are done, placed, free to start, or unconfirmed. */
 final class ActiveJob {
     private static final Logger LOG = LoggerFactory.getLogger(ActiveJob.class);
 
@@ -35,7 +35,7 @@
     /** Claimed, not done, not placed, and proved to be on no machine. */
     final IntAVLTreeSet free = new IntAVLTreeSet();
     /** Claimed by a predecessor; may be running on a machine not yet heard. */
-    final IntOpenHashSet doubt = new IntOpenHashSet();
+    final IntOpenHashSet unconfirmed = new IntOpenHashSet();
 
     Phase phase = Phase.OPEN;
     int doneCount;
@@ -56,9 +56,9 @@
     /** When it last had a task on a machine, as far as this term knows; negative: never. */
     long lastRunningMicros = -1;
 
-    Outlook.Turn turn = Outlook.Turn.ANY;
+    BatchPlanner.SchedulingClass schedulingClass = BatchPlanner.SchedulingClass.ANY;
     /** Whether it can wait for cheap room. */
-    boolean patient;
+    boolean deferrable;
     /** When a task of it was last placed; negative: not in this term. */
     long lastStartMicros = -1;
     /** Since when tasks wait without room; negative when none does. */
@@ -75,7 +75,7 @@
         this.fresh = claimed;
         for (int i = 0; i < claimed; i++) {
             if (!done.contains(i)) {
-                doubt.add(i);
+                unconfirmed.add(i);
             }
         }
     }
@@ -89,7 +89,7 @@
 
     /** Running in the paper's sense: handed out and not known to be over. */
     int running() {
-        return placements.size() + doubt.size();
+        return placements.size() + unconfirmed.size();
     }
 
     int left() {
@@ -118,7 +118,7 @@
     void place(Placement p) {
         placements.put(p.task.index(), p);
         zoneCounts.addTo(p.machine.zone, 1);
-        doubt.remove(p.task.index());
+        unconfirmed.remove(p.task.index());
         free.remove(p.task.index());
     }
 
@@ -128,7 +128,7 @@
             zoneCounts.addTo(p.machine.zone, -1);
             if (!done.contains(p.task.index()) && phase != Phase.OVER) {
                 if (elsewhere) {
-                    doubt.add(p.task.index());
+                    unconfirmed.add(p.task.index());
                 } else {
                     free.add(p.task.index());
                 }
@@ -142,19 +142,19 @@
             doneCount++;
         }
         free.remove(task);
-        doubt.remove(task);
+        unconfirmed.remove(task);
     }
 
     /** Every machine that could have held a task of ours was heard or is proved gone. */
-    void settleDoubt() {
-        free.addAll(doubt);
-        doubt.clear();
+    void resolveUnconfirmed() {
+        free.addAll(unconfirmed);
+        unconfirmed.clear();
     }
 
-    /** Whether one more task may stand in this zone; tasks in doubt may stand anywhere. */
+    /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
     boolean zoneAllows(String zone) {
         if (spec.oneZone()) {
-            if (!doubt.isEmpty()) {
+            if (!unconfirmed.isEmpty()) {
                 return false;
             }
             for (var e : zoneCounts.object2IntEntrySet()) {
@@ -163,6 +163,6 @@
                 }
             }
         }
-        return !spec.spread() || zoneCounts.getInt(zone) + doubt.size() + 1 <= spec.zoneCap();
+        return !spec.spread() || zoneCounts.getInt(zone) + unconfirmed.size() + 1 <= spec.zoneCap();
     }
 }
--- a/src/main/java/org/granitepath/coordination/Arrivals.java
+++ b/src/main/java/org/granitepath/coordination/ArrivalRate.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination;
 
 /** How fast live services arrive, as a fading average. */
-final class Arrivals {
+final class ArrivalRate {
     private static final double MEMORY_MICROS = 60e6;
 
     private double rate;
@@ -9,7 +9,7 @@
     private ActiveJob newest;
 
     void accepted(ActiveJob job, long now) {
-        if (Outlook.isLive(job)) {
+        if (BatchPlanner.isLive(job)) {
             rate = cpuPerMicro(now) + job.spec.tasks() * (double) job.spec.cpuMillis() / MEMORY_MICROS;
             atMicros = now;
             newest = job;
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -36,10 +36,10 @@
     private final Config config;
     private final Dispatcher dispatcher;
     private final Leadership leadership;
-    private final Silence silence;
+    private final FailureDetector failureDetector;
     private final CloudPort cloud;
     private final Timers timers;
-    private final long baton;
+    private final long fencingToken;
     private final Map<String, Booting> booting = new LinkedHashMap<>();
     private final Map<String, Long> refusedUntil = new HashMap<>();
     private final Map<String, Long> returned = new HashMap<>();
@@ -63,14 +63,14 @@
             Peers peers,
             CloudPort cloud,
             Timers timers,
-            long baton) {
+            long fencingToken) {
         this.config = config;
         this.dispatcher = dispatcher;
         this.leadership = leadership;
-        this.silence = new Silence(config, dispatcher, peers);
+        this.failureDetector = new FailureDetector(config, dispatcher, peers);
         this.cloud = cloud;
         this.timers = timers;
-        this.baton = baton;
+        this.fencingToken = fencingToken;
         this.tokensAtMicros = timers.nowMicros();
         timers.after(TICK_MICROS / 10, this::tick);
     }
@@ -93,14 +93,14 @@
         });
         refusedUntil.values().removeIf(until -> until < now);
         returned.values().removeIf(at -> at < now - 120_000_000);
-        silence.look(now);
+        failureDetector.update(now);
         summarize(now);
         list(now);
         // What a predecessor rented shows in the list; renting before reading it would buy everything twice.
         if (listedOnce) {
             rent(now);
         }
-        giveBack(now);
+        returnMachines(now);
     }
 
     /** One line for those on call: what there is, what of it is used, what waits. */
@@ -212,11 +212,11 @@
         if (renting || !leadership.certain()) {
             return;
         }
-        dispatcher.outlook().look(now);
-        RentalPlan plan =
-                new RentalPlan(config, dispatcher, refusedUntil::containsKey, zone -> silence.cutOff(zone, now), now);
+        dispatcher.batchPlanner().update(now);
+        RentalPlan plan = new RentalPlan(
+                config, dispatcher, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
         for (Booting b : booting.values()) {
-            if (!b.overdue(now) && !silence.cutOff(b.zone(), now)) {
+            if (!b.overdue(now) && !failureDetector.cutOff(b.zone(), now)) {
                 plan.coming(b.type(), b.zone(), b.spot());
             }
         }
@@ -234,16 +234,16 @@
         headroomSpare = plan.headroomSpare();
         RentalPlan.Purchase first = plan.first();
         if (first != null && mayCall(now)) {
-            order(first, Math.round(plan.drainMicros() / 1e6));
+            placeRental(first, Math.round(plan.drainMicros() / 1e6));
         }
     }
 
-    private void order(RentalPlan.Purchase purchase, long drainSeconds) {
+    private void placeRental(RentalPlan.Purchase purchase, long drainSeconds) {
         renting = true;
         RentalPlan.Offer offer = purchase.offer();
         int count = Math.min(purchase.count(), RENT_AT_ONCE);
-        // The baton is unique to this term of ownership, so no booking's name is ever used twice.
-        String booking = "b" + baton + "-" + ++bookings;
+        // The fencing token is unique to this term of leadership, so no booking's name is ever used twice.
+        String booking = "b" + fencingToken + "-" + ++bookings;
         LOG.info(
                 "renting {} of {} in {}{} as {}, first for {} ({}, {} tasks wait; batch drains in {} s)",
                 count,
@@ -304,7 +304,7 @@
 
     // ---- returning -----------------------------------------------------------------------------------------------
 
-    private void giveBack(long now) {
+    private void returnMachines(long now) {
         List<String> ids = new ArrayList<>();
         for (Booting b : booting.values()) {
             if (now - b.rentedMicros() > 3 * b.type().bootMicros() + 30_000_000 && ids.size() < RETURN_AT_ONCE) {
@@ -312,27 +312,28 @@
                 ids.add(b.id());
             }
         }
-        boolean trustSilence = silence.trusted(now);
+        boolean trustSilence = failureDetector.trusted(now);
         for (Machine m : List.copyOf(dispatcher.machines())) {
             if (ids.size() >= RETURN_AT_ONCE) {
                 break;
             }
-            boolean trust = (trustSilence && !silence.waitedFor(m, now)) || now - m.heardMicros > cutPatienceMicros();
-            boolean dead = trust && now - m.heardMicros > silenceMicros(m);
+            boolean trust = (trustSilence && !failureDetector.waitedFor(m, now))
+                    || now - m.heardMicros > partitionTimeoutMicros();
+            boolean dead = trust && now - m.heardMicros > failureTimeoutMicros(m);
             boolean idle = m.phase == Machine.Phase.READY
                     && m.placements.isEmpty()
                     && now - m.idleSinceMicros > idleMicros(m)
                     && now - m.rentedMicros > LEAST_CHARGE_MICROS;
-            m.kept = idle && !m.spot && headroomSpare < m.cpuFree();
-            if (m.kept) {
+            m.keptAsHeadroom = idle && !m.spot && headroomSpare < m.cpuFree();
+            if (m.keptAsHeadroom) {
                 idle = false;
             } else if (idle && !m.spot) {
                 headroomSpare -= m.cpuFree();
             }
-            // Its reports come, but our answers and orders don't get there.
+            // Its reports come, but our answers and commands don't get there.
             boolean deaf = m.phase == Machine.Phase.UNCONFIRMED
                     && !m.inherited
-                    && m.rostered
+                    && m.recorded
                     && now - m.unconfirmedMicros > config.leaseMicros()
                     && trust;
             boolean drained = m.phase == Machine.Phase.DRAINING && m.placements.isEmpty();
@@ -349,7 +350,7 @@
             return;
         }
         returning = true;
-        cloud.giveBack(ids, done -> {
+        cloud.returnMachines(ids, done -> {
             returning = false;
             if (dispatcher.ended() || !done) {
                 return;
@@ -373,15 +374,15 @@
     }
 
     /** How long machines that may only be cut off are waited for: by then all on them is over in any case. */
-    private long cutPatienceMicros() {
+    private long partitionTimeoutMicros() {
         return config.cancelMicros() + config.leaseMicros();
     }
 
     /**
      * How long a machine may be silent before it is given up. One that answers direct calls lives: after a takeover its
-     * reports may still be on their way to the former owner.
+     * reports may still be on their way to the former leader.
      */
-    private long silenceMicros(Machine m) {
+    private long failureTimeoutMicros(Machine m) {
         return m.probeFailed ? 2 * config.reportMicros() + 1_000_000 : config.leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/Outlook.java
+++ b/src/main/java/org/granitepath/coordination/BatchPlanner.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 
 /**
  * What waiting batch work can expect of the room at hand: which jobs can still make their deadlines, all together, and
  * which can wait for cheap room. Looked at a few times a second for all jobs as a class, not at each decision.
  */
-final class Outlook {
+final class BatchPlanner {
     private static final long EVERY_MICROS = 250_000;
     /** What packing leaves unused, and what running tasks hold of a machine that is to be emptied. */
     private static final double USABLE = 0.9;
 
     /**
-     * Live services come first, then what is within its team's guarantee. Of the rest, jobs that can make their deadlines
-     * all together go before those that can make the longest multiple that the aims name, and these before what is late
-     * all the same or has no deadline.
+     * Live services come first, then what is within its team's guarantee. Of the rest, jobs that can make their
+     * deadlines all together go before those that can make the longest multiple that the aims name, and these before
+     * what is late all the same or has no deadline.
      */
-    enum Turn {
+    enum SchedulingClass {
         LIVE,
         GUARANTEED,
         IN_TIME,
@@ -34,7 +34,7 @@
 
     private final Config config;
     private final Dispatcher dispatcher;
-    private final Estimates estimates;
+    private final RuntimeEstimator runtimeEstimator;
     private long dueMicros;
     private double batchWork;
     /** Of it, that with a deadline: it goes before the rest. */
@@ -44,13 +44,13 @@
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
     private double cheapRoom;
 
-    Outlook(Config config, Dispatcher dispatcher, Estimates estimates) {
+    BatchPlanner(Config config, Dispatcher dispatcher, RuntimeEstimator runtimeEstimator) {
         this.config = config;
         this.dispatcher = dispatcher;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
-    void look(long now) {
+    void update(long now) {
         if (now < dueMicros) {
             return;
         }
@@ -62,34 +62,35 @@
             if (j.running() > 0) {
                 j.lastRunningMicros = now;
             }
-            j.turn = Turn.ANY;
+            j.schedulingClass = SchedulingClass.ANY;
             if (isLive(j)) {
-                j.turn = Turn.LIVE;
+                j.schedulingClass = SchedulingClass.LIVE;
             } else if (stalled(j, now)) {
-                j.turn = Turn.IN_TIME;
+                j.schedulingClass = SchedulingClass.IN_TIME;
             } else if (j.spec.hasDeadline() || finishAim(j) > 0) {
                 long left = (finishAim(j) > 0 ? finishAim(j) : j.spec.deadlineMicros()) - dispatcher.ageMicros(j, now);
-                (estimates.taskMicros(j) <= left ? inTime : later).add(new Due(j, work(j), left));
+                (runtimeEstimator.taskMicros(j) <= left ? inTime : later).add(new Due(j, work(j), left));
             }
         }
-        double taken = settle(inTime, later, Turn.IN_TIME, 0);
+        double taken = selectFeasible(inTime, later, SchedulingClass.IN_TIME, 0);
         List<Due> extended = new ArrayList<>();
         for (Due d : later) {
             double times = config.objectives()
                     .getOrDefault(d.job().spec.jobClass(), Config.Objective.NONE)
                     .deadlineTimes();
             double left = d.micros() + (times - 1) * d.job().spec.deadlineMicros();
-            if (times > 1 && estimates.taskMicros(d.job()) <= left) {
+            if (times > 1 && runtimeEstimator.taskMicros(d.job()) <= left) {
                 extended.add(new Due(d.job(), d.work(), left));
             }
         }
-        settle(extended, new ArrayList<>(), Turn.NEARLY, taken);
+        selectFeasible(extended, new ArrayList<>(), SchedulingClass.NEARLY, taken);
         putGuaranteedFirst();
     }
 
     /**
-     * What is within its team's guarantee need not wait for other teams: a job is, when it fits into the guarantee along
-     * with the team's earlier unfinished jobs. All else that a team has is borrowed, and goes by turn and share.
+     * What is within its team's guarantee need not wait for other teams: a job is, when it fits into the guarantee
+     * along with the team's earlier unfinished jobs. All else that a team has is borrowed, and goes by turn and
+     * share.
      */
     private void putGuaranteedFirst() {
         if (config.teams().values().stream().noneMatch(Config.Team::hasGuarantee)) {
@@ -109,7 +110,7 @@
             if (!isLive(j)
                     && cpu.getLong(team.name()) <= team.cpuGuarantee()
                     && gpu.getLong(team.name()) <= team.gpuGuarantee()) {
-                j.turn = Turn.GUARANTEED;
+                j.schedulingClass = SchedulingClass.GUARANTEED;
             }
         }
     }
@@ -118,7 +119,7 @@
      * The largest number of jobs that can all be in time: by deadline, and whenever the work so far is too much, the
      * largest of it is left out (Moore's rule). Returns the work taken on.
      */
-    private double settle(List<Due> jobs, List<Due> leftOut, Turn turn, double before) {
+    private double selectFeasible(List<Due> jobs, List<Due> leftOut, SchedulingClass schedulingClass, double before) {
         jobs.sort(Comparator.comparingDouble(Due::micros));
         PriorityQueue<Due> taken =
                 new PriorityQueue<>(Comparator.comparingDouble(Due::work).reversed());
@@ -127,7 +128,7 @@
             taken.add(d);
             sum += d.work();
             // The last wave of tasks does not fill the room to its end.
-            double usable = room * USABLE * (d.micros() - estimates.taskMicros(d.job()) / 2.0);
+            double usable = room * USABLE * (d.micros() - runtimeEstimator.taskMicros(d.job()) / 2.0);
             while (sum > usable && !taken.isEmpty() && room > 0) {
                 Due largest = taken.poll();
                 sum -= largest.work();
@@ -135,19 +136,19 @@
             }
         }
         for (Due d : taken) {
-            d.job().turn = turn;
+            d.job().schedulingClass = schedulingClass;
         }
         return sum;
     }
 
     static boolean isLive(ActiveJob job) {
-        return job.spec.service() && !Rank.HIGH.above(job.spec.rank());
+        return job.spec.service() && !Priority.HIGH.above(job.spec.priority());
     }
 
     /** Giving way has a bound: a job that has long had nothing on a machine competes by its share alone again. */
     private boolean stalled(ActiveJob job, long now) {
         long since = job.lastRunningMicros < 0 ? dispatcher.ageMicros(job, now) : now - job.lastRunningMicros;
-        return since > config.tuning().longestYieldMicros();
+        return since > config.tuning().maxStarvationMicros();
     }
 
     /** Some classes are judged by a time of their own; their owners' deadlines are wishes. */
@@ -158,7 +159,7 @@
 
     /** CPU time that the job still needs; tasks under way are half over, on the average. */
     private double work(ActiveJob j) {
-        return (j.left() - 0.5 * j.running()) * j.spec.cpuMillis() * estimates.taskMicros(j);
+        return (j.left() - 0.5 * j.running()) * j.spec.cpuMillis() * runtimeEstimator.taskMicros(j);
     }
 
     private void survey(long now) {
@@ -174,7 +175,7 @@
         room = 0;
         cheapRoom = 0;
         for (Machine m : dispatcher.machines()) {
-            if (m.type != null && m.phase != Machine.Phase.RETURNING && !m.quiet(now, config.reportMicros())) {
+            if (m.type != null && m.phase != Machine.Phase.RETURNING && !m.unresponsive(now, config.reportMicros())) {
                 long forBatch = m.type.cpuMillis() - m.cpuUsedByServices();
                 room += forBatch;
                 cheapRoom += m.spot || m.hostsService() ? forBatch : 0;
@@ -193,14 +194,15 @@
      *
      * @param moreRoom CPUs that are on their way
      */
-    boolean patient(ActiveJob job, double moreRoom, long now) {
+    boolean deferrable(ActiveJob job, double moreRoom, long now) {
         if (job.spec.service() || job.spec.gang() || !job.spec.spot()) {
             return false;
         }
         if (job.spec.hasDeadline() && finishAim(job) == 0) {
             // Should the wait turn out longer, there must be time left to rent a machine after all.
             double wait = urgentWork / Math.max(1, cheapRoom + moreRoom) + quickestBootMicros();
-            return dispatcher.ageMicros(job, now) + wait + estimates.taskMicros(job) <= job.spec.deadlineMicros();
+            return dispatcher.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
+                    <= job.spec.deadlineMicros();
         }
         Config.Objective o = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
         if (o.waitMicros() == 0 && o.finishMicros() == 0) {
@@ -208,21 +210,21 @@
         }
         double aim = Math.min(
                 o.waitMicros() == 0 ? Double.MAX_VALUE : o.waitMicros(),
-                o.finishMicros() == 0 ? Double.MAX_VALUE : o.finishMicros() - estimates.taskMicros(job));
+                o.finishMicros() == 0 ? Double.MAX_VALUE : o.finishMicros() - runtimeEstimator.taskMicros(job));
         long waited = job.waitingSinceMicros < 0 ? 0 : now - job.waitingSinceMicros;
         return waited + batchWork / Math.max(1, cheapRoom + moreRoom)
-                <= aim * config.tuning().patienceShare();
+                <= aim * config.tuning().deferralShare();
     }
 
     /**
-     * Whether waiting for cheap room would already miss what is expected: the job is within its team's guarantee, or its
-     * class is expected to start sooner than a machine boots. Such work takes whatever room there is.
+     * Whether waiting for cheap room would already miss what is expected: the job is within its team's guarantee, or
+     * its class is expected to start sooner than a machine boots. Such work takes whatever room there is.
      */
     boolean mustStartAtOnce(ActiveJob job) {
         long aim = config.objectives()
                 .getOrDefault(job.spec.jobClass(), Config.Objective.NONE)
                 .waitMicros();
-        return job.turn == Turn.GUARANTEED || (aim > 0 && aim < quickestBootMicros());
+        return job.schedulingClass == SchedulingClass.GUARANTEED || (aim > 0 && aim < quickestBootMicros());
     }
 
     private double quickestBootMicros() {
--- a/src/main/java/org/granitepath/coordination/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/CloudPort.java
@@ -33,7 +33,7 @@
 
     void rent(Rental rental, Consumer<Rented> then);
 
-    void giveBack(List<String> hosts, Consumer<Boolean> then);
+    void returnMachines(List<String> hosts, Consumer<Boolean> then);
 
     void list(String from, int limit, Consumer<Listing> then);
 }
--- a/src/main/java/org/granitepath/coordination/Config.java
+++ b/src/main/java/org/granitepath/coordination/Config.java
@@ -34,7 +34,9 @@
         return peerZones.keySet();
     }
 
-    /** Whether another controller stands in this zone: cut off with it, that one may keep its machines' leases alive. */
+    /**
+     * Whether another controller stands in this zone: cut off with it, that one may keep its machines' leases alive.
+     */
     public boolean peerIn(String zone) {
         return peerZones.containsValue(zone);
     }
@@ -58,10 +60,10 @@
      * Operators' own choices, from the YAML file.
      *
      * @param idleShare how long a machine may stand idle, in boot times of its type; {@code idleShareSpot} likewise
-     * @param patienceShare share of a class's wait or finish aim that may pass before it uses full-price machines
+     * @param deferralShare share of a class's wait or finish aim that may pass before it uses full-price machines
      * @param gangHoldMicros how long freed room is held for a gang that does not fit
      * @param claimBlock how many tasks of a job are claimed ahead, at least
-     * @param longestYieldMicros how long a job may be without any task before it no longer gives way to others
+     * @param maxStarvationMicros how long a job may be without any task before it no longer gives way to others
      * @param headroomShare most room kept for live services to come, as a share of what the present ones use
      */
     public record Tuning(
@@ -72,10 +74,10 @@
             double highWeight,
             double standardWeight,
             double bestEffortWeight,
-            double patienceShare,
+            double deferralShare,
             long gangHoldMicros,
             int claimBlock,
-            long longestYieldMicros,
+            long maxStarvationMicros,
             double headroomShare) {
         private static final int BLOCKS_OF_A_WIDE_JOB = 6;
         private static final int WIDE_SERVICE = 32;
@@ -121,7 +123,7 @@
     public static final long MARGIN_MICROS = 1_500_000;
 
     /** A leader must be able to go from one word of the state service to the next. */
-    public static final long LEAST_HOLD_MICROS = 1_000_000;
+    public static final long MIN_DISCONNECTED_MICROS = 1_000_000;
 
     /** {@code micros} on another machine's steady clock is over on ours after this long. */
     public static long withDrift(long micros) {
@@ -129,11 +131,11 @@
     }
 
     /**
-     * How long a leader out of touch with the state service goes on answering workers: a cancellation that it can't
+     * How long a leader out of contact with the state service goes on answering workers: a cancellation that it can't
      * see must still take effect by the end of the workers' lease. Settings that leave less than
-     * {@link #LEAST_HOLD_MICROS} are refused.
+     * {@link #MIN_DISCONNECTED_MICROS} are refused.
      */
-    public long holdMicros() {
+    public long maxDisconnectedMicros() {
         return cancelMicros - withDrift(leaseMicros) - 2 * MARGIN_MICROS;
     }
 }
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/Consolidator.java
@@ -19,7 +19,7 @@
     /** A replica is not to be away for longer than this, for its image, only because it moves. */
     private static final double LONGEST_FETCH_SECONDS = 2;
     /** A replica is not moved before it has run this long. */
-    private static final long SETTLED_MICROS = 40_000_000;
+    private static final long MIN_RUNTIME_MICROS = 40_000_000;
 
     private final Dispatcher dispatcher;
     private final Collection<Machine> machines;
@@ -76,7 +76,7 @@
         for (Placement p : m.placements.values()) {
             if (!p.job.spec.service()
                     || p.phase != Placement.Phase.RUNNING
-                    || now - p.runningSinceMicros < SETTLED_MICROS) {
+                    || now - p.runningSinceMicros < MIN_RUNTIME_MICROS) {
                 return false;
             }
         }
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -8,7 +8,7 @@
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Mirror;
+import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.Timers;
 import org.slf4j.Logger;
@@ -18,7 +18,7 @@
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final long TICK_MICROS = 1_000_000;
-    /** Without word from the state service for this long a controller counts as out of touch. */
+    /** Without word from the state service for this long a controller counts as out of contact. */
     static final long CUT_OFF_MICROS = 2_500_000;
 
     private static final long TURNED_AWAY_MICROS = 5_000_000;
@@ -31,12 +31,12 @@
     private final CloudPort cloud;
     private final WorkerPort workers;
     private final Timers timers;
-    private final Mirror mirror;
-    private final JobBook book = new JobBook();
+    private final RecordReplica replica;
+    private final JobIndex jobIndex = new JobIndex();
     private final Leadership leadership;
-    private final UserDesk desk;
+    private final JobRequestHandler requestHandler;
     private final Peers peers;
-    private final Deputy deputy;
+    private final ZoneLeaseKeeper zoneLeaseKeeper;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private Dispatcher dispatcher;
     /** Machines that reported here while another controller owned them, and when. */
@@ -54,7 +54,7 @@
         this.timers = timers;
         double readsPerSecond =
                 config.stateRequests() * READ_SHARE / (config.peers().size() + 1);
-        this.mirror = new Mirror(state, timers, (long) (1e6 / readsPerSecond), new Mirror.Listener() {
+        this.replica = new RecordReplica(state, timers, (long) (1e6 / readsPerSecond), new RecordReplica.Listener() {
             @Override
             public void changed(String key, Map<String, Object> value, long stamp) {
                 recordChanged(key, value);
@@ -62,35 +62,38 @@
 
             @Override
             public void loaded() {
-                LOG.info("records read: {} open jobs, owner {}", book.openJobs().size(), leadership.ownerNode());
+                LOG.info(
+                        "records read: {} open jobs, leader {}",
+                        jobIndex.openJobs().size(),
+                        leadership.leaderNode());
             }
         });
-        this.peers = new Peers(config, peerPort, timers, this::greeting);
+        this.peers = new Peers(config, peerPort, timers, this::status);
         this.leadership = new Leadership(
-                config, state, mirror, timers, () -> peers.allOutOfTouch(CUT_OFF_MICROS), new Leadership.Listener() {
+                config, state, replica, timers, () -> peers.allOutOfTouch(CUT_OFF_MICROS), new Leadership.Listener() {
                     @Override
                     public void elected(Leadership.Term term) {
-                        takeOffice(term);
+                        startLeading(term);
                     }
 
                     @Override
-                    public void deposed(String why) {
-                        leaveOffice();
+                    public void leadershipLost(String why) {
+                        stopLeading();
                     }
                 });
-        this.deputy = new Deputy(config, mirror, book, peers, timers);
-        this.desk = new UserDesk(
+        this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex, peers, timers);
+        this.requestHandler = new JobRequestHandler(
                 config,
                 state,
-                mirror,
-                book,
+                replica,
+                jobIndex,
                 timers,
                 () -> types,
-                (word, then) -> peers.tellCancelled(word, leadership.ownerNode(), then));
+                (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
     }
 
     public void start() {
-        mirror.start();
+        replica.start();
         leadership.start();
         peers.start();
         tick();
@@ -101,74 +104,74 @@
      * has lost the state service sends users to the others.
      */
     public boolean healthy() {
-        if (!mirror.loaded() || types.isEmpty()) {
+        if (!replica.loaded() || types.isEmpty()) {
             return false;
         }
         return contactAgeMicros() < CUT_OFF_MICROS || !peers.anyInTouch(CUT_OFF_MICROS);
     }
 
     private long contactAgeMicros() {
-        return timers.nowMicros() - mirror.lastContactMicros();
+        return timers.nowMicros() - replica.lastContactMicros();
     }
 
-    private PeerPort.Greeting greeting() {
-        return new PeerPort.Greeting(
-                config.node(), mirror.loaded() ? contactAgeMicros() : -1, dispatcher != null, turnedAway.size());
+    private PeerPort.PeerStatus status() {
+        return new PeerPort.PeerStatus(
+                config.node(), replica.loaded() ? contactAgeMicros() : -1, dispatcher != null, turnedAway.size());
     }
 
     /** A peer tells how it is, and is told the same. */
-    public PeerPort.Greeting greeted(PeerPort.Greeting theirs) {
+    public PeerPort.PeerStatus statusReceived(PeerPort.PeerStatus theirs) {
         peers.take(theirs);
-        return greeting();
+        return status();
     }
 
     /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
-    public void cancelledElsewhere(PeerPort.Cancelled word) {
-        mirror.applied(Keys.FINAL + word.job(), JobBook.finalRecord(JobBook.Final.CANCELLED), word.stamp());
+    public void cancellationReceived(PeerPort.CancellationNotice notice) {
+        replica.applied(Keys.FINAL + notice.job(), JobIndex.finalRecord(JobIndex.Final.CANCELLED), notice.stamp());
     }
 
-    public boolean owner() {
+    public boolean leader() {
         return dispatcher != null;
     }
 
-    public void submit(JobSpec spec, Consumer<UserAnswer> then) {
-        desk.submit(spec, then);
+    public void submit(JobSpec spec, Consumer<JobResponse> then) {
+        requestHandler.submit(spec, then);
     }
 
-    public void poll(String id, Consumer<UserAnswer> then) {
-        desk.poll(id, then);
+    public void poll(String id, Consumer<JobResponse> then) {
+        requestHandler.poll(id, then);
     }
 
-    public void cancel(String id, Consumer<UserAnswer> then) {
-        desk.cancel(id, then);
+    public void cancel(String id, Consumer<JobResponse> then) {
+        requestHandler.cancel(id, then);
     }
 
-    public BeatAnswer beat(Beat beat) {
+    public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
         if (dispatcher == null) {
-            if (deputy.vouchesFor(beat)) {
-                return deputy.answer(beat);
+            if (zoneLeaseKeeper.mayRenew(heartbeat)) {
+                return zoneLeaseKeeper.answer(heartbeat);
             }
-            turnedAway.put(beat.host(), timers.nowMicros());
-            String owner = leadership.ownerNode();
-            // An owner that is cut from us is cut from the machines around us as well: going there would cost them
+            turnedAway.put(heartbeat.host(), timers.nowMicros());
+            String leader = leadership.leaderNode();
+            // A leader that is cut from us is cut from the machines around us as well: going there would cost them
             // time.
-            boolean current = contactAgeMicros() < CUT_OFF_MICROS || peers.ownerHeard();
-            return current && owner != null && !owner.equals(config.node())
-                    ? new BeatAnswer.Elsewhere(owner)
-                    : new BeatAnswer.Unavailable();
+            boolean current = contactAgeMicros() < CUT_OFF_MICROS || peers.leaderHeard();
+            return current && leader != null && !leader.equals(config.node())
+                    ? new HeartbeatResponse.Redirect(leader)
+                    : new HeartbeatResponse.Unavailable();
         }
-        return leadership.answersWorkers() ? dispatcher.beat(beat) : new BeatAnswer.Unavailable();
+        return leadership.answersWorkers() ? dispatcher.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
     }
 
     private void tick() {
         timers.after(TICK_MICROS, this::tick);
-        if (mirror.loaded()) {
-            mirror.barrier(fresh -> {});
+        if (replica.loaded()) {
+            replica.barrier(fresh -> {});
         }
         long now = timers.nowMicros();
         turnedAway.values().removeIf(at -> at < now - TURNED_AWAY_MICROS);
         if (dispatcher != null && dispatcher.cutFromWorkers(peers.mostTurnedAway())) {
-            leadership.abdicate("the machines reach the others, but not us");
+            leadership.stepDown("the machines reach the others, but not us");
         }
         if ((types.isEmpty() || (dispatcher != null && now >= typesDueMicros)) && !askingTypes) {
             askTypes();
@@ -213,7 +216,7 @@
                     .toList();
             learnTypes(list, false);
         } else {
-            book.changed(key, value);
+            jobIndex.changed(key, value);
             forgetEnded(key, value);
         }
     }
@@ -223,24 +226,24 @@
         for (String prefix : List.of(Keys.FINAL, Keys.JOB, Keys.PROGRESS)) {
             if (value != null && key.startsWith(prefix)) {
                 String id = key.substring(prefix.length());
-                if (book.finalOf(id) != null) {
-                    mirror.forget(Keys.JOB + id);
-                    mirror.forget(Keys.PROGRESS + id);
+                if (jobIndex.finalOf(id) != null) {
+                    replica.forget(Keys.JOB + id);
+                    replica.forget(Keys.PROGRESS + id);
                 }
             }
         }
     }
 
-    private void takeOffice(Leadership.Term term) {
-        dispatcher = new Dispatcher(config, leadership, term, state, mirror, book, timers, workers);
+    private void startLeading(Leadership.Term term) {
+        dispatcher = new Dispatcher(config, leadership, term, state, replica, jobIndex, timers, workers);
         if (!types.isEmpty()) {
             dispatcher.typesChanged(List.copyOf(types.values()));
             dispatcher.recordTypes(List.copyOf(types.values()));
         }
-        new Autoscaler(config, dispatcher, leadership, peers, cloud, timers, term.baton());
+        new Autoscaler(config, dispatcher, leadership, peers, cloud, timers, term.fencingToken());
     }
 
-    private void leaveOffice() {
+    private void stopLeading() {
         if (dispatcher != null) {
             dispatcher.end();
             dispatcher = null;
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/Dispatcher.java
@@ -13,24 +13,24 @@
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Mirror;
 import org.granitepath.bookkeeping.ProgressRecord;
+import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.StatePort.Change;
 import org.granitepath.bookkeeping.StatePort.Guard;
 import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.Beat.Cause;
-import org.granitepath.coordination.Beat.TaskReport;
-import org.granitepath.coordination.Beat.TaskState;
+import org.granitepath.coordination.Heartbeat.Cause;
+import org.granitepath.coordination.Heartbeat.TaskReport;
+import org.granitepath.coordination.Heartbeat.TaskState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The owner's work for one term of ownership: machines, placements and what is claimed and recorded of jobs. A new
- * term starts from the records alone; whatever a predecessor may have started is in doubt until each machine on the
- * rosters has been heard under the new baton or is proved gone.
+ * The leader's work for one term of leadership: machines, placements and what is claimed and recorded of jobs. A new
+ * term starts from the records alone; whatever a predecessor may have started is unconfirmed until each machine of the
+ * inventory has been heard under the new fencing token or is proved gone.
  */
-final class Dispatcher implements JobBook.Listener {
+final class Dispatcher implements JobIndex.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
     private static final long ATTEMPTS_PER_TERM = 1L << 24;
     private static final long TICK_MICROS = 500_000;
@@ -44,7 +44,7 @@
     private static final long LONGEST_PASS_SPACING_MICROS = 250_000;
     private static final long ASK_AGAIN_MICROS = 300_000;
     private static final double OVERDUE_REPORTS = 1.5;
-    private static final long NEWS_MICROS = 1_000_000;
+    private static final long PROGRESS_DELAY_MICROS = 1_000_000;
     private static final int DEPARTED_REMEMBERED = 4096;
     private static final double MOST_SILENT_SHARE = 0.6;
     private static final int UNCLEARED_ATTEMPTS = 24;
@@ -52,24 +52,24 @@
     private final Config config;
     private final Leadership.Term term;
     private final Leadership leadership;
-    private final Mirror mirror;
-    private final JobBook book;
+    private final RecordReplica replica;
+    private final JobIndex jobIndex;
     private final Timers timers;
     private final WorkerPort workers;
-    private final Ledger ledger;
-    private final Outlook outlook;
+    private final WriteQueue writeQueue;
+    private final BatchPlanner batchPlanner;
     private final Scheduler scheduler;
     private final Consolidator consolidator;
-    private final Rosters rosters;
+    private final MachineInventory inventory;
     private final TeamLimits teamLimits;
-    private final Estimates estimates = new Estimates();
+    private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final FaultTracker faults = new FaultTracker();
-    private final Arrivals arrivals = new Arrivals();
+    private final ArrivalRate arrivalRate = new ArrivalRate();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final ArrayDeque<Machine> unheard = new ArrayDeque<>();
-    private final Set<Machine> ordersDue = new LinkedHashSet<>();
+    private final Set<Machine> commandsDue = new LinkedHashSet<>();
     /** Machines that are gone, each with the last session heard: late copies of their reports still arrive. */
     private final Map<String, Long> departed = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
@@ -96,43 +96,47 @@
             Leadership leadership,
             Leadership.Term term,
             StatePort state,
-            Mirror mirror,
-            JobBook book,
+            RecordReplica replica,
+            JobIndex jobIndex,
             Timers timers,
             WorkerPort workers) {
         this.config = config;
         this.leadership = leadership;
         this.term = term;
-        this.mirror = mirror;
-        this.book = book;
+        this.replica = replica;
+        this.jobIndex = jobIndex;
         this.timers = timers;
         this.workers = workers;
         this.teamLimits = new TeamLimits(config.teams());
-        this.outlook = new Outlook(config, this, estimates);
-        this.scheduler = new Scheduler(config, this, machines.values(), timers, outlook);
+        this.batchPlanner = new BatchPlanner(config, this, runtimeEstimator);
+        this.scheduler = new Scheduler(config, this, machines.values(), timers, batchPlanner);
         this.consolidator = new Consolidator(this, machines.values());
         this.startedMicros = timers.nowMicros();
         this.tickedMicros = startedMicros;
-        this.ledger = new Ledger(
+        this.writeQueue = new WriteQueue(
                 state,
-                mirror,
+                replica,
                 timers,
                 config.txnOps(),
                 config.stateWrites() * 0.65,
                 false,
                 () -> List.of(new Guard(Keys.LEADER, term.leaderStamp())),
                 () -> !ended);
-        this.rosters = new Rosters(config, term, mirror, ledger, timers, machines, this::raised, this::scheduleSoon);
+        this.inventory = new MachineInventory(
+                config, term, replica, writeQueue, timers, machines, this::tokenRaised, this::scheduleSoon);
         inheritMachines();
-        for (JobRecord record : book.openJobs()) {
+        for (JobRecord record : jobIndex.openJobs()) {
             open(record);
         }
-        book.listen(this);
+        jobIndex.listen(this);
         if (inheritedLeft == 0) {
-            settleDoubts();
+            resolveUnconfirmedTasks();
         }
         LOG.info(
-                "term with baton {}: {} machines taken over, {} open jobs", term.baton(), machines.size(), jobs.size());
+                "term with fencing token {}: {} machines taken over, {} open jobs",
+                term.fencingToken(),
+                machines.size(),
+                jobs.size());
         timers.after(TICK_MICROS, this::tick);
         scheduleSoon();
         askInherited();
@@ -140,7 +144,7 @@
 
     void end() {
         ended = true;
-        book.listen(null);
+        jobIndex.listen(null);
     }
 
     boolean ended() {
@@ -175,12 +179,12 @@
 
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
     void recordTypes(List<MachineType> list) {
-        if (mirror.value(Keys.TYPES) == null) {
-            ledger.want(
+        if (replica.value(Keys.TYPES) == null) {
+            writeQueue.enqueue(
                     Keys.TYPES,
-                    Ledger.Urgency.NEWS,
+                    WriteQueue.Urgency.PROGRESS_ONLY,
                     2_000_000,
-                    () -> mirror.value(Keys.TYPES) != null
+                    () -> replica.value(Keys.TYPES) != null
                             ? List.of()
                             : List.of(Change.write(
                                     Keys.TYPES,
@@ -196,8 +200,8 @@
     // ---- machines ----------------------------------------------------------------------------------------------
 
     private void inheritMachines() {
-        long leaseOver = startedMicros + config.holdMicros() + leaseMicros();
-        for (Machine m : rosters.inherit()) {
+        long leaseOver = startedMicros + config.maxDisconnectedMicros() + leaseMicros();
+        for (Machine m : inventory.takeOver()) {
             m.inherited = true;
             m.heardMicros = startedMicros;
             m.firstHeardMicros = startedMicros;
@@ -210,24 +214,26 @@
         }
     }
 
-    private void settle(Machine m) {
+    private void confirmInherited(Machine m) {
         if (m.inherited) {
             m.inherited = false;
             if (--inheritedLeft == 0) {
-                LOG.info("every machine taken over is heard or proved gone: no task is in doubt any more");
-                settleDoubts();
+                LOG.info("every machine taken over is heard or proved gone: no task is unconfirmed any more");
+                resolveUnconfirmedTasks();
             }
         }
     }
 
-    private void settleDoubts() {
+    private void resolveUnconfirmedTasks() {
         for (ActiveJob j : jobs.values()) {
-            j.settleDoubt();
+            j.resolveUnconfirmed();
         }
         scheduleSoon();
     }
 
-    /** Speeds a takeover up: calls the machines not yet heard, a few at a time, and shows them the new baton. */
+    /**
+     * Speeds a takeover up: calls the machines not yet heard, a few at a time, and shows them the new fencing token.
+     */
     private void askInherited() {
         while (!ended && !unheard.isEmpty() && takeoverCalls < config.callsAtOnce() * 2 / 3) {
             Machine m = unheard.poll();
@@ -261,26 +267,29 @@
         return Config.withDrift(config.leaseMicros()) + Config.MARGIN_MICROS;
     }
 
-    private void raised(Machine m) {
+    private void tokenRaised(Machine m) {
         long now = timers.nowMicros();
-        if (m.quiet(now, config.reportMicros())) {
+        if (m.unresponsive(now, config.reportMicros())) {
             m.fenced = true;
             if (config.peerIn(m.zone) && m.leaseOverMicros > 0) {
-                // A controller cut off together with it may not know yet, and go on under the former baton.
-                m.leaseOverMicros = Math.max(m.leaseOverMicros, now + config.holdMicros() + leaseMicros());
+                // A controller cut off together with it may not know yet, and go on under the former fencing token.
+                m.leaseOverMicros = Math.max(m.leaseOverMicros, now + config.maxDisconnectedMicros() + leaseMicros());
             }
         }
         if (m.phase == Machine.Phase.READY) {
-            m.transition(Machine.Phase.UNCONFIRMED, "baton raised to " + m.baton);
+            m.transition(Machine.Phase.UNCONFIRMED, "fencing token raised to " + m.fencingToken);
             m.unconfirmedMicros = now;
         }
-        if (!m.quiet(now, config.reportMicros())) {
-            showBaton(m);
+        if (!m.unresponsive(now, config.reportMicros())) {
+            showToken(m);
         }
     }
 
-    /** Shows the worker its present baton by a call without orders; when too many are under way, a later tick does. */
-    private void showBaton(Machine m) {
+    /**
+     * Shows the worker its present fencing token by a call without commands; when too many are under way, a later
+     * tick does.
+     */
+    private void showToken(Machine m) {
         if (!m.callUnderWay && m.session >= 0 && calls < config.callsAtOnce()) {
             callWorker(m, List.of(), List.of(), () -> {});
         }
@@ -297,10 +306,10 @@
         }
         machines.remove(m.id);
         faults.forget(m);
-        ordersDue.remove(m);
+        commandsDue.remove(m);
         departed.put(m.id, m.session);
-        rosters.strike(m);
-        settle(m);
+        inventory.remove(m);
+        confirmInherited(m);
         scheduleSoon();
     }
 
@@ -308,7 +317,7 @@
      * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it is heard
      * again, in a later session, it must show that it hears us before it is given work.
      */
-    private void lapse(Machine m) {
+    private void leaseExpired(Machine m) {
         LOG.info(
                 "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
                 m.id,
@@ -319,7 +328,7 @@
         m.leaseOverMicros = 0; // until it is heard again
         m.session = Math.max(m.session, 0) + 1;
         m.sequence = -1;
-        m.housekeeping.clear();
+        m.cleanupCommands.clear();
         m.directAttempts.clear();
         for (Placement p : List.copyOf(m.placements.values())) {
             free(p, "its worker's lease is over");
@@ -328,8 +337,8 @@
             m.transition(Machine.Phase.UNCONFIRMED, "its lease is over");
             m.unconfirmedMicros = timers.nowMicros();
         }
-        rosters.raise(m, "its lease is over");
-        settle(m);
+        inventory.requestToken(m, "its lease is over");
+        confirmInherited(m);
         scheduleSoon();
     }
 
@@ -350,7 +359,7 @@
         long now = timers.nowMicros();
         int silent = 0;
         for (Machine m : machines.values()) {
-            silent += m.quiet(now, config.reportMicros()) ? 1 : 0;
+            silent += m.unresponsive(now, config.reportMicros()) ? 1 : 0;
         }
         return silent >= MOST_SILENT_SHARE * machines.size()
                 && turnedAwayByPeer >= Math.max(2, silent / 2)
@@ -365,64 +374,69 @@
 
     // ---- reports -----------------------------------------------------------------------------------------------
 
-    BeatAnswer beat(Beat beat) {
-        Machine m = machines.get(beat.host());
+    HeartbeatResponse heartbeat(Heartbeat heartbeat) {
+        Machine m = machines.get(heartbeat.host());
         if (m == null) {
-            if (beat.session() <= departed.getOrDefault(beat.host(), Long.MIN_VALUE)) {
-                LOG.debug("a late copy of a report of {}, which is gone", beat.host());
-                return new BeatAnswer.Unavailable();
+            if (heartbeat.session() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE)) {
+                LOG.debug("a late copy of a report of {}, which is gone", heartbeat.host());
+                return new HeartbeatResponse.Unavailable();
             }
-            m = new Machine(beat.host(), beat.address(), beat.type(), beat.zone(), beat.spot());
+            m = new Machine(
+                    heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
             m.type = types.get(m.typeName);
-            m.baton = term.baton();
+            m.fencingToken = term.fencingToken();
             m.firstHeardMicros = timers.nowMicros();
             m.rentedMicros = m.firstHeardMicros;
             m.unconfirmedMicros = m.firstHeardMicros;
             m.idleSinceMicros = m.firstHeardMicros;
-            if (beat.baton() > m.baton) {
-                return new BeatAnswer.Unavailable();
+            if (heartbeat.fencingToken() > m.fencingToken) {
+                return new HeartbeatResponse.Unavailable();
             }
             LOG.info(
                     "machine {} ({} {}{}) reports for the first time", m.id, m.typeName, m.zone, m.spot ? " spot" : "");
             machines.put(m.id, m);
-            rosters.enrol(m);
+            inventory.add(m);
         }
-        if (beat.baton() > m.baton) {
-            // Someone with a higher baton gives commands there: either we are deposed, or our own raise is under way.
-            LOG.info("machine {} has seen baton {}, ours is {}", m.id, beat.baton(), m.baton);
-            mirror.barrier(fresh -> {});
-            return new BeatAnswer.Unavailable();
+        if (heartbeat.fencingToken() > m.fencingToken) {
+            // Someone with a higher fencing token gives commands there: either we are replaced, or our own raise is
+            // under way.
+            LOG.info(
+                    "machine {} has seen fencing token {}, ours is {}", m.id, heartbeat.fencingToken(), m.fencingToken);
+            replica.barrier(fresh -> {});
+            return new HeartbeatResponse.Unavailable();
         }
-        if (!hear(m, beat, true)) {
+        if (!hear(m, heartbeat, true)) {
             m.fenced = false;
-            // Overtaken by the answer to a direct order: nothing to learn, but the worker is where it should be.
-            return m.phase != Machine.Phase.GONE && beat.session() == m.session
-                    ? new BeatAnswer.Accepted(m.baton, stopsFor(m))
-                    : new BeatAnswer.Unavailable();
+            // Overtaken by the answer to a direct command: nothing to learn, but the worker is where it should be.
+            return m.phase != Machine.Phase.GONE && heartbeat.session() == m.session
+                    ? new HeartbeatResponse.Accepted(m.fencingToken, stopsFor(m))
+                    : new HeartbeatResponse.Unavailable();
         }
         if (scheduleDue && timers.nowMicros() >= passDueMicros) {
             schedule();
         } else if (scheduleDue) {
             scheduleSoon();
         }
-        return new BeatAnswer.Accepted(m.baton, ordersFor(m, true));
+        return new HeartbeatResponse.Accepted(m.fencingToken, commandsFor(m, true));
     }
 
     /** Takes a report in; false when it is older than one already known. */
-    private boolean hear(Machine m, Beat beat, boolean isReport) {
-        if (m.phase == Machine.Phase.GONE || !beat.newerThan(m.session, m.sequence) || beat.baton() > m.baton) {
+    private boolean hear(Machine m, Heartbeat heartbeat, boolean isReport) {
+        if (m.phase == Machine.Phase.GONE
+                || !heartbeat.newerThan(m.session, m.sequence)
+                || heartbeat.fencingToken() > m.fencingToken) {
             return false;
         }
         long now = timers.nowMicros();
-        boolean current = beat.baton() == m.baton;
-        if (isReport && m.session >= 0 && beat.session() > m.session) {
+        boolean current = heartbeat.fencingToken() == m.fencingToken;
+        if (isReport && m.session >= 0 && heartbeat.session() > m.session) {
             // Its reports come, but do our answers get there? It must show that before it is given work again.
-            rosters.raise(m, "its session moved on to " + beat.session());
+            inventory.requestToken(m, "its session moved on to " + heartbeat.session());
         }
-        m.session = beat.session();
-        m.sequence = beat.sequence();
+        m.session = heartbeat.session();
+        m.sequence = heartbeat.sequence();
         if (isReport) {
-            if (m.quiet(now, config.reportMicros())) {
+            if (m.unresponsive(now, config.reportMicros())) {
                 m.unconfirmedMicros = now; // it could neither show anything before nor be given work
                 m.idleSinceMicros = now;
             }
@@ -430,66 +444,70 @@
             m.heardMicros = now;
             m.probeFailed = false;
         }
-        m.address = beat.address();
+        m.address = heartbeat.address();
         m.fenced &= !isReport;
         long leaseOver = now + leaseMicros();
         m.leaseOverMicros = current ? leaseOver : Math.max(m.leaseOverMicros, leaseOver);
-        m.housekeeping.clear();
+        m.cleanupCommands.clear();
         int uncleared = 0;
         Set<TaskId> listed = new HashSet<>();
-        for (TaskReport r : beat.tasks()) {
+        for (TaskReport r : heartbeat.tasks()) {
             Placement p = m.placements.get(r.task());
             if (p != null && p.attempt == r.attempt()) {
                 listed.add(r.task());
                 p.seen = true;
                 p.certain |= current;
-                p.unansweredBaton = 0;
+                p.unansweredToken = 0;
                 update(m, p, r, now);
-            } else if (meetStranger(m, r, current, now)) {
+            } else if (handleUnknownTask(m, r, current, now)) {
                 listed.add(r.task());
             }
             if (r.state() == TaskState.EXITED) {
-                if (mayForget(m, r)) {
-                    m.housekeeping.add(Order.forget(r.task(), r.attempt()));
+                if (mayClear(m, r)) {
+                    m.cleanupCommands.add(WorkerCommand.clear(r.task(), r.attempt()));
                 } else {
                     uncleared++;
                 }
             }
         }
         for (Placement p : List.copyOf(m.placements.values())) {
-            if (!listed.contains(p.task) && provedAbsent(p, beat, current, isReport)) {
-                if (!p.seen && p.sentInAnswer && p.session == beat.session()) {
-                    rosters.raise(m, "an answer to it was lost");
+            if (!listed.contains(p.task) && provedAbsent(p, heartbeat, current, isReport)) {
+                if (!p.seen && p.sentInAnswer && p.session == heartbeat.session()) {
+                    inventory.requestToken(m, "an answer to it was lost");
                 }
-                free(p, "not in report " + beat.session() + "." + beat.sequence() + " under baton " + beat.baton());
+                free(
+                        p,
+                        "not in report " + heartbeat.session() + "." + heartbeat.sequence() + " under fencing token "
+                                + heartbeat.fencingToken());
             }
         }
-        // What runs is not counted: a machine with more tasks than this would want a new baton with every report.
+        // What runs is not counted: a machine with more tasks than this would want a new fencing token with every
+        // report.
         if (uncleared > UNCLEARED_ATTEMPTS) {
-            rosters.raiseSome(m);
+            inventory.requestTokenForCleanup(m);
         }
         if (current && m.phase == Machine.Phase.UNCONFIRMED) {
-            m.transition(Machine.Phase.READY, "heard under baton " + m.baton);
+            m.transition(Machine.Phase.READY, "heard under fencing token " + m.fencingToken);
             scheduleDue = true;
         }
         if (current) {
-            settle(m);
+            confirmInherited(m);
         }
-        if (beat.noticeMicros() >= 0 && m.phase == Machine.Phase.READY) {
-            drain(m, "the cloud takes it in " + beat.noticeMicros() / 1_000_000 + " s");
-            evacuate(m, beat.noticeMicros());
+        if (heartbeat.noticeMicros() >= 0 && m.phase == Machine.Phase.READY) {
+            drain(m, "the cloud takes it in " + heartbeat.noticeMicros() / 1_000_000 + " s");
+            evacuate(m, heartbeat.noticeMicros());
         }
         return true;
     }
 
-    private boolean provedAbsent(Placement p, Beat beat, boolean current, boolean isReport) {
-        if (p.session < beat.session()) {
+    private boolean provedAbsent(Placement p, Heartbeat heartbeat, boolean current, boolean isReport) {
+        if (p.session < heartbeat.session()) {
             return true;
         }
         if (!current || p.phase == Placement.Phase.ASSIGNED) {
             return false;
         }
-        if (p.unansweredBaton != 0 && p.unansweredBaton >= beat.baton()) {
+        if (p.unansweredToken != 0 && p.unansweredToken >= heartbeat.fencingToken()) {
             return false;
         }
         return p.seen || isReport || !p.sentInAnswer;
@@ -525,9 +543,9 @@
             job.markDone(r.task().index());
             drainFaulty(faults.proved(p, now));
             if (p.runningSinceMicros >= 0 && p.certain && !p.takenOver) {
-                estimates.finished(job, now - p.runningSinceMicros);
+                runtimeEstimator.finished(job, now - p.runningSinceMicros);
             }
-            recordProgress(job, Ledger.Urgency.NEWS, NEWS_MICROS);
+            recordProgress(job, WriteQueue.Urgency.PROGRESS_ONLY, PROGRESS_DELAY_MICROS);
         } else if (r.cause() == Cause.FAILED) {
             failed(m, job, now);
         } else if (r.cause() == Cause.UNKNOWN_JOB || r.cause() == Cause.NO_ROOM) {
@@ -551,7 +569,7 @@
     }
 
     /** A task on the machine that we did not place in this term; true when it is now a placement of ours. */
-    private boolean meetStranger(Machine m, TaskReport r, boolean current, long now) {
+    private boolean handleUnknownTask(Machine m, TaskReport r, boolean current, long now) {
         TaskId id = r.task();
         ActiveJob job = jobs.get(id.job());
         boolean open = job != null && job.phase == ActiveJob.Phase.OPEN && id.index() < job.spec.tasks();
@@ -559,7 +577,7 @@
             if (open && r.cause() == Cause.DONE && !job.spec.service() && !job.done.contains(id.index())) {
                 Placement other = job.placements.get(id.index());
                 job.markDone(id.index());
-                recordProgress(job, Ledger.Urgency.NEWS, NEWS_MICROS);
+                recordProgress(job, WriteQueue.Urgency.PROGRESS_ONLY, PROGRESS_DELAY_MICROS);
                 if (other != null) {
                     stop(other, 0, "done elsewhere");
                 } else {
@@ -583,26 +601,26 @@
             return true;
         }
         LOG.info("stopping {} attempt {} on {}: job is {}", id, r.attempt(), m.id, job == null ? "not open" : "open");
-        m.housekeeping.add(Order.stop(id, r.attempt(), 0));
-        ordersDue(m);
+        m.cleanupCommands.add(WorkerCommand.stop(id, r.attempt(), 0));
+        commandsDue(m);
         scheduleDue = true;
         return false;
     }
 
     /**
-     * Only a durable outcome is cleared away. An attempt that a direct order started stays listed until the baton has
-     * been raised: a late copy of that order would start it once more.
+     * Only a durable outcome is cleared away. An attempt that a direct command started stays listed until the fencing
+     * token has been raised: a late copy of that order would start it once more.
      */
-    private boolean mayForget(Machine m, TaskReport r) {
-        long orderBaton = m.directAttempts.get(r.attempt());
-        if (orderBaton >= m.baton) {
+    private boolean mayClear(Machine m, TaskReport r) {
+        long commandToken = m.directAttempts.get(r.attempt());
+        if (commandToken >= m.fencingToken) {
             return false;
         }
         m.directAttempts.remove(r.attempt());
-        if (r.cause() != Cause.DONE || book.openJob(r.task().job()) == null) {
+        if (r.cause() != Cause.DONE || jobIndex.openJob(r.task().job()) == null) {
             return true;
         }
-        return book.progressOf(r.task().job()).done().contains(r.task().index());
+        return jobIndex.progressOf(r.task().job()).done().contains(r.task().index());
     }
 
     /** It was assigned and not sent, and is not to be after all: there is no more room by that than before. */
@@ -628,7 +646,7 @@
         scheduleDue = true;
     }
 
-    // ---- orders ------------------------------------------------------------------------------------------------
+    // ---- commands ------------------------------------------------------------------------------------------------
 
     void stop(Placement p, long graceMicros, String why) {
         if (p.phase == Placement.Phase.ASSIGNED) {
@@ -636,127 +654,128 @@
         } else if (p.phase == Placement.Phase.STOPPING && graceMicros < p.graceMicros) {
             // Told to save before, and cancelled meanwhile: it need not, and must not go on.
             p.graceMicros = graceMicros;
-            ordersDue(p.machine);
+            commandsDue(p.machine);
         } else if (p.live() && p.phase != Placement.Phase.STOPPING) {
             LOG.debug("stopping {} on {}: {}", p.task, p.machine.id, why);
             p.graceMicros = graceMicros;
             p.transition(Placement.Phase.STOPPING, why);
-            ordersDue(p.machine);
+            commandsDue(p.machine);
         }
     }
 
     /** What is to end there, as of now. Every answer that renews a lease holds it: no task outlives its end by that. */
-    private static List<Order> stopsFor(Machine m) {
-        List<Order> orders = new ArrayList<>(m.housekeeping);
+    private static List<WorkerCommand> stopsFor(Machine m) {
+        List<WorkerCommand> commands = new ArrayList<>(m.cleanupCommands);
         for (Placement p : m.placements.values()) {
             if (p.phase == Placement.Phase.STOPPING) {
-                orders.add(Order.stop(p.task, p.attempt, p.graceMicros));
+                commands.add(WorkerCommand.stop(p.task, p.attempt, p.graceMicros));
             }
         }
-        return orders;
+        return commands;
     }
 
     /** All that this machine is to do. Stops are repeated until they are seen to work; starts go out once. */
-    private List<Order> ordersFor(Machine m, boolean inAnswer) {
-        List<Order> orders = stopsFor(m);
-        ordersDue.remove(m);
+    private List<WorkerCommand> commandsFor(Machine m, boolean inAnswer) {
+        List<WorkerCommand> commands = stopsFor(m);
+        commandsDue.remove(m);
         boolean starts = m.takesTasks() && leadership.mayStart();
         for (Placement p : m.placements.values()) {
             if (p.phase == Placement.Phase.ASSIGNED && starts) {
-                orders.add(Order.start(p.task, p.attempt));
+                commands.add(WorkerCommand.start(p.task, p.attempt));
                 p.sentInAnswer = inAnswer;
                 if (!inAnswer) {
-                    p.unansweredBaton = m.baton;
-                    m.directAttempts.put(p.attempt, m.baton);
+                    p.unansweredToken = m.fencingToken;
+                    m.directAttempts.put(p.attempt, m.fencingToken);
                 }
                 p.transition(Placement.Phase.SENT, inAnswer ? "in an answer" : "direct");
             }
         }
-        return orders;
+        return commands;
     }
 
-    private void ordersDue(Machine m) {
-        ordersDue.add(m);
-        ordersSoon();
+    private void commandsDue(Machine m) {
+        commandsDue.add(m);
+        sendSoon();
     }
 
-    /** Orders to machines that are quiet would only time out; should one report after all, its answer holds them. */
-    private void sendOrders() {
+    /** Commands to machines that are quiet would only time out; should one report after all, its answer holds them. */
+    private void sendCommands() {
         if (!leadership.answersWorkers()) {
             return; // we may long have a successor that we don't know of
         }
         long now = timers.nowMicros();
-        for (Machine m : List.copyOf(ordersDue)) {
+        for (Machine m : List.copyOf(commandsDue)) {
             if (calls >= config.callsAtOnce()) {
                 return;
             }
-            if (!m.callUnderWay && m.session >= 0 && !m.quiet(now, config.reportMicros())) {
+            if (!m.callUnderWay && m.session >= 0 && !m.unresponsive(now, config.reportMicros())) {
                 // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
                 List<Placement> starts = m.placements.values().stream()
                         .filter(p -> p.phase == Placement.Phase.ASSIGNED)
                         .toList();
-                List<Order> orders = ordersFor(m, false);
+                List<WorkerCommand> commands = commandsFor(m, false);
                 starts = starts.stream()
                         .filter(p -> p.phase == Placement.Phase.SENT)
                         .toList();
-                if (!orders.isEmpty()) {
-                    callWorker(m, orders, starts, () -> {});
+                if (!commands.isEmpty()) {
+                    callWorker(m, commands, starts, () -> {});
                 }
             }
         }
     }
 
-    private void callWorker(Machine m, List<Order> orders, List<Placement> starts, Runnable answered) {
+    private void callWorker(Machine m, List<WorkerCommand> commands, List<Placement> starts, Runnable answered) {
         m.callUnderWay = true;
-        m.fenced = false; // the worker may see the baton, and a deputy that knows it may go on under it
+        m.fenced =
+                false; // the worker may see the fencing token, and a zone lease keeper that knows it may go on under it
         m.probedMicros = timers.nowMicros();
         calls++;
-        long baton = m.baton;
+        long fencingToken = m.fencingToken;
         // Of a machine taken over the session is not known; a wrong guess is answered with the right one.
-        workers.send(m.address, baton, Math.max(1, m.session), orders, reply -> {
+        workers.send(m.address, fencingToken, Math.max(1, m.session), commands, reply -> {
             calls--;
             m.callUnderWay = false;
             if (!ended && m.phase != Machine.Phase.GONE) {
-                take(m, baton, starts, reply);
-                ordersSoon();
+                take(m, fencingToken, starts, reply);
+                sendSoon();
             }
             answered.run();
         });
     }
 
-    private void take(Machine m, long baton, List<Placement> starts, WorkerPort.Reply reply) {
+    private void take(Machine m, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
         m.probeFailed = reply.report() == null && m.heardMicros < m.probedMicros;
         if (reply.report() == null) {
             if (!starts.isEmpty()) {
-                rosters.raise(m, "a direct start has no answer");
+                inventory.requestToken(m, "a direct start has no answer");
             }
             return;
         }
         for (Placement p : starts) {
-            if (p.unansweredBaton == baton) {
-                p.unansweredBaton = 0;
+            if (p.unansweredToken == fencingToken) {
+                p.unansweredToken = 0;
             }
         }
         hear(m, reply.report(), false);
         if (!reply.executed()
                 && m.phase == Machine.Phase.UNCONFIRMED
-                && reply.report().baton() <= m.baton) {
-            showBaton(m);
+                && reply.report().fencingToken() <= m.fencingToken) {
+            showToken(m);
         }
     }
 
     // ---- jobs --------------------------------------------------------------------------------------------------
 
     private void open(JobRecord record) {
-        if (record.term() > term.baton()) {
+        if (record.term() > term.fencingToken()) {
             // Claimed for a successor of ours that we have not heard of yet.
             return;
         }
-        ActiveJob job = new ActiveJob(record, book.progressOf(record.spec().id()), timers.nowMicros());
+        ActiveJob job = new ActiveJob(record, jobIndex.progressOf(record.spec().id()), timers.nowMicros());
         jobs.put(record.spec().id(), job);
         // What was claimed for us from the first can't have been started by a predecessor.
-        if (inheritedLeft == 0 || record.term() == term.baton()) {
-            job.settleDoubt();
+        if (inheritedLeft == 0 || record.term() == term.fencingToken()) {
+            job.resolveUnconfirmed();
         }
         endIfDone(job);
     }
@@ -774,7 +793,7 @@
             open(record);
             ActiveJob job = jobs.get(record.spec().id());
             if (job != null) {
-                arrivals.accepted(job, timers.nowMicros());
+                arrivalRate.accepted(job, timers.nowMicros());
             }
             scheduleSoon();
         }
@@ -790,14 +809,14 @@
     }
 
     @Override
-    public void ended(String id, JobBook.Final how) {
+    public void ended(String id, JobIndex.Final how) {
         ActiveJob job = jobs.get(id);
         if (job == null) {
             return;
         }
         long age = ageMicros(job, timers.nowMicros());
         job.transition(ActiveJob.Phase.OVER, how.toString());
-        if (how == JobBook.Final.DONE) {
+        if (how == JobIndex.Final.DONE) {
             boolean late = job.spec.hasDeadline() && age > job.spec.deadlineMicros();
             LOG.info(
                     "job {} of {} ({} tasks) done after {} s{}",
@@ -823,17 +842,17 @@
     /** Claims the next block of task numbers in good time, before the present one is used up. */
     void claim(ActiveJob job) {
         // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
-        int block = ledger.behind() ? job.spec.tasks() : config.tuning().nextBlock(job.spec);
+        int block = writeQueue.behind() ? job.spec.tasks() : config.tuning().nextBlock(job.spec);
         int want = job.spec.gang() ? job.spec.tasks() : Math.min(job.spec.tasks(), job.fresh + block);
         if (want > job.claimWanted && (want == job.spec.tasks() || job.claimWanted - job.fresh <= block / 2)) {
             job.claimWanted = want;
-            recordProgress(job, Ledger.Urgency.WORK, 0);
+            recordProgress(job, WriteQueue.Urgency.WORK, 0);
         }
     }
 
-    private void recordProgress(ActiveJob job, Ledger.Urgency urgency, long delayMicros) {
+    private void recordProgress(ActiveJob job, WriteQueue.Urgency urgency, long delayMicros) {
         String key = Keys.PROGRESS + job.spec.id();
-        ledger.want(
+        writeQueue.enqueue(
                 key,
                 urgency,
                 delayMicros,
@@ -847,25 +866,25 @@
 
     private void recordDone(ActiveJob job) {
         String key = Keys.FINAL + job.spec.id();
-        ledger.want(
+        writeQueue.enqueue(
                 key,
-                Ledger.Urgency.SAFETY,
+                WriteQueue.Urgency.SAFETY,
                 0,
-                () -> mirror.value(key) != null
+                () -> replica.value(key) != null
                         ? List.of()
-                        : List.of(Change.write(key, JobBook.finalRecord(JobBook.Final.DONE))),
+                        : List.of(Change.write(key, JobIndex.finalRecord(JobIndex.Final.DONE))),
                 epoch -> {});
     }
 
     // ---- passes ------------------------------------------------------------------------------------------------
 
-    /** Asks for a pass over the waiting jobs and for orders to go out, shortly and together. */
+    /** Asks for a pass over the waiting jobs and for commands to go out, shortly and together. */
     void scheduleSoon() {
         scheduleDue = true;
-        ordersSoon();
+        sendSoon();
     }
 
-    private void ordersSoon() {
+    private void sendSoon() {
         if (!passTimerSet) {
             passTimerSet = true;
             timers.after(Math.max(PASS_DELAY_MICROS, passDueMicros - timers.nowMicros()), () -> {
@@ -874,7 +893,7 @@
                     if (scheduleDue) {
                         schedule();
                     }
-                    sendOrders();
+                    sendCommands();
                 }
             });
         }
@@ -899,9 +918,9 @@
         if (!job.spec.gang() || job.placements.isEmpty()) {
             attempts++;
         }
-        Placement p = new Placement(id, job, m, term.baton() * ATTEMPTS_PER_TERM + attempts, m.session, now);
+        Placement p = new Placement(id, job, m, term.fencingToken() * ATTEMPTS_PER_TERM + attempts, m.session, now);
         place(p);
-        ordersDue(m);
+        commandsDue(m);
         LOG.debug("task {} goes to {} (running {}, left {})", id, m.id, job.running(), job.left());
         return p;
     }
@@ -914,7 +933,10 @@
 
     /** Whether a job may use this machine now, room aside. */
     boolean eligible(Machine m, ActiveJob job, long now) {
-        return m.takesTasks() && suits(m, job, now) && faults.mayTry(m, job) && !m.quiet(now, config.reportMicros());
+        return m.takesTasks()
+                && suits(m, job, now)
+                && faults.mayTry(m, job)
+                && !m.unresponsive(now, config.reportMicros());
     }
 
     /**
@@ -924,18 +946,19 @@
     boolean suits(Machine m, ActiveJob job, long now) {
         return m.allowedFor(job.spec)
                 && job.zoneAllows(m.zone)
-                && (!job.patient
+                && (!job.deferrable
                         || m.spot
                         || m.hostsService()
-                        || m.kept
-                        || now + estimates.taskMicros(job) < m.rentedMicros + Autoscaler.LEAST_CHARGE_MICROS);
+                        || m.keptAsHeadroom
+                        || now + runtimeEstimator.taskMicros(job) < m.rentedMicros + Autoscaler.LEAST_CHARGE_MICROS);
     }
 
     /**
-     * While tasks are in doubt, or tasks of jobs that are over are still to be stopped, what a team uses is not known.
+     * While tasks are unconfirmed, or tasks of jobs that are over are still to be stopped, what a team uses is not
+     * known.
      */
     boolean teamAllows(JobSpec spec) {
-        return teamLimits.allows(spec) && (!teamLimits.limits(spec) || (inheritedLeft == 0 && strangersGone()));
+        return teamLimits.allows(spec) && (!teamLimits.limits(spec) || (inheritedLeft == 0 && noOrphanedTasks()));
     }
 
     /** CPUs that a team's tasks use beyond its guarantee, without those that are being stopped. */
@@ -951,9 +974,9 @@
         return teamLimits.borrowedCpu(team) - stopping;
     }
 
-    private boolean strangersGone() {
+    private boolean noOrphanedTasks() {
         return machines.values().stream()
-                .noneMatch(m -> m.housekeeping.stream().anyMatch(o -> o.verb() == Order.Verb.STOP));
+                .noneMatch(m -> m.cleanupCommands.stream().anyMatch(o -> o.verb() == WorkerCommand.Verb.STOP));
     }
 
     /** Time since the job was accepted, as far as the clocks agree. */
@@ -961,20 +984,20 @@
         return Math.max(now - job.sinceMicros, timers.timeOfDayMicros() - job.acceptedMicros - config.skewMicros());
     }
 
-    Estimates estimates() {
-        return estimates;
+    RuntimeEstimator runtimeEstimator() {
+        return runtimeEstimator;
     }
 
     FaultTracker faults() {
         return faults;
     }
 
-    Arrivals arrivals() {
-        return arrivals;
+    ArrivalRate arrivalRate() {
+        return arrivalRate;
     }
 
-    Outlook outlook() {
-        return outlook;
+    BatchPlanner batchPlanner() {
+        return batchPlanner;
     }
 
     /** A spot machine is about to be taken: work that can be saved or won't finish moves. */
@@ -1023,30 +1046,30 @@
             }
         }
         for (Machine m : List.copyOf(machines.values())) {
-            // A lease that ran out proves something only if we were the owner all along: a successor that we don't
+            // A lease that ran out proves something only if we were the leader all along: a successor that we don't
             // know of may be answering this worker. So the state service must have confirmed us after the end.
             if (m.leaseOverMicros > 0 && leadership.confirmedMicros() > m.leaseOverMicros) {
                 if (m.fenced || !config.peerIn(m.zone)) {
-                    lapse(m);
+                    leaseExpired(m);
                 } else {
-                    rosters.raise(m, "its lease is over, unless a controller that is cut off keeps it alive");
+                    inventory.requestToken(m, "its lease is over, unless a controller that is cut off keeps it alive");
                 }
             }
             probe(m, now);
-            boolean quiet = m.quiet(now, config.reportMicros());
+            boolean unresponsive = m.unresponsive(now, config.reportMicros());
             if (m.phase == Machine.Phase.UNCONFIRMED
                     && !m.inherited
-                    && m.rostered
-                    && !m.wantsNewBaton
-                    && !quiet
+                    && m.recorded
+                    && !m.needsNewToken
+                    && !unresponsive
                     && calls < config.callsAtOnce()) {
-                showBaton(m);
+                showToken(m);
             }
-            for (Placement p : quiet ? List.copyOf(m.placements.values()) : m.placements.values()) {
-                if (quiet && p.phase == Placement.Phase.ASSIGNED) {
+            for (Placement p : unresponsive ? List.copyOf(m.placements.values()) : m.placements.values()) {
+                if (unresponsive && p.phase == Placement.Phase.ASSIGNED) {
                     free(p, "never sent: the machine has fallen silent");
                 } else if (p.phase == Placement.Phase.STOPPING) {
-                    ordersDue(m);
+                    commandsDue(m);
                 }
             }
         }
--- a/src/main/java/org/granitepath/coordination/Silence.java
+++ b/src/main/java/org/granitepath/coordination/FailureDetector.java
@@ -13,8 +13,8 @@
  * reports that are overdue, before any machine has been silent for long enough to be given up: in a cut machines fall
  * silent one after the other, and the first of them must not be returned before the rest are.
  */
-final class Silence {
-    private static final Logger LOG = LoggerFactory.getLogger(Silence.class);
+final class FailureDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
     /** A zone with fewer machines than this tells nothing. */
     private static final int LEAST_MACHINES = 4;
     /** Overdue share of a zone's machines, and at most of the others', for the zone to count as cut off. */
@@ -32,13 +32,13 @@
 
     private int overdue;
 
-    Silence(Config config, Dispatcher dispatcher, Peers peers) {
+    FailureDetector(Config config, Dispatcher dispatcher, Peers peers) {
         this.config = config;
         this.dispatcher = dispatcher;
         this.peers = peers;
     }
 
-    void look(long now) {
+    void update(long now) {
         Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
         overdue = 0;
--- a/src/main/java/org/granitepath/coordination/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/FairShare.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.apache.commons.numbers.gamma.LogGamma;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 
 /**
  * The paper's weighted workforce of a job, SDAFS: the next task goes to the job where this is lowest.
@@ -12,17 +12,17 @@
  * The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
  */
 public final class FairShare {
-    private final Map<Rank, Double> weights = new EnumMap<>(Rank.class);
+    private final Map<Priority, Double> weights = new EnumMap<>(Priority.class);
 
     public FairShare(Config.Tuning tuning) {
-        weights.put(Rank.CRITICAL, tuning.criticalWeight());
-        weights.put(Rank.HIGH, tuning.highWeight());
-        weights.put(Rank.STANDARD, tuning.standardWeight());
-        weights.put(Rank.BEST_EFFORT, tuning.bestEffortWeight());
+        weights.put(Priority.CRITICAL, tuning.criticalWeight());
+        weights.put(Priority.HIGH, tuning.highWeight());
+        weights.put(Priority.STANDARD, tuning.standardWeight());
+        weights.put(Priority.BEST_EFFORT, tuning.bestEffortWeight());
     }
 
-    public double weight(Rank rank) {
-        return weights.get(rank);
+    public double weight(Priority priority) {
+        return weights.get(priority);
     }
 
     /**
@@ -32,8 +32,8 @@
      * @param left L, those that are running or have not yet started
      * @param running R, those that are running
      */
-    public double share(Rank rank, boolean deadline, int total, int left, int running) {
-        double scale = 1.0 / (weight(rank) * total);
+    public double share(Priority priority, boolean deadline, int total, int left, int running) {
+        double scale = 1.0 / (weight(priority) * total);
         return deadline ? scale * logSum(total, left, running) : scale * running;
     }
 
--- a/src/main/java/org/granitepath/coordination/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/FaultTracker.java
@@ -10,11 +10,11 @@
 /**
  * Decides whether a failed task is the fault of its machine or of its job.
  *
- * <p>A failure makes the machine a suspect. A suspect is offered one task at a time, of a job that has not failed there,
- * and is cleared by a task that started after the failure and ran to its end or for {@link #PROOF_MICROS}. A second job
- * that fails there makes it faulty. A job is cleared by any task of its own that ran that long. Until then its failures on
- * several machines, none of which is known to be faulty, count against the job: it is retried less and less often, one
- * task at a time, and it makes no further machine a suspect.
+ * <p>A failure makes the machine a suspect. A suspect is offered one task at a time, of a job that has not failed
+ * there, and is cleared by a task that started after the failure and ran to its end or for {@link #PROOF_MICROS}. A
+ * second job that fails there makes it faulty. A job is cleared by any task of its own that ran that long. Until then
+ * its failures on several machines, none of which is known to be faulty, count against the job: it is retried less
+ * and less often, one task at a time, and it makes no further machine a suspect.
  */
 final class FaultTracker {
     /** A task that has run for this long is sound, and so is the machine on which it started. */
@@ -55,8 +55,8 @@
     }
 
     /**
-     * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty: those
-     * on which the job failed before, which is now known not to be the job's own fault.
+     * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty:
+     * those on which the job failed before, which is now known not to be the job's own fault.
      */
     List<Machine> proved(Placement placement, long now) {
         ActiveJob job = placement.job;
@@ -86,7 +86,10 @@
         return suspects.containsKey(machine);
     }
 
-    /** Whether a task of this job may be started there: on a suspect only one at a time, and of no job that failed there. */
+    /**
+     * Whether a task of this job may be started there: on a suspect only one at a time, and of no job that failed
+     * there.
+     */
     boolean mayTry(Machine machine, ActiveJob job) {
         Suspect suspect = suspects.get(machine);
         if (suspect == null) {
--- a/src/main/java/org/granitepath/coordination/Beat.java
+++ b/src/main/java/org/granitepath/coordination/Heartbeat.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A worker's report. {@code noticeMicros} is negative when the cloud has announced nothing. */
-public record Beat(
+public record Heartbeat(
         String host,
         String address,
         String type,
@@ -11,7 +11,7 @@
         boolean spot,
         long session,
         long sequence,
-        long baton,
+        long fencingToken,
         long noticeMicros,
         List<TaskReport> tasks) {
 
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/HeartbeatResponse.java
@@ -0,0 +1,13 @@
+package org.granitepath.coordination;
+
+import java.util.List;
+
+/** What a worker is told: commands, another controller to report to, or to try elsewhere. */
+public sealed interface HeartbeatResponse {
+    record Accepted(long fencingToken, List<WorkerCommand> commands) implements HeartbeatResponse {}
+
+    /** {@code node} null: not here, and the leader is not known. */
+    record Redirect(String node) implements HeartbeatResponse {}
+
+    record Unavailable() implements HeartbeatResponse {}
+}
--- a/src/main/java/org/granitepath/coordination/JobBook.java
+++ b/src/main/java/org/granitepath/coordination/JobIndex.java
@@ -9,7 +9,7 @@
 import org.granitepath.bookkeeping.ProgressRecord;
 
 /** All jobs as the state service has them; every controller keeps this and answers users from it. */
-public final class JobBook {
+public final class JobIndex {
     public enum Final {
         DONE(0),
         CANCELLED(1);
--- a/src/main/java/org/granitepath/coordination/UserDesk.java
+++ b/src/main/java/org/granitepath/coordination/JobRequestHandler.java
@@ -12,106 +12,110 @@
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Mirror;
 import org.granitepath.bookkeeping.ProgressRecord;
+import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.StatePort.Change;
 import org.granitepath.bookkeeping.StatePort.Guard;
 import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.UserAnswer.JobState;
+import org.granitepath.coordination.JobResponse.JobState;
 
 /**
  * Submissions, polls and cancellations, on any controller. Nothing is promised before it is on record, and nothing
  * that is not final is told without a read barrier.
  */
-final class UserDesk {
-    private static final long SUBMIT_PATIENCE_MICROS = 4_000_000;
-    /** A cancellation may have to wait for an owner that is out of reach; users wait for five seconds. */
-    private static final long CANCEL_PATIENCE_MICROS = 4_700_000;
+final class JobRequestHandler {
+    private static final long SUBMIT_TIMEOUT_MICROS = 4_000_000;
+    /** A cancellation may have to wait for a leader that is out of reach; users wait for five seconds. */
+    private static final long CANCEL_TIMEOUT_MICROS = 4_700_000;
 
-    private static final long POLL_PATIENCE_MICROS = 1_600_000;
+    private static final long POLL_TIMEOUT_MICROS = 1_600_000;
     private static final int MOST_WAITING = 2_000;
     private static final int RETRY_SECONDS = 2;
 
     /** Whoever waits for one outcome; all get the same answer. */
-    private static final class Tickets {
-        final List<Consumer<UserAnswer>> waiting = new ArrayList<>();
+    private static final class PendingAnswers {
+        final List<Consumer<JobResponse>> waiting = new ArrayList<>();
     }
 
     private final Config config;
-    private final Mirror mirror;
-    private final JobBook book;
+    private final RecordReplica replica;
+    private final JobIndex jobIndex;
     private final Timers timers;
-    private final Ledger ledger;
+    private final WriteQueue writeQueue;
     private final Supplier<Map<String, MachineType>> types;
-    /** Told of each cancellation that we have put on record; runs what it is given once the owner starts no more of it. */
-    private final BiConsumer<PeerPort.Cancelled, Runnable> cancelled;
+    /**
+     * Told of each cancellation that we have put on record; runs what it is given once the leader starts no more of
+     * it.
+     */
+    private final BiConsumer<PeerPort.CancellationNotice, Runnable> cancelled;
 
-    private final Map<String, Tickets> submitting = new LinkedHashMap<>();
-    private final Map<String, Tickets> cancelling = new LinkedHashMap<>();
+    private final Map<String, PendingAnswers> submitting = new LinkedHashMap<>();
+    private final Map<String, PendingAnswers> cancelling = new LinkedHashMap<>();
     private int waiting;
 
-    UserDesk(
+    JobRequestHandler(
             Config config,
             StatePort state,
-            Mirror mirror,
-            JobBook book,
+            RecordReplica replica,
+            JobIndex jobIndex,
             Timers timers,
             Supplier<Map<String, MachineType>> types,
-            BiConsumer<PeerPort.Cancelled, Runnable> cancelled) {
+            BiConsumer<PeerPort.CancellationNotice, Runnable> cancelled) {
         this.cancelled = cancelled;
         this.config = config;
-        this.mirror = mirror;
-        this.book = book;
+        this.replica = replica;
+        this.jobIndex = jobIndex;
         this.timers = timers;
         this.types = types;
-        this.ledger = new Ledger(
+        this.writeQueue = new WriteQueue(
                 state,
-                mirror,
+                replica,
                 timers,
                 config.txnOps(),
                 config.stateWrites() * 0.5,
                 true,
-                // An acceptance claims tasks for the owner that we know of: it must be the owner still.
-                () -> List.of(new Guard(Keys.LEADER, mirror.stamp(Keys.LEADER))),
+                // An acceptance claims tasks for the leader that we know of: it must be the leader still.
+                () -> List.of(new Guard(Keys.LEADER, replica.stamp(Keys.LEADER))),
                 () -> true);
     }
 
     // ---- submissions -------------------------------------------------------------------------------------------
 
-    void submit(JobSpec spec, Consumer<UserAnswer> then) {
-        if (book.finalOf(spec.id()) != null) {
+    void submit(JobSpec spec, Consumer<JobResponse> then) {
+        if (jobIndex.finalOf(spec.id()) != null) {
             then.accept(status(spec.id(), false));
             return;
         }
-        if (!mirror.loaded() || waiting >= MOST_WAITING) {
-            then.accept(later(mirror.loaded() ? "too many requests wait" : "starting"));
+        if (!replica.loaded() || waiting >= MOST_WAITING) {
+            then.accept(retryLater(replica.loaded() ? "too many requests wait" : "starting"));
             return;
         }
-        if (book.openJob(spec.id()) != null) {
+        if (jobIndex.openJob(spec.id()) != null) {
             poll(spec.id(), then);
             return;
         }
-        String reason = impossible(spec);
+        String reason = unschedulableReason(spec);
         if (reason != null) {
             // Another controller may know it already, under a description that can run.
-            fresh(
+            afterBarrier(
                     then,
-                    () -> then.accept(known(spec.id()) ? status(spec.id(), false) : new UserAnswer.Impossible(reason)));
+                    () -> then.accept(
+                            known(spec.id()) ? status(spec.id(), false) : new JobResponse.Unschedulable(reason)));
             return;
         }
         if (types.get().isEmpty()) {
-            then.accept(later("machine types are not known yet"));
+            then.accept(retryLater("machine types are not known yet"));
             return;
         }
-        Tickets tickets = join(submitting, spec.id(), then, SUBMIT_PATIENCE_MICROS);
-        if (tickets.waiting.size() > 1) {
+        PendingAnswers pending = join(submitting, spec.id(), then, SUBMIT_TIMEOUT_MICROS);
+        if (pending.waiting.size() > 1) {
             return;
         }
         String key = Keys.JOB + spec.id();
-        ledger.want(
+        writeQueue.enqueue(
                 key,
-                Ledger.Urgency.WORK,
+                WriteQueue.Urgency.WORK,
                 0,
                 () -> {
                     if (known(spec.id())) {
@@ -126,18 +130,18 @@
     }
 
     private JobRecord accepted(JobSpec spec) {
-        Map<String, Object> owner = mirror.value(Keys.LEADER);
-        return owner == null
+        Map<String, Object> leader = replica.value(Keys.LEADER);
+        return leader == null
                 ? new JobRecord(spec, timers.timeOfDayMicros(), 0, 0)
                 : new JobRecord(
                         spec,
                         timers.timeOfDayMicros(),
                         config.tuning().firstBlock(spec),
-                        Fields.longOf(owner, "baton", 0));
+                        Fields.longOf(leader, "baton", 0));
     }
 
     /** Why a job can never run, or null. */
-    private String impossible(JobSpec spec) {
+    private String unschedulableReason(JobSpec spec) {
         Config.Team team = config.teams().get(spec.team());
         if (team == null) {
             return "unknown team " + spec.team();
@@ -158,33 +162,33 @@
 
     // ---- polls -------------------------------------------------------------------------------------------------
 
-    void poll(String id, Consumer<UserAnswer> then) {
+    void poll(String id, Consumer<JobResponse> then) {
         if (confirming(id)) {
-            then.accept(later("its cancellation is being confirmed"));
+            then.accept(retryLater("its cancellation is being confirmed"));
             return;
         }
-        if (book.finalOf(id) != null) {
+        if (jobIndex.finalOf(id) != null) {
             then.accept(status(id, false));
             return;
         }
-        fresh(then, () -> then.accept(known(id) ? status(id, false) : new UserAnswer.NotFound()));
+        afterBarrier(then, () -> then.accept(known(id) ? status(id, false) : new JobResponse.NotFound()));
     }
 
     // ---- cancellations -----------------------------------------------------------------------------------------
 
-    void cancel(String id, Consumer<UserAnswer> then) {
+    void cancel(String id, Consumer<JobResponse> then) {
         if (confirming(id)) {
-            join(cancelling, id, then, CANCEL_PATIENCE_MICROS);
+            join(cancelling, id, then, CANCEL_TIMEOUT_MICROS);
             return;
         }
-        if (book.finalOf(id) != null) {
+        if (jobIndex.finalOf(id) != null) {
             then.accept(status(id, false));
             return;
         }
-        fresh(then, () -> {
+        afterBarrier(then, () -> {
             if (!known(id)) {
-                then.accept(new UserAnswer.NotFound());
-            } else if (book.finalOf(id) != null) {
+                then.accept(new JobResponse.NotFound());
+            } else if (jobIndex.finalOf(id) != null) {
                 then.accept(status(id, false));
             } else {
                 recordCancellation(id, then);
@@ -192,23 +196,23 @@
         });
     }
 
-    private void recordCancellation(String id, Consumer<UserAnswer> then) {
-        Tickets tickets = join(cancelling, id, then, CANCEL_PATIENCE_MICROS);
-        if (tickets.waiting.size() > 1) {
+    private void recordCancellation(String id, Consumer<JobResponse> then) {
+        PendingAnswers pending = join(cancelling, id, then, CANCEL_TIMEOUT_MICROS);
+        if (pending.waiting.size() > 1) {
             return;
         }
         String key = Keys.FINAL + id;
-        ledger.want(
+        writeQueue.enqueue(
                 key,
-                Ledger.Urgency.SAFETY,
+                WriteQueue.Urgency.SAFETY,
                 0,
                 () -> {
-                    if (book.finalOf(id) != null) {
+                    if (jobIndex.finalOf(id) != null) {
                         confirm(id);
                         return List.of();
                     }
                     return cancelling.containsKey(id)
-                            ? List.of(Change.write(key, JobBook.finalRecord(JobBook.Final.CANCELLED)))
+                            ? List.of(Change.write(key, JobIndex.finalRecord(JobIndex.Final.CANCELLED)))
                             : List.of();
                 },
                 epoch -> confirm(id));
@@ -216,17 +220,17 @@
 
     /** Its cancellation is on record, and whoever asked for it has no answer yet. */
     private boolean confirming(String id) {
-        return book.finalOf(id) == JobBook.Final.CANCELLED && cancelling.containsKey(id);
+        return jobIndex.finalOf(id) == JobIndex.Final.CANCELLED && cancelling.containsKey(id);
     }
 
     /**
-     * It is on record how the job ended. The answer to a cancellation promises that no task starts any more, and the owner
-     * may be out of touch with the records: so it is told first.
+     * It is on record how the job ended. The answer to a cancellation promises that no task starts any more, and the
+     * leader may be out of contact with the records: so it is told first.
      */
     private void confirm(String id) {
-        if (book.finalOf(id) == JobBook.Final.CANCELLED) {
+        if (jobIndex.finalOf(id) == JobIndex.Final.CANCELLED) {
             cancelled.accept(
-                    new PeerPort.Cancelled(id, mirror.stamp(Keys.FINAL + id)),
+                    new PeerPort.CancellationNotice(id, replica.stamp(Keys.FINAL + id)),
                     () -> resolve(cancelling, id, status(id, false)));
         } else {
             resolve(cancelling, id, status(id, false));
@@ -236,77 +240,78 @@
     // ---- helpers -----------------------------------------------------------------------------------------------
 
     private boolean known(String id) {
-        return book.openJob(id) != null || book.finalOf(id) != null;
+        return jobIndex.openJob(id) != null || jobIndex.finalOf(id) != null;
     }
 
-    private UserAnswer.Status status(String id, boolean created) {
-        JobBook.Final how = book.finalOf(id);
+    private JobResponse.Status status(String id, boolean created) {
+        JobIndex.Final how = jobIndex.finalOf(id);
         if (how != null) {
-            return new UserAnswer.Status(
-                    created, id, how == JobBook.Final.DONE ? JobState.DONE : JobState.CANCELLED, 0, 0);
+            return new JobResponse.Status(
+                    created, id, how == JobIndex.Final.DONE ? JobState.DONE : JobState.CANCELLED, 0, 0);
         }
-        ProgressRecord progress = book.progressOf(id);
+        ProgressRecord progress = jobIndex.progressOf(id);
         int done = ProgressRecord.count(progress.done());
         boolean running = progress.running() > 0;
-        return new UserAnswer.Status(
+        return new JobResponse.Status(
                 created, id, running ? JobState.RUNNING : JobState.PENDING, done, progress.running());
     }
 
-    /** Runs {@code action} once the mirror is as new as this moment, or answers that it can't be told now. */
-    private void fresh(Consumer<UserAnswer> then, Runnable action) {
+    /** Runs {@code action} once the replica is as new as this moment, or answers that it can't be told now. */
+    private void afterBarrier(Consumer<JobResponse> then, Runnable action) {
         if (waiting >= MOST_WAITING) {
-            then.accept(later("too many requests wait"));
+            then.accept(retryLater("too many requests wait"));
             return;
         }
         waiting++;
         boolean[] answered = new boolean[1];
-        timers.after(POLL_PATIENCE_MICROS, () -> {
+        timers.after(POLL_TIMEOUT_MICROS, () -> {
             if (!answered[0]) {
                 answered[0] = true;
                 waiting--;
-                then.accept(later("the state service does not answer"));
+                then.accept(retryLater("the state service does not answer"));
             }
         });
-        mirror.barrier(isFresh -> {
+        replica.barrier(isFresh -> {
             if (!answered[0]) {
                 answered[0] = true;
                 waiting--;
                 if (isFresh) {
                     action.run();
                 } else {
-                    then.accept(later("the state service does not answer"));
+                    then.accept(retryLater("the state service does not answer"));
                 }
             }
         });
     }
 
-    private Tickets join(Map<String, Tickets> map, String id, Consumer<UserAnswer> then, long patienceMicros) {
-        Tickets tickets = map.computeIfAbsent(id, k -> new Tickets());
-        tickets.waiting.add(then);
+    private PendingAnswers join(
+            Map<String, PendingAnswers> map, String id, Consumer<JobResponse> then, long timeoutMicros) {
+        PendingAnswers pending = map.computeIfAbsent(id, k -> new PendingAnswers());
+        pending.waiting.add(then);
         waiting++;
-        timers.after(patienceMicros, () -> {
-            if (map.get(id) == tickets && tickets.waiting.remove(then)) {
+        timers.after(timeoutMicros, () -> {
+            if (map.get(id) == pending && pending.waiting.remove(then)) {
                 waiting--;
-                if (tickets.waiting.isEmpty()) {
+                if (pending.waiting.isEmpty()) {
                     map.remove(id);
                 }
-                then.accept(later("not on record yet"));
+                then.accept(retryLater("not on record yet"));
             }
         });
-        return tickets;
+        return pending;
     }
 
-    private void resolve(Map<String, Tickets> map, String id, UserAnswer answer) {
-        Tickets tickets = map.remove(id);
-        if (tickets != null) {
-            waiting -= tickets.waiting.size();
-            for (Consumer<UserAnswer> then : tickets.waiting) {
+    private void resolve(Map<String, PendingAnswers> map, String id, JobResponse answer) {
+        PendingAnswers pending = map.remove(id);
+        if (pending != null) {
+            waiting -= pending.waiting.size();
+            for (Consumer<JobResponse> then : pending.waiting) {
                 then.accept(answer);
             }
         }
     }
 
-    static UserAnswer later(String reason) {
-        return new UserAnswer.TryLater(reason, RETRY_SECONDS);
+    static JobResponse retryLater(String reason) {
+        return new JobResponse.RetryLater(reason, RETRY_SECONDS);
     }
 }
--- a/src/main/java/org/granitepath/coordination/UserAnswer.java
+++ b/src/main/java/org/granitepath/coordination/JobResponse.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination;
 
 /** What a user is told. */
-public sealed interface UserAnswer {
+public sealed interface JobResponse {
     enum JobState {
         PENDING,
         RUNNING,
@@ -9,12 +9,12 @@
         CANCELLED
     }
 
-    record Status(boolean created, String job, JobState state, int done, int running) implements UserAnswer {}
+    record Status(boolean created, String job, JobState state, int done, int running) implements JobResponse {}
 
-    record NotFound() implements UserAnswer {}
+    record NotFound() implements JobResponse {}
 
-    record Impossible(String reason) implements UserAnswer {}
+    record Unschedulable(String reason) implements JobResponse {}
 
     /** Can't be answered now; worth asking again after this many seconds. */
-    record TryLater(String reason, int afterSeconds) implements UserAnswer {}
+    record RetryLater(String reason, int afterSeconds) implements JobResponse {}
 }
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/Leadership.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import org.granitepath.bookkeeping.Fields;
 import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.Mirror;
+import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.StatePort.Change;
 import org.granitepath.bookkeeping.StatePort.Guard;
@@ -18,17 +18,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who owns the machines. The owner holds a leased key; the transaction that takes it also draws the next baton from
- * the shared counter and names the owner of all machines on the rosters there. It is the same small write however many
- * machines there are; the rosters say only which these are, and only the owner on record can change them.
+ * Who owns the machines. The leader holds a leased key; the transaction that takes it also draws the next fencing
+ * token from the shared counter and names the leader of all machines of the inventory there. It is the same small
+ * write however many machines there are; the machine inventory says only which these are, and only the leader on
+ * record can change them.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final long CHECK_MICROS = 250_000;
-    private static final long QUIET_AFTER_ABDICATION_MICROS = 15_000_000;
+    private static final long PAUSE_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
     /**
-     * {@code HOLDING}: lately no word from the state service, or only about our lease and not about the records;
+     * {@code DISCONNECTED}: lately no word from the state service, or only about our lease and not about the records;
      * workers are still answered, since an outage looks the same. {@code SILENT}: for so long that a cancellation might
      * be missed; workers are left to their leases.
      */
@@ -36,22 +37,22 @@
         FOLLOWING,
         CAMPAIGNING,
         LEADING,
-        HOLDING,
+        DISCONNECTED,
         SILENT
     }
 
-    /** What a won campaign brings: the baton, and the guard for all later writes. */
-    record Term(long baton, long leaderStamp) {}
+    /** What a won campaign brings: the fencing token, and the guard for all later writes. */
+    record Term(long fencingToken, long leaderStamp) {}
 
     interface Listener {
         void elected(Term term);
 
-        void deposed(String why);
+        void leadershipLost(String why);
     }
 
     private final Config config;
     private final StatePort state;
-    private final Mirror mirror;
+    private final RecordReplica replica;
     private final Timers timers;
     private final Listener listener;
     private final BooleanSupplier othersOutOfTouch;
@@ -59,21 +60,21 @@
     private long lease;
     private Term term;
     private long confirmedMicros;
-    private boolean touching;
-    private long touchDueMicros;
+    private boolean renewing;
+    private long renewDueMicros;
     private long quietUntilMicros;
 
     /** @param othersOutOfTouch whether every other controller lately told that the state service doesn't answer it */
     Leadership(
             Config config,
             StatePort state,
-            Mirror mirror,
+            RecordReplica replica,
             Timers timers,
             BooleanSupplier othersOutOfTouch,
             Listener listener) {
         this.config = config;
         this.state = state;
-        this.mirror = mirror;
+        this.replica = replica;
         this.timers = timers;
         this.othersOutOfTouch = othersOutOfTouch;
         this.listener = listener;
@@ -89,23 +90,23 @@
 
     /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
     boolean answersWorkers() {
-        reckon();
-        return phase == Phase.LEADING || phase == Phase.HOLDING;
+        refreshPhase();
+        return phase == Phase.LEADING || phase == Phase.DISCONNECTED;
     }
 
     /** Whether the state service confirmed lately that we lead. */
     boolean certain() {
-        reckon();
+        refreshPhase();
         return phase == Phase.LEADING;
     }
 
     /**
      * Whether a task may be started: a cancellation that some controller has confirmed must not have escaped us. Out
-     * of touch we can't tell that from an outage, unless all others say that they are out of touch as well: then none
-     * of them can have confirmed one.
+     * of contact we can't tell that from an outage, unless all others say that they are out of contact as well: then
+     * none of them can have confirmed one.
      */
     boolean mayStart() {
-        return certain() || (phase == Phase.HOLDING && othersOutOfTouch.getAsBoolean());
+        return certain() || (phase == Phase.DISCONNECTED && othersOutOfTouch.getAsBoolean());
     }
 
     /** When the last request was sent that the state service answered with our being the leader. */
@@ -113,9 +114,9 @@
         return confirmedMicros;
     }
 
-    /** The owner on record, or null. */
-    String ownerNode() {
-        Map<String, Object> v = mirror.value(Keys.LEADER);
+    /** The leader on record, or null. */
+    String leaderNode() {
+        Map<String, Object> v = replica.value(Keys.LEADER);
         return v == null ? null : Fields.textOf(v, "node");
     }
 
@@ -128,13 +129,13 @@
 
     /** The leader record changed. */
     void leaderChanged() {
-        Map<String, Object> v = mirror.value(Keys.LEADER);
+        Map<String, Object> v = replica.value(Keys.LEADER);
         if (term != null) {
             boolean mine = v != null
                     && config.incarnation().equals(Fields.textOf(v, "incarnation"))
-                    && Fields.longOf(v, "baton", 0) == term.baton();
-            if (!mine && mirror.stamp(Keys.LEADER) != term.leaderStamp()) {
-                depose(v == null ? "our lease ran out" : "taken over by " + Fields.textOf(v, "node"));
+                    && Fields.longOf(v, "baton", 0) == term.fencingToken();
+            if (!mine && replica.stamp(Keys.LEADER) != term.leaderStamp()) {
+                loseLeadership(v == null ? "our lease ran out" : "taken over by " + Fields.textOf(v, "node"));
             }
         } else if (v == null && phase == Phase.FOLLOWING) {
             considerCampaign();
@@ -148,38 +149,38 @@
             considerCampaign();
             return;
         }
-        if (now >= touchDueMicros && !touching) {
-            touch();
+        if (now >= renewDueMicros && !renewing) {
+            renew();
         }
-        reckon();
+        refreshPhase();
     }
 
     /**
      * Checks the phase against the time that has passed. A process that stood still goes on with whatever came first,
      * a report that waited or a timer, in the phase from before its pause, while a successor may hold the machines.
      * The time counts from the older of two words: that the lease is ours, and that the records were read. A
-     * cancellation shows in the records alone, and touches may get through while reads don't; when an outage ends the
-     * first touch comes before the first read.
+     * cancellation shows in the records alone, and renewals may get through while reads don't; when an outage ends the
+     * first renewal comes before the first read.
      */
-    private void reckon() {
+    private void refreshPhase() {
         if (term == null) {
             return;
         }
-        long sinceWord = timers.nowMicros() - Math.min(confirmedMicros, mirror.lastContactMicros());
-        if (sinceWord <= Math.min(config.tuning().leaderLeaseMicros(), config.holdMicros())) {
+        long sinceContactMicros = timers.nowMicros() - Math.min(confirmedMicros, replica.lastContactMicros());
+        if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), config.maxDisconnectedMicros())) {
             transition(Phase.LEADING, "the state service answers");
-        } else if (sinceWord <= config.holdMicros()) {
-            transition(Phase.HOLDING, "no answer from the state service");
+        } else if (sinceContactMicros <= config.maxDisconnectedMicros()) {
+            transition(Phase.DISCONNECTED, "no answer from the state service");
         } else {
             transition(Phase.SILENT, "a cancellation could have been missed for too long");
         }
     }
 
     private void considerCampaign() {
-        if (phase != Phase.FOLLOWING || !mirror.loaded() || timers.nowMicros() < quietUntilMicros) {
+        if (phase != Phase.FOLLOWING || !replica.loaded() || timers.nowMicros() < quietUntilMicros) {
             return;
         }
-        Map<String, Object> v = mirror.value(Keys.LEADER);
+        Map<String, Object> v = replica.value(Keys.LEADER);
         // A leader of our own name and another incarnation is our former process, and that has ended.
         boolean formerSelf = v != null
                 && config.node().equals(Fields.textOf(v, "node"))
@@ -194,62 +195,63 @@
         long began = timers.nowMicros();
         state.openLease(config.tuning().leaderLeaseMicros(), leased -> {
             if (leased.outcome() != Outcome.OK) {
-                retreat("no lease to be had");
+                abandonCampaign("no lease to be had");
                 return;
             }
             // The record as it is now: another may have won meanwhile.
-            mirror.barrier(fresh -> {
-                Map<String, Object> v = mirror.value(Keys.LEADER);
+            replica.barrier(fresh -> {
+                Map<String, Object> v = replica.value(Keys.LEADER);
                 boolean free = v == null || (formerSelf && config.node().equals(Fields.textOf(v, "node")));
                 if (!fresh || !free) {
-                    retreat(fresh ? "another was faster" : "can't read the records");
+                    abandonCampaign(fresh ? "another was faster" : "can't read the records");
                 } else {
-                    seize(leased.lease(), began);
+                    acquire(leased.lease(), began);
                 }
             });
         });
     }
 
-    private void seize(long newLease, long began) {
-        Map<String, Object> counter = mirror.value(Keys.BATON);
-        long baton = (counter == null ? 0 : Fields.longOf(counter, "last", 0)) + 1;
+    private void acquire(long newLease, long began) {
+        Map<String, Object> counter = replica.value(Keys.FENCING_TOKEN);
+        long fencingToken = (counter == null ? 0 : Fields.longOf(counter, "last", 0)) + 1;
         List<Guard> guards = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
         Map<String, Object> leader = new LinkedHashMap<>();
         leader.put("node", config.node());
         leader.put("incarnation", config.incarnation());
-        leader.put("baton", baton);
+        leader.put("baton", fencingToken);
         leader.put("at", timers.timeOfDayMicros());
         changes.add(new Change(Keys.LEADER, leader, newLease));
-        changes.add(Change.write(Keys.BATON, batonRecord(config.node(), baton, baton)));
+        changes.add(Change.write(Keys.FENCING_TOKEN, tokenRecord(config.node(), fencingToken, fencingToken)));
         for (Change c : changes) {
-            guards.add(new Guard(c.key(), mirror.stamp(c.key())));
+            guards.add(new Guard(c.key(), replica.stamp(c.key())));
         }
         state.commit(new Txn(guards, changes), answer -> {
             if (answer.outcome() != Outcome.OK) {
-                // If it is carried out all the same, nobody touches the lease and the key goes with it.
-                retreat("takeover " + answer.outcome());
+                // If it is carried out all the same, nobody renews the lease and the key goes with it.
+                abandonCampaign("takeover " + answer.outcome());
                 return;
             }
             lease = newLease;
-            term = new Term(baton, answer.epoch());
+            term = new Term(fencingToken, answer.epoch());
             confirmedMicros = began;
-            touchDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
-            touching = false;
+            renewDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
+            renewing = false;
             for (Change c : changes) {
-                mirror.applied(c.key(), c.value(), answer.epoch());
+                replica.applied(c.key(), c.value(), answer.epoch());
             }
-            transition(Phase.LEADING, "baton " + baton);
+            transition(Phase.LEADING, "fencing token " + fencingToken);
             takeOver(term);
         });
     }
 
     /**
-     * The term begins once the mirror is as new as the write that began it: a late write of the former owner may have
-     * gone in just before ours, and a roster begun by it must not be overlooked. After ours none of its writes can.
+     * The term begins once the replica is as new as the write that began it: a late write of the former leader may
+     * have gone in just before ours, and a machine inventory begun by it must not be overlooked. After ours none of
+     * its writes can.
      */
     private void takeOver(Term ours) {
-        mirror.barrier(fresh -> {
+        replica.barrier(fresh -> {
             if (!ours.equals(term)) {
                 return;
             }
@@ -262,41 +264,42 @@
     }
 
     /**
-     * The owner's record: all machines on the rosters belong to {@code owner} under the baton {@code term}, but for
-     * those whose row names a higher one. It outlives the owner's lease, so no machine is ever without exactly one owner.
+     * The leader's record: all machines of the inventory belong to {@code leader} under the fencing token
+     * {@code term}, but for those whose row names a higher one. It outlives the leader's lease, so no machine is ever
+     * without exactly one leader.
      */
-    static Map<String, Object> batonRecord(String owner, long term, long last) {
-        return Map.of("owner", owner, "term", term, "last", last);
+    static Map<String, Object> tokenRecord(String leader, long term, long last) {
+        return Map.of("owner", leader, "term", term, "last", last);
     }
 
-    private void retreat(String why) {
+    private void abandonCampaign(String why) {
         quietUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
         transition(Phase.FOLLOWING, why);
     }
 
-    private void touch() {
-        touching = true;
+    private void renew() {
+        renewing = true;
         Term ours = term;
         long sent = timers.nowMicros();
-        touchDueMicros = sent + config.tuning().leaderLeaseMicros() / 4;
-        state.touchLease(lease, outcome -> {
+        renewDueMicros = sent + config.tuning().leaderLeaseMicros() / 4;
+        state.renewLease(lease, outcome -> {
             if (!ours.equals(term)) {
                 return;
             }
-            touching = false;
+            renewing = false;
             if (outcome == Outcome.OK) {
                 confirmedMicros = sent;
-                reckon();
+                refreshPhase();
             } else if (outcome == Outcome.NOT_FOUND) {
-                depose("our lease ran out");
+                loseLeadership("our lease ran out");
             } else {
-                LOG.debug("touch of lease {}: {}", lease, outcome);
+                LOG.debug("renewal of lease {}: {}", lease, outcome);
             }
         });
     }
 
     /** Hands the machines over: another can do better. */
-    void abdicate(String why) {
+    void stepDown(String why) {
         if (term == null) {
             return;
         }
@@ -304,15 +307,15 @@
         state.commit(
                 new Txn(List.of(new Guard(Keys.LEADER, term.leaderStamp())), List.of(Change.remove(Keys.LEADER))),
                 answer -> {});
-        quietUntilMicros = timers.nowMicros() + QUIET_AFTER_ABDICATION_MICROS;
-        depose(why);
+        quietUntilMicros = timers.nowMicros() + PAUSE_AFTER_STEPPING_DOWN_MICROS;
+        loseLeadership(why);
     }
 
-    private void depose(String why) {
+    private void loseLeadership(String why) {
         if (term != null) {
             term = null;
             transition(Phase.FOLLOWING, why);
-            listener.deposed(why);
+            listener.leadershipLost(why);
             considerCampaign();
         }
     }
--- a/src/main/java/org/granitepath/coordination/Machine.java
+++ b/src/main/java/org/granitepath/coordination/Machine.java
@@ -6,19 +6,19 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import org.granitepath.bookkeeping.InventoryRecord;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.RosterRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A machine on our roster, or on its way there. */
+/** A machine of our inventory, or on its way there. */
 final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
     private static final int IMAGES_REMEMBERED = 16;
 
     /**
-     * {@code UNCONFIRMED}: not heard under its present baton, so its tasks are not known for certain. {@code
+     * {@code UNCONFIRMED}: not heard under its present fencing token, so its tasks are not known for certain. {@code
      * DRAINING}: takes no new tasks. {@code RETURNING}: the cloud was asked to take it; it may vanish at any moment.
      */
     enum Phase {
@@ -36,15 +36,17 @@
     String address;
     MachineType type;
     Phase phase = Phase.UNCONFIRMED;
-    long baton;
-    /** Whether the state service has this machine on our roster with {@link #baton}. Nothing starts before. */
-    boolean rostered;
+    long fencingToken;
+    /**
+     * Whether the state service has this machine in our inventory with {@link #fencingToken}. Nothing starts before.
+     */
+    boolean recorded;
     /** The value that holds its row on record. */
-    int roster = -1;
+    int inventoryPart = -1;
 
-    boolean wantsNewBaton;
+    boolean needsNewToken;
     /** The same, but only for upkeep, so it can wait. */
-    boolean wantsUpkeep;
+    boolean needsTokenForCleanup;
     /** Taken over with its tasks unknown. */
     boolean inherited;
 
@@ -56,19 +58,19 @@
     boolean probeFailed;
     /** When it was last called. */
     long probedMicros;
-    /** Since when it has not been heard under its present baton. */
+    /** Since when it has not been heard under its present fencing token. */
     long unconfirmedMicros;
     /** From this moment on nobody can have kept the worker's lease alive, provided that we don't either. */
     long leaseOverMicros;
     /**
-     * A baton is on record that was drawn since its latest report and never sent to it: no controller in touch with the
-     * state service lets the worker go on under the one it has. While this holds, it is not called.
+     * A fencing token is on record that was drawn since its latest report and never sent to it: no controller in
+     * contact with the state service lets the worker go on under the one it has. While this holds, it is not called.
      */
     boolean fenced;
 
     boolean callUnderWay;
     /** Idle, but kept as headroom for live services: other work may use it meanwhile. */
-    boolean kept;
+    boolean keptAsHeadroom;
 
     long idleSinceMicros;
     long firstHeardMicros;
@@ -76,10 +78,13 @@
     long rentedMicros;
 
     final Map<TaskId, Placement> placements = new LinkedHashMap<>();
-    /** Attempts started by a direct order, with its baton: a late copy of the order must find them still listed. */
+    /**
+     * Attempts started by a direct command, with its fencing token: a late copy of the order must find them still
+     * listed.
+     */
     final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
-    /** Orders that the latest report calls for: stops of strangers and clean-up. */
-    final List<Order> housekeeping = new ArrayList<>();
+    /** Commands that the latest report calls for: stops of orphaned tasks and clean-up. */
+    final List<WorkerCommand> cleanupCommands = new ArrayList<>();
 
     private final LinkedHashSet<String> images = new LinkedHashSet<>();
     private long cpuUsed;
@@ -104,11 +109,11 @@
     }
 
     boolean takesTasks() {
-        return phase == Phase.READY && rostered && !wantsNewBaton && type != null;
+        return phase == Phase.READY && recorded && !needsNewToken && type != null;
     }
 
     /** Whether a report is overdue by so much that an order would hardly arrive. */
-    boolean quiet(long nowMicros, long reportMicros) {
+    boolean unresponsive(long nowMicros, long reportMicros) {
         return nowMicros - heardMicros > 2 * reportMicros + 1_000_000;
     }
 
@@ -205,7 +210,7 @@
         return s.allowsType(typeName) && s.allowsZone(zone) && (s.spot() || !spot);
     }
 
-    RosterRecord.Host rosterRow(long withBaton) {
-        return new RosterRecord.Host(id, address, typeName, zone, spot, withBaton);
+    InventoryRecord.Host inventoryRow(long withToken) {
+        return new InventoryRecord.Host(id, address, typeName, zone, spot, withToken);
     }
 }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/MachineInventory.java
@@ -0,0 +1,209 @@
+package org.granitepath.coordination;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.granitepath.bookkeeping.Fields;
+import org.granitepath.bookkeeping.InventoryRecord;
+import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.RecordReplica;
+import org.granitepath.bookkeeping.StatePort.Change;
+import org.granitepath.bookkeeping.Timers;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Our machines as they are on record, many to a value, and the fencing tokens that single machines are given anew. */
+final class MachineInventory {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
+    private static final int ROW_BYTES = 110;
+    /** Larger values would only be read over and over by every controller. */
+    private static final int MOST_VALUE_BYTES = 8 * 1024;
+
+    private static final int MOST_TRANSACTION_BYTES = 48 * 1024;
+    private static final long LEAST_GATHER_MICROS = 30_000;
+    /**
+     * Share of the budget that the machine inventory may take: its writes go first, and claims must not starve behind
+     * them.
+     */
+    private static final double WRITE_SHARE = 0.3;
+
+    private static final long CLEANUP_MICROS = 15_000_000;
+
+    private final Config config;
+    private final Leadership.Term term;
+    private final RecordReplica replica;
+    private final WriteQueue writeQueue;
+    private final Map<String, Machine> machines;
+    private final Consumer<Machine> tokenListener;
+    private final Runnable recordedListener;
+    private final int rowsEach;
+    private final int valuesAtOnce;
+    private final Timers timers;
+    /** Before this the next write would take more than the inventory's share of the budget. */
+    private long nextMicros;
+
+    private boolean cleanupTimerSet;
+    private boolean cleanupDue;
+    private final List<Set<String>> values = new ArrayList<>();
+    private final Set<Integer> dirty = new HashSet<>();
+    // What the transaction under way holds.
+    private final List<Machine> withNewToken = new ArrayList<>();
+    private final List<Machine> added = new ArrayList<>();
+    private final List<Integer> written = new ArrayList<>();
+    private long drawn;
+
+    /**
+     * @param tokenListener told of each machine whose new fencing token is on record; {@code recordedListener} of
+     *     each write
+     */
+    MachineInventory(
+            Config config,
+            Leadership.Term term,
+            RecordReplica replica,
+            WriteQueue writeQueue,
+            Timers timers,
+            Map<String, Machine> machines,
+            Consumer<Machine> tokenListener,
+            Runnable recordedListener) {
+        this.timers = timers;
+        this.config = config;
+        this.term = term;
+        this.replica = replica;
+        this.writeQueue = writeQueue;
+        this.machines = machines;
+        this.tokenListener = tokenListener;
+        this.recordedListener = recordedListener;
+        int valueBytes = Math.min(config.valueBytes(), MOST_VALUE_BYTES);
+        this.rowsEach = Math.max(8, valueBytes / ROW_BYTES);
+        this.valuesAtOnce = Math.max(1, Math.min(config.txnOps() - 2, MOST_TRANSACTION_BYTES / valueBytes));
+    }
+
+    /** The machines on record when the term began; all are ours under the term's fencing token. */
+    List<Machine> takeOver() {
+        List<Machine> inherited = new ArrayList<>();
+        for (int i = 0; replica.value(Keys.INVENTORY + i) != null; i++) {
+            Set<String> row = new LinkedHashSet<>();
+            for (InventoryRecord.Host h :
+                    InventoryRecord.fromMap(replica.value(Keys.INVENTORY + i)).hosts()) {
+                Machine m = new Machine(h.id(), h.address(), h.type(), h.zone(), h.spot());
+                m.inventoryPart = i;
+                m.recorded = true;
+                m.fencingToken = term.fencingToken();
+                inherited.add(m);
+                row.add(m.id);
+            }
+            values.add(row);
+        }
+        return inherited;
+    }
+
+    void add(Machine m) {
+        int at = 0;
+        while (at < values.size() && values.get(at).size() >= rowsEach) {
+            at++;
+        }
+        if (at == values.size()) {
+            values.add(new LinkedHashSet<>());
+        }
+        values.get(at).add(m.id);
+        m.inventoryPart = at;
+        changed(at);
+    }
+
+    void remove(Machine m) {
+        values.get(m.inventoryPart).remove(m.id);
+        changed(m.inventoryPart);
+    }
+
+    /** A direct command has no answer: only a higher fencing token makes sure that it can't be carried out late. */
+    void requestToken(Machine m, String why) {
+        if (!m.needsNewToken && m.phase != Machine.Phase.GONE) {
+            LOG.info("machine {} wants a new fencing token: {}", m.id, why);
+            m.needsNewToken = true;
+            changed(m.inventoryPart);
+        }
+    }
+
+    /**
+     * The machine needs a higher fencing token some time, only so that its exited attempts can be cleared: it gets
+     * one together with others, and takes tasks until then.
+     */
+    void requestTokenForCleanup(Machine m) {
+        m.needsTokenForCleanup = true;
+        if (!cleanupTimerSet) {
+            cleanupTimerSet = true;
+            timers.after(CLEANUP_MICROS, () -> {
+                cleanupTimerSet = false;
+                cleanupDue = true;
+                machines.values().stream()
+                        .filter(each -> each.needsTokenForCleanup)
+                        .forEach(each -> changed(each.inventoryPart));
+            });
+        }
+    }
+
+    private void changed(int value) {
+        dirty.add(value);
+        long delay = Math.max(LEAST_GATHER_MICROS, nextMicros - timers.nowMicros());
+        writeQueue.enqueue("rosters", WriteQueue.Urgency.SAFETY, delay, this::changes, epoch -> recorded());
+    }
+
+    private List<Change> changes() {
+        dirty.addAll(written); // the transaction before this one failed
+        withNewToken.clear();
+        added.clear();
+        written.clear();
+        Map<String, Object> counter = replica.value(Keys.FENCING_TOKEN);
+        drawn = (counter == null ? term.fencingToken() : Fields.longOf(counter, "last", term.fencingToken())) + 1;
+        List<Change> changes = new ArrayList<>();
+        for (int i = 0; i < values.size() && written.size() < valuesAtOnce; i++) {
+            if (!dirty.contains(i)) {
+                continue;
+            }
+            List<InventoryRecord.Host> hosts = new ArrayList<>();
+            for (String id : values.get(i)) {
+                Machine m = machines.get(id);
+                m.needsNewToken |= cleanupDue && m.needsTokenForCleanup;
+                if (m.needsNewToken) {
+                    withNewToken.add(m);
+                }
+                if (!m.recorded) {
+                    added.add(m);
+                }
+                hosts.add(m.inventoryRow(m.needsNewToken ? drawn : m.fencingToken));
+            }
+            written.add(i);
+            changes.add(Change.write(Keys.INVENTORY + i, new InventoryRecord(hosts).toMap()));
+        }
+        // A change that comes while the transaction is under way makes its value dirty once more.
+        dirty.removeAll(written);
+        if (!withNewToken.isEmpty()) {
+            changes.add(Change.write(
+                    Keys.FENCING_TOKEN, Leadership.tokenRecord(config.node(), term.fencingToken(), drawn)));
+        }
+        nextMicros = timers.nowMicros() + (long) (changes.size() * 1e6 / (writeQueue.writesPerSecond() * WRITE_SHARE));
+        return changes;
+    }
+
+    private void recorded() {
+        written.clear();
+        cleanupDue &= !dirty.isEmpty();
+        for (Machine m : added) {
+            m.recorded = true;
+        }
+        for (Machine m : withNewToken) {
+            m.needsNewToken = false;
+            m.needsTokenForCleanup = false;
+            m.fencingToken = drawn;
+            tokenListener.accept(m);
+        }
+        if (!dirty.isEmpty()) {
+            changed(dirty.iterator().next());
+        }
+        recordedListener.run();
+    }
+}
--- a/src/main/java/org/granitepath/coordination/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/PeerPort.java
@@ -10,14 +10,14 @@
      * @param contactAgeMicros how long ago the state service last brought this controller up to date; negative: never
      * @param turnedAway how many machines lately reported to this controller although it does not own them
      */
-    record Greeting(String node, long contactAgeMicros, boolean owner, int turnedAway) {}
+    record PeerStatus(String node, long contactAgeMicros, boolean leader, int turnedAway) {}
 
     /** A cancellation that is on record, with the stamp of its record. */
-    record Cancelled(String job, long stamp) {}
+    record CancellationNotice(String job, long stamp) {}
 
     /** Tells a peer of it; answered with whether it has taken that in. No rule rests on its arrival. */
-    void tell(String peer, Cancelled word, Consumer<Boolean> then);
+    void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then);
 
     /** Tells a peer how we are; answered with how it is, or null. */
-    void greet(String peer, Greeting ours, Consumer<Greeting> then);
+    void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then);
 }
--- a/src/main/java/org/granitepath/coordination/Peers.java
+++ b/src/main/java/org/granitepath/coordination/Peers.java
@@ -7,22 +7,22 @@
 
 /**
  * How the other controllers are. An outage of the state service and a cut of our own path to it look alike from here;
- * a peer that is in touch tells them apart.
+ * a peer that is in contact tells them apart.
  */
 final class Peers {
     private static final long TICK_MICROS = 1_000_000;
     private static final long FRESH_MICROS = 3_500_000;
     private static final long SURELY_OVER_MICROS = 100_000;
 
-    private record Heard(PeerPort.Greeting greeting, long atMicros) {}
+    private record Heard(PeerPort.PeerStatus status, long atMicros) {}
 
     private final Config config;
     private final PeerPort port;
     private final Timers timers;
-    private final Supplier<PeerPort.Greeting> ours;
+    private final Supplier<PeerPort.PeerStatus> ours;
     private final Map<String, Heard> heard = new HashMap<>();
 
-    Peers(Config config, PeerPort port, Timers timers, Supplier<PeerPort.Greeting> ours) {
+    Peers(Config config, PeerPort port, Timers timers, Supplier<PeerPort.PeerStatus> ours) {
         this.config = config;
         this.port = port;
         this.timers = timers;
@@ -36,7 +36,7 @@
     private void tick() {
         timers.after(TICK_MICROS, this::tick);
         for (String peer : config.peers()) {
-            port.greet(peer, ours.get(), answer -> {
+            port.exchangeStatus(peer, ours.get(), answer -> {
                 if (answer != null) {
                     take(answer);
                 }
@@ -44,8 +44,8 @@
         }
     }
 
-    void take(PeerPort.Greeting greeting) {
-        heard.put(greeting.node(), new Heard(greeting, timers.nowMicros()));
+    void take(PeerPort.PeerStatus status) {
+        heard.put(status.node(), new Heard(status, timers.nowMicros()));
     }
 
     /** The most machines that one peer lately turned away; negative when no peer has been heard. */
@@ -53,12 +53,14 @@
         long now = timers.nowMicros();
         return heard.values().stream()
                 .filter(h -> now - h.atMicros() < FRESH_MICROS)
-                .mapToInt(h -> h.greeting().turnedAway())
+                .mapToInt(h -> h.status().turnedAway())
                 .max()
                 .orElse(-1);
     }
 
-    /** Whether every peer was lately heard and told that the state service had not answered it for so long, or never. */
+    /**
+     * Whether every peer was lately heard and told that the state service had not answered it for so long, or never.
+     */
     boolean allOutOfTouch(long ageMicros) {
         long now = timers.nowMicros();
         for (String peer : config.peers()) {
@@ -66,7 +68,7 @@
             if (h == null || now - h.atMicros() >= FRESH_MICROS) {
                 return false;
             }
-            long age = h.greeting().contactAgeMicros();
+            long age = h.status().contactAgeMicros();
             if (age >= 0 && age <= ageMicros) {
                 return false;
             }
@@ -75,15 +77,15 @@
     }
 
     /**
-     * Passes a cancellation on that is on record. {@code then} runs once no task of the job is started any more: when the
-     * owner has taken it in, or when an owner that we don't reach can no longer count as in touch with the records, nor
-     * go by an earlier greeting of ours that told it that we were out of touch.
+     * Passes a cancellation on that is on record. {@code then} runs once no task of the job is started any more: when
+     * the leader has taken it in, or when a leader that we don't reach can no longer count as in contact with the
+     * records, nor go by an earlier status message of ours that told it that we were out of contact.
      */
-    void tellCancelled(PeerPort.Cancelled word, String owner, Runnable then) {
-        boolean[] over = {!config.peers().contains(owner)};
+    void announceCancellation(PeerPort.CancellationNotice notice, String leader, Runnable then) {
+        boolean[] over = {!config.peers().contains(leader)};
         for (String peer : config.peers()) {
-            port.tell(peer, word, taken -> {
-                if (taken && peer.equals(owner) && !over[0]) {
+            port.sendCancellation(peer, notice, taken -> {
+                if (taken && peer.equals(leader) && !over[0]) {
                     over[0] = true;
                     then.run();
                 }
@@ -102,18 +104,18 @@
         });
     }
 
-    /** Whether the owner was lately heard. */
-    boolean ownerHeard() {
+    /** Whether the leader was lately heard. */
+    boolean leaderHeard() {
         long now = timers.nowMicros();
         return heard.values().stream()
-                .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.greeting().owner());
+                .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.status().leader());
     }
 
     /** Whether a peer lately had word from the state service, at most {@code ageMicros} old when it told us. */
     boolean anyInTouch(long ageMicros) {
         long now = timers.nowMicros();
         for (Heard h : heard.values()) {
-            long age = h.greeting().contactAgeMicros();
+            long age = h.status().contactAgeMicros();
             if (now - h.atMicros() < FRESH_MICROS && age >= 0 && age <= ageMicros) {
                 return true;
             }
--- a/src/main/java/org/granitepath/coordination/Placement.java
+++ b/src/main/java/org/granitepath/coordination/Placement.java
@@ -26,13 +26,13 @@
 
     final long placedMicros;
     Phase phase = Phase.ASSIGNED;
-    /** A direct start without an answer yet, and the baton it carries: it may be carried out late. */
-    long unansweredBaton;
+    /** A direct start without an answer yet, and the fencing token it carries: it may be carried out late. */
+    long unansweredToken;
     /** Went out in the answer to a report: only a later report, not a direct answer, tells whether it was taken. */
     boolean sentInAnswer;
 
     boolean seen;
-    /** Ours, or listed by a report under the present baton: then the task can be nowhere else. */
+    /** Ours, or listed by a report under the present fencing token: then the task can be nowhere else. */
     boolean certain = true;
     /** Found on the machine: when it began is not known. */
     boolean takenOver;
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -86,7 +86,10 @@
     private double headroomSpare = Double.MAX_VALUE;
     private int newMachines;
 
-    /** @param refused offers of which the cloud lately had none; {@code cutOff} zones whose machines would not be heard */
+    /**
+     * @param refused offers of which the cloud lately had none; {@code cutOff} zones whose machines would not be
+     *     heard
+     */
     RentalPlan(Config config, Dispatcher dispatcher, Predicate<String> refused, Predicate<String> cutOff, long now) {
         this.config = config;
         this.dispatcher = dispatcher;
@@ -103,15 +106,15 @@
 
     void make(Collection<ActiveJob> wanting) {
         List<ActiveJob> waiting = new ArrayList<>(wanting);
-        waiting.sort(Comparator.comparing((ActiveJob j) -> j.spec.rank()).thenComparing(j -> j.acceptedMicros));
+        waiting.sort(Comparator.comparing((ActiveJob j) -> j.spec.priority()).thenComparing(j -> j.acceptedMicros));
         for (ActiveJob job : waiting) {
-            if (Outlook.isLive(job)) {
+            if (BatchPlanner.isLive(job)) {
                 alikeLeft.addTo(Alike.of(job.spec), job.waiting());
             }
         }
         boolean liveDone = false;
         for (ActiveJob job : waiting) {
-            if (!liveDone && !Outlook.isLive(job)) {
+            if (!liveDone && !BatchPlanner.isLive(job)) {
                 // What is on its way is headroom once the live services at hand have theirs, whatever else wants it.
                 planHeadroom();
                 liveDone = true;
@@ -128,8 +131,8 @@
         Purchase best = null;
         for (var e : counts.entrySet()) {
             Purchase p = new Purchase(offers.get(e.getKey()), e.getValue());
-            boolean live = Outlook.isLive(p.offer().job());
-            boolean bestLive = best != null && Outlook.isLive(best.offer().job());
+            boolean live = BatchPlanner.isLive(p.offer().job());
+            boolean bestLive = best != null && BatchPlanner.isLive(best.offer().job());
             if (best == null || (live && !bestLive) || (live == bestLive && p.count() > best.count())) {
                 best = p;
             }
@@ -143,7 +146,7 @@
     }
 
     double drainMicros() {
-        return dispatcher.outlook().drainMicros(roomComing);
+        return dispatcher.batchPlanner().drainMicros(roomComing);
     }
 
     private void buy(Offer offer, int count) {
@@ -156,7 +159,7 @@
      * boots. Lower work may use it meanwhile.
      */
     private void planHeadroom() {
-        ActiveJob newest = dispatcher.arrivals().newest();
+        ActiveJob newest = dispatcher.arrivalRate().newest();
         if (newest == null) {
             return;
         }
@@ -183,7 +186,7 @@
             return;
         }
         double wanted = Math.min(
-                dispatcher.arrivals().cpuPerMicro(now) * offer.type().bootMicros(),
+                dispatcher.arrivalRate().cpuPerMicro(now) * offer.type().bootMicros(),
                 config.tuning().headroomShare() * live);
         headroomSpare = room - wanted;
         if (room < wanted) {
@@ -202,11 +205,11 @@
         int left = Math.min(job.waiting(), MOST_PLANNED);
         Alike alike = Alike.of(spec);
         // From here on the class lacks what the jobs after this one want.
-        int others = Outlook.isLive(job) ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
-        boolean patient = dispatcher.outlook().patient(job, roomComing, now);
+        int others = BatchPlanner.isLive(job) ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
+        boolean deferrable = dispatcher.batchPlanner().deferrable(job, roomComing, now);
         for (Bin bin : bins) {
             while (left > 0
-                    && (bin.spot || !patient)
+                    && (bin.spot || !deferrable)
                     && zoneCounts.getOrDefault(bin.zone, 0) < spec.zoneCap()
                     && bin.take(spec)) {
                 zoneCounts.merge(bin.zone, 1, Integer::sum);
@@ -215,7 +218,8 @@
         }
         while (left > 0 && newMachines < MOST_MACHINES) {
             newMachines++;
-            Offer offer = cheapest(job, !dispatcher.outlook().patient(job, roomComing, now), left + others, zoneCounts);
+            Offer offer = cheapest(
+                    job, !dispatcher.batchPlanner().deferrable(job, roomComing, now), left + others, zoneCounts);
             if (offer == null) {
                 return;
             }
@@ -239,8 +243,9 @@
         JobSpec spec = job.spec;
         Offer best = null;
         double bestCost = Double.POSITIVE_INFINITY;
-        long horizon =
-                spec.service() ? SERVICE_HORIZON_MICROS : dispatcher.estimates().taskMicros(job);
+        long horizon = spec.service()
+                ? SERVICE_HORIZON_MICROS
+                : dispatcher.runtimeEstimator().taskMicros(job);
         for (MachineType type : dispatcher.types().values()) {
             if (!type.fits(spec)) {
                 continue;
--- a/src/main/java/org/granitepath/coordination/Estimates.java
+++ b/src/main/java/org/granitepath/coordination/RuntimeEstimator.java
@@ -7,7 +7,7 @@
  * How long tasks really run. Owners' estimates are often wrong by half, on some days all in one direction; what has
  * finished corrects them, by class and, once some of its tasks are done, by job.
  */
-final class Estimates {
+final class RuntimeEstimator {
     /** How many finished tasks it takes to outweigh the owners' word. */
     private static final double CLASS_PRIOR = 10;
 
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import java.util.PriorityQueue;
 import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 import org.granitepath.bookkeeping.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -15,15 +15,15 @@
 /** The order of jobs and the choice of machines: again and again one task to the job with the lowest share. */
 final class Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
-    private static final long ROOM_PATIENCE_MICROS = 1_500_000;
+    private static final long IMAGE_WAIT_MICROS = 1_500_000;
     /** A machine on which tasks failed lately comes after all others. */
     private static final double SUSPECT_PENALTY = 100;
 
-    private record Candidate(ActiveJob job, Outlook.Turn turn, double share) {}
+    private record Candidate(ActiveJob job, BatchPlanner.SchedulingClass schedulingClass, double share) {}
 
-    private static final Comparator<Candidate> LOWEST_FIRST = Comparator.comparing(Candidate::turn)
+    private static final Comparator<Candidate> LOWEST_FIRST = Comparator.comparing(Candidate::schedulingClass)
             .thenComparingDouble(Candidate::share)
-            .thenComparing(c -> c.job().spec.rank())
+            .thenComparing(c -> c.job().spec.priority())
             .thenComparingLong(c -> c.job().acceptedMicros);
 
     /** What a task needs. When one finds no room, none that needs as much or more at the same places does either. */
@@ -35,15 +35,15 @@
             String zone,
             List<String> closedZones,
             boolean spot,
-            boolean patient,
-            Rank rank) {
+            boolean deferrable,
+            Priority priority) {
         boolean atMost(Needs other) {
             return cpu <= other.cpu
                     && gpu <= other.gpu
                     && memory <= other.memory
                     && spot == other.spot
-                    && patient == other.patient
-                    && rank == other.rank
+                    && deferrable == other.deferrable
+                    && priority == other.priority
                     && Objects.equals(types, other.types)
                     && Objects.equals(zone, other.zone)
                     && closedZones.equals(other.closedZones);
@@ -58,35 +58,40 @@
     private final Collection<Machine> machines;
     private final Timers timers;
     private final FairShare fairShare;
-    private final Outlook outlook;
-    private final RoomMaker roomMaker;
+    private final BatchPlanner batchPlanner;
+    private final Preemptor preemptor;
     /** Machines that take tasks and have some room, in this pass. */
     private final List<Machine> roomy = new ArrayList<>();
 
-    Scheduler(Config config, Dispatcher dispatcher, Collection<Machine> machines, Timers timers, Outlook outlook) {
+    Scheduler(
+            Config config,
+            Dispatcher dispatcher,
+            Collection<Machine> machines,
+            Timers timers,
+            BatchPlanner batchPlanner) {
         this.config = config;
         this.dispatcher = dispatcher;
         this.machines = machines;
         this.timers = timers;
-        this.outlook = outlook;
+        this.batchPlanner = batchPlanner;
         this.fairShare = new FairShare(config.tuning());
-        this.roomMaker = new RoomMaker(dispatcher, machines);
+        this.preemptor = new Preemptor(dispatcher, machines);
     }
 
     /** One pass, until nothing more fits. */
     void pass() {
         long now = timers.nowMicros();
-        outlook.look(now);
+        batchPlanner.update(now);
         PriorityQueue<Candidate> queue = candidates(now);
         if (queue.isEmpty()) {
             return;
         }
         findRoom(queue, now);
-        List<Needs> hopeless = new ArrayList<>();
+        List<Needs> unplaceable = new ArrayList<>();
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
             Needs needs = needs(job);
-            if (hopeless.stream().anyMatch(h -> h.atMost(needs))
+            if (unplaceable.stream().anyMatch(h -> h.atMost(needs))
                     || !dispatcher.teamAllows(job.spec)
                     || !dispatcher.faults().mayStartAnother(job)) {
                 continue;
@@ -99,21 +104,21 @@
             }
             Machine m = pick(job, now);
             if (m == null) {
-                hopeless.add(needs);
-                roomMaker.makeRoom(job, job.waiting() + waitingAlike(queue, needs), false, now);
+                unplaceable.add(needs);
+                preemptor.makeRoom(job, job.waiting() + waitingAlike(queue, needs), false, now);
                 continue;
             }
             // A moment's patience gets a live replica onto a machine that already has its image.
-            if (Outlook.isLive(job)
+            if (BatchPlanner.isLive(job)
                     && !m.hasImage(job.spec.image())
-                    && now - job.waitingSinceMicros < ROOM_PATIENCE_MICROS
-                    && roomMaker.makeRoom(job, 1, true, now) > 0) {
+                    && now - job.waitingSinceMicros < IMAGE_WAIT_MICROS
+                    && preemptor.makeRoom(job, 1, true, now) > 0) {
                 continue;
             }
             dispatcher.start(job, m, now);
             dispatcher.claim(job);
             if (job.waiting() > 0 && job.hasClaimedTask()) {
-                job.patient = patient(job, now);
+                job.deferrable = deferrable(job, now);
                 queue.add(candidate(job));
             }
         }
@@ -134,7 +139,7 @@
                 job.waitingSinceMicros = now;
             }
             if (job.hasClaimedTask()) {
-                job.patient = patient(job, now);
+                job.deferrable = deferrable(job, now);
                 queue.add(candidate(job));
             }
         }
@@ -142,10 +147,10 @@
     }
 
     /** However well a job could wait, it is not left without a start for long while room stands empty. */
-    private boolean patient(ActiveJob job, long now) {
+    private boolean deferrable(ActiveJob job, long now) {
         return now - Math.max(job.waitingSinceMicros, job.lastStartMicros) < LONGEST_BESIDE_ROOM_MICROS
-                && !outlook.mustStartAtOnce(job)
-                && outlook.patient(job, 0, now);
+                && !batchPlanner.mustStartAtOnce(job)
+                && batchPlanner.deferrable(job, 0, now);
     }
 
     private void findRoom(Collection<Candidate> wanting, long now) {
@@ -157,7 +162,7 @@
         }
         roomy.clear();
         for (Machine m : machines) {
-            if (m.takesTasks() && m.hasFree(cpu, memory) && !m.quiet(now, config.reportMicros())) {
+            if (m.takesTasks() && m.hasFree(cpu, memory) && !m.unresponsive(now, config.reportMicros())) {
                 roomy.add(m);
             }
         }
@@ -186,15 +191,16 @@
                 s.zone(),
                 closed,
                 s.spot(),
-                job.patient,
-                s.rank());
+                job.deferrable,
+                s.priority());
     }
 
     private Candidate candidate(ActiveJob job) {
         return new Candidate(
                 job,
-                Outlook.isLive(job) ? Outlook.Turn.LIVE : job.turn,
-                fairShare.share(job.spec.rank(), job.spec.hasDeadline(), job.spec.tasks(), job.left(), job.running()));
+                BatchPlanner.isLive(job) ? BatchPlanner.SchedulingClass.LIVE : job.schedulingClass,
+                fairShare.share(
+                        job.spec.priority(), job.spec.hasDeadline(), job.spec.tasks(), job.left(), job.running()));
     }
 
     // ---- machines ----------------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/WorkerPort.java
@@ -6,7 +6,7 @@
 /** Direct calls to workers. Every call answers once, later, on the event loop. */
 public interface WorkerPort {
     /** {@code executed} false: refused, or no answer at all; then {@code report} is null when nothing was heard. */
-    record Reply(boolean executed, Beat report) {}
+    record Reply(boolean executed, Heartbeat report) {}
 
-    void send(String address, long baton, long session, List<Order> orders, Consumer<Reply> then);
+    void send(String address, long fencingToken, long session, List<WorkerCommand> commands, Consumer<Reply> then);
 }
--- a/src/main/java/org/granitepath/coordination/Ledger.java
+++ b/src/main/java/org/granitepath/coordination/WriteQueue.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import org.granitepath.bookkeeping.Mirror;
+import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.StatePort.Change;
 import org.granitepath.bookkeeping.StatePort.Guard;
@@ -19,17 +19,17 @@
 
 /**
  * Writes of one controller, gathered into transactions within its share of the write budget. One transaction is under
- * way at a time; each change is guarded by the stamp that the mirror has of its key, so a late copy of a transaction
+ * way at a time; each change is guarded by the stamp that the replica has of its key, so a late copy of a transaction
  * fails. Contents are produced when the transaction is built, so what goes out is always the latest.
  */
-public final class Ledger {
-    private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+public final class WriteQueue {
+    private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
     private static final long RETRY_MICROS = 300_000;
     private static final long REFUSED_MICROS = 100_000;
     private static final int TXN_BYTES = 48 * 1024;
-    private static final double KEPT_FROM_NEWS = 0.3;
+    private static final double RESERVED_FROM_PROGRESS = 0.3;
     private static final int BEHIND_SECONDS = 3;
-    /** How an elastic ledger yields when the service refuses, and takes up again when it does not. */
+    /** How an elastic write queue yields when the service refuses, and takes up again when it does not. */
     private static final double LEAST_RATE = 0.03;
 
     private static final double RATE_STEP = 0.01;
@@ -38,20 +38,20 @@
     public enum Urgency {
         SAFETY,
         WORK,
-        NEWS
+        PROGRESS_ONLY
     }
 
     /** One thing to be written: a few changes that belong together. */
     private record Entry(Urgency urgency, Supplier<List<Change>> content, LongConsumer committed, long dueMicros) {}
 
     private final StatePort state;
-    private final Mirror mirror;
+    private final RecordReplica replica;
     private final Timers timers;
     private final int txnOps;
     private final double writesPerSecond;
     private final Supplier<List<Guard>> fence;
     private final BooleanSupplier open;
-    private final Map<String, Entry> wanted = new LinkedHashMap<>();
+    private final Map<String, Entry> pending = new LinkedHashMap<>();
     private boolean busy;
     private boolean behind;
     /** Changes to a transaction, at present. */
@@ -61,18 +61,18 @@
     private double tokens;
     private long tokensAtMicros;
     private final boolean elastic;
-    /** What an elastic ledger takes of its share at present. */
+    /** What an elastic write queue takes of its share at present. */
     private double rate;
 
     /**
      * @param elastic whether to write less when the service refuses: the shares of all controllers add up to more than
-     *     there is, so that one alone can use it, and the owner's writes are not to suffer for that
+     *     there is, so that one alone can use it, and the leader's writes are not to suffer for that
      * @param fence guards on every transaction
      * @param open whether to write at all; once false, false for ever
      */
-    public Ledger(
+    public WriteQueue(
             StatePort state,
-            Mirror mirror,
+            RecordReplica replica,
             Timers timers,
             int txnOps,
             double writesPerSecond,
@@ -82,7 +82,7 @@
         this.elastic = elastic;
         this.rate = writesPerSecond;
         this.state = state;
-        this.mirror = mirror;
+        this.replica = replica;
         this.timers = timers;
         this.txnOps = txnOps;
         this.mostAtOnce = txnOps;
@@ -106,11 +106,11 @@
      * Asks for a write. A later wish under the same name replaces an earlier one, but never puts it off. An empty
      * content withdraws it.
      */
-    public void want(
+    public void enqueue(
             String name, Urgency urgency, long delayMicros, Supplier<List<Change>> content, LongConsumer committed) {
         long due = timers.nowMicros() + delayMicros;
-        Entry old = wanted.get(name);
-        wanted.put(
+        Entry old = pending.get(name);
+        pending.put(
                 name,
                 old == null
                         ? new Entry(urgency, content, committed, due)
@@ -123,14 +123,14 @@
     }
 
     private void pump() {
-        if (busy || wanted.isEmpty() || !open.getAsBoolean()) {
+        if (busy || pending.isEmpty() || !open.getAsBoolean()) {
             return;
         }
         long now = timers.nowMicros();
         tokens = Math.min(Math.max(1, rate), tokens + (now - tokensAtMicros) * rate / 1e6);
         tokensAtMicros = now;
         long wait = Long.MAX_VALUE;
-        for (Entry e : wanted.values()) {
+        for (Entry e : pending.values()) {
             wait = Math.min(wait, e.dueMicros() - now);
         }
         if (wait <= 0 && tokens < 1) {
@@ -149,13 +149,13 @@
         }
         List<Guard> guards = new ArrayList<>(fence.get());
         for (Change c : changes) {
-            guards.add(new Guard(c.key(), mirror.stamp(c.key())));
+            guards.add(new Guard(c.key(), replica.stamp(c.key())));
         }
         busy = true;
         tokens -= changes.size();
-        wanted.keySet().removeAll(sent.keySet());
-        behind = wanted.values().stream()
-                        .filter(e -> e.urgency() != Urgency.NEWS)
+        pending.keySet().removeAll(sent.keySet());
+        behind = pending.values().stream()
+                        .filter(e -> e.urgency() != Urgency.PROGRESS_ONLY)
                         .count()
                 > BEHIND_SECONDS * writesPerSecond;
         state.commit(new Txn(guards, changes), answer -> {
@@ -166,7 +166,7 @@
             }
             if (answer.outcome() == Outcome.OK) {
                 for (Change c : changes) {
-                    mirror.applied(c.key(), c.value(), answer.epoch());
+                    replica.applied(c.key(), c.value(), answer.epoch());
                 }
                 busy = false;
                 mostAtOnce = Math.min(txnOps, mostAtOnce + 1);
@@ -177,7 +177,7 @@
                 return;
             }
             LOG.debug("transaction on {} ended {} {}", sent.keySet(), answer.outcome(), answer.failed());
-            sent.forEach(wanted::putIfAbsent);
+            sent.forEach(pending::putIfAbsent);
             if (answer.outcome() == Outcome.REFUSED) {
                 // Not carried out. A small transaction gets through sooner where others draw on the same budget.
                 mostAtOnce = Math.max(1, changes.size() / 2);
@@ -199,9 +199,10 @@
         List<String> withdrawn = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
             // News leave part of the budget free, so that what is urgent need not wait for it.
-            int room =
-                    urgency != Urgency.NEWS ? most : Math.min(most, (int) (tokens - writesPerSecond * KEPT_FROM_NEWS));
-            for (var named : wanted.entrySet()) {
+            int room = urgency != Urgency.PROGRESS_ONLY
+                    ? most
+                    : Math.min(most, (int) (tokens - writesPerSecond * RESERVED_FROM_PROGRESS));
+            for (var named : pending.entrySet()) {
                 Entry e = named.getValue();
                 if (changes.size() >= room) {
                     break;
@@ -225,13 +226,13 @@
                 sent.put(named.getKey(), e);
             }
         }
-        wanted.keySet().removeAll(withdrawn);
+        pending.keySet().removeAll(withdrawn);
     }
 
     private void readBack(long delayMicros) {
         timers.after(
                 delayMicros,
-                () -> mirror.barrier(fresh -> {
+                () -> replica.barrier(fresh -> {
                     if (!open.getAsBoolean()) {
                         return;
                     }
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -1,8 +1,8 @@
 package org.granitepath.protocol;
 
 import java.io.IOException;
-import org.granitepath.coordination.PeerPort.Cancelled;
-import org.granitepath.coordination.PeerPort.Greeting;
+import org.granitepath.coordination.PeerPort.CancellationNotice;
+import org.granitepath.coordination.PeerPort.PeerStatus;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -16,13 +16,13 @@
 
     private PeerCodec() {}
 
-    public static byte[] encode(Greeting g) {
+    public static byte[] encode(PeerStatus g) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packArrayHeader(FIELDS)
                     .packInt(VERSION)
                     .packString(g.node())
                     .packLong(g.contactAgeMicros())
-                    .packBoolean(g.owner())
+                    .packBoolean(g.leader())
                     .packInt(g.turnedAway());
             return packer.toByteArray();
         } catch (IOException e) {
@@ -30,12 +30,12 @@
         }
     }
 
-    public static byte[] encode(Cancelled word) {
+    public static byte[] encode(CancellationNotice notice) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packArrayHeader(CANCELLED_FIELDS)
                     .packInt(VERSION)
-                    .packString(word.job())
-                    .packLong(word.stamp());
+                    .packString(notice.job())
+                    .packLong(notice.stamp());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("packing in memory failed", e);
@@ -43,25 +43,25 @@
     }
 
     /** Null when it is no word of a cancellation that we understand. */
-    public static Cancelled decodeCancelled(byte[] bytes) {
+    public static CancellationNotice decodeCancelled(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < CANCELLED_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
             }
-            Cancelled word = new Cancelled(unpacker.unpackString(), unpacker.unpackLong());
-            return SubmissionCodec.isJobId(word.job()) && word.stamp() > 0 ? word : null;
+            CancellationNotice notice = new CancellationNotice(unpacker.unpackString(), unpacker.unpackLong());
+            return SubmissionCodec.isJobId(notice.job()) && notice.stamp() > 0 ? notice : null;
         } catch (IOException | MessagePackException e) {
             return null;
         }
     }
 
-    /** Null when it is no greeting that we understand. */
-    public static Greeting decode(byte[] bytes) {
+    /** Null when it is no status message that we understand. */
+    public static PeerStatus decode(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
             }
-            return new Greeting(
+            return new PeerStatus(
                     unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackBoolean(), unpacker.unpackInt());
         } catch (IOException | MessagePackException e) {
             return null;
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Rank;
-import org.granitepath.coordination.UserAnswer;
+import org.granitepath.bookkeeping.Priority;
+import org.granitepath.coordination.JobResponse;
 
 /** What users send and are told. */
 public final class SubmissionCodec {
@@ -76,12 +76,12 @@
         };
     }
 
-    private static Rank rank(String word) throws Malformed {
+    private static Priority rank(String word) throws Malformed {
         return switch (word) {
-            case "critical" -> Rank.CRITICAL;
-            case "high" -> Rank.HIGH;
-            case "standard" -> Rank.STANDARD;
-            case "best_effort" -> Rank.BEST_EFFORT;
+            case "critical" -> Priority.CRITICAL;
+            case "high" -> Priority.HIGH;
+            case "standard" -> Priority.STANDARD;
+            case "best_effort" -> Priority.BEST_EFFORT;
             default -> throw new Malformed("rank: must be critical, high, standard or best_effort");
         };
     }
@@ -136,16 +136,16 @@
         return Math.round(amount(m, name) * 1e6);
     }
 
-    public static int httpStatus(UserAnswer answer) {
-        if (answer instanceof UserAnswer.Status s) {
+    public static int httpStatus(JobResponse answer) {
+        if (answer instanceof JobResponse.Status s) {
             return s.created() ? 201 : 200;
         }
-        return answer instanceof UserAnswer.NotFound ? 404 : answer instanceof UserAnswer.Impossible ? 422 : 503;
+        return answer instanceof JobResponse.NotFound ? 404 : answer instanceof JobResponse.Unschedulable ? 422 : 503;
     }
 
-    public static String encode(UserAnswer answer) {
+    public static String encode(JobResponse answer) {
         Map<String, Object> m = new LinkedHashMap<>();
-        if (answer instanceof UserAnswer.Status s) {
+        if (answer instanceof JobResponse.Status s) {
             m.put("uid", s.job());
             m.put(
                     "status",
@@ -157,9 +157,9 @@
                     });
             m.put("done", s.done());
             m.put("running", s.running());
-        } else if (answer instanceof UserAnswer.Impossible i) {
+        } else if (answer instanceof JobResponse.Unschedulable i) {
             m.put("error", i.reason());
-        } else if (answer instanceof UserAnswer.TryLater t) {
+        } else if (answer instanceof JobResponse.RetryLater t) {
             m.put("error", t.reason());
         } else {
             m.put("error", "no such job");
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.bookkeeping.Fields;
-import org.granitepath.coordination.Beat;
-import org.granitepath.coordination.Beat.Cause;
-import org.granitepath.coordination.Beat.TaskReport;
-import org.granitepath.coordination.Beat.TaskState;
-import org.granitepath.coordination.BeatAnswer;
-import org.granitepath.coordination.Order;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.Heartbeat.Cause;
+import org.granitepath.coordination.Heartbeat.TaskReport;
+import org.granitepath.coordination.Heartbeat.TaskState;
+import org.granitepath.coordination.HeartbeatResponse;
 import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.WorkerCommand;
 
 /** Reports of workers and commands to them. */
 public final class WorkerCodec {
     private WorkerCodec() {}
 
     /** Null when it is no report. */
-    public static Beat decodeBeat(String body) {
+    public static Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> m = Json.object(body);
         if (m == null
                 || Fields.textOf(m, "host") == null
@@ -42,7 +42,7 @@
             tasks.add(r);
         }
         double notice = Fields.doubleOf(m, "warning_s", -1);
-        return new Beat(
+        return new Heartbeat(
                 Fields.textOf(m, "host"),
                 Fields.textOf(m, "address"),
                 Fields.textOf(m, "model"),
@@ -88,41 +88,43 @@
         return new TaskReport(id, Fields.longOf(m, "try", 0), state, why, Fields.boolOf(m, "kept"));
     }
 
-    public static int httpStatus(BeatAnswer answer) {
-        return answer instanceof BeatAnswer.Accepted ? 200 : answer instanceof BeatAnswer.Elsewhere ? 421 : 503;
+    public static int httpStatus(HeartbeatResponse answer) {
+        return answer instanceof HeartbeatResponse.Accepted
+                ? 200
+                : answer instanceof HeartbeatResponse.Redirect ? 421 : 503;
     }
 
-    public static String encode(BeatAnswer answer) {
-        if (answer instanceof BeatAnswer.Accepted a) {
-            return encodeOrders(a.baton(), -1, a.orders());
+    public static String encode(HeartbeatResponse answer) {
+        if (answer instanceof HeartbeatResponse.Accepted a) {
+            return encodeCommands(a.fencingToken(), -1, a.commands());
         }
-        if (answer instanceof BeatAnswer.Elsewhere e && e.node() != null) {
+        if (answer instanceof HeartbeatResponse.Redirect e && e.node() != null) {
             return Json.text(Map.of("supervisor", e.node()));
         }
         return "{}";
     }
 
     /** {@code session} negative: left out, as in the answer to a report. */
-    public static String encodeOrders(long baton, long session, List<Order> orders) {
-        List<Object> list = new ArrayList<>(orders.size());
-        for (Order o : orders) {
+    public static String encodeCommands(long fencingToken, long session, List<WorkerCommand> commands) {
+        List<Object> list = new ArrayList<>(commands.size());
+        for (WorkerCommand o : commands) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put(
                     "verb",
                     switch (o.verb()) {
                         case START -> "start";
                         case STOP -> "halt";
-                        case FORGET -> "clear";
+                        case CLEAR -> "clear";
                     });
             m.put("piece", o.task().toString());
             m.put("try", o.attempt());
-            if (o.verb() == Order.Verb.STOP) {
+            if (o.verb() == WorkerCommand.Verb.STOP) {
                 m.put("leeway_s", o.graceMicros() / 1e6);
             }
             list.add(m);
         }
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("baton", baton);
+        m.put("baton", fencingToken);
         if (session >= 0) {
             m.put("shift", session);
         }
--- a/src/main/java/org/granitepath/transport/BackServer.java
+++ b/src/main/java/org/granitepath/transport/BackServer.java
@@ -24,23 +24,23 @@
                     if (exchange.getRequestPath().equals("/metrics")) {
                         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
                         exchange.getResponseSender().send(metrics.text());
-                    } else if (exchange.getRequestPath().equals(PeerClient.GREETING)) {
+                    } else if (exchange.getRequestPath().equals(PeerClient.STATUS)) {
                         exchange.getRequestReceiver().receiveFullBytes((ex, bytes) -> {
-                            PeerPort.Greeting theirs = PeerCodec.decode(bytes);
+                            PeerPort.PeerStatus theirs = PeerCodec.decode(bytes);
                             if (theirs == null) {
                                 ex.setStatusCode(400).endExchange();
                             } else {
                                 ex.getResponseSender()
-                                        .send(ByteBuffer.wrap(PeerCodec.encode(controller.greeted(theirs))));
+                                        .send(ByteBuffer.wrap(PeerCodec.encode(controller.statusReceived(theirs))));
                             }
                         });
                     } else if (exchange.getRequestPath().equals(PeerClient.CANCELLED)) {
                         exchange.getRequestReceiver().receiveFullBytes((ex, bytes) -> {
-                            PeerPort.Cancelled word = PeerCodec.decodeCancelled(bytes);
-                            if (word == null) {
+                            PeerPort.CancellationNotice notice = PeerCodec.decodeCancelled(bytes);
+                            if (notice == null) {
                                 ex.setStatusCode(400);
                             } else {
-                                controller.cancelledElsewhere(word);
+                                controller.cancellationReceived(notice);
                             }
                             ex.endExchange();
                         });
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void giveBack(List<String> hosts, Consumer<Boolean> then) {
+    public void returnMachines(List<String> hosts, Consumer<Boolean> then) {
         http.call(
                 address,
                 Methods.POST,
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -8,7 +8,7 @@
 
 /** The other controllers' back addresses over HTTP. */
 public final class PeerClient implements PeerPort {
-    static final String GREETING = "/greeting";
+    static final String STATUS = "/greeting";
     static final String CANCELLED = "/cancelled";
     private static final String TYPE = "application/msgpack";
     private static final long TIMEOUT_MICROS = 900_000;
@@ -22,11 +22,11 @@
     }
 
     @Override
-    public void greet(String peer, Greeting ours, Consumer<Greeting> then) {
+    public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
         http.exchange(
                 addresses.get(peer),
                 Methods.POST,
-                GREETING,
+                STATUS,
                 PeerCodec.encode(ours),
                 TYPE,
                 TIMEOUT_MICROS,
@@ -35,12 +35,12 @@
     }
 
     @Override
-    public void tell(String peer, Cancelled word, Consumer<Boolean> then) {
+    public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
         http.exchange(
                 addresses.get(peer),
                 Methods.POST,
                 CANCELLED,
-                PeerCodec.encode(word),
+                PeerCodec.encode(notice),
                 TYPE,
                 TIMEOUT_MICROS,
                 true,
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -7,11 +7,11 @@
 import io.undertow.util.Methods;
 import io.undertow.util.SameThreadExecutor;
 import java.nio.charset.StandardCharsets;
-import org.granitepath.coordination.Beat;
-import org.granitepath.coordination.BeatAnswer;
 import org.granitepath.coordination.Config;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.UserAnswer;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.JobResponse;
 import org.granitepath.protocol.Json;
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
@@ -80,7 +80,7 @@
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
         connections.requested(exchange, path.equals(REPORTS));
         if (path.equals(REPORTS) && post) {
-            body(exchange, text -> beat(exchange, text));
+            body(exchange, text -> heartbeat(exchange, text));
         } else if (path.equals("/up") && get) {
             boolean up = controller.healthy();
             reply(exchange, up ? 200 : 503, up ? "{}" : "{\"error\":\"starting, or cut from the state service\"}");
@@ -94,7 +94,7 @@
             if (!(cancel ? post : get)) {
                 reply(exchange, 405, "{\"error\":\"method not allowed\"}");
             } else if (!SubmissionCodec.isJobId(id)) {
-                answer(exchange, new UserAnswer.NotFound());
+                answer(exchange, new JobResponse.NotFound());
             } else if (cancel) {
                 timed(exchange, "cancel");
                 body(exchange, text -> controller.cancel(id, a -> answer(exchange, a)));
@@ -123,14 +123,14 @@
         }
     }
 
-    private void beat(HttpServerExchange exchange, String text) {
-        Beat beat = WorkerCodec.decodeBeat(text);
-        if (beat == null) {
+    private void heartbeat(HttpServerExchange exchange, String text) {
+        Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
+        if (heartbeat == null) {
             reply(exchange, 400, "{\"error\":\"not a report\"}");
             return;
         }
-        BeatAnswer answer = controller.beat(beat);
-        if (!(answer instanceof BeatAnswer.Accepted)) {
+        HeartbeatResponse answer = controller.heartbeat(heartbeat);
+        if (!(answer instanceof HeartbeatResponse.Accepted)) {
             exchange.setPersistent(false); // it goes elsewhere
         }
         reply(exchange, WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
@@ -148,8 +148,8 @@
                         (ex, e) -> reply(ex, 400, "{\"error\":\"unreadable or over 64 KiB\"}"));
     }
 
-    private static void answer(HttpServerExchange exchange, UserAnswer answer) {
-        if (answer instanceof UserAnswer.TryLater later) {
+    private static void answer(HttpServerExchange exchange, JobResponse answer) {
+        if (answer instanceof JobResponse.RetryLater later) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(later.afterSeconds()));
         }
         reply(exchange, SubmissionCodec.httpStatus(answer), SubmissionCodec.encode(answer));
--- a/src/main/java/org/granitepath/transport/StateClient.java
+++ b/src/main/java/org/granitepath/transport/StateClient.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void touchLease(long lease, Consumer<Outcome> then) {
+    public void renewLease(long lease, Consumer<Outcome> then) {
         http.call(
                 address,
                 Methods.POST,
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -3,7 +3,7 @@
 import io.undertow.util.Methods;
 import java.util.List;
 import java.util.function.Consumer;
-import org.granitepath.coordination.Order;
+import org.granitepath.coordination.WorkerCommand;
 import org.granitepath.coordination.WorkerPort;
 import org.granitepath.protocol.WorkerCodec;
 
@@ -18,15 +18,16 @@
     }
 
     @Override
-    public void send(String address, long baton, long session, List<Order> orders, Consumer<Reply> then) {
+    public void send(
+            String address, long fencingToken, long session, List<WorkerCommand> commands, Consumer<Reply> then) {
         http.call(
                 address,
                 Methods.POST,
                 "/orders",
-                WorkerCodec.encodeOrders(baton, session, orders),
+                WorkerCodec.encodeCommands(fencingToken, session, commands),
                 TIMEOUT_MICROS,
                 false,
                 (status, body) -> then.accept(new Reply(
-                        status == 200, status == 200 || status == 409 ? WorkerCodec.decodeBeat(body) : null)));
+                        status == 200, status == 200 || status == 409 ? WorkerCodec.decodeHeartbeat(body) : null)));
     }
 }
