--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -72,7 +72,10 @@
         assertTrue(e.getMessage().contains("idle-shar"), e.getMessage());
     }
 
-    /** Under these no rule could be kept, whatever the service does: the start ends with one line that names the setting. */
+    /**
+     * Under these no rule could be kept, whatever the service does: the start ends with one line that names the
+     * setting.
+     */
     @Test
     void impossibleTimesAndTeamsAreNamed() throws IOException {
         assertInvalid("facts.workers.cancel_s", "cancel_s = 30.0", "cancel_s = 13.9");
@@ -90,7 +93,7 @@
     @Test
     void leastTimesAreAccepted() throws Exception {
         Settings s = Settings.read(file("y.toml", GOOD.replace("cancel_s = 30.0", "cancel_s = 14.1")), null);
-        assertTrue(s.config().holdMicros() >= 1_000_000);
+        assertTrue(s.config().maxDisconnectedMicros() >= 1_000_000);
     }
 
     @Test
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void workersAreSentElsewhereWhileNoOwnerIsKnown() throws Exception {
+    void workersAreSentElsewhereWhileNoLeaderIsKnown() throws Exception {
         assertEquals(
                 503,
                 ask(
--- a/src/test/java/org/granitepath/coordination/FairShareTest.java
+++ b/src/test/java/org/granitepath/coordination/FairShareTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 import org.junit.jupiter.api.Test;
 
 class FairShareTest {
@@ -36,14 +36,14 @@
 
     @Test
     void boostGrowsTowardsCompletion() {
-        double early = shares.share(Rank.STANDARD, true, 20, 20, 4);
-        double late = shares.share(Rank.STANDARD, true, 20, 4, 4);
+        double early = shares.share(Priority.STANDARD, true, 20, 20, 4);
+        double late = shares.share(Priority.STANDARD, true, 20, 4, 4);
         assertTrue(late < early);
     }
 
     @Test
-    void idleJobsHaveNoShareAndHigherRanksALowerOne() {
-        assertEquals(0, shares.share(Rank.BEST_EFFORT, false, 9, 9, 0));
-        assertTrue(shares.share(Rank.HIGH, false, 9, 9, 3) < shares.share(Rank.BEST_EFFORT, false, 9, 9, 3));
+    void idleJobsHaveNoShareAndHigherPrioritiesALowerOne() {
+        assertEquals(0, shares.share(Priority.BEST_EFFORT, false, 9, 9, 0));
+        assertTrue(shares.share(Priority.HIGH, false, 9, 9, 3) < shares.share(Priority.BEST_EFFORT, false, 9, 9, 3));
     }
 }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.coordination.Beat;
-import org.granitepath.coordination.BeatAnswer;
-import org.granitepath.coordination.Order;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.HeartbeatResponse;
 import org.granitepath.coordination.PeerPort;
 import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.WorkerCommand;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -63,34 +63,34 @@
 
     @Test
     void reportIsRead() {
-        Beat b = WorkerCodec.decodeBeat(
+        Heartbeat b = WorkerCodec.decodeHeartbeat(
                 "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\","
                         + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
                         + "{\"piece\":\"run-000398/0\",\"try\":7,\"status\":\"ended\",\"cause\":\"done\"}]}");
         assertEquals(new TaskId("run-000398", 0), b.tasks().get(0).task());
-        assertEquals(Beat.Cause.DONE, b.tasks().get(0).cause());
+        assertEquals(Heartbeat.Cause.DONE, b.tasks().get(0).cause());
         assertEquals(-1, b.noticeMicros());
-        assertNull(WorkerCodec.decodeBeat("{\"host\":\"i-1\"}"));
-        assertNull(WorkerCodec.decodeBeat("nonsense"));
+        assertNull(WorkerCodec.decodeHeartbeat("{\"host\":\"i-1\"}"));
+        assertNull(WorkerCodec.decodeHeartbeat("nonsense"));
     }
 
     @Test
-    void ordersAreWritten() {
+    void commandsAreEncoded() {
         Map<String, Object> m = Json.object(WorkerCodec.encode(
-                new BeatAnswer.Accepted(41, List.of(Order.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
+                new HeartbeatResponse.Accepted(41, List.of(WorkerCommand.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
         assertEquals(
                 Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
                 ((List<?>) m.get("orders")).get(0));
     }
 
     @Test
-    void greetingsPassBetweenControllers() {
-        PeerPort.Greeting g = new PeerPort.Greeting("worker-1", 1234, true, 17);
+    void messagesPassBetweenControllers() {
+        PeerPort.PeerStatus g = new PeerPort.PeerStatus("worker-1", 1234, true, 17);
         assertEquals(g, PeerCodec.decode(PeerCodec.encode(g)));
         assertNull(PeerCodec.decode(new byte[] {1, 2, 3}));
-        PeerPort.Cancelled word = new PeerPort.Cancelled("run-000412", 77);
-        assertEquals(word, PeerCodec.decodeCancelled(PeerCodec.encode(word)));
-        assertNull(PeerCodec.decodeCancelled(PeerCodec.encode(new PeerPort.Cancelled("no job", 77))));
+        PeerPort.CancellationNotice notice = new PeerPort.CancellationNotice("run-000412", 77);
+        assertEquals(notice, PeerCodec.decodeCancelled(PeerCodec.encode(notice)));
+        assertNull(PeerCodec.decodeCancelled(PeerCodec.encode(new PeerPort.CancellationNotice("no job", 77))));
         assertNull(PeerCodec.decodeCancelled(new byte[] {1, 2, 3}));
     }
 }
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -5,13 +5,13 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import org.granitepath.bookkeeping.InventoryRecord;
 import org.granitepath.bookkeeping.JobRecord;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.MachineType;
 import org.granitepath.bookkeeping.ProgressRecord;
-import org.granitepath.bookkeeping.RosterRecord;
-import org.granitepath.coordination.JobBook;
+import org.granitepath.coordination.JobIndex;
 import org.granitepath.coordination.PeerPort;
 import org.junit.jupiter.api.Test;
 
@@ -34,9 +34,9 @@
                         Keys.JOB,
                         Keys.PROGRESS,
                         Keys.FINAL,
-                        Keys.ROSTER,
+                        Keys.INVENTORY,
                         Keys.LEADER,
-                        Keys.BATON,
+                        Keys.FENCING_TOKEN,
                         Keys.TYPES));
     }
 
@@ -45,7 +45,7 @@
         String json = "{\"spec\":" + SPEC + ",\"at\":1700000000000000,\"claimed\":6,\"term\":41}";
         JobRecord record = JobRecord.fromMap(Json.object(json));
         assertEquals(JobSpec.Shape.BATCH, record.spec().shape());
-        assertEquals("HIGH", record.spec().rank().name());
+        assertEquals("HIGH", record.spec().priority().name());
         assertEquals(json, Json.text(record.toMap()));
     }
 
@@ -54,7 +54,7 @@
         String json = SPEC.replace("\"shape\":0", "\"shape\":2").replace("\"rank\":1", "\"rank\":0");
         JobSpec spec = JobSpec.fromMap(Json.object(json));
         assertEquals(JobSpec.Shape.SERVICE, spec.shape());
-        assertEquals("CRITICAL", spec.rank().name());
+        assertEquals("CRITICAL", spec.priority().name());
         assertEquals(json, Json.text(spec.toMap()));
         assertEquals(
                 JobSpec.Shape.GANG,
@@ -72,16 +72,16 @@
 
     @Test
     void finalStates() {
-        assertEquals("{\"how\":0}", Json.text(JobBook.finalRecord(JobBook.Final.DONE)));
-        assertEquals("{\"how\":1}", Json.text(JobBook.finalRecord(JobBook.Final.CANCELLED)));
+        assertEquals("{\"how\":0}", Json.text(JobIndex.finalRecord(JobIndex.Final.DONE)));
+        assertEquals("{\"how\":1}", Json.text(JobIndex.finalRecord(JobIndex.Final.CANCELLED)));
     }
 
     @Test
     void machines() {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
-        RosterRecord record = RosterRecord.fromMap(Json.object(json));
+        InventoryRecord record = InventoryRecord.fromMap(Json.object(json));
         assertEquals(
-                new RosterRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
+                new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.hosts().get(0));
         assertEquals(json, Json.text(record.toMap()));
     }
@@ -97,10 +97,10 @@
     void messagesBetweenControllers() {
         assertEquals(
                 "9502a8776f726b65722d31cd04d2c311",
-                HexFormat.of().formatHex(PeerCodec.encode(new PeerPort.Greeting("worker-1", 1234, true, 17))));
+                HexFormat.of().formatHex(PeerCodec.encode(new PeerPort.PeerStatus("worker-1", 1234, true, 17))));
         assertEquals(
                 "9302aa72756e2d3030303431324d",
-                HexFormat.of().formatHex(PeerCodec.encode(new PeerPort.Cancelled("run-000412", 77))));
+                HexFormat.of().formatHex(PeerCodec.encode(new PeerPort.CancellationNotice("run-000412", 77))));
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.Mirror;
+import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort.Change;
 import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.Ledger;
-import org.granitepath.coordination.Ledger.Urgency;
+import org.granitepath.coordination.WriteQueue;
+import org.granitepath.coordination.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of wishes, or of questions, on a small budget. */
@@ -34,38 +34,38 @@
         }
     };
 
-    private Mirror mirror() {
-        Mirror mirror = mirrorOf(state, "n");
+    private RecordReplica replica() {
+        RecordReplica replica = replicaOf(state, "n");
         world.run(1_000_000, () -> {});
-        return mirror;
+        return replica;
     }
 
-    private Mirror mirrorOf(SimState of, String node) {
-        Mirror mirror = new Mirror(of.portFor(node), timers, 50_000, new Mirror.Listener() {
+    private RecordReplica replicaOf(SimState of, String node) {
+        RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
             public void changed(String key, Map<String, Object> value, long stamp) {}
 
             @Override
             public void loaded() {}
         });
-        mirror.start();
-        return mirror;
+        replica.start();
+        return replica;
     }
 
     /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
     @Test
     void manyQuestionsShareFewReads() {
-        Mirror mirror = mirror();
-        Ledger ledger = new Ledger(state.portFor("n"), mirror, timers, 8, 20, false, List::of, () -> true);
+        RecordReplica replica = replica();
+        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 20, false, List::of, () -> true);
         int[] answered = new int[1];
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> mirror.barrier(fresh -> answered[0] += fresh ? 1 : 0));
+            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered[0] += fresh ? 1 : 0));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
             world.after(
                     i * 66_000L,
-                    () -> ledger.want(
+                    () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, Map.of("x", 1))), epoch -> {}));
         }
         int before = state.reads;
@@ -76,15 +76,15 @@
 
     @Test
     void urgentWishesOvertakeAndWaitingOnesCostNothing() {
-        Mirror mirror = mirror();
-        Ledger ledger = new Ledger(state.portFor("n"), mirror, timers, 8, 10, false, List::of, () -> true);
+        RecordReplica replica = replica();
+        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 10, false, List::of, () -> true);
         List<String> written = new ArrayList<>();
         int[] made = new int[1];
         for (int i = 0; i < 300; i++) {
             String key = "g/n/" + i;
-            ledger.want(
+            writeQueue.enqueue(
                     key,
-                    Urgency.NEWS,
+                    Urgency.PROGRESS_ONLY,
                     0,
                     () -> {
                         made[0]++;
@@ -93,7 +93,7 @@
                     epoch -> written.add(key));
         }
         world.run(3_000_000, () -> {});
-        ledger.want(
+        writeQueue.enqueue(
                 "g/safe",
                 Urgency.SAFETY,
                 0,
@@ -106,29 +106,29 @@
         assertTrue(made[0] <= 310, "contents were made " + made[0] + " times");
     }
 
-    /** Desks of five controllers want more than there is: the owner's writes still go out at their rate. */
+    /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
-    void desksYieldToTheOwner() {
+    void requestHandlersYieldToTheLeader() {
         SimState tight = new SimState(world, 8, 2048, 1000, 18);
-        int[] owners = new int[1];
+        int[] leaders = new int[1];
         for (int n = 0; n < 6; n++) {
             int node = n;
-            Mirror mirror = mirrorOf(tight, "n" + n);
-            Ledger ledger = new Ledger(
-                    tight.portFor("n" + n), mirror, timers, 8, n == 0 ? 11.7 : 9, n > 0, List::of, () -> true);
+            RecordReplica replica = replicaOf(tight, "n" + n);
+            WriteQueue writeQueue = new WriteQueue(
+                    tight.portFor("n" + n), replica, timers, 8, n == 0 ? 11.7 : 9, n > 0, List::of, () -> true);
             for (int i = 0; i < 900; i++) {
                 String key = "g/" + node + "/" + i;
                 world.after(
                         1_000_000 + i * 60_000L,
-                        () -> ledger.want(
+                        () -> writeQueue.enqueue(
                                 key,
                                 Urgency.WORK,
                                 0,
                                 () -> List.of(Change.write(key, Map.of("x", 1))),
-                                epoch -> owners[0] += node == 0 ? 1 : 0));
+                                epoch -> leaders[0] += node == 0 ? 1 : 0));
             }
         }
         world.run(61_000_000, () -> {});
-        assertTrue(owners[0] > 60 * 7, owners[0] + " writes of the owner in a minute");
+        assertTrue(leaders[0] > 60 * 7, leaders[0] + " writes of the leader in a minute");
     }
 }
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -15,8 +15,8 @@
 import java.util.stream.LongStream;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.Rank;
-import org.granitepath.coordination.Beat;
+import org.granitepath.bookkeeping.Priority;
+import org.granitepath.coordination.Heartbeat;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -42,10 +42,10 @@
     private static List<JobSpec> longWork(Simulation s, int services, int batches, long runMicros) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < services; i++) {
-            jobs.add(s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0));
+            jobs.add(s.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0));
         }
         for (int i = 0; i < batches; i++) {
-            jobs.add(s.job(false, 10, Rank.STANDARD, "free", true, false, false, runMicros, 0));
+            jobs.add(s.job(false, 10, Priority.STANDARD, "free", true, false, false, runMicros, 0));
         }
         jobs.forEach(j -> s.submit(j, -1));
         return jobs;
@@ -81,7 +81,7 @@
         longWork(s, 5, 8, 60 * SECOND);
         String[] leader = new String[1];
         s.world.after(50 * SECOND, () -> {
-            leader[0] = s.owner();
+            leader[0] = s.leader();
             List<SimWorker> all = s.cloud.workers();
             for (int i = 0; i < all.size(); i++) {
                 if (i % 3 == 0) {
@@ -92,7 +92,7 @@
             }
             s.crash(leader[0], 20 * SECOND);
         });
-        s.world.after(60 * SECOND, () -> assertNotEquals(leader[0], s.owner()));
+        s.world.after(60 * SECOND, () -> assertNotEquals(leader[0], s.leader()));
         s.run(95 * SECOND, 500 * SECOND);
         assertRulesAndAllDone(s);
     }
@@ -106,7 +106,7 @@
         s.oddRequests(100 * SECOND);
         s.run(100 * SECOND, 400 * SECOND);
         assertTrue(s.doneTold > 2 && s.rules.cancellationsTold() > 2);
-        assertTrue(s.impossibleRefused > 20, s.impossibleRefused + " jobs that can't run were refused");
+        assertTrue(s.unschedulableRefused > 20, s.unschedulableRefused + " jobs that can't run were refused");
         assertRulesAndAllDone(s);
     }
 
@@ -116,7 +116,7 @@
     void jobsOfOneZoneLoseMachines(long seed) {
         Simulation s = simulation(seed);
         for (int i = 0; i < 12; i++) {
-            s.submit(s.job(false, 3 + i % 5, Rank.STANDARD, "free", true, false, true, 25 * SECOND, 0), -1);
+            s.submit(s.job(false, 3 + i % 5, Priority.STANDARD, "free", true, false, true, 25 * SECOND, 0), -1);
         }
         int[] lost = new int[1];
         for (int i = 0; i < 6; i++) {
@@ -128,19 +128,22 @@
                 }
             });
         }
-        s.world.after(45 * SECOND, () -> s.crash(s.owner(), 300_000));
+        s.world.after(45 * SECOND, () -> s.crash(s.leader(), 300_000));
         s.run(60 * SECOND, 400 * SECOND);
         assertTrue(lost[0] > 0, "no machine at work was lost");
         assertRulesAndAllDone(s);
     }
 
-    /** The same, when the machines are only cut off, all that hold a job, and the leader changes: its zone is in doubt. */
+    /**
+     * The same, when the machines are only cut off, all that hold a job, and the leader changes: its zone is
+     * unconfirmed.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneInDoubt(long seed) {
+    void jobsOfOneZoneUnconfirmed(long seed) {
         Simulation s = simulation(seed);
         for (int i = 0; i < 6; i++) {
-            s.submit(s.job(false, 21, Rank.STANDARD, "free", true, false, true, 40 * SECOND, 0), -1);
+            s.submit(s.job(false, 21, Priority.STANDARD, "free", true, false, true, 40 * SECOND, 0), -1);
         }
         int[] cut = new int[1];
         s.world.after(40 * SECOND, () -> {
@@ -150,7 +153,7 @@
             s.cloud.workers().stream()
                     .filter(w -> hosts.contains(w.id))
                     .forEach(w -> s.cutMachine(w, World.Cut.HOLD, 10 * SECOND));
-            s.crash(s.owner(), 6 * SECOND);
+            s.crash(s.leader(), 6 * SECOND);
         });
         s.run(60 * SECOND, 700 * SECOND);
         assertTrue(cut[0] > 2, cut[0] + " machines were cut off");
@@ -165,7 +168,7 @@
         s.world.after(10 * SECOND, () -> s.state.lateWrites = 0.3);
         for (int i = 0; i < 4; i++) {
             s.world.after(
-                    (30 + 20 * i) * SECOND, () -> s.crash(s.owner(), 300_000 + s.world.random.nextInt(4_000_000)));
+                    (30 + 20 * i) * SECOND, () -> s.crash(s.leader(), 300_000 + s.world.random.nextInt(4_000_000)));
         }
         s.world.after(120 * SECOND, () -> s.state.lateWrites = 0);
         s.run(135 * SECOND, 500 * SECOND);
@@ -174,21 +177,22 @@
     }
 
     /**
-     * 6. The state service refuses the leader alone, another controller confirms cancellations, and a second or two later it is out
-     * for everybody for longer than cancel_s, while workers go on reporting to the leader. With some seeds nobody tells
-     * it of the cancellations: only the bound on the time for which anyone may keep a lease alive can end the tasks.
+     * 6. The state service refuses the leader alone, another controller confirms cancellations, and a second or two
+     * later it is out for everybody for longer than cancel_s, while workers go on reporting to the leader. With some
+     * seeds nobody tells it of the cancellations: only the bound on the time for which anyone may keep a lease alive
+     * can end the tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void leaderRefusedThenOutage(long seed) {
         Simulation s = simulation(seed);
-        s.peersTellNothing = seed > 2;
+        s.peersSendNoCancellations = seed > 2;
         List<JobSpec> jobs = longWork(s, 6, 8, 300 * SECOND);
         int[] confirmed = new int[1];
         int[] running = new int[1];
         int[] answered = new int[1];
         s.world.after(70 * SECOND, () -> {
-            String leader = s.owner();
+            String leader = s.leader();
             running[0] = s.rules.running().size();
             s.state.refuse(leader, 14 * SECOND);
             jobs.forEach(j -> s.cancelAt(others(s, leader).get(s.world.random.nextInt(4)), j.id()));
@@ -219,7 +223,7 @@
         s.world.after(60 * SECOND, () -> s.world.heldUp = 0);
         int[] told = new int[2];
         s.world.after(60 * SECOND, () -> {
-            s.state.refuse(s.owner(), 12 * SECOND);
+            s.state.refuse(s.leader(), 12 * SECOND);
             told[0] = s.rules.cancellationsTold();
             s.cancelRunning(4, 0);
         });
@@ -243,7 +247,7 @@
         s.world.after(
                 50 * SECOND,
                 () -> s.cutZone(
-                        seed % 3 == 0 ? s.zoneOf(s.owner()) : "south",
+                        seed % 3 == 0 ? s.zoneOf(s.leader()) : "south",
                         seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP,
                         s.shape.lease() + 12 * SECOND));
         s.world.after(53 * SECOND, () -> s.cancelRunning(5, 0));
@@ -254,8 +258,8 @@
     }
 
     /**
-     * The same, when the leader's stops had not reached the zone's machines before: a deputy knows of the cancellations as
-     * of its last read, so for it the bound is no help, and it has to stop the tasks itself.
+     * The same, when the leader's stops had not reached the zone's machines before: a zone lease keeper knows of the
+     * cancellations as of its last read, so for it the bound is no help, and it has to stop the tasks itself.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -264,10 +268,10 @@
         longWork(s, 6, 8, 200 * SECOND);
         int[] told = new int[1];
         s.world.after(60 * SECOND, () -> {
-            String zone = s.zoneOf(s.owner()).equals("south") ? "north" : "south";
+            String zone = s.zoneOf(s.leader()).equals("south") ? "north" : "south";
             s.cloud.workers().stream()
                     .filter(w -> w.zone.equals(zone))
-                    .forEach(w -> s.cut(s.owner(), w.id, World.Cut.DROP, 60 * SECOND));
+                    .forEach(w -> s.cut(s.leader(), w.id, World.Cut.DROP, 60 * SECOND));
             s.cancelRunning(10, 0);
             s.world.after(6 * SECOND, () -> {
                 told[0] = s.rules.cancellationsTold();
@@ -296,20 +300,25 @@
         assertRules(s);
     }
 
-    /** 10. Jobs of two or three tasks end far apart, with a change of leader in between, and late progress of the former one. */
+    /**
+     * 10. Jobs of two or three tasks end far apart, with a change of leader in between, and late progress of the
+     * former one.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksOfOneJobEndFarApart(long seed) {
         Simulation s = simulation(seed);
         for (int i = 0; i < 15; i++) {
-            s.submit(s.job(false, 2 + i % 2, Rank.STANDARD, "free", true, false, false, (10 + 4 * i) * SECOND, 0), -1);
+            s.submit(
+                    s.job(false, 2 + i % 2, Priority.STANDARD, "free", true, false, false, (10 + 4 * i) * SECOND, 0),
+                    -1);
         }
         Set<String> leaders = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             s.world.after((28 + 9 * i) * SECOND, () -> {
-                leaders.add(s.owner());
+                leaders.add(s.leader());
                 s.state.lateWrites = 0.2;
-                s.crash(s.owner(), 5 * SECOND);
+                s.crash(s.leader(), 5 * SECOND);
             });
         }
         s.world.after(65 * SECOND, () -> s.state.lateWrites = 0);
@@ -320,14 +329,14 @@
 
     /**
      * 11. A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls
-     * into that spell: what is cancelled and in doubt still counts.
+     * into that spell: what is cancelled and unconfirmed still counts.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void teamAtItsLimitWhenTheLeaderChanges(long seed) {
         Simulation s = simulation(seed);
         for (int i = 0; i < 8; i++) {
-            s.submit(s.job(false, 6, Rank.STANDARD, "tight", true, false, false, 40 * SECOND, 0), -1);
+            s.submit(s.job(false, 6, Priority.STANDARD, "tight", true, false, false, 40 * SECOND, 0), -1);
         }
         boolean[] met = new boolean[1];
         s.world.after(55 * SECOND, () -> {
@@ -339,14 +348,14 @@
                     .filter(w -> hosts.contains(w.id))
                     .limit(2)
                     .forEach(w -> s.cutMachine(w, World.Cut.HOLD, 20 * SECOND));
-            s.crash(s.owner(), 10 * SECOND);
+            s.crash(s.leader(), 10 * SECOND);
             s.world.after(2 * SECOND, () -> s.cancelRunning(2, 0));
             // Accepted in the new leader's own term, so nothing but the limit holds them back.
             for (int i = 0; i < 8; i++) {
                 s.world.after(
                         4 * SECOND + i * SECOND / 2,
                         () -> s.submit(
-                                s.job(false, 3, Rank.STANDARD, "tight", true, false, false, 20 * SECOND, 0), -1));
+                                s.job(false, 3, Priority.STANDARD, "tight", true, false, false, 20 * SECOND, 0), -1));
             }
         });
         s.run(80 * SECOND, 600 * SECOND);
@@ -363,13 +372,13 @@
         int[] changes = new int[1];
         for (int i = 0; i < 11; i++) {
             s.world.after((35 + 11 * i) * SECOND, () -> {
-                String was = s.owner();
+                String was = s.leader();
                 if (s.world.random.nextBoolean()) {
                     s.crash(was, 300_000 + s.world.random.nextInt(6_000_000));
                 } else {
                     s.cutFromPeersAndState(was, World.Cut.HOLD, 9 * SECOND);
                 }
-                s.world.after(10 * SECOND, () -> changes[0] += s.owner().equals(was) ? 0 : 1);
+                s.world.after(10 * SECOND, () -> changes[0] += s.leader().equals(was) ? 0 : 1);
                 s.cancelRunning(1, 0);
             });
         }
@@ -386,17 +395,20 @@
         Simulation s = withJobs(simulation(seed), 30, 80 * SECOND);
         s.world.lateCopies = 0.1;
         s.world.after(40 * SECOND, () -> {
-            String first = s.owner();
+            String first = s.leader();
             s.crash(first, 400_000);
-            s.world.after(6 * SECOND, () -> s.crash(s.owner(), 200_000));
+            s.world.after(6 * SECOND, () -> s.crash(s.leader(), 200_000));
             s.world.after(12 * SECOND, () -> s.names.forEach(n -> s.crash(n, n.equals(first) ? 100_000 : 25 * SECOND)));
-            s.world.after(20 * SECOND, () -> assertEquals(first, s.owner()));
+            s.world.after(20 * SECOND, () -> assertEquals(first, s.leader()));
         });
         s.run(80 * SECOND, 500 * SECOND);
         assertRulesAndAllDone(s);
     }
 
-    /** 14. Workers can't open connections to any controller, while direct commands still reach them; the leader changes. */
+    /**
+     * 14. Workers can't open connections to any controller, while direct commands still reach them; the leader
+     * changes.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void muteMachinesAndANewLeader(long seed) {
@@ -409,7 +421,7 @@
                     muted[0]++;
                     s.mute(w, s.shape.lease() + 10 * SECOND);
                 }));
-        s.world.after(48 * SECOND, () -> s.crash(s.owner(), 5 * SECOND));
+        s.world.after(48 * SECOND, () -> s.crash(s.leader(), 5 * SECOND));
         s.world.after(50 * SECOND, () -> s.cancelRunning(3, 0));
         s.run(60 * SECOND + s.shape.lease(), 400 * SECOND);
         assertTrue(muted[0] > 2, muted[0] + " machines at work fell mute");
@@ -424,19 +436,21 @@
         longWork(s, 5, 8, 20 * SECOND);
         int[] met = new int[2];
         s.world.after(45 * SECOND, () -> {
-            int batons = s.state.writesOf(Keys.BATON);
-            String former = s.owner();
-            List<Beat> held = s.cloud.workers().stream().map(SimWorker::latest).toList();
+            int fencingTokens = s.state.writesOf(Keys.FENCING_TOKEN);
+            String former = s.leader();
+            List<Heartbeat> held =
+                    s.cloud.workers().stream().map(SimWorker::latest).toList();
             s.crash(former, 300_000);
             s.world.after(9 * SECOND, () -> {
                 met[0] = held.size();
-                met[1] = s.state.writesOf(Keys.BATON) - batons;
+                met[1] = s.state.writesOf(Keys.FENCING_TOKEN) - fencingTokens;
                 held.forEach(b -> s.names.forEach(n -> s.deliver(n, b)));
             });
             s.world.after(3 * s.shape.lease(), () -> held.forEach(s::deliver));
         });
         s.run(50 * SECOND + 3 * s.shape.lease(), 400 * SECOND);
-        assertTrue(met[0] > 2 && met[1] > 0, met[0] + " reports held back, " + met[1] + " batons drawn meanwhile");
+        assertTrue(
+                met[0] > 2 && met[1] > 0, met[0] + " reports held back, " + met[1] + " fencing tokens drawn meanwhile");
         assertRulesAndAllDone(s);
     }
 
@@ -450,7 +464,7 @@
         for (int i = 0; i < 8; i++) {
             s.world.after((30 + 6 * i) * SECOND, () -> {
                 SimWorker w = s.anyWorker();
-                Beat old = w == null ? null : w.latest();
+                Heartbeat old = w == null ? null : w.latest();
                 if (old == null) {
                     return;
                 }
@@ -463,7 +477,7 @@
                 }
             });
         }
-        s.world.after(60 * SECOND, () -> s.crash(s.owner(), 300_000));
+        s.world.after(60 * SECOND, () -> s.crash(s.leader(), 300_000));
         s.run(80 * SECOND + 2 * s.shape.lease(), 500 * SECOND);
         assertTrue(delivered[0] > 10, delivered[0] + " old reports");
         assertRulesAndAllDone(s);
@@ -486,7 +500,10 @@
         assertRulesAndAllDone(s);
     }
 
-    /** 18. A leader loses the state service and its peers, not its workers and users; jobs are cancelled through the new one. */
+    /**
+     * 18. A leader loses the state service and its peers, not its workers and users; jobs are cancelled through the
+     * new one.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledThroughTheNewLeader(long seed) {
@@ -494,10 +511,10 @@
         List<JobSpec> jobs = longWork(s, 6, 8, 200 * SECOND);
         int[] told = new int[1];
         s.world.after(60 * SECOND, () -> {
-            String former = s.owner();
+            String former = s.leader();
             s.cutFromPeersAndState(former, seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND);
             s.world.after(6 * SECOND, () -> {
-                String leader = s.ownerBut(former);
+                String leader = s.leaderOtherThan(former);
                 assertNotEquals(former, leader);
                 // It can't reach any machine either: only leases can end what the former one keeps alive.
                 others(s, former).forEach(n -> s.cutFromWorkers(n, World.Cut.DROP, 64 * SECOND));
@@ -510,15 +527,18 @@
         assertRulesAndAllDone(s);
     }
 
-    /** A leader whose touches get through while its reads don't can't see cancellations: its word on leases must end all the same. */
+    /**
+     * A leader whose renewals get through while its reads don't can't see cancellations: its word on leases must end
+     * all the same.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void touchesGetThroughAndReadsDoNot(long seed) {
+    void renewalsGetThroughAndReadsDoNot(long seed) {
         Simulation s = simulation(seed);
-        s.peersTellNothing = true;
+        s.peersSendNoCancellations = true;
         List<JobSpec> jobs = longWork(s, 6, 6, 300 * SECOND);
         s.world.after(60 * SECOND, () -> {
-            String leader = s.owner();
+            String leader = s.leader();
             s.state.blindFor(leader, 2 * s.shape.cancel());
             s.world.after(
                     2 * SECOND,
@@ -539,7 +559,7 @@
         s.world.after(60 * SECOND, () -> {
             hung[0] = s.cancelRunning(8, seed < 3 ? 8 * SECOND : s.shape.lease() + 6 * SECOND)
                     .size();
-            s.world.after(SECOND, () -> s.crash(s.owner(), 300_000));
+            s.world.after(SECOND, () -> s.crash(s.leader(), 300_000));
         });
         s.run(75 * SECOND + s.shape.lease(), 800 * SECOND);
         assertTrue(hung[0] > 4);
@@ -547,18 +567,19 @@
     }
 
     /**
-     * A leader's reads lag, for less than it takes to count as out of touch, while others confirm cancellations of jobs
-     * that it still starts tasks of. It is told by its peers, or, with odd seeds, the answer waits until it has to stop.
+     * A leader's reads lag, for less than it takes to count as out of contact, while others confirm cancellations of
+     * jobs that it still starts tasks of. It is told by its peers, or, with odd seeds, the answer waits until it has
+     * to stop.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledWhileTheLeadersReadsLag(long seed) {
         Simulation s = new Simulation(seed, (seed % 2 == 0 ? LONG : SHORT).with(5, 1));
-        s.peersTellNothing = seed % 2 == 1;
+        s.peersSendNoCancellations = seed % 2 == 1;
         longWork(s, 1, 40, 3 * SECOND);
         for (int i = 0; i < 8; i++) {
             s.world.after((30 + 6 * i) * SECOND, () -> {
-                String leader = s.owner();
+                String leader = s.leader();
                 s.state.blindFor(leader, 2_500_000);
                 s.rules.running().stream()
                         .limit(6)
@@ -571,9 +592,9 @@
     }
 
     /**
-     * Direct starts are held up while the leader's writes are refused, so that it can't draw new batons, and jobs are
-     * cancelled: later calls to the same machines, which hold stops alone, are answered. Their answers were once taken for
-     * those of the starts.
+     * Direct starts are held up while the leader's writes are refused, so that it can't draw new fencing tokens, and
+     * jobs are cancelled: later calls to the same machines, which hold stops alone, are answered. Their answers were
+     * once taken for those of the starts.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -582,7 +603,7 @@
         longWork(s, 2, 16, 25 * SECOND);
         int[] told = new int[1];
         s.world.after(40 * SECOND, () -> {
-            s.state.refuseWritesOf(s.owner(), 15 * SECOND);
+            s.state.refuseWritesOf(s.leader(), 15 * SECOND);
             s.heldStarts = 7 * SECOND;
             told[0] = s.rules.cancellationsTold();
         });
@@ -604,13 +625,16 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void patientWorkIsNotLeftWaitingBesideRoom(long seed) {
+    void deferrableWorkIsNotLeftWaitingBesideRoom(long seed) {
         Simulation s = new Simulation(seed, (seed % 2 == 0 ? LONG : SHORT).with(3, 1));
-        JobSpec like = s.job(false, 1, Rank.STANDARD, "free", false, false, false, 600 * SECOND, 0);
+        JobSpec like = s.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
         s.submit(s.withCpu(like, 1, 9_000), -1); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
-        s.submit(s.withoutDeadline(s.job(false, 30, Rank.STANDARD, "free", true, false, false, 300 * SECOND, 0)), -1);
-        JobSpec late = s.withoutDeadline(s.job(false, 2, Rank.BEST_EFFORT, "free", true, false, false, 20 * SECOND, 0));
+        s.submit(
+                s.withoutDeadline(s.job(false, 30, Priority.STANDARD, "free", true, false, false, 300 * SECOND, 0)),
+                -1);
+        JobSpec late =
+                s.withoutDeadline(s.job(false, 2, Priority.BEST_EFFORT, "free", true, false, false, 20 * SECOND, 0));
         s.world.after(60 * SECOND, () -> s.submit(late, -1));
         s.run(20 * SECOND, 400 * SECOND);
         assertTrue(s.rules.begunAfter(late.id()) > 30 * SECOND, "it found room at once");
@@ -640,7 +664,7 @@
                             s.job(
                                     false,
                                     1 + s.world.random.nextInt(8),
-                                    Rank.STANDARD,
+                                    Priority.STANDARD,
                                     s.world.random.nextBoolean() ? "granted" : "lender",
                                     true,
                                     false,
@@ -679,15 +703,15 @@
 
     private static List<Consumer<Simulation>> troubles() {
         return List.of(
-                s -> s.crash(s.owner(), 200_000 + s.world.random.nextInt(6_000_000)),
+                s -> s.crash(s.leader(), 200_000 + s.world.random.nextInt(6_000_000)),
                 s -> s.names.forEach(n -> s.crash(n, 200_000 + s.world.random.nextInt(30_000_000))),
-                s -> s.state.refuse(s.owner(), time(s)),
+                s -> s.state.refuse(s.leader(), time(s)),
                 s -> s.state.outage(time(s) + s.shape.cancel() / 2),
-                s -> s.cutFromPeersAndState(s.owner(), cut(s), time(s)),
-                s -> s.cut(s.owner(), SimState.NAME, cut(s), time(s)),
-                s -> s.cutFromWorkers(s.owner(), cut(s), time(s)),
+                s -> s.cutFromPeersAndState(s.leader(), cut(s), time(s)),
+                s -> s.cut(s.leader(), SimState.NAME, cut(s), time(s)),
+                s -> s.cutFromWorkers(s.leader(), cut(s), time(s)),
                 s -> s.cutZone(s.zoneOf(s.anyNode()), cut(s), time(s)),
-                s -> s.freeze(s.owner(), time(s)),
+                s -> s.freeze(s.leader(), time(s)),
                 s -> s.cancelRunning(6, s.world.random.nextBoolean() ? 0 : time(s)),
                 s -> {
                     s.cancelledAtEnd = 0.5;
@@ -705,7 +729,7 @@
                     s.world.heldUp = 0.06;
                     s.world.after(time(s), () -> s.world.heldUp = 0);
                 },
-                s -> s.state.blindFor(s.owner(), time(s)),
+                s -> s.state.blindFor(s.leader(), time(s)),
                 s -> someMachines(s, w -> s.deafen(w, time(s))),
                 s -> someMachines(s, w -> s.mute(w, time(s))),
                 s -> someMachines(s, w -> s.cutMachine(w, cut(s), time(s))),
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -18,7 +18,7 @@
     private static final int MOST_FAILURES_OF_A_MACHINE = 4;
 
     private static JobSpec job(Simulation s, int tasks) {
-        return s.withoutDeadline(s.job(false, tasks, Rank.STANDARD, "free", true, false, false, 15 * SECOND, 0));
+        return s.withoutDeadline(s.job(false, tasks, Priority.STANDARD, "free", true, false, false, 15 * SECOND, 0));
     }
 
     /** Many machines fail at once: each is found after a few tasks, and no job is made to wait for it. */
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 import org.junit.jupiter.api.Test;
 
 /** The largest fleets: the rules throughout, and what is asked of others as counts. */
@@ -35,26 +35,27 @@
                 700);
     }
 
-    /** An owner that stands still, a zone cut off with a crash in it, and all controllers down at once. */
+    /** A leader that stands still, a zone cut off with a crash in it, and all controllers down at once. */
     private static void day(Simulation s, int machines) {
         List<JobSpec> services = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            services.add(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0));
+            services.add(s.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0));
             s.submit(services.get(i), -1);
         }
         for (int i = 0; i < 40; i++) {
             s.world.after(
                     3 * SECOND + 3L * i * SECOND / 2,
                     () -> s.submit(
-                            s.job(false, machines / 4, Rank.STANDARD, "free", true, false, false, 60 * SECOND, 0), -1));
+                            s.job(false, machines / 4, Priority.STANDARD, "free", true, false, false, 60 * SECOND, 0),
+                            -1));
         }
         int[] most = new int[1];
         s.world.after(70 * SECOND, () -> {
             most[0] = s.cloud.workers().size();
-            s.freeze(s.owner(), 33 * SECOND);
+            s.freeze(s.leader(), 33 * SECOND);
         });
         s.world.after(112 * SECOND, () -> s.cutZone("south", World.Cut.HOLD, 30 * SECOND));
-        s.world.after(118 * SECOND, () -> s.crash(s.owner(), 300_000));
+        s.world.after(118 * SECOND, () -> s.crash(s.leader(), 300_000));
         s.world.after(
                 160 * SECOND, () -> s.names.forEach(n -> s.crash(n, 300_000 + s.world.random.nextInt(4_000_000))));
         s.run(170 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -14,10 +14,13 @@
     private static final long SECOND = Simulation.SECOND;
 
     private static JobSpec wide(Simulation s, String team, int tasks, long runMicros) {
-        return s.withoutDeadline(s.job(false, tasks, Rank.STANDARD, team, true, false, false, runMicros, 0));
+        return s.withoutDeadline(s.job(false, tasks, Priority.STANDARD, team, true, false, false, runMicros, 0));
     }
 
-    /** A full site of borrowed work: the guaranteed job runs whole within seconds, with odd seeds across a change of owner. */
+    /**
+     * A full site of borrowed work: the guaranteed job runs whole within seconds, with odd seeds across a change of
+     * leader.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void borrowedRoomIsGivenBack(long seed) {
@@ -29,7 +32,7 @@
         s.world.after(60 * SECOND, () -> {
             used[0] = s.rules.usedBy("free");
             if (seed % 2 == 1) {
-                s.crash(s.owner(), 300_000);
+                s.crash(s.leader(), 300_000);
             }
             s.submit(wide(s, "granted", 8, 30 * SECOND), -1);
             // Beyond the guarantee it borrows like everybody else: nothing is stopped for that.
@@ -55,10 +58,11 @@
     void nobodyGivesBackMoreThanItBorrowed(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
         s.submit(wide(s, "free", 10, 300 * SECOND), -1);
-        // Of low rank, so that stopping it costs least, and on all machines, so that many of its tasks could go at
+        // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
         // once.
         s.submit(
-                s.withoutDeadline(s.job(false, 10, Rank.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)),
+                s.withoutDeadline(
+                        s.job(false, 10, Priority.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)),
                 -1);
         long[] lent = {0, Long.MAX_VALUE, 0};
         s.world.after(60 * SECOND, () -> {
@@ -101,20 +105,20 @@
     }
 
     /**
-     * Spot machines are full and a full-price machine has room. Jobs that could wait for cheap room by their deadlines take
-     * it all the same when they are within their team's guarantee, or of a class that is to start sooner than a machine
-     * boots; nothing is stopped for them.
+     * Spot machines are full and a full-price machine has room. Jobs that could wait for cheap room by their
+     * deadlines take it all the same when they are within their team's guarantee, or of a class that is to start
+     * sooner than a machine boots; nothing is stopped for them.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void urgentWorkDoesNotWaitBesideFullPriceRoom(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
-        JobSpec like = s.job(false, 1, Rank.STANDARD, "free", false, false, false, 600 * SECOND, 0);
+        JobSpec like = s.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
         s.submit(s.withCpu(like, 1, 9_000), -1); // holds a part of a full-price machine
         s.submit(wide(s, "free", 30, 300 * SECOND), -1); // fills the spot machines, and asks for no others
         boolean guaranteed = seed % 2 == 1;
-        JobSpec job =
-                s.job(false, 2, Rank.STANDARD, guaranteed ? "granted" : "free", true, false, false, 300 * SECOND, 0);
+        JobSpec job = s.job(
+                false, 2, Priority.STANDARD, guaranteed ? "granted" : "free", true, false, false, 300 * SECOND, 0);
         JobSpec urgent = guaranteed ? job : s.ofClass(job, Simulation.PROMPT);
         long[] used = new long[2];
         s.world.after(60 * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.coordination.Config;
+import org.granitepath.coordination.JobResponse;
+import org.granitepath.coordination.JobResponse.JobState;
 import org.granitepath.coordination.TaskId;
-import org.granitepath.coordination.UserAnswer;
-import org.granitepath.coordination.UserAnswer.JobState;
 
 /** The users' rules, checked from what happens on machines and what users are told. */
 final class Rules {
@@ -41,9 +41,9 @@
     private final Map<String, Long> answeredAt = new HashMap<>();
     private final Map<String, Long> begunAt = new HashMap<>();
     private final Map<String, Long> completedAt = new HashMap<>();
-    private final Map<String, Long> orderedAt = new HashMap<>();
+    private final Map<String, Long> commandedAt = new HashMap<>();
     private final Map<String, Long> couldRunSince = new HashMap<>();
-    private final Set<String> impossible = new HashSet<>();
+    private final Set<String> unschedulable = new HashSet<>();
     private final Consumer<String> lastTaskDone;
     int starts;
 
@@ -121,8 +121,8 @@
     }
 
     /** A controller gives the command to start this task. */
-    void ordered(TaskId task) {
-        orderedAt.put(task.job(), world.now());
+    void commandSent(TaskId task) {
+        commandedAt.put(task.job(), world.now());
         if (toldFinal.get(task.job()) == JobState.CANCELLED) {
             breach("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
         }
@@ -190,8 +190,8 @@
     }
 
     /**
-     * Once troubles are over, no job may be left waiting for so long while a machine would take one of its tasks and its
-     * team is under its limit. Called again and again; whoever is given a start begins to wait anew.
+     * Once troubles are over, no job may be left waiting for so long while a machine would take one of its tasks and
+     * its team is under its limit. Called again and again; whoever is given a start begins to wait anew.
      */
     void checkWaiting(Collection<SimWorker> machines) {
         Map<String, Integer> held = new HashMap<>();
@@ -224,7 +224,7 @@
                 continue;
             }
             long since =
-                    Math.max(couldRunSince.computeIfAbsent(job, k -> world.now()), orderedAt.getOrDefault(job, 0L));
+                    Math.max(couldRunSince.computeIfAbsent(job, k -> world.now()), commandedAt.getOrDefault(job, 0L));
             if (world.now() - since > NEGLECTED_MICROS) {
                 breach(
                         "neglected",
@@ -281,8 +281,8 @@
     }
 
     /** A job that fits nowhere: nobody may accept it. */
-    void submittingImpossible(String job) {
-        impossible.add(job);
+    void submittingUnschedulable(String job) {
+        unschedulable.add(job);
     }
 
     void cancelling(String job) {
@@ -315,13 +315,13 @@
     }
 
     /** An answer that a user got, by its time of arrival; asked after every earlier answer had arrived. */
-    void told(String job, UserAnswer answer) {
-        if (answer instanceof UserAnswer.NotFound && accepted.contains(job)) {
+    void told(String job, JobResponse answer) {
+        if (answer instanceof JobResponse.NotFound && accepted.contains(job)) {
             breach("forgotten", job + " is not found");
-        } else if (answer instanceof UserAnswer.Impossible && accepted.contains(job)) {
+        } else if (answer instanceof JobResponse.Unschedulable && accepted.contains(job)) {
             breach("forgotten", job + " is called impossible");
-        } else if (answer instanceof UserAnswer.Status s) {
-            if (impossible.contains(job)) {
+        } else if (answer instanceof JobResponse.Status s) {
+            if (unschedulable.contains(job)) {
                 breach("accepted_impossible", job + " can never run");
                 return;
             }
--- a/src/test/java/org/granitepath/simulation/RulesTest.java
+++ b/src/test/java/org/granitepath/simulation/RulesTest.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Rank;
-import org.granitepath.coordination.Beat;
-import org.granitepath.coordination.BeatAnswer;
+import org.granitepath.bookkeeping.Priority;
 import org.granitepath.coordination.Config;
-import org.granitepath.coordination.Order;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.JobResponse;
+import org.granitepath.coordination.JobResponse.JobState;
 import org.granitepath.coordination.TaskId;
-import org.granitepath.coordination.UserAnswer;
-import org.granitepath.coordination.UserAnswer.JobState;
+import org.granitepath.coordination.WorkerCommand;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -41,7 +41,7 @@
                 "c",
                 "t",
                 JobSpec.Shape.BATCH,
-                Rank.HIGH,
+                Priority.HIGH,
                 2,
                 1_000,
                 0,
@@ -68,8 +68,8 @@
         rules.started(new TaskId(job, index), host, "m", zone, false);
     }
 
-    private static UserAnswer status(String job, JobState state) {
-        return new UserAnswer.Status(false, job, state, 0, 0);
+    private static JobResponse status(String job, JobState state) {
+        return new JobResponse.Status(false, job, state, 0, 0);
     }
 
     @Test
@@ -149,18 +149,18 @@
 
     @Test
     void startIsSentAfterACancellation() {
-        rules.ordered(new TaskId("run-1", 0));
+        rules.commandSent(new TaskId("run-1", 0));
         rules.cancelling("run-1");
         rules.told("run-1", status("run-1", JobState.CANCELLED));
         assertTrue(rules.broken.isEmpty());
-        rules.ordered(new TaskId("run-1", 1));
+        rules.commandSent(new TaskId("run-1", 1));
         assertBroken("started_cancelled");
     }
 
     @Test
-    void impossibleJobIsAccepted() {
-        rules.submittingImpossible("run-9");
-        rules.told("run-9", new UserAnswer.Impossible("too large"));
+    void unschedulableJobIsAccepted() {
+        rules.submittingUnschedulable("run-9");
+        rules.told("run-9", new JobResponse.Unschedulable("too large"));
         assertTrue(rules.broken.isEmpty());
         rules.told("run-9", status("run-9", JobState.PENDING));
         assertBroken("accepted_impossible");
@@ -170,7 +170,7 @@
     @Test
     void cancelledTaskGoesOnAfterItsMachineHung() {
         SimWorker worker = worker();
-        worker.orders(1, 1, List.of(Order.start(new TaskId("run-1", 0), 7)));
+        worker.commands(1, 1, List.of(WorkerCommand.start(new TaskId("run-1", 0), 7)));
         world.run(1_000_000, rules::check);
         assertEquals(1, rules.usedBy("t") / 1_000);
         rules.cancelling("run-1");
@@ -214,8 +214,8 @@
                     }
 
                     @Override
-                    public BeatAnswer beat(String node, Beat beat) {
-                        return new BeatAnswer.Accepted(1, List.of());
+                    public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
+                        return new HeartbeatResponse.Accepted(1, List.of());
                     }
 
                     @Override
@@ -275,7 +275,7 @@
                 "c",
                 "t",
                 JobSpec.Shape.BATCH,
-                Rank.HIGH,
+                Priority.HIGH,
                 3,
                 1_000,
                 0,
@@ -296,7 +296,7 @@
     @Test
     void wrongAnswers() {
         rules.told("run-1", status("run-1", JobState.PENDING));
-        rules.told("run-1", new UserAnswer.NotFound());
+        rules.told("run-1", new JobResponse.NotFound());
         assertBroken("forgotten");
         rules.broken.clear();
         rules.told("run-1", status("run-1", JobState.DONE));
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -160,7 +160,7 @@
             }
 
             @Override
-            public void giveBack(List<String> ids, Consumer<Boolean> then) {
+            public void returnMachines(List<String> ids, Consumer<Boolean> then) {
                 world.call(
                         node,
                         NAME,
--- a/src/test/java/org/granitepath/simulation/SimState.java
+++ b/src/test/java/org/granitepath/simulation/SimState.java
@@ -56,7 +56,7 @@
     int lateSuccesses;
 
     int oversized;
-    /** Acceptances that would hold whoever the owner is by then. */
+    /** Acceptances that would hold whoever the leader is by then. */
     int unfenced;
     /** Requests to read, long polls included. */
     int reads;
@@ -344,7 +344,7 @@
             }
 
             @Override
-            public void touchLease(long lease, Consumer<Outcome> then) {
+            public void renewLease(long lease, Consumer<Outcome> then) {
                 world.call(
                         node,
                         NAME,
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -10,13 +10,13 @@
 import java.util.function.Function;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.coordination.Beat;
-import org.granitepath.coordination.Beat.Cause;
-import org.granitepath.coordination.Beat.TaskReport;
-import org.granitepath.coordination.Beat.TaskState;
-import org.granitepath.coordination.BeatAnswer;
-import org.granitepath.coordination.Order;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.Heartbeat.Cause;
+import org.granitepath.coordination.Heartbeat.TaskReport;
+import org.granitepath.coordination.Heartbeat.TaskState;
+import org.granitepath.coordination.HeartbeatResponse;
 import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.WorkerCommand;
 import org.granitepath.protocol.WorkerCodec;
 
 /** A stand-in for a machine's worker, as the protocol describes it. */
@@ -44,7 +44,7 @@
     interface Controllers {
         List<String> names();
 
-        BeatAnswer beat(String node, Beat beat);
+        HeartbeatResponse heartbeat(String node, Heartbeat heartbeat);
 
         /** Whether every task of this job fails, wherever it runs. */
         boolean fails(String job);
@@ -65,7 +65,7 @@
     private final Set<String> images = new HashSet<>();
     private long session = 1;
     private long sequence;
-    private long baton;
+    private long fencingToken;
     private long leaseFrom;
     private long nextReport;
     private int at;
@@ -74,7 +74,7 @@
     private boolean dead;
     private boolean hanging;
     private boolean muted;
-    private Beat latest;
+    private Heartbeat latest;
     /** A machine on which every task fails. */
     boolean faulty;
     /** How many tasks have failed here. */
@@ -115,7 +115,7 @@
         muted = now;
     }
 
-    Beat latest() {
+    Heartbeat latest() {
         return latest;
     }
 
@@ -264,12 +264,12 @@
         changed = true;
     }
 
-    private Beat beat() {
+    private Heartbeat heartbeat() {
         List<TaskReport> list = new ArrayList<>();
         for (Run r : runs.values()) {
             list.add(new TaskReport(r.task, r.attempt, r.state, r.cause, r.saved));
         }
-        return new Beat(
+        return new Heartbeat(
                 id,
                 id,
                 type.name(),
@@ -277,7 +277,7 @@
                 spot,
                 session,
                 ++sequence,
-                baton,
+                fencingToken,
                 noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
                 list);
     }
@@ -288,11 +288,11 @@
         long sent = world.now();
         long ofSession = session;
         String node = controllers.names().get(at);
-        Beat beat = beat();
+        Heartbeat heartbeat = heartbeat();
         nextReport = sent + reportMicros * 3 / 4 + world.random.nextInt((int) (reportMicros / 2));
-        latest = beat;
+        latest = heartbeat;
         String way = muted ? "nowhere" : node;
-        world.call(id, way, PATIENCE, () -> muted ? null : controllers.beat(node, beat), answer -> {
+        world.call(id, way, PATIENCE, () -> muted ? null : controllers.heartbeat(node, heartbeat), answer -> {
             reporting = false;
             if (dead) {
                 return;
@@ -301,15 +301,15 @@
             if (hanging) {
                 answer = null;
             }
-            if (answer instanceof BeatAnswer.Accepted a) {
-                if (ofSession == session && a.baton() >= baton) {
-                    changed |= a.baton() > baton;
-                    baton = a.baton();
+            if (answer instanceof HeartbeatResponse.Accepted a) {
+                if (ofSession == session && a.fencingToken() >= fencingToken) {
+                    changed |= a.fencingToken() > fencingToken;
+                    fencingToken = a.fencingToken();
                     leaseFrom = Math.max(leaseFrom, sent);
-                    execute(a.orders());
+                    execute(a.commands());
                 }
             } else {
-                String to = answer instanceof BeatAnswer.Elsewhere e ? e.node() : null;
+                String to = answer instanceof HeartbeatResponse.Redirect e ? e.node() : null;
                 int named = to == null ? -1 : controllers.names().indexOf(to);
                 if (named >= 0 && named != at) {
                     at = named;
@@ -323,25 +323,26 @@
     }
 
     /** A direct command. Null: hanging, no answer. */
-    org.granitepath.coordination.WorkerPort.Reply orders(long withBaton, long withSession, List<Order> orders) {
+    org.granitepath.coordination.WorkerPort.Reply commands(
+            long withToken, long withSession, List<WorkerCommand> commands) {
         expireIfDue();
-        boolean ok = withBaton >= baton && withSession == session;
+        boolean ok = withToken >= fencingToken && withSession == session;
         if (ok) {
-            changed |= withBaton > baton;
-            baton = withBaton;
-            execute(orders);
+            changed |= withToken > fencingToken;
+            fencingToken = withToken;
+            execute(commands);
         }
-        return new org.granitepath.coordination.WorkerPort.Reply(ok, beat());
+        return new org.granitepath.coordination.WorkerPort.Reply(ok, heartbeat());
     }
 
     boolean hangs() {
         return hanging;
     }
 
-    private void execute(List<Order> orders) {
-        for (Order o : orders) {
+    private void execute(List<WorkerCommand> commands) {
+        for (WorkerCommand o : commands) {
             // Through the wire's words and back, as between real processes.
-            assert WorkerCodec.encodeOrders(baton, session, List.of(o)) != null;
+            assert WorkerCodec.encodeCommands(fencingToken, session, List.of(o)) != null;
             String key = o.task() + "#" + o.attempt();
             Run r = runs.get(key);
             switch (o.verb()) {
@@ -355,7 +356,7 @@
                         stop(r, o.graceMicros());
                     }
                 }
-                case FORGET -> {
+                case CLEAR -> {
                     if (r != null && r.state == TaskState.EXITED) {
                         runs.remove(key);
                     }
@@ -364,7 +365,7 @@
         }
     }
 
-    private void start(Order o, String key) {
+    private void start(WorkerCommand o, String key) {
         changed = true;
         Run r = new Run(o.task(), o.attempt());
         JobSpec spec = jobs.apply(o.task().job());
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -13,17 +13,17 @@
 import java.util.stream.Stream;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Rank;
+import org.granitepath.bookkeeping.Priority;
 import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.Beat;
-import org.granitepath.coordination.BeatAnswer;
 import org.granitepath.coordination.Config;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.Order;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.JobResponse;
+import org.granitepath.coordination.JobResponse.JobState;
 import org.granitepath.coordination.PeerPort;
 import org.granitepath.coordination.TaskId;
-import org.granitepath.coordination.UserAnswer;
-import org.granitepath.coordination.UserAnswer.JobState;
+import org.granitepath.coordination.WorkerCommand;
 import org.granitepath.coordination.WorkerPort;
 
 /** Controllers with stand-ins for all around them, users included, in simulated time from a seed. */
@@ -172,13 +172,13 @@
     /** For how long direct calls that start tasks are held up on their way; others overtake them. */
     long heldStarts;
     /** Peers never pass cancellations on: what is safe must be safe without. */
-    boolean peersTellNothing;
+    boolean peersSendNoCancellations;
     /** Share of jobs that are called off at the very moment at which their last task ends. */
     double cancelledAtEnd;
     /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
     final Set<String> brokenJobs = new HashSet<>();
     /** Jobs that can never run, and were told so. */
-    int impossibleRefused;
+    int unschedulableRefused;
     /** The most direct calls to machines that one controller had under way at once. */
     int mostCalls;
 
@@ -218,12 +218,13 @@
                             }
 
                             @Override
-                            public BeatAnswer beat(String node, Beat beat) {
+                            public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
                                 Controller c = nodes.get(node).controller;
-                                BeatAnswer answer = c == null ? new BeatAnswer.Unavailable() : c.beat(beat);
-                                if (answer instanceof BeatAnswer.Accepted a) {
+                                HeartbeatResponse answer =
+                                        c == null ? new HeartbeatResponse.Unavailable() : c.heartbeat(heartbeat);
+                                if (answer instanceof HeartbeatResponse.Accepted a) {
                                     reportsAccepted.merge(node, 1, Integer::sum);
-                                    countStarts(beat.host(), a.orders());
+                                    countStarts(heartbeat.host(), a.commands());
                                 }
                                 return answer;
                             }
@@ -254,10 +255,10 @@
         return ZONES.get(names.indexOf(node) % ZONES.size());
     }
 
-    private void countStarts(String host, List<Order> orders) {
-        for (Order o : orders) {
-            if (o.verb() == Order.Verb.START) {
-                rules.ordered(o.task());
+    private void countStarts(String host, List<WorkerCommand> commands) {
+        for (WorkerCommand o : commands) {
+            if (o.verb() == WorkerCommand.Verb.START) {
+                rules.commandSent(o.task());
                 startsAsked.merge(host, 1, Integer::sum);
             }
         }
@@ -271,30 +272,30 @@
     private PeerPort peerPort(String node) {
         return new PeerPort() {
             @Override
-            public void greet(String peer, Greeting ours, Consumer<Greeting> then) {
-                world.<Greeting>callLater(
+            public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
+                world.<PeerStatus>callLater(
                         node,
                         peer,
                         SECOND,
                         answer -> {
                             Controller c = nodes.get(peer).controller;
                             if (c != null) {
-                                answer.accept(c.greeted(ours));
+                                answer.accept(c.statusReceived(ours));
                             }
                         },
                         then);
             }
 
             @Override
-            public void tell(String peer, Cancelled word, Consumer<Boolean> then) {
+            public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
                 world.<Boolean>callLater(
                         node,
                         peer,
                         SECOND,
                         answer -> {
                             Controller c = nodes.get(peer).controller;
-                            if (c != null && !peersTellNothing) {
-                                c.cancelledElsewhere(word);
+                            if (c != null && !peersSendNoCancellations) {
+                                c.cancellationReceived(notice);
                                 answer.accept(true);
                             }
                         },
@@ -308,17 +309,22 @@
             private int calls;
 
             @Override
-            public void send(String address, long baton, long session, List<Order> orders, Consumer<Reply> then) {
-                countStarts(address, orders);
-                boolean starts = orders.stream().anyMatch(o -> o.verb() == Order.Verb.START);
+            public void send(
+                    String address,
+                    long fencingToken,
+                    long session,
+                    List<WorkerCommand> commands,
+                    Consumer<Reply> then) {
+                countStarts(address, commands);
+                boolean starts = commands.stream().anyMatch(o -> o.verb() == WorkerCommand.Verb.START);
                 mostCalls = Math.max(mostCalls, ++calls);
                 world.<Reply>callLater(
                         node,
                         address,
                         2 * SECOND,
                         answer -> {
-                            Runnable serve =
-                                    () -> serveWhenAwake(address, w -> w.orders(baton, session, orders), answer);
+                            Runnable serve = () ->
+                                    serveWhenAwake(address, w -> w.commands(fencingToken, session, commands), answer);
                             if (starts && heldStarts > 0) {
                                 world.after(heldStarts, serve);
                             } else {
@@ -388,15 +394,15 @@
         world.after(forMicros, () -> w.mute(false));
     }
 
-    /** A copy of a report arrives at the owner; its answer gets lost. */
-    void deliver(Beat late) {
-        deliver(owner(), late);
+    /** A copy of a report arrives at the leader; its answer gets lost. */
+    void deliver(Heartbeat late) {
+        deliver(leader(), late);
     }
 
-    void deliver(String node, Beat late) {
+    void deliver(String node, Heartbeat late) {
         Controller c = nodes.get(node).controller;
         if (c != null) {
-            c.beat(late);
+            c.heartbeat(late);
         }
     }
 
@@ -471,28 +477,29 @@
                         cancel(spec.id());
                     }
                 }
-                JobSpec odd = withCpu(job(false, 3, Rank.STANDARD, "free", true, false, false, SECOND, 0), 3, 90_000);
-                rules.submittingImpossible(odd.id());
+                JobSpec odd =
+                        withCpu(job(false, 3, Priority.STANDARD, "free", true, false, false, SECOND, 0), 3, 90_000);
+                rules.submittingUnschedulable(odd.id());
                 ask(
                         odd.id(),
                         (c, then) -> c.submit(odd, then),
-                        answer -> impossibleRefused += answer instanceof UserAnswer.Impossible ? 1 : 0);
+                        answer -> unschedulableRefused += answer instanceof JobResponse.Unschedulable ? 1 : 0);
             });
         }
     }
 
-    String owner() {
-        return ownersBut(null).findFirst().orElse(names.get(0));
+    String leader() {
+        return leadersOtherThan(null).findFirst().orElse(names.get(0));
     }
 
-    /** The owner other than this one, which may not know yet that it was deposed. */
-    String ownerBut(String former) {
-        return ownersBut(former).findFirst().orElse(former);
+    /** The leader other than this one, which may not know yet that it was replaced. */
+    String leaderOtherThan(String former) {
+        return leadersOtherThan(former).findFirst().orElse(former);
     }
 
-    private Stream<String> ownersBut(String one) {
+    private Stream<String> leadersOtherThan(String one) {
         return nodes.values().stream()
-                .filter(n -> n.controller != null && n.controller.owner())
+                .filter(n -> n.controller != null && n.controller.leader())
                 .map(n -> n.name)
                 .filter(n -> !n.equals(one));
     }
@@ -516,7 +523,7 @@
     JobSpec job(
             boolean service,
             int tasks,
-            Rank rank,
+            Priority priority,
             String team,
             boolean spot,
             boolean spread,
@@ -529,7 +536,7 @@
                 service ? "svc" : "bat",
                 team,
                 service ? JobSpec.Shape.SERVICE : tasks % 5 == 4 ? JobSpec.Shape.GANG : JobSpec.Shape.BATCH,
-                rank,
+                priority,
                 tasks,
                 service ? 1_000 : 2_000,
                 0,
@@ -554,7 +561,7 @@
                 j.jobClass(),
                 j.team(),
                 j.shape(),
-                j.rank(),
+                j.priority(),
                 tasks,
                 cpuMillis,
                 0,
@@ -578,7 +585,7 @@
                 j.jobClass(),
                 j.team(),
                 j.shape(),
-                j.rank(),
+                j.priority(),
                 j.tasks(),
                 j.cpuMillis(),
                 0,
@@ -603,7 +610,7 @@
                 jobClass,
                 j.team(),
                 j.shape(),
-                j.rank(),
+                j.priority(),
                 j.tasks(),
                 j.cpuMillis(),
                 0,
@@ -626,7 +633,7 @@
         return job(
                 service,
                 1 + world.random.nextInt(service ? 5 : 12),
-                service ? Rank.CRITICAL : world.random.nextBoolean() ? Rank.STANDARD : Rank.BEST_EFFORT,
+                service ? Priority.CRITICAL : world.random.nextBoolean() ? Priority.STANDARD : Priority.BEST_EFFORT,
                 world.random.nextInt(3) == 0 ? "tight" : "free",
                 !service && world.random.nextBoolean(),
                 service && world.random.nextBoolean(),
@@ -640,12 +647,12 @@
         jobs.put(spec.id(), spec);
         rules.submitting(spec);
         ask(spec.id(), (c, then) -> c.submit(spec, then), answer -> {
-            if (answer instanceof UserAnswer.Status) {
+            if (answer instanceof JobResponse.Status) {
                 if (cancelAfter >= 0) {
                     world.after(cancelAfter, () -> cancel(spec.id()));
                 }
                 poll(spec.id());
-            } else if (!(answer instanceof UserAnswer.Impossible)) {
+            } else if (!(answer instanceof JobResponse.Unschedulable)) {
                 world.after(2 * SECOND, () -> submit(spec, cancelAfter));
             }
         });
@@ -656,7 +663,7 @@
         jobs.put(spec.id(), spec);
         rules.submitting(spec);
         askAt(node, spec.id(), (c, then) -> c.submit(spec, then), answer -> {
-            if (answer instanceof UserAnswer.Status) {
+            if (answer instanceof JobResponse.Status) {
                 poll(spec.id());
             } else {
                 world.after(300_000, () -> submitAt(node, spec));
@@ -669,7 +676,7 @@
                 5 * SECOND,
                 () -> ask(id, (c, then) -> c.poll(id, then), answer -> {
                     poll(id);
-                    if (answer instanceof UserAnswer.Status s && s.state() == JobState.DONE) {
+                    if (answer instanceof JobResponse.Status s && s.state() == JobState.DONE) {
                         doneTold++;
                     }
                 }));
@@ -683,23 +690,23 @@
     void cancelAt(String node, String id) {
         rules.cancelling(id);
         askAt(node, id, (c, then) -> c.cancel(id, then), answer -> {
-            if (!(answer instanceof UserAnswer.Status)) {
+            if (!(answer instanceof JobResponse.Status)) {
                 world.after(2 * SECOND, () -> cancel(id));
             }
         });
     }
 
     private interface Question {
-        void ask(Controller c, Consumer<UserAnswer> then);
+        void ask(Controller c, Consumer<JobResponse> then);
     }
 
     private final Map<String, Integer> asking = new LinkedHashMap<>();
 
-    private void ask(String id, Question question, Consumer<UserAnswer> then) {
+    private void ask(String id, Question question, Consumer<JobResponse> then) {
         askAt(anyNode(), id, question, then);
     }
 
-    private void askAt(String node, String id, Question question, Consumer<UserAnswer> then) {
+    private void askAt(String node, String id, Question question, Consumer<JobResponse> then) {
         String user = "user-" + id;
         // Answers are compared only when the question was put after the earlier answer: so one question at a time.
         if (asking.getOrDefault(id, 0) > 0) {
@@ -707,7 +714,7 @@
             return;
         }
         asking.put(id, 1);
-        world.<UserAnswer>callLater(
+        world.<JobResponse>callLater(
                 user,
                 node,
                 USER_TIMEOUT,
@@ -726,7 +733,7 @@
                 });
     }
 
-    void pollStranger() {
+    void pollUnknownJob() {
         String id = "run-999" + world.random.nextInt(1000);
         ask(id, (c, then) -> c.poll(id, then), answer -> {});
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -10,8 +10,8 @@
 import java.util.stream.LongStream;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.Rank;
-import org.granitepath.coordination.Beat;
+import org.granitepath.bookkeeping.Priority;
+import org.granitepath.coordination.Heartbeat;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -25,7 +25,7 @@
         assertEquals(List.of(), s.rules.broken.stream().distinct().limit(5).toList());
         assertTrue(s.rules.starts > 0, "nothing ran");
         assertEquals(0, s.state.oversized, "a transaction or a value over its limit");
-        assertEquals(0, s.state.unfenced, "a claim that is not tied to an owner's term");
+        assertEquals(0, s.state.unfenced, "a claim that is not tied to a leader's term");
     }
 
     /** Work must go on once the troubles are over. */
@@ -43,7 +43,7 @@
             s.world.after(2 * SECOND + (long) (s.world.random.nextDouble() * overMicros), () -> {
                 JobSpec spec = s.randomJob();
                 s.submit(spec, spec.service() ? 60 * SECOND : s.world.random.nextInt(6) == 0 ? 12 * SECOND : -1);
-                s.pollStranger();
+                s.pollUnknownJob();
             });
         }
         return s;
@@ -85,16 +85,16 @@
         World.Cut how = random.nextBoolean() ? World.Cut.HOLD : World.Cut.DROP;
         long time = (3 + random.nextInt(40)) * SECOND;
         switch (random.nextInt(14)) {
-            case 0 -> s.crash(s.owner(), 300_000 + random.nextInt(6_000_000));
+            case 0 -> s.crash(s.leader(), 300_000 + random.nextInt(6_000_000));
             case 1 -> s.crash(s.anyNode(), 300_000 + random.nextInt(6_000_000));
             case 2 -> s.names.forEach(n -> s.crash(n, SECOND + random.nextInt(4_000_000)));
-            case 3 -> s.cut(s.owner(), SimState.NAME, how, time);
-            case 4 -> s.cutFromWorkers(s.owner(), how, time);
+            case 3 -> s.cut(s.leader(), SimState.NAME, how, time);
+            case 4 -> s.cutFromWorkers(s.leader(), how, time);
             case 5 -> s.state.outage(time);
             case 6 -> s.cloud.outage(time);
-            case 7 -> s.state.refuse(s.owner(), time);
+            case 7 -> s.state.refuse(s.leader(), time);
             case 8 -> s.cutZone(s.zoneOf(s.anyNode()), how, time);
-            case 9 -> s.freeze(s.owner(), time);
+            case 9 -> s.freeze(s.leader(), time);
             default -> machineTrouble(s, how, time);
         }
     }
@@ -116,19 +116,19 @@
         }
     }
 
-    /** Owner cut from the state service alone: it must fall silent before an unseen cancellation overstays. */
+    /** Leader cut from the state service alone: it must fall silent before an unseen cancellation overstays. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancellationReachesTasksOfAnOwnerCutFromTheState(long seed) {
+    void cancellationReachesTasksOfALeaderCutFromTheState(long seed) {
         Simulation s = new Simulation(seed);
-        JobSpec service = s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0);
+        JobSpec service = s.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0);
         s.submit(service, 40 * SECOND);
         s.world.after(35 * SECOND, () -> {
-            String owner = s.owner();
-            s.cut(owner, SimState.NAME, World.Cut.HOLD, 120 * SECOND);
+            String leader = s.leader();
+            s.cut(leader, SimState.NAME, World.Cut.HOLD, 120 * SECOND);
             // The successors can't reach the workers: only the lease can end the tasks.
             for (String n : s.names) {
-                if (!n.equals(owner)) {
+                if (!n.equals(leader)) {
                     s.cutFromWorkers(n, World.Cut.DROP, 120 * SECOND);
                 }
             }
@@ -140,12 +140,12 @@
     /** Repeated crashes of whoever owns the machines, in the middle of each takeover. */
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
-    void ownersCrashDuringTakeover(long seed) {
+    void leadersCrashDuringTakeover(long seed) {
         Simulation s = withJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
             s.world.after(
                     (20 + 6 * i) * SECOND + s.world.random.nextInt(4_000_000),
-                    () -> s.crash(s.owner(), 500_000 + s.world.random.nextInt(3_000_000)));
+                    () -> s.crash(s.leader(), 500_000 + s.world.random.nextInt(3_000_000)));
         }
         s.run(300 * SECOND);
         assertRulesAndAllDone(s);
@@ -162,7 +162,7 @@
         for (int i = 0; i < 12; i++) {
             s.world.after(
                     2 * SECOND + 8L * i * SECOND,
-                    () -> s.submit(s.job(false, 40, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
+                    () -> s.submit(s.job(false, 40, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
         }
         SimWorker[] cut = new SimWorker[1];
         int[] before = new int[1];
@@ -183,13 +183,16 @@
         assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
     }
 
-    /** So many machines stop hearing at once that their silence is not trusted: they are not filled again and again either. */
+    /**
+     * So many machines stop hearing at once that their silence is not trusted: they are not filled again and again
+     * either.
+     */
     @ParameterizedTest
     @ValueSource(longs = {16, 17})
     void mostMachinesStopHearing(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
         for (int i = 0; i < 8; i++) {
-            s.submit(s.job(false, 200, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
+            s.submit(s.job(false, 200, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
         }
         List<SimWorker> deaf = new ArrayList<>();
         List<Integer> before = new ArrayList<>();
@@ -216,12 +219,12 @@
         Simulation s = new Simulation(15, 3, 1);
         s.world.after(
                 2 * SECOND,
-                () -> s.submit(s.job(false, 900, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
+                () -> s.submit(s.job(false, 900, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1));
         SimWorker[] gone = new SimWorker[1];
         int[] before = new int[1];
         s.world.after(40 * SECOND, () -> {
             gone[0] = s.anyWorker();
-            Beat late = gone[0].latest();
+            Heartbeat late = gone[0].latest();
             gone[0].die();
             s.world.after(30 * SECOND, () -> before[0] = s.startsAskedOf(gone[0]));
             for (int i = 31; i < 60; i += 7) {
@@ -233,7 +236,7 @@
         assertEquals(before[0], s.startsAskedOf(gone[0]), "work was placed on a machine that is gone");
     }
 
-    /** Copies of reports and requests, seconds to several leases late, while owners and machines come and go. */
+    /** Copies of reports and requests, seconds to several leases late, while leaders and machines come and go. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void lateCopiesOfReports(long seed) {
@@ -241,38 +244,40 @@
         s.world.lateCopies = 0.25;
         for (int i = 0; i < 5; i++) {
             s.world.after(
-                    (20 + 25 * i) * SECOND, () -> s.crash(s.owner(), 300_000 + s.world.random.nextInt(5_000_000)));
+                    (20 + 25 * i) * SECOND, () -> s.crash(s.leader(), 300_000 + s.world.random.nextInt(5_000_000)));
             s.world.after((32 + 25 * i) * SECOND, () -> machineTrouble(s, World.Cut.HOLD, 15 * SECOND));
         }
         s.run(180 * SECOND, 420 * SECOND);
         assertRulesAndAllDone(s);
     }
 
-    /** A cancellation told elsewhere while the owner sees neither the state service nor its peers, only its workers. */
+    /**
+     * A cancellation told elsewhere while the leader sees neither the state service nor its peers, only its workers.
+     */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
-    void ownerKeepsOnlyItsWorkers(long seed) {
+    void leaderKeepsOnlyItsWorkers(long seed) {
         Simulation s = withJobs(seed, 25, 80 * SECOND);
         for (int i = 0; i < 3; i++) {
-            s.submit(s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0), (30 + 6 * i) * SECOND);
+            s.submit(s.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0), (30 + 6 * i) * SECOND);
         }
         s.world.after(
                 32 * SECOND,
-                () -> s.cutFromPeersAndState(s.owner(), seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND));
+                () -> s.cutFromPeersAndState(s.leader(), seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND));
         s.run(110 * SECOND, 300 * SECOND);
         assertRulesAndAllDone(s);
     }
 
     /**
-     * An owner that was deposed without knowing gets a submission on record before it learns of its successor, which
+     * A leader that was replaced without knowing gets a submission on record before it learns of its successor, which
      * reaches only half of the machines yet: what the acceptance claims is the successor's alone.
      */
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
-    void deposedOwnerAcceptsAJob(long seed) {
+    void replacedLeaderAcceptsAJob(long seed) {
         Simulation s = withJobs(seed, 10, 30 * SECOND);
         s.world.after(40 * SECOND, () -> {
-            String former = s.owner();
+            String former = s.leader();
             s.cut(former, SimState.NAME, World.Cut.HOLD, 4 * SECOND);
             List<SimWorker> all = s.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
@@ -285,7 +290,8 @@
                 s.world.after(
                         3_800_000 + i * 30_000L,
                         () -> s.submitAt(
-                                former, s.job(false, 5, Rank.STANDARD, "free", false, false, false, 20 * SECOND, 0)));
+                                former,
+                                s.job(false, 5, Priority.STANDARD, "free", false, false, false, 20 * SECOND, 0)));
             }
         });
         s.run(60 * SECOND, 300 * SECOND);
@@ -293,26 +299,27 @@
     }
 
     /**
-     * An owner stands still while its clocks run on, longer than it may hold its machines without word from the state
+     * A leader stands still while its clocks run on, longer than it may hold its machines without word from the state
      * service, but not as long as a lease, and is cut off as well. On waking it finds reports that have waited, of
-     * machines that reach nobody else: to answer them would keep tasks of a job alive that another controller has called cancelled.
+     * machines that reach nobody else: to answer them would keep tasks of a job alive that another controller has
+     * called cancelled.
      */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
-    void ownerStandsStillAndWakes(long seed) {
+    void leaderStandsStillAndWakes(long seed) {
         Simulation s = new Simulation(
                 seed, new Simulation.Shape(2, 5, 2 * SECOND, 27 * SECOND, 46 * SECOND, 1000, 200, 2048, 8, 1_000));
         JobSpec[] services = new JobSpec[6];
         for (int i = 0; i < services.length; i++) {
-            services[i] = s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0);
+            services[i] = s.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0);
             s.submit(services[i], -1);
-            s.submit(s.job(false, 30, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
+            s.submit(s.job(false, 30, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
         }
         s.world.after(45 * SECOND, () -> {
-            String owner = s.owner();
-            String other = s.names.get(1 - s.names.indexOf(owner));
-            s.freeze(owner, 24 * SECOND);
-            s.cutFromPeersAndState(owner, World.Cut.DROP, 70 * SECOND);
+            String leader = s.leader();
+            String other = s.names.get(1 - s.names.indexOf(leader));
+            s.freeze(leader, 24 * SECOND);
+            s.cutFromPeersAndState(leader, World.Cut.DROP, 70 * SECOND);
             s.cutFromWorkers(other, World.Cut.DROP, 70 * SECOND);
             List.of(services).forEach(j -> s.cancelAt(other, j.id()));
         });
@@ -320,23 +327,23 @@
         assertRulesAndAllDone(s);
     }
 
-    /** A pause of the owner's own is not the silence of its few machines: none is given back for it. */
+    /** A pause of the leader's own is not the silence of its few machines: none is given back for it. */
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
-    void aPauseIsNotSilence(long seed) {
+    void aPauseIsNotAFailure(long seed) {
         Simulation s = new Simulation(
                 seed, new Simulation.Shape(3, 1, 5 * SECOND, 11 * SECOND, 31 * SECOND, 1000, 200, 2048, 8, 1_000));
-        s.submit(s.job(true, 2, Rank.CRITICAL, "free", false, true, false, 0, 0), -1);
-        // In an outage no successor is found, and the owner is the owner still when all goes on.
+        s.submit(s.job(true, 2, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
+        // In an outage no successor is found, and the leader is the leader still when all goes on.
         s.world.after(60 * SECOND, () -> s.state.outage(12_900_000));
-        s.world.after(61 * SECOND, () -> s.freeze(s.owner(), 12 * SECOND));
+        s.world.after(61 * SECOND, () -> s.freeze(s.leader(), 12 * SECOND));
         s.run(85 * SECOND, 200 * SECOND);
         assertRules(s);
         assertEquals(List.of(), s.cloud.returnedBusy, "returned with tasks on them");
     }
 
     /**
-     * A zone is cut off from everything for longer than a lease, and its owner's place may be on either side: its
+     * A zone is cut off from everything for longer than a lease, and its leader's place may be on either side: its
      * machines are not given back, and the controllers inside keep what runs there alive.
      */
     @ParameterizedTest
@@ -344,8 +351,8 @@
     void workGoesOnInAZoneThatIsCutOff(long seed) {
         Simulation s = new Simulation(seed, 5, 5);
         for (int i = 0; i < 10; i++) {
-            s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0), -1);
-            s.submit(s.job(false, 20, Rank.STANDARD, "free", true, false, false, 25 * SECOND, 0), -1);
+            s.submit(s.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
+            s.submit(s.job(false, 20, Priority.STANDARD, "free", true, false, false, 25 * SECOND, 0), -1);
         }
         long[] before = new long[1];
         long[] least = {Long.MAX_VALUE};
@@ -353,7 +360,7 @@
             before[0] = s.rules.replicasUp();
             s.cutZone(seed % 2 == 0 ? "north" : "south", World.Cut.HOLD, 22 * SECOND);
             if (seed > 112) {
-                s.world.after(6 * SECOND, () -> s.crash(s.owner(), 300_000));
+                s.world.after(6 * SECOND, () -> s.crash(s.leader(), 300_000));
             }
         });
         for (int i = 0; i < 30; i++) {
@@ -366,22 +373,22 @@
         assertEquals(List.of(), s.cloud.returnedBusy, "returned with tasks on them");
     }
 
-    /** An owner that alone has lost the machines hands them over before their leases run out. */
+    /** A leader that alone has lost the machines hands them over before their leases run out. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
-    void ownerCutFromItsWorkersHandsOver(long seed) {
+    void leaderCutFromItsWorkersStepsDown(long seed) {
         Simulation s = new Simulation(seed, 5, 12);
         for (int i = 0; i < 8; i++) {
-            s.submit(s.job(false, 100, Rank.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
-            s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0), -1);
+            s.submit(s.job(false, 100, Priority.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
+            s.submit(s.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
         }
         String[] cut = new String[1];
         s.world.after(50 * SECOND, () -> {
-            cut[0] = s.owner();
+            cut[0] = s.leader();
             s.cutFromWorkers(cut[0], World.Cut.DROP, 60 * SECOND);
         });
         s.run(50 * SECOND + Simulation.LEASE);
-        assertNotEquals(cut[0], s.owner(), "the owner that reaches no machine is still the owner");
+        assertNotEquals(cut[0], s.leader(), "the leader that reaches no machine is still the leader");
         // They fall silent one after the other; the first are not to be given up before the rest tell what it is.
         assertEquals(List.of(), s.cloud.returnedBusy, "returned with tasks on them");
         s.run(120 * SECOND, 300 * SECOND);
@@ -389,20 +396,20 @@
     }
 
     /**
-     * An owner cut from the state service goes on answering its workers, and some machines can't be reached at all: the
-     * successor must not take those for dead that it has not yet asked, or that still report to the former owner.
+     * A leader cut from the state service goes on answering its workers, and some machines can't be reached at all: the
+     * successor must not take those for dead that it has not yet asked, or that still report to the former leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93})
     void takeoverReturnsNoHealthyMachine(long seed) {
         Simulation s = new Simulation(seed, 5, 20);
         for (int i = 0; i < 8; i++) {
-            s.submit(s.job(false, 150, Rank.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
-            s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0), -1);
+            s.submit(s.job(false, 150, Priority.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
+            s.submit(s.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
         }
         List<String> cut = new ArrayList<>();
         s.world.after(45 * SECOND, () -> {
-            s.cutFromPeersAndState(s.owner(), World.Cut.DROP, 40 * SECOND);
+            s.cutFromPeersAndState(s.leader(), World.Cut.DROP, 40 * SECOND);
             List<SimWorker> all = s.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
@@ -424,10 +431,10 @@
         Simulation s = withJobs(seed, 30, 100 * SECOND);
         s.world.lateCopies = 0.1;
         for (int i = 0; i < 40; i++) {
-            boolean owner = i % 3 > 0;
+            boolean leader = i % 3 > 0;
             s.world.after(
                     20 * SECOND + 2L * i * SECOND + s.world.random.nextInt(2_000_000),
-                    () -> s.crash(owner ? s.owner() : s.anyNode(), 20_000 + s.world.random.nextInt(400_000)));
+                    () -> s.crash(leader ? s.leader() : s.anyNode(), 20_000 + s.world.random.nextInt(400_000)));
             s.world.after(21 * SECOND + 2L * i * SECOND, () -> {
                 SimWorker w = s.anyWorker();
                 if (w != null) {
@@ -440,8 +447,9 @@
     }
 
     /**
-     * More machines than one transaction could name: the takeover once rewrote every roster, and beyond some machines
-     * nobody could own them any more. Owners crash, also in the middle of a takeover, and the state service goes away.
+     * More machines than one transaction could name: the takeover once rewrote every machine inventory, and beyond
+     * some machines nobody could own them any more. Owners crash, also in the middle of a takeover, and the state
+     * service goes away.
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
@@ -454,7 +462,7 @@
                             s.job(
                                     false,
                                     120,
-                                    Rank.STANDARD,
+                                    Priority.STANDARD,
                                     "free",
                                     s.world.random.nextBoolean(),
                                     false,
@@ -464,14 +472,14 @@
                             -1));
             s.world.after(
                     2 * SECOND + 5L * i * SECOND,
-                    () -> s.submit(s.job(true, 6, Rank.CRITICAL, "free", false, true, false, 0, 0), 120 * SECOND));
+                    () -> s.submit(s.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), 120 * SECOND));
         }
         int[] most = new int[1];
         s.world.after(45 * SECOND, () -> {
             most[0] = s.cloud.workers().size();
-            s.crash(s.owner(), 4 * SECOND);
+            s.crash(s.leader(), 4 * SECOND);
         });
-        s.world.after(49 * SECOND, () -> s.crash(s.owner(), 300_000));
+        s.world.after(49 * SECOND, () -> s.crash(s.leader(), 300_000));
         s.world.after(70 * SECOND, () -> s.names.forEach(n -> s.crash(n, SECOND)));
         s.world.after(75 * SECOND, () -> s.state.outage(10 * SECOND));
         s.run(100 * SECOND, 300 * SECOND);
@@ -494,7 +502,7 @@
                             s.job(
                                     false,
                                     n % 10 == 3 ? 60 : 16,
-                                    Rank.STANDARD,
+                                    Priority.STANDARD,
                                     n % 7 == 0 ? "tight" : "free",
                                     true,
                                     false,
@@ -508,7 +516,7 @@
                             s.job(
                                     false,
                                     n % 8 == 0 ? 40 : 6,
-                                    Rank.BEST_EFFORT,
+                                    Priority.BEST_EFFORT,
                                     "free",
                                     true,
                                     false,
@@ -530,7 +538,7 @@
         Simulation s = new Simulation(75, 3, 10);
         List<JobSpec> late = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            JobSpec j = s.job(true, 2, Rank.CRITICAL, "free", false, true, false, 0, 0);
+            JobSpec j = s.job(true, 2, Priority.CRITICAL, "free", false, true, false, 0, 0);
             s.world.after(2 * SECOND + 3L * i * SECOND, () -> s.submit(j, -1));
             if (i >= 25) {
                 late.add(j);
@@ -545,24 +553,24 @@
     }
 
     /**
-     * Machines on which many small tasks run and are replaced: new batons, which let their exited attempts be cleared,
-     * are drawn now and then for all together, and never for what runs.
+     * Machines on which many small tasks run and are replaced: new fencing tokens, which let their exited attempts be
+     * cleared, are drawn now and then for all together, and never for what runs.
      */
     @Test
-    void upkeepOfMachinesWithManyTasksIsRare() {
+    void cleanupOfMachinesWithManyTasksIsRare() {
         Simulation s = new Simulation(85, 3, 3);
-        JobSpec like = s.job(true, 31, Rank.CRITICAL, "free", false, false, false, 0, 0);
+        JobSpec like = s.job(true, 31, Priority.CRITICAL, "free", false, false, false, 0, 0);
         for (int i = 0; i < 4; i++) {
             s.submit(s.withCpu(like, 31, 250), -1);
         }
-        JobSpec batch = s.job(false, 60, Rank.STANDARD, "free", true, false, false, 2 * SECOND, 0);
+        JobSpec batch = s.job(false, 60, Priority.STANDARD, "free", true, false, false, 2 * SECOND, 0);
         for (int i = 0; i < 30; i++) {
             s.world.after((20 + 3 * i) * SECOND, () -> s.submit(s.withCpu(batch, 60, 250), -1));
         }
         s.run(150 * SECOND);
         assertRulesAndAllDone(s);
-        int drawn = s.state.writesOf(Keys.BATON);
-        assertTrue(drawn < 60, drawn + " batons drawn");
+        int drawn = s.state.writesOf(Keys.FENCING_TOKEN);
+        assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
     /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
@@ -570,7 +578,7 @@
     void servicesAreBoughtForAsAClass() {
         Simulation s = new Simulation(76, 3, 20);
         for (int i = 0; i < 40; i++) {
-            s.submit(s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0), -1);
+            s.submit(s.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
         }
         s.run(30 * SECOND);
         assertRules(s);
@@ -586,7 +594,7 @@
     void lateBootsAreNotWaitedFor(long seed) {
         Simulation s = new Simulation(seed, 3, 5);
         s.cloud.neverUp = 2;
-        JobSpec j = s.job(true, 4, Rank.CRITICAL, "free", false, true, false, 0, 0);
+        JobSpec j = s.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0);
         s.submit(j, -1);
         s.run(90 * SECOND);
         assertRules(s);
@@ -599,10 +607,10 @@
     @ValueSource(longs = {81, 82, 83})
     void someInTimeRatherThanAllLate(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
-        s.submit(s.job(false, 120, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
+        s.submit(s.job(false, 120, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            jobs.add(s.job(false, i % 4 == 0 ? 240 : 50, Rank.STANDARD, "free", true, false, false, 8 * SECOND, 0));
+            jobs.add(s.job(false, i % 4 == 0 ? 240 : 50, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0));
             JobSpec j = jobs.get(i);
             s.world.after(30 * SECOND + 6L * i * SECOND, () -> s.submit(j, -1));
         }
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -55,9 +55,9 @@
                 }
             });
             assertTrue(ended.await(10, TimeUnit.SECONDS));
-            CountDownLatch quiet = new CountDownLatch(1);
-            loop.after(300_000, quiet::countDown);
-            quiet.await();
+            CountDownLatch unresponsive = new CountDownLatch(1);
+            loop.after(300_000, unresponsive::countDown);
+            unresponsive.await();
             assertEquals(CALLS, statuses.stream().filter(s -> s == 0).count());
             long held = descriptors() - before;
             assertTrue(held < CALLS / 4, held + " sockets held");
