--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.BooleanSupplier;
 import org.granitepath.bookkeeping.MachineType;
 import org.granitepath.bookkeeping.Timers;
 import org.slf4j.Logger;
@@ -34,7 +35,12 @@
     }
 
     private final Config config;
-    private final Dispatcher dispatcher;
+    private final RentalPlan.Demand demand;
+    private final Fleet fleet;
+    private final ActiveJobs activeJobs;
+    private final PlacementRules rules;
+    private final MachineLifecycle machines;
+    private final BooleanSupplier ended;
     private final Leadership leadership;
     private final FailureDetector failureDetector;
     private final CloudPort cloud;
@@ -58,34 +64,45 @@
 
     Autoscaler(
             Config config,
-            Dispatcher dispatcher,
+            RentalPlan.Demand demand,
+            PlacementRules rules,
+            MachineLifecycle machines,
             Leadership leadership,
             Peers peers,
             CloudPort cloud,
             Timers timers,
-            long fencingToken) {
+            long fencingToken,
+            BooleanSupplier ended) {
         this.config = config;
-        this.dispatcher = dispatcher;
+        this.demand = demand;
+        this.fleet = demand.fleet();
+        this.activeJobs = demand.jobs();
+        this.rules = rules;
+        this.machines = machines;
         this.leadership = leadership;
-        this.failureDetector = new FailureDetector(config, dispatcher, peers);
+        this.failureDetector = new FailureDetector(config, fleet, peers);
         this.cloud = cloud;
         this.timers = timers;
         this.fencingToken = fencingToken;
+        this.ended = ended;
         this.tokensAtMicros = timers.nowMicros();
+    }
+
+    void start() {
         timers.after(TICK_MICROS / 10, this::tick);
     }
 
     private void tick() {
-        if (dispatcher.ended()) {
+        if (ended.getAsBoolean()) {
             return;
         }
         timers.after(TICK_MICROS, this::tick);
-        if (!leadership.certain() || dispatcher.types().isEmpty()) {
+        if (!leadership.certain() || fleet.types().isEmpty()) {
             return;
         }
         long now = timers.nowMicros();
         booting.values().removeIf(b -> {
-            Machine m = dispatcher.machine(b.id());
+            Machine m = fleet.machine(b.id());
             if (m != null) {
                 m.rentedMicros = b.rentedMicros();
             }
@@ -112,7 +129,7 @@
         long[] cpu = new long[2];
         long[] used = new long[2];
         int idle = 0;
-        for (Machine m : dispatcher.machines()) {
+        for (Machine m : fleet.machines()) {
             if (m.type != null) {
                 int kind = m.spot ? 1 : 0;
                 cpu[kind] += m.type.cpuMillis();
@@ -122,14 +139,14 @@
         }
         int waiting = 0;
         int running = 0;
-        for (ActiveJob j : dispatcher.jobs()) {
+        for (ActiveJob j : activeJobs.all()) {
             waiting += Math.max(0, j.waiting());
             running += j.running();
         }
         LOG.info(
                 "fleet: {} machines ({} idle, {} on their way), CPUs used {}/{} and spot {}/{}; tasks {} running, {} "
                         + "waiting, {} jobs",
-                dispatcher.machines().size(),
+                fleet.machines().size(),
                 idle,
                 booting.size(),
                 used[0] / 1000,
@@ -138,7 +155,7 @@
                 cpu[1] / 1000,
                 running,
                 waiting,
-                dispatcher.jobs().size());
+                activeJobs.all().size());
     }
 
     private boolean mayCall(long now) {
@@ -163,7 +180,7 @@
 
     private void listPage(String from) {
         cloud.list(from, LIST_PAGE, listing -> {
-            if (dispatcher.ended()) {
+            if (ended.getAsBoolean()) {
                 return;
             }
             long now = timers.nowMicros();
@@ -188,8 +205,8 @@
     }
 
     private void take(CloudPort.ListedHost h, long now) {
-        MachineType type = dispatcher.types().get(h.type());
-        if (type == null || returned.containsKey(h.id()) || dispatcher.machine(h.id()) != null) {
+        MachineType type = fleet.types().get(h.type());
+        if (type == null || returned.containsKey(h.id()) || fleet.machine(h.id()) != null) {
             return;
         }
         if (!booting.containsKey(h.id())) {
@@ -205,32 +222,32 @@
         return job.waiting() > 0
                 && job.waitingSinceMicros >= 0
                 && job.notBeforeMicros <= now
-                && dispatcher.teamAllows(job.spec);
+                && rules.teamAllows(job.spec);
     }
 
     private void rent(long now) {
         if (renting || !leadership.certain()) {
             return;
         }
-        dispatcher.batchPlanner().update(now);
-        RentalPlan plan = new RentalPlan(
-                config, dispatcher, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
+        demand.batchPlanner().update(now);
+        RentalPlan plan =
+                new RentalPlan(demand, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
         for (Booting b : booting.values()) {
             if (!b.overdue(now) && !failureDetector.cutOff(b.zone(), now)) {
                 plan.coming(b.type(), b.zone(), b.spot());
             }
         }
-        for (Machine m : dispatcher.machines()) {
+        for (Machine m : fleet.machines()) {
             // Just arrived and not yet ready for tasks.
             if (m.phase == Machine.Phase.UNCONFIRMED
                     && m.type != null
                     && m.placements.isEmpty()
                     && !m.inherited
-                    && !dispatcher.overdue(m, now)) {
+                    && !fleet.overdue(m, now)) {
                 plan.coming(m.type, m.zone, m.spot);
             }
         }
-        plan.make(dispatcher.jobs().stream().filter(j -> buysFor(j, now)).toList());
+        plan.make(activeJobs.all().stream().filter(j -> buysFor(j, now)).toList());
         headroomSpare = plan.headroomSpare();
         RentalPlan.Purchase first = plan.first();
         if (first != null && mayCall(now)) {
@@ -260,7 +277,7 @@
 
     private void send(CloudPort.Rental rental, RentalPlan.Offer offer, int tries) {
         cloud.rent(rental, answer -> {
-            if (dispatcher.ended()) {
+            if (ended.getAsBoolean()) {
                 return;
             }
             long now = timers.nowMicros();
@@ -290,7 +307,7 @@
                     // It may have been carried out: only the same booking tells, and rents nothing twice.
                     if (tries < 20) {
                         timers.after(1_000_000, () -> {
-                            if (!dispatcher.ended()) {
+                            if (!ended.getAsBoolean()) {
                                 send(rental, offer, tries + 1);
                             }
                         });
@@ -313,7 +330,7 @@
             }
         }
         boolean trustSilence = failureDetector.trusted(now);
-        for (Machine m : List.copyOf(dispatcher.machines())) {
+        for (Machine m : List.copyOf(fleet.machines())) {
             if (ids.size() >= RETURN_AT_ONCE) {
                 break;
             }
@@ -352,13 +369,13 @@
         returning = true;
         cloud.returnMachines(ids, done -> {
             returning = false;
-            if (dispatcher.ended() || !done) {
+            if (ended.getAsBoolean() || !done) {
                 return;
             }
             for (String id : ids) {
                 returned.put(id, timers.nowMicros());
                 booting.remove(id);
-                dispatcher.returned(id);
+                machines.returned(id);
             }
         });
     }
--- a/src/main/java/org/granitepath/coordination/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/BatchPlanner.java
@@ -33,7 +33,8 @@
     private record Due(ActiveJob job, double work, double micros) {}
 
     private final Config config;
-    private final Dispatcher dispatcher;
+    private final Fleet fleet;
+    private final ActiveJobs activeJobs;
     private final RuntimeEstimator runtimeEstimator;
     private long dueMicros;
     private double batchWork;
@@ -44,9 +45,10 @@
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
     private double cheapRoom;
 
-    BatchPlanner(Config config, Dispatcher dispatcher, RuntimeEstimator runtimeEstimator) {
+    BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.config = config;
-        this.dispatcher = dispatcher;
+        this.fleet = fleet;
+        this.activeJobs = activeJobs;
         this.runtimeEstimator = runtimeEstimator;
     }
 
@@ -58,7 +60,7 @@
         survey(now);
         List<Due> inTime = new ArrayList<>();
         List<Due> later = new ArrayList<>();
-        for (ActiveJob j : dispatcher.jobs()) {
+        for (ActiveJob j : activeJobs.all()) {
             if (j.running() > 0) {
                 j.lastRunningMicros = now;
             }
@@ -68,7 +70,7 @@
             } else if (stalled(j, now)) {
                 j.schedulingClass = SchedulingClass.IN_TIME;
             } else if (j.spec.hasDeadline() || finishAim(j) > 0) {
-                long left = (finishAim(j) > 0 ? finishAim(j) : j.spec.deadlineMicros()) - dispatcher.ageMicros(j, now);
+                long left = (finishAim(j) > 0 ? finishAim(j) : j.spec.deadlineMicros()) - activeJobs.ageMicros(j, now);
                 (runtimeEstimator.taskMicros(j) <= left ? inTime : later).add(new Due(j, work(j), left));
             }
         }
@@ -98,7 +100,7 @@
         }
         Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
         Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
-        List<ActiveJob> byAge = new ArrayList<>(dispatcher.jobs());
+        List<ActiveJob> byAge = new ArrayList<>(activeJobs.all());
         byAge.sort(Comparator.comparingLong((ActiveJob j) -> j.acceptedMicros).thenComparing(j -> j.spec.id()));
         for (ActiveJob j : byAge) {
             Config.Team team = config.teams().get(j.spec.team());
@@ -147,7 +149,7 @@
 
     /** Giving way has a bound: a job that has long had nothing on a machine competes by its share alone again. */
     private boolean stalled(ActiveJob job, long now) {
-        long since = job.lastRunningMicros < 0 ? dispatcher.ageMicros(job, now) : now - job.lastRunningMicros;
+        long since = job.lastRunningMicros < 0 ? activeJobs.ageMicros(job, now) : now - job.lastRunningMicros;
         return since > config.tuning().maxStarvationMicros();
     }
 
@@ -165,7 +167,7 @@
     private void survey(long now) {
         batchWork = 0;
         urgentWork = 0;
-        for (ActiveJob j : dispatcher.jobs()) {
+        for (ActiveJob j : activeJobs.all()) {
             if (!j.spec.service()) {
                 double work = work(j);
                 batchWork += work;
@@ -174,7 +176,7 @@
         }
         room = 0;
         cheapRoom = 0;
-        for (Machine m : dispatcher.machines()) {
+        for (Machine m : fleet.machines()) {
             if (m.type != null && m.phase != Machine.Phase.RETURNING && !m.unresponsive(now, config.reportMicros())) {
                 long forBatch = m.type.cpuMillis() - m.cpuUsedByServices();
                 room += forBatch;
@@ -201,7 +203,7 @@
         if (job.spec.hasDeadline() && finishAim(job) == 0) {
             // Should the wait turn out longer, there must be time left to rent a machine after all.
             double wait = urgentWork / Math.max(1, cheapRoom + moreRoom) + quickestBootMicros();
-            return dispatcher.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
+            return activeJobs.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
                     <= job.spec.deadlineMicros();
         }
         Config.Objective o = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
@@ -228,7 +230,7 @@
     }
 
     private double quickestBootMicros() {
-        return dispatcher.types().values().stream()
+        return fleet.types().values().stream()
                 .mapToLong(MachineType::bootMicros)
                 .min()
                 .orElse(0);
--- a/src/main/java/org/granitepath/coordination/Config.java
+++ b/src/main/java/org/granitepath/coordination/Config.java
@@ -130,6 +130,11 @@
         return micros + micros / 900;
     }
 
+    /** From the last answer that a worker may have had to the end of its lease, at the latest. */
+    public long longestLeaseMicros() {
+        return withDrift(leaseMicros) + MARGIN_MICROS;
+    }
+
     /**
      * How long a leader out of contact with the state service goes on answering workers: a cancellation that it can't
      * see must still take effect by the end of the workers' lease. Settings that leave less than
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/Consolidator.java
@@ -1,7 +1,6 @@
 package org.granitepath.coordination;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,16 +20,20 @@
     /** A replica is not moved before it has run this long. */
     private static final long MIN_RUNTIME_MICROS = 40_000_000;
 
-    private final Dispatcher dispatcher;
-    private final Collection<Machine> machines;
+    private final Fleet fleet;
+    private final ActiveJobs activeJobs;
+    private final MachineLifecycle machines;
+    private final TaskLifecycle tasks;
     /** Room promised in this round. */
     private final Map<Machine, long[]> taken = new LinkedHashMap<>();
 
     private long dueMicros;
 
-    Consolidator(Dispatcher dispatcher, Collection<Machine> machines) {
-        this.dispatcher = dispatcher;
+    Consolidator(Fleet fleet, ActiveJobs activeJobs, MachineLifecycle machines, TaskLifecycle tasks) {
+        this.fleet = fleet;
+        this.activeJobs = activeJobs;
         this.machines = machines;
+        this.tasks = tasks;
     }
 
     void tick(long now) {
@@ -38,15 +41,15 @@
             return;
         }
         dueMicros = now + EVERY_MICROS;
-        for (ActiveJob job : dispatcher.jobs()) {
+        for (ActiveJob job : activeJobs.all()) {
             if (job.waiting() > 0) {
                 return;
             }
         }
         // A few at a time, so that what moves finds its place before more moves.
-        int atOnce = 1 + machines.size() / MACHINES_FOR_ONE_MORE;
+        int atOnce = 1 + fleet.machines().size() / MACHINES_FOR_ONE_MORE;
         List<Machine> emptiest = new ArrayList<>();
-        for (Machine m : machines) {
+        for (Machine m : fleet.machines()) {
             if (m.phase == Machine.Phase.DRAINING && !m.placements.isEmpty()) {
                 atOnce--;
             } else if (mayEmpty(m, now)) {
@@ -61,9 +64,9 @@
             }
             if (!taken.containsKey(m) && othersHold(m)) {
                 atOnce--;
-                dispatcher.drain(m, "its " + m.placements.size() + " replicas fit elsewhere");
+                machines.drain(m, "its " + m.placements.size() + " replicas fit elsewhere");
                 for (Placement p : List.copyOf(m.placements.values())) {
-                    dispatcher.stop(p, 0, "moves to a fuller machine");
+                    tasks.stop(p, 0, "moves to a fuller machine");
                 }
             }
         }
@@ -92,7 +95,7 @@
         for (Placement p : from.placements.values()) {
             JobSpec s = p.job.spec;
             boolean placed = false;
-            for (Machine m : machines) {
+            for (Machine m : fleet.machines()) {
                 if (m == from
                         || !m.takesTasks()
                         || !m.allowedFor(s)
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -235,12 +235,13 @@
     }
 
     private void startLeading(Leadership.Term term) {
-        dispatcher = new Dispatcher(config, leadership, term, state, replica, jobIndex, timers, workers);
+        dispatcher = new Dispatcher(config, leadership, term, state, replica, jobIndex, timers, workers, cloud, peers);
+        dispatcher.start();
         if (!types.isEmpty()) {
             dispatcher.typesChanged(List.copyOf(types.values()));
             dispatcher.recordTypes(List.copyOf(types.values()));
         }
-        new Autoscaler(config, dispatcher, leadership, peers, cloud, timers, term.fencingToken());
+        dispatcher.startAutoscaling();
     }
 
     private void stopLeading() {
--- a/src/main/java/org/granitepath/coordination/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/FailureDetector.java
@@ -24,7 +24,7 @@
     private static final double FEW_SHARE = 0.2;
 
     private final Config config;
-    private final Dispatcher dispatcher;
+    private final Fleet fleet;
     private final Peers peers;
     private final Set<String> cutOff = new HashSet<>();
     /** When each zone was last found cut off. */
@@ -32,9 +32,9 @@
 
     private int overdue;
 
-    FailureDetector(Config config, Dispatcher dispatcher, Peers peers) {
+    FailureDetector(Config config, Fleet fleet, Peers peers) {
         this.config = config;
-        this.dispatcher = dispatcher;
+        this.fleet = fleet;
         this.peers = peers;
     }
 
@@ -42,14 +42,14 @@
         Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
         overdue = 0;
-        for (Machine m : dispatcher.machines()) {
+        for (Machine m : fleet.machines()) {
             all.addTo(m.zone, 1);
-            if (dispatcher.overdue(m, now)) {
+            if (fleet.overdue(m, now)) {
                 late.addTo(m.zone, 1);
                 overdue++;
             }
         }
-        int machines = dispatcher.machines().size();
+        int machines = fleet.machines().size();
         for (String zone : all.keySet()) {
             int inZone = all.getInt(zone);
             int lateInZone = late.getInt(zone);
@@ -92,7 +92,7 @@
      * Many overdue at once: perhaps we are the ones cut off. Peers that don't hear them either tell us that we are not.
      */
     boolean trusted(long now) {
-        int machines = dispatcher.machines().size();
+        int machines = fleet.machines().size();
         int elsewhere = peers.mostTurnedAway();
         return overdue <= Math.max(2, machines * FEW_SHARE)
                 || (overdue <= machines / 2 && elsewhere >= 0 && elsewhere < overdue / 4);
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/Fleet.java
@@ -0,0 +1,168 @@
+package org.granitepath.coordination;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.Timers;
+
+/** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
+final class Fleet {
+    private static final int DEPARTED_REMEMBERED = 4096;
+    private static final double OVERDUE_REPORTS = 1.5;
+    /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
+    private static final double CUT_OFF_SHARE = 0.6;
+
+    private final Config config;
+    private final Timers timers;
+    private final long startedMicros;
+    private final Map<String, Machine> machines = new LinkedHashMap<>();
+    private final Map<String, MachineType> types = new LinkedHashMap<>();
+    /** Machines that are gone, each with the last session heard: late copies of their reports still arrive. */
+    private final Map<String, Long> departed = new LinkedHashMap<>() {
+        private static final long serialVersionUID = 1;
+
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
+            return size() > DEPARTED_REMEMBERED;
+        }
+    };
+
+    private int inheritedLeft;
+
+    Fleet(Config config, Timers timers) {
+        this.config = config;
+        this.timers = timers;
+        this.startedMicros = timers.nowMicros();
+    }
+
+    Collection<Machine> machines() {
+        return machines.values();
+    }
+
+    /** The machine of this name, or null. */
+    Machine machine(String id) {
+        return machines.get(id);
+    }
+
+    Map<String, MachineType> types() {
+        return types;
+    }
+
+    void typesChanged(List<MachineType> list) {
+        for (MachineType type : list) {
+            types.put(type.name(), type);
+        }
+        for (Machine machine : machines.values()) {
+            machine.type = types.get(machine.typeName);
+        }
+    }
+
+    /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
+    void inherit(List<Machine> inherited) {
+        // The former leader may go on answering them for a while, if it is out of contact.
+        long leaseOver = startedMicros + config.maxDisconnectedMicros() + config.longestLeaseMicros();
+        for (Machine machine : inherited) {
+            machine.inherited = true;
+            machine.heardMicros = startedMicros;
+            machine.firstHeardMicros = startedMicros;
+            machine.idleSinceMicros = startedMicros;
+            machine.unconfirmedMicros = startedMicros;
+            machine.leaseOverMicros = leaseOver;
+            machines.put(machine.id, machine);
+            inheritedLeft++;
+        }
+    }
+
+    /** A machine that reports for the first time, and is not in the fleet yet. */
+    Machine newMachine(Heartbeat heartbeat, long fencingToken) {
+        Machine machine = new Machine(
+                heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+        long now = timers.nowMicros();
+        machine.type = types.get(machine.typeName);
+        machine.fencingToken = fencingToken;
+        machine.firstHeardMicros = now;
+        machine.rentedMicros = now;
+        machine.unconfirmedMicros = now;
+        machine.idleSinceMicros = now;
+        return machine;
+    }
+
+    void add(Machine machine) {
+        machines.put(machine.id, machine);
+    }
+
+    void remove(Machine machine) {
+        machines.remove(machine.id);
+        departed.put(machine.id, machine.session);
+    }
+
+    /** The cloud took this machine back: whatever still arrives of it is late. */
+    void neverReturns(String id) {
+        departed.put(id, Long.MAX_VALUE);
+    }
+
+    /** Whether a report is a late copy from a machine that is gone. */
+    boolean isLateCopy(Heartbeat heartbeat) {
+        return heartbeat.session() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
+    }
+
+    /** Whether every machine taken over has been heard under the present token or is proved gone. */
+    boolean allConfirmed() {
+        return inheritedLeft == 0;
+    }
+
+    /** The machine is heard under its token, or gone. True when it was the last one that was taken over. */
+    boolean confirm(Machine machine) {
+        if (!machine.inherited) {
+            return false;
+        }
+        machine.inherited = false;
+        inheritedLeft--;
+        return inheritedLeft == 0;
+    }
+
+    boolean unresponsive(Machine machine, long now) {
+        return machine.unresponsive(now, config.reportMicros());
+    }
+
+    /** Whether a report is late by so much that it is worth asking for one. */
+    boolean overdue(Machine machine, long now) {
+        return now - machine.heardMicros > OVERDUE_REPORTS * config.reportMicros();
+    }
+
+    /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
+    boolean noOrphanedTasks() {
+        for (Machine machine : machines.values()) {
+            for (WorkerCommand command : machine.cleanupCommands) {
+                if (command.verb() == WorkerCommand.Verb.STOP) {
+                    return false;
+                }
+            }
+        }
+        return true;
+    }
+
+    /**
+     * Whether most machines have become unresponsive to us while a peer hears them: then it had better lead, before
+     * their leases run out.
+     */
+    boolean cutFromWorkers(int turnedAwayByPeer) {
+        long now = timers.nowMicros();
+        int silent = 0;
+        for (Machine machine : machines.values()) {
+            silent += unresponsive(machine, now) ? 1 : 0;
+        }
+        return silent >= CUT_OFF_SHARE * machines.size()
+                && turnedAwayByPeer >= Math.max(2, silent / 2)
+                && now - startedMicros > config.leaseMicros();
+    }
+
+    /** This process stood still: no machine was silent for that time. */
+    void excusePause(long pauseMicros, long now) {
+        for (Machine machine : machines.values()) {
+            machine.heardMicros = Math.min(now, machine.heardMicros + pauseMicros);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/JobLifecycle.java
@@ -0,0 +1,197 @@
+package org.granitepath.coordination;
+
+import java.util.List;
+import org.granitepath.bookkeeping.JobRecord;
+import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.ProgressRecord;
+import org.granitepath.bookkeeping.RecordReplica;
+import org.granitepath.bookkeeping.StatePort.Change;
+import org.granitepath.bookkeeping.Timers;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The life of jobs during one term of leadership: accepted, claimed in blocks, done or cancelled, and recorded so. */
+final class JobLifecycle implements JobIndex.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
+    private static final long PROGRESS_DELAY_MICROS = 1_000_000;
+
+    private final Config config;
+    private final Leadership.Term term;
+    private final RecordReplica replica;
+    private final JobIndex jobIndex;
+    private final WriteQueue writeQueue;
+    private final Fleet fleet;
+    private final ActiveJobs jobs;
+    private final TaskLifecycle tasks;
+    private final ArrivalRate arrivalRate;
+    private final Timers timers;
+    private final DispatchLoop loop;
+
+    JobLifecycle(
+            Config config,
+            Leadership.Term term,
+            RecordReplica replica,
+            JobIndex jobIndex,
+            WriteQueue writeQueue,
+            Fleet fleet,
+            ActiveJobs jobs,
+            TaskLifecycle tasks,
+            ArrivalRate arrivalRate,
+            Timers timers,
+            DispatchLoop loop) {
+        this.config = config;
+        this.term = term;
+        this.replica = replica;
+        this.jobIndex = jobIndex;
+        this.writeQueue = writeQueue;
+        this.fleet = fleet;
+        this.jobs = jobs;
+        this.tasks = tasks;
+        this.arrivalRate = arrivalRate;
+        this.timers = timers;
+        this.loop = loop;
+    }
+
+    /** Opens all jobs on record and follows their records from now on. */
+    void start() {
+        for (JobRecord record : jobIndex.openJobs()) {
+            open(record);
+        }
+        jobIndex.listen(this);
+        if (fleet.allConfirmed()) {
+            resolveUnconfirmedTasks();
+        }
+    }
+
+    void end() {
+        jobIndex.listen(null);
+    }
+
+    /** No machine is left that could hold a task that we don't know of. */
+    void resolveUnconfirmedTasks() {
+        for (ActiveJob job : jobs.all()) {
+            job.resolveUnconfirmed();
+        }
+        loop.requestPass();
+    }
+
+    private void open(JobRecord record) {
+        if (record.term() > term.fencingToken()) {
+            // Claimed for a successor of ours that we have not heard of yet.
+            return;
+        }
+        ActiveJob job = new ActiveJob(record, jobIndex.progressOf(record.spec().id()), timers.nowMicros());
+        jobs.add(job);
+        // What was claimed for us from the first can't have been started by a predecessor.
+        if (fleet.allConfirmed() || record.term() == term.fencingToken()) {
+            job.resolveUnconfirmed();
+        }
+        endIfDone(job);
+    }
+
+    /** Records the end of the job when all its tasks are done. */
+    void endIfDone(ActiveJob job) {
+        if (job.phase == ActiveJob.Phase.OPEN && job.left() == 0) {
+            job.transition(ActiveJob.Phase.ENDING, "all tasks done");
+            recordDone(job);
+        }
+    }
+
+    @Override
+    public void accepted(JobRecord record) {
+        if (jobs.get(record.spec().id()) != null) {
+            return;
+        }
+        open(record);
+        ActiveJob job = jobs.get(record.spec().id());
+        if (job != null) {
+            arrivalRate.accepted(job, timers.nowMicros());
+        }
+        loop.requestPass();
+    }
+
+    @Override
+    public void progressed(String id, ProgressRecord progress) {
+        ActiveJob job = jobs.get(id);
+        if (job != null && progress.claimed() > job.claimed) {
+            job.claimed = progress.claimed();
+            loop.requestPass();
+        }
+    }
+
+    @Override
+    public void ended(String id, JobIndex.Final how) {
+        ActiveJob job = jobs.get(id);
+        if (job == null) {
+            return;
+        }
+        job.transition(ActiveJob.Phase.OVER, how.toString());
+        if (how == JobIndex.Final.DONE) {
+            logDone(job);
+        }
+        for (Placement placement : List.copyOf(job.placements.values())) {
+            tasks.stop(placement, 0, "job " + how);
+        }
+        jobs.removeIfOver(job);
+        loop.requestPass();
+    }
+
+    private void logDone(ActiveJob job) {
+        long age = jobs.ageMicros(job, timers.nowMicros());
+        String due = "";
+        if (job.spec.hasDeadline()) {
+            due = (age > job.spec.deadlineMicros() ? ", LATE, due after " : ", due after ")
+                    + job.spec.deadlineMicros() / 1_000_000 + " s";
+        }
+        LOG.info(
+                "job {} of {} ({} tasks) done after {} s{}",
+                job.spec.id(),
+                job.spec.jobClass(),
+                job.spec.tasks(),
+                age / 1_000_000,
+                due);
+    }
+
+    /** Claims the next block of task numbers in good time, before the present one is used up. */
+    void claim(ActiveJob job) {
+        // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
+        int block = writeQueue.behind() ? job.spec.tasks() : config.tuning().nextBlock(job.spec);
+        int target = job.spec.gang() ? job.spec.tasks() : Math.min(job.spec.tasks(), job.fresh + block);
+        boolean soonUsedUp = job.claimWanted - job.fresh <= block / 2;
+        if (target > job.claimWanted && (target == job.spec.tasks() || soonUsedUp)) {
+            job.claimWanted = target;
+            recordProgress(job, WriteQueue.Urgency.WORK, 0);
+        }
+    }
+
+    /** A task of the job is done: the count goes on record some time soon. */
+    void recordTaskDone(ActiveJob job) {
+        recordProgress(job, WriteQueue.Urgency.PROGRESS_ONLY, PROGRESS_DELAY_MICROS);
+    }
+
+    private void recordProgress(ActiveJob job, WriteQueue.Urgency urgency, long delayMicros) {
+        String key = Keys.PROGRESS + job.spec.id();
+        writeQueue.enqueue(
+                key,
+                urgency,
+                delayMicros,
+                () -> job.phase == ActiveJob.Phase.OVER
+                        ? List.of()
+                        : List.of(Change.write(
+                                key,
+                                new ProgressRecord(config.node(), job.claimWanted, job.done, job.running()).toMap())),
+                epoch -> loop.requestPass());
+    }
+
+    private void recordDone(ActiveJob job) {
+        String key = Keys.FINAL + job.spec.id();
+        writeQueue.enqueue(
+                key,
+                WriteQueue.Urgency.SAFETY,
+                0,
+                () -> replica.value(key) != null
+                        ? List.of()
+                        : List.of(Change.write(key, JobIndex.finalRecord(JobIndex.Final.DONE))),
+                epoch -> {});
+    }
+}
--- a/src/main/java/org/granitepath/coordination/Machine.java
+++ b/src/main/java/org/granitepath/coordination/Machine.java
@@ -83,6 +83,8 @@
      * listed.
      */
     final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
+    /** Exited attempts of its latest report that may not be cleared yet. */
+    int unclearedAttempts;
     /** Commands that the latest report calls for: stops of orphaned tasks and clean-up. */
     final List<WorkerCommand> cleanupCommands = new ArrayList<>();
 
--- a/src/main/java/org/granitepath/coordination/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/MachineInventory.java
@@ -37,7 +37,7 @@
     private final Leadership.Term term;
     private final RecordReplica replica;
     private final WriteQueue writeQueue;
-    private final Map<String, Machine> machines;
+    private final Fleet fleet;
     private final Consumer<Machine> tokenListener;
     private final Runnable recordedListener;
     private final int rowsEach;
@@ -66,7 +66,7 @@
             RecordReplica replica,
             WriteQueue writeQueue,
             Timers timers,
-            Map<String, Machine> machines,
+            Fleet fleet,
             Consumer<Machine> tokenListener,
             Runnable recordedListener) {
         this.timers = timers;
@@ -74,7 +74,7 @@
         this.term = term;
         this.replica = replica;
         this.writeQueue = writeQueue;
-        this.machines = machines;
+        this.fleet = fleet;
         this.tokenListener = tokenListener;
         this.recordedListener = recordedListener;
         int valueBytes = Math.min(config.valueBytes(), MOST_VALUE_BYTES);
@@ -139,7 +139,7 @@
             timers.after(CLEANUP_MICROS, () -> {
                 cleanupTimerSet = false;
                 cleanupDue = true;
-                machines.values().stream()
+                fleet.machines().stream()
                         .filter(each -> each.needsTokenForCleanup)
                         .forEach(each -> changed(each.inventoryPart));
             });
@@ -166,7 +166,7 @@
             }
             List<InventoryRecord.Host> hosts = new ArrayList<>();
             for (String id : values.get(i)) {
-                Machine m = machines.get(id);
+                Machine m = fleet.machine(id);
                 m.needsNewToken |= cleanupDue && m.needsTokenForCleanup;
                 if (m.needsNewToken) {
                     withNewToken.add(m);
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/MachineLifecycle.java
@@ -0,0 +1,143 @@
+package org.granitepath.coordination;
+
+import java.util.List;
+import org.granitepath.bookkeeping.Timers;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The life of machines during one term of leadership: confirmed, drained, out of their lease, or proved gone. */
+final class MachineLifecycle {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
+
+    private final Config config;
+    private final Fleet fleet;
+    private final MachineInventory inventory;
+    private final TaskLifecycle tasks;
+    private final JobLifecycle jobs;
+    private final FaultTracker faults;
+    private final CommandQueue commands;
+    private final Timers timers;
+    private final DispatchLoop loop;
+
+    MachineLifecycle(
+            Config config,
+            Fleet fleet,
+            MachineInventory inventory,
+            TaskLifecycle tasks,
+            JobLifecycle jobs,
+            FaultTracker faults,
+            CommandQueue commands,
+            Timers timers,
+            DispatchLoop loop) {
+        this.config = config;
+        this.fleet = fleet;
+        this.inventory = inventory;
+        this.tasks = tasks;
+        this.jobs = jobs;
+        this.faults = faults;
+        this.commands = commands;
+        this.timers = timers;
+        this.loop = loop;
+    }
+
+    /** A machine that is not in the fleet reports: it joins and is put on record. */
+    void join(Machine machine) {
+        LOG.info(
+                "machine {} ({} {}{}) reports for the first time",
+                machine.id,
+                machine.typeName,
+                machine.zone,
+                machine.spot ? " spot" : "");
+        fleet.add(machine);
+        inventory.add(machine);
+    }
+
+    /** The machine is heard under its present token, or gone: what a former leader left there is known. */
+    void confirm(Machine machine) {
+        if (fleet.confirm(machine)) {
+            LOG.info("every machine taken over is heard or proved gone: no task is unconfirmed any more");
+            jobs.resolveUnconfirmedTasks();
+        }
+    }
+
+    /** Takes no new tasks from now on. */
+    void drain(Machine machine, String why) {
+        if (machine.phase == Machine.Phase.READY) {
+            machine.transition(Machine.Phase.DRAINING, why);
+        }
+    }
+
+    void drainFaulty(List<Machine> faulty) {
+        for (Machine machine : faulty) {
+            drain(machine, "faulty: tasks of several jobs failed there");
+        }
+    }
+
+    /** The machine's new fencing token is on record: it must show it before it is given work again. */
+    void tokenRaised(Machine machine) {
+        long now = timers.nowMicros();
+        if (fleet.unresponsive(machine, now)) {
+            machine.fenced = true;
+            if (config.peerIn(machine.zone) && machine.leaseOverMicros > 0) {
+                // A controller cut off together with it may not know yet, and go on under the former token.
+                long longest = now + config.maxDisconnectedMicros() + config.longestLeaseMicros();
+                machine.leaseOverMicros = Math.max(machine.leaseOverMicros, longest);
+            }
+        }
+        if (machine.phase == Machine.Phase.READY) {
+            machine.transition(Machine.Phase.UNCONFIRMED, "fencing token raised to " + machine.fencingToken);
+            machine.unconfirmedMicros = now;
+        }
+    }
+
+    /**
+     * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it is heard
+     * again, in a later session, it must show that it hears us before it is given work.
+     */
+    void leaseExpired(Machine machine) {
+        LOG.info(
+                "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
+                machine.id,
+                machine.typeName,
+                machine.zone,
+                machine.spot ? " spot" : "",
+                machine.placements.size());
+        machine.leaseOverMicros = 0; // until it is heard again
+        machine.session = Math.max(machine.session, 0) + 1;
+        machine.sequence = -1;
+        machine.cleanupCommands.clear();
+        machine.directAttempts.clear();
+        tasks.freeAll(machine, "its worker's lease is over");
+        if (machine.phase == Machine.Phase.READY) {
+            machine.transition(Machine.Phase.UNCONFIRMED, "its lease is over");
+            machine.unconfirmedMicros = timers.nowMicros();
+        }
+        inventory.requestToken(machine, "its lease is over");
+        confirm(machine);
+        loop.requestPass();
+    }
+
+    /** The cloud took this machine back for good. */
+    void returned(String id) {
+        Machine machine = fleet.machine(id);
+        if (machine != null) {
+            proveGone(machine, "returned to the cloud");
+        }
+        fleet.neverReturns(id);
+    }
+
+    /** Nothing that we or anyone started can be on this machine any more. */
+    private void proveGone(Machine machine, String why) {
+        if (machine.phase == Machine.Phase.GONE) {
+            return;
+        }
+        machine.transition(Machine.Phase.GONE, why);
+        tasks.freeAll(machine, "machine gone: " + why);
+        fleet.remove(machine);
+        faults.forget(machine);
+        commands.remove(machine);
+        inventory.remove(machine);
+        confirm(machine);
+        loop.requestPass();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/PlacementRules.java
@@ -0,0 +1,81 @@
+package org.granitepath.coordination;
+
+import org.granitepath.bookkeeping.JobSpec;
+
+/** Which machines a job may use, and whether its team may use more. */
+final class PlacementRules {
+    private final Fleet fleet;
+    private final ActiveJobs jobs;
+    private final TeamLimits teamLimits;
+    private final FaultTracker faults;
+    private final RuntimeEstimator runtimeEstimator;
+
+    PlacementRules(
+            Fleet fleet,
+            ActiveJobs jobs,
+            TeamLimits teamLimits,
+            FaultTracker faults,
+            RuntimeEstimator runtimeEstimator) {
+        this.fleet = fleet;
+        this.jobs = jobs;
+        this.teamLimits = teamLimits;
+        this.faults = faults;
+        this.runtimeEstimator = runtimeEstimator;
+    }
+
+    /** Whether a job may use this machine now, room aside. */
+    boolean eligible(Machine machine, ActiveJob job, long now) {
+        return machine.takesTasks() && suits(machine, job, now) && !fleet.unresponsive(machine, now);
+    }
+
+    /**
+     * Whether the machine's type, zone and kind fit the job, and no task of the job failed there. Work that can wait
+     * leaves full-price machines alone that no service needs, so that they can be returned, unless it is over before a
+     * return could save anything.
+     */
+    boolean suits(Machine machine, ActiveJob job, long now) {
+        return machine.allowedFor(job.spec)
+                && job.zoneAllows(machine.zone)
+                && (!job.deferrable || isPaidForAnyway(machine, job, now))
+                && faults.mayTry(machine, job);
+    }
+
+    private boolean isPaidForAnyway(Machine machine, ActiveJob job, long now) {
+        return machine.spot
+                || machine.hostsService()
+                || machine.keptAsHeadroom
+                || now + runtimeEstimator.taskMicros(job) < machine.rentedMicros + Autoscaler.LEAST_CHARGE_MICROS;
+    }
+
+    /** Whether tasks failed there lately, so that any other machine is better. */
+    boolean isSuspect(Machine machine) {
+        return faults.suspects(machine);
+    }
+
+    /** Whether a further task of this job may be started at all, room aside. */
+    boolean mayStartAnother(ActiveJob job) {
+        return teamAllows(job.spec) && faults.mayStartAnother(job);
+    }
+
+    /**
+     * Whether one more such task is within its team's limit. While tasks are unconfirmed, or tasks of jobs that are
+     * over are still to be stopped, what a team uses is not known.
+     */
+    boolean teamAllows(JobSpec spec) {
+        return teamLimits.allows(spec)
+                && (!teamLimits.limits(spec) || (fleet.allConfirmed() && fleet.noOrphanedTasks()));
+    }
+
+    /** CPUs that a team's tasks use beyond its guarantee, without those that are being stopped. */
+    long borrowedCpu(String team) {
+        long stopping = 0;
+        for (ActiveJob job : jobs.all()) {
+            if (job.spec.team().equals(team)) {
+                for (Placement placement : job.placements.values()) {
+                    stopping += placement.phase == Placement.Phase.STOPPING ? job.spec.cpuMillis() : 0;
+                }
+            }
+        }
+        return teamLimits.borrowedCpu(team) - stopping;
+    }
+}
--- a/src/main/java/org/granitepath/coordination/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/Preemptor.java
@@ -2,7 +2,6 @@
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
 import org.granitepath.bookkeeping.JobSpec;
@@ -30,12 +29,14 @@
     /** What to stop on one machine so that at least one more task fits there. */
     private record Preemption(Machine machine, List<Placement> victims, double loss, int slots) {}
 
-    private final Dispatcher dispatcher;
-    private final Collection<Machine> machines;
+    private final Fleet fleet;
+    private final PlacementRules rules;
+    private final TaskLifecycle tasks;
 
-    Preemptor(Dispatcher dispatcher, Collection<Machine> machines) {
-        this.dispatcher = dispatcher;
-        this.machines = machines;
+    Preemptor(Fleet fleet, PlacementRules rules, TaskLifecycle tasks) {
+        this.fleet = fleet;
+        this.rules = rules;
+        this.tasks = tasks;
     }
 
     /**
@@ -55,8 +56,8 @@
         Object2LongOpenHashMap<String> borrowed = new Object2LongOpenHashMap<>();
         int coming = 0;
         List<Preemption> offers = new ArrayList<>();
-        for (Machine m : machines) {
-            if (!dispatcher.eligible(m, job, now) || (withImageOnly && !m.hasImage(job.spec.image()))) {
+        for (Machine m : fleet.machines()) {
+            if (!rules.eligible(m, job, now) || (withImageOnly && !m.hasImage(job.spec.image()))) {
                 continue;
             }
             long[] more = new long[3];
@@ -88,7 +89,7 @@
             }
             for (Placement p : s.victims()) {
                 LOG.info("stopping {} on {} to make room for {}", p.task, s.machine().id, job.spec.id());
-                dispatcher.stop(p, live ? 0 : p.job.spec.saveMicros(), "room for " + job.spec.id());
+                tasks.stop(p, live ? 0 : p.job.spec.saveMicros(), "room for " + job.spec.id());
             }
             coming += s.slots();
         }
@@ -126,7 +127,7 @@
             return false;
         }
         if (!borrowed.containsKey(team)) {
-            borrowed.put(team, dispatcher.borrowedCpu(team));
+            borrowed.put(team, rules.borrowedCpu(team));
         }
         return borrowed.getLong(team) > 0;
     }
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -71,8 +71,16 @@
         }
     }
 
-    private final Config config;
-    private final Dispatcher dispatcher;
+    /** What a plan is made from. */
+    record Demand(
+            Config config,
+            Fleet fleet,
+            ActiveJobs jobs,
+            BatchPlanner batchPlanner,
+            RuntimeEstimator runtimeEstimator,
+            ArrivalRate arrivalRate) {}
+
+    private final Demand demand;
     private final Predicate<String> refused;
     private final Predicate<String> cutOff;
     private final long now;
@@ -90,9 +98,8 @@
      * @param refused offers of which the cloud lately had none; {@code cutOff} zones whose machines would not be
      *     heard
      */
-    RentalPlan(Config config, Dispatcher dispatcher, Predicate<String> refused, Predicate<String> cutOff, long now) {
-        this.config = config;
-        this.dispatcher = dispatcher;
+    RentalPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long now) {
+        this.demand = demand;
         this.refused = refused;
         this.cutOff = cutOff;
         this.now = now;
@@ -146,7 +153,7 @@
     }
 
     double drainMicros() {
-        return dispatcher.batchPlanner().drainMicros(roomComing);
+        return demand.batchPlanner().drainMicros(roomComing);
     }
 
     private void buy(Offer offer, int count) {
@@ -159,14 +166,14 @@
      * boots. Lower work may use it meanwhile.
      */
     private void planHeadroom() {
-        ActiveJob newest = dispatcher.arrivalRate().newest();
+        ActiveJob newest = demand.arrivalRate().newest();
         if (newest == null) {
             return;
         }
         Map<String, Double> roomByZone = new HashMap<>();
         double room = 0;
         double live = 0;
-        for (Machine m : dispatcher.machines()) {
+        for (Machine m : demand.fleet().machines()) {
             if (!m.spot && m.type != null && m.phase != Machine.Phase.RETURNING && m.type.fits(newest.spec)) {
                 double free = m.type.cpuMillis() - m.cpuUsedByServices();
                 live += m.cpuUsedByServices();
@@ -186,8 +193,8 @@
             return;
         }
         double wanted = Math.min(
-                dispatcher.arrivalRate().cpuPerMicro(now) * offer.type().bootMicros(),
-                config.tuning().headroomShare() * live);
+                demand.arrivalRate().cpuPerMicro(now) * offer.type().bootMicros(),
+                demand.config().tuning().headroomShare() * live);
         headroomSpare = room - wanted;
         if (room < wanted) {
             String zone = offer.type().zones().stream()
@@ -206,7 +213,7 @@
         Alike alike = Alike.of(spec);
         // From here on the class lacks what the jobs after this one want.
         int others = BatchPlanner.isLive(job) ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
-        boolean deferrable = dispatcher.batchPlanner().deferrable(job, roomComing, now);
+        boolean deferrable = demand.batchPlanner().deferrable(job, roomComing, now);
         for (Bin bin : bins) {
             while (left > 0
                     && (bin.spot || !deferrable)
@@ -218,8 +225,8 @@
         }
         while (left > 0 && newMachines < MOST_MACHINES) {
             newMachines++;
-            Offer offer = cheapest(
-                    job, !dispatcher.batchPlanner().deferrable(job, roomComing, now), left + others, zoneCounts);
+            Offer offer =
+                    cheapest(job, !demand.batchPlanner().deferrable(job, roomComing, now), left + others, zoneCounts);
             if (offer == null) {
                 return;
             }
@@ -245,8 +252,8 @@
         double bestCost = Double.POSITIVE_INFINITY;
         long horizon = spec.service()
                 ? SERVICE_HORIZON_MICROS
-                : dispatcher.runtimeEstimator().taskMicros(job);
-        for (MachineType type : dispatcher.types().values()) {
+                : demand.runtimeEstimator().taskMicros(job);
+        for (MachineType type : demand.fleet().types().values()) {
             if (!type.fits(spec)) {
                 continue;
             }
@@ -264,7 +271,8 @@
                     double cost =
                             type.priceFor(spot) * Math.max(ready + horizon, Autoscaler.LEAST_CHARGE_MICROS) / used;
                     if (spec.hasDeadline()
-                            && ready + horizon > spec.deadlineMicros() - dispatcher.ageMicros(job, now)) {
+                            && ready + horizon
+                                    > spec.deadlineMicros() - demand.jobs().ageMicros(job, now)) {
                         if (!spot && spec.spot()) {
                             continue; // late all the same: then it can wait for cheaper room
                         }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/ReportReconciler.java
@@ -0,0 +1,290 @@
+package org.granitepath.coordination;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.Heartbeat.Cause;
+import org.granitepath.coordination.Heartbeat.TaskReport;
+import org.granitepath.coordination.Heartbeat.TaskState;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Brings what is known of a machine in line with what its worker reports. A task is taken for gone only when a report
+ * proves it; what is reported and was not placed by this leader is adopted or stopped.
+ */
+final class ReportReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
+    /** With more exited attempts than this that may not be cleared yet, a machine gets a new token for their sake. */
+    private static final int MOST_UNCLEARED_ATTEMPTS = 24;
+
+    private static final long REFUSED_START_DELAY_MICROS = 1_000_000;
+
+    private final Config config;
+    private final JobIndex jobIndex;
+    private final Fleet fleet;
+    private final MachineInventory inventory;
+    private final MachineLifecycle machines;
+    private final ActiveJobs activeJobs;
+    private final JobLifecycle jobs;
+    private final TaskLifecycle tasks;
+    private final FaultTracker faults;
+    private final RuntimeEstimator runtimeEstimator;
+    private final CommandQueue commands;
+    private final Timers timers;
+    private final DispatchLoop loop;
+
+    ReportReconciler(
+            Config config,
+            JobIndex jobIndex,
+            Fleet fleet,
+            MachineInventory inventory,
+            MachineLifecycle machines,
+            ActiveJobs activeJobs,
+            JobLifecycle jobs,
+            TaskLifecycle tasks,
+            FaultTracker faults,
+            RuntimeEstimator runtimeEstimator,
+            CommandQueue commands,
+            Timers timers,
+            DispatchLoop loop) {
+        this.config = config;
+        this.jobIndex = jobIndex;
+        this.fleet = fleet;
+        this.inventory = inventory;
+        this.machines = machines;
+        this.activeJobs = activeJobs;
+        this.jobs = jobs;
+        this.tasks = tasks;
+        this.faults = faults;
+        this.runtimeEstimator = runtimeEstimator;
+        this.commands = commands;
+        this.timers = timers;
+        this.loop = loop;
+    }
+
+    /**
+     * Takes a report in; false when it is older than one already known.
+     *
+     * @param isReport whether the worker sent it by itself; otherwise it came in the answer to a direct call
+     */
+    boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isReport) {
+        if (machine.phase == Machine.Phase.GONE
+                || !heartbeat.newerThan(machine.session, machine.sequence)
+                || heartbeat.fencingToken() > machine.fencingToken) {
+            return false;
+        }
+        long now = timers.nowMicros();
+        boolean current = heartbeat.fencingToken() == machine.fencingToken;
+        if (isReport && machine.session >= 0 && heartbeat.session() > machine.session) {
+            // Its reports come, but do our answers get there? It must show that before it is given work again.
+            inventory.requestToken(machine, "its session moved on to " + heartbeat.session());
+        }
+        noteContact(machine, heartbeat, isReport, current, now);
+        Set<TaskId> listed = reconcileListed(machine, heartbeat, current, now);
+        freeAbsent(machine, heartbeat, listed, current, isReport);
+        // What runs is not counted: a machine with more tasks than this would want a new token with every report.
+        if (machine.unclearedAttempts > MOST_UNCLEARED_ATTEMPTS) {
+            inventory.requestTokenForCleanup(machine);
+        }
+        if (current && machine.phase == Machine.Phase.UNCONFIRMED) {
+            machine.transition(Machine.Phase.READY, "heard under fencing token " + machine.fencingToken);
+            loop.notePass();
+        }
+        if (current) {
+            machines.confirm(machine);
+        }
+        if (heartbeat.noticeMicros() >= 0 && machine.phase == Machine.Phase.READY) {
+            machines.drain(machine, "the cloud takes it in " + heartbeat.noticeMicros() / 1_000_000 + " s");
+            tasks.evacuate(machine, heartbeat.noticeMicros());
+        }
+        return true;
+    }
+
+    private void noteContact(Machine machine, Heartbeat heartbeat, boolean isReport, boolean current, long now) {
+        machine.session = heartbeat.session();
+        machine.sequence = heartbeat.sequence();
+        machine.address = heartbeat.address();
+        if (isReport) {
+            if (fleet.unresponsive(machine, now)) {
+                machine.unconfirmedMicros = now; // it could neither show anything before nor be given work
+                machine.idleSinceMicros = now;
+            }
+            // Answers to direct calls don't count: without reports the worker's lease runs out all the same.
+            machine.heardMicros = now;
+            machine.probeFailed = false;
+            machine.fenced = false;
+        }
+        long leaseOver = now + config.longestLeaseMicros();
+        machine.leaseOverMicros = current ? leaseOver : Math.max(machine.leaseOverMicros, leaseOver);
+    }
+
+    private Set<TaskId> reconcileListed(Machine machine, Heartbeat heartbeat, boolean current, long now) {
+        machine.cleanupCommands.clear();
+        machine.unclearedAttempts = 0;
+        Set<TaskId> listed = new HashSet<>();
+        for (TaskReport report : heartbeat.tasks()) {
+            Placement placement = machine.placements.get(report.task());
+            if (placement != null && placement.attempt == report.attempt()) {
+                listed.add(report.task());
+                placement.seen = true;
+                placement.certain |= current;
+                placement.unansweredToken = 0;
+                update(machine, placement, report, now);
+            } else if (handleUnknownTask(machine, report, current, now)) {
+                listed.add(report.task());
+            }
+            if (report.state() == TaskState.EXITED) {
+                if (mayClear(machine, report)) {
+                    machine.cleanupCommands.add(WorkerCommand.clear(report.task(), report.attempt()));
+                } else {
+                    machine.unclearedAttempts++;
+                }
+            }
+        }
+        return listed;
+    }
+
+    private void freeAbsent(
+            Machine machine, Heartbeat heartbeat, Set<TaskId> listed, boolean current, boolean isReport) {
+        for (Placement placement : List.copyOf(machine.placements.values())) {
+            if (listed.contains(placement.task) || !provedAbsent(placement, heartbeat, current, isReport)) {
+                continue;
+            }
+            if (!placement.seen && placement.sentInAnswer && placement.session == heartbeat.session()) {
+                inventory.requestToken(machine, "an answer to it was lost");
+            }
+            tasks.free(
+                    placement,
+                    "not in report " + heartbeat.session() + "." + heartbeat.sequence() + " under fencing token "
+                            + heartbeat.fencingToken());
+        }
+    }
+
+    private static boolean provedAbsent(Placement placement, Heartbeat heartbeat, boolean current, boolean isReport) {
+        if (placement.session < heartbeat.session()) {
+            return true;
+        }
+        if (!current || placement.phase == Placement.Phase.ASSIGNED) {
+            return false;
+        }
+        if (placement.unansweredToken != 0 && placement.unansweredToken >= heartbeat.fencingToken()) {
+            return false;
+        }
+        return placement.seen || isReport || !placement.sentInAnswer;
+    }
+
+    private void update(Machine machine, Placement placement, TaskReport report, long now) {
+        switch (report.state()) {
+            case FETCHING -> {
+                if (placement.phase == Placement.Phase.ASSIGNED || placement.phase == Placement.Phase.SENT) {
+                    placement.transition(Placement.Phase.FETCHING, "reported");
+                }
+            }
+            case RUNNING -> running(machine, placement, now);
+            case SAVING -> placement.transition(Placement.Phase.STOPPING, "saving");
+            case EXITED -> exited(machine, placement, report, now);
+        }
+    }
+
+    private void running(Machine machine, Placement placement, long now) {
+        if (placement.runningSinceMicros < 0) {
+            placement.runningSinceMicros = now;
+            machine.imageSeen(placement.job.spec.image());
+        }
+        if (placement.phase != Placement.Phase.STOPPING) {
+            placement.transition(Placement.Phase.RUNNING, "reported");
+        }
+        if (now - placement.runningSinceMicros >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
+            machines.drainFaulty(faults.proved(placement, now));
+        }
+    }
+
+    private void exited(Machine machine, Placement placement, TaskReport report, long now) {
+        ActiveJob job = placement.job;
+        if (report.cause() == Cause.DONE && !job.spec.service()) {
+            job.markDone(report.task().index());
+            machines.drainFaulty(faults.proved(placement, now));
+            if (placement.runningSinceMicros >= 0 && placement.certain && !placement.takenOver) {
+                runtimeEstimator.finished(job, now - placement.runningSinceMicros);
+            }
+            jobs.recordTaskDone(job);
+        } else if (report.cause() == Cause.FAILED) {
+            LOG.info("a task of {} failed on {}", job.spec.id(), machine.id);
+            machines.drainFaulty(faults.failed(machine, job, now));
+        } else if (report.cause() == Cause.UNKNOWN_JOB || report.cause() == Cause.NO_ROOM) {
+            job.notBeforeMicros = now + REFUSED_START_DELAY_MICROS;
+        }
+        tasks.free(placement, "exited: " + report.cause());
+        jobs.endIfDone(job);
+        loop.notePass();
+    }
+
+    /** A task on the machine that we did not place in this term; true when it is now a placement of ours. */
+    private boolean handleUnknownTask(Machine machine, TaskReport report, boolean current, long now) {
+        TaskId task = report.task();
+        ActiveJob job = activeJobs.get(task.job());
+        boolean open = job != null && job.phase == ActiveJob.Phase.OPEN && task.index() < job.spec.tasks();
+        if (report.state() == TaskState.EXITED) {
+            if (open && report.cause() == Cause.DONE) {
+                doneElsewhere(job, task);
+            }
+            return false;
+        }
+        if (open && isMissing(job, task) && !machine.placements.containsKey(task)) {
+            Placement placement = tasks.adopt(job, machine, report, current, now);
+            update(machine, placement, report, now);
+            return true;
+        }
+        LOG.info(
+                "stopping {} attempt {} on {}: job is {}",
+                task,
+                report.attempt(),
+                machine.id,
+                job == null ? "not open" : "open");
+        machine.cleanupCommands.add(WorkerCommand.stop(task, report.attempt(), 0));
+        commands.due(machine);
+        loop.notePass();
+        return false;
+    }
+
+    private static boolean isMissing(ActiveJob job, TaskId task) {
+        return !job.done.contains(task.index())
+                && !job.placements.containsKey(task.index())
+                && task.index() < job.claimed;
+    }
+
+    /** An attempt that we did not start has completed the task: any other attempt is of no use. */
+    private void doneElsewhere(ActiveJob job, TaskId task) {
+        if (job.spec.service() || job.done.contains(task.index())) {
+            return;
+        }
+        Placement other = job.placements.get(task.index());
+        job.markDone(task.index());
+        jobs.recordTaskDone(job);
+        if (other != null) {
+            tasks.stop(other, 0, "done elsewhere");
+        } else {
+            jobs.endIfDone(job);
+        }
+    }
+
+    /**
+     * Only a durable outcome is cleared away. An attempt that a direct command started stays listed until the token has
+     * been raised: a late copy of that command would start it once more.
+     */
+    private boolean mayClear(Machine machine, TaskReport report) {
+        long commandToken = machine.directAttempts.get(report.attempt());
+        if (commandToken >= machine.fencingToken) {
+            return false;
+        }
+        machine.directAttempts.remove(report.attempt());
+        if (report.cause() != Cause.DONE || jobIndex.openJob(report.task().job()) == null) {
+            return true;
+        }
+        return jobIndex.progressOf(report.task().job())
+                .done()
+                .contains(report.task().index());
+    }
+}
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -54,8 +54,11 @@
     private static final long LONGEST_BESIDE_ROOM_MICROS = 75_000_000;
 
     private final Config config;
-    private final Dispatcher dispatcher;
-    private final Collection<Machine> machines;
+    private final Fleet fleet;
+    private final ActiveJobs activeJobs;
+    private final PlacementRules rules;
+    private final TaskLifecycle tasks;
+    private final JobLifecycle jobs;
     private final Timers timers;
     private final FairShare fairShare;
     private final BatchPlanner batchPlanner;
@@ -65,17 +68,24 @@
 
     Scheduler(
             Config config,
-            Dispatcher dispatcher,
-            Collection<Machine> machines,
-            Timers timers,
-            BatchPlanner batchPlanner) {
+            Fleet fleet,
+            ActiveJobs activeJobs,
+            PlacementRules rules,
+            TaskLifecycle tasks,
+            JobLifecycle jobs,
+            BatchPlanner batchPlanner,
+            Preemptor preemptor,
+            Timers timers) {
         this.config = config;
-        this.dispatcher = dispatcher;
-        this.machines = machines;
-        this.timers = timers;
+        this.fleet = fleet;
+        this.activeJobs = activeJobs;
+        this.rules = rules;
+        this.tasks = tasks;
+        this.jobs = jobs;
         this.batchPlanner = batchPlanner;
+        this.preemptor = preemptor;
+        this.timers = timers;
         this.fairShare = new FairShare(config.tuning());
-        this.preemptor = new Preemptor(dispatcher, machines);
     }
 
     /** One pass, until nothing more fits. */
@@ -91,9 +101,7 @@
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
             Needs needs = needs(job);
-            if (unplaceable.stream().anyMatch(h -> h.atMost(needs))
-                    || !dispatcher.teamAllows(job.spec)
-                    || !dispatcher.faults().mayStartAnother(job)) {
+            if (unplaceable.stream().anyMatch(h -> h.atMost(needs)) || !rules.mayStartAnother(job)) {
                 continue;
             }
             if (job.spec.gang()) {
@@ -115,8 +123,8 @@
                     && preemptor.makeRoom(job, 1, true, now) > 0) {
                 continue;
             }
-            dispatcher.start(job, m, now);
-            dispatcher.claim(job);
+            tasks.start(job, m, now);
+            jobs.claim(job);
             if (job.waiting() > 0 && job.hasClaimedTask()) {
                 job.deferrable = deferrable(job, now);
                 queue.add(candidate(job));
@@ -126,7 +134,7 @@
 
     private PriorityQueue<Candidate> candidates(long now) {
         PriorityQueue<Candidate> queue = new PriorityQueue<>(LOWEST_FIRST);
-        for (ActiveJob job : dispatcher.jobs()) {
+        for (ActiveJob job : activeJobs.all()) {
             if (job.waiting() <= 0) {
                 job.waitingSinceMicros = -1;
                 continue;
@@ -134,7 +142,7 @@
             if (job.notBeforeMicros > now) {
                 continue;
             }
-            dispatcher.claim(job);
+            jobs.claim(job);
             if (job.waitingSinceMicros < 0) {
                 job.waitingSinceMicros = now;
             }
@@ -161,8 +169,8 @@
             memory = Math.min(memory, c.job().spec.memoryMillis());
         }
         roomy.clear();
-        for (Machine m : machines) {
-            if (m.takesTasks() && m.hasFree(cpu, memory) && !m.unresponsive(now, config.reportMicros())) {
+        for (Machine m : fleet.machines()) {
+            if (m.takesTasks() && m.hasFree(cpu, memory) && !fleet.unresponsive(m, now)) {
                 roomy.add(m);
             }
         }
@@ -209,10 +217,7 @@
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (Machine m : roomy) {
-            if (m.hasRoom(job.spec)
-                    && m.takesTasks()
-                    && dispatcher.suits(m, job, now)
-                    && dispatcher.faults().mayTry(m, job)) {
+            if (m.hasRoom(job.spec) && m.takesTasks() && rules.suits(m, job, now)) {
                 double score = score(m, job.spec);
                 if (score > bestScore) {
                     bestScore = score;
@@ -230,7 +235,7 @@
     private double score(Machine m, JobSpec spec) {
         double score = m.hasImage(spec.image()) ? 20 : m.fetches(spec.image()) ? 10 : m.type.fetchGbPerSecond();
         score -= 4.0 * (m.cpuFree() - spec.cpuMillis()) / m.type.cpuMillis();
-        score -= dispatcher.faults().suspects(m) ? SUSPECT_PENALTY : 0;
+        score -= rules.isSuspect(m) ? SUSPECT_PENALTY : 0;
         boolean mixed = m.hostsService();
         return spec.service() ? score + (mixed ? 12 : 0) : score + (m.spot ? 6 : 0) - (mixed ? 6 : 0);
     }
@@ -244,12 +249,12 @@
         }
         List<Placement> placed = new ArrayList<>();
         while (job.waiting() > 0) {
-            Machine m = dispatcher.teamAllows(job.spec) ? pick(job, now) : null;
+            Machine m = rules.teamAllows(job.spec) ? pick(job, now) : null;
             if (m == null) {
-                placed.forEach(p -> dispatcher.withdraw(p, "the gang does not fit"));
+                placed.forEach(p -> tasks.withdraw(p, "the gang does not fit"));
                 return false;
             }
-            placed.add(dispatcher.start(job, m, now));
+            placed.add(tasks.start(job, m, now));
         }
         job.heldSinceMicros = -1;
         return true;
