--- a/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
@@ -9,10 +9,15 @@
  * Which machines there are; one value holds many. Whose they are says the leader's record; {@code fencingToken}
  * matters only where it is higher than the one there: this machine's own, drawn when an order to it had no answer.
  */
-public record InventoryRecord(List<Host> hosts) {
+public record InventoryRecord(List<Host> hosts) implements StoredRecord {
+    /** Keeps a copy of the list. */
+    public InventoryRecord {
+        hosts = List.copyOf(hosts);
+    }
 
     public record Host(String id, String address, String type, String zone, boolean spot, long fencingToken) {}
 
+    @Override
     public Map<String, Object> toMap() {
         List<Object> rows = new ArrayList<>();
         for (Host h : hosts) {
--- a/src/main/java/org/granitepath/bookkeeping/JobSpec.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobSpec.java
@@ -3,6 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 
 /**
  * What a user asked for. Amounts are whole thousandths (of a CPU, a GPU, a gigabyte), rounded up, so that sums are
@@ -119,9 +120,9 @@
                 ? l.stream().map(String::valueOf).toList()
                 : null;
         return new JobSpec(
-                Fields.textOf(m, "id"),
-                Fields.textOf(m, "class"),
-                Fields.textOf(m, "team"),
+                Objects.requireNonNull(Fields.textOf(m, "id"), "id"),
+                Objects.requireNonNull(Fields.textOf(m, "class"), "class"),
+                Objects.requireNonNull(Fields.textOf(m, "team"), "team"),
                 Shape.ofCode(Fields.intOf(m, "shape", 0)),
                 Priority.ofCode(Fields.intOf(m, "rank", 3)),
                 Fields.intOf(m, "tasks", 1),
--- /dev/null
+++ b/src/main/java/org/granitepath/bookkeeping/MalformedRecordException.java
@@ -0,0 +1,18 @@
+package org.granitepath.bookkeeping;
+
+/** A record in the state service that can't be read. */
+public final class MalformedRecordException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    private final String key;
+
+    MalformedRecordException(String key, Throwable cause) {
+        super("record " + key + " is malformed: " + cause.getMessage(), cause);
+        this.key = key;
+    }
+
+    /** The name of the record. */
+    public String key() {
+        return key;
+    }
+}
--- a/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
@@ -1,6 +1,7 @@
 package org.granitepath.bookkeeping;
 
 import com.google.common.collect.DiscreteDomain;
+import com.google.common.collect.ImmutableRangeSet;
 import com.google.common.collect.Range;
 import com.google.common.collect.RangeSet;
 import com.google.common.collect.TreeRangeSet;
@@ -13,7 +14,11 @@
  * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
  * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
  */
-public record ProgressRecord(String leader, int claimed, RangeSet<Integer> done, int running) {
+public record ProgressRecord(String leader, int claimed, RangeSet<Integer> done, int running) implements StoredRecord {
+    /** Keeps a copy of the finished tasks: the leader goes on adding to its own. */
+    public ProgressRecord {
+        done = ImmutableRangeSet.copyOf(done);
+    }
 
     public static ProgressRecord none() {
         return new ProgressRecord("", 0, TreeRangeSet.create(), 0);
@@ -32,6 +37,7 @@
         return n;
     }
 
+    @Override
     public Map<String, Object> toMap() {
         List<Integer> ends = new ArrayList<>();
         for (Range<Integer> r : done.asRanges()) {
--- a/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
+++ b/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
@@ -33,14 +33,14 @@
         FOLLOWING
     }
 
-    /** Told of every change of a record, in order; {@code value} null: removed. */
+    /** Told of every change of a record, in order; {@code record} null: removed. */
     public interface Listener {
-        void changed(String key, Map<String, Object> value, long stamp);
+        void changed(String key, StoredRecord record, long stamp);
 
         void loaded();
     }
 
-    private record Entry(Map<String, Object> value, long stamp) {}
+    private record Entry(StoredRecord record, long stamp) {}
 
     private final StatePort state;
     private final Timers timers;
@@ -49,6 +49,7 @@
     private final Map<String, Entry> entries = new HashMap<>();
     private Phase phase = Phase.LOADING;
     private long epoch;
+    private long malformedRecords;
     private boolean loadedOnce;
     private Set<String> seenInLoad;
     private long loadEpoch;
@@ -80,14 +81,40 @@
         return lastContactMicros;
     }
 
-    public Map<String, Object> value(String key) {
-        Entry e = entries.get(key);
-        return e == null ? null : e.value();
+    /** Whether there is a record of this name. */
+    public boolean has(String key) {
+        Entry entry = entries.get(key);
+        return entry != null && entry.record() != null;
+    }
+
+    /** The leader on record, or null. */
+    public LeaderRecord leader() {
+        return record(Keys.LEADER, LeaderRecord.class);
+    }
+
+    /** The counter of fencing tokens, or null when none was drawn yet. */
+    public FencingTokenRecord fencingToken() {
+        return record(Keys.FENCING_TOKEN, FencingTokenRecord.class);
+    }
+
+    /** A part of the machine inventory, or null when it has fewer. */
+    public InventoryRecord inventory(int part) {
+        return record(Keys.INVENTORY + part, InventoryRecord.class);
+    }
+
+    private <T extends StoredRecord> T record(String key, Class<T> kind) {
+        Entry entry = entries.get(key);
+        return entry != null && kind.isInstance(entry.record()) ? kind.cast(entry.record()) : null;
+    }
+
+    /** How many records could not be read so far. */
+    public long malformedRecords() {
+        return malformedRecords;
     }
 
     public long stamp(String key) {
         Entry e = entries.get(key);
-        return e == null || e.value() == null ? 0 : e.stamp();
+        return e == null || e.record() == null ? 0 : e.stamp();
     }
 
     /** Drops a record that nobody reads or writes any more. */
@@ -96,8 +123,8 @@
     }
 
     /** Records our own committed write at once, before the follow brings it. */
-    public void applied(String key, Map<String, Object> value, long stamp) {
-        apply(key, value, stamp);
+    public void applied(String key, StoredRecord record, long stamp) {
+        apply(key, record, stamp);
     }
 
     /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
@@ -137,7 +164,7 @@
             String last = from;
             for (Item item : page.items()) {
                 seenInLoad.add(item.key());
-                apply(item.key(), item.value(), item.stamp());
+                apply(item.key(), decode(item), item.stamp());
                 last = item.key();
             }
             if (page.more()) {
@@ -147,7 +174,7 @@
             // Keys known before a reload that are no longer there were removed meanwhile.
             for (String key : new ArrayList<>(entries.keySet())) {
                 Entry e = entries.get(key);
-                if (e != null && e.value() != null && !seenInLoad.contains(key) && e.stamp() < loadEpoch) {
+                if (e != null && e.record() != null && !seenInLoad.contains(key) && e.stamp() < loadEpoch) {
                     apply(key, null, loadEpoch);
                 }
             }
@@ -222,19 +249,32 @@
     private void take(Page page, long sentMicros) {
         for (Item item : page.items()) {
             if (item.stamp() > epoch) {
-                apply(item.key(), item.value(), item.stamp());
+                apply(item.key(), decode(item), item.stamp());
             }
         }
         epoch = Math.max(epoch, page.epoch());
         lastContactMicros = Math.max(lastContactMicros, sentMicros);
     }
 
-    private void apply(String key, Map<String, Object> value, long stamp) {
+    private StoredRecord decode(Item item) {
+        if (item.value() == null) {
+            return null;
+        }
+        try {
+            return StoredRecord.decode(item.key(), item.value());
+        } catch (MalformedRecordException e) {
+            malformedRecords++;
+            LOG.error("{} ({} so far)", e.getMessage(), malformedRecords);
+            return new UnknownRecord(item.value());
+        }
+    }
+
+    private void apply(String key, StoredRecord record, long stamp) {
         Entry old = entries.get(key);
         if (old != null && old.stamp() >= stamp) {
             return;
         }
-        entries.put(key, new Entry(value, stamp));
-        listener.changed(key, value, stamp);
+        entries.put(key, new Entry(record, stamp));
+        listener.changed(key, record, stamp);
     }
 }
--- a/src/main/java/org/granitepath/bookkeeping/StatePort.java
+++ b/src/main/java/org/granitepath/bookkeeping/StatePort.java
@@ -19,10 +19,10 @@
 
     record Guard(String key, long stamp) {}
 
-    /** A write, or a removal when {@code value} is null. {@code lease} 0: attached to none. */
-    record Change(String key, Map<String, Object> value, long lease) {
-        public static Change write(String key, Map<String, Object> value) {
-            return new Change(key, value, 0);
+    /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
+    record Change(String key, StoredRecord record, long lease) {
+        public static Change write(String key, StoredRecord record) {
+            return new Change(key, record, 0);
         }
 
         public static Change remove(String key) {
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -4,12 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.bookkeeping.FinalRecord;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.MachineTypesRecord;
 import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
+import org.granitepath.bookkeeping.StoredRecord;
 import org.granitepath.bookkeeping.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -56,8 +58,8 @@
                 config.stateRequests() * READ_SHARE / (config.peers().size() + 1);
         this.replica = new RecordReplica(state, timers, (long) (1e6 / readsPerSecond), new RecordReplica.Listener() {
             @Override
-            public void changed(String key, Map<String, Object> value, long stamp) {
-                recordChanged(key, value);
+            public void changed(String key, StoredRecord record, long stamp) {
+                recordChanged(key, record);
             }
 
             @Override
@@ -127,7 +129,7 @@
 
     /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
     public void cancellationReceived(PeerPort.CancellationNotice notice) {
-        replica.applied(Keys.FINAL + notice.job(), JobIndex.finalRecord(JobIndex.Final.CANCELLED), notice.stamp());
+        replica.applied(Keys.FINAL + notice.job(), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.stamp());
     }
 
     public boolean leader() {
@@ -205,26 +207,22 @@
         }
     }
 
-    private void recordChanged(String key, Map<String, Object> value) {
+    private void recordChanged(String key, StoredRecord record) {
         if (key.equals(Keys.LEADER)) {
             leadership.leaderChanged();
-        } else if (key.equals(Keys.TYPES) && value != null) {
+        } else if (record instanceof MachineTypesRecord recorded) {
             // So that a controller that starts while the cloud is down can judge submissions.
-            @SuppressWarnings("unchecked")
-            List<MachineType> list = Fields.listOf(value, "types").stream()
-                    .map(t -> MachineType.fromMap((Map<String, Object>) t))
-                    .toList();
-            learnTypes(list, false);
+            learnTypes(recorded.types(), false);
         } else {
-            jobIndex.changed(key, value);
-            forgetEnded(key, value);
+            jobIndex.changed(key, record);
+            forgetEnded(key, record);
         }
     }
 
     /** Of a job that is over only the final state is kept; a day's descriptions would fill a small machine. */
-    private void forgetEnded(String key, Map<String, Object> value) {
+    private void forgetEnded(String key, StoredRecord record) {
         for (String prefix : List.of(Keys.FINAL, Keys.JOB, Keys.PROGRESS)) {
-            if (value != null && key.startsWith(prefix)) {
+            if (record != null && key.startsWith(prefix)) {
                 String id = key.substring(prefix.length());
                 if (jobIndex.finalOf(id) != null) {
                     replica.forget(Keys.JOB + id);
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/Dispatcher.java
@@ -1,9 +1,9 @@
 package org.granitepath.coordination;
 
 import java.util.List;
-import java.util.Map;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.MachineTypesRecord;
 import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.StatePort.Change;
@@ -148,17 +148,15 @@
 
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
     void recordTypes(List<MachineType> list) {
-        if (replica.value(Keys.TYPES) != null) {
+        if (replica.has(Keys.TYPES)) {
             return;
         }
-        List<Map<String, Object>> types = list.stream().map(MachineType::toMap).toList();
+        MachineTypesRecord types = new MachineTypesRecord(list);
         writeQueue.enqueue(
                 Keys.TYPES,
                 WriteQueue.Urgency.PROGRESS_ONLY,
                 RECORD_TYPES_DELAY_MICROS,
-                () -> replica.value(Keys.TYPES) != null
-                        ? List.of()
-                        : List.of(Change.write(Keys.TYPES, Map.of("types", types))),
+                () -> replica.has(Keys.TYPES) ? List.of() : List.of(Change.write(Keys.TYPES, types)),
                 epoch -> {});
     }
 
--- a/src/main/java/org/granitepath/coordination/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/JobLifecycle.java
@@ -1,6 +1,7 @@
 package org.granitepath.coordination;
 
 import java.util.List;
+import org.granitepath.bookkeeping.FinalRecord;
 import org.granitepath.bookkeeping.JobRecord;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.ProgressRecord;
@@ -120,13 +121,13 @@
     }
 
     @Override
-    public void ended(String id, JobIndex.Final how) {
+    public void ended(String id, FinalRecord.Outcome how) {
         ActiveJob job = jobs.get(id);
         if (job == null) {
             return;
         }
         job.transition(ActiveJob.Phase.OVER, how.toString());
-        if (how == JobIndex.Final.DONE) {
+        if (how == FinalRecord.Outcome.DONE) {
             logDone(job);
         }
         for (Placement placement : List.copyOf(job.placements.values())) {
@@ -178,8 +179,7 @@
                 () -> job.phase == ActiveJob.Phase.OVER
                         ? List.of()
                         : List.of(Change.write(
-                                key,
-                                new ProgressRecord(config.node(), job.claimWanted, job.done, job.running()).toMap())),
+                                key, new ProgressRecord(config.node(), job.claimWanted, job.done, job.running()))),
                 epoch -> loop.requestPass());
     }
 
@@ -189,9 +189,9 @@
                 key,
                 WriteQueue.Urgency.SAFETY,
                 0,
-                () -> replica.value(key) != null
+                () -> replica.has(key)
                         ? List.of()
-                        : List.of(Change.write(key, JobIndex.finalRecord(JobIndex.Final.DONE))),
+                        : List.of(Change.write(key, new FinalRecord(FinalRecord.Outcome.DONE))),
                 epoch -> {});
     }
 }
--- a/src/main/java/org/granitepath/coordination/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/JobRequestHandler.java
@@ -7,10 +7,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.bookkeeping.FinalRecord;
 import org.granitepath.bookkeeping.JobRecord;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.LeaderRecord;
 import org.granitepath.bookkeeping.MachineType;
 import org.granitepath.bookkeeping.ProgressRecord;
 import org.granitepath.bookkeeping.RecordReplica;
@@ -122,22 +123,17 @@
                         resolve(submitting, spec.id(), status(spec.id(), false));
                         return List.of();
                     }
-                    return submitting.containsKey(spec.id())
-                            ? List.of(Change.write(key, accepted(spec).toMap()))
-                            : List.of();
+                    return submitting.containsKey(spec.id()) ? List.of(Change.write(key, accepted(spec))) : List.of();
                 },
                 epoch -> resolve(submitting, spec.id(), status(spec.id(), true)));
     }
 
     private JobRecord accepted(JobSpec spec) {
-        Map<String, Object> leader = replica.value(Keys.LEADER);
+        LeaderRecord leader = replica.leader();
         return leader == null
                 ? new JobRecord(spec, timers.timeOfDayMicros(), 0, 0)
                 : new JobRecord(
-                        spec,
-                        timers.timeOfDayMicros(),
-                        config.tuning().firstBlock(spec),
-                        Fields.longOf(leader, "baton", 0));
+                        spec, timers.timeOfDayMicros(), config.tuning().firstBlock(spec), leader.fencingToken());
     }
 
     /** Why a job can never run, or null. */
@@ -212,7 +208,7 @@
                         return List.of();
                     }
                     return cancelling.containsKey(id)
-                            ? List.of(Change.write(key, JobIndex.finalRecord(JobIndex.Final.CANCELLED)))
+                            ? List.of(Change.write(key, new FinalRecord(FinalRecord.Outcome.CANCELLED)))
                             : List.of();
                 },
                 epoch -> confirm(id));
@@ -220,7 +216,7 @@
 
     /** Its cancellation is on record, and whoever asked for it has no answer yet. */
     private boolean confirming(String id) {
-        return jobIndex.finalOf(id) == JobIndex.Final.CANCELLED && cancelling.containsKey(id);
+        return jobIndex.finalOf(id) == FinalRecord.Outcome.CANCELLED && cancelling.containsKey(id);
     }
 
     /**
@@ -228,7 +224,7 @@
      * leader may be out of contact with the records: so it is told first.
      */
     private void confirm(String id) {
-        if (jobIndex.finalOf(id) == JobIndex.Final.CANCELLED) {
+        if (jobIndex.finalOf(id) == FinalRecord.Outcome.CANCELLED) {
             cancelled.accept(
                     new PeerPort.CancellationNotice(id, replica.stamp(Keys.FINAL + id)),
                     () -> resolve(cancelling, id, status(id, false)));
@@ -244,10 +240,10 @@
     }
 
     private JobResponse.Status status(String id, boolean created) {
-        JobIndex.Final how = jobIndex.finalOf(id);
+        FinalRecord.Outcome how = jobIndex.finalOf(id);
         if (how != null) {
             return new JobResponse.Status(
-                    created, id, how == JobIndex.Final.DONE ? JobState.DONE : JobState.CANCELLED, 0, 0);
+                    created, id, how == FinalRecord.Outcome.DONE ? JobState.DONE : JobState.CANCELLED, 0, 0);
         }
         ProgressRecord progress = jobIndex.progressOf(id);
         int done = ProgressRecord.count(progress.done());
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/Leadership.java
@@ -1,12 +1,11 @@
 package org.granitepath.coordination;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BooleanSupplier;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.bookkeeping.FencingTokenRecord;
 import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.LeaderRecord;
 import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.bookkeeping.StatePort.Change;
@@ -116,8 +115,8 @@
 
     /** The leader on record, or null. */
     String leaderNode() {
-        Map<String, Object> v = replica.value(Keys.LEADER);
-        return v == null ? null : Fields.textOf(v, "node");
+        LeaderRecord leader = replica.leader();
+        return leader == null ? null : leader.node();
     }
 
     private void transition(Phase next, String why) {
@@ -129,15 +128,15 @@
 
     /** The leader record changed. */
     void leaderChanged() {
-        Map<String, Object> v = replica.value(Keys.LEADER);
+        LeaderRecord leader = replica.leader();
         if (term != null) {
-            boolean mine = v != null
-                    && config.incarnation().equals(Fields.textOf(v, "incarnation"))
-                    && Fields.longOf(v, "baton", 0) == term.fencingToken();
+            boolean mine = leader != null
+                    && config.incarnation().equals(leader.incarnation())
+                    && leader.fencingToken() == term.fencingToken();
             if (!mine && replica.stamp(Keys.LEADER) != term.leaderStamp()) {
-                loseLeadership(v == null ? "our lease ran out" : "taken over by " + Fields.textOf(v, "node"));
+                loseLeadership(leader == null ? "our lease ran out" : "taken over by " + leader.node());
             }
-        } else if (v == null && phase == Phase.FOLLOWING) {
+        } else if (leader == null && phase == Phase.FOLLOWING) {
             considerCampaign();
         }
     }
@@ -180,12 +179,12 @@
         if (phase != Phase.FOLLOWING || !replica.loaded() || timers.nowMicros() < quietUntilMicros) {
             return;
         }
-        Map<String, Object> v = replica.value(Keys.LEADER);
+        LeaderRecord leader = replica.leader();
         // A leader of our own name and another incarnation is our former process, and that has ended.
-        boolean formerSelf = v != null
-                && config.node().equals(Fields.textOf(v, "node"))
-                && !config.incarnation().equals(Fields.textOf(v, "incarnation"));
-        if (v == null || formerSelf) {
+        boolean formerSelf = leader != null
+                && config.node().equals(leader.node())
+                && !config.incarnation().equals(leader.incarnation());
+        if (leader == null || formerSelf) {
             campaign(formerSelf);
         }
     }
@@ -200,8 +199,8 @@
             }
             // The record as it is now: another may have won meanwhile.
             replica.barrier(fresh -> {
-                Map<String, Object> v = replica.value(Keys.LEADER);
-                boolean free = v == null || (formerSelf && config.node().equals(Fields.textOf(v, "node")));
+                LeaderRecord leader = replica.leader();
+                boolean free = leader == null || (formerSelf && config.node().equals(leader.node()));
                 if (!fresh || !free) {
                     abandonCampaign(fresh ? "another was faster" : "can't read the records");
                 } else {
@@ -212,17 +211,14 @@
     }
 
     private void acquire(long newLease, long began) {
-        Map<String, Object> counter = replica.value(Keys.FENCING_TOKEN);
-        long fencingToken = (counter == null ? 0 : Fields.longOf(counter, "last", 0)) + 1;
+        FencingTokenRecord counter = replica.fencingToken();
+        long fencingToken = (counter == null ? 0 : counter.last()) + 1;
         List<Guard> guards = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        Map<String, Object> leader = new LinkedHashMap<>();
-        leader.put("node", config.node());
-        leader.put("incarnation", config.incarnation());
-        leader.put("baton", fencingToken);
-        leader.put("at", timers.timeOfDayMicros());
+        LeaderRecord leader = new LeaderRecord(config.node(), config.incarnation(), fencingToken);
         changes.add(new Change(Keys.LEADER, leader, newLease));
-        changes.add(Change.write(Keys.FENCING_TOKEN, tokenRecord(config.node(), fencingToken, fencingToken)));
+        changes.add(
+                Change.write(Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), fencingToken, fencingToken)));
         for (Change c : changes) {
             guards.add(new Guard(c.key(), replica.stamp(c.key())));
         }
@@ -238,7 +234,7 @@
             renewDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
             renewing = false;
             for (Change c : changes) {
-                replica.applied(c.key(), c.value(), answer.epoch());
+                replica.applied(c.key(), c.record(), answer.epoch());
             }
             transition(Phase.LEADING, "fencing token " + fencingToken);
             takeOver(term);
@@ -263,15 +259,6 @@
         });
     }
 
-    /**
-     * The leader's record: all machines of the inventory belong to {@code leader} under the fencing token
-     * {@code term}, but for those whose row names a higher one. It outlives the leader's lease, so no machine is ever
-     * without exactly one leader.
-     */
-    static Map<String, Object> tokenRecord(String leader, long term, long last) {
-        return Map.of("owner", leader, "term", term, "last", last);
-    }
-
     private void abandonCampaign(String why) {
         quietUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
         transition(Phase.FOLLOWING, why);
--- a/src/main/java/org/granitepath/coordination/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/MachineInventory.java
@@ -4,10 +4,9 @@
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.bookkeeping.FencingTokenRecord;
 import org.granitepath.bookkeeping.InventoryRecord;
 import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.RecordReplica;
@@ -85,18 +84,18 @@
     /** The machines on record when the term began; all are ours under the term's fencing token. */
     List<Machine> takeOver() {
         List<Machine> inherited = new ArrayList<>();
-        for (int i = 0; replica.value(Keys.INVENTORY + i) != null; i++) {
-            Set<String> row = new LinkedHashSet<>();
-            for (InventoryRecord.Host h :
-                    InventoryRecord.fromMap(replica.value(Keys.INVENTORY + i)).hosts()) {
-                Machine m = new Machine(h.id(), h.address(), h.type(), h.zone(), h.spot());
-                m.inventoryPart = i;
-                m.recorded = true;
-                m.fencingToken = term.fencingToken();
-                inherited.add(m);
-                row.add(m.id);
+        int part = 0;
+        for (InventoryRecord hosts = replica.inventory(part); hosts != null; hosts = replica.inventory(++part)) {
+            Set<String> names = new LinkedHashSet<>();
+            for (InventoryRecord.Host host : hosts.hosts()) {
+                Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
+                machine.inventoryPart = part;
+                machine.recorded = true;
+                machine.fencingToken = term.fencingToken();
+                inherited.add(machine);
+                names.add(machine.id);
             }
-            values.add(row);
+            values.add(names);
         }
         return inherited;
     }
@@ -157,8 +156,8 @@
         withNewToken.clear();
         added.clear();
         written.clear();
-        Map<String, Object> counter = replica.value(Keys.FENCING_TOKEN);
-        drawn = (counter == null ? term.fencingToken() : Fields.longOf(counter, "last", term.fencingToken())) + 1;
+        FencingTokenRecord counter = replica.fencingToken();
+        drawn = (counter == null ? term.fencingToken() : counter.last()) + 1;
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < values.size() && written.size() < valuesAtOnce; i++) {
             if (!dirty.contains(i)) {
@@ -177,13 +176,13 @@
                 hosts.add(m.inventoryRow(m.needsNewToken ? drawn : m.fencingToken));
             }
             written.add(i);
-            changes.add(Change.write(Keys.INVENTORY + i, new InventoryRecord(hosts).toMap()));
+            changes.add(Change.write(Keys.INVENTORY + i, new InventoryRecord(hosts)));
         }
         // A change that comes while the transaction is under way makes its value dirty once more.
         dirty.removeAll(written);
         if (!withNewToken.isEmpty()) {
             changes.add(Change.write(
-                    Keys.FENCING_TOKEN, Leadership.tokenRecord(config.node(), term.fencingToken(), drawn)));
+                    Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), term.fencingToken(), drawn)));
         }
         nextMicros = timers.nowMicros() + (long) (changes.size() * 1e6 / (writeQueue.writesPerSecond() * WRITE_SHARE));
         return changes;
--- a/src/main/java/org/granitepath/coordination/WriteQueue.java
+++ b/src/main/java/org/granitepath/coordination/WriteQueue.java
@@ -27,6 +27,7 @@
     private static final long RETRY_MICROS = 300_000;
     private static final long REFUSED_MICROS = 100_000;
     private static final int TXN_BYTES = 48 * 1024;
+    private static final int CHANGE_OVERHEAD_BYTES = 100;
     private static final double RESERVED_FROM_PROGRESS = 0.3;
     private static final int BEHIND_SECONDS = 3;
     /** How an elastic write queue yields when the service refuses, and takes up again when it does not. */
@@ -166,7 +167,7 @@
             }
             if (answer.outcome() == Outcome.OK) {
                 for (Change c : changes) {
-                    replica.applied(c.key(), c.value(), answer.epoch());
+                    replica.applied(c.key(), c.record(), answer.epoch());
                 }
                 busy = false;
                 mostAtOnce = Math.min(txnOps, mostAtOnce + 1);
@@ -215,9 +216,7 @@
                     withdrawn.add(named.getKey());
                     continue;
                 }
-                int size = content.stream()
-                        .mapToInt(c -> String.valueOf(c.value()).length() + 100)
-                        .sum();
+                int size = content.stream().mapToInt(WriteQueue::roughSize).sum();
                 if (!changes.isEmpty() && (changes.size() + content.size() > most || bytes + size > TXN_BYTES)) {
                     continue;
                 }
@@ -229,6 +228,13 @@
         pending.keySet().removeAll(withdrawn);
     }
 
+    private static int roughSize(Change change) {
+        return CHANGE_OVERHEAD_BYTES
+                + (change.record() == null
+                        ? 0
+                        : change.record().toMap().toString().length());
+    }
+
     private void readBack(long delayMicros) {
         timers.after(
                 delayMicros,
--- a/src/main/java/org/granitepath/coordination/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/ZoneLeaseKeeper.java
@@ -3,10 +3,8 @@
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.bookkeeping.FencingTokenRecord;
 import org.granitepath.bookkeeping.InventoryRecord;
-import org.granitepath.bookkeeping.Keys;
 import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.Timers;
 import org.granitepath.coordination.Heartbeat.TaskReport;
@@ -67,12 +65,12 @@
 
     private void readTokens() {
         fencingTokens.clear();
-        Map<String, Object> leaders = replica.value(Keys.FENCING_TOKEN);
-        long term = leaders == null ? 0 : Fields.longOf(leaders, "term", 0);
-        for (int i = 0; replica.value(Keys.INVENTORY + i) != null; i++) {
-            for (InventoryRecord.Host h :
-                    InventoryRecord.fromMap(replica.value(Keys.INVENTORY + i)).hosts()) {
-                fencingTokens.put(h.id(), Math.max(term, h.fencingToken()));
+        FencingTokenRecord counter = replica.fencingToken();
+        long term = counter == null ? 0 : counter.term();
+        int part = 0;
+        for (InventoryRecord hosts = replica.inventory(part); hosts != null; hosts = replica.inventory(++part)) {
+            for (InventoryRecord.Host host : hosts.hosts()) {
+                fencingTokens.put(host.id(), Math.max(term, host.fencingToken()));
             }
         }
     }
--- a/src/main/java/org/granitepath/protocol/StateCodec.java
+++ b/src/main/java/org/granitepath/protocol/StateCodec.java
@@ -24,11 +24,11 @@
         List<Object> apply = new ArrayList<>();
         for (Change c : txn.changes()) {
             Map<String, Object> m = new LinkedHashMap<>();
-            if (c.value() == null) {
+            if (c.record() == null) {
                 m.put("remove", c.key());
             } else {
                 m.put("write", c.key());
-                m.put("v", c.value());
+                m.put("v", c.record().toMap());
                 if (c.lease() != 0) {
                     m.put("permit", c.lease());
                 }
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -1,17 +1,23 @@
 package org.granitepath.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import org.granitepath.bookkeeping.FencingTokenRecord;
+import org.granitepath.bookkeeping.FinalRecord;
 import org.granitepath.bookkeeping.InventoryRecord;
 import org.granitepath.bookkeeping.JobRecord;
 import org.granitepath.bookkeeping.JobSpec;
 import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.LeaderRecord;
 import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.MalformedRecordException;
 import org.granitepath.bookkeeping.ProgressRecord;
-import org.granitepath.coordination.JobIndex;
+import org.granitepath.bookkeeping.StoredRecord;
+import org.granitepath.bookkeeping.UnknownRecord;
 import org.granitepath.coordination.PeerPort;
 import org.junit.jupiter.api.Test;
 
@@ -72,8 +78,8 @@
 
     @Test
     void finalStates() {
-        assertEquals("{\"how\":0}", Json.text(JobIndex.finalRecord(JobIndex.Final.DONE)));
-        assertEquals("{\"how\":1}", Json.text(JobIndex.finalRecord(JobIndex.Final.CANCELLED)));
+        assertEquals("{\"how\":0}", Json.text(new FinalRecord(FinalRecord.Outcome.DONE).toMap()));
+        assertEquals("{\"how\":1}", Json.text(new FinalRecord(FinalRecord.Outcome.CANCELLED).toMap()));
     }
 
     @Test
@@ -107,4 +113,31 @@
     void leaseRequests() {
         assertEquals(Map.of("life_ms", 3000), Json.object(StateCodec.encodeLease(3_000_000)));
     }
+
+    @Test
+    void leaderAndToken() throws MalformedRecordException {
+        LeaderRecord leader = new LeaderRecord("worker-1", "worker-1-2", 41);
+        assertEquals("{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41}", Json.text(leader.toMap()));
+        String former = "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41,\"at\":1700000000000000}";
+        assertEquals(leader, StoredRecord.decode(Keys.LEADER, Json.object(former)));
+        FencingTokenRecord token = new FencingTokenRecord("worker-1", 41, 43);
+        assertEquals(Map.of("owner", "worker-1", "term", 41, "last", 43), Json.object(Json.text(token.toMap())));
+        assertEquals(token, StoredRecord.decode(Keys.FENCING_TOKEN, Json.object(Json.text(token.toMap()))));
+    }
+
+    /** What can't be read is an error that names the record; kinds of later versions are let be. */
+    @Test
+    void malformedAndUnknownRecords() throws MalformedRecordException {
+        for (String key : List.of(Keys.JOB + "run-1", Keys.LEADER)) {
+            Map<String, Object> empty = Map.of("spec", Map.of("id", "run-1"));
+            MalformedRecordException e =
+                    assertThrows(MalformedRecordException.class, () -> StoredRecord.decode(key, empty));
+            assertEquals(key, e.key());
+        }
+        Map<String, Object> badRow = Map.of("hosts", List.of(List.of("i-1", 7)));
+        assertThrows(MalformedRecordException.class, () -> StoredRecord.decode(Keys.INVENTORY + 0, badRow));
+        assertEquals(
+                UnknownRecord.class,
+                StoredRecord.decode("g/later/1", Map.of("x", 1)).getClass());
+    }
 }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -8,13 +8,17 @@
 import java.util.Map;
 import org.granitepath.bookkeeping.RecordReplica;
 import org.granitepath.bookkeeping.StatePort.Change;
+import org.granitepath.bookkeeping.StoredRecord;
 import org.granitepath.bookkeeping.Timers;
+import org.granitepath.bookkeeping.UnknownRecord;
 import org.granitepath.coordination.WriteQueue;
 import org.granitepath.coordination.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of wishes, or of questions, on a small budget. */
 class BudgetTest {
+    private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
+
     private final World world = new World(1);
     private final SimState state = new SimState(world, 8, 2048, 1000, 200);
     private final Timers timers = new Timers() {
@@ -43,7 +47,7 @@
     private RecordReplica replicaOf(SimState of, String node) {
         RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, Map<String, Object> value, long stamp) {}
+            public void changed(String key, StoredRecord record, long stamp) {}
 
             @Override
             public void loaded() {}
@@ -66,7 +70,7 @@
             world.after(
                     i * 66_000L,
                     () -> writeQueue.enqueue(
-                            key, Urgency.WORK, 0, () -> List.of(Change.write(key, Map.of("x", 1))), epoch -> {}));
+                            key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), epoch -> {}));
         }
         int before = state.reads;
         world.run(14_000_000, () -> {});
@@ -88,7 +92,7 @@
                     0,
                     () -> {
                         made[0]++;
-                        return List.of(Change.write(key, Map.of("x", 1)));
+                        return List.of(Change.write(key, SOME_RECORD));
                     },
                     epoch -> written.add(key));
         }
@@ -97,7 +101,7 @@
                 "g/safe",
                 Urgency.SAFETY,
                 0,
-                () -> List.of(Change.write("g/safe", Map.of("x", 1))),
+                () -> List.of(Change.write("g/safe", SOME_RECORD)),
                 epoch -> written.add("g/safe"));
         world.run(3_300_000, () -> {});
         assertTrue(written.contains("g/safe"), "an urgent wish waits behind news");
@@ -124,7 +128,7 @@
                                 key,
                                 Urgency.WORK,
                                 0,
-                                () -> List.of(Change.write(key, Map.of("x", 1))),
+                                () -> List.of(Change.write(key, SOME_RECORD)),
                                 epoch -> leaders[0] += node == 0 ? 1 : 0));
             }
         }
--- a/src/test/java/org/granitepath/simulation/SimState.java
+++ b/src/test/java/org/granitepath/simulation/SimState.java
@@ -222,7 +222,7 @@
         epoch++;
         for (StatePort.Change c : txn.changes()) {
             writesByKey.merge(c.key(), 1, Integer::sum);
-            String json = c.value() == null ? null : Json.text(c.value());
+            String json = c.record() == null ? null : Json.text(c.record().toMap());
             if (json != null && json.length() > valueBytes) {
                 oversized++;
             }
