--- a/src/main/java/org/granitepath/bookkeeping/Fields.java
+++ b/src/main/java/org/granitepath/bookkeeping/Fields.java
@@ -7,31 +7,38 @@
 public final class Fields {
     private Fields() {}
 
+    /** A whole number, or {@code otherwise}. */
     public static long longOf(Map<String, Object> map, String name, long otherwise) {
         return map.get(name) instanceof Number n ? n.longValue() : otherwise;
     }
 
+    /** A small whole number, or {@code otherwise}. */
     public static int intOf(Map<String, Object> map, String name, int otherwise) {
         return (int) longOf(map, name, otherwise);
     }
 
+    /** A number, or {@code otherwise}. */
     public static double doubleOf(Map<String, Object> map, String name, double otherwise) {
         return map.get(name) instanceof Number n ? n.doubleValue() : otherwise;
     }
 
+    /** True only when the field is true. */
     public static boolean boolOf(Map<String, Object> map, String name) {
         return Boolean.TRUE.equals(map.get(name));
     }
 
+    /** A text, or null. */
     public static String textOf(Map<String, Object> map, String name) {
         return map.get(name) instanceof String s ? s : null;
     }
 
+    /** An object, or null. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> mapOf(Map<String, Object> map, String name) {
         return map.get(name) instanceof Map<?, ?> m ? (Map<String, Object>) m : null;
     }
 
+    /** A list, or an empty one. */
     public static List<?> listOf(Map<String, Object> map, String name) {
         return map.get(name) instanceof List<?> l ? l : List.of();
     }
--- a/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
@@ -15,6 +15,7 @@
         hosts = List.copyOf(hosts);
     }
 
+    /** One machine; {@code fencingToken} is its own when higher than that of the leader's term. */
     public record Host(String id, String address, String type, String zone, boolean spot, long fencingToken) {}
 
     @Override
@@ -28,6 +29,7 @@
         return m;
     }
 
+    /** Reads the record. */
     public static InventoryRecord fromMap(Map<String, Object> m) {
         List<Host> hosts = new ArrayList<>();
         for (Object row : Fields.listOf(m, "hosts")) {
--- a/src/main/java/org/granitepath/bookkeeping/JobRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobRecord.java
@@ -19,6 +19,7 @@
         return m;
     }
 
+    /** Reads the record. */
     public static JobRecord fromMap(Map<String, Object> m) {
         return new JobRecord(
                 JobSpec.fromMap(Fields.mapOf(m, "spec")),
--- a/src/main/java/org/granitepath/bookkeeping/JobSpec.java
+++ b/src/main/java/org/granitepath/bookkeeping/JobSpec.java
@@ -61,22 +61,27 @@
 
     public static final long NO_DEADLINE = -1;
 
+    /** Whether its tasks run until it is cancelled. */
     public boolean service() {
         return shape == Shape.SERVICE;
     }
 
+    /** Whether its tasks start together or not at all. */
     public boolean gang() {
         return shape == Shape.GANG;
     }
 
+    /** Whether it is to be complete by a certain time. */
     public boolean hasDeadline() {
         return deadlineMicros != NO_DEADLINE;
     }
 
+    /** Whether machines of this type may be used. */
     public boolean allowsType(String type) {
         return types == null || types.contains(type);
     }
 
+    /** Whether machines of this zone may be used. */
     public boolean allowsZone(String candidate) {
         return zone == null || zone.equals(candidate);
     }
@@ -86,6 +91,7 @@
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
+    /** The description as a JSON object. */
     public Map<String, Object> toMap() {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("id", id);
@@ -115,6 +121,7 @@
         return m;
     }
 
+    /** Reads the description. */
     public static JobSpec fromMap(Map<String, Object> m) {
         List<String> types = m.get("types") instanceof List<?> l
                 ? l.stream().map(String::valueOf).toList()
--- a/src/main/java/org/granitepath/bookkeeping/MachineType.java
+++ b/src/main/java/org/granitepath/bookkeeping/MachineType.java
@@ -16,6 +16,7 @@
         long bootMicros,
         List<String> zones) {
 
+    /** Whether a task of this job fits an empty machine of this type. */
     public boolean fits(JobSpec spec) {
         return spec.allowsType(name)
                 && spec.cpuMillis() <= cpuMillis
@@ -44,10 +45,12 @@
         return (int) Math.max(0, n);
     }
 
+    /** The nominal price of an hour. */
     public double priceFor(boolean spot) {
         return spot ? spotPrice : price;
     }
 
+    /** The type as a JSON object. */
     public Map<String, Object> toMap() {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("name", name);
@@ -62,6 +65,7 @@
         return m;
     }
 
+    /** Reads the type. */
     public static MachineType fromMap(Map<String, Object> m) {
         return new MachineType(
                 Fields.textOf(m, "name"),
--- a/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
@@ -20,14 +20,17 @@
         done = ImmutableRangeSet.copyOf(done);
     }
 
+    /** Of a job of which nothing is on record yet. */
     public static ProgressRecord none() {
         return new ProgressRecord("", 0, TreeRangeSet.create(), 0);
     }
 
+    /** Adds one task number to a set of ranges. */
     public static void addTask(RangeSet<Integer> set, int task) {
         set.add(Range.closedOpen(task, task + 1));
     }
 
+    /** How many task numbers a set of ranges holds. */
     public static int count(RangeSet<Integer> set) {
         int n = 0;
         for (Range<Integer> r : set.asRanges()) {
@@ -52,6 +55,7 @@
         return m;
     }
 
+    /** Reads the record. */
     public static ProgressRecord fromMap(Map<String, Object> m) {
         RangeSet<Integer> done = TreeRangeSet.create();
         List<?> ends = Fields.listOf(m, "done");
--- a/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
+++ b/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
@@ -28,6 +28,7 @@
      */
     private static final int BARRIERS_SUFFICE = 3;
 
+    /** Whether all records have been read, so that changes alone are followed. */
     public enum Phase {
         LOADING,
         FOLLOWING
@@ -35,8 +36,10 @@
 
     /** Told of every change of a record, in order; {@code record} null: removed. */
     public interface Listener {
+        /** A record was written, or removed when {@code record} is null. */
         void changed(String key, StoredRecord record, long stamp);
 
+        /** All records have been read for the first time. */
         void loaded();
     }
 
@@ -68,10 +71,12 @@
         this.lastContactMicros = timers.nowMicros();
     }
 
+    /** Begins to read all records and to follow their changes. */
     public void start() {
         load();
     }
 
+    /** Whether all records have been read once. */
     public boolean loaded() {
         return loadedOnce;
     }
@@ -112,6 +117,7 @@
         return malformedRecords;
     }
 
+    /** The revision of the last change of a record, for guards; 0 when there is no such record. */
     public long stamp(String key) {
         Entry e = entries.get(key);
         return e == null || e.record() == null ? 0 : e.stamp();
--- a/src/main/java/org/granitepath/bookkeeping/StatePort.java
+++ b/src/main/java/org/granitepath/bookkeeping/StatePort.java
@@ -17,37 +17,49 @@
         UNKNOWN
     }
 
+    /** The condition that a key has this revision; 0: that it does not exist. */
     record Guard(String key, long stamp) {}
 
     /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
     record Change(String key, StoredRecord record, long lease) {
+        /** A write of a record that belongs to no lease. */
         public static Change write(String key, StoredRecord record) {
             return new Change(key, record, 0);
         }
 
+        /** A removal. */
         public static Change remove(String key) {
             return new Change(key, null, 0);
         }
     }
 
+    /** Changes that are made together, if all guards hold, or not at all. */
     record Txn(List<Guard> guards, List<Change> changes) {}
 
+    /** How a transaction ended: the new revision, or the keys whose guards failed. */
     record Committed(Outcome outcome, long epoch, List<String> failed) {}
 
     /** One key as read or followed; {@code value} null: removed. */
     record Item(String key, Map<String, Object> value, long stamp) {}
 
+    /** Records as listed or followed, as of the revision {@code epoch}. */
     record Page(Outcome outcome, List<Item> items, boolean more, long epoch) {}
 
+    /** A new lease, when {@code outcome} is OK. */
     record Leased(Outcome outcome, long lease) {}
 
+    /** Commits a transaction. */
     void commit(Txn txn, Consumer<Committed> then);
 
+    /** Lists keys in order, beginning after {@code from}. */
     void list(String prefix, String from, int limit, Consumer<Page> then);
 
+    /** Waits for changes after the revision {@code from}, for this long at most. */
     void follow(String prefix, long from, long waitMicros, Consumer<Page> then);
 
+    /** Opens a lease. */
     void openLease(long lifeMicros, Consumer<Leased> then);
 
+    /** Renews a lease; {@code NOT_FOUND} when it has ended. */
     void renewLease(long lease, Consumer<Outcome> then);
 }
--- a/src/main/java/org/granitepath/bookkeeping/Timers.java
+++ b/src/main/java/org/granitepath/bookkeeping/Timers.java
@@ -8,5 +8,6 @@
     /** Time of day, within the platform's stated bound. */
     long timeOfDayMicros();
 
+    /** Runs the action once, after this long. */
     void after(long delayMicros, Runnable action);
 }
--- a/src/main/java/org/granitepath/cli/CheckConfigCommand.java
+++ b/src/main/java/org/granitepath/cli/CheckConfigCommand.java
@@ -2,6 +2,7 @@
 
 import com.beust.jcommander.Parameters;
 
+/** Checks settings without using them. */
 @Parameters(commandDescription = "checks settings and says what is wrong with them")
 final class CheckConfigCommand extends Command.WithSettings {
     @Override
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -12,6 +12,7 @@
 
     private Main() {}
 
+    /** Runs the subcommand that the arguments name. */
     public static void main(String[] args) {
         configureLogging(System.getenv("LOG_LEVEL"));
         int status = execute(args);
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -15,6 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
+/** Runs one controller. */
 @Parameters(commandDescription = "runs one controller until it is killed")
 final class ServeCommand extends Command.WithSettings {
     @Override
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -26,9 +26,13 @@
         String state) {
 
     private static final int DEFAULT_CONNECTIONS = 1_000;
+    /** Operators' settings that had another name in earlier versions. */
+    private static final Map<String, String> RENAMED =
+            Map.of("patience-share", "deferral-share", "longest-yield-s", "max-starvation-s");
     /** Fewer leave no room for the state service, the cloud, the other controllers and a few machines and users. */
     private static final int LEAST_CONNECTIONS = 64;
 
+    /** An address to listen on or to call. */
     public record Address(String host, int port) {}
 
     /** A setting that can't be used, in words for the operator. */
@@ -40,70 +44,52 @@
         }
     }
 
+    /**
+     * Reads and checks the platform's file and, if {@code tuningFile} is not null, the operators' own.
+     *
+     * @throws Invalid when a setting can't be used
+     */
     public static Settings read(Path file, Path tuningFile) throws Invalid {
-        String text;
-        try {
-            text = Files.readString(file);
-        } catch (IOException e) {
-            throw new Invalid("can't read " + file + ": " + e.getMessage());
-        }
-        UnmodifiableConfig toml;
-        try {
-            toml = new TomlParser().parse(text);
-        } catch (ParsingException e) {
-            throw new Invalid(file + " is not valid TOML: " + e.getMessage());
-        }
+        UnmodifiableConfig toml = parse(file);
         Map<String, String> peers = new LinkedHashMap<>();
         Map<String, String> peerZones = new LinkedHashMap<>();
         for (UnmodifiableConfig peer : tables(toml, "others")) {
             peers.put(text(peer, "node_name"), addressText(peer, "addr"));
             peerZones.put(text(peer, "node_name"), text(peer, "site"));
         }
-        Map<String, Config.Team> teams = new LinkedHashMap<>();
-        for (UnmodifiableConfig t : tables(toml, "facts.teams")) {
-            teams.put(
-                    text(t, "name"),
-                    new Config.Team(
-                            text(t, "name"),
-                            millis(t, "cpus"),
-                            millis(t, "cpus_max"),
-                            millis(t, "gpus"),
-                            millis(t, "gpus_max")));
-        }
-        Map<String, Config.Objective> objectives = new LinkedHashMap<>();
-        for (UnmodifiableConfig o : tables(toml, "facts.objectives")) {
-            String jobClass = o.get("class");
-            if (jobClass != null) {
-                Config.Objective old = objectives.getOrDefault(jobClass, Config.Objective.NONE);
-                Object kindField = o.get("kind");
-                String kind = String.valueOf(kindField);
-                objectives.put(
-                        jobClass,
-                        switch (kind) {
-                            case "wait" ->
-                                new Config.Objective(micros(o, "within_s"), old.deadlineTimes(), old.finishMicros());
-                            case "deadline" ->
-                                new Config.Objective(
-                                        old.waitMicros(),
-                                        Math.max(
-                                                old.deadlineTimes(),
-                                                o.get("times") instanceof Number n ? n.doubleValue() : 1),
-                                        old.finishMicros());
-                            case "finished" ->
-                                new Config.Objective(old.waitMicros(), old.deadlineTimes(), micros(o, "within_s"));
-                            default -> old;
-                        });
-            }
+        Config config = config(toml, peerZones, tuning(tuningFile));
+        checkTimes(config);
+        checkTeams(config.teams().values());
+        return new Settings(
+                config,
+                address(text(toml, "serve_on"), "serve_on"),
+                address(text(toml, "back"), "back"),
+                peers,
+                addressText(toml, "services.cloud"),
+                addressText(toml, "services.state"));
+    }
+
+    private static UnmodifiableConfig parse(Path file) throws Invalid {
+        try {
+            return new TomlParser().parse(Files.readString(file));
+        } catch (IOException e) {
+            throw new Invalid("can't read " + file + ": " + e.getMessage());
+        } catch (ParsingException e) {
+            throw new Invalid(file + " is not valid TOML: " + e.getMessage());
         }
+    }
+
+    private static Config config(UnmodifiableConfig toml, Map<String, String> peerZones, Config.Tuning tuning)
+            throws Invalid {
         Object zones = toml.get("facts.zones");
-        Config config = new Config(
+        return new Config(
                 text(toml, "node_name"),
                 UUID.randomUUID().toString(),
                 text(toml, "site"),
                 peerZones,
                 zones instanceof List<?> l ? l.stream().map(String::valueOf).toList() : List.of(),
-                teams,
-                objectives,
+                teams(toml),
+                objectives(toml),
                 positive(toml, "facts.workers.report_s"),
                 positive(toml, "facts.workers.lease_s"),
                 positive(toml, "facts.workers.cancel_s"),
@@ -116,16 +102,52 @@
                 toml.get("facts.resources.max_connections") == null
                         ? DEFAULT_CONNECTIONS
                         : (int) number(toml, "facts.resources.max_connections", LEAST_CONNECTIONS),
-                tuning(tuningFile));
-        checkTimes(config);
-        checkTeams(teams.values());
-        return new Settings(
-                config,
-                address(text(toml, "serve_on"), "serve_on"),
-                address(text(toml, "back"), "back"),
-                peers,
-                addressText(toml, "services.cloud"),
-                addressText(toml, "services.state"));
+                tuning);
+    }
+
+    private static Map<String, Config.Team> teams(UnmodifiableConfig toml) throws Invalid {
+        Map<String, Config.Team> teams = new LinkedHashMap<>();
+        for (UnmodifiableConfig team : tables(toml, "facts.teams")) {
+            String name = text(team, "name");
+            teams.put(
+                    name,
+                    new Config.Team(
+                            name,
+                            millis(team, "cpus"),
+                            millis(team, "cpus_max"),
+                            millis(team, "gpus"),
+                            millis(team, "gpus_max")));
+        }
+        return teams;
+    }
+
+    private static Map<String, Config.Objective> objectives(UnmodifiableConfig toml) throws Invalid {
+        Map<String, Config.Objective> objectives = new LinkedHashMap<>();
+        for (UnmodifiableConfig table : tables(toml, "facts.objectives")) {
+            String jobClass = table.get("class");
+            if (jobClass != null) {
+                Config.Objective former = objectives.getOrDefault(jobClass, Config.Objective.NONE);
+                objectives.put(jobClass, with(former, table));
+            }
+        }
+        return objectives;
+    }
+
+    /** What is expected of a class so far, with what one more table says. Kinds that we don't know change nothing. */
+    private static Config.Objective with(Config.Objective former, UnmodifiableConfig table) throws Invalid {
+        Object kind = table.get("kind");
+        return switch (String.valueOf(kind)) {
+            case "wait" ->
+                new Config.Objective(micros(table, "within_s"), former.deadlineTimes(), former.finishMicros());
+            case "deadline" -> {
+                double times = table.get("times") instanceof Number n ? n.doubleValue() : 1;
+                yield new Config.Objective(
+                        former.waitMicros(), Math.max(former.deadlineTimes(), times), former.finishMicros());
+            }
+            case "finished" ->
+                new Config.Objective(former.waitMicros(), former.deadlineTimes(), micros(table, "within_s"));
+            default -> former;
+        };
     }
 
     /** Times under which no rule could be kept, whatever the service does. */
@@ -190,14 +212,16 @@
                 real(rest, "weight-high", d.highWeight(), 1, 1e6),
                 real(rest, "weight-standard", d.standardWeight(), 1, 1e6),
                 real(rest, "weight-best-effort", d.bestEffortWeight(), 1, 1e6),
-                real(rest, "patience-share", d.deferralShare(), 0, 1),
+                real(rest, "deferral-share", d.deferralShare(), 0, 1),
                 seconds(rest, "gang-hold-s", d.gangHoldMicros(), 0, 600),
                 (int) real(rest, "claim-block", d.claimBlock(), 1, 100_000),
-                seconds(rest, "longest-yield-s", d.maxStarvationMicros(), 1, 86_400),
+                seconds(rest, "max-starvation-s", d.maxStarvationMicros(), 1, 86_400),
                 real(rest, "headroom-share", d.headroomShare(), 0, 10));
         if (!rest.isEmpty()) {
-            throw new Invalid(
-                    file + ": unknown setting " + rest.keySet().iterator().next());
+            String unknown = rest.keySet().iterator().next();
+            String renamed = RENAMED.get(unknown);
+            throw new Invalid(file + ": unknown setting " + unknown
+                    + (renamed == null ? "" : ", which is called " + renamed + " now"));
         }
         return t;
     }
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -20,7 +20,6 @@
     private static final long TICK_MICROS = 1_000_000;
     private static final long REFUSED_MICROS = 15_000_000;
     static final long LEAST_CHARGE_MICROS = 60_000_000;
-    private static final long SUMMARY_MICROS = 10_000_000;
     private static final int RENT_AT_ONCE = 50;
     private static final int RETURN_AT_ONCE = 100;
     private static final int LIST_PAGE = 500;
@@ -41,6 +40,7 @@
     private final PlacementRules rules;
     private final MachineLifecycle machines;
     private final BooleanSupplier ended;
+    private final FleetSummary summary;
     private final Leadership leadership;
     private final FailureDetector failureDetector;
     private final CloudPort cloud;
@@ -57,7 +57,6 @@
     private boolean returning;
     private boolean listing;
     private long listDueMicros;
-    private long summaryDueMicros;
     private boolean listedOnce;
     private double tokens = 1;
     private long tokensAtMicros;
@@ -85,6 +84,7 @@
         this.timers = timers;
         this.fencingToken = fencingToken;
         this.ended = ended;
+        this.summary = new FleetSummary(fleet, activeJobs);
         this.tokensAtMicros = timers.nowMicros();
     }
 
@@ -111,7 +111,7 @@
         refusedUntil.values().removeIf(until -> until < now);
         returned.values().removeIf(at -> at < now - 120_000_000);
         failureDetector.update(now);
-        summarize(now);
+        summary.logIfDue(booting.size(), now);
         list(now);
         // What a predecessor rented shows in the list; renting before reading it would buy everything twice.
         if (listedOnce) {
@@ -120,44 +120,6 @@
         returnMachines(now);
     }
 
-    /** One line for those on call: what there is, what of it is used, what waits. */
-    private void summarize(long now) {
-        if (now < summaryDueMicros) {
-            return;
-        }
-        summaryDueMicros = now + SUMMARY_MICROS;
-        long[] cpu = new long[2];
-        long[] used = new long[2];
-        int idle = 0;
-        for (Machine m : fleet.machines()) {
-            if (m.type != null) {
-                int kind = m.spot ? 1 : 0;
-                cpu[kind] += m.type.cpuMillis();
-                used[kind] += m.type.cpuMillis() - m.cpuFree();
-                idle += m.placements.isEmpty() ? 1 : 0;
-            }
-        }
-        int waiting = 0;
-        int running = 0;
-        for (ActiveJob j : activeJobs.all()) {
-            waiting += Math.max(0, j.waiting());
-            running += j.running();
-        }
-        LOG.info(
-                "fleet: {} machines ({} idle, {} on their way), CPUs used {}/{} and spot {}/{}; tasks {} running, {} "
-                        + "waiting, {} jobs",
-                fleet.machines().size(),
-                idle,
-                booting.size(),
-                used[0] / 1000,
-                cpu[0] / 1000,
-                used[1] / 1000,
-                cpu[1] / 1000,
-                running,
-                waiting,
-                activeJobs.all().size());
-    }
-
     private boolean mayCall(long now) {
         double rate = config.cloudRequests() * 0.8;
         tokens = Math.min(Math.max(1, rate), tokens + (now - tokensAtMicros) * rate / 1e6);
--- a/src/main/java/org/granitepath/coordination/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/CloudPort.java
@@ -6,6 +6,7 @@
 
 /** The cloud as the decision code sees it. Every call answers once, later, on the event loop. */
 public interface CloudPort {
+    /** How a call ended. {@code UNKNOWN}: no answer, so it may have been carried out. */
     enum Outcome {
         OK,
         NO_CAPACITY,
@@ -13,27 +14,35 @@
         UNKNOWN
     }
 
+    /** The state of a machine as the cloud lists it. */
     enum HostState {
         BOOTING,
         RUNNING,
         FAILED
     }
 
+    /** A request for machines; the same {@code booking} never rents twice. */
     record Rental(String booking, String type, String zone, boolean spot, int count) {}
 
+    /** The machines that a rental brought. */
     record Rented(Outcome outcome, List<String> hosts) {}
 
+    /** A machine as the cloud lists it. */
     record ListedHost(
             String id, String address, String type, String zone, boolean spot, HostState state, long ageMicros) {}
 
+    /** A page of the list of machines; it may be out of date. */
     record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
 
     /** Null when the types could not be had. */
     void types(Consumer<List<MachineType>> then);
 
+    /** Rents machines. */
     void rent(Rental rental, Consumer<Rented> then);
 
+    /** Returns machines; answered with whether they are gone. */
     void returnMachines(List<String> hosts, Consumer<Boolean> then);
 
+    /** Lists machines by name, beginning after {@code from}. */
     void list(String from, int limit, Consumer<Listing> then);
 }
--- a/src/main/java/org/granitepath/coordination/Config.java
+++ b/src/main/java/org/granitepath/coordination/Config.java
@@ -30,6 +30,7 @@
         int maxConnections,
         Tuning tuning) {
 
+    /** The names of the other controllers. */
     public Collection<String> peers() {
         return peerZones.keySet();
     }
@@ -43,6 +44,7 @@
 
     /** Limits in thousandths; 0: none. */
     public record Team(String name, long cpuGuarantee, long cpuLimit, long gpuGuarantee, long gpuLimit) {
+        /** Whether the team is guaranteed anything. */
         public boolean hasGuarantee() {
             return cpuGuarantee > 0 || gpuGuarantee > 0;
         }
@@ -82,6 +84,7 @@
         private static final int BLOCKS_OF_A_WIDE_JOB = 6;
         private static final int WIDE_SERVICE = 32;
 
+        /** What holds without a file of the operators. */
         public static Tuning defaults() {
             return new Tuning(3_000_000, 0.5, 0.7, 1000, 16, 4, 1, 0.5, 10_000_000, 6, 150_000_000, 0.08);
         }
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -47,6 +47,7 @@
     private boolean askingTypes;
     private long typesDueMicros;
 
+    /** Makes a controller that does nothing before {@link #start}. */
     public Controller(
             Config config, StatePort state, CloudPort cloud, WorkerPort workers, PeerPort peerPort, Timers timers) {
         this.config = config;
@@ -94,6 +95,7 @@
                 (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
     }
 
+    /** Begins to follow the records, to stand for leader and to talk to the other controllers. */
     public void start() {
         replica.start();
         leadership.start();
@@ -132,22 +134,27 @@
         replica.applied(Keys.FINAL + notice.job(), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.stamp());
     }
 
+    /** Whether this controller leads. */
     public boolean leader() {
         return dispatcher != null;
     }
 
+    /** Takes a submission; answered once it is on record. */
     public void submit(JobSpec spec, Consumer<JobResponse> then) {
         requestHandler.submit(spec, then);
     }
 
+    /** Tells the state of a job. */
     public void poll(String id, Consumer<JobResponse> then) {
         requestHandler.poll(id, then);
     }
 
+    /** Cancels a job; answered once no task of it is started any more. */
     public void cancel(String id, Consumer<JobResponse> then) {
         requestHandler.cancel(id, then);
     }
 
+    /** Takes a worker's report. */
     public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
         if (dispatcher == null) {
             if (zoneLeaseKeeper.mayRenew(heartbeat)) {
--- a/src/main/java/org/granitepath/coordination/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/FairShare.java
@@ -14,6 +14,7 @@
 public final class FairShare {
     private final Map<Priority, Double> weights = new EnumMap<>(Priority.class);
 
+    /** Takes the weights of the priorities from the operators' settings. */
     public FairShare(Config.Tuning tuning) {
         weights.put(Priority.CRITICAL, tuning.criticalWeight());
         weights.put(Priority.HIGH, tuning.highWeight());
@@ -21,6 +22,7 @@
         weights.put(Priority.BEST_EFFORT, tuning.bestEffortWeight());
     }
 
+    /** P, the weight of a priority. */
     public double weight(Priority priority) {
         return weights.get(priority);
     }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/FleetSummary.java
@@ -0,0 +1,69 @@
+package org.granitepath.coordination;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** One log line now and then for those on call: what there is, what of it is used, what waits. */
+final class FleetSummary {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetSummary.class);
+    private static final long EVERY_MICROS = 10_000_000;
+
+    /** CPUs of one kind of machine, in thousandths. */
+    private static final class Cpu {
+        long total;
+        long used;
+
+        void add(Machine machine) {
+            total += machine.type.cpuMillis();
+            used += machine.type.cpuMillis() - machine.cpuFree();
+        }
+
+        @Override
+        public String toString() {
+            return used / 1000 + "/" + total / 1000;
+        }
+    }
+
+    private final Fleet fleet;
+    private final ActiveJobs jobs;
+    private long dueMicros;
+
+    FleetSummary(Fleet fleet, ActiveJobs jobs) {
+        this.fleet = fleet;
+        this.jobs = jobs;
+    }
+
+    /** Writes the line unless it was written lately. */
+    void logIfDue(int booting, long now) {
+        if (now < dueMicros) {
+            return;
+        }
+        dueMicros = now + EVERY_MICROS;
+        Cpu fullPrice = new Cpu();
+        Cpu spot = new Cpu();
+        int idle = 0;
+        for (Machine machine : fleet.machines()) {
+            if (machine.type != null) {
+                (machine.spot ? spot : fullPrice).add(machine);
+                idle += machine.placements.isEmpty() ? 1 : 0;
+            }
+        }
+        int waiting = 0;
+        int running = 0;
+        for (ActiveJob job : jobs.all()) {
+            waiting += Math.max(0, job.waiting());
+            running += job.running();
+        }
+        LOG.info(
+                "fleet: {} machines ({} idle, {} on their way), CPUs used {} and spot {}; tasks {} running, {} "
+                        + "waiting, {} jobs",
+                fleet.machines().size(),
+                idle,
+                booting,
+                fullPrice,
+                spot,
+                running,
+                waiting,
+                jobs.all().size());
+    }
+}
--- a/src/main/java/org/granitepath/coordination/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/Heartbeat.java
@@ -15,6 +15,7 @@
         long noticeMicros,
         List<TaskReport> tasks) {
 
+    /** What a task on a machine does. */
     public enum TaskState {
         FETCHING,
         RUNNING,
@@ -22,6 +23,7 @@
         EXITED
     }
 
+    /** Why a task has exited. */
     public enum Cause {
         NONE,
         DONE,
@@ -32,6 +34,7 @@
         UNKNOWN_JOB
     }
 
+    /** One task on the machine; {@code saved} when its progress was kept. */
     public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
 
     /** Whether this report was made later than one with the given session and sequence. */
--- a/src/main/java/org/granitepath/coordination/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/JobIndex.java
@@ -13,10 +13,13 @@
 public final class JobIndex {
     /** Told when the records of a job change. */
     public interface Listener {
+        /** A job was accepted. */
         void accepted(JobRecord job);
 
+        /** More of a job is claimed or done. */
         void progressed(String id, ProgressRecord progress);
 
+        /** A job is over. */
         void ended(String id, FinalRecord.Outcome how);
     }
 
@@ -25,22 +28,27 @@
     private final Map<String, FinalRecord.Outcome> finals = new Object2ObjectLinkedOpenHashMap<>();
     private Listener listener;
 
+    /** Sets the one listener; null: none. */
     public void listen(Listener next) {
         listener = next;
     }
 
+    /** All accepted jobs that are not over. */
     public Collection<JobRecord> openJobs() {
         return open.values();
     }
 
+    /** The accepted job of this name if it is not over, or null. */
     public JobRecord openJob(String id) {
         return open.get(id);
     }
 
+    /** How the job ended, or null. */
     public FinalRecord.Outcome finalOf(String id) {
         return finals.get(id);
     }
 
+    /** How far the job has come. */
     public ProgressRecord progressOf(String id) {
         return progress.getOrDefault(id, ProgressRecord.none());
     }
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/Leadership.java
@@ -43,6 +43,7 @@
     /** What a won campaign brings: the fencing token, and the guard for all later writes. */
     record Term(long fencingToken, long leaderStamp) {}
 
+    /** Told when this controller begins and ceases to lead. */
     interface Listener {
         void elected(Term term);
 
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -22,12 +22,14 @@
     /** More machines than a few rentals bring are not planned for: the plan is made anew after each. */
     private static final int MOST_MACHINES = 400;
 
+    /** A kind of machine that can be rented, and the job for which it would be. */
     record Offer(MachineType type, String zone, boolean spot, ActiveJob job) {
         String key() {
             return type.name() + "/" + zone + "/" + spot;
         }
     }
 
+    /** How many machines of an offer to rent. */
     record Purchase(Offer offer, int count) {}
 
     /** Room on a machine that is on its way. */
--- a/src/main/java/org/granitepath/coordination/WriteQueue.java
+++ b/src/main/java/org/granitepath/coordination/WriteQueue.java
@@ -128,15 +128,7 @@
             return;
         }
         long now = timers.nowMicros();
-        tokens = Math.min(Math.max(1, rate), tokens + (now - tokensAtMicros) * rate / 1e6);
-        tokensAtMicros = now;
-        long wait = Long.MAX_VALUE;
-        for (Entry e : pending.values()) {
-            wait = Math.min(wait, e.dueMicros() - now);
-        }
-        if (wait <= 0 && tokens < 1) {
-            wait = (long) ((1 - tokens) * 1e6 / rate) + 1;
-        }
+        long wait = waitMicros(now);
         if (wait > 0) {
             wake(wait);
             return;
@@ -145,18 +137,33 @@
         List<Change> changes = new ArrayList<>();
         gather(now, changes, sent);
         if (changes.isEmpty()) {
-            wake(RETRY_MICROS); // all withdrawn, or only news, for which the budget is too short now
+            wake(RETRY_MICROS); // all withdrawn, or only progress, for which the budget is too short now
             return;
         }
+        send(changes, sent);
+    }
+
+    /** How long until something is due and the budget allows a change; 0 or less: now. */
+    private long waitMicros(long now) {
+        tokens = Math.min(Math.max(1, rate), tokens + (now - tokensAtMicros) * rate / 1e6);
+        tokensAtMicros = now;
+        long wait = Long.MAX_VALUE;
+        for (Entry entry : pending.values()) {
+            wait = Math.min(wait, entry.dueMicros() - now);
+        }
+        return wait <= 0 && tokens < 1 ? (long) ((1 - tokens) * 1e6 / rate) + 1 : wait;
+    }
+
+    private void send(List<Change> changes, Map<String, Entry> sent) {
         List<Guard> guards = new ArrayList<>(fence.get());
-        for (Change c : changes) {
-            guards.add(new Guard(c.key(), replica.stamp(c.key())));
+        for (Change change : changes) {
+            guards.add(new Guard(change.key(), replica.stamp(change.key())));
         }
         busy = true;
         tokens -= changes.size();
         pending.keySet().removeAll(sent.keySet());
         behind = pending.values().stream()
-                        .filter(e -> e.urgency() != Urgency.PROGRESS_ONLY)
+                        .filter(entry -> entry.urgency() != Urgency.PROGRESS_ONLY)
                         .count()
                 > BEHIND_SECONDS * writesPerSecond;
         state.commit(new Txn(guards, changes), answer -> {
@@ -166,33 +173,41 @@
                         : Math.min(writesPerSecond, rate + RATE_STEP * writesPerSecond);
             }
             if (answer.outcome() == Outcome.OK) {
-                for (Change c : changes) {
-                    replica.applied(c.key(), c.record(), answer.epoch());
-                }
-                busy = false;
-                mostAtOnce = Math.min(txnOps, mostAtOnce + 1);
-                for (Entry e : sent.values()) {
-                    e.committed().accept(answer.epoch());
-                }
-                pump();
-                return;
+                committed(changes, sent, answer.epoch());
+            } else {
+                LOG.debug("transaction on {} ended {} {}", sent.keySet(), answer.outcome(), answer.failed());
+                sent.forEach(pending::putIfAbsent);
+                failed(answer.outcome(), changes.size());
             }
-            LOG.debug("transaction on {} ended {} {}", sent.keySet(), answer.outcome(), answer.failed());
-            sent.forEach(pending::putIfAbsent);
-            if (answer.outcome() == Outcome.REFUSED) {
-                // Not carried out. A small transaction gets through sooner where others draw on the same budget.
-                mostAtOnce = Math.max(1, changes.size() / 2);
-                timers.after(elastic ? RETRY_MICROS : REFUSED_MICROS, () -> {
-                    busy = false;
-                    pump();
-                });
-                return;
-            }
-            // Written or still under way: read back before trying again with the stamps as they then are.
-            readBack(answer.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS);
         });
     }
 
+    private void committed(List<Change> changes, Map<String, Entry> sent, long epoch) {
+        for (Change change : changes) {
+            replica.applied(change.key(), change.record(), epoch);
+        }
+        busy = false;
+        mostAtOnce = Math.min(txnOps, mostAtOnce + 1);
+        for (Entry entry : sent.values()) {
+            entry.committed().accept(epoch);
+        }
+        pump();
+    }
+
+    private void failed(Outcome outcome, int changes) {
+        if (outcome == Outcome.REFUSED) {
+            // Not carried out. A small transaction gets through sooner where others draw on the same budget.
+            mostAtOnce = Math.max(1, changes / 2);
+            timers.after(elastic ? RETRY_MICROS : REFUSED_MICROS, () -> {
+                busy = false;
+                pump();
+            });
+            return;
+        }
+        // Written or still under way: read back before trying again with the stamps as they then are.
+        readBack(outcome == Outcome.CONFLICT ? 0 : RETRY_MICROS);
+    }
+
     /** Fills one transaction, most urgent first. Contents are made only while there is room: hundreds may wait. */
     private void gather(long now, List<Change> changes, Map<String, Entry> sent) {
         int most = Math.min(mostAtOnce, Math.max(1, (int) tokens));
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -14,6 +14,7 @@
 public final class CloudCodec {
     private CloudCodec() {}
 
+    /** Reads the machine types that the cloud rents. */
     @SuppressWarnings("unchecked")
     public static List<MachineType> decodeTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
@@ -37,6 +38,7 @@
         return (long) Math.floor(Fields.doubleOf(m, name, 0) * 1000 + 1e-6);
     }
 
+    /** The request for a rental. */
     public static String encodeRental(Rental r) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("booking", r.booking());
@@ -47,14 +49,17 @@
         return Json.text(m);
     }
 
+    /** The request to return machines. */
     public static String encodeHosts(List<String> hosts) {
         return Json.text(Map.of("hosts", hosts));
     }
 
+    /** Reads the names of the machines that a rental brought. */
     public static List<String> decodeHosts(Map<String, Object> body) {
         return Fields.listOf(body, "hosts").stream().map(String::valueOf).toList();
     }
 
+    /** Reads a page of the list of machines. */
     @SuppressWarnings("unchecked")
     public static List<ListedHost> decodeListing(Map<String, Object> body) {
         List<ListedHost> hosts = new ArrayList<>();
--- a/src/main/java/org/granitepath/protocol/Json.java
+++ b/src/main/java/org/granitepath/protocol/Json.java
@@ -29,6 +29,7 @@
         }
     }
 
+    /** The value as JSON text. */
     public static String text(Object value) {
         try {
             return JR.asString(value);
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -16,6 +16,7 @@
 
     private PeerCodec() {}
 
+    /** A status message. */
     public static byte[] encode(PeerStatus g) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packArrayHeader(FIELDS)
@@ -30,6 +31,7 @@
         }
     }
 
+    /** A notice of a cancellation. */
     public static byte[] encode(CancellationNotice notice) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packArrayHeader(CANCELLED_FIELDS)
--- a/src/main/java/org/granitepath/protocol/StateCodec.java
+++ b/src/main/java/org/granitepath/protocol/StateCodec.java
@@ -16,6 +16,7 @@
 public final class StateCodec {
     private StateCodec() {}
 
+    /** The request for a transaction. */
     public static String encodeTxn(Txn txn) {
         List<Object> guards = new ArrayList<>();
         for (Guard g : txn.guards()) {
@@ -41,6 +42,7 @@
         return Json.text(body);
     }
 
+    /** Reads a page of keys. */
     @SuppressWarnings("unchecked")
     public static Page decodeList(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
@@ -51,6 +53,7 @@
         return new Page(Outcome.OK, items, Fields.boolOf(body, "has_next"), Fields.longOf(body, "epoch", 0));
     }
 
+    /** Reads the changes that a watch brought. */
     @SuppressWarnings("unchecked")
     public static Page decodeFollow(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
@@ -65,10 +68,12 @@
         return new Page(Outcome.OK, items, false, Fields.longOf(body, "epoch", 0));
     }
 
+    /** The request for a lease. */
     public static String encodeLease(long lifeMicros) {
         return Json.text(Map.of("life_ms", lifeMicros / 1000));
     }
 
+    /** Reads the number of a new lease. */
     public static long decodeLease(Map<String, Object> body) {
         return Fields.longOf(body, "permit", 0);
     }
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -27,10 +27,12 @@
 
     private SubmissionCodec() {}
 
+    /** Whether a text has the form of a job id. */
     public static boolean isJobId(String id) {
         return JOB_ID.matcher(id).matches();
     }
 
+    /** Reads and checks a submission. */
     public static JobSpec decode(String body) throws Malformed {
         Map<String, Object> m = Json.object(body);
         if (m == null) {
@@ -136,6 +138,7 @@
         return Math.round(amount(m, name) * 1e6);
     }
 
+    /** The status that tells the user how the request ended. */
     public static int httpStatus(JobResponse answer) {
         if (answer instanceof JobResponse.Status s) {
             return s.created() ? 201 : 200;
@@ -143,6 +146,7 @@
         return answer instanceof JobResponse.NotFound ? 404 : answer instanceof JobResponse.Unschedulable ? 422 : 503;
     }
 
+    /** The body of the answer to a user. */
     public static String encode(JobResponse answer) {
         Map<String, Object> m = new LinkedHashMap<>();
         if (answer instanceof JobResponse.Status s) {
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -88,12 +88,14 @@
         return new TaskReport(id, Fields.longOf(m, "try", 0), state, why, Fields.boolOf(m, "kept"));
     }
 
+    /** The status that tells the worker what to do. */
     public static int httpStatus(HeartbeatResponse answer) {
         return answer instanceof HeartbeatResponse.Accepted
                 ? 200
                 : answer instanceof HeartbeatResponse.Redirect ? 421 : 503;
     }
 
+    /** The body of the answer to a report. */
     public static String encode(HeartbeatResponse answer) {
         if (answer instanceof HeartbeatResponse.Accepted a) {
             return encodeCommands(a.fencingToken(), -1, a.commands());
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -16,6 +16,7 @@
     private final HttpCalls http;
     private final String address;
 
+    /** Calls the cloud at this address. */
     public CloudClient(HttpCalls http, String address) {
         this.http = http;
         this.address = address;
--- a/src/main/java/org/granitepath/transport/EventLoop.java
+++ b/src/main/java/org/granitepath/transport/EventLoop.java
@@ -23,6 +23,7 @@
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
 
+    /** Starts the loop's thread. */
     public EventLoop() throws IOException {
         worker = Xnio.getInstance("nio", EventLoop.class.getClassLoader())
                 .createWorker(OptionMap.builder()
@@ -35,14 +36,17 @@
         buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 4);
     }
 
+    /** The XNIO worker whose only I/O thread is the loop. */
     public XnioWorker worker() {
         return worker;
     }
 
+    /** The thread on which all events are handled. */
     public XnioIoThread thread() {
         return thread;
     }
 
+    /** The buffers of all connections. */
     public ByteBufferPool buffers() {
         return buffers;
     }
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -29,11 +29,13 @@
 
     /** {@code status} 0: no answer. */
     public interface Reply {
+        /** The call has ended; status 0: without an answer. */
         void done(int status, String body);
     }
 
     /** The same for a body that is no text. */
     public interface BytesReply {
+        /** The call has ended; status 0: without an answer. */
         void done(int status, byte[] body);
     }
 
@@ -41,6 +43,7 @@
     private final Connector connector;
     private final Map<String, ArrayDeque<ClientConnection>> idle = new HashMap<>();
 
+    /** Makes calls on this event loop. */
     public HttpCalls(EventLoop loop) {
         this.loop = loop;
         this.connector = new Connector(loop.thread());
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -16,6 +16,7 @@
     private final HttpCalls http;
     private final Map<String, String> addresses;
 
+    /** Calls the other controllers, each at its address. */
     public PeerClient(HttpCalls http, Map<String, String> addresses) {
         this.http = http;
         this.addresses = addresses;
--- a/src/main/java/org/granitepath/transport/StateClient.java
+++ b/src/main/java/org/granitepath/transport/StateClient.java
@@ -16,6 +16,7 @@
     private final HttpCalls http;
     private final String address;
 
+    /** Calls the state service at this address. */
     public StateClient(HttpCalls http, String address) {
         this.http = http;
         this.address = address;
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -13,6 +13,7 @@
 
     private final HttpCalls http;
 
+    /** Calls workers through {@code http}. */
     public WorkerClient(HttpCalls http) {
         this.http = http;
     }
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -70,6 +70,9 @@
         Path tuning = file("t.yaml", "idle-shar: 2\n");
         e = assertThrows(Settings.Invalid.class, () -> Settings.read(file("c.toml", GOOD), tuning));
         assertTrue(e.getMessage().contains("idle-shar"), e.getMessage());
+        Path former = file("f.yaml", "patience-share: 0.4\n");
+        e = assertThrows(Settings.Invalid.class, () -> Settings.read(file("c.toml", GOOD), former));
+        assertTrue(e.getMessage().contains("deferral-share"), e.getMessage());
     }
 
     /**
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -112,7 +112,8 @@
                                 "POST",
                                 "/agent/beat",
                                 "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\","
-                                        + "\"site\":\"z\",\"loaner\":false,\"shift\":1,\"tally\":1,\"baton\":0,\"pieces\":[]}")
+                                        + "\"site\":\"z\",\"loaner\":false,\"shift\":1,\"tally\":1,"
+                                        + "\"baton\":0,\"pieces\":[]}")
                         .statusCode());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimState.java
+++ b/src/test/java/org/granitepath/simulation/SimState.java
@@ -239,128 +239,131 @@
 
     /** The service as one node reaches it. */
     StatePort portFor(String node) {
-        return new StatePort() {
-            @Override
-            public void commit(Txn txn, Consumer<Committed> then) {
-                world.<Committed>callLater(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        answer -> {
-                            if (away(node, txn.changes().size()) || readOnly.contains(node)) {
-                                answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
-                            } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
-                                world.after(
-                                        2_000_000 + world.random.nextInt(10_000_000),
-                                        () -> lateSuccesses += !outage
-                                                        && SimState.this
-                                                                        .commit(txn)
-                                                                        .outcome()
-                                                                == Outcome.OK
-                                                ? 1
-                                                : 0);
-                            } else {
-                                answer.accept(SimState.this.commit(txn));
-                            }
-                        },
-                        c -> then.accept(c == null ? new Committed(Outcome.UNKNOWN, 0, List.of()) : c));
-            }
+        return new Port(node);
+    }
 
-            @Override
-            public void list(String prefix, String from, int limit, Consumer<Page> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        () -> {
-                            if (away(node, 0)) {
-                                return new Page(Outcome.REFUSED, List.of(), false, 0);
-                            }
-                            List<Item> items = new ArrayList<>();
-                            boolean more = false;
-                            for (var e : keys.tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
-                                    .entrySet()) {
-                                if (!e.getKey().startsWith(prefix)) {
-                                    break;
-                                }
-                                if (items.size() == Math.min(limit, 20)) {
-                                    more = true;
-                                    break;
-                                }
-                                items.add(new Item(
-                                        e.getKey(),
-                                        Json.object(e.getValue().json()),
-                                        e.getValue().stamp()));
-                            }
-                            return new Page(Outcome.OK, items, more, epoch);
-                        },
-                        p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
-            }
+    private final class Port implements StatePort {
+        private final String node;
 
-            @Override
-            public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-                reads++;
-                world.<Page>callLater(
-                        node,
-                        NAME,
-                        TIMEOUT + waitMicros,
-                        answer -> {
-                            if (blind.contains(node)) {
-                                return;
-                            }
-                            if (away(node, 0)) {
-                                answer.accept(new Page(Outcome.REFUSED, List.of(), false, 0));
-                                return;
-                            }
-                            Watch w = new Watch();
-                            w.prefix = prefix;
-                            w.from = from;
-                            w.answer = answer;
-                            watches.add(w);
-                            deliver(w, waitMicros == 0);
-                            if (!w.over) {
-                                world.after(waitMicros, () -> deliver(w, true));
-                            }
-                        },
-                        p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
-            }
+        Port(String node) {
+            this.node = node;
+        }
 
-            @Override
-            public void openLease(long lifeMicros, Consumer<Leased> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        () -> {
-                            if (away(node, 0)) {
-                                return new Leased(Outcome.REFUSED, 0);
-                            }
-                            leases++;
-                            leaseLives.put(leases, lifeMicros);
-                            leaseEnds.put(leases, world.now() + lifeMicros);
-                            return new Leased(Outcome.OK, leases);
-                        },
-                        l -> then.accept(l == null ? new Leased(Outcome.UNKNOWN, 0) : l));
-            }
+        @Override
+        public void commit(Txn txn, Consumer<Committed> then) {
+            world.<Committed>callLater(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    answer -> {
+                        if (away(node, txn.changes().size()) || readOnly.contains(node)) {
+                            answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
+                        } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
+                            world.after(
+                                    2_000_000 + world.random.nextInt(10_000_000),
+                                    () -> lateSuccesses +=
+                                            !outage && SimState.this.commit(txn).outcome() == Outcome.OK ? 1 : 0);
+                        } else {
+                            answer.accept(SimState.this.commit(txn));
+                        }
+                    },
+                    c -> then.accept(c == null ? new Committed(Outcome.UNKNOWN, 0, List.of()) : c));
+        }
 
-            @Override
-            public void renewLease(long lease, Consumer<Outcome> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT / 2,
-                        () -> {
-                            if (away(node, 0)) {
-                                return Outcome.REFUSED;
+        @Override
+        public void list(String prefix, String from, int limit, Consumer<Page> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    () -> {
+                        if (away(node, 0)) {
+                            return new Page(Outcome.REFUSED, List.of(), false, 0);
+                        }
+                        List<Item> items = new ArrayList<>();
+                        boolean more = false;
+                        for (var e : keys.tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
+                                .entrySet()) {
+                            if (!e.getKey().startsWith(prefix)) {
+                                break;
                             }
-                            if (!leaseEnds.containsKey(lease)) {
-                                return Outcome.NOT_FOUND;
+                            if (items.size() == Math.min(limit, 20)) {
+                                more = true;
+                                break;
                             }
-                            leaseEnds.put(lease, world.now() + leaseLives.get(lease));
-                            return Outcome.OK;
-                        },
-                        o -> then.accept(o == null ? Outcome.UNKNOWN : o));
-            }
-        };
+                            items.add(new Item(
+                                    e.getKey(),
+                                    Json.object(e.getValue().json()),
+                                    e.getValue().stamp()));
+                        }
+                        return new Page(Outcome.OK, items, more, epoch);
+                    },
+                    p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
+        }
+
+        @Override
+        public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
+            reads++;
+            world.<Page>callLater(
+                    node,
+                    NAME,
+                    TIMEOUT + waitMicros,
+                    answer -> {
+                        if (blind.contains(node)) {
+                            return;
+                        }
+                        if (away(node, 0)) {
+                            answer.accept(new Page(Outcome.REFUSED, List.of(), false, 0));
+                            return;
+                        }
+                        Watch w = new Watch();
+                        w.prefix = prefix;
+                        w.from = from;
+                        w.answer = answer;
+                        watches.add(w);
+                        deliver(w, waitMicros == 0);
+                        if (!w.over) {
+                            world.after(waitMicros, () -> deliver(w, true));
+                        }
+                    },
+                    p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
+        }
+
+        @Override
+        public void openLease(long lifeMicros, Consumer<Leased> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    () -> {
+                        if (away(node, 0)) {
+                            return new Leased(Outcome.REFUSED, 0);
+                        }
+                        leases++;
+                        leaseLives.put(leases, lifeMicros);
+                        leaseEnds.put(leases, world.now() + lifeMicros);
+                        return new Leased(Outcome.OK, leases);
+                    },
+                    l -> then.accept(l == null ? new Leased(Outcome.UNKNOWN, 0) : l));
+        }
+
+        @Override
+        public void renewLease(long lease, Consumer<Outcome> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT / 2,
+                    () -> {
+                        if (away(node, 0)) {
+                            return Outcome.REFUSED;
+                        }
+                        if (!leaseEnds.containsKey(lease)) {
+                            return Outcome.NOT_FOUND;
+                        }
+                        leaseEnds.put(lease, world.now() + leaseLives.get(lease));
+                        return Outcome.OK;
+                    },
+                    o -> then.accept(o == null ? Outcome.UNKNOWN : o));
+        }
     }
 }
