--- a/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
+++ b/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
@@ -119,8 +119,8 @@
 
     /** The revision of the last change of a record, for guards; 0 when there is no such record. */
     public long stamp(String key) {
-        Entry e = entries.get(key);
-        return e == null || e.record() == null ? 0 : e.stamp();
+        Entry entry = entries.get(key);
+        return entry == null || entry.record() == null ? 0 : entry.stamp();
     }
 
     /** Drops a record that nobody reads or writes any more. */
@@ -179,8 +179,8 @@
             }
             // Keys known before a reload that are no longer there were removed meanwhile.
             for (String key : new ArrayList<>(entries.keySet())) {
-                Entry e = entries.get(key);
-                if (e != null && e.record() != null && !seenInLoad.contains(key) && e.stamp() < loadEpoch) {
+                Entry entry = entries.get(key);
+                if (entry != null && entry.record() != null && !seenInLoad.contains(key) && entry.stamp() < loadEpoch) {
                     apply(key, null, loadEpoch);
                 }
             }
@@ -268,9 +268,9 @@
         }
         try {
             return StoredRecord.decode(item.key(), item.value());
-        } catch (MalformedRecordException e) {
+        } catch (MalformedRecordException entry) {
             malformedRecords++;
-            LOG.error("{} ({} so far)", e.getMessage(), malformedRecords);
+            LOG.error("{} ({} so far)", entry.getMessage(), malformedRecords);
             return new UnknownRecord(item.value());
         }
     }
--- a/src/main/java/org/granitepath/coordination/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/ActiveJob.java
@@ -108,29 +108,29 @@
     /** Takes the next task number to start. */
     int takeTask() {
         if (!free.isEmpty()) {
-            int t = free.firstInt();
-            free.remove(t);
-            return t;
+            int task = free.firstInt();
+            free.remove(task);
+            return task;
         }
         return fresh++;
     }
 
-    void place(Placement p) {
-        placements.put(p.task.index(), p);
-        zoneCounts.addTo(p.machine.zone, 1);
-        unconfirmed.remove(p.task.index());
-        free.remove(p.task.index());
+    void place(Placement placement) {
+        placements.put(placement.task.index(), placement);
+        zoneCounts.addTo(placement.machine.zone, 1);
+        unconfirmed.remove(placement.task.index());
+        free.remove(placement.task.index());
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
-    void unplace(Placement p, boolean elsewhere) {
-        if (placements.remove(p.task.index(), p)) {
-            zoneCounts.addTo(p.machine.zone, -1);
-            if (!done.contains(p.task.index()) && phase != Phase.OVER) {
+    void unplace(Placement placement, boolean elsewhere) {
+        if (placements.remove(placement.task.index(), placement)) {
+            zoneCounts.addTo(placement.machine.zone, -1);
+            if (!done.contains(placement.task.index()) && phase != Phase.OVER) {
                 if (elsewhere) {
-                    unconfirmed.add(p.task.index());
+                    unconfirmed.add(placement.task.index());
                 } else {
-                    free.add(p.task.index());
+                    free.add(placement.task.index());
                 }
             }
         }
@@ -157,8 +157,8 @@
             if (!unconfirmed.isEmpty()) {
                 return false;
             }
-            for (var e : zoneCounts.object2IntEntrySet()) {
-                if (e.getIntValue() > 0 && !e.getKey().equals(zone)) {
+            for (var entry : zoneCounts.object2IntEntrySet()) {
+                if (entry.getIntValue() > 0 && !entry.getKey().equals(zone)) {
                     return false;
                 }
             }
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -101,12 +101,12 @@
             return;
         }
         long now = timers.nowMicros();
-        booting.values().removeIf(b -> {
-            Machine m = fleet.machine(b.id());
-            if (m != null) {
-                m.rentedMicros = b.rentedMicros();
+        booting.values().removeIf(host -> {
+            Machine machine = fleet.machine(host.id());
+            if (machine != null) {
+                machine.rentedMicros = host.rentedMicros();
             }
-            return m != null;
+            return machine != null;
         });
         refusedUntil.values().removeIf(until -> until < now);
         returned.values().removeIf(at -> at < now - 120_000_000);
@@ -152,9 +152,9 @@
                 return;
             }
             String last = from;
-            for (CloudPort.ListedHost h : listing.hosts()) {
-                last = h.id();
-                take(h, now);
+            for (CloudPort.ListedHost listed : listing.hosts()) {
+                last = listed.id();
+                take(listed, now);
             }
             if (listing.more()) {
                 listPage(last);
@@ -166,15 +166,15 @@
         });
     }
 
-    private void take(CloudPort.ListedHost h, long now) {
-        MachineType type = fleet.types().get(h.type());
-        if (type == null || returned.containsKey(h.id()) || fleet.machine(h.id()) != null) {
+    private void take(CloudPort.ListedHost listed, long now) {
+        MachineType type = fleet.types().get(listed.type());
+        if (type == null || returned.containsKey(listed.id()) || fleet.machine(listed.id()) != null) {
             return;
         }
-        if (!booting.containsKey(h.id())) {
-            LOG.info("machine {} ({} {}) is listed as {}", h.id(), h.type(), h.zone(), h.state());
-            long age = h.state() == CloudPort.HostState.FAILED ? Long.MAX_VALUE / 4 : h.ageMicros();
-            booting.put(h.id(), new Booting(h.id(), type, h.zone(), h.spot(), now - age));
+        if (!booting.containsKey(listed.id())) {
+            LOG.info("machine {} ({} {}) is listed as {}", listed.id(), listed.type(), listed.zone(), listed.state());
+            long age = listed.state() == CloudPort.HostState.FAILED ? Long.MAX_VALUE / 4 : listed.ageMicros();
+            booting.put(listed.id(), new Booting(listed.id(), type, listed.zone(), listed.spot(), now - age));
         }
     }
 
@@ -194,19 +194,19 @@
         demand.batchPlanner().update(now);
         RentalPlan plan =
                 new RentalPlan(demand, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
-        for (Booting b : booting.values()) {
-            if (!b.overdue(now) && !failureDetector.cutOff(b.zone(), now)) {
-                plan.coming(b.type(), b.zone(), b.spot());
+        for (Booting host : booting.values()) {
+            if (!host.overdue(now) && !failureDetector.cutOff(host.zone(), now)) {
+                plan.coming(host.type(), host.zone(), host.spot());
             }
         }
-        for (Machine m : fleet.machines()) {
+        for (Machine machine : fleet.machines()) {
             // Just arrived and not yet ready for tasks.
-            if (m.phase == Machine.Phase.UNCONFIRMED
-                    && m.type != null
-                    && m.placements.isEmpty()
-                    && !m.inherited
-                    && !fleet.overdue(m, now)) {
-                plan.coming(m.type, m.zone, m.spot);
+            if (machine.phase == Machine.Phase.UNCONFIRMED
+                    && machine.type != null
+                    && machine.placements.isEmpty()
+                    && !machine.inherited
+                    && !fleet.overdue(machine, now)) {
+                plan.coming(machine.type, machine.zone, machine.spot);
             }
         }
         plan.make(activeJobs.all().stream().filter(j -> buysFor(j, now)).toList());
@@ -285,44 +285,44 @@
 
     private void returnMachines(long now) {
         List<String> ids = new ArrayList<>();
-        for (Booting b : booting.values()) {
-            if (now - b.rentedMicros() > 3 * b.type().bootMicros() + 30_000_000 && ids.size() < RETURN_AT_ONCE) {
-                LOG.info("returning {}: not up after {} s", b.id(), (now - b.rentedMicros()) / 1_000_000);
-                ids.add(b.id());
+        for (Booting host : booting.values()) {
+            if (now - host.rentedMicros() > 3 * host.type().bootMicros() + 30_000_000 && ids.size() < RETURN_AT_ONCE) {
+                LOG.info("returning {}: not up after {} s", host.id(), (now - host.rentedMicros()) / 1_000_000);
+                ids.add(host.id());
             }
         }
         boolean trustSilence = failureDetector.trusted(now);
-        for (Machine m : List.copyOf(fleet.machines())) {
+        for (Machine machine : List.copyOf(fleet.machines())) {
             if (ids.size() >= RETURN_AT_ONCE) {
                 break;
             }
-            boolean trust = (trustSilence && !failureDetector.waitedFor(m, now))
-                    || now - m.heardMicros > partitionTimeoutMicros();
-            boolean dead = trust && now - m.heardMicros > failureTimeoutMicros(m);
-            boolean idle = m.phase == Machine.Phase.READY
-                    && m.placements.isEmpty()
-                    && now - m.idleSinceMicros > idleMicros(m)
-                    && now - m.rentedMicros > LEAST_CHARGE_MICROS;
-            m.keptAsHeadroom = idle && !m.spot && headroomSpare < m.cpuFree();
-            if (m.keptAsHeadroom) {
+            boolean trust = (trustSilence && !failureDetector.waitedFor(machine, now))
+                    || now - machine.heardMicros > partitionTimeoutMicros();
+            boolean dead = trust && now - machine.heardMicros > failureTimeoutMicros(machine);
+            boolean idle = machine.phase == Machine.Phase.READY
+                    && machine.placements.isEmpty()
+                    && now - machine.idleSinceMicros > idleMicros(machine)
+                    && now - machine.rentedMicros > LEAST_CHARGE_MICROS;
+            machine.keptAsHeadroom = idle && !machine.spot && headroomSpare < machine.cpuFree();
+            if (machine.keptAsHeadroom) {
                 idle = false;
-            } else if (idle && !m.spot) {
-                headroomSpare -= m.cpuFree();
+            } else if (idle && !machine.spot) {
+                headroomSpare -= machine.cpuFree();
             }
             // Its reports come, but our answers and commands don't get there.
-            boolean deaf = m.phase == Machine.Phase.UNCONFIRMED
-                    && !m.inherited
-                    && m.recorded
-                    && now - m.unconfirmedMicros > config.leaseMicros()
+            boolean deaf = machine.phase == Machine.Phase.UNCONFIRMED
+                    && !machine.inherited
+                    && machine.recorded
+                    && now - machine.unconfirmedMicros > config.leaseMicros()
                     && trust;
-            boolean drained = m.phase == Machine.Phase.DRAINING && m.placements.isEmpty();
-            if (m.phase == Machine.Phase.RETURNING || dead || deaf || idle || drained) {
-                if (m.phase != Machine.Phase.RETURNING) {
-                    m.transition(
+            boolean drained = machine.phase == Machine.Phase.DRAINING && machine.placements.isEmpty();
+            if (machine.phase == Machine.Phase.RETURNING || dead || deaf || idle || drained) {
+                if (machine.phase != Machine.Phase.RETURNING) {
+                    machine.transition(
                             Machine.Phase.RETURNING,
                             dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
                 }
-                ids.add(m.id);
+                ids.add(machine.id);
             }
         }
         if (ids.isEmpty() || returning || !mayCall(now)) {
@@ -346,10 +346,10 @@
      * How long a machine may stand idle: as long as a new one would take to boot, so that keeping it never costs much
      * more than letting it go; longer on spot machines, which cost little and may not be had again.
      */
-    private long idleMicros(Machine m) {
+    private long idleMicros(Machine machine) {
         double share =
-                m.spot ? config.tuning().idleShareSpot() : config.tuning().idleShare();
-        return m.type == null ? 30_000_000 : (long) (share * m.type.bootMicros());
+                machine.spot ? config.tuning().idleShareSpot() : config.tuning().idleShare();
+        return machine.type == null ? 30_000_000 : (long) (share * machine.type.bootMicros());
     }
 
     /** How long machines that may only be cut off are waited for: by then all on them is over in any case. */
@@ -361,7 +361,7 @@
      * How long a machine may be silent before it is given up. One that answers direct calls lives: after a takeover its
      * reports may still be on their way to the former leader.
      */
-    private long failureTimeoutMicros(Machine m) {
-        return m.probeFailed ? 2 * config.reportMicros() + 1_000_000 : config.leaseMicros();
+    private long failureTimeoutMicros(Machine machine) {
+        return machine.probeFailed ? 2 * config.reportMicros() + 1_000_000 : config.leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/BatchPlanner.java
@@ -60,29 +60,30 @@
         survey(now);
         List<Due> inTime = new ArrayList<>();
         List<Due> later = new ArrayList<>();
-        for (ActiveJob j : activeJobs.all()) {
-            if (j.running() > 0) {
-                j.lastRunningMicros = now;
+        for (ActiveJob job : activeJobs.all()) {
+            if (job.running() > 0) {
+                job.lastRunningMicros = now;
             }
-            j.schedulingClass = SchedulingClass.ANY;
-            if (isLive(j)) {
-                j.schedulingClass = SchedulingClass.LIVE;
-            } else if (stalled(j, now)) {
-                j.schedulingClass = SchedulingClass.IN_TIME;
-            } else if (j.spec.hasDeadline() || finishAim(j) > 0) {
-                long left = (finishAim(j) > 0 ? finishAim(j) : j.spec.deadlineMicros()) - activeJobs.ageMicros(j, now);
-                (runtimeEstimator.taskMicros(j) <= left ? inTime : later).add(new Due(j, work(j), left));
+            job.schedulingClass = SchedulingClass.ANY;
+            if (isLive(job)) {
+                job.schedulingClass = SchedulingClass.LIVE;
+            } else if (stalled(job, now)) {
+                job.schedulingClass = SchedulingClass.IN_TIME;
+            } else if (job.spec.hasDeadline() || finishAim(job) > 0) {
+                long left = (finishAim(job) > 0 ? finishAim(job) : job.spec.deadlineMicros())
+                        - activeJobs.ageMicros(job, now);
+                (runtimeEstimator.taskMicros(job) <= left ? inTime : later).add(new Due(job, work(job), left));
             }
         }
         double taken = selectFeasible(inTime, later, SchedulingClass.IN_TIME, 0);
         List<Due> extended = new ArrayList<>();
-        for (Due d : later) {
+        for (Due due : later) {
             double times = config.objectives()
-                    .getOrDefault(d.job().spec.jobClass(), Config.Objective.NONE)
+                    .getOrDefault(due.job().spec.jobClass(), Config.Objective.NONE)
                     .deadlineTimes();
-            double left = d.micros() + (times - 1) * d.job().spec.deadlineMicros();
-            if (times > 1 && runtimeEstimator.taskMicros(d.job()) <= left) {
-                extended.add(new Due(d.job(), d.work(), left));
+            double left = due.micros() + (times - 1) * due.job().spec.deadlineMicros();
+            if (times > 1 && runtimeEstimator.taskMicros(due.job()) <= left) {
+                extended.add(new Due(due.job(), due.work(), left));
             }
         }
         selectFeasible(extended, new ArrayList<>(), SchedulingClass.NEARLY, taken);
@@ -101,18 +102,19 @@
         Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
         Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
         List<ActiveJob> byAge = new ArrayList<>(activeJobs.all());
-        byAge.sort(Comparator.comparingLong((ActiveJob j) -> j.acceptedMicros).thenComparing(j -> j.spec.id()));
-        for (ActiveJob j : byAge) {
-            Config.Team team = config.teams().get(j.spec.team());
-            if (j.phase != ActiveJob.Phase.OPEN || team == null || !team.hasGuarantee()) {
+        byAge.sort(
+                Comparator.comparingLong((ActiveJob job) -> job.acceptedMicros).thenComparing(job -> job.spec.id()));
+        for (ActiveJob job : byAge) {
+            Config.Team team = config.teams().get(job.spec.team());
+            if (job.phase != ActiveJob.Phase.OPEN || team == null || !team.hasGuarantee()) {
                 continue;
             }
-            cpu.addTo(team.name(), j.left() * j.spec.cpuMillis());
-            gpu.addTo(team.name(), j.left() * j.spec.gpuMillis());
-            if (!isLive(j)
+            cpu.addTo(team.name(), job.left() * job.spec.cpuMillis());
+            gpu.addTo(team.name(), job.left() * job.spec.gpuMillis());
+            if (!isLive(job)
                     && cpu.getLong(team.name()) <= team.cpuGuarantee()
                     && gpu.getLong(team.name()) <= team.gpuGuarantee()) {
-                j.schedulingClass = SchedulingClass.GUARANTEED;
+                job.schedulingClass = SchedulingClass.GUARANTEED;
             }
         }
     }
@@ -126,19 +128,19 @@
         PriorityQueue<Due> taken =
                 new PriorityQueue<>(Comparator.comparingDouble(Due::work).reversed());
         double sum = before;
-        for (Due d : jobs) {
-            taken.add(d);
-            sum += d.work();
+        for (Due due : jobs) {
+            taken.add(due);
+            sum += due.work();
             // The last wave of tasks does not fill the room to its end.
-            double usable = room * USABLE * (d.micros() - runtimeEstimator.taskMicros(d.job()) / 2.0);
+            double usable = room * USABLE * (due.micros() - runtimeEstimator.taskMicros(due.job()) / 2.0);
             while (sum > usable && !taken.isEmpty() && room > 0) {
                 Due largest = taken.poll();
                 sum -= largest.work();
                 leftOut.add(largest);
             }
         }
-        for (Due d : taken) {
-            d.job().schedulingClass = schedulingClass;
+        for (Due due : taken) {
+            due.job().schedulingClass = schedulingClass;
         }
         return sum;
     }
@@ -155,32 +157,34 @@
 
     /** Some classes are judged by a time of their own; their owners' deadlines are wishes. */
     private long finishAim(ActiveJob job) {
-        Config.Objective o = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
-        return o.deadlineTimes() == 0 && job.spec.hasDeadline() ? o.finishMicros() : 0;
+        Config.Objective objective = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
+        return objective.deadlineTimes() == 0 && job.spec.hasDeadline() ? objective.finishMicros() : 0;
     }
 
     /** CPU time that the job still needs; tasks under way are half over, on the average. */
-    private double work(ActiveJob j) {
-        return (j.left() - 0.5 * j.running()) * j.spec.cpuMillis() * runtimeEstimator.taskMicros(j);
+    private double work(ActiveJob job) {
+        return (job.left() - 0.5 * job.running()) * job.spec.cpuMillis() * runtimeEstimator.taskMicros(job);
     }
 
     private void survey(long now) {
         batchWork = 0;
         urgentWork = 0;
-        for (ActiveJob j : activeJobs.all()) {
-            if (!j.spec.service()) {
-                double work = work(j);
+        for (ActiveJob job : activeJobs.all()) {
+            if (!job.spec.service()) {
+                double work = work(job);
                 batchWork += work;
-                urgentWork += j.spec.hasDeadline() ? work : 0;
+                urgentWork += job.spec.hasDeadline() ? work : 0;
             }
         }
         room = 0;
         cheapRoom = 0;
-        for (Machine m : fleet.machines()) {
-            if (m.type != null && m.phase != Machine.Phase.RETURNING && !m.unresponsive(now, config.reportMicros())) {
-                long forBatch = m.type.cpuMillis() - m.cpuUsedByServices();
+        for (Machine machine : fleet.machines()) {
+            if (machine.type != null
+                    && machine.phase != Machine.Phase.RETURNING
+                    && !machine.unresponsive(now, config.reportMicros())) {
+                long forBatch = machine.type.cpuMillis() - machine.cpuUsedByServices();
                 room += forBatch;
-                cheapRoom += m.spot || m.hostsService() ? forBatch : 0;
+                cheapRoom += machine.spot || machine.hostsService() ? forBatch : 0;
             }
         }
     }
@@ -206,13 +210,15 @@
             return activeJobs.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
                     <= job.spec.deadlineMicros();
         }
-        Config.Objective o = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
-        if (o.waitMicros() == 0 && o.finishMicros() == 0) {
+        Config.Objective objective = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
+        if (objective.waitMicros() == 0 && objective.finishMicros() == 0) {
             return !stalled(job, now);
         }
         double aim = Math.min(
-                o.waitMicros() == 0 ? Double.MAX_VALUE : o.waitMicros(),
-                o.finishMicros() == 0 ? Double.MAX_VALUE : o.finishMicros() - runtimeEstimator.taskMicros(job));
+                objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros(),
+                objective.finishMicros() == 0
+                        ? Double.MAX_VALUE
+                        : objective.finishMicros() - runtimeEstimator.taskMicros(job));
         long waited = job.waitingSinceMicros < 0 ? 0 : now - job.waitingSinceMicros;
         return waited + batchWork / Math.max(1, cheapRoom + moreRoom)
                 <= aim * config.tuning().deferralShare();
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/Consolidator.java
@@ -49,66 +49,67 @@
         // A few at a time, so that what moves finds its place before more moves.
         int atOnce = 1 + fleet.machines().size() / MACHINES_FOR_ONE_MORE;
         List<Machine> emptiest = new ArrayList<>();
-        for (Machine m : fleet.machines()) {
-            if (m.phase == Machine.Phase.DRAINING && !m.placements.isEmpty()) {
+        for (Machine machine : fleet.machines()) {
+            if (machine.phase == Machine.Phase.DRAINING && !machine.placements.isEmpty()) {
                 atOnce--;
-            } else if (mayEmpty(m, now)) {
-                emptiest.add(m);
+            } else if (mayEmpty(machine, now)) {
+                emptiest.add(machine);
             }
         }
         emptiest.sort(Comparator.comparingDouble(Machine::cpuUsedShare));
         taken.clear();
-        for (Machine m : emptiest) {
+        for (Machine machine : emptiest) {
             if (atOnce <= 0) {
                 return;
             }
-            if (!taken.containsKey(m) && othersHold(m)) {
+            if (!taken.containsKey(machine) && othersHold(machine)) {
                 atOnce--;
-                machines.drain(m, "its " + m.placements.size() + " replicas fit elsewhere");
-                for (Placement p : List.copyOf(m.placements.values())) {
-                    tasks.stop(p, 0, "moves to a fuller machine");
+                machines.drain(machine, "its " + machine.placements.size() + " replicas fit elsewhere");
+                for (Placement placement : List.copyOf(machine.placements.values())) {
+                    tasks.stop(placement, 0, "moves to a fuller machine");
                 }
             }
         }
     }
 
-    private static boolean mayEmpty(Machine m, long now) {
-        if (!m.takesTasks() || m.placements.isEmpty() || m.cpuUsedShare() > MOST_USED_TO_EMPTY) {
+    private static boolean mayEmpty(Machine machine, long now) {
+        if (!machine.takesTasks() || machine.placements.isEmpty() || machine.cpuUsedShare() > MOST_USED_TO_EMPTY) {
             return false;
         }
-        for (Placement p : m.placements.values()) {
-            if (!p.job.spec.service()
-                    || p.phase != Placement.Phase.RUNNING
-                    || now - p.runningSinceMicros < MIN_RUNTIME_MICROS) {
+        for (Placement placement : machine.placements.values()) {
+            if (!placement.job.spec.service()
+                    || placement.phase != Placement.Phase.RUNNING
+                    || now - placement.runningSinceMicros < MIN_RUNTIME_MICROS) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean soonHas(Machine m, JobSpec s) {
-        return m.hasImage(s.image()) || s.imageGb() / m.type.fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
+    private static boolean soonHas(Machine machine, JobSpec spec) {
+        return machine.hasImage(spec.image())
+                || spec.imageGb() / machine.type.fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
     }
 
     /** Whether fuller machines have room for all tasks of this one, in its zone and with their images or nearly so. */
     private boolean othersHold(Machine from) {
-        for (Placement p : from.placements.values()) {
-            JobSpec s = p.job.spec;
+        for (Placement placement : from.placements.values()) {
+            JobSpec spec = placement.job.spec;
             boolean placed = false;
-            for (Machine m : fleet.machines()) {
-                if (m == from
-                        || !m.takesTasks()
-                        || !m.allowedFor(s)
-                        || (!m.zone.equals(from.zone) && s.spread())
-                        || !soonHas(m, s)
-                        || m.cpuUsedShare() <= from.cpuUsedShare()) {
+            for (Machine machine : fleet.machines()) {
+                if (machine == from
+                        || !machine.takesTasks()
+                        || !machine.allowedFor(spec)
+                        || (!machine.zone.equals(from.zone) && spec.spread())
+                        || !soonHas(machine, spec)
+                        || machine.cpuUsedShare() <= from.cpuUsedShare()) {
                     continue;
                 }
-                long[] used = taken.computeIfAbsent(m, k -> new long[3]);
-                if (m.slots(s, -used[0], -used[1], -used[2]) > 0) {
-                    used[0] += s.cpuMillis();
-                    used[1] += s.gpuMillis();
-                    used[2] += s.memoryMillis();
+                long[] used = taken.computeIfAbsent(machine, k -> new long[3]);
+                if (machine.slots(spec, -used[0], -used[1], -used[2]) > 0) {
+                    used[0] += spec.cpuMillis();
+                    used[1] += spec.gpuMillis();
+                    used[2] += spec.memoryMillis();
                     placed = true;
                     break;
                 }
--- a/src/main/java/org/granitepath/coordination/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/FailureDetector.java
@@ -42,10 +42,10 @@
         Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
         overdue = 0;
-        for (Machine m : fleet.machines()) {
-            all.addTo(m.zone, 1);
-            if (fleet.overdue(m, now)) {
-                late.addTo(m.zone, 1);
+        for (Machine machine : fleet.machines()) {
+            all.addTo(machine.zone, 1);
+            if (fleet.overdue(machine, now)) {
+                late.addTo(machine.zone, 1);
                 overdue++;
             }
         }
@@ -84,8 +84,8 @@
      * Whether this machine may be cut off with work that goes on: only where a controller inside can keep its lease
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
-    boolean waitedFor(Machine m, long now) {
-        return cutOff(m.zone, now) && config.peerIn(m.zone);
+    boolean waitedFor(Machine machine, long now) {
+        return cutOff(machine.zone, now) && config.peerIn(machine.zone);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/JobRequestHandler.java
@@ -147,7 +147,7 @@
                 || (team.gpuLimit() > 0 && spec.gpuMillis() * counted > team.gpuLimit())) {
             return "more than the limit of team " + spec.team();
         }
-        if (!types.get().isEmpty() && types.get().values().stream().noneMatch(t -> t.fits(spec))) {
+        if (!types.get().isEmpty() && types.get().values().stream().noneMatch(type -> type.fits(spec))) {
             return "a task fits no allowed machine type";
         }
         if (spec.spread() && spec.tasks() > 1 && (spec.oneZone() || spec.zone() != null)) {
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/Leadership.java
@@ -220,8 +220,8 @@
         changes.add(new Change(Keys.LEADER, leader, newLease));
         changes.add(
                 Change.write(Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), fencingToken, fencingToken)));
-        for (Change c : changes) {
-            guards.add(new Guard(c.key(), replica.stamp(c.key())));
+        for (Change change : changes) {
+            guards.add(new Guard(change.key(), replica.stamp(change.key())));
         }
         state.commit(new Txn(guards, changes), answer -> {
             if (answer.outcome() != Outcome.OK) {
@@ -234,8 +234,8 @@
             confirmedMicros = began;
             renewDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
             renewing = false;
-            for (Change c : changes) {
-                replica.applied(c.key(), c.record(), answer.epoch());
+            for (Change change : changes) {
+                replica.applied(change.key(), change.record(), answer.epoch());
             }
             transition(Phase.LEADING, "fencing token " + fencingToken);
             takeOver(term);
--- a/src/main/java/org/granitepath/coordination/Machine.java
+++ b/src/main/java/org/granitepath/coordination/Machine.java
@@ -119,13 +119,13 @@
         return nowMicros - heardMicros > 2 * reportMicros + 1_000_000;
     }
 
-    void add(Placement p) {
-        placements.put(p.task, p);
-        JobSpec s = p.job.spec;
-        cpuUsed += s.cpuMillis();
-        gpuUsed += s.gpuMillis();
-        memoryUsed += s.memoryMillis();
-        countService(s, 1);
+    void add(Placement placement) {
+        placements.put(placement.task, placement);
+        JobSpec spec = placement.job.spec;
+        cpuUsed += spec.cpuMillis();
+        gpuUsed += spec.gpuMillis();
+        memoryUsed += spec.memoryMillis();
+        countService(spec, 1);
     }
 
     /** A task that needs this image runs here, so the machine has it. */
@@ -139,8 +139,8 @@
 
     /** Whether a task here waits for this image, so that one more need not fetch it anew. */
     boolean fetches(String image) {
-        for (Placement p : placements.values()) {
-            if (p.runningSinceMicros < 0 && p.job.spec.image().equals(image)) {
+        for (Placement placement : placements.values()) {
+            if (placement.runningSinceMicros < 0 && placement.job.spec.image().equals(image)) {
                 return true;
             }
         }
@@ -151,23 +151,23 @@
         return services > 0;
     }
 
-    void remove(Placement p, long nowMicros) {
-        if (placements.remove(p.task, p)) {
-            JobSpec s = p.job.spec;
-            cpuUsed -= s.cpuMillis();
-            gpuUsed -= s.gpuMillis();
-            memoryUsed -= s.memoryMillis();
-            countService(s, -1);
+    void remove(Placement placement, long nowMicros) {
+        if (placements.remove(placement.task, placement)) {
+            JobSpec spec = placement.job.spec;
+            cpuUsed -= spec.cpuMillis();
+            gpuUsed -= spec.gpuMillis();
+            memoryUsed -= spec.memoryMillis();
+            countService(spec, -1);
             if (placements.isEmpty()) {
                 idleSinceMicros = nowMicros;
             }
         }
     }
 
-    private void countService(JobSpec s, int sign) {
-        if (s.service()) {
+    private void countService(JobSpec spec, int sign) {
+        if (spec.service()) {
             services += sign;
-            servicesCpu += sign * s.cpuMillis();
+            servicesCpu += sign * spec.cpuMillis();
         }
     }
 
@@ -191,25 +191,25 @@
         return type.cpuMillis() - cpuUsed >= cpuMillis && type.memoryMillis() - memoryUsed >= memoryMillis;
     }
 
-    boolean hasRoom(JobSpec s) {
-        return slots(s, 0, 0, 0) > 0;
+    boolean hasRoom(JobSpec spec) {
+        return slots(spec, 0, 0, 0) > 0;
     }
 
     /** How many tasks of this shape fit, were this much more free. */
-    int slots(JobSpec s, long moreCpu, long moreGpu, long moreMemory) {
+    int slots(JobSpec spec, long moreCpu, long moreGpu, long moreMemory) {
         if (type == null) {
             return 0;
         }
         return MachineType.slots(
-                s,
+                spec,
                 type.cpuMillis() - cpuUsed + moreCpu,
                 type.gpuMillis() - gpuUsed + moreGpu,
                 type.memoryMillis() - memoryUsed + moreMemory);
     }
 
     /** Whether a job may use this machine at all, room and other tasks aside. */
-    boolean allowedFor(JobSpec s) {
-        return s.allowsType(typeName) && s.allowsZone(zone) && (s.spot() || !spot);
+    boolean allowedFor(JobSpec spec) {
+        return spec.allowsType(typeName) && spec.allowsZone(zone) && (spec.spot() || !spot);
     }
 
     InventoryRecord.Host inventoryRow(long withToken) {
--- a/src/main/java/org/granitepath/coordination/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/MachineInventory.java
@@ -100,7 +100,7 @@
         return inherited;
     }
 
-    void add(Machine m) {
+    void add(Machine machine) {
         int at = 0;
         while (at < values.size() && values.get(at).size() >= rowsEach) {
             at++;
@@ -108,22 +108,22 @@
         if (at == values.size()) {
             values.add(new LinkedHashSet<>());
         }
-        values.get(at).add(m.id);
-        m.inventoryPart = at;
+        values.get(at).add(machine.id);
+        machine.inventoryPart = at;
         changed(at);
     }
 
-    void remove(Machine m) {
-        values.get(m.inventoryPart).remove(m.id);
-        changed(m.inventoryPart);
+    void remove(Machine machine) {
+        values.get(machine.inventoryPart).remove(machine.id);
+        changed(machine.inventoryPart);
     }
 
     /** A direct command has no answer: only a higher fencing token makes sure that it can't be carried out late. */
-    void requestToken(Machine m, String why) {
-        if (!m.needsNewToken && m.phase != Machine.Phase.GONE) {
-            LOG.info("machine {} wants a new fencing token: {}", m.id, why);
-            m.needsNewToken = true;
-            changed(m.inventoryPart);
+    void requestToken(Machine machine, String why) {
+        if (!machine.needsNewToken && machine.phase != Machine.Phase.GONE) {
+            LOG.info("machine {} wants a new fencing token: {}", machine.id, why);
+            machine.needsNewToken = true;
+            changed(machine.inventoryPart);
         }
     }
 
@@ -131,8 +131,8 @@
      * The machine needs a higher fencing token some time, only so that its exited attempts can be cleared: it gets
      * one together with others, and takes tasks until then.
      */
-    void requestTokenForCleanup(Machine m) {
-        m.needsTokenForCleanup = true;
+    void requestTokenForCleanup(Machine machine) {
+        machine.needsTokenForCleanup = true;
         if (!cleanupTimerSet) {
             cleanupTimerSet = true;
             timers.after(CLEANUP_MICROS, () -> {
@@ -165,15 +165,15 @@
             }
             List<InventoryRecord.Host> hosts = new ArrayList<>();
             for (String id : values.get(i)) {
-                Machine m = fleet.machine(id);
-                m.needsNewToken |= cleanupDue && m.needsTokenForCleanup;
-                if (m.needsNewToken) {
-                    withNewToken.add(m);
+                Machine machine = fleet.machine(id);
+                machine.needsNewToken |= cleanupDue && machine.needsTokenForCleanup;
+                if (machine.needsNewToken) {
+                    withNewToken.add(machine);
                 }
-                if (!m.recorded) {
-                    added.add(m);
+                if (!machine.recorded) {
+                    added.add(machine);
                 }
-                hosts.add(m.inventoryRow(m.needsNewToken ? drawn : m.fencingToken));
+                hosts.add(machine.inventoryRow(machine.needsNewToken ? drawn : machine.fencingToken));
             }
             written.add(i);
             changes.add(Change.write(Keys.INVENTORY + i, new InventoryRecord(hosts)));
@@ -191,14 +191,14 @@
     private void recorded() {
         written.clear();
         cleanupDue &= !dirty.isEmpty();
-        for (Machine m : added) {
-            m.recorded = true;
+        for (Machine machine : added) {
+            machine.recorded = true;
         }
-        for (Machine m : withNewToken) {
-            m.needsNewToken = false;
-            m.needsTokenForCleanup = false;
-            m.fencingToken = drawn;
-            tokenListener.accept(m);
+        for (Machine machine : withNewToken) {
+            machine.needsNewToken = false;
+            machine.needsTokenForCleanup = false;
+            machine.fencingToken = drawn;
+            tokenListener.accept(machine);
         }
         if (!dirty.isEmpty()) {
             changed(dirty.iterator().next());
--- a/src/main/java/org/granitepath/coordination/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/Preemptor.java
@@ -56,74 +56,81 @@
         Object2LongOpenHashMap<String> borrowed = new Object2LongOpenHashMap<>();
         int coming = 0;
         List<Preemption> offers = new ArrayList<>();
-        for (Machine m : fleet.machines()) {
-            if (!rules.eligible(m, job, now) || (withImageOnly && !m.hasImage(job.spec.image()))) {
+        for (Machine machine : fleet.machines()) {
+            if (!rules.eligible(machine, job, now) || (withImageOnly && !machine.hasImage(job.spec.image()))) {
                 continue;
             }
             long[] more = new long[3];
             List<Placement> candidates = new ArrayList<>();
-            for (Placement p : m.placements.values()) {
-                if (p.phase == Placement.Phase.STOPPING) {
-                    add(more, p.job.spec);
-                } else if (mayStopFor(job, live, p, now) || (reclaims && isBorrowed(job, p, borrowed))) {
-                    candidates.add(p);
+            for (Placement placement : machine.placements.values()) {
+                if (placement.phase == Placement.Phase.STOPPING) {
+                    add(more, placement.job.spec);
+                } else if (mayStopFor(job, live, placement, now)
+                        || (reclaims && isBorrowed(job, placement, borrowed))) {
+                    candidates.add(placement);
                 }
             }
-            int soon = m.slots(job.spec, more[0], more[1], more[2]);
+            int soon = machine.slots(job.spec, more[0], more[1], more[2]);
             if (soon > 0) {
                 coming += soon;
             } else if (!candidates.isEmpty()) {
-                Preemption s = cheapest(job, m, candidates, more, now);
-                if (s != null) {
-                    offers.add(s);
+                Preemption preemption = cheapest(job, machine, candidates, more, now);
+                if (preemption != null) {
+                    offers.add(preemption);
                 }
             }
         }
         offers.sort(Comparator.comparingDouble(Preemption::loss));
-        for (Preemption s : offers) {
+        for (Preemption preemption : offers) {
             if (coming >= wanted) {
                 break;
             }
-            if (!withinBorrowed(s, job, live, borrowed, now)) {
+            if (!withinBorrowed(preemption, job, live, borrowed, now)) {
                 continue;
             }
-            for (Placement p : s.victims()) {
-                LOG.info("stopping {} on {} to make room for {}", p.task, s.machine().id, job.spec.id());
-                tasks.stop(p, live ? 0 : p.job.spec.saveMicros(), "room for " + job.spec.id());
+            for (Placement placement : preemption.victims()) {
+                LOG.info(
+                        "stopping {} on {} to make room for {}",
+                        placement.task,
+                        preemption.machine().id,
+                        job.spec.id());
+                tasks.stop(placement, live ? 0 : placement.job.spec.saveMicros(), "room for " + job.spec.id());
             }
-            coming += s.slots();
+            coming += preemption.slots();
         }
         return coming;
     }
 
-    private static Preemption cheapest(ActiveJob job, Machine m, List<Placement> candidates, long[] more, long now) {
-        candidates.sort(Comparator.comparingDouble(p -> loss(p, now)));
+    private static Preemption cheapest(
+            ActiveJob job, Machine machine, List<Placement> candidates, long[] more, long now) {
+        candidates.sort(Comparator.comparingDouble(placement -> loss(placement, now)));
         List<Placement> victims = new ArrayList<>();
-        double loss = m.hasImage(job.spec.image()) ? 0 : job.spec.imageGb() / m.type.fetchGbPerSecond() * 1e9;
-        for (Placement p : candidates) {
-            victims.add(p);
-            loss += loss(p, now);
-            add(more, p.job.spec);
-            int slots = m.slots(job.spec, more[0], more[1], more[2]);
+        double loss =
+                machine.hasImage(job.spec.image()) ? 0 : job.spec.imageGb() / machine.type.fetchGbPerSecond() * 1e9;
+        for (Placement placement : candidates) {
+            victims.add(placement);
+            loss += loss(placement, now);
+            add(more, placement.job.spec);
+            int slots = machine.slots(job.spec, more[0], more[1], more[2]);
             if (slots > 0) {
-                return new Preemption(m, victims, loss, slots);
+                return new Preemption(machine, victims, loss, slots);
             }
         }
         return null;
     }
 
-    private static void add(long[] room, JobSpec s) {
-        room[0] += s.cpuMillis();
-        room[1] += s.gpuMillis();
-        room[2] += s.memoryMillis();
+    private static void add(long[] room, JobSpec spec) {
+        room[0] += spec.cpuMillis();
+        room[1] += spec.gpuMillis();
+        room[2] += spec.memoryMillis();
     }
 
     /** Whether this task is work that another team runs beyond its own guarantee. Live replicas are let be. */
-    private boolean isBorrowed(ActiveJob job, Placement p, Object2LongOpenHashMap<String> borrowed) {
-        String team = p.job.spec.team();
+    private boolean isBorrowed(ActiveJob job, Placement placement, Object2LongOpenHashMap<String> borrowed) {
+        String team = placement.job.spec.team();
         if (team.equals(job.spec.team())
-                || p.job.spec.service()
-                || p.job.schedulingClass == BatchPlanner.SchedulingClass.GUARANTEED) {
+                || placement.job.spec.service()
+                || placement.job.schedulingClass == BatchPlanner.SchedulingClass.GUARANTEED) {
             return false;
         }
         if (!borrowed.containsKey(team)) {
@@ -137,36 +144,37 @@
      * explain.
      */
     private static boolean withinBorrowed(
-            Preemption s, ActiveJob job, boolean live, Object2LongOpenHashMap<String> borrowed, long now) {
-        List<Placement> isBorrowed =
-                s.victims().stream().filter(p -> !mayStopFor(job, live, p, now)).toList();
-        for (Placement p : isBorrowed) {
-            if (borrowed.getLong(p.job.spec.team()) <= 0) {
+            Preemption preemption, ActiveJob job, boolean live, Object2LongOpenHashMap<String> borrowed, long now) {
+        List<Placement> isBorrowed = preemption.victims().stream()
+                .filter(placement -> !mayStopFor(job, live, placement, now))
+                .toList();
+        for (Placement placement : isBorrowed) {
+            if (borrowed.getLong(placement.job.spec.team()) <= 0) {
                 return false;
             }
         }
-        isBorrowed.forEach(p -> borrowed.addTo(p.job.spec.team(), -p.job.spec.cpuMillis()));
+        isBorrowed.forEach(placement -> borrowed.addTo(placement.job.spec.team(), -placement.job.spec.cpuMillis()));
         return true;
     }
 
-    private static boolean mayStopFor(ActiveJob job, boolean live, Placement p, long now) {
-        JobSpec victim = p.job.spec;
+    private static boolean mayStopFor(ActiveJob job, boolean live, Placement placement, long now) {
+        JobSpec victim = placement.job.spec;
         if (!job.spec.priority().above(victim.priority()) || victim.service()) {
             return false;
         }
         return live
                 || (victim.checkpointMicros() > 0
-                        && p.runningSinceMicros >= 0
-                        && now - p.runningSinceMicros > MIN_RUNTIME_MICROS);
+                        && placement.runningSinceMicros >= 0
+                        && now - placement.runningSinceMicros > MIN_RUNTIME_MICROS);
     }
 
     /** CPU time that stopping this task throws away. */
-    private static double loss(Placement p, long now) {
-        long ran = p.runningSinceMicros < 0 ? 0 : now - p.runningSinceMicros;
-        long interval = p.job.spec.checkpointMicros();
+    private static double loss(Placement placement, long now) {
+        long ran = placement.runningSinceMicros < 0 ? 0 : now - placement.runningSinceMicros;
+        long interval = placement.job.spec.checkpointMicros();
         long unsaved = interval > 0 ? ran % interval : ran;
-        return (double) p.job.spec.cpuMillis()
+        return (double) placement.job.spec.cpuMillis()
                 * (unsaved + 1_000_000)
-                * (p.job.spec.priority().above(Priority.BEST_EFFORT) ? 3 : 1);
+                * (placement.job.spec.priority().above(Priority.BEST_EFFORT) ? 3 : 1);
     }
 }
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -50,26 +50,27 @@
             memory = type.memoryMillis();
         }
 
-        boolean take(JobSpec s) {
-            if (!s.allowsType(type.name())
-                    || !s.allowsZone(zone)
-                    || (spot && !s.spot())
-                    || s.cpuMillis() > cpu
-                    || s.gpuMillis() > gpu
-                    || s.memoryMillis() > memory) {
+        boolean take(JobSpec spec) {
+            if (!spec.allowsType(type.name())
+                    || !spec.allowsZone(zone)
+                    || (spot && !spec.spot())
+                    || spec.cpuMillis() > cpu
+                    || spec.gpuMillis() > gpu
+                    || spec.memoryMillis() > memory) {
                 return false;
             }
-            cpu -= s.cpuMillis();
-            gpu -= s.gpuMillis();
-            memory -= s.memoryMillis();
+            cpu -= spec.cpuMillis();
+            gpu -= spec.gpuMillis();
+            memory -= spec.memoryMillis();
             return true;
         }
     }
 
     /** Live services that need the same are bought for as a class: they share machines. */
     private record Alike(long cpu, long gpu, long memory, List<String> types, String zone, boolean spot) {
-        static Alike of(JobSpec s) {
-            return new Alike(s.cpuMillis(), s.gpuMillis(), s.memoryMillis(), s.types(), s.zone(), s.spot());
+        static Alike of(JobSpec spec) {
+            return new Alike(
+                    spec.cpuMillis(), spec.gpuMillis(), spec.memoryMillis(), spec.types(), spec.zone(), spec.spot());
         }
     }
 
@@ -115,7 +116,8 @@
 
     void make(Collection<ActiveJob> wanting) {
         List<ActiveJob> waiting = new ArrayList<>(wanting);
-        waiting.sort(Comparator.comparing((ActiveJob j) -> j.spec.priority()).thenComparing(j -> j.acceptedMicros));
+        waiting.sort(
+                Comparator.comparing((ActiveJob job) -> job.spec.priority()).thenComparing(job -> job.acceptedMicros));
         for (ActiveJob job : waiting) {
             if (BatchPlanner.isLive(job)) {
                 alikeLeft.addTo(Alike.of(job.spec), job.waiting());
@@ -138,12 +140,12 @@
     /** What to rent first: for live services before other work, then most of a kind. Null: nothing. */
     Purchase first() {
         Purchase best = null;
-        for (var e : counts.entrySet()) {
-            Purchase p = new Purchase(offers.get(e.getKey()), e.getValue());
-            boolean live = BatchPlanner.isLive(p.offer().job());
+        for (var entry : counts.entrySet()) {
+            Purchase purchase = new Purchase(offers.get(entry.getKey()), entry.getValue());
+            boolean live = BatchPlanner.isLive(purchase.offer().job());
             boolean bestLive = best != null && BatchPlanner.isLive(best.offer().job());
-            if (best == null || (live && !bestLive) || (live == bestLive && p.count() > best.count())) {
-                best = p;
+            if (best == null || (live && !bestLive) || (live == bestLive && purchase.count() > best.count())) {
+                best = purchase;
             }
         }
         return best;
@@ -175,12 +177,15 @@
         Map<String, Double> roomByZone = new HashMap<>();
         double room = 0;
         double live = 0;
-        for (Machine m : demand.fleet().machines()) {
-            if (!m.spot && m.type != null && m.phase != Machine.Phase.RETURNING && m.type.fits(newest.spec)) {
-                double free = m.type.cpuMillis() - m.cpuUsedByServices();
-                live += m.cpuUsedByServices();
+        for (Machine machine : demand.fleet().machines()) {
+            if (!machine.spot
+                    && machine.type != null
+                    && machine.phase != Machine.Phase.RETURNING
+                    && machine.type.fits(newest.spec)) {
+                double free = machine.type.cpuMillis() - machine.cpuUsedByServices();
+                live += machine.cpuUsedByServices();
                 room += free;
-                roomByZone.merge(m.zone, free, Double::sum);
+                roomByZone.merge(machine.zone, free, Double::sum);
             }
         }
         for (Bin bin : bins) {
--- a/src/main/java/org/granitepath/coordination/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/RuntimeEstimator.java
@@ -27,23 +27,23 @@
     void finished(ActiveJob job, long ranMicros) {
         job.ranMicros += ranMicros;
         job.ranCount++;
-        Tally t = classes.computeIfAbsent(job.spec.jobClass(), k -> new Tally());
-        if (t.count >= MEMORY) {
-            t.expected /= 2;
-            t.actual /= 2;
-            t.count /= 2;
+        Tally tally = classes.computeIfAbsent(job.spec.jobClass(), unused -> new Tally());
+        if (tally.count >= MEMORY) {
+            tally.expected /= 2;
+            tally.actual /= 2;
+            tally.count /= 2;
         }
-        t.expected += job.spec.estimateMicros();
-        t.actual += ranMicros;
-        t.count++;
+        tally.expected += job.spec.estimateMicros();
+        tally.actual += ranMicros;
+        tally.count++;
     }
 
     /** The run time to expect of one task of this job. */
     long taskMicros(ActiveJob job) {
         double estimate = Math.max(1_000_000, job.spec.estimateMicros());
-        Tally t = classes.get(job.spec.jobClass());
-        if (t != null && t.expected > 0) {
-            double ratio = (t.actual / t.expected * t.count + CLASS_PRIOR) / (t.count + CLASS_PRIOR);
+        Tally tally = classes.get(job.spec.jobClass());
+        if (tally != null && tally.expected > 0) {
+            double ratio = (tally.actual / tally.expected * tally.count + CLASS_PRIOR) / (tally.count + CLASS_PRIOR);
             estimate *= Math.max(0.2, Math.min(5, ratio));
         }
         return (long) ((job.ranMicros + JOB_PRIOR * estimate) / (job.ranCount + JOB_PRIOR));
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -23,8 +23,8 @@
 
     private static final Comparator<Candidate> LOWEST_FIRST = Comparator.comparing(Candidate::schedulingClass)
             .thenComparingDouble(Candidate::share)
-            .thenComparing(c -> c.job().spec.priority())
-            .thenComparingLong(c -> c.job().acceptedMicros);
+            .thenComparing(candidate -> candidate.job().spec.priority())
+            .thenComparingLong(candidate -> candidate.job().acceptedMicros);
 
     /** What a task needs. When one finds no room, none that needs as much or more at the same places does either. */
     private record Needs(
@@ -101,7 +101,7 @@
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
             Needs needs = needs(job);
-            if (unplaceable.stream().anyMatch(h -> h.atMost(needs)) || !rules.mayStartAnother(job)) {
+            if (unplaceable.stream().anyMatch(other -> other.atMost(needs)) || !rules.mayStartAnother(job)) {
                 continue;
             }
             if (job.spec.gang()) {
@@ -110,20 +110,20 @@
                 }
                 break; // room that becomes free now goes to the gang
             }
-            Machine m = pick(job, now);
-            if (m == null) {
+            Machine machine = pick(job, now);
+            if (machine == null) {
                 unplaceable.add(needs);
                 preemptor.makeRoom(job, job.waiting() + waitingAlike(queue, needs), false, now);
                 continue;
             }
             // A moment's patience gets a live replica onto a machine that already has its image.
             if (BatchPlanner.isLive(job)
-                    && !m.hasImage(job.spec.image())
+                    && !machine.hasImage(job.spec.image())
                     && now - job.waitingSinceMicros < IMAGE_WAIT_MICROS
                     && preemptor.makeRoom(job, 1, true, now) > 0) {
                 continue;
             }
-            tasks.start(job, m, now);
+            tasks.start(job, machine, now);
             jobs.claim(job);
             if (job.waiting() > 0 && job.hasClaimedTask()) {
                 job.deferrable = deferrable(job, now);
@@ -164,43 +164,43 @@
     private void findRoom(Collection<Candidate> wanting, long now) {
         long cpu = Long.MAX_VALUE;
         long memory = Long.MAX_VALUE;
-        for (Candidate c : wanting) {
-            cpu = Math.min(cpu, c.job().spec.cpuMillis());
-            memory = Math.min(memory, c.job().spec.memoryMillis());
+        for (Candidate candidate : wanting) {
+            cpu = Math.min(cpu, candidate.job().spec.cpuMillis());
+            memory = Math.min(memory, candidate.job().spec.memoryMillis());
         }
         roomy.clear();
-        for (Machine m : fleet.machines()) {
-            if (m.takesTasks() && m.hasFree(cpu, memory) && !fleet.unresponsive(m, now)) {
-                roomy.add(m);
+        for (Machine machine : fleet.machines()) {
+            if (machine.takesTasks() && machine.hasFree(cpu, memory) && !fleet.unresponsive(machine, now)) {
+                roomy.add(machine);
             }
         }
     }
 
     private int waitingAlike(Collection<Candidate> queue, Needs needs) {
         int waiting = 0;
-        for (Candidate c : queue) {
-            if (needs(c.job()).equals(needs)) {
-                waiting += c.job().waiting();
+        for (Candidate candidate : queue) {
+            if (needs(candidate.job()).equals(needs)) {
+                waiting += candidate.job().waiting();
             }
         }
         return waiting;
     }
 
     private Needs needs(ActiveJob job) {
-        JobSpec s = job.spec;
-        List<String> closed = s.spread() || s.oneZone()
-                ? config.zones().stream().filter(z -> !job.zoneAllows(z)).toList()
+        JobSpec spec = job.spec;
+        List<String> closed = spec.spread() || spec.oneZone()
+                ? config.zones().stream().filter(zone -> !job.zoneAllows(zone)).toList()
                 : List.of();
         return new Needs(
-                s.cpuMillis(),
-                s.gpuMillis(),
-                s.memoryMillis(),
-                s.types(),
-                s.zone(),
+                spec.cpuMillis(),
+                spec.gpuMillis(),
+                spec.memoryMillis(),
+                spec.types(),
+                spec.zone(),
                 closed,
-                s.spot(),
+                spec.spot(),
                 job.deferrable,
-                s.priority());
+                spec.priority());
     }
 
     private Candidate candidate(ActiveJob job) {
@@ -216,12 +216,12 @@
     private Machine pick(ActiveJob job, long now) {
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
-        for (Machine m : roomy) {
-            if (m.hasRoom(job.spec) && m.takesTasks() && rules.suits(m, job, now)) {
-                double score = score(m, job.spec);
+        for (Machine machine : roomy) {
+            if (machine.hasRoom(job.spec) && machine.takesTasks() && rules.suits(machine, job, now)) {
+                double score = score(machine, job.spec);
                 if (score > bestScore) {
                     bestScore = score;
-                    best = m;
+                    best = machine;
                 }
             }
         }
@@ -232,12 +232,14 @@
      * Machines that have the image come first, then tight fits. Services gather on machines that already hold some,
      * batch work on the others and on spot machines, so that emptied machines can be returned.
      */
-    private double score(Machine m, JobSpec spec) {
-        double score = m.hasImage(spec.image()) ? 20 : m.fetches(spec.image()) ? 10 : m.type.fetchGbPerSecond();
-        score -= 4.0 * (m.cpuFree() - spec.cpuMillis()) / m.type.cpuMillis();
-        score -= rules.isSuspect(m) ? SUSPECT_PENALTY : 0;
-        boolean mixed = m.hostsService();
-        return spec.service() ? score + (mixed ? 12 : 0) : score + (m.spot ? 6 : 0) - (mixed ? 6 : 0);
+    private double score(Machine machine, JobSpec spec) {
+        double score = machine.hasImage(spec.image())
+                ? 20
+                : machine.fetches(spec.image()) ? 10 : machine.type.fetchGbPerSecond();
+        score -= 4.0 * (machine.cpuFree() - spec.cpuMillis()) / machine.type.cpuMillis();
+        score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
+        boolean mixed = machine.hostsService();
+        return spec.service() ? score + (mixed ? 12 : 0) : score + (machine.spot ? 6 : 0) - (mixed ? 6 : 0);
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
@@ -249,12 +251,12 @@
         }
         List<Placement> placed = new ArrayList<>();
         while (job.waiting() > 0) {
-            Machine m = rules.teamAllows(job.spec) ? pick(job, now) : null;
-            if (m == null) {
-                placed.forEach(p -> tasks.withdraw(p, "the gang does not fit"));
+            Machine machine = rules.teamAllows(job.spec) ? pick(job, now) : null;
+            if (machine == null) {
+                placed.forEach(placement -> tasks.withdraw(placement, "the gang does not fit"));
                 return false;
             }
-            placed.add(tasks.start(job, m, now));
+            placed.add(tasks.start(job, machine, now));
         }
         job.heldSinceMicros = -1;
         return true;
--- a/src/main/java/org/granitepath/coordination/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/TeamLimits.java
@@ -14,34 +14,34 @@
         this.teams = teams;
     }
 
-    void placed(JobSpec s) {
-        cpu.addTo(s.team(), s.cpuMillis());
-        gpu.addTo(s.team(), s.gpuMillis());
+    void placed(JobSpec spec) {
+        cpu.addTo(spec.team(), spec.cpuMillis());
+        gpu.addTo(spec.team(), spec.gpuMillis());
     }
 
-    void freed(JobSpec s) {
-        cpu.addTo(s.team(), -s.cpuMillis());
-        gpu.addTo(s.team(), -s.gpuMillis());
+    void freed(JobSpec spec) {
+        cpu.addTo(spec.team(), -spec.cpuMillis());
+        gpu.addTo(spec.team(), -spec.gpuMillis());
     }
 
     /** CPUs that a team uses beyond its guarantee: these are borrowed. */
-    long borrowedCpu(String team) {
-        Config.Team t = teams.get(team);
-        return cpu.getLong(team) - (t == null ? 0 : t.cpuGuarantee());
+    long borrowedCpu(String name) {
+        Config.Team team = teams.get(name);
+        return cpu.getLong(name) - (team == null ? 0 : team.cpuGuarantee());
     }
 
-    boolean limits(JobSpec s) {
-        Config.Team team = teams.get(s.team());
+    boolean limits(JobSpec spec) {
+        Config.Team team = teams.get(spec.team());
         return team != null && (team.cpuLimit() > 0 || team.gpuLimit() > 0);
     }
 
     /** Whether one more such task is within the limit. */
-    boolean allows(JobSpec s) {
-        if (!limits(s)) {
+    boolean allows(JobSpec spec) {
+        if (!limits(spec)) {
             return true;
         }
-        Config.Team team = teams.get(s.team());
-        return (team.cpuLimit() == 0 || cpu.getLong(s.team()) + s.cpuMillis() <= team.cpuLimit())
-                && (team.gpuLimit() == 0 || gpu.getLong(s.team()) + s.gpuMillis() <= team.gpuLimit());
+        Config.Team team = teams.get(spec.team());
+        return (team.cpuLimit() == 0 || cpu.getLong(spec.team()) + spec.cpuMillis() <= team.cpuLimit())
+                && (team.gpuLimit() == 0 || gpu.getLong(spec.team()) + spec.gpuMillis() <= team.gpuLimit());
     }
 }
--- a/src/main/java/org/granitepath/coordination/WriteQueue.java
+++ b/src/main/java/org/granitepath/coordination/WriteQueue.java
@@ -219,14 +219,14 @@
                     ? most
                     : Math.min(most, (int) (tokens - writesPerSecond * RESERVED_FROM_PROGRESS));
             for (var named : pending.entrySet()) {
-                Entry e = named.getValue();
+                Entry entry = named.getValue();
                 if (changes.size() >= room) {
                     break;
                 }
-                if (e.urgency() != urgency || (e.dueMicros() > now && changes.size() * 2 >= txnOps)) {
+                if (entry.urgency() != urgency || (entry.dueMicros() > now && changes.size() * 2 >= txnOps)) {
                     continue;
                 }
-                List<Change> content = e.content().get();
+                List<Change> content = entry.content().get();
                 if (content.isEmpty()) {
                     withdrawn.add(named.getKey());
                     continue;
@@ -237,7 +237,7 @@
                 }
                 changes.addAll(content);
                 bytes += size;
-                sent.put(named.getKey(), e);
+                sent.put(named.getKey(), entry);
             }
         }
         pending.keySet().removeAll(withdrawn);
