--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -12,6 +12,8 @@
 /** What a team is guaranteed it gets, while others borrow all there is. */
 class GuaranteeTest {
     private static final long SECOND = Simulation.SECOND;
+    /** A task may be stopped for guaranteed work now and then. */
+    private static final int MOST_STARTS = 8;
 
     private static JobSpec wide(Simulation s, String team, int tasks, long runMicros) {
         return s.withoutDeadline(s.job(false, tasks, Priority.STANDARD, team, true, false, false, runMicros, 0));
@@ -133,4 +135,25 @@
                 s.rules.begunAfter(urgent.id()) < 6 * SECOND,
                 "begun after " + s.rules.begunAfter(urgent.id()) / 1e6 + " s");
     }
+
+    /**
+     * Guaranteed jobs come one after the other to a full site: what they stop is started elsewhere, and must not be
+     * stopped there for the next, over and over.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void tasksAreNotStoppedOverAndOver(long seed) {
+        Simulation s = new Simulation(seed, 3, 3);
+        for (int i = 0; i < 30; i++) {
+            s.submit(wide(s, "free", 20, 60 * SECOND), -1);
+        }
+        for (int i = 0; i < 120; i++) {
+            JobSpec granted = wide(s, i % 2 == 0 ? "granted" : "lender", 7, 12 * SECOND);
+            s.world.after(30 * SECOND + 700_000L * i, () -> s.submit(granted, -1));
+        }
+        s.run(200 * SECOND);
+        assertRules(s);
+        int most = s.rules.mostStartsOfATask();
+        assertTrue(most > 1 && most <= MOST_STARTS, "one task was started " + most + " times");
+    }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -42,6 +42,7 @@
     private final Map<String, Long> begunAt = new HashMap<>();
     private final Map<String, Long> completedAt = new HashMap<>();
     private final Map<String, Long> commandedAt = new HashMap<>();
+    private final Map<TaskId, Integer> startsSent = new HashMap<>();
     private final Map<String, Long> couldRunSince = new HashMap<>();
     private final Set<String> unschedulable = new HashSet<>();
     private final Consumer<String> lastTaskDone;
@@ -120,8 +121,14 @@
         }
     }
 
+    /** How often the task that was started most often was. */
+    int mostStartsOfATask() {
+        return startsSent.values().stream().max(Integer::compare).orElse(0);
+    }
+
     /** A controller gives the command to start this task. */
     void commandSent(TaskId task) {
+        startsSent.merge(task, 1, Integer::sum);
         commandedAt.put(task.job(), world.now());
         if (toldFinal.get(task.job()) == JobState.CANCELLED) {
             breach("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
