--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -556,65 +556,32 @@
 
     /** Another job like this one, of so many tasks that take so little. */
     JobSpec withCpu(JobSpec j, int tasks, long cpuMillis) {
-        return new JobSpec(
-                String.format("run-%06d", ++submissions),
-                j.jobClass(),
-                j.team(),
-                j.shape(),
-                j.priority(),
-                tasks,
-                cpuMillis,
-                0,
-                100,
-                j.image(),
-                j.imageGb(),
-                j.types(),
-                j.zone(),
-                j.oneZone(),
-                j.spread(),
-                j.spot(),
-                j.estimateMicros(),
-                j.checkpointMicros(),
-                j.saveMicros(),
-                j.deadlineMicros());
+        String id = String.format("run-%06d", ++submissions);
+        return like(j, id, j.jobClass(), tasks, cpuMillis, 100, j.deadlineMicros());
     }
 
+    /** The same job, without a deadline. */
     JobSpec withoutDeadline(JobSpec j) {
-        return new JobSpec(
-                j.id(),
-                j.jobClass(),
-                j.team(),
-                j.shape(),
-                j.priority(),
-                j.tasks(),
-                j.cpuMillis(),
-                0,
-                j.memoryMillis(),
-                j.image(),
-                j.imageGb(),
-                j.types(),
-                j.zone(),
-                j.oneZone(),
-                j.spread(),
-                j.spot(),
-                j.estimateMicros(),
-                j.checkpointMicros(),
-                j.saveMicros(),
-                JobSpec.NO_DEADLINE);
+        return like(j, j.id(), j.jobClass(), j.tasks(), j.cpuMillis(), j.memoryMillis(), JobSpec.NO_DEADLINE);
     }
 
     /** The same job, of another class. */
     JobSpec ofClass(JobSpec j, String jobClass) {
+        return like(j, j.id(), jobClass, j.tasks(), j.cpuMillis(), j.memoryMillis(), j.deadlineMicros());
+    }
+
+    private static JobSpec like(
+            JobSpec j, String id, String jobClass, int tasks, long cpuMillis, long memoryMillis, long deadlineMicros) {
         return new JobSpec(
-                j.id(),
+                id,
                 jobClass,
                 j.team(),
                 j.shape(),
                 j.priority(),
-                j.tasks(),
-                j.cpuMillis(),
+                tasks,
+                cpuMillis,
                 0,
-                j.memoryMillis(),
+                memoryMillis,
                 j.image(),
                 j.imageGb(),
                 j.types(),
@@ -625,7 +592,7 @@
                 j.estimateMicros(),
                 j.checkpointMicros(),
                 j.saveMicros(),
-                j.deadlineMicros());
+                deadlineMicros);
     }
 
     JobSpec randomJob() {
