--- a/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
+++ b/src/main/java/org/granitepath/bookkeeping/InventoryRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * Which machines there are; one value holds many. Whose they are says the leader's record; {@code fencingToken}
- * matters only where it is higher than the one there: this machine's own, drawn when an order to it had no answer.
+ * matters only where it is higher than the one there: this machine's own, drawn when a command to it had no answer.
  */
 public record InventoryRecord(List<Host> hosts) implements StoredRecord {
     /** Keeps a copy of the list. */
--- a/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
+++ b/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
@@ -112,11 +112,6 @@
         return entry != null && kind.isInstance(entry.record()) ? kind.cast(entry.record()) : null;
     }
 
-    /** How many records could not be read so far. */
-    public long malformedRecords() {
-        return malformedRecords;
-    }
-
     /** The revision of the last change of a record, for guards; 0 when there is no such record. */
     public long stamp(String key) {
         Entry entry = entries.get(key);
@@ -170,7 +165,7 @@
             String last = from;
             for (Item item : page.items()) {
                 seenInLoad.add(item.key());
-                apply(item.key(), decode(item), item.stamp());
+                apply(item);
                 last = item.key();
             }
             if (page.more()) {
@@ -255,32 +250,42 @@
     private void take(Page page, long sentMicros) {
         for (Item item : page.items()) {
             if (item.stamp() > epoch) {
-                apply(item.key(), decode(item), item.stamp());
+                apply(item);
             }
         }
         epoch = Math.max(epoch, page.epoch());
         lastContactMicros = Math.max(lastContactMicros, sentMicros);
     }
 
+    /** Takes in what was read. Our own writes come back this way, and are known: they are not decoded again. */
+    private void apply(Item item) {
+        if (isNewer(item.key(), item.stamp())) {
+            apply(item.key(), decode(item), item.stamp());
+        }
+    }
+
+    private boolean isNewer(String key, long stamp) {
+        Entry known = entries.get(key);
+        return known == null || known.stamp() < stamp;
+    }
+
     private StoredRecord decode(Item item) {
         if (item.value() == null) {
             return null;
         }
         try {
             return StoredRecord.decode(item.key(), item.value());
-        } catch (MalformedRecordException entry) {
+        } catch (MalformedRecordException e) {
             malformedRecords++;
-            LOG.error("{} ({} so far)", entry.getMessage(), malformedRecords);
+            LOG.error("{} ({} so far)", e.getMessage(), malformedRecords);
             return new UnknownRecord(item.value());
         }
     }
 
     private void apply(String key, StoredRecord record, long stamp) {
-        Entry old = entries.get(key);
-        if (old != null && old.stamp() >= stamp) {
-            return;
+        if (isNewer(key, stamp)) {
+            entries.put(key, new Entry(record, stamp));
+            listener.changed(key, record, stamp);
         }
-        entries.put(key, new Entry(record, stamp));
-        listener.changed(key, record, stamp);
     }
 }
--- a/src/main/java/org/granitepath/coordination/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/BatchPlanner.java
@@ -92,7 +92,7 @@
 
     /**
      * What is within its team's guarantee need not wait for other teams: a job is, when it fits into the guarantee
-     * along with the team's earlier unfinished jobs. All else that a team has is borrowed, and goes by turn and
+     * along with the team's earlier unfinished jobs. All else that a team has is borrowed, and goes by class and
      * share.
      */
     private void putGuaranteedFirst() {
--- a/src/main/java/org/granitepath/coordination/DispatchLoop.java
+++ b/src/main/java/org/granitepath/coordination/DispatchLoop.java
@@ -49,15 +49,6 @@
         passRequested = true;
     }
 
-    boolean passRequested() {
-        return passRequested;
-    }
-
-    /** Takes back or restores a request for a pass. */
-    void restore(boolean requested) {
-        passRequested = requested;
-    }
-
     /** Asks for commands to go out shortly. */
     void requestSend() {
         if (timerSet) {
--- a/src/main/java/org/granitepath/coordination/Machine.java
+++ b/src/main/java/org/granitepath/coordination/Machine.java
@@ -79,12 +79,10 @@
 
     final Map<TaskId, Placement> placements = new LinkedHashMap<>();
     /**
-     * Attempts started by a direct command, with its fencing token: a late copy of the order must find them still
+     * Attempts started by a direct command, with its fencing token: a late copy of the command must find them still
      * listed.
      */
     final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
-    /** Exited attempts of its latest report that may not be cleared yet. */
-    int unclearedAttempts;
     /** Commands that the latest report calls for: stops of orphaned tasks and clean-up. */
     final List<WorkerCommand> cleanupCommands = new ArrayList<>();
 
--- a/src/main/java/org/granitepath/coordination/ReportReconciler.java
+++ b/src/main/java/org/granitepath/coordination/ReportReconciler.java
@@ -85,7 +85,7 @@
         Set<TaskId> listed = reconcileListed(machine, heartbeat, current, now);
         freeAbsent(machine, heartbeat, listed, current, isReport);
         // What runs is not counted: a machine with more tasks than this would want a new token with every report.
-        if (machine.unclearedAttempts > MOST_UNCLEARED_ATTEMPTS) {
+        if (unclearedAttempts(machine, heartbeat) > MOST_UNCLEARED_ATTEMPTS) {
             inventory.requestTokenForCleanup(machine);
         }
         if (current && machine.phase == Machine.Phase.UNCONFIRMED) {
@@ -122,7 +122,6 @@
 
     private Set<TaskId> reconcileListed(Machine machine, Heartbeat heartbeat, boolean current, long now) {
         machine.cleanupCommands.clear();
-        machine.unclearedAttempts = 0;
         Set<TaskId> listed = new HashSet<>();
         for (TaskReport report : heartbeat.tasks()) {
             Placement placement = machine.placements.get(report.task());
@@ -135,17 +134,25 @@
             } else if (handleUnknownTask(machine, report, current, now)) {
                 listed.add(report.task());
             }
-            if (report.state() == TaskState.EXITED) {
-                if (mayClear(machine, report)) {
-                    machine.cleanupCommands.add(WorkerCommand.clear(report.task(), report.attempt()));
-                } else {
-                    machine.unclearedAttempts++;
-                }
+            if (report.state() == TaskState.EXITED && mayClear(machine, report)) {
+                machine.cleanupCommands.add(WorkerCommand.clear(report.task(), report.attempt()));
             }
         }
         return listed;
     }
 
+    /** Exited attempts that the report lists and that may not be cleared yet. */
+    private static int unclearedAttempts(Machine machine, Heartbeat heartbeat) {
+        int uncleared = 0;
+        for (TaskReport report : heartbeat.tasks()) {
+            uncleared += report.state() == TaskState.EXITED ? 1 : 0;
+        }
+        for (WorkerCommand command : machine.cleanupCommands) {
+            uncleared -= command.verb() == WorkerCommand.Verb.CLEAR ? 1 : 0;
+        }
+        return uncleared;
+    }
+
     private void freeAbsent(
             Machine machine, Heartbeat heartbeat, Set<TaskId> listed, boolean current, boolean isReport) {
         for (Placement placement : List.copyOf(machine.placements.values())) {
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -116,7 +116,7 @@
                 preemptor.makeRoom(job, job.waiting() + waitingAlike(queue, needs), false, now);
                 continue;
             }
-            // A moment's patience gets a live replica onto a machine that already has its image.
+            // A short wait gets a live replica onto a machine that already has its image.
             if (BatchPlanner.isLive(job)
                     && !machine.hasImage(job.spec.image())
                     && now - job.waitingSinceMicros < IMAGE_WAIT_MICROS
--- a/src/main/java/org/granitepath/coordination/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/TaskLifecycle.java
@@ -92,16 +92,19 @@
 
     /** There is proof that the task is not on the machine. */
     void free(Placement placement, String why) {
-        if (!placement.live()) {
-            return;
+        if (placement.live()) {
+            release(placement, why);
+            loop.notePass();
         }
+    }
+
+    private void release(Placement placement, String why) {
         placement.transition(Placement.Phase.FREED, why);
         placement.machine.remove(placement, timers.nowMicros());
         teamLimits.freed(placement.job.spec);
         // Taken over from a report that may be old: that it is not here proves nothing about machines not yet heard.
         placement.job.unplace(placement, !placement.certain && !fleet.allConfirmed());
         jobs.removeIfOver(placement.job);
-        loop.notePass();
     }
 
     void freeAll(Machine machine, String why) {
@@ -112,9 +115,9 @@
 
     /** It was assigned and not sent, and is not to be after all: there is no more room by that than before. */
     void withdraw(Placement placement, String why) {
-        boolean requested = loop.passRequested();
-        free(placement, why);
-        loop.restore(requested);
+        if (placement.live()) {
+            release(placement, why);
+        }
     }
 
     /** A spot machine is about to be taken: work that can be saved or won't finish moves. */
--- a/src/test/java/org/granitepath/simulation/RulesTest.java
+++ b/src/test/java/org/granitepath/simulation/RulesTest.java
@@ -32,17 +32,17 @@
     }
 
     private static JobSpec spec(String id, boolean spread, boolean oneZone) {
-        return spec(id, spread, oneZone, 1_000_000);
+        return spec(id, 2, spread, oneZone, 1_000_000);
     }
 
-    private static JobSpec spec(String id, boolean spread, boolean oneZone, long runMicros) {
+    private static JobSpec spec(String id, int tasks, boolean spread, boolean oneZone, long runMicros) {
         return new JobSpec(
                 id,
                 "c",
                 "t",
                 JobSpec.Shape.BATCH,
                 Priority.HIGH,
-                2,
+                tasks,
                 1_000,
                 0,
                 1_000,
@@ -223,7 +223,7 @@
                         return false;
                     }
                 },
-                job -> spec(job, false, false, 300_000_000),
+                job -> spec(job, 2, false, false, 300_000_000),
                 new HashSet<>(),
                 "i-1",
                 new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")),
@@ -270,27 +270,7 @@
     }
 
     private static JobSpec wide(String id) {
-        return new JobSpec(
-                id,
-                "c",
-                "t",
-                JobSpec.Shape.BATCH,
-                Priority.HIGH,
-                3,
-                1_000,
-                0,
-                1_000,
-                "i",
-                1,
-                null,
-                null,
-                false,
-                false,
-                false,
-                1_000_000,
-                0,
-                0,
-                JobSpec.NO_DEADLINE);
+        return spec(id, 3, false, false, 1_000_000);
     }
 
     @Test
