--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -1,7 +1,6 @@
 package org.granitepath.protocol;
 
 import java.util.LinkedHashMap;
-import java.util.Locale;
 import java.util.Map;
 import org.granitepath.recovery.RecoveryStatus;
 
@@ -18,7 +17,7 @@
     public static String encode(RecoveryStatus status) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("node", status.node());
-        fields.put("role", lower(status.role()));
+        fields.put("role", RecoveryLabels.of(status.role()));
         if (status.leader() != null) {
             fields.put("leader", status.leader());
         }
@@ -34,7 +33,7 @@
     }
 
     private static void putTerm(Map<String, Object> fields, RecoveryStatus status) {
-        fields.put("phase", lower(status.phase()));
+        fields.put("phase", RecoveryLabels.of(status.phase()));
         fields.put("fencing_token", status.fencingToken());
         fields.put("revision", status.revision());
         Map<String, Object> machines = new LinkedHashMap<>();
@@ -46,7 +45,7 @@
         machines.put("unreadable_inventory_parts", status.unreadableInventoryParts());
         fields.put("machines", machines);
         Map<String, Object> tasks = new LinkedHashMap<>();
-        status.tasks().forEach((verdict, count) -> tasks.put(lower(verdict), count));
+        status.tasks().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
         fields.put("tasks", tasks);
         fields.put("attempts_compared", status.comparisons());
         fields.put("other_work_held", status.batchWaitsFor() != null);
@@ -57,8 +56,4 @@
             }
         }
     }
-
-    private static String lower(Enum<?> value) {
-        return value.name().toLowerCase(Locale.ROOT);
-    }
 }
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -5,11 +5,11 @@
 import io.micrometer.core.instrument.Tags;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
+import org.granitepath.protocol.RecoveryLabels;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.Verdict;
@@ -56,7 +56,7 @@
     private void registerRecovery() {
         for (RecoveryPhase phase : RecoveryPhase.values()) {
             Gauge.builder("granitepath.recovery.phase", recovery, r -> r.get().phase() == phase ? 1 : 0)
-                    .tags("phase", phase.name().toLowerCase(Locale.ROOT))
+                    .tags("phase", RecoveryLabels.of(phase))
                     .register(registry);
         }
         Gauge.builder(
@@ -74,7 +74,7 @@
                             "granitepath.recovery.tasks",
                             recovery,
                             r -> r.get().tasks().getOrDefault(verdict, 0))
-                    .tags("verdict", verdict.name().toLowerCase(Locale.ROOT))
+                    .tags("verdict", RecoveryLabels.of(verdict))
                     .register(registry);
         }
     }
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -6,8 +6,8 @@
 import io.opentelemetry.api.trace.Tracer;
 import io.opentelemetry.context.Context;
 import java.util.HashMap;
-import java.util.Locale;
 import java.util.Map;
+import org.granitepath.protocol.RecoveryLabels;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryTracer;
 
@@ -48,7 +48,7 @@
             end();
             return;
         }
-        phase = child(next.name().toLowerCase(Locale.ROOT));
+        phase = child(RecoveryLabels.of(next));
         phase.setAttribute(REASON, reason);
     }
 
--- /dev/null
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -0,0 +1,285 @@
+package org.granitepath.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.bookkeeping.FinalRecord;
+import org.granitepath.bookkeeping.Keys;
+import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.MachineTypesRecord;
+import org.granitepath.bookkeeping.StatePort.Change;
+import org.granitepath.bookkeeping.StatePort.Guard;
+import org.granitepath.bookkeeping.StatePort.Item;
+import org.granitepath.bookkeeping.StatePort.Outcome;
+import org.granitepath.bookkeeping.StatePort.Page;
+import org.granitepath.bookkeeping.StatePort.Txn;
+import org.granitepath.coordination.CloudPort.HostState;
+import org.granitepath.coordination.CloudPort.ListedHost;
+import org.granitepath.coordination.CloudPort.Rental;
+import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.Heartbeat.Cause;
+import org.granitepath.coordination.Heartbeat.TaskState;
+import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.JobResponse;
+import org.granitepath.coordination.JobResponse.JobState;
+import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.WorkerCommand;
+import org.granitepath.recovery.RecoveryPhase;
+import org.granitepath.recovery.RecoveryStatus;
+import org.granitepath.recovery.RecoveryStatus.Role;
+import org.granitepath.recovery.Verdict;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.pcollections.OrderedPSet;
+
+/**
+ * The messages exchanged with workers, the cloud, the store, users and operators, byte for byte: the other side knows
+ * them by these names, whatever the code calls its parts.
+ */
+class OutsideFormatsTest {
+    private static final TaskId TASK = new TaskId("run-000412", 3);
+
+    // ---- workers -----------------------------------------------------------------------------------------------
+
+    @Test
+    void commandsInTheAnswerToAHeartbeat() {
+        HeartbeatResponse answer = new HeartbeatResponse.Accepted(
+                41,
+                List.of(
+                        WorkerCommand.start(TASK, 7),
+                        WorkerCommand.stop(TASK, 6, 2_500_000),
+                        WorkerCommand.clear(TASK, 5)));
+        assertEquals(200, WorkerCodec.httpStatus(answer));
+        assertEquals(
+                "{\"baton\":41,\"orders\":[{\"verb\":\"start\",\"piece\":\"run-000412/3\",\"try\":7},"
+                        + "{\"verb\":\"halt\",\"piece\":\"run-000412/3\",\"try\":6,\"leeway_s\":2.5},"
+                        + "{\"verb\":\"clear\",\"piece\":\"run-000412/3\",\"try\":5}]}",
+                WorkerCodec.encode(answer));
+    }
+
+    @Test
+    void otherAnswersToAHeartbeat() {
+        HeartbeatResponse known = new HeartbeatResponse.Redirect("worker-2");
+        HeartbeatResponse unknown = new HeartbeatResponse.Redirect(null);
+        HeartbeatResponse none = new HeartbeatResponse.Unavailable();
+        assertEquals(
+                "421 {\"supervisor\":\"worker-2\"}", WorkerCodec.httpStatus(known) + " " + WorkerCodec.encode(known));
+        assertEquals("421 {}", WorkerCodec.httpStatus(unknown) + " " + WorkerCodec.encode(unknown));
+        assertEquals("503 {}", WorkerCodec.httpStatus(none) + " " + WorkerCodec.encode(none));
+    }
+
+    @Test
+    void directCommands() {
+        assertEquals(
+                "{\"baton\":41,\"shift\":2,\"orders\":[{\"verb\":\"start\",\"piece\":\"run-000412/3\",\"try\":7}]}",
+                WorkerCodec.encodeCommands(41, 2, List.of(WorkerCommand.start(TASK, 7))));
+        assertEquals("{\"baton\":41,\"shift\":0,\"orders\":[]}", WorkerCodec.encodeCommands(41, 0, List.of()));
+    }
+
+    @Test
+    void heartbeats() {
+        Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(
+                "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,"
+                        + "\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":12.5,\"pieces\":[{\"piece\":"
+                        + "\"run-000412/3\",\"try\":7,\"status\":\"ended\",\"cause\":\"stopped\",\"kept\":true}]}");
+        assertEquals(
+                new Heartbeat(
+                        "i-1",
+                        "10.1.0.2:9000",
+                        "g8",
+                        "a",
+                        true,
+                        2,
+                        88,
+                        41,
+                        12_500_000,
+                        List.of(new Heartbeat.TaskReport(TASK, 7, TaskState.EXITED, Cause.STOPPED, true))),
+                heartbeat);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"pulling,FETCHING", "waiting,WAITING", "running,RUNNING", "saving,SAVING", "ended,EXITED"})
+    void statesOfTasks(String word, TaskState state) {
+        assertEquals(state, reported("\"status\":\"" + word + "\"").state());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "done,DONE",
+        "stopped,STOPPED",
+        "error,FAILED",
+        "full,NO_ROOM",
+        "in_use,BUSY",
+        "no_such,UNKNOWN_JOB",
+        "mates_gone,PEER_GONE",
+        "alone,INCOMPLETE"
+    })
+    void causesOfExits(String word, Cause cause) {
+        assertEquals(
+                cause,
+                reported("\"status\":\"ended\",\"cause\":\"" + word + "\"").cause());
+    }
+
+    private static Heartbeat.TaskReport reported(String fields) {
+        return WorkerCodec.decodeHeartbeat("{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\","
+                        + "\"site\":\"a\",\"shift\":2,\"tally\":88,\"pieces\":[{\"piece\":\"run-1/0\",\"try\":7,"
+                        + fields + "}]}")
+                .tasks()
+                .get(0);
+    }
+
+    // ---- cloud -------------------------------------------------------------------------------------------------
+
+    @Test
+    void requestsToTheCloud() {
+        assertEquals(
+                "{\"booking\":\"b41-1\",\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"count\":12}",
+                CloudCodec.encodeRental(new Rental("b41-1", "g8", "a", true, 12)));
+        assertEquals("{\"hosts\":[\"i-1\",\"i-2\"]}", CloudCodec.encodeHosts(List.of("i-1", "i-2")));
+    }
+
+    @Test
+    void answersOfTheCloud() {
+        assertEquals(List.of("i-1"), CloudCodec.decodeHosts(Json.object("{\"hosts\":[\"i-1\"]}")));
+        assertEquals(
+                List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))),
+                CloudCodec.decodeTypes(
+                        Json.object("{\"models\":[{\"sku\":\"g8\",\"cpus\":96,\"cards\":8,\"mem_gb\":768,"
+                                + "\"cache_gb\":200,\"fetch_gb_per_s\":1.0,\"rate\":12.0,\"market_price\":4.5,\"ready_s\":45,"
+                                + "\"sites\":[\"a\",\"b\"]}]}")));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
+    void machinesAsTheCloudListsThem(String word, HostState state) {
+        assertEquals(
+                List.of(new ListedHost("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
+                CloudCodec.decodeListing(Json.object("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
+                        + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + word
+                        + "\",\"held_s\":61.5}],\"has_next\":false}")));
+    }
+
+    // ---- store -------------------------------------------------------------------------------------------------
+
+    @Test
+    void transactions() {
+        Txn transaction = new Txn(
+                List.of(new Guard("g/leader", 412)),
+                List.of(
+                        new Change("g/f/run-1", new FinalRecord(FinalRecord.Outcome.DONE), 7),
+                        Change.write("g/f/run-2", new FinalRecord(FinalRecord.Outcome.CANCELLED)),
+                        Change.remove("c/d")));
+        assertEquals(
+                Json.object("{\"guards\":[{\"key\":\"g/leader\",\"stamp\":412}],\"apply\":[{\"write\":\"g/f/run-1\","
+                        + "\"v\":{\"how\":0},\"permit\":7},{\"write\":\"g/f/run-2\",\"v\":{\"how\":1}},"
+                        + "{\"remove\":\"c/d\"}]}"),
+                Json.object(StateCodec.encodeTxn(transaction)));
+    }
+
+    @Test
+    void answersOfTheStore() {
+        assertEquals(
+                new Page(Outcome.OK, List.of(new Item("a/b", Map.of("x", 1), 412)), true, 431),
+                StateCodec.decodeList(Json.object("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
+                        + "\"has_next\":true,\"epoch\":431}")));
+        assertEquals(
+                new Page(
+                        Outcome.OK,
+                        List.of(new Item("c/9", Map.of("x", 1), 433), new Item("c/d", null, 432)),
+                        false,
+                        433),
+                StateCodec.decodeFollow(Json.object("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
+                        + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
+        assertEquals(7, StateCodec.decodeLease(Json.object("{\"permit\":7}")));
+    }
+
+    @Test
+    void machineTypesOnRecord() throws Exception {
+        MachineTypesRecord record = new MachineTypesRecord(
+                List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))));
+        String json = "{\"types\":[{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,"
+                + "\"price\":12.0,\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}]}";
+        assertEquals(json, Json.text(record.toMap()));
+        assertEquals(record, org.granitepath.bookkeeping.StoredRecord.decode(Keys.TYPES, Json.object(json)));
+    }
+
+    // ---- users and operators -----------------------------------------------------------------------------------
+
+    @ParameterizedTest
+    @CsvSource({"PENDING,pending", "RUNNING,running", "DONE,done", "CANCELLED,aborted"})
+    void jobStates(JobState state, String word) {
+        JobResponse status = new JobResponse.Status(false, "run-1", state, 3, 13);
+        assertEquals(
+                "{\"uid\":\"run-1\",\"status\":\"" + word + "\",\"done\":3,\"running\":13}",
+                SubmissionCodec.encode(status));
+        assertEquals(200, SubmissionCodec.httpStatus(status));
+    }
+
+    @Test
+    void answersToUsers() {
+        Map<String, JobResponse> answers = new LinkedHashMap<>();
+        answers.put(
+                "201 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}",
+                new JobResponse.Status(true, "run-1", JobState.PENDING, 0, 0));
+        answers.put("404 {\"error\":\"no such job\"}", new JobResponse.NotFound());
+        answers.put("422 {\"error\":\"unknown team\"}", new JobResponse.Unschedulable("unknown team"));
+        answers.put("503 {\"error\":\"starting\"}", new JobResponse.RetryLater("starting", 2));
+        List<String> encoded = new ArrayList<>();
+        answers.values()
+                .forEach(answer ->
+                        encoded.add(SubmissionCodec.httpStatus(answer) + " " + SubmissionCodec.encode(answer)));
+        assertEquals(List.copyOf(answers.keySet()), encoded);
+    }
+
+    @Test
+    void recoveryOfALeader() {
+        Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
+        tasks.put(Verdict.ADOPTED, 5);
+        tasks.put(Verdict.IN_DOUBT, 2);
+        RecoveryStatus status = new RecoveryStatus(
+                "n0",
+                Role.LEADING,
+                "n0",
+                "confirmed",
+                RecoveryPhase.RESUMING_LIVE,
+                41,
+                431,
+                250_000,
+                3,
+                OrderedPSet.singleton("i-1"),
+                0,
+                0,
+                tasks,
+                9,
+                "2 tasks in doubt",
+                1_500_000);
+        assertEquals(
+                "{\"node\":\"n0\",\"role\":\"leading\",\"leader\":\"n0\",\"reason\":\"confirmed\","
+                        + "\"records_age_s\":0.25,\"unreadable_records\":0,\"phase\":\"resuming_live\","
+                        + "\"fencing_token\":41,\"revision\":431,\"machines\":{\"taken_over\":3,"
+                        + "\"heard_or_gone\":2,\"missing\":1,\"missing_names\":[\"i-1\"],"
+                        + "\"unreadable_inventory_parts\":0},\"tasks\":{\"adopted\":5,\"in_doubt\":2},"
+                        + "\"attempts_compared\":9,\"other_work_held\":true,\"held_for\":\"2 tasks in doubt\","
+                        + "\"held_at_most_s\":1.5}",
+                RecoveryStatusCodec.encode(status));
+    }
+
+    @Test
+    void recoveryAsOthersTellIt() {
+        assertEquals(
+                "{\"node\":\"n1\",\"role\":\"following\",\"leader\":\"n0\",\"reason\":\"ask the leader\","
+                        + "\"records_age_s\":0.1,\"unreadable_records\":1}",
+                RecoveryStatusCodec.encode(
+                        RecoveryStatus.withoutTerm("n1", Role.FOLLOWING, "n0", "ask the leader", 100_000, 1)));
+        assertEquals(
+                "{\"node\":\"n1\",\"role\":\"unknown\",\"reason\":\"starting\",\"unreadable_records\":0}",
+                RecoveryStatusCodec.encode(RecoveryStatus.withoutTerm("n1", Role.UNKNOWN, null, "starting", -1, 0)));
+        assertNull(Json.object("nonsense"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -0,0 +1,208 @@
+package org.granitepath.simulation;
+
+import com.google.common.hash.Hasher;
+import com.google.common.hash.Hashing;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.bookkeeping.StatePort;
+import org.granitepath.coordination.CloudPort;
+import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.JobResponse;
+import org.granitepath.coordination.PeerPort;
+import org.granitepath.coordination.WorkerCommand;
+import org.granitepath.coordination.WorkerPort;
+import org.granitepath.protocol.CloudCodec;
+import org.granitepath.protocol.Json;
+import org.granitepath.protocol.PeerCodec;
+import org.granitepath.protocol.StateCodec;
+import org.granitepath.protocol.SubmissionCodec;
+import org.granitepath.protocol.WorkerCodec;
+
+/**
+ * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
+ * and peers, and answers to workers and users, each with its simulated time and encoded as it goes over the wire. Log
+ * text takes no part. Two versions of the program with the same hash behave alike in that simulation.
+ */
+final class EdgeTrace {
+    private static final ThreadLocal<List<EdgeTrace>> COLLECTOR = new ThreadLocal<>();
+
+    private final World world;
+    private final Hasher hasher = Hashing.sha256().newHasher();
+    private long events;
+
+    private EdgeTrace(World world) {
+        this.world = world;
+    }
+
+    /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
+    static EdgeTrace of(World world) {
+        List<EdgeTrace> collector = COLLECTOR.get();
+        if (collector == null) {
+            return null;
+        }
+        EdgeTrace trace = new EdgeTrace(world);
+        collector.add(trace);
+        return trace;
+    }
+
+    /** Runs a scenario and returns the traces of the simulations that it makes, in order. */
+    static List<EdgeTrace> collect(Runnable scenario) {
+        List<EdgeTrace> traces = new ArrayList<>();
+        COLLECTOR.set(traces);
+        try {
+            scenario.run();
+        } finally {
+            COLLECTOR.remove();
+        }
+        return traces;
+    }
+
+    /** How many calls and answers the trace holds. */
+    long events() {
+        return events;
+    }
+
+    /** The hash of the whole trace, in hexadecimal. Nothing can be added afterwards. */
+    String digest() {
+        return hasher.hash().toString();
+    }
+
+    private void add(String node, String kind, String detail) {
+        add(node, kind, detail.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private void add(String node, String kind, byte[] detail) {
+        events++;
+        hasher.putLong(world.now());
+        hasher.putUnencodedChars(node).putChar('\n');
+        hasher.putUnencodedChars(kind).putChar('\n');
+        hasher.putInt(detail.length).putBytes(detail);
+    }
+
+    /** The order of the fields of an encoded object means nothing and may differ from one process to the next. */
+    private static String sorted(String json) {
+        return Json.text(sorted(Json.object(json)));
+    }
+
+    private static Object sorted(Object value) {
+        if (value instanceof Map<?, ?> map) {
+            Map<String, Object> fields = new TreeMap<>();
+            map.forEach((name, field) -> fields.put(String.valueOf(name), sorted(field)));
+            return fields;
+        }
+        return value instanceof List<?> list
+                ? list.stream().map(EdgeTrace::sorted).toList()
+                : value;
+    }
+
+    void heartbeatAnswered(String node, String host, HeartbeatResponse answer) {
+        add(node, "heartbeat " + host + " " + WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
+    }
+
+    /** Passes the answer on and keeps it in the trace. */
+    Consumer<JobResponse> userAnswers(String node, String user, Consumer<JobResponse> then) {
+        return answer -> {
+            String retry = answer instanceof JobResponse.RetryLater later ? " " + later.afterSeconds() : "";
+            add(node, user + " " + SubmissionCodec.httpStatus(answer) + retry, SubmissionCodec.encode(answer));
+            then.accept(answer);
+        };
+    }
+
+    StatePort tracing(String node, StatePort port) {
+        return new StatePort() {
+            @Override
+            public void commit(Txn txn, Consumer<Committed> then) {
+                add(node, "commit", sorted(StateCodec.encodeTxn(txn)));
+                port.commit(txn, then);
+            }
+
+            @Override
+            public void list(String prefix, String from, int limit, Consumer<Page> then) {
+                add(node, "list", prefix + " " + from + " " + limit);
+                port.list(prefix, from, limit, then);
+            }
+
+            @Override
+            public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
+                add(node, "follow", prefix + " " + from + " " + waitMicros);
+                port.follow(prefix, from, waitMicros, then);
+            }
+
+            @Override
+            public void openLease(long lifeMicros, Consumer<Leased> then) {
+                add(node, "open lease", StateCodec.encodeLease(lifeMicros));
+                port.openLease(lifeMicros, then);
+            }
+
+            @Override
+            public void renewLease(long lease, Consumer<Outcome> then) {
+                add(node, "renew lease", String.valueOf(lease));
+                port.renewLease(lease, then);
+            }
+        };
+    }
+
+    CloudPort tracing(String node, CloudPort port) {
+        return new CloudPort() {
+            @Override
+            public void types(Consumer<List<MachineType>> then) {
+                add(node, "machine types", "");
+                port.types(then);
+            }
+
+            @Override
+            public void rent(Rental rental, Consumer<Rented> then) {
+                add(node, "rent", sorted(CloudCodec.encodeRental(rental)));
+                port.rent(rental, then);
+            }
+
+            @Override
+            public void returnMachines(List<String> hosts, Consumer<Boolean> then) {
+                add(node, "return", CloudCodec.encodeHosts(hosts));
+                port.returnMachines(hosts, then);
+            }
+
+            @Override
+            public void list(String from, int limit, Consumer<Listing> then) {
+                add(node, "list machines", from + " " + limit);
+                port.list(from, limit, then);
+            }
+        };
+    }
+
+    WorkerPort tracing(String node, WorkerPort port) {
+        return new WorkerPort() {
+            @Override
+            public void send(
+                    String address,
+                    long fencingToken,
+                    long session,
+                    List<WorkerCommand> commands,
+                    Consumer<Reply> then) {
+                add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, session, commands));
+                port.send(address, fencingToken, session, commands, then);
+            }
+        };
+    }
+
+    PeerPort tracing(String node, PeerPort port) {
+        return new PeerPort() {
+            @Override
+            public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
+                add(node, "cancellation to " + peer, PeerCodec.encode(notice));
+                port.sendCancellation(peer, notice, then);
+            }
+
+            @Override
+            public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
+                add(node, "status to " + peer, PeerCodec.encode(ours));
+                port.exchangeStatus(peer, ours, then);
+            }
+        };
+    }
+}
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -158,7 +158,7 @@
                 answer -> {
                     Controller c = simulation.nodes.get(node).controller;
                     if (c != null && !simulation.unreachable.contains(node)) {
-                        question.ask(c, answer);
+                        question.ask(c, simulation.traced(node, user, answer));
                     }
                 },
                 answer -> {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -6,6 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
@@ -16,6 +18,7 @@
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.Heartbeat;
 import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.JobResponse;
 import org.granitepath.coordination.StateLimits;
 import org.granitepath.coordination.TaskId;
 import org.granitepath.recovery.RecoveryPhase;
@@ -79,10 +82,10 @@
                     Config.Tuning.defaults().withRecoveryHold(recoveryHold));
             controller = new Controller(
                     config,
-                    state.portFor(name),
-                    cloud.portFor(name),
-                    ports.workerPort(name),
-                    ports.peerPort(name),
+                    traced(state.portFor(name), port -> trace.tracing(name, port)),
+                    traced(cloud.portFor(name), port -> trace.tracing(name, port)),
+                    traced(ports.workerPort(name), port -> trace.tracing(name, port)),
+                    traced(ports.peerPort(name), port -> trace.tracing(name, port)),
                     new Timers() {
                         @Override
                         public long nowMicros() {
@@ -167,6 +170,9 @@
 
     final List<String> names;
     final World world;
+    /** What leaves the controllers; null when nobody wants to know. */
+    private final EdgeTrace trace;
+
     final Rules rules;
     final SimCommands commands;
     final SimState state;
@@ -206,6 +212,7 @@
         this.shape = shape;
         names = IntStream.range(0, shape.controllers).mapToObj(i -> "n" + i).toList();
         world = new World(seed);
+        trace = EdgeTrace.of(world);
         rules = new Rules(world, TEAMS, shape.cancel, this::endedOnMachines);
         commands = new SimCommands(world, rules);
         jobs = new SimJobs(world, shape.perOffer);
@@ -222,6 +229,15 @@
         nodes.values().forEach(Node::boot);
     }
 
+    private <P> P traced(P port, UnaryOperator<P> tracing) {
+        return trace == null ? port : tracing.apply(port);
+    }
+
+    /** The answer of a controller to a user, as the trace keeps it. */
+    Consumer<JobResponse> traced(String node, String user, Consumer<JobResponse> then) {
+        return trace == null ? then : trace.userAnswers(node, user, then);
+    }
+
     private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedHost host) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(host.type()))
@@ -254,6 +270,9 @@
             Controller controller = nodes.get(node).controller;
             HeartbeatResponse answer =
                     controller == null ? new HeartbeatResponse.Unavailable() : controller.heartbeat(heartbeat);
+            if (trace != null) {
+                trace.heartbeatAnswered(node, heartbeat.host(), answer);
+            }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 reportsAccepted.merge(node, 1, Integer::sum);
                 if (controller.leader()) {
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -0,0 +1,120 @@
+package org.granitepath.simulation;
+
+import com.google.common.hash.Hashing;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Locale;
+import java.util.function.LongConsumer;
+import java.util.stream.LongStream;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.TestFactory;
+
+/**
+ * Prints one digest a scenario of everything that leaves the controllers (see {@link EdgeTrace}), to show that a change
+ * of the code changes nothing that it does. The scenarios are those of the tests, their assertions included. Not part of
+ * the build, since its name is no test's: {@code mvn -B test -Dtest=TraceDigest}.
+ */
+class TraceDigest {
+    private record Scenario(String name, LongConsumer run, List<Long> seeds) {
+        Scenario(String name, LongConsumer run, long... seeds) {
+            this(name, run, LongStream.of(seeds).boxed().toList());
+        }
+    }
+
+    @TestFactory
+    Stream<DynamicTest> digests() {
+        return Stream.of(faults(), gangsAndGuarantees(), changesOfLeader(), fleets())
+                .flatMap(List::stream)
+                .flatMap(scenario -> scenario.seeds.stream()
+                        .map(seed -> DynamicTest.dynamicTest(scenario.name + " " + seed, () -> print(scenario, seed))));
+    }
+
+    private static void print(Scenario scenario, long seed) {
+        List<EdgeTrace> traces = EdgeTrace.collect(() -> scenario.run.accept(seed));
+        StringBuilder digests = new StringBuilder();
+        long events = 0;
+        for (EdgeTrace trace : traces) {
+            events += trace.events();
+            digests.append(trace.digest());
+        }
+        System.out.printf(
+                Locale.ROOT,
+                "trace digest: %-42s seed %3d %8d events %s%n",
+                scenario.name,
+                seed,
+                events,
+                Hashing.sha256()
+                        .hashString(digests, StandardCharsets.US_ASCII)
+                        .toString()
+                        .substring(0, 24));
+    }
+
+    private static List<Scenario> faults() {
+        SimulationTest simulation = new SimulationTest();
+        CombinedFaultsTest combined = new CombinedFaultsTest();
+        DelayedMessagesTest delayed = new DelayedMessagesTest();
+        CancellationFaultsTest cancellation = new CancellationFaultsTest();
+        return List.of(
+                new Scenario("any troubles together", simulation::anyTroublesTogether, 0, 1, 2, 3, 4, 129, 553),
+                new Scenario("any two troubles meet", new RandomFaultPairsTest()::anyTwoTroublesMeet, 0, 1, 2, 3, 4, 5),
+                new Scenario("faulty machines", new FaultyMachinesTest()::faultyMachinesAreFoundAfterFewFailures, 1),
+                new Scenario("faulty jobs", new FaultyMachinesTest()::jobsThatFailEverywhereTakeNoMachines, 11),
+                new Scenario("overload over slow links", combined::overloadOverSlowLinks, 1),
+                new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneLoseMachines, 1, 2),
+                new Scenario("zone cut off for long", combined::zoneCutOffForLongerThanALease, 1, 2),
+                new Scenario("team at its limit", combined::teamAtItsLimitWhenTheLeaderChanges, 1, 2),
+                new Scenario("writes carried out late", delayed::transactionsAreCarriedOutLate, 1, 2),
+                new Scenario("heartbeats of before", delayed::reportsOfBeforeArriveAtTheNewLeader, 1, 2),
+                new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHang, 1),
+                new Scenario("starts held up", delayed::startsHeldUpAndLaterCallsAnswered, 1),
+                new Scenario("cancelled at the end", cancellation::cancelledAtTheEnd, 1),
+                new Scenario("cancelled through the new leader", cancellation::cancelledThroughTheNewLeader, 1, 2),
+                new Scenario("cancelled on hanging machines", cancellation::machinesHangWithCancelledTasks, 1));
+    }
+
+    private static List<Scenario> gangsAndGuarantees() {
+        GangTest gangs = new GangTest();
+        GuaranteeTest guarantees = new GuaranteeTest();
+        return List.of(
+                new Scenario("gangs start whole", gangs::gangsStartWholeAndFinish, 1, 2, 3),
+                new Scenario("gang task lost early", gangs::aTaskLostBeforeTheStartIsReplacedInTheSameAttempt, 1),
+                new Scenario("gang task lost late", gangs::aTaskLostWhileRunningEndsTheAttempt, 1),
+                new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsTakenBack, 1),
+                new Scenario("gang across a failover", gangs::aTakeoverWithASilentMachine, 1, 2),
+                new Scenario("gang beside small work", gangs::aGangIsNotStarvedBySmallWork, 1),
+                new Scenario("borrowed capacity", guarantees::borrowedRoomIsGivenBack, 1, 2),
+                new Scenario("borrowed capacity, bounded", guarantees::nobodyGivesBackMoreThanItBorrowed, 1),
+                new Scenario("a swarm of jobs", guarantees::aSwarmDoesNotStarveOthers, 1),
+                new Scenario("urgent beside full price", guarantees::urgentWorkDoesNotWaitBesideFullPriceRoom, 1));
+    }
+
+    private static List<Scenario> changesOfLeader() {
+        TakeoverTest takeover = new TakeoverTest();
+        RecoveryTest recovery = new RecoveryTest();
+        RecoveryTroublesTest troubles = new RecoveryTroublesTest();
+        UpgradeTest upgrade = new UpgradeTest();
+        return List.of(
+                new Scenario("leaders crash during takeover", takeover::leadersCrashDuringTakeover, 5, 6),
+                new Scenario("leader cut from workers", takeover::leaderCutFromItsWorkersStepsDown, 41, 42),
+                new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
+                new Scenario("cold restart", recovery::servicesResumeBeforeBatchWork, 1, 2),
+                new Scenario("cold restart, forbidden work", recovery::whatMayNotRunIsStoppedAndCleared, 1),
+                new Scenario("cold restart, gangs", recovery::gangsOfWhichAPartReports, 1),
+                new Scenario("cold restart, store away", troubles::theStateServiceIsAwayOrSlow, 1, 2),
+                new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
+                new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
+    }
+
+    private static List<Scenario> fleets() {
+        CapacityTest capacity = new CapacityTest();
+        FleetTest fleet = new FleetTest();
+        return List.of(
+                new Scenario("hundreds of machines", capacity::fiveControllersAndHundredsOfMachines, 61),
+                new Scenario("overload", capacity::overloadStarvesNobody, 71),
+                new Scenario("headroom for services", seed -> capacity.headroomForServicesToCome(), 0),
+                new Scenario("late boots", capacity::lateBootsAreNotWaitedFor, 77),
+                new Scenario("seven hundred machines", seed -> fleet.sevenHundredMachinesThatReportOften(), 0),
+                new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesAfterAColdRestart(), 0));
+    }
+}
