--- a/src/main/java/org/granitepath/coordination/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/ActiveJobs.java
@@ -28,19 +28,19 @@
     }
 
     void add(ActiveJob job) {
-        jobs.put(job.spec.id(), job);
+        jobs.put(job.spec().id(), job);
     }
 
     /** Forgets a job that is over once nothing of it is on any machine. */
     void removeIfOver(ActiveJob job) {
-        if (job.phase == ActiveJob.Phase.OVER && job.placements.isEmpty()) {
-            jobs.remove(job.spec.id());
+        if (job.phase() == ActiveJob.Phase.OVER && !job.hasPlacements()) {
+            jobs.remove(job.spec().id());
             faults.forget(job);
         }
     }
 
     /** Time since the job was accepted, as far as the clocks agree. */
     long ageMicros(ActiveJob job, long now) {
-        return Math.max(now - job.sinceMicros, timers.timeOfDayMicros() - job.acceptedMicros - skewMicros);
+        return Math.max(now - job.sinceMicros(), timers.timeOfDayMicros() - job.acceptedMicros() - skewMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/ArrivalRate.java
@@ -9,8 +9,8 @@
     private ActiveJob newest;
 
     void accepted(ActiveJob job, long now) {
-        if (BatchPlanner.isLive(job)) {
-            rate = cpuPerMicro(now) + job.spec.tasks() * (double) job.spec.cpuMillis() / MEMORY_MICROS;
+        if (job.isLive()) {
+            rate = cpuPerMicro(now) + job.spec().tasks() * (double) job.spec().cpuMillis() / MEMORY_MICROS;
             atMicros = now;
             newest = job;
         }
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/Autoscaler.java
@@ -110,7 +110,7 @@
         booting.values().removeIf(host -> {
             Machine machine = fleet.machine(host.id());
             if (machine != null) {
-                machine.rentedMicros = host.rentedMicros();
+                machine.rentedAt(host.rentedMicros());
             }
             return machine != null;
         });
@@ -188,10 +188,10 @@
 
     private boolean buysFor(ActiveJob job, long now) {
         return job.waiting() > 0
-                && job.waitingSinceMicros >= 0
-                && job.notBeforeMicros <= now
-                && (job.gangAttempt == null || job.gangAttempt.mayBeCompleted())
-                && rules.teamAllows(job.spec);
+                && job.isWaiting()
+                && job.notBeforeMicros() <= now
+                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && rules.teamAllows(job.spec());
     }
 
     private void rent(long now) {
@@ -208,12 +208,12 @@
         }
         for (Machine machine : fleet.machines()) {
             // Just arrived and not yet ready for tasks.
-            if (machine.phase == Machine.Phase.UNCONFIRMED
-                    && machine.type != null
+            if (machine.phase() == Machine.Phase.UNCONFIRMED
+                    && machine.type() != null
                     && machine.isEmpty()
-                    && !machine.inherited
+                    && !machine.inherited()
                     && !fleet.overdue(machine, now)) {
-                plan.coming(machine.type, machine.zone, machine.spot);
+                plan.coming(machine.type(), machine.zone(), machine.spot());
             }
         }
         plan.make(activeJobs.all().stream().filter(j -> buysFor(j, now)).toList());
@@ -237,8 +237,8 @@
                 offer.zone(),
                 offer.spot() ? " (spot)" : "",
                 booking,
-                offer.job().spec.id(),
-                offer.job().spec.jobClass(),
+                offer.job().spec().id(),
+                offer.job().spec().jobClass(),
                 offer.job().waiting(),
                 drainSeconds);
         send(new CloudPort.Rental(booking, offer.type().name(), offer.zone(), offer.spot(), count), offer, 0);
@@ -306,30 +306,28 @@
                 break;
             }
             boolean trust = (trustSilence && !failureDetector.waitedFor(machine, now))
-                    || now - machine.heardMicros > partitionTimeoutMicros();
-            boolean dead = trust && now - machine.heardMicros > failureTimeoutMicros(machine);
+                    || now - machine.heardMicros() > partitionTimeoutMicros();
+            boolean dead = trust && now - machine.heardMicros() > failureTimeoutMicros(machine);
             boolean idle = !keepsIdle && isIdle(machine, now) && !gangHeadroom.keeps(machine);
-            machine.keptAsHeadroom = idle && !machine.spot && headroomSpare < machine.cpuFree();
-            if (machine.keptAsHeadroom) {
+            machine.keepAsHeadroom(idle && !machine.spot() && headroomSpare < machine.cpuFree());
+            if (machine.keptAsHeadroom()) {
                 idle = false;
-            } else if (idle && !machine.spot) {
+            } else if (idle && !machine.spot()) {
                 headroomSpare -= machine.cpuFree();
                 gangHeadroom.returned(machine);
             }
             // Its reports come, but our answers and commands don't get there.
-            boolean deaf = machine.phase == Machine.Phase.UNCONFIRMED
-                    && !machine.inherited
-                    && machine.recorded
-                    && now - machine.unconfirmedMicros > config.leaseMicros()
+            boolean deaf = machine.phase() == Machine.Phase.UNCONFIRMED
+                    && !machine.inherited()
+                    && machine.recorded()
+                    && now - machine.unconfirmedMicros() > config.leaseMicros()
                     && trust;
-            boolean drained = machine.phase == Machine.Phase.DRAINING && machine.isEmpty();
-            if (machine.phase == Machine.Phase.RETURNING || dead || deaf || idle || drained) {
-                if (machine.phase != Machine.Phase.RETURNING) {
-                    machine.transition(
-                            Machine.Phase.RETURNING,
-                            dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
+            boolean drained = machine.phase() == Machine.Phase.DRAINING && machine.isEmpty();
+            if (machine.phase() == Machine.Phase.RETURNING || dead || deaf || idle || drained) {
+                if (machine.phase() != Machine.Phase.RETURNING) {
+                    machine.returning(dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
                 }
-                ids.add(machine.id);
+                ids.add(machine.id());
             }
         }
         if (ids.isEmpty() || returning || !mayCall(now)) {
@@ -350,11 +348,11 @@
     }
 
     private boolean isIdle(Machine machine, long now) {
-        return machine.phase == Machine.Phase.READY
+        return machine.phase() == Machine.Phase.READY
                 && machine.isEmpty()
-                && machine.reservedFor == null
-                && now - machine.idleSinceMicros > idleMicros(machine)
-                && now - machine.rentedMicros > LEAST_CHARGE_MICROS;
+                && machine.reservedFor() == null
+                && now - machine.idleSinceMicros() > idleMicros(machine)
+                && now - machine.rentedMicros() > LEAST_CHARGE_MICROS;
     }
 
     /**
@@ -362,9 +360,12 @@
      * more than letting it go; longer on spot machines, which cost little and may not be had again.
      */
     private long idleMicros(Machine machine) {
-        double share =
-                machine.spot ? config.tuning().idleShareSpot() : config.tuning().idleShare();
-        return machine.type == null ? 30_000_000 : (long) (share * machine.type.bootMicros());
+        double share = machine.spot()
+                ? config.tuning().idleShareSpot()
+                : config.tuning().idleShare();
+        return machine.type() == null
+                ? 30_000_000
+                : (long) (share * machine.type().bootMicros());
     }
 
     /** How long machines that may only be cut off are waited for: by then all on them is over in any case. */
@@ -377,6 +378,6 @@
      * reports may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.probeFailed ? failureDetector.silenceMicros(machine) : config.leaseMicros();
+        return machine.probeFailed() ? failureDetector.silenceMicros(machine) : config.leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/BatchPlanner.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Priority;
 
 /**
  * What waiting batch work can expect of the room at hand: which jobs can still make their deadlines, all together, and
@@ -17,19 +16,6 @@
     /** What packing leaves unused, and what running tasks hold of a machine that is to be emptied. */
     private static final double USABLE = 0.9;
 
-    /**
-     * Live services come first, then what is within its team's guarantee. Of the rest, jobs that can make their
-     * deadlines all together go before those that can make the longest multiple that the aims name, and these before
-     * what is late all the same or has no deadline.
-     */
-    enum SchedulingClass {
-        LIVE,
-        GUARANTEED,
-        IN_TIME,
-        NEARLY,
-        ANY
-    }
-
     private record Due(ActiveJob job, double work, double micros) {}
 
     private final Config config;
@@ -63,15 +49,15 @@
         List<Due> later = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
             if (job.running() > 0) {
-                job.lastRunningMicros = now;
+                job.seenRunning(now);
             }
-            job.schedulingClass = SchedulingClass.ANY;
-            if (isLive(job)) {
-                job.schedulingClass = SchedulingClass.LIVE;
+            job.classify(SchedulingClass.ANY);
+            if (job.isLive()) {
+                job.classify(SchedulingClass.LIVE);
             } else if (stalled(job, now) || isExpectedGang(job)) {
-                job.schedulingClass = SchedulingClass.IN_TIME;
-            } else if (job.spec.hasDeadline() || finishAim(job) > 0) {
-                long left = (finishAim(job) > 0 ? finishAim(job) : job.spec.deadlineMicros())
+                job.classify(SchedulingClass.IN_TIME);
+            } else if (job.spec().hasDeadline() || finishAim(job) > 0) {
+                long left = (finishAim(job) > 0 ? finishAim(job) : job.spec().deadlineMicros())
                         - activeJobs.ageMicros(job, now);
                 (runtimeEstimator.taskMicros(job) <= left ? inTime : later).add(new Due(job, work(job), left));
             }
@@ -80,9 +66,9 @@
         List<Due> extended = new ArrayList<>();
         for (Due due : later) {
             double times = config.objectives()
-                    .getOrDefault(due.job().spec.jobClass(), Config.Objective.NONE)
+                    .getOrDefault(due.job().spec().jobClass(), Config.Objective.NONE)
                     .deadlineTimes();
-            double left = due.micros() + (times - 1) * due.job().spec.deadlineMicros();
+            double left = due.micros() + (times - 1) * due.job().spec().deadlineMicros();
             if (times > 1 && runtimeEstimator.taskMicros(due.job()) <= left) {
                 extended.add(new Due(due.job(), due.work(), left));
             }
@@ -90,8 +76,8 @@
         selectFeasible(extended, new ArrayList<>(), SchedulingClass.NEARLY, taken);
         putGuaranteedFirst();
         promptGangCpu = activeJobs.all().stream()
-                .filter(job -> job.spec.gang() && mustStartAtOnce(job))
-                .mapToLong(job -> job.spec.cpuMillis() * job.spec.tasks())
+                .filter(job -> job.spec().gang() && mustStartAtOnce(job))
+                .mapToLong(job -> job.spec().cpuMillis() * job.spec().tasks())
                 .max()
                 .orElse(0);
     }
@@ -113,19 +99,19 @@
         Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
         Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
         List<ActiveJob> byAge = new ArrayList<>(activeJobs.all());
-        byAge.sort(
-                Comparator.comparingLong((ActiveJob job) -> job.acceptedMicros).thenComparing(job -> job.spec.id()));
+        byAge.sort(Comparator.comparingLong((ActiveJob job) -> job.acceptedMicros())
+                .thenComparing(job -> job.spec().id()));
         for (ActiveJob job : byAge) {
-            Config.Team team = config.teams().get(job.spec.team());
-            if (job.phase != ActiveJob.Phase.OPEN || team == null || !team.hasGuarantee()) {
+            Config.Team team = config.teams().get(job.spec().team());
+            if (!job.isOpen() || team == null || !team.hasGuarantee()) {
                 continue;
             }
-            cpu.addTo(team.name(), job.left() * job.spec.cpuMillis());
-            gpu.addTo(team.name(), job.left() * job.spec.gpuMillis());
-            if (!isLive(job)
+            cpu.addTo(team.name(), job.left() * job.spec().cpuMillis());
+            gpu.addTo(team.name(), job.left() * job.spec().gpuMillis());
+            if (!job.isLive()
                     && cpu.getLong(team.name()) <= team.cpuGuarantee()
                     && gpu.getLong(team.name()) <= team.gpuGuarantee()) {
-                job.schedulingClass = SchedulingClass.GUARANTEED;
+                job.classify(SchedulingClass.GUARANTEED);
             }
         }
     }
@@ -151,7 +137,7 @@
             }
         }
         for (Due due : taken) {
-            due.job().schedulingClass = schedulingClass;
+            due.job().classify(schedulingClass);
         }
         return sum;
     }
@@ -161,50 +147,46 @@
      * at once, and what other work leaves over never becomes enough.
      */
     private boolean isExpectedGang(ActiveJob job) {
-        Config.Objective objective = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
-        return job.spec.gang() && (objective.waitMicros() > 0 || objective.finishMicros() > 0);
-    }
-
-    static boolean isLive(ActiveJob job) {
-        return job.spec.service() && !Priority.HIGH.above(job.spec.priority());
+        Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
+        return job.spec().gang() && (objective.waitMicros() > 0 || objective.finishMicros() > 0);
     }
 
     /** Giving way has a bound: a job that has long had nothing on a machine competes by its share alone again. */
     private boolean stalled(ActiveJob job, long now) {
-        long since = job.lastRunningMicros < 0 ? activeJobs.ageMicros(job, now) : now - job.lastRunningMicros;
+        long since = job.lastRunningMicros() < 0 ? activeJobs.ageMicros(job, now) : now - job.lastRunningMicros();
         return since > config.tuning().maxStarvationMicros();
     }
 
     /** Some classes are judged by a time of their own; their owners' deadlines are wishes. */
     private long finishAim(ActiveJob job) {
-        Config.Objective objective = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
-        return objective.deadlineTimes() == 0 && job.spec.hasDeadline() ? objective.finishMicros() : 0;
+        Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
+        return objective.deadlineTimes() == 0 && job.spec().hasDeadline() ? objective.finishMicros() : 0;
     }
 
     /** CPU time that the job still needs; tasks under way are half over, on the average. */
     private double work(ActiveJob job) {
-        return (job.left() - 0.5 * job.running()) * job.spec.cpuMillis() * runtimeEstimator.taskMicros(job);
+        return (job.left() - 0.5 * job.running()) * job.spec().cpuMillis() * runtimeEstimator.taskMicros(job);
     }
 
     private void survey(long now) {
         batchWork = 0;
         urgentWork = 0;
         for (ActiveJob job : activeJobs.all()) {
-            if (!job.spec.service()) {
+            if (!job.spec().service()) {
                 double work = work(job);
                 batchWork += work;
-                urgentWork += job.spec.hasDeadline() ? work : 0;
+                urgentWork += job.spec().hasDeadline() ? work : 0;
             }
         }
         room = 0;
         cheapRoom = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.type != null
-                    && machine.phase != Machine.Phase.RETURNING
+            if (machine.type() != null
+                    && machine.phase() != Machine.Phase.RETURNING
                     && !machine.unresponsive(now, config.reportMicros())) {
-                long forBatch = machine.type.cpuMillis() - machine.cpuUsedByServices();
+                long forBatch = machine.type().cpuMillis() - machine.cpuUsedByServices();
                 room += forBatch;
-                cheapRoom += machine.spot || machine.hostsService() ? forBatch : 0;
+                cheapRoom += machine.spot() || machine.hostsService() ? forBatch : 0;
             }
         }
     }
@@ -221,16 +203,16 @@
      * @param moreRoom CPUs that are on their way
      */
     boolean deferrable(ActiveJob job, double moreRoom, long now) {
-        if (job.spec.service() || job.spec.gang() || !job.spec.spot()) {
+        if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
             return false;
         }
-        if (job.spec.hasDeadline() && finishAim(job) == 0) {
+        if (job.spec().hasDeadline() && finishAim(job) == 0) {
             // Should the wait turn out longer, there must be time left to rent a machine after all.
             double wait = urgentWork / Math.max(1, cheapRoom + moreRoom) + quickestBootMicros();
             return activeJobs.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
-                    <= job.spec.deadlineMicros();
+                    <= job.spec().deadlineMicros();
         }
-        Config.Objective objective = config.objectives().getOrDefault(job.spec.jobClass(), Config.Objective.NONE);
+        Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
         if (objective.waitMicros() == 0 && objective.finishMicros() == 0) {
             return !stalled(job, now);
         }
@@ -239,7 +221,7 @@
                 objective.finishMicros() == 0
                         ? Double.MAX_VALUE
                         : objective.finishMicros() - runtimeEstimator.taskMicros(job));
-        long waited = job.waitingSinceMicros < 0 ? 0 : now - job.waitingSinceMicros;
+        long waited = !job.isWaiting() ? 0 : now - job.waitingSinceMicros();
         return waited + batchWork / Math.max(1, cheapRoom + moreRoom)
                 <= aim * config.tuning().deferralShare();
     }
@@ -250,9 +232,9 @@
      */
     boolean mustStartAtOnce(ActiveJob job) {
         long aim = config.objectives()
-                .getOrDefault(job.spec.jobClass(), Config.Objective.NONE)
+                .getOrDefault(job.spec().jobClass(), Config.Objective.NONE)
                 .waitMicros();
-        return job.schedulingClass == SchedulingClass.GUARANTEED || (aim > 0 && aim < quickestBootMicros());
+        return job.schedulingClass() == SchedulingClass.GUARANTEED || (aim > 0 && aim < quickestBootMicros());
     }
 
     private double quickestBootMicros() {
--- a/src/main/java/org/granitepath/coordination/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/CommandSender.java
@@ -54,10 +54,10 @@
 
     /** What is to end there, as of now. Every answer that renews a lease holds it: no task outlives its end by that. */
     static List<WorkerCommand> stopsFor(Machine machine) {
-        List<WorkerCommand> stops = new ArrayList<>(machine.cleanupCommands);
-        for (Placement placement : machine.placements.values()) {
-            if (placement.phase == Placement.Phase.STOPPING) {
-                stops.add(WorkerCommand.stop(placement.task, placement.attempt, placement.graceMicros));
+        List<WorkerCommand> stops = new ArrayList<>(machine.cleanupCommands());
+        for (Placement placement : machine.placements()) {
+            if (placement.phase() == Placement.Phase.STOPPING) {
+                stops.add(WorkerCommand.stop(placement.task(), placement.attempt(), placement.graceMicros()));
             }
         }
         return stops;
@@ -68,9 +68,8 @@
         List<WorkerCommand> list = stopsFor(machine);
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
-            list.add(WorkerCommand.start(placement.task, placement.attempt));
-            placement.sentInAnswer = true;
-            placement.transition(Placement.Phase.SENT, "in an answer");
+            list.add(WorkerCommand.start(placement.task(), placement.attempt()));
+            placement.sentInAnswer();
         }
         return list;
     }
@@ -79,8 +78,8 @@
         if (!machine.takesTasks() || !leadership.mayStart()) {
             return List.of();
         }
-        return machine.placements.values().stream()
-                .filter(placement -> placement.phase == Placement.Phase.ASSIGNED)
+        return machine.placements().stream()
+                .filter(placement -> placement.phase() == Placement.Phase.ASSIGNED)
                 .toList();
     }
 
@@ -97,7 +96,7 @@
             if (calls >= config.callsAtOnce()) {
                 return;
             }
-            if (!machine.callUnderWay && machine.session >= 0 && !fleet.unresponsive(machine, now)) {
+            if (!machine.callUnderWay() && machine.session() >= 0 && !fleet.unresponsive(machine, now)) {
                 sendDirectly(machine);
             }
         }
@@ -109,11 +108,9 @@
         // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
         List<Placement> starts = startable(machine);
         for (Placement placement : starts) {
-            list.add(WorkerCommand.start(placement.task, placement.attempt));
-            placement.sentInAnswer = false;
-            placement.unansweredToken = machine.fencingToken;
-            machine.directAttempts.put(placement.attempt, machine.fencingToken);
-            placement.transition(Placement.Phase.SENT, "direct");
+            list.add(WorkerCommand.start(placement.task(), placement.attempt()));
+            machine.startedDirectly(placement.attempt());
+            placement.sentDirectly();
         }
         if (!list.isEmpty()) {
             call(machine, list, starts, () -> {});
@@ -125,17 +122,17 @@
      * does.
      */
     void showToken(Machine machine) {
-        if (!machine.callUnderWay && machine.session >= 0 && calls < config.callsAtOnce()) {
+        if (!machine.callUnderWay() && machine.session() >= 0 && calls < config.callsAtOnce()) {
             call(machine, List.of(), List.of(), () -> {});
         }
     }
 
     /** Shows the token to a machine that has not confirmed it yet, as long as calls are left. */
     void showTokenIfUnconfirmed(Machine machine, long now) {
-        if (machine.phase == Machine.Phase.UNCONFIRMED
-                && !machine.inherited
-                && machine.recorded
-                && !machine.needsNewToken
+        if (machine.phase() == Machine.Phase.UNCONFIRMED
+                && !machine.inherited()
+                && machine.recorded()
+                && !machine.needsNewToken()
                 && !fleet.unresponsive(machine, now)) {
             showToken(machine);
         }
@@ -144,10 +141,10 @@
     /** A report is overdue: whether the machine can be reached at all is soon known. */
     void probe(Machine machine, long now) {
         if (fleet.overdue(machine, now)
-                && !machine.fenced
-                && !machine.inherited
-                && !machine.callUnderWay
-                && now - machine.probedMicros > config.reportMicros()
+                && !machine.fenced()
+                && !machine.inherited()
+                && !machine.callUnderWay()
+                && now - machine.probedMicros() > config.reportMicros()
                 && calls < config.callsAtOnce() / 2) {
             call(machine, List.of(), List.of(), () -> {});
         }
@@ -162,17 +159,17 @@
     private void callUnheard() {
         while (!ended.getAsBoolean() && !unheard.isEmpty() && takeoverCalls < config.callsAtOnce() * 2 / 3) {
             Machine machine = unheard.poll();
-            if (!machine.inherited || machine.phase != Machine.Phase.UNCONFIRMED || machine.fenced) {
+            if (!machine.inherited() || machine.phase() != Machine.Phase.UNCONFIRMED || machine.fenced()) {
                 continue;
             }
-            if (machine.callUnderWay) {
+            if (machine.callUnderWay()) {
                 callAgain(machine);
                 continue;
             }
             takeoverCalls++;
             call(machine, List.of(), List.of(), () -> {
                 takeoverCalls--;
-                if (machine.inherited) {
+                if (machine.inherited()) {
                     callAgain(machine);
                 }
                 callUnheard();
@@ -188,16 +185,14 @@
     }
 
     private void call(Machine machine, List<WorkerCommand> list, List<Placement> starts, Runnable answered) {
-        machine.callUnderWay = true;
-        machine.fenced = false; // the worker may see the token, and a lease keeper that knows it may go on under it
-        machine.probedMicros = timers.nowMicros();
+        machine.callBegins(timers.nowMicros());
         calls++;
-        long token = machine.fencingToken;
+        long token = machine.fencingToken();
         // Of a machine taken over the session is not known; a wrong guess is answered with the right one.
-        workers.send(machine.address, token, Math.max(1, machine.session), list, reply -> {
+        workers.send(machine.address(), token, Math.max(1, machine.session()), list, reply -> {
             calls--;
-            machine.callUnderWay = false;
-            if (!ended.getAsBoolean() && machine.phase != Machine.Phase.GONE) {
+            machine.callEnded();
+            if (!ended.getAsBoolean() && !machine.isGone()) {
                 takeReply(machine, token, starts, reply);
                 loop.requestSend();
             }
@@ -206,7 +201,7 @@
     }
 
     private void takeReply(Machine machine, long token, List<Placement> starts, WorkerPort.Reply reply) {
-        machine.probeFailed = reply.report() == null && machine.heardMicros < machine.probedMicros;
+        machine.callAnswered(reply.report() != null);
         if (reply.report() == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start has no answer");
@@ -214,14 +209,12 @@
             return;
         }
         for (Placement placement : starts) {
-            if (placement.unansweredToken == token) {
-                placement.unansweredToken = 0;
-            }
+            placement.directStartAnswered(token);
         }
         reconciler.reconcile(machine, reply.report(), false);
         if (!reply.executed()
-                && machine.phase == Machine.Phase.UNCONFIRMED
-                && reply.report().fencingToken() <= machine.fencingToken) {
+                && machine.phase() == Machine.Phase.UNCONFIRMED
+                && reply.report().fencingToken() <= machine.fencingToken()) {
             showToken(machine);
         }
     }
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/Consolidator.java
@@ -50,7 +50,7 @@
         int atOnce = 1 + fleet.machines().size() / MACHINES_FOR_ONE_MORE;
         List<Machine> emptiest = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (machine.phase == Machine.Phase.DRAINING && !machine.placements.isEmpty()) {
+            if (machine.phase() == Machine.Phase.DRAINING && machine.hasPlacements()) {
                 atOnce--;
             } else if (mayEmpty(machine, now)) {
                 emptiest.add(machine);
@@ -64,8 +64,8 @@
             }
             if (!taken.containsKey(machine) && othersHold(machine)) {
                 atOnce--;
-                machines.drain(machine, "its " + machine.placements.size() + " replicas fit elsewhere");
-                for (Placement placement : List.copyOf(machine.placements.values())) {
+                machines.drain(machine, "its " + machine.placements().size() + " replicas fit elsewhere");
+                for (Placement placement : List.copyOf(machine.placements())) {
                     tasks.stop(placement, 0, "moves to a fuller machine");
                 }
             }
@@ -73,13 +73,13 @@
     }
 
     private static boolean mayEmpty(Machine machine, long now) {
-        if (!machine.takesTasks() || machine.placements.isEmpty() || machine.cpuUsedShare() > MOST_USED_TO_EMPTY) {
+        if (!machine.takesTasks() || !machine.hasPlacements() || machine.cpuUsedShare() > MOST_USED_TO_EMPTY) {
             return false;
         }
-        for (Placement placement : machine.placements.values()) {
-            if (!placement.job.spec.service()
-                    || placement.phase != Placement.Phase.RUNNING
-                    || now - placement.runningSinceMicros < MIN_RUNTIME_MICROS) {
+        for (Placement placement : machine.placements()) {
+            if (!placement.job().spec().service()
+                    || placement.phase() != Placement.Phase.RUNNING
+                    || now - placement.runningSinceMicros() < MIN_RUNTIME_MICROS) {
                 return false;
             }
         }
@@ -88,19 +88,19 @@
 
     private static boolean soonHas(Machine machine, JobSpec spec) {
         return machine.hasImage(spec.image())
-                || spec.imageGb() / machine.type.fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
+                || spec.imageGb() / machine.type().fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
     }
 
     /** Whether fuller machines have room for all tasks of this one, in its zone and with their images or nearly so. */
     private boolean othersHold(Machine from) {
-        for (Placement placement : from.placements.values()) {
-            JobSpec spec = placement.job.spec;
+        for (Placement placement : from.placements()) {
+            JobSpec spec = placement.job().spec();
             boolean placed = false;
             for (Machine machine : fleet.machines()) {
                 if (machine == from
                         || !machine.takesTasks()
                         || !machine.allowedFor(spec)
-                        || (!machine.zone.equals(from.zone) && spec.spread())
+                        || (!machine.zone().equals(from.zone()) && spec.spread())
                         || !soonHas(machine, spec)
                         || machine.cpuUsedShare() <= from.cpuUsedShare()) {
                     continue;
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/Dispatcher.java
@@ -223,27 +223,27 @@
             machine = fleet.newMachine(heartbeat, term.fencingToken());
             machines.join(machine);
         }
-        if (heartbeat.fencingToken() > machine.fencingToken) {
+        if (heartbeat.fencingToken() > machine.fencingToken()) {
             return outranked(machine, heartbeat);
         }
         if (!reconciler.reconcile(machine, heartbeat, true)) {
-            machine.fenced = false;
+            machine.liftFence();
             // Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be.
-            return machine.phase != Machine.Phase.GONE && heartbeat.session() == machine.session
-                    ? new HeartbeatResponse.Accepted(machine.fencingToken, CommandSender.stopsFor(machine))
+            return !machine.isGone() && heartbeat.session() == machine.session()
+                    ? new HeartbeatResponse.Accepted(machine.fencingToken(), CommandSender.stopsFor(machine))
                     : new HeartbeatResponse.Unavailable();
         }
         loop.passNowIfDue();
-        return new HeartbeatResponse.Accepted(machine.fencingToken, sender.commandsForAnswer(machine));
+        return new HeartbeatResponse.Accepted(machine.fencingToken(), sender.commandsForAnswer(machine));
     }
 
     /** Someone with a higher token gives commands there: we were replaced, or our own new token is under way. */
     private HeartbeatResponse outranked(Machine machine, Heartbeat heartbeat) {
         LOG.info(
                 "machine {} has seen fencing token {}, ours is {}",
-                machine.id,
+                machine.id(),
                 heartbeat.fencingToken(),
-                machine.fencingToken);
+                machine.fencingToken());
         replica.barrier(fresh -> {});
         return new HeartbeatResponse.Unavailable();
     }
@@ -292,10 +292,10 @@
      * be answering this worker. So the state service must have confirmed us after the end.
      */
     private void checkLease(Machine machine) {
-        if (machine.leaseOverMicros <= 0 || leadership.confirmedMicros() <= machine.leaseOverMicros) {
+        if (machine.leaseOverMicros() <= 0 || leadership.confirmedMicros() <= machine.leaseOverMicros()) {
             return;
         }
-        if (machine.fenced || !config.peerIn(machine.zone)) {
+        if (machine.fenced() || !config.peerIn(machine.zone())) {
             machines.leaseExpired(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
@@ -304,10 +304,10 @@
 
     private void checkPlacements(Machine machine, long now) {
         boolean unresponsive = fleet.unresponsive(machine, now);
-        for (Placement placement : List.copyOf(machine.placements.values())) {
-            if (unresponsive && placement.phase == Placement.Phase.ASSIGNED) {
+        for (Placement placement : List.copyOf(machine.placements())) {
+            if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
                 tasks.free(placement, "never sent: the machine has fallen silent");
-            } else if (placement.phase == Placement.Phase.STOPPING) {
+            } else if (placement.phase() == Placement.Phase.STOPPING) {
                 tasks.stopAgain(placement);
             }
         }
--- a/src/main/java/org/granitepath/coordination/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/FailureDetector.java
@@ -48,9 +48,9 @@
         overdue = 0;
         doubtful.clear();
         for (Machine machine : fleet.machines()) {
-            all.addTo(machine.zone, 1);
+            all.addTo(machine.zone(), 1);
             if (fleet.overdue(machine, now)) {
-                late.addTo(machine.zone, 1);
+                late.addTo(machine.zone(), 1);
                 overdue++;
             }
         }
@@ -93,7 +93,7 @@
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
     boolean waitedFor(Machine machine, long now) {
-        return cutOff(machine.zone, now) && config.peerIn(machine.zone);
+        return cutOff(machine.zone(), now) && config.peerIn(machine.zone());
     }
 
     /**
@@ -102,7 +102,7 @@
      * for that much longer, and without the wait the first ones were returned with all their work.
      */
     long silenceMicros(Machine machine) {
-        int reports = doubtful.contains(machine.zone) ? REPORTS_MISSED + 1 : REPORTS_MISSED;
+        int reports = doubtful.contains(machine.zone()) ? REPORTS_MISSED + 1 : REPORTS_MISSED;
         return reports * config.reportMicros() + ANSWER_MICROS;
     }
 
--- a/src/main/java/org/granitepath/coordination/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/FaultTracker.java
@@ -50,7 +50,7 @@
         machines.add(machine);
         boolean jobInQuestion = machines.size() >= MACHINES_OF_A_FAULTY_JOB;
         boolean turnedFaulty = !jobInQuestion && blame(machine, job, now);
-        job.notBeforeMicros = now + backoffMicros(machines.size());
+        job.startNothingBefore(now + backoffMicros(machines.size()));
         return turnedFaulty ? List.of(machine) : List.of();
     }
 
@@ -59,10 +59,10 @@
      * those on which the job failed before, which is now known not to be the job's own fault.
      */
     List<Machine> proved(Placement placement, long now) {
-        ActiveJob job = placement.job;
-        Suspect suspect = suspects.get(placement.machine);
-        if (suspect != null && !placement.takenOver && placement.runningSinceMicros > suspect.failedMicros) {
-            clear(placement.machine, suspect);
+        ActiveJob job = placement.job();
+        Suspect suspect = suspects.get(placement.machine());
+        if (suspect != null && !placement.takenOver() && placement.runningSinceMicros() > suspect.failedMicros) {
+            clear(placement.machine(), suspect);
         }
         if (!provenJobs.add(job)) {
             return List.of();
@@ -71,15 +71,15 @@
         if (machines == null) {
             return List.of();
         }
-        job.notBeforeMicros = now;
+        job.startNothingBefore(now);
         return machines.stream()
-                .filter(machine -> machine.phase != Machine.Phase.GONE && blame(machine, job, now))
+                .filter(machine -> !machine.isGone() && blame(machine, job, now))
                 .toList();
     }
 
     /** Whether a task's further running could prove anything that is not known yet. */
     boolean wantsProof(Placement placement) {
-        return suspects.containsKey(placement.machine) || !provenJobs.contains(placement.job);
+        return suspects.containsKey(placement.machine()) || !provenJobs.contains(placement.job());
     }
 
     boolean suspects(Machine machine) {
@@ -97,13 +97,13 @@
         }
         return !suspect.faulty
                 && !suspect.failedJobs.contains(job)
-                && machine.placements.values().stream().noneMatch(p -> p.placedMicros > suspect.failedMicros);
+                && machine.placements().stream().noneMatch(p -> p.placedMicros() > suspect.failedMicros);
     }
 
     /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
     boolean mayStartAnother(ActiveJob job) {
         Set<Machine> machines = failedOn.get(job);
-        return machines == null || machines.size() < MACHINES_OF_A_FAULTY_JOB || job.placements.isEmpty();
+        return machines == null || machines.size() < MACHINES_OF_A_FAULTY_JOB || !job.hasPlacements();
     }
 
     /** Forgets a machine that is gone. */
@@ -132,7 +132,7 @@
         for (ActiveJob failedJob : suspect.failedJobs) {
             Set<Machine> machines = failedOn.get(failedJob);
             if (machines != null && machines.remove(machine) && machines.isEmpty()) {
-                failedJob.notBeforeMicros = now;
+                failedJob.startNothingBefore(now);
             }
         }
         return true;
--- a/src/main/java/org/granitepath/coordination/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/Fleet.java
@@ -55,7 +55,7 @@
             types.put(type.name(), type);
         }
         for (Machine machine : machines.values()) {
-            machine.type = types.get(machine.typeName);
+            machine.typeKnown(types.get(machine.typeName()));
         }
     }
 
@@ -64,13 +64,8 @@
         // The former leader may go on answering them for a while, if it is out of contact.
         long leaseOver = startedMicros + config.maxDisconnectedMicros() + config.longestLeaseMicros();
         for (Machine machine : inherited) {
-            machine.inherited = true;
-            machine.heardMicros = startedMicros;
-            machine.firstHeardMicros = startedMicros;
-            machine.idleSinceMicros = startedMicros;
-            machine.unconfirmedMicros = startedMicros;
-            machine.leaseOverMicros = leaseOver;
-            machines.put(machine.id, machine);
+            machine.takenOver(startedMicros, leaseOver);
+            machines.put(machine.id(), machine);
         }
     }
 
@@ -78,23 +73,18 @@
     Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
                 heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-        long now = timers.nowMicros();
-        machine.type = types.get(machine.typeName);
-        machine.fencingToken = fencingToken;
-        machine.firstHeardMicros = now;
-        machine.rentedMicros = now;
-        machine.unconfirmedMicros = now;
-        machine.idleSinceMicros = now;
+        machine.typeKnown(types.get(machine.typeName()));
+        machine.joined(fencingToken, timers.nowMicros());
         return machine;
     }
 
     void add(Machine machine) {
-        machines.put(machine.id, machine);
+        machines.put(machine.id(), machine);
     }
 
     void remove(Machine machine) {
-        machines.remove(machine.id);
-        departed.put(machine.id, machine.session);
+        machines.remove(machine.id());
+        departed.put(machine.id(), machine.session());
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
@@ -113,13 +103,13 @@
 
     /** Whether a report is late by so much that it is worth asking for one. */
     boolean overdue(Machine machine, long now) {
-        return now - machine.heardMicros > OVERDUE_REPORTS * config.reportMicros();
+        return now - machine.heardMicros() > OVERDUE_REPORTS * config.reportMicros();
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
     boolean noOrphanedTasks() {
         for (Machine machine : machines.values()) {
-            for (WorkerCommand command : machine.cleanupCommands) {
+            for (WorkerCommand command : machine.cleanupCommands()) {
                 if (command.verb() == WorkerCommand.Verb.STOP) {
                     return false;
                 }
@@ -146,7 +136,7 @@
     /** This process stood still: no machine was silent for that time. */
     void excusePause(long pauseMicros, long now) {
         for (Machine machine : machines.values()) {
-            machine.heardMicros = Math.min(now, machine.heardMicros + pauseMicros);
+            machine.excusePause(pauseMicros, now);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/FleetSummary.java
@@ -14,8 +14,8 @@
         long used;
 
         void add(Machine machine) {
-            total += machine.type.cpuMillis();
-            used += machine.type.cpuMillis() - machine.cpuFree();
+            total += machine.type().cpuMillis();
+            used += machine.type().cpuMillis() - machine.cpuFree();
         }
 
         @Override
@@ -43,8 +43,8 @@
         Cpu spot = new Cpu();
         int idle = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.type != null) {
-                (machine.spot ? spot : fullPrice).add(machine);
+            if (machine.type() != null) {
+                (machine.spot() ? spot : fullPrice).add(machine);
                 idle += machine.isEmpty() ? 1 : 0;
             }
         }
--- a/src/main/java/org/granitepath/coordination/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/GangHeadroom.java
@@ -27,8 +27,8 @@
     void survey() {
         Object2LongOpenHashMap<String> free = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (!machine.spot && machine.takesTasks()) {
-                free.addTo(machine.zone, machine.cpuFree());
+            if (!machine.spot() && machine.takesTasks()) {
+                free.addTo(machine.zone(), machine.cpuFree());
             }
         }
         zone = "";
@@ -43,17 +43,19 @@
     }
 
     private boolean isWanted(Machine machine) {
-        return batchPlanner.promptGangCpu() > 0 && !machine.spot && machine.zone.equals(zone);
+        return batchPlanner.promptGangCpu() > 0
+                && !machine.spot()
+                && machine.zone().equals(zone);
     }
 
     /** Whether the job may have a task there, as far as gangs are concerned. */
     boolean leavesRoom(Machine machine, ActiveJob job, long now) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         if (!isWanted(machine) || spec.service() || spec.gang() || !spec.spot()) {
             return true;
         }
         return spareCpu >= spec.cpuMillis()
-                || now - Math.max(job.waitingSinceMicros, job.lastStartMicros) > LONGEST_BESIDE_ROOM_MICROS;
+                || now - Math.max(job.waitingSinceMicros(), job.lastStartMicros()) > LONGEST_BESIDE_ROOM_MICROS;
     }
 
     /** A task was placed there. */
--- a/src/main/java/org/granitepath/coordination/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/GangScheduler.java
@@ -42,21 +42,21 @@
     /** Releases the machines reserved for gangs that no longer wait for them. Called before each pass. */
     void releaseReservations(long now) {
         for (Machine machine : fleet.machines()) {
-            ActiveJob job = machine.reservedFor;
-            if (job != null && (job.waiting() <= 0 || job.gangAttempt != null || reservationIsOver(job, now))) {
-                machine.reservedFor = null;
+            ActiveJob job = machine.reservedFor();
+            if (job != null && (job.waiting() <= 0 || job.gangAttempt() != null || reservationIsOver(job, now))) {
+                machine.endReservation();
             }
         }
     }
 
     private boolean reservationIsOver(ActiveJob job, long now) {
-        return job.reservedSinceMicros < 0 || now - job.reservedSinceMicros > reservationMicros(job);
+        return !job.holdsReservation() || now - job.reservedSinceMicros() > reservationMicros(job);
     }
 
     /** Machines bought for the gang come one after the other: the first must still be there when the last one is. */
     private long reservationMicros(ActiveJob job) {
         long boot = fleet.types().values().stream()
-                .filter(type -> type.fits(job.spec))
+                .filter(type -> type.fits(job.spec()))
                 .mapToLong(MachineType::bootMicros)
                 .max()
                 .orElse(0);
@@ -65,9 +65,9 @@
 
     /** Brings a gang forward as far as the room allows; {@code roomy} holds the machines with some room. */
     void schedule(ActiveJob job, List<Machine> roomy, long now) {
-        if (job.gangAttempt != null) {
+        if (job.gangAttempt() != null) {
             completeOrGiveUp(job, roomy, now);
-        } else if (job.running() == 0 && job.claimed >= job.spec.tasks()) {
+        } else if (job.running() == 0 && job.claimed() >= job.spec().tasks()) {
             startOrReserve(job, roomy, now);
         }
     }
@@ -75,11 +75,11 @@
     // ---- whole gangs -------------------------------------------------------------------------------------------
 
     private void startOrReserve(ActiveJob job, List<Machine> roomy, long now) {
-        if (!rules.teamAllows(job.spec, job.spec.tasks())) {
+        if (!rules.teamAllows(job.spec(), job.spec().tasks())) {
             return;
         }
         Plan best = null;
-        for (String zone : zones(job.spec)) {
+        for (String zone : zones(job.spec())) {
             Plan plan = plan(job, roomy, zone, now);
             if (plan != null && (best == null || plan.fetches() < best.fetches())) {
                 best = plan;
@@ -91,12 +91,12 @@
         }
         LOG.info(
                 "gang {} of {} starts {} tasks after {} ms, {} fetch their image",
-                job.spec.id(),
-                job.spec.jobClass(),
-                job.spec.tasks(),
-                (now - job.waitingSinceMicros) / 1_000,
+                job.spec().id(),
+                job.spec().jobClass(),
+                job.spec().tasks(),
+                (now - job.waitingSinceMicros()) / 1_000,
                 best.fetches());
-        job.reservedSinceMicros = -1;
+        job.reservationEnds();
         tasks.startGang(job, best.machines(), now);
     }
 
@@ -111,11 +111,11 @@
     }
 
     private static boolean isIn(Machine machine, String zone) {
-        return zone == null || machine.zone.equals(zone);
+        return zone == null || machine.zone().equals(zone);
     }
 
     private Plan plan(ActiveJob job, List<Machine> roomy, String zone, long now) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
         int slots = 0;
         for (Machine machine : roomy) {
@@ -145,7 +145,7 @@
         for (Machine machine : candidates) {
             int slots = slotsOf(machine, spec);
             for (int i = 0; i < slots && chosen.size() < spec.tasks(); i++) {
-                if (inZone.merge(machine.zone, 1, Integer::sum) > spec.zoneCap()) {
+                if (inZone.merge(machine.zone(), 1, Integer::sum) > spec.zoneCap()) {
                     break;
                 }
                 chosen.add(machine);
@@ -159,34 +159,33 @@
 
     /** Holds machines for a gang that does not fit, in the zone where it soonest will; for a set time only. */
     private void reserve(ActiveJob job, long now) {
-        if (now < job.noReservationUntilMicros) {
+        if (now < job.noReservationUntilMicros()) {
             return;
         }
-        if (job.reservedSinceMicros < 0) {
-            job.reservedSinceMicros = now;
+        if (!job.holdsReservation()) {
+            job.reservationBegins(now);
         } else if (reservationIsOver(job, now)) {
-            LOG.debug("gang {} is passed over: it does not fit", job.spec.id());
-            job.reservedSinceMicros = -1;
-            job.noReservationUntilMicros = now + config.tuning().gangHoldMicros();
-            fleet.machines()
-                    .forEach(machine -> machine.reservedFor = machine.reservedFor == job ? null : machine.reservedFor);
+            LOG.debug("gang {} is passed over: it does not fit", job.spec().id());
+            job.reservationEnds();
+            job.reserveNothingUntil(now + config.tuning().gangHoldMicros());
+            fleet.machines().forEach(machine -> machine.endReservationFor(job));
             return;
         }
         int room = (int) (MOST_RESERVED_SHARE * fleet.machines().size());
         for (Machine machine : fleet.machines()) {
-            room -= machine.reservedFor == null || machine.reservedFor == job ? 0 : 1;
+            room -= machine.reservedFor() == null || machine.reservedFor() == job ? 0 : 1;
         }
         Reservation best = new Reservation(List.of(), 0, -1);
-        for (String zone : zones(job.spec)) {
+        for (String zone : zones(job.spec())) {
             Reservation candidate = reservable(job, zone, now);
             if (candidate.machines().size() <= room && candidate.isBetterThan(best)) {
                 best = candidate;
             }
         }
         for (Machine machine : fleet.machines()) {
-            machine.reservedFor = machine.reservedFor == job ? null : machine.reservedFor;
+            machine.endReservationFor(job);
         }
-        best.machines().forEach(machine -> machine.reservedFor = job);
+        best.machines().forEach(machine -> machine.reserveFor(job));
     }
 
     /** Machines for a gang, how many of its tasks they will hold once batch work there has ended, and how many now. */
@@ -198,14 +197,14 @@
 
     /** The machines of a zone that will hold the gang or, while others are bought, a part of it; most room first. */
     private Reservation reservable(ActiveJob job, String zone, long now) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (isIn(machine, zone) && rules.mayHold(machine, job) && rules.eligible(machine, job, now)) {
                 candidates.add(machine);
             }
         }
-        candidates.sort(Comparator.comparing((Machine machine) -> machine.reservedFor != job)
+        candidates.sort(Comparator.comparing((Machine machine) -> machine.reservedFor() != job)
                 .thenComparing(machine -> -slotsOf(machine, spec)));
         List<Machine> chosen = new ArrayList<>();
         int slots = 0;
@@ -227,22 +226,25 @@
     // ---- tasks lost before the start ---------------------------------------------------------------------------
 
     private void completeOrGiveUp(ActiveJob job, List<Machine> roomy, long now) {
-        GangAttempt attempt = job.gangAttempt;
-        if (!attempt.mayBeCompleted() || !job.unconfirmed.isEmpty()) {
+        GangAttempt attempt = job.gangAttempt();
+        if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
             return;
         }
         while (job.waiting() > 0) {
-            int index = job.free.firstInt();
+            int index = job.firstFreed();
             Machine machine = replacement(job, index, roomy, now);
             if (machine == null) {
                 break;
             }
-            LOG.info("task {} of gang {} is started anew, for the others that wait", index, job.spec.id());
+            LOG.info(
+                    "task {} of gang {} is started anew, for the others that wait",
+                    index,
+                    job.spec().id());
             tasks.startInGang(job, index, machine, now);
         }
         long lastMoment = config.gangWaitMicros() - REPORTS_OF_A_WAIT * config.reportMicros();
         if (job.waiting() > 0 && attempt.isHopeless(now, config.tuning().gangHoldMicros(), lastMoment)) {
-            tasks.stop(job.placements.values().iterator().next(), 0, "its gang can't be completed in time");
+            tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
     }
 
@@ -252,12 +254,12 @@
         }
         Machine best = null;
         for (Machine machine : roomy) {
-            boolean may = machine.hasRoom(job.spec)
+            boolean may = machine.hasRoom(job.spec())
                     && machine.takesTasks()
                     && rules.mayHold(machine, job)
                     && rules.suits(machine, job, now)
-                    && !job.gangAttempt.wasTriedOn(index, machine.id);
-            if (may && (best == null || preference.score(machine, job.spec) > preference.score(best, job.spec))) {
+                    && !job.gangAttempt().wasTriedOn(index, machine.id());
+            if (may && (best == null || preference.score(machine, job.spec()) > preference.score(best, job.spec()))) {
                 best = machine;
             }
         }
--- a/src/main/java/org/granitepath/coordination/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/JobLifecycle.java
@@ -90,8 +90,8 @@
 
     /** Records the end of the job when all its tasks are done. */
     void endIfDone(ActiveJob job) {
-        if (job.phase == ActiveJob.Phase.OPEN && job.left() == 0) {
-            job.transition(ActiveJob.Phase.ENDING, "all tasks done");
+        if (job.isOpen() && job.left() == 0) {
+            job.allTasksDone();
             recordDone(job);
         }
     }
@@ -112,8 +112,8 @@
     @Override
     public void progressed(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
-        if (job != null && progress.claimed() > job.claimed) {
-            job.claimed = progress.claimed();
+        if (job != null && progress.claimed() > job.claimed()) {
+            job.claimRecorded(progress.claimed());
             loop.requestPass();
         }
     }
@@ -124,11 +124,11 @@
         if (job == null) {
             return;
         }
-        job.transition(ActiveJob.Phase.OVER, how.toString());
+        job.over(how.toString());
         if (how == FinalRecord.Outcome.DONE) {
             logDone(job);
         }
-        for (Placement placement : List.copyOf(job.placements.values())) {
+        for (Placement placement : List.copyOf(job.placements())) {
             tasks.stop(placement, 0, "job " + how);
         }
         jobs.removeIfOver(job);
@@ -138,15 +138,15 @@
     private void logDone(ActiveJob job) {
         long age = jobs.ageMicros(job, timers.nowMicros());
         String due = "";
-        if (job.spec.hasDeadline()) {
-            due = (age > job.spec.deadlineMicros() ? ", LATE, due after " : ", due after ")
-                    + job.spec.deadlineMicros() / 1_000_000 + " s";
+        if (job.spec().hasDeadline()) {
+            due = (age > job.spec().deadlineMicros() ? ", LATE, due after " : ", due after ")
+                    + job.spec().deadlineMicros() / 1_000_000 + " s";
         }
         LOG.info(
                 "job {} of {} ({} tasks) done after {} s{}",
-                job.spec.id(),
-                job.spec.jobClass(),
-                job.spec.tasks(),
+                job.spec().id(),
+                job.spec().jobClass(),
+                job.spec().tasks(),
                 age / 1_000_000,
                 due);
     }
@@ -154,11 +154,12 @@
     /** Claims the next block of task numbers in good time, before the present one is used up. */
     void claim(ActiveJob job) {
         // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
-        int block = writeQueue.behind() ? job.spec.tasks() : config.tuning().nextBlock(job.spec);
-        int target = job.spec.gang() ? job.spec.tasks() : Math.min(job.spec.tasks(), job.fresh + block);
-        boolean soonUsedUp = job.claimWanted - job.fresh <= block / 2;
-        if (target > job.claimWanted && (target == job.spec.tasks() || soonUsedUp)) {
-            job.claimWanted = target;
+        int block = writeQueue.behind() ? job.spec().tasks() : config.tuning().nextBlock(job.spec());
+        int target =
+                job.spec().gang() ? job.spec().tasks() : Math.min(job.spec().tasks(), job.firstNeverStarted() + block);
+        boolean soonUsedUp = job.claimWanted() - job.firstNeverStarted() <= block / 2;
+        if (target > job.claimWanted() && (target == job.spec().tasks() || soonUsedUp)) {
+            job.claimRequested(target);
             recordProgress(job, WriteQueue.Urgency.WORK, 0);
         }
     }
@@ -169,22 +170,22 @@
     }
 
     private void recordProgress(ActiveJob job, WriteQueue.Urgency urgency, long delayMicros) {
-        String key = Keys.PROGRESS + job.spec.id();
+        String key = Keys.PROGRESS + job.spec().id();
         writeQueue.enqueue(
                 key,
                 urgency,
                 delayMicros,
-                () -> job.phase == ActiveJob.Phase.OVER
+                () -> job.phase() == ActiveJob.Phase.OVER
                         ? List.of()
                         : List.of(Change.write(
                                 key,
-                                new ProgressRecord(config.node(), job.claimWanted, job.done, job.running())
+                                new ProgressRecord(config.node(), job.claimWanted(), job.done(), job.running())
                                         .atMost(config.stateLimits().valueBytes()))),
                 epoch -> loop.requestPass());
     }
 
     private void recordDone(ActiveJob job) {
-        String key = Keys.FINAL + job.spec.id();
+        String key = Keys.FINAL + job.spec().id();
         writeQueue.enqueue(
                 key,
                 WriteQueue.Urgency.SAFETY,
--- a/src/main/java/org/granitepath/coordination/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/MachineInventory.java
@@ -116,11 +116,9 @@
             Set<String> names = new LinkedHashSet<>();
             for (InventoryRecord.Host host : hosts.hosts()) {
                 Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
-                machine.inventoryPart = part;
-                machine.recorded = true;
-                machine.fencingToken = term.fencingToken();
+                machine.foundOnRecord(part, term.fencingToken());
                 inherited.add(machine);
-                names.add(machine.id);
+                names.add(machine.id());
             }
             values.add(names);
             usedBytes.add(EMPTY_VALUE_BYTES
@@ -158,7 +156,7 @@
                 split(
                         part,
                         inherited.stream()
-                                .filter(machine -> machine.inventoryPart == large)
+                                .filter(machine -> machine.inventoryPart() == large)
                                 .toList());
             }
         }
@@ -213,13 +211,13 @@
     }
 
     private static int rowBytes(Machine machine) {
-        return machine.inventoryRow(machine.fencingToken).largestRowBytes();
+        return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
     }
 
     private void put(Machine machine, int part) {
-        values.get(part).add(machine.id);
+        values.get(part).add(machine.id());
         usedBytes.set(part, usedBytes.getInt(part) + rowBytes(machine));
-        machine.inventoryPart = part;
+        machine.putInPart(part);
     }
 
     void add(Machine machine) {
@@ -237,8 +235,8 @@
     }
 
     void remove(Machine machine) {
-        int part = machine.inventoryPart;
-        if (values.get(part).remove(machine.id)) {
+        int part = machine.inventoryPart();
+        if (values.get(part).remove(machine.id())) {
             usedBytes.set(part, usedBytes.getInt(part) - rowBytes(machine));
         }
         if (unsplittable.contains(part)) {
@@ -249,10 +247,10 @@
 
     /** A direct command has no answer: only a higher fencing token makes sure that it can't be carried out late. */
     void requestToken(Machine machine, String why) {
-        if (!machine.needsNewToken && machine.phase != Machine.Phase.GONE) {
-            LOG.info("machine {} wants a new fencing token: {}", machine.id, why);
-            machine.needsNewToken = true;
-            changed(machine.inventoryPart);
+        if (!machine.needsNewToken() && !machine.isGone()) {
+            LOG.info("machine {} wants a new fencing token: {}", machine.id(), why);
+            machine.requireNewToken();
+            changed(machine.inventoryPart());
         }
     }
 
@@ -261,15 +259,15 @@
      * one together with others, and takes tasks until then.
      */
     void requestTokenForCleanup(Machine machine) {
-        machine.needsTokenForCleanup = true;
+        machine.requireTokenForCleanup();
         if (!cleanupTimerSet) {
             cleanupTimerSet = true;
             timers.after(CLEANUP_MICROS, () -> {
                 cleanupTimerSet = false;
                 cleanupDue = true;
                 fleet.machines().stream()
-                        .filter(each -> each.needsTokenForCleanup)
-                        .forEach(each -> changed(each.inventoryPart));
+                        .filter(each -> each.needsTokenForCleanup())
+                        .forEach(each -> changed(each.inventoryPart()));
             });
         }
     }
@@ -308,7 +306,7 @@
         }
         dirty.removeAll(group);
         for (int part : group) {
-            if (values.get(part).stream().anyMatch(id -> fleet.machine(id).needsNewToken)) {
+            if (values.get(part).stream().anyMatch(id -> fleet.machine(id).needsNewToken())) {
                 dirty.add(part);
             }
         }
@@ -338,15 +336,17 @@
         List<InventoryRecord.Host> hosts = new ArrayList<>();
         for (String id : values.get(part)) {
             Machine machine = fleet.machine(id);
-            machine.needsNewToken |= cleanupDue && machine.needsTokenForCleanup;
-            boolean draws = drawTokens && machine.needsNewToken;
+            if (cleanupDue) {
+                machine.cleanupTokenDue();
+            }
+            boolean draws = drawTokens && machine.needsNewToken();
             if (draws) {
                 withNewToken.add(machine);
             }
-            if (!machine.recorded) {
+            if (!machine.recorded()) {
                 added.add(machine);
             }
-            hosts.add(machine.inventoryRow(draws ? drawn : machine.fencingToken));
+            hosts.add(machine.inventoryRow(draws ? drawn : machine.fencingToken()));
         }
         written.add(part);
         return Change.write(Keys.INVENTORY + part, new InventoryRecord(hosts));
@@ -362,12 +362,10 @@
         dirty.removeAll(unsplittable);
         cleanupDue &= !dirty.isEmpty();
         for (Machine machine : added) {
-            machine.recorded = true;
+            machine.onRecord();
         }
         for (Machine machine : withNewToken) {
-            machine.needsNewToken = false;
-            machine.needsTokenForCleanup = false;
-            machine.fencingToken = drawn;
+            machine.tokenRaised(drawn);
             tokenListener.accept(machine);
         }
         if (!splits.isEmpty()) {
--- a/src/main/java/org/granitepath/coordination/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/MachineLifecycle.java
@@ -44,19 +44,17 @@
     void join(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}) reports for the first time",
-                machine.id,
-                machine.typeName,
-                machine.zone,
-                machine.spot ? " spot" : "");
+                machine.id(),
+                machine.typeName(),
+                machine.zone(),
+                machine.spot() ? " spot" : "");
         fleet.add(machine);
         inventory.add(machine);
     }
 
     /** Takes no new tasks from now on. */
     void drain(Machine machine, String why) {
-        if (machine.phase == Machine.Phase.READY) {
-            machine.transition(Machine.Phase.DRAINING, why);
-        }
+        machine.drain(why);
     }
 
     void drainFaulty(List<Machine> faulty) {
@@ -69,17 +67,14 @@
     void tokenRaised(Machine machine) {
         long now = timers.nowMicros();
         if (fleet.unresponsive(machine, now)) {
-            machine.fenced = true;
-            if (config.peerIn(machine.zone) && machine.leaseOverMicros > 0) {
+            machine.fence();
+            if (config.peerIn(machine.zone()) && machine.leaseOverMicros() > 0) {
                 // A controller cut off together with it may not know yet, and go on under the former token.
                 long longest = now + config.maxDisconnectedMicros() + config.longestLeaseMicros();
-                machine.leaseOverMicros = Math.max(machine.leaseOverMicros, longest);
+                machine.leaseRunsUntil(longest, false);
             }
         }
-        if (machine.phase == Machine.Phase.READY) {
-            machine.transition(Machine.Phase.UNCONFIRMED, "fencing token raised to " + machine.fencingToken);
-            machine.unconfirmedMicros = now;
-        }
+        machine.unconfirmed(now, "fencing token raised to " + machine.fencingToken());
     }
 
     /**
@@ -89,21 +84,14 @@
     void leaseExpired(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
-                machine.id,
-                machine.typeName,
-                machine.zone,
-                machine.spot ? " spot" : "",
-                machine.placements.size());
-        machine.leaseOverMicros = 0; // until it is heard again
-        machine.session = Math.max(machine.session, 0) + 1;
-        machine.sequence = -1;
-        machine.cleanupCommands.clear();
-        machine.directAttempts.clear();
+                machine.id(),
+                machine.typeName(),
+                machine.zone(),
+                machine.spot() ? " spot" : "",
+                machine.placements().size());
+        machine.leaseExpired();
         tasks.freeAll(machine, "its worker's lease is over");
-        if (machine.phase == Machine.Phase.READY) {
-            machine.transition(Machine.Phase.UNCONFIRMED, "its lease is over");
-            machine.unconfirmedMicros = timers.nowMicros();
-        }
+        machine.unconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
         recovery.resolved(machine, "its lease is over");
         loop.requestPass();
@@ -120,10 +108,10 @@
 
     /** Nothing that we or anyone started can be on this machine any more. */
     private void proveGone(Machine machine, String why) {
-        if (machine.phase == Machine.Phase.GONE) {
+        if (machine.isGone()) {
             return;
         }
-        machine.transition(Machine.Phase.GONE, why);
+        machine.gone(why);
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
--- a/src/main/java/org/granitepath/coordination/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/MachinePreference.java
@@ -20,10 +20,10 @@
     double score(Machine machine, JobSpec spec) {
         double score = machine.hasImage(spec.image())
                 ? 20
-                : machine.fetches(spec.image()) ? 10 : machine.type.fetchGbPerSecond();
-        score -= 4.0 * (machine.cpuFree() - spec.cpuMillis()) / machine.type.cpuMillis();
+                : machine.fetches(spec.image()) ? 10 : machine.type().fetchGbPerSecond();
+        score -= 4.0 * (machine.cpuFree() - spec.cpuMillis()) / machine.type().cpuMillis();
         score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
         boolean mixed = machine.hostsService();
-        return spec.service() ? score + (mixed ? 12 : 0) : score + (machine.spot ? 6 : 0) - (mixed ? 6 : 0);
+        return spec.service() ? score + (mixed ? 12 : 0) : score + (machine.spot() ? 6 : 0) - (mixed ? 6 : 0);
     }
 }
--- a/src/main/java/org/granitepath/coordination/Placement.java
+++ b/src/main/java/org/granitepath/coordination/Placement.java
@@ -3,9 +3,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One attempt of a task on a machine, from the decision until there is proof that it is not there. */
+/**
+ * One attempt of a task on a machine, from the decision until there is proof that it is not there. State changes
+ * through the named methods alone.
+ */
 final class Placement {
     private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
+    private static final long NEVER = -1;
+    private static final long NO_TOKEN = 0;
 
     /**
      * {@code ASSIGNED}: decided, not sent. {@code SENT}: a start is under way or was answered. {@code WAITING}: a task
@@ -18,49 +23,221 @@
         WAITING,
         RUNNING,
         STOPPING,
-        FREED
-    }
-
-    final TaskId task;
-    final ActiveJob job;
-    final Machine machine;
-    final long attempt;
-    /** The worker's session that the start is meant for; a later session proves this attempt gone. */
-    final long session;
+        FREED;
 
-    final long placedMicros;
-    Phase phase = Phase.ASSIGNED;
-    /** A direct start without an answer yet, and the fencing token it carries: it may be carried out late. */
-    long unansweredToken;
-    /** Went out in the answer to a report: only a later report, not a direct answer, tells whether it was taken. */
-    boolean sentInAnswer;
-
-    boolean seen;
-    /** Ours, or listed by a report under the present fencing token: then the task can be nowhere else. */
-    boolean certain = true;
-    /** Found on the machine: when it began is not known. */
-    boolean takenOver;
+        /** Whether a placement may go from this phase to the next one; reports may skip what they did not show. */
+        boolean allows(Phase next) {
+            return switch (this) {
+                case ASSIGNED -> next != ASSIGNED;
+                case SENT, FETCHING, WAITING, RUNNING -> next != ASSIGNED && next != SENT;
+                case STOPPING -> next == FREED;
+                case FREED -> false;
+            };
+        }
+    }
 
-    long runningSinceMicros = -1;
-    long graceMicros;
+    private final TaskId task;
+    private final ActiveJob job;
+    private final Machine machine;
+    private final long attempt;
+    private final long session;
+    private final long placedMicros;
+    private Phase phase = Phase.ASSIGNED;
+    private long unansweredToken = NO_TOKEN;
+    private boolean sentInAnswer;
+    private boolean seen;
+    private boolean certain = true;
+    private boolean takenOver;
+    private long runningSinceMicros = NEVER;
+    private long graceMicros;
 
-    Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long session, long nowMicros) {
+    /** An attempt that this leader has decided on, for the worker's present session. */
+    Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long nowMicros) {
         this.task = task;
         this.job = job;
         this.machine = machine;
         this.attempt = attempt;
-        this.session = session;
+        this.session = machine.session();
         this.placedMicros = nowMicros;
     }
 
-    void transition(Phase next, String why) {
-        if (phase != next) {
-            LOG.debug("task {} attempt {} on {}: {} -> {} ({})", task, attempt, machine.id, phase, next, why);
-            phase = next;
-        }
+    /**
+     * An attempt of a former leader that was found on the machine.
+     *
+     * @param certain whether it was listed under the present fencing token, so that it can be nowhere else
+     */
+    static Placement adopted(
+            TaskId task, ActiveJob job, Machine machine, long attempt, boolean certain, long nowMicros) {
+        Placement placement = new Placement(task, job, machine, attempt, nowMicros);
+        placement.seen = true;
+        placement.certain = certain;
+        placement.takenOver = true;
+        placement.transition(Phase.SENT, "taken over");
+        return placement;
+    }
+
+    TaskId task() {
+        return task;
+    }
+
+    ActiveJob job() {
+        return job;
+    }
+
+    Machine machine() {
+        return machine;
+    }
+
+    long attempt() {
+        return attempt;
+    }
+
+    /** The worker's session that the start is meant for; a later session proves this attempt gone. */
+    long session() {
+        return session;
+    }
+
+    long placedMicros() {
+        return placedMicros;
+    }
+
+    Phase phase() {
+        return phase;
     }
 
     boolean live() {
         return phase != Phase.FREED;
     }
+
+    private void transition(Phase next, String why) {
+        if (phase == next) {
+            return;
+        }
+        if (!phase.allows(next)) {
+            throw new IllegalStateException(
+                    "task " + task + " attempt " + attempt + " can't go from " + phase + " to " + next);
+        }
+        LOG.debug("task {} attempt {} on {}: {} -> {} ({})", task, attempt, machine.id(), phase, next, why);
+        phase = next;
+    }
+
+    // ---- starting ----------------------------------------------------------------------------------------------
+
+    /** The start goes out in the answer to a report: only a later report tells whether it was taken. */
+    void sentInAnswer() {
+        sentInAnswer = true;
+        transition(Phase.SENT, "in an answer");
+    }
+
+    /** The start goes out in a direct call under the machine's present fencing token. */
+    void sentDirectly() {
+        sentInAnswer = false;
+        unansweredToken = machine.fencingToken();
+        transition(Phase.SENT, "direct");
+    }
+
+    /** The direct call under this fencing token was answered. */
+    void directStartAnswered(long token) {
+        if (unansweredToken == token) {
+            unansweredToken = NO_TOKEN;
+        }
+    }
+
+    /** Whether the start went out in the answer to a report and not in a direct call. */
+    boolean wentOutInAnswer() {
+        return sentInAnswer;
+    }
+
+    /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
+    boolean mayStillBeStarted(long token) {
+        return unansweredToken != NO_TOKEN && unansweredToken >= token;
+    }
+
+    // ---- what the worker reports -------------------------------------------------------------------------------
+
+    /** A message of the worker lists it. */
+    void listed(boolean underPresentToken) {
+        seen = true;
+        certain |= underPresentToken;
+        unansweredToken = NO_TOKEN;
+    }
+
+    /** Whether a message of the worker has listed it. */
+    boolean seen() {
+        return seen;
+    }
+
+    /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
+    boolean certain() {
+        return certain;
+    }
+
+    /** Whether it was found on the machine: then it is not known when it began. */
+    boolean takenOver() {
+        return takenOver;
+    }
+
+    void fetching() {
+        if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
+            transition(Phase.FETCHING, "reported");
+        }
+    }
+
+    void waiting() {
+        if (phase != Phase.STOPPING) {
+            transition(Phase.WAITING, "reported");
+        }
+    }
+
+    /** It runs; the first word of that tells since when, at the latest. */
+    void running(long nowMicros) {
+        if (!hasRun()) {
+            runningSinceMicros = nowMicros;
+        }
+        if (phase != Phase.STOPPING) {
+            transition(Phase.RUNNING, "reported");
+        }
+    }
+
+    void saving() {
+        transition(Phase.STOPPING, "saving");
+    }
+
+    /** Whether it was ever seen to run. */
+    boolean hasRun() {
+        return runningSinceMicros != NEVER;
+    }
+
+    /** When it was first seen to run; negative: it was not. */
+    long runningSinceMicros() {
+        return runningSinceMicros;
+    }
+
+    /** For how long it has been seen to run; 0 when it was not. */
+    long ranMicros(long nowMicros) {
+        return hasRun() ? nowMicros - runningSinceMicros : 0;
+    }
+
+    // ---- stopping ----------------------------------------------------------------------------------------------
+
+    /** The machine is to be told to end it. */
+    void stop(long grace, String why) {
+        graceMicros = grace;
+        transition(Phase.STOPPING, why);
+    }
+
+    /** Told to save before, and cancelled meanwhile: it need not, and must not go on. */
+    void shortenGrace(long grace) {
+        graceMicros = grace;
+    }
+
+    /** How long it may take to save itself when it is stopped. */
+    long graceMicros() {
+        return graceMicros;
+    }
+
+    /** There is proof that it is not on the machine. */
+    void freed(String why) {
+        transition(Phase.FREED, why);
+    }
 }
--- a/src/main/java/org/granitepath/coordination/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/PlacementRules.java
@@ -37,22 +37,22 @@
      * return could save anything.
      */
     boolean suits(Machine machine, ActiveJob job, long now) {
-        return machine.allowedFor(job.spec)
-                && job.zoneAllows(machine.zone)
-                && (!job.deferrable || isPaidForAnyway(machine, job, now))
+        return machine.allowedFor(job.spec())
+                && job.zoneAllows(machine.zone())
+                && (!job.deferrable() || isPaidForAnyway(machine, job, now))
                 && faults.mayTry(machine, job);
     }
 
     /** Whether the machine's room is not held for a gang, unless this is it, or work that goes before all gangs. */
     boolean mayHold(Machine machine, ActiveJob job) {
-        return machine.reservedFor == null || machine.reservedFor == job || BatchPlanner.isLive(job);
+        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
     }
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long now) {
-        return machine.spot
+        return machine.spot()
                 || machine.hostsService()
-                || machine.keptAsHeadroom
-                || now + runtimeEstimator.taskMicros(job) < machine.rentedMicros + Autoscaler.LEAST_CHARGE_MICROS;
+                || machine.keptAsHeadroom()
+                || now + runtimeEstimator.taskMicros(job) < machine.rentedMicros() + Autoscaler.LEAST_CHARGE_MICROS;
     }
 
     /** Whether tasks failed there lately, so that any other machine is better. */
@@ -62,7 +62,7 @@
 
     /** Whether a further task of this job may be started at all, room aside. */
     boolean mayStartAnother(ActiveJob job) {
-        return teamAllows(job.spec) && faults.mayStartAnother(job);
+        return teamAllows(job.spec()) && faults.mayStartAnother(job);
     }
 
     /**
@@ -83,9 +83,11 @@
     long borrowedCpu(String team) {
         long stopping = 0;
         for (ActiveJob job : jobs.all()) {
-            if (job.spec.team().equals(team)) {
-                for (Placement placement : job.placements.values()) {
-                    stopping += placement.phase == Placement.Phase.STOPPING ? job.spec.cpuMillis() : 0;
+            if (job.spec().team().equals(team)) {
+                for (Placement placement : job.placements()) {
+                    stopping += placement.phase() == Placement.Phase.STOPPING
+                            ? job.spec().cpuMillis()
+                            : 0;
                 }
             }
         }
--- a/src/main/java/org/granitepath/coordination/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/Preemptor.java
@@ -50,10 +50,10 @@
      * @param withImageOnly only on machines that already have the job's image
      */
     int makeRoom(ActiveJob job, int wanted, boolean withImageOnly, long now) {
-        boolean live = BatchPlanner.isLive(job);
-        boolean reclaims = job.schedulingClass == BatchPlanner.SchedulingClass.GUARANTEED
-                && now - Math.max(job.waitingSinceMicros, job.lastStartMicros) > RECLAIM_DELAY_MICROS;
-        if (!live && !job.spec.hasDeadline() && !reclaims) {
+        boolean live = job.isLive();
+        boolean reclaims = job.schedulingClass() == SchedulingClass.GUARANTEED
+                && now - Math.max(job.waitingSinceMicros(), job.lastStartMicros()) > RECLAIM_DELAY_MICROS;
+        if (!live && !job.spec().hasDeadline() && !reclaims) {
             return 0;
         }
         // What each other team can be made to give back; filled as its tasks are met.
@@ -61,20 +61,21 @@
         int coming = 0;
         List<Preemption> offers = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (!rules.eligible(machine, job, now) || (withImageOnly && !machine.hasImage(job.spec.image()))) {
+            if (!rules.eligible(machine, job, now)
+                    || (withImageOnly && !machine.hasImage(job.spec().image()))) {
                 continue;
             }
             long[] more = new long[3];
             List<Placement> candidates = new ArrayList<>();
-            for (Placement placement : machine.placements.values()) {
-                if (placement.phase == Placement.Phase.STOPPING) {
-                    add(more, placement.job.spec);
+            for (Placement placement : machine.placements()) {
+                if (placement.phase() == Placement.Phase.STOPPING) {
+                    add(more, placement.job().spec());
                 } else if (mayStopFor(job, live, placement, now)
                         || (reclaims && isBorrowed(job, placement, borrowed))) {
                     candidates.add(placement);
                 }
             }
-            int soon = machine.slots(job.spec, more[0], more[1], more[2]);
+            int soon = machine.slots(job.spec(), more[0], more[1], more[2]);
             if (soon > 0) {
                 coming += soon;
             } else if (!candidates.isEmpty()) {
@@ -95,13 +96,17 @@
             for (Placement placement : preemption.victims()) {
                 LOG.info(
                         "stopping {} on {} to make room for {}",
-                        placement.task,
-                        preemption.machine().id,
-                        job.spec.id());
-                tasks.stop(placement, live ? 0 : placement.job.spec.saveMicros(), "room for " + job.spec.id());
+                        placement.task(),
+                        preemption.machine().id(),
+                        job.spec().id());
+                tasks.stop(
+                        placement,
+                        live ? 0 : placement.job().spec().saveMicros(),
+                        "room for " + job.spec().id());
             }
             coming += preemption.slots();
-            if (preemption.victims().stream().anyMatch(victim -> victim.job.spec.gang())) {
+            if (preemption.victims().stream()
+                    .anyMatch(victim -> victim.job().spec().gang())) {
                 break; // a whole gang ends: the next pass sees what room that makes
             }
         }
@@ -112,13 +117,14 @@
             ActiveJob job, Machine machine, List<Placement> candidates, long[] more, long now) {
         candidates.sort(Comparator.comparingDouble(placement -> loss(placement, now)));
         List<Placement> victims = new ArrayList<>();
-        double loss =
-                machine.hasImage(job.spec.image()) ? 0 : job.spec.imageGb() / machine.type.fetchGbPerSecond() * 1e9;
+        double loss = machine.hasImage(job.spec().image())
+                ? 0
+                : job.spec().imageGb() / machine.type().fetchGbPerSecond() * 1e9;
         for (Placement placement : candidates) {
             victims.add(placement);
             loss += loss(placement, now);
-            add(more, placement.job.spec);
-            int slots = machine.slots(job.spec, more[0], more[1], more[2]);
+            add(more, placement.job().spec());
+            int slots = machine.slots(job.spec(), more[0], more[1], more[2]);
             if (slots > 0) {
                 return new Preemption(machine, victims, loss, slots);
             }
@@ -134,10 +140,10 @@
 
     /** Whether this task is work that another team runs beyond its own guarantee. Live replicas are let be. */
     private boolean isBorrowed(ActiveJob job, Placement placement, Object2LongOpenHashMap<String> borrowed) {
-        String team = placement.job.spec.team();
-        if (team.equals(job.spec.team())
-                || placement.job.spec.service()
-                || placement.job.schedulingClass == BatchPlanner.SchedulingClass.GUARANTEED) {
+        String team = placement.job().spec().team();
+        if (team.equals(job.spec().team())
+                || placement.job().spec().service()
+                || placement.job().schedulingClass() == SchedulingClass.GUARANTEED) {
             return false;
         }
         if (!borrowed.containsKey(team)) {
@@ -156,17 +162,18 @@
                 .filter(placement -> !mayStopFor(job, live, placement, now))
                 .toList();
         for (Placement placement : isBorrowed) {
-            if (borrowed.getLong(placement.job.spec.team()) <= 0) {
+            if (borrowed.getLong(placement.job().spec().team()) <= 0) {
                 return false;
             }
         }
-        isBorrowed.forEach(placement -> borrowed.addTo(placement.job.spec.team(), -placement.job.spec.cpuMillis()));
+        isBorrowed.forEach(placement -> borrowed.addTo(
+                placement.job().spec().team(), -placement.job().spec().cpuMillis()));
         return true;
     }
 
     private static boolean mayStopFor(ActiveJob job, boolean live, Placement placement, long now) {
-        JobSpec victim = placement.job.spec;
-        if (!job.spec.priority().above(victim.priority()) || victim.service()) {
+        JobSpec victim = placement.job().spec();
+        if (!job.spec().priority().above(victim.priority()) || victim.service()) {
             return false;
         }
         if (!live && victim.gang()) {
@@ -174,25 +181,25 @@
         }
         return live
                 || (victim.checkpointMicros() > 0
-                        && placement.runningSinceMicros >= 0
-                        && now - placement.runningSinceMicros > MIN_RUNTIME_MICROS);
+                        && placement.hasRun()
+                        && placement.ranMicros(now) > MIN_RUNTIME_MICROS);
     }
 
     /** CPU time that stopping this task throws away; of a gang, that of all its tasks. */
     private static double loss(Placement placement, long now) {
-        return placement.job.spec.gang()
-                ? placement.job.placements.values().stream()
+        return placement.job().spec().gang()
+                ? placement.job().placements().stream()
                         .mapToDouble(each -> ownLoss(each, GANG_RESTART_MICROS, now))
                         .sum()
                 : ownLoss(placement, RESTART_MICROS, now);
     }
 
     private static double ownLoss(Placement placement, long restartMicros, long now) {
-        long ran = placement.runningSinceMicros < 0 ? 0 : now - placement.runningSinceMicros;
-        long interval = placement.job.spec.checkpointMicros();
+        long ran = placement.ranMicros(now);
+        long interval = placement.job().spec().checkpointMicros();
         long unsaved = interval > 0 ? ran % interval : ran;
-        return (double) placement.job.spec.cpuMillis()
+        return (double) placement.job().spec().cpuMillis()
                 * (unsaved + restartMicros)
-                * (placement.job.spec.priority().above(Priority.BEST_EFFORT) ? 3 : 1);
+                * (placement.job().spec().priority().above(Priority.BEST_EFFORT) ? 3 : 1);
     }
 }
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/RentalPlan.java
@@ -84,16 +84,16 @@
 
     void make(Collection<ActiveJob> wanting) {
         List<ActiveJob> waiting = new ArrayList<>(wanting);
-        waiting.sort(
-                Comparator.comparing((ActiveJob job) -> job.spec.priority()).thenComparing(job -> job.acceptedMicros));
+        waiting.sort(Comparator.comparing((ActiveJob job) -> job.spec().priority())
+                .thenComparing(job -> job.acceptedMicros()));
         for (ActiveJob job : waiting) {
-            if (BatchPlanner.isLive(job)) {
-                alikeLeft.addTo(Alike.of(job.spec), job.waiting());
+            if (job.isLive()) {
+                alikeLeft.addTo(Alike.of(job.spec()), job.waiting());
             }
         }
         boolean liveDone = false;
         for (ActiveJob job : waiting) {
-            if (!liveDone && !BatchPlanner.isLive(job)) {
+            if (!liveDone && !job.isLive()) {
                 // What is on its way is headroom once the live services at hand have theirs, whatever else wants it.
                 planHeadroom();
                 liveDone = true;
@@ -110,8 +110,8 @@
         Purchase best = null;
         for (var entry : counts.entrySet()) {
             Purchase purchase = new Purchase(offers.get(entry.getKey()), entry.getValue());
-            boolean live = BatchPlanner.isLive(purchase.offer().job());
-            boolean bestLive = best != null && BatchPlanner.isLive(best.offer().job());
+            boolean live = purchase.offer().job().isLive();
+            boolean bestLive = best != null && best.offer().job().isLive();
             if (best == null || (live && !bestLive) || (live == bestLive && purchase.count() > best.count())) {
                 best = purchase;
             }
@@ -146,14 +146,14 @@
         double room = 0;
         double live = 0;
         for (Machine machine : demand.fleet().machines()) {
-            if (!machine.spot
-                    && machine.type != null
-                    && machine.phase != Machine.Phase.RETURNING
-                    && machine.type.fits(newest.spec)) {
-                double free = machine.type.cpuMillis() - machine.cpuUsedByServices();
+            if (!machine.spot()
+                    && machine.type() != null
+                    && machine.phase() != Machine.Phase.RETURNING
+                    && machine.type().fits(newest.spec())) {
+                double free = machine.type().cpuMillis() - machine.cpuUsedByServices();
                 live += machine.cpuUsedByServices();
                 room += free;
-                roomByZone.merge(machine.zone, free, Double::sum);
+                roomByZone.merge(machine.zone(), free, Double::sum);
             }
         }
         for (PlannedMachine planned : plannedMachines) {
@@ -182,16 +182,16 @@
     }
 
     private void plan(ActiveJob job) {
-        if (job.spec.gang()) {
+        if (job.spec().gang()) {
             planGang(job);
             return;
         }
-        JobSpec spec = job.spec;
-        Map<String, Integer> zoneCounts = new HashMap<>(job.zoneCounts);
+        JobSpec spec = job.spec();
+        Map<String, Integer> zoneCounts = new HashMap<>(job.tasksByZone());
         int left = Math.min(job.waiting(), MOST_PLANNED);
         Alike alike = Alike.of(spec);
         // From here on the class lacks what the jobs after this one want.
-        int others = BatchPlanner.isLive(job) ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
+        int others = job.isLive() ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
         boolean deferrable = demand.batchPlanner().deferrable(job, roomComing, now);
         for (PlannedMachine planned : plannedMachines) {
             while (left > 0
@@ -219,7 +219,7 @@
                 return;
             }
             plannedMachines.add(planned);
-            roomComing += job.spec.service() ? 0 : planned.type.cpuMillis();
+            roomComing += job.spec().service() ? 0 : planned.type.cpuMillis();
             buy(offer, 1);
         }
     }
@@ -229,7 +229,7 @@
      * on its way, as long as machines are to be had there.
      */
     private void planGang(ActiveJob job) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         if (!spec.oneZone() || spec.zone() != null) {
             buyWhole(job, null);
             return;
@@ -249,8 +249,9 @@
         for (Machine machine : demand.fleet().machines()) {
             boolean usable = machine.takesTasks()
                     && machine.allowedFor(spec)
-                    && (zone == null || machine.zone.equals(zone))
-                    && (machine.reservedFor == null || machine.reservedFor.spec.equals(spec));
+                    && (zone == null || machine.zone().equals(zone))
+                    && (machine.reservedFor() == null
+                            || machine.reservedFor().spec().equals(spec));
             slots += usable ? machine.slots(spec, 0, 0, 0) : 0;
         }
         return slots;
@@ -266,7 +267,7 @@
 
     /** Plans what this gang lacks in the zone (null: in any); false when so much is not to be had there. */
     private boolean buyWhole(ActiveJob job, String zone) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         int left = job.waiting() - freeSlots(spec, zone);
         List<PlannedMachine> used = new ArrayList<>();
         for (PlannedMachine planned : plannedMachines) {
@@ -309,7 +310,7 @@
      */
     private Offer cheapest(
             ActiveJob job, boolean fullPrice, int left, Map<String, Integer> zoneCounts, String onlyZone) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         Offer best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         long horizon = spec.service()
--- a/src/main/java/org/granitepath/coordination/ReportReconciler.java
+++ b/src/main/java/org/granitepath/coordination/ReportReconciler.java
@@ -79,14 +79,14 @@
      * @param isReport whether the worker sent it by itself; otherwise it came in the answer to a direct call
      */
     boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isReport) {
-        if (machine.phase == Machine.Phase.GONE
-                || !heartbeat.newerThan(machine.session, machine.sequence)
-                || heartbeat.fencingToken() > machine.fencingToken) {
+        if (machine.isGone()
+                || !heartbeat.newerThan(machine.session(), machine.sequence())
+                || heartbeat.fencingToken() > machine.fencingToken()) {
             return false;
         }
         long now = timers.nowMicros();
-        boolean current = heartbeat.fencingToken() == machine.fencingToken;
-        if (isReport && machine.session >= 0 && heartbeat.session() > machine.session) {
+        boolean current = heartbeat.fencingToken() == machine.fencingToken();
+        if (isReport && machine.session() >= 0 && heartbeat.session() > machine.session()) {
             // Its reports come, but do our answers get there? It must show that before it is given work again.
             inventory.requestToken(machine, "its session moved on to " + heartbeat.session());
         }
@@ -97,14 +97,14 @@
         if (unclearedAttempts(machine, heartbeat) > MOST_UNCLEARED_ATTEMPTS) {
             inventory.requestTokenForCleanup(machine);
         }
-        if (current && machine.phase == Machine.Phase.UNCONFIRMED) {
-            machine.transition(Machine.Phase.READY, "heard under fencing token " + machine.fencingToken);
+        if (current && machine.phase() == Machine.Phase.UNCONFIRMED) {
+            machine.confirmed();
             loop.notePass();
         }
         if (current) {
-            recovery.resolved(machine, "heard under fencing token " + machine.fencingToken);
+            recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
         }
-        if (heartbeat.noticeMicros() >= 0 && machine.phase == Machine.Phase.READY) {
+        if (heartbeat.noticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
             machines.drain(machine, "the cloud takes it in " + heartbeat.noticeMicros() / 1_000_000 + " s");
             tasks.evacuate(machine, heartbeat.noticeMicros());
         }
@@ -112,27 +112,16 @@
     }
 
     private void noteContact(Machine machine, Heartbeat heartbeat, boolean isReport, boolean current, long now) {
-        machine.session = heartbeat.session();
-        machine.sequence = heartbeat.sequence();
-        machine.address = heartbeat.address();
+        machine.messageReceived(heartbeat);
         if (isReport) {
-            if (fleet.unresponsive(machine, now)) {
-                machine.unconfirmedMicros = now; // it could neither show anything before nor be given work
-                machine.idleSinceMicros = now;
-            }
-            // Answers to direct calls don't count: without reports the worker's lease runs out all the same.
-            machine.heardMicros = now;
-            machine.probeFailed = false;
-            machine.fenced = false;
+            machine.heartbeatReceived(fleet.unresponsive(machine, now), now);
         }
-        long leaseOver = now + config.longestLeaseMicros();
-        machine.leaseOverMicros = current ? leaseOver : Math.max(machine.leaseOverMicros, leaseOver);
+        machine.leaseRunsUntil(now + config.longestLeaseMicros(), current);
     }
 
     private Set<TaskId> reconcileListed(Machine machine, Heartbeat heartbeat, boolean current, long now) {
-        Set<WorkerCommand> repeated = Set.copyOf(machine.cleanupCommands);
-        machine.cleanupCommands.clear();
-        machine.tasksInDoubt = 0;
+        Set<WorkerCommand> repeated = Set.copyOf(machine.cleanupCommands());
+        machine.clearFindings();
         Set<TaskId> listed = new HashSet<>();
         for (TaskReport report : heartbeat.tasks()) {
             Verdict verdict = evidence.ofReported(machine, report);
@@ -141,27 +130,25 @@
                 case ADOPTED -> adopted(machine, report, current, now);
                 case FINISHED_MEANWHILE -> finishedMeanwhile(report.task());
                 case STALE, UNKNOWN_JOB -> stopOrphan(machine, report, verdict, repeated);
-                case IN_DOUBT -> machine.tasksInDoubt++;
+                case IN_DOUBT -> machine.taskInDoubt();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
                 listed.add(report.task());
             }
             if (report.state() == TaskState.EXITED && verdict != Verdict.IN_DOUBT && mayClear(machine, report)) {
-                machine.cleanupCommands.add(WorkerCommand.clear(report.task(), report.attempt()));
+                machine.addCleanup(WorkerCommand.clear(report.task(), report.attempt()));
             }
         }
         return listed;
     }
 
     private void confirmed(Machine machine, TaskReport report, boolean current, long now) {
-        Placement placement = machine.placements.get(report.task());
-        if (!placement.seen) {
+        Placement placement = machine.placement(report.task());
+        if (!placement.seen()) {
             plan.found(Verdict.CONFIRMED, 1);
         }
-        placement.seen = true;
-        placement.certain |= current;
-        placement.unansweredToken = 0;
+        placement.listed(current);
         update(machine, placement, report, now);
     }
 
@@ -174,12 +161,12 @@
 
     private void stopOrphan(Machine machine, TaskReport report, Verdict verdict, Set<WorkerCommand> repeated) {
         WorkerCommand stop = WorkerCommand.stop(report.task(), report.attempt(), 0);
-        machine.cleanupCommands.add(stop);
+        machine.addCleanup(stop);
         commands.due(machine);
         loop.notePass();
         if (!repeated.contains(stop)) {
             plan.found(verdict, 1);
-            LOG.info("stopping {} attempt {} on {}: {}", report.task(), report.attempt(), machine.id, verdict);
+            LOG.info("stopping {} attempt {} on {}: {}", report.task(), report.attempt(), machine.id(), verdict);
         }
     }
 
@@ -189,7 +176,7 @@
         for (TaskReport report : heartbeat.tasks()) {
             uncleared += report.state() == TaskState.EXITED ? 1 : 0;
         }
-        for (WorkerCommand command : machine.cleanupCommands) {
+        for (WorkerCommand command : machine.cleanupCommands()) {
             uncleared -= command.verb() == WorkerCommand.Verb.CLEAR ? 1 : 0;
         }
         return uncleared;
@@ -197,12 +184,12 @@
 
     private void freeAbsent(
             Machine machine, Heartbeat heartbeat, Set<TaskId> listed, boolean current, boolean isReport) {
-        for (Placement placement : List.copyOf(machine.placements.values())) {
-            if (listed.contains(placement.task)
+        for (Placement placement : List.copyOf(machine.placements())) {
+            if (listed.contains(placement.task())
                     || evidence.ofMissing(placement, heartbeat, current, isReport) != Verdict.LOST) {
                 continue;
             }
-            if (!placement.seen && placement.sentInAnswer && placement.session == heartbeat.session()) {
+            if (!placement.seen() && placement.wentOutInAnswer() && placement.session() == heartbeat.session()) {
                 inventory.requestToken(machine, "an answer to it was lost");
             }
             plan.found(Verdict.LOST, 1);
@@ -215,11 +202,7 @@
 
     private void update(Machine machine, Placement placement, TaskReport report, long now) {
         switch (report.state()) {
-            case FETCHING -> {
-                if (placement.phase == Placement.Phase.ASSIGNED || placement.phase == Placement.Phase.SENT) {
-                    placement.transition(Placement.Phase.FETCHING, "reported");
-                }
-            }
+            case FETCHING -> placement.fetching();
             case WAITING -> waiting(machine, placement, now);
             case RUNNING -> running(machine, placement, now);
             case SAVING -> saving(placement);
@@ -228,61 +211,56 @@
     }
 
     private void waiting(Machine machine, Placement placement, long now) {
-        machine.imageSeen(placement.job.spec.image());
-        if (placement.phase != Placement.Phase.STOPPING) {
-            placement.transition(Placement.Phase.WAITING, "reported");
-        }
+        machine.imageSeen(placement.job().spec().image());
+        placement.waiting();
         if (isOfPresentAttempt(placement)) {
-            placement.job.gangAttempt.waiting(now);
+            placement.job().gangAttempt().waiting(now);
         }
     }
 
     private static boolean isOfPresentAttempt(Placement placement) {
-        GangAttempt attempt = placement.job.gangAttempt;
-        return attempt != null && attempt.number() == placement.attempt;
+        GangAttempt attempt = placement.job().gangAttempt();
+        return attempt != null && attempt.number() == placement.attempt();
     }
 
     /** A gang saves its progress only when all its tasks are told to: a former leader may not have come to that. */
     private void saving(Placement placement) {
-        placement.transition(Placement.Phase.STOPPING, "saving");
-        if (isOfPresentAttempt(placement) && placement.job.gangAttempt.phase() == GangAttempt.Phase.RUNNING) {
-            tasks.stop(placement, placement.job.spec.saveMicros(), "a task of its gang saves");
+        placement.saving();
+        if (isOfPresentAttempt(placement) && placement.job().gangAttempt().phase() == GangAttempt.Phase.RUNNING) {
+            tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang saves");
         }
     }
 
     private void running(Machine machine, Placement placement, long now) {
         if (isOfPresentAttempt(placement)) {
-            placement.job.gangAttempt.running();
-        }
-        if (placement.runningSinceMicros < 0) {
-            placement.runningSinceMicros = now;
-            machine.imageSeen(placement.job.spec.image());
+            placement.job().gangAttempt().running();
         }
-        if (placement.phase != Placement.Phase.STOPPING) {
-            placement.transition(Placement.Phase.RUNNING, "reported");
+        if (!placement.hasRun()) {
+            machine.imageSeen(placement.job().spec().image());
         }
-        if (now - placement.runningSinceMicros >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
+        placement.running(now);
+        if (placement.ranMicros(now) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
             machines.drainFaulty(faults.proved(placement, now));
         }
     }
 
     private void exited(Machine machine, Placement placement, TaskReport report, long now) {
-        ActiveJob job = placement.job;
-        if (report.cause() == Cause.DONE && !job.spec.service()) {
+        ActiveJob job = placement.job();
+        if (report.cause() == Cause.DONE && !job.spec().service()) {
             markDone(job, report.task().index());
             machines.drainFaulty(faults.proved(placement, now));
-            if (placement.runningSinceMicros >= 0 && placement.certain && !placement.takenOver) {
-                runtimeEstimator.finished(job, now - placement.runningSinceMicros);
+            if (placement.hasRun() && placement.certain() && !placement.takenOver()) {
+                runtimeEstimator.finished(job, placement.ranMicros(now));
             }
             jobs.recordTaskDone(job);
         } else if (report.cause() == Cause.FAILED) {
-            LOG.info("a task of {} failed on {}", job.spec.id(), machine.id);
+            LOG.info("a task of {} failed on {}", job.spec().id(), machine.id());
             machines.drainFaulty(faults.failed(machine, job, now));
         } else if (report.cause() == Cause.UNKNOWN_JOB || report.cause() == Cause.NO_ROOM) {
-            job.notBeforeMicros = now + REFUSED_START_DELAY_MICROS;
+            job.startNothingBefore(now + REFUSED_START_DELAY_MICROS);
         }
         boolean attemptIsOver = report.cause() == Cause.PEER_GONE || report.cause() == Cause.INCOMPLETE;
-        if (attemptIsOver && isOfPresentAttempt(placement) && !job.gangAttempt.isEnding()) {
+        if (attemptIsOver && isOfPresentAttempt(placement) && !job.gangAttempt().isEnding()) {
             tasks.stop(placement, 0, "a task of its gang exited: " + report.cause());
         }
         tasks.free(placement, "exited: " + report.cause());
@@ -292,13 +270,13 @@
 
     /** The tasks of a gang complete together: one tells of all. */
     private static void markDone(ActiveJob job, int task) {
-        if (!job.spec.gang()) {
+        if (!job.spec().gang()) {
             job.markDone(task);
             return;
         }
         job.markAllDone();
-        if (job.gangAttempt != null) {
-            job.gangAttempt.completed();
+        if (job.gangAttempt() != null) {
+            job.gangAttempt().completed();
         }
     }
 
@@ -306,10 +284,10 @@
     private void finishedMeanwhile(TaskId task) {
         ActiveJob job = activeJobs.get(task.job());
         plan.found(Verdict.FINISHED_MEANWHILE, 1);
-        Placement other = job.placements.get(task.index());
+        Placement other = job.placement(task.index());
         markDone(job, task.index());
         jobs.recordTaskDone(job);
-        if (other != null && !job.spec.gang()) {
+        if (other != null && !job.spec().gang()) {
             tasks.stop(other, 0, "done elsewhere");
         } else {
             jobs.endIfDone(job);
@@ -321,11 +299,10 @@
      * been raised: a late copy of that command would start it once more.
      */
     private boolean mayClear(Machine machine, TaskReport report) {
-        long commandToken = machine.directAttempts.get(report.attempt());
-        if (commandToken >= machine.fencingToken) {
+        if (machine.mayBeStartedAgain(report.attempt())) {
             return false;
         }
-        machine.directAttempts.remove(report.attempt());
+        machine.forgetDirectStart(report.attempt());
         if (report.cause() != Cause.DONE || jobIndex.openJob(report.task().job()) == null) {
             return true;
         }
--- a/src/main/java/org/granitepath/coordination/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/RuntimeEstimator.java
@@ -25,27 +25,26 @@
 
     /** A task of the job ran to its end. */
     void finished(ActiveJob job, long ranMicros) {
-        job.ranMicros += ranMicros;
-        job.ranCount++;
-        Tally tally = classes.computeIfAbsent(job.spec.jobClass(), unused -> new Tally());
+        job.taskFinished(ranMicros);
+        Tally tally = classes.computeIfAbsent(job.spec().jobClass(), unused -> new Tally());
         if (tally.count >= MEMORY) {
             tally.expected /= 2;
             tally.actual /= 2;
             tally.count /= 2;
         }
-        tally.expected += job.spec.estimateMicros();
+        tally.expected += job.spec().estimateMicros();
         tally.actual += ranMicros;
         tally.count++;
     }
 
     /** The run time to expect of one task of this job. */
     long taskMicros(ActiveJob job) {
-        double estimate = Math.max(1_000_000, job.spec.estimateMicros());
-        Tally tally = classes.get(job.spec.jobClass());
+        double estimate = Math.max(1_000_000, job.spec().estimateMicros());
+        Tally tally = classes.get(job.spec().jobClass());
         if (tally != null && tally.expected > 0) {
             double ratio = (tally.actual / tally.expected * tally.count + CLASS_PRIOR) / (tally.count + CLASS_PRIOR);
             estimate *= Math.max(0.2, Math.min(5, ratio));
         }
-        return (long) ((job.ranMicros + JOB_PRIOR * estimate) / (job.ranCount + JOB_PRIOR));
+        return (long) ((job.finishedMicros() + JOB_PRIOR * estimate) / (job.finishedTasks() + JOB_PRIOR));
     }
 }
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/Scheduler.java
@@ -15,12 +15,12 @@
 final class Scheduler {
     private static final long IMAGE_WAIT_MICROS = 1_500_000;
 
-    private record Candidate(ActiveJob job, BatchPlanner.SchedulingClass schedulingClass, double share) {}
+    private record Candidate(ActiveJob job, SchedulingClass schedulingClass, double share) {}
 
     private static final Comparator<Candidate> LOWEST_FIRST = Comparator.comparing(Candidate::schedulingClass)
             .thenComparingDouble(Candidate::share)
-            .thenComparing(candidate -> candidate.job().spec.priority())
-            .thenComparingLong(candidate -> candidate.job().acceptedMicros);
+            .thenComparing(candidate -> candidate.job().spec().priority())
+            .thenComparingLong(candidate -> candidate.job().acceptedMicros());
 
     /** What a task needs. When one finds no room, none that needs as much or more at the same places does either. */
     private record Needs(
@@ -37,11 +37,11 @@
             return cpu <= other.cpu
                     && gpu <= other.gpu
                     && memory <= other.memory
-                    && spot == other.spot
-                    && deferrable == other.deferrable
+                    && spot == other.spot()
+                    && deferrable == other.deferrable()
                     && priority == other.priority
                     && Objects.equals(types, other.types)
-                    && Objects.equals(zone, other.zone)
+                    && Objects.equals(zone, other.zone())
                     && closedZones.equals(other.closedZones);
         }
     }
@@ -115,7 +115,7 @@
         List<Needs> unplaceable = new ArrayList<>();
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
-            if (job.spec.gang()) {
+            if (job.spec().gang()) {
                 gangScheduler.schedule(job, roomy, now);
                 continue;
             }
@@ -127,22 +127,22 @@
             if (machine == null) {
                 unplaceable.add(needs);
                 int coming = preemptor.makeRoom(job, job.waiting() + waitingAlike(queue, needs), false, now);
-                roomComing += FirstWork.includes(job.spec) ? coming : 0;
+                roomComing += FirstWork.includes(job.spec()) ? coming : 0;
                 continue;
             }
             // A short wait gets a live replica onto a machine that already has its image.
-            if (BatchPlanner.isLive(job)
-                    && !machine.hasImage(job.spec.image())
-                    && now - job.waitingSinceMicros < IMAGE_WAIT_MICROS
+            if (job.isLive()
+                    && !machine.hasImage(job.spec().image())
+                    && now - job.waitingSinceMicros() < IMAGE_WAIT_MICROS
                     && preemptor.makeRoom(job, 1, true, now) > 0) {
                 roomComing++;
                 continue;
             }
             tasks.start(job, machine, now);
-            gangHeadroom.taken(machine, job.spec);
+            gangHeadroom.taken(machine, job.spec());
             jobs.claim(job);
             if (job.waiting() > 0 && job.hasClaimedTask()) {
-                job.deferrable = deferrable(job, now);
+                job.setDeferrable(deferrable(job, now));
                 queue.add(candidate(job));
             }
         }
@@ -153,18 +153,16 @@
         PriorityQueue<Candidate> queue = new PriorityQueue<>(LOWEST_FIRST);
         for (ActiveJob job : activeJobs.all()) {
             if (job.waiting() <= 0) {
-                job.waitingSinceMicros = -1;
+                job.waitsNoMore();
                 continue;
             }
-            if (job.notBeforeMicros > now) {
+            if (job.notBeforeMicros() > now) {
                 continue;
             }
             jobs.claim(job);
-            if (job.waitingSinceMicros < 0) {
-                job.waitingSinceMicros = now;
-            }
+            job.waits(now);
             if (job.hasClaimedTask() && recovery.mayStart(job)) {
-                job.deferrable = deferrable(job, now);
+                job.setDeferrable(deferrable(job, now));
                 queue.add(candidate(job));
             }
         }
@@ -173,7 +171,7 @@
 
     /** However well a job could wait, it is not left without a start for long while room stands empty. */
     private boolean deferrable(ActiveJob job, long now) {
-        return now - Math.max(job.waitingSinceMicros, job.lastStartMicros) < LONGEST_BESIDE_ROOM_MICROS
+        return now - Math.max(job.waitingSinceMicros(), job.lastStartMicros()) < LONGEST_BESIDE_ROOM_MICROS
                 && !batchPlanner.mustStartAtOnce(job)
                 && batchPlanner.deferrable(job, 0, now);
     }
@@ -182,8 +180,8 @@
         long cpu = Long.MAX_VALUE;
         long memory = Long.MAX_VALUE;
         for (Candidate candidate : wanting) {
-            cpu = Math.min(cpu, candidate.job().spec.cpuMillis());
-            memory = Math.min(memory, candidate.job().spec.memoryMillis());
+            cpu = Math.min(cpu, candidate.job().spec().cpuMillis());
+            memory = Math.min(memory, candidate.job().spec().memoryMillis());
         }
         roomy.clear();
         for (Machine machine : fleet.machines()) {
@@ -204,7 +202,7 @@
     }
 
     private Needs needs(ActiveJob job) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         List<String> closed = spec.spread() || spec.oneZone()
                 ? config.zones().stream().filter(zone -> !job.zoneAllows(zone)).toList()
                 : List.of();
@@ -216,16 +214,20 @@
                 spec.zone(),
                 closed,
                 spec.spot(),
-                job.deferrable,
+                job.deferrable(),
                 spec.priority());
     }
 
     private Candidate candidate(ActiveJob job) {
         return new Candidate(
                 job,
-                BatchPlanner.isLive(job) ? BatchPlanner.SchedulingClass.LIVE : job.schedulingClass,
+                job.isLive() ? SchedulingClass.LIVE : job.schedulingClass(),
                 fairShare.share(
-                        job.spec.priority(), job.spec.hasDeadline(), job.spec.tasks(), job.left(), job.running()));
+                        job.spec().priority(),
+                        job.spec().hasDeadline(),
+                        job.spec().tasks(),
+                        job.left(),
+                        job.running()));
     }
 
     // ---- machines ----------------------------------------------------------------------------------------------
@@ -234,12 +236,12 @@
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (Machine machine : roomy) {
-            if (machine.hasRoom(job.spec)
+            if (machine.hasRoom(job.spec())
                     && machine.takesTasks()
                     && rules.mayHold(machine, job)
                     && gangHeadroom.leavesRoom(machine, job, now)
                     && rules.suits(machine, job, now)) {
-                double score = preference.score(machine, job.spec);
+                double score = preference.score(machine, job.spec());
                 if (score > bestScore) {
                     bestScore = score;
                     best = machine;
--- a/src/main/java/org/granitepath/coordination/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/TaskEvidence.java
@@ -35,37 +35,37 @@
     Verdict ofMissing(Placement placement, Heartbeat heartbeat, boolean current, boolean isReport) {
         plan.compared(1);
         return VerdictTable.ofMissing(new StartEvidence(
-                placement.session < heartbeat.session(),
+                placement.session() < heartbeat.session(),
                 current,
-                placement.phase != Placement.Phase.ASSIGNED,
-                placement.unansweredToken != 0 && placement.unansweredToken >= heartbeat.fencingToken(),
-                placement.seen,
-                placement.sentInAnswer,
+                placement.phase() != Placement.Phase.ASSIGNED,
+                placement.mayStillBeStarted(heartbeat.fencingToken()),
+                placement.seen(),
+                placement.wentOutInAnswer(),
                 isReport));
     }
 
     private RecordedTask recorded(ActiveJob job, TaskId task) {
-        if (job == null || job.phase == ActiveJob.Phase.OVER) {
+        if (job == null || job.phase() == ActiveJob.Phase.OVER) {
             return jobIndex.recorded(task.job());
         }
-        if (task.index() >= job.spec.tasks()) {
+        if (task.index() >= job.spec().tasks()) {
             return RecordedTask.NOT_IN_JOB;
         }
-        if (job.phase == ActiveJob.Phase.ENDING) {
+        if (job.phase() == ActiveJob.Phase.ENDING) {
             return RecordedTask.JOB_DONE;
         }
-        if (job.done.contains(task.index())) {
+        if (job.isDone(task.index())) {
             return RecordedTask.TASK_DONE;
         }
-        return task.index() < job.claimed ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
+        return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
     }
 
     private static KnownPlacement placement(ActiveJob job, Machine machine, TaskReport report) {
-        Placement here = machine.placements.get(report.task());
+        Placement here = machine.placement(report.task());
         if (here != null) {
-            return here.attempt == report.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
+            return here.attempt() == report.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
         }
-        return job != null && job.placements.containsKey(report.task().index())
+        return job != null && job.placement(report.task().index()) != null
                 ? KnownPlacement.OTHER_MACHINE
                 : KnownPlacement.NONE;
     }
@@ -75,7 +75,8 @@
         if (report.state() != TaskState.EXITED) {
             return ReportedTask.LIVE;
         }
-        boolean completes = report.cause() == Cause.DONE && (job == null || !job.spec.service());
+        boolean completes =
+                report.cause() == Cause.DONE && (job == null || !job.spec().service());
         return completes ? ReportedTask.COMPLETED : ReportedTask.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/TaskLifecycle.java
@@ -47,18 +47,18 @@
     }
 
     private Placement start(ActiveJob job, int index, Machine machine, long attempt, long now) {
-        TaskId task = new TaskId(job.spec.id(), index);
-        job.lastStartMicros = now;
-        Placement placement = new Placement(task, job, machine, attempt, machine.session, now);
+        TaskId task = new TaskId(job.spec().id(), index);
+        job.taskStarted(now);
+        Placement placement = new Placement(task, job, machine, attempt, now);
         place(placement);
         commands.due(machine);
-        LOG.debug("task {} goes to {} (running {}, left {})", task, machine.id, job.running(), job.left());
+        LOG.debug("task {} goes to {} (running {}, left {})", task, machine.id(), job.running(), job.left());
         return placement;
     }
 
     /** Decides that a whole gang is to start, one task on each of these machines, under an attempt of its own. */
     void startGang(ActiveJob job, List<Machine> machines, long now) {
-        job.gangAttempt = new GangAttempt(job.spec.id(), nextAttempt());
+        job.beginGangAttempt(nextAttempt());
         for (Machine machine : machines) {
             startInGang(job, job.takeTask(), machine, now);
         }
@@ -66,23 +66,19 @@
 
     /** Decides that a task of a gang is to join the others of its attempt. */
     void startInGang(ActiveJob job, int index, Machine machine, long now) {
-        job.free.remove(index);
-        start(job, index, machine, job.gangAttempt.number(), now);
-        job.gangAttempt.placed(index, machine.id);
+        job.takeTask(index);
+        start(job, index, machine, job.gangAttempt().number(), now);
+        job.gangAttempt().placed(index, machine.id());
         if (job.waiting() == 0) {
-            job.gangAttempt.complete();
+            job.gangAttempt().complete();
         }
     }
 
     /** A task that a former leader started is on this machine: from now on it is ours. */
     Placement adopt(ActiveJob job, Machine machine, Heartbeat.TaskReport report, boolean certain, long now) {
-        Placement placement = new Placement(report.task(), job, machine, report.attempt(), machine.session, now);
-        placement.seen = true;
-        placement.certain = certain;
-        placement.takenOver = true;
+        Placement placement = Placement.adopted(report.task(), job, machine, report.attempt(), certain, now);
         place(placement);
-        placement.transition(Placement.Phase.SENT, "taken over");
-        if (job.spec.gang()) {
+        if (job.spec().gang()) {
             joinAttempt(placement);
         }
         return placement;
@@ -90,27 +86,29 @@
 
     /** Attempts only grow, and a newer one begins when the older ones are proved gone: what is older is a leftover. */
     private void joinAttempt(Placement placement) {
-        ActiveJob job = placement.job;
-        long known = job.gangAttempt == null ? Long.MIN_VALUE : job.gangAttempt.number();
-        if (placement.attempt > known) {
-            job.gangAttempt = new GangAttempt(job.spec.id(), placement.attempt);
-            for (Placement older : List.copyOf(job.placements.values())) {
-                if (older.attempt < placement.attempt) {
+        ActiveJob job = placement.job();
+        long known =
+                job.gangAttempt() == null ? Long.MIN_VALUE : job.gangAttempt().number();
+        if (placement.attempt() > known) {
+            job.beginGangAttempt(placement.attempt());
+            for (Placement older : List.copyOf(job.placements())) {
+                if (older.attempt() < placement.attempt()) {
                     stopOne(older, 0, "of an older attempt of its gang");
                 }
             }
         }
-        if (placement.attempt == job.gangAttempt.number()) {
-            job.gangAttempt.placed(placement.task.index(), placement.machine.id);
+        if (placement.attempt() == job.gangAttempt().number()) {
+            job.gangAttempt()
+                    .placed(placement.task().index(), placement.machine().id());
         } else {
             stopOne(placement, 0, "of an older attempt of its gang");
         }
     }
 
     private void place(Placement placement) {
-        placement.machine.add(placement);
-        placement.job.place(placement);
-        teamLimits.placed(placement.job.spec);
+        placement.machine().add(placement);
+        placement.job().place(placement);
+        teamLimits.placed(placement.job().spec());
     }
 
     /**
@@ -118,35 +116,37 @@
      * without the others, and saves its progress only together with them: all are stopped at once.
      */
     void stop(Placement placement, long graceMicros, String why) {
-        ActiveJob job = placement.job;
-        if (job.gangAttempt == null) {
+        ActiveJob job = placement.job();
+        if (job.gangAttempt() == null) {
             stopOne(placement, graceMicros, why);
             return;
         }
-        job.gangAttempt.stopping(why);
-        for (Placement each : List.copyOf(job.placements.values())) {
+        job.gangAttempt().stopping(why);
+        for (Placement each : List.copyOf(job.placements())) {
             stopOne(each, graceMicros, why);
         }
     }
 
     private void stopOne(Placement placement, long graceMicros, String why) {
-        if (placement.phase == Placement.Phase.ASSIGNED) {
+        if (placement.phase() == Placement.Phase.ASSIGNED) {
             free(placement, why);
-        } else if (placement.phase == Placement.Phase.STOPPING && graceMicros < placement.graceMicros) {
-            // Told to save before, and cancelled meanwhile: it need not, and must not go on.
-            placement.graceMicros = graceMicros;
-            commands.due(placement.machine);
-        } else if (placement.live() && placement.phase != Placement.Phase.STOPPING) {
-            LOG.debug("stopping {} on {}: {}", placement.task, placement.machine.id, why);
-            placement.graceMicros = graceMicros;
-            placement.transition(Placement.Phase.STOPPING, why);
-            commands.due(placement.machine);
+        } else if (placement.phase() == Placement.Phase.STOPPING && graceMicros < placement.graceMicros()) {
+            placement.shortenGrace(graceMicros);
+            commands.due(placement.machine());
+        } else if (placement.live() && placement.phase() != Placement.Phase.STOPPING) {
+            LOG.debug(
+                    "stopping {} on {}: {}",
+                    placement.task(),
+                    placement.machine().id(),
+                    why);
+            placement.stop(graceMicros, why);
+            commands.due(placement.machine());
         }
     }
 
     /** Repeats a stop that is not seen to have worked yet. */
     void stopAgain(Placement placement) {
-        commands.due(placement.machine);
+        commands.due(placement.machine());
     }
 
     /** There is proof that the task is not on the machine. */
@@ -158,23 +158,23 @@
     }
 
     private void release(Placement placement, String why) {
-        placement.transition(Placement.Phase.FREED, why);
-        placement.machine.remove(placement, timers.nowMicros());
-        teamLimits.freed(placement.job.spec);
+        placement.freed(why);
+        placement.machine().remove(placement, timers.nowMicros());
+        teamLimits.freed(placement.job().spec());
         // Taken over from a report that may be old: that it is not here proves nothing about machines not yet heard.
-        boolean maybeElsewhere = !placement.certain && recovery.mayBeUnheard(placement.job);
-        placement.job.unplace(placement, maybeElsewhere);
-        if (placement.job.gangAttempt != null) {
+        boolean maybeElsewhere = !placement.certain() && recovery.mayBeUnheard(placement.job());
+        placement.job().unplace(placement, maybeElsewhere);
+        if (placement.job().gangAttempt() != null) {
             leftGang(placement, maybeElsewhere);
         }
-        jobs.removeIfOver(placement.job);
+        jobs.removeIfOver(placement.job());
     }
 
     /** An attempt without a placement is forgotten in any case: a report that lists one of its tasks brings it back. */
     private void leftGang(Placement placement, boolean maybeElsewhere) {
-        ActiveJob job = placement.job;
-        GangAttempt attempt = job.gangAttempt;
-        if (placement.attempt == attempt.number() && !maybeElsewhere) {
+        ActiveJob job = placement.job();
+        GangAttempt attempt = job.gangAttempt();
+        if (placement.attempt() == attempt.number() && !maybeElsewhere) {
             boolean ran = attempt.phase() == GangAttempt.Phase.RUNNING;
             attempt.taskGone(timers.nowMicros());
             if (ran) {
@@ -182,13 +182,13 @@
                 stop(placement, 0, "a task of its gang is gone");
             }
         }
-        if (job.placements.isEmpty()) {
-            job.gangAttempt = null;
+        if (!job.hasPlacements()) {
+            job.forgetGangAttempt();
         }
     }
 
     void freeAll(Machine machine, String why) {
-        for (Placement placement : List.copyOf(machine.placements.values())) {
+        for (Placement placement : List.copyOf(machine.placements())) {
             free(placement, why);
         }
     }
@@ -196,13 +196,12 @@
     /** A spot machine is about to be taken: work that can be saved or won't finish moves. */
     void evacuate(Machine machine, long noticeMicros) {
         long now = timers.nowMicros();
-        for (Placement placement : List.copyOf(machine.placements.values())) {
-            long ran = placement.runningSinceMicros < 0 ? 0 : now - placement.runningSinceMicros;
-            boolean saves = placement.job.spec.checkpointMicros() > 0;
-            boolean finishes =
-                    placement.runningSinceMicros >= 0 && placement.job.spec.estimateMicros() - ran < noticeMicros / 2;
-            if (placement.job.spec.service() || saves || !finishes) {
-                stop(placement, saves ? placement.job.spec.saveMicros() : 0, "machine is taken back");
+        for (Placement placement : List.copyOf(machine.placements())) {
+            long ran = placement.ranMicros(now);
+            boolean saves = placement.job().spec().checkpointMicros() > 0;
+            boolean finishes = placement.hasRun() && placement.job().spec().estimateMicros() - ran < noticeMicros / 2;
+            if (placement.job().spec().service() || saves || !finishes) {
+                stop(placement, saves ? placement.job().spec().saveMicros() : 0, "machine is taken back");
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/TermRecovery.java
@@ -27,13 +27,13 @@
 
     /** Begins with the machines and the records as of this revision. */
     void start(List<Machine> inherited, int unreadableParts, long revision) {
-        inherited.forEach(machine -> plan.takeOver(machine.id, profile(machine)));
+        inherited.forEach(machine -> plan.takeOver(machine.id(), profile(machine)));
         plan.takeOverUnreadable(unreadableParts);
         plan.recordsRead(revision, timers.nowMicros());
     }
 
     private static MachineProfile profile(Machine machine) {
-        return new MachineProfile(machine.typeName, machine.zone, machine.spot);
+        return new MachineProfile(machine.typeName(), machine.zone(), machine.spot());
     }
 
     /** Whether every machine taken over is heard under the present token or proved gone. */
@@ -43,16 +43,16 @@
 
     /** Whether a task of this job may be on a machine that is still to be heard. */
     boolean mayBeUnheard(ActiveJob job) {
-        return plan.ofUnreported(job.spec) == Verdict.IN_DOUBT;
+        return plan.ofUnreported(job.spec()) == Verdict.IN_DOUBT;
     }
 
     /** The machine is heard under its present token, or gone: what a former leader left there is known. */
     void resolved(Machine machine, String proof) {
-        if (!machine.inherited) {
+        if (!machine.inherited()) {
             return;
         }
-        machine.inherited = false;
-        if (plan.resolved(machine.id, profile(machine), proof)) {
+        machine.takeoverResolved();
+        if (plan.resolved(machine.id(), profile(machine), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestPass();
         }
@@ -60,15 +60,15 @@
 
     /** Frees the tasks of a job that no report has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
-        if (!job.unconfirmed.isEmpty() && !mayBeUnheard(job)) {
-            plan.found(Verdict.LOST, job.unconfirmed.size());
+        if (job.unconfirmedTasks() > 0 && !mayBeUnheard(job)) {
+            plan.found(Verdict.LOST, job.unconfirmedTasks());
             job.resolveUnconfirmed();
         }
     }
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
     boolean mayStart(ActiveJob job) {
-        return plan.mayStart(job.spec);
+        return plan.mayStart(job.spec());
     }
 
     void passBegins(long now) {
@@ -96,7 +96,7 @@
 
     /** How many claimed tasks may be on machines that are still to be heard. */
     int tasksInDoubt() {
-        return jobs.all().stream().mapToInt(job -> job.unconfirmed.size()).sum();
+        return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
 
     private FirstWork firstWork(int roomComing) {
@@ -104,13 +104,13 @@
         int claiming = 0;
         int unacknowledged = 0;
         for (ActiveJob job : jobs.all()) {
-            if (job.phase != ActiveJob.Phase.OPEN || !FirstWork.includes(job.spec)) {
+            if (!job.isOpen() || !FirstWork.includes(job.spec())) {
                 continue;
             }
-            inDoubt += job.unconfirmed.size();
+            inDoubt += job.unconfirmedTasks();
             claiming += job.waiting() > 0 && !job.hasClaimedTask() ? 1 : 0;
-            for (Placement placement : job.placements.values()) {
-                unacknowledged += placement.seen ? 0 : 1;
+            for (Placement placement : job.placements()) {
+                unacknowledged += placement.seen() ? 0 : 1;
             }
         }
         return new FirstWork(inDoubt, claiming, unacknowledged, roomComing);
