--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.UUID;
-import org.granitepath.coordination.Config;
-import org.granitepath.coordination.StateLimits;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.StateLimits;
 import org.snakeyaml.engine.v2.api.Load;
 import org.snakeyaml.engine.v2.api.LoadSettings;
 
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -4,17 +4,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.FinalRecord;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.MachineTypesRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.bookkeeping.StoredRecord;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.admission.JobRequestHandler;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.leadership.Peers;
+import org.granitepath.coordination.leadership.ZoneLeaseKeeper;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.coordination.ports.WorkerPort;
+import org.granitepath.coordination.term.Dispatcher;
+import org.granitepath.coordination.term.RecoveryReport;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.MachineTypesRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StatePort;
+import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,9 +36,6 @@
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final long TICK_MICROS = 1_000_000;
-    /** Without word from the state service for this long a controller counts as out of contact. */
-    static final long CUT_OFF_MICROS = 2_500_000;
-
     private static final long TURNED_AWAY_MICROS = 5_000_000;
     private static final long TYPES_MICROS = 60_000_000;
     /** Share of the state service's requests that all controllers together may spend on reading the latest changes. */
@@ -83,7 +94,12 @@
         });
         this.peers = new Peers(config, peerPort, timers, this::status);
         this.leadership = new Leadership(
-                config, state, replica, timers, () -> peers.allOutOfTouch(CUT_OFF_MICROS), new Leadership.Listener() {
+                config,
+                state,
+                replica,
+                timers,
+                () -> peers.allOutOfTouch(Config.CONTACT_TIMEOUT_MICROS),
+                new Leadership.Listener() {
                     @Override
                     public void elected(Leadership.Term term) {
                         startLeading(term);
@@ -94,7 +110,7 @@
                         stopLeading();
                     }
                 });
-        this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex, peers, timers);
+        this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, id -> jobIndex.finalOf(id) != null, peers, timers);
         this.requestHandler = new JobRequestHandler(
                 config,
                 state,
@@ -121,7 +137,7 @@
         if (!replica.loaded() || types.isEmpty()) {
             return false;
         }
-        return contactAgeMicros() < CUT_OFF_MICROS || !peers.anyInTouch(CUT_OFF_MICROS);
+        return contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || !peers.anyInTouch(Config.CONTACT_TIMEOUT_MICROS);
     }
 
     private long contactAgeMicros() {
@@ -184,7 +200,7 @@
             String leader = leadership.leaderNode();
             // A leader that is cut from us is cut from the machines around us as well: going there would cost them
             // time.
-            boolean current = contactAgeMicros() < CUT_OFF_MICROS || peers.leaderHeard();
+            boolean current = contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || peers.leaderHeard();
             return current && leader != null && !leader.equals(config.node())
                     ? new HeartbeatResponse.Redirect(leader)
                     : new HeartbeatResponse.Unavailable();
--- a/src/main/java/org/granitepath/coordination/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.admission;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.Collection;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.granitepath.bookkeeping.FinalRecord;
-import org.granitepath.bookkeeping.JobRecord;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.ProgressRecord;
-import org.granitepath.bookkeeping.StoredRecord;
-import org.granitepath.bookkeeping.UnknownRecord;
 import org.granitepath.recovery.RecordedTask;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.UnknownRecord;
 
 /** All jobs as the state service has them; every controller keeps this and answers users from it. */
 public final class JobIndex {
@@ -74,7 +74,7 @@
     }
 
     /** What the records say of a task of a job that no leader here has open. */
-    RecordedTask recorded(String id) {
+    public RecordedTask recorded(String id) {
         FinalRecord.Outcome outcome = finals.get(id);
         if (outcome != null) {
             return outcome == FinalRecord.Outcome.DONE ? RecordedTask.JOB_DONE : RecordedTask.JOB_CANCELLED;
@@ -83,7 +83,7 @@
     }
 
     /** Takes a changed record in. Removals don't occur among jobs. */
-    void changed(String key, StoredRecord record) {
+    public void changed(String key, StoredRecord record) {
         if (record instanceof JobRecord job) {
             jobChanged(key.substring(Keys.JOB.length()), job);
         } else if (record instanceof ProgressRecord jobProgress) {
--- a/src/main/java/org/granitepath/coordination/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.admission;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,26 +7,30 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.granitepath.bookkeeping.FinalRecord;
-import org.granitepath.bookkeeping.JobRecord;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.LeaderRecord;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.ProgressRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.RecordSize;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.StatePort.Guard;
-import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.JobResponse.JobState;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.LeaderRecord;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.RecordSize;
+import org.granitepath.storage.StatePort;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.Timers;
+import org.granitepath.storage.WriteQueue;
 
 /**
  * Submissions, polls and cancellations, on any controller. Nothing is promised before it is on record, and nothing
  * that is not final is told without a read barrier.
  */
-final class JobRequestHandler {
+public final class JobRequestHandler {
     private static final long SUBMIT_TIMEOUT_MICROS = 4_000_000;
     /** A cancellation may have to wait for a leader that is out of reach; users wait for five seconds. */
     private static final long CANCEL_TIMEOUT_MICROS = 4_700_000;
@@ -60,7 +64,7 @@
     private final Map<String, PendingAnswers> cancelling = new LinkedHashMap<>();
     private int waiting;
 
-    JobRequestHandler(
+    public JobRequestHandler(
             Config config,
             StatePort state,
             RecordReplica replica,
@@ -88,7 +92,7 @@
 
     // ---- submissions -------------------------------------------------------------------------------------------
 
-    void submit(JobSpec spec, Consumer<JobResponse> then) {
+    public void submit(JobSpec spec, Consumer<JobResponse> then) {
         if (jobIndex.finalOf(spec.id()) != null) {
             then.accept(status(spec.id(), false));
             return;
@@ -175,7 +179,7 @@
 
     // ---- polls -------------------------------------------------------------------------------------------------
 
-    void poll(String id, Consumer<JobResponse> then) {
+    public void poll(String id, Consumer<JobResponse> then) {
         if (confirming(id)) {
             then.accept(retryLater("its cancellation is being confirmed"));
             return;
@@ -195,7 +199,7 @@
 
     // ---- cancellations -----------------------------------------------------------------------------------------
 
-    void cancel(String id, Consumer<JobResponse> then) {
+    public void cancel(String id, Consumer<JobResponse> then) {
         if (confirming(id)) {
             join(cancelling, id, then, CANCEL_TIMEOUT_MICROS);
             return;
--- a/src/main/java/org/granitepath/coordination/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.autoscaling;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,8 +6,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.fleet.FailureDetector;
+import org.granitepath.coordination.fleet.FleetSummary;
+import org.granitepath.coordination.fleet.MachineLifecycle;
+import org.granitepath.coordination.gang.GangHeadroom;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.leadership.Peers;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -15,11 +29,10 @@
  * Rents machines for work that waits and returns those that nothing needs. A stale leader does no harm here: machines
  * that nobody asked for are found in the list or by their reports, and are used or returned.
  */
-final class Autoscaler {
+public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     private static final long TICK_MICROS = 1_000_000;
     private static final long REFUSED_MICROS = 15_000_000;
-    static final long LEAST_CHARGE_MICROS = 60_000_000;
     private static final int RENT_AT_ONCE = 50;
     private static final int RETURN_AT_ONCE = 100;
     private static final int LIST_PAGE = 500;
@@ -63,7 +76,7 @@
     private double tokens = 1;
     private long tokensAtMicros;
 
-    Autoscaler(
+    public Autoscaler(
             Config config,
             RentalPlan.Demand demand,
             PlacementRules rules,
@@ -94,7 +107,7 @@
         this.tokensAtMicros = timers.nowMicros();
     }
 
-    void start() {
+    public void start() {
         timers.after(TICK_MICROS / 10, this::tick);
     }
 
@@ -188,8 +201,8 @@
 
     private boolean buysFor(ActiveJob job, long now) {
         return job.waiting() > 0
-                && job.isWaiting()
-                && job.notBeforeMicros() <= now
+                && job.scheduling().isWaiting()
+                && job.scheduling().notBeforeMicros() <= now
                 && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
                 && rules.teamAllows(job.spec());
     }
@@ -306,14 +319,16 @@
                 break;
             }
             boolean trust = (trustSilence && !failureDetector.waitedFor(machine, now))
-                    || now - machine.heardMicros() > partitionTimeoutMicros();
-            boolean dead = trust && now - machine.heardMicros() > failureTimeoutMicros(machine);
+                    || now - machine.contact().heardMicros() > partitionTimeoutMicros();
+            boolean dead = trust && now - machine.contact().heardMicros() > failureTimeoutMicros(machine);
             boolean idle = !keepsIdle && isIdle(machine, now) && !gangHeadroom.keeps(machine);
-            machine.keepAsHeadroom(idle && !machine.spot() && headroomSpare < machine.cpuFree());
+            machine.keepAsHeadroom(idle
+                    && !machine.spot()
+                    && headroomSpare < machine.capacity().cpuFree());
             if (machine.keptAsHeadroom()) {
                 idle = false;
             } else if (idle && !machine.spot()) {
-                headroomSpare -= machine.cpuFree();
+                headroomSpare -= machine.capacity().cpuFree();
                 gangHeadroom.returned(machine);
             }
             // Its reports come, but our answers and commands don't get there.
@@ -352,7 +367,7 @@
                 && machine.isEmpty()
                 && machine.reservedFor() == null
                 && now - machine.idleSinceMicros() > idleMicros(machine)
-                && now - machine.rentedMicros() > LEAST_CHARGE_MICROS;
+                && now - machine.rentedMicros() > Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /**
@@ -378,6 +393,6 @@
      * reports may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.probeFailed() ? failureDetector.silenceMicros(machine) : config.leaseMicros();
+        return machine.contact().probeFailed() ? failureDetector.silenceMicros(machine) : config.leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -1,7 +1,7 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.autoscaling;
 
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
 
 /** Room on a machine that is on its way, or is to be rented. */
 final class PlannedMachine {
--- a/src/main/java/org/granitepath/coordination/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/RentalPlan.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.autoscaling;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
@@ -9,11 +9,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.ArrivalRate;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
 
 /** What is to be rented for the work that waits, given what is on its way. Made anew before each rental. */
-final class RentalPlan {
+public final class RentalPlan {
     private static final long SERVICE_HORIZON_MICROS = 600_000_000;
     /** A service that starts this much later is worth half as much to its users. */
     private static final double LATE_START_MICROS = 120e6;
@@ -43,7 +51,7 @@
     }
 
     /** What a plan is made from. */
-    record Demand(
+    public record Demand(
             Config config,
             Fleet fleet,
             ActiveJobs jobs,
@@ -150,8 +158,8 @@
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.RETURNING
                     && machine.type().fits(newest.spec())) {
-                double free = machine.type().cpuMillis() - machine.cpuUsedByServices();
-                live += machine.cpuUsedByServices();
+                double free = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
+                live += machine.capacity().cpuUsedByServices();
                 room += free;
                 roomByZone.merge(machine.zone(), free, Double::sum);
             }
@@ -252,7 +260,7 @@
                     && (zone == null || machine.zone().equals(zone))
                     && (machine.reservedFor() == null
                             || machine.reservedFor().spec().equals(spec));
-            slots += usable ? machine.slots(spec, 0, 0, 0) : 0;
+            slots += usable ? machine.capacity().slots(spec, 0, 0, 0) : 0;
         }
         return slots;
     }
@@ -334,8 +342,7 @@
                     if ((spot && !spec.spot()) || (!spot && !fullPrice) || refused.test(offer.key())) {
                         continue;
                     }
-                    double cost =
-                            type.priceFor(spot) * Math.max(ready + horizon, Autoscaler.LEAST_CHARGE_MICROS) / used;
+                    double cost = type.priceFor(spot) * Math.max(ready + horizon, Machine.MINIMUM_CHARGE_MICROS) / used;
                     if (spec.hasDeadline()
                             && ready + horizon
                                     > spec.deadlineMicros() - demand.jobs().ageMicros(job, now)) {
--- a/src/main/java/org/granitepath/coordination/Config.java
+++ b/src/main/java/org/granitepath/coordination/config/Config.java
@@ -1,9 +1,9 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.config;
 
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.storage.JobSpec;
 
 /**
  * What the decision code needs of the settings: the platform's facts and the operators' own choices.
@@ -149,6 +149,9 @@
     /** A margin on everything timed by another machine's clock. */
     public static final long MARGIN_MICROS = 1_500_000;
 
+    /** Without word from the state service for this long a controller counts as out of contact. */
+    public static final long CONTACT_TIMEOUT_MICROS = 2_500_000;
+
     /** A leader must be able to go from one word of the state service to the next. */
     public static final long MIN_DISCONNECTED_MICROS = 1_000_000;
 
--- a/src/main/java/org/granitepath/coordination/StateLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/StateLimits.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.config;
 
 /**
  * What the state service takes.
--- a/src/main/java/org/granitepath/coordination/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -1,16 +1,25 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.coordination.ports.WorkerPort;
+import org.granitepath.storage.Timers;
 
 /**
  * Sends commands to workers, in the answers to their reports and by direct calls. Stops are repeated until they are
  * seen to work; starts go out once.
  */
-final class CommandSender {
+public final class CommandSender {
     private static final long ASK_AGAIN_MICROS = 300_000;
 
     private final Config config;
@@ -29,7 +38,7 @@
     private int calls;
     private int takeoverCalls;
 
-    CommandSender(
+    public CommandSender(
             Config config,
             Leadership leadership,
             WorkerPort workers,
@@ -53,7 +62,7 @@
     }
 
     /** What is to end there, as of now. Every answer that renews a lease holds it: no task outlives its end by that. */
-    static List<WorkerCommand> stopsFor(Machine machine) {
+    public static List<WorkerCommand> stopsFor(Machine machine) {
         List<WorkerCommand> stops = new ArrayList<>(machine.cleanupCommands());
         for (Placement placement : machine.placements()) {
             if (placement.phase() == Placement.Phase.STOPPING) {
@@ -64,7 +73,7 @@
     }
 
     /** All that this machine is to do, for the answer to its report. */
-    List<WorkerCommand> commandsForAnswer(Machine machine) {
+    public List<WorkerCommand> commandsForAnswer(Machine machine) {
         List<WorkerCommand> list = stopsFor(machine);
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
@@ -87,7 +96,7 @@
      * Calls the machines for which commands are due. Commands to machines that are unresponsive would only time out;
      * should one report after all, its answer holds them.
      */
-    void sendDue() {
+    public void sendDue() {
         if (!leadership.answersWorkers()) {
             return; // we may long have a successor that we don't know of
         }
@@ -96,7 +105,9 @@
             if (calls >= config.callsAtOnce()) {
                 return;
             }
-            if (!machine.callUnderWay() && machine.session() >= 0 && !fleet.unresponsive(machine, now)) {
+            if (!machine.contact().callUnderWay()
+                    && machine.contact().session() >= 0
+                    && !fleet.unresponsive(machine, now)) {
                 sendDirectly(machine);
             }
         }
@@ -109,7 +120,7 @@
         List<Placement> starts = startable(machine);
         for (Placement placement : starts) {
             list.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            machine.startedDirectly(placement.attempt());
+            machine.contact().startedDirectly(placement.attempt(), machine.fencingToken());
             placement.sentDirectly();
         }
         if (!list.isEmpty()) {
@@ -121,14 +132,14 @@
      * Shows the worker its present fencing token by a call without commands; when too many are under way, a later tick
      * does.
      */
-    void showToken(Machine machine) {
-        if (!machine.callUnderWay() && machine.session() >= 0 && calls < config.callsAtOnce()) {
+    public void showToken(Machine machine) {
+        if (!machine.contact().callUnderWay() && machine.contact().session() >= 0 && calls < config.callsAtOnce()) {
             call(machine, List.of(), List.of(), () -> {});
         }
     }
 
     /** Shows the token to a machine that has not confirmed it yet, as long as calls are left. */
-    void showTokenIfUnconfirmed(Machine machine, long now) {
+    public void showTokenIfUnconfirmed(Machine machine, long now) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.inherited()
                 && machine.recorded()
@@ -139,19 +150,19 @@
     }
 
     /** A report is overdue: whether the machine can be reached at all is soon known. */
-    void probe(Machine machine, long now) {
+    public void probe(Machine machine, long now) {
         if (fleet.overdue(machine, now)
-                && !machine.fenced()
+                && !machine.contact().fenced()
                 && !machine.inherited()
-                && !machine.callUnderWay()
-                && now - machine.probedMicros() > config.reportMicros()
+                && !machine.contact().callUnderWay()
+                && now - machine.contact().probedMicros() > config.reportMicros()
                 && calls < config.callsAtOnce() / 2) {
             call(machine, List.of(), List.of(), () -> {});
         }
     }
 
     /** Speeds a takeover up: calls the machines not yet heard, a few at a time, and shows them the new token. */
-    void callInherited() {
+    public void callInherited() {
         unheard.addAll(fleet.machines());
         callUnheard();
     }
@@ -159,10 +170,12 @@
     private void callUnheard() {
         while (!ended.getAsBoolean() && !unheard.isEmpty() && takeoverCalls < config.callsAtOnce() * 2 / 3) {
             Machine machine = unheard.poll();
-            if (!machine.inherited() || machine.phase() != Machine.Phase.UNCONFIRMED || machine.fenced()) {
+            if (!machine.inherited()
+                    || machine.phase() != Machine.Phase.UNCONFIRMED
+                    || machine.contact().fenced()) {
                 continue;
             }
-            if (machine.callUnderWay()) {
+            if (machine.contact().callUnderWay()) {
                 callAgain(machine);
                 continue;
             }
@@ -185,23 +198,28 @@
     }
 
     private void call(Machine machine, List<WorkerCommand> list, List<Placement> starts, Runnable answered) {
-        machine.callBegins(timers.nowMicros());
+        machine.contact().callBegins(timers.nowMicros());
         calls++;
         long token = machine.fencingToken();
         // Of a machine taken over the session is not known; a wrong guess is answered with the right one.
-        workers.send(machine.address(), token, Math.max(1, machine.session()), list, reply -> {
-            calls--;
-            machine.callEnded();
-            if (!ended.getAsBoolean() && !machine.isGone()) {
-                takeReply(machine, token, starts, reply);
-                loop.requestSend();
-            }
-            answered.run();
-        });
+        workers.send(
+                machine.contact().address(),
+                token,
+                Math.max(1, machine.contact().session()),
+                list,
+                reply -> {
+                    calls--;
+                    machine.contact().callEnded();
+                    if (!ended.getAsBoolean() && !machine.isGone()) {
+                        takeReply(machine, token, starts, reply);
+                        loop.requestSend();
+                    }
+                    answered.run();
+                });
     }
 
     private void takeReply(Machine machine, long token, List<Placement> starts, WorkerPort.Reply reply) {
-        machine.callAnswered(reply.report() != null);
+        machine.contact().callAnswered(reply.report() != null);
         if (reply.report() == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start has no answer");
--- a/src/main/java/org/granitepath/coordination/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -1,10 +1,14 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.leadership.Peers;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -13,7 +17,7 @@
  * reports that are overdue, before any machine has been silent for long enough to be given up: in a cut machines fall
  * silent one after the other, and the first of them must not be returned before the rest are.
  */
-final class FailureDetector {
+public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
     /** A zone with fewer machines than this tells nothing. */
     private static final int LEAST_MACHINES = 4;
@@ -36,13 +40,13 @@
 
     private int overdue;
 
-    FailureDetector(Config config, Fleet fleet, Peers peers) {
+    public FailureDetector(Config config, Fleet fleet, Peers peers) {
         this.config = config;
         this.fleet = fleet;
         this.peers = peers;
     }
 
-    void update(long now) {
+    public void update(long now) {
         Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
         overdue = 0;
@@ -83,7 +87,7 @@
     }
 
     /** Whether the machines of this zone alone were lately not heard: none is rented there. */
-    boolean cutOff(String zone, long now) {
+    public boolean cutOff(String zone, long now) {
         Long last = lastCutMicros.get(zone);
         return last != null && now - last < config.leaseMicros();
     }
@@ -92,7 +96,7 @@
      * Whether this machine may be cut off with work that goes on: only where a controller inside can keep its lease
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
-    boolean waitedFor(Machine machine, long now) {
+    public boolean waitedFor(Machine machine, long now) {
         return cutOff(machine.zone(), now) && config.peerIn(machine.zone());
     }
 
@@ -101,7 +105,7 @@
      * overdue it is one report more: when the last one to report before a cut is overdue, the first one has been silent
      * for that much longer, and without the wait the first ones were returned with all their work.
      */
-    long silenceMicros(Machine machine) {
+    public long silenceMicros(Machine machine) {
         int reports = doubtful.contains(machine.zone()) ? REPORTS_MISSED + 1 : REPORTS_MISSED;
         return reports * config.reportMicros() + ANSWER_MICROS;
     }
@@ -109,7 +113,7 @@
     /**
      * Many overdue at once: perhaps we are the ones cut off. Peers that don't hear them either tell us that we are not.
      */
-    boolean trusted(long now) {
+    public boolean trusted(long now) {
         int machines = fleet.machines().size();
         int elsewhere = peers.mostTurnedAway();
         return overdue <= Math.max(2, machines * FEW_SHARE)
--- a/src/main/java/org/granitepath/coordination/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -1,10 +1,14 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One log line now and then for those on call: what there is, what of it is used, what waits. */
-final class FleetSummary {
+public final class FleetSummary {
     private static final Logger LOG = LoggerFactory.getLogger(FleetSummary.class);
     private static final long EVERY_MICROS = 10_000_000;
 
@@ -15,7 +19,7 @@
 
         void add(Machine machine) {
             total += machine.type().cpuMillis();
-            used += machine.type().cpuMillis() - machine.cpuFree();
+            used += machine.type().cpuMillis() - machine.capacity().cpuFree();
         }
 
         @Override
@@ -28,13 +32,13 @@
     private final ActiveJobs jobs;
     private long dueMicros;
 
-    FleetSummary(Fleet fleet, ActiveJobs jobs) {
+    public FleetSummary(Fleet fleet, ActiveJobs jobs) {
         this.fleet = fleet;
         this.jobs = jobs;
     }
 
     /** Writes the line unless it was written lately. */
-    void logIfDue(int booting, long now) {
+    public void logIfDue(int booting, long now) {
         if (now < dueMicros) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.util.ArrayDeque;
@@ -8,17 +8,22 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.FencingTokenRecord;
-import org.granitepath.bookkeeping.InventoryRecord;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.FencingTokenRecord;
+import org.granitepath.storage.InventoryRecord;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.Timers;
+import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Our machines as they are on record, many to a value, and the fencing tokens that single machines are given anew. */
-final class MachineInventory {
+public final class MachineInventory {
     private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
     /** Larger values would only be read over and over by every controller. */
     private static final int MOST_VALUE_BYTES = 8 * 1024;
@@ -81,7 +86,7 @@
      * @param tokenListener told of each machine whose new fencing token is on record; {@code recordedListener} of
      *     each write
      */
-    MachineInventory(
+    public MachineInventory(
             Config config,
             Leadership.Term term,
             RecordReplica replica,
@@ -105,7 +110,7 @@
     }
 
     /** The machines on record when the term began; all are ours under the term's fencing token. */
-    List<Machine> takeOver() {
+    public List<Machine> takeOver() {
         List<Machine> inherited = new ArrayList<>();
         for (int part = 0; part < replica.inventoryParts(); part++) {
             InventoryRecord hosts = replica.inventory(part);
@@ -143,7 +148,7 @@
     }
 
     /** How many values of the inventory can't be read. */
-    int unreadableParts() {
+    public int unreadableParts() {
         return unreadableParts;
     }
 
@@ -246,7 +251,7 @@
     }
 
     /** A direct command has no answer: only a higher fencing token makes sure that it can't be carried out late. */
-    void requestToken(Machine machine, String why) {
+    public void requestToken(Machine machine, String why) {
         if (!machine.needsNewToken() && !machine.isGone()) {
             LOG.info("machine {} wants a new fencing token: {}", machine.id(), why);
             machine.requireNewToken();
--- a/src/main/java/org/granitepath/coordination/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -1,12 +1,20 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
 import java.util.List;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The life of machines during one term of leadership: confirmed, drained, out of their lease, or proved gone. */
-final class MachineLifecycle {
+public final class MachineLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
     private final Config config;
@@ -19,7 +27,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
-    MachineLifecycle(
+    public MachineLifecycle(
             Config config,
             Fleet fleet,
             MachineInventory inventory,
@@ -41,7 +49,7 @@
     }
 
     /** A machine that is not in the fleet reports: it joins and is put on record. */
-    void join(Machine machine) {
+    public void join(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}) reports for the first time",
                 machine.id(),
@@ -53,7 +61,7 @@
     }
 
     /** Takes no new tasks from now on. */
-    void drain(Machine machine, String why) {
+    public void drain(Machine machine, String why) {
         machine.drain(why);
     }
 
@@ -64,14 +72,14 @@
     }
 
     /** The machine's new fencing token is on record: it must show it before it is given work again. */
-    void tokenRaised(Machine machine) {
+    public void tokenRaised(Machine machine) {
         long now = timers.nowMicros();
         if (fleet.unresponsive(machine, now)) {
-            machine.fence();
-            if (config.peerIn(machine.zone()) && machine.leaseOverMicros() > 0) {
+            machine.contact().fence();
+            if (config.peerIn(machine.zone()) && machine.contact().leaseOverMicros() > 0) {
                 // A controller cut off together with it may not know yet, and go on under the former token.
                 long longest = now + config.maxDisconnectedMicros() + config.longestLeaseMicros();
-                machine.leaseRunsUntil(longest, false);
+                machine.contact().leaseRunsUntil(longest, false);
             }
         }
         machine.unconfirmed(now, "fencing token raised to " + machine.fencingToken());
@@ -81,7 +89,7 @@
      * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it is heard
      * again, in a later session, it must show that it hears us before it is given work.
      */
-    void leaseExpired(Machine machine) {
+    public void leaseExpired(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
                 machine.id(),
@@ -98,7 +106,7 @@
     }
 
     /** The cloud took this machine back for good. */
-    void returned(String id) {
+    public void returned(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
--- a/src/main/java/org/granitepath/coordination/ReportReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/ReportReconciler.java
@@ -1,14 +1,32 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.Heartbeat.Cause;
-import org.granitepath.coordination.Heartbeat.TaskReport;
-import org.granitepath.coordination.Heartbeat.TaskState;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.JobLifecycle;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.GangAttempt;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.Verdict;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,7 +34,7 @@
  * Brings what is known of a machine in line with what its worker reports. A task is taken for gone only when a report
  * proves it; what is reported and was not placed by this leader is adopted or stopped.
  */
-final class ReportReconciler {
+public final class ReportReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
     /** With more exited attempts than this that may not be cleared yet, a machine gets a new token for their sake. */
     private static final int MOST_UNCLEARED_ATTEMPTS = 24;
@@ -40,7 +58,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
-    ReportReconciler(
+    public ReportReconciler(
             Config config,
             JobIndex jobIndex,
             Fleet fleet,
@@ -78,15 +96,18 @@
      *
      * @param isReport whether the worker sent it by itself; otherwise it came in the answer to a direct call
      */
-    boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isReport) {
+    public boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isReport) {
         if (machine.isGone()
-                || !heartbeat.newerThan(machine.session(), machine.sequence())
+                || !heartbeat.newerThan(
+                        machine.contact().session(), machine.contact().sequence())
                 || heartbeat.fencingToken() > machine.fencingToken()) {
             return false;
         }
         long now = timers.nowMicros();
         boolean current = heartbeat.fencingToken() == machine.fencingToken();
-        if (isReport && machine.session() >= 0 && heartbeat.session() > machine.session()) {
+        if (isReport
+                && machine.contact().session() >= 0
+                && heartbeat.session() > machine.contact().session()) {
             // Its reports come, but do our answers get there? It must show that before it is given work again.
             inventory.requestToken(machine, "its session moved on to " + heartbeat.session());
         }
@@ -112,11 +133,11 @@
     }
 
     private void noteContact(Machine machine, Heartbeat heartbeat, boolean isReport, boolean current, long now) {
-        machine.messageReceived(heartbeat);
+        machine.contact().messageReceived(heartbeat);
         if (isReport) {
             machine.heartbeatReceived(fleet.unresponsive(machine, now), now);
         }
-        machine.leaseRunsUntil(now + config.longestLeaseMicros(), current);
+        machine.contact().leaseRunsUntil(now + config.longestLeaseMicros(), current);
     }
 
     private Set<TaskId> reconcileListed(Machine machine, Heartbeat heartbeat, boolean current, long now) {
@@ -211,7 +232,7 @@
     }
 
     private void waiting(Machine machine, Placement placement, long now) {
-        machine.imageSeen(placement.job().spec().image());
+        machine.capacity().imageSeen(placement.job().spec().image());
         placement.waiting();
         if (isOfPresentAttempt(placement)) {
             placement.job().gangAttempt().waiting(now);
@@ -236,7 +257,7 @@
             placement.job().gangAttempt().running();
         }
         if (!placement.hasRun()) {
-            machine.imageSeen(placement.job().spec().image());
+            machine.capacity().imageSeen(placement.job().spec().image());
         }
         placement.running(now);
         if (placement.ranMicros(now) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
@@ -257,7 +278,7 @@
             LOG.info("a task of {} failed on {}", job.spec().id(), machine.id());
             machines.drainFaulty(faults.failed(machine, job, now));
         } else if (report.cause() == Cause.UNKNOWN_JOB || report.cause() == Cause.NO_ROOM) {
-            job.startNothingBefore(now + REFUSED_START_DELAY_MICROS);
+            job.scheduling().startNothingBefore(now + REFUSED_START_DELAY_MICROS);
         }
         boolean attemptIsOver = report.cause() == Cause.PEER_GONE || report.cause() == Cause.INCOMPLETE;
         if (attemptIsOver && isOfPresentAttempt(placement) && !job.gangAttempt().isEnding()) {
@@ -299,10 +320,10 @@
      * been raised: a late copy of that command would start it once more.
      */
     private boolean mayClear(Machine machine, TaskReport report) {
-        if (machine.mayBeStartedAgain(report.attempt())) {
+        if (machine.contact().mayBeStartedAgain(report.attempt(), machine.fencingToken())) {
             return false;
         }
-        machine.forgetDirectStart(report.attempt());
+        machine.contact().forgetDirectStart(report.attempt());
         if (report.cause() != Cause.DONE || jobIndex.openJob(report.task().job()) == null) {
             return true;
         }
--- a/src/main/java/org/granitepath/coordination/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -1,8 +1,15 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.fleet;
 
-import org.granitepath.coordination.Heartbeat.Cause;
-import org.granitepath.coordination.Heartbeat.TaskReport;
-import org.granitepath.coordination.Heartbeat.TaskState;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
 import org.granitepath.recovery.RecordedTask;
 import org.granitepath.recovery.RecoveryPlan;
--- a/src/main/java/org/granitepath/coordination/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -1,14 +1,18 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.gang;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.storage.JobSpec;
 
 /**
  * Free room on full-price machines for the next gang, where gangs are expected to start sooner than a machine boots.
  * In the zone with the most free room, batch work that may use spot machines leaves as much as the largest of the
  * present gangs takes. It does so for a bounded time: then it takes what there is.
  */
-final class GangHeadroom {
+public final class GangHeadroom {
     /** The users allow 90 s beside a machine with room. */
     private static final long LONGEST_BESIDE_ROOM_MICROS = 75_000_000;
 
@@ -18,17 +22,17 @@
     /** CPUs free in that zone beyond what is to be left; negative when there are fewer. */
     private long spareCpu;
 
-    GangHeadroom(Fleet fleet, BatchPlanner batchPlanner) {
+    public GangHeadroom(Fleet fleet, BatchPlanner batchPlanner) {
         this.fleet = fleet;
         this.batchPlanner = batchPlanner;
     }
 
     /** Looks at the fleet anew. */
-    void survey() {
+    public void survey() {
         Object2LongOpenHashMap<String> free = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
             if (!machine.spot() && machine.takesTasks()) {
-                free.addTo(machine.zone(), machine.cpuFree());
+                free.addTo(machine.zone(), machine.capacity().cpuFree());
             }
         }
         zone = "";
@@ -49,31 +53,35 @@
     }
 
     /** Whether the job may have a task there, as far as gangs are concerned. */
-    boolean leavesRoom(Machine machine, ActiveJob job, long now) {
+    public boolean leavesRoom(Machine machine, ActiveJob job, long now) {
         JobSpec spec = job.spec();
         if (!isWanted(machine) || spec.service() || spec.gang() || !spec.spot()) {
             return true;
         }
         return spareCpu >= spec.cpuMillis()
-                || now - Math.max(job.waitingSinceMicros(), job.lastStartMicros()) > LONGEST_BESIDE_ROOM_MICROS;
+                || now
+                                - Math.max(
+                                        job.scheduling().waitingSinceMicros(),
+                                        job.scheduling().lastStartMicros())
+                        > LONGEST_BESIDE_ROOM_MICROS;
     }
 
     /** A task was placed there. */
-    void taken(Machine machine, JobSpec spec) {
+    public void taken(Machine machine, JobSpec spec) {
         if (isWanted(machine)) {
             spareCpu -= spec.cpuMillis();
         }
     }
 
     /** Whether this idle machine is to be kept: without it too little would be free. */
-    boolean keeps(Machine machine) {
-        return isWanted(machine) && spareCpu < machine.cpuFree();
+    public boolean keeps(Machine machine) {
+        return isWanted(machine) && spareCpu < machine.capacity().cpuFree();
     }
 
     /** A machine is returned. */
-    void returned(Machine machine) {
+    public void returned(Machine machine) {
         if (isWanted(machine)) {
-            spareCpu -= machine.cpuFree();
+            spareCpu -= machine.capacity().cpuFree();
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -1,12 +1,20 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.gang;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.GangAttempt;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -15,7 +23,7 @@
  * and within the team's limit. For a gang that does not fit, machines are reserved for a bounded time. A gang that
  * lost a task before it started gets that task anew, under the same attempt, or is stopped.
  */
-final class GangScheduler {
+public final class GangScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
     /** Of a waiting time that a worker measures we see the beginning and the end only in its reports. */
     private static final int REPORTS_OF_A_WAIT = 2;
@@ -31,7 +39,8 @@
     /** Where the tasks of a gang go, and how many of them must fetch their image first. */
     private record Plan(List<Machine> machines, int fetches) {}
 
-    GangScheduler(Config config, Fleet fleet, PlacementRules rules, TaskLifecycle tasks, MachinePreference preference) {
+    public GangScheduler(
+            Config config, Fleet fleet, PlacementRules rules, TaskLifecycle tasks, MachinePreference preference) {
         this.config = config;
         this.fleet = fleet;
         this.rules = rules;
@@ -40,7 +49,7 @@
     }
 
     /** Releases the machines reserved for gangs that no longer wait for them. Called before each pass. */
-    void releaseReservations(long now) {
+    public void releaseReservations(long now) {
         for (Machine machine : fleet.machines()) {
             ActiveJob job = machine.reservedFor();
             if (job != null && (job.waiting() <= 0 || job.gangAttempt() != null || reservationIsOver(job, now))) {
@@ -50,7 +59,8 @@
     }
 
     private boolean reservationIsOver(ActiveJob job, long now) {
-        return !job.holdsReservation() || now - job.reservedSinceMicros() > reservationMicros(job);
+        return !job.scheduling().holdsReservation()
+                || now - job.scheduling().reservedSinceMicros() > reservationMicros(job);
     }
 
     /** Machines bought for the gang come one after the other: the first must still be there when the last one is. */
@@ -64,7 +74,7 @@
     }
 
     /** Brings a gang forward as far as the room allows; {@code roomy} holds the machines with some room. */
-    void schedule(ActiveJob job, List<Machine> roomy, long now) {
+    public void schedule(ActiveJob job, List<Machine> roomy, long now) {
         if (job.gangAttempt() != null) {
             completeOrGiveUp(job, roomy, now);
         } else if (job.running() == 0 && job.claimed() >= job.spec().tasks()) {
@@ -94,9 +104,9 @@
                 job.spec().id(),
                 job.spec().jobClass(),
                 job.spec().tasks(),
-                (now - job.waitingSinceMicros()) / 1_000,
+                (now - job.scheduling().waitingSinceMicros()) / 1_000,
                 best.fetches());
-        job.reservationEnds();
+        job.scheduling().reservationEnds();
         tasks.startGang(job, best.machines(), now);
     }
 
@@ -134,7 +144,7 @@
 
     /** On a suspect only one task is tried at a time. */
     private int slotsOf(Machine machine, JobSpec spec) {
-        int slots = machine.slots(spec, 0, 0, 0);
+        int slots = machine.capacity().slots(spec, 0, 0, 0);
         return rules.isSuspect(machine) ? Math.min(1, slots) : slots;
     }
 
@@ -149,7 +159,7 @@
                     break;
                 }
                 chosen.add(machine);
-                fetches += machine.hasImage(spec.image()) ? 0 : 1;
+                fetches += machine.capacity().hasImage(spec.image()) ? 0 : 1;
             }
         }
         return chosen.size() == spec.tasks() ? new Plan(chosen, fetches) : null;
@@ -159,15 +169,15 @@
 
     /** Holds machines for a gang that does not fit, in the zone where it soonest will; for a set time only. */
     private void reserve(ActiveJob job, long now) {
-        if (now < job.noReservationUntilMicros()) {
+        if (now < job.scheduling().noReservationUntilMicros()) {
             return;
         }
-        if (!job.holdsReservation()) {
-            job.reservationBegins(now);
+        if (!job.scheduling().holdsReservation()) {
+            job.scheduling().reservationBegins(now);
         } else if (reservationIsOver(job, now)) {
             LOG.debug("gang {} is passed over: it does not fit", job.spec().id());
-            job.reservationEnds();
-            job.reserveNothingUntil(now + config.tuning().gangHoldMicros());
+            job.scheduling().reservationEnds();
+            job.scheduling().reserveNothingUntil(now + config.tuning().gangHoldMicros());
             fleet.machines().forEach(machine -> machine.endReservationFor(job));
             return;
         }
@@ -254,7 +264,7 @@
         }
         Machine best = null;
         for (Machine machine : roomy) {
-            boolean may = machine.hasRoom(job.spec())
+            boolean may = machine.capacity().hasRoom(job.spec())
                     && machine.takesTasks()
                     && rules.mayHold(machine, job)
                     && rules.suits(machine, job, now)
--- a/src/main/java/org/granitepath/coordination/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -1,7 +1,9 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
+
+import org.granitepath.coordination.model.ActiveJob;
 
 /** How fast live services arrive, as a fading average. */
-final class ArrivalRate {
+public final class ArrivalRate {
     private static final double MEMORY_MICROS = 60e6;
 
     private double rate;
@@ -17,12 +19,12 @@
     }
 
     /** Thousandths of a CPU that arrive in a microsecond. */
-    double cpuPerMicro(long now) {
+    public double cpuPerMicro(long now) {
         return rate * Math.exp((atMicros - now) / MEMORY_MICROS);
     }
 
     /** An example of what arrives; null when nothing has. */
-    ActiveJob newest() {
+    public ActiveJob newest() {
         return newest;
     }
 }
--- a/src/main/java/org/granitepath/coordination/DispatchLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/DispatchLoop.java
@@ -1,13 +1,13 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
 
 import java.util.function.BooleanSupplier;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.storage.Timers;
 
 /**
  * Puts scheduling passes and the sending of commands together. A pass over a large fleet takes its time: the next one
  * waits for several times as long, for the sake of the reports that come meanwhile.
  */
-final class DispatchLoop {
+public final class DispatchLoop {
     private static final long DELAY_MICROS = 2_000;
     /** The next pass comes no sooner than this many times as long as the last one took. */
     private static final int PASS_SPACING = 4;
@@ -30,7 +30,7 @@
      * @param pass one scheduling pass
      * @param send sends the commands that are due
      */
-    DispatchLoop(Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable pass, Runnable send) {
+    public DispatchLoop(Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable pass, Runnable send) {
         this.timers = timers;
         this.ended = ended;
         this.mayStart = mayStart;
@@ -39,18 +39,18 @@
     }
 
     /** Asks for a pass over the waiting jobs and for commands to go out, shortly and together. */
-    void requestPass() {
+    public void requestPass() {
         passRequested = true;
         requestSend();
     }
 
     /** Notes that a pass is worth making, whenever the loop runs next. */
-    void notePass() {
+    public void notePass() {
         passRequested = true;
     }
 
     /** Asks for commands to go out shortly. */
-    void requestSend() {
+    public void requestSend() {
         if (timerSet) {
             return;
         }
@@ -65,7 +65,7 @@
     }
 
     /** Makes a pass at once if one is wanted and due, or asks for it. */
-    void passNowIfDue() {
+    public void passNowIfDue() {
         if (!passRequested) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,6 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
 
 /**
  * Decides whether a failed task is the fault of its machine or of its job.
@@ -16,9 +19,9 @@
  * its failures on several machines, none of which is known to be faulty, count against the job: it is retried less
  * and less often, one task at a time, and it makes no further machine a suspect.
  */
-final class FaultTracker {
+public final class FaultTracker {
     /** A task that has run for this long is sound, and so is the machine on which it started. */
-    static final long PROOF_MICROS = 5_000_000;
+    public static final long PROOF_MICROS = 5_000_000;
     /** A job without proof that failed on this many machines is itself in question. */
     private static final int MACHINES_OF_A_FAULTY_JOB = 3;
     /** A machine on which this many jobs failed, with no success in between, is faulty. */
@@ -42,7 +45,7 @@
     private final Set<ActiveJob> provenJobs = new HashSet<>();
 
     /** A task of the job failed there. Returns the machines that have turned out to be faulty. */
-    List<Machine> failed(Machine machine, ActiveJob job, long now) {
+    public List<Machine> failed(Machine machine, ActiveJob job, long now) {
         if (provenJobs.contains(job)) {
             return blame(machine, job, now) ? List.of(machine) : List.of();
         }
@@ -50,7 +53,7 @@
         machines.add(machine);
         boolean jobInQuestion = machines.size() >= MACHINES_OF_A_FAULTY_JOB;
         boolean turnedFaulty = !jobInQuestion && blame(machine, job, now);
-        job.startNothingBefore(now + backoffMicros(machines.size()));
+        job.scheduling().startNothingBefore(now + backoffMicros(machines.size()));
         return turnedFaulty ? List.of(machine) : List.of();
     }
 
@@ -58,7 +61,7 @@
      * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty:
      * those on which the job failed before, which is now known not to be the job's own fault.
      */
-    List<Machine> proved(Placement placement, long now) {
+    public List<Machine> proved(Placement placement, long now) {
         ActiveJob job = placement.job();
         Suspect suspect = suspects.get(placement.machine());
         if (suspect != null && !placement.takenOver() && placement.runningSinceMicros() > suspect.failedMicros) {
@@ -71,18 +74,18 @@
         if (machines == null) {
             return List.of();
         }
-        job.startNothingBefore(now);
+        job.scheduling().startNothingBefore(now);
         return machines.stream()
                 .filter(machine -> !machine.isGone() && blame(machine, job, now))
                 .toList();
     }
 
     /** Whether a task's further running could prove anything that is not known yet. */
-    boolean wantsProof(Placement placement) {
+    public boolean wantsProof(Placement placement) {
         return suspects.containsKey(placement.machine()) || !provenJobs.contains(placement.job());
     }
 
-    boolean suspects(Machine machine) {
+    public boolean suspects(Machine machine) {
         return suspects.containsKey(machine);
     }
 
@@ -90,7 +93,7 @@
      * Whether a task of this job may be started there: on a suspect only one at a time, and of no job that failed
      * there.
      */
-    boolean mayTry(Machine machine, ActiveJob job) {
+    public boolean mayTry(Machine machine, ActiveJob job) {
         Suspect suspect = suspects.get(machine);
         if (suspect == null) {
             return true;
@@ -101,19 +104,19 @@
     }
 
     /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
-    boolean mayStartAnother(ActiveJob job) {
+    public boolean mayStartAnother(ActiveJob job) {
         Set<Machine> machines = failedOn.get(job);
         return machines == null || machines.size() < MACHINES_OF_A_FAULTY_JOB || !job.hasPlacements();
     }
 
     /** Forgets a machine that is gone. */
-    void forget(Machine machine) {
+    public void forget(Machine machine) {
         suspects.remove(machine);
         failedOn.values().forEach(machines -> machines.remove(machine));
     }
 
     /** Forgets a job that is over. */
-    void forget(ActiveJob job) {
+    public void forget(ActiveJob job) {
         provenJobs.remove(job);
         failedOn.remove(job);
         suspects.values().forEach(suspect -> suspect.failedJobs.remove(job));
@@ -132,7 +135,7 @@
         for (ActiveJob failedJob : suspect.failedJobs) {
             Set<Machine> machines = failedOn.get(failedJob);
             if (machines != null && machines.remove(machine) && machines.isEmpty()) {
-                failedJob.startNothingBefore(now);
+                failedJob.scheduling().startNothingBefore(now);
             }
         }
         return true;
--- a/src/main/java/org/granitepath/coordination/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -1,18 +1,25 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
 
 import java.util.List;
-import org.granitepath.bookkeeping.FinalRecord;
-import org.granitepath.bookkeeping.JobRecord;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.ProgressRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.Timers;
+import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The life of jobs during one term of leadership: accepted, claimed in blocks, done or cancelled, and recorded so. */
-final class JobLifecycle implements JobIndex.Listener {
+public final class JobLifecycle implements JobIndex.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
     private static final long PROGRESS_DELAY_MICROS = 1_000_000;
 
@@ -28,7 +35,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
-    JobLifecycle(
+    public JobLifecycle(
             Config config,
             Leadership.Term term,
             RecordReplica replica,
@@ -54,7 +61,7 @@
     }
 
     /** Opens all jobs on record and follows their records from now on. */
-    void start() {
+    public void start() {
         for (JobRecord record : jobIndex.openJobs()) {
             open(record);
         }
@@ -62,7 +69,7 @@
         loop.requestPass();
     }
 
-    void end() {
+    public void end() {
         jobIndex.listen(null);
     }
 
@@ -89,7 +96,7 @@
     }
 
     /** Records the end of the job when all its tasks are done. */
-    void endIfDone(ActiveJob job) {
+    public void endIfDone(ActiveJob job) {
         if (job.isOpen() && job.left() == 0) {
             job.allTasksDone();
             recordDone(job);
@@ -152,7 +159,7 @@
     }
 
     /** Claims the next block of task numbers in good time, before the present one is used up. */
-    void claim(ActiveJob job) {
+    public void claim(ActiveJob job) {
         // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
         int block = writeQueue.behind() ? job.spec().tasks() : config.tuning().nextBlock(job.spec());
         int target =
@@ -165,7 +172,7 @@
     }
 
     /** A task of the job is done: the count goes on record some time soon. */
-    void recordTaskDone(ActiveJob job) {
+    public void recordTaskDone(ActiveJob job) {
         recordProgress(job, WriteQueue.Urgency.PROGRESS_ONLY, PROGRESS_DELAY_MICROS);
     }
 
--- a/src/main/java/org/granitepath/coordination/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -1,13 +1,14 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.Map;
+import org.granitepath.coordination.model.ActiveJob;
 
 /**
  * How long tasks really run. Owners' estimates are often wrong by half, on some days all in one direction; what has
  * finished corrects them, by class and, once some of its tasks are done, by job.
  */
-final class RuntimeEstimator {
+public final class RuntimeEstimator {
     /** How many finished tasks it takes to outweigh the owners' word. */
     private static final double CLASS_PRIOR = 10;
 
@@ -24,7 +25,7 @@
     private final Map<String, Tally> classes = new Object2ObjectOpenHashMap<>();
 
     /** A task of the job ran to its end. */
-    void finished(ActiveJob job, long ranMicros) {
+    public void finished(ActiveJob job, long ranMicros) {
         job.taskFinished(ranMicros);
         Tally tally = classes.computeIfAbsent(job.spec().jobClass(), unused -> new Tally());
         if (tally.count >= MEMORY) {
@@ -38,7 +39,7 @@
     }
 
     /** The run time to expect of one task of this job. */
-    long taskMicros(ActiveJob job) {
+    public long taskMicros(ActiveJob job) {
         double estimate = Math.max(1_000_000, job.spec().estimateMicros());
         Tally tally = classes.get(job.spec().jobClass());
         if (tally != null && tally.expected > 0) {
--- a/src/main/java/org/granitepath/coordination/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -1,12 +1,21 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
 
 import java.util.List;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.GangAttempt;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.model.TeamLimits;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The life of tasks on machines: from the decision to start one to the proof that it is gone. */
-final class TaskLifecycle {
+public final class TaskLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
     private static final long ATTEMPTS_PER_TERM = 1L << 24;
 
@@ -19,7 +28,7 @@
     private final CommandQueue commands;
     private long attempts;
 
-    TaskLifecycle(
+    public TaskLifecycle(
             Leadership.Term term,
             TermRecovery recovery,
             ActiveJobs jobs,
@@ -37,7 +46,7 @@
     }
 
     /** Decides that the job's next task is to start there. The command goes out with the next answer or call. */
-    Placement start(ActiveJob job, Machine machine, long now) {
+    public Placement start(ActiveJob job, Machine machine, long now) {
         return start(job, job.takeTask(), machine, nextAttempt(), now);
     }
 
@@ -48,7 +57,7 @@
 
     private Placement start(ActiveJob job, int index, Machine machine, long attempt, long now) {
         TaskId task = new TaskId(job.spec().id(), index);
-        job.taskStarted(now);
+        job.scheduling().taskStarted(now);
         Placement placement = new Placement(task, job, machine, attempt, now);
         place(placement);
         commands.due(machine);
@@ -57,7 +66,7 @@
     }
 
     /** Decides that a whole gang is to start, one task on each of these machines, under an attempt of its own. */
-    void startGang(ActiveJob job, List<Machine> machines, long now) {
+    public void startGang(ActiveJob job, List<Machine> machines, long now) {
         job.beginGangAttempt(nextAttempt());
         for (Machine machine : machines) {
             startInGang(job, job.takeTask(), machine, now);
@@ -65,7 +74,7 @@
     }
 
     /** Decides that a task of a gang is to join the others of its attempt. */
-    void startInGang(ActiveJob job, int index, Machine machine, long now) {
+    public void startInGang(ActiveJob job, int index, Machine machine, long now) {
         job.takeTask(index);
         start(job, index, machine, job.gangAttempt().number(), now);
         job.gangAttempt().placed(index, machine.id());
@@ -75,7 +84,7 @@
     }
 
     /** A task that a former leader started is on this machine: from now on it is ours. */
-    Placement adopt(ActiveJob job, Machine machine, Heartbeat.TaskReport report, boolean certain, long now) {
+    public Placement adopt(ActiveJob job, Machine machine, Heartbeat.TaskReport report, boolean certain, long now) {
         Placement placement = Placement.adopted(report.task(), job, machine, report.attempt(), certain, now);
         place(placement);
         if (job.spec().gang()) {
@@ -115,7 +124,7 @@
      * Tells the machine to end the task; one that was never sent is freed at once. A task of a gang is of no use
      * without the others, and saves its progress only together with them: all are stopped at once.
      */
-    void stop(Placement placement, long graceMicros, String why) {
+    public void stop(Placement placement, long graceMicros, String why) {
         ActiveJob job = placement.job();
         if (job.gangAttempt() == null) {
             stopOne(placement, graceMicros, why);
@@ -145,12 +154,12 @@
     }
 
     /** Repeats a stop that is not seen to have worked yet. */
-    void stopAgain(Placement placement) {
+    public void stopAgain(Placement placement) {
         commands.due(placement.machine());
     }
 
     /** There is proof that the task is not on the machine. */
-    void free(Placement placement, String why) {
+    public void free(Placement placement, String why) {
         if (placement.live()) {
             release(placement, why);
             loop.notePass();
@@ -187,14 +196,14 @@
         }
     }
 
-    void freeAll(Machine machine, String why) {
+    public void freeAll(Machine machine, String why) {
         for (Placement placement : List.copyOf(machine.placements())) {
             free(placement, why);
         }
     }
 
     /** A spot machine is about to be taken: work that can be saved or won't finish moves. */
-    void evacuate(Machine machine, long noticeMicros) {
+    public void evacuate(Machine machine, long noticeMicros) {
         long now = timers.nowMicros();
         for (Placement placement : List.copyOf(machine.placements())) {
             long ran = placement.ranMicros(now);
--- a/src/main/java/org/granitepath/coordination/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -1,32 +1,36 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.jobs;
 
 import java.util.List;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
 import org.granitepath.recovery.FirstWork;
 import org.granitepath.recovery.MachineProfile;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.Verdict;
+import org.granitepath.storage.Timers;
 
 /** Carries the recovery plan of one term out on the fleet and the jobs. */
-final class TermRecovery {
+public final class TermRecovery {
     private final RecoveryPlan plan;
     private final ActiveJobs jobs;
     private final Timers timers;
     private final DispatchLoop loop;
 
-    TermRecovery(RecoveryPlan plan, ActiveJobs jobs, Timers timers, DispatchLoop loop) {
+    public TermRecovery(RecoveryPlan plan, ActiveJobs jobs, Timers timers, DispatchLoop loop) {
         this.plan = plan;
         this.jobs = jobs;
         this.timers = timers;
         this.loop = loop;
     }
 
-    RecoveryPlan plan() {
+    public RecoveryPlan plan() {
         return plan;
     }
 
     /** Begins with the machines and the records as of this revision. */
-    void start(List<Machine> inherited, int unreadableParts, long revision) {
+    public void start(List<Machine> inherited, int unreadableParts, long revision) {
         inherited.forEach(machine -> plan.takeOver(machine.id(), profile(machine)));
         plan.takeOverUnreadable(unreadableParts);
         plan.recordsRead(revision, timers.nowMicros());
@@ -37,7 +41,7 @@
     }
 
     /** Whether every machine taken over is heard under the present token or proved gone. */
-    boolean allHeard() {
+    public boolean allHeard() {
         return plan.allHeard();
     }
 
@@ -47,7 +51,7 @@
     }
 
     /** The machine is heard under its present token, or gone: what a former leader left there is known. */
-    void resolved(Machine machine, String proof) {
+    public void resolved(Machine machine, String proof) {
         if (!machine.inherited()) {
             return;
         }
@@ -67,16 +71,16 @@
     }
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
-    boolean mayStart(ActiveJob job) {
+    public boolean mayStart(ActiveJob job) {
         return plan.mayStart(job.spec());
     }
 
-    void passBegins(long now) {
+    public void passBegins(long now) {
         plan.checkBound(now);
     }
 
     /** @param roomComing how many tasks that go first have no room yet, while others are being stopped for them */
-    void passEnded(int roomComing) {
+    public void passEnded(int roomComing) {
         if (!plan.holdsBatchWork()) {
             return;
         }
@@ -90,12 +94,12 @@
      * Whether room that is free may be wanted shortly by work that goes first: machines that look idle are kept until
      * it is known what of that work is lost.
      */
-    boolean keepsIdleMachines() {
+    public boolean keepsIdleMachines() {
         return plan.holdsBatchWork() || (!plan.allHeard() && firstWork(0).inDoubt() > 0);
     }
 
     /** How many claimed tasks may be on machines that are still to be heard. */
-    int tasksInDoubt() {
+    public int tasksInDoubt() {
         return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
 
--- a/src/main/java/org/granitepath/coordination/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -1,18 +1,19 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.leadership;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-import org.granitepath.bookkeeping.FencingTokenRecord;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.LeaderRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.StatePort.Guard;
-import org.granitepath.bookkeeping.StatePort.Outcome;
-import org.granitepath.bookkeeping.StatePort.Txn;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.storage.FencingTokenRecord;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.LeaderRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StatePort;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.StatePort.Outcome;
+import org.granitepath.storage.StatePort.Txn;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,7 +23,7 @@
  * write however many machines there are; the machine inventory says only which these are, and only the leader on
  * record can change them.
  */
-final class Leadership {
+public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final long CHECK_MICROS = 250_000;
     private static final long PAUSE_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
@@ -41,10 +42,10 @@
     }
 
     /** What a won campaign brings: the fencing token, and the guard for all later writes. */
-    record Term(long fencingToken, long leaderStamp) {}
+    public record Term(long fencingToken, long leaderStamp) {}
 
     /** Told when this controller begins and ceases to lead. */
-    interface Listener {
+    public interface Listener {
         void elected(Term term);
 
         void leadershipLost(String why);
@@ -65,7 +66,7 @@
     private long quietUntilMicros;
 
     /** @param othersOutOfTouch whether every other controller lately told that the state service doesn't answer it */
-    Leadership(
+    public Leadership(
             Config config,
             StatePort state,
             RecordReplica replica,
@@ -80,27 +81,27 @@
         this.listener = listener;
     }
 
-    void start() {
+    public void start() {
         timers.after(CHECK_MICROS, this::tick);
     }
 
-    boolean leads() {
+    public boolean leads() {
         return term != null;
     }
 
     /** The fencing token of our term, or 0. */
-    long fencingToken() {
+    public long fencingToken() {
         return term == null ? 0 : term.fencingToken();
     }
 
     /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
-    boolean answersWorkers() {
+    public boolean answersWorkers() {
         refreshPhase();
         return phase == Phase.LEADING || phase == Phase.DISCONNECTED;
     }
 
     /** Whether the state service confirmed lately that we lead. */
-    boolean certain() {
+    public boolean certain() {
         refreshPhase();
         return phase == Phase.LEADING;
     }
@@ -110,17 +111,17 @@
      * of contact we can't tell that from an outage, unless all others say that they are out of contact as well: then
      * none of them can have confirmed one.
      */
-    boolean mayStart() {
+    public boolean mayStart() {
         return certain() || (phase == Phase.DISCONNECTED && othersOutOfTouch.getAsBoolean());
     }
 
     /** When the last request was sent that the state service answered with our being the leader. */
-    long confirmedMicros() {
+    public long confirmedMicros() {
         return confirmedMicros;
     }
 
     /** The leader on record, or null. */
-    String leaderNode() {
+    public String leaderNode() {
         LeaderRecord leader = replica.leader();
         return leader == null ? null : leader.node();
     }
@@ -133,7 +134,7 @@
     }
 
     /** The leader record changed. */
-    void leaderChanged() {
+    public void leaderChanged() {
         LeaderRecord leader = replica.leader();
         if (term != null) {
             boolean mine = leader != null
@@ -292,7 +293,7 @@
     }
 
     /** Hands the machines over: another can do better. */
-    void stepDown(String why) {
+    public void stepDown(String why) {
         if (term == null) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -1,15 +1,17 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.leadership;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.storage.Timers;
 
 /**
  * How the other controllers are. An outage of the state service and a cut of our own path to it look alike from here;
  * a peer that is in contact tells them apart.
  */
-final class Peers {
+public final class Peers {
     private static final long TICK_MICROS = 1_000_000;
     private static final long FRESH_MICROS = 3_500_000;
     private static final long SURELY_OVER_MICROS = 100_000;
@@ -22,14 +24,14 @@
     private final Supplier<PeerPort.PeerStatus> ours;
     private final Map<String, Heard> heard = new HashMap<>();
 
-    Peers(Config config, PeerPort port, Timers timers, Supplier<PeerPort.PeerStatus> ours) {
+    public Peers(Config config, PeerPort port, Timers timers, Supplier<PeerPort.PeerStatus> ours) {
         this.config = config;
         this.port = port;
         this.timers = timers;
         this.ours = ours;
     }
 
-    void start() {
+    public void start() {
         tick();
     }
 
@@ -44,12 +46,12 @@
         }
     }
 
-    void take(PeerPort.PeerStatus status) {
+    public void take(PeerPort.PeerStatus status) {
         heard.put(status.node(), new Heard(status, timers.nowMicros()));
     }
 
     /** The most machines that one peer lately turned away; negative when no peer has been heard. */
-    int mostTurnedAway() {
+    public int mostTurnedAway() {
         long now = timers.nowMicros();
         return heard.values().stream()
                 .filter(h -> now - h.atMicros() < FRESH_MICROS)
@@ -61,7 +63,7 @@
     /**
      * Whether every peer was lately heard and told that the state service had not answered it for so long, or never.
      */
-    boolean allOutOfTouch(long ageMicros) {
+    public boolean allOutOfTouch(long ageMicros) {
         long now = timers.nowMicros();
         for (String peer : config.peers()) {
             Heard h = heard.get(peer);
@@ -81,7 +83,7 @@
      * the leader has taken it in, or when a leader that we don't reach can no longer count as in contact with the
      * records, nor go by an earlier status message of ours that told it that we were out of contact.
      */
-    void announceCancellation(PeerPort.CancellationNotice notice, String leader, Runnable then) {
+    public void announceCancellation(PeerPort.CancellationNotice notice, String leader, Runnable then) {
         boolean[] over = {!config.peers().contains(leader)};
         for (String peer : config.peers()) {
             port.sendCancellation(peer, notice, taken -> {
@@ -105,14 +107,14 @@
     }
 
     /** Whether the leader was lately heard. */
-    boolean leaderHeard() {
+    public boolean leaderHeard() {
         long now = timers.nowMicros();
         return heard.values().stream()
                 .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.status().leader());
     }
 
     /** Whether a peer lately had word from the state service, at most {@code ageMicros} old when it told us. */
-    boolean anyInTouch(long ageMicros) {
+    public boolean anyInTouch(long ageMicros) {
         long now = timers.nowMicros();
         for (Heard h : heard.values()) {
             long age = h.status().contactAgeMicros();
--- a/src/main/java/org/granitepath/coordination/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -1,14 +1,19 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.leadership;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.bookkeeping.FencingTokenRecord;
-import org.granitepath.bookkeeping.InventoryRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.Heartbeat.TaskReport;
-import org.granitepath.coordination.Heartbeat.TaskState;
+import java.util.function.Predicate;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.storage.FencingTokenRecord;
+import org.granitepath.storage.InventoryRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -18,12 +23,12 @@
  * stops what it knows to be over. It does so for as long as a leader out of contact may, and only for machines of its
  * own zone; the leader counts on that before it takes a silent machine's tasks for gone.
  */
-final class ZoneLeaseKeeper {
+public final class ZoneLeaseKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(ZoneLeaseKeeper.class);
 
     private final Config config;
     private final RecordReplica replica;
-    private final JobIndex jobIndex;
+    private final Predicate<String> jobHasEnded;
     private final Peers peers;
     private final Timers timers;
     /**
@@ -34,23 +39,25 @@
 
     private long asOfMicros = Long.MIN_VALUE;
 
-    ZoneLeaseKeeper(Config config, RecordReplica replica, JobIndex jobIndex, Peers peers, Timers timers) {
+    /** @param jobHasEnded whether the job of this name is done or cancelled, as far as this controller knows */
+    public ZoneLeaseKeeper(
+            Config config, RecordReplica replica, Predicate<String> jobHasEnded, Peers peers, Timers timers) {
         this.config = config;
         this.replica = replica;
-        this.jobIndex = jobIndex;
+        this.jobHasEnded = jobHasEnded;
         this.peers = peers;
         this.timers = timers;
     }
 
-    boolean mayRenew(Heartbeat heartbeat) {
+    public boolean mayRenew(Heartbeat heartbeat) {
         if (!replica.loaded() || !heartbeat.zone().equals(config.zone())) {
             return false;
         }
         long age = timers.nowMicros() - replica.lastContactMicros();
-        if (age < Controller.CUT_OFF_MICROS
+        if (age < Config.CONTACT_TIMEOUT_MICROS
                 || age > config.maxDisconnectedMicros()
                 || peers.leaderHeard()
-                || peers.anyInTouch(Controller.CUT_OFF_MICROS)) {
+                || peers.anyInTouch(Config.CONTACT_TIMEOUT_MICROS)) {
             return false;
         }
         if (asOfMicros != replica.lastContactMicros()) {
@@ -79,10 +86,10 @@
      * The leader's fencing token once more, and the end of what is over: a cancellation must not outlive its time
      * here.
      */
-    HeartbeatResponse answer(Heartbeat heartbeat) {
+    public HeartbeatResponse answer(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskReport r : heartbeat.tasks()) {
-            if (r.state() != TaskState.EXITED && jobIndex.finalOf(r.task().job()) != null) {
+            if (r.state() != TaskState.EXITED && jobHasEnded.test(r.task().job())) {
                 commands.add(WorkerCommand.stop(r.task(), r.attempt(), 0));
             }
         }
--- a/src/main/java/org/granitepath/coordination/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.model;
 
 import com.google.common.collect.RangeSet;
 import com.google.common.collect.TreeRangeSet;
@@ -10,10 +10,10 @@
 import java.util.Collection;
 import java.util.Collections;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobRecord;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
-import org.granitepath.bookkeeping.ProgressRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
+import org.granitepath.storage.ProgressRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,12 +21,11 @@
  * An unfinished job as its leader sees it: which tasks are done, placed, free to start, or unconfirmed, and what the
  * scheduler has noted of it. State changes through the named methods alone.
  */
-final class ActiveJob {
+public final class ActiveJob {
     private static final Logger LOG = LoggerFactory.getLogger(ActiveJob.class);
-    private static final long NEVER = -1;
 
     /** {@code ENDING}: all tasks done, to be recorded. {@code OVER}: its final state is on record. */
-    enum Phase {
+    public enum Phase {
         OPEN,
         ENDING,
         OVER;
@@ -58,17 +57,10 @@
 
     private double ranMicros;
     private int ranCount;
-    private long notBeforeMicros;
     private GangAttempt gangAttempt;
-    private long reservedSinceMicros = NEVER;
-    private long noReservationUntilMicros = NEVER;
-    private long lastRunningMicros = NEVER;
-    private SchedulingClass schedulingClass = SchedulingClass.ANY;
-    private boolean deferrable;
-    private long lastStartMicros = NEVER;
-    private long waitingSinceMicros = NEVER;
-
-    ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
+    private final SchedulingState scheduling = new SchedulingState();
+
+    public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
         this.sinceMicros = nowMicros;
@@ -84,12 +76,12 @@
         }
     }
 
-    JobSpec spec() {
+    public JobSpec spec() {
         return spec;
     }
 
     /** The time of day at which it was accepted. */
-    long acceptedMicros() {
+    public long acceptedMicros() {
         return acceptedMicros;
     }
 
@@ -99,17 +91,22 @@
     }
 
     /** Whether it is a service whose start its users wait for: it goes before all other work. */
-    boolean isLive() {
+    public boolean isLive() {
         return spec.service() && !Priority.HIGH.above(spec.priority());
     }
 
+    /** What the scheduler has noted of it. */
+    public SchedulingState scheduling() {
+        return scheduling;
+    }
+
     // ---- life cycle --------------------------------------------------------------------------------------------
 
-    Phase phase() {
+    public Phase phase() {
         return phase;
     }
 
-    boolean isOpen() {
+    public boolean isOpen() {
         return phase == Phase.OPEN;
     }
 
@@ -125,74 +122,74 @@
     }
 
     /** All its tasks are done, which is still to be recorded. */
-    void allTasksDone() {
+    public void allTasksDone() {
         transition(Phase.ENDING, "all tasks done");
     }
 
     /** Its final state is on record. */
-    void over(String how) {
+    public void over(String how) {
         transition(Phase.OVER, how);
     }
 
     // ---- counts ------------------------------------------------------------------------------------------------
 
     /** Running in the paper's sense: handed out and not known to be over. */
-    int running() {
+    public int running() {
         return placements.size() + unconfirmed.size();
     }
 
-    int left() {
+    public int left() {
         return spec.tasks() - doneCount;
     }
 
     /** Tasks that could start now if there were room, claimed or not. */
-    int waiting() {
+    public int waiting() {
         return phase == Phase.OPEN ? left() - running() : 0;
     }
 
     /** The finished tasks, as ranges of their numbers. */
-    RangeSet<Integer> done() {
+    public RangeSet<Integer> done() {
         return done;
     }
 
-    boolean isDone(int task) {
+    public boolean isDone(int task) {
         return done.contains(task);
     }
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
     /** Tasks below this are ours by record. */
-    int claimed() {
+    public int claimed() {
         return claimed;
     }
 
     /** A larger claim is on record. */
-    void claimRecorded(int tasks) {
+    public void claimRecorded(int tasks) {
         claimed = tasks;
     }
 
     /** The claim that was asked for last, on record or not. */
-    int claimWanted() {
+    public int claimWanted() {
         return claimWanted;
     }
 
-    void claimRequested(int tasks) {
+    public void claimRequested(int tasks) {
         claimWanted = tasks;
     }
 
     /** Tasks at or above this were never handed out. */
-    int firstNeverStarted() {
+    public int firstNeverStarted() {
         return fresh;
     }
 
-    boolean hasClaimedTask() {
+    public boolean hasClaimedTask() {
         return !free.isEmpty() || fresh < claimed;
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
 
     /** Takes the next task number to start. */
-    int takeTask() {
+    public int takeTask() {
         if (!free.isEmpty()) {
             int task = free.firstInt();
             free.remove(task);
@@ -202,29 +199,29 @@
     }
 
     /** Takes this task number, which is free, to start. */
-    void takeTask(int task) {
+    public void takeTask(int task) {
         free.remove(task);
     }
 
     /** The lowest task number that was started before and is free again. */
-    int firstFreed() {
+    public int firstFreed() {
         return free.firstInt();
     }
 
-    Collection<Placement> placements() {
+    public Collection<Placement> placements() {
         return placementsView;
     }
 
     /** Where this task is placed, or null. */
-    Placement placement(int task) {
+    public Placement placement(int task) {
         return placements.get(task);
     }
 
-    boolean hasPlacements() {
+    public boolean hasPlacements() {
         return !placements.isEmpty();
     }
 
-    void place(Placement placement) {
+    public void place(Placement placement) {
         int task = placement.task().index();
         placements.put(task, placement);
         zoneCounts.addTo(placement.machine().zone(), 1);
@@ -233,7 +230,7 @@
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
-    void unplace(Placement placement, boolean elsewhere) {
+    public void unplace(Placement placement, boolean elsewhere) {
         int task = placement.task().index();
         if (!placements.remove(task, placement)) {
             return;
@@ -248,7 +245,7 @@
         }
     }
 
-    void markDone(int task) {
+    public void markDone(int task) {
         if (!done.contains(task)) {
             ProgressRecord.addTask(done, task);
             doneCount++;
@@ -258,7 +255,7 @@
     }
 
     /** A task of a gang has completed: all have. */
-    void markAllDone() {
+    public void markAllDone() {
         ProgressRecord.addTasks(done, spec.tasks());
         doneCount = spec.tasks();
         free.clear();
@@ -268,12 +265,12 @@
     // ---- unconfirmed tasks -------------------------------------------------------------------------------------
 
     /** How many claimed tasks may run on machines that are still to be heard. */
-    int unconfirmedTasks() {
+    public int unconfirmedTasks() {
         return unconfirmed.size();
     }
 
     /** Every machine that could have held a task of ours was heard or is proved gone. */
-    void resolveUnconfirmed() {
+    public void resolveUnconfirmed() {
         free.addAll(unconfirmed);
         unconfirmed.clear();
     }
@@ -281,7 +278,7 @@
     // ---- zones -------------------------------------------------------------------------------------------------
 
     /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
-    boolean zoneAllows(String zone) {
+    public boolean zoneAllows(String zone) {
         if (spec.oneZone()) {
             if (!unconfirmed.isEmpty()) {
                 return false;
@@ -296,134 +293,42 @@
     }
 
     /** How many of its tasks are placed in each zone. */
-    Map<String, Integer> tasksByZone() {
+    public Map<String, Integer> tasksByZone() {
         return Collections.unmodifiableMap(zoneCounts);
     }
 
     // ---- run times ---------------------------------------------------------------------------------------------
 
     /** A task that this term has seen from its start on has run to its end. */
-    void taskFinished(long micros) {
+    public void taskFinished(long micros) {
         ranMicros += micros;
         ranCount++;
     }
 
     /** Run time of those of its tasks that finished in this term, together. */
-    double finishedMicros() {
+    public double finishedMicros() {
         return ranMicros;
     }
 
     /** How many of its tasks finished in this term, run time known. */
-    int finishedTasks() {
+    public int finishedTasks() {
         return ranCount;
     }
 
-    // ---- what the scheduler notes ------------------------------------------------------------------------------
-
-    SchedulingClass schedulingClass() {
-        return schedulingClass;
-    }
-
-    void classify(SchedulingClass next) {
-        schedulingClass = next;
-    }
-
-    /** Whether it can wait for cheap room. */
-    boolean deferrable() {
-        return deferrable;
-    }
-
-    void setDeferrable(boolean canWait) {
-        deferrable = canWait;
-    }
-
-    /** Before this none of its tasks is started. */
-    long notBeforeMicros() {
-        return notBeforeMicros;
-    }
-
-    void startNothingBefore(long micros) {
-        notBeforeMicros = micros;
-    }
-
-    /** Since when tasks wait without room; negative when none does. */
-    long waitingSinceMicros() {
-        return waitingSinceMicros;
-    }
-
-    boolean isWaiting() {
-        return waitingSinceMicros != NEVER;
-    }
-
-    /** It is seen to have tasks that wait. */
-    void waits(long nowMicros) {
-        if (!isWaiting()) {
-            waitingSinceMicros = nowMicros;
-        }
-    }
-
-    void waitsNoMore() {
-        waitingSinceMicros = NEVER;
-    }
-
-    /** When a task of it was last placed; negative: not in this term. */
-    long lastStartMicros() {
-        return lastStartMicros;
-    }
-
-    void taskStarted(long nowMicros) {
-        lastStartMicros = nowMicros;
-    }
-
-    /** When it last had a task on a machine, as far as this term knows; negative: never. */
-    long lastRunningMicros() {
-        return lastRunningMicros;
-    }
-
-    void seenRunning(long nowMicros) {
-        lastRunningMicros = nowMicros;
-    }
-
     // ---- gangs -------------------------------------------------------------------------------------------------
 
     /** The attempt of a gang that is on machines; null: none, or another shape. */
-    GangAttempt gangAttempt() {
+    public GangAttempt gangAttempt() {
         return gangAttempt;
     }
 
     /** An attempt with this number is the present one from now on. */
-    GangAttempt beginGangAttempt(long number) {
+    public GangAttempt beginGangAttempt(long number) {
         gangAttempt = new GangAttempt(spec.id(), number);
         return gangAttempt;
     }
 
-    void forgetGangAttempt() {
+    public void forgetGangAttempt() {
         gangAttempt = null;
     }
-
-    /** Since when machines are reserved for this gang; negative when none is. */
-    long reservedSinceMicros() {
-        return reservedSinceMicros;
-    }
-
-    boolean holdsReservation() {
-        return reservedSinceMicros != NEVER;
-    }
-
-    void reservationBegins(long nowMicros) {
-        reservedSinceMicros = nowMicros;
-    }
-
-    void reservationEnds() {
-        reservedSinceMicros = NEVER;
-    }
-
-    /** No machine is reserved for this gang again before then. */
-    long noReservationUntilMicros() {
-        return noReservationUntilMicros;
-    }
-
-    void reserveNothingUntil(long micros) {
-        noReservationUntilMicros = micros;
-    }
 }
--- a/src/main/java/org/granitepath/coordination/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -1,14 +1,17 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.model;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.Timers;
 
 /** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
-final class Fleet {
+public final class Fleet {
     /** Two whole fleets of 6,000 machines: many come and go while a late copy of a report is on its way. */
     private static final int DEPARTED_REMEMBERED = 12_000;
 
@@ -31,26 +34,26 @@
         }
     };
 
-    Fleet(Config config, Timers timers) {
+    public Fleet(Config config, Timers timers) {
         this.config = config;
         this.timers = timers;
         this.startedMicros = timers.nowMicros();
     }
 
-    Collection<Machine> machines() {
+    public Collection<Machine> machines() {
         return machines.values();
     }
 
     /** The machine of this name, or null. */
-    Machine machine(String id) {
+    public Machine machine(String id) {
         return machines.get(id);
     }
 
-    Map<String, MachineType> types() {
+    public Map<String, MachineType> types() {
         return types;
     }
 
-    void typesChanged(List<MachineType> list) {
+    public void typesChanged(List<MachineType> list) {
         for (MachineType type : list) {
             types.put(type.name(), type);
         }
@@ -60,7 +63,7 @@
     }
 
     /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
-    void inherit(List<Machine> inherited) {
+    public void inherit(List<Machine> inherited) {
         // The former leader may go on answering them for a while, if it is out of contact.
         long leaseOver = startedMicros + config.maxDisconnectedMicros() + config.longestLeaseMicros();
         for (Machine machine : inherited) {
@@ -70,7 +73,7 @@
     }
 
     /** A machine that reports for the first time, and is not in the fleet yet. */
-    Machine newMachine(Heartbeat heartbeat, long fencingToken) {
+    public Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
                 heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         machine.typeKnown(types.get(machine.typeName()));
@@ -78,36 +81,36 @@
         return machine;
     }
 
-    void add(Machine machine) {
+    public void add(Machine machine) {
         machines.put(machine.id(), machine);
     }
 
-    void remove(Machine machine) {
+    public void remove(Machine machine) {
         machines.remove(machine.id());
-        departed.put(machine.id(), machine.session());
+        departed.put(machine.id(), machine.contact().session());
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
-    void neverReturns(String id) {
+    public void neverReturns(String id) {
         departed.put(id, Long.MAX_VALUE);
     }
 
     /** Whether a report is a late copy from a machine that is gone. */
-    boolean isLateCopy(Heartbeat heartbeat) {
+    public boolean isLateCopy(Heartbeat heartbeat) {
         return heartbeat.session() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
 
-    boolean unresponsive(Machine machine, long now) {
-        return machine.unresponsive(now, config.reportMicros());
+    public boolean unresponsive(Machine machine, long now) {
+        return machine.contact().unresponsive(now, config.reportMicros());
     }
 
     /** Whether a report is late by so much that it is worth asking for one. */
-    boolean overdue(Machine machine, long now) {
-        return now - machine.heardMicros() > OVERDUE_REPORTS * config.reportMicros();
+    public boolean overdue(Machine machine, long now) {
+        return now - machine.contact().heardMicros() > OVERDUE_REPORTS * config.reportMicros();
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
-    boolean noOrphanedTasks() {
+    public boolean noOrphanedTasks() {
         for (Machine machine : machines.values()) {
             for (WorkerCommand command : machine.cleanupCommands()) {
                 if (command.verb() == WorkerCommand.Verb.STOP) {
@@ -122,7 +125,7 @@
      * Whether most machines have become unresponsive to us while a peer hears them: then it had better lead, before
      * their leases run out.
      */
-    boolean cutFromWorkers(int turnedAwayByPeer) {
+    public boolean cutFromWorkers(int turnedAwayByPeer) {
         long now = timers.nowMicros();
         int silent = 0;
         for (Machine machine : machines.values()) {
@@ -134,9 +137,9 @@
     }
 
     /** This process stood still: no machine was silent for that time. */
-    void excusePause(long pauseMicros, long now) {
+    public void excusePause(long pauseMicros, long now) {
         for (Machine machine : machines.values()) {
-            machine.excusePause(pauseMicros, now);
+            machine.contact().excusePause(pauseMicros, now);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.model;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +12,7 @@
  * the last one has its image, and they complete together. What a task does is reported by its machine, the others may
  * know better: a gang may be running, or broken, before we hear of it.
  */
-final class GangAttempt {
+public final class GangAttempt {
     private static final Logger LOG = LoggerFactory.getLogger(GangAttempt.class);
 
     /**
@@ -21,7 +21,7 @@
      * exit. {@code ENDING}: a task has completed, so all have. Until no task is on a machine any more, the attempt
      * lives, and no other begins.
      */
-    enum Phase {
+    public enum Phase {
         FORMING,
         WAITING,
         RUNNING,
@@ -43,11 +43,11 @@
         this.number = number;
     }
 
-    long number() {
+    public long number() {
         return number;
     }
 
-    Phase phase() {
+    public Phase phase() {
         return phase;
     }
 
@@ -59,22 +59,22 @@
     }
 
     /** A task was placed on a machine, or found there. */
-    void placed(int task, String machine) {
+    public void placed(int task, String machine) {
         machinesTried.computeIfAbsent(task, unknown -> new HashSet<>()).add(machine);
     }
 
     /** Whether a start of this task would be ignored there. */
-    boolean wasTriedOn(int task, String machine) {
+    public boolean wasTriedOn(int task, String machine) {
         return machinesTried.getOrDefault(task, Set.of()).contains(machine);
     }
 
     /** All tasks are placed. */
-    void complete() {
+    public void complete() {
         incompleteSinceMicros = -1;
     }
 
     /** A task waits for the others. */
-    void waiting(long now) {
+    public void waiting(long now) {
         if (phase == Phase.FORMING) {
             waitingSinceMicros = now;
             transition(Phase.WAITING, "a task waits for the others");
@@ -82,26 +82,26 @@
     }
 
     /** A task runs, so all do, or did. */
-    void running() {
+    public void running() {
         if (phase == Phase.FORMING || phase == Phase.WAITING) {
             transition(Phase.RUNNING, "its tasks run");
         }
     }
 
     /** All tasks are told to stop, or were told by a former leader. */
-    void stopping(String why) {
+    public void stopping(String why) {
         if (phase != Phase.ENDING) {
             transition(Phase.STOPPING, why);
         }
     }
 
     /** A task has completed. */
-    void completed() {
+    public void completed() {
         transition(Phase.ENDING, "a task has completed");
     }
 
     /** A task is proved gone. Before the gang has started another may take its place; otherwise the attempt is over. */
-    void taskGone(long now) {
+    public void taskGone(long now) {
         if (phase == Phase.RUNNING) {
             transition(Phase.STOPPING, "a task is gone");
         } else if (incompleteSinceMicros < 0) {
@@ -110,12 +110,12 @@
     }
 
     /** Whether the tasks that are left exit by themselves or were told to. */
-    boolean isEnding() {
+    public boolean isEnding() {
         return phase == Phase.STOPPING || phase == Phase.ENDING;
     }
 
     /** Whether tasks that are missing may still join. */
-    boolean mayBeCompleted() {
+    public boolean mayBeCompleted() {
         return phase == Phase.FORMING || phase == Phase.WAITING;
     }
 
@@ -126,7 +126,7 @@
      * @param patienceMicros how long a task may be missing
      * @param lastMomentMicros how long a task may have waited when a start is still worth sending
      */
-    boolean isHopeless(long now, long patienceMicros, long lastMomentMicros) {
+    public boolean isHopeless(long now, long patienceMicros, long lastMomentMicros) {
         return mayBeCompleted()
                 && incompleteSinceMicros >= 0
                 && (now - incompleteSinceMicros > patienceMicros
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -0,0 +1,94 @@
+package org.granitepath.coordination.model;
+
+import java.util.LinkedHashSet;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
+
+/** What of a machine's resources is used and what is free, and which images it has. */
+public final class MachineCapacity {
+    private static final int IMAGES_REMEMBERED = 16;
+
+    private final LinkedHashSet<String> images = new LinkedHashSet<>();
+    private MachineType type;
+    private long cpuUsed;
+    private long gpuUsed;
+    private long memoryUsed;
+    private int services;
+    private long servicesCpu;
+
+    /** The machine's type, or null while the cloud has not told of it. */
+    MachineType type() {
+        return type;
+    }
+
+    void typeKnown(MachineType known) {
+        type = known;
+    }
+
+    void take(JobSpec spec) {
+        count(spec, 1);
+    }
+
+    void release(JobSpec spec) {
+        count(spec, -1);
+    }
+
+    private void count(JobSpec spec, int sign) {
+        cpuUsed += sign * spec.cpuMillis();
+        gpuUsed += sign * spec.gpuMillis();
+        memoryUsed += sign * spec.memoryMillis();
+        if (spec.service()) {
+            services += sign;
+            servicesCpu += sign * spec.cpuMillis();
+        }
+    }
+
+    /** A task that needs this image runs here, so the machine has it. */
+    public void imageSeen(String image) {
+        images.remove(image);
+        images.add(image);
+        if (images.size() > IMAGES_REMEMBERED) {
+            images.remove(images.iterator().next());
+        }
+    }
+
+    public boolean hasImage(String image) {
+        return images.contains(image);
+    }
+
+    public boolean hostsService() {
+        return services > 0;
+    }
+
+    public long cpuUsedByServices() {
+        return servicesCpu;
+    }
+
+    public double cpuUsedShare() {
+        return type == null ? 0 : (double) cpuUsed / type.cpuMillis();
+    }
+
+    public long cpuFree() {
+        return type == null ? 0 : type.cpuMillis() - cpuUsed;
+    }
+
+    public boolean hasFree(long cpuMillis, long memoryMillis) {
+        return type.cpuMillis() - cpuUsed >= cpuMillis && type.memoryMillis() - memoryUsed >= memoryMillis;
+    }
+
+    public boolean hasRoom(JobSpec spec) {
+        return slots(spec, 0, 0, 0) > 0;
+    }
+
+    /** How many tasks of this shape fit, were this much more free. */
+    public int slots(JobSpec spec, long moreCpu, long moreGpu, long moreMemory) {
+        if (type == null) {
+            return 0;
+        }
+        return MachineType.slots(
+                spec,
+                type.cpuMillis() - cpuUsed + moreCpu,
+                type.gpuMillis() - gpuUsed + moreGpu,
+                type.memoryMillis() - memoryUsed + moreMemory);
+    }
+}
--- a/src/main/java/org/granitepath/coordination/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -1,5 +1,6 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.model;
 
+import org.granitepath.coordination.ports.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -7,7 +8,7 @@
  * One attempt of a task on a machine, from the decision until there is proof that it is not there. State changes
  * through the named methods alone.
  */
-final class Placement {
+public final class Placement {
     private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
     private static final long NEVER = -1;
     private static final long NO_TOKEN = 0;
@@ -16,7 +17,7 @@
      * {@code ASSIGNED}: decided, not sent. {@code SENT}: a start is under way or was answered. {@code WAITING}: a task
      * of a gang waits for the others.
      */
-    enum Phase {
+    public enum Phase {
         ASSIGNED,
         SENT,
         FETCHING,
@@ -52,12 +53,12 @@
     private long graceMicros;
 
     /** An attempt that this leader has decided on, for the worker's present session. */
-    Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long nowMicros) {
+    public Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long nowMicros) {
         this.task = task;
         this.job = job;
         this.machine = machine;
         this.attempt = attempt;
-        this.session = machine.session();
+        this.session = machine.contact().session();
         this.placedMicros = nowMicros;
     }
 
@@ -66,7 +67,7 @@
      *
      * @param certain whether it was listed under the present fencing token, so that it can be nowhere else
      */
-    static Placement adopted(
+    public static Placement adopted(
             TaskId task, ActiveJob job, Machine machine, long attempt, boolean certain, long nowMicros) {
         Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         placement.seen = true;
@@ -76,36 +77,36 @@
         return placement;
     }
 
-    TaskId task() {
+    public TaskId task() {
         return task;
     }
 
-    ActiveJob job() {
+    public ActiveJob job() {
         return job;
     }
 
-    Machine machine() {
+    public Machine machine() {
         return machine;
     }
 
-    long attempt() {
+    public long attempt() {
         return attempt;
     }
 
     /** The worker's session that the start is meant for; a later session proves this attempt gone. */
-    long session() {
+    public long session() {
         return session;
     }
 
-    long placedMicros() {
+    public long placedMicros() {
         return placedMicros;
     }
 
-    Phase phase() {
+    public Phase phase() {
         return phase;
     }
 
-    boolean live() {
+    public boolean live() {
         return phase != Phase.FREED;
     }
 
@@ -124,73 +125,73 @@
     // ---- starting ----------------------------------------------------------------------------------------------
 
     /** The start goes out in the answer to a report: only a later report tells whether it was taken. */
-    void sentInAnswer() {
+    public void sentInAnswer() {
         sentInAnswer = true;
         transition(Phase.SENT, "in an answer");
     }
 
     /** The start goes out in a direct call under the machine's present fencing token. */
-    void sentDirectly() {
+    public void sentDirectly() {
         sentInAnswer = false;
         unansweredToken = machine.fencingToken();
         transition(Phase.SENT, "direct");
     }
 
     /** The direct call under this fencing token was answered. */
-    void directStartAnswered(long token) {
+    public void directStartAnswered(long token) {
         if (unansweredToken == token) {
             unansweredToken = NO_TOKEN;
         }
     }
 
     /** Whether the start went out in the answer to a report and not in a direct call. */
-    boolean wentOutInAnswer() {
+    public boolean wentOutInAnswer() {
         return sentInAnswer;
     }
 
     /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
-    boolean mayStillBeStarted(long token) {
+    public boolean mayStillBeStarted(long token) {
         return unansweredToken != NO_TOKEN && unansweredToken >= token;
     }
 
     // ---- what the worker reports -------------------------------------------------------------------------------
 
     /** A message of the worker lists it. */
-    void listed(boolean underPresentToken) {
+    public void listed(boolean underPresentToken) {
         seen = true;
         certain |= underPresentToken;
         unansweredToken = NO_TOKEN;
     }
 
     /** Whether a message of the worker has listed it. */
-    boolean seen() {
+    public boolean seen() {
         return seen;
     }
 
     /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
-    boolean certain() {
+    public boolean certain() {
         return certain;
     }
 
     /** Whether it was found on the machine: then it is not known when it began. */
-    boolean takenOver() {
+    public boolean takenOver() {
         return takenOver;
     }
 
-    void fetching() {
+    public void fetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
             transition(Phase.FETCHING, "reported");
         }
     }
 
-    void waiting() {
+    public void waiting() {
         if (phase != Phase.STOPPING) {
             transition(Phase.WAITING, "reported");
         }
     }
 
     /** It runs; the first word of that tells since when, at the latest. */
-    void running(long nowMicros) {
+    public void running(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
         }
@@ -199,45 +200,45 @@
         }
     }
 
-    void saving() {
+    public void saving() {
         transition(Phase.STOPPING, "saving");
     }
 
     /** Whether it was ever seen to run. */
-    boolean hasRun() {
+    public boolean hasRun() {
         return runningSinceMicros != NEVER;
     }
 
     /** When it was first seen to run; negative: it was not. */
-    long runningSinceMicros() {
+    public long runningSinceMicros() {
         return runningSinceMicros;
     }
 
     /** For how long it has been seen to run; 0 when it was not. */
-    long ranMicros(long nowMicros) {
+    public long ranMicros(long nowMicros) {
         return hasRun() ? nowMicros - runningSinceMicros : 0;
     }
 
     // ---- stopping ----------------------------------------------------------------------------------------------
 
     /** The machine is to be told to end it. */
-    void stop(long grace, String why) {
+    public void stop(long grace, String why) {
         graceMicros = grace;
         transition(Phase.STOPPING, why);
     }
 
     /** Told to save before, and cancelled meanwhile: it need not, and must not go on. */
-    void shortenGrace(long grace) {
+    public void shortenGrace(long grace) {
         graceMicros = grace;
     }
 
     /** How long it may take to save itself when it is stopped. */
-    long graceMicros() {
+    public long graceMicros() {
         return graceMicros;
     }
 
     /** There is proof that it is not on the machine. */
-    void freed(String why) {
+    public void freed(String why) {
         transition(Phase.FREED, why);
     }
 }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -0,0 +1,107 @@
+package org.granitepath.coordination.model;
+
+/** What the scheduler has noted of a job: its class, since when it waits, and what is reserved for it. */
+public final class SchedulingState {
+    private static final long NEVER = -1;
+
+    private long notBeforeMicros;
+    private long reservedSinceMicros = NEVER;
+    private long noReservationUntilMicros = NEVER;
+    private long lastRunningMicros = NEVER;
+    private SchedulingClass schedulingClass = SchedulingClass.ANY;
+    private boolean deferrable;
+    private long lastStartMicros = NEVER;
+    private long waitingSinceMicros = NEVER;
+
+    public SchedulingClass schedulingClass() {
+        return schedulingClass;
+    }
+
+    public void classify(SchedulingClass next) {
+        schedulingClass = next;
+    }
+
+    /** Whether it can wait for cheap room. */
+    public boolean deferrable() {
+        return deferrable;
+    }
+
+    public void setDeferrable(boolean canWait) {
+        deferrable = canWait;
+    }
+
+    /** Before this none of its tasks is started. */
+    public long notBeforeMicros() {
+        return notBeforeMicros;
+    }
+
+    public void startNothingBefore(long micros) {
+        notBeforeMicros = micros;
+    }
+
+    /** Since when tasks wait without room; negative when none does. */
+    public long waitingSinceMicros() {
+        return waitingSinceMicros;
+    }
+
+    public boolean isWaiting() {
+        return waitingSinceMicros != NEVER;
+    }
+
+    /** It is seen to have tasks that wait. */
+    public void waits(long nowMicros) {
+        if (!isWaiting()) {
+            waitingSinceMicros = nowMicros;
+        }
+    }
+
+    public void waitsNoMore() {
+        waitingSinceMicros = NEVER;
+    }
+
+    /** When a task of it was last placed; negative: not in this term. */
+    public long lastStartMicros() {
+        return lastStartMicros;
+    }
+
+    public void taskStarted(long nowMicros) {
+        lastStartMicros = nowMicros;
+    }
+
+    /** When it last had a task on a machine, as far as this term knows; negative: never. */
+    public long lastRunningMicros() {
+        return lastRunningMicros;
+    }
+
+    public void seenRunning(long nowMicros) {
+        lastRunningMicros = nowMicros;
+    }
+
+    // ---- reservations of gangs ---------------------------------------------------------------------------------
+
+    /** Since when machines are reserved for this gang; negative when none is. */
+    public long reservedSinceMicros() {
+        return reservedSinceMicros;
+    }
+
+    public boolean holdsReservation() {
+        return reservedSinceMicros != NEVER;
+    }
+
+    public void reservationBegins(long nowMicros) {
+        reservedSinceMicros = nowMicros;
+    }
+
+    public void reservationEnds() {
+        reservedSinceMicros = NEVER;
+    }
+
+    /** No machine is reserved for this gang again before then. */
+    public long noReservationUntilMicros() {
+        return noReservationUntilMicros;
+    }
+
+    public void reserveNothingUntil(long micros) {
+        noReservationUntilMicros = micros;
+    }
+}
--- a/src/main/java/org/granitepath/coordination/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -1,42 +1,43 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.model;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.storage.JobSpec;
 
 /** What each team's tasks take of its limit. */
-final class TeamLimits {
+public final class TeamLimits {
     private final Map<String, Config.Team> teams;
     private final Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
     private final Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
 
-    TeamLimits(Map<String, Config.Team> teams) {
+    public TeamLimits(Map<String, Config.Team> teams) {
         this.teams = teams;
     }
 
-    void placed(JobSpec spec) {
+    public void placed(JobSpec spec) {
         cpu.addTo(spec.team(), spec.cpuMillis());
         gpu.addTo(spec.team(), spec.gpuMillis());
     }
 
-    void freed(JobSpec spec) {
+    public void freed(JobSpec spec) {
         cpu.addTo(spec.team(), -spec.cpuMillis());
         gpu.addTo(spec.team(), -spec.gpuMillis());
     }
 
     /** CPUs that a team uses beyond its guarantee: these are borrowed. */
-    long borrowedCpu(String name) {
+    public long borrowedCpu(String name) {
         Config.Team team = teams.get(name);
         return cpu.getLong(name) - (team == null ? 0 : team.cpuGuarantee());
     }
 
-    boolean limits(JobSpec spec) {
+    public boolean limits(JobSpec spec) {
         Config.Team team = teams.get(spec.team());
         return team != null && (team.cpuLimit() > 0 || team.gpuLimit() > 0);
     }
 
     /** Whether so many more such tasks are within the limit. */
-    boolean allows(JobSpec spec, int tasks) {
+    public boolean allows(JobSpec spec, int tasks) {
         if (!limits(spec)) {
             return true;
         }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -0,0 +1,173 @@
+package org.granitepath.coordination.model;
+
+import it.unimi.dsi.fastutil.longs.Long2LongOpenHashMap;
+import org.granitepath.coordination.ports.Heartbeat;
+
+/**
+ * What a leader knows of the worker of one machine: its latest message, until when its lease may run, and the direct
+ * calls to it. State changes through the named methods alone.
+ */
+public final class WorkerContact {
+    private static final long UNKNOWN_SESSION = -1;
+    /** No message is numbered so: sequence numbers start at 0. */
+    private static final long NO_SEQUENCE = -1;
+
+    private static final int MISSED_REPORTS = 2;
+    private static final long DELAY_MARGIN_MICROS = 1_000_000;
+
+    private String address;
+    private long session = UNKNOWN_SESSION;
+    private long sequence = NO_SEQUENCE;
+    private long heardMicros;
+    private long leaseOverMicros;
+    private boolean fenced;
+    private boolean probeFailed;
+    private long probedMicros;
+    private boolean callUnderWay;
+    /** Attempts started by a direct command, each with the fencing token of the command. */
+    private final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
+
+    WorkerContact(String address) {
+        this.address = address;
+    }
+
+    /** Where the worker takes direct commands, as of its latest message. */
+    public String address() {
+        return address;
+    }
+
+    /** The machine was on record when the term began: the former leader may have kept its lease alive until then. */
+    void takenOver(long nowMicros, long formerLeaseOverMicros) {
+        heardMicros = nowMicros;
+        leaseOverMicros = formerLeaseOverMicros;
+    }
+
+    // ---- what its worker says ----------------------------------------------------------------------------------
+
+    /** The worker's latest session; negative: unknown. */
+    public long session() {
+        return session;
+    }
+
+    /** The number of the worker's latest message in its session; negative: none. */
+    public long sequence() {
+        return sequence;
+    }
+
+    /** A newer message of the worker has come, by itself or as the answer to a direct call. */
+    public void messageReceived(Heartbeat message) {
+        session = message.session();
+        sequence = message.sequence();
+        address = message.address();
+    }
+
+    /**
+     * The worker has reported by itself. Answers to direct calls don't count here: without reports the worker's lease
+     * runs out all the same.
+     */
+    void heartbeatReceived(long nowMicros) {
+        heardMicros = nowMicros;
+        probeFailed = false;
+        fenced = false;
+    }
+
+    /** When its worker last reported by itself. */
+    public long heardMicros() {
+        return heardMicros;
+    }
+
+    /** This process stood still for so long: the machine was not silent for that time. */
+    void excusePause(long pauseMicros, long nowMicros) {
+        heardMicros = Math.min(nowMicros, heardMicros + pauseMicros);
+    }
+
+    /** Whether a report is overdue by so much that an order would hardly arrive. */
+    public boolean unresponsive(long nowMicros, long reportMicros) {
+        return nowMicros - heardMicros > MISSED_REPORTS * reportMicros + DELAY_MARGIN_MICROS;
+    }
+
+    // ---- lease -------------------------------------------------------------------------------------------------
+
+    /**
+     * From this moment on nobody can have kept the worker's lease alive, provided that we don't either; 0 when it is
+     * over.
+     */
+    public long leaseOverMicros() {
+        return leaseOverMicros;
+    }
+
+    /** The worker may go on until then; only a message under the present fencing token can shorten that. */
+    public void leaseRunsUntil(long micros, boolean underPresentToken) {
+        leaseOverMicros = underPresentToken ? micros : Math.max(leaseOverMicros, micros);
+    }
+
+    /** The worker's lease is over: it is heard again in a later session, if ever. */
+    public void leaseExpired() {
+        leaseOverMicros = 0;
+        session = Math.max(session, 0) + 1;
+        sequence = NO_SEQUENCE;
+        directAttempts.clear();
+    }
+
+    /**
+     * Whether a fencing token is on record that was drawn since its latest report and never sent to it: no controller
+     * in contact with the store lets the worker go on under the one it has. While this holds, it is not called.
+     */
+    public boolean fenced() {
+        return fenced;
+    }
+
+    public void fence() {
+        fenced = true;
+    }
+
+    public void liftFence() {
+        fenced = false;
+    }
+
+    // ---- direct calls ------------------------------------------------------------------------------------------
+
+    public boolean callUnderWay() {
+        return callUnderWay;
+    }
+
+    /** A direct call begins. The worker may see the token, and a lease keeper that knows it may go on under it. */
+    public void callBegins(long nowMicros) {
+        callUnderWay = true;
+        fenced = false;
+        probedMicros = nowMicros;
+    }
+
+    public void callEnded() {
+        callUnderWay = false;
+    }
+
+    /** Whether the call that has ended brought a message of the worker. */
+    public void callAnswered(boolean answered) {
+        probeFailed = !answered && heardMicros < probedMicros;
+    }
+
+    /** When it was last called. */
+    public long probedMicros() {
+        return probedMicros;
+    }
+
+    /** Whether it was called since its latest report, and there was no answer. */
+    public boolean probeFailed() {
+        return probeFailed;
+    }
+
+    /** An attempt is started by a direct command under this fencing token; a late copy may come any time. */
+    public void startedDirectly(long attempt, long fencingToken) {
+        directAttempts.put(attempt, fencingToken);
+    }
+
+    /** Whether a late copy of the direct command that started the attempt could still be carried out under this fencing token. */
+    public boolean mayBeStartedAgain(long attempt, long fencingToken) {
+        return directAttempts.get(attempt) >= fencingToken;
+    }
+
+    public void forgetDirectStart(long attempt) {
+        directAttempts.remove(attempt);
+    }
+}
--- a/src/main/java/org/granitepath/coordination/package-info.java
+++ b/src/main/java/org/granitepath/coordination/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions: leadership, scheduling, autoscaling and the life cycles of jobs, tasks and machines. Code here
- * does no I/O and starts no threads; it is told events and answers through ports.
+ * The decisions of a controller: events and a clock in, effects out; no I/O, no threads. {@link
+ * org.granitepath.coordination.Controller} wires the packages below together; all calls come on one event loop.
  */
 package org.granitepath.coordination;
--- a/src/main/java/org/granitepath/coordination/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -1,17 +1,24 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.placement;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
-import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.SchedulingClass;
+import org.granitepath.storage.MachineType;
 
 /**
  * What waiting batch work can expect of the room at hand: which jobs can still make their deadlines, all together, and
  * which can wait for cheap room. Looked at a few times a second for all jobs as a class, not at each decision.
  */
-final class BatchPlanner {
+public final class BatchPlanner {
     private static final long EVERY_MICROS = 250_000;
     /** What packing leaves unused, and what running tasks hold of a machine that is to be emptied. */
     private static final double USABLE = 0.9;
@@ -32,14 +39,14 @@
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
     private double cheapRoom;
 
-    BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
+    public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.config = config;
         this.fleet = fleet;
         this.activeJobs = activeJobs;
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    void update(long now) {
+    public void update(long now) {
         if (now < dueMicros) {
             return;
         }
@@ -49,13 +56,13 @@
         List<Due> later = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
             if (job.running() > 0) {
-                job.seenRunning(now);
+                job.scheduling().seenRunning(now);
             }
-            job.classify(SchedulingClass.ANY);
+            job.scheduling().classify(SchedulingClass.ANY);
             if (job.isLive()) {
-                job.classify(SchedulingClass.LIVE);
+                job.scheduling().classify(SchedulingClass.LIVE);
             } else if (stalled(job, now) || isExpectedGang(job)) {
-                job.classify(SchedulingClass.IN_TIME);
+                job.scheduling().classify(SchedulingClass.IN_TIME);
             } else if (job.spec().hasDeadline() || finishAim(job) > 0) {
                 long left = (finishAim(job) > 0 ? finishAim(job) : job.spec().deadlineMicros())
                         - activeJobs.ageMicros(job, now);
@@ -83,7 +90,7 @@
     }
 
     /** CPUs of the largest gang at hand that is expected to start sooner than a machine boots; 0: there is none. */
-    long promptGangCpu() {
+    public long promptGangCpu() {
         return promptGangCpu;
     }
 
@@ -111,7 +118,7 @@
             if (!job.isLive()
                     && cpu.getLong(team.name()) <= team.cpuGuarantee()
                     && gpu.getLong(team.name()) <= team.gpuGuarantee()) {
-                job.classify(SchedulingClass.GUARANTEED);
+                job.scheduling().classify(SchedulingClass.GUARANTEED);
             }
         }
     }
@@ -137,7 +144,7 @@
             }
         }
         for (Due due : taken) {
-            due.job().classify(schedulingClass);
+            due.job().scheduling().classify(schedulingClass);
         }
         return sum;
     }
@@ -153,7 +160,9 @@
 
     /** Giving way has a bound: a job that has long had nothing on a machine competes by its share alone again. */
     private boolean stalled(ActiveJob job, long now) {
-        long since = job.lastRunningMicros() < 0 ? activeJobs.ageMicros(job, now) : now - job.lastRunningMicros();
+        long since = job.scheduling().lastRunningMicros() < 0
+                ? activeJobs.ageMicros(job, now)
+                : now - job.scheduling().lastRunningMicros();
         return since > config.tuning().maxStarvationMicros();
     }
 
@@ -183,16 +192,16 @@
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.RETURNING
-                    && !machine.unresponsive(now, config.reportMicros())) {
-                long forBatch = machine.type().cpuMillis() - machine.cpuUsedByServices();
+                    && !machine.contact().unresponsive(now, config.reportMicros())) {
+                long forBatch = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 room += forBatch;
-                cheapRoom += machine.spot() || machine.hostsService() ? forBatch : 0;
+                cheapRoom += machine.spot() || machine.capacity().hostsService() ? forBatch : 0;
             }
         }
     }
 
     /** How long the batch work at hand takes, with so much more room. */
-    double drainMicros(double moreRoom) {
+    public double drainMicros(double moreRoom) {
         return batchWork / Math.max(1, room + moreRoom);
     }
 
@@ -202,7 +211,7 @@
      *
      * @param moreRoom CPUs that are on their way
      */
-    boolean deferrable(ActiveJob job, double moreRoom, long now) {
+    public boolean deferrable(ActiveJob job, double moreRoom, long now) {
         if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
             return false;
         }
@@ -221,7 +230,7 @@
                 objective.finishMicros() == 0
                         ? Double.MAX_VALUE
                         : objective.finishMicros() - runtimeEstimator.taskMicros(job));
-        long waited = !job.isWaiting() ? 0 : now - job.waitingSinceMicros();
+        long waited = !job.scheduling().isWaiting() ? 0 : now - job.scheduling().waitingSinceMicros();
         return waited + batchWork / Math.max(1, cheapRoom + moreRoom)
                 <= aim * config.tuning().deferralShare();
     }
@@ -230,11 +239,12 @@
      * Whether waiting for cheap room would already miss what is expected: the job is within its team's guarantee, or
      * its class is expected to start sooner than a machine boots. Such work takes whatever room there is.
      */
-    boolean mustStartAtOnce(ActiveJob job) {
+    public boolean mustStartAtOnce(ActiveJob job) {
         long aim = config.objectives()
                 .getOrDefault(job.spec().jobClass(), Config.Objective.NONE)
                 .waitMicros();
-        return job.schedulingClass() == SchedulingClass.GUARANTEED || (aim > 0 && aim < quickestBootMicros());
+        return job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
+                || (aim > 0 && aim < quickestBootMicros());
     }
 
     private double quickestBootMicros() {
--- a/src/main/java/org/granitepath/coordination/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -1,9 +1,18 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.placement;
 
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.model.TeamLimits;
+import org.granitepath.storage.JobSpec;
 
 /** Which machines a job may use, and whether its team may use more. */
-final class PlacementRules {
+public final class PlacementRules {
     private final Fleet fleet;
     private final TermRecovery recovery;
     private final ActiveJobs jobs;
@@ -11,7 +20,7 @@
     private final FaultTracker faults;
     private final RuntimeEstimator runtimeEstimator;
 
-    PlacementRules(
+    public PlacementRules(
             Fleet fleet,
             TermRecovery recovery,
             ActiveJobs jobs,
@@ -27,7 +36,7 @@
     }
 
     /** Whether a job may use this machine now, room aside. */
-    boolean eligible(Machine machine, ActiveJob job, long now) {
+    public boolean eligible(Machine machine, ActiveJob job, long now) {
         return machine.takesTasks() && suits(machine, job, now) && !fleet.unresponsive(machine, now);
     }
 
@@ -36,32 +45,32 @@
      * leaves full-price machines alone that no service needs, so that they can be returned, unless it is over before a
      * return could save anything.
      */
-    boolean suits(Machine machine, ActiveJob job, long now) {
+    public boolean suits(Machine machine, ActiveJob job, long now) {
         return machine.allowedFor(job.spec())
                 && job.zoneAllows(machine.zone())
-                && (!job.deferrable() || isPaidForAnyway(machine, job, now))
+                && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, now))
                 && faults.mayTry(machine, job);
     }
 
     /** Whether the machine's room is not held for a gang, unless this is it, or work that goes before all gangs. */
-    boolean mayHold(Machine machine, ActiveJob job) {
+    public boolean mayHold(Machine machine, ActiveJob job) {
         return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
     }
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long now) {
         return machine.spot()
-                || machine.hostsService()
+                || machine.capacity().hostsService()
                 || machine.keptAsHeadroom()
-                || now + runtimeEstimator.taskMicros(job) < machine.rentedMicros() + Autoscaler.LEAST_CHARGE_MICROS;
+                || now + runtimeEstimator.taskMicros(job) < machine.rentedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /** Whether tasks failed there lately, so that any other machine is better. */
-    boolean isSuspect(Machine machine) {
+    public boolean isSuspect(Machine machine) {
         return faults.suspects(machine);
     }
 
     /** Whether a further task of this job may be started at all, room aside. */
-    boolean mayStartAnother(ActiveJob job) {
+    public boolean mayStartAnother(ActiveJob job) {
         return teamAllows(job.spec()) && faults.mayStartAnother(job);
     }
 
@@ -69,18 +78,18 @@
      * Whether one more such task is within its team's limit. While tasks are unconfirmed, or tasks of jobs that are
      * over are still to be stopped, what a team uses is not known.
      */
-    boolean teamAllows(JobSpec spec) {
+    public boolean teamAllows(JobSpec spec) {
         return teamAllows(spec, 1);
     }
 
     /** The same for several tasks together. */
-    boolean teamAllows(JobSpec spec, int count) {
+    public boolean teamAllows(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
                 && (!teamLimits.limits(spec) || (recovery.allHeard() && fleet.noOrphanedTasks()));
     }
 
     /** CPUs that a team's tasks use beyond its guarantee, without those that are being stopped. */
-    long borrowedCpu(String team) {
+    public long borrowedCpu(String team) {
         long stopping = 0;
         for (ActiveJob job : jobs.all()) {
             if (job.spec().team().equals(team)) {
--- a/src/main/java/org/granitepath/coordination/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -1,8 +1,8 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.ports;
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.MachineType;
+import org.granitepath.storage.MachineType;
 
 /** The cloud as the decision code sees it. Every call answers once, later, on the event loop. */
 public interface CloudPort {
--- a/src/main/java/org/granitepath/coordination/JobResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/JobResponse.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.ports;
 
 /** What a user is told. */
 public sealed interface JobResponse {
--- a/src/main/java/org/granitepath/coordination/TaskId.java
+++ b/src/main/java/org/granitepath/coordination/ports/TaskId.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.ports;
 
 /** One task of a job. */
 public record TaskId(String job, int index) {
--- a/src/main/java/org/granitepath/coordination/WorkerCommand.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.ports;
 
 /** A command to a worker. */
 public record WorkerCommand(Verb verb, TaskId task, long attempt, long graceMicros) {
--- a/src/main/java/org/granitepath/coordination/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.ports;
 
 import java.util.List;
 import java.util.function.Consumer;
--- a/src/main/java/org/granitepath/coordination/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -1,17 +1,24 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.coordination.fleet.MachineLifecycle;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.storage.JobSpec;
 
 /**
  * Empties the machine that hosts the fewest service replicas when others have room and their images, so that it can
  * be returned. A replica is stopped only to start at once elsewhere; machines with batch work are left alone.
  */
-final class Consolidator {
+public final class Consolidator {
     private static final long EVERY_MICROS = 4_000_000;
     private static final double MOST_USED_TO_EMPTY = 0.75;
     private static final int MACHINES_FOR_ONE_MORE = 50;
@@ -29,14 +36,14 @@
 
     private long dueMicros;
 
-    Consolidator(Fleet fleet, ActiveJobs activeJobs, MachineLifecycle machines, TaskLifecycle tasks) {
+    public Consolidator(Fleet fleet, ActiveJobs activeJobs, MachineLifecycle machines, TaskLifecycle tasks) {
         this.fleet = fleet;
         this.activeJobs = activeJobs;
         this.machines = machines;
         this.tasks = tasks;
     }
 
-    void tick(long now) {
+    public void tick(long now) {
         if (now < dueMicros) {
             return;
         }
@@ -56,7 +63,7 @@
                 emptiest.add(machine);
             }
         }
-        emptiest.sort(Comparator.comparingDouble(Machine::cpuUsedShare));
+        emptiest.sort(Comparator.comparingDouble(machine -> machine.capacity().cpuUsedShare()));
         taken.clear();
         for (Machine machine : emptiest) {
             if (atOnce <= 0) {
@@ -73,7 +80,9 @@
     }
 
     private static boolean mayEmpty(Machine machine, long now) {
-        if (!machine.takesTasks() || !machine.hasPlacements() || machine.cpuUsedShare() > MOST_USED_TO_EMPTY) {
+        if (!machine.takesTasks()
+                || !machine.hasPlacements()
+                || machine.capacity().cpuUsedShare() > MOST_USED_TO_EMPTY) {
             return false;
         }
         for (Placement placement : machine.placements()) {
@@ -87,7 +96,7 @@
     }
 
     private static boolean soonHas(Machine machine, JobSpec spec) {
-        return machine.hasImage(spec.image())
+        return machine.capacity().hasImage(spec.image())
                 || spec.imageGb() / machine.type().fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
     }
 
@@ -102,11 +111,11 @@
                         || !machine.allowedFor(spec)
                         || (!machine.zone().equals(from.zone()) && spec.spread())
                         || !soonHas(machine, spec)
-                        || machine.cpuUsedShare() <= from.cpuUsedShare()) {
+                        || machine.capacity().cpuUsedShare() <= from.capacity().cpuUsedShare()) {
                     continue;
                 }
                 long[] used = taken.computeIfAbsent(machine, k -> new long[3]);
-                if (machine.slots(spec, -used[0], -used[1], -used[2]) > 0) {
+                if (machine.capacity().slots(spec, -used[0], -used[1], -used[2]) > 0) {
                     used[0] += spec.cpuMillis();
                     used[1] += spec.gpuMillis();
                     used[2] += spec.memoryMillis();
--- a/src/main/java/org/granitepath/coordination/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
@@ -1,9 +1,10 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.scheduling;
 
 import java.util.EnumMap;
 import java.util.Map;
 import org.apache.commons.numbers.gamma.LogGamma;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.storage.Priority;
 
 /**
  * The paper's weighted workforce of a job, SDAFS: the next task goes to the job where this is lowest.
--- a/src/main/java/org/granitepath/coordination/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -1,11 +1,18 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.scheduling;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.model.SchedulingClass;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -15,7 +22,7 @@
  * moment's wait, also what other teams run beyond theirs. Tasks alike are decided as a class, in one look at the
  * fleet.
  */
-final class Preemptor {
+public final class Preemptor {
     private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
     /** A task that has run for this long may be stopped for a job with a deadline. */
     private static final long MIN_RUNTIME_MICROS = 10_000_000;
@@ -37,7 +44,7 @@
     private final PlacementRules rules;
     private final TaskLifecycle tasks;
 
-    Preemptor(Fleet fleet, PlacementRules rules, TaskLifecycle tasks) {
+    public Preemptor(Fleet fleet, PlacementRules rules, TaskLifecycle tasks) {
         this.fleet = fleet;
         this.rules = rules;
         this.tasks = tasks;
@@ -51,8 +58,12 @@
      */
     int makeRoom(ActiveJob job, int wanted, boolean withImageOnly, long now) {
         boolean live = job.isLive();
-        boolean reclaims = job.schedulingClass() == SchedulingClass.GUARANTEED
-                && now - Math.max(job.waitingSinceMicros(), job.lastStartMicros()) > RECLAIM_DELAY_MICROS;
+        boolean reclaims = job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
+                && now
+                                - Math.max(
+                                        job.scheduling().waitingSinceMicros(),
+                                        job.scheduling().lastStartMicros())
+                        > RECLAIM_DELAY_MICROS;
         if (!live && !job.spec().hasDeadline() && !reclaims) {
             return 0;
         }
@@ -62,7 +73,7 @@
         List<Preemption> offers = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (!rules.eligible(machine, job, now)
-                    || (withImageOnly && !machine.hasImage(job.spec().image()))) {
+                    || (withImageOnly && !machine.capacity().hasImage(job.spec().image()))) {
                 continue;
             }
             long[] more = new long[3];
@@ -75,7 +86,7 @@
                     candidates.add(placement);
                 }
             }
-            int soon = machine.slots(job.spec(), more[0], more[1], more[2]);
+            int soon = machine.capacity().slots(job.spec(), more[0], more[1], more[2]);
             if (soon > 0) {
                 coming += soon;
             } else if (!candidates.isEmpty()) {
@@ -117,14 +128,14 @@
             ActiveJob job, Machine machine, List<Placement> candidates, long[] more, long now) {
         candidates.sort(Comparator.comparingDouble(placement -> loss(placement, now)));
         List<Placement> victims = new ArrayList<>();
-        double loss = machine.hasImage(job.spec().image())
+        double loss = machine.capacity().hasImage(job.spec().image())
                 ? 0
                 : job.spec().imageGb() / machine.type().fetchGbPerSecond() * 1e9;
         for (Placement placement : candidates) {
             victims.add(placement);
             loss += loss(placement, now);
             add(more, placement.job().spec());
-            int slots = machine.slots(job.spec(), more[0], more[1], more[2]);
+            int slots = machine.capacity().slots(job.spec(), more[0], more[1], more[2]);
             if (slots > 0) {
                 return new Preemption(machine, victims, loss, slots);
             }
@@ -143,7 +154,7 @@
         String team = placement.job().spec().team();
         if (team.equals(job.spec().team())
                 || placement.job().spec().service()
-                || placement.job().schedulingClass() == SchedulingClass.GUARANTEED) {
+                || placement.job().scheduling().schedulingClass() == SchedulingClass.GUARANTEED) {
             return false;
         }
         if (!borrowed.containsKey(team)) {
--- a/src/main/java/org/granitepath/coordination/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,13 +6,27 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.PriorityQueue;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.gang.GangHeadroom;
+import org.granitepath.coordination.gang.GangScheduler;
+import org.granitepath.coordination.jobs.JobLifecycle;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.SchedulingClass;
+import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.recovery.FirstWork;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
+import org.granitepath.storage.Timers;
 
 /** The order of jobs and the choice of machines: again and again one task to the job with the lowest share. */
-final class Scheduler {
+public final class Scheduler {
     private static final long IMAGE_WAIT_MICROS = 1_500_000;
 
     private record Candidate(ActiveJob job, SchedulingClass schedulingClass, double share) {}
@@ -66,7 +80,7 @@
     /** Machines that take tasks and have some room, in this pass. */
     private final List<Machine> roomy = new ArrayList<>();
 
-    Scheduler(
+    public Scheduler(
             Config config,
             Fleet fleet,
             ActiveJobs activeJobs,
@@ -95,7 +109,7 @@
     }
 
     /** One pass, until nothing more fits. */
-    void pass() {
+    public void pass() {
         long now = timers.nowMicros();
         recovery.passBegins(now);
         recovery.passEnded(decide(now));
@@ -132,8 +146,8 @@
             }
             // A short wait gets a live replica onto a machine that already has its image.
             if (job.isLive()
-                    && !machine.hasImage(job.spec().image())
-                    && now - job.waitingSinceMicros() < IMAGE_WAIT_MICROS
+                    && !machine.capacity().hasImage(job.spec().image())
+                    && now - job.scheduling().waitingSinceMicros() < IMAGE_WAIT_MICROS
                     && preemptor.makeRoom(job, 1, true, now) > 0) {
                 roomComing++;
                 continue;
@@ -142,7 +156,7 @@
             gangHeadroom.taken(machine, job.spec());
             jobs.claim(job);
             if (job.waiting() > 0 && job.hasClaimedTask()) {
-                job.setDeferrable(deferrable(job, now));
+                job.scheduling().setDeferrable(deferrable(job, now));
                 queue.add(candidate(job));
             }
         }
@@ -153,16 +167,16 @@
         PriorityQueue<Candidate> queue = new PriorityQueue<>(LOWEST_FIRST);
         for (ActiveJob job : activeJobs.all()) {
             if (job.waiting() <= 0) {
-                job.waitsNoMore();
+                job.scheduling().waitsNoMore();
                 continue;
             }
-            if (job.notBeforeMicros() > now) {
+            if (job.scheduling().notBeforeMicros() > now) {
                 continue;
             }
             jobs.claim(job);
-            job.waits(now);
+            job.scheduling().waits(now);
             if (job.hasClaimedTask() && recovery.mayStart(job)) {
-                job.setDeferrable(deferrable(job, now));
+                job.scheduling().setDeferrable(deferrable(job, now));
                 queue.add(candidate(job));
             }
         }
@@ -171,7 +185,11 @@
 
     /** However well a job could wait, it is not left without a start for long while room stands empty. */
     private boolean deferrable(ActiveJob job, long now) {
-        return now - Math.max(job.waitingSinceMicros(), job.lastStartMicros()) < LONGEST_BESIDE_ROOM_MICROS
+        return now
+                                - Math.max(
+                                        job.scheduling().waitingSinceMicros(),
+                                        job.scheduling().lastStartMicros())
+                        < LONGEST_BESIDE_ROOM_MICROS
                 && !batchPlanner.mustStartAtOnce(job)
                 && batchPlanner.deferrable(job, 0, now);
     }
@@ -185,7 +203,7 @@
         }
         roomy.clear();
         for (Machine machine : fleet.machines()) {
-            if (machine.takesTasks() && machine.hasFree(cpu, memory) && !fleet.unresponsive(machine, now)) {
+            if (machine.takesTasks() && machine.capacity().hasFree(cpu, memory) && !fleet.unresponsive(machine, now)) {
                 roomy.add(machine);
             }
         }
@@ -214,14 +232,14 @@
                 spec.zone(),
                 closed,
                 spec.spot(),
-                job.deferrable(),
+                job.scheduling().deferrable(),
                 spec.priority());
     }
 
     private Candidate candidate(ActiveJob job) {
         return new Candidate(
                 job,
-                job.isLive() ? SchedulingClass.LIVE : job.schedulingClass(),
+                job.isLive() ? SchedulingClass.LIVE : job.scheduling().schedulingClass(),
                 fairShare.share(
                         job.spec().priority(),
                         job.spec().hasDeadline(),
@@ -236,7 +254,7 @@
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (Machine machine : roomy) {
-            if (machine.hasRoom(job.spec())
+            if (machine.capacity().hasRoom(job.spec())
                     && machine.takesTasks()
                     && rules.mayHold(machine, job)
                     && gangHeadroom.leavesRoom(machine, job, now)
--- a/src/main/java/org/granitepath/coordination/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -1,17 +1,51 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.term;
 
 import java.util.List;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.MachineTypesRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.RecordSize;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.StatePort.Guard;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.autoscaling.Autoscaler;
+import org.granitepath.coordination.autoscaling.RentalPlan;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.fleet.CommandSender;
+import org.granitepath.coordination.fleet.MachineInventory;
+import org.granitepath.coordination.fleet.MachineLifecycle;
+import org.granitepath.coordination.fleet.ReportReconciler;
+import org.granitepath.coordination.gang.GangHeadroom;
+import org.granitepath.coordination.jobs.ArrivalRate;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.JobLifecycle;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.leadership.Peers;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.model.TeamLimits;
+import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.WorkerPort;
+import org.granitepath.coordination.scheduling.Consolidator;
+import org.granitepath.coordination.scheduling.Preemptor;
+import org.granitepath.coordination.scheduling.Scheduler;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.MachineTypesRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.RecordSize;
+import org.granitepath.storage.StatePort;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.Timers;
+import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,7 +54,7 @@
  * starts from the records alone; whatever a predecessor may have started is unconfirmed until each machine of the
  * inventory has been heard under the new fencing token or is proved gone.
  */
-final class Dispatcher {
+public final class Dispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
     private static final long TICK_MICROS = 500_000;
     /** A tick that comes later than this after the last one: we stood still, or fell far behind. */
@@ -51,7 +85,7 @@
     private long tickedMicros;
     private boolean ended;
 
-    Dispatcher(
+    public Dispatcher(
             Config config,
             Leadership leadership,
             Leadership.Term term,
@@ -73,7 +107,7 @@
         FaultTracker faults = new FaultTracker();
         ArrivalRate arrivalRate = new ArrivalRate();
         TeamLimits teamLimits = new TeamLimits(config.teams());
-        ActiveJobs activeJobs = new ActiveJobs(config, faults, timers);
+        ActiveJobs activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
         this.loop = new DispatchLoop(timers, this::ended, leadership::mayStart, this::pass, this::sendCommands);
         CommandQueue commands = new CommandQueue(loop::requestSend);
@@ -151,7 +185,7 @@
     }
 
     /** Begins the term: takes the machines and jobs on record over. */
-    void start() {
+    public void start() {
         List<Machine> inherited = inventory.takeOver();
         fleet.inherit(inherited);
         recovery.start(inherited, inventory.unreadableParts(), replica.revision());
@@ -166,11 +200,11 @@
     }
 
     /** Begins to rent and return machines. */
-    void startAutoscaling() {
+    public void startAutoscaling() {
         autoscaler.start();
     }
 
-    void end() {
+    public void end() {
         ended = true;
         jobs.end();
         recovery.plan().end();
@@ -180,13 +214,13 @@
         return ended;
     }
 
-    void typesChanged(List<MachineType> list) {
+    public void typesChanged(List<MachineType> list) {
         fleet.typesChanged(list);
         loop.requestPass();
     }
 
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
-    void recordTypes(List<MachineType> list) {
+    public void recordTypes(List<MachineType> list) {
         MachineTypesRecord types = new MachineTypesRecord(list);
         if (replica.has(Keys.TYPES)
                 || RecordSize.of(types) > config.stateLimits().valueBytes()) {
@@ -205,12 +239,12 @@
     }
 
     /** Whether most machines have become unresponsive to us while a peer hears them. */
-    boolean cutFromWorkers(int turnedAwayByPeer) {
+    public boolean cutFromWorkers(int turnedAwayByPeer) {
         return fleet.cutFromWorkers(turnedAwayByPeer);
     }
 
     /** A worker's report, answered with what it is to do. */
-    HeartbeatResponse heartbeat(Heartbeat heartbeat) {
+    public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
         Machine machine = fleet.machine(heartbeat.host());
         if (machine == null) {
             if (fleet.isLateCopy(heartbeat)) {
@@ -227,9 +261,9 @@
             return outranked(machine, heartbeat);
         }
         if (!reconciler.reconcile(machine, heartbeat, true)) {
-            machine.liftFence();
+            machine.contact().liftFence();
             // Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be.
-            return !machine.isGone() && heartbeat.session() == machine.session()
+            return !machine.isGone() && heartbeat.session() == machine.contact().session()
                     ? new HeartbeatResponse.Accepted(machine.fencingToken(), CommandSender.stopsFor(machine))
                     : new HeartbeatResponse.Unavailable();
         }
@@ -292,10 +326,11 @@
      * be answering this worker. So the state service must have confirmed us after the end.
      */
     private void checkLease(Machine machine) {
-        if (machine.leaseOverMicros() <= 0 || leadership.confirmedMicros() <= machine.leaseOverMicros()) {
+        if (machine.contact().leaseOverMicros() <= 0
+                || leadership.confirmedMicros() <= machine.contact().leaseOverMicros()) {
             return;
         }
-        if (machine.fenced() || !config.peerIn(machine.zone())) {
+        if (machine.contact().fenced() || !config.peerIn(machine.zone())) {
             machines.leaseExpired(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
--- a/src/main/java/org/granitepath/coordination/RecoveryReport.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryReport.java
@@ -1,21 +1,23 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.term;
 
 import java.util.EnumMap;
 import java.util.Map;
-import org.granitepath.bookkeeping.RecordReplica;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryStatus.Role;
 import org.granitepath.recovery.Verdict;
+import org.granitepath.storage.RecordReplica;
 import org.pcollections.OrderedPSet;
 
 /** Puts together what a controller can tell of a recovery, and says so when it can't. */
-final class RecoveryReport {
+public final class RecoveryReport {
     private RecoveryReport() {}
 
     /** @param dispatcher null while this controller does not lead, or still reads the records of its term */
-    static RecoveryStatus of(
+    public static RecoveryStatus of(
             Config config, Leadership leadership, RecordReplica replica, Dispatcher dispatcher, long nowMicros) {
         long age = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
         if (!leadership.leads()) {
@@ -37,7 +39,7 @@
             return RecoveryStatus.withoutTerm(
                     config.node(), Role.UNKNOWN, null, "the records have not been read yet", age, unreadable);
         }
-        if (age > Controller.CUT_OFF_MICROS) {
+        if (age > Config.CONTACT_TIMEOUT_MICROS) {
             return RecoveryStatus.withoutTerm(
                     config.node(), Role.UNKNOWN, null, "no recent answer from the state service", age, unreadable);
         }
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.Fields;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.coordination.CloudPort.HostState;
-import org.granitepath.coordination.CloudPort.ListedHost;
-import org.granitepath.coordination.CloudPort.Rental;
+import org.granitepath.coordination.ports.CloudPort.HostState;
+import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.Rental;
+import org.granitepath.storage.Fields;
+import org.granitepath.storage.MachineType;
 
 /** Calls to the cloud. */
 public final class CloudCodec {
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -1,8 +1,8 @@
 package org.granitepath.protocol;
 
 import java.io.IOException;
-import org.granitepath.coordination.PeerPort.CancellationNotice;
-import org.granitepath.coordination.PeerPort.PeerStatus;
+import org.granitepath.coordination.ports.PeerPort.CancellationNotice;
+import org.granitepath.coordination.ports.PeerPort.PeerStatus;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
--- a/src/main/java/org/granitepath/protocol/StateCodec.java
+++ b/src/main/java/org/granitepath/protocol/StateCodec.java
@@ -4,13 +4,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.Fields;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.StatePort.Guard;
-import org.granitepath.bookkeeping.StatePort.Item;
-import org.granitepath.bookkeeping.StatePort.Outcome;
-import org.granitepath.bookkeeping.StatePort.Page;
-import org.granitepath.bookkeeping.StatePort.Txn;
+import org.granitepath.storage.Fields;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.StatePort.Item;
+import org.granitepath.storage.StatePort.Outcome;
+import org.granitepath.storage.StatePort.Page;
+import org.granitepath.storage.StatePort.Txn;
 
 /** Calls to the state service. */
 public final class StateCodec {
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
-import org.granitepath.coordination.JobResponse;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 
 /** What users send and are told. */
 public final class SubmissionCodec {
--- a/src/main/java/org/granitepath/recovery/FirstWork.java
+++ b/src/main/java/org/granitepath/recovery/FirstWork.java
@@ -1,7 +1,7 @@
 package org.granitepath.recovery;
 
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 
 /**
  * What is left to do about the work that goes first, in tasks, after a scheduling pass.
--- a/src/main/java/org/granitepath/recovery/MachineProfile.java
+++ b/src/main/java/org/granitepath/recovery/MachineProfile.java
@@ -1,6 +1,6 @@
 package org.granitepath.recovery;
 
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.storage.JobSpec;
 
 /** What decides which jobs a machine may hold: tasks never start on machines that their job does not allow. */
 public record MachineProfile(String type, String zone, boolean spot) {
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.storage.JobSpec;
 import org.pcollections.PSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/granitepath/recovery/UnheardMachines.java
+++ b/src/main/java/org/granitepath/recovery/UnheardMachines.java
@@ -1,7 +1,7 @@
 package org.granitepath.recovery;
 
 import it.unimi.dsi.fastutil.objects.Object2IntLinkedOpenHashMap;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.storage.JobSpec;
 import org.pcollections.OrderedPSet;
 import org.pcollections.PSet;
 
--- a/src/main/java/org/granitepath/bookkeeping/FinalRecord.java
+++ b/src/main/java/org/granitepath/storage/FinalRecord.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 import java.util.Map;
 
--- a/src/main/java/org/granitepath/bookkeeping/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 /** Names of the records in the state service. */
 public final class Keys {
--- a/src/main/java/org/granitepath/bookkeeping/MalformedRecordException.java
+++ b/src/main/java/org/granitepath/storage/MalformedRecordException.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 /** A record in the state service that can't be read. */
 public final class MalformedRecordException extends Exception {
--- a/src/main/java/org/granitepath/bookkeeping/Priority.java
+++ b/src/main/java/org/granitepath/storage/Priority.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 /** Priority of a job, highest first. */
 public enum Priority {
--- a/src/main/java/org/granitepath/bookkeeping/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 import com.google.common.collect.DiscreteDomain;
 import com.google.common.collect.ImmutableRangeSet;
--- a/src/main/java/org/granitepath/bookkeeping/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.StatePort.Item;
-import org.granitepath.bookkeeping.StatePort.Outcome;
-import org.granitepath.bookkeeping.StatePort.Page;
+import org.granitepath.storage.StatePort.Item;
+import org.granitepath.storage.StatePort.Outcome;
+import org.granitepath.storage.StatePort.Page;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/granitepath/bookkeeping/Timers.java
+++ b/src/main/java/org/granitepath/storage/Timers.java
@@ -1,4 +1,4 @@
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
 
 /** The steady clock and what is to happen later, all on the event loop. */
 public interface Timers {
--- a/src/main/java/org/granitepath/coordination/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -1,4 +1,4 @@
-package org.granitepath.coordination;
+package org.granitepath.storage;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,14 +7,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.RecordSize;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.StatePort.Guard;
-import org.granitepath.bookkeeping.StatePort.Outcome;
-import org.granitepath.bookkeeping.StatePort.Txn;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.StatePort.Outcome;
+import org.granitepath.storage.StatePort.Txn;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -95,12 +91,12 @@
         this.tokensAtMicros = timers.nowMicros();
     }
 
-    double writesPerSecond() {
+    public double writesPerSecond() {
         return writesPerSecond;
     }
 
     /** Whether more waits, news aside, than can be written in a few seconds. */
-    boolean behind() {
+    public boolean behind() {
         return behind;
     }
 
--- a/src/main/java/org/granitepath/bookkeeping/package-info.java
+++ b/src/main/java/org/granitepath/storage/package-info.java
@@ -1,2 +1,2 @@
 /** Records kept in the state service, the local replica of them, and the interface to the store itself. */
-package org.granitepath.bookkeeping;
+package org.granitepath.storage;
--- a/src/main/java/org/granitepath/transport/BackServer.java
+++ b/src/main/java/org/granitepath/transport/BackServer.java
@@ -6,7 +6,7 @@
 import io.undertow.util.SameThreadExecutor;
 import java.nio.ByteBuffer;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.PeerPort;
+import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.RecoveryStatusCodec;
 
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.coordination.CloudPort;
+import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.protocol.CloudCodec;
 import org.granitepath.protocol.Json;
+import org.granitepath.storage.MachineType;
 
 /** The cloud over HTTP. */
 public final class CloudClient implements CloudPort {
--- a/src/main/java/org/granitepath/transport/EventLoop.java
+++ b/src/main/java/org/granitepath/transport/EventLoop.java
@@ -4,7 +4,7 @@
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
-import org.granitepath.bookkeeping.Timers;
+import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.OptionMap;
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -3,7 +3,7 @@
 import io.undertow.util.Methods;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.coordination.PeerPort;
+import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.protocol.PeerCodec;
 
 /** The other controllers' back addresses over HTTP. */
--- a/src/main/java/org/granitepath/transport/StateClient.java
+++ b/src/main/java/org/granitepath/transport/StateClient.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.Fields;
-import org.granitepath.bookkeeping.StatePort;
 import org.granitepath.protocol.Json;
 import org.granitepath.protocol.StateCodec;
+import org.granitepath.storage.Fields;
+import org.granitepath.storage.StatePort;
 
 /** The state service over HTTP. */
 public final class StateClient implements StatePort {
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -3,8 +3,8 @@
 import io.undertow.util.Methods;
 import java.util.List;
 import java.util.function.Consumer;
-import org.granitepath.coordination.WorkerCommand;
-import org.granitepath.coordination.WorkerPort;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.WorkerCodec;
 
 /** Direct calls to workers over HTTP. */
--- a/src/test/java/org/granitepath/LayersTest.java
+++ b/src/test/java/org/granitepath/LayersTest.java
@@ -22,8 +22,25 @@
     private static final String ROOT_PACKAGE = "org.granitepath";
     private static final Path SOURCES = Path.of("src/main/java/org/granitepath");
     /** All packages, each above those that it may use. */
-    private static final List<String> DOWNWARDS =
-            List.of("cli", "transport", "protocol", "coordination", "recovery", "bookkeeping");
+    private static final List<String> DOWNWARDS = List.of(
+            "cli",
+            "transport",
+            "protocol",
+            "coordination",
+            "coordination.term",
+            "coordination.autoscaling",
+            "coordination.scheduling",
+            "coordination.gang",
+            "coordination.placement",
+            "coordination.fleet",
+            "coordination.jobs",
+            "coordination.model",
+            "coordination.admission",
+            "coordination.leadership",
+            "coordination.ports",
+            "coordination.config",
+            "recovery",
+            "storage");
     /** This package and all below it decide only: no I/O, no threads, no clock but the one handed in. */
     private static final String FIRST_PURE = "coordination";
 
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.granitepath.coordination.StateLimits;
+import org.granitepath.coordination.config.StateLimits;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/org/granitepath/coordination/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -1,10 +1,10 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.granitepath.coordination.GangAttempt.Phase;
+import org.granitepath.coordination.model.GangAttempt.Phase;
 import org.junit.jupiter.api.Test;
 
 /** The states of one attempt of a gang. */
--- a/src/test/java/org/granitepath/coordination/FairShareTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/FairShareTest.java
@@ -1,10 +1,11 @@
-package org.granitepath.coordination;
+package org.granitepath.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
 class FairShareTest {
--- a/src/test/java/org/granitepath/loopback/CloudStandIn.java
+++ b/src/test/java/org/granitepath/loopback/CloudStandIn.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Executor;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.storage.Fields;
 
 /** A stand-in for a cloud with a fixed set of machines, all of one type: nothing more is to be had. */
 final class CloudStandIn extends HttpStandIn {
--- a/src/test/java/org/granitepath/loopback/StateStandIn.java
+++ b/src/test/java/org/granitepath/loopback/StateStandIn.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.Executor;
-import org.granitepath.bookkeeping.Fields;
+import org.granitepath.storage.Fields;
 
 /** A stand-in for the state service: guarded transactions, leases that run out, long polls. Limits are not played. */
 final class StateStandIn extends HttpStandIn {
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import java.util.function.Predicate;
-import org.granitepath.bookkeeping.Fields;
 import org.granitepath.protocol.Json;
+import org.granitepath.storage.Fields;
 
 /**
  * A stand-in for a machine's worker over real sockets: reports, sessions, leases, fencing tokens and commands as the
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -7,12 +7,12 @@
 
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.coordination.Heartbeat;
-import org.granitepath.coordination.HeartbeatResponse;
-import org.granitepath.coordination.PeerPort;
-import org.granitepath.coordination.TaskId;
-import org.granitepath.coordination.WorkerCommand;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -10,16 +10,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.ProgressRecord;
-import org.granitepath.bookkeeping.RecordReplica;
-import org.granitepath.bookkeeping.RecordSize;
-import org.granitepath.bookkeeping.StatePort.Change;
-import org.granitepath.bookkeeping.StoredRecord;
-import org.granitepath.bookkeeping.Timers;
-import org.granitepath.bookkeeping.UnknownRecord;
-import org.granitepath.coordination.WriteQueue;
-import org.granitepath.coordination.WriteQueue.Urgency;
 import org.granitepath.protocol.Json;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.RecordSize;
+import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.Timers;
+import org.granitepath.storage.UnknownRecord;
+import org.granitepath.storage.WriteQueue;
+import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of wishes, or of questions, on a small budget. */
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -14,7 +14,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.granitepath.bookkeeping.JobSpec;
+import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -6,9 +6,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -16,8 +16,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -10,8 +10,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.storage.Keys;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.coordination.CloudPort;
-import org.granitepath.coordination.HeartbeatResponse;
-import org.granitepath.coordination.JobResponse;
-import org.granitepath.coordination.PeerPort;
-import org.granitepath.coordination.WorkerCommand;
-import org.granitepath.coordination.WorkerPort;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.CloudCodec;
 import org.granitepath.protocol.Json;
 import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.StateCodec;
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.StatePort;
 
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 
 /** Deployments, long work and helpers that the tests of faults share. */
 final class FaultScenarios {
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -5,8 +5,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
