--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -5,10 +5,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryStatus;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
 /** The largest fleets: the rules throughout, and what is asked of others as counts. */
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -8,9 +8,9 @@
 
 import java.util.List;
 import java.util.Map;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
-import org.granitepath.coordination.JobResponse.JobState;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -4,8 +4,8 @@
 import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.LongStream;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.Priority;
 
 /** Fleets of three sizes with services and batch work, for what a cold restart costs. */
 final class RecoveryLoad {
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import org.granitepath.coordination.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.recovery.RecoveryStatus;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -12,11 +12,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.coordination.Config;
-import org.granitepath.coordination.JobResponse;
-import org.granitepath.coordination.JobResponse.JobState;
-import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
 
 /** The users' rules, checked from what happens on machines and what users are told. */
 final class Rules {
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.coordination.CloudPort;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.storage.MachineType;
 
 /** A stand-in for the cloud. */
 final class SimCloud {
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.granitepath.coordination.TaskId;
-import org.granitepath.coordination.WorkerCommand;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
 
 /** What controllers command, in order, and whether they may: no machine before its own report, no start twice. */
 final class SimCommands {
--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -1,8 +1,8 @@
 package org.granitepath.simulation;
 
 import java.util.List;
-import org.granitepath.coordination.Heartbeat;
-import org.granitepath.coordination.HeartbeatResponse;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.HeartbeatResponse;
 
 /** How the controllers answer a report that has reached one of them. */
 interface SimControllers {
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat;
 
 /** Troubles of controllers, machines and the network. Those of the state service and the cloud are theirs. */
 final class SimFaults {
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.coordination.Heartbeat.Cause;
-import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
 
 /** What the tasks of gangs know of each other, and how far each gang's work has come. Checkpoints outlive machines. */
 final class SimGangs {
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 
 /** Descriptions of jobs, each with an id of its own. */
 final class SimJobs {
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.PeerPort;
-import org.granitepath.coordination.WorkerCommand;
-import org.granitepath.coordination.WorkerPort;
+import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.coordination.ports.WorkerPort;
 
 /** How controllers reach one another and the machines. */
 final class SimPorts {
--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimRuns.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.coordination.Heartbeat.Cause;
-import org.granitepath.coordination.Heartbeat.TaskState;
-import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
 
 /** The attempts that a stand-in worker knows, exited ones included, and the room that they leave. */
 final class SimRuns {
--- a/src/test/java/org/granitepath/simulation/SimState.java
+++ b/src/test/java/org/granitepath/simulation/SimState.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.Keys;
-import org.granitepath.bookkeeping.StatePort;
-import org.granitepath.coordination.StateLimits;
+import org.granitepath.coordination.config.StateLimits;
 import org.granitepath.protocol.Json;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.StatePort;
 
 /** A stand-in for the state service. Values pass through JSON text, as over the wire. */
 final class SimState {
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.Priority;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.JobResponse;
-import org.granitepath.coordination.JobResponse.JobState;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
 
 /** Users who submit jobs, ask for them until they are over, and call some off. */
 final class SimUsers {
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -6,18 +6,18 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import org.granitepath.bookkeeping.JobSpec;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.coordination.Heartbeat;
-import org.granitepath.coordination.Heartbeat.Cause;
-import org.granitepath.coordination.Heartbeat.TaskReport;
-import org.granitepath.coordination.Heartbeat.TaskState;
-import org.granitepath.coordination.HeartbeatResponse;
-import org.granitepath.coordination.TaskId;
-import org.granitepath.coordination.WorkerCommand;
-import org.granitepath.coordination.WorkerPort;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.WorkerCodec;
 import org.granitepath.simulation.SimRuns.Run;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
 
 /** A stand-in for a machine's worker, as the protocol describes it. */
 final class SimWorker {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -11,19 +11,19 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import org.granitepath.bookkeeping.MachineType;
-import org.granitepath.bookkeeping.Timers;
-import org.granitepath.coordination.CloudPort;
-import org.granitepath.coordination.Config;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.Heartbeat;
-import org.granitepath.coordination.HeartbeatResponse;
-import org.granitepath.coordination.JobResponse;
-import org.granitepath.coordination.StateLimits;
-import org.granitepath.coordination.TaskId;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.Timers;
 
 /** Controllers with stand-ins for all around them, users included, in simulated time from a seed. */
 final class Simulation {
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -6,7 +6,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.bookkeeping.Priority;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.granitepath.bookkeeping.Priority;
-import org.granitepath.coordination.StateLimits;
+import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
