--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -64,6 +64,7 @@
     private final Map<String, PendingAnswers> cancelling = new LinkedHashMap<>();
     private int waiting;
 
+    /** Answers from the replica and the index; writes through a queue of its own. */
     public JobRequestHandler(
             Config config,
             StatePort state,
@@ -92,6 +93,7 @@
 
     // ---- submissions -------------------------------------------------------------------------------------------
 
+    /** Takes a submission; answered once it is on record, or at once when it can never run. */
     public void submit(JobSpec spec, Consumer<JobResponse> then) {
         if (jobIndex.finalOf(spec.id()) != null) {
             then.accept(status(spec.id(), false));
@@ -179,6 +181,7 @@
 
     // ---- polls -------------------------------------------------------------------------------------------------
 
+    /** Tells the state of a job, after a read barrier unless it is final. */
     public void poll(String id, Consumer<JobResponse> then) {
         if (confirming(id)) {
             then.accept(retryLater("its cancellation is being confirmed"));
@@ -199,6 +202,7 @@
 
     // ---- cancellations -----------------------------------------------------------------------------------------
 
+    /** Records a cancellation; answered once no task of the job is started any more. */
     public void cancel(String id, Consumer<JobResponse> then) {
         if (confirming(id)) {
             join(cancelling, id, then, CANCEL_TIMEOUT_MICROS);
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -76,6 +76,7 @@
     private double tokens = 1;
     private long tokensAtMicros;
 
+    /** Does nothing before it is started. */
     public Autoscaler(
             Config config,
             RentalPlan.Demand demand,
@@ -107,6 +108,7 @@
         this.tokensAtMicros = timers.nowMicros();
     }
 
+    /** Begins to look at the fleet once a second. */
     public void start() {
         timers.after(TICK_MICROS / 10, this::tick);
     }
@@ -334,7 +336,7 @@
             // Its reports come, but our answers and commands don't get there.
             boolean deaf = machine.phase() == Machine.Phase.UNCONFIRMED
                     && !machine.inherited()
-                    && machine.recorded()
+                    && machine.inventory().recorded()
                     && now - machine.unconfirmedMicros() > config.leaseMicros()
                     && trust;
             boolean drained = machine.phase() == Machine.Phase.DRAINING && machine.isEmpty();
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -38,6 +38,7 @@
     private int calls;
     private int takeoverCalls;
 
+    /** Sends nothing before it is asked to. */
     public CommandSender(
             Config config,
             Leadership leadership,
@@ -142,8 +143,8 @@
     public void showTokenIfUnconfirmed(Machine machine, long now) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.inherited()
-                && machine.recorded()
-                && !machine.needsNewToken()
+                && machine.inventory().recorded()
+                && !machine.inventory().needsNewToken()
                 && !fleet.unresponsive(machine, now)) {
             showToken(machine);
         }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -40,12 +40,14 @@
 
     private int overdue;
 
+    /** Judges the machines of this fleet, with what peers tell of them. */
     public FailureDetector(Config config, Fleet fleet, Peers peers) {
         this.config = config;
         this.fleet = fleet;
         this.peers = peers;
     }
 
+    /** Looks at all machines anew. */
     public void update(long now) {
         Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -32,6 +32,7 @@
     private final ActiveJobs jobs;
     private long dueMicros;
 
+    /** Sums up these machines and jobs. */
     public FleetSummary(Fleet fleet, ActiveJobs jobs) {
         this.fleet = fleet;
         this.jobs = jobs;
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -121,7 +121,7 @@
             Set<String> names = new LinkedHashSet<>();
             for (InventoryRecord.Host host : hosts.hosts()) {
                 Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
-                machine.foundOnRecord(part, term.fencingToken());
+                machine.inventory().foundOnRecord(part, term.fencingToken());
                 inherited.add(machine);
                 names.add(machine.id());
             }
@@ -161,7 +161,7 @@
                 split(
                         part,
                         inherited.stream()
-                                .filter(machine -> machine.inventoryPart() == large)
+                                .filter(machine -> machine.inventory().part() == large)
                                 .toList());
             }
         }
@@ -222,7 +222,7 @@
     private void put(Machine machine, int part) {
         values.get(part).add(machine.id());
         usedBytes.set(part, usedBytes.getInt(part) + rowBytes(machine));
-        machine.putInPart(part);
+        machine.inventory().putInPart(part);
     }
 
     void add(Machine machine) {
@@ -240,7 +240,7 @@
     }
 
     void remove(Machine machine) {
-        int part = machine.inventoryPart();
+        int part = machine.inventory().part();
         if (values.get(part).remove(machine.id())) {
             usedBytes.set(part, usedBytes.getInt(part) - rowBytes(machine));
         }
@@ -252,10 +252,10 @@
 
     /** A direct command has no answer: only a higher fencing token makes sure that it can't be carried out late. */
     public void requestToken(Machine machine, String why) {
-        if (!machine.needsNewToken() && !machine.isGone()) {
+        if (!machine.inventory().needsNewToken() && !machine.isGone()) {
             LOG.info("machine {} wants a new fencing token: {}", machine.id(), why);
-            machine.requireNewToken();
-            changed(machine.inventoryPart());
+            machine.inventory().requireNewToken();
+            changed(machine.inventory().part());
         }
     }
 
@@ -264,15 +264,15 @@
      * one together with others, and takes tasks until then.
      */
     void requestTokenForCleanup(Machine machine) {
-        machine.requireTokenForCleanup();
+        machine.inventory().requireTokenForCleanup();
         if (!cleanupTimerSet) {
             cleanupTimerSet = true;
             timers.after(CLEANUP_MICROS, () -> {
                 cleanupTimerSet = false;
                 cleanupDue = true;
                 fleet.machines().stream()
-                        .filter(each -> each.needsTokenForCleanup())
-                        .forEach(each -> changed(each.inventoryPart()));
+                        .filter(each -> each.inventory().needsTokenForCleanup())
+                        .forEach(each -> changed(each.inventory().part()));
             });
         }
     }
@@ -311,7 +311,8 @@
         }
         dirty.removeAll(group);
         for (int part : group) {
-            if (values.get(part).stream().anyMatch(id -> fleet.machine(id).needsNewToken())) {
+            if (values.get(part).stream()
+                    .anyMatch(id -> fleet.machine(id).inventory().needsNewToken())) {
                 dirty.add(part);
             }
         }
@@ -342,13 +343,13 @@
         for (String id : values.get(part)) {
             Machine machine = fleet.machine(id);
             if (cleanupDue) {
-                machine.cleanupTokenDue();
+                machine.inventory().cleanupTokenDue();
             }
-            boolean draws = drawTokens && machine.needsNewToken();
+            boolean draws = drawTokens && machine.inventory().needsNewToken();
             if (draws) {
                 withNewToken.add(machine);
             }
-            if (!machine.recorded()) {
+            if (!machine.inventory().recorded()) {
                 added.add(machine);
             }
             hosts.add(machine.inventoryRow(draws ? drawn : machine.fencingToken()));
@@ -367,10 +368,10 @@
         dirty.removeAll(unsplittable);
         cleanupDue &= !dirty.isEmpty();
         for (Machine machine : added) {
-            machine.onRecord();
+            machine.inventory().onRecord();
         }
         for (Machine machine : withNewToken) {
-            machine.tokenRaised(drawn);
+            machine.inventory().tokenRaised(drawn);
             tokenListener.accept(machine);
         }
         if (!splits.isEmpty()) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -27,6 +27,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
+    /** Changes the machines of this fleet, and frees the tasks on them. */
     public MachineLifecycle(
             Config config,
             Fleet fleet,
--- a/src/main/java/org/granitepath/coordination/fleet/ReportReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/ReportReconciler.java
@@ -58,6 +58,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
+    /** Compares what workers report with the state of this term. */
     public ReportReconciler(
             Config config,
             JobIndex jobIndex,
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -22,6 +22,7 @@
     /** CPUs free in that zone beyond what is to be left; negative when there are fewer. */
     private long spareCpu;
 
+    /** Nothing is kept before the first survey. */
     public GangHeadroom(Fleet fleet, BatchPlanner batchPlanner) {
         this.fleet = fleet;
         this.batchPlanner = batchPlanner;
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -39,6 +39,7 @@
     /** Where the tasks of a gang go, and how many of them must fetch their image first. */
     private record Plan(List<Machine> machines, int fetches) {}
 
+    /** Starts gangs on the machines of this fleet. */
     public GangScheduler(
             Config config, Fleet fleet, PlacementRules rules, TaskLifecycle tasks, MachinePreference preference) {
         this.config = config;
--- a/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
+++ b/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
@@ -21,10 +21,12 @@
         requestSend.run();
     }
 
+    /** What is due there has gone out, or the machine is gone. */
     public void remove(Machine machine) {
         machines.remove(machine);
     }
 
+    /** The machines for which commands are due, in the order in which they came. */
     public List<Machine> machines() {
         return List.copyOf(machines);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -85,6 +85,7 @@
         return suspects.containsKey(placement.machine()) || !provenJobs.contains(placement.job());
     }
 
+    /** Whether tasks failed on this machine since it last proved to be sound. */
     public boolean suspects(Machine machine) {
         return suspects.containsKey(machine);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -35,6 +35,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
+    /** Opens nothing before it is started. */
     public JobLifecycle(
             Config config,
             Leadership.Term term,
@@ -69,6 +70,7 @@
         loop.requestPass();
     }
 
+    /** The term is over: records are followed no more. */
     public void end() {
         jobIndex.listen(null);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -28,6 +28,7 @@
     private final CommandQueue commands;
     private long attempts;
 
+    /** Places and frees tasks under the fencing token of this term. */
     public TaskLifecycle(
             Leadership.Term term,
             TermRecovery recovery,
@@ -196,6 +197,7 @@
         }
     }
 
+    /** There is proof that no task is on the machine. */
     public void freeAll(Machine machine, String why) {
         for (Placement placement : List.copyOf(machine.placements())) {
             free(placement, why);
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -18,6 +18,7 @@
     private final Timers timers;
     private final DispatchLoop loop;
 
+    /** Carries this plan out on these jobs. */
     public TermRecovery(RecoveryPlan plan, ActiveJobs jobs, Timers timers, DispatchLoop loop) {
         this.plan = plan;
         this.jobs = jobs;
@@ -25,6 +26,7 @@
         this.loop = loop;
     }
 
+    /** The plan, which knows phase and verdicts. */
     public RecoveryPlan plan() {
         return plan;
     }
@@ -75,11 +77,16 @@
         return plan.mayStart(job.spec());
     }
 
+    /** A scheduling pass is about to begin: a hold whose time is over ends. */
     public void passBegins(long now) {
         plan.checkBound(now);
     }
 
-    /** @param roomComing how many tasks that go first have no room yet, while others are being stopped for them */
+    /**
+     * A scheduling pass has ended.
+     *
+     * @param roomComing how many tasks that go first have no room yet, while others are being stopped for them
+     */
     public void passEnded(int roomComing) {
         if (!plan.holdsBatchWork()) {
             return;
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -46,8 +46,10 @@
 
     /** Told when this controller begins and ceases to lead. */
     public interface Listener {
+        /** This controller leads, and its replica is as new as the write that made it so. */
         void elected(Term term);
 
+        /** This controller leads no more. */
         void leadershipLost(String why);
     }
 
@@ -81,10 +83,12 @@
         this.listener = listener;
     }
 
+    /** Begins to campaign whenever there is no leader. */
     public void start() {
         timers.after(CHECK_MICROS, this::tick);
     }
 
+    /** Whether a campaign was won and the term is not known to be over. */
     public boolean leads() {
         return term != null;
     }
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -24,6 +24,7 @@
     private final Supplier<PeerPort.PeerStatus> ours;
     private final Map<String, Heard> heard = new HashMap<>();
 
+    /** Nothing is exchanged before it is started. */
     public Peers(Config config, PeerPort port, Timers timers, Supplier<PeerPort.PeerStatus> ours) {
         this.config = config;
         this.port = port;
@@ -31,6 +32,7 @@
         this.ours = ours;
     }
 
+    /** Begins to exchange status messages once a second. */
     public void start() {
         tick();
     }
@@ -46,6 +48,7 @@
         }
     }
 
+    /** A peer has told how it is. */
     public void take(PeerPort.PeerStatus status) {
         heard.put(status.node(), new Heard(status, timers.nowMicros()));
     }
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -49,6 +49,7 @@
         this.timers = timers;
     }
 
+    /** Whether this controller may answer the worker in the place of the leader. */
     public boolean mayRenew(Heartbeat heartbeat) {
         if (!replica.loaded() || !heartbeat.zone().equals(config.zone())) {
             return false;
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -60,6 +60,7 @@
     private GangAttempt gangAttempt;
     private final SchedulingState scheduling = new SchedulingState();
 
+    /** A job as its records tell; every claimed task that is not done is unconfirmed. */
     public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
@@ -76,6 +77,7 @@
         }
     }
 
+    /** What its user asked for. */
     public JobSpec spec() {
         return spec;
     }
@@ -102,6 +104,7 @@
 
     // ---- life cycle --------------------------------------------------------------------------------------------
 
+    /** How far it has come. */
     public Phase phase() {
         return phase;
     }
@@ -138,6 +141,7 @@
         return placements.size() + unconfirmed.size();
     }
 
+    /** How many of its tasks are not done. */
     public int left() {
         return spec.tasks() - doneCount;
     }
@@ -152,6 +156,7 @@
         return done;
     }
 
+    /** Whether this task is done. */
     public boolean isDone(int task) {
         return done.contains(task);
     }
@@ -173,6 +178,7 @@
         return claimWanted;
     }
 
+    /** A claim of this many tasks is to be recorded. */
     public void claimRequested(int tasks) {
         claimWanted = tasks;
     }
@@ -182,6 +188,7 @@
         return fresh;
     }
 
+    /** Whether a task could be started without a further claim. */
     public boolean hasClaimedTask() {
         return !free.isEmpty() || fresh < claimed;
     }
@@ -208,6 +215,7 @@
         return free.firstInt();
     }
 
+    /** The attempts of its tasks that are on machines, or may be. */
     public Collection<Placement> placements() {
         return placementsView;
     }
@@ -217,10 +225,12 @@
         return placements.get(task);
     }
 
+    /** Whether any attempt of its tasks is on a machine, or may be. */
     public boolean hasPlacements() {
         return !placements.isEmpty();
     }
 
+    /** A task of it is placed. */
     public void place(Placement placement) {
         int task = placement.task().index();
         placements.put(task, placement);
@@ -245,6 +255,7 @@
         }
     }
 
+    /** This task is done. */
     public void markDone(int task) {
         if (!done.contains(task)) {
             ProgressRecord.addTask(done, task);
@@ -328,6 +339,7 @@
         return gangAttempt;
     }
 
+    /** No task of the attempt is on a machine any more. */
     public void forgetGangAttempt() {
         gangAttempt = null;
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -20,6 +20,7 @@
         this.skewMicros = skewMicros;
     }
 
+    /** All of them, in the order in which this term learnt of them. */
     public Collection<ActiveJob> all() {
         return jobs.values();
     }
@@ -29,6 +30,7 @@
         return jobs.get(id);
     }
 
+    /** Opens a job. */
     public void add(ActiveJob job) {
         jobs.put(job.spec().id(), job);
     }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -34,12 +34,14 @@
         }
     };
 
+    /** A fleet without machines, as of now. */
     public Fleet(Config config, Timers timers) {
         this.config = config;
         this.timers = timers;
         this.startedMicros = timers.nowMicros();
     }
 
+    /** All machines that are not gone, in the order in which they joined. */
     public Collection<Machine> machines() {
         return machines.values();
     }
@@ -49,10 +51,12 @@
         return machines.get(id);
     }
 
+    /** The machine types that are known, by name. */
     public Map<String, MachineType> types() {
         return types;
     }
 
+    /** The cloud has told of its machine types. */
     public void typesChanged(List<MachineType> list) {
         for (MachineType type : list) {
             types.put(type.name(), type);
@@ -81,10 +85,12 @@
         return machine;
     }
 
+    /** The machine belongs to the fleet from now on. */
     public void add(Machine machine) {
         machines.put(machine.id(), machine);
     }
 
+    /** The machine is gone; late messages of its worker are known as such. */
     public void remove(Machine machine) {
         machines.remove(machine.id());
         departed.put(machine.id(), machine.contact().session());
@@ -100,6 +106,7 @@
         return heartbeat.session() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
 
+    /** Whether the machine has been silent for so long that a command would hardly arrive. */
     public boolean unresponsive(Machine machine, long now) {
         return machine.contact().unresponsive(now, config.reportMicros());
     }
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -43,10 +43,12 @@
         this.number = number;
     }
 
+    /** The number that its tasks share; later attempts have larger ones. */
     public long number() {
         return number;
     }
 
+    /** How far it has come. */
     public Phase phase() {
         return phase;
     }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -23,8 +23,6 @@
     /** The cloud charges at least this much time for each machine. */
     public static final long MINIMUM_CHARGE_MICROS = 60_000_000;
 
-    private static final int NOT_IN_INVENTORY = -1;
-
     /**
      * {@code UNCONFIRMED}: not heard under its present fencing token, so its tasks are not known for certain. {@code
      * DRAINING}: takes no new tasks. {@code RETURNING}: the cloud was asked to take it; it may vanish at any moment.
@@ -53,14 +51,10 @@
     private final String zone;
     private final boolean spot;
     private final WorkerContact contact;
+    private final InventoryEntry inventory = new InventoryEntry();
     private final MachineCapacity capacity = new MachineCapacity();
     private Phase phase = Phase.UNCONFIRMED;
 
-    private long fencingToken;
-    private boolean recorded;
-    private int inventoryPart = NOT_IN_INVENTORY;
-    private boolean needsNewToken;
-    private boolean needsTokenForCleanup;
     private boolean inherited;
 
     private long unconfirmedMicros;
@@ -76,6 +70,7 @@
     private final List<WorkerCommand> cleanupCommands = new ArrayList<>();
     private int tasksInDoubt;
 
+    /** A machine of which nothing was heard yet. */
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
         this.id = id;
         this.contact = new WorkerContact(address);
@@ -86,18 +81,22 @@
 
     // ---- what it is --------------------------------------------------------------------------------------------
 
+    /** The name that the cloud gave it. */
     public String id() {
         return id;
     }
 
+    /** The name of its type. */
     public String typeName() {
         return typeName;
     }
 
+    /** The zone in which it stands. */
     public String zone() {
         return zone;
     }
 
+    /** Whether the cloud may take it back at any time. */
     public boolean spot() {
         return spot;
     }
@@ -124,6 +123,7 @@
 
     // ---- life cycle --------------------------------------------------------------------------------------------
 
+    /** Where it is in its life cycle. */
     public Phase phase() {
         return phase;
     }
@@ -142,7 +142,7 @@
     /** Its worker is heard under the present fencing token, so its tasks are known. */
     public void confirmed() {
         if (phase == Phase.UNCONFIRMED) {
-            transition(Phase.READY, "heard under fencing token " + fencingToken);
+            transition(Phase.READY, "heard under fencing token " + fencingToken());
         }
     }
 
@@ -176,8 +176,9 @@
         return phase == Phase.GONE;
     }
 
+    /** Whether tasks may be placed on it, free capacity aside. */
     public boolean takesTasks() {
-        return phase == Phase.READY && recorded && !needsNewToken && capacity.type() != null;
+        return phase == Phase.READY && inventory.recorded() && !inventory.needsNewToken() && capacity.type() != null;
     }
 
     // ---- taking over and joining -------------------------------------------------------------------------------
@@ -202,7 +203,7 @@
 
     /** It reports for the first time and is to be commanded under this fencing token. */
     void joined(long token, long nowMicros) {
-        fencingToken = token;
+        inventory.joined(token);
         rentedMicros = nowMicros;
         unconfirmedMicros = nowMicros;
         idleSinceMicros = nowMicros;
@@ -210,64 +211,14 @@
 
     // ---- inventory and fencing token ---------------------------------------------------------------------------
 
-    /** The fencing token under which it is commanded. */
-    public long fencingToken() {
-        return fencingToken;
-    }
-
-    /** It was found on record, in this part of the inventory, and belongs to the leader with this fencing token. */
-    public void foundOnRecord(int part, long token) {
-        inventoryPart = part;
-        recorded = true;
-        fencingToken = token;
-    }
-
-    /** The part of the inventory that holds its row, on record or to be written. */
-    public int inventoryPart() {
-        return inventoryPart;
-    }
-
-    public void putInPart(int part) {
-        inventoryPart = part;
-    }
-
-    /** Whether the store has it in our inventory under its fencing token. Nothing starts before. */
-    public boolean recorded() {
-        return recorded;
-    }
-
-    public void onRecord() {
-        recorded = true;
+    /** Where and under which fencing token it is on record. */
+    public InventoryEntry inventory() {
+        return inventory;
     }
 
-    /** Whether it takes no tasks before a higher fencing token is on record for it. */
-    public boolean needsNewToken() {
-        return needsNewToken;
-    }
-
-    public void requireNewToken() {
-        needsNewToken = true;
-    }
-
-    /** Whether it needs a higher fencing token only so that exited attempts can be cleared, which can wait. */
-    public boolean needsTokenForCleanup() {
-        return needsTokenForCleanup;
-    }
-
-    public void requireTokenForCleanup() {
-        needsTokenForCleanup = true;
-    }
-
-    /** The time has come to draw the fencing tokens that could wait. */
-    public void cleanupTokenDue() {
-        needsNewToken |= needsTokenForCleanup;
-    }
-
-    /** A higher fencing token is on record for it. */
-    public void tokenRaised(long token) {
-        needsNewToken = false;
-        needsTokenForCleanup = false;
-        fencingToken = token;
+    /** The fencing token under which it is commanded. */
+    public long fencingToken() {
+        return inventory.fencingToken();
     }
 
     /** Its row in the inventory, with this fencing token. */
@@ -308,6 +259,7 @@
         return Collections.unmodifiableList(cleanupCommands);
     }
 
+    /** The latest message calls for this command. */
     public void addCleanup(WorkerCommand command) {
         cleanupCommands.add(command);
     }
@@ -330,6 +282,7 @@
         return keptAsHeadroom;
     }
 
+    /** Whether it is kept though it is idle. */
     public void keepAsHeadroom(boolean keep) {
         keptAsHeadroom = keep;
     }
@@ -339,6 +292,7 @@
         return reservedFor;
     }
 
+    /** Holds its free capacity for this gang. */
     public void reserveFor(ActiveJob gang) {
         reservedFor = gang;
     }
@@ -365,6 +319,7 @@
         return rentedMicros;
     }
 
+    /** The cloud has told since when it is charged. */
     public void rentedAt(long micros) {
         rentedMicros = micros;
     }
@@ -381,6 +336,7 @@
         return placements.get(task);
     }
 
+    /** Whether any attempt is placed here. */
     public boolean hasPlacements() {
         return !placements.isEmpty();
     }
@@ -390,11 +346,13 @@
         return placements.isEmpty() && tasksInDoubt == 0;
     }
 
+    /** An attempt is placed here. */
     public void add(Placement placement) {
         placements.put(placement.task(), placement);
         capacity.take(placement.job().spec());
     }
 
+    /** An attempt is proved gone. */
     public void remove(Placement placement, long nowMicros) {
         if (placements.remove(placement.task(), placement)) {
             capacity.release(placement.job().spec());
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -52,30 +52,37 @@
         }
     }
 
+    /** Whether the image was lately seen to be there. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
 
+    /** Whether a task of a service is placed there. */
     public boolean hostsService() {
         return services > 0;
     }
 
+    /** Thousandths of a CPU that services use. */
     public long cpuUsedByServices() {
         return servicesCpu;
     }
 
+    /** The share of the CPUs that is used; 0 while the type is not known. */
     public double cpuUsedShare() {
         return type == null ? 0 : (double) cpuUsed / type.cpuMillis();
     }
 
+    /** Thousandths of a CPU that are free; 0 while the type is not known. */
     public long cpuFree() {
         return type == null ? 0 : type.cpuMillis() - cpuUsed;
     }
 
+    /** Whether this much is free. The type must be known. */
     public boolean hasFree(long cpuMillis, long memoryMillis) {
         return type.cpuMillis() - cpuUsed >= cpuMillis && type.memoryMillis() - memoryUsed >= memoryMillis;
     }
 
+    /** Whether one more such task fits. */
     public boolean hasRoom(JobSpec spec) {
         return slots(spec, 0, 0, 0) > 0;
     }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -77,18 +77,22 @@
         return placement;
     }
 
+    /** The task. */
     public TaskId task() {
         return task;
     }
 
+    /** The job that the task belongs to. */
     public ActiveJob job() {
         return job;
     }
 
+    /** Where it is placed. */
     public Machine machine() {
         return machine;
     }
 
+    /** The number of the attempt, which is never used twice. */
     public long attempt() {
         return attempt;
     }
@@ -98,14 +102,17 @@
         return session;
     }
 
+    /** When it was decided on, or found. */
     public long placedMicros() {
         return placedMicros;
     }
 
+    /** How far it has come. */
     public Phase phase() {
         return phase;
     }
 
+    /** Whether it may be on the machine. */
     public boolean live() {
         return phase != Phase.FREED;
     }
@@ -178,12 +185,14 @@
         return takenOver;
     }
 
+    /** It is reported to wait for its image. */
     public void fetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
             transition(Phase.FETCHING, "reported");
         }
     }
 
+    /** It is reported to wait for the others of its gang. */
     public void waiting() {
         if (phase != Phase.STOPPING) {
             transition(Phase.WAITING, "reported");
@@ -200,6 +209,7 @@
         }
     }
 
+    /** It is reported to save, so it was told to stop. */
     public void saving() {
         transition(Phase.STOPPING, "saving");
     }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -1,8 +1,8 @@
 package org.granitepath.coordination.model;
 
 /**
- * Which jobs go first, whatever their shares. Live services come first, then what is within its team's guarantee. Of the
- * rest, jobs that can make their deadlines all together go before those that can make the longest multiple that the
+ * Which jobs go first, whatever their shares. Live services come first, then what is within its team's guarantee. Of
+ * the rest, jobs that can make their deadlines all together go before those that can make the longest multiple that the
  * objectives name, and these before what is late all the same or has no deadline.
  */
 public enum SchedulingClass {
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -13,10 +13,12 @@
     private long lastStartMicros = NEVER;
     private long waitingSinceMicros = NEVER;
 
+    /** The class by which it is ordered before its share counts. */
     public SchedulingClass schedulingClass() {
         return schedulingClass;
     }
 
+    /** It belongs to this class until it is classified again. */
     public void classify(SchedulingClass next) {
         schedulingClass = next;
     }
@@ -35,6 +37,7 @@
         return notBeforeMicros;
     }
 
+    /** No task of it is started before then. */
     public void startNothingBefore(long micros) {
         notBeforeMicros = micros;
     }
@@ -55,6 +58,7 @@
         }
     }
 
+    /** No task of it waits. */
     public void waitsNoMore() {
         waitingSinceMicros = NEVER;
     }
@@ -64,6 +68,7 @@
         return lastStartMicros;
     }
 
+    /** A task of it was placed. */
     public void taskStarted(long nowMicros) {
         lastStartMicros = nowMicros;
     }
@@ -73,6 +78,7 @@
         return lastRunningMicros;
     }
 
+    /** It has a task on a machine. */
     public void seenRunning(long nowMicros) {
         lastRunningMicros = nowMicros;
     }
@@ -84,14 +90,17 @@
         return reservedSinceMicros;
     }
 
+    /** Whether machines are reserved for it. */
     public boolean holdsReservation() {
         return reservedSinceMicros != NEVER;
     }
 
+    /** Machines are reserved for it from now on. */
     public void reservationBegins(long nowMicros) {
         reservedSinceMicros = nowMicros;
     }
 
+    /** No machine is reserved for it any more. */
     public void reservationEnds() {
         reservedSinceMicros = NEVER;
     }
@@ -101,6 +110,7 @@
         return noReservationUntilMicros;
     }
 
+    /** Other work has its turn until then. */
     public void reserveNothingUntil(long micros) {
         noReservationUntilMicros = micros;
     }
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -11,15 +11,18 @@
     private final Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
     private final Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
 
+    /** Nothing is used yet. */
     public TeamLimits(Map<String, Config.Team> teams) {
         this.teams = teams;
     }
 
+    /** A task of this kind is placed. */
     public void placed(JobSpec spec) {
         cpu.addTo(spec.team(), spec.cpuMillis());
         gpu.addTo(spec.team(), spec.gpuMillis());
     }
 
+    /** A task of this kind is proved gone. */
     public void freed(JobSpec spec) {
         cpu.addTo(spec.team(), -spec.cpuMillis());
         gpu.addTo(spec.team(), -spec.gpuMillis());
@@ -31,6 +34,7 @@
         return cpu.getLong(name) - (team == null ? 0 : team.cpuGuarantee());
     }
 
+    /** Whether the job's team has a limit at all. */
     public boolean limits(JobSpec spec) {
         Config.Team team = teams.get(spec.team());
         return team != null && (team.cpuLimit() > 0 || team.gpuLimit() > 0);
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -117,16 +117,19 @@
         return fenced;
     }
 
+    /** A fencing token is on record that the worker has not been shown. */
     public void fence() {
         fenced = true;
     }
 
+    /** The worker may have seen the fencing token on record. */
     public void liftFence() {
         fenced = false;
     }
 
     // ---- direct calls ------------------------------------------------------------------------------------------
 
+    /** Whether a direct call has not ended yet. */
     public boolean callUnderWay() {
         return callUnderWay;
     }
@@ -138,6 +141,7 @@
         probedMicros = nowMicros;
     }
 
+    /** The direct call was answered or given up. */
     public void callEnded() {
         callUnderWay = false;
     }
@@ -162,11 +166,12 @@
         directAttempts.put(attempt, fencingToken);
     }
 
-    /** Whether a late copy of the direct command that started the attempt could still be carried out under this fencing token. */
+    /** Whether a late copy of the direct command that started the attempt would be carried out under this token. */
     public boolean mayBeStartedAgain(long attempt, long fencingToken) {
         return directAttempts.get(attempt) >= fencingToken;
     }
 
+    /** The attempt is cleared away. */
     public void forgetDirectStart(long attempt) {
         directAttempts.remove(attempt);
     }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -39,6 +39,7 @@
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
     private double cheapRoom;
 
+    /** Knows nothing before the first update. */
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.config = config;
         this.fleet = fleet;
@@ -46,6 +47,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
+    /** Looks at all jobs and machines anew, unless it did so lately. */
     public void update(long now) {
         if (now < dueMicros) {
             return;
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -10,6 +10,7 @@
 
     private final PlacementRules rules;
 
+    /** Prefers by these rules. */
     public MachinePreference(PlacementRules rules) {
         this.rules = rules;
     }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -20,6 +20,7 @@
     private final FaultTracker faults;
     private final RuntimeEstimator runtimeEstimator;
 
+    /** Judges by the state of this term. */
     public PlacementRules(
             Fleet fleet,
             TermRecovery recovery,
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -36,6 +36,7 @@
 
     private long dueMicros;
 
+    /** Moves replicas on the machines of this fleet. */
     public Consolidator(Fleet fleet, ActiveJobs activeJobs, MachineLifecycle machines, TaskLifecycle tasks) {
         this.fleet = fleet;
         this.activeJobs = activeJobs;
@@ -43,6 +44,7 @@
         this.tasks = tasks;
     }
 
+    /** Empties a few machines, unless it did so lately or work waits. */
     public void tick(long now) {
         if (now < dueMicros) {
             return;
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -44,6 +44,7 @@
     private final PlacementRules rules;
     private final TaskLifecycle tasks;
 
+    /** Stops tasks on the machines of this fleet. */
     public Preemptor(Fleet fleet, PlacementRules rules, TaskLifecycle tasks) {
         this.fleet = fleet;
         this.rules = rules;
@@ -104,17 +105,7 @@
             if (!withinBorrowed(preemption, job, live, borrowed, now)) {
                 continue;
             }
-            for (Placement placement : preemption.victims()) {
-                LOG.info(
-                        "stopping {} on {} to make room for {}",
-                        placement.task(),
-                        preemption.machine().id(),
-                        job.spec().id());
-                tasks.stop(
-                        placement,
-                        live ? 0 : placement.job().spec().saveMicros(),
-                        "room for " + job.spec().id());
-            }
+            stopVictims(preemption, job, live);
             coming += preemption.slots();
             if (preemption.victims().stream()
                     .anyMatch(victim -> victim.job().spec().gang())) {
@@ -124,6 +115,20 @@
         return coming;
     }
 
+    private void stopVictims(Preemption preemption, ActiveJob job, boolean live) {
+        for (Placement placement : preemption.victims()) {
+            LOG.info(
+                    "stopping {} on {} to make room for {}",
+                    placement.task(),
+                    preemption.machine().id(),
+                    job.spec().id());
+            tasks.stop(
+                    placement,
+                    live ? 0 : placement.job().spec().saveMicros(),
+                    "room for " + job.spec().id());
+        }
+    }
+
     private static Preemption cheapest(
             ActiveJob job, Machine machine, List<Placement> candidates, long[] more, long now) {
         candidates.sort(Comparator.comparingDouble(placement -> loss(placement, now)));
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -80,6 +80,7 @@
     /** Machines that take tasks and have some room, in this pass. */
     private final List<Machine> roomy = new ArrayList<>();
 
+    /** Schedules the jobs of this term. */
     public Scheduler(
             Config config,
             Fleet fleet,
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -85,6 +85,7 @@
     private long tickedMicros;
     private boolean ended;
 
+    /** Puts the parts of a term together; nothing happens before it is started. */
     public Dispatcher(
             Config config,
             Leadership leadership,
@@ -204,6 +205,7 @@
         autoscaler.start();
     }
 
+    /** The term is over: nothing of it acts any more. */
     public void end() {
         ended = true;
         jobs.end();
@@ -214,6 +216,7 @@
         return ended;
     }
 
+    /** The cloud has told of its machine types. */
     public void typesChanged(List<MachineType> list) {
         fleet.typesChanged(list);
         loop.requestPass();
--- a/src/main/java/org/granitepath/coordination/term/RecoveryReport.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryReport.java
@@ -16,7 +16,11 @@
 public final class RecoveryReport {
     private RecoveryReport() {}
 
-    /** @param dispatcher null while this controller does not lead, or still reads the records of its term */
+    /**
+     * What this controller can tell now.
+     *
+     * @param dispatcher null while this controller does not lead, or still reads the records of its term
+     */
     public static RecoveryStatus of(
             Config config, Leadership leadership, RecordReplica replica, Dispatcher dispatcher, long nowMicros) {
         long age = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -91,6 +91,7 @@
         this.tokensAtMicros = timers.nowMicros();
     }
 
+    /** The share of the write budget that this queue keeps to. */
     public double writesPerSecond() {
         return writesPerSecond;
     }
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -151,7 +151,8 @@
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))),
                 CloudCodec.decodeTypes(
                         Json.object("{\"models\":[{\"sku\":\"g8\",\"cpus\":96,\"cards\":8,\"mem_gb\":768,"
-                                + "\"cache_gb\":200,\"fetch_gb_per_s\":1.0,\"rate\":12.0,\"market_price\":4.5,\"ready_s\":45,"
+                                + "\"cache_gb\":200,\"fetch_gb_per_s\":1.0,\"rate\":12.0,"
+                                + "\"market_price\":4.5,\"ready_s\":45,"
                                 + "\"sites\":[\"a\",\"b\"]}]}")));
     }
 
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -12,8 +12,8 @@
 
 /**
  * Prints one digest a scenario of everything that leaves the controllers (see {@link EdgeTrace}), to show that a change
- * of the code changes nothing that it does. The scenarios are those of the tests, their assertions included. Not part of
- * the build, since its name is no test's: {@code mvn -B test -Dtest=TraceDigest}.
+ * of the code changes nothing that it does. The scenarios are those of the tests, their assertions included. Not part
+ * of the build, since its name is no test's: {@code mvn -B test -Dtest=TraceDigest}.
  */
 class TraceDigest {
     private record Scenario(String name, LongConsumer run, List<Long> seeds) {
