--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -14,7 +14,7 @@
 import org.granitepath.transport.OpenTelemetryRecoveryTracer;
 import org.granitepath.transport.PeerClient;
 import org.granitepath.transport.ServiceServer;
-import org.granitepath.transport.StateClient;
+import org.granitepath.transport.KeyValueStoreClient;
 import org.granitepath.transport.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -60,7 +60,7 @@
         HttpCalls http = new HttpCalls(loop);
         Controller controller = new Controller(
                 s.config(),
-                new StateClient(http, s.state()),
+                new KeyValueStoreClient(http, s.state()),
                 new CloudClient(http, s.cloud()),
                 new WorkerClient(http),
                 new PeerClient(http, s.peerAddresses()),
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.UUID;
 import org.granitepath.coordination.config.Config;
-import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.coordination.config.StoreLimits;
 import org.snakeyaml.engine.v2.api.Load;
 import org.snakeyaml.engine.v2.api.LoadSettings;
 
@@ -33,12 +33,12 @@
     private static final long DEFAULT_GANG_PEER_MICROS = 5_000_000;
     private static final double LEAST_WRITES = 0.1;
     private static final double LEAST_VALUE_KB = 0.5;
-    private static final double LEAST_TXN_OPS = 4;
+    private static final double LEAST_TRANSACTION_CHANGES = 4;
     private static final int BYTES_OF_A_KB = 1024;
     /** Operators' settings that had another name in earlier versions. */
     private static final Map<String, String> RENAMED =
             Map.of("patience-share", "deferral-share", "longest-yield-s", "max-starvation-s");
-    /** Fewer leave no room for the state service, the cloud, the other controllers and a few machines and users. */
+    /** Fewer leave no room for the store, the cloud, the other controllers and a few machines and users. */
     private static final int LEAST_CONNECTIONS = 64;
 
     /** By default the hold of a recovery is this part of a worker's lease: two reports and a little. */
@@ -114,7 +114,7 @@
                 positiveOr(toml, "facts.workers.gang_wait_s", DEFAULT_GANG_WAIT_MICROS),
                 positiveOr(toml, "facts.workers.gang_peer_s", DEFAULT_GANG_PEER_MICROS),
                 number(toml, "facts.state.rps", 0.1),
-                stateLimits(toml),
+                storeLimits(toml),
                 number(toml, "facts.cloud.rps", 0.01),
                 Math.round(number(toml, "facts.skew_ms", 0) * 1000),
                 toml.get("facts.resources.max_connections") == null
@@ -123,9 +123,9 @@
                 tuning);
     }
 
-    /** Limits that the state service will have later are kept from the beginning. */
-    private static StateLimits stateLimits(UnmodifiableConfig toml) throws Invalid {
-        StateLimits present = stateLimits(toml, "facts.state.", null);
+    /** Limits that the store will have later are kept from the beginning. */
+    private static StoreLimits storeLimits(UnmodifiableConfig toml) throws Invalid {
+        StoreLimits present = storeLimits(toml, "facts.state.", null);
         Object next = toml.get("facts.state.next");
         if (next == null) {
             return present;
@@ -133,11 +133,11 @@
         if (!(next instanceof UnmodifiableConfig)) {
             throw new Invalid("facts.state.next must be a table of limits");
         }
-        return present.within(stateLimits(toml, "facts.state.next.", present));
+        return present.within(storeLimits(toml, "facts.state.next.", present));
     }
 
     /** @param otherwise what holds where a limit is missing; null: none may be missing */
-    private static StateLimits stateLimits(UnmodifiableConfig toml, String table, StateLimits otherwise)
+    private static StoreLimits storeLimits(UnmodifiableConfig toml, String table, StoreLimits otherwise)
             throws Invalid {
         double writes =
                 limit(toml, table + "write_rps", LEAST_WRITES, otherwise == null ? null : otherwise.writesPerSecond());
@@ -146,8 +146,8 @@
                 table + "value_kb",
                 LEAST_VALUE_KB,
                 otherwise == null ? null : (double) otherwise.valueBytes() / BYTES_OF_A_KB);
-        double ops = limit(toml, table + "txn_ops", LEAST_TXN_OPS, otherwise == null ? null : 1.0 * otherwise.txnOps());
-        return new StateLimits(writes, (int) (bytes * BYTES_OF_A_KB), (int) ops);
+        double ops = limit(toml, table + "txn_ops", LEAST_TRANSACTION_CHANGES, otherwise == null ? null : 1.0 * otherwise.transactionChanges());
+        return new StoreLimits(writes, (int) (bytes * BYTES_OF_A_KB), (int) ops);
     }
 
     private static double limit(UnmodifiableConfig toml, String path, double least, Double otherwise) throws Invalid {
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -26,7 +26,7 @@
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.MachineTypesRecord;
 import org.granitepath.storage.RecordReplica;
-import org.granitepath.storage.StatePort;
+import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
@@ -38,11 +38,11 @@
     private static final long TICK_MICROS = 1_000_000;
     private static final long TURNED_AWAY_MICROS = 5_000_000;
     private static final long TYPES_MICROS = 60_000_000;
-    /** Share of the state service's requests that all controllers together may spend on reading the latest changes. */
+    /** Share of the store's requests that all controllers together may spend on reading the latest changes. */
     private static final double READ_SHARE = 0.6;
 
     private final Config config;
-    private final StatePort state;
+    private final KeyValueStore store;
     private final CloudPort cloud;
     private final WorkerPort workers;
     private final Timers timers;
@@ -64,7 +64,7 @@
     /** Makes a controller that does nothing before {@link #start}. */
     public Controller(
             Config config,
-            StatePort state,
+            KeyValueStore store,
             CloudPort cloud,
             WorkerPort workers,
             PeerPort peerPort,
@@ -72,15 +72,15 @@
             RecoveryTracer recoveryTracer) {
         this.recoveryTracer = recoveryTracer;
         this.config = config;
-        this.state = state;
+        this.store = store;
         this.cloud = cloud;
         this.workers = workers;
         this.timers = timers;
         double readsPerSecond =
-                config.stateRequests() * READ_SHARE / (config.peers().size() + 1);
-        this.replica = new RecordReplica(state, timers, (long) (1e6 / readsPerSecond), new RecordReplica.Listener() {
+                config.storeRequestsPerSecond() * READ_SHARE / (config.peers().size() + 1);
+        this.replica = new RecordReplica(store, timers, (long) (1e6 / readsPerSecond), new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long stamp) {
+            public void changed(String key, StoredRecord record, long revision) {
                 recordChanged(key, record);
             }
 
@@ -95,7 +95,7 @@
         this.peers = new Peers(config, peerPort, timers, this::status);
         this.leadership = new Leadership(
                 config,
-                state,
+                store,
                 replica,
                 timers,
                 () -> peers.allOutOfTouch(Config.CONTACT_TIMEOUT_MICROS),
@@ -113,7 +113,7 @@
         this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, id -> jobIndex.finalOf(id) != null, peers, timers);
         this.requestHandler = new JobRequestHandler(
                 config,
-                state,
+                store,
                 replica,
                 jobIndex,
                 timers,
@@ -131,7 +131,7 @@
 
     /**
      * Whether users may be sent here. In an outage no controller can do better, so all stay; a controller that alone
-     * has lost the state service sends users to the others.
+     * has lost the store sends users to the others.
      */
     public boolean healthy() {
         if (!replica.loaded() || types.isEmpty()) {
@@ -157,7 +157,7 @@
 
     /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
     public void cancellationReceived(PeerPort.CancellationNotice notice) {
-        replica.applied(Keys.FINAL + notice.job(), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.stamp());
+        replica.applied(Keys.FINAL + notice.job(), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
     /** Whether this controller leads. */
@@ -277,7 +277,7 @@
 
     private void startLeading(Leadership.Term term) {
         dispatcher = new Dispatcher(
-                config, leadership, term, state, replica, jobIndex, timers, workers, cloud, peers, recoveryTracer);
+                config, leadership, term, store, replica, jobIndex, timers, workers, cloud, peers, recoveryTracer);
         dispatcher.start();
         if (!types.isEmpty()) {
             dispatcher.typesChanged(List.copyOf(types.values()));
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -14,7 +14,7 @@
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.UnknownRecord;
 
-/** All jobs as the state service has them; every controller keeps this and answers users from it. */
+/** All jobs as the store has them; every controller keeps this and answers users from it. */
 public final class JobIndex {
     /** Told when the records of a job change. */
     public interface Listener {
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -20,9 +20,9 @@
 import org.granitepath.storage.ProgressRecord;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
-import org.granitepath.storage.StatePort;
-import org.granitepath.storage.StatePort.Change;
-import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 
@@ -67,7 +67,7 @@
     /** Answers from the replica and the index; writes through a queue of its own. */
     public JobRequestHandler(
             Config config,
-            StatePort state,
+            KeyValueStore store,
             RecordReplica replica,
             JobIndex jobIndex,
             Timers timers,
@@ -80,14 +80,14 @@
         this.timers = timers;
         this.types = types;
         this.writeQueue = new WriteQueue(
-                state,
+                store,
                 replica,
                 timers,
-                config.stateLimits().txnOps(),
-                config.stateLimits().writesPerSecond() * WRITE_SHARE,
+                config.storeLimits().transactionChanges(),
+                config.storeLimits().writesPerSecond() * WRITE_SHARE,
                 true,
                 // An acceptance claims tasks for the leader that we know of: it must be the leader still.
-                () -> List.of(new Guard(Keys.LEADER, replica.stamp(Keys.LEADER))),
+                () -> List.of(new Precondition(Keys.LEADER, replica.revision(Keys.LEADER))),
                 () -> true);
     }
 
@@ -140,7 +140,7 @@
                     }
                     return submitting.containsKey(spec.id()) ? List.of(Change.write(key, accepted(spec))) : List.of();
                 },
-                epoch -> resolve(submitting, spec.id(), status(spec.id(), true)));
+                storeRevision -> resolve(submitting, spec.id(), status(spec.id(), true)));
     }
 
     private JobRecord accepted(JobSpec spec) {
@@ -169,7 +169,7 @@
         if (!types.get().isEmpty() && types.get().values().stream().noneMatch(type -> type.fits(spec))) {
             return "a task fits no allowed machine type";
         }
-        int largest = config.stateLimits().valueBytes();
+        int largest = config.storeLimits().valueBytes();
         if (RecordSize.of(longestRecord(spec)) > largest) {
             return "its description takes more than the " + largest + " bytes that can be kept of a job";
         }
@@ -244,7 +244,7 @@
                             ? List.of(Change.write(key, new FinalRecord(FinalRecord.Outcome.CANCELLED)))
                             : List.of();
                 },
-                epoch -> confirm(id));
+                storeRevision -> confirm(id));
     }
 
     /** Its cancellation is on record, and whoever asked for it has no answer yet. */
@@ -259,7 +259,7 @@
     private void confirm(String id) {
         if (jobIndex.finalOf(id) == FinalRecord.Outcome.CANCELLED) {
             cancelled.accept(
-                    new PeerPort.CancellationNotice(id, replica.stamp(Keys.FINAL + id)),
+                    new PeerPort.CancellationNotice(id, replica.revision(Keys.FINAL + id)),
                     () -> resolve(cancelling, id, status(id, false)));
         } else {
             resolve(cancelling, id, status(id, false));
--- a/src/main/java/org/granitepath/coordination/config/Config.java
+++ b/src/main/java/org/granitepath/coordination/config/Config.java
@@ -11,7 +11,7 @@
  * @param zone where this controller stands; {@code peerZones} the other controllers, each with its zone
  * @param gangWaitMicros how long a task of a gang waits for the others before it exits
  * @param gangPeerMicros within this time the tasks of a gang notice that one of them is gone or was told to stop
- * @param stateLimits what writes to the state service keep to, now and later
+ * @param storeLimits what writes to the store keep to, now and later
  */
 public record Config(
         String node,
@@ -26,8 +26,8 @@
         long cancelMicros,
         long gangWaitMicros,
         long gangPeerMicros,
-        double stateRequests,
-        StateLimits stateLimits,
+        double storeRequestsPerSecond,
+        StoreLimits storeLimits,
         double cloudRequests,
         long skewMicros,
         int maxConnections,
@@ -149,10 +149,10 @@
     /** A margin on everything timed by another machine's clock. */
     public static final long MARGIN_MICROS = 1_500_000;
 
-    /** Without word from the state service for this long a controller counts as out of contact. */
+    /** Without word from the store for this long a controller counts as out of contact. */
     public static final long CONTACT_TIMEOUT_MICROS = 2_500_000;
 
-    /** A leader must be able to go from one word of the state service to the next. */
+    /** A leader must be able to go from one word of the store to the next. */
     public static final long MIN_DISCONNECTED_MICROS = 1_000_000;
 
     /** {@code micros} on another machine's steady clock is over on ours after this long. */
@@ -166,7 +166,7 @@
     }
 
     /**
-     * How long a leader out of contact with the state service goes on answering workers: a cancellation that it can't
+     * How long a leader out of contact with the store goes on answering workers: a cancellation that it can't
      * see must still take effect by the end of the workers' lease. Settings that leave less than
      * {@link #MIN_DISCONNECTED_MICROS} are refused.
      */
--- a/src/main/java/org/granitepath/coordination/config/StateLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/StoreLimits.java
@@ -1,21 +1,21 @@
 package org.granitepath.coordination.config;
 
 /**
- * What the state service takes.
+ * What the store takes.
  *
  * @param writesPerSecond changes of keys
  * @param valueBytes the largest value
- * @param txnOps changes to one transaction
+ * @param transactionChanges changes to one transaction
  */
-public record StateLimits(double writesPerSecond, int valueBytes, int txnOps) {
+public record StoreLimits(double writesPerSecond, int valueBytes, int transactionChanges) {
     /**
      * What is within these limits and within others. Limits that will hold from some moment on are kept from the
      * beginning: the moment comes without notice, and a transaction that exceeds them would be refused.
      */
-    public StateLimits within(StateLimits others) {
-        return new StateLimits(
+    public StoreLimits within(StoreLimits others) {
+        return new StoreLimits(
                 Math.min(writesPerSecond, others.writesPerSecond),
                 Math.min(valueBytes, others.valueBytes),
-                Math.min(txnOps, others.txnOps));
+                Math.min(transactionChanges, others.transactionChanges));
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -16,7 +16,7 @@
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.RecordReplica;
-import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
@@ -103,10 +103,10 @@
         this.fleet = fleet;
         this.tokenListener = tokenListener;
         this.recordedListener = recordedListener;
-        this.valueBytes = Math.min(config.stateLimits().valueBytes(), MOST_VALUE_BYTES);
+        this.valueBytes = Math.min(config.storeLimits().valueBytes(), MOST_VALUE_BYTES);
         // One change is left for the counter of fencing tokens.
         this.valuesAtOnce =
-                Math.max(1, Math.min(config.stateLimits().txnOps() - 1, MOST_TRANSACTION_BYTES / valueBytes));
+                Math.max(1, Math.min(config.storeLimits().transactionChanges() - 1, MOST_TRANSACTION_BYTES / valueBytes));
     }
 
     /** The machines on record when the term began; all are ours under the term's fencing token. */
@@ -179,7 +179,7 @@
 
     private void split(int part, List<Machine> machines) {
         List<List<Machine>> pieces = pieces(machines);
-        if (pieces.size() > config.stateLimits().txnOps()) {
+        if (pieces.size() > config.storeLimits().transactionChanges()) {
             unsplittable.add(part);
             return;
         }
@@ -280,7 +280,7 @@
     private void changed(int value) {
         dirty.add(value);
         long delay = Math.max(LEAST_GATHER_MICROS, nextMicros - timers.nowMicros());
-        writeQueue.enqueue("rosters", WriteQueue.Urgency.SAFETY, delay, this::changes, epoch -> recorded());
+        writeQueue.enqueue("rosters", WriteQueue.Urgency.SAFETY, delay, this::changes, storeRevision -> recorded());
     }
 
     private List<Change> changes() {
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -12,7 +12,7 @@
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.ProgressRecord;
 import org.granitepath.storage.RecordReplica;
-import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
@@ -189,8 +189,8 @@
                         : List.of(Change.write(
                                 key,
                                 new ProgressRecord(config.node(), job.claimWanted(), job.done(), job.running())
-                                        .atMost(config.stateLimits().valueBytes()))),
-                epoch -> loop.requestPass());
+                                        .atMost(config.storeLimits().valueBytes()))),
+                storeRevision -> loop.requestPass());
     }
 
     private void recordDone(ActiveJob job) {
@@ -202,6 +202,6 @@
                 () -> replica.has(key)
                         ? List.of()
                         : List.of(Change.write(key, new FinalRecord(FinalRecord.Outcome.DONE))),
-                epoch -> {});
+                storeRevision -> {});
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -8,11 +8,11 @@
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.LeaderRecord;
 import org.granitepath.storage.RecordReplica;
-import org.granitepath.storage.StatePort;
-import org.granitepath.storage.StatePort.Change;
-import org.granitepath.storage.StatePort.Guard;
-import org.granitepath.storage.StatePort.Outcome;
-import org.granitepath.storage.StatePort.Txn;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
+import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Transaction;
 import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,7 +29,7 @@
     private static final long PAUSE_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
     /**
-     * {@code DISCONNECTED}: lately no word from the state service, or only about our lease and not about the records;
+     * {@code DISCONNECTED}: lately no word from the store, or only about our lease and not about the records;
      * workers are still answered, since an outage looks the same. {@code SILENT}: for so long that a cancellation might
      * be missed; workers are left to their leases.
      */
@@ -42,7 +42,7 @@
     }
 
     /** What a won campaign brings: the fencing token, and the guard for all later writes. */
-    public record Term(long fencingToken, long leaderStamp) {}
+    public record Term(long fencingToken, long leaderRevision) {}
 
     /** Told when this controller begins and ceases to lead. */
     public interface Listener {
@@ -54,7 +54,7 @@
     }
 
     private final Config config;
-    private final StatePort state;
+    private final KeyValueStore store;
     private final RecordReplica replica;
     private final Timers timers;
     private final Listener listener;
@@ -67,16 +67,16 @@
     private long renewDueMicros;
     private long quietUntilMicros;
 
-    /** @param othersOutOfTouch whether every other controller lately told that the state service doesn't answer it */
+    /** @param othersOutOfTouch whether every other controller lately told that the store doesn't answer it */
     public Leadership(
             Config config,
-            StatePort state,
+            KeyValueStore store,
             RecordReplica replica,
             Timers timers,
             BooleanSupplier othersOutOfTouch,
             Listener listener) {
         this.config = config;
-        this.state = state;
+        this.store = store;
         this.replica = replica;
         this.timers = timers;
         this.othersOutOfTouch = othersOutOfTouch;
@@ -104,7 +104,7 @@
         return phase == Phase.LEADING || phase == Phase.DISCONNECTED;
     }
 
-    /** Whether the state service confirmed lately that we lead. */
+    /** Whether the store confirmed lately that we lead. */
     public boolean certain() {
         refreshPhase();
         return phase == Phase.LEADING;
@@ -119,7 +119,7 @@
         return certain() || (phase == Phase.DISCONNECTED && othersOutOfTouch.getAsBoolean());
     }
 
-    /** When the last request was sent that the state service answered with our being the leader. */
+    /** When the last request was sent that the store answered with our being the leader. */
     public long confirmedMicros() {
         return confirmedMicros;
     }
@@ -144,7 +144,7 @@
             boolean mine = leader != null
                     && config.incarnation().equals(leader.incarnation())
                     && leader.fencingToken() == term.fencingToken();
-            if (!mine && replica.stamp(Keys.LEADER) != term.leaderStamp()) {
+            if (!mine && replica.revision(Keys.LEADER) != term.leaderRevision()) {
                 loseLeadership(leader == null ? "our lease ran out" : "taken over by " + leader.node());
             }
         } else if (leader == null && phase == Phase.FOLLOWING) {
@@ -203,7 +203,7 @@
     private void campaign(boolean formerSelf) {
         transition(Phase.CAMPAIGNING, formerSelf ? "we led before our restart" : "no leader on record");
         long began = timers.nowMicros();
-        state.openLease(config.tuning().leaderLeaseMicros(), leased -> {
+        store.openLease(config.tuning().leaderLeaseMicros(), leased -> {
             if (leased.outcome() != Outcome.OK) {
                 abandonCampaign("no lease to be had");
                 return;
@@ -224,28 +224,28 @@
     private void acquire(long newLease, long began) {
         FencingTokenRecord counter = replica.fencingToken();
         long fencingToken = (counter == null ? 0 : counter.last()) + 1;
-        List<Guard> guards = new ArrayList<>();
+        List<Precondition> preconditions = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
         LeaderRecord leader = new LeaderRecord(config.node(), config.incarnation(), fencingToken);
         changes.add(new Change(Keys.LEADER, leader, newLease));
         changes.add(
                 Change.write(Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), fencingToken, fencingToken)));
         for (Change change : changes) {
-            guards.add(new Guard(change.key(), replica.stamp(change.key())));
+            preconditions.add(new Precondition(change.key(), replica.revision(change.key())));
         }
-        state.commit(new Txn(guards, changes), answer -> {
+        store.commit(new Transaction(preconditions, changes), answer -> {
             if (answer.outcome() != Outcome.OK) {
                 // If it is carried out all the same, nobody renews the lease and the key goes with it.
                 abandonCampaign("takeover " + answer.outcome());
                 return;
             }
             lease = newLease;
-            term = new Term(fencingToken, answer.epoch());
+            term = new Term(fencingToken, answer.storeRevision());
             confirmedMicros = began;
             renewDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
             renewing = false;
             for (Change change : changes) {
-                replica.applied(change.key(), change.record(), answer.epoch());
+                replica.applied(change.key(), change.record(), answer.storeRevision());
             }
             transition(Phase.LEADING, "fencing token " + fencingToken);
             takeOver(term);
@@ -280,7 +280,7 @@
         Term ours = term;
         long sent = timers.nowMicros();
         renewDueMicros = sent + config.tuning().leaderLeaseMicros() / 4;
-        state.renewLease(lease, outcome -> {
+        store.renewLease(lease, outcome -> {
             if (!ours.equals(term)) {
                 return;
             }
@@ -302,8 +302,8 @@
             return;
         }
         // Should this be lost, the lease runs out by itself.
-        state.commit(
-                new Txn(List.of(new Guard(Keys.LEADER, term.leaderStamp())), List.of(Change.remove(Keys.LEADER))),
+        store.commit(
+                new Transaction(List.of(new Precondition(Keys.LEADER, term.leaderRevision())), List.of(Change.remove(Keys.LEADER))),
                 answer -> {});
         quietUntilMicros = timers.nowMicros() + PAUSE_AFTER_STEPPING_DOWN_MICROS;
         loseLeadership(why);
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -8,7 +8,7 @@
 import org.granitepath.storage.Timers;
 
 /**
- * How the other controllers are. An outage of the state service and a cut of our own path to it look alike from here;
+ * How the other controllers are. An outage of the store and a cut of our own path to it look alike from here;
  * a peer that is in contact tells them apart.
  */
 public final class Peers {
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Whether every peer was lately heard and told that the state service had not answered it for so long, or never.
+     * Whether every peer was lately heard and told that the store had not answered it for so long, or never.
      */
     public boolean allOutOfTouch(long ageMicros) {
         long now = timers.nowMicros();
@@ -116,7 +116,7 @@
                 .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.status().leader());
     }
 
-    /** Whether a peer lately had word from the state service, at most {@code ageMicros} old when it told us. */
+    /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
     public boolean anyInTouch(long ageMicros) {
         long now = timers.nowMicros();
         for (Heard h : heard.values()) {
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -32,7 +32,7 @@
     private final Peers peers;
     private final Timers timers;
     /**
-     * The present fencing token of each machine on record, as of the contact with the state service at
+     * The present fencing token of each machine on record, as of the contact with the store at
      * {@link #asOfMicros}.
      */
     private final Object2LongOpenHashMap<String> fencingTokens = new Object2LongOpenHashMap<>();
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -7,13 +7,13 @@
     /**
      * How a controller is.
      *
-     * @param contactAgeMicros how long ago the state service last brought this controller up to date; negative: never
+     * @param contactAgeMicros how long ago the store last brought this controller up to date; negative: never
      * @param turnedAway how many machines lately reported to this controller although it does not own them
      */
     record PeerStatus(String node, long contactAgeMicros, boolean leader, int turnedAway) {}
 
-    /** A cancellation that is on record, with the stamp of its record. */
-    record CancellationNotice(String job, long stamp) {}
+    /** A cancellation that is on record, with the revision of its record. */
+    record CancellationNotice(String job, long revision) {}
 
     /** Tells a peer of it; answered with whether it has taken that in. No rule rests on its arrival. */
     void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then);
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -41,9 +41,9 @@
 import org.granitepath.storage.MachineTypesRecord;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
-import org.granitepath.storage.StatePort;
-import org.granitepath.storage.StatePort.Change;
-import org.granitepath.storage.StatePort.Guard;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
@@ -90,7 +90,7 @@
             Config config,
             Leadership leadership,
             Leadership.Term term,
-            StatePort state,
+            KeyValueStore store,
             RecordReplica replica,
             JobIndex jobIndex,
             Timers timers,
@@ -112,7 +112,7 @@
         this.fleet = new Fleet(config, timers);
         this.loop = new DispatchLoop(timers, this::ended, leadership::mayStart, this::pass, this::sendCommands);
         CommandQueue commands = new CommandQueue(loop::requestSend);
-        this.writeQueue = newWriteQueue(state);
+        this.writeQueue = newWriteQueue(store);
         this.recovery = new TermRecovery(
                 new RecoveryPlan(term.fencingToken(), config.tuning().recoveryHoldMicros(), recoveryTracer),
                 activeJobs,
@@ -156,15 +156,15 @@
                 cloud);
     }
 
-    private WriteQueue newWriteQueue(StatePort state) {
+    private WriteQueue newWriteQueue(KeyValueStore store) {
         return new WriteQueue(
-                state,
+                store,
                 replica,
                 timers,
-                config.stateLimits().txnOps(),
-                config.stateLimits().writesPerSecond() * WRITE_SHARE,
+                config.storeLimits().transactionChanges(),
+                config.storeLimits().writesPerSecond() * WRITE_SHARE,
                 false,
-                () -> List.of(new Guard(Keys.LEADER, term.leaderStamp())),
+                () -> List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
                 () -> !ended);
     }
 
@@ -189,7 +189,7 @@
     public void start() {
         List<Machine> inherited = inventory.takeOver();
         fleet.inherit(inherited);
-        recovery.start(inherited, inventory.unreadableParts(), replica.revision());
+        recovery.start(inherited, inventory.unreadableParts(), replica.storeRevision());
         jobs.start();
         LOG.info(
                 "term with fencing token {}: {} machines taken over",
@@ -226,7 +226,7 @@
     public void recordTypes(List<MachineType> list) {
         MachineTypesRecord types = new MachineTypesRecord(list);
         if (replica.has(Keys.TYPES)
-                || RecordSize.of(types) > config.stateLimits().valueBytes()) {
+                || RecordSize.of(types) > config.storeLimits().valueBytes()) {
             return; // a part of the types would let controllers refuse jobs that can run
         }
         writeQueue.enqueue(
@@ -234,7 +234,7 @@
                 WriteQueue.Urgency.PROGRESS_ONLY,
                 RECORD_TYPES_DELAY_MICROS,
                 () -> replica.has(Keys.TYPES) ? List.of() : List.of(Change.write(Keys.TYPES, types)),
-                epoch -> {});
+                storeRevision -> {});
     }
 
     TermRecovery recovery() {
@@ -326,7 +326,7 @@
 
     /**
      * A lease that ran out proves something only if we were the leader all along: a successor that we don't know of may
-     * be answering this worker. So the state service must have confirmed us after the end.
+     * be answering this worker. So the store must have confirmed us after the end.
      */
     private void checkLease(Machine machine) {
         if (machine.contact().leaseOverMicros() <= 0
--- a/src/main/java/org/granitepath/protocol/StateCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.storage.Fields;
-import org.granitepath.storage.StatePort.Change;
-import org.granitepath.storage.StatePort.Guard;
-import org.granitepath.storage.StatePort.Item;
-import org.granitepath.storage.StatePort.Outcome;
-import org.granitepath.storage.StatePort.Page;
-import org.granitepath.storage.StatePort.Txn;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
+import org.granitepath.storage.KeyValueStore.Item;
+import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Page;
+import org.granitepath.storage.KeyValueStore.Transaction;
 
-/** Calls to the state service. */
-public final class StateCodec {
-    private StateCodec() {}
+/** Calls to the store. */
+public final class KeyValueStoreCodec {
+    private KeyValueStoreCodec() {}
 
     /** The request for a transaction. */
-    public static String encodeTxn(Txn txn) {
-        List<Object> guards = new ArrayList<>();
-        for (Guard g : txn.guards()) {
-            guards.add(Map.of("key", g.key(), "stamp", g.stamp()));
+    public static String encodeTransaction(Transaction transaction) {
+        List<Object> preconditions = new ArrayList<>();
+        for (Precondition g : transaction.preconditions()) {
+            preconditions.add(Map.of("key", g.key(), "stamp", g.revision()));
         }
         List<Object> apply = new ArrayList<>();
-        for (Change c : txn.changes()) {
+        for (Change c : transaction.changes()) {
             Map<String, Object> m = new LinkedHashMap<>();
             if (c.record() == null) {
                 m.put("remove", c.key());
@@ -37,7 +37,7 @@
             apply.add(m);
         }
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("guards", guards);
+        body.put("guards", preconditions);
         body.put("apply", apply);
         return Json.text(body);
     }
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -37,7 +37,7 @@
             packer.packArrayHeader(CANCELLED_FIELDS)
                     .packInt(VERSION)
                     .packString(notice.job())
-                    .packLong(notice.stamp());
+                    .packLong(notice.revision());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("packing in memory failed", e);
@@ -51,7 +51,7 @@
                 return null;
             }
             CancellationNotice notice = new CancellationNotice(unpacker.unpackString(), unpacker.unpackLong());
-            return SubmissionCodec.isJobId(notice.job()) && notice.stamp() > 0 ? notice : null;
+            return SubmissionCodec.isJobId(notice.job()) && notice.revision() > 0 ? notice : null;
         } catch (IOException | MessagePackException e) {
             return null;
         }
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -35,13 +35,13 @@
 
     /** Whether the controller can tell at all. */
     public enum Role {
-        /** It leads, confirmed lately by the state service: what it tells holds. */
+        /** It leads, confirmed lately by the store: what it tells holds. */
         LEADING,
-        /** It led when it last had word from the state service: another may lead by now. */
+        /** It led when it last had word from the store: another may lead by now. */
         LEADING_UNCONFIRMED,
         /** Another controller leads, or none does. */
         FOLLOWING,
-        /** It has no word from the state service that is recent enough to say who leads. */
+        /** It has no word from the store that is recent enough to say who leads. */
         UNKNOWN
     }
 
--- a/src/main/java/org/granitepath/storage/StatePort.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The state service as the decision code sees it. Every call answers exactly once, later, on the event loop. */
-public interface StatePort {
+/** The store as the decision code sees it. Every call answers exactly once, later, on the event loop. */
+public interface KeyValueStore {
 
     /**
      * How a call ended. {@code REFUSED}: not now. {@code REJECTED}: never, as it stands. {@code UNKNOWN}: no answer, so
@@ -22,7 +22,7 @@
     }
 
     /** The condition that a key has this revision; 0: that it does not exist. */
-    record Guard(String key, long stamp) {}
+    record Precondition(String key, long revision) {}
 
     /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
     record Change(String key, StoredRecord record, long lease) {
@@ -38,22 +38,22 @@
     }
 
     /** Changes that are made together, if all guards hold, or not at all. */
-    record Txn(List<Guard> guards, List<Change> changes) {}
+    record Transaction(List<Precondition> preconditions, List<Change> changes) {}
 
     /** How a transaction ended: the new revision, or the keys whose guards failed. */
-    record Committed(Outcome outcome, long epoch, List<String> failed) {}
+    record Committed(Outcome outcome, long storeRevision, List<String> failed) {}
 
     /** One key as read or followed; {@code value} null: removed. */
-    record Item(String key, Map<String, Object> value, long stamp) {}
+    record Item(String key, Map<String, Object> value, long revision) {}
 
-    /** Records as listed or followed, as of the revision {@code epoch}. */
-    record Page(Outcome outcome, List<Item> items, boolean more, long epoch) {}
+    /** Records as listed or followed, as of the revision {@code storeRevision}. */
+    record Page(Outcome outcome, List<Item> items, boolean more, long storeRevision) {}
 
     /** A new lease, when {@code outcome} is OK. */
     record Leased(Outcome outcome, long lease) {}
 
     /** Commits a transaction. */
-    void commit(Txn txn, Consumer<Committed> then);
+    void commit(Transaction transaction, Consumer<Committed> then);
 
     /** Lists keys in order, beginning after {@code from}. */
     void list(String prefix, String from, int limit, Consumer<Page> then);
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -1,6 +1,6 @@
 package org.granitepath.storage;
 
-/** Names of the records in the state service. */
+/** Names of the records in the store. */
 public final class Keys {
     public static final String ALL = "g/";
     public static final String JOB = "g/j/";
--- a/src/main/java/org/granitepath/storage/MalformedRecordException.java
+++ b/src/main/java/org/granitepath/storage/MalformedRecordException.java
@@ -1,6 +1,6 @@
 package org.granitepath.storage;
 
-/** A record in the state service that can't be read. */
+/** A record in the store that can't be read. */
 public final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.granitepath.storage.StatePort.Item;
-import org.granitepath.storage.StatePort.Outcome;
-import org.granitepath.storage.StatePort.Page;
+import org.granitepath.storage.KeyValueStore.Item;
+import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Page;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A copy of our records, kept by following the state service. Entries only move forward by stamp. A read barrier is a
+ * A copy of our records, kept by following the store. Entries only move forward by revision. A read barrier is a
  * follow begun after the question arrived: whatever any controller committed before is in the replica when it ends.
  */
 public final class RecordReplica {
@@ -37,25 +37,25 @@
     /** Told of every change of a record, in order; {@code record} null: removed. */
     public interface Listener {
         /** A record was written, or removed when {@code record} is null. */
-        void changed(String key, StoredRecord record, long stamp);
+        void changed(String key, StoredRecord record, long revision);
 
         /** All records have been read for the first time. */
         void loaded();
     }
 
-    private record Entry(StoredRecord record, long stamp) {}
+    private record Entry(StoredRecord record, long revision) {}
 
-    private final StatePort state;
+    private final KeyValueStore store;
     private final Timers timers;
     private final long spacingMicros;
     private final Listener listener;
     private final Map<String, Entry> entries = new HashMap<>();
     private Phase phase = Phase.LOADING;
-    private long epoch;
+    private long storeRevision;
     private long malformedRecords;
     private boolean loadedOnce;
     private Set<String> seenInLoad;
-    private long loadEpoch;
+    private long loadRevision;
     private long lastContactMicros;
     private boolean barrierRunning;
     private boolean barrierScheduled;
@@ -63,8 +63,8 @@
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
 
     /** @param spacingMicros least time between two reads of one kind, from this controller's share of requests */
-    public RecordReplica(StatePort state, Timers timers, long spacingMicros, Listener listener) {
-        this.state = state;
+    public RecordReplica(KeyValueStore store, Timers timers, long spacingMicros, Listener listener) {
+        this.store = store;
         this.timers = timers;
         this.spacingMicros = spacingMicros;
         this.listener = listener;
@@ -112,8 +112,8 @@
     }
 
     /** The revision up to which the records are known. */
-    public long revision() {
-        return epoch;
+    public long storeRevision() {
+        return storeRevision;
     }
 
     /** How many records could not be read so far. */
@@ -132,9 +132,9 @@
     }
 
     /** The revision of the last change of a record, for guards; 0 when there is no such record. */
-    public long stamp(String key) {
+    public long revision(String key) {
         Entry entry = entries.get(key);
-        return entry == null || entry.record() == null ? 0 : entry.stamp();
+        return entry == null || entry.record() == null ? 0 : entry.revision();
     }
 
     /** Drops a record that nobody reads or writes any more. */
@@ -143,8 +143,8 @@
     }
 
     /** Records our own committed write at once, before the follow brings it. */
-    public void applied(String key, StoredRecord record, long stamp) {
-        apply(key, record, stamp);
+    public void applied(String key, StoredRecord record, long revision) {
+        apply(key, record, revision);
     }
 
     /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
@@ -167,19 +167,19 @@
     private void load() {
         transition(Phase.LOADING);
         seenInLoad = new HashSet<>();
-        loadEpoch = 0;
+        loadRevision = 0;
         loadPage("");
     }
 
     private void loadPage(String from) {
         long sent = timers.nowMicros();
-        state.list(Keys.ALL, from, PAGE, page -> {
+        store.list(Keys.ALL, from, PAGE, page -> {
             if (page.outcome() != Outcome.OK) {
                 timers.after(RETRY_MICROS, () -> loadPage(from));
                 return;
             }
-            if (loadEpoch == 0) {
-                loadEpoch = page.epoch();
+            if (loadRevision == 0) {
+                loadRevision = page.storeRevision();
             }
             String last = from;
             for (Item item : page.items()) {
@@ -194,11 +194,11 @@
             // Keys known before a reload that are no longer there were removed meanwhile.
             for (String key : new ArrayList<>(entries.keySet())) {
                 Entry entry = entries.get(key);
-                if (entry != null && entry.record() != null && !seenInLoad.contains(key) && entry.stamp() < loadEpoch) {
-                    apply(key, null, loadEpoch);
+                if (entry != null && entry.record() != null && !seenInLoad.contains(key) && entry.revision() < loadRevision) {
+                    apply(key, null, loadRevision);
                 }
             }
-            epoch = loadEpoch;
+            storeRevision = loadRevision;
             lastContactMicros = Math.max(lastContactMicros, sent);
             seenInLoad = null;
             transition(Phase.FOLLOWING);
@@ -219,12 +219,12 @@
             timers.after(spacingMicros, this::followOn);
             return;
         }
-        state.follow(Keys.ALL, epoch, LONG_POLL_MICROS, page -> {
+        store.follow(Keys.ALL, storeRevision, LONG_POLL_MICROS, page -> {
             if (phase != Phase.FOLLOWING) {
                 return;
             }
             if (page.outcome() == Outcome.GONE) {
-                LOG.info("the state service no longer has the changes since {}: reading all records again", epoch);
+                LOG.info("the store no longer has the changes since {}: reading all records again", storeRevision);
                 load();
             } else if (page.outcome() == Outcome.OK) {
                 take(page, sent);
@@ -253,7 +253,7 @@
         lastBarrierMicros = now;
         List<Consumer<Boolean>> served = waiting;
         waiting = new ArrayList<>();
-        state.follow(Keys.ALL, epoch, 0, page -> {
+        store.follow(Keys.ALL, storeRevision, 0, page -> {
             boolean fresh = page.outcome() == Outcome.OK && phase == Phase.FOLLOWING;
             if (fresh) {
                 take(page, now);
@@ -268,24 +268,24 @@
 
     private void take(Page page, long sentMicros) {
         for (Item item : page.items()) {
-            if (item.stamp() > epoch) {
+            if (item.revision() > storeRevision) {
                 apply(item);
             }
         }
-        epoch = Math.max(epoch, page.epoch());
+        storeRevision = Math.max(storeRevision, page.storeRevision());
         lastContactMicros = Math.max(lastContactMicros, sentMicros);
     }
 
     /** Takes in what was read. Our own writes come back this way, and are known: they are not decoded again. */
     private void apply(Item item) {
-        if (isNewer(item.key(), item.stamp())) {
-            apply(item.key(), decode(item), item.stamp());
+        if (isNewer(item.key(), item.revision())) {
+            apply(item.key(), decode(item), item.revision());
         }
     }
 
-    private boolean isNewer(String key, long stamp) {
+    private boolean isNewer(String key, long revision) {
         Entry known = entries.get(key);
-        return known == null || known.stamp() < stamp;
+        return known == null || known.revision() < revision;
     }
 
     private StoredRecord decode(Item item) {
@@ -301,10 +301,10 @@
         }
     }
 
-    private void apply(String key, StoredRecord record, long stamp) {
-        if (isNewer(key, stamp)) {
-            entries.put(key, new Entry(record, stamp));
-            listener.changed(key, record, stamp);
+    private void apply(String key, StoredRecord record, long revision) {
+        if (isNewer(key, revision)) {
+            entries.put(key, new Entry(record, revision));
+            listener.changed(key, record, revision);
         }
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordSize.java
+++ b/src/main/java/org/granitepath/storage/RecordSize.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** How many bytes a record takes as JSON. The state service refuses values beyond a limit. */
+/** How many bytes a record takes as JSON. The store refuses values beyond a limit. */
 public final class RecordSize {
     /** A character that may need an escape, or is not ASCII: at most as many bytes as an escape sequence. */
     private static final int LONGEST_CHARACTER = 6;
--- a/src/main/java/org/granitepath/storage/StoredRecord.java
+++ b/src/main/java/org/granitepath/storage/StoredRecord.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** A record in the state service. Immutable: what was read or written stays as it was. */
+/** A record in the store. Immutable: what was read or written stays as it was. */
 public sealed interface StoredRecord
         permits FencingTokenRecord,
                 FinalRecord,
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -7,23 +7,23 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import org.granitepath.storage.StatePort.Change;
-import org.granitepath.storage.StatePort.Guard;
-import org.granitepath.storage.StatePort.Outcome;
-import org.granitepath.storage.StatePort.Txn;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
+import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * Writes of one controller, gathered into transactions within its share of the write budget. One transaction is under
- * way at a time; each change is guarded by the stamp that the replica has of its key, so a late copy of a transaction
+ * way at a time; each change is guarded by the revision that the replica has of its key, so a late copy of a transaction
  * fails. Contents are produced when the transaction is built, so what goes out is always the latest.
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
     private static final long RETRY_MICROS = 300_000;
     private static final long REFUSED_MICROS = 100_000;
-    private static final int TXN_BYTES = 48 * 1024;
+    private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
     private static final int CHANGE_OVERHEAD_BYTES = 100;
     private static final double RESERVED_FROM_PROGRESS = 0.3;
     private static final int BEHIND_SECONDS = 3;
@@ -42,12 +42,12 @@
     /** One thing to be written: a few changes that belong together. */
     private record Entry(Urgency urgency, Supplier<List<Change>> content, LongConsumer committed, long dueMicros) {}
 
-    private final StatePort state;
+    private final KeyValueStore store;
     private final RecordReplica replica;
     private final Timers timers;
-    private final int txnOps;
+    private final int transactionChanges;
     private final double writesPerSecond;
-    private final Supplier<List<Guard>> fence;
+    private final Supplier<List<Precondition>> fence;
     private final BooleanSupplier open;
     private final Map<String, Entry> pending = new LinkedHashMap<>();
     private boolean busy;
@@ -69,21 +69,21 @@
      * @param open whether to write at all; once false, false for ever
      */
     public WriteQueue(
-            StatePort state,
+            KeyValueStore store,
             RecordReplica replica,
             Timers timers,
-            int txnOps,
+            int transactionChanges,
             double writesPerSecond,
             boolean elastic,
-            Supplier<List<Guard>> fence,
+            Supplier<List<Precondition>> fence,
             BooleanSupplier open) {
         this.elastic = elastic;
         this.rate = writesPerSecond;
-        this.state = state;
+        this.store = store;
         this.replica = replica;
         this.timers = timers;
-        this.txnOps = txnOps;
-        this.mostAtOnce = txnOps;
+        this.transactionChanges = transactionChanges;
+        this.mostAtOnce = transactionChanges;
         this.writesPerSecond = writesPerSecond;
         this.fence = fence;
         this.open = open;
@@ -153,9 +153,9 @@
     }
 
     private void send(List<Change> changes, Map<String, Entry> sent) {
-        List<Guard> guards = new ArrayList<>(fence.get());
+        List<Precondition> preconditions = new ArrayList<>(fence.get());
         for (Change change : changes) {
-            guards.add(new Guard(change.key(), replica.stamp(change.key())));
+            preconditions.add(new Precondition(change.key(), replica.revision(change.key())));
         }
         busy = true;
         tokens -= changes.size();
@@ -164,14 +164,14 @@
                         .filter(entry -> entry.urgency() != Urgency.PROGRESS_ONLY)
                         .count()
                 > BEHIND_SECONDS * writesPerSecond;
-        state.commit(new Txn(guards, changes), answer -> {
+        store.commit(new Transaction(preconditions, changes), answer -> {
             if (elastic) {
                 rate = answer.outcome() == Outcome.REFUSED
                         ? Math.max(LEAST_RATE * writesPerSecond, rate / 2)
                         : Math.min(writesPerSecond, rate + RATE_STEP * writesPerSecond);
             }
             if (answer.outcome() == Outcome.OK) {
-                committed(changes, sent, answer.epoch());
+                committed(changes, sent, answer.storeRevision());
             } else {
                 LOG.debug("transaction on {} ended {} {}", sent.keySet(), answer.outcome(), answer.failed());
                 failed(answer.outcome(), changes, sent);
@@ -179,14 +179,14 @@
         });
     }
 
-    private void committed(List<Change> changes, Map<String, Entry> sent, long epoch) {
+    private void committed(List<Change> changes, Map<String, Entry> sent, long storeRevision) {
         for (Change change : changes) {
-            replica.applied(change.key(), change.record(), epoch);
+            replica.applied(change.key(), change.record(), storeRevision);
         }
         busy = false;
-        mostAtOnce = Math.min(txnOps, mostAtOnce + 1);
+        mostAtOnce = Math.min(transactionChanges, mostAtOnce + 1);
         for (Entry entry : sent.values()) {
-            entry.committed().accept(epoch);
+            entry.committed().accept(storeRevision);
         }
         pump();
     }
@@ -209,15 +209,15 @@
             goOnAfter(elastic ? RETRY_MICROS : REFUSED_MICROS);
             return;
         }
-        // Written or still under way: read back before trying again with the stamps as they then are.
+        // Written or still under way: read back before trying again with the revisions as they then are.
         readBack(outcome == Outcome.CONFLICT ? 0 : RETRY_MICROS);
     }
 
-    /** What the state service will never take is not sent again as it stands; a later wish may have other contents. */
+    /** What the store will never take is not sent again as it stands; a later wish may have other contents. */
     private static void abandon(List<Change> changes) {
         for (Change change : changes) {
             LOG.error(
-                    "the state service rejects the write of {} ({} bytes, {} changes together): it is abandoned",
+                    "the store rejects the write of {} ({} bytes, {} changes together): it is abandoned",
                     change.key(),
                     roughSize(change),
                     changes.size());
@@ -246,7 +246,7 @@
                 if (changes.size() >= room) {
                     break;
                 }
-                if (entry.urgency() != urgency || (entry.dueMicros() > now && changes.size() * 2 >= txnOps)) {
+                if (entry.urgency() != urgency || (entry.dueMicros() > now && changes.size() * 2 >= transactionChanges)) {
                     continue;
                 }
                 List<Change> content = entry.content().get();
@@ -255,7 +255,7 @@
                     continue;
                 }
                 int size = content.stream().mapToInt(WriteQueue::roughSize).sum();
-                if (!changes.isEmpty() && (changes.size() + content.size() > most || bytes + size > TXN_BYTES)) {
+                if (!changes.isEmpty() && (changes.size() + content.size() > most || bytes + size > MAX_TRANSACTION_BYTES)) {
                     continue;
                 }
                 changes.addAll(content);
--- a/src/main/java/org/granitepath/storage/package-info.java
+++ b/src/main/java/org/granitepath/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Records kept in the state service, the local replica of them, and the interface to the store itself. */
+/** Records kept in the store, the local replica of them, and the interface to the store itself. */
 package org.granitepath.storage;
--- a/src/main/java/org/granitepath/transport/StateClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -5,26 +5,26 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.granitepath.protocol.Json;
-import org.granitepath.protocol.StateCodec;
+import org.granitepath.protocol.KeyValueStoreCodec;
 import org.granitepath.storage.Fields;
-import org.granitepath.storage.StatePort;
+import org.granitepath.storage.KeyValueStore;
 
-/** The state service over HTTP. */
-public final class StateClient implements StatePort {
+/** The store over HTTP. */
+public final class KeyValueStoreClient implements KeyValueStore {
     private static final long TIMEOUT_MICROS = 2_000_000;
 
     private final HttpCalls http;
     private final String address;
 
-    /** Calls the state service at this address. */
-    public StateClient(HttpCalls http, String address) {
+    /** Calls the store at this address. */
+    public KeyValueStoreClient(HttpCalls http, String address) {
         this.http = http;
         this.address = address;
     }
 
     @Override
-    public void commit(Txn txn, Consumer<Committed> then) {
-        http.call(address, Methods.POST, "/commit", StateCodec.encodeTxn(txn), TIMEOUT_MICROS, true, (status, body) -> {
+    public void commit(Transaction transaction, Consumer<Committed> then) {
+        http.call(address, Methods.POST, "/commit", KeyValueStoreCodec.encodeTransaction(transaction), TIMEOUT_MICROS, true, (status, body) -> {
             Map<String, Object> m = status == 0 ? null : Json.object(body);
             Outcome outcome = outcome(status, m);
             then.accept(new Committed(
@@ -43,7 +43,7 @@
         String path = "/keys?prefix=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&most=" + limit;
         http.call(address, Methods.GET, path, null, TIMEOUT_MICROS, true, (status, body) -> {
             Map<String, Object> m = status == 0 ? null : Json.object(body);
-            then.accept(status == 200 && m != null ? StateCodec.decodeList(m) : failed(outcome(status, m)));
+            then.accept(status == 200 && m != null ? KeyValueStoreCodec.decodeList(m) : failed(outcome(status, m)));
         });
     }
 
@@ -52,7 +52,7 @@
         String path = "/follow?prefix=" + prefix + "&from=" + from + "&wait_ms=" + waitMicros / 1000;
         http.call(address, Methods.GET, path, null, waitMicros + TIMEOUT_MICROS, true, (status, body) -> {
             Map<String, Object> m = status == 0 ? null : Json.object(body);
-            then.accept(status == 200 && m != null ? StateCodec.decodeFollow(m) : failed(outcome(status, m)));
+            then.accept(status == 200 && m != null ? KeyValueStoreCodec.decodeFollow(m) : failed(outcome(status, m)));
         });
     }
 
@@ -62,12 +62,12 @@
                 address,
                 Methods.POST,
                 "/leases",
-                StateCodec.encodeLease(lifeMicros),
+                KeyValueStoreCodec.encodeLease(lifeMicros),
                 TIMEOUT_MICROS,
                 true,
                 (status, body) -> {
                     Map<String, Object> m = status == 0 ? null : Json.object(body);
-                    then.accept(new Leased(outcome(status, m), m == null ? 0 : StateCodec.decodeLease(m)));
+                    then.accept(new Leased(outcome(status, m), m == null ? 0 : KeyValueStoreCodec.decodeLease(m)));
                 });
     }
 
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.coordination.config.StoreLimits;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -114,18 +114,18 @@
     private static final String NEXT =
             "txn_ops = 8\n[facts.state.next]\nwrite_rps = 7.5\nvalue_kb = 2.0\ntxn_ops = 5\n";
 
-    /** Limits that the state service will have later hold from the first start, since they come without notice. */
+    /** Limits that the store will have later hold from the first start, since they come without notice. */
     @Test
     void nextLimitsAreKeptFromTheStart() throws Exception {
         Settings next = Settings.read(file("n.toml", GOOD.replace("txn_ops = 8\n", NEXT)), null, false);
-        assertEquals(new StateLimits(7.5, 2048, 5), next.config().stateLimits());
+        assertEquals(new StoreLimits(7.5, 2048, 5), next.config().storeLimits());
         Settings present = Settings.read(file("p.toml", GOOD), null, false);
-        assertEquals(new StateLimits(10, 8192, 8), present.config().stateLimits());
+        assertEquals(new StoreLimits(10, 8192, 8), present.config().storeLimits());
         Settings some = Settings.read(
                 file("o.toml", GOOD.replace("txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\nvalue_kb = 4.0\n")),
                 null,
                 false);
-        assertEquals(new StateLimits(10, 4096, 8), some.config().stateLimits());
+        assertEquals(new StoreLimits(10, 4096, 8), some.config().storeLimits());
     }
 
     @Test
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real server on loopback, with neither state service nor cloud to be reached: it must answer all the same. */
+/** The real server on loopback, with neither store nor cloud to be reached: it must answer all the same. */
 class ServeHttpTest {
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
     private static final int MOST = 64;
--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -16,7 +16,7 @@
 import org.granitepath.loopback.ControllerProcess.Reply;
 import org.granitepath.protocol.Json;
 
-/** Three controller processes and stand-in workers, with a state service and a cloud of our own, on loopback. */
+/** Three controller processes and stand-in workers, with a store and a cloud of our own, on loopback. */
 final class Cluster implements AutoCloseable {
     private static final int CONTROLLERS = 3;
     private static final long REPORT_MILLIS = 1_000;
@@ -58,7 +58,7 @@
             .version(HttpClient.Version.HTTP_1_1)
             .build();
     final History history = new History();
-    final StateStandIn state = new StateStandIn(executor);
+    final StoreStandIn state = new StoreStandIn(executor);
     final CloudStandIn cloud = new CloudStandIn(executor);
     final List<WorkerStandIn> workers = new ArrayList<>();
     final List<ControllerProcess> controllers = new ArrayList<>();
--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -130,7 +130,7 @@
         }
     }
 
-    /** The state service is away when they come back, and all end once more in the middle of the recovery. */
+    /** The store is away when they come back, and all end once more in the middle of the recovery. */
     @Test
     void allEndOnceMoreWhileTheyRecover(@TempDir Path dir) throws Exception {
         try (Cluster cluster = new Cluster(dir, WORKERS)) {
--- a/src/test/java/org/granitepath/loopback/StateStandIn.java
+++ b/src/test/java/org/granitepath/loopback/StoreStandIn.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.Executor;
 import org.granitepath.storage.Fields;
 
-/** A stand-in for the state service: guarded transactions, leases that run out, long polls. Limits are not played. */
-final class StateStandIn extends HttpStandIn {
-    private record Stored(Object value, long stamp, long lease) {}
+/** A stand-in for the store: guarded transactions, leases that run out, long polls. Limits are not played. */
+final class StoreStandIn extends HttpStandIn {
+    private record Stored(Object value, long revision, long lease) {}
 
-    private record Change(String key, Object value, long stamp) {}
+    private record Change(String key, Object value, long revision) {}
 
     private static final class Lease {
         final long lifeNanos;
@@ -31,11 +31,11 @@
     private final TreeMap<String, Stored> keys = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private long epoch;
+    private long storeRevision;
     private long leaseCount;
     private boolean away;
 
-    StateStandIn(Executor executor) {
+    StoreStandIn(Executor executor) {
         super(executor);
         listen();
     }
@@ -84,18 +84,18 @@
         for (String key : List.copyOf(keys.keySet())) {
             long lease = keys.get(key).lease();
             if (lease != 0 && !leases.containsKey(lease)) {
-                apply(key, null, 0, ++epoch);
+                apply(key, null, 0, ++storeRevision);
             }
         }
     }
 
-    private void apply(String key, Object value, long lease, long stamp) {
+    private void apply(String key, Object value, long lease, long revision) {
         if (value == null) {
             keys.remove(key);
         } else {
-            keys.put(key, new Stored(value, stamp, lease));
+            keys.put(key, new Stored(value, revision, lease));
         }
-        changes.add(new Change(key, value, stamp));
+        changes.add(new Change(key, value, revision));
         notifyAll();
     }
 
@@ -115,23 +115,23 @@
                 break;
             }
             Stored stored = entry.getValue();
-            items.add(Map.of("key", entry.getKey(), "v", stored.value(), "stamp", stored.stamp()));
+            items.add(Map.of("key", entry.getKey(), "v", stored.value(), "stamp", stored.revision()));
         }
-        return Answer.ok(Map.of("items", items, "has_next", more, "epoch", epoch));
+        return Answer.ok(Map.of("items", items, "has_next", more, "epoch", storeRevision));
     }
 
     @SuppressWarnings("unchecked")
     private Answer commit(Map<String, Object> body) {
         List<String> failed = new ArrayList<>();
         for (Object each : Fields.listOf(body, "guards")) {
-            Map<String, Object> guard = (Map<String, Object>) each;
-            Stored stored = keys.get(Fields.textOf(guard, "key"));
-            if ((stored == null ? 0 : stored.stamp()) != Fields.longOf(guard, "stamp", 0)) {
-                failed.add(Fields.textOf(guard, "key"));
+            Map<String, Object> precondition = (Map<String, Object>) each;
+            Stored stored = keys.get(Fields.textOf(precondition, "key"));
+            if ((stored == null ? 0 : stored.revision()) != Fields.longOf(precondition, "stamp", 0)) {
+                failed.add(Fields.textOf(precondition, "key"));
             }
         }
         if (!failed.isEmpty()) {
-            return new Answer(409, Map.of("failed", failed, "epoch", epoch));
+            return new Answer(409, Map.of("failed", failed, "epoch", storeRevision));
         }
         List<?> apply = Fields.listOf(body, "apply");
         for (Object each : apply) {
@@ -140,17 +140,17 @@
                 return Answer.error(400, "no such lease");
             }
         }
-        epoch += apply.isEmpty() ? 0 : 1;
+        storeRevision += apply.isEmpty() ? 0 : 1;
         for (Object each : apply) {
             Map<String, Object> change = (Map<String, Object>) each;
             String written = Fields.textOf(change, "write");
             if (written != null) {
-                apply(written, change.get("v"), Fields.longOf(change, "permit", 0), epoch);
+                apply(written, change.get("v"), Fields.longOf(change, "permit", 0), storeRevision);
             } else {
-                apply(Fields.textOf(change, "remove"), null, 0, epoch);
+                apply(Fields.textOf(change, "remove"), null, 0, storeRevision);
             }
         }
-        return Answer.ok(Map.of("epoch", epoch));
+        return Answer.ok(Map.of("epoch", storeRevision));
     }
 
     private Answer follow(Map<String, String> query) {
@@ -168,17 +168,17 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return away ? Answer.error(503, "outage") : Answer.ok(Map.of("epoch", epoch, "events", events));
+        return away ? Answer.error(503, "outage") : Answer.ok(Map.of("epoch", storeRevision, "events", events));
     }
 
     private List<Object> eventsSince(String prefix, long from) {
         List<Object> events = new ArrayList<>();
         for (Change change : changes) {
-            if (change.stamp() > from && change.key().startsWith(prefix)) {
+            if (change.revision() > from && change.key().startsWith(prefix)) {
                 events.add(
                         change.value() == null
-                                ? Map.of("remove", change.key(), "stamp", change.stamp())
-                                : Map.of("write", change.key(), "v", change.value(), "stamp", change.stamp()));
+                                ? Map.of("remove", change.key(), "stamp", change.revision())
+                                : Map.of("write", change.key(), "v", change.value(), "stamp", change.revision()));
             }
         }
         return events;
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -27,12 +27,12 @@
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.MachineTypesRecord;
-import org.granitepath.storage.StatePort.Change;
-import org.granitepath.storage.StatePort.Guard;
-import org.granitepath.storage.StatePort.Item;
-import org.granitepath.storage.StatePort.Outcome;
-import org.granitepath.storage.StatePort.Page;
-import org.granitepath.storage.StatePort.Txn;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
+import org.granitepath.storage.KeyValueStore.Item;
+import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Page;
+import org.granitepath.storage.KeyValueStore.Transaction;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -170,8 +170,8 @@
 
     @Test
     void transactions() {
-        Txn transaction = new Txn(
-                List.of(new Guard("g/leader", 412)),
+        Transaction transaction = new Transaction(
+                List.of(new Precondition("g/leader", 412)),
                 List.of(
                         new Change("g/f/run-1", new FinalRecord(FinalRecord.Outcome.DONE), 7),
                         Change.write("g/f/run-2", new FinalRecord(FinalRecord.Outcome.CANCELLED)),
@@ -180,14 +180,14 @@
                 Json.object("{\"guards\":[{\"key\":\"g/leader\",\"stamp\":412}],\"apply\":[{\"write\":\"g/f/run-1\","
                         + "\"v\":{\"how\":0},\"permit\":7},{\"write\":\"g/f/run-2\",\"v\":{\"how\":1}},"
                         + "{\"remove\":\"c/d\"}]}"),
-                Json.object(StateCodec.encodeTxn(transaction)));
+                Json.object(KeyValueStoreCodec.encodeTransaction(transaction)));
     }
 
     @Test
     void answersOfTheStore() {
         assertEquals(
                 new Page(Outcome.OK, List.of(new Item("a/b", Map.of("x", 1), 412)), true, 431),
-                StateCodec.decodeList(Json.object("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
+                KeyValueStoreCodec.decodeList(Json.object("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
                         + "\"has_next\":true,\"epoch\":431}")));
         assertEquals(
                 new Page(
@@ -195,9 +195,9 @@
                         List.of(new Item("c/9", Map.of("x", 1), 433), new Item("c/d", null, 432)),
                         false,
                         433),
-                StateCodec.decodeFollow(Json.object("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
+                KeyValueStoreCodec.decodeFollow(Json.object("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
                         + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
-        assertEquals(7, StateCodec.decodeLease(Json.object("{\"permit\":7}")));
+        assertEquals(7, KeyValueStoreCodec.decodeLease(Json.object("{\"permit\":7}")));
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The records in the state service and the messages between controllers, byte for byte: running controllers of other
+ * The records in the store and the messages between controllers, byte for byte: running controllers of other
  * versions and stored records use them, so they stay as they are whatever the code calls its parts.
  */
 class StoredFormatsTest {
@@ -111,7 +111,7 @@
 
     @Test
     void leaseRequests() {
-        assertEquals(Map.of("life_ms", 3000), Json.object(StateCodec.encodeLease(3_000_000)));
+        assertEquals(Map.of("life_ms", 3000), Json.object(KeyValueStoreCodec.encodeLease(3_000_000)));
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -14,7 +14,7 @@
 import org.granitepath.storage.ProgressRecord;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
-import org.granitepath.storage.StatePort.Change;
+import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.UnknownRecord;
@@ -27,7 +27,7 @@
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
     private final World world = new World(1);
-    private final SimState state = new SimState(world, 8, 2048, 1000, 200);
+    private final SimStore state = new SimStore(world, 8, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
@@ -51,10 +51,10 @@
         return replica;
     }
 
-    private RecordReplica replicaOf(SimState of, String node) {
+    private RecordReplica replicaOf(SimStore of, String node) {
         RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long stamp) {}
+            public void changed(String key, StoredRecord record, long revision) {}
 
             @Override
             public void loaded() {}
@@ -77,7 +77,7 @@
             world.after(
                     i * 66_000L,
                     () -> writeQueue.enqueue(
-                            key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), epoch -> {}));
+                            key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
         int before = state.reads;
         world.run(14_000_000, () -> {});
@@ -101,7 +101,7 @@
                         made[0]++;
                         return List.of(Change.write(key, SOME_RECORD));
                     },
-                    epoch -> written.add(key));
+                    storeRevision -> written.add(key));
         }
         world.run(3_000_000, () -> {});
         writeQueue.enqueue(
@@ -109,7 +109,7 @@
                 Urgency.SAFETY,
                 0,
                 () -> List.of(Change.write("g/safe", SOME_RECORD)),
-                epoch -> written.add("g/safe"));
+                storeRevision -> written.add("g/safe"));
         world.run(3_300_000, () -> {});
         assertTrue(written.contains("g/safe"), "an urgent wish waits behind news");
         world.run(61_000_000, () -> {});
@@ -120,7 +120,7 @@
     /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
     void requestHandlersYieldToTheLeader() {
-        SimState tight = new SimState(world, 8, 2048, 1000, 18);
+        SimStore tight = new SimStore(world, 8, 2048, 1000, 18);
         int[] leaders = new int[1];
         for (int n = 0; n < 6; n++) {
             int node = n;
@@ -136,14 +136,14 @@
                                 Urgency.WORK,
                                 0,
                                 () -> List.of(Change.write(key, SOME_RECORD)),
-                                epoch -> leaders[0] += node == 0 ? 1 : 0));
+                                storeRevision -> leaders[0] += node == 0 ? 1 : 0));
             }
         }
         world.run(61_000_000, () -> {});
         assertTrue(leaders[0] > 60 * 7, leaders[0] + " writes of the leader in a minute");
     }
 
-    /** What the state service will never take is given up, once, and all else is written. */
+    /** What the store will never take is given up, once, and all else is written. */
     @Test
     void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
         RecordReplica replica = replica();
@@ -162,7 +162,7 @@
                         made[0] += tooLarge ? 1 : 0;
                         return List.of(Change.write(key, tooLarge ? large : SOME_RECORD));
                     },
-                    epoch -> written.add(key));
+                    storeRevision -> written.add(key));
         }
         world.run(20_000_000, () -> {});
         assertEquals(11, written.size());
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -61,7 +61,7 @@
     }
 
     /**
-     * 18. A leader loses the state service and its peers, not its workers and users; jobs are cancelled through the
+     * 18. A leader loses the store and its peers, not its workers and users; jobs are cancelled through the
      * new one.
      */
     @ParameterizedTest
@@ -72,7 +72,7 @@
         int[] told = new int[1];
         s.world.after(60 * SECOND, () -> {
             String former = s.leader();
-            s.faults.cutFromPeersAndState(former, seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND);
+            s.faults.cutFromPeersAndStore(former, seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND);
             s.world.after(6 * SECOND, () -> {
                 String leader = s.leaderOtherThan(former);
                 assertNotEquals(former, leader);
@@ -99,7 +99,7 @@
         List<JobSpec> jobs = longWork(s, 6, 6, 300 * SECOND);
         s.world.after(60 * SECOND, () -> {
             String leader = s.leader();
-            s.state.blindFor(leader, 2 * s.shape.cancel());
+            s.store.blindFor(leader, 2 * s.shape.cancel());
             s.world.after(
                     2 * SECOND,
                     () -> jobs.forEach(j -> s.users.cancelAt(others(s, leader).get(0), j.id())));
@@ -141,7 +141,7 @@
         for (int i = 0; i < 8; i++) {
             s.world.after((30 + 6 * i) * SECOND, () -> {
                 String leader = s.leader();
-                s.state.blindFor(leader, 2_500_000);
+                s.store.blindFor(leader, 2_500_000);
                 s.rules.running().stream()
                         .limit(6)
                         .forEach(j -> s.users.cancelAt(others(s, leader).get(0), j));
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -53,7 +53,7 @@
         });
         s.world.after(49 * SECOND, () -> s.faults.crash(s.leader(), 300_000));
         s.world.after(70 * SECOND, () -> s.names.forEach(n -> s.faults.crash(n, SECOND)));
-        s.world.after(75 * SECOND, () -> s.state.outage(10 * SECOND));
+        s.world.after(75 * SECOND, () -> s.store.outage(10 * SECOND));
         s.run(100 * SECOND, 300 * SECOND);
         assertTrue(most[0] > 150, "only " + most[0] + " machines");
         assertRulesAndAllDone(s);
@@ -141,7 +141,7 @@
         }
         s.run(150 * SECOND);
         assertRulesAndAllDone(s);
-        int drawn = s.state.writesOf(Keys.FENCING_TOKEN);
+        int drawn = s.store.writesOf(Keys.FENCING_TOKEN);
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -121,7 +121,7 @@
     }
 
     /**
-     * 6. The state service refuses the leader alone, another controller confirms cancellations, and a second or two
+     * 6. The store refuses the leader alone, another controller confirms cancellations, and a second or two
      * later it is out for everybody for longer than cancel_s, while workers go on reporting to the leader. With some
      * seeds nobody tells it of the cancellations: only the bound on the time for which anyone may keep a lease alive
      * can end the tasks.
@@ -138,10 +138,10 @@
         s.world.after(70 * SECOND, () -> {
             String leader = s.leader();
             running[0] = s.rules.running().size();
-            s.state.refuse(leader, 14 * SECOND);
+            s.store.refuse(leader, 14 * SECOND);
             jobs.forEach(j -> s.users.cancelAt(others(s, leader).get(s.world.random.nextInt(4)), j.id()));
             s.world.after((1 + seed % 2) * SECOND, () -> {
-                s.state.outage(s.shape.cancel() + 15 * SECOND);
+                s.store.outage(s.shape.cancel() + 15 * SECOND);
                 answered[0] = s.reportsAccepted(leader);
             });
             s.world.after(9 * SECOND, () -> {
@@ -157,7 +157,7 @@
         assertRules(s);
     }
 
-    /** 7. The state service answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
+    /** 7. The store answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void slowThenRefusedThenOutage(long seed) {
@@ -167,12 +167,12 @@
         s.world.after(60 * SECOND, () -> s.world.heldUp = 0);
         int[] told = new int[2];
         s.world.after(60 * SECOND, () -> {
-            s.state.refuse(s.leader(), 12 * SECOND);
+            s.store.refuse(s.leader(), 12 * SECOND);
             told[0] = s.rules.cancellationsTold();
             s.users.cancelRunning(4, 0);
         });
         s.world.after(66 * SECOND, () -> {
-            s.state.outage(s.shape.cancel() + 6 * SECOND);
+            s.store.outage(s.shape.cancel() + 6 * SECOND);
             s.users.cancelRunning(3, 0);
             told[1] = s.rules.cancellationsTold();
         });
@@ -236,11 +236,11 @@
         for (int i = 0; i < 4; i++) {
             s.world.after((28 + 9 * i) * SECOND, () -> {
                 leaders.add(s.leader());
-                s.state.lateWrites = 0.2;
+                s.store.lateWrites = 0.2;
                 s.faults.crash(s.leader(), 5 * SECOND);
             });
         }
-        s.world.after(65 * SECOND, () -> s.state.lateWrites = 0);
+        s.world.after(65 * SECOND, () -> s.store.lateWrites = 0);
         s.run(78 * SECOND, 300 * SECOND);
         assertTrue(leaders.size() > 1, "one leader throughout");
         assertRulesAndAllDone(s);
@@ -296,13 +296,13 @@
                 if (s.world.random.nextBoolean()) {
                     s.faults.crash(was, 300_000 + s.world.random.nextInt(6_000_000));
                 } else {
-                    s.faults.cutFromPeersAndState(was, World.Cut.HOLD, 9 * SECOND);
+                    s.faults.cutFromPeersAndStore(was, World.Cut.HOLD, 9 * SECOND);
                 }
                 s.world.after(10 * SECOND, () -> changes[0] += s.leader().equals(was) ? 0 : 1);
                 s.users.cancelRunning(1, 0);
             });
         }
-        s.world.after(90 * SECOND, () -> s.state.outage(20 * SECOND));
+        s.world.after(90 * SECOND, () -> s.store.outage(20 * SECOND));
         s.run(160 * SECOND, 600 * SECOND);
         assertTrue(changes[0] >= 5, changes[0] + " changes of leader");
         assertRulesAndAllDone(s);
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -22,15 +22,15 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void transactionsAreCarriedOutLate(long seed) {
         Simulation s = withJobs(simulation(seed), 40, 100 * SECOND);
-        s.world.after(10 * SECOND, () -> s.state.lateWrites = 0.3);
+        s.world.after(10 * SECOND, () -> s.store.lateWrites = 0.3);
         for (int i = 0; i < 4; i++) {
             s.world.after(
                     (30 + 20 * i) * SECOND,
                     () -> s.faults.crash(s.leader(), 300_000 + s.world.random.nextInt(4_000_000)));
         }
-        s.world.after(120 * SECOND, () -> s.state.lateWrites = 0);
+        s.world.after(120 * SECOND, () -> s.store.lateWrites = 0);
         s.run(135 * SECOND, 500 * SECOND);
-        assertTrue(s.state.lateSuccesses > 0, "no late transaction went in");
+        assertTrue(s.store.lateSuccesses > 0, "no late transaction went in");
         assertRulesAndAllDone(s);
     }
 
@@ -68,14 +68,14 @@
         longWork(s, 5, 8, 20 * SECOND);
         int[] met = new int[2];
         s.world.after(45 * SECOND, () -> {
-            int fencingTokens = s.state.writesOf(Keys.FENCING_TOKEN);
+            int fencingTokens = s.store.writesOf(Keys.FENCING_TOKEN);
             String former = s.leader();
             List<Heartbeat> held =
                     s.cloud.workers().stream().map(SimWorker::latest).toList();
             s.faults.crash(former, 300_000);
             s.world.after(9 * SECOND, () -> {
                 met[0] = held.size();
-                met[1] = s.state.writesOf(Keys.FENCING_TOKEN) - fencingTokens;
+                met[1] = s.store.writesOf(Keys.FENCING_TOKEN) - fencingTokens;
                 held.forEach(b -> s.names.forEach(n -> s.faults.deliver(n, b)));
             });
             s.world.after(3 * s.shape.lease(), () -> held.forEach(s.faults::deliver));
@@ -145,7 +145,7 @@
         longWork(s, 2, 16, 25 * SECOND);
         int[] told = new int[1];
         s.world.after(40 * SECOND, () -> {
-            s.state.refuseWritesOf(s.leader(), 15 * SECOND);
+            s.store.refuseWritesOf(s.leader(), 15 * SECOND);
             s.heldStarts = 7 * SECOND;
             told[0] = s.rules.cancellationsTold();
         });
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -17,11 +17,11 @@
 import org.granitepath.protocol.CloudCodec;
 import org.granitepath.protocol.Json;
 import org.granitepath.protocol.PeerCodec;
-import org.granitepath.protocol.StateCodec;
+import org.granitepath.protocol.KeyValueStoreCodec;
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
 import org.granitepath.storage.MachineType;
-import org.granitepath.storage.StatePort;
+import org.granitepath.storage.KeyValueStore;
 
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
@@ -113,12 +113,12 @@
         };
     }
 
-    StatePort tracing(String node, StatePort port) {
-        return new StatePort() {
+    KeyValueStore tracing(String node, KeyValueStore port) {
+        return new KeyValueStore() {
             @Override
-            public void commit(Txn txn, Consumer<Committed> then) {
-                add(node, "commit", sorted(StateCodec.encodeTxn(txn)));
-                port.commit(txn, then);
+            public void commit(Transaction transaction, Consumer<Committed> then) {
+                add(node, "commit", sorted(KeyValueStoreCodec.encodeTransaction(transaction)));
+                port.commit(transaction, then);
             }
 
             @Override
@@ -135,7 +135,7 @@
 
             @Override
             public void openLease(long lifeMicros, Consumer<Leased> then) {
-                add(node, "open lease", StateCodec.encodeLease(lifeMicros));
+                add(node, "open lease", KeyValueStoreCodec.encodeLease(lifeMicros));
                 port.openLease(lifeMicros, then);
             }
 
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -39,7 +39,7 @@
 
     /**
      * Four thousand machines and all controllers down at once: each report is compared once, whatever the fleet, and
-     * the state service is asked no more than it allows.
+     * the store is asked no more than it allows.
      */
     @Test
     void fourThousandMachinesAfterAColdRestart() {
@@ -48,7 +48,7 @@
         int[] refusals = new int[1];
         s.world.after(RecoveryLoad.RESTART, () -> {
             running[0] = (int) s.rules.tasksUp();
-            refusals[0] = s.state.refusals;
+            refusals[0] = s.store.refusals;
             s.faults.crashAll(SECOND);
         });
         s.run(RecoveryLoad.RESTART + 30 * SECOND);
@@ -60,9 +60,9 @@
         assertTrue(
                 status.comparisons() < 12L * running[0],
                 status.comparisons() + " comparisons of " + running[0] + " tasks");
-        assertTrue(s.state.refusals - refusals[0] < 150, (s.state.refusals - refusals[0]) + " requests came too fast");
+        assertTrue(s.store.refusals - refusals[0] < 150, (s.store.refusals - refusals[0]) + " requests came too fast");
         assertTrue(s.mostCalls <= s.shape.connections() / 6, s.mostCalls + " calls to machines at once");
-        assertEquals(0, s.state.oversized, "a transaction or a value over its limit");
+        assertEquals(0, s.store.oversized, "a transaction or a value over its limit");
         s.run(RecoveryLoad.RESTART + 90 * SECOND);
         assertEquals(List.of(), s.rules.broken.stream().distinct().limit(5).toList());
     }
@@ -98,10 +98,10 @@
         assertEquals(List.of(), s.users.unfinishedBatches());
         s.rules.checkServed();
         assertEquals(List.of(), s.rules.broken);
-        assertEquals(0, s.state.oversized, "a transaction or a value over its limit");
+        assertEquals(0, s.store.oversized, "a transaction or a value over its limit");
         assertTrue(
-                s.state.refusals < s.state.requests / 20,
-                s.state.refusals + " of " + s.state.requests + " requests came too fast");
+                s.store.refusals < s.store.requests / 20,
+                s.store.refusals + " of " + s.store.requests + " requests came too fast");
         assertTrue(s.mostCalls <= s.shape.connections() / 6, s.mostCalls + " calls to machines at once");
         int busy = s.cloud.returnedBusy.size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -79,10 +79,10 @@
         return List.of(
                 s -> s.faults.crash(s.leader(), 200_000 + s.world.random.nextInt(6_000_000)),
                 s -> s.names.forEach(n -> s.faults.crash(n, 200_000 + s.world.random.nextInt(30_000_000))),
-                s -> s.state.refuse(s.leader(), time(s)),
-                s -> s.state.outage(time(s) + s.shape.cancel() / 2),
-                s -> s.faults.cutFromPeersAndState(s.leader(), cut(s), time(s)),
-                s -> s.faults.cut(s.leader(), SimState.NAME, cut(s), time(s)),
+                s -> s.store.refuse(s.leader(), time(s)),
+                s -> s.store.outage(time(s) + s.shape.cancel() / 2),
+                s -> s.faults.cutFromPeersAndStore(s.leader(), cut(s), time(s)),
+                s -> s.faults.cut(s.leader(), SimStore.NAME, cut(s), time(s)),
                 s -> s.faults.cutFromWorkers(s.leader(), cut(s), time(s)),
                 s -> s.faults.cutZone(s.zoneOf(s.anyNode()), cut(s), time(s)),
                 s -> s.faults.freeze(s.leader(), time(s)),
@@ -92,8 +92,8 @@
                     s.world.after(time(s), () -> s.cancelledAtEnd = 0);
                 },
                 s -> {
-                    s.state.lateWrites = 0.3;
-                    s.world.after(time(s), () -> s.state.lateWrites = 0);
+                    s.store.lateWrites = 0.3;
+                    s.world.after(time(s), () -> s.store.lateWrites = 0);
                 },
                 s -> {
                     s.world.lateCopies = 0.2;
@@ -103,7 +103,7 @@
                     s.world.heldUp = 0.06;
                     s.world.after(time(s), () -> s.world.heldUp = 0);
                 },
-                s -> s.state.blindFor(s.leader(), time(s)),
+                s -> s.store.blindFor(s.leader(), time(s)),
                 s -> someMachines(s, w -> s.faults.deafen(w, time(s))),
                 s -> someMachines(s, w -> s.faults.mute(w, time(s))),
                 s -> someMachines(s, w -> s.faults.cutMachine(w, cut(s), time(s))),
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -69,8 +69,8 @@
         s.recoveryHold = hold;
         int[] before = new int[2];
         s.world.after(RecoveryLoad.RESTART, () -> {
-            before[0] = s.state.requests;
-            before[1] = s.state.writes;
+            before[0] = s.store.requests;
+            before[1] = s.store.writes;
             s.faults.crashAll(SECOND);
             List<SimWorker> workers = s.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
@@ -88,8 +88,8 @@
                 lastVerdict[0] = s.world.now();
             }
         });
-        int requests = s.state.requests - before[0];
-        int writes = s.state.writes - before[1];
+        int requests = s.store.requests - before[0];
+        int writes = s.store.writes - before[1];
         s.run(RecoveryLoad.RESTART + 60 * SECOND);
         List<SimCommands.Start> starts = s.commands.startsSince(RecoveryLoad.RESTART);
         List<Long> live = times(s, starts, true);
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -40,7 +40,7 @@
         long[] before = new long[1];
         s.world.after(RESTART, () -> {
             RecoveryTest.restart(s, false);
-            s.state.plant(key, garbage);
+            s.store.plant(key, garbage);
             before[0] = running(s, job);
         });
         s.run(RESTART + 100 * SECOND);
@@ -50,7 +50,7 @@
                 s.commands.startsSince(RESTART).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
-        assertTrue(s.state.holds(key, garbage), "it was written over");
+        assertTrue(s.store.holds(key, garbage), "it was written over");
         assertTrue(s.recovery().unreadableRecords() > 0);
         s.run(400 * SECOND);
         assertRules(s);
@@ -75,13 +75,13 @@
         String key = Keys.INVENTORY + "0";
         s.world.after(RESTART, () -> {
             RecoveryTest.restart(s, false);
-            s.state.plant(key, "{\"hosts\":[7]}");
+            s.store.plant(key, "{\"hosts\":[7]}");
         });
         s.run(RESTART + 60 * SECOND);
         RecoveryStatus status = s.recovery();
         assertEquals(1, status.unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
-        assertTrue(s.state.holds(key, "{\"hosts\":[7]}"), "it was written over");
+        assertTrue(s.store.holds(key, "{\"hosts\":[7]}"), "it was written over");
         s.run(300 * SECOND);
         assertRules(s);
     }
@@ -109,7 +109,7 @@
 
     // ---- troubles meanwhile ------------------------------------------------------------------------------------
 
-    /** The state service is away, refuses one controller, or answers late while all restart. */
+    /** The store is away, refuses one controller, or answers late while all restart. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void theStateServiceIsAwayOrSlow(long seed) {
@@ -117,12 +117,12 @@
         s.world.after(RESTART, () -> {
             RecoveryTest.restart(s, false);
             switch ((int) seed % 3) {
-                case 0 -> s.state.outage(8 * SECOND);
-                case 1 -> s.names.stream().limit(2).forEach(n -> s.state.refuse(n, 15 * SECOND));
-                default -> s.names.forEach(n -> s.state.refuseWritesOf(n, 4 * SECOND));
+                case 0 -> s.store.outage(8 * SECOND);
+                case 1 -> s.names.stream().limit(2).forEach(n -> s.store.refuse(n, 15 * SECOND));
+                default -> s.names.forEach(n -> s.store.refuseWritesOf(n, 4 * SECOND));
             }
-            s.state.lateWrites = 0.1;
-            s.world.after(20 * SECOND, () -> s.state.lateWrites = 0);
+            s.store.lateWrites = 0.1;
+            s.world.after(20 * SECOND, () -> s.store.lateWrites = 0);
         });
         s.run(RESTART + 30 * SECOND, 500 * SECOND);
         assertRulesAndAllDone(s);
@@ -177,8 +177,8 @@
                 s.names.stream().filter(n -> !n.equals(leader)).findFirst().orElseThrow();
         assertEquals(RecoveryStatus.Role.FOLLOWING, s.recoveryAt(other).role());
         assertEquals(leader, s.recoveryAt(other).leader());
-        s.faults.cut(leader, SimState.NAME, World.Cut.DROP, 60 * SECOND);
-        s.faults.cut(other, SimState.NAME, World.Cut.DROP, 60 * SECOND);
+        s.faults.cut(leader, SimStore.NAME, World.Cut.DROP, 60 * SECOND);
+        s.faults.cut(other, SimStore.NAME, World.Cut.DROP, 60 * SECOND);
         s.run(RESTART + 6 * SECOND);
         assertEquals(
                 RecoveryStatus.Role.LEADING_UNCONFIRMED, s.recoveryAt(leader).role());
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -5,7 +5,7 @@
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.Heartbeat;
 
-/** Troubles of controllers, machines and the network. Those of the state service and the cloud are theirs. */
+/** Troubles of controllers, machines and the network. Those of the store and the cloud are theirs. */
 final class SimFaults {
     private final Simulation simulation;
 
@@ -76,9 +76,9 @@
         }
     }
 
-    /** Loses the state service and the other controllers, but not its workers. */
-    void cutFromPeersAndState(String node, World.Cut how, long forMicros) {
-        cut(node, SimState.NAME, how, forMicros);
+    /** Loses the store and the other controllers, but not its workers. */
+    void cutFromPeersAndStore(String node, World.Cut how, long forMicros) {
+        cut(node, SimStore.NAME, how, forMicros);
         for (String n : simulation.names) {
             if (!n.equals(node)) {
                 cut(node, n, how, forMicros);
@@ -89,7 +89,7 @@
     /** A zone with its controllers and machines is cut off from everything outside. */
     void cutZone(String zone, World.Cut how, long forMicros) {
         List<String> inside = new ArrayList<>();
-        List<String> outside = new ArrayList<>(List.of(SimState.NAME, SimCloud.NAME));
+        List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
         simulation.names.forEach(n -> (simulation.zoneOf(n).equals(zone) ? inside : outside).add(n));
         simulation.cloud.workers().forEach(w -> (w.zone.equals(zone) ? inside : outside).add(w.id));
         for (String a : inside) {
--- a/src/test/java/org/granitepath/simulation/SimRates.java
+++ b/src/test/java/org/granitepath/simulation/SimRates.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-/** What the state service admits: requests and changes a second, with bursts of one second's worth. */
+/** What the store admits: requests and changes a second, with bursts of one second's worth. */
 final class SimRates {
     private final double requestsPerSecond;
     private double writesPerSecond;
--- a/src/test/java/org/granitepath/simulation/SimState.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -8,26 +8,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.protocol.Json;
 import org.granitepath.storage.Keys;
-import org.granitepath.storage.StatePort;
+import org.granitepath.storage.KeyValueStore;
 
-/** A stand-in for the state service. Values pass through JSON text, as over the wire. */
-final class SimState {
+/** A stand-in for the store. Values pass through JSON text, as over the wire. */
+final class SimStore {
     static final String NAME = "state";
     private static final long TIMEOUT = 2_000_000;
     private static final int LOG_KEPT = 400;
-    private static final int GUARDS_PER_CHANGE = 4;
+    private static final int PRECONDITIONS_PER_CHANGE = 4;
 
-    private record Stored(String json, long stamp, long lease) {}
+    private record Stored(String json, long revision, long lease) {}
 
-    private record Logged(String key, String json, long stamp) {}
+    private record Logged(String key, String json, long revision) {}
 
     private static final class Watch {
         String prefix;
         long from;
-        Consumer<StatePort.Page> answer;
+        Consumer<KeyValueStore.Page> answer;
         boolean over;
     }
 
@@ -40,7 +40,7 @@
     private final Set<String> refused = new HashSet<>();
     private final Set<String> blind = new HashSet<>();
     private final Set<String> readOnly = new HashSet<>();
-    private int txnOps;
+    private int transactionChanges;
     private int valueBytes;
     private boolean outage;
 
@@ -50,7 +50,7 @@
     }
 
     private final Map<String, Integer> writesByKey = new HashMap<>();
-    private long epoch;
+    private long storeRevision;
     private long leases;
     /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
     double lateWrites;
@@ -72,17 +72,17 @@
 
     private final SimRates rates;
 
-    SimState(World world, int txnOps, int valueBytes, double requestsPerSecond, double writesPerSecond) {
+    SimStore(World world, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
         this.world = world;
         this.rates = new SimRates(requestsPerSecond, writesPerSecond);
-        this.txnOps = txnOps;
+        this.transactionChanges = transactionChanges;
         this.valueBytes = valueBytes;
         world.after(50_000, this::expire);
     }
 
     /** The limits change without notice; what is stored stays readable. */
-    void lowerLimits(StateLimits next) {
-        txnOps = next.txnOps();
+    void lowerLimits(StoreLimits next) {
+        transactionChanges = next.transactionChanges();
         valueBytes = next.valueBytes();
         rates.lowerWrites(next.writesPerSecond());
     }
@@ -105,9 +105,9 @@
 
     /** Someone else writes this value. */
     void plant(String key, String json) {
-        epoch++;
-        keys.put(key, new Stored(json, epoch, 0));
-        log.add(new Logged(key, json, epoch));
+        storeRevision++;
+        keys.put(key, new Stored(json, storeRevision, 0));
+        log.add(new Logged(key, json, storeRevision));
         wake();
     }
 
@@ -164,9 +164,9 @@
                     .map(Map.Entry::getKey)
                     .toList();
             for (String key : gone) {
-                epoch++;
+                storeRevision++;
                 keys.remove(key);
-                log.add(new Logged(key, null, epoch));
+                log.add(new Logged(key, null, storeRevision));
             }
         }
         wake();
@@ -182,7 +182,7 @@
         if (w.over) {
             return;
         }
-        StatePort.Page page = changes(w.prefix, w.from);
+        KeyValueStore.Page page = changes(w.prefix, w.from);
         if (evenEmpty || !page.items().isEmpty()) {
             w.over = true;
             watches.remove(w);
@@ -190,26 +190,26 @@
         }
     }
 
-    private StatePort.Page changes(String prefix, long from) {
+    private KeyValueStore.Page changes(String prefix, long from) {
         if (log.size() > LOG_KEPT) {
             log.subList(0, log.size() - LOG_KEPT).clear();
         }
-        if (from < epoch && !log.isEmpty() && log.get(0).stamp() > from + 1) {
-            return new StatePort.Page(StatePort.Outcome.GONE, List.of(), false, epoch);
+        if (from < storeRevision && !log.isEmpty() && log.get(0).revision() > from + 1) {
+            return new KeyValueStore.Page(KeyValueStore.Outcome.GONE, List.of(), false, storeRevision);
         }
-        List<StatePort.Item> items = new ArrayList<>();
+        List<KeyValueStore.Item> items = new ArrayList<>();
         for (Logged l : log) {
-            if (l.stamp() > from && l.key().startsWith(prefix)) {
-                items.add(new StatePort.Item(l.key(), l.json() == null ? null : Json.object(l.json()), l.stamp()));
+            if (l.revision() > from && l.key().startsWith(prefix)) {
+                items.add(new KeyValueStore.Item(l.key(), l.json() == null ? null : Json.object(l.json()), l.revision()));
             }
         }
-        return new StatePort.Page(StatePort.Outcome.OK, items, false, epoch);
+        return new KeyValueStore.Page(KeyValueStore.Outcome.OK, items, false, storeRevision);
     }
 
-    private boolean exceedsLimits(StatePort.Txn txn) {
-        return txn.changes().size() > txnOps
-                || txn.guards().size() > GUARDS_PER_CHANGE * txnOps
-                || txn.changes().stream()
+    private boolean exceedsLimits(KeyValueStore.Transaction transaction) {
+        return transaction.changes().size() > transactionChanges
+                || transaction.preconditions().size() > PRECONDITIONS_PER_CHANGE * transactionChanges
+                || transaction.changes().stream()
                         .anyMatch(c -> c.record() != null
                                 && Json.text(c.record().toMap()).length() > valueBytes);
     }
@@ -219,53 +219,53 @@
         return keys.values().stream().mapToInt(s -> s.json().length()).max().orElse(0);
     }
 
-    private StatePort.Committed commit(StatePort.Txn txn) {
-        if (exceedsLimits(txn)) {
+    private KeyValueStore.Committed commit(KeyValueStore.Transaction transaction) {
+        if (exceedsLimits(transaction)) {
             oversized++;
-            return new StatePort.Committed(StatePort.Outcome.REJECTED, epoch, List.of());
+            return new KeyValueStore.Committed(KeyValueStore.Outcome.REJECTED, storeRevision, List.of());
         }
-        if (txn.changes().stream().anyMatch(c -> c.key().startsWith(Keys.JOB))
-                && txn.guards().stream().noneMatch(g -> g.key().equals(Keys.LEADER))) {
+        if (transaction.changes().stream().anyMatch(c -> c.key().startsWith(Keys.JOB))
+                && transaction.preconditions().stream().noneMatch(g -> g.key().equals(Keys.LEADER))) {
             unfenced++;
         }
         List<String> failed = new ArrayList<>();
-        for (StatePort.Guard g : txn.guards()) {
+        for (KeyValueStore.Precondition g : transaction.preconditions()) {
             Stored s = keys.get(g.key());
-            if ((s == null ? 0 : s.stamp()) != g.stamp()) {
+            if ((s == null ? 0 : s.revision()) != g.revision()) {
                 failed.add(g.key());
             }
         }
         if (!failed.isEmpty()) {
-            return new StatePort.Committed(StatePort.Outcome.CONFLICT, epoch, failed);
+            return new KeyValueStore.Committed(KeyValueStore.Outcome.CONFLICT, storeRevision, failed);
         }
-        for (StatePort.Change c : txn.changes()) {
+        for (KeyValueStore.Change c : transaction.changes()) {
             if (c.lease() != 0 && !leaseEnds.containsKey(c.lease())) {
-                return new StatePort.Committed(StatePort.Outcome.REFUSED, epoch, List.of());
+                return new KeyValueStore.Committed(KeyValueStore.Outcome.REFUSED, storeRevision, List.of());
             }
         }
-        epoch++;
-        writes += txn.changes().size();
-        for (StatePort.Change c : txn.changes()) {
+        storeRevision++;
+        writes += transaction.changes().size();
+        for (KeyValueStore.Change c : transaction.changes()) {
             writesByKey.merge(c.key(), 1, Integer::sum);
             String json = c.record() == null ? null : Json.text(c.record().toMap());
 
             if (json == null) {
                 keys.remove(c.key());
             } else {
-                keys.put(c.key(), new Stored(json, epoch, c.lease()));
+                keys.put(c.key(), new Stored(json, storeRevision, c.lease()));
             }
-            log.add(new Logged(c.key(), json, epoch));
+            log.add(new Logged(c.key(), json, storeRevision));
         }
         wake();
-        return new StatePort.Committed(StatePort.Outcome.OK, epoch, List.of());
+        return new KeyValueStore.Committed(KeyValueStore.Outcome.OK, storeRevision, List.of());
     }
 
     /** The service as one node reaches it. */
-    StatePort portFor(String node) {
+    KeyValueStore portFor(String node) {
         return new Port(node);
     }
 
-    private final class Port implements StatePort {
+    private final class Port implements KeyValueStore {
         private final String node;
 
         Port(String node) {
@@ -273,21 +273,21 @@
         }
 
         @Override
-        public void commit(Txn txn, Consumer<Committed> then) {
+        public void commit(Transaction transaction, Consumer<Committed> then) {
             world.<Committed>callLater(
                     node,
                     NAME,
                     TIMEOUT,
                     answer -> {
-                        if (away(node, txn.changes().size()) || readOnly.contains(node)) {
+                        if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
                             answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
                         } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
                             world.after(
                                     2_000_000 + world.random.nextInt(10_000_000),
                                     () -> lateSuccesses +=
-                                            !outage && SimState.this.commit(txn).outcome() == Outcome.OK ? 1 : 0);
+                                            !outage && SimStore.this.commit(transaction).outcome() == Outcome.OK ? 1 : 0);
                         } else {
-                            answer.accept(SimState.this.commit(txn));
+                            answer.accept(SimStore.this.commit(transaction));
                         }
                     },
                     c -> then.accept(c == null ? new Committed(Outcome.UNKNOWN, 0, List.of()) : c));
@@ -317,9 +317,9 @@
                             items.add(new Item(
                                     e.getKey(),
                                     Json.object(e.getValue().json()),
-                                    e.getValue().stamp()));
+                                    e.getValue().revision()));
                         }
-                        return new Page(Outcome.OK, items, more, epoch);
+                        return new Page(Outcome.OK, items, more, storeRevision);
                     },
                     p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
         }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.config.Config;
-import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -82,7 +82,7 @@
                     Config.Tuning.defaults().withRecoveryHold(recoveryHold));
             controller = new Controller(
                     config,
-                    traced(state.portFor(name), port -> trace.tracing(name, port)),
+                    traced(store.portFor(name), port -> trace.tracing(name, port)),
                     traced(cloud.portFor(name), port -> trace.tracing(name, port)),
                     traced(ports.workerPort(name), port -> trace.tracing(name, port)),
                     traced(ports.peerPort(name), port -> trace.tracing(name, port)),
@@ -138,7 +138,7 @@
 
     /**
      * A deployment: its controllers, how many machines of each type, zone and kind there are, the workers' times, and
-     * the limits of the state service.
+     * the limits of the store.
      */
     record Shape(
             int controllers,
@@ -149,22 +149,22 @@
             double requests,
             double writes,
             int valueBytes,
-            int txnOps,
+            int transactionChanges,
             int connections) {
         static final Shape SMALL = new Shape(3, 5, SECOND, LEASE, 31 * SECOND, 1000, 200, 2048, 8, 1_000);
 
         Shape with(int controllers, int perOffer) {
             return new Shape(
-                    controllers, perOffer, report, lease, cancel, requests, writes, valueBytes, txnOps, connections);
+                    controllers, perOffer, report, lease, cancel, requests, writes, valueBytes, transactionChanges, connections);
         }
     }
 
     final Shape shape;
     final SimGangs gangs;
-    /** What the settings say of the limits of the state service. */
-    private final StateLimits limits;
+    /** What the settings say of the limits of the store. */
+    private final StoreLimits limits;
     /** What controllers keep to once they are upgraded; null: nothing changes. */
-    StateLimits nextLimits;
+    StoreLimits nextLimits;
 
     final Set<String> upgraded = new HashSet<>();
 
@@ -175,7 +175,7 @@
 
     final Rules rules;
     final SimCommands commands;
-    final SimState state;
+    final SimStore store;
     final SimCloud cloud;
     final SimJobs jobs;
     final SimUsers users = new SimUsers(this);
@@ -217,8 +217,8 @@
         commands = new SimCommands(world, rules);
         jobs = new SimJobs(world, shape.perOffer);
         gangs = new SimGangs(world, rules, results);
-        limits = new StateLimits(shape.writes, shape.valueBytes, shape.txnOps);
-        state = new SimState(world, shape.txnOps, shape.valueBytes, shape.requests, shape.writes);
+        limits = new StoreLimits(shape.writes, shape.valueBytes, shape.transactionChanges);
+        store = new SimStore(world, shape.transactionChanges, shape.valueBytes, shape.requests, shape.writes);
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -22,8 +22,8 @@
     static void assertRules(Simulation s) {
         assertEquals(List.of(), s.rules.broken.stream().distinct().limit(5).toList());
         assertTrue(s.rules.starts > 0, "nothing ran");
-        assertEquals(0, s.state.oversized, "a transaction or a value over its limit");
-        assertEquals(0, s.state.unfenced, "a claim that is not tied to a leader's term");
+        assertEquals(0, s.store.oversized, "a transaction or a value over its limit");
+        assertEquals(0, s.store.unfenced, "a claim that is not tied to a leader's term");
     }
 
     /** Work must go on once the troubles are over. */
@@ -86,11 +86,11 @@
             case 0 -> s.faults.crash(s.leader(), 300_000 + random.nextInt(6_000_000));
             case 1 -> s.faults.crash(s.anyNode(), 300_000 + random.nextInt(6_000_000));
             case 2 -> s.names.forEach(n -> s.faults.crash(n, SECOND + random.nextInt(4_000_000)));
-            case 3 -> s.faults.cut(s.leader(), SimState.NAME, how, time);
+            case 3 -> s.faults.cut(s.leader(), SimStore.NAME, how, time);
             case 4 -> s.faults.cutFromWorkers(s.leader(), how, time);
-            case 5 -> s.state.outage(time);
+            case 5 -> s.store.outage(time);
             case 6 -> s.cloud.outage(time);
-            case 7 -> s.state.refuse(s.leader(), time);
+            case 7 -> s.store.refuse(s.leader(), time);
             case 8 -> s.faults.cutZone(s.zoneOf(s.anyNode()), how, time);
             case 9 -> s.faults.freeze(s.leader(), time);
             default -> machineTrouble(s, how, time);
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Leader cut from the state service alone: it must fall silent before an unseen cancellation overstays. */
+    /** Leader cut from the store alone: it must fall silent before an unseen cancellation overstays. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationReachesTasksOfALeaderCutFromTheState(long seed) {
@@ -123,7 +123,7 @@
         s.users.submit(service, 40 * SECOND);
         s.world.after(35 * SECOND, () -> {
             String leader = s.leader();
-            s.faults.cut(leader, SimState.NAME, World.Cut.HOLD, 120 * SECOND);
+            s.faults.cut(leader, SimStore.NAME, World.Cut.HOLD, 120 * SECOND);
             // The successors can't reach the workers: only the lease can end the tasks.
             for (String n : s.names) {
                 if (!n.equals(leader)) {
@@ -239,7 +239,7 @@
     }
 
     /**
-     * A cancellation told elsewhere while the leader sees neither the state service nor its peers, only its workers.
+     * A cancellation told elsewhere while the leader sees neither the store nor its peers, only its workers.
      */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
@@ -251,7 +251,7 @@
         }
         s.world.after(
                 32 * SECOND,
-                () -> s.faults.cutFromPeersAndState(
+                () -> s.faults.cutFromPeersAndStore(
                         s.leader(), seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND));
         s.run(110 * SECOND, 300 * SECOND);
         assertRulesAndAllDone(s);
@@ -267,7 +267,7 @@
         Simulation s = withJobs(seed, 10, 30 * SECOND);
         s.world.after(40 * SECOND, () -> {
             String former = s.leader();
-            s.faults.cut(former, SimState.NAME, World.Cut.HOLD, 4 * SECOND);
+            s.faults.cut(former, SimStore.NAME, World.Cut.HOLD, 4 * SECOND);
             List<SimWorker> all = s.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
                 String host = all.get(i).id;
@@ -308,7 +308,7 @@
             String leader = s.leader();
             String other = s.names.get(1 - s.names.indexOf(leader));
             s.faults.freeze(leader, 24 * SECOND);
-            s.faults.cutFromPeersAndState(leader, World.Cut.DROP, 70 * SECOND);
+            s.faults.cutFromPeersAndStore(leader, World.Cut.DROP, 70 * SECOND);
             s.faults.cutFromWorkers(other, World.Cut.DROP, 70 * SECOND);
             List.of(services).forEach(j -> s.users.cancelAt(other, j.id()));
         });
@@ -324,7 +324,7 @@
                 seed, new Simulation.Shape(3, 1, 5 * SECOND, 11 * SECOND, 31 * SECOND, 1000, 200, 2048, 8, 1_000));
         s.users.submit(s.jobs.job(true, 2, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
         // In an outage no successor is found, and the leader is the leader still when all goes on.
-        s.world.after(60 * SECOND, () -> s.state.outage(12_900_000));
+        s.world.after(60 * SECOND, () -> s.store.outage(12_900_000));
         s.world.after(61 * SECOND, () -> s.faults.freeze(s.leader(), 12 * SECOND));
         s.run(85 * SECOND, 200 * SECOND);
         assertRules(s);
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -51,7 +51,7 @@
     }
 
     /**
-     * A leader cut from the state service goes on answering its workers, and some machines can't be reached at all: the
+     * A leader cut from the store goes on answering its workers, and some machines can't be reached at all: the
      * successor must not take those for dead that it has not yet asked, or that still report to the former leader.
      */
     @ParameterizedTest
@@ -64,7 +64,7 @@
         }
         List<String> cut = new ArrayList<>();
         s.world.after(45 * SECOND, () -> {
-            s.faults.cutFromPeersAndState(s.leader(), World.Cut.DROP, 40 * SECOND);
+            s.faults.cutFromPeersAndStore(s.leader(), World.Cut.DROP, 40 * SECOND);
             List<SimWorker> all = s.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -6,19 +6,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.granitepath.coordination.config.StateLimits;
+import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * A new version replaces the one in production while both serve. Records and messages are the same in both, which
- * StoredFormatsTest pins; what differs is that the former keeps to the limits that the state service has, and the new
+ * StoredFormatsTest pins; what differs is that the former keeps to the limits that the store has, and the new
  * one also to those that it will have.
  */
 class UpgradeTest {
     private static final long SECOND = Simulation.SECOND;
-    private static final StateLimits NEXT = new StateLimits(15, 2 * 1024, 4);
+    private static final StoreLimits NEXT = new StoreLimits(15, 2 * 1024, 4);
     /** As many machines to a value as the version in production puts there, whose rows and values are longer. */
     private static final Simulation.Shape PRODUCTION =
             new Simulation.Shape(5, 40, 2 * SECOND, 13 * SECOND, 33 * SECOND, 150, 20, 6 * 1024, 8, 1_500);
@@ -44,7 +44,7 @@
     void bothVersionsServeAndTheLimitsChange(long seed) {
         Simulation s = busyDeployment(seed, PRODUCTION);
         int[] largest = new int[1];
-        s.world.after(39 * SECOND, () -> largest[0] = s.state.largestValue());
+        s.world.after(39 * SECOND, () -> largest[0] = s.store.largestValue());
         for (int i = 0; i < s.names.size(); i++) {
             String node = s.names.get((int) (seed + i) % s.names.size());
             s.world.after((40 + 10L * i) * SECOND, () -> s.faults.upgrade(node, 4 * SECOND));
@@ -52,13 +52,13 @@
         // One that dies before its turn comes back as it was, and may lead the others meanwhile.
         s.world.after(53 * SECOND, () -> s.faults.crash(s.leader(), 200_000));
         s.world.after(64 * SECOND, () -> s.faults.crash(s.leader(), SECOND));
-        s.world.after(100 * SECOND, () -> s.state.lowerLimits(NEXT));
+        s.world.after(100 * SECOND, () -> s.store.lowerLimits(NEXT));
         s.world.after(115 * SECOND, () -> s.faults.crash(s.leader(), 2 * SECOND));
         s.world.after(130 * SECOND, () -> s.names.forEach(n -> s.faults.crash(n, 2 * SECOND)));
         s.run(140 * SECOND, 400 * SECOND);
         assertTrue(largest[0] > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(s);
-        assertTrue(s.state.largestValue() <= NEXT.valueBytes(), s.state.largestValue() + " bytes");
+        assertTrue(s.store.largestValue() <= NEXT.valueBytes(), s.store.largestValue() + " bytes");
     }
 
     /** The limits change while large values of the former version are still there. */
@@ -68,13 +68,13 @@
         Simulation s = busyDeployment(seed, PRODUCTION);
         s.world.after(40 * SECOND, () -> {
             s.names.forEach(n -> s.faults.upgrade(n, SECOND));
-            s.state.lowerLimits(NEXT);
+            s.store.lowerLimits(NEXT);
         });
         s.world.after(46 * SECOND, () -> s.faults.crash(s.leader(), SECOND));
         s.run(60 * SECOND, 300 * SECOND);
         assertRulesAndAllDone(s);
         assertEquals(List.of(), s.rules.broken);
-        assertTrue(s.state.largestValue() <= NEXT.valueBytes(), s.state.largestValue() + " bytes");
+        assertTrue(s.store.largestValue() <= NEXT.valueBytes(), s.store.largestValue() + " bytes");
     }
 
     /** Values that hold more than one transaction may spread: they stay as they are, and work goes on beside them. */
@@ -85,7 +85,7 @@
                 seed, new Simulation.Shape(5, 60, 2 * SECOND, 13 * SECOND, 33 * SECOND, 150, 20, 12 * 1024, 8, 1_500));
         s.world.after(40 * SECOND, () -> {
             s.names.forEach(n -> s.faults.upgrade(n, SECOND));
-            s.state.lowerLimits(NEXT);
+            s.store.lowerLimits(NEXT);
         });
         s.world.after(60 * SECOND, () -> s.faults.crash(s.leader(), SECOND));
         s.world.after(80 * SECOND, () -> s.names.forEach(n -> s.faults.crash(n, SECOND)));
