--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -41,7 +41,7 @@
     /** Fewer leave no room for the store, the cloud, the other controllers and a few machines and users. */
     private static final int LEAST_CONNECTIONS = 64;
 
-    /** By default the hold of a recovery is this part of a worker's lease: two reports and a little. */
+    /** By default the hold of a recovery is this part of a worker's lease: two heartbeats and a little. */
     private static final int HOLDS_OF_A_LEASE = 4;
     /** Users allow no job to be left waiting for 90 s beside room that fits. */
     private static final double LONGEST_HOLD_SECONDS = 60;
@@ -201,7 +201,7 @@
 
     /** Times under which no rule could be kept, whatever the service does. */
     private static void checkTimes(Config c) throws Invalid {
-        if (c.leaseMicros() < 2 * c.reportMicros()) {
+        if (c.leaseMicros() < 2 * c.heartbeatIntervalMicros()) {
             throw new Invalid(
                     "facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
         }
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -17,7 +17,7 @@
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.coordination.term.Dispatcher;
-import org.granitepath.coordination.term.RecoveryReport;
+import org.granitepath.coordination.term.RecoveryStatusFactory;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryTracer;
 import org.granitepath.storage.FinalRecord;
@@ -172,7 +172,7 @@
 
     /** How far the recovery of the present term has come, or why this controller can't tell. */
     public RecoveryStatus recoveryStatus() {
-        return RecoveryReport.of(config, leadership, replica, dispatcher, timers.nowMicros());
+        return RecoveryStatusFactory.of(config, leadership, replica, dispatcher, timers.nowMicros());
     }
 
     /** Takes a submission; answered once it is on record. */
@@ -190,7 +190,7 @@
         requestHandler.cancel(id, then);
     }
 
-    /** Takes a worker's report. */
+    /** Takes a worker's heartbeat. */
     public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
         if (dispatcher == null) {
             if (zoneLeaseKeeper.mayRenew(heartbeat)) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -27,7 +27,7 @@
 
 /**
  * Rents machines for work that waits and returns those that nothing needs. A stale leader does no harm here: machines
- * that nobody asked for are found in the list or by their reports, and are used or returned.
+ * that nobody asked for are found in the list or by their heartbeats, and are used or returned.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
--- a/src/main/java/org/granitepath/coordination/config/Config.java
+++ b/src/main/java/org/granitepath/coordination/config/Config.java
@@ -21,7 +21,7 @@
         List<String> zones,
         Map<String, Team> teams,
         Map<String, Objective> objectives,
-        long reportMicros,
+        long heartbeatIntervalMicros,
         long leaseMicros,
         long cancelMicros,
         long gangWaitMicros,
@@ -131,7 +131,7 @@
         return Math.max(8, maxConnections / 10);
     }
 
-    /** Connections of machines that stay open between reports; the rest is for users, peers and our own calls. */
+    /** Connections of machines that stay open between heartbeats; the rest is for users, peers and our own calls. */
     public int machineConnections() {
         return Math.max(8, maxConnections / 2);
     }
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -16,7 +16,7 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Sends commands to workers, in the answers to their reports and by direct calls. Stops are repeated until they are
+ * Sends commands to workers, in the answers to their heartbeats and by direct calls. Stops are repeated until they are
  * seen to work; starts go out once.
  */
 public final class CommandSender {
@@ -27,7 +27,7 @@
     private final WorkerPort workers;
     private final Fleet fleet;
     private final MachineInventory inventory;
-    private final ReportReconciler reconciler;
+    private final HeartbeatReconciler reconciler;
     private final CommandQueue commands;
     private final Timers timers;
     private final DispatchLoop loop;
@@ -45,7 +45,7 @@
             WorkerPort workers,
             Fleet fleet,
             MachineInventory inventory,
-            ReportReconciler reconciler,
+            HeartbeatReconciler reconciler,
             CommandQueue commands,
             Timers timers,
             DispatchLoop loop,
@@ -73,7 +73,7 @@
         return stops;
     }
 
-    /** All that this machine is to do, for the answer to its report. */
+    /** All that this machine is to do, for the answer to its heartbeat. */
     public List<WorkerCommand> commandsForAnswer(Machine machine) {
         List<WorkerCommand> list = stopsFor(machine);
         commands.remove(machine);
@@ -95,7 +95,7 @@
 
     /**
      * Calls the machines for which commands are due. Commands to machines that are unresponsive would only time out;
-     * should one report after all, its answer holds them.
+     * should one heartbeat after all, its answer holds them.
      */
     public void sendDue() {
         if (!leadership.answersWorkers()) {
@@ -150,13 +150,13 @@
         }
     }
 
-    /** A report is overdue: whether the machine can be reached at all is soon known. */
+    /** A heartbeat is overdue: whether the machine can be reached at all is soon known. */
     public void probe(Machine machine, long now) {
         if (fleet.overdue(machine, now)
                 && !machine.contact().fenced()
                 && !machine.inherited()
                 && !machine.contact().callUnderWay()
-                && now - machine.contact().probedMicros() > config.reportMicros()
+                && now - machine.contact().probedMicros() > config.heartbeatIntervalMicros()
                 && calls < config.callsAtOnce() / 2) {
             call(machine, List.of(), List.of(), () -> {});
         }
@@ -220,8 +220,8 @@
     }
 
     private void takeReply(Machine machine, long token, List<Placement> starts, WorkerPort.Reply reply) {
-        machine.contact().callAnswered(reply.report() != null);
-        if (reply.report() == null) {
+        machine.contact().callAnswered(reply.heartbeat() != null);
+        if (reply.heartbeat() == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start has no answer");
             }
@@ -230,10 +230,10 @@
         for (Placement placement : starts) {
             placement.directStartAnswered(token);
         }
-        reconciler.reconcile(machine, reply.report(), false);
+        reconciler.reconcile(machine, reply.heartbeat(), false);
         if (!reply.executed()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
-                && reply.report().fencingToken() <= machine.fencingToken()) {
+                && reply.heartbeat().fencingToken() <= machine.fencingToken()) {
             showToken(machine);
         }
     }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -14,7 +14,7 @@
 
 /**
  * What it means that machines are not heard: that they failed, that a zone is cut off, or that we are. Judged by the
- * reports that are overdue, before any machine has been silent for long enough to be given up: in a cut machines fall
+ * heartbeats that are overdue, before any machine has been silent for long enough to be given up: in a cut machines fall
  * silent one after the other, and the first of them must not be returned before the rest are.
  */
 public final class FailureDetector {
@@ -26,7 +26,7 @@
 
     private static final double REST_SHARE = 0.3;
     private static final double FEW_SHARE = 0.2;
-    private static final int REPORTS_MISSED = 2;
+    private static final int HEARTBEATS_MISSED = 2;
     private static final long ANSWER_MICROS = 1_000_000;
 
     private final Config config;
@@ -104,12 +104,12 @@
 
     /**
      * How long a machine that does not answer calls may be silent before it is given up. Where many of its zone are
-     * overdue it is one report more: when the last one to report before a cut is overdue, the first one has been silent
+     * overdue it is one heartbeat more: when the last one to report before a cut is overdue, the first one has been silent
      * for that much longer, and without the wait the first ones were returned with all their work.
      */
     public long silenceMicros(Machine machine) {
-        int reports = doubtful.contains(machine.zone()) ? REPORTS_MISSED + 1 : REPORTS_MISSED;
-        return reports * config.reportMicros() + ANSWER_MICROS;
+        int reports = doubtful.contains(machine.zone()) ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
+        return reports * config.heartbeatIntervalMicros() + ANSWER_MICROS;
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/ReportReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -20,7 +20,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -31,11 +31,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings what is known of a machine in line with what its worker reports. A task is taken for gone only when a report
+ * Brings what is known of a machine in line with what its worker reports. A task is taken for gone only when a heartbeat
  * proves it; what is reported and was not placed by this leader is adopted or stopped.
  */
-public final class ReportReconciler {
-    private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
+public final class HeartbeatReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
     /** With more exited attempts than this that may not be cleared yet, a machine gets a new token for their sake. */
     private static final int MOST_UNCLEARED_ATTEMPTS = 24;
 
@@ -59,7 +59,7 @@
     private final DispatchLoop loop;
 
     /** Compares what workers report with the state of this term. */
-    public ReportReconciler(
+    public HeartbeatReconciler(
             Config config,
             JobIndex jobIndex,
             Fleet fleet,
@@ -93,11 +93,11 @@
     }
 
     /**
-     * Takes a report in; false when it is older than one already known.
+     * Takes a heartbeat in; false when it is older than one already known.
      *
-     * @param isReport whether the worker sent it by itself; otherwise it came in the answer to a direct call
+     * @param isHeartbeat whether the worker sent it by itself; otherwise it came in the answer to a direct call
      */
-    public boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isReport) {
+    public boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
         if (machine.isGone()
                 || !heartbeat.newerThan(
                         machine.contact().session(), machine.contact().sequence())
@@ -106,16 +106,16 @@
         }
         long now = timers.nowMicros();
         boolean current = heartbeat.fencingToken() == machine.fencingToken();
-        if (isReport
+        if (isHeartbeat
                 && machine.contact().session() >= 0
                 && heartbeat.session() > machine.contact().session()) {
             // Its reports come, but do our answers get there? It must show that before it is given work again.
             inventory.requestToken(machine, "its session moved on to " + heartbeat.session());
         }
-        noteContact(machine, heartbeat, isReport, current, now);
+        noteContact(machine, heartbeat, isHeartbeat, current, now);
         Set<TaskId> listed = reconcileListed(machine, heartbeat, current, now);
-        freeAbsent(machine, heartbeat, listed, current, isReport);
-        // What runs is not counted: a machine with more tasks than this would want a new token with every report.
+        freeAbsent(machine, heartbeat, listed, current, isHeartbeat);
+        // What runs is not counted: a machine with more tasks than this would want a new token with every heartbeat.
         if (unclearedAttempts(machine, heartbeat) > MOST_UNCLEARED_ATTEMPTS) {
             inventory.requestTokenForCleanup(machine);
         }
@@ -133,9 +133,9 @@
         return true;
     }
 
-    private void noteContact(Machine machine, Heartbeat heartbeat, boolean isReport, boolean current, long now) {
+    private void noteContact(Machine machine, Heartbeat heartbeat, boolean isHeartbeat, boolean current, long now) {
         machine.contact().messageReceived(heartbeat);
-        if (isReport) {
+        if (isHeartbeat) {
             machine.heartbeatReceived(fleet.unresponsive(machine, now), now);
         }
         machine.contact().leaseRunsUntil(now + config.longestLeaseMicros(), current);
@@ -145,58 +145,58 @@
         Set<WorkerCommand> repeated = Set.copyOf(machine.cleanupCommands());
         machine.clearFindings();
         Set<TaskId> listed = new HashSet<>();
-        for (TaskReport report : heartbeat.tasks()) {
-            Verdict verdict = evidence.ofReported(machine, report);
+        for (TaskStatus status : heartbeat.tasks()) {
+            Verdict verdict = evidence.ofReported(machine, status);
             switch (verdict) {
-                case CONFIRMED -> confirmed(machine, report, current, now);
-                case ADOPTED -> adopted(machine, report, current, now);
-                case FINISHED_MEANWHILE -> finishedMeanwhile(report.task());
-                case STALE, UNKNOWN_JOB -> stopOrphan(machine, report, verdict, repeated);
+                case CONFIRMED -> confirmed(machine, status, current, now);
+                case ADOPTED -> adopted(machine, status, current, now);
+                case FINISHED_MEANWHILE -> finishedMeanwhile(status.task());
+                case STALE, UNKNOWN_JOB -> stopOrphan(machine, status, verdict, repeated);
                 case IN_DOUBT -> machine.taskInDoubt();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
-                listed.add(report.task());
+                listed.add(status.task());
             }
-            if (report.state() == TaskState.EXITED && verdict != Verdict.IN_DOUBT && mayClear(machine, report)) {
-                machine.addCleanup(WorkerCommand.clear(report.task(), report.attempt()));
+            if (status.state() == TaskState.EXITED && verdict != Verdict.IN_DOUBT && mayClear(machine, status)) {
+                machine.addCleanup(WorkerCommand.clear(status.task(), status.attempt()));
             }
         }
         return listed;
     }
 
-    private void confirmed(Machine machine, TaskReport report, boolean current, long now) {
-        Placement placement = machine.placement(report.task());
+    private void confirmed(Machine machine, TaskStatus status, boolean current, long now) {
+        Placement placement = machine.placement(status.task());
         if (!placement.seen()) {
             plan.found(Verdict.CONFIRMED, 1);
         }
         placement.listed(current);
-        update(machine, placement, report, now);
+        update(machine, placement, status, now);
     }
 
-    private void adopted(Machine machine, TaskReport report, boolean current, long now) {
-        ActiveJob job = activeJobs.get(report.task().job());
-        Placement placement = tasks.adopt(job, machine, report, current, now);
+    private void adopted(Machine machine, TaskStatus status, boolean current, long now) {
+        ActiveJob job = activeJobs.get(status.task().job());
+        Placement placement = tasks.adopt(job, machine, status, current, now);
         plan.found(Verdict.ADOPTED, 1);
-        update(machine, placement, report, now);
+        update(machine, placement, status, now);
     }
 
-    private void stopOrphan(Machine machine, TaskReport report, Verdict verdict, Set<WorkerCommand> repeated) {
-        WorkerCommand stop = WorkerCommand.stop(report.task(), report.attempt(), 0);
+    private void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> repeated) {
+        WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
         machine.addCleanup(stop);
         commands.due(machine);
         loop.notePass();
         if (!repeated.contains(stop)) {
             plan.found(verdict, 1);
-            LOG.info("stopping {} attempt {} on {}: {}", report.task(), report.attempt(), machine.id(), verdict);
+            LOG.info("stopping {} attempt {} on {}: {}", status.task(), status.attempt(), machine.id(), verdict);
         }
     }
 
-    /** Exited attempts that the report lists and that may not be cleared yet. */
+    /** Exited attempts that the heartbeat lists and that may not be cleared yet. */
     private static int unclearedAttempts(Machine machine, Heartbeat heartbeat) {
         int uncleared = 0;
-        for (TaskReport report : heartbeat.tasks()) {
-            uncleared += report.state() == TaskState.EXITED ? 1 : 0;
+        for (TaskStatus status : heartbeat.tasks()) {
+            uncleared += status.state() == TaskState.EXITED ? 1 : 0;
         }
         for (WorkerCommand command : machine.cleanupCommands()) {
             uncleared -= command.verb() == WorkerCommand.Verb.CLEAR ? 1 : 0;
@@ -205,10 +205,10 @@
     }
 
     private void freeAbsent(
-            Machine machine, Heartbeat heartbeat, Set<TaskId> listed, boolean current, boolean isReport) {
+            Machine machine, Heartbeat heartbeat, Set<TaskId> listed, boolean current, boolean isHeartbeat) {
         for (Placement placement : List.copyOf(machine.placements())) {
             if (listed.contains(placement.task())
-                    || evidence.ofMissing(placement, heartbeat, current, isReport) != Verdict.LOST) {
+                    || evidence.ofMissing(placement, heartbeat, current, isHeartbeat) != Verdict.LOST) {
                 continue;
             }
             if (!placement.seen() && placement.wentOutInAnswer() && placement.session() == heartbeat.session()) {
@@ -222,13 +222,13 @@
         }
     }
 
-    private void update(Machine machine, Placement placement, TaskReport report, long now) {
-        switch (report.state()) {
+    private void update(Machine machine, Placement placement, TaskStatus status, long now) {
+        switch (status.state()) {
             case FETCHING -> placement.fetching();
             case WAITING -> waiting(machine, placement, now);
             case RUNNING -> running(machine, placement, now);
             case SAVING -> saving(placement);
-            case EXITED -> exited(machine, placement, report, now);
+            case EXITED -> exited(machine, placement, status, now);
         }
     }
 
@@ -266,26 +266,26 @@
         }
     }
 
-    private void exited(Machine machine, Placement placement, TaskReport report, long now) {
+    private void exited(Machine machine, Placement placement, TaskStatus status, long now) {
         ActiveJob job = placement.job();
-        if (report.cause() == Cause.DONE && !job.spec().service()) {
-            markDone(job, report.task().index());
+        if (status.cause() == Cause.DONE && !job.spec().service()) {
+            markDone(job, status.task().index());
             machines.drainFaulty(faults.proved(placement, now));
             if (placement.hasRun() && placement.certain() && !placement.takenOver()) {
                 runtimeEstimator.finished(job, placement.ranMicros(now));
             }
             jobs.recordTaskDone(job);
-        } else if (report.cause() == Cause.FAILED) {
+        } else if (status.cause() == Cause.FAILED) {
             LOG.info("a task of {} failed on {}", job.spec().id(), machine.id());
             machines.drainFaulty(faults.failed(machine, job, now));
-        } else if (report.cause() == Cause.UNKNOWN_JOB || report.cause() == Cause.NO_ROOM) {
+        } else if (status.cause() == Cause.UNKNOWN_JOB || status.cause() == Cause.NO_ROOM) {
             job.scheduling().startNothingBefore(now + REFUSED_START_DELAY_MICROS);
         }
-        boolean attemptIsOver = report.cause() == Cause.PEER_GONE || report.cause() == Cause.INCOMPLETE;
+        boolean attemptIsOver = status.cause() == Cause.PEER_GONE || status.cause() == Cause.INCOMPLETE;
         if (attemptIsOver && isOfPresentAttempt(placement) && !job.gangAttempt().isEnding()) {
-            tasks.stop(placement, 0, "a task of its gang exited: " + report.cause());
+            tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
         }
-        tasks.free(placement, "exited: " + report.cause());
+        tasks.free(placement, "exited: " + status.cause());
         jobs.endIfDone(job);
         loop.notePass();
     }
@@ -320,16 +320,16 @@
      * Only a durable outcome is cleared away. An attempt that a direct command started stays listed until the token has
      * been raised: a late copy of that command would start it once more.
      */
-    private boolean mayClear(Machine machine, TaskReport report) {
-        if (machine.contact().mayBeStartedAgain(report.attempt(), machine.fencingToken())) {
+    private boolean mayClear(Machine machine, TaskStatus status) {
+        if (machine.contact().mayBeStartedAgain(status.attempt(), machine.fencingToken())) {
             return false;
         }
-        machine.contact().forgetDirectStart(report.attempt());
-        if (report.cause() != Cause.DONE || jobIndex.openJob(report.task().job()) == null) {
+        machine.contact().forgetDirectStart(status.attempt());
+        if (status.cause() != Cause.DONE || jobIndex.openJob(status.task().job()) == null) {
             return true;
         }
-        return jobIndex.progressOf(report.task().job())
+        return jobIndex.progressOf(status.task().job())
                 .done()
-                .contains(report.task().index());
+                .contains(status.task().index());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
@@ -18,7 +18,7 @@
 import org.granitepath.recovery.Verdict;
 import org.granitepath.recovery.VerdictTable;
 
-/** Gathers what records, placements and reports say of a task, and asks the verdict table. */
+/** Gathers what records, placements and heartbeats say of a task, and asks the verdict table. */
 final class TaskEvidence {
     private final JobIndex jobIndex;
     private final ActiveJobs activeJobs;
@@ -30,16 +30,16 @@
         this.plan = plan;
     }
 
-    /** The verdict on an attempt that the machine's report lists. */
-    Verdict ofReported(Machine machine, TaskReport report) {
+    /** The verdict on an attempt that the machine's heartbeat lists. */
+    Verdict ofReported(Machine machine, TaskStatus status) {
         plan.compared(1);
-        ActiveJob job = activeJobs.get(report.task().job());
+        ActiveJob job = activeJobs.get(status.task().job());
         return VerdictTable.ofReported(
-                recorded(job, report.task()), placement(job, machine, report), reported(job, report));
+                recorded(job, status.task()), placement(job, machine, status), reported(job, status));
     }
 
-    /** The verdict on a placement that the machine's report does not list. */
-    Verdict ofMissing(Placement placement, Heartbeat heartbeat, boolean current, boolean isReport) {
+    /** The verdict on a placement that the machine's heartbeat does not list. */
+    Verdict ofMissing(Placement placement, Heartbeat heartbeat, boolean current, boolean isHeartbeat) {
         plan.compared(1);
         return VerdictTable.ofMissing(new StartEvidence(
                 placement.session() < heartbeat.session(),
@@ -48,7 +48,7 @@
                 placement.mayStillBeStarted(heartbeat.fencingToken()),
                 placement.seen(),
                 placement.wentOutInAnswer(),
-                isReport));
+                isHeartbeat));
     }
 
     private RecordedTask recorded(ActiveJob job, TaskId task) {
@@ -67,23 +67,23 @@
         return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
     }
 
-    private static KnownPlacement placement(ActiveJob job, Machine machine, TaskReport report) {
-        Placement here = machine.placement(report.task());
+    private static KnownPlacement placement(ActiveJob job, Machine machine, TaskStatus status) {
+        Placement here = machine.placement(status.task());
         if (here != null) {
-            return here.attempt() == report.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
+            return here.attempt() == status.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
         }
-        return job != null && job.placement(report.task().index()) != null
+        return job != null && job.placement(status.task().index()) != null
                 ? KnownPlacement.OTHER_MACHINE
                 : KnownPlacement.NONE;
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ReportedTask reported(ActiveJob job, TaskReport report) {
-        if (report.state() != TaskState.EXITED) {
+    private static ReportedTask reported(ActiveJob job, TaskStatus status) {
+        if (status.state() != TaskState.EXITED) {
             return ReportedTask.LIVE;
         }
         boolean completes =
-                report.cause() == Cause.DONE && (job == null || !job.spec().service());
+                status.cause() == Cause.DONE && (job == null || !job.spec().service());
         return completes ? ReportedTask.COMPLETED : ReportedTask.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -25,8 +25,8 @@
  */
 public final class GangScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
-    /** Of a waiting time that a worker measures we see the beginning and the end only in its reports. */
-    private static final int REPORTS_OF_A_WAIT = 2;
+    /** Of a waiting time that a worker measures we see the beginning and the end only in its heartbeats. */
+    private static final int HEARTBEATS_OF_A_WAIT = 2;
     /** At most this share of the machines is reserved at a time, so that gangs do not starve other work. */
     private static final double MOST_RESERVED_SHARE = 0.34;
 
@@ -253,7 +253,7 @@
                     job.spec().id());
             tasks.startInGang(job, index, machine, now);
         }
-        long lastMoment = config.gangWaitMicros() - REPORTS_OF_A_WAIT * config.reportMicros();
+        long lastMoment = config.gangWaitMicros() - HEARTBEATS_OF_A_WAIT * config.heartbeatIntervalMicros();
         if (job.waiting() > 0 && attempt.isHopeless(now, config.tuning().gangHoldMicros(), lastMoment)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
--- a/src/main/java/org/granitepath/coordination/jobs/DispatchLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/DispatchLoop.java
@@ -5,7 +5,7 @@
 
 /**
  * Puts scheduling passes and the sending of commands together. A pass over a large fleet takes its time: the next one
- * waits for several times as long, for the sake of the reports that come meanwhile.
+ * waits for several times as long, for the sake of the heartbeats that come meanwhile.
  */
 public final class DispatchLoop {
     private static final long DELAY_MICROS = 2_000;
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -85,8 +85,8 @@
     }
 
     /** A task that a former leader started is on this machine: from now on it is ours. */
-    public Placement adopt(ActiveJob job, Machine machine, Heartbeat.TaskReport report, boolean certain, long now) {
-        Placement placement = Placement.adopted(report.task(), job, machine, report.attempt(), certain, now);
+    public Placement adopt(ActiveJob job, Machine machine, Heartbeat.TaskStatus status, boolean certain, long now) {
+        Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), certain, now);
         place(placement);
         if (job.spec().gang()) {
             joinAttempt(placement);
@@ -171,7 +171,7 @@
         placement.freed(why);
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.freed(placement.job().spec());
-        // Taken over from a report that may be old: that it is not here proves nothing about machines not yet heard.
+        // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines not yet heard.
         boolean maybeElsewhere = !placement.certain() && recovery.mayBeUnheard(placement.job());
         placement.job().unplace(placement, maybeElsewhere);
         if (placement.job().gangAttempt() != null) {
@@ -180,7 +180,7 @@
         jobs.removeIfOver(placement.job());
     }
 
-    /** An attempt without a placement is forgotten in any case: a report that lists one of its tasks brings it back. */
+    /** An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back. */
     private void leftGang(Placement placement, boolean maybeElsewhere) {
         ActiveJob job = placement.job();
         GangAttempt attempt = job.gangAttempt();
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Frees the tasks of a job that no report has listed, if no machine is left that may hold them. */
+    /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
         if (job.unconfirmedTasks() > 0 && !mayBeUnheard(job)) {
             plan.found(Verdict.LOST, job.unconfirmedTasks());
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -167,7 +167,7 @@
 
     /**
      * Checks the phase against the time that has passed. A process that stood still goes on with whatever came first,
-     * a report that waited or a timer, in the phase from before its pause, while a successor may hold the machines.
+     * a heartbeat that waited or a timer, in the phase from before its pause, while a successor may hold the machines.
      * The time counts from the older of two words: that the lease is ours, and that the records were read. A
      * cancellation shows in the records alone, and renewals may get through while reads don't; when an outage ends the
      * first renewal comes before the first read.
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -89,7 +89,7 @@
      */
     public HeartbeatResponse answer(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
-        for (TaskReport r : heartbeat.tasks()) {
+        for (TaskStatus r : heartbeat.tasks()) {
             if (r.state() != TaskState.EXITED && jobHasEnded.test(r.task().job())) {
                 commands.add(WorkerCommand.stop(r.task(), r.attempt(), 0));
             }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -12,10 +12,10 @@
 
 /** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
 public final class Fleet {
-    /** Two whole fleets of 6,000 machines: many come and go while a late copy of a report is on its way. */
+    /** Two whole fleets of 6,000 machines: many come and go while a late copy of a heartbeat is on its way. */
     private static final int DEPARTED_REMEMBERED = 12_000;
 
-    private static final double OVERDUE_REPORTS = 1.5;
+    private static final double OVERDUE_HEARTBEATS = 1.5;
     /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
     private static final double CUT_OFF_SHARE = 0.6;
 
@@ -24,7 +24,7 @@
     private final long startedMicros;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, MachineType> types = new LinkedHashMap<>();
-    /** Machines that are gone, each with the last session heard: late copies of their reports still arrive. */
+    /** Machines that are gone, each with the last session heard: late copies of their heartbeats still arrive. */
     private final Map<String, Long> departed = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -101,19 +101,19 @@
         departed.put(id, Long.MAX_VALUE);
     }
 
-    /** Whether a report is a late copy from a machine that is gone. */
+    /** Whether a heartbeat is a late copy from a machine that is gone. */
     public boolean isLateCopy(Heartbeat heartbeat) {
         return heartbeat.session() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
 
     /** Whether the machine has been silent for so long that a command would hardly arrive. */
     public boolean unresponsive(Machine machine, long now) {
-        return machine.contact().unresponsive(now, config.reportMicros());
+        return machine.contact().unresponsive(now, config.heartbeatIntervalMicros());
     }
 
-    /** Whether a report is late by so much that it is worth asking for one. */
+    /** Whether a heartbeat is late by so much that it is worth asking for one. */
     public boolean overdue(Machine machine, long now) {
-        return now - machine.contact().heardMicros() > OVERDUE_REPORTS * config.reportMicros();
+        return now - machine.contact().heardMicros() > OVERDUE_HEARTBEATS * config.heartbeatIntervalMicros();
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -131,7 +131,7 @@
 
     // ---- starting ----------------------------------------------------------------------------------------------
 
-    /** The start goes out in the answer to a report: only a later report tells whether it was taken. */
+    /** The start goes out in the answer to a heartbeat: only a later heartbeat tells whether it was taken. */
     public void sentInAnswer() {
         sentInAnswer = true;
         transition(Phase.SENT, "in an answer");
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Whether the start went out in the answer to a report and not in a direct call. */
+    /** Whether the start went out in the answer to a heartbeat and not in a direct call. */
     public boolean wentOutInAnswer() {
         return sentInAnswer;
     }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -12,7 +12,7 @@
     /** No message is numbered so: sequence numbers start at 0. */
     private static final long NO_SEQUENCE = -1;
 
-    private static final int MISSED_REPORTS = 2;
+    private static final int MISSED_HEARTBEATS = 2;
     private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
     private String address;
@@ -81,9 +81,9 @@
         heardMicros = Math.min(nowMicros, heardMicros + pauseMicros);
     }
 
-    /** Whether a report is overdue by so much that an order would hardly arrive. */
-    public boolean unresponsive(long nowMicros, long reportMicros) {
-        return nowMicros - heardMicros > MISSED_REPORTS * reportMicros + DELAY_MARGIN_MICROS;
+    /** Whether a heartbeat is overdue by so much that an order would hardly arrive. */
+    public boolean unresponsive(long nowMicros, long heartbeatIntervalMicros) {
+        return nowMicros - heardMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
 
     // ---- lease -------------------------------------------------------------------------------------------------
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Whether a fencing token is on record that was drawn since its latest report and never sent to it: no controller
+     * Whether a fencing token is on record that was drawn since its latest heartbeat and never sent to it: no controller
      * in contact with the store lets the worker go on under the one it has. While this holds, it is not called.
      */
     public boolean fenced() {
@@ -156,7 +156,7 @@
         return probedMicros;
     }
 
-    /** Whether it was called since its latest report, and there was no answer. */
+    /** Whether it was called since its latest heartbeat, and there was no answer. */
     public boolean probeFailed() {
         return probeFailed;
     }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -194,7 +194,7 @@
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.RETURNING
-                    && !machine.contact().unresponsive(now, config.reportMicros())) {
+                    && !machine.contact().unresponsive(now, config.heartbeatIntervalMicros())) {
                 long forBatch = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 room += forBatch;
                 cheapRoom += machine.spot() || machine.capacity().hostsService() ? forBatch : 0;
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A worker's report. {@code noticeMicros} is negative when the cloud has announced nothing. */
+/** A worker's heartbeat. {@code noticeMicros} is negative when the cloud has announced nothing. */
 public record Heartbeat(
         String host,
         String address,
@@ -13,7 +13,7 @@
         long sequence,
         long fencingToken,
         long noticeMicros,
-        List<TaskReport> tasks) {
+        List<TaskStatus> tasks) {
 
     /** What a task on a machine does. {@code WAITING}: a task of a gang waits for the others. */
     public enum TaskState {
@@ -41,9 +41,9 @@
     }
 
     /** One task on the machine; {@code saved} when its progress was kept. */
-    public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
 
-    /** Whether this report was made later than one with the given session and sequence. */
+    /** Whether this heartbeat was made later than one with the given session and sequence. */
     public boolean newerThan(long otherSession, long otherSequence) {
         return session > otherSession || (session == otherSession && sequence > otherSequence);
     }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
@@ -19,7 +19,7 @@
         return new WorkerCommand(Verb.STOP, task, attempt, graceMicros);
     }
 
-    /** Removes an exited attempt from the reports. */
+    /** Removes an exited attempt from the heartbeats. */
     public static WorkerCommand clear(TaskId task, long attempt) {
         return new WorkerCommand(Verb.CLEAR, task, attempt, 0);
     }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -6,7 +6,7 @@
 /** Direct calls to workers. Every call answers once, later, on the event loop. */
 public interface WorkerPort {
     /** {@code executed} false: refused, or no answer at all; then {@code report} is null when nothing was heard. */
-    record Reply(boolean executed, Heartbeat report) {}
+    record Reply(boolean executed, Heartbeat heartbeat) {}
 
     /** Sends commands under a fencing token, for one session of the worker. */
     void send(String address, long fencingToken, long session, List<WorkerCommand> commands, Consumer<Reply> then);
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.fleet.CommandSender;
 import org.granitepath.coordination.fleet.MachineInventory;
 import org.granitepath.coordination.fleet.MachineLifecycle;
-import org.granitepath.coordination.fleet.ReportReconciler;
+import org.granitepath.coordination.fleet.HeartbeatReconciler;
 import org.granitepath.coordination.gang.GangHeadroom;
 import org.granitepath.coordination.jobs.ArrivalRate;
 import org.granitepath.coordination.jobs.CommandQueue;
@@ -77,7 +77,7 @@
     private final TaskLifecycle tasks;
     private final JobLifecycle jobs;
     private final MachineLifecycle machines;
-    private final ReportReconciler reconciler;
+    private final HeartbeatReconciler reconciler;
     private final CommandSender sender;
     private final Scheduler scheduler;
     private final Consolidator consolidator;
@@ -124,7 +124,7 @@
         this.jobs = new JobLifecycle(
                 config, term, replica, jobIndex, writeQueue, recovery, activeJobs, tasks, arrivalRate, timers, loop);
         this.machines = new MachineLifecycle(config, fleet, inventory, tasks, recovery, faults, commands, timers, loop);
-        this.reconciler = new ReportReconciler(
+        this.reconciler = new HeartbeatReconciler(
                 config,
                 jobIndex,
                 fleet,
@@ -246,12 +246,12 @@
         return fleet.cutFromWorkers(turnedAwayByPeer);
     }
 
-    /** A worker's report, answered with what it is to do. */
+    /** A worker's heartbeat, answered with what it is to do. */
     public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
         Machine machine = fleet.machine(heartbeat.host());
         if (machine == null) {
             if (fleet.isLateCopy(heartbeat)) {
-                LOG.debug("a late copy of a report of {}, which is gone", heartbeat.host());
+                LOG.debug("a late copy of a heartbeat of {}, which is gone", heartbeat.host());
                 return new HeartbeatResponse.Unavailable();
             }
             if (heartbeat.fencingToken() > term.fencingToken()) {
--- a/src/main/java/org/granitepath/coordination/term/RecoveryReport.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -13,8 +13,8 @@
 import org.pcollections.OrderedPSet;
 
 /** Puts together what a controller can tell of a recovery, and says so when it can't. */
-public final class RecoveryReport {
-    private RecoveryReport() {}
+public final class RecoveryStatusFactory {
+    private RecoveryStatusFactory() {}
 
     /**
      * What this controller can tell now.
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.TaskId;
@@ -15,13 +15,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports of workers and commands to them. */
+/** Heartbeats of workers and commands to them. */
 public final class WorkerCodec {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
 
     private WorkerCodec() {}
 
-    /** Null when it is no report. */
+    /** Null when it is no heartbeat. */
     public static Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> m = Json.object(body);
         if (m == null
@@ -33,13 +33,13 @@
                 || !(m.get("tally") instanceof Number)) {
             return null;
         }
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         for (Object o : Fields.listOf(m, "pieces")) {
             if (!(o instanceof Map<?, ?>)) {
                 return null;
             }
             @SuppressWarnings("unchecked")
-            TaskReport r = decodeTask((Map<String, Object>) o);
+            TaskStatus r = decodeTask((Map<String, Object>) o);
             if (r == null) {
                 return null;
             }
@@ -59,7 +59,7 @@
                 tasks);
     }
 
-    private static TaskReport decodeTask(Map<String, Object> m) {
+    private static TaskStatus decodeTask(Map<String, Object> m) {
         String piece = Fields.textOf(m, "piece");
         String status = Fields.textOf(m, "status");
         int slash = piece == null ? -1 : piece.lastIndexOf('/');
@@ -72,7 +72,7 @@
         } catch (NumberFormatException e) {
             return null;
         }
-        return new TaskReport(
+        return new TaskStatus(
                 id,
                 Fields.longOf(m, "try", 0),
                 taskState(id, status),
@@ -122,7 +122,7 @@
                 : answer instanceof HeartbeatResponse.Redirect ? 421 : 503;
     }
 
-    /** The body of the answer to a report. */
+    /** The body of the answer to a heartbeat. */
     public static String encode(HeartbeatResponse answer) {
         if (answer instanceof HeartbeatResponse.Accepted a) {
             return encodeCommands(a.fencingToken(), -1, a.commands());
@@ -133,7 +133,7 @@
         return "{}";
     }
 
-    /** {@code session} negative: left out, as in the answer to a report. */
+    /** {@code session} negative: left out, as in the answer to a heartbeat. */
     public static String encodeCommands(long fencingToken, long session, List<WorkerCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
         for (WorkerCommand o : commands) {
--- a/src/main/java/org/granitepath/recovery/FirstWork.java
+++ b/src/main/java/org/granitepath/recovery/FirstWork.java
@@ -8,7 +8,7 @@
  *
  * @param inDoubt may be on machines not heard yet
  * @param claiming wait for their claim to be on record
- * @param unacknowledged were placed, and no report has listed them yet
+ * @param unacknowledged were placed, and no heartbeat has listed them yet
  * @param roomComing have no room yet, but tasks are being stopped for them
  */
 public record FirstWork(int inDoubt, int claiming, int unacknowledged, int roomComing) {
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -70,7 +70,7 @@
         return lastOfItsProfile;
     }
 
-    /** The verdict on a claimed task that no report has listed so far. */
+    /** The verdict on a claimed task that no heartbeat has listed so far. */
     public Verdict ofUnreported(JobSpec spec) {
         return VerdictTable.ofUnreported(unheard.mayHold(spec));
     }
--- a/src/main/java/org/granitepath/recovery/ReportedTask.java
+++ b/src/main/java/org/granitepath/recovery/ReportedTask.java
@@ -1,6 +1,6 @@
 package org.granitepath.recovery;
 
-/** What a report says of an attempt. */
+/** What a heartbeat says of an attempt. */
 public enum ReportedTask {
     /** Fetches its image, waits, runs or saves. */
     LIVE,
--- a/src/main/java/org/granitepath/recovery/Verdict.java
+++ b/src/main/java/org/granitepath/recovery/Verdict.java
@@ -1,8 +1,8 @@
 package org.granitepath.recovery;
 
-/** What the records and a machine's report together say of one task. */
+/** What the records and a machine's heartbeat together say of one task. */
 public enum Verdict {
-    /** The report lists the attempt that this leader holds there: its state is taken from the report. */
+    /** The heartbeat lists the attempt that this leader holds there: its state is taken from the heartbeat. */
     CONFIRMED,
     /** An attempt of a former leader runs where nothing speaks against it: from now on it is this leader's. */
     ADOPTED,
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -1,13 +1,13 @@
 package org.granitepath.recovery;
 
 /**
- * The one table by which records and reports are compared. It holds for the whole term, not only for its beginning: a
+ * The one table by which records and heartbeats are compared. It holds for the whole term, not only for its beginning: a
  * report that was held up may arrive at any time. {@code docs/recovery.md} prints it.
  */
 public final class VerdictTable {
     private VerdictTable() {}
 
-    /** The verdict on an attempt that a report lists. */
+    /** The verdict on an attempt that a heartbeat lists. */
     public static Verdict ofReported(RecordedTask recorded, KnownPlacement placement, ReportedTask reported) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
@@ -40,7 +40,7 @@
         };
     }
 
-    /** The verdict on an attempt of this leader that the machine's report does not list. */
+    /** The verdict on an attempt of this leader that the machine's heartbeat does not list. */
     public static Verdict ofMissing(StartEvidence start) {
         if (start.laterSession()) {
             return Verdict.LOST;
@@ -48,7 +48,7 @@
         if (!start.currentToken() || !start.sent() || start.unanswered()) {
             return Verdict.IN_DOUBT;
         }
-        boolean answerWasTaken = start.seen() || start.ownReport() || !start.inAnswer();
+        boolean answerWasTaken = start.seen() || start.sentByWorker() || !start.inAnswer();
         return answerWasTaken ? Verdict.LOST : Verdict.IN_DOUBT;
     }
 
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -24,16 +24,16 @@
 
     private final Map<String, Histogram> latencies = new TreeMap<>();
     private final Object2LongOpenHashMap<String> answers = new Object2LongOpenHashMap<>();
-    private long unreadableReports;
+    private long unreadableHeartbeats;
     private Connections connections;
     private Supplier<RecoveryStatus> recovery;
     private SimpleMeterRegistry registry;
 
-    /** A report that can't be read came from this address. Such reports may come without end: few are logged. */
-    void unreadableReport(String address) {
-        unreadableReports++;
-        if (Long.bitCount(unreadableReports) == 1) {
-            LOG.warn("a report from {} can't be read ({} such reports so far)", address, unreadableReports);
+    /** A heartbeat that can't be read came from this address. Such heartbeats may come without end: few are logged. */
+    void unreadableHeartbeat(String address) {
+        unreadableHeartbeats++;
+        if (Long.bitCount(unreadableHeartbeats) == 1) {
+            LOG.warn("a heartbeat from {} can't be read ({} such heartbeats so far)", address, unreadableHeartbeats);
         }
     }
 
@@ -84,7 +84,7 @@
         if (registry == null) {
             registry = new SimpleMeterRegistry();
             registerRecovery();
-            Gauge.builder("granitepath.reports.unreadable", this, metrics -> metrics.unreadableReports)
+            Gauge.builder("granitepath.reports.unreadable", this, metrics -> metrics.unreadableHeartbeats)
                     .register(registry);
             Gauge.builder("granitepath.connections", connections, Connections::machines)
                     .tags("of", "machines")
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -24,7 +24,7 @@
     /** A machine that is gone closes nothing: what is silent for longer than any lease or poll is closed from here. */
     private static final int IDLE_TIMEOUT_MILLIS = 40_000;
 
-    private static final String REPORTS = "/agent/beat";
+    private static final String HEARTBEATS = "/agent/beat";
     private static final String JOBS = "/submissions";
     private static final String CANCEL = "/cancel";
 
@@ -79,8 +79,8 @@
         String path = exchange.getRequestPath();
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
-        connections.requested(exchange, path.equals(REPORTS));
-        if (path.equals(REPORTS) && post) {
+        connections.requested(exchange, path.equals(HEARTBEATS));
+        if (path.equals(HEARTBEATS) && post) {
             body(exchange, text -> heartbeat(exchange, text));
         } else if (path.equals("/up") && get) {
             boolean up = controller.healthy();
@@ -127,7 +127,7 @@
     private void heartbeat(HttpServerExchange exchange, String text) {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
         if (heartbeat == null) {
-            metrics.unreadableReport(exchange.getSourceAddress().toString());
+            metrics.unreadableHeartbeat(exchange.getSourceAddress().toString());
             reply(exchange, 400, "{\"error\":\"not a report\"}");
             return;
         }
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -26,7 +26,7 @@
     }
 
     /** The times of the workers, and the controllers they know by name. */
-    record Deployment(long reportMillis, long leaseMillis, Map<String, String> controllers) {}
+    record Deployment(long heartbeatMillis, long leaseMillis, Map<String, String> controllers) {}
 
     private record Key(String task, long attempt) {}
 
@@ -124,11 +124,11 @@
         }
     }
 
-    /** Until the next report is due, or something has changed, but not at once. */
+    /** Until the next heartbeat is due, or something has changed, but not at once. */
     private synchronized void await() throws InterruptedException {
         long now = System.nanoTime();
         long earliest = now + LEAST_SPACING_MILLIS * 1_000_000;
-        long due = now + deployment.reportMillis() * 1_000_000;
+        long due = now + deployment.heartbeatMillis() * 1_000_000;
         while (System.nanoTime() - (changed ? earliest : due) < 0) {
             wait(LOOK_MILLIS);
             advance();
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void reportIsRead() {
+    void heartbeatIsRead() {
         Heartbeat b = WorkerCodec.decodeHeartbeat(
                 "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\","
                         + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
@@ -104,7 +104,7 @@
                 + "{\"piece\":\"run-1/2\",\"try\":7,\"status\":\"ended\",\"cause\":\"alone\"},"
                 + "{\"piece\":\"run-1/3\",\"try\":7,\"status\":\"dreaming\"},"
                 + "{\"piece\":\"run-1/4\",\"try\":7,\"status\":\"ended\",\"cause\":\"bored\"}]}";
-        List<Heartbeat.TaskReport> tasks = WorkerCodec.decodeHeartbeat(body).tasks();
+        List<Heartbeat.TaskStatus> tasks = WorkerCodec.decodeHeartbeat(body).tasks();
         assertEquals(
                 List.of(
                         Heartbeat.TaskState.WAITING,
@@ -112,7 +112,7 @@
                         Heartbeat.TaskState.EXITED,
                         Heartbeat.TaskState.FETCHING,
                         Heartbeat.TaskState.EXITED),
-                tasks.stream().map(Heartbeat.TaskReport::state).toList());
+                tasks.stream().map(Heartbeat.TaskStatus::state).toList());
         assertEquals(
                 List.of(
                         Heartbeat.Cause.NONE,
@@ -120,6 +120,6 @@
                         Heartbeat.Cause.INCOMPLETE,
                         Heartbeat.Cause.NONE,
                         Heartbeat.Cause.STOPPED),
-                tasks.stream().map(Heartbeat.TaskReport::cause).toList());
+                tasks.stream().map(Heartbeat.TaskStatus::cause).toList());
     }
 }
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -99,7 +99,7 @@
                         88,
                         41,
                         12_500_000,
-                        List.of(new Heartbeat.TaskReport(TASK, 7, TaskState.EXITED, Cause.STOPPED, true))),
+                        List.of(new Heartbeat.TaskStatus(TASK, 7, TaskState.EXITED, Cause.STOPPED, true))),
                 heartbeat);
     }
 
@@ -126,7 +126,7 @@
                 reported("\"status\":\"ended\",\"cause\":\"" + word + "\"").cause());
     }
 
-    private static Heartbeat.TaskReport reported(String fields) {
+    private static Heartbeat.TaskStatus reported(String fields) {
         return WorkerCodec.decodeHeartbeat("{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\","
                         + "\"site\":\"a\",\"shift\":2,\"tally\":88,\"pieces\":[{\"piece\":\"run-1/0\",\"try\":7,"
                         + fields + "}]}")
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void whatReportsListIsAsPrinted() {
+    void whatHeartbeatsListIsAsPrinted() {
         List<List<String>> rows = rows(REPORTED);
         assertEquals(RecordedTask.values().length, rows.size(), "rows");
         for (List<String> row : rows) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void whatReportsDoNotListIsAsPrinted() {
+    void whatHeartbeatsDoNotListIsAsPrinted() {
         List<List<String>> rows = rows(MISSING);
         for (int bits = 0; bits < 1 << FLAGS; bits++) {
             boolean[] flags = new boolean[FLAGS];
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -142,11 +142,11 @@
             jobs.forEach(j -> s.users.cancelAt(others(s, leader).get(s.world.random.nextInt(4)), j.id()));
             s.world.after((1 + seed % 2) * SECOND, () -> {
                 s.store.outage(s.shape.cancel() + 15 * SECOND);
-                answered[0] = s.reportsAccepted(leader);
+                answered[0] = s.heartbeatsAccepted(leader);
             });
             s.world.after(9 * SECOND, () -> {
                 confirmed[0] = s.rules.cancellationsTold();
-                answered[0] = s.reportsAccepted(leader) - answered[0];
+                answered[0] = s.heartbeatsAccepted(leader) - answered[0];
             });
         });
         s.run(70 * SECOND + s.shape.cancel() + 20 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -63,7 +63,7 @@
     /** 15. Reports are held back until a new leader has acted, and then arrive there and at the former one. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void reportsOfBeforeArriveAtTheNewLeader(long seed) {
+    void heartbeatsOfBeforeArriveAtTheNewLeader(long seed) {
         Simulation s = simulation(seed);
         longWork(s, 5, 8, 20 * SECOND);
         int[] met = new int[2];
@@ -89,7 +89,7 @@
     /** 16. Old reports arrive after newer ones, also of earlier sessions and attempts. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void reportsOfEarlierSessionsAndAttempts(long seed) {
+    void heartbeatsOfEarlierAgentEpochsAndAttempts(long seed) {
         Simulation s = simulation(seed);
         longWork(s, 5, 10, 15 * SECOND);
         int[] delivered = new int[1];
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -9,7 +9,7 @@
 final class FaultScenarios {
     static final long SECOND = Simulation.SECOND;
 
-    /** Long leases and little time beside them; then short ones, and reports that come often. */
+    /** Long leases and little time beside them; then short ones, and heartbeats that come often. */
     static final Simulation.Shape LONG =
             new Simulation.Shape(5, 4, 3 * SECOND, 27 * SECOND, 52 * SECOND, 150, 18, 8 * 1024, 8, 1_500);
 
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -26,9 +26,9 @@
                 1_500);
     }
 
-    /** Fewer machines that report every two seconds, and short leases. */
+    /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
-    void sevenHundredMachinesThatReportOften() {
+    void sevenHundredMachinesWithFrequentHeartbeats() {
         day(
                 new Simulation(
                         2,
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Four thousand machines and all controllers down at once: each report is compared once, whatever the fleet, and
+     * Four thousand machines and all controllers down at once: each heartbeat is compared once, whatever the fleet, and
      * the store is asked no more than it allows.
      */
     @Test
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -224,7 +224,7 @@
     /** Results that came while nobody led count; first reports come twice, late, and from an earlier session. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void reportsOfBeforeAndResultsOfMeanwhile(long seed) {
+    void heartbeatsOfBeforeAndResultsOfMeanwhile(long seed) {
         Simulation s = busy(seed);
         s.world.lateCopies = 0.2;
         List<Heartbeat> before = new ArrayList<>();
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 
-/** What controllers command, in order, and whether they may: no machine before its own report, no start twice. */
+/** What controllers command, in order, and whether they may: no machine before its own heartbeat, no start twice. */
 final class SimCommands {
     /** A start that was sent, arrived or not. */
     record Start(long at, String node, String host, TaskId task) {}
--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -4,7 +4,7 @@
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 
-/** How the controllers answer a report that has reached one of them. */
+/** How the controllers answer a heartbeat that has reached one of them. */
 interface SimControllers {
     List<String> names();
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -58,13 +58,13 @@
         }
     }
 
-    /** Answers and commands reach it, but its reports are lost. */
+    /** Answers and commands reach it, but its heartbeats are lost. */
     void mute(SimWorker w, long forMicros) {
         w.mute(true);
         simulation.world.after(forMicros, () -> w.mute(false));
     }
 
-    /** A copy of a report arrives at the leader; its answer gets lost. */
+    /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
     void deliver(Heartbeat late) {
         deliver(simulation.leader(), late);
     }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskReport;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.TaskId;
@@ -21,7 +21,7 @@
 
 /** A stand-in for a machine's worker, as the protocol describes it. */
 final class SimWorker {
-    /** A worker looks at its tasks this many times between two reports. */
+    /** A worker looks at its tasks this many times between two heartbeats. */
     private static final int TICKS = 10;
 
     private static final long PATIENCE = 4_000_000;
@@ -36,7 +36,7 @@
     final MachineType type;
     final String zone;
     final boolean spot;
-    private final long reportMicros;
+    private final long heartbeatIntervalMicros;
     private final long leaseMicros;
     private final SimRuns runs;
     private final Set<String> images = new HashSet<>();
@@ -44,7 +44,7 @@
     private long sequence;
     private long fencingToken;
     private long leaseFrom;
-    private long nextReport;
+    private long nextHeartbeat;
     private int at;
     private boolean reporting;
     private boolean changed;
@@ -70,7 +70,7 @@
             MachineType type,
             String zone,
             boolean spot,
-            long reportMicros,
+            long heartbeatIntervalMicros,
             long leaseMicros) {
         this.world = world;
         this.rules = rules;
@@ -83,7 +83,7 @@
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.reportMicros = reportMicros;
+        this.heartbeatIntervalMicros = heartbeatIntervalMicros;
         this.leaseMicros = leaseMicros;
         this.leaseFrom = world.now();
         this.at = world.random.nextInt(controllers.names().size());
@@ -190,7 +190,7 @@
         if (dead) {
             return;
         }
-        world.after(reportMicros / TICKS, this::tick);
+        world.after(heartbeatIntervalMicros / TICKS, this::tick);
         // A hanging machine executes nothing, and its first act on going on is to see that its lease is over.
         expireIfDue();
         if (hanging) {
@@ -203,7 +203,7 @@
                 advance(r);
             }
         }
-        if (!reporting && (world.now() >= nextReport || (changed && world.now() >= nextReport - reportMicros / 2))) {
+        if (!reporting && (world.now() >= nextHeartbeat || (changed && world.now() >= nextHeartbeat - heartbeatIntervalMicros / 2))) {
             report();
         }
     }
@@ -265,9 +265,9 @@
     }
 
     private Heartbeat heartbeat() {
-        List<TaskReport> list = new ArrayList<>();
+        List<TaskStatus> list = new ArrayList<>();
         for (Run r : runs.all()) {
-            list.add(new TaskReport(r.task, r.attempt, r.state, r.cause, r.saved));
+            list.add(new TaskStatus(r.task, r.attempt, r.state, r.cause, r.saved));
         }
         return new Heartbeat(
                 id,
@@ -289,7 +289,7 @@
         long ofSession = session;
         String node = controllers.names().get(at);
         Heartbeat heartbeat = heartbeat();
-        nextReport = sent + reportMicros * 3 / 4 + world.random.nextInt((int) (reportMicros / 2));
+        nextHeartbeat = sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
         latest = heartbeat;
         String way = muted ? "nowhere" : node;
         world.call(id, way, PATIENCE, () -> muted ? null : controllers.heartbeat(node, heartbeat), answer -> {
@@ -313,10 +313,10 @@
                 int named = to == null ? -1 : controllers.names().indexOf(to);
                 if (named >= 0 && named != at) {
                     at = named;
-                    nextReport = world.now() + world.random.nextInt(500_000);
+                    nextHeartbeat = world.now() + world.random.nextInt(500_000);
                 } else {
                     at = (at + 1) % controllers.names().size();
-                    nextReport = world.now() + 1_000_000;
+                    nextHeartbeat = world.now() + 1_000_000;
                 }
             }
         });
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -183,7 +183,7 @@
     private final SimPorts ports = new SimPorts(this);
     final Map<String, Node> nodes = new LinkedHashMap<>();
     private final Set<TaskId> results = new HashSet<>();
-    private final Map<String, Integer> reportsAccepted = new HashMap<>();
+    private final Map<String, Integer> heartbeatsAccepted = new HashMap<>();
     /** Controllers that users don't get to. */
     final Set<String> unreachable = new HashSet<>();
     /** For how long direct calls that start tasks are held up on their way; others overtake them. */
@@ -274,7 +274,7 @@
                 trace.heartbeatAnswered(node, heartbeat.host(), answer);
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
-                reportsAccepted.merge(node, 1, Integer::sum);
+                heartbeatsAccepted.merge(node, 1, Integer::sum);
                 if (controller.leader()) {
                     commands.heard(controller.term(), heartbeat.host());
                     commands.sent(controller.term(), node, heartbeat.host(), accepted.commands());
@@ -315,9 +315,9 @@
                 .filter(n -> !n.equals(one));
     }
 
-    /** How many reports this controller answered so far as one that may. */
-    int reportsAccepted(String node) {
-        return reportsAccepted.getOrDefault(node, 0);
+    /** How many heartbeats this controller answered so far as one that may. */
+    int heartbeatsAccepted(String node) {
+        return heartbeatsAccepted.getOrDefault(node, 0);
     }
 
     /** What the leader tells of its recovery; null while nobody leads. */
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -198,9 +198,9 @@
         assertRulesAndAllDone(s);
     }
 
-    /** A report of a machine that is gone arrives once more, much later: nothing is placed on the ghost. */
+    /** A heartbeat of a machine that is gone arrives once more, much later: nothing is placed on the ghost. */
     @Test
-    void lateReportOfAMachineThatIsGone() {
+    void lateHeartbeatOfAMachineThatIsGone() {
         Simulation s = new Simulation(15, 3, 1);
         s.world.after(
                 2 * SECOND,
@@ -222,10 +222,10 @@
         assertEquals(before[0], s.commands.startsOf(gone[0].id), "work was placed on a machine that is gone");
     }
 
-    /** Copies of reports and requests, seconds to several leases late, while leaders and machines come and go. */
+    /** Copies of heartbeats and requests, seconds to several leases late, while leaders and machines come and go. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-    void lateCopiesOfReports(long seed) {
+    void lateCopiesOfHeartbeats(long seed) {
         Simulation s = withJobs(seed, 35, 120 * SECOND);
         s.world.lateCopies = 0.25;
         for (int i = 0; i < 5; i++) {
@@ -289,7 +289,7 @@
 
     /**
      * A leader stands still while its clocks run on, longer than it may hold its machines without word from the state
-     * service, but not as long as a lease, and is cut off as well. On waking it finds reports that have waited, of
+     * service, but not as long as a lease, and is cut off as well. On waking it finds heartbeats that have waited, of
      * machines that reach nobody else: to answer them would keep tasks of a job alive that another controller has
      * called cancelled.
      */
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -65,7 +65,7 @@
                 new Scenario("zone cut off for long", combined::zoneCutOffForLongerThanALease, 1, 2),
                 new Scenario("team at its limit", combined::teamAtItsLimitWhenTheLeaderChanges, 1, 2),
                 new Scenario("writes carried out late", delayed::transactionsAreCarriedOutLate, 1, 2),
-                new Scenario("heartbeats of before", delayed::reportsOfBeforeArriveAtTheNewLeader, 1, 2),
+                new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeArriveAtTheNewLeader, 1, 2),
                 new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHang, 1),
                 new Scenario("starts held up", delayed::startsHeldUpAndLaterCallsAnswered, 1),
                 new Scenario("cancelled at the end", cancellation::cancelledAtTheEnd, 1),
@@ -114,7 +114,7 @@
                 new Scenario("overload", capacity::overloadStarvesNobody, 71),
                 new Scenario("headroom for services", seed -> capacity.headroomForServicesToCome(), 0),
                 new Scenario("late boots", capacity::lateBootsAreNotWaitedFor, 77),
-                new Scenario("seven hundred machines", seed -> fleet.sevenHundredMachinesThatReportOften(), 0),
+                new Scenario("seven hundred machines", seed -> fleet.sevenHundredMachinesWithFrequentHeartbeats(), 0),
                 new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesAfterAColdRestart(), 0));
     }
 }
