--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -107,7 +107,7 @@
                 return;
             }
             if (!machine.contact().callUnderWay()
-                    && machine.contact().session() >= 0
+                    && machine.contact().agentEpoch() >= 0
                     && !fleet.unresponsive(machine, now)) {
                 sendDirectly(machine);
             }
@@ -134,7 +134,7 @@
      * does.
      */
     public void showToken(Machine machine) {
-        if (!machine.contact().callUnderWay() && machine.contact().session() >= 0 && calls < config.callsAtOnce()) {
+        if (!machine.contact().callUnderWay() && machine.contact().agentEpoch() >= 0 && calls < config.callsAtOnce()) {
             call(machine, List.of(), List.of(), () -> {});
         }
     }
@@ -202,11 +202,11 @@
         machine.contact().callBegins(timers.nowMicros());
         calls++;
         long token = machine.fencingToken();
-        // Of a machine taken over the session is not known; a wrong guess is answered with the right one.
+        // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
         workers.send(
                 machine.contact().address(),
                 token,
-                Math.max(1, machine.contact().session()),
+                Math.max(1, machine.contact().agentEpoch()),
                 list,
                 reply -> {
                     calls--;
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -100,17 +100,17 @@
     public boolean reconcile(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
         if (machine.isGone()
                 || !heartbeat.newerThan(
-                        machine.contact().session(), machine.contact().sequence())
+                        machine.contact().agentEpoch(), machine.contact().sequence())
                 || heartbeat.fencingToken() > machine.fencingToken()) {
             return false;
         }
         long now = timers.nowMicros();
         boolean current = heartbeat.fencingToken() == machine.fencingToken();
         if (isHeartbeat
-                && machine.contact().session() >= 0
-                && heartbeat.session() > machine.contact().session()) {
+                && machine.contact().agentEpoch() >= 0
+                && heartbeat.agentEpoch() > machine.contact().agentEpoch()) {
             // Its reports come, but do our answers get there? It must show that before it is given work again.
-            inventory.requestToken(machine, "its session moved on to " + heartbeat.session());
+            inventory.requestToken(machine, "its session moved on to " + heartbeat.agentEpoch());
         }
         noteContact(machine, heartbeat, isHeartbeat, current, now);
         Set<TaskId> listed = reconcileListed(machine, heartbeat, current, now);
@@ -211,13 +211,13 @@
                     || evidence.ofMissing(placement, heartbeat, current, isHeartbeat) != Verdict.LOST) {
                 continue;
             }
-            if (!placement.seen() && placement.wentOutInAnswer() && placement.session() == heartbeat.session()) {
+            if (!placement.seen() && placement.wentOutInAnswer() && placement.agentEpoch() == heartbeat.agentEpoch()) {
                 inventory.requestToken(machine, "an answer to it was lost");
             }
             plan.found(Verdict.LOST, 1);
             tasks.free(
                     placement,
-                    "not in report " + heartbeat.session() + "." + heartbeat.sequence() + " under fencing token "
+                    "not in report " + heartbeat.agentEpoch() + "." + heartbeat.sequence() + " under fencing token "
                             + heartbeat.fencingToken());
         }
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -88,7 +88,7 @@
 
     /**
      * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it is heard
-     * again, in a later session, it must show that it hears us before it is given work.
+     * again, in a later agent epoch, it must show that it hears us before it is given work.
      */
     public void leaseExpired(Machine machine) {
         LOG.info(
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -42,7 +42,7 @@
     Verdict ofMissing(Placement placement, Heartbeat heartbeat, boolean current, boolean isHeartbeat) {
         plan.compared(1);
         return VerdictTable.ofMissing(new StartEvidence(
-                placement.session() < heartbeat.session(),
+                placement.agentEpoch() < heartbeat.agentEpoch(),
                 current,
                 placement.phase() != Placement.Phase.ASSIGNED,
                 placement.mayStillBeStarted(heartbeat.fencingToken()),
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -24,7 +24,7 @@
     private final long startedMicros;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, MachineType> types = new LinkedHashMap<>();
-    /** Machines that are gone, each with the last session heard: late copies of their heartbeats still arrive. */
+    /** Machines that are gone, each with the last agent epoch heard: late copies of their heartbeats still arrive. */
     private final Map<String, Long> departed = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -93,7 +93,7 @@
     /** The machine is gone; late messages of its worker are known as such. */
     public void remove(Machine machine) {
         machines.remove(machine.id());
-        departed.put(machine.id(), machine.contact().session());
+        departed.put(machine.id(), machine.contact().agentEpoch());
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
@@ -103,7 +103,7 @@
 
     /** Whether a heartbeat is a late copy from a machine that is gone. */
     public boolean isLateCopy(Heartbeat heartbeat) {
-        return heartbeat.session() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
+        return heartbeat.agentEpoch() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
 
     /** Whether the machine has been silent for so long that a command would hardly arrive. */
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -246,7 +246,7 @@
         return unconfirmedMicros;
     }
 
-    /** The worker's lease is over: it is heard again in a later session, if ever. */
+    /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
     public void leaseExpired() {
         contact.leaseExpired();
         cleanupCommands.clear();
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -41,7 +41,7 @@
     private final ActiveJob job;
     private final Machine machine;
     private final long attempt;
-    private final long session;
+    private final long agentEpoch;
     private final long placedMicros;
     private Phase phase = Phase.ASSIGNED;
     private long unansweredToken = NO_TOKEN;
@@ -52,13 +52,13 @@
     private long runningSinceMicros = NEVER;
     private long graceMicros;
 
-    /** An attempt that this leader has decided on, for the worker's present session. */
+    /** An attempt that this leader has decided on, for the worker's present agent epoch. */
     public Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long nowMicros) {
         this.task = task;
         this.job = job;
         this.machine = machine;
         this.attempt = attempt;
-        this.session = machine.contact().session();
+        this.agentEpoch = machine.contact().agentEpoch();
         this.placedMicros = nowMicros;
     }
 
@@ -97,9 +97,9 @@
         return attempt;
     }
 
-    /** The worker's session that the start is meant for; a later session proves this attempt gone. */
-    public long session() {
-        return session;
+    /** The worker's agent epoch that the start is meant for; a later agent epoch proves this attempt gone. */
+    public long agentEpoch() {
+        return agentEpoch;
     }
 
     /** When it was decided on, or found. */
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -8,7 +8,7 @@
  * calls to it. State changes through the named methods alone.
  */
 public final class WorkerContact {
-    private static final long UNKNOWN_SESSION = -1;
+    private static final long UNKNOWN_AGENT_EPOCH = -1;
     /** No message is numbered so: sequence numbers start at 0. */
     private static final long NO_SEQUENCE = -1;
 
@@ -16,7 +16,7 @@
     private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
     private String address;
-    private long session = UNKNOWN_SESSION;
+    private long agentEpoch = UNKNOWN_AGENT_EPOCH;
     private long sequence = NO_SEQUENCE;
     private long heardMicros;
     private long leaseOverMicros;
@@ -44,19 +44,19 @@
 
     // ---- what its worker says ----------------------------------------------------------------------------------
 
-    /** The worker's latest session; negative: unknown. */
-    public long session() {
-        return session;
+    /** The worker's latest agent epoch; negative: unknown. */
+    public long agentEpoch() {
+        return agentEpoch;
     }
 
-    /** The number of the worker's latest message in its session; negative: none. */
+    /** The number of the worker's latest message in its agent epoch; negative: none. */
     public long sequence() {
         return sequence;
     }
 
     /** A newer message of the worker has come, by itself or as the answer to a direct call. */
     public void messageReceived(Heartbeat message) {
-        session = message.session();
+        agentEpoch = message.agentEpoch();
         sequence = message.sequence();
         address = message.address();
     }
@@ -101,10 +101,10 @@
         leaseOverMicros = underPresentToken ? micros : Math.max(leaseOverMicros, micros);
     }
 
-    /** The worker's lease is over: it is heard again in a later session, if ever. */
+    /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
     public void leaseExpired() {
         leaseOverMicros = 0;
-        session = Math.max(session, 0) + 1;
+        agentEpoch = Math.max(agentEpoch, 0) + 1;
         sequence = NO_SEQUENCE;
         directAttempts.clear();
     }
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -9,7 +9,7 @@
         String type,
         String zone,
         boolean spot,
-        long session,
+        long agentEpoch,
         long sequence,
         long fencingToken,
         long noticeMicros,
@@ -43,8 +43,8 @@
     /** One task on the machine; {@code saved} when its progress was kept. */
     public record TaskStatus(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
 
-    /** Whether this heartbeat was made later than one with the given session and sequence. */
-    public boolean newerThan(long otherSession, long otherSequence) {
-        return session > otherSession || (session == otherSession && sequence > otherSequence);
+    /** Whether this heartbeat was made later than one with the given agent epoch and sequence. */
+    public boolean newerThan(long otherAgentEpoch, long otherSequence) {
+        return agentEpoch > otherAgentEpoch || (agentEpoch == otherAgentEpoch && sequence > otherSequence);
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -266,7 +266,7 @@
         if (!reconciler.reconcile(machine, heartbeat, true)) {
             machine.contact().liftFence();
             // Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be.
-            return !machine.isGone() && heartbeat.session() == machine.contact().session()
+            return !machine.isGone() && heartbeat.agentEpoch() == machine.contact().agentEpoch()
                     ? new HeartbeatResponse.Accepted(machine.fencingToken(), CommandSender.stopsFor(machine))
                     : new HeartbeatResponse.Unavailable();
         }
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -133,8 +133,8 @@
         return "{}";
     }
 
-    /** {@code session} negative: left out, as in the answer to a heartbeat. */
-    public static String encodeCommands(long fencingToken, long session, List<WorkerCommand> commands) {
+    /** {@code agentEpoch} negative: left out, as in the answer to a heartbeat. */
+    public static String encodeCommands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
         for (WorkerCommand o : commands) {
             Map<String, Object> m = new LinkedHashMap<>();
@@ -154,8 +154,8 @@
         }
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("baton", fencingToken);
-        if (session >= 0) {
-            m.put("shift", session);
+        if (agentEpoch >= 0) {
+            m.put("shift", agentEpoch);
         }
         m.put("orders", list);
         return Json.text(m);
--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -3,7 +3,7 @@
 /**
  * What is known of an attempt that this leader holds on a machine and that the machine's heartbeat does not list.
  *
- * @param laterSession the heartbeat is of a later session than the one that the start was meant for
+ * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start was meant for
  * @param currentToken the heartbeat was made under the machine's present fencing token
  * @param sent the start has gone out
  * @param unanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
@@ -12,7 +12,7 @@
  * @param sentByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
  */
 public record StartEvidence(
-        boolean laterSession,
+        boolean laterAgentEpoch,
         boolean currentToken,
         boolean sent,
         boolean unanswered,
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -42,7 +42,7 @@
 
     /** The verdict on an attempt of this leader that the machine's heartbeat does not list. */
     public static Verdict ofMissing(StartEvidence start) {
-        if (start.laterSession()) {
+        if (start.laterAgentEpoch()) {
             return Verdict.LOST;
         }
         if (!start.currentToken() || !start.sent() || start.unanswered()) {
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -20,12 +20,12 @@
 
     @Override
     public void send(
-            String address, long fencingToken, long session, List<WorkerCommand> commands, Consumer<Reply> then) {
+            String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then) {
         http.call(
                 address,
                 Methods.POST,
                 "/orders",
-                WorkerCodec.encodeCommands(fencingToken, session, commands),
+                WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands),
                 TIMEOUT_MICROS,
                 false,
                 (status, body) -> then.accept(new Reply(
--- a/src/test/java/org/granitepath/loopback/History.java
+++ b/src/test/java/org/granitepath/loopback/History.java
@@ -25,7 +25,7 @@
         }
     }
 
-    private record Order(String host, long session, String task, long attempt) {}
+    private record Order(String host, long agentEpoch, String task, long attempt) {}
 
     private final List<Event> events = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
@@ -38,9 +38,9 @@
         return task.substring(0, task.lastIndexOf('/'));
     }
 
-    /** A worker takes a start in: at most once for each attempt in a session. */
-    synchronized void ordered(String host, long session, String task, long attempt) {
-        if (!orders.add(new Order(host, session, task, attempt))) {
+    /** A worker takes a start in: at most once for each attempt in an agent epoch. */
+    synchronized void ordered(String host, long agentEpoch, String task, long attempt) {
+        if (!orders.add(new Order(host, agentEpoch, task, attempt))) {
             violations.add("ordered twice: " + task + " attempt " + attempt + " on " + host);
         }
         add(new Event(Kind.ORDERED, host, task, attempt));
--- a/src/test/java/org/granitepath/loopback/HistoryTest.java
+++ b/src/test/java/org/granitepath/loopback/HistoryTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aStartOrderedTwiceInASessionIsAViolation() {
+    void aStartOrderedTwiceInAnAgentEpochIsAViolation() {
         history.ordered("a", 1, "run-1/0", 1);
         history.ordered("a", 2, "run-1/0", 1);
         history.ordered("a", 1, "run-1/0", 2);
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -16,7 +16,7 @@
 import org.granitepath.storage.Fields;
 
 /**
- * A stand-in for a machine's worker over real sockets: reports, sessions, leases, fencing tokens and commands as the
+ * A stand-in for a machine's worker over real sockets: reports, agent epochs, leases, fencing tokens and commands as the
  * protocol has them. Images are there at once, and nothing is saved.
  */
 final class WorkerStandIn extends HttpStandIn {
@@ -50,7 +50,7 @@
     private final HttpClient client;
     private final Thread reporter;
     private final Map<Key, Run> runs = new LinkedHashMap<>();
-    private long session = 1;
+    private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
     private long leaseFromNanos = System.nanoTime();
@@ -138,12 +138,12 @@
     /** The controller to report to next: this one, one it names, or null when it had no answer for us. */
     private String reportTo(String node) throws InterruptedException {
         long sent = System.nanoTime();
-        long ofSession;
+        long ofAgentEpoch;
         String body;
         synchronized (this) {
             advance();
             changed = false;
-            ofSession = session;
+            ofAgentEpoch = agentEpoch;
             body = Json.text(heartbeat());
         }
         HttpRequest request = HttpRequest.newBuilder(
@@ -155,7 +155,7 @@
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             Map<String, Object> answer = Json.object(response.body());
             if (response.statusCode() == 200 && answer != null) {
-                accept(answer, ofSession, sent);
+                accept(answer, ofAgentEpoch, sent);
                 return node;
             }
             return response.statusCode() == 421 && answer != null ? Fields.textOf(answer, "supervisor") : null;
@@ -164,10 +164,10 @@
         }
     }
 
-    private synchronized void accept(Map<String, Object> answer, long ofSession, long sentNanos) {
+    private synchronized void accept(Map<String, Object> answer, long ofAgentEpoch, long sentNanos) {
         advance();
         long token = Fields.longOf(answer, "baton", 0);
-        if (closed || ofSession != session || token < fencingToken) {
+        if (closed || ofAgentEpoch != agentEpoch || token < fencingToken) {
             return;
         }
         raise(token);
@@ -198,7 +198,7 @@
         report.put("model", CloudStandIn.TYPE);
         report.put("site", CloudStandIn.ZONE);
         report.put("loaner", false);
-        report.put("shift", session);
+        report.put("shift", agentEpoch);
         report.put("tally", ++sequence);
         report.put("baton", fencingToken);
         report.put("pieces", tasks);
@@ -212,7 +212,7 @@
         long now = System.nanoTime();
         if (now - leaseFromNanos > deployment.leaseMillis() * 1_000_000) {
             killAll();
-            session++;
+            agentEpoch++;
             leaseFromNanos = now;
             changed = true;
         }
@@ -262,7 +262,7 @@
     }
 
     private void start(Key key, Run known) {
-        history.ordered(id, session, key.task(), key.attempt());
+        history.ordered(id, agentEpoch, key.task(), key.attempt());
         if (known != null) {
             return;
         }
@@ -290,7 +290,7 @@
             return Answer.ok(heartbeat());
         }
         long token = Fields.longOf(body, "baton", 0);
-        boolean holds = token >= fencingToken && Fields.longOf(body, "shift", 0) == session;
+        boolean holds = token >= fencingToken && Fields.longOf(body, "shift", 0) == agentEpoch;
         if (holds) {
             raise(token);
             execute(Fields.listOf(body, "orders"));
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -86,7 +86,7 @@
         assertRulesAndAllDone(s);
     }
 
-    /** 16. Old reports arrive after newer ones, also of earlier sessions and attempts. */
+    /** 16. Old reports arrive after newer ones, also of earlier agent epochs and attempts. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfEarlierAgentEpochsAndAttempts(long seed) {
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -181,11 +181,11 @@
             public void send(
                     String address,
                     long fencingToken,
-                    long session,
+                    long agentEpoch,
                     List<WorkerCommand> commands,
                     Consumer<Reply> then) {
-                add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, session, commands));
-                port.send(address, fencingToken, session, commands, then);
+                add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands));
+                port.send(address, fencingToken, agentEpoch, commands, then);
             }
         };
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -221,7 +221,7 @@
         assertTrue(tasks.get(Verdict.ADOPTED) > 0, tasks.toString());
     }
 
-    /** Results that came while nobody led count; first reports come twice, late, and from an earlier session. */
+    /** Results that came while nobody led count; first reports come twice, late, and from an earlier agent epoch. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void heartbeatsOfBeforeAndResultsOfMeanwhile(long seed) {
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -58,7 +58,7 @@
             public void send(
                     String address,
                     long fencingToken,
-                    long session,
+                    long agentEpoch,
                     List<WorkerCommand> commands,
                     Consumer<Reply> then) {
                 long term = simulation.nodes.get(node).controller.term();
@@ -71,7 +71,7 @@
                         2 * Simulation.SECOND,
                         answer -> {
                             Runnable serve = () ->
-                                    serveWhenAwake(address, w -> w.commands(fencingToken, session, commands), answer);
+                                    serveWhenAwake(address, w -> w.commands(fencingToken, agentEpoch, commands), answer);
                             if (starts && simulation.heldStarts > 0) {
                                 simulation.world.after(simulation.heldStarts, serve);
                             } else {
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -40,7 +40,7 @@
     private final long leaseMicros;
     private final SimRuns runs;
     private final Set<String> images = new HashSet<>();
-    private long session = 1;
+    private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
     private long leaseFrom;
@@ -180,7 +180,7 @@
     private void expireIfDue() {
         if (world.now() - leaseFrom > leaseMicros) {
             killAll();
-            session++;
+            agentEpoch++;
             leaseFrom = world.now();
             changed = true;
         }
@@ -275,7 +275,7 @@
                 type.name(),
                 zone,
                 spot,
-                session,
+                agentEpoch,
                 ++sequence,
                 fencingToken,
                 noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
@@ -286,7 +286,7 @@
         reporting = true;
         changed = false;
         long sent = world.now();
-        long ofSession = session;
+        long ofAgentEpoch = agentEpoch;
         String node = controllers.names().get(at);
         Heartbeat heartbeat = heartbeat();
         nextHeartbeat = sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
@@ -302,7 +302,7 @@
                 answer = null;
             }
             if (answer instanceof HeartbeatResponse.Accepted a) {
-                if (ofSession == session && a.fencingToken() >= fencingToken) {
+                if (ofAgentEpoch == agentEpoch && a.fencingToken() >= fencingToken) {
                     changed |= a.fencingToken() > fencingToken;
                     fencingToken = a.fencingToken();
                     leaseFrom = Math.max(leaseFrom, sent);
@@ -323,9 +323,9 @@
     }
 
     /** A direct command. Null: hanging, no answer. */
-    WorkerPort.Reply commands(long withToken, long withSession, List<WorkerCommand> commands) {
+    WorkerPort.Reply commands(long withToken, long withAgentEpoch, List<WorkerCommand> commands) {
         expireIfDue();
-        boolean ok = withToken >= fencingToken && withSession == session;
+        boolean ok = withToken >= fencingToken && withAgentEpoch == agentEpoch;
         if (ok) {
             changed |= withToken > fencingToken;
             fencingToken = withToken;
@@ -341,7 +341,7 @@
     private void execute(List<WorkerCommand> commands) {
         for (WorkerCommand o : commands) {
             // Through the wire's words and back, as between real processes.
-            assert WorkerCodec.encodeCommands(fencingToken, session, List.of(o)) != null;
+            assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(o)) != null;
             Run r = runs.get(o.task(), o.attempt());
             switch (o.verb()) {
                 case START -> {
