--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -36,7 +36,7 @@
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final long TICK_MICROS = 1_000_000;
-    private static final long TURNED_AWAY_MICROS = 5_000_000;
+    private static final long REDIRECTED_MACHINE_MEMORY_MICROS = 5_000_000;
     private static final long TYPES_MICROS = 60_000_000;
     /** Share of the store's requests that all controllers together may spend on reading the latest changes. */
     private static final double READ_SHARE = 0.6;
@@ -56,7 +56,7 @@
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private Dispatcher dispatcher;
     /** Machines that reported here while another controller owned them, and when. */
-    private final Map<String, Long> turnedAway = new LinkedHashMap<>();
+    private final Map<String, Long> redirectedMachines = new LinkedHashMap<>();
 
     private boolean askingTypes;
     private long typesDueMicros;
@@ -98,7 +98,7 @@
                 store,
                 replica,
                 timers,
-                () -> peers.allOutOfTouch(Config.CONTACT_TIMEOUT_MICROS),
+                () -> peers.allDisconnected(Config.CONTACT_TIMEOUT_MICROS),
                 new Leadership.Listener() {
                     @Override
                     public void elected(Leadership.Term term) {
@@ -137,7 +137,7 @@
         if (!replica.loaded() || types.isEmpty()) {
             return false;
         }
-        return contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || !peers.anyInTouch(Config.CONTACT_TIMEOUT_MICROS);
+        return contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
     }
 
     private long contactAgeMicros() {
@@ -146,7 +146,7 @@
 
     private PeerPort.PeerStatus status() {
         return new PeerPort.PeerStatus(
-                config.node(), replica.loaded() ? contactAgeMicros() : -1, dispatcher != null, turnedAway.size());
+                config.node(), replica.loaded() ? contactAgeMicros() : -1, dispatcher != null, redirectedMachines.size());
     }
 
     /** A peer tells how it is, and is told the same. */
@@ -196,11 +196,11 @@
             if (zoneLeaseKeeper.mayRenew(heartbeat)) {
                 return zoneLeaseKeeper.answer(heartbeat);
             }
-            turnedAway.put(heartbeat.host(), timers.nowMicros());
+            redirectedMachines.put(heartbeat.host(), timers.nowMicros());
             String leader = leadership.leaderNode();
             // A leader that is cut from us is cut from the machines around us as well: going there would cost them
             // time.
-            boolean current = contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || peers.leaderHeard();
+            boolean current = contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || peers.leaderRecentlyHeard();
             return current && leader != null && !leader.equals(config.node())
                     ? new HeartbeatResponse.Redirect(leader)
                     : new HeartbeatResponse.Unavailable();
@@ -214,8 +214,8 @@
             replica.barrier(fresh -> {});
         }
         long now = timers.nowMicros();
-        turnedAway.values().removeIf(at -> at < now - TURNED_AWAY_MICROS);
-        if (dispatcher != null && dispatcher.cutFromWorkers(peers.mostTurnedAway())) {
+        redirectedMachines.values().removeIf(at -> at < now - REDIRECTED_MACHINE_MEMORY_MICROS);
+        if (dispatcher != null && dispatcher.cutFromWorkers(peers.mostRedirectedMachines())) {
             leadership.stepDown("the machines reach the others, but not us");
         }
         if ((types.isEmpty() || (dispatcher != null && now >= typesDueMicros)) && !askingTypes) {
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -34,7 +34,7 @@
     /** Jobs of which a record can't be read. What it says is not known, so no leader decides about them. */
     private final Set<String> unreadable = new HashSet<>();
     /** Those among them of which not even can be told whether they exist or are over. */
-    private final Set<String> untold = new HashSet<>();
+    private final Set<String> statusUnknown = new HashSet<>();
 
     private Listener listener;
 
@@ -69,8 +69,8 @@
     }
 
     /** Whether users can't be told of the job, since its description or its end can't be read. */
-    boolean untold(String id) {
-        return untold.contains(id) && !finals.containsKey(id);
+    boolean statusUnknown(String id) {
+        return statusUnknown.contains(id) && !finals.containsKey(id);
     }
 
     /** What the records say of a task of a job that no leader here has open. */
@@ -101,7 +101,7 @@
                 String id = key.substring(prefix.length());
                 unreadable.add(id);
                 if (!prefix.equals(Keys.PROGRESS)) {
-                    untold.add(id);
+                    statusUnknown.add(id);
                 }
             }
         }
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -103,7 +103,7 @@
             then.accept(retryLater(replica.loaded() ? "too many requests wait" : "starting"));
             return;
         }
-        if (jobIndex.untold(spec.id())) {
+        if (jobIndex.statusUnknown(spec.id())) {
             then.accept(retryLater(UNREADABLE));
             return;
         }
@@ -192,7 +192,7 @@
             return;
         }
         afterBarrier(then, () -> {
-            if (jobIndex.untold(id)) {
+            if (jobIndex.statusUnknown(id)) {
                 then.accept(retryLater(UNREADABLE));
             } else {
                 then.accept(known(id) ? status(id, false) : new JobResponse.NotFound());
@@ -213,7 +213,7 @@
             return;
         }
         afterBarrier(then, () -> {
-            if (jobIndex.untold(id)) {
+            if (jobIndex.statusUnknown(id)) {
                 then.accept(retryLater(UNREADABLE));
             } else if (!known(id)) {
                 then.accept(new JobResponse.NotFound());
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -118,7 +118,7 @@
             return;
         }
         timers.after(TICK_MICROS, this::tick);
-        if (!leadership.certain() || fleet.types().isEmpty()) {
+        if (!leadership.leaseConfirmed() || fleet.types().isEmpty()) {
             return;
         }
         long now = timers.nowMicros();
@@ -210,7 +210,7 @@
     }
 
     private void rent(long now) {
-        if (renting || !leadership.certain()) {
+        if (renting || !leadership.leaseConfirmed()) {
             return;
         }
         demand.batchPlanner().update(now);
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -117,7 +117,7 @@
      */
     public boolean trusted(long now) {
         int machines = fleet.machines().size();
-        int elsewhere = peers.mostTurnedAway();
+        int elsewhere = peers.mostRedirectedMachines();
         return overdue <= Math.max(2, machines * FEW_SHARE)
                 || (overdue <= machines / 2 && elsewhere >= 0 && elsewhere < overdue / 4);
     }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -26,11 +26,11 @@
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final long CHECK_MICROS = 250_000;
-    private static final long PAUSE_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
+    private static final long BACKOFF_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
     /**
      * {@code DISCONNECTED}: lately no word from the store, or only about our lease and not about the records;
-     * workers are still answered, since an outage looks the same. {@code SILENT}: for so long that a cancellation might
+     * workers are still answered, since an outage looks the same. {@code FENCED_OFF}: for so long that a cancellation might
      * be missed; workers are left to their leases.
      */
     enum Phase {
@@ -38,7 +38,7 @@
         CAMPAIGNING,
         LEADING,
         DISCONNECTED,
-        SILENT
+        FENCED_OFF
     }
 
     /** What a won campaign brings: the fencing token, and the guard for all later writes. */
@@ -58,28 +58,28 @@
     private final RecordReplica replica;
     private final Timers timers;
     private final Listener listener;
-    private final BooleanSupplier othersOutOfTouch;
+    private final BooleanSupplier peersDisconnected;
     private Phase phase = Phase.FOLLOWING;
     private long lease;
     private Term term;
-    private long confirmedMicros;
+    private long lastConfirmedMicros;
     private boolean renewing;
     private long renewDueMicros;
-    private long quietUntilMicros;
+    private long campaignBackoffUntilMicros;
 
-    /** @param othersOutOfTouch whether every other controller lately told that the store doesn't answer it */
+    /** @param peersDisconnected whether every other controller lately told that the store doesn't answer it */
     public Leadership(
             Config config,
             KeyValueStore store,
             RecordReplica replica,
             Timers timers,
-            BooleanSupplier othersOutOfTouch,
+            BooleanSupplier peersDisconnected,
             Listener listener) {
         this.config = config;
         this.store = store;
         this.replica = replica;
         this.timers = timers;
-        this.othersOutOfTouch = othersOutOfTouch;
+        this.peersDisconnected = peersDisconnected;
         this.listener = listener;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Whether the store confirmed lately that we lead. */
-    public boolean certain() {
+    public boolean leaseConfirmed() {
         refreshPhase();
         return phase == Phase.LEADING;
     }
@@ -116,12 +116,12 @@
      * none of them can have confirmed one.
      */
     public boolean mayStart() {
-        return certain() || (phase == Phase.DISCONNECTED && othersOutOfTouch.getAsBoolean());
+        return leaseConfirmed() || (phase == Phase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
     /** When the last request was sent that the store answered with our being the leader. */
-    public long confirmedMicros() {
-        return confirmedMicros;
+    public long lastConfirmedMicros() {
+        return lastConfirmedMicros;
     }
 
     /** The leader on record, or null. */
@@ -176,18 +176,18 @@
         if (term == null) {
             return;
         }
-        long sinceContactMicros = timers.nowMicros() - Math.min(confirmedMicros, replica.lastContactMicros());
+        long sinceContactMicros = timers.nowMicros() - Math.min(lastConfirmedMicros, replica.lastContactMicros());
         if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), config.maxDisconnectedMicros())) {
             transition(Phase.LEADING, "the state service answers");
         } else if (sinceContactMicros <= config.maxDisconnectedMicros()) {
             transition(Phase.DISCONNECTED, "no answer from the state service");
         } else {
-            transition(Phase.SILENT, "a cancellation could have been missed for too long");
+            transition(Phase.FENCED_OFF, "a cancellation could have been missed for too long");
         }
     }
 
     private void considerCampaign() {
-        if (phase != Phase.FOLLOWING || !replica.loaded() || timers.nowMicros() < quietUntilMicros) {
+        if (phase != Phase.FOLLOWING || !replica.loaded() || timers.nowMicros() < campaignBackoffUntilMicros) {
             return;
         }
         LeaderRecord leader = replica.leader();
@@ -221,13 +221,13 @@
         });
     }
 
-    private void acquire(long newLease, long began) {
+    private void acquire(long acquiredLease, long began) {
         FencingTokenRecord counter = replica.fencingToken();
         long fencingToken = (counter == null ? 0 : counter.last()) + 1;
         List<Precondition> preconditions = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
         LeaderRecord leader = new LeaderRecord(config.node(), config.incarnation(), fencingToken);
-        changes.add(new Change(Keys.LEADER, leader, newLease));
+        changes.add(new Change(Keys.LEADER, leader, acquiredLease));
         changes.add(
                 Change.write(Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), fencingToken, fencingToken)));
         for (Change change : changes) {
@@ -239,9 +239,9 @@
                 abandonCampaign("takeover " + answer.outcome());
                 return;
             }
-            lease = newLease;
+            lease = acquiredLease;
             term = new Term(fencingToken, answer.storeRevision());
-            confirmedMicros = began;
+            lastConfirmedMicros = began;
             renewDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
             renewing = false;
             for (Change change : changes) {
@@ -271,7 +271,7 @@
     }
 
     private void abandonCampaign(String why) {
-        quietUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
+        campaignBackoffUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
         transition(Phase.FOLLOWING, why);
     }
 
@@ -286,7 +286,7 @@
             }
             renewing = false;
             if (outcome == Outcome.OK) {
-                confirmedMicros = sent;
+                lastConfirmedMicros = sent;
                 refreshPhase();
             } else if (outcome == Outcome.NOT_FOUND) {
                 loseLeadership("our lease ran out");
@@ -305,7 +305,7 @@
         store.commit(
                 new Transaction(List.of(new Precondition(Keys.LEADER, term.leaderRevision())), List.of(Change.remove(Keys.LEADER))),
                 answer -> {});
-        quietUntilMicros = timers.nowMicros() + PAUSE_AFTER_STEPPING_DOWN_MICROS;
+        campaignBackoffUntilMicros = timers.nowMicros() + BACKOFF_AFTER_STEPPING_DOWN_MICROS;
         loseLeadership(why);
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -54,11 +54,11 @@
     }
 
     /** The most machines that one peer lately turned away; negative when no peer has been heard. */
-    public int mostTurnedAway() {
+    public int mostRedirectedMachines() {
         long now = timers.nowMicros();
         return heard.values().stream()
                 .filter(h -> now - h.atMicros() < FRESH_MICROS)
-                .mapToInt(h -> h.status().turnedAway())
+                .mapToInt(h -> h.status().redirectedMachines())
                 .max()
                 .orElse(-1);
     }
@@ -66,7 +66,7 @@
     /**
      * Whether every peer was lately heard and told that the store had not answered it for so long, or never.
      */
-    public boolean allOutOfTouch(long ageMicros) {
+    public boolean allDisconnected(long ageMicros) {
         long now = timers.nowMicros();
         for (String peer : config.peers()) {
             Heard h = heard.get(peer);
@@ -110,14 +110,14 @@
     }
 
     /** Whether the leader was lately heard. */
-    public boolean leaderHeard() {
+    public boolean leaderRecentlyHeard() {
         long now = timers.nowMicros();
         return heard.values().stream()
                 .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.status().leader());
     }
 
     /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
-    public boolean anyInTouch(long ageMicros) {
+    public boolean anyConnected(long ageMicros) {
         long now = timers.nowMicros();
         for (Heard h : heard.values()) {
             long age = h.status().contactAgeMicros();
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -57,8 +57,8 @@
         long age = timers.nowMicros() - replica.lastContactMicros();
         if (age < Config.CONTACT_TIMEOUT_MICROS
                 || age > config.maxDisconnectedMicros()
-                || peers.leaderHeard()
-                || peers.anyInTouch(Config.CONTACT_TIMEOUT_MICROS)) {
+                || peers.leaderRecentlyHeard()
+                || peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS)) {
             return false;
         }
         if (asOfMicros != replica.lastContactMicros()) {
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -132,14 +132,14 @@
      * Whether most machines have become unresponsive to us while a peer hears them: then it had better lead, before
      * their leases run out.
      */
-    public boolean cutFromWorkers(int turnedAwayByPeer) {
+    public boolean cutFromWorkers(int redirectedByPeer) {
         long now = timers.nowMicros();
         int silent = 0;
         for (Machine machine : machines.values()) {
             silent += unresponsive(machine, now) ? 1 : 0;
         }
         return silent >= CUT_OFF_SHARE * machines.size()
-                && turnedAwayByPeer >= Math.max(2, silent / 2)
+                && redirectedByPeer >= Math.max(2, silent / 2)
                 && now - startedMicros > config.leaseMicros();
     }
 
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -8,9 +8,9 @@
      * How a controller is.
      *
      * @param contactAgeMicros how long ago the store last brought this controller up to date; negative: never
-     * @param turnedAway how many machines lately reported to this controller although it does not own them
+     * @param redirectedMachines how many machines lately reported to this controller although it does not own them
      */
-    record PeerStatus(String node, long contactAgeMicros, boolean leader, int turnedAway) {}
+    record PeerStatus(String node, long contactAgeMicros, boolean leader, int redirectedMachines) {}
 
     /** A cancellation that is on record, with the revision of its record. */
     record CancellationNotice(String job, long revision) {}
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -242,8 +242,8 @@
     }
 
     /** Whether most machines have become unresponsive to us while a peer hears them. */
-    public boolean cutFromWorkers(int turnedAwayByPeer) {
-        return fleet.cutFromWorkers(turnedAwayByPeer);
+    public boolean cutFromWorkers(int redirectedByPeer) {
+        return fleet.cutFromWorkers(redirectedByPeer);
     }
 
     /** A worker's heartbeat, answered with what it is to do. */
@@ -318,7 +318,7 @@
             sender.showTokenIfUnconfirmed(machine, now);
             checkPlacements(machine, now);
         }
-        if (recovery.allHeard() && leadership.certain()) {
+        if (recovery.allHeard() && leadership.leaseConfirmed()) {
             consolidator.tick(now);
         }
         loop.requestPass();
@@ -330,7 +330,7 @@
      */
     private void checkLease(Machine machine) {
         if (machine.contact().leaseOverMicros() <= 0
-                || leadership.confirmedMicros() <= machine.contact().leaseOverMicros()) {
+                || leadership.lastConfirmedMicros() <= machine.contact().leaseOverMicros()) {
             return;
         }
         if (machine.contact().fenced() || !config.peerIn(machine.zone())) {
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -27,7 +27,7 @@
         if (!leadership.leads()) {
             return withoutTerm(config, leadership, replica, age);
         }
-        Role role = leadership.certain() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
+        Role role = leadership.leaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
         String reason = role == Role.LEADING
                 ? "the state service confirmed lately that this controller leads"
                 : "no recent answer from the state service: another controller may lead by now";
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -24,7 +24,7 @@
                     .packString(g.node())
                     .packLong(g.contactAgeMicros())
                     .packBoolean(g.leader())
-                    .packInt(g.turnedAway());
+                    .packInt(g.redirectedMachines());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("packing in memory failed", e);
