--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -226,7 +226,7 @@
             if (machine.phase() == Machine.Phase.UNCONFIRMED
                     && machine.type() != null
                     && machine.isEmpty()
-                    && !machine.inherited()
+                    && !machine.awaitingFirstHeartbeat()
                     && !fleet.overdue(machine, now)) {
                 plan.coming(machine.type(), machine.zone(), machine.spot());
             }
@@ -321,8 +321,8 @@
                 break;
             }
             boolean trust = (trustSilence && !failureDetector.waitedFor(machine, now))
-                    || now - machine.contact().heardMicros() > partitionTimeoutMicros();
-            boolean dead = trust && now - machine.contact().heardMicros() > failureTimeoutMicros(machine);
+                    || now - machine.contact().lastHeartbeatMicros() > partitionTimeoutMicros();
+            boolean dead = trust && now - machine.contact().lastHeartbeatMicros() > failureTimeoutMicros(machine);
             boolean idle = !keepsIdle && isIdle(machine, now) && !gangHeadroom.keeps(machine);
             machine.keepAsHeadroom(idle
                     && !machine.spot()
@@ -335,7 +335,7 @@
             }
             // Its reports come, but our answers and commands don't get there.
             boolean deaf = machine.phase() == Machine.Phase.UNCONFIRMED
-                    && !machine.inherited()
+                    && !machine.awaitingFirstHeartbeat()
                     && machine.inventory().recorded()
                     && now - machine.unconfirmedMicros() > config.leaseMicros()
                     && trust;
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -33,7 +33,7 @@
     private final DispatchLoop loop;
     private final BooleanSupplier ended;
     /** Machines taken over that are still to be called. */
-    private final ArrayDeque<Machine> unheard = new ArrayDeque<>();
+    private final ArrayDeque<Machine> awaited = new ArrayDeque<>();
 
     private int calls;
     private int takeoverCalls;
@@ -142,7 +142,7 @@
     /** Shows the token to a machine that has not confirmed it yet, as long as calls are left. */
     public void showTokenIfUnconfirmed(Machine machine, long now) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.inherited()
+                && !machine.awaitingFirstHeartbeat()
                 && machine.inventory().recorded()
                 && !machine.inventory().needsNewToken()
                 && !fleet.unresponsive(machine, now)) {
@@ -154,7 +154,7 @@
     public void probe(Machine machine, long now) {
         if (fleet.overdue(machine, now)
                 && !machine.contact().fenced()
-                && !machine.inherited()
+                && !machine.awaitingFirstHeartbeat()
                 && !machine.contact().callUnderWay()
                 && now - machine.contact().probedMicros() > config.heartbeatIntervalMicros()
                 && calls < config.callsAtOnce() / 2) {
@@ -162,16 +162,16 @@
         }
     }
 
-    /** Speeds a takeover up: calls the machines not yet heard, a few at a time, and shows them the new token. */
+    /** Speeds a takeover up: calls the machines still awaited, a few at a time, and shows them the new token. */
     public void callInherited() {
-        unheard.addAll(fleet.machines());
-        callUnheard();
+        awaited.addAll(fleet.machines());
+        callAwaited();
     }
 
-    private void callUnheard() {
-        while (!ended.getAsBoolean() && !unheard.isEmpty() && takeoverCalls < config.callsAtOnce() * 2 / 3) {
-            Machine machine = unheard.poll();
-            if (!machine.inherited()
+    private void callAwaited() {
+        while (!ended.getAsBoolean() && !awaited.isEmpty() && takeoverCalls < config.callsAtOnce() * 2 / 3) {
+            Machine machine = awaited.poll();
+            if (!machine.awaitingFirstHeartbeat()
                     || machine.phase() != Machine.Phase.UNCONFIRMED
                     || machine.contact().fenced()) {
                 continue;
@@ -183,18 +183,18 @@
             takeoverCalls++;
             call(machine, List.of(), List.of(), () -> {
                 takeoverCalls--;
-                if (machine.inherited()) {
+                if (machine.awaitingFirstHeartbeat()) {
                     callAgain(machine);
                 }
-                callUnheard();
+                callAwaited();
             });
         }
     }
 
     private void callAgain(Machine machine) {
         timers.after(ASK_AGAIN_MICROS, () -> {
-            unheard.add(machine);
-            callUnheard();
+            awaited.add(machine);
+            callAwaited();
         });
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -271,7 +271,7 @@
         if (status.cause() == Cause.DONE && !job.spec().service()) {
             markDone(job, status.task().index());
             machines.drainFaulty(faults.proved(placement, now));
-            if (placement.hasRun() && placement.certain() && !placement.takenOver()) {
+            if (placement.hasRun() && placement.onlyHere() && !placement.wasAdopted()) {
                 runtimeEstimator.finished(job, placement.ranMicros(now));
             }
             jobs.recordTaskDone(job);
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -111,7 +111,7 @@
 
     /** The machines on record when the term began; all are ours under the term's fencing token. */
     public List<Machine> takeOver() {
-        List<Machine> inherited = new ArrayList<>();
+        List<Machine> takenOver = new ArrayList<>();
         for (int part = 0; part < replica.inventoryParts(); part++) {
             InventoryRecord hosts = replica.inventory(part);
             if (hosts == null) {
@@ -122,19 +122,19 @@
             for (InventoryRecord.Host host : hosts.hosts()) {
                 Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
                 machine.inventory().foundOnRecord(part, term.fencingToken());
-                inherited.add(machine);
+                takenOver.add(machine);
                 names.add(machine.id());
             }
             values.add(names);
             usedBytes.add(EMPTY_VALUE_BYTES
-                    + inherited.stream()
-                            .skip(inherited.size() - (long) names.size())
+                    + takenOver.stream()
+                            .skip(takenOver.size() - (long) names.size())
                             .mapToInt(MachineInventory::rowBytes)
                             .sum());
         }
         valuesOnRecord = values.size();
-        splitLargeValues(inherited);
-        return inherited;
+        splitLargeValues(takenOver);
+        return takenOver;
     }
 
     /** Nothing is written where a value can't be read: it counts as full, and without machines. */
@@ -153,14 +153,14 @@
     }
 
     /** A controller that knew of larger limits may have left values that may no longer be written. */
-    private void splitLargeValues(List<Machine> inherited) {
+    private void splitLargeValues(List<Machine> takenOver) {
         int onRecord = values.size();
         for (int part = 0; part < onRecord; part++) {
             if (usedBytes.getInt(part) > valueBytes) {
                 int large = part;
                 split(
                         part,
-                        inherited.stream()
+                        takenOver.stream()
                                 .filter(machine -> machine.inventory().part() == large)
                                 .toList());
             }
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -64,7 +64,7 @@
     public List<Machine> proved(Placement placement, long now) {
         ActiveJob job = placement.job();
         Suspect suspect = suspects.get(placement.machine());
-        if (suspect != null && !placement.takenOver() && placement.runningSinceMicros() > suspect.failedMicros) {
+        if (suspect != null && !placement.wasAdopted() && placement.runningSinceMicros() > suspect.failedMicros) {
             clear(placement.machine(), suspect);
         }
         if (!provenJobs.add(job)) {
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -171,8 +171,8 @@
         placement.freed(why);
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.freed(placement.job().spec());
-        // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines not yet heard.
-        boolean maybeElsewhere = !placement.certain() && recovery.mayBeUnheard(placement.job());
+        // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
+        boolean maybeElsewhere = !placement.onlyHere() && recovery.mayRunOnAwaitedMachine(placement.job());
         placement.job().unplace(placement, maybeElsewhere);
         if (placement.job().gangAttempt() != null) {
             leftGang(placement, maybeElsewhere);
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -32,8 +32,8 @@
     }
 
     /** Begins with the machines and the records as of this revision. */
-    public void start(List<Machine> inherited, int unreadableParts, long revision) {
-        inherited.forEach(machine -> plan.takeOver(machine.id(), profile(machine)));
+    public void start(List<Machine> takenOver, int unreadableParts, long revision) {
+        takenOver.forEach(machine -> plan.takeOver(machine.id(), profile(machine)));
         plan.takeOverUnreadable(unreadableParts);
         plan.recordsRead(revision, timers.nowMicros());
     }
@@ -43,18 +43,18 @@
     }
 
     /** Whether every machine taken over is heard under the present token or proved gone. */
-    public boolean allHeard() {
-        return plan.allHeard();
+    public boolean noMachineAwaited() {
+        return plan.noMachineAwaited();
     }
 
-    /** Whether a task of this job may be on a machine that is still to be heard. */
-    boolean mayBeUnheard(ActiveJob job) {
+    /** Whether a task of this job may be on a machine that is still awaited. */
+    boolean mayRunOnAwaitedMachine(ActiveJob job) {
         return plan.ofUnreported(job.spec()) == Verdict.IN_DOUBT;
     }
 
     /** The machine is heard under its present token, or gone: what a former leader left there is known. */
     public void resolved(Machine machine, String proof) {
-        if (!machine.inherited()) {
+        if (!machine.awaitingFirstHeartbeat()) {
             return;
         }
         machine.takeoverResolved();
@@ -66,7 +66,7 @@
 
     /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
-        if (job.unconfirmedTasks() > 0 && !mayBeUnheard(job)) {
+        if (job.unconfirmedTasks() > 0 && !mayRunOnAwaitedMachine(job)) {
             plan.found(Verdict.LOST, job.unconfirmedTasks());
             job.resolveUnconfirmed();
         }
@@ -102,10 +102,10 @@
      * it is known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
-        return plan.holdsBatchWork() || (!plan.allHeard() && firstWork(0).inDoubt() > 0);
+        return plan.holdsBatchWork() || (!plan.noMachineAwaited() && firstWork(0).inDoubt() > 0);
     }
 
-    /** How many claimed tasks may be on machines that are still to be heard. */
+    /** How many claimed tasks may be on machines still awaited. */
     public int tasksInDoubt() {
         return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -45,7 +45,7 @@
     private final Object2IntOpenHashMap<String> zoneCounts = new Object2IntOpenHashMap<>();
     /** Claimed, not done, not placed, and proved to be on no machine. */
     private final IntAVLTreeSet free = new IntAVLTreeSet();
-    /** Claimed by a predecessor; may be running on a machine not yet heard. */
+    /** Claimed by a predecessor; may be running on a machine still awaited. */
     private final IntOpenHashSet unconfirmed = new IntOpenHashSet();
 
     private Phase phase = Phase.OPEN;
@@ -275,7 +275,7 @@
 
     // ---- unconfirmed tasks -------------------------------------------------------------------------------------
 
-    /** How many claimed tasks may run on machines that are still to be heard. */
+    /** How many claimed tasks may run on machines still awaited. */
     public int unconfirmedTasks() {
         return unconfirmed.size();
     }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -67,10 +67,10 @@
     }
 
     /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
-    public void inherit(List<Machine> inherited) {
+    public void inherit(List<Machine> takenOver) {
         // The former leader may go on answering them for a while, if it is out of contact.
         long leaseOver = startedMicros + config.maxDisconnectedMicros() + config.longestLeaseMicros();
-        for (Machine machine : inherited) {
+        for (Machine machine : takenOver) {
             machine.takenOver(startedMicros, leaseOver);
             machines.put(machine.id(), machine);
         }
@@ -113,7 +113,7 @@
 
     /** Whether a heartbeat is late by so much that it is worth asking for one. */
     public boolean overdue(Machine machine, long now) {
-        return now - machine.contact().heardMicros() > OVERDUE_HEARTBEATS * config.heartbeatIntervalMicros();
+        return now - machine.contact().lastHeartbeatMicros() > OVERDUE_HEARTBEATS * config.heartbeatIntervalMicros();
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -55,7 +55,7 @@
     private final MachineCapacity capacity = new MachineCapacity();
     private Phase phase = Phase.UNCONFIRMED;
 
-    private boolean inherited;
+    private boolean awaitingFirstHeartbeat;
 
     private long unconfirmedMicros;
 
@@ -185,7 +185,7 @@
 
     /** It was on record when the term began: its tasks are unknown until it is heard. */
     void takenOver(long nowMicros, long formerLeaseOverMicros) {
-        inherited = true;
+        awaitingFirstHeartbeat = true;
         contact.takenOver(nowMicros, formerLeaseOverMicros);
         idleSinceMicros = nowMicros;
         unconfirmedMicros = nowMicros;
@@ -193,12 +193,12 @@
 
     /** What a former leader left on it is known, or it is gone. */
     public void takeoverResolved() {
-        inherited = false;
+        awaitingFirstHeartbeat = false;
     }
 
-    /** Whether it was taken over and is still to be heard. */
-    public boolean inherited() {
-        return inherited;
+    /** Whether it was taken over and is still awaited. */
+    public boolean awaitingFirstHeartbeat() {
+        return awaitingFirstHeartbeat;
     }
 
     /** It reports for the first time and is to be commanded under this fencing token. */
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -47,8 +47,8 @@
     private long unansweredToken = NO_TOKEN;
     private boolean sentInAnswer;
     private boolean seen;
-    private boolean certain = true;
-    private boolean takenOver;
+    private boolean onlyHere = true;
+    private boolean wasAdopted;
     private long runningSinceMicros = NEVER;
     private long graceMicros;
 
@@ -65,14 +65,14 @@
     /**
      * An attempt of a former leader that was found on the machine.
      *
-     * @param certain whether it was listed under the present fencing token, so that it can be nowhere else
+     * @param onlyHere whether it was listed under the present fencing token, so that it can be nowhere else
      */
     public static Placement adopted(
-            TaskId task, ActiveJob job, Machine machine, long attempt, boolean certain, long nowMicros) {
+            TaskId task, ActiveJob job, Machine machine, long attempt, boolean onlyHere, long nowMicros) {
         Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         placement.seen = true;
-        placement.certain = certain;
-        placement.takenOver = true;
+        placement.onlyHere = onlyHere;
+        placement.wasAdopted = true;
         placement.transition(Phase.SENT, "taken over");
         return placement;
     }
@@ -166,7 +166,7 @@
     /** A message of the worker lists it. */
     public void listed(boolean underPresentToken) {
         seen = true;
-        certain |= underPresentToken;
+        onlyHere |= underPresentToken;
         unansweredToken = NO_TOKEN;
     }
 
@@ -176,13 +176,13 @@
     }
 
     /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
-    public boolean certain() {
-        return certain;
+    public boolean onlyHere() {
+        return onlyHere;
     }
 
     /** Whether it was found on the machine: then it is not known when it began. */
-    public boolean takenOver() {
-        return takenOver;
+    public boolean wasAdopted() {
+        return wasAdopted;
     }
 
     /** It is reported to wait for its image. */
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -18,7 +18,7 @@
     private String address;
     private long agentEpoch = UNKNOWN_AGENT_EPOCH;
     private long sequence = NO_SEQUENCE;
-    private long heardMicros;
+    private long lastHeartbeatMicros;
     private long leaseOverMicros;
     private boolean fenced;
     private boolean probeFailed;
@@ -38,7 +38,7 @@
 
     /** The machine was on record when the term began: the former leader may have kept its lease alive until then. */
     void takenOver(long nowMicros, long formerLeaseOverMicros) {
-        heardMicros = nowMicros;
+        lastHeartbeatMicros = nowMicros;
         leaseOverMicros = formerLeaseOverMicros;
     }
 
@@ -66,24 +66,24 @@
      * runs out all the same.
      */
     void heartbeatReceived(long nowMicros) {
-        heardMicros = nowMicros;
+        lastHeartbeatMicros = nowMicros;
         probeFailed = false;
         fenced = false;
     }
 
     /** When its worker last reported by itself. */
-    public long heardMicros() {
-        return heardMicros;
+    public long lastHeartbeatMicros() {
+        return lastHeartbeatMicros;
     }
 
     /** This process stood still for so long: the machine was not silent for that time. */
     void excusePause(long pauseMicros, long nowMicros) {
-        heardMicros = Math.min(nowMicros, heardMicros + pauseMicros);
+        lastHeartbeatMicros = Math.min(nowMicros, lastHeartbeatMicros + pauseMicros);
     }
 
     /** Whether a heartbeat is overdue by so much that an order would hardly arrive. */
     public boolean unresponsive(long nowMicros, long heartbeatIntervalMicros) {
-        return nowMicros - heardMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
+        return nowMicros - lastHeartbeatMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
 
     // ---- lease -------------------------------------------------------------------------------------------------
@@ -148,7 +148,7 @@
 
     /** Whether the call that has ended brought a message of the worker. */
     public void callAnswered(boolean answered) {
-        probeFailed = !answered && heardMicros < probedMicros;
+        probeFailed = !answered && lastHeartbeatMicros < probedMicros;
     }
 
     /** When it was last called. */
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -86,7 +86,7 @@
     /** The same for several tasks together. */
     public boolean teamAllows(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
-                && (!teamLimits.limits(spec) || (recovery.allHeard() && fleet.noOrphanedTasks()));
+                && (!teamLimits.limits(spec) || (recovery.noMachineAwaited() && fleet.noOrphanedTasks()));
     }
 
     /** CPUs that a team's tasks use beyond its guarantee, without those that are being stopped. */
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -187,9 +187,9 @@
 
     /** Begins the term: takes the machines and jobs on record over. */
     public void start() {
-        List<Machine> inherited = inventory.takeOver();
-        fleet.inherit(inherited);
-        recovery.start(inherited, inventory.unreadableParts(), replica.storeRevision());
+        List<Machine> takenOver = inventory.takeOver();
+        fleet.inherit(takenOver);
+        recovery.start(takenOver, inventory.unreadableParts(), replica.storeRevision());
         jobs.start();
         LOG.info(
                 "term with fencing token {}: {} machines taken over",
@@ -318,7 +318,7 @@
             sender.showTokenIfUnconfirmed(machine, now);
             checkPlacements(machine, now);
         }
-        if (recovery.allHeard() && leadership.leaseConfirmed()) {
+        if (recovery.noMachineAwaited() && leadership.leaseConfirmed()) {
             consolidator.tick(now);
         }
         loop.requestPass();
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -96,7 +96,7 @@
                 plan.revision(),
                 age,
                 plan.machinesTakenOver(),
-                plan.machinesUnheard(),
+                plan.machinesAwaited(),
                 plan.unreadableInventoryParts(),
                 replica.malformedRecords(),
                 tasks,
--- a/src/main/java/org/granitepath/recovery/UnheardMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -9,7 +9,7 @@
  * The machines taken over that have neither been heard under the present fencing token nor proved gone. They are
  * counted by profile: whether a task may be on one of them costs as many steps as there are profiles, not machines.
  */
-final class UnheardMachines {
+final class AwaitedMachines {
     private final Object2IntLinkedOpenHashMap<MachineProfile> byProfile = new Object2IntLinkedOpenHashMap<>();
     /** Their names: an immutable set, so that whoever asks gets it as it stands, without a copy. */
     private PSet<String> names = OrderedPSet.empty();
--- a/src/main/java/org/granitepath/recovery/FirstWork.java
+++ b/src/main/java/org/granitepath/recovery/FirstWork.java
@@ -6,7 +6,7 @@
 /**
  * What is left to do about the work that goes first, in tasks, after a scheduling pass.
  *
- * @param inDoubt may be on machines not heard yet
+ * @param inDoubt may be on machines still awaited
  * @param claiming wait for their claim to be on record
  * @param unacknowledged were placed, and no heartbeat has listed them yet
  * @param roomComing have no room yet, but tasks are being stopped for them
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -8,7 +8,7 @@
     RECONCILING,
     /** No task that goes first is in doubt any more; those that have or get room are being started. */
     RESUMING_LIVE,
-    /** All work may start, each task on its own proof; some machines are still to be heard. */
+    /** All work may start, each task on its own proof; some machines are still awaited. */
     RESUMING_BATCH,
     /** Every machine taken over is heard or proved gone. */
     RECOVERED;
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery of one term of leadership: which machines are still to be heard, what has been found so far, and which
+ * The recovery of one term of leadership: which machines are still awaited, what has been found so far, and which
  * work may start. Work that goes first starts by the proof of each task; other work is held until the former is placed,
  * but never beyond a bound.
  */
@@ -18,7 +18,7 @@
     private final long fencingToken;
     private final long batchHoldMicros;
     private final RecoveryTracer tracer;
-    private final UnheardMachines unheard = new UnheardMachines();
+    private final AwaitedMachines awaited = new AwaitedMachines();
     private final Map<Verdict, Integer> verdicts = new EnumMap<>(Verdict.class);
     private RecoveryPhase phase = RecoveryPhase.READING;
     private FirstWork firstWork = FirstWork.NONE;
@@ -38,21 +38,21 @@
 
     /** Takes a machine of the inventory over, before the records count as read. */
     public void takeOver(String machine, MachineProfile profile) {
-        unheard.add(machine, profile);
+        awaited.add(machine, profile);
         takenOver++;
-        tracer.machineUnheard(machine);
+        tracer.machineAwaited(machine);
     }
 
     /** Parts of the inventory that can't be read: no task is proved lost as long as this term lasts. */
     public void takeOverUnreadable(int parts) {
-        unheard.addUnreadableParts(parts);
+        awaited.addUnreadableParts(parts);
     }
 
     /** The records are read, as of this revision: from now on machines are heard. */
     public void recordsRead(long asOfRevision, long nowMicros) {
         revision = asOfRevision;
         holdEndsMicros = nowMicros + batchHoldMicros;
-        if (unheard.isEmpty()) {
+        if (awaited.isEmpty()) {
             enter(RecoveryPhase.RECOVERED, "no machine to take over");
         } else {
             enter(RecoveryPhase.RECONCILING, takenOver + " machines taken over at revision " + revision);
@@ -62,9 +62,9 @@
 
     /** A machine taken over is heard, or proved gone; true when doubts of some jobs may have ended with that. */
     public boolean resolved(String machine, MachineProfile profile, String proof) {
-        boolean lastOfItsProfile = unheard.remove(machine, profile);
+        boolean lastOfItsProfile = awaited.remove(machine, profile);
         tracer.machineResolved(machine, proof);
-        if (unheard.isEmpty() && phase == RecoveryPhase.RESUMING_BATCH) {
+        if (awaited.isEmpty() && phase == RecoveryPhase.RESUMING_BATCH) {
             recovered();
         }
         return lastOfItsProfile;
@@ -72,7 +72,7 @@
 
     /** The verdict on a claimed task that no heartbeat has listed so far. */
     public Verdict ofUnreported(JobSpec spec) {
-        return VerdictTable.ofUnreported(unheard.mayHold(spec));
+        return VerdictTable.ofUnreported(awaited.mayHold(spec));
     }
 
     /** Counts a verdict on one task. */
@@ -110,7 +110,7 @@
 
     private void resumeBatch(String reason) {
         enter(RecoveryPhase.RESUMING_BATCH, reason);
-        if (unheard.isEmpty()) {
+        if (awaited.isEmpty()) {
             recovered();
         }
     }
@@ -145,8 +145,8 @@
     }
 
     /** Whether every machine taken over is heard or proved gone. */
-    public boolean allHeard() {
-        return unheard.isEmpty();
+    public boolean noMachineAwaited() {
+        return awaited.isEmpty();
     }
 
     /** The fencing token of the term. */
@@ -169,14 +169,14 @@
         return takenOver;
     }
 
-    /** The machines still to be heard, as of now. */
-    public PSet<String> machinesUnheard() {
-        return unheard.names();
+    /** The machines still awaited, as of now. */
+    public PSet<String> machinesAwaited() {
+        return awaited.names();
     }
 
     /** How many parts of the inventory can't be read. */
     public int unreadableInventoryParts() {
-        return unheard.unreadableParts();
+        return awaited.unreadableParts();
     }
 
     /** When the hold ends at the latest. */
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -9,7 +9,7 @@
  *
  * @param leader the leader that this controller knows of, or null
  * @param reason why the role is what it is
- * @param missing the machines not heard yet, by name
+ * @param missing the machines still awaited, by name
  * @param comparisons how many attempts were compared with the records so far
  * @param batchWaitsFor what work that does not go first is held for, or null
  * @param batchHeldMicros for how much longer it is held, at most
@@ -45,7 +45,7 @@
         UNKNOWN
     }
 
-    /** How many machines are still to be heard. */
+    /** How many machines are still awaited. */
     public int machinesMissing() {
         return missing.size();
     }
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -11,7 +11,7 @@
         public void phaseEntered(RecoveryPhase phase, String reason) {}
 
         @Override
-        public void machineUnheard(String machine) {}
+        public void machineAwaited(String machine) {}
 
         @Override
         public void machineResolved(String machine, String proof) {}
@@ -27,7 +27,7 @@
     void phaseEntered(RecoveryPhase phase, String reason);
 
     /** A machine was taken over; what is on it is in doubt. */
-    void machineUnheard(String machine);
+    void machineAwaited(String machine);
 
     /** What is on the machine is known, or it is gone. */
     void machineResolved(String machine, String proof);
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -53,7 +53,7 @@
     }
 
     /** The verdict on a task that is claimed on record and that no machine heard so far has reported. */
-    public static Verdict ofUnreported(boolean mayBeOnUnheardMachine) {
-        return mayBeOnUnheardMachine ? Verdict.IN_DOUBT : Verdict.LOST;
+    public static Verdict ofUnreported(boolean mayRunOnAwaitedMachine) {
+        return mayRunOnAwaitedMachine ? Verdict.IN_DOUBT : Verdict.LOST;
     }
 }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -135,7 +135,7 @@
         plan.recordsRead(42, 0);
         plan.resolved("a", NORTH, "heard");
         plan.resolved("b", SOUTH_SPOT, "heard");
-        assertFalse(plan.allHeard());
+        assertFalse(plan.noMachineAwaited());
         assertEquals(Verdict.IN_DOUBT, plan.ofUnreported(SERVICE));
         plan.checkBound(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
@@ -164,7 +164,7 @@
                 }
                 phases.add(plan.phase());
                 assertTrue(now < HOLD || plan.mayStart(BATCH), "held beyond the bound");
-                assertEquals(plan.allHeard() && plan.mayStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
+                assertEquals(plan.noMachineAwaited() && plan.mayStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
             }
             List<RecoveryPhase> sorted = phases.stream().sorted().toList();
             assertEquals(sorted, phases);
