--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -33,21 +33,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     private static final long TICK_MICROS = 1_000_000;
     private static final long REFUSED_MICROS = 15_000_000;
-    private static final int RENT_AT_ONCE = 50;
-    private static final int RETURN_AT_ONCE = 100;
+    private static final int LAUNCHES_AT_ONCE = 50;
+    private static final int TERMINATIONS_AT_ONCE = 100;
     private static final int LIST_PAGE = 500;
     /** Beyond this many boot times a machine may be late by much, or never come: it is not waited for. */
     private static final double LATE_BOOT = 1.6;
 
-    /** A machine rented and not yet heard. */
-    private record Booting(String id, MachineType type, String zone, boolean spot, long rentedMicros) {
+    /** A machine launched and not yet heard. */
+    private record Booting(String id, MachineType type, String zone, boolean spot, long launchedMicros) {
         boolean overdue(long now) {
-            return now - rentedMicros > LATE_BOOT * type.bootMicros();
+            return now - launchedMicros > LATE_BOOT * type.bootMicros();
         }
     }
 
     private final Config config;
-    private final RentalPlan.Demand demand;
+    private final ScaleOutPlan.Demand demand;
     private final Fleet fleet;
     private final ActiveJobs activeJobs;
     private final PlacementRules rules;
@@ -63,13 +63,13 @@
     private final long fencingToken;
     private final Map<String, Booting> booting = new LinkedHashMap<>();
     private final Map<String, Long> refusedUntil = new HashMap<>();
-    private final Map<String, Long> returned = new HashMap<>();
-    private long bookings;
+    private final Map<String, Long> terminated = new HashMap<>();
+    private long launchCount;
     /** CPUs that live services could take beyond the headroom wanted for them. */
     private double headroomSpare = Double.MAX_VALUE;
 
-    private boolean renting;
-    private boolean returning;
+    private boolean launching;
+    private boolean terminating;
     private boolean listing;
     private long listDueMicros;
     private boolean listedOnce;
@@ -79,7 +79,7 @@
     /** Does nothing before it is started. */
     public Autoscaler(
             Config config,
-            RentalPlan.Demand demand,
+            ScaleOutPlan.Demand demand,
             PlacementRules rules,
             GangHeadroom gangHeadroom,
             MachineLifecycle machines,
@@ -125,20 +125,20 @@
         booting.values().removeIf(host -> {
             Machine machine = fleet.machine(host.id());
             if (machine != null) {
-                machine.rentedAt(host.rentedMicros());
+                machine.launchedAt(host.launchedMicros());
             }
             return machine != null;
         });
         refusedUntil.values().removeIf(until -> until < now);
-        returned.values().removeIf(at -> at < now - 120_000_000);
+        terminated.values().removeIf(at -> at < now - 120_000_000);
         failureDetector.update(now);
         summary.logIfDue(booting.size(), now);
         list(now);
-        // What a predecessor rented shows in the list; renting before reading it would buy everything twice.
+        // What a predecessor launched shows in the list; launching before reading it would launch everything twice.
         if (listedOnce) {
-            rent(now);
+            launch(now);
         }
-        returnMachines(now);
+        terminate(now);
     }
 
     private boolean mayCall(long now) {
@@ -189,7 +189,7 @@
 
     private void take(CloudPort.ListedHost listed, long now) {
         MachineType type = fleet.types().get(listed.type());
-        if (type == null || returned.containsKey(listed.id()) || fleet.machine(listed.id()) != null) {
+        if (type == null || terminated.containsKey(listed.id()) || fleet.machine(listed.id()) != null) {
             return;
         }
         if (!booting.containsKey(listed.id())) {
@@ -199,9 +199,9 @@
         }
     }
 
-    // ---- renting -------------------------------------------------------------------------------------------------
+    // ---- launching -------------------------------------------------------------------------------------------------
 
-    private boolean buysFor(ActiveJob job, long now) {
+    private boolean launchesFor(ActiveJob job, long now) {
         return job.waiting() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= now
@@ -209,13 +209,13 @@
                 && rules.teamAllows(job.spec());
     }
 
-    private void rent(long now) {
-        if (renting || !leadership.leaseConfirmed()) {
+    private void launch(long now) {
+        if (launching || !leadership.leaseConfirmed()) {
             return;
         }
         demand.batchPlanner().update(now);
-        RentalPlan plan =
-                new RentalPlan(demand, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
+        ScaleOutPlan plan =
+                new ScaleOutPlan(demand, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
         for (Booting host : booting.values()) {
             if (!host.overdue(now) && !failureDetector.cutOff(host.zone(), now)) {
                 plan.coming(host.type(), host.zone(), host.spot());
@@ -231,36 +231,36 @@
                 plan.coming(machine.type(), machine.zone(), machine.spot());
             }
         }
-        plan.make(activeJobs.all().stream().filter(j -> buysFor(j, now)).toList());
+        plan.make(activeJobs.all().stream().filter(j -> launchesFor(j, now)).toList());
         headroomSpare = plan.headroomSpare();
-        RentalPlan.Purchase first = plan.first();
+        ScaleOutPlan.Launch first = plan.first();
         if (first != null && mayCall(now)) {
-            placeRental(first, Math.round(plan.drainMicros() / 1e6));
+            launchFirst(first, Math.round(plan.drainMicros() / 1e6));
         }
     }
 
-    private void placeRental(RentalPlan.Purchase purchase, long drainSeconds) {
-        renting = true;
-        RentalPlan.Offer offer = purchase.offer();
-        int count = Math.min(purchase.count(), RENT_AT_ONCE);
+    private void launchFirst(ScaleOutPlan.Launch launch, long drainSeconds) {
+        launching = true;
+        ScaleOutPlan.Offer offer = launch.offer();
+        int count = Math.min(launch.count(), LAUNCHES_AT_ONCE);
         // The fencing token is unique to this term of leadership, so no booking's name is ever used twice.
-        String booking = "b" + fencingToken + "-" + ++bookings;
+        String idempotencyKey = "b" + fencingToken + "-" + ++launchCount;
         LOG.info(
-                "renting {} of {} in {}{} as {}, first for {} ({}, {} tasks wait; batch drains in {} s)",
+                "launching {} of {} in {}{} as {}, first for {} ({}, {} tasks wait; batch drains in {} s)",
                 count,
                 offer.type().name(),
                 offer.zone(),
                 offer.spot() ? " (spot)" : "",
-                booking,
+                idempotencyKey,
                 offer.job().spec().id(),
                 offer.job().spec().jobClass(),
                 offer.job().waiting(),
                 drainSeconds);
-        send(new CloudPort.Rental(booking, offer.type().name(), offer.zone(), offer.spot(), count), offer, 0);
+        send(new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count), offer, 0);
     }
 
-    private void send(CloudPort.Rental rental, RentalPlan.Offer offer, int tries) {
-        cloud.rent(rental, answer -> {
+    private void send(CloudPort.LaunchRequest request, ScaleOutPlan.Offer offer, int tries) {
+        cloud.launch(request, answer -> {
             if (ended.getAsBoolean()) {
                 return;
             }
@@ -270,33 +270,33 @@
                     for (String id : answer.hosts()) {
                         booting.putIfAbsent(id, new Booting(id, offer.type(), offer.zone(), offer.spot(), now));
                     }
-                    if (answer.hosts().size() < rental.count()) {
+                    if (answer.hosts().size() < request.count()) {
                         refusedUntil.put(offer.key(), now + REFUSED_MICROS);
                     }
                     LOG.info(
-                            "rental {} brought {} of {}",
-                            rental.booking(),
+                            "launch {} brought {} of {}",
+                            request.idempotencyKey(),
                             answer.hosts().size(),
-                            rental.count());
-                    renting = false;
-                    rent(now);
+                            request.count());
+                    launching = false;
+                    launch(now);
                 }
                 case NO_CAPACITY -> {
-                    LOG.info("rental {} refused: no capacity for {}", rental.booking(), offer.key());
+                    LOG.info("launch {} refused: no capacity for {}", request.idempotencyKey(), offer.key());
                     refusedUntil.put(offer.key(), now + REFUSED_MICROS);
-                    renting = false;
-                    rent(now);
+                    launching = false;
+                    launch(now);
                 }
                 case REFUSED, UNKNOWN -> {
-                    // It may have been carried out: only the same booking tells, and rents nothing twice.
+                    // It may have been carried out: only the same booking tells, and launches nothing twice.
                     if (tries < 20) {
                         timers.after(1_000_000, () -> {
                             if (!ended.getAsBoolean()) {
-                                send(rental, offer, tries + 1);
+                                send(request, offer, tries + 1);
                             }
                         });
                     } else {
-                        renting = false;
+                        launching = false;
                     }
                 }
             }
@@ -305,11 +305,11 @@
 
     // ---- returning -----------------------------------------------------------------------------------------------
 
-    private void returnMachines(long now) {
+    private void terminate(long now) {
         List<String> ids = new ArrayList<>();
         for (Booting host : booting.values()) {
-            if (now - host.rentedMicros() > 3 * host.type().bootMicros() + 30_000_000 && ids.size() < RETURN_AT_ONCE) {
-                LOG.info("returning {}: not up after {} s", host.id(), (now - host.rentedMicros()) / 1_000_000);
+            if (now - host.launchedMicros() > 3 * host.type().bootMicros() + 30_000_000 && ids.size() < TERMINATIONS_AT_ONCE) {
+                LOG.info("terminating {}: not up after {} s", host.id(), (now - host.launchedMicros()) / 1_000_000);
                 ids.add(host.id());
             }
         }
@@ -317,7 +317,7 @@
         boolean keepsIdle = recovery.keepsIdleMachines();
         gangHeadroom.survey();
         for (Machine machine : List.copyOf(fleet.machines())) {
-            if (ids.size() >= RETURN_AT_ONCE) {
+            if (ids.size() >= TERMINATIONS_AT_ONCE) {
                 break;
             }
             boolean trust = (trustSilence && !failureDetector.waitedFor(machine, now))
@@ -331,7 +331,7 @@
                 idle = false;
             } else if (idle && !machine.spot()) {
                 headroomSpare -= machine.capacity().cpuFree();
-                gangHeadroom.returned(machine);
+                gangHeadroom.terminated(machine);
             }
             // Its reports come, but our answers and commands don't get there.
             boolean deaf = machine.phase() == Machine.Phase.UNCONFIRMED
@@ -340,26 +340,26 @@
                     && now - machine.unconfirmedMicros() > config.leaseMicros()
                     && trust;
             boolean drained = machine.phase() == Machine.Phase.DRAINING && machine.isEmpty();
-            if (machine.phase() == Machine.Phase.RETURNING || dead || deaf || idle || drained) {
-                if (machine.phase() != Machine.Phase.RETURNING) {
-                    machine.returning(dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
+            if (machine.phase() == Machine.Phase.TERMINATING || dead || deaf || idle || drained) {
+                if (machine.phase() != Machine.Phase.TERMINATING) {
+                    machine.terminating(dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
                 }
                 ids.add(machine.id());
             }
         }
-        if (ids.isEmpty() || returning || !mayCall(now)) {
+        if (ids.isEmpty() || terminating || !mayCall(now)) {
             return;
         }
-        returning = true;
-        cloud.returnMachines(ids, done -> {
-            returning = false;
+        terminating = true;
+        cloud.terminate(ids, done -> {
+            terminating = false;
             if (ended.getAsBoolean() || !done) {
                 return;
             }
             for (String id : ids) {
-                returned.put(id, timers.nowMicros());
+                terminated.put(id, timers.nowMicros());
                 booting.remove(id);
-                machines.returned(id);
+                machines.terminated(id);
             }
         });
     }
@@ -369,7 +369,7 @@
                 && machine.isEmpty()
                 && machine.reservedFor() == null
                 && now - machine.idleSinceMicros() > idleMicros(machine)
-                && now - machine.rentedMicros() > Machine.MINIMUM_CHARGE_MICROS;
+                && now - machine.launchedMicros() > Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -3,7 +3,7 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
-/** Room on a machine that is on its way, or is to be rented. */
+/** Room on a machine that is on its way, or is to be launched. */
 final class PlannedMachine {
     final MachineType type;
     final String zone;
@@ -31,7 +31,7 @@
     }
 
     /** Undoes a {@link #take}. */
-    void giveBack(JobSpec spec) {
+    void undoTake(JobSpec spec) {
         cpu += spec.cpuMillis();
         gpu += spec.gpuMillis();
         memory += spec.memoryMillis();
--- a/src/main/java/org/granitepath/coordination/autoscaling/RentalPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -20,8 +20,8 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
-/** What is to be rented for the work that waits, given what is on its way. Made anew before each rental. */
-public final class RentalPlan {
+/** What is to be launched for the work that waits, given what is on its way. Made anew before each launch. */
+public final class ScaleOutPlan {
     private static final long SERVICE_HORIZON_MICROS = 600_000_000;
     /** A service that starts this much later is worth half as much to its users. */
     private static final double LATE_START_MICROS = 120e6;
@@ -29,20 +29,20 @@
     /** Tasks of one job that are planned for at a time: as many as 6,000 machines with a task each. */
     private static final int MOST_PLANNED = 6_000;
 
-    /** More machines than a few rentals bring are not planned for: the plan is made anew after each. */
+    /** More machines than a few launches bring are not planned for: the plan is made anew after each. */
     private static final int MOST_MACHINES = 400;
 
-    /** A kind of machine that can be rented, and the job for which it would be. */
+    /** A kind of machine that can be launched, and the job for which it would be. */
     record Offer(MachineType type, String zone, boolean spot, ActiveJob job) {
         String key() {
             return type.name() + "/" + zone + "/" + spot;
         }
     }
 
-    /** How many machines of an offer to rent. */
-    record Purchase(Offer offer, int count) {}
+    /** How many machines of an offer to launch. */
+    record Launch(Offer offer, int count) {}
 
-    /** Live services that need the same are bought for as a class: they share machines. */
+    /** Live services that need the same are launched for as a class: they share machines. */
     private record Alike(long cpu, long gpu, long memory, List<String> types, String zone, boolean spot) {
         static Alike of(JobSpec spec) {
             return new Alike(
@@ -77,7 +77,7 @@
      * @param refused offers of which the cloud lately had none; {@code cutOff} zones whose machines would not be
      *     heard
      */
-    RentalPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long now) {
+    ScaleOutPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long now) {
         this.demand = demand;
         this.refused = refused;
         this.cutOff = cutOff;
@@ -113,15 +113,15 @@
         }
     }
 
-    /** What to rent first: for live services before other work, then most of a kind. Null: nothing. */
-    Purchase first() {
-        Purchase best = null;
+    /** What to launch first: for live services before other work, then most of a kind. Null: nothing. */
+    Launch first() {
+        Launch best = null;
         for (var entry : counts.entrySet()) {
-            Purchase purchase = new Purchase(offers.get(entry.getKey()), entry.getValue());
-            boolean live = purchase.offer().job().isLive();
+            Launch launch = new Launch(offers.get(entry.getKey()), entry.getValue());
+            boolean live = launch.offer().job().isLive();
             boolean bestLive = best != null && best.offer().job().isLive();
-            if (best == null || (live && !bestLive) || (live == bestLive && purchase.count() > best.count())) {
-                best = purchase;
+            if (best == null || (live && !bestLive) || (live == bestLive && launch.count() > best.count())) {
+                best = launch;
             }
         }
         return best;
@@ -136,7 +136,7 @@
         return demand.batchPlanner().drainMicros(roomComing);
     }
 
-    private void buy(Offer offer, int count) {
+    private void addLaunch(Offer offer, int count) {
         offers.putIfAbsent(offer.key(), offer);
         counts.merge(offer.key(), count, Integer::sum);
     }
@@ -156,7 +156,7 @@
         for (Machine machine : demand.fleet().machines()) {
             if (!machine.spot()
                     && machine.type() != null
-                    && machine.phase() != Machine.Phase.RETURNING
+                    && machine.phase() != Machine.Phase.TERMINATING
                     && machine.type().fits(newest.spec())) {
                 double free = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 live += machine.capacity().cpuUsedByServices();
@@ -185,7 +185,7 @@
                     .min(Comparator.comparingDouble(z -> roomByZone.getOrDefault(z, 0.0)))
                     .orElse(offer.zone());
             Offer there = new Offer(offer.type(), zone, false, newest);
-            buy(there, (int) Math.ceil((wanted - room) / offer.type().cpuMillis()));
+            addLaunch(there, (int) Math.ceil((wanted - room) / offer.type().cpuMillis()));
         }
     }
 
@@ -228,7 +228,7 @@
             }
             plannedMachines.add(planned);
             roomComing += job.spec().service() ? 0 : planned.type.cpuMillis();
-            buy(offer, 1);
+            addLaunch(offer, 1);
         }
     }
 
@@ -239,14 +239,14 @@
     private void planGang(ActiveJob job) {
         JobSpec spec = job.spec();
         if (!spec.oneZone() || spec.zone() != null) {
-            buyWhole(job, null);
+            planWholeGang(job, null);
             return;
         }
         List<String> zones = new ArrayList<>(demand.config().zones());
         zones.removeIf(zone -> cutOff.test(zone) || !job.zoneAllows(zone));
         zones.sort(Comparator.comparingInt(zone -> -(freeSlots(spec, zone) + comingSlots(spec, zone))));
         for (String zone : zones) {
-            if (buyWhole(job, zone)) {
+            if (planWholeGang(job, zone)) {
                 return;
             }
         }
@@ -274,7 +274,7 @@
     }
 
     /** Plans what this gang lacks in the zone (null: in any); false when so much is not to be had there. */
-    private boolean buyWhole(ActiveJob job, String zone) {
+    private boolean planWholeGang(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
         int left = job.waiting() - freeSlots(spec, zone);
         List<PlannedMachine> used = new ArrayList<>();
@@ -284,17 +284,17 @@
                 left--;
             }
         }
-        List<Offer> bought = new ArrayList<>();
-        while (left > 0 && newMachines + bought.size() < MOST_MACHINES) {
+        List<Offer> launches = new ArrayList<>();
+        while (left > 0 && newMachines + launches.size() < MOST_MACHINES) {
             Offer offer = cheapest(job, true, left, new HashMap<>(), zone);
             if (offer == null) {
-                used.forEach(planned -> planned.giveBack(spec));
+                used.forEach(planned -> planned.undoTake(spec));
                 return false;
             }
             left -= offer.type().slots(spec);
-            bought.add(offer);
+            launches.add(offer);
         }
-        for (Offer offer : bought) {
+        for (Offer offer : launches) {
             newMachines++;
             PlannedMachine planned = new PlannedMachine(offer.type(), offer.zone(), offer.spot());
             for (int i = 0; i < spec.tasks(); i++) {
@@ -302,7 +302,7 @@
             }
             plannedMachines.add(planned);
             roomComing += offer.type().cpuMillis();
-            buy(offer, 1);
+            addLaunch(offer, 1);
         }
         return true;
     }
@@ -312,7 +312,7 @@
     }
 
     /**
-     * The offer with the lowest cost for each task of this job, from rental to the task's end.
+     * The offer with the lowest cost for each task of this job, from launch to the task's end.
      *
      * @param onlyZone the zone that it has to be in; null: any
      */
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -107,12 +107,12 @@
     }
 
     /** The cloud took this machine back for good. */
-    public void returned(String id) {
+    public void terminated(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
         }
-        fleet.neverReturns(id);
+        fleet.terminatedForGood(id);
     }
 
     /** Nothing that we or anyone started can be on this machine any more. */
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -79,8 +79,8 @@
         return isWanted(machine) && spareCpu < machine.capacity().cpuFree();
     }
 
-    /** A machine is returned. */
-    public void returned(Machine machine) {
+    /** A machine is terminated. */
+    public void terminated(Machine machine) {
         if (isWanted(machine)) {
             spareCpu -= machine.capacity().cpuFree();
         }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -64,7 +64,7 @@
                 || now - job.scheduling().reservedSinceMicros() > reservationMicros(job);
     }
 
-    /** Machines bought for the gang come one after the other: the first must still be there when the last one is. */
+    /** Machines launched for the gang come one after the other: the first must still be there when the last one is. */
     private long reservationMicros(ActiveJob job) {
         long boot = fleet.types().values().stream()
                 .filter(type -> type.fits(job.spec()))
@@ -206,7 +206,7 @@
         }
     }
 
-    /** The machines of a zone that will hold the gang or, while others are bought, a part of it; most room first. */
+    /** The machines of a zone that will hold the gang or, while others are launched, a part of it; most room first. */
     private Reservation reservable(ActiveJob job, String zone, long now) {
         JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -97,7 +97,7 @@
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
-    public void neverReturns(String id) {
+    public void terminatedForGood(String id) {
         departed.put(id, Long.MAX_VALUE);
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -25,22 +25,22 @@
 
     /**
      * {@code UNCONFIRMED}: not heard under its present fencing token, so its tasks are not known for certain. {@code
-     * DRAINING}: takes no new tasks. {@code RETURNING}: the cloud was asked to take it; it may vanish at any moment.
+     * DRAINING}: takes no new tasks. {@code TERMINATING}: the cloud was asked to take it; it may vanish at any moment.
      */
     public enum Phase {
         UNCONFIRMED,
         READY,
         DRAINING,
-        RETURNING,
+        TERMINATING,
         GONE;
 
         /** Whether a machine may go from this phase to the next one. */
         boolean allows(Phase next) {
             return switch (this) {
-                case UNCONFIRMED -> next == READY || next == RETURNING || next == GONE;
-                case READY -> next == UNCONFIRMED || next == DRAINING || next == RETURNING || next == GONE;
-                case DRAINING -> next == RETURNING || next == GONE;
-                case RETURNING -> next == GONE;
+                case UNCONFIRMED -> next == READY || next == TERMINATING || next == GONE;
+                case READY -> next == UNCONFIRMED || next == DRAINING || next == TERMINATING || next == GONE;
+                case DRAINING -> next == TERMINATING || next == GONE;
+                case TERMINATING -> next == GONE;
                 case GONE -> false;
             };
         }
@@ -62,7 +62,7 @@
     private boolean keptAsHeadroom;
     private ActiveJob reservedFor;
     private long idleSinceMicros;
-    private long rentedMicros;
+    private long launchedMicros;
 
     private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
@@ -162,8 +162,8 @@
     }
 
     /** The cloud is about to be asked to take it. */
-    public void returning(String why) {
-        transition(Phase.RETURNING, why);
+    public void terminating(String why) {
+        transition(Phase.TERMINATING, why);
     }
 
     /** Nothing can be on it any more, and nothing will be. */
@@ -204,7 +204,7 @@
     /** It reports for the first time and is to be commanded under this fencing token. */
     void joined(long token, long nowMicros) {
         inventory.joined(token);
-        rentedMicros = nowMicros;
+        launchedMicros = nowMicros;
         unconfirmedMicros = nowMicros;
         idleSinceMicros = nowMicros;
     }
@@ -314,14 +314,14 @@
         return idleSinceMicros;
     }
 
-    /** When it was rented, as far as we know. */
-    public long rentedMicros() {
-        return rentedMicros;
+    /** When it was launched, as far as we know. */
+    public long launchedMicros() {
+        return launchedMicros;
     }
 
     /** The cloud has told since when it is charged. */
-    public void rentedAt(long micros) {
-        rentedMicros = micros;
+    public void launchedAt(long micros) {
+        launchedMicros = micros;
     }
 
     // ---- placements and capacity -------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -193,7 +193,7 @@
         cheapRoom = 0;
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null
-                    && machine.phase() != Machine.Phase.RETURNING
+                    && machine.phase() != Machine.Phase.TERMINATING
                     && !machine.contact().unresponsive(now, config.heartbeatIntervalMicros())) {
                 long forBatch = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 room += forBatch;
@@ -218,7 +218,7 @@
             return false;
         }
         if (job.spec().hasDeadline() && finishAim(job) == 0) {
-            // Should the wait turn out longer, there must be time left to rent a machine after all.
+            // Should the wait turn out longer, there must be time left to launch a machine after all.
             double wait = urgentWork / Math.max(1, cheapRoom + moreRoom) + quickestBootMicros();
             return activeJobs.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
                     <= job.spec().deadlineMicros();
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -17,7 +17,7 @@
 
     /**
      * Higher is better. Machines that have the image come first, then tight fits. Services gather on machines that
-     * already hold some, batch work on the others and on spot machines, so that emptied machines can be returned.
+     * already hold some, batch work on the others and on spot machines, so that emptied machines can be terminated.
      */
     public double score(Machine machine, JobSpec spec) {
         double score = machine.capacity().hasImage(spec.image())
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -43,7 +43,7 @@
 
     /**
      * Whether the machine's type, zone and kind fit the job, and no task of the job failed there. Work that can wait
-     * leaves full-price machines alone that no service needs, so that they can be returned, unless it is over before a
+     * leaves full-price machines alone that no service needs, so that they can be terminated, unless it is over before a
      * return could save anything.
      */
     public boolean suits(Machine machine, ActiveJob job, long now) {
@@ -62,7 +62,7 @@
         return machine.spot()
                 || machine.capacity().hostsService()
                 || machine.keptAsHeadroom()
-                || now + runtimeEstimator.taskMicros(job) < machine.rentedMicros() + Machine.MINIMUM_CHARGE_MICROS;
+                || now + runtimeEstimator.taskMicros(job) < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /** Whether tasks failed there lately, so that any other machine is better. */
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -21,11 +21,11 @@
         FAILED
     }
 
-    /** A request for machines; the same {@code booking} never rents twice. */
-    record Rental(String booking, String type, String zone, boolean spot, int count) {}
+    /** A request for machines; the same {@code idempotencyKey} never launches twice. */
+    record LaunchRequest(String idempotencyKey, String type, String zone, boolean spot, int count) {}
 
-    /** The machines that a rental brought. */
-    record Rented(Outcome outcome, List<String> hosts) {}
+    /** The machines that a launch brought. */
+    record LaunchResult(Outcome outcome, List<String> hosts) {}
 
     /** A machine as the cloud lists it. */
     record ListedHost(
@@ -38,10 +38,10 @@
     void types(Consumer<List<MachineType>> then);
 
     /** Rents machines. */
-    void rent(Rental rental, Consumer<Rented> then);
+    void launch(LaunchRequest request, Consumer<LaunchResult> then);
 
     /** Returns machines; answered with whether they are gone. */
-    void returnMachines(List<String> hosts, Consumer<Boolean> then);
+    void terminate(List<String> hosts, Consumer<Boolean> then);
 
     /** Lists machines by name, beginning after {@code from}. */
     void list(String from, int limit, Consumer<Listing> then);
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -16,7 +16,7 @@
 
 /**
  * Empties the machine that hosts the fewest service replicas when others have room and their images, so that it can
- * be returned. A replica is stopped only to start at once elsewhere; machines with batch work are left alone.
+ * be terminated. A replica is stopped only to start at once elsewhere; machines with batch work are left alone.
  */
 public final class Consolidator {
     private static final long EVERY_MICROS = 4_000_000;
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/Dispatcher.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.autoscaling.Autoscaler;
-import org.granitepath.coordination.autoscaling.RentalPlan;
+import org.granitepath.coordination.autoscaling.ScaleOutPlan;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.fleet.CommandSender;
 import org.granitepath.coordination.fleet.MachineInventory;
@@ -149,7 +149,7 @@
                 config, fleet, activeJobs, recovery, rules, tasks, jobs, batchPlanner, preemptor, gangHeadroom, timers);
         this.consolidator = new Consolidator(fleet, activeJobs, machines, tasks);
         this.autoscaler = newAutoscaler(
-                new RentalPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
+                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
                 rules,
                 gangHeadroom,
                 peers,
@@ -169,7 +169,7 @@
     }
 
     private Autoscaler newAutoscaler(
-            RentalPlan.Demand demand, PlacementRules rules, GangHeadroom gangHeadroom, Peers peers, CloudPort cloud) {
+            ScaleOutPlan.Demand demand, PlacementRules rules, GangHeadroom gangHeadroom, Peers peers, CloudPort cloud) {
         return new Autoscaler(
                 config,
                 demand,
@@ -200,7 +200,7 @@
         sender.callInherited();
     }
 
-    /** Begins to rent and return machines. */
+    /** Begins to launch and return machines. */
     public void startAutoscaling() {
         autoscaler.start();
     }
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ports.CloudPort.HostState;
 import org.granitepath.coordination.ports.CloudPort.ListedHost;
-import org.granitepath.coordination.ports.CloudPort.Rental;
+import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.MachineType;
 
@@ -14,7 +14,7 @@
 public final class CloudCodec {
     private CloudCodec() {}
 
-    /** Reads the machine types that the cloud rents. */
+    /** Reads the machine types that the cloud launches. */
     @SuppressWarnings("unchecked")
     public static List<MachineType> decodeTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
@@ -38,10 +38,10 @@
         return (long) Math.floor(Fields.doubleOf(m, name, 0) * 1000 + 1e-6);
     }
 
-    /** The request for a rental. */
-    public static String encodeRental(Rental r) {
+    /** The request for a launch. */
+    public static String encodeLaunch(LaunchRequest r) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("booking", r.booking());
+        m.put("booking", r.idempotencyKey());
         m.put("model", r.type());
         m.put("site", r.zone());
         m.put("loaner", r.spot());
@@ -54,7 +54,7 @@
         return Json.text(Map.of("hosts", hosts));
     }
 
-    /** Reads the names of the machines that a rental brought. */
+    /** Reads the names of the machines that a launch brought. */
     public static List<String> decodeHosts(Map<String, Object> body) {
         return Fields.listOf(body, "hosts").stream().map(String::valueOf).toList();
     }
--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A machine type that the cloud rents. */
+/** A machine type that the cloud launches. */
 public record MachineType(
         String name,
         long cpuMillis,
--- a/src/main/java/org/granitepath/storage/MachineTypesRecord.java
+++ b/src/main/java/org/granitepath/storage/MachineTypesRecord.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The machine types that the cloud rents, for controllers that start while it is away. */
+/** The machine types that the cloud launches, for controllers that start while it is away. */
 public record MachineTypesRecord(List<MachineType> types) implements StoredRecord {
     /** Keeps a copy of the list. */
     public MachineTypesRecord {
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -31,28 +31,28 @@
     }
 
     @Override
-    public void rent(Rental rental, Consumer<Rented> then) {
+    public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
         http.call(
                 address,
                 Methods.POST,
                 "/rentals",
-                CloudCodec.encodeRental(rental),
+                CloudCodec.encodeLaunch(request),
                 TIMEOUT_MICROS,
                 false,
                 (status, body) -> {
                     Map<String, Object> m = status == 0 ? null : Json.object(body);
                     if (status == 200 && m != null) {
-                        then.accept(new Rented(Outcome.OK, CloudCodec.decodeHosts(m)));
+                        then.accept(new LaunchResult(Outcome.OK, CloudCodec.decodeHosts(m)));
                     } else if (status == 503 && m != null && "no capacity".equals(m.get("error"))) {
-                        then.accept(new Rented(Outcome.NO_CAPACITY, List.of()));
+                        then.accept(new LaunchResult(Outcome.NO_CAPACITY, List.of()));
                     } else {
-                        then.accept(new Rented(status == 0 ? Outcome.UNKNOWN : Outcome.REFUSED, List.of()));
+                        then.accept(new LaunchResult(status == 0 ? Outcome.UNKNOWN : Outcome.REFUSED, List.of()));
                     }
                 });
     }
 
     @Override
-    public void returnMachines(List<String> hosts, Consumer<Boolean> then) {
+    public void terminate(List<String> hosts, Consumer<Boolean> then) {
         http.call(
                 address,
                 Methods.POST,
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ports.CloudPort.HostState;
 import org.granitepath.coordination.ports.CloudPort.ListedHost;
-import org.granitepath.coordination.ports.CloudPort.Rental;
+import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
@@ -140,7 +140,7 @@
     void requestsToTheCloud() {
         assertEquals(
                 "{\"booking\":\"b41-1\",\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"count\":12}",
-                CloudCodec.encodeRental(new Rental("b41-1", "g8", "a", true, 12)));
+                CloudCodec.encodeLaunch(new LaunchRequest("b41-1", "g8", "a", true, 12)));
         assertEquals("{\"hosts\":[\"i-1\",\"i-2\"]}", CloudCodec.encodeHosts(List.of("i-1", "i-2")));
     }
 
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** More work than room, and the machines that are rented for it. */
+/** More work than room, and the machines that are launched for it. */
 class CapacityTest {
     private static final long SECOND = Simulation.SECOND;
 
@@ -147,7 +147,7 @@
 
     /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
     @Test
-    void servicesAreBoughtForAsAClass() {
+    void machinesForServicesAreLaunchedAsAClass() {
         Simulation s = new Simulation(76, 3, 20);
         for (int i = 0; i < 40; i++) {
             s.users.submit(s.jobs.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -156,15 +156,15 @@
             }
 
             @Override
-            public void rent(Rental rental, Consumer<Rented> then) {
-                add(node, "rent", sorted(CloudCodec.encodeRental(rental)));
-                port.rent(rental, then);
+            public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
+                add(node, "rent", sorted(CloudCodec.encodeLaunch(request)));
+                port.launch(request, then);
             }
 
             @Override
-            public void returnMachines(List<String> hosts, Consumer<Boolean> then) {
+            public void terminate(List<String> hosts, Consumer<Boolean> then) {
                 add(node, "return", CloudCodec.encodeHosts(hosts));
-                port.returnMachines(hosts, then);
+                port.terminate(hosts, then);
             }
 
             @Override
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -103,7 +103,7 @@
                 s.store.refusals < s.store.requests / 20,
                 s.store.refusals + " of " + s.store.requests + " requests came too fast");
         assertTrue(s.mostCalls <= s.shape.connections() / 6, s.mostCalls + " calls to machines at once");
-        int busy = s.cloud.returnedBusy.size();
+        int busy = s.cloud.terminatedBusy.size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -241,7 +241,7 @@
         assertRulesAndAllDone(s);
     }
 
-    /** Machines that boot, are returned by the cloud or die while nobody leads. */
+    /** Machines that boot, are terminated by the cloud or die while nobody leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void machinesComeAndGoMeanwhile(long seed) {
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -20,7 +20,7 @@
         MachineType type;
         String zone;
         boolean spot;
-        long rented;
+        long launched;
         long up;
         SimWorker worker;
     }
@@ -30,11 +30,11 @@
     private final int perOffer;
     private final long listLag;
     private final BiFunction<String, CloudPort.ListedHost, SimWorker> boot;
-    private final Map<String, List<String>> bookings = new HashMap<>();
+    private final Map<String, List<String>> launchCount = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final TreeMap<Long, List<CloudPort.ListedHost>> snapshots = new TreeMap<>();
     /** Machines that were given back with tasks running on them. */
-    final List<String> returnedBusy = new ArrayList<>();
+    final List<String> terminatedBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
     int neverUp;
 
@@ -76,23 +76,23 @@
                         h.zone,
                         h.spot,
                         h.worker == null ? CloudPort.HostState.BOOTING : CloudPort.HostState.RUNNING,
-                        world.now() - h.rented))
+                        world.now() - h.launched))
                 .toList();
         snapshots.put(world.now(), list);
         snapshots.headMap(world.now() - 3 * listLag - 1_000_000).clear();
         world.after(1_000_000, this::snapshot);
     }
 
-    private CloudPort.Rented rent(CloudPort.Rental r) {
-        if (bookings.containsKey(r.booking())) {
-            return new CloudPort.Rented(CloudPort.Outcome.OK, bookings.get(r.booking()));
+    private CloudPort.LaunchResult launch(CloudPort.LaunchRequest r) {
+        if (launchCount.containsKey(r.idempotencyKey())) {
+            return new CloudPort.LaunchResult(CloudPort.Outcome.OK, launchCount.get(r.idempotencyKey()));
         }
         long there = hosts.values().stream()
                 .filter(h -> h.type.name().equals(r.type()) && h.zone.equals(r.zone()) && h.spot == r.spot())
                 .count();
         int count = (int) Math.min(r.count(), perOffer - there);
         if (count <= 0) {
-            return new CloudPort.Rented(CloudPort.Outcome.NO_CAPACITY, List.of());
+            return new CloudPort.LaunchResult(CloudPort.Outcome.NO_CAPACITY, List.of());
         }
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -104,7 +104,7 @@
                     .orElseThrow();
             h.zone = r.zone();
             h.spot = r.spot();
-            h.rented = world.now();
+            h.launched = world.now();
             boolean never = world.random.nextInt(30) == 0 || neverUp-- > 0;
             h.up = world.now()
                     + (never
@@ -123,15 +123,15 @@
                 });
             }
         }
-        bookings.put(r.booking(), ids);
-        return new CloudPort.Rented(CloudPort.Outcome.OK, ids);
+        launchCount.put(r.idempotencyKey(), ids);
+        return new CloudPort.LaunchResult(CloudPort.Outcome.OK, ids);
     }
 
     private void remove(String id) {
         Host h = hosts.remove(id);
         if (h != null && h.worker != null) {
             if (h.worker.alive() && h.worker.runs().busy()) {
-                returnedBusy.add(id);
+                terminatedBusy.add(id);
             }
             h.worker.die();
         }
@@ -150,17 +150,17 @@
             }
 
             @Override
-            public void rent(Rental rental, Consumer<Rented> then) {
+            public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
                 world.call(
                         node,
                         NAME,
                         TIMEOUT,
-                        () -> outage ? new Rented(Outcome.REFUSED, List.of()) : SimCloud.this.rent(rental),
-                        r -> then.accept(r == null ? new Rented(Outcome.UNKNOWN, List.of()) : r));
+                        () -> outage ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
+                        r -> then.accept(r == null ? new LaunchResult(Outcome.UNKNOWN, List.of()) : r));
             }
 
             @Override
-            public void returnMachines(List<String> ids, Consumer<Boolean> then) {
+            public void terminate(List<String> ids, Consumer<Boolean> then) {
                 world.call(
                         node,
                         NAME,
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -328,7 +328,7 @@
         s.world.after(61 * SECOND, () -> s.faults.freeze(s.leader(), 12 * SECOND));
         s.run(85 * SECOND, 200 * SECOND);
         assertRules(s);
-        assertEquals(List.of(), s.cloud.returnedBusy, "returned with tasks on them");
+        assertEquals(List.of(), s.cloud.terminatedBusy, "returned with tasks on them");
     }
 
     /**
@@ -359,6 +359,6 @@
         assertRulesAndAllDone(s);
         assertEquals(60, before[0]);
         assertTrue(least[0] >= 57, "only " + least[0] + " of " + before[0] + " replicas up");
-        assertEquals(List.of(), s.cloud.returnedBusy, "returned with tasks on them");
+        assertEquals(List.of(), s.cloud.terminatedBusy, "returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -45,7 +45,7 @@
         s.run(50 * SECOND + Simulation.LEASE);
         assertNotEquals(cut[0], s.leader(), "the leader that reaches no machine is still the leader");
         // They fall silent one after the other; the first are not to be given up before the rest tell what it is.
-        assertEquals(List.of(), s.cloud.returnedBusy, "returned with tasks on them");
+        assertEquals(List.of(), s.cloud.terminatedBusy, "returned with tasks on them");
         s.run(120 * SECOND, 300 * SECOND);
         assertRulesAndAllDone(s);
     }
@@ -56,7 +56,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93})
-    void takeoverReturnsNoHealthyMachine(long seed) {
+    void takeoverTerminatesNoHealthyMachine(long seed) {
         Simulation s = new Simulation(seed, 5, 20);
         for (int i = 0; i < 8; i++) {
             s.users.submit(s.jobs.job(false, 150, Priority.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
@@ -72,7 +72,7 @@
             }
         });
         s.run(100 * SECOND);
-        List<String> healthy = new ArrayList<>(s.cloud.returnedBusy);
+        List<String> healthy = new ArrayList<>(s.cloud.terminatedBusy);
         healthy.removeAll(cut);
         assertEquals(List.of(), healthy, "returned with tasks on them");
         s.run(100 * SECOND, 500 * SECOND);
