--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -38,12 +38,12 @@
     /** Operators' settings that had another name in earlier versions. */
     private static final Map<String, String> RENAMED =
             Map.of("patience-share", "deferral-share", "longest-yield-s", "max-starvation-s");
-    /** Fewer leave no room for the store, the cloud, the other controllers and a few machines and users. */
+    /** Fewer leave no capacity for the store, the cloud, the other controllers and a few machines and users. */
     private static final int LEAST_CONNECTIONS = 64;
 
     /** By default the hold of a recovery is this part of a worker's lease: two heartbeats and a little. */
     private static final int HOLDS_OF_A_LEASE = 4;
-    /** Users allow no job to be left waiting for 90 s beside room that fits. */
+    /** Users allow no job to be left waiting for 90 s beside capacity that fits. */
     private static final double LONGEST_HOLD_SECONDS = 60;
 
     /** An address to listen on or to call. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -218,7 +218,7 @@
                 new ScaleOutPlan(demand, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
         for (Booting host : booting.values()) {
             if (!host.overdue(now) && !failureDetector.cutOff(host.zone(), now)) {
-                plan.coming(host.type(), host.zone(), host.spot());
+                plan.pending(host.type(), host.zone(), host.spot());
             }
         }
         for (Machine machine : fleet.machines()) {
@@ -228,7 +228,7 @@
                     && machine.isEmpty()
                     && !machine.awaitingFirstHeartbeat()
                     && !fleet.overdue(machine, now)) {
-                plan.coming(machine.type(), machine.zone(), machine.spot());
+                plan.pending(machine.type(), machine.zone(), machine.spot());
             }
         }
         plan.make(activeJobs.all().stream().filter(j -> launchesFor(j, now)).toList());
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -3,7 +3,7 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
-/** Room on a machine that is on its way, or is to be launched. */
+/** Capacity on a machine that is on its way, or is to be launched. */
 final class PlannedMachine {
     final MachineType type;
     final String zone;
@@ -37,7 +37,7 @@
         memory += spec.memoryMillis();
     }
 
-    /** Sets room aside for one such task; false when there is none. */
+    /** Sets capacity aside for one such task; false when there is none. */
     boolean take(JobSpec spec) {
         if (slots(spec) == 0) {
             return false;
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -68,7 +68,7 @@
     private final Map<String, Offer> offers = new HashMap<>();
     private final Object2IntOpenHashMap<Alike> alikeLeft = new Object2IntOpenHashMap<>();
     /** CPUs for batch work on machines on their way. */
-    private double roomComing;
+    private double pendingCapacity;
 
     private double headroomSpare = Double.MAX_VALUE;
     private int newMachines;
@@ -85,9 +85,9 @@
     }
 
     /** A machine that is on its way. */
-    void coming(MachineType type, String zone, boolean spot) {
+    void pending(MachineType type, String zone, boolean spot) {
         plannedMachines.add(new PlannedMachine(type, zone, spot));
-        roomComing += type.cpuMillis();
+        pendingCapacity += type.cpuMillis();
     }
 
     void make(Collection<ActiveJob> wanting) {
@@ -133,7 +133,7 @@
     }
 
     double drainMicros() {
-        return demand.batchPlanner().drainMicros(roomComing);
+        return demand.batchPlanner().drainMicros(pendingCapacity);
     }
 
     private void addLaunch(Offer offer, int count) {
@@ -142,7 +142,7 @@
     }
 
     /**
-     * Room that live services can take at once, free or by stopping lower work, for as many as arrive while a machine
+     * Capacity that live services can take at once, free or by stopping lower work, for as many as arrive while a machine
      * boots. Lower work may use it meanwhile.
      */
     private void planHeadroom() {
@@ -150,8 +150,8 @@
         if (newest == null) {
             return;
         }
-        Map<String, Double> roomByZone = new HashMap<>();
-        double room = 0;
+        Map<String, Double> capacityByZone = new HashMap<>();
+        double capacity = 0;
         double live = 0;
         for (Machine machine : demand.fleet().machines()) {
             if (!machine.spot()
@@ -160,14 +160,14 @@
                     && machine.type().fits(newest.spec())) {
                 double free = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 live += machine.capacity().cpuUsedByServices();
-                room += free;
-                roomByZone.merge(machine.zone(), free, Double::sum);
+                capacity += free;
+                capacityByZone.merge(machine.zone(), free, Double::sum);
             }
         }
         for (PlannedMachine planned : plannedMachines) {
             if (!planned.spot) {
-                room += planned.cpu;
-                roomByZone.merge(planned.zone, (double) planned.cpu, Double::sum);
+                capacity += planned.cpu;
+                capacityByZone.merge(planned.zone, (double) planned.cpu, Double::sum);
             }
         }
         Map<String, Integer> none = new HashMap<>();
@@ -178,14 +178,14 @@
         double wanted = Math.min(
                 demand.arrivalRate().cpuPerMicro(now) * offer.type().bootMicros(),
                 demand.config().tuning().headroomShare() * live);
-        headroomSpare = room - wanted;
-        if (room < wanted) {
+        headroomSpare = capacity - wanted;
+        if (capacity < wanted) {
             String zone = offer.type().zones().stream()
                     .filter(z -> !cutOff.test(z) && !refused.test(new Offer(offer.type(), z, false, newest).key()))
-                    .min(Comparator.comparingDouble(z -> roomByZone.getOrDefault(z, 0.0)))
+                    .min(Comparator.comparingDouble(z -> capacityByZone.getOrDefault(z, 0.0)))
                     .orElse(offer.zone());
             Offer there = new Offer(offer.type(), zone, false, newest);
-            addLaunch(there, (int) Math.ceil((wanted - room) / offer.type().cpuMillis()));
+            addLaunch(there, (int) Math.ceil((wanted - capacity) / offer.type().cpuMillis()));
         }
     }
 
@@ -200,7 +200,7 @@
         Alike alike = Alike.of(spec);
         // From here on the class lacks what the jobs after this one want.
         int others = job.isLive() ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
-        boolean deferrable = demand.batchPlanner().deferrable(job, roomComing, now);
+        boolean deferrable = demand.batchPlanner().deferrable(job, pendingCapacity, now);
         for (PlannedMachine planned : plannedMachines) {
             while (left > 0
                     && (planned.spot || !deferrable)
@@ -213,7 +213,7 @@
         while (left > 0 && newMachines < MOST_MACHINES) {
             newMachines++;
             Offer offer =
-                    cheapest(job, !demand.batchPlanner().deferrable(job, roomComing, now), left + others, zoneCounts);
+                    cheapest(job, !demand.batchPlanner().deferrable(job, pendingCapacity, now), left + others, zoneCounts);
             if (offer == null) {
                 return;
             }
@@ -227,13 +227,13 @@
                 return;
             }
             plannedMachines.add(planned);
-            roomComing += job.spec().service() ? 0 : planned.type.cpuMillis();
+            pendingCapacity += job.spec().service() ? 0 : planned.type.cpuMillis();
             addLaunch(offer, 1);
         }
     }
 
     /**
-     * Machines for a whole gang or none: where its tasks have to stand together, in the zone where most room is free or
+     * Machines for a whole gang or none: where its tasks have to stand together, in the zone where most capacity is free or
      * on its way, as long as machines are to be had there.
      */
     private void planGang(ActiveJob job) {
@@ -244,7 +244,7 @@
         }
         List<String> zones = new ArrayList<>(demand.config().zones());
         zones.removeIf(zone -> cutOff.test(zone) || !job.zoneAllows(zone));
-        zones.sort(Comparator.comparingInt(zone -> -(freeSlots(spec, zone) + comingSlots(spec, zone))));
+        zones.sort(Comparator.comparingInt(zone -> -(freeSlots(spec, zone) + pendingSlots(spec, zone))));
         for (String zone : zones) {
             if (planWholeGang(job, zone)) {
                 return;
@@ -265,7 +265,7 @@
         return slots;
     }
 
-    private int comingSlots(JobSpec spec, String zone) {
+    private int pendingSlots(JobSpec spec, String zone) {
         int slots = 0;
         for (PlannedMachine planned : plannedMachines) {
             slots += zone == null || planned.zone.equals(zone) ? planned.slots(spec) : 0;
@@ -301,7 +301,7 @@
                 planned.take(spec);
             }
             plannedMachines.add(planned);
-            roomComing += offer.type().cpuMillis();
+            pendingCapacity += offer.type().cpuMillis();
             addLaunch(offer, 1);
         }
         return true;
@@ -347,7 +347,7 @@
                             && ready + horizon
                                     > spec.deadlineMicros() - demand.jobs().ageMicros(job, now)) {
                         if (!spot && spec.spot()) {
-                            continue; // late all the same: then it can wait for cheaper room
+                            continue; // late all the same: then it can wait for cheaper capacity
                         }
                         cost *= 2;
                     }
--- a/src/main/java/org/granitepath/coordination/config/Config.java
+++ b/src/main/java/org/granitepath/coordination/config/Config.java
@@ -66,10 +66,10 @@
      *
      * @param idleShare how long a machine may stand idle, in boot times of its type; {@code idleShareSpot} likewise
      * @param deferralShare share of a class's wait or finish aim that may pass before it uses full-price machines
-     * @param gangHoldMicros how long freed room is held for a gang that does not fit
+     * @param gangHoldMicros how long freed capacity is held for a gang that does not fit
      * @param claimBlock how many tasks of a job are claimed ahead, at least
      * @param maxStarvationMicros how long a job may be without any task before it no longer gives way to others
-     * @param headroomShare most room kept for live services to come, as a share of what the present ones use
+     * @param headroomShare most capacity kept for live services to come, as a share of what the present ones use
      * @param recoveryHoldMicros how long, after a change of leader, other work is held for services and work of the
      *     highest priority, at most; 0: not at all
      */
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -278,7 +278,7 @@
         } else if (status.cause() == Cause.FAILED) {
             LOG.info("a task of {} failed on {}", job.spec().id(), machine.id());
             machines.drainFaulty(faults.failed(machine, job, now));
-        } else if (status.cause() == Cause.UNKNOWN_JOB || status.cause() == Cause.NO_ROOM) {
+        } else if (status.cause() == Cause.UNKNOWN_JOB || status.cause() == Cause.INSUFFICIENT_CAPACITY) {
             job.scheduling().startNothingBefore(now + REFUSED_START_DELAY_MICROS);
         }
         boolean attemptIsOver = status.cause() == Cause.PEER_GONE || status.cause() == Cause.INCOMPLETE;
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -8,13 +8,13 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Free room on full-price machines for the next gang, where gangs are expected to start sooner than a machine boots.
- * In the zone with the most free room, batch work that may use spot machines leaves as much as the largest of the
+ * Free capacity on full-price machines for the next gang, where gangs are expected to start sooner than a machine boots.
+ * In the zone with the most free capacity, batch work that may use spot machines leaves as much as the largest of the
  * present gangs takes. It does so for a bounded time: then it takes what there is.
  */
 public final class GangHeadroom {
-    /** The users allow 90 s beside a machine with room. */
-    private static final long LONGEST_BESIDE_ROOM_MICROS = 75_000_000;
+    /** The users allow 90 s beside a machine with capacity. */
+    private static final long LONGEST_WAIT_BESIDE_CAPACITY_MICROS = 75_000_000;
 
     private final Fleet fleet;
     private final BatchPlanner batchPlanner;
@@ -54,7 +54,7 @@
     }
 
     /** Whether the job may have a task there, as far as gangs are concerned. */
-    public boolean leavesRoom(Machine machine, ActiveJob job, long now) {
+    public boolean leavesHeadroom(Machine machine, ActiveJob job, long now) {
         JobSpec spec = job.spec();
         if (!isWanted(machine) || spec.service() || spec.gang() || !spec.spot()) {
             return true;
@@ -64,7 +64,7 @@
                                 - Math.max(
                                         job.scheduling().waitingSinceMicros(),
                                         job.scheduling().lastStartMicros())
-                        > LONGEST_BESIDE_ROOM_MICROS;
+                        > LONGEST_WAIT_BESIDE_CAPACITY_MICROS;
     }
 
     /** A task was placed there. */
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts gangs: all tasks of one or none. Room for the whole gang is found first, in one zone if the job wants that,
+ * Starts gangs: all tasks of one or none. Capacity for the whole gang is found first, in one zone if the job wants that,
  * and within the team's limit. For a gang that does not fit, machines are reserved for a bounded time. A gang that
  * lost a task before it started gets that task anew, under the same attempt, or is stopped.
  */
@@ -74,24 +74,24 @@
         return config.tuning().gangHoldMicros() + boot;
     }
 
-    /** Brings a gang forward as far as the room allows; {@code roomy} holds the machines with some room. */
-    public void schedule(ActiveJob job, List<Machine> roomy, long now) {
+    /** Brings a gang forward as far as the capacity allows; {@code machinesWithCapacity} holds the machines with some capacity. */
+    public void schedule(ActiveJob job, List<Machine> machinesWithCapacity, long now) {
         if (job.gangAttempt() != null) {
-            completeOrGiveUp(job, roomy, now);
+            completeOrGiveUp(job, machinesWithCapacity, now);
         } else if (job.running() == 0 && job.claimed() >= job.spec().tasks()) {
-            startOrReserve(job, roomy, now);
+            startOrReserve(job, machinesWithCapacity, now);
         }
     }
 
     // ---- whole gangs -------------------------------------------------------------------------------------------
 
-    private void startOrReserve(ActiveJob job, List<Machine> roomy, long now) {
+    private void startOrReserve(ActiveJob job, List<Machine> machinesWithCapacity, long now) {
         if (!rules.teamAllows(job.spec(), job.spec().tasks())) {
             return;
         }
         Plan best = null;
         for (String zone : zones(job.spec())) {
-            Plan plan = plan(job, roomy, zone, now);
+            Plan plan = plan(job, machinesWithCapacity, zone, now);
             if (plan != null && (best == null || plan.fetches() < best.fetches())) {
                 best = plan;
             }
@@ -125,11 +125,11 @@
         return zone == null || machine.zone().equals(zone);
     }
 
-    private Plan plan(ActiveJob job, List<Machine> roomy, String zone, long now) {
+    private Plan plan(ActiveJob job, List<Machine> machinesWithCapacity, String zone, long now) {
         JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
         int slots = 0;
-        for (Machine machine : roomy) {
+        for (Machine machine : machinesWithCapacity) {
             if (isIn(machine, zone) && rules.mayHold(machine, job) && rules.suits(machine, job, now)) {
                 candidates.add(machine);
                 slots += slotsOf(machine, spec);
@@ -182,14 +182,14 @@
             fleet.machines().forEach(machine -> machine.endReservationFor(job));
             return;
         }
-        int room = (int) (MOST_RESERVED_SHARE * fleet.machines().size());
+        int reservable = (int) (MOST_RESERVED_SHARE * fleet.machines().size());
         for (Machine machine : fleet.machines()) {
-            room -= machine.reservedFor() == null || machine.reservedFor() == job ? 0 : 1;
+            reservable -= machine.reservedFor() == null || machine.reservedFor() == job ? 0 : 1;
         }
         Reservation best = new Reservation(List.of(), 0, -1);
         for (String zone : zones(job.spec())) {
             Reservation candidate = reservable(job, zone, now);
-            if (candidate.machines().size() <= room && candidate.isBetterThan(best)) {
+            if (candidate.machines().size() <= reservable && candidate.isBetterThan(best)) {
                 best = candidate;
             }
         }
@@ -206,7 +206,7 @@
         }
     }
 
-    /** The machines of a zone that will hold the gang or, while others are launched, a part of it; most room first. */
+    /** The machines of a zone that will hold the gang or, while others are launched, a part of it; most capacity first. */
     private Reservation reservable(ActiveJob job, String zone, long now) {
         JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
@@ -236,14 +236,14 @@
 
     // ---- tasks lost before the start ---------------------------------------------------------------------------
 
-    private void completeOrGiveUp(ActiveJob job, List<Machine> roomy, long now) {
+    private void completeOrGiveUp(ActiveJob job, List<Machine> machinesWithCapacity, long now) {
         GangAttempt attempt = job.gangAttempt();
         if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
             return;
         }
         while (job.waiting() > 0) {
             int index = job.firstFreed();
-            Machine machine = replacement(job, index, roomy, now);
+            Machine machine = replacement(job, index, machinesWithCapacity, now);
             if (machine == null) {
                 break;
             }
@@ -259,13 +259,13 @@
         }
     }
 
-    private Machine replacement(ActiveJob job, int index, List<Machine> roomy, long now) {
+    private Machine replacement(ActiveJob job, int index, List<Machine> machinesWithCapacity, long now) {
         if (!rules.mayStartAnother(job)) {
             return null;
         }
         Machine best = null;
-        for (Machine machine : roomy) {
-            boolean may = machine.capacity().hasRoom(job.spec())
+        for (Machine machine : machinesWithCapacity) {
+            boolean may = machine.capacity().fits(job.spec())
                     && machine.takesTasks()
                     && rules.mayHold(machine, job)
                     && rules.suits(machine, job, now)
--- a/src/main/java/org/granitepath/coordination/jobs/DispatchLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/DispatchLoop.java
@@ -77,7 +77,7 @@
     }
 
     private void runPassIfRequested() {
-        // What a pass would stop to make room could not be followed by a start while none is allowed.
+        // What a pass would stop to make capacity could not be followed by a start while none is allowed.
         if (!passRequested || !mayStart.getAsBoolean()) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -85,20 +85,20 @@
     /**
      * A scheduling pass has ended.
      *
-     * @param roomComing how many tasks that go first have no room yet, while others are being stopped for them
+     * @param awaitingPreemption how many tasks that go first have no capacity yet, while others are being stopped for them
      */
-    public void passEnded(int roomComing) {
+    public void passEnded(int awaitingPreemption) {
         if (!plan.holdsBatchWork()) {
             return;
         }
-        plan.passEnded(firstWork(roomComing));
+        plan.passEnded(firstWork(awaitingPreemption));
         if (!plan.holdsBatchWork()) {
             loop.requestPass();
         }
     }
 
     /**
-     * Whether room that is free may be wanted shortly by work that goes first: machines that look idle are kept until
+     * Whether capacity that is free may be wanted shortly by work that goes first: machines that look idle are kept until
      * it is known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
@@ -110,7 +110,7 @@
         return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
 
-    private FirstWork firstWork(int roomComing) {
+    private FirstWork firstWork(int awaitingPreemption) {
         int inDoubt = 0;
         int claiming = 0;
         int unacknowledged = 0;
@@ -124,6 +124,6 @@
                 unacknowledged += placement.seen() ? 0 : 1;
             }
         }
-        return new FirstWork(inDoubt, claiming, unacknowledged, roomComing);
+        return new FirstWork(inDoubt, claiming, unacknowledged, awaitingPreemption);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -146,7 +146,7 @@
         return spec.tasks() - doneCount;
     }
 
-    /** Tasks that could start now if there were room, claimed or not. */
+    /** Tasks that could start now if there were capacity, claimed or not. */
     public int waiting() {
         return phase == Phase.OPEN ? left() - running() : 0;
     }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -287,7 +287,7 @@
         keptAsHeadroom = keep;
     }
 
-    /** The gang for which its free room is held, or null. Live services may use it all the same. */
+    /** The gang for which its free capacity is held, or null. Live services may use it all the same. */
     public ActiveJob reservedFor() {
         return reservedFor;
     }
@@ -388,7 +388,7 @@
         return capacity.slots(spec, cpu, gpu, memory);
     }
 
-    /** Whether a job may use this machine at all, room and other tasks aside. */
+    /** Whether a job may use this machine at all, capacity and other tasks aside. */
     public boolean allowedFor(JobSpec spec) {
         return spec.allowsType(typeName) && spec.allowsZone(zone) && (spec.spot() || !spot);
     }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -83,7 +83,7 @@
     }
 
     /** Whether one more such task fits. */
-    public boolean hasRoom(JobSpec spec) {
+    public boolean fits(JobSpec spec) {
         return slots(spec, 0, 0, 0) > 0;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -23,7 +23,7 @@
         schedulingClass = next;
     }
 
-    /** Whether it can wait for cheap room. */
+    /** Whether it can wait for cheap capacity. */
     public boolean deferrable() {
         return deferrable;
     }
@@ -42,7 +42,7 @@
         notBeforeMicros = micros;
     }
 
-    /** Since when tasks wait without room; negative when none does. */
+    /** Since when tasks wait without capacity; negative when none does. */
     public long waitingSinceMicros() {
         return waitingSinceMicros;
     }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -15,8 +15,8 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * What waiting batch work can expect of the room at hand: which jobs can still make their deadlines, all together, and
- * which can wait for cheap room. Looked at a few times a second for all jobs as a class, not at each decision.
+ * What waiting batch work can expect of the capacity at hand: which jobs can still make their deadlines, all together, and
+ * which can wait for cheap capacity. Looked at a few times a second for all jobs as a class, not at each decision.
  */
 public final class BatchPlanner {
     private static final long EVERY_MICROS = 250_000;
@@ -35,9 +35,9 @@
     /** Of it, that with a deadline: it goes before the rest. */
     private double urgentWork;
 
-    private double room;
+    private double capacity;
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
-    private double cheapRoom;
+    private double cheapCapacity;
 
     /** Knows nothing before the first update. */
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
@@ -137,9 +137,9 @@
         for (Due due : jobs) {
             taken.add(due);
             sum += due.work();
-            // The last wave of tasks does not fill the room to its end.
-            double usable = room * USABLE * (due.micros() - runtimeEstimator.taskMicros(due.job()) / 2.0);
-            while (sum > usable && !taken.isEmpty() && room > 0) {
+            // The last wave of tasks does not fill the capacity to its end.
+            double usable = capacity * USABLE * (due.micros() - runtimeEstimator.taskMicros(due.job()) / 2.0);
+            while (sum > usable && !taken.isEmpty() && capacity > 0) {
                 Due largest = taken.poll();
                 sum -= largest.work();
                 leftOut.add(largest);
@@ -152,7 +152,7 @@
     }
 
     /**
-     * A gang of which something is expected goes with what can be in time, until it has started: it needs its room all
+     * A gang of which something is expected goes with what can be in time, until it has started: it needs its capacity all
      * at once, and what other work leaves over never becomes enough.
      */
     private boolean isExpectedGang(ActiveJob job) {
@@ -189,37 +189,37 @@
                 urgentWork += job.spec().hasDeadline() ? work : 0;
             }
         }
-        room = 0;
-        cheapRoom = 0;
+        capacity = 0;
+        cheapCapacity = 0;
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && !machine.contact().unresponsive(now, config.heartbeatIntervalMicros())) {
                 long forBatch = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
-                room += forBatch;
-                cheapRoom += machine.spot() || machine.capacity().hostsService() ? forBatch : 0;
+                capacity += forBatch;
+                cheapCapacity += machine.spot() || machine.capacity().hostsService() ? forBatch : 0;
             }
         }
     }
 
-    /** How long the batch work at hand takes, with so much more room. */
-    public double drainMicros(double moreRoom) {
-        return batchWork / Math.max(1, room + moreRoom);
+    /** How long the batch work at hand takes, with so much more capacity. */
+    public double drainMicros(double moreCapacity) {
+        return batchWork / Math.max(1, capacity + moreCapacity);
     }
 
     /**
-     * Whether the job can wait for room that is cheap or paid for anyway: until its deadline is at stake, until the
+     * Whether the job can wait for capacity that is cheap or paid for anyway: until its deadline is at stake, until the
      * time by which its tasks are expected to start, or, where nothing is expected, until it is stalled.
      *
-     * @param moreRoom CPUs that are on their way
+     * @param moreCapacity CPUs that are on their way
      */
-    public boolean deferrable(ActiveJob job, double moreRoom, long now) {
+    public boolean deferrable(ActiveJob job, double moreCapacity, long now) {
         if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
             return false;
         }
         if (job.spec().hasDeadline() && finishAim(job) == 0) {
             // Should the wait turn out longer, there must be time left to launch a machine after all.
-            double wait = urgentWork / Math.max(1, cheapRoom + moreRoom) + quickestBootMicros();
+            double wait = urgentWork / Math.max(1, cheapCapacity + moreCapacity) + quickestBootMicros();
             return activeJobs.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
                     <= job.spec().deadlineMicros();
         }
@@ -233,13 +233,13 @@
                         ? Double.MAX_VALUE
                         : objective.finishMicros() - runtimeEstimator.taskMicros(job));
         long waited = !job.scheduling().isWaiting() ? 0 : now - job.scheduling().waitingSinceMicros();
-        return waited + batchWork / Math.max(1, cheapRoom + moreRoom)
+        return waited + batchWork / Math.max(1, cheapCapacity + moreCapacity)
                 <= aim * config.tuning().deferralShare();
     }
 
     /**
-     * Whether waiting for cheap room would already miss what is expected: the job is within its team's guarantee, or
-     * its class is expected to start sooner than a machine boots. Such work takes whatever room there is.
+     * Whether waiting for cheap capacity would already miss what is expected: the job is within its team's guarantee, or
+     * its class is expected to start sooner than a machine boots. Such work takes whatever capacity there is.
      */
     public boolean mustStartAtOnce(ActiveJob job) {
         long aim = config.objectives()
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -36,7 +36,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Whether a job may use this machine now, room aside. */
+    /** Whether a job may use this machine now, capacity aside. */
     public boolean eligible(Machine machine, ActiveJob job, long now) {
         return machine.takesTasks() && suits(machine, job, now) && !fleet.unresponsive(machine, now);
     }
@@ -53,7 +53,7 @@
                 && faults.mayTry(machine, job);
     }
 
-    /** Whether the machine's room is not held for a gang, unless this is it, or work that goes before all gangs. */
+    /** Whether the machine's capacity is not held for a gang, unless this is it, or work that goes before all gangs. */
     public boolean mayHold(Machine machine, ActiveJob job) {
         return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
     }
@@ -70,7 +70,7 @@
         return faults.suspects(machine);
     }
 
-    /** Whether a further task of this job may be started at all, room aside. */
+    /** Whether a further task of this job may be started at all, capacity aside. */
     public boolean mayStartAnother(ActiveJob job) {
         return teamAllows(job.spec()) && faults.mayStartAnother(job);
     }
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -33,7 +33,7 @@
         DONE,
         STOPPED,
         FAILED,
-        NO_ROOM,
+        INSUFFICIENT_CAPACITY,
         BUSY,
         UNKNOWN_JOB,
         PEER_GONE,
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -15,7 +15,7 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Empties the machine that hosts the fewest service replicas when others have room and their images, so that it can
+ * Empties the machine that hosts the fewest service replicas when others have capacity and their images, so that it can
  * be terminated. A replica is stopped only to start at once elsewhere; machines with batch work are left alone.
  */
 public final class Consolidator {
@@ -31,7 +31,7 @@
     private final ActiveJobs activeJobs;
     private final MachineLifecycle machines;
     private final TaskLifecycle tasks;
-    /** Room promised in this round. */
+    /** Capacity promised in this round. */
     private final Map<Machine, long[]> taken = new LinkedHashMap<>();
 
     private long dueMicros;
@@ -102,7 +102,7 @@
                 || spec.imageGb() / machine.type().fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
     }
 
-    /** Whether fuller machines have room for all tasks of this one, in its zone and with their images or nearly so. */
+    /** Whether fuller machines have capacity for all tasks of this one, in its zone and with their images or nearly so. */
     private boolean othersHold(Machine from) {
         for (Placement placement : from.placements()) {
             JobSpec spec = placement.job().spec();
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room by stopping work, where least is lost. Live services may stop anything of lower priority at once; jobs
+ * Makes capacity by stopping work, where least is lost. Live services may stop anything of lower priority at once; jobs
  * with a deadline only work of lower priority that saves itself first; what is within its team's guarantee, after a
  * moment's wait, also what other teams run beyond theirs. Tasks alike are decided as a class, in one look at the
  * fleet.
@@ -27,12 +27,12 @@
     /** A task that has run for this long may be stopped for a job with a deadline. */
     private static final long MIN_RUNTIME_MICROS = 10_000_000;
     /**
-     * So long guaranteed work waits after its last start for room that becomes free by itself, before borrowed work is
+     * So long guaranteed work waits after its last start for capacity that becomes free by itself, before borrowed work is
      * stopped for it. Without this each freed place went back and forth: what was stopped started elsewhere, and was
      * stopped there for the next.
      */
     private static final long RECLAIM_DELAY_MICROS = 2_000_000;
-    /** What starting anew costs a task; a gang has to find room for all its tasks together once more. */
+    /** What starting anew costs a task; a gang has to find capacity for all its tasks together once more. */
     private static final long RESTART_MICROS = 1_000_000;
 
     private static final long GANG_RESTART_MICROS = 15_000_000;
@@ -57,7 +57,7 @@
      * @param wanted how many such tasks wait
      * @param withImageOnly only on machines that already have the job's image
      */
-    int makeRoom(ActiveJob job, int wanted, boolean withImageOnly, long now) {
+    int preemptFor(ActiveJob job, int wanted, boolean withImageOnly, long now) {
         boolean live = job.isLive();
         boolean reclaims = job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
                 && now
@@ -70,7 +70,7 @@
         }
         // What each other team can be made to give back; filled as its tasks are met.
         Object2LongOpenHashMap<String> borrowed = new Object2LongOpenHashMap<>();
-        int coming = 0;
+        int pending = 0;
         List<Preemption> offers = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (!rules.eligible(machine, job, now)
@@ -89,7 +89,7 @@
             }
             int soon = machine.capacity().slots(job.spec(), more[0], more[1], more[2]);
             if (soon > 0) {
-                coming += soon;
+                pending += soon;
             } else if (!candidates.isEmpty()) {
                 Preemption preemption = cheapest(job, machine, candidates, more, now);
                 if (preemption != null) {
@@ -99,26 +99,26 @@
         }
         offers.sort(Comparator.comparingDouble(Preemption::loss));
         for (Preemption preemption : offers) {
-            if (coming >= wanted) {
+            if (pending >= wanted) {
                 break;
             }
             if (!withinBorrowed(preemption, job, live, borrowed, now)) {
                 continue;
             }
             stopVictims(preemption, job, live);
-            coming += preemption.slots();
+            pending += preemption.slots();
             if (preemption.victims().stream()
                     .anyMatch(victim -> victim.job().spec().gang())) {
-                break; // a whole gang ends: the next pass sees what room that makes
+                break; // a whole gang ends: the next pass sees what capacity that makes
             }
         }
-        return coming;
+        return pending;
     }
 
     private void stopVictims(Preemption preemption, ActiveJob job, boolean live) {
         for (Placement placement : preemption.victims()) {
             LOG.info(
-                    "stopping {} on {} to make room for {}",
+                    "preempting {} on {} for {}",
                     placement.task(),
                     preemption.machine().id(),
                     job.spec().id());
@@ -148,10 +148,10 @@
         return null;
     }
 
-    private static void add(long[] room, JobSpec spec) {
-        room[0] += spec.cpuMillis();
-        room[1] += spec.gpuMillis();
-        room[2] += spec.memoryMillis();
+    private static void add(long[] capacity, JobSpec spec) {
+        capacity[0] += spec.cpuMillis();
+        capacity[1] += spec.gpuMillis();
+        capacity[2] += spec.memoryMillis();
     }
 
     /** Whether this task is work that another team runs beyond its own guarantee. Live replicas are let be. */
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -36,7 +36,7 @@
             .thenComparing(candidate -> candidate.job().spec().priority())
             .thenComparingLong(candidate -> candidate.job().acceptedMicros());
 
-    /** What a task needs. When one finds no room, none that needs as much or more at the same places does either. */
+    /** What a task needs. When one finds no capacity, none that needs as much or more at the same places does either. */
     private record Needs(
             long cpu,
             long gpu,
@@ -60,8 +60,8 @@
         }
     }
 
-    /** How long a job may wait for cheap room while other room stands empty: the users allow 90 s. */
-    private static final long LONGEST_BESIDE_ROOM_MICROS = 75_000_000;
+    /** How long a job may wait for cheap capacity while other capacity stands empty: the users allow 90 s. */
+    private static final long LONGEST_WAIT_BESIDE_CAPACITY_MICROS = 75_000_000;
 
     private final Config config;
     private final Fleet fleet;
@@ -77,8 +77,8 @@
     private final MachinePreference preference;
     private final GangScheduler gangScheduler;
     private final GangHeadroom gangHeadroom;
-    /** Machines that take tasks and have some room, in this pass. */
-    private final List<Machine> roomy = new ArrayList<>();
+    /** Machines that take tasks and have some capacity, in this pass. */
+    private final List<Machine> machinesWithCapacity = new ArrayList<>();
 
     /** Schedules the jobs of this term. */
     public Scheduler(
@@ -116,7 +116,7 @@
         recovery.passEnded(decide(now));
     }
 
-    /** Returns for how many tasks that resume first there is no room yet, while others are stopped for them. */
+    /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
     private int decide(long now) {
         batchPlanner.update(now);
         gangScheduler.releaseReservations(now);
@@ -124,14 +124,14 @@
         if (queue.isEmpty()) {
             return 0;
         }
-        int roomComing = 0;
-        findRoom(queue, now);
+        int awaitingPreemption = 0;
+        findMachinesWithCapacity(queue, now);
         gangHeadroom.survey();
         List<Needs> unplaceable = new ArrayList<>();
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
             if (job.spec().gang()) {
-                gangScheduler.schedule(job, roomy, now);
+                gangScheduler.schedule(job, machinesWithCapacity, now);
                 continue;
             }
             Needs needs = needs(job);
@@ -141,16 +141,16 @@
             Machine machine = pick(job, now);
             if (machine == null) {
                 unplaceable.add(needs);
-                int coming = preemptor.makeRoom(job, job.waiting() + waitingAlike(queue, needs), false, now);
-                roomComing += FirstWork.includes(job.spec()) ? coming : 0;
+                int pending = preemptor.preemptFor(job, job.waiting() + waitingAlike(queue, needs), false, now);
+                awaitingPreemption += FirstWork.includes(job.spec()) ? pending : 0;
                 continue;
             }
             // A short wait gets a live replica onto a machine that already has its image.
             if (job.isLive()
                     && !machine.capacity().hasImage(job.spec().image())
                     && now - job.scheduling().waitingSinceMicros() < IMAGE_WAIT_MICROS
-                    && preemptor.makeRoom(job, 1, true, now) > 0) {
-                roomComing++;
+                    && preemptor.preemptFor(job, 1, true, now) > 0) {
+                awaitingPreemption++;
                 continue;
             }
             tasks.start(job, machine, now);
@@ -161,7 +161,7 @@
                 queue.add(candidate(job));
             }
         }
-        return roomComing;
+        return awaitingPreemption;
     }
 
     private PriorityQueue<Candidate> candidates(long now) {
@@ -184,28 +184,28 @@
         return queue;
     }
 
-    /** However well a job could wait, it is not left without a start for long while room stands empty. */
+    /** However well a job could wait, it is not left without a start for long while capacity stands empty. */
     private boolean deferrable(ActiveJob job, long now) {
         return now
                                 - Math.max(
                                         job.scheduling().waitingSinceMicros(),
                                         job.scheduling().lastStartMicros())
-                        < LONGEST_BESIDE_ROOM_MICROS
+                        < LONGEST_WAIT_BESIDE_CAPACITY_MICROS
                 && !batchPlanner.mustStartAtOnce(job)
                 && batchPlanner.deferrable(job, 0, now);
     }
 
-    private void findRoom(Collection<Candidate> wanting, long now) {
+    private void findMachinesWithCapacity(Collection<Candidate> wanting, long now) {
         long cpu = Long.MAX_VALUE;
         long memory = Long.MAX_VALUE;
         for (Candidate candidate : wanting) {
             cpu = Math.min(cpu, candidate.job().spec().cpuMillis());
             memory = Math.min(memory, candidate.job().spec().memoryMillis());
         }
-        roomy.clear();
+        machinesWithCapacity.clear();
         for (Machine machine : fleet.machines()) {
             if (machine.takesTasks() && machine.capacity().hasFree(cpu, memory) && !fleet.unresponsive(machine, now)) {
-                roomy.add(machine);
+                machinesWithCapacity.add(machine);
             }
         }
     }
@@ -254,11 +254,11 @@
     private Machine pick(ActiveJob job, long now) {
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
-        for (Machine machine : roomy) {
-            if (machine.capacity().hasRoom(job.spec())
+        for (Machine machine : machinesWithCapacity) {
+            if (machine.capacity().fits(job.spec())
                     && machine.takesTasks()
                     && rules.mayHold(machine, job)
-                    && gangHeadroom.leavesRoom(machine, job, now)
+                    && gangHeadroom.leavesHeadroom(machine, job, now)
                     && rules.suits(machine, job, now)) {
                 double score = preference.score(machine, job.spec());
                 if (score > bestScore) {
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -103,7 +103,7 @@
             case "done" -> Cause.DONE;
             case "stopped" -> Cause.STOPPED;
             case "error" -> Cause.FAILED;
-            case "full" -> Cause.NO_ROOM;
+            case "full" -> Cause.INSUFFICIENT_CAPACITY;
             case "in_use" -> Cause.BUSY;
             case "no_such" -> Cause.UNKNOWN_JOB;
             case "mates_gone" -> Cause.PEER_GONE;
--- a/src/main/java/org/granitepath/recovery/FirstWork.java
+++ b/src/main/java/org/granitepath/recovery/FirstWork.java
@@ -9,9 +9,9 @@
  * @param inDoubt may be on machines still awaited
  * @param claiming wait for their claim to be on record
  * @param unacknowledged were placed, and no heartbeat has listed them yet
- * @param roomComing have no room yet, but tasks are being stopped for them
+ * @param awaitingPreemption have no capacity yet, but tasks are being stopped for them
  */
-public record FirstWork(int inDoubt, int claiming, int unacknowledged, int roomComing) {
+public record FirstWork(int inDoubt, int claiming, int unacknowledged, int awaitingPreemption) {
     /** Nothing is left. */
     public static final FirstWork NONE = new FirstWork(0, 0, 0, 0);
 
@@ -22,6 +22,6 @@
 
     /** Whether nothing is left that could be placed at once. What waits for a machine to boot is not counted. */
     boolean isPlaced() {
-        return claiming == 0 && unacknowledged == 0 && roomComing == 0;
+        return claiming == 0 && unacknowledged == 0 && awaitingPreemption == 0;
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -141,7 +141,7 @@
             return "nothing";
         }
         return firstWork.inDoubt() + " tasks in doubt, " + firstWork.claiming() + " to be claimed, "
-                + firstWork.unacknowledged() + " sent and not seen yet, " + firstWork.roomComing() + " getting room";
+                + firstWork.unacknowledged() + " sent and not seen yet, " + firstWork.awaitingPreemption() + " getting room";
     }
 
     /** Whether every machine taken over is heard or proved gone. */
--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -30,7 +30,7 @@
         return Math.min(slots(spec, cpuMillis, gpuMillis, memoryMillis), 1000);
     }
 
-    /** How many tasks of this shape fit into so much room. */
+    /** How many tasks of this shape fit into so much capacity. */
     public static int slots(JobSpec spec, long cpu, long gpu, long memory) {
         long n = Integer.MAX_VALUE;
         if (spec.cpuMillis() > 0) {
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -231,19 +231,19 @@
         });
     }
 
-    /** Fills one transaction, most urgent first. Contents are made only while there is room: hundreds may wait. */
+    /** Fills one transaction, most urgent first. Contents are made only while there is capacity: hundreds may wait. */
     private void gather(long now, List<Change> changes, Map<String, Entry> sent) {
         int most = Math.min(mostAtOnce, Math.max(1, (int) tokens));
         int bytes = 0;
         List<String> withdrawn = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
             // News leave part of the budget free, so that what is urgent need not wait for it.
-            int room = urgency != Urgency.PROGRESS_ONLY
+            int capacity = urgency != Urgency.PROGRESS_ONLY
                     ? most
                     : Math.min(most, (int) (tokens - writesPerSecond * RESERVED_FROM_PROGRESS));
             for (var named : pending.entrySet()) {
                 Entry entry = named.getValue();
-                if (changes.size() >= room) {
+                if (changes.size() >= capacity) {
                     break;
                 }
                 if (entry.urgency() != urgency || (entry.dueMicros() > now && changes.size() * 2 >= transactionChanges)) {
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** More work than room, and the machines that are launched for it. */
+/** More work than capacity, and the machines that are launched for it. */
 class CapacityTest {
     private static final long SECOND = Simulation.SECOND;
 
@@ -61,7 +61,7 @@
         assertRules(s);
     }
 
-    /** Far more work than room, for minutes: wide and low jobs begin all the same, and half of every kind is served. */
+    /** Far more work than capacity, for minutes: wide and low jobs begin all the same, and half of every kind is served. */
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
     void overloadStarvesNobody(long seed) {
@@ -104,7 +104,7 @@
         assertRules(s);
     }
 
-    /** Services keep arriving: for most of them there is room already when they come. */
+    /** Services keep arriving: for most of them there is capacity already when they come. */
     @Test
     void headroomForServicesToCome() {
         Simulation s = new Simulation(75, 3, 10);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -26,7 +26,7 @@
  * and then that the rules held after each step.
  */
 class CombinedFaultsTest {
-    /** 1. More work than room, urgent and not, over links on which packets are held up. */
+    /** 1. More work than capacity, urgent and not, over links on which packets are held up. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void overloadOverSlowLinks(long seed) {
@@ -329,11 +329,11 @@
 
     /**
      * Work of which nothing is expected leaves full-price machines alone, but not for so long that it is left waiting
-     * beside room that nobody else uses.
+     * beside capacity that nobody else uses.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void deferrableWorkIsNotLeftWaitingBesideRoom(long seed) {
+    void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
         Simulation s = new Simulation(seed, (seed % 2 == 0 ? LONG : SHORT).with(3, 1));
         JobSpec like = s.jobs.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
         s.users.submit(s.jobs.withCpu(like, 1, 9_000), -1); // holds a part of a full-price machine
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -24,7 +24,7 @@
         return s.jobs.job(false, tasks, Priority.STANDARD, "free", spot, false, true, runMicros, checkpointMicros);
     }
 
-    /** A deployment with a gang in it, and room for another attempt elsewhere. */
+    /** A deployment with a gang in it, and capacity for another attempt elsewhere. */
     private static JobSpec submitGang(Simulation s, boolean spot, long runMicros, long checkpointMicros) {
         JobSpec spec = gang(s, SIZE, spot, runMicros, checkpointMicros);
         s.run(SECOND);
@@ -189,7 +189,7 @@
         assertEquals(0, tasksHeld(s, spec));
     }
 
-    /** Small work that never ends must not take for ever the room that a gang needs: a whole large machine. */
+    /** Small work that never ends must not take for ever the capacity that a gang needs: a whole large machine. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aGangIsNotStarvedBySmallWork(long seed) {
@@ -208,10 +208,10 @@
         assertEquals(JobState.DONE, s.rules.finalTold(spec.id()), "the gang waits");
     }
 
-    /** There is room for one of them at a time: neither holds what the other needs. */
+    /** There is capacity for one of them at a time: neither holds what the other needs. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void twoGangsThatNeedTheSameRoom(long seed) {
+    void twoGangsThatNeedTheSameCapacity(long seed) {
         Simulation s = new Simulation(seed, Simulation.Shape.SMALL.with(3, 1));
         for (int i = 0; i < 6; i++) {
             JobSpec spec = s.jobs.withCpu(
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -26,7 +26,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void borrowedRoomIsGivenBack(long seed) {
+    void borrowedCapacityIsReclaimed(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
         for (int i = 0; i < 2; i++) {
             s.users.submit(wide(s, "free", 35, 150 * SECOND), -1);
@@ -108,13 +108,13 @@
     }
 
     /**
-     * Spot machines are full and a full-price machine has room. Jobs that could wait for cheap room by their
+     * Spot machines are full and a full-price machine has capacity. Jobs that could wait for cheap capacity by their
      * deadlines take it all the same when they are within their team's guarantee, or of a class that is to start
      * sooner than a machine boots; nothing is stopped for them.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void urgentWorkDoesNotWaitBesideFullPriceRoom(long seed) {
+    void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
         Simulation s = new Simulation(seed, 3, 1);
         JobSpec like = s.jobs.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
         s.users.submit(s.jobs.withCpu(like, 1, 9_000), -1); // holds a part of a full-price machine
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -30,7 +30,7 @@
     void anyTwoTroublesMeet(long seed) {
         Simulation s = withJobs(simulation(seed), 35, 150 * SECOND);
         longWork(s, 4, 4, 60 * SECOND);
-        // Teams whose guarantees and limits bind: room is lent and taken back meanwhile.
+        // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
             s.world.after(
                     (5 + 14 * i) * SECOND,
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -158,7 +158,7 @@
                     }
                 }
             });
-            // Where no machine has room for what goes first, its phase is over within one step.
+            // Where no machine has capacity for what goes first, its phase is over within one step.
             int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
             assertTrue(ended.getOrDefault(phase, 0) >= least, "recoveries that were met in " + phase + ", " + how);
             s.run(RESTART + 70 * SECOND, 500 * SECOND);
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -245,7 +245,7 @@
         return spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
     }
 
-    /** Whether no task of the gang is on a machine, and all would find room, in one zone if they have to. */
+    /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
     private static boolean wholeGangFits(JobSpec spec, int left, int held, Collection<SimWorker> machines) {
         Map<String, Integer> slots = new HashMap<>();
         machines.forEach(w -> slots.merge(spec.oneZone() ? w.zone : "any", w.slots(spec), Integer::sum));
--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimRuns.java
@@ -12,7 +12,7 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
-/** The attempts that a stand-in worker knows, exited ones included, and the room that they leave. */
+/** The attempts that a stand-in worker knows, exited ones included, and the capacity that they leave. */
 final class SimRuns {
     /** One attempt of a task. */
     static final class Run {
@@ -92,7 +92,7 @@
         if (spec == null || run.task.index() >= spec.tasks()) {
             return Cause.UNKNOWN_JOB;
         }
-        return holdsOther(run) ? Cause.BUSY : hasRoom(spec, run) ? Cause.NONE : Cause.NO_ROOM;
+        return holdsOther(run) ? Cause.BUSY : hasCapacityFor(spec, run) ? Cause.NONE : Cause.INSUFFICIENT_CAPACITY;
     }
 
     /** Tasks that are here or on their way, by job. */
@@ -105,7 +105,7 @@
     }
 
     /** Whether such a task fits beside all that is here, {@code itself} aside. */
-    boolean hasRoom(JobSpec spec, Run itself) {
+    boolean hasCapacityFor(JobSpec spec, Run itself) {
         return slots(spec, itself) > 0;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -115,7 +115,7 @@
                 && !hanging
                 && !faulty
                 && noticeEnd < 0
-                && runs.hasRoom(spec, null)
+                && runs.hasCapacityFor(spec, null)
                 && spec.allowsType(type.name())
                 && spec.allowsZone(zone)
                 && (spec.spot() || !spot);
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -83,10 +83,10 @@
                 new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsTakenBack, 1),
                 new Scenario("gang across a failover", gangs::aTakeoverWithASilentMachine, 1, 2),
                 new Scenario("gang beside small work", gangs::aGangIsNotStarvedBySmallWork, 1),
-                new Scenario("borrowed capacity", guarantees::borrowedRoomIsGivenBack, 1, 2),
+                new Scenario("borrowed capacity", guarantees::borrowedCapacityIsReclaimed, 1, 2),
                 new Scenario("borrowed capacity, bounded", guarantees::nobodyGivesBackMoreThanItBorrowed, 1),
                 new Scenario("a swarm of jobs", guarantees::aSwarmDoesNotStarveOthers, 1),
-                new Scenario("urgent beside full price", guarantees::urgentWorkDoesNotWaitBesideFullPriceRoom, 1));
+                new Scenario("urgent beside full price", guarantees::urgentWorkDoesNotWaitBesideFullPriceCapacity, 1));
     }
 
     private static List<Scenario> changesOfLeader() {
