--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -16,7 +16,7 @@
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.coordination.ports.WorkerPort;
-import org.granitepath.coordination.term.Dispatcher;
+import org.granitepath.coordination.term.LeaderTerm;
 import org.granitepath.coordination.term.RecoveryStatusFactory;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryTracer;
@@ -54,7 +54,7 @@
     private final ZoneLeaseKeeper zoneLeaseKeeper;
     private final RecoveryTracer recoveryTracer;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
-    private Dispatcher dispatcher;
+    private LeaderTerm leaderTerm;
     /** Machines that reported here while another controller owned them, and when. */
     private final Map<String, Long> redirectedMachines = new LinkedHashMap<>();
 
@@ -146,7 +146,7 @@
 
     private PeerPort.PeerStatus status() {
         return new PeerPort.PeerStatus(
-                config.node(), replica.loaded() ? contactAgeMicros() : -1, dispatcher != null, redirectedMachines.size());
+                config.node(), replica.loaded() ? contactAgeMicros() : -1, leaderTerm != null, redirectedMachines.size());
     }
 
     /** A peer tells how it is, and is told the same. */
@@ -162,7 +162,7 @@
 
     /** Whether this controller leads. */
     public boolean leader() {
-        return dispatcher != null;
+        return leaderTerm != null;
     }
 
     /** The fencing token of the present term of this controller; 0 while it does not lead. */
@@ -172,7 +172,7 @@
 
     /** How far the recovery of the present term has come, or why this controller can't tell. */
     public RecoveryStatus recoveryStatus() {
-        return RecoveryStatusFactory.of(config, leadership, replica, dispatcher, timers.nowMicros());
+        return RecoveryStatusFactory.of(config, leadership, replica, leaderTerm, timers.nowMicros());
     }
 
     /** Takes a submission; answered once it is on record. */
@@ -192,7 +192,7 @@
 
     /** Takes a worker's heartbeat. */
     public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
-        if (dispatcher == null) {
+        if (leaderTerm == null) {
             if (zoneLeaseKeeper.mayRenew(heartbeat)) {
                 return zoneLeaseKeeper.answer(heartbeat);
             }
@@ -205,7 +205,7 @@
                     ? new HeartbeatResponse.Redirect(leader)
                     : new HeartbeatResponse.Unavailable();
         }
-        return leadership.answersWorkers() ? dispatcher.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
+        return leadership.answersWorkers() ? leaderTerm.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
     }
 
     private void tick() {
@@ -215,10 +215,10 @@
         }
         long now = timers.nowMicros();
         redirectedMachines.values().removeIf(at -> at < now - REDIRECTED_MACHINE_MEMORY_MICROS);
-        if (dispatcher != null && dispatcher.cutFromWorkers(peers.mostRedirectedMachines())) {
+        if (leaderTerm != null && leaderTerm.cutFromWorkers(peers.mostRedirectedMachines())) {
             leadership.stepDown("the machines reach the others, but not us");
         }
-        if ((types.isEmpty() || (dispatcher != null && now >= typesDueMicros)) && !askingTypes) {
+        if ((types.isEmpty() || (leaderTerm != null && now >= typesDueMicros)) && !askingTypes) {
             askTypes();
         }
     }
@@ -242,10 +242,10 @@
         for (MachineType t : list) {
             types.put(t.name(), t);
         }
-        if (dispatcher != null) {
-            dispatcher.typesChanged(list);
+        if (leaderTerm != null) {
+            leaderTerm.typesChanged(list);
             if (fromCloud) {
-                dispatcher.recordTypes(list);
+                leaderTerm.recordTypes(list);
             }
         }
     }
@@ -276,20 +276,20 @@
     }
 
     private void startLeading(Leadership.Term term) {
-        dispatcher = new Dispatcher(
+        leaderTerm = new LeaderTerm(
                 config, leadership, term, store, replica, jobIndex, timers, workers, cloud, peers, recoveryTracer);
-        dispatcher.start();
+        leaderTerm.start();
         if (!types.isEmpty()) {
-            dispatcher.typesChanged(List.copyOf(types.values()));
-            dispatcher.recordTypes(List.copyOf(types.values()));
+            leaderTerm.typesChanged(List.copyOf(types.values()));
+            leaderTerm.recordTypes(List.copyOf(types.values()));
         }
-        dispatcher.startAutoscaling();
+        leaderTerm.startAutoscaling();
     }
 
     private void stopLeading() {
-        if (dispatcher != null) {
-            dispatcher.end();
-            dispatcher = null;
+        if (leaderTerm != null) {
+            leaderTerm.end();
+            leaderTerm = null;
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.jobs.CommandQueue;
-import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
@@ -30,7 +30,7 @@
     private final HeartbeatReconciler reconciler;
     private final CommandQueue commands;
     private final Timers timers;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
     private final BooleanSupplier ended;
     /** Machines taken over that are still to be called. */
     private final ArrayDeque<Machine> awaited = new ArrayDeque<>();
@@ -48,7 +48,7 @@
             HeartbeatReconciler reconciler,
             CommandQueue commands,
             Timers timers,
-            DispatchLoop loop,
+            SchedulingLoop loop,
             BooleanSupplier ended) {
         this.config = config;
         this.leadership = leadership;
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.jobs.CommandQueue;
-import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
@@ -56,7 +56,7 @@
     private final RuntimeEstimator runtimeEstimator;
     private final CommandQueue commands;
     private final Timers timers;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
 
     /** Compares what workers report with the state of this term. */
     public HeartbeatReconciler(
@@ -73,7 +73,7 @@
             RuntimeEstimator runtimeEstimator,
             CommandQueue commands,
             Timers timers,
-            DispatchLoop loop) {
+            SchedulingLoop loop) {
         this.config = config;
         this.jobIndex = jobIndex;
         this.fleet = fleet;
@@ -121,7 +121,7 @@
         }
         if (current && machine.phase() == Machine.Phase.UNCONFIRMED) {
             machine.confirmed();
-            loop.notePass();
+            loop.wantCycle();
         }
         if (current) {
             recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
@@ -185,7 +185,7 @@
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
         machine.addCleanup(stop);
         commands.due(machine);
-        loop.notePass();
+        loop.wantCycle();
         if (!repeated.contains(stop)) {
             plan.found(verdict, 1);
             LOG.info("stopping {} attempt {} on {}: {}", status.task(), status.attempt(), machine.id(), verdict);
@@ -287,7 +287,7 @@
         }
         tasks.free(placement, "exited: " + status.cause());
         jobs.endIfDone(job);
-        loop.notePass();
+        loop.wantCycle();
     }
 
     /** The tasks of a gang complete together: one tells of all. */
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.jobs.CommandQueue;
-import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.TaskLifecycle;
 import org.granitepath.coordination.jobs.TermRecovery;
@@ -25,7 +25,7 @@
     private final FaultTracker faults;
     private final CommandQueue commands;
     private final Timers timers;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
 
     /** Changes the machines of this fleet, and frees the tasks on them. */
     public MachineLifecycle(
@@ -37,7 +37,7 @@
             FaultTracker faults,
             CommandQueue commands,
             Timers timers,
-            DispatchLoop loop) {
+            SchedulingLoop loop) {
         this.config = config;
         this.fleet = fleet;
         this.inventory = inventory;
@@ -103,7 +103,7 @@
         machine.unconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
         recovery.resolved(machine, "its lease is over");
-        loop.requestPass();
+        loop.requestCycle();
     }
 
     /** The cloud took this machine back for good. */
@@ -127,6 +127,6 @@
         commands.remove(machine);
         inventory.remove(machine);
         recovery.resolved(machine, why);
-        loop.requestPass();
+        loop.requestCycle();
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -49,7 +49,7 @@
         this.preference = preference;
     }
 
-    /** Releases the machines reserved for gangs that no longer wait for them. Called before each pass. */
+    /** Releases the machines reserved for gangs that no longer wait for them. Called before each cycle. */
     public void releaseReservations(long now) {
         for (Machine machine : fleet.machines()) {
             ActiveJob job = machine.reservedFor();
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -33,7 +33,7 @@
     private final TaskLifecycle tasks;
     private final ArrivalRate arrivalRate;
     private final Timers timers;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
 
     /** Opens nothing before it is started. */
     public JobLifecycle(
@@ -47,7 +47,7 @@
             TaskLifecycle tasks,
             ArrivalRate arrivalRate,
             Timers timers,
-            DispatchLoop loop) {
+            SchedulingLoop loop) {
         this.config = config;
         this.term = term;
         this.replica = replica;
@@ -67,7 +67,7 @@
             open(record);
         }
         jobIndex.listen(this);
-        loop.requestPass();
+        loop.requestCycle();
     }
 
     /** The term is over: records are followed no more. */
@@ -115,7 +115,7 @@
         if (job != null) {
             arrivalRate.accepted(job, timers.nowMicros());
         }
-        loop.requestPass();
+        loop.requestCycle();
     }
 
     @Override
@@ -123,7 +123,7 @@
         ActiveJob job = jobs.get(id);
         if (job != null && progress.claimed() > job.claimed()) {
             job.claimRecorded(progress.claimed());
-            loop.requestPass();
+            loop.requestCycle();
         }
     }
 
@@ -141,7 +141,7 @@
             tasks.stop(placement, 0, "job " + how);
         }
         jobs.removeIfOver(job);
-        loop.requestPass();
+        loop.requestCycle();
     }
 
     private void logDone(ActiveJob job) {
@@ -190,7 +190,7 @@
                                 key,
                                 new ProgressRecord(config.node(), job.claimWanted(), job.done(), job.running())
                                         .atMost(config.storeLimits().valueBytes()))),
-                storeRevision -> loop.requestPass());
+                storeRevision -> loop.requestCycle());
     }
 
     private void recordDone(ActiveJob job) {
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
@@ -0,0 +1,90 @@
+package org.granitepath.coordination.jobs;
+
+import java.util.function.BooleanSupplier;
+import org.granitepath.storage.Timers;
+
+/**
+ * Puts scheduling cycles and the sending of commands together. A cycle over a large fleet takes its time: the next one
+ * waits for several times as long, for the sake of the heartbeats that come meanwhile.
+ */
+public final class SchedulingLoop {
+    private static final long DELAY_MICROS = 2_000;
+    /** The next cycle comes no sooner than this many times as long as the last one took. */
+    private static final int CYCLE_SPACING = 4;
+
+    private static final long LONGEST_CYCLE_SPACING_MICROS = 250_000;
+
+    private final Timers timers;
+    private final BooleanSupplier ended;
+    private final BooleanSupplier mayStart;
+    private final Runnable runCycle;
+    private final Runnable send;
+    private long nextCycleMicros;
+    private boolean cycleRequested;
+    private boolean timerSet;
+
+    /**
+     * Nothing runs before it is asked for.
+     *
+     * @param mayStart whether a task may be started now; without that a cycle would be of no use
+     * @param runCycle one scheduling cycle
+     * @param send sends the commands that are due
+     */
+    public SchedulingLoop(Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable runCycle, Runnable send) {
+        this.timers = timers;
+        this.ended = ended;
+        this.mayStart = mayStart;
+        this.runCycle = runCycle;
+        this.send = send;
+    }
+
+    /** Asks for a cycle over the waiting jobs and for commands to go out, shortly and together. */
+    public void requestCycle() {
+        cycleRequested = true;
+        requestSend();
+    }
+
+    /** Notes that a cycle is worth making, whenever the loop runs next. */
+    public void wantCycle() {
+        cycleRequested = true;
+    }
+
+    /** Asks for commands to go out shortly. */
+    public void requestSend() {
+        if (timerSet) {
+            return;
+        }
+        timerSet = true;
+        timers.after(Math.max(DELAY_MICROS, nextCycleMicros - timers.nowMicros()), () -> {
+            timerSet = false;
+            if (!ended.getAsBoolean()) {
+                runCycleIfRequested();
+                send.run();
+            }
+        });
+    }
+
+    /** Makes a cycle at once if one is wanted and due, or asks for it. */
+    public void runCycleIfDue() {
+        if (!cycleRequested) {
+            return;
+        }
+        if (timers.nowMicros() >= nextCycleMicros) {
+            runCycleIfRequested();
+        } else {
+            requestSend();
+        }
+    }
+
+    private void runCycleIfRequested() {
+        // What a cycle would stop to make capacity could not be followed by a start while none is allowed.
+        if (!cycleRequested || !mayStart.getAsBoolean()) {
+            return;
+        }
+        long began = timers.nowMicros();
+        cycleRequested = false;
+        runCycle.run();
+        long finished = timers.nowMicros();
+        nextCycleMicros = finished + Math.min(LONGEST_CYCLE_SPACING_MICROS, CYCLE_SPACING * (finished - began));
+    }
+}
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -24,7 +24,7 @@
     private final ActiveJobs jobs;
     private final TeamLimits teamLimits;
     private final Timers timers;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
     private final CommandQueue commands;
     private long attempts;
 
@@ -35,7 +35,7 @@
             ActiveJobs jobs,
             TeamLimits teamLimits,
             Timers timers,
-            DispatchLoop loop,
+            SchedulingLoop loop,
             CommandQueue commands) {
         this.term = term;
         this.recovery = recovery;
@@ -163,7 +163,7 @@
     public void free(Placement placement, String why) {
         if (placement.live()) {
             release(placement, why);
-            loop.notePass();
+            loop.wantCycle();
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -16,10 +16,10 @@
     private final RecoveryPlan plan;
     private final ActiveJobs jobs;
     private final Timers timers;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
 
     /** Carries this plan out on these jobs. */
-    public TermRecovery(RecoveryPlan plan, ActiveJobs jobs, Timers timers, DispatchLoop loop) {
+    public TermRecovery(RecoveryPlan plan, ActiveJobs jobs, Timers timers, SchedulingLoop loop) {
         this.plan = plan;
         this.jobs = jobs;
         this.timers = timers;
@@ -60,7 +60,7 @@
         machine.takeoverResolved();
         if (plan.resolved(machine.id(), profile(machine), proof)) {
             jobs.all().forEach(this::resolveTasks);
-            loop.requestPass();
+            loop.requestCycle();
         }
     }
 
@@ -77,23 +77,23 @@
         return plan.mayStart(job.spec());
     }
 
-    /** A scheduling pass is about to begin: a hold whose time is over ends. */
-    public void passBegins(long now) {
+    /** A scheduling cycle is about to begin: a hold whose time is over ends. */
+    public void cycleBegins(long now) {
         plan.checkBound(now);
     }
 
     /**
-     * A scheduling pass has ended.
+     * A scheduling cycle has ended.
      *
      * @param awaitingPreemption how many tasks that go first have no capacity yet, while others are being stopped for them
      */
-    public void passEnded(int awaitingPreemption) {
+    public void cycleEnded(int awaitingPreemption) {
         if (!plan.holdsBatchWork()) {
             return;
         }
-        plan.passEnded(firstWork(awaitingPreemption));
+        plan.cycleEnded(firstWork(awaitingPreemption));
         if (!plan.holdsBatchWork()) {
-            loop.requestPass();
+            loop.requestCycle();
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -109,7 +109,7 @@
             pending += preemption.slots();
             if (preemption.victims().stream()
                     .anyMatch(victim -> victim.job().spec().gang())) {
-                break; // a whole gang ends: the next pass sees what capacity that makes
+                break; // a whole gang ends: the next cycle sees what capacity that makes
             }
         }
         return pending;
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -77,7 +77,7 @@
     private final MachinePreference preference;
     private final GangScheduler gangScheduler;
     private final GangHeadroom gangHeadroom;
-    /** Machines that take tasks and have some capacity, in this pass. */
+    /** Machines that take tasks and have some capacity, in this cycle. */
     private final List<Machine> machinesWithCapacity = new ArrayList<>();
 
     /** Schedules the jobs of this term. */
@@ -109,11 +109,11 @@
         this.gangHeadroom = gangHeadroom;
     }
 
-    /** One pass, until nothing more fits. */
-    public void pass() {
+    /** One cycle, until nothing more fits. */
+    public void runCycle() {
         long now = timers.nowMicros();
-        recovery.passBegins(now);
-        recovery.passEnded(decide(now));
+        recovery.cycleBegins(now);
+        recovery.cycleEnded(decide(now));
     }
 
     /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
--- a/src/main/java/org/granitepath/coordination/term/Dispatcher.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -12,7 +12,7 @@
 import org.granitepath.coordination.gang.GangHeadroom;
 import org.granitepath.coordination.jobs.ArrivalRate;
 import org.granitepath.coordination.jobs.CommandQueue;
-import org.granitepath.coordination.jobs.DispatchLoop;
+import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
@@ -54,8 +54,8 @@
  * starts from the records alone; whatever a predecessor may have started is unconfirmed until each machine of the
  * inventory has been heard under the new fencing token or is proved gone.
  */
-public final class Dispatcher {
-    private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
+public final class LeaderTerm {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 500_000;
     /** A tick that comes later than this after the last one: we stood still, or fell far behind. */
     private static final long PAUSE_MICROS = 1_000_000;
@@ -72,7 +72,7 @@
     private final WriteQueue writeQueue;
     private final Fleet fleet;
     private final TermRecovery recovery;
-    private final DispatchLoop loop;
+    private final SchedulingLoop loop;
     private final MachineInventory inventory;
     private final TaskLifecycle tasks;
     private final JobLifecycle jobs;
@@ -86,7 +86,7 @@
     private boolean ended;
 
     /** Puts the parts of a term together; nothing happens before it is started. */
-    public Dispatcher(
+    public LeaderTerm(
             Config config,
             Leadership leadership,
             Leadership.Term term,
@@ -110,7 +110,7 @@
         TeamLimits teamLimits = new TeamLimits(config.teams());
         ActiveJobs activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
-        this.loop = new DispatchLoop(timers, this::ended, leadership::mayStart, this::pass, this::sendCommands);
+        this.loop = new SchedulingLoop(timers, this::ended, leadership::mayStart, this::runCycle, this::sendCommands);
         CommandQueue commands = new CommandQueue(loop::requestSend);
         this.writeQueue = newWriteQueue(store);
         this.recovery = new TermRecovery(
@@ -119,7 +119,7 @@
                 timers,
                 loop);
         this.inventory = new MachineInventory(
-                config, term, replica, writeQueue, timers, fleet, this::tokenRaised, loop::requestPass);
+                config, term, replica, writeQueue, timers, fleet, this::tokenRaised, loop::requestCycle);
         this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
         this.jobs = new JobLifecycle(
                 config, term, replica, jobIndex, writeQueue, recovery, activeJobs, tasks, arrivalRate, timers, loop);
@@ -196,7 +196,7 @@
                 term.fencingToken(),
                 fleet.machines().size());
         timers.after(TICK_MICROS, this::tick);
-        loop.requestPass();
+        loop.requestCycle();
         sender.callInherited();
     }
 
@@ -219,7 +219,7 @@
     /** The cloud has told of its machine types. */
     public void typesChanged(List<MachineType> list) {
         fleet.typesChanged(list);
-        loop.requestPass();
+        loop.requestCycle();
     }
 
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
@@ -270,7 +270,7 @@
                     ? new HeartbeatResponse.Accepted(machine.fencingToken(), CommandSender.stopsFor(machine))
                     : new HeartbeatResponse.Unavailable();
         }
-        loop.passNowIfDue();
+        loop.runCycleIfDue();
         return new HeartbeatResponse.Accepted(machine.fencingToken(), sender.commandsForAnswer(machine));
     }
 
@@ -292,8 +292,8 @@
         }
     }
 
-    private void pass() {
-        scheduler.pass();
+    private void runCycle() {
+        scheduler.runCycle();
     }
 
     private void sendCommands() {
@@ -321,7 +321,7 @@
         if (recovery.noMachineAwaited() && leadership.leaseConfirmed()) {
             consolidator.tick(now);
         }
-        loop.requestPass();
+        loop.requestCycle();
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -19,10 +19,10 @@
     /**
      * What this controller can tell now.
      *
-     * @param dispatcher null while this controller does not lead, or still reads the records of its term
+     * @param leaderTerm null while this controller does not lead, or still reads the records of its term
      */
     public static RecoveryStatus of(
-            Config config, Leadership leadership, RecordReplica replica, Dispatcher dispatcher, long nowMicros) {
+            Config config, Leadership leadership, RecordReplica replica, LeaderTerm leaderTerm, long nowMicros) {
         long age = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
         if (!leadership.leads()) {
             return withoutTerm(config, leadership, replica, age);
@@ -31,10 +31,10 @@
         String reason = role == Role.LEADING
                 ? "the state service confirmed lately that this controller leads"
                 : "no recent answer from the state service: another controller may lead by now";
-        if (dispatcher == null) {
+        if (leaderTerm == null) {
             return reading(config, leadership, replica, role, reason, age);
         }
-        return during(config, replica, dispatcher, role, reason, age, nowMicros);
+        return during(config, replica, leaderTerm, role, reason, age, nowMicros);
     }
 
     private static RecoveryStatus withoutTerm(Config config, Leadership leadership, RecordReplica replica, long age) {
@@ -76,15 +76,15 @@
     private static RecoveryStatus during(
             Config config,
             RecordReplica replica,
-            Dispatcher dispatcher,
+            LeaderTerm leaderTerm,
             Role role,
             String reason,
             long age,
             long nowMicros) {
-        RecoveryPlan plan = dispatcher.recovery().plan();
+        RecoveryPlan plan = leaderTerm.recovery().plan();
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.putAll(plan.verdicts());
-        tasks.put(Verdict.IN_DOUBT, dispatcher.recovery().tasksInDoubt());
+        tasks.put(Verdict.IN_DOUBT, leaderTerm.recovery().tasksInDoubt());
         boolean held = plan.holdsBatchWork();
         return new RecoveryStatus(
                 config.node(),
--- a/src/main/java/org/granitepath/recovery/FirstWork.java
+++ b/src/main/java/org/granitepath/recovery/FirstWork.java
@@ -4,7 +4,7 @@
 import org.granitepath.storage.Priority;
 
 /**
- * What is left to do about the work that goes first, in tasks, after a scheduling pass.
+ * What is left to do about the work that goes first, in tasks, after a scheduling cycle.
  *
  * @param inDoubt may be on machines still awaited
  * @param claiming wait for their claim to be on record
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -90,15 +90,15 @@
         return phase.startsBatchWork() || (phase != RecoveryPhase.READING && FirstWork.includes(spec));
     }
 
-    /** Ends the hold when its time is over. Called before each scheduling pass. */
+    /** Ends the hold when its time is over. Called before each scheduling cycle. */
     public void checkBound(long nowMicros) {
         if (holdsBatchWork() && nowMicros >= holdEndsMicros) {
             resumeBatch(batchHoldMicros == 0 ? "no hold is set" : "the longest hold is over, with " + waitingFor());
         }
     }
 
-    /** A scheduling pass has ended and left this of the work that goes first. */
-    public void passEnded(FirstWork left) {
+    /** A scheduling cycle has ended and left this of the work that goes first. */
+    public void cycleEnded(FirstWork left) {
         firstWork = left;
         if (phase == RecoveryPhase.RECONCILING && left.inDoubt() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -70,12 +70,12 @@
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
         assertTrue(plan.mayStart(SERVICE));
         assertFalse(plan.mayStart(BATCH));
-        plan.passEnded(DOUBT);
+        plan.cycleEnded(DOUBT);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
-        plan.passEnded(UNSEEN);
+        plan.cycleEnded(UNSEEN);
         assertEquals(RecoveryPhase.RESUMING_LIVE, plan.phase());
         assertFalse(plan.mayStart(BATCH));
-        plan.passEnded(FirstWork.NONE);
+        plan.cycleEnded(FirstWork.NONE);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
         assertTrue(plan.mayStart(BATCH));
         plan.resolved("a", NORTH, "heard");
@@ -90,7 +90,7 @@
             RecoveryPlan plan = plan(HOLD);
             plan.recordsRead(42, 100);
             plan.checkBound(100 + HOLD - 1);
-            plan.passEnded(left);
+            plan.cycleEnded(left);
             assertFalse(plan.mayStart(BATCH), left.toString());
             plan.checkBound(100 + HOLD);
             assertTrue(plan.mayStart(BATCH), left.toString());
@@ -158,7 +158,7 @@
                 plan.checkBound(now);
                 FirstWork left =
                         new FirstWork(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
-                plan.passEnded(left);
+                plan.cycleEnded(left);
                 if (!machines.isEmpty() && random.nextInt(10) == 0) {
                     machines.remove(random.nextInt(machines.size())).run();
                 }
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -40,7 +40,7 @@
     void oneSpanForTheTermEachPhaseAndEachMachineInDoubt() {
         RecoveryPlan plan = plan();
         plan.resolved("a", PROFILE, "heard");
-        plan.passEnded(FirstWork.NONE);
+        plan.cycleEnded(FirstWork.NONE);
         plan.resolved("b", PROFILE, "its lease is over");
         assertEquals(
                 List.of(
