--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -34,7 +34,7 @@
     private final Peers peers;
     private final Set<String> cutOff = new HashSet<>();
     /** Zones in which many machines are overdue: perhaps a cut of which only the beginning shows. */
-    private final Set<String> doubtful = new HashSet<>();
+    private final Set<String> suspectedZones = new HashSet<>();
     /** When each zone was last found cut off. */
     private final Map<String, Long> lastCutMicros = new HashMap<>();
 
@@ -52,7 +52,7 @@
         Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
         overdue = 0;
-        doubtful.clear();
+        suspectedZones.clear();
         for (Machine machine : fleet.machines()) {
             all.addTo(machine.zone(), 1);
             if (fleet.overdue(machine, now)) {
@@ -71,7 +71,7 @@
                 lastCutMicros.put(zone, now);
             }
             if (lateInZone > FEW_SHARE * inZone) {
-                doubtful.add(zone);
+                suspectedZones.add(zone);
             }
             if (isCut && cutOff.add(zone)) {
                 LOG.info(
@@ -108,7 +108,7 @@
      * for that much longer, and without the wait the first ones were terminated with all their work.
      */
     public long silenceMicros(Machine machine) {
-        int reports = doubtful.contains(machine.zone()) ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
+        int reports = suspectedZones.contains(machine.zone()) ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
         return reports * config.heartbeatIntervalMicros() + ANSWER_MICROS;
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -152,13 +152,13 @@
                 case ADOPTED -> adopted(machine, status, current, now);
                 case FINISHED_MEANWHILE -> finishedMeanwhile(status.task());
                 case STALE, UNKNOWN_JOB -> stopOrphan(machine, status, verdict, repeated);
-                case IN_DOUBT -> machine.taskInDoubt();
+                case UNCONFIRMED -> machine.taskUnconfirmed();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
                 listed.add(status.task());
             }
-            if (status.state() == TaskState.EXITED && verdict != Verdict.IN_DOUBT && mayClear(machine, status)) {
+            if (status.state() == TaskState.EXITED && verdict != Verdict.UNCONFIRMED && mayClear(machine, status)) {
                 machine.addCleanup(WorkerCommand.clear(status.task(), status.attempt()));
             }
         }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -5,7 +5,7 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.recovery.FirstWork;
+import org.granitepath.recovery.LiveWorkBacklog;
 import org.granitepath.recovery.MachineProfile;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.Verdict;
@@ -49,7 +49,7 @@
 
     /** Whether a task of this job may be on a machine that is still awaited. */
     boolean mayRunOnAwaitedMachine(ActiveJob job) {
-        return plan.ofUnreported(job.spec()) == Verdict.IN_DOUBT;
+        return plan.ofUnreported(job.spec()) == Verdict.UNCONFIRMED;
     }
 
     /** The machine is heard under its present token, or gone: what a former leader left there is known. */
@@ -91,7 +91,7 @@
         if (!plan.holdsBatchWork()) {
             return;
         }
-        plan.cycleEnded(firstWork(awaitingPreemption));
+        plan.cycleEnded(liveWorkBacklog(awaitingPreemption));
         if (!plan.holdsBatchWork()) {
             loop.requestCycle();
         }
@@ -102,28 +102,28 @@
      * it is known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
-        return plan.holdsBatchWork() || (!plan.noMachineAwaited() && firstWork(0).inDoubt() > 0);
+        return plan.holdsBatchWork() || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmed() > 0);
     }
 
     /** How many claimed tasks may be on machines still awaited. */
-    public int tasksInDoubt() {
+    public int unconfirmedTasks() {
         return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
 
-    private FirstWork firstWork(int awaitingPreemption) {
-        int inDoubt = 0;
+    private LiveWorkBacklog liveWorkBacklog(int awaitingPreemption) {
+        int unconfirmed = 0;
         int claiming = 0;
         int unacknowledged = 0;
         for (ActiveJob job : jobs.all()) {
-            if (!job.isOpen() || !FirstWork.includes(job.spec())) {
+            if (!job.isOpen() || !LiveWorkBacklog.includes(job.spec())) {
                 continue;
             }
-            inDoubt += job.unconfirmedTasks();
+            unconfirmed += job.unconfirmedTasks();
             claiming += job.waiting() > 0 && !job.hasClaimedTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
                 unacknowledged += placement.seen() ? 0 : 1;
             }
         }
-        return new FirstWork(inDoubt, claiming, unacknowledged, awaitingPreemption);
+        return new LiveWorkBacklog(unconfirmed, claiming, unacknowledged, awaitingPreemption);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -68,7 +68,7 @@
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
 
     private final List<WorkerCommand> cleanupCommands = new ArrayList<>();
-    private int tasksInDoubt;
+    private int unconfirmedTasks;
 
     /** A machine of which nothing was heard yet. */
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
@@ -267,12 +267,12 @@
     /** A message is about to be compared with the records: what the one before called for is void. */
     public void clearFindings() {
         cleanupCommands.clear();
-        tasksInDoubt = 0;
+        unconfirmedTasks = 0;
     }
 
     /** The message lists a task of which nothing can be decided: it may not be cut short. */
-    public void taskInDoubt() {
-        tasksInDoubt++;
+    public void taskUnconfirmed() {
+        unconfirmedTasks++;
     }
 
     // ---- capacity held back ------------------------------------------------------------------------------------
@@ -343,7 +343,7 @@
 
     /** Whether nothing is on it that must not be cut short. */
     public boolean isEmpty() {
-        return placements.isEmpty() && tasksInDoubt == 0;
+        return placements.isEmpty() && unconfirmedTasks == 0;
     }
 
     /** An attempt is placed here. */
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -20,7 +20,7 @@
 import org.granitepath.coordination.placement.BatchPlanner;
 import org.granitepath.coordination.placement.MachinePreference;
 import org.granitepath.coordination.placement.PlacementRules;
-import org.granitepath.recovery.FirstWork;
+import org.granitepath.recovery.LiveWorkBacklog;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 import org.granitepath.storage.Timers;
@@ -142,7 +142,7 @@
             if (machine == null) {
                 unplaceable.add(needs);
                 int pending = preemptor.preemptFor(job, job.waiting() + waitingAlike(queue, needs), false, now);
-                awaitingPreemption += FirstWork.includes(job.spec()) ? pending : 0;
+                awaitingPreemption += LiveWorkBacklog.includes(job.spec()) ? pending : 0;
                 continue;
             }
             // A short wait gets a live replica onto a machine that already has its image.
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -84,7 +84,7 @@
         RecoveryPlan plan = leaderTerm.recovery().plan();
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.putAll(plan.verdicts());
-        tasks.put(Verdict.IN_DOUBT, leaderTerm.recovery().tasksInDoubt());
+        tasks.put(Verdict.UNCONFIRMED, leaderTerm.recovery().unconfirmedTasks());
         boolean held = plan.holdsBatchWork();
         return new RecoveryStatus(
                 config.node(),
--- a/src/main/java/org/granitepath/protocol/RecoveryLabels.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryLabels.java
@@ -32,7 +32,7 @@
             case UNKNOWN_JOB -> "unknown_job";
             case EXITED -> "exited";
             case LOST -> "lost";
-            case IN_DOUBT -> "in_doubt";
+            case UNCONFIRMED -> "in_doubt";
         };
     }
 
--- a/src/main/java/org/granitepath/recovery/FirstWork.java
+++ b/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
@@ -6,14 +6,14 @@
 /**
  * What is left to do about the work that goes first, in tasks, after a scheduling cycle.
  *
- * @param inDoubt may be on machines still awaited
+ * @param unconfirmed may be on machines still awaited
  * @param claiming wait for their claim to be on record
  * @param unacknowledged were placed, and no heartbeat has listed them yet
  * @param awaitingPreemption have no capacity yet, but tasks are being stopped for them
  */
-public record FirstWork(int inDoubt, int claiming, int unacknowledged, int awaitingPreemption) {
+public record LiveWorkBacklog(int unconfirmed, int claiming, int unacknowledged, int awaitingPreemption) {
     /** Nothing is left. */
-    public static final FirstWork NONE = new FirstWork(0, 0, 0, 0);
+    public static final LiveWorkBacklog NONE = new LiveWorkBacklog(0, 0, 0, 0);
 
     /** Whether a job's tasks resume before those of others: services, and work of the highest priority. */
     public static boolean includes(JobSpec spec) {
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -6,7 +6,7 @@
     READING,
     /** Reports are compared with the records; work that goes first starts as its proofs come in. */
     RECONCILING,
-    /** No task that goes first is in doubt any more; those that have or get capacity are being started. */
+    /** No task that goes first is unconfirmed any more; those that have or get capacity are being started. */
     RESUMING_LIVE,
     /** All work may start, each task on its own proof; some machines are still awaited. */
     RESUMING_BATCH,
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -21,7 +21,7 @@
     private final AwaitedMachines awaited = new AwaitedMachines();
     private final Map<Verdict, Integer> verdicts = new EnumMap<>(Verdict.class);
     private RecoveryPhase phase = RecoveryPhase.READING;
-    private FirstWork firstWork = FirstWork.NONE;
+    private LiveWorkBacklog liveWorkBacklog = LiveWorkBacklog.NONE;
     private long revision;
     private int takenOver;
     private long holdEndsMicros;
@@ -87,7 +87,7 @@
 
     /** Whether tasks of this job may start, as far as the recovery is concerned. */
     public boolean mayStart(JobSpec spec) {
-        return phase.startsBatchWork() || (phase != RecoveryPhase.READING && FirstWork.includes(spec));
+        return phase.startsBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.includes(spec));
     }
 
     /** Ends the hold when its time is over. Called before each scheduling cycle. */
@@ -98,12 +98,12 @@
     }
 
     /** A scheduling cycle has ended and left this of the work that goes first. */
-    public void cycleEnded(FirstWork left) {
-        firstWork = left;
-        if (phase == RecoveryPhase.RECONCILING && left.inDoubt() == 0) {
+    public void cycleEnded(LiveWorkBacklog left) {
+        liveWorkBacklog = left;
+        if (phase == RecoveryPhase.RECONCILING && left.unconfirmed() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
         }
-        if (phase == RecoveryPhase.RESUMING_LIVE && left.inDoubt() == 0 && left.isPlaced()) {
+        if (phase == RecoveryPhase.RESUMING_LIVE && left.unconfirmed() == 0 && left.isPlaced()) {
             resumeBatch("work that goes first is placed");
         }
     }
@@ -140,8 +140,8 @@
         if (!holdsBatchWork()) {
             return "nothing";
         }
-        return firstWork.inDoubt() + " tasks in doubt, " + firstWork.claiming() + " to be claimed, "
-                + firstWork.unacknowledged() + " sent and not seen yet, " + firstWork.awaitingPreemption() + " getting room";
+        return liveWorkBacklog.unconfirmed() + " tasks in doubt, " + liveWorkBacklog.claiming() + " to be claimed, "
+                + liveWorkBacklog.unacknowledged() + " sent and not seen yet, " + liveWorkBacklog.awaitingPreemption() + " getting room";
     }
 
     /** Whether every machine taken over is heard or proved gone. */
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -26,7 +26,7 @@
     /** The recovery has reached a phase. */
     void phaseEntered(RecoveryPhase phase, String reason);
 
-    /** A machine was taken over; what is on it is in doubt. */
+    /** A machine was taken over; what is on it is unconfirmed. */
     void machineAwaited(String machine);
 
     /** What is on the machine is known, or it is gone. */
--- a/src/main/java/org/granitepath/recovery/Verdict.java
+++ b/src/main/java/org/granitepath/recovery/Verdict.java
@@ -17,5 +17,5 @@
     /** Proved to be on no machine: the task may start again. */
     LOST,
     /** May still run: nothing is done about the task until there is proof. */
-    IN_DOUBT
+    UNCONFIRMED
 }
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -13,7 +13,7 @@
             return Verdict.CONFIRMED;
         }
         if (recorded == RecordedTask.UNREADABLE) {
-            return Verdict.IN_DOUBT;
+            return Verdict.UNCONFIRMED;
         }
         return switch (reported) {
             case LIVE -> ofLive(recorded, placement);
@@ -27,7 +27,7 @@
             case CLAIMED -> placement == KnownPlacement.NONE ? Verdict.ADOPTED : Verdict.STALE;
             case UNCLAIMED, TASK_DONE, JOB_DONE, JOB_CANCELLED -> Verdict.STALE;
             case NOT_IN_JOB, UNKNOWN_JOB -> Verdict.UNKNOWN_JOB;
-            case UNREADABLE -> Verdict.IN_DOUBT;
+            case UNREADABLE -> Verdict.UNCONFIRMED;
         };
     }
 
@@ -36,7 +36,7 @@
         return switch (recorded) {
             case CLAIMED, UNCLAIMED -> Verdict.FINISHED_MEANWHILE;
             case TASK_DONE, JOB_DONE, JOB_CANCELLED, NOT_IN_JOB, UNKNOWN_JOB -> Verdict.EXITED;
-            case UNREADABLE -> Verdict.IN_DOUBT;
+            case UNREADABLE -> Verdict.UNCONFIRMED;
         };
     }
 
@@ -46,14 +46,14 @@
             return Verdict.LOST;
         }
         if (!start.currentToken() || !start.sent() || start.unanswered()) {
-            return Verdict.IN_DOUBT;
+            return Verdict.UNCONFIRMED;
         }
         boolean answerWasTaken = start.seen() || start.sentByWorker() || !start.inAnswer();
-        return answerWasTaken ? Verdict.LOST : Verdict.IN_DOUBT;
+        return answerWasTaken ? Verdict.LOST : Verdict.UNCONFIRMED;
     }
 
     /** The verdict on a task that is claimed on record and that no machine heard so far has reported. */
     public static Verdict ofUnreported(boolean mayRunOnAwaitedMachine) {
-        return mayRunOnAwaitedMachine ? Verdict.IN_DOUBT : Verdict.LOST;
+        return mayRunOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
     }
 }
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -12,7 +12,7 @@
 import org.granitepath.recovery.RecoveryTracer;
 
 /**
- * A recovery as spans: one for the term, and under it one for each phase and each machine in doubt. The term's span
+ * A recovery as spans: one for the term, and under it one for each phase and each machine unconfirmed. The term's span
  * ends with the recovery or, if that is sooner, with the term. Where spans go is decided by whoever provides the SDK;
  * without one nothing is recorded.
  */
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -242,7 +242,7 @@
     void recoveryOfALeader() {
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.put(Verdict.ADOPTED, 5);
-        tasks.put(Verdict.IN_DOUBT, 2);
+        tasks.put(Verdict.UNCONFIRMED, 2);
         RecoveryStatus status = new RecoveryStatus(
                 "n0",
                 Role.LEADING,
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -18,8 +18,8 @@
     private static final long HOLD = 5 * SECOND;
     private static final MachineProfile NORTH = new MachineProfile("small", "north", false);
     private static final MachineProfile SOUTH_SPOT = new MachineProfile("small", "south", true);
-    private static final FirstWork DOUBT = new FirstWork(1, 0, 0, 0);
-    private static final FirstWork UNSEEN = new FirstWork(0, 0, 1, 0);
+    private static final LiveWorkBacklog DOUBT = new LiveWorkBacklog(1, 0, 0, 0);
+    private static final LiveWorkBacklog UNSEEN = new LiveWorkBacklog(0, 0, 1, 0);
 
     private static JobSpec job(JobSpec.Shape shape, Priority priority, String zone, boolean spot) {
         return new JobSpec(
@@ -75,7 +75,7 @@
         plan.cycleEnded(UNSEEN);
         assertEquals(RecoveryPhase.RESUMING_LIVE, plan.phase());
         assertFalse(plan.mayStart(BATCH));
-        plan.cycleEnded(FirstWork.NONE);
+        plan.cycleEnded(LiveWorkBacklog.NONE);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
         assertTrue(plan.mayStart(BATCH));
         plan.resolved("a", NORTH, "heard");
@@ -86,7 +86,7 @@
 
     @Test
     void theHoldEndsInTime() {
-        for (FirstWork left : List.of(DOUBT, UNSEEN, new FirstWork(0, 1, 0, 0), new FirstWork(0, 0, 0, 1))) {
+        for (LiveWorkBacklog left : List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1))) {
             RecoveryPlan plan = plan(HOLD);
             plan.recordsRead(42, 100);
             plan.checkBound(100 + HOLD - 1);
@@ -119,24 +119,24 @@
         RecoveryPlan plan = plan(HOLD);
         plan.recordsRead(42, 0);
         JobSpec inTheSouth = job(JobSpec.Shape.BATCH, Priority.STANDARD, "south", true);
-        assertEquals(Verdict.IN_DOUBT, plan.ofUnreported(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(SERVICE));
         assertTrue(plan.resolved("a", NORTH, "heard"));
         assertEquals(Verdict.LOST, plan.ofUnreported(SERVICE));
-        assertEquals(Verdict.IN_DOUBT, plan.ofUnreported(BATCH));
-        assertEquals(Verdict.IN_DOUBT, plan.ofUnreported(inTheSouth));
+        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(BATCH));
+        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(inTheSouth));
         assertEquals(Verdict.LOST, plan.ofUnreported(job(JobSpec.Shape.BATCH, Priority.STANDARD, "north", true)));
     }
 
     /** Any machine may be in a part of the inventory that can't be read. */
     @Test
-    void anUnreadablePartOfTheInventoryLeavesAllInDoubt() {
+    void anUnreadablePartOfTheInventoryLeavesAllUnconfirmed() {
         RecoveryPlan plan = plan(HOLD);
         plan.takeOverUnreadable(1);
         plan.recordsRead(42, 0);
         plan.resolved("a", NORTH, "heard");
         plan.resolved("b", SOUTH_SPOT, "heard");
         assertFalse(plan.noMachineAwaited());
-        assertEquals(Verdict.IN_DOUBT, plan.ofUnreported(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(SERVICE));
         plan.checkBound(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
@@ -156,8 +156,8 @@
             for (int step = 0; step < 40; step++) {
                 now += random.nextInt((int) SECOND / 2);
                 plan.checkBound(now);
-                FirstWork left =
-                        new FirstWork(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
+                LiveWorkBacklog left =
+                        new LiveWorkBacklog(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
                 plan.cycleEnded(left);
                 if (!machines.isEmpty() && random.nextInt(10) == 0) {
                     machines.remove(random.nextInt(machines.size())).run();
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -95,7 +95,7 @@
 
     @Test
     void whatNobodyReportsIsLostOnlyWhenNoMachineIsLeft() {
-        assertEquals(Verdict.IN_DOUBT, VerdictTable.ofUnreported(true));
+        assertEquals(Verdict.UNCONFIRMED, VerdictTable.ofUnreported(true));
         assertEquals(Verdict.LOST, VerdictTable.ofUnreported(false));
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -66,9 +66,9 @@
         s.run(RESTART + 30 * SECOND, 400 * SECOND);
         assertRulesAndAllDone(s);
         List<SimCommands.Start> starts = s.commands.startsSince(RESTART);
-        List<Boolean> firstWork =
+        List<Boolean> liveWorkBacklog =
                 starts.stream().map(start -> isService(s, start)).toList();
-        int firstBatch = firstWork.indexOf(false);
+        int firstBatch = liveWorkBacklog.indexOf(false);
         assertTrue(firstBatch >= 0, "nothing to put in order");
         long replicas = starts.subList(0, firstBatch).stream()
                 .map(SimCommands.Start::task)
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -9,7 +9,7 @@
 import io.opentelemetry.sdk.trace.data.SpanData;
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor;
 import java.util.List;
-import org.granitepath.recovery.FirstWork;
+import org.granitepath.recovery.LiveWorkBacklog;
 import org.granitepath.recovery.MachineProfile;
 import org.granitepath.recovery.RecoveryPlan;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
     void oneSpanForTheTermEachPhaseAndEachMachineInDoubt() {
         RecoveryPlan plan = plan();
         plan.resolved("a", PROFILE, "heard");
-        plan.cycleEnded(FirstWork.NONE);
+        plan.cycleEnded(LiveWorkBacklog.NONE);
         plan.resolved("b", PROFILE, "its lease is over");
         assertEquals(
                 List.of(
