--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -43,9 +43,9 @@
     record Launch(Offer offer, int count) {}
 
     /** Live services that need the same are launched for as a class: they share machines. */
-    private record Alike(long cpu, long gpu, long memory, List<String> types, String zone, boolean spot) {
-        static Alike of(JobSpec spec) {
-            return new Alike(
+    private record EquivalenceClass(long cpu, long gpu, long memory, List<String> types, String zone, boolean spot) {
+        static EquivalenceClass of(JobSpec spec) {
+            return new EquivalenceClass(
                     spec.cpuMillis(), spec.gpuMillis(), spec.memoryMillis(), spec.types(), spec.zone(), spec.spot());
         }
     }
@@ -66,7 +66,7 @@
     private final List<PlannedMachine> plannedMachines = new ArrayList<>();
     private final Map<String, Integer> counts = new LinkedHashMap<>();
     private final Map<String, Offer> offers = new HashMap<>();
-    private final Object2IntOpenHashMap<Alike> alikeLeft = new Object2IntOpenHashMap<>();
+    private final Object2IntOpenHashMap<EquivalenceClass> waitingByClass = new Object2IntOpenHashMap<>();
     /** CPUs for batch work on machines on their way. */
     private double pendingCapacity;
 
@@ -96,7 +96,7 @@
                 .thenComparing(job -> job.acceptedMicros()));
         for (ActiveJob job : waiting) {
             if (job.isLive()) {
-                alikeLeft.addTo(Alike.of(job.spec()), job.waiting());
+                waitingByClass.addTo(EquivalenceClass.of(job.spec()), job.waiting());
             }
         }
         boolean liveDone = false;
@@ -197,9 +197,9 @@
         JobSpec spec = job.spec();
         Map<String, Integer> zoneCounts = new HashMap<>(job.tasksByZone());
         int left = Math.min(job.waiting(), MOST_PLANNED);
-        Alike alike = Alike.of(spec);
+        EquivalenceClass equivalenceClass = EquivalenceClass.of(spec);
         // From here on the class lacks what the jobs after this one want.
-        int others = job.isLive() ? alikeLeft.addTo(alike, -job.waiting()) - job.waiting() : 0;
+        int others = job.isLive() ? waitingByClass.addTo(equivalenceClass, -job.waiting()) - job.waiting() : 0;
         boolean deferrable = demand.batchPlanner().deferrable(job, pendingCapacity, now);
         for (PlannedMachine planned : plannedMachines) {
             while (left > 0
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -19,7 +19,7 @@
 /**
  * Makes capacity by stopping work, where least is lost. Live services may stop anything of lower priority at once; jobs
  * with a deadline only work of lower priority that saves itself first; what is within its team's guarantee, after a
- * moment's wait, also what other teams run beyond theirs. Tasks alike are decided as a class, in one look at the
+ * moment's wait, also what other teams run beyond theirs. Tasks of one equivalence class are decided together, in one look at the
  * fleet.
  */
 public final class Preemptor {
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -37,7 +37,7 @@
             .thenComparingLong(candidate -> candidate.job().acceptedMicros());
 
     /** What a task needs. When one finds no capacity, none that needs as much or more at the same places does either. */
-    private record Needs(
+    private record ResourceRequest(
             long cpu,
             long gpu,
             long memory,
@@ -47,7 +47,7 @@
             boolean spot,
             boolean deferrable,
             Priority priority) {
-        boolean atMost(Needs other) {
+        boolean atMost(ResourceRequest other) {
             return cpu <= other.cpu
                     && gpu <= other.gpu
                     && memory <= other.memory
@@ -127,21 +127,21 @@
         int awaitingPreemption = 0;
         findMachinesWithCapacity(queue, now);
         gangHeadroom.survey();
-        List<Needs> unplaceable = new ArrayList<>();
+        List<ResourceRequest> unplaceable = new ArrayList<>();
         while (!queue.isEmpty()) {
             ActiveJob job = queue.poll().job();
             if (job.spec().gang()) {
                 gangScheduler.schedule(job, machinesWithCapacity, now);
                 continue;
             }
-            Needs needs = needs(job);
-            if (unplaceable.stream().anyMatch(other -> other.atMost(needs)) || !rules.mayStartAnother(job)) {
+            ResourceRequest request = request(job);
+            if (unplaceable.stream().anyMatch(other -> other.atMost(request)) || !rules.mayStartAnother(job)) {
                 continue;
             }
             Machine machine = pick(job, now);
             if (machine == null) {
-                unplaceable.add(needs);
-                int pending = preemptor.preemptFor(job, job.waiting() + waitingAlike(queue, needs), false, now);
+                unplaceable.add(request);
+                int pending = preemptor.preemptFor(job, job.waiting() + waitingInSameClass(queue, request), false, now);
                 awaitingPreemption += LiveWorkBacklog.includes(job.spec()) ? pending : 0;
                 continue;
             }
@@ -210,22 +210,22 @@
         }
     }
 
-    private int waitingAlike(Collection<Candidate> queue, Needs needs) {
+    private int waitingInSameClass(Collection<Candidate> queue, ResourceRequest request) {
         int waiting = 0;
         for (Candidate candidate : queue) {
-            if (needs(candidate.job()).equals(needs)) {
+            if (request(candidate.job()).equals(request)) {
                 waiting += candidate.job().waiting();
             }
         }
         return waiting;
     }
 
-    private Needs needs(ActiveJob job) {
+    private ResourceRequest request(ActiveJob job) {
         JobSpec spec = job.spec();
         List<String> closed = spec.spread() || spec.oneZone()
                 ? config.zones().stream().filter(zone -> !job.zoneAllows(zone)).toList()
                 : List.of();
-        return new Needs(
+        return new ResourceRequest(
                 spec.cpuMillis(),
                 spec.gpuMillis(),
                 spec.memoryMillis(),
