--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -146,7 +146,11 @@
                 table + "value_kb",
                 LEAST_VALUE_KB,
                 otherwise == null ? null : (double) otherwise.valueBytes() / BYTES_OF_A_KB);
-        double ops = limit(toml, table + "txn_ops", LEAST_TRANSACTION_CHANGES, otherwise == null ? null : 1.0 * otherwise.transactionChanges());
+        double ops = limit(
+                toml,
+                table + "txn_ops",
+                LEAST_TRANSACTION_CHANGES,
+                otherwise == null ? null : 1.0 * otherwise.transactionChanges());
         return new StoreLimits(writes, (int) (bytes * BYTES_OF_A_KB), (int) ops);
     }
 
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -22,11 +22,11 @@
 import org.granitepath.recovery.RecoveryTracer;
 import org.granitepath.storage.FinalRecord;
 import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.MachineTypesRecord;
 import org.granitepath.storage.RecordReplica;
-import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
@@ -146,7 +146,10 @@
 
     private PeerPort.PeerStatus status() {
         return new PeerPort.PeerStatus(
-                config.node(), replica.loaded() ? contactAgeMicros() : -1, leaderTerm != null, redirectedMachines.size());
+                config.node(),
+                replica.loaded() ? contactAgeMicros() : -1,
+                leaderTerm != null,
+                redirectedMachines.size());
     }
 
     /** A peer tells how it is, and is told the same. */
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -14,15 +14,15 @@
 import org.granitepath.storage.FinalRecord;
 import org.granitepath.storage.JobRecord;
 import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.LeaderRecord;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.ProgressRecord;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
-import org.granitepath.storage.KeyValueStore;
-import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -36,16 +36,6 @@
     private static final int LAUNCHES_AT_ONCE = 50;
     private static final int TERMINATIONS_AT_ONCE = 100;
     private static final int LIST_PAGE = 500;
-    /** Beyond this many boot times a machine may be late by much, or never come: it is not waited for. */
-    private static final double LATE_BOOT = 1.6;
-
-    /** A machine launched and not yet heard. */
-    private record Booting(String id, MachineType type, String zone, boolean spot, long launchedMicros) {
-        boolean overdue(long now) {
-            return now - launchedMicros > LATE_BOOT * type.bootMicros();
-        }
-    }
-
     private final Config config;
     private final ScaleOutPlan.Demand demand;
     private final Fleet fleet;
@@ -61,7 +51,7 @@
     private final CloudPort cloud;
     private final Timers timers;
     private final long fencingToken;
-    private final Map<String, Booting> booting = new LinkedHashMap<>();
+    private final Map<String, BootingMachine> booting = new LinkedHashMap<>();
     private final Map<String, Long> refusedUntil = new HashMap<>();
     private final Map<String, Long> terminated = new HashMap<>();
     private long launchCount;
@@ -195,7 +185,7 @@
         if (!booting.containsKey(listed.id())) {
             LOG.info("machine {} ({} {}) is listed as {}", listed.id(), listed.type(), listed.zone(), listed.state());
             long age = listed.state() == CloudPort.HostState.FAILED ? Long.MAX_VALUE / 4 : listed.ageMicros();
-            booting.put(listed.id(), new Booting(listed.id(), type, listed.zone(), listed.spot(), now - age));
+            booting.put(listed.id(), new BootingMachine(listed.id(), type, listed.zone(), listed.spot(), now - age));
         }
     }
 
@@ -216,7 +206,7 @@
         demand.batchPlanner().update(now);
         ScaleOutPlan plan =
                 new ScaleOutPlan(demand, refusedUntil::containsKey, zone -> failureDetector.cutOff(zone, now), now);
-        for (Booting host : booting.values()) {
+        for (BootingMachine host : booting.values()) {
             if (!host.overdue(now) && !failureDetector.cutOff(host.zone(), now)) {
                 plan.pending(host.type(), host.zone(), host.spot());
             }
@@ -256,7 +246,10 @@
                 offer.job().spec().jobClass(),
                 offer.job().waiting(),
                 drainSeconds);
-        send(new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count), offer, 0);
+        send(
+                new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count),
+                offer,
+                0);
     }
 
     private void send(CloudPort.LaunchRequest request, ScaleOutPlan.Offer offer, int tries) {
@@ -268,7 +261,7 @@
             switch (answer.outcome()) {
                 case OK -> {
                     for (String id : answer.hosts()) {
-                        booting.putIfAbsent(id, new Booting(id, offer.type(), offer.zone(), offer.spot(), now));
+                        booting.putIfAbsent(id, new BootingMachine(id, offer.type(), offer.zone(), offer.spot(), now));
                     }
                     if (answer.hosts().size() < request.count()) {
                         refusedUntil.put(offer.key(), now + REFUSED_MICROS);
@@ -307,8 +300,9 @@
 
     private void terminate(long now) {
         List<String> ids = new ArrayList<>();
-        for (Booting host : booting.values()) {
-            if (now - host.launchedMicros() > 3 * host.type().bootMicros() + 30_000_000 && ids.size() < TERMINATIONS_AT_ONCE) {
+        for (BootingMachine host : booting.values()) {
+            if (now - host.launchedMicros() > 3 * host.type().bootMicros() + 30_000_000
+                    && ids.size() < TERMINATIONS_AT_ONCE) {
                 LOG.info("terminating {}: not up after {} s", host.id(), (now - host.launchedMicros()) / 1_000_000);
                 ids.add(host.id());
             }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Capacity that live services can take at once, free or by stopping lower work, for as many as arrive while a machine
-     * boots. Lower work may use it meanwhile.
+     * Capacity that live services can take at once, free or by stopping lower work, for as many as arrive while a
+     * machine boots. Lower work may use it meanwhile.
      */
     private void planHeadroom() {
         ActiveJob newest = demand.arrivalRate().newest();
@@ -212,8 +212,8 @@
         }
         while (left > 0 && newMachines < MOST_MACHINES) {
             newMachines++;
-            Offer offer =
-                    cheapest(job, !demand.batchPlanner().deferrable(job, pendingCapacity, now), left + others, zoneCounts);
+            Offer offer = cheapest(
+                    job, !demand.batchPlanner().deferrable(job, pendingCapacity, now), left + others, zoneCounts);
             if (offer == null) {
                 return;
             }
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Machines for a whole gang or none: where its tasks have to stand together, in the zone where most capacity is free or
-     * on its way, as long as machines are to be had there.
+     * Machines for a whole gang or none: where its tasks have to stand together, in the zone where most capacity is
+     * free or on its way, as long as machines are to be had there.
      */
     private void planGang(ActiveJob job) {
         JobSpec spec = job.spec();
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -14,8 +14,8 @@
 
 /**
  * What it means that machines are not heard: that they failed, that a zone is cut off, or that we are. Judged by the
- * heartbeats that are overdue, before any machine has been silent for long enough to be given up: in a cut machines fall
- * silent one after the other, and the first of them must not be terminated before the rest are.
+ * heartbeats that are overdue, before any machine has been silent for long enough to be given up: in a cut machines
+ * fall silent one after the other, and the first of them must not be terminated before the rest are.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
@@ -104,8 +104,8 @@
 
     /**
      * How long a machine that does not answer calls may be silent before it is given up. Where many of its zone are
-     * overdue it is one heartbeat more: when the last one to report before a cut is overdue, the first one has been silent
-     * for that much longer, and without the wait the first ones were terminated with all their work.
+     * overdue it is one heartbeat more: when the last one to report before a cut is overdue, the first one has been
+     * silent for that much longer, and without the wait the first ones were terminated with all their work.
      */
     public long silenceMicros(Machine machine) {
         int reports = suspectedZones.contains(machine.zone()) ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -6,10 +6,10 @@
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.jobs.CommandQueue;
-import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
 import org.granitepath.coordination.jobs.TermRecovery;
 import org.granitepath.coordination.model.ActiveJob;
@@ -20,8 +20,8 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.recovery.RecoveryPlan;
@@ -31,8 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings what is known of a machine in line with what its worker reports. A task is taken for gone only when a heartbeat
- * proves it; what is reported and was not placed by this leader is adopted or stopped.
+ * Brings what is known of a machine in line with what its worker reports. A task is taken for gone only when a
+ * heartbeat proves it; what is reported and was not placed by this leader is adopted or stopped.
  */
 public final class HeartbeatReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -14,9 +14,9 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.FencingTokenRecord;
 import org.granitepath.storage.InventoryRecord;
+import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.RecordReplica;
-import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
@@ -105,8 +105,8 @@
         this.recordedListener = recordedListener;
         this.valueBytes = Math.min(config.storeLimits().valueBytes(), MOST_VALUE_BYTES);
         // One change is left for the counter of fencing tokens.
-        this.valuesAtOnce =
-                Math.max(1, Math.min(config.storeLimits().transactionChanges() - 1, MOST_TRANSACTION_BYTES / valueBytes));
+        this.valuesAtOnce = Math.max(
+                1, Math.min(config.storeLimits().transactionChanges() - 1, MOST_TRANSACTION_BYTES / valueBytes));
     }
 
     /** The machines on record when the term began; all are ours under the term's fencing token. */
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -8,9 +8,9 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Free capacity on full-price machines for the next gang, where gangs are expected to start sooner than a machine boots.
- * In the zone with the most free capacity, batch work that may use spot machines leaves as much as the largest of the
- * present gangs takes. It does so for a bounded time: then it takes what there is.
+ * Free capacity on full-price machines for the next gang, where gangs are expected to start sooner than a machine
+ * boots. In the zone with the most free capacity, batch work that may use spot machines leaves as much as the
+ * largest of the present gangs takes. It does so for a bounded time: then it takes what there is.
  */
 public final class GangHeadroom {
     /** The users allow 90 s beside a machine with capacity. */
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts gangs: all tasks of one or none. Capacity for the whole gang is found first, in one zone if the job wants that,
- * and within the team's limit. For a gang that does not fit, machines are reserved for a bounded time. A gang that
- * lost a task before it started gets that task anew, under the same attempt, or is stopped.
+ * Starts gangs: all tasks of one or none. Capacity for the whole gang is found first, in one zone if the job wants
+ * that, and within the team's limit. For a gang that does not fit, machines are reserved for a bounded time. A gang
+ * that lost a task before it started gets that task anew, under the same attempt, or is stopped.
  */
 public final class GangScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
@@ -74,7 +74,10 @@
         return config.tuning().gangHoldMicros() + boot;
     }
 
-    /** Brings a gang forward as far as the capacity allows; {@code machinesWithCapacity} holds the machines with some capacity. */
+    /**
+     * Brings a gang forward as far as the capacity allows; {@code machinesWithCapacity} holds the machines with some
+     * capacity.
+     */
     public void schedule(ActiveJob job, List<Machine> machinesWithCapacity, long now) {
         if (job.gangAttempt() != null) {
             completeOrGiveUp(job, machinesWithCapacity, now);
@@ -206,7 +209,9 @@
         }
     }
 
-    /** The machines of a zone that will hold the gang or, while others are launched, a part of it; most capacity first. */
+    /**
+     * The machines of a zone that will hold the gang or, while others are launched, a part of it; most capacity first.
+     */
     private Reservation reservable(ActiveJob job, String zone, long now) {
         JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
--- a/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
@@ -30,7 +30,8 @@
      * @param runCycle one scheduling cycle
      * @param send sends the commands that are due
      */
-    public SchedulingLoop(Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable runCycle, Runnable send) {
+    public SchedulingLoop(
+            Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable runCycle, Runnable send) {
         this.timers = timers;
         this.ended = ended;
         this.mayStart = mayStart;
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -180,7 +180,9 @@
         jobs.removeIfOver(placement.job());
     }
 
-    /** An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back. */
+    /**
+     * An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back.
+     */
     private void leftGang(Placement placement, boolean maybeElsewhere) {
         ActiveJob job = placement.job();
         GangAttempt attempt = job.gangAttempt();
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -85,7 +85,8 @@
     /**
      * A scheduling cycle has ended.
      *
-     * @param awaitingPreemption how many tasks that go first have no capacity yet, while others are being stopped for them
+     * @param awaitingPreemption how many tasks that go first have no capacity yet, while others are being stopped
+     *     for them
      */
     public void cycleEnded(int awaitingPreemption) {
         if (!plan.holdsBatchWork()) {
@@ -98,11 +99,12 @@
     }
 
     /**
-     * Whether capacity that is free may be wanted shortly by work that goes first: machines that look idle are kept until
-     * it is known what of that work is lost.
+     * Whether capacity that is free may be wanted shortly by work that goes first: machines that look idle are kept
+     * until it is known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
-        return plan.holdsBatchWork() || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmed() > 0);
+        return plan.holdsBatchWork()
+                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmed() > 0);
     }
 
     /** How many claimed tasks may be on machines still awaited. */
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -5,14 +5,14 @@
 import java.util.function.BooleanSupplier;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.storage.FencingTokenRecord;
-import org.granitepath.storage.Keys;
-import org.granitepath.storage.LeaderRecord;
-import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.LeaderRecord;
+import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,9 +29,9 @@
     private static final long BACKOFF_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
     /**
-     * {@code DISCONNECTED}: lately no word from the store, or only about our lease and not about the records;
-     * workers are still answered, since an outage looks the same. {@code FENCED_OFF}: for so long that a cancellation might
-     * be missed; workers are left to their leases.
+     * {@code DISCONNECTED}: lately no word from the store, or only about our lease and not about the records; workers
+     * are still answered, since an outage looks the same. {@code FENCED_OFF}: for so long that a cancellation might be
+     * missed; workers are left to their leases.
      */
     enum Phase {
         FOLLOWING,
@@ -303,7 +303,9 @@
         }
         // Should this be lost, the lease runs out by itself.
         store.commit(
-                new Transaction(List.of(new Precondition(Keys.LEADER, term.leaderRevision())), List.of(Change.remove(Keys.LEADER))),
+                new Transaction(
+                        List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
+                        List.of(Change.remove(Keys.LEADER))),
                 answer -> {});
         campaignBackoffUntilMicros = timers.nowMicros() + BACKOFF_AFTER_STEPPING_DOWN_MICROS;
         loseLeadership(why);
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -110,8 +110,9 @@
     }
 
     /**
-     * Whether a fencing token is on record that was drawn since its latest heartbeat and never sent to it: no controller
-     * in contact with the store lets the worker go on under the one it has. While this holds, it is not called.
+     * Whether a fencing token is on record that was drawn since its latest heartbeat and never sent to it: no
+     * controller in contact with the store lets the worker go on under the one it has. While this holds, it is not
+     * called.
      */
     public boolean fenced() {
         return fenced;
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -15,8 +15,9 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * What waiting batch work can expect of the capacity at hand: which jobs can still make their deadlines, all together, and
- * which can wait for cheap capacity. Looked at a few times a second for all jobs as a class, not at each decision.
+ * What waiting batch work can expect of the capacity at hand: which jobs can still make their deadlines, all
+ * together, and which can wait for cheap capacity. Looked at a few times a second for all jobs as a class, not at
+ * each decision.
  */
 public final class BatchPlanner {
     private static final long EVERY_MICROS = 250_000;
@@ -152,8 +153,8 @@
     }
 
     /**
-     * A gang of which something is expected goes with what can be in time, until it has started: it needs its capacity all
-     * at once, and what other work leaves over never becomes enough.
+     * A gang of which something is expected goes with what can be in time, until it has started: it needs its
+     * capacity all at once, and what other work leaves over never becomes enough.
      */
     private boolean isExpectedGang(ActiveJob job) {
         Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
@@ -238,8 +239,9 @@
     }
 
     /**
-     * Whether waiting for cheap capacity would already miss what is expected: the job is within its team's guarantee, or
-     * its class is expected to start sooner than a machine boots. Such work takes whatever capacity there is.
+     * Whether waiting for cheap capacity would already miss what is expected: the job is within its team's
+     * guarantee, or its class is expected to start sooner than a machine boots. Such work takes whatever capacity
+     * there is.
      */
     public boolean mustStartAtOnce(ActiveJob job) {
         long aim = config.objectives()
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -43,8 +43,8 @@
 
     /**
      * Whether the machine's type, zone and kind fit the job, and no task of the job failed there. Work that can wait
-     * leaves full-price machines alone that no service needs, so that they can be terminated, unless it is over before a
-     * return could save anything.
+     * leaves full-price machines alone that no service needs, so that they can be terminated, unless it is over before
+     * a return could save anything.
      */
     public boolean suits(Machine machine, ActiveJob job, long now) {
         return machine.allowedFor(job.spec())
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -102,7 +102,9 @@
                 || spec.imageGb() / machine.type().fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
     }
 
-    /** Whether fuller machines have capacity for all tasks of this one, in its zone and with their images or nearly so. */
+    /**
+     * Whether fuller machines have capacity for all tasks of this one, in its zone and with their images or nearly so.
+     */
     private boolean othersHold(Machine from) {
         for (Placement placement : from.placements()) {
             JobSpec spec = placement.job().spec();
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -19,17 +19,17 @@
 /**
  * Makes capacity by stopping work, where least is lost. Live services may stop anything of lower priority at once; jobs
  * with a deadline only work of lower priority that saves itself first; what is within its team's guarantee, after a
- * moment's wait, also what other teams run beyond theirs. Tasks of one equivalence class are decided together, in one look at the
- * fleet.
+ * moment's wait, also what other teams run beyond theirs. Tasks of one equivalence class are decided together, in one
+ * look at the fleet.
  */
 public final class Preemptor {
     private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
     /** A task that has run for this long may be stopped for a job with a deadline. */
     private static final long MIN_RUNTIME_MICROS = 10_000_000;
     /**
-     * So long guaranteed work waits after its last start for capacity that becomes free by itself, before borrowed work is
-     * stopped for it. Without this each freed place went back and forth: what was stopped started elsewhere, and was
-     * stopped there for the next.
+     * So long guaranteed work waits after its last start for capacity that becomes free by itself, before borrowed
+     * work is stopped for it. Without this each freed place went back and forth: what was stopped started
+     * elsewhere, and was stopped there for the next.
      */
     private static final long RECLAIM_DELAY_MICROS = 2_000_000;
     /** What starting anew costs a task; a gang has to find capacity for all its tasks together once more. */
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -36,7 +36,9 @@
             .thenComparing(candidate -> candidate.job().spec().priority())
             .thenComparingLong(candidate -> candidate.job().acceptedMicros());
 
-    /** What a task needs. When one finds no capacity, none that needs as much or more at the same places does either. */
+    /**
+     * What a task needs. When one finds no capacity, none that needs as much or more at the same places does either.
+     */
     private record ResourceRequest(
             long cpu,
             long gpu,
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -6,16 +6,16 @@
 import org.granitepath.coordination.autoscaling.ScaleOutPlan;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.fleet.CommandSender;
+import org.granitepath.coordination.fleet.HeartbeatReconciler;
 import org.granitepath.coordination.fleet.MachineInventory;
 import org.granitepath.coordination.fleet.MachineLifecycle;
-import org.granitepath.coordination.fleet.HeartbeatReconciler;
 import org.granitepath.coordination.gang.GangHeadroom;
 import org.granitepath.coordination.jobs.ArrivalRate;
 import org.granitepath.coordination.jobs.CommandQueue;
-import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
 import org.granitepath.coordination.jobs.TermRecovery;
 import org.granitepath.coordination.leadership.Leadership;
@@ -36,14 +36,14 @@
 import org.granitepath.coordination.scheduling.Scheduler;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.MachineTypesRecord;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
-import org.granitepath.storage.KeyValueStore;
-import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 import org.slf4j.Logger;
@@ -266,7 +266,8 @@
         if (!reconciler.reconcile(machine, heartbeat, true)) {
             machine.contact().liftFence();
             // Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be.
-            return !machine.isGone() && heartbeat.agentEpoch() == machine.contact().agentEpoch()
+            return !machine.isGone()
+                            && heartbeat.agentEpoch() == machine.contact().agentEpoch()
                     ? new HeartbeatResponse.Accepted(machine.fencingToken(), CommandSender.stopsFor(machine))
                     : new HeartbeatResponse.Unavailable();
         }
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.coordination.ports.CloudPort.HostState;
-import org.granitepath.coordination.ports.CloudPort.ListedHost;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
+import org.granitepath.coordination.ports.CloudPort.ListedHost;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.MachineType;
 
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Item;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
 
 /** Calls to the store. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -141,7 +141,8 @@
             return "nothing";
         }
         return liveWorkBacklog.unconfirmed() + " tasks in doubt, " + liveWorkBacklog.claiming() + " to be claimed, "
-                + liveWorkBacklog.unacknowledged() + " sent and not seen yet, " + liveWorkBacklog.awaitingPreemption() + " getting room";
+                + liveWorkBacklog.unacknowledged() + " sent and not seen yet, " + liveWorkBacklog.awaitingPreemption()
+                + " getting room";
     }
 
     /** Whether every machine taken over is heard or proved gone. */
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -1,8 +1,8 @@
 package org.granitepath.recovery;
 
 /**
- * The one table by which records and heartbeats are compared. It holds for the whole term, not only for its beginning: a
- * report that was held up may arrive at any time. {@code docs/recovery.md} prints it.
+ * The one table by which records and heartbeats are compared. It holds for the whole term, not only for its
+ * beginning: a report that was held up may arrive at any time. {@code docs/recovery.md} prints it.
  */
 public final class VerdictTable {
     private VerdictTable() {}
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -194,7 +194,10 @@
             // Keys known before a reload that are no longer there were removed meanwhile.
             for (String key : new ArrayList<>(entries.keySet())) {
                 Entry entry = entries.get(key);
-                if (entry != null && entry.record() != null && !seenInLoad.contains(key) && entry.revision() < loadRevision) {
+                if (entry != null
+                        && entry.record() != null
+                        && !seenInLoad.contains(key)
+                        && entry.revision() < loadRevision) {
                     apply(key, null, loadRevision);
                 }
             }
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -8,16 +8,16 @@
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * Writes of one controller, gathered into transactions within its share of the write budget. One transaction is under
- * way at a time; each change is guarded by the revision that the replica has of its key, so a late copy of a transaction
- * fails. Contents are produced when the transaction is built, so what goes out is always the latest.
+ * way at a time; each change is guarded by the revision that the replica has of its key, so a late copy of a
+ * transaction fails. Contents are produced when the transaction is built, so what goes out is always the latest.
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
@@ -246,7 +246,8 @@
                 if (changes.size() >= capacity) {
                     break;
                 }
-                if (entry.urgency() != urgency || (entry.dueMicros() > now && changes.size() * 2 >= transactionChanges)) {
+                if (entry.urgency() != urgency
+                        || (entry.dueMicros() > now && changes.size() * 2 >= transactionChanges)) {
                     continue;
                 }
                 List<Change> content = entry.content().get();
@@ -255,7 +256,8 @@
                     continue;
                 }
                 int size = content.stream().mapToInt(WriteQueue::roughSize).sum();
-                if (!changes.isEmpty() && (changes.size() + content.size() > most || bytes + size > MAX_TRANSACTION_BYTES)) {
+                if (!changes.isEmpty()
+                        && (changes.size() + content.size() > most || bytes + size > MAX_TRANSACTION_BYTES)) {
                     continue;
                 }
                 changes.addAll(content);
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -24,18 +24,25 @@
 
     @Override
     public void commit(Transaction transaction, Consumer<Committed> then) {
-        http.call(address, Methods.POST, "/commit", KeyValueStoreCodec.encodeTransaction(transaction), TIMEOUT_MICROS, true, (status, body) -> {
-            Map<String, Object> m = status == 0 ? null : Json.object(body);
-            Outcome outcome = outcome(status, m);
-            then.accept(new Committed(
-                    outcome,
-                    m == null ? 0 : Fields.longOf(m, "epoch", 0),
-                    m == null
-                            ? List.of()
-                            : Fields.listOf(m, "failed").stream()
-                                    .map(String::valueOf)
-                                    .toList()));
-        });
+        http.call(
+                address,
+                Methods.POST,
+                "/commit",
+                KeyValueStoreCodec.encodeTransaction(transaction),
+                TIMEOUT_MICROS,
+                true,
+                (status, body) -> {
+                    Map<String, Object> m = status == 0 ? null : Json.object(body);
+                    Outcome outcome = outcome(status, m);
+                    then.accept(new Committed(
+                            outcome,
+                            m == null ? 0 : Fields.longOf(m, "epoch", 0),
+                            m == null
+                                    ? List.of()
+                                    : Fields.listOf(m, "failed").stream()
+                                            .map(String::valueOf)
+                                            .toList()));
+                });
     }
 
     @Override
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -16,8 +16,8 @@
 import org.granitepath.storage.Fields;
 
 /**
- * A stand-in for a machine's worker over real sockets: reports, agent epochs, leases, fencing tokens and commands as the
- * protocol has them. Images are there at once, and nothing is saved.
+ * A stand-in for a machine's worker over real sockets: reports, agent epochs, leases, fencing tokens and commands
+ * as the protocol has them. Images are there at once, and nothing is saved.
  */
 final class WorkerStandIn extends HttpStandIn {
     /** How long tasks of a job run; negative: until they are stopped. */
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.coordination.ports.CloudPort.HostState;
-import org.granitepath.coordination.ports.CloudPort.ListedHost;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
+import org.granitepath.coordination.ports.CloudPort.ListedHost;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
@@ -24,15 +24,15 @@
 import org.granitepath.recovery.RecoveryStatus.Role;
 import org.granitepath.recovery.Verdict;
 import org.granitepath.storage.FinalRecord;
-import org.granitepath.storage.Keys;
-import org.granitepath.storage.MachineType;
-import org.granitepath.storage.MachineTypesRecord;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Item;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
+import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.MachineTypesRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -114,7 +114,7 @@
         "done,DONE",
         "stopped,STOPPED",
         "error,FAILED",
-        "full,NO_ROOM",
+        "full,INSUFFICIENT_CAPACITY",
         "in_use,BUSY",
         "no_such,UNKNOWN_JOB",
         "mates_gone,PEER_GONE",
@@ -187,16 +187,18 @@
     void answersOfTheStore() {
         assertEquals(
                 new Page(Outcome.OK, List.of(new Item("a/b", Map.of("x", 1), 412)), true, 431),
-                KeyValueStoreCodec.decodeList(Json.object("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
-                        + "\"has_next\":true,\"epoch\":431}")));
+                KeyValueStoreCodec.decodeList(
+                        Json.object("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
+                                + "\"has_next\":true,\"epoch\":431}")));
         assertEquals(
                 new Page(
                         Outcome.OK,
                         List.of(new Item("c/9", Map.of("x", 1), 433), new Item("c/d", null, 432)),
                         false,
                         433),
-                KeyValueStoreCodec.decodeFollow(Json.object("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
-                        + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
+                KeyValueStoreCodec.decodeFollow(
+                        Json.object("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
+                                + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
         assertEquals(7, KeyValueStoreCodec.decodeLease(Json.object("{\"permit\":7}")));
     }
 
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -86,7 +86,8 @@
 
     @Test
     void theHoldEndsInTime() {
-        for (LiveWorkBacklog left : List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1))) {
+        for (LiveWorkBacklog left :
+                List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1))) {
             RecoveryPlan plan = plan(HOLD);
             plan.recordsRead(42, 100);
             plan.checkBound(100 + HOLD - 1);
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -61,7 +61,9 @@
         assertRules(s);
     }
 
-    /** Far more work than capacity, for minutes: wide and low jobs begin all the same, and half of every kind is served. */
+    /**
+     * Far more work than capacity, for minutes: wide and low jobs begin all the same, and half of every kind is served.
+     */
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
     void overloadStarvesNobody(long seed) {
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -16,12 +16,12 @@
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.CloudCodec;
 import org.granitepath.protocol.Json;
-import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.KeyValueStoreCodec;
+import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
-import org.granitepath.storage.MachineType;
 import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.MachineType;
 
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -70,8 +70,8 @@
                         address,
                         2 * Simulation.SECOND,
                         answer -> {
-                            Runnable serve = () ->
-                                    serveWhenAwake(address, w -> w.commands(fencingToken, agentEpoch, commands), answer);
+                            Runnable serve = () -> serveWhenAwake(
+                                    address, w -> w.commands(fencingToken, agentEpoch, commands), answer);
                             if (starts && simulation.heldStarts > 0) {
                                 simulation.world.after(simulation.heldStarts, serve);
                             } else {
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.protocol.Json;
-import org.granitepath.storage.Keys;
 import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.Keys;
 
 /** A stand-in for the store. Values pass through JSON text, as over the wire. */
 final class SimStore {
@@ -200,7 +200,8 @@
         List<KeyValueStore.Item> items = new ArrayList<>();
         for (Logged l : log) {
             if (l.revision() > from && l.key().startsWith(prefix)) {
-                items.add(new KeyValueStore.Item(l.key(), l.json() == null ? null : Json.object(l.json()), l.revision()));
+                items.add(
+                        new KeyValueStore.Item(l.key(), l.json() == null ? null : Json.object(l.json()), l.revision()));
             }
         }
         return new KeyValueStore.Page(KeyValueStore.Outcome.OK, items, false, storeRevision);
@@ -284,8 +285,13 @@
                         } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
                             world.after(
                                     2_000_000 + world.random.nextInt(10_000_000),
-                                    () -> lateSuccesses +=
-                                            !outage && SimStore.this.commit(transaction).outcome() == Outcome.OK ? 1 : 0);
+                                    () -> lateSuccesses += !outage
+                                                    && SimStore.this
+                                                                    .commit(transaction)
+                                                                    .outcome()
+                                                            == Outcome.OK
+                                            ? 1
+                                            : 0);
                         } else {
                             answer.accept(SimStore.this.commit(transaction));
                         }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -8,8 +8,8 @@
 import java.util.function.Predicate;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -203,7 +203,9 @@
                 advance(r);
             }
         }
-        if (!reporting && (world.now() >= nextHeartbeat || (changed && world.now() >= nextHeartbeat - heartbeatIntervalMicros / 2))) {
+        if (!reporting
+                && (world.now() >= nextHeartbeat
+                        || (changed && world.now() >= nextHeartbeat - heartbeatIntervalMicros / 2))) {
             report();
         }
     }
@@ -289,7 +291,8 @@
         long ofAgentEpoch = agentEpoch;
         String node = controllers.names().get(at);
         Heartbeat heartbeat = heartbeat();
-        nextHeartbeat = sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
+        nextHeartbeat =
+                sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
         latest = heartbeat;
         String way = muted ? "nowhere" : node;
         world.call(id, way, PATIENCE, () -> muted ? null : controllers.heartbeat(node, heartbeat), answer -> {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -155,7 +155,16 @@
 
         Shape with(int controllers, int perOffer) {
             return new Shape(
-                    controllers, perOffer, report, lease, cancel, requests, writes, valueBytes, transactionChanges, connections);
+                    controllers,
+                    perOffer,
+                    report,
+                    lease,
+                    cancel,
+                    requests,
+                    writes,
+                    valueBytes,
+                    transactionChanges,
+                    connections);
         }
     }
 
