--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -13,9 +13,14 @@
 import java.util.Map;
 import java.util.UUID;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.ControllerIdentity;
+import org.granitepath.coordination.config.Objective;
+import org.granitepath.coordination.config.PlatformLimits;
 import org.granitepath.coordination.config.StoreLimits;
-import org.snakeyaml.engine.v2.api.Load;
-import org.snakeyaml.engine.v2.api.LoadSettings;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.coordination.config.Topology;
+import org.granitepath.coordination.config.Tuning;
+import org.granitepath.coordination.config.WorkerTiming;
 
 /** The platform's settings file, checked. Fields that we don't know are left alone. */
 public record Settings(
@@ -35,16 +40,11 @@
     private static final double LEAST_VALUE_KB = 0.5;
     private static final double LEAST_TRANSACTION_CHANGES = 4;
     private static final int BYTES_OF_A_KB = 1024;
-    /** Operators' settings that had another name in earlier versions. */
-    private static final Map<String, String> RENAMED =
-            Map.of("patience-share", "deferral-share", "longest-yield-s", "max-starvation-s");
     /** Fewer leave no capacity for the store, the cloud, the other controllers and a few machines and users. */
     private static final int LEAST_CONNECTIONS = 64;
 
     /** By default the hold of a recovery is this part of a worker's lease: two heartbeats and a little. */
     private static final int HOLDS_OF_A_LEASE = 4;
-    /** Users allow no job to be left waiting for 90 s beside capacity that fits. */
-    private static final double LONGEST_HOLD_SECONDS = 60;
 
     /** An address to listen on or to call. */
     public record Address(String host, int port) {}
@@ -74,9 +74,9 @@
             peerZones.put(text(peer, "node_name"), text(peer, "site"));
         }
         long defaultHold = liveFirst ? positive(toml, "facts.workers.lease_s") / HOLDS_OF_A_LEASE : 0;
-        Config config = config(toml, peerZones, tuning(tuningFile, defaultHold));
+        Config config = config(toml, peerZones, TuningFile.read(tuningFile, defaultHold));
         checkHold(config.tuning(), liveFirst);
-        checkTimes(config);
+        checkTimes(config.workers());
         checkTeams(config.teams().values());
         return new Settings(
                 config,
@@ -97,30 +97,41 @@
         }
     }
 
-    private static Config config(UnmodifiableConfig toml, Map<String, String> peerZones, Config.Tuning tuning)
-            throws Invalid {
+    private static Config config(UnmodifiableConfig toml, Map<String, String> peerZones, Tuning tuning) throws Invalid {
         Object zones = toml.get("facts.zones");
         return new Config(
-                text(toml, "node_name"),
-                UUID.randomUUID().toString(),
-                text(toml, "site"),
-                peerZones,
-                zones instanceof List<?> l ? l.stream().map(String::valueOf).toList() : List.of(),
+                new ControllerIdentity(
+                        text(toml, "node_name"), UUID.randomUUID().toString(), text(toml, "site")),
+                new Topology(
+                        zones instanceof List<?> l
+                                ? l.stream().map(String::valueOf).toList()
+                                : List.of(),
+                        peerZones),
                 teams(toml),
                 objectives(toml),
+                workerTiming(toml),
+                platformLimits(toml),
+                Math.round(number(toml, "facts.skew_ms", 0) * 1000),
+                tuning);
+    }
+
+    private static WorkerTiming workerTiming(UnmodifiableConfig toml) throws Invalid {
+        return new WorkerTiming(
                 positive(toml, "facts.workers.report_s"),
                 positive(toml, "facts.workers.lease_s"),
                 positive(toml, "facts.workers.cancel_s"),
                 positiveOr(toml, "facts.workers.gang_wait_s", DEFAULT_GANG_WAIT_MICROS),
-                positiveOr(toml, "facts.workers.gang_peer_s", DEFAULT_GANG_PEER_MICROS),
+                positiveOr(toml, "facts.workers.gang_peer_s", DEFAULT_GANG_PEER_MICROS));
+    }
+
+    private static PlatformLimits platformLimits(UnmodifiableConfig toml) throws Invalid {
+        return new PlatformLimits(
                 number(toml, "facts.state.rps", 0.1),
                 storeLimits(toml),
                 number(toml, "facts.cloud.rps", 0.01),
-                Math.round(number(toml, "facts.skew_ms", 0) * 1000),
                 toml.get("facts.resources.max_connections") == null
                         ? DEFAULT_CONNECTIONS
-                        : (int) number(toml, "facts.resources.max_connections", LEAST_CONNECTIONS),
-                tuning);
+                        : (int) number(toml, "facts.resources.max_connections", LEAST_CONNECTIONS));
     }
 
     /** Limits that the store will have later are kept from the beginning. */
@@ -158,13 +169,13 @@
         return otherwise != null && toml.get(path) == null ? otherwise : number(toml, path, least);
     }
 
-    private static Map<String, Config.Team> teams(UnmodifiableConfig toml) throws Invalid {
-        Map<String, Config.Team> teams = new LinkedHashMap<>();
+    private static Map<String, Team> teams(UnmodifiableConfig toml) throws Invalid {
+        Map<String, Team> teams = new LinkedHashMap<>();
         for (UnmodifiableConfig team : tables(toml, "facts.teams")) {
             String name = text(team, "name");
             teams.put(
                     name,
-                    new Config.Team(
+                    new Team(
                             name,
                             millis(team, "cpus"),
                             millis(team, "cpus_max"),
@@ -174,12 +185,12 @@
         return teams;
     }
 
-    private static Map<String, Config.Objective> objectives(UnmodifiableConfig toml) throws Invalid {
-        Map<String, Config.Objective> objectives = new LinkedHashMap<>();
+    private static Map<String, Objective> objectives(UnmodifiableConfig toml) throws Invalid {
+        Map<String, Objective> objectives = new LinkedHashMap<>();
         for (UnmodifiableConfig table : tables(toml, "facts.objectives")) {
             String jobClass = table.get("class");
             if (jobClass != null) {
-                Config.Objective former = objectives.getOrDefault(jobClass, Config.Objective.NONE);
+                Objective former = objectives.getOrDefault(jobClass, Objective.NONE);
                 objectives.put(jobClass, with(former, table));
             }
         }
@@ -187,34 +198,32 @@
     }
 
     /** What is expected of a class so far, with what one more table says. Kinds that we don't know change nothing. */
-    private static Config.Objective with(Config.Objective former, UnmodifiableConfig table) throws Invalid {
+    private static Objective with(Objective former, UnmodifiableConfig table) throws Invalid {
         Object kind = table.get("kind");
         return switch (String.valueOf(kind)) {
-            case "wait" ->
-                new Config.Objective(micros(table, "within_s"), former.deadlineTimes(), former.finishMicros());
+            case "wait" -> new Objective(micros(table, "within_s"), former.deadlineTimes(), former.finishMicros());
             case "deadline" -> {
                 double times = table.get("times") instanceof Number n ? n.doubleValue() : 1;
-                yield new Config.Objective(
+                yield new Objective(
                         former.waitMicros(), Math.max(former.deadlineTimes(), times), former.finishMicros());
             }
-            case "finished" ->
-                new Config.Objective(former.waitMicros(), former.deadlineTimes(), micros(table, "within_s"));
+            case "finished" -> new Objective(former.waitMicros(), former.deadlineTimes(), micros(table, "within_s"));
             default -> former;
         };
     }
 
     /** Times under which no rule could be kept, whatever the service does. */
-    private static void checkTimes(Config c) throws Invalid {
-        if (c.leaseMicros() < 2 * c.heartbeatIntervalMicros()) {
+    private static void checkTimes(WorkerTiming times) throws Invalid {
+        if (times.leaseMicros() < 2 * times.heartbeatIntervalMicros()) {
             throw new Invalid(
                     "facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
         }
-        if (c.maxDisconnectedMicros() < Config.MIN_DISCONNECTED_MICROS) {
+        if (times.maxDisconnectedMicros() < WorkerTiming.MIN_DISCONNECTED_MICROS) {
             throw new Invalid("facts.workers.cancel_s must be more than lease_s by at least "
-                    + Math.ceil((c.cancelMicros()
-                                            - c.maxDisconnectedMicros()
-                                            + Config.MIN_DISCONNECTED_MICROS
-                                            - c.leaseMicros())
+                    + Math.ceil((times.cancelMicros()
+                                            - times.maxDisconnectedMicros()
+                                            + WorkerTiming.MIN_DISCONNECTED_MICROS
+                                            - times.leaseMicros())
                                     / 1e5)
                             / 10
                     + " s, or cancelled tasks could outlive their time");
@@ -222,7 +231,7 @@
     }
 
     /** A hold that contradicts what else was asked for. */
-    private static void checkHold(Config.Tuning tuning, boolean liveFirst) throws Invalid {
+    private static void checkHold(Tuning tuning, boolean liveFirst) throws Invalid {
         if (liveFirst && tuning.recoveryHoldMicros() == 0) {
             throw new Invalid("recovery-hold-s is 0, but --live-first asks for a hold");
         }
@@ -231,8 +240,8 @@
         }
     }
 
-    private static void checkTeams(Collection<Config.Team> teams) throws Invalid {
-        for (Config.Team t : teams) {
+    private static void checkTeams(Collection<Team> teams) throws Invalid {
+        for (Team t : teams) {
             if (t.cpuGuarantee() < 0 || t.cpuLimit() < 0 || t.gpuGuarantee() < 0 || t.gpuLimit() < 0) {
                 throw new Invalid("facts.teams: team " + t.name() + ": guarantees and limits can't be negative");
             }
@@ -243,70 +252,6 @@
         }
     }
 
-    // ---- operators' own settings ---------------------------------------------------------------------------------
-
-    private static Config.Tuning tuning(Path file, long defaultHoldMicros) throws Invalid {
-        Config.Tuning d = Config.Tuning.defaults().withRecoveryHold(defaultHoldMicros);
-        if (file == null) {
-            return d;
-        }
-        Map<?, ?> yaml;
-        try {
-            Object loaded = new Load(LoadSettings.builder().build()).loadFromString(Files.readString(file));
-            if (loaded == null) {
-                return d;
-            }
-            if (!(loaded instanceof Map<?, ?> map)) {
-                throw new Invalid(file + " must hold settings by name");
-            }
-            yaml = map;
-        } catch (IOException e) {
-            throw new Invalid("can't read " + file + ": " + e.getMessage());
-        } catch (org.snakeyaml.engine.v2.exceptions.YamlEngineException e) {
-            throw new Invalid(file + " is not valid YAML: " + e.getMessage());
-        }
-        Map<String, Object> rest = new LinkedHashMap<>();
-        yaml.forEach((k, v) -> rest.put(String.valueOf(k), v));
-        Config.Tuning t = new Config.Tuning(
-                seconds(rest, "leader-lease-s", d.leaderLeaseMicros(), 1, 60),
-                real(rest, "idle-share", d.idleShare(), 0, 100),
-                real(rest, "idle-share-spot", d.idleShareSpot(), 0, 100),
-                real(rest, "weight-critical", d.criticalWeight(), 1, 1e6),
-                real(rest, "weight-high", d.highWeight(), 1, 1e6),
-                real(rest, "weight-standard", d.standardWeight(), 1, 1e6),
-                real(rest, "weight-best-effort", d.bestEffortWeight(), 1, 1e6),
-                real(rest, "deferral-share", d.deferralShare(), 0, 1),
-                seconds(rest, "gang-hold-s", d.gangHoldMicros(), 0, 600),
-                (int) real(rest, "claim-block", d.claimBlock(), 1, 100_000),
-                seconds(rest, "max-starvation-s", d.maxStarvationMicros(), 1, 86_400),
-                real(rest, "headroom-share", d.headroomShare(), 0, 10),
-                seconds(rest, "recovery-hold-s", d.recoveryHoldMicros(), 0, LONGEST_HOLD_SECONDS));
-        if (!rest.isEmpty()) {
-            String unknown = rest.keySet().iterator().next();
-            String renamed = RENAMED.get(unknown);
-            throw new Invalid(file + ": unknown setting " + unknown
-                    + (renamed == null ? "" : ", which is called " + renamed + " now"));
-        }
-        return t;
-    }
-
-    private static long seconds(Map<String, Object> m, String name, long otherwise, double least, double most)
-            throws Invalid {
-        return Math.round(real(m, name, otherwise / 1e6, least, most) * 1e6);
-    }
-
-    private static double real(Map<String, Object> m, String name, double otherwise, double least, double most)
-            throws Invalid {
-        Object v = m.remove(name);
-        if (v == null) {
-            return otherwise;
-        }
-        if (!(v instanceof Number n) || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            throw new Invalid(name + " must be a number from " + least + " to " + most);
-        }
-        return n.doubleValue();
-    }
-
     // ---- TOML --------------------------------------------------------------------------------------------------
 
     private static List<UnmodifiableConfig> tables(UnmodifiableConfig c, String path) throws Invalid {
--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -76,8 +76,9 @@
         this.cloud = cloud;
         this.workers = workers;
         this.timers = timers;
-        double readsPerSecond =
-                config.storeRequestsPerSecond() * READ_SHARE / (config.peers().size() + 1);
+        double readsPerSecond = config.limits().storeRequestsPerSecond()
+                * READ_SHARE
+                / (config.topology().peers().size() + 1);
         this.replica = new RecordReplica(store, timers, (long) (1e6 / readsPerSecond), new RecordReplica.Listener() {
             @Override
             public void changed(String key, StoredRecord record, long revision) {
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.Team;
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.granitepath.coordination.ports.PeerPort;
@@ -83,8 +84,8 @@
                 store,
                 replica,
                 timers,
-                config.storeLimits().transactionChanges(),
-                config.storeLimits().writesPerSecond() * WRITE_SHARE,
+                config.limits().store().transactionChanges(),
+                config.limits().store().writesPerSecond() * WRITE_SHARE,
                 true,
                 // An acceptance claims tasks for the leader that we know of: it must be the leader still.
                 () -> List.of(new Precondition(Keys.LEADER, replica.revision(Keys.LEADER))),
@@ -157,7 +158,7 @@
 
     /** Why a job can never run, or null. */
     private String unschedulableReason(JobSpec spec) {
-        Config.Team team = config.teams().get(spec.team());
+        Team team = config.teams().get(spec.team());
         if (team == null) {
             return "unknown team " + spec.team();
         }
@@ -169,7 +170,7 @@
         if (!types.get().isEmpty() && types.get().values().stream().noneMatch(type -> type.fits(spec))) {
             return "a task fits no allowed machine type";
         }
-        int largest = config.storeLimits().valueBytes();
+        int largest = config.limits().store().valueBytes();
         if (RecordSize.of(longestRecord(spec)) > largest) {
             return "its description takes more than the " + largest + " bytes that can be kept of a job";
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -132,7 +132,7 @@
     }
 
     private boolean mayCall(long now) {
-        double rate = config.cloudRequests() * 0.8;
+        double rate = config.limits().cloudRequestsPerSecond() * 0.8;
         tokens = Math.min(Math.max(1, rate), tokens + (now - tokensAtMicros) * rate / 1e6);
         tokensAtMicros = now;
         if (tokens < 1) {
@@ -331,7 +331,7 @@
             boolean deaf = machine.phase() == Machine.Phase.UNCONFIRMED
                     && !machine.awaitingFirstHeartbeat()
                     && machine.inventory().recorded()
-                    && now - machine.unconfirmedMicros() > config.leaseMicros()
+                    && now - machine.unconfirmedMicros() > config.workers().leaseMicros()
                     && trust;
             boolean drained = machine.phase() == Machine.Phase.DRAINING && machine.isEmpty();
             if (machine.phase() == Machine.Phase.TERMINATING || dead || deaf || idle || drained) {
@@ -372,8 +372,8 @@
      */
     private long idleMicros(Machine machine) {
         double share = machine.spot()
-                ? config.tuning().idleShareSpot()
-                : config.tuning().idleShare();
+                ? config.tuning().scaling().idleShareSpot()
+                : config.tuning().scaling().idleShare();
         return machine.type() == null
                 ? 30_000_000
                 : (long) (share * machine.type().bootMicros());
@@ -381,7 +381,7 @@
 
     /** How long machines that may only be cut off are waited for: by then all on them is over in any case. */
     private long partitionTimeoutMicros() {
-        return config.cancelMicros() + config.leaseMicros();
+        return config.workers().cancelMicros() + config.workers().leaseMicros();
     }
 
     /**
@@ -389,6 +389,8 @@
      * reports may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed() ? failureDetector.silenceMicros(machine) : config.leaseMicros();
+        return machine.contact().probeFailed()
+                ? failureDetector.silenceMicros(machine)
+                : config.workers().leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -177,7 +177,7 @@
         }
         double wanted = Math.min(
                 demand.arrivalRate().cpuPerMicro(now) * offer.type().bootMicros(),
-                demand.config().tuning().headroomShare() * live);
+                demand.config().tuning().scaling().headroomShare() * live);
         headroomSpare = capacity - wanted;
         if (capacity < wanted) {
             String zone = offer.type().zones().stream()
@@ -242,7 +242,7 @@
             planWholeGang(job, null);
             return;
         }
-        List<String> zones = new ArrayList<>(demand.config().zones());
+        List<String> zones = new ArrayList<>(demand.config().topology().zones());
         zones.removeIf(zone -> cutOff.test(zone) || !job.zoneAllows(zone));
         zones.sort(Comparator.comparingInt(zone -> -(freeSlots(spec, zone) + pendingSlots(spec, zone))));
         for (String zone : zones) {
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
@@ -0,0 +1,38 @@
+package org.granitepath.coordination.config;
+
+/**
+ * The times by which workers and controllers deal with one another.
+ *
+ * @param heartbeatIntervalMicros a worker sends a heartbeat this often, give or take a quarter
+ * @param leaseMicros a worker that has had no answer for so long ends all its tasks
+ * @param cancelMicros after a confirmed cancellation all tasks of the job must be gone within this time
+ * @param gangWaitMicros how long a task of a gang waits for the others before it exits
+ * @param gangPeerMicros within this time the tasks of a gang notice that one of them is gone or was told to stop
+ */
+public record WorkerTiming(
+        long heartbeatIntervalMicros, long leaseMicros, long cancelMicros, long gangWaitMicros, long gangPeerMicros) {
+    /** A margin on everything timed by another machine's clock. */
+    public static final long MARGIN_MICROS = 1_500_000;
+
+    /** A leader must be able to go from one word of the store to the next. */
+    public static final long MIN_DISCONNECTED_MICROS = 1_000_000;
+
+    /** {@code micros} on another machine's steady clock is over on ours after this long. */
+    public static long withDrift(long micros) {
+        return micros + micros / 900;
+    }
+
+    /** From the last answer that a worker may have had to the end of its lease, at the latest. */
+    public long longestLeaseMicros() {
+        return withDrift(leaseMicros) + MARGIN_MICROS;
+    }
+
+    /**
+     * How long a leader out of contact with the store goes on answering workers: a cancellation that it can't
+     * see must still take effect by the end of the workers' lease. Settings that leave less than
+     * {@link #MIN_DISCONNECTED_MICROS} are refused.
+     */
+    public long maxDisconnectedMicros() {
+        return cancelMicros - withDrift(leaseMicros) - 2 * MARGIN_MICROS;
+    }
+}
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -103,7 +103,7 @@
         }
         long now = timers.nowMicros();
         for (Machine machine : commands.machines()) {
-            if (calls >= config.callsAtOnce()) {
+            if (calls >= config.limits().callsAtOnce()) {
                 return;
             }
             if (!machine.contact().callUnderWay()
@@ -134,7 +134,9 @@
      * does.
      */
     public void showToken(Machine machine) {
-        if (!machine.contact().callUnderWay() && machine.contact().agentEpoch() >= 0 && calls < config.callsAtOnce()) {
+        if (!machine.contact().callUnderWay()
+                && machine.contact().agentEpoch() >= 0
+                && calls < config.limits().callsAtOnce()) {
             call(machine, List.of(), List.of(), () -> {});
         }
     }
@@ -156,8 +158,8 @@
                 && !machine.contact().fenced()
                 && !machine.awaitingFirstHeartbeat()
                 && !machine.contact().callUnderWay()
-                && now - machine.contact().probedMicros() > config.heartbeatIntervalMicros()
-                && calls < config.callsAtOnce() / 2) {
+                && now - machine.contact().probedMicros() > config.workers().heartbeatIntervalMicros()
+                && calls < config.limits().callsAtOnce() / 2) {
             call(machine, List.of(), List.of(), () -> {});
         }
     }
@@ -169,7 +171,9 @@
     }
 
     private void callAwaited() {
-        while (!ended.getAsBoolean() && !awaited.isEmpty() && takeoverCalls < config.callsAtOnce() * 2 / 3) {
+        while (!ended.getAsBoolean()
+                && !awaited.isEmpty()
+                && takeoverCalls < config.limits().callsAtOnce() * 2 / 3) {
             Machine machine = awaited.poll();
             if (!machine.awaitingFirstHeartbeat()
                     || machine.phase() != Machine.Phase.UNCONFIRMED
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -91,7 +91,7 @@
     /** Whether the machines of this zone alone were lately not heard: none is launched there. */
     public boolean cutOff(String zone, long now) {
         Long last = lastCutMicros.get(zone);
-        return last != null && now - last < config.leaseMicros();
+        return last != null && now - last < config.workers().leaseMicros();
     }
 
     /**
@@ -99,7 +99,7 @@
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
     public boolean waitedFor(Machine machine, long now) {
-        return cutOff(machine.zone(), now) && config.peerIn(machine.zone());
+        return cutOff(machine.zone(), now) && config.topology().peerIn(machine.zone());
     }
 
     /**
@@ -109,7 +109,7 @@
      */
     public long silenceMicros(Machine machine) {
         int reports = suspectedZones.contains(machine.zone()) ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
-        return reports * config.heartbeatIntervalMicros() + ANSWER_MICROS;
+        return reports * config.workers().heartbeatIntervalMicros() + ANSWER_MICROS;
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -138,7 +138,7 @@
         if (isHeartbeat) {
             machine.heartbeatReceived(fleet.unresponsive(machine, now), now);
         }
-        machine.contact().leaseRunsUntil(now + config.longestLeaseMicros(), current);
+        machine.contact().leaseRunsUntil(now + config.workers().longestLeaseMicros(), current);
     }
 
     private Set<TaskId> reconcileListed(Machine machine, Heartbeat heartbeat, boolean current, long now) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -103,10 +103,10 @@
         this.fleet = fleet;
         this.tokenListener = tokenListener;
         this.recordedListener = recordedListener;
-        this.valueBytes = Math.min(config.storeLimits().valueBytes(), MOST_VALUE_BYTES);
+        this.valueBytes = Math.min(config.limits().store().valueBytes(), MOST_VALUE_BYTES);
         // One change is left for the counter of fencing tokens.
         this.valuesAtOnce = Math.max(
-                1, Math.min(config.storeLimits().transactionChanges() - 1, MOST_TRANSACTION_BYTES / valueBytes));
+                1, Math.min(config.limits().store().transactionChanges() - 1, MOST_TRANSACTION_BYTES / valueBytes));
     }
 
     /** The machines on record when the term began; all are ours under the term's fencing token. */
@@ -179,7 +179,7 @@
 
     private void split(int part, List<Machine> machines) {
         List<List<Machine>> pieces = pieces(machines);
-        if (pieces.size() > config.storeLimits().transactionChanges()) {
+        if (pieces.size() > config.limits().store().transactionChanges()) {
             unsplittable.add(part);
             return;
         }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -77,9 +77,11 @@
         long now = timers.nowMicros();
         if (fleet.unresponsive(machine, now)) {
             machine.contact().fence();
-            if (config.peerIn(machine.zone()) && machine.contact().leaseOverMicros() > 0) {
+            if (config.topology().peerIn(machine.zone()) && machine.contact().leaseOverMicros() > 0) {
                 // A controller cut off together with it may not know yet, and go on under the former token.
-                long longest = now + config.maxDisconnectedMicros() + config.longestLeaseMicros();
+                long longest = now
+                        + config.workers().maxDisconnectedMicros()
+                        + config.workers().longestLeaseMicros();
                 machine.contact().leaseRunsUntil(longest, false);
             }
         }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -121,7 +121,7 @@
             any.add(null);
             return any;
         }
-        return config.zones();
+        return config.topology().zones();
     }
 
     private static boolean isIn(Machine machine, String zone) {
@@ -258,7 +258,8 @@
                     job.spec().id());
             tasks.startInGang(job, index, machine, now);
         }
-        long lastMoment = config.gangWaitMicros() - HEARTBEATS_OF_A_WAIT * config.heartbeatIntervalMicros();
+        long lastMoment = config.workers().gangWaitMicros()
+                - HEARTBEATS_OF_A_WAIT * config.workers().heartbeatIntervalMicros();
         if (job.waiting() > 0 && attempt.isHopeless(now, config.tuning().gangHoldMicros(), lastMoment)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -189,7 +189,7 @@
                         : List.of(Change.write(
                                 key,
                                 new ProgressRecord(config.node(), job.claimWanted(), job.done(), job.running())
-                                        .atMost(config.storeLimits().valueBytes()))),
+                                        .atMost(config.limits().store().valueBytes()))),
                 storeRevision -> loop.requestCycle());
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -142,7 +142,7 @@
         LeaderRecord leader = replica.leader();
         if (term != null) {
             boolean mine = leader != null
-                    && config.incarnation().equals(leader.incarnation())
+                    && config.identity().incarnation().equals(leader.incarnation())
                     && leader.fencingToken() == term.fencingToken();
             if (!mine && replica.revision(Keys.LEADER) != term.leaderRevision()) {
                 loseLeadership(leader == null ? "our lease ran out" : "taken over by " + leader.node());
@@ -177,9 +177,11 @@
             return;
         }
         long sinceContactMicros = timers.nowMicros() - Math.min(lastConfirmedMicros, replica.lastContactMicros());
-        if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), config.maxDisconnectedMicros())) {
+        if (sinceContactMicros
+                <= Math.min(
+                        config.tuning().leaderLeaseMicros(), config.workers().maxDisconnectedMicros())) {
             transition(Phase.LEADING, "the state service answers");
-        } else if (sinceContactMicros <= config.maxDisconnectedMicros()) {
+        } else if (sinceContactMicros <= config.workers().maxDisconnectedMicros()) {
             transition(Phase.DISCONNECTED, "no answer from the state service");
         } else {
             transition(Phase.FENCED_OFF, "a cancellation could have been missed for too long");
@@ -194,7 +196,7 @@
         // A leader of our own name and another incarnation is our former process, and that has ended.
         boolean formerSelf = leader != null
                 && config.node().equals(leader.node())
-                && !config.incarnation().equals(leader.incarnation());
+                && !config.identity().incarnation().equals(leader.incarnation());
         if (leader == null || formerSelf) {
             campaign(formerSelf);
         }
@@ -226,7 +228,7 @@
         long fencingToken = (counter == null ? 0 : counter.last()) + 1;
         List<Precondition> preconditions = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        LeaderRecord leader = new LeaderRecord(config.node(), config.incarnation(), fencingToken);
+        LeaderRecord leader = new LeaderRecord(config.node(), config.identity().incarnation(), fencingToken);
         changes.add(new Change(Keys.LEADER, leader, acquiredLease));
         changes.add(
                 Change.write(Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), fencingToken, fencingToken)));
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.WorkerTiming;
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.storage.Timers;
 
@@ -39,7 +40,7 @@
 
     private void tick() {
         timers.after(TICK_MICROS, this::tick);
-        for (String peer : config.peers()) {
+        for (String peer : config.topology().peers()) {
             port.exchangeStatus(peer, ours.get(), answer -> {
                 if (answer != null) {
                     take(answer);
@@ -68,7 +69,7 @@
      */
     public boolean allDisconnected(long ageMicros) {
         long now = timers.nowMicros();
-        for (String peer : config.peers()) {
+        for (String peer : config.topology().peers()) {
             Heard h = heard.get(peer);
             if (h == null || now - h.atMicros() >= FRESH_MICROS) {
                 return false;
@@ -87,8 +88,8 @@
      * records, nor go by an earlier status message of ours that told it that we were out of contact.
      */
     public void announceCancellation(PeerPort.CancellationNotice notice, String leader, Runnable then) {
-        boolean[] over = {!config.peers().contains(leader)};
-        for (String peer : config.peers()) {
+        boolean[] over = {!config.topology().peers().contains(leader)};
+        for (String peer : config.topology().peers()) {
             port.sendCancellation(peer, notice, taken -> {
                 if (taken && peer.equals(leader) && !over[0]) {
                     over[0] = true;
@@ -101,7 +102,7 @@
             return;
         }
         long longest = Math.max(config.tuning().leaderLeaseMicros(), FRESH_MICROS);
-        timers.after(Config.withDrift(longest) + SURELY_OVER_MICROS, () -> {
+        timers.after(WorkerTiming.withDrift(longest) + SURELY_OVER_MICROS, () -> {
             if (!over[0]) {
                 over[0] = true;
                 then.run();
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -51,12 +51,12 @@
 
     /** Whether this controller may answer the worker in the place of the leader. */
     public boolean mayRenew(Heartbeat heartbeat) {
-        if (!replica.loaded() || !heartbeat.zone().equals(config.zone())) {
+        if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone())) {
             return false;
         }
         long age = timers.nowMicros() - replica.lastContactMicros();
         if (age < Config.CONTACT_TIMEOUT_MICROS
-                || age > config.maxDisconnectedMicros()
+                || age > config.workers().maxDisconnectedMicros()
                 || peers.leaderRecentlyHeard()
                 || peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS)) {
             return false;
@@ -66,7 +66,7 @@
             readTokens();
             LOG.info(
                     "out of contact, and the leader is not heard: keeping the machines of {} alive for it",
-                    config.zone());
+                    config.identity().zone());
         }
         return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.host()) == heartbeat.fencingToken();
     }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -69,7 +69,9 @@
     /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
     public void inherit(List<Machine> takenOver) {
         // The former leader may go on answering them for a while, if it is out of contact.
-        long leaseOver = startedMicros + config.maxDisconnectedMicros() + config.longestLeaseMicros();
+        long leaseOver = startedMicros
+                + config.workers().maxDisconnectedMicros()
+                + config.workers().longestLeaseMicros();
         for (Machine machine : takenOver) {
             machine.takenOver(startedMicros, leaseOver);
             machines.put(machine.id(), machine);
@@ -108,12 +110,13 @@
 
     /** Whether the machine has been silent for so long that a command would hardly arrive. */
     public boolean unresponsive(Machine machine, long now) {
-        return machine.contact().unresponsive(now, config.heartbeatIntervalMicros());
+        return machine.contact().unresponsive(now, config.workers().heartbeatIntervalMicros());
     }
 
     /** Whether a heartbeat is late by so much that it is worth asking for one. */
     public boolean overdue(Machine machine, long now) {
-        return now - machine.contact().lastHeartbeatMicros() > OVERDUE_HEARTBEATS * config.heartbeatIntervalMicros();
+        return now - machine.contact().lastHeartbeatMicros()
+                > OVERDUE_HEARTBEATS * config.workers().heartbeatIntervalMicros();
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
@@ -140,7 +143,7 @@
         }
         return silent >= CUT_OFF_SHARE * machines.size()
                 && redirectedByPeer >= Math.max(2, silent / 2)
-                && now - startedMicros > config.leaseMicros();
+                && now - startedMicros > config.workers().leaseMicros();
     }
 
     /** This process stood still: no machine was silent for that time. */
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -2,17 +2,17 @@
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Map;
-import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.Team;
 import org.granitepath.storage.JobSpec;
 
 /** What each team's tasks take of its limit. */
 public final class TeamLimits {
-    private final Map<String, Config.Team> teams;
+    private final Map<String, Team> teams;
     private final Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
     private final Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
 
     /** Nothing is used yet. */
-    public TeamLimits(Map<String, Config.Team> teams) {
+    public TeamLimits(Map<String, Team> teams) {
         this.teams = teams;
     }
 
@@ -30,13 +30,13 @@
 
     /** CPUs that a team uses beyond its guarantee: these are borrowed. */
     public long borrowedCpu(String name) {
-        Config.Team team = teams.get(name);
+        Team team = teams.get(name);
         return cpu.getLong(name) - (team == null ? 0 : team.cpuGuarantee());
     }
 
     /** Whether the job's team has a limit at all. */
     public boolean limits(JobSpec spec) {
-        Config.Team team = teams.get(spec.team());
+        Team team = teams.get(spec.team());
         return team != null && (team.cpuLimit() > 0 || team.gpuLimit() > 0);
     }
 
@@ -45,7 +45,7 @@
         if (!limits(spec)) {
             return true;
         }
-        Config.Team team = teams.get(spec.team());
+        Team team = teams.get(spec.team());
         return (team.cpuLimit() == 0 || cpu.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
                 && (team.gpuLimit() == 0 || gpu.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimit());
     }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -6,6 +6,8 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.Objective;
+import org.granitepath.coordination.config.Team;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.ActiveJobs;
@@ -76,7 +78,7 @@
         List<Due> extended = new ArrayList<>();
         for (Due due : later) {
             double times = config.objectives()
-                    .getOrDefault(due.job().spec().jobClass(), Config.Objective.NONE)
+                    .getOrDefault(due.job().spec().jobClass(), Objective.NONE)
                     .deadlineTimes();
             double left = due.micros() + (times - 1) * due.job().spec().deadlineMicros();
             if (times > 1 && runtimeEstimator.taskMicros(due.job()) <= left) {
@@ -103,7 +105,7 @@
      * share.
      */
     private void putGuaranteedFirst() {
-        if (config.teams().values().stream().noneMatch(Config.Team::hasGuarantee)) {
+        if (config.teams().values().stream().noneMatch(Team::hasGuarantee)) {
             return;
         }
         Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
@@ -112,7 +114,7 @@
         byAge.sort(Comparator.comparingLong((ActiveJob job) -> job.acceptedMicros())
                 .thenComparing(job -> job.spec().id()));
         for (ActiveJob job : byAge) {
-            Config.Team team = config.teams().get(job.spec().team());
+            Team team = config.teams().get(job.spec().team());
             if (!job.isOpen() || team == null || !team.hasGuarantee()) {
                 continue;
             }
@@ -157,7 +159,7 @@
      * capacity all at once, and what other work leaves over never becomes enough.
      */
     private boolean isExpectedGang(ActiveJob job) {
-        Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
+        Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Objective.NONE);
         return job.spec().gang() && (objective.waitMicros() > 0 || objective.finishMicros() > 0);
     }
 
@@ -171,7 +173,7 @@
 
     /** Some classes are judged by a time of their own; their owners' deadlines are wishes. */
     private long finishAim(ActiveJob job) {
-        Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
+        Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Objective.NONE);
         return objective.deadlineTimes() == 0 && job.spec().hasDeadline() ? objective.finishMicros() : 0;
     }
 
@@ -195,7 +197,7 @@
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
-                    && !machine.contact().unresponsive(now, config.heartbeatIntervalMicros())) {
+                    && !machine.contact().unresponsive(now, config.workers().heartbeatIntervalMicros())) {
                 long forBatch = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 capacity += forBatch;
                 cheapCapacity += machine.spot() || machine.capacity().hostsService() ? forBatch : 0;
@@ -224,7 +226,7 @@
             return activeJobs.ageMicros(job, now) + wait + runtimeEstimator.taskMicros(job)
                     <= job.spec().deadlineMicros();
         }
-        Config.Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Config.Objective.NONE);
+        Objective objective = config.objectives().getOrDefault(job.spec().jobClass(), Objective.NONE);
         if (objective.waitMicros() == 0 && objective.finishMicros() == 0) {
             return !stalled(job, now);
         }
@@ -245,7 +247,7 @@
      */
     public boolean mustStartAtOnce(ActiveJob job) {
         long aim = config.objectives()
-                .getOrDefault(job.spec().jobClass(), Config.Objective.NONE)
+                .getOrDefault(job.spec().jobClass(), Objective.NONE)
                 .waitMicros();
         return job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
                 || (aim > 0 && aim < quickestBootMicros());
--- a/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.apache.commons.numbers.gamma.LogGamma;
-import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.PriorityWeights;
 import org.granitepath.storage.Priority;
 
 /**
@@ -13,19 +13,19 @@
  * The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
  */
 public final class FairShare {
-    private final Map<Priority, Double> weights = new EnumMap<>(Priority.class);
+    private final Map<Priority, Double> weightOf = new EnumMap<>(Priority.class);
 
     /** Takes the weights of the priorities from the operators' settings. */
-    public FairShare(Config.Tuning tuning) {
-        weights.put(Priority.CRITICAL, tuning.criticalWeight());
-        weights.put(Priority.HIGH, tuning.highWeight());
-        weights.put(Priority.STANDARD, tuning.standardWeight());
-        weights.put(Priority.BEST_EFFORT, tuning.bestEffortWeight());
+    public FairShare(PriorityWeights weights) {
+        weightOf.put(Priority.CRITICAL, weights.critical());
+        weightOf.put(Priority.HIGH, weights.high());
+        weightOf.put(Priority.STANDARD, weights.standard());
+        weightOf.put(Priority.BEST_EFFORT, weights.bestEffort());
     }
 
     /** P, the weight of a priority. */
     public double weight(Priority priority) {
-        return weights.get(priority);
+        return weightOf.get(priority);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -105,7 +105,7 @@
         this.batchPlanner = batchPlanner;
         this.preemptor = preemptor;
         this.timers = timers;
-        this.fairShare = new FairShare(config.tuning());
+        this.fairShare = new FairShare(config.tuning().weights());
         this.preference = new MachinePreference(rules);
         this.gangScheduler = new GangScheduler(config, fleet, rules, tasks, preference);
         this.gangHeadroom = gangHeadroom;
@@ -225,7 +225,9 @@
     private ResourceRequest request(ActiveJob job) {
         JobSpec spec = job.spec();
         List<String> closed = spec.spread() || spec.oneZone()
-                ? config.zones().stream().filter(zone -> !job.zoneAllows(zone)).toList()
+                ? config.topology().zones().stream()
+                        .filter(zone -> !job.zoneAllows(zone))
+                        .toList()
                 : List.of();
         return new ResourceRequest(
                 spec.cpuMillis(),
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -161,8 +161,8 @@
                 store,
                 replica,
                 timers,
-                config.storeLimits().transactionChanges(),
-                config.storeLimits().writesPerSecond() * WRITE_SHARE,
+                config.limits().store().transactionChanges(),
+                config.limits().store().writesPerSecond() * WRITE_SHARE,
                 false,
                 () -> List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
                 () -> !ended);
@@ -226,7 +226,7 @@
     public void recordTypes(List<MachineType> list) {
         MachineTypesRecord types = new MachineTypesRecord(list);
         if (replica.has(Keys.TYPES)
-                || RecordSize.of(types) > config.storeLimits().valueBytes()) {
+                || RecordSize.of(types) > config.limits().store().valueBytes()) {
             return; // a part of the types would let controllers refuse jobs that can run
         }
         writeQueue.enqueue(
@@ -334,7 +334,7 @@
                 || leadership.lastConfirmedMicros() <= machine.contact().leaseOverMicros()) {
             return;
         }
-        if (machine.contact().fenced() || !config.peerIn(machine.zone())) {
+        if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
             machines.leaseExpired(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -50,12 +50,14 @@
             String backHost,
             int backPort) {
         Metrics metrics = new Metrics();
-        Connections connections = new Connections(config.machineConnections(), config.heldConnections());
+        Connections connections = new Connections(
+                config.limits().machineConnections(), config.limits().heldConnections());
         metrics.watch(connections);
         metrics.watch(controller::recoveryStatus);
         ServiceServer service = new ServiceServer(controller, metrics, loop, connections);
-        new BackServer(controller, metrics).listen(loop, backHost, backPort, config.backlog());
-        builder(loop, host, port, config.backlog())
+        new BackServer(controller, metrics)
+                .listen(loop, backHost, backPort, config.limits().backlog());
+        builder(loop, host, port, config.limits().backlog())
                 .setHandler(exchange -> exchange.dispatch(
                         SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> service.route(exchange))))
                 .build()
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -97,7 +97,7 @@
     @Test
     void leastTimesAreAccepted() throws Exception {
         Settings s = Settings.read(file("y.toml", GOOD.replace("cancel_s = 30.0", "cancel_s = 14.1")), null, false);
-        assertTrue(s.config().maxDisconnectedMicros() >= 1_000_000);
+        assertTrue(s.config().workers().maxDisconnectedMicros() >= 1_000_000);
     }
 
     @Test
@@ -118,14 +118,14 @@
     @Test
     void nextLimitsAreKeptFromTheStart() throws Exception {
         Settings next = Settings.read(file("n.toml", GOOD.replace("txn_ops = 8\n", NEXT)), null, false);
-        assertEquals(new StoreLimits(7.5, 2048, 5), next.config().storeLimits());
+        assertEquals(new StoreLimits(7.5, 2048, 5), next.config().limits().store());
         Settings present = Settings.read(file("p.toml", GOOD), null, false);
-        assertEquals(new StoreLimits(10, 8192, 8), present.config().storeLimits());
+        assertEquals(new StoreLimits(10, 8192, 8), present.config().limits().store());
         Settings some = Settings.read(
                 file("o.toml", GOOD.replace("txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\nvalue_kb = 4.0\n")),
                 null,
                 false);
-        assertEquals(new StoreLimits(10, 4096, 8), some.config().storeLimits());
+        assertEquals(new StoreLimits(10, 4096, 8), some.config().limits().store());
     }
 
     @Test
@@ -145,7 +145,8 @@
         assertEquals(0, Settings.read(platform, null, false).config().tuning().recoveryHoldMicros());
         Settings byLease = Settings.read(platform, null, true);
         assertEquals(
-                byLease.config().leaseMicros() / 4, byLease.config().tuning().recoveryHoldMicros());
+                byLease.config().workers().leaseMicros() / 4,
+                byLease.config().tuning().recoveryHoldMicros());
         Path five = file("five.yaml", "recovery-hold-s: 5\n");
         assertEquals(
                 5_000_000, Settings.read(platform, five, true).config().tuning().recoveryHoldMicros());
--- a/src/test/java/org/granitepath/coordination/scheduling/FairShareTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/FairShareTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.Tuning;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
 class FairShareTest {
-    private final FairShare shares = new FairShare(Config.Tuning.defaults());
+    private final FairShare shares = new FairShare(Tuning.defaults().weights());
 
     private static double plainSum(int total, int left, int running) {
         double sum = 0;
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.Team;
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.granitepath.coordination.ports.TaskId;
@@ -27,7 +27,7 @@
     private record Where(String host, String zone) {}
 
     private final World world;
-    private final Map<String, Config.Team> teams;
+    private final Map<String, Team> teams;
     private final long cancelMicros;
     final List<String> broken = new ArrayList<>();
     private final Map<String, JobSpec> submitted = new HashMap<>();
@@ -48,12 +48,12 @@
     private final Consumer<String> lastTaskDone;
     int starts;
 
-    Rules(World world, Map<String, Config.Team> teams, long cancelMicros) {
+    Rules(World world, Map<String, Team> teams, long cancelMicros) {
         this(world, teams, cancelMicros, job -> {});
     }
 
     /** @param lastTaskDone told of each job whose last task has just completed */
-    Rules(World world, Map<String, Config.Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
+    Rules(World world, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
         this.lastTaskDone = lastTaskDone;
         this.world = world;
         this.teams = teams;
@@ -96,7 +96,7 @@
         if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere)) {
             breach("wrong_place", task + ": " + here + " of its job in " + zone);
         }
-        Config.Team team = teams.get(spec.team());
+        Team team = teams.get(spec.team());
         if ((team.cpuLimit() > 0 && cpu > team.cpuLimit()) || (team.gpuLimit() > 0 && gpu > team.gpuLimit())) {
             breach("quota", "team " + spec.team() + " uses " + cpu + " and " + gpu);
         }
--- a/src/test/java/org/granitepath/simulation/RulesTest.java
+++ b/src/test/java/org/granitepath/simulation/RulesTest.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.Team;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.JobResponse;
@@ -22,7 +22,7 @@
 /** The checkers notice planted violations. */
 class RulesTest {
     private final World world = new World(1);
-    private final Rules rules = new Rules(world, Map.of("t", new Config.Team("t", 0, 3_000, 0, 0)), 10_000_000);
+    private final Rules rules = new Rules(world, Map.of("t", new Team("t", 0, 3_000, 0, 0)), 10_000_000);
 
     @BeforeEach
     void submit() {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -13,7 +13,14 @@
 import java.util.stream.Stream;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.ControllerIdentity;
+import org.granitepath.coordination.config.Objective;
+import org.granitepath.coordination.config.PlatformLimits;
 import org.granitepath.coordination.config.StoreLimits;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.coordination.config.Topology;
+import org.granitepath.coordination.config.Tuning;
+import org.granitepath.coordination.config.WorkerTiming;
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -32,11 +39,11 @@
     static final String PROMPT = "prompt";
 
     private static final List<String> ZONES = List.of("north", "south");
-    private static final Map<String, Config.Team> TEAMS = Map.of(
-            "free", new Config.Team("free", 0, 0, 0, 0),
-            "tight", new Config.Team("tight", 0, 12_000, 0, 0),
-            "granted", new Config.Team("granted", 16_000, 24_000, 0, 0),
-            "lender", new Config.Team("lender", 16_000, 0, 0, 0));
+    private static final Map<String, Team> TEAMS = Map.of(
+            "free", new Team("free", 0, 0, 0, 0),
+            "tight", new Team("tight", 0, 12_000, 0, 0),
+            "granted", new Team("granted", 16_000, 24_000, 0, 0),
+            "lender", new Team("lender", 16_000, 0, 0, 0));
 
     final class Node implements Timers {
         final String name;
@@ -56,30 +63,22 @@
             world.setDown(name, false);
             int ours = life;
             Config config = new Config(
-                    name,
-                    name + "-" + life,
-                    zoneOf(name),
-                    names.stream()
-                            .filter(n -> !n.equals(name))
-                            .collect(Collectors.toMap(n -> n, Simulation.this::zoneOf)),
-                    ZONES,
+                    new ControllerIdentity(name, name + "-" + life, zoneOf(name)),
+                    new Topology(
+                            ZONES,
+                            names.stream()
+                                    .filter(n -> !n.equals(name))
+                                    .collect(Collectors.toMap(n -> n, Simulation.this::zoneOf))),
                     TEAMS,
-                    Map.of(
-                            "svc",
-                            new Config.Objective(8 * SECOND, 1, 0),
-                            PROMPT,
-                            new Config.Objective(4 * SECOND, 1, 0)),
-                    shape.report,
-                    shape.lease,
-                    shape.cancel,
-                    SimGangs.WAIT,
-                    SimGangs.PEER,
-                    shape.requests,
-                    upgraded.contains(name) ? limits.within(nextLimits) : limits,
-                    5,
+                    Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
+                    new WorkerTiming(shape.report, shape.lease, shape.cancel, SimGangs.WAIT, SimGangs.PEER),
+                    new PlatformLimits(
+                            shape.requests,
+                            upgraded.contains(name) ? limits.within(nextLimits) : limits,
+                            5,
+                            shape.connections),
                     250_000,
-                    shape.connections,
-                    Config.Tuning.defaults().withRecoveryHold(recoveryHold));
+                    Tuning.defaults().withRecoveryHold(recoveryHold));
             controller = new Controller(
                     config,
                     traced(store.portFor(name), port -> trace.tracing(name, port)),
