--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -111,14 +111,14 @@
                         stopLeading();
                     }
                 });
-        this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, id -> jobIndex.finalOf(id) != null, peers, timers);
+        this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex::hasEnded, peers, timers);
         this.requestHandler = new JobRequestHandler(
                 config,
                 store,
                 replica,
                 jobIndex,
                 timers,
-                () -> types,
+                types::values,
                 (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
     }
 
@@ -271,7 +271,7 @@
         for (String prefix : List.of(Keys.FINAL, Keys.JOB, Keys.PROGRESS)) {
             if (record != null && key.startsWith(prefix)) {
                 String id = key.substring(prefix.length());
-                if (jobIndex.finalOf(id) != null) {
+                if (jobIndex.hasEnded(id)) {
                     replica.forget(Keys.JOB + id);
                     replica.forget(Keys.PROGRESS + id);
                 }
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -2,10 +2,9 @@
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.Collection;
-import java.util.HashSet;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.granitepath.recovery.RecordedTask;
 import org.granitepath.storage.FinalRecord;
 import org.granitepath.storage.JobRecord;
@@ -25,16 +24,22 @@
         void progressed(String id, ProgressRecord progress);
 
         /** A job is over. */
-        void ended(String id, FinalRecord.Outcome how);
+        void ended(String id, FinalRecord.Outcome outcome);
+    }
+
+    /** What can't be read of a job; each value includes those before it. */
+    private enum Unreadable {
+        /** How far it has come: users are told what else is known, but no leader decides about the job. */
+        PROGRESS,
+        /** Its description or its end: not even whether it exists or is over can be told. */
+        STATUS
     }
 
     private final Map<String, JobRecord> open = new Object2ObjectLinkedOpenHashMap<>();
     private final Map<String, ProgressRecord> progress = new Object2ObjectLinkedOpenHashMap<>();
     private final Map<String, FinalRecord.Outcome> finals = new Object2ObjectLinkedOpenHashMap<>();
-    /** Jobs of which a record can't be read. What it says is not known, so no leader decides about them. */
-    private final Set<String> unreadable = new HashSet<>();
-    /** Those among them of which not even can be told whether they exist or are over. */
-    private final Set<String> statusUnknown = new HashSet<>();
+    /** Jobs of which some record can't be read, and what is not known of them for that reason. */
+    private final Map<String, Unreadable> unreadableJobs = new HashMap<>();
 
     private Listener listener;
 
@@ -53,24 +58,34 @@
         return open.get(id);
     }
 
-    /** How the job ended, or null. */
+    /** How the job ended, or null if it has not. */
     public FinalRecord.Outcome finalOf(String id) {
         return finals.get(id);
     }
 
-    /** How far the job has come. */
+    /** Whether the job is done or cancelled, as far as this controller knows. */
+    public boolean hasEnded(String id) {
+        return finals.containsKey(id);
+    }
+
+    /** Whether the job was ever accepted, as far as this controller knows. */
+    boolean isKnown(String id) {
+        return open.containsKey(id) || hasEnded(id);
+    }
+
+    /** How far the job has come; nothing done and nothing claimed when no record tells. */
     public ProgressRecord progressOf(String id) {
         return progress.getOrDefault(id, ProgressRecord.none());
     }
 
     /** Whether a record of the job can't be read. */
     public boolean unreadable(String id) {
-        return unreadable.contains(id);
+        return unreadableJobs.containsKey(id);
     }
 
     /** Whether users can't be told of the job, since its description or its end can't be read. */
     boolean statusUnknown(String id) {
-        return statusUnknown.contains(id) && !finals.containsKey(id);
+        return unreadableJobs.get(id) == Unreadable.STATUS && !hasEnded(id);
     }
 
     /** What the records say of a task of a job that no leader here has open. */
@@ -99,16 +114,17 @@
         for (String prefix : List.of(Keys.JOB, Keys.PROGRESS, Keys.FINAL)) {
             if (key.startsWith(prefix)) {
                 String id = key.substring(prefix.length());
-                unreadable.add(id);
-                if (!prefix.equals(Keys.PROGRESS)) {
-                    statusUnknown.add(id);
-                }
+                markUnreadable(id, prefix.equals(Keys.PROGRESS) ? Unreadable.PROGRESS : Unreadable.STATUS);
             }
         }
     }
 
+    private void markUnreadable(String id, Unreadable part) {
+        unreadableJobs.merge(id, part, (known, added) -> known == Unreadable.STATUS ? known : added);
+    }
+
     private void jobChanged(String id, JobRecord record) {
-        if (finals.containsKey(id) || open.containsKey(id)) {
+        if (isKnown(id)) {
             return;
         }
         open.put(id, record);
@@ -118,7 +134,7 @@
     }
 
     private void progressChanged(String id, ProgressRecord record) {
-        if (finals.containsKey(id)) {
+        if (hasEnded(id)) {
             return;
         }
         progress.put(id, record);
