--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -1,8 +1,6 @@
 package org.granitepath.coordination;
 
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.admission.JobRequestHandler;
@@ -36,8 +34,6 @@
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final long TICK_MICROS = 1_000_000;
-    private static final long REDIRECTED_MACHINE_MEMORY_MICROS = 5_000_000;
-    private static final long TYPES_MICROS = 60_000_000;
     /** Share of the store's requests that all controllers together may spend on reading the latest changes. */
     private static final double READ_SHARE = 0.6;
 
@@ -46,20 +42,17 @@
     private final CloudPort cloud;
     private final WorkerPort workers;
     private final Timers timers;
+    private final RecoveryTracer recoveryTracer;
     private final RecordReplica replica;
     private final JobIndex jobIndex = new JobIndex();
     private final Leadership leadership;
     private final JobRequestHandler requestHandler;
     private final Peers peers;
     private final ZoneLeaseKeeper zoneLeaseKeeper;
-    private final RecoveryTracer recoveryTracer;
-    private final Map<String, MachineType> types = new LinkedHashMap<>();
+    private final MachineTypeCatalog machineTypes;
+    private final RedirectedMachines redirectedMachines = new RedirectedMachines();
+    /** The present term of this controller; null while it does not lead. */
     private LeaderTerm leaderTerm;
-    /** Machines that reported here while another controller owned them, and when. */
-    private final Map<String, Long> redirectedMachines = new LinkedHashMap<>();
-
-    private boolean askingTypes;
-    private long typesDueMicros;
 
     /** Makes a controller that does nothing before {@link #start}. */
     public Controller(
@@ -70,29 +63,13 @@
             PeerPort peerPort,
             Timers timers,
             RecoveryTracer recoveryTracer) {
-        this.recoveryTracer = recoveryTracer;
         this.config = config;
         this.store = store;
         this.cloud = cloud;
         this.workers = workers;
         this.timers = timers;
-        double readsPerSecond = config.limits().storeRequestsPerSecond()
-                * READ_SHARE
-                / (config.topology().peers().size() + 1);
-        this.replica = new RecordReplica(store, timers, (long) (1e6 / readsPerSecond), new RecordReplica.Listener() {
-            @Override
-            public void changed(String key, StoredRecord record, long revision) {
-                recordChanged(key, record);
-            }
-
-            @Override
-            public void loaded() {
-                LOG.info(
-                        "records read: {} open jobs, leader {}",
-                        jobIndex.openJobs().size(),
-                        leadership.leaderNode());
-            }
-        });
+        this.recoveryTracer = recoveryTracer;
+        this.replica = new RecordReplica(store, timers, readSpacingMicros(config), new ReplicaListener());
         this.peers = new Peers(config, peerPort, timers, this::status);
         this.leadership = new Leadership(
                 config,
@@ -100,28 +77,26 @@
                 replica,
                 timers,
                 () -> peers.allDisconnected(Config.CONTACT_TIMEOUT_MICROS),
-                new Leadership.Listener() {
-                    @Override
-                    public void elected(Leadership.Term term) {
-                        startLeading(term);
-                    }
-
-                    @Override
-                    public void leadershipLost(String why) {
-                        stopLeading();
-                    }
-                });
+                new LeadershipListener());
         this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex::hasEnded, peers, timers);
+        this.machineTypes = new MachineTypeCatalog(cloud, timers, new MachineTypeListener());
         this.requestHandler = new JobRequestHandler(
                 config,
                 store,
                 replica,
                 jobIndex,
                 timers,
-                types::values,
+                machineTypes::all,
                 (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
     }
 
+    /** Least time between two reads, from this controller's part of the share for reading. */
+    private static long readSpacingMicros(Config config) {
+        int controllers = config.topology().peers().size() + 1;
+        double readsPerSecond = config.limits().storeRequestsPerSecond() * READ_SHARE / controllers;
+        return (long) (1e6 / readsPerSecond);
+    }
+
     /** Begins to follow the records, to stand for leader and to talk to the other controllers. */
     public void start() {
         replica.start();
@@ -135,10 +110,14 @@
      * has lost the store sends users to the others.
      */
     public boolean healthy() {
-        if (!replica.loaded() || types.isEmpty()) {
+        if (!replica.loaded() || machineTypes.isEmpty()) {
             return false;
         }
-        return contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
+        return inContact() || !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
+    }
+
+    private boolean inContact() {
+        return contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS;
     }
 
     private long contactAgeMicros() {
@@ -150,12 +129,12 @@
                 config.node(),
                 replica.loaded() ? contactAgeMicros() : -1,
                 leaderTerm != null,
-                redirectedMachines.size());
+                redirectedMachines.count());
     }
 
     /** A peer tells how it is, and is told the same. */
-    public PeerPort.PeerStatus statusReceived(PeerPort.PeerStatus theirs) {
-        peers.take(theirs);
+    public PeerPort.PeerStatus statusReceived(PeerPort.PeerStatus peerStatus) {
+        peers.statusReceived(peerStatus);
         return status();
     }
 
@@ -170,7 +149,7 @@
     }
 
     /** The fencing token of the present term of this controller; 0 while it does not lead. */
-    public long term() {
+    public long fencingToken() {
         return leadership.fencingToken();
     }
 
@@ -196,20 +175,25 @@
 
     /** Takes a worker's heartbeat. */
     public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
-        if (leaderTerm == null) {
-            if (zoneLeaseKeeper.mayRenew(heartbeat)) {
-                return zoneLeaseKeeper.answer(heartbeat);
-            }
-            redirectedMachines.put(heartbeat.host(), timers.nowMicros());
-            String leader = leadership.leaderNode();
-            // A leader that is cut from us is cut from the machines around us as well: going there would cost them
-            // time.
-            boolean current = contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS || peers.leaderRecentlyHeard();
-            return current && leader != null && !leader.equals(config.node())
-                    ? new HeartbeatResponse.Redirect(leader)
-                    : new HeartbeatResponse.Unavailable();
+        if (leaderTerm != null) {
+            return leadership.answersWorkers() ? leaderTerm.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
         }
-        return leadership.answersWorkers() ? leaderTerm.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
+        if (zoneLeaseKeeper.mayRenew(heartbeat)) {
+            return zoneLeaseKeeper.answer(heartbeat);
+        }
+        redirectedMachines.add(heartbeat.host(), timers.nowMicros());
+        return redirectToLeader();
+    }
+
+    /**
+     * A leader that is cut from us is cut from the machines around us as well: going there would cost them time.
+     */
+    private HeartbeatResponse redirectToLeader() {
+        String leader = leadership.leaderNode();
+        boolean leaderIsReachable = inContact() || peers.hasRecentStatusOfLeader();
+        return leaderIsReachable && leader != null && !leader.equals(config.node())
+                ? new HeartbeatResponse.Redirect(leader)
+                : new HeartbeatResponse.Unavailable();
     }
 
     private void tick() {
@@ -217,52 +201,15 @@
         if (replica.loaded()) {
             replica.barrier(fresh -> {});
         }
-        long now = timers.nowMicros();
-        redirectedMachines.values().removeIf(at -> at < now - REDIRECTED_MACHINE_MEMORY_MICROS);
+        long nowMicros = timers.nowMicros();
+        redirectedMachines.forgetOld(nowMicros);
         if (leaderTerm != null && leaderTerm.cutFromWorkers(peers.mostRedirectedMachines())) {
             leadership.stepDown("the machines reach the others, but not us");
         }
-        if ((types.isEmpty() || (leaderTerm != null && now >= typesDueMicros)) && !askingTypes) {
-            askTypes();
-        }
-    }
-
-    private void askTypes() {
-        askingTypes = true;
-        cloud.types(list -> {
-            askingTypes = false;
-            typesDueMicros = timers.nowMicros() + (list == null ? 2_000_000 : TYPES_MICROS);
-            if (list != null) {
-                learnTypes(list, true);
-            }
-        });
-    }
-
-    private void learnTypes(List<MachineType> list, boolean fromCloud) {
-        if (!fromCloud && !types.isEmpty()) {
-            return;
-        }
-        types.clear();
-        for (MachineType t : list) {
-            types.put(t.name(), t);
-        }
         if (leaderTerm != null) {
-            leaderTerm.typesChanged(list);
-            if (fromCloud) {
-                leaderTerm.recordTypes(list);
-            }
-        }
-    }
-
-    private void recordChanged(String key, StoredRecord record) {
-        if (key.equals(Keys.LEADER)) {
-            leadership.leaderChanged();
-        } else if (record instanceof MachineTypesRecord recorded) {
-            // So that a controller that starts while the cloud is down can judge submissions.
-            learnTypes(recorded.types(), false);
+            machineTypes.refreshIfDue(nowMicros);
         } else {
-            jobIndex.changed(key, record);
-            forgetEnded(key, record);
+            machineTypes.fetchIfUnknown();
         }
     }
 
@@ -279,21 +226,66 @@
         }
     }
 
-    private void startLeading(Leadership.Term term) {
-        leaderTerm = new LeaderTerm(
-                config, leadership, term, store, replica, jobIndex, timers, workers, cloud, peers, recoveryTracer);
-        leaderTerm.start();
-        if (!types.isEmpty()) {
-            leaderTerm.typesChanged(List.copyOf(types.values()));
-            leaderTerm.recordTypes(List.copyOf(types.values()));
+    /** Passes each changed record to the part that it concerns. */
+    private final class ReplicaListener implements RecordReplica.Listener {
+        @Override
+        public void changed(String key, StoredRecord record, long revision) {
+            if (key.equals(Keys.LEADER)) {
+                leadership.leaderChanged();
+            } else if (record instanceof MachineTypesRecord recorded) {
+                machineTypes.recordRead(recorded.types());
+            } else {
+                jobIndex.changed(key, record);
+                forgetEnded(key, record);
+            }
+        }
+
+        @Override
+        public void loaded() {
+            LOG.info(
+                    "records read: {} open jobs, leader {}", jobIndex.openJobs().size(), leadership.leaderNode());
         }
-        leaderTerm.startAutoscaling();
     }
 
-    private void stopLeading() {
-        if (leaderTerm != null) {
-            leaderTerm.end();
-            leaderTerm = null;
+    /** Begins and ends the terms of this controller. */
+    private final class LeadershipListener implements Leadership.Listener {
+        @Override
+        public void elected(Leadership.Term term) {
+            leaderTerm = new LeaderTerm(
+                    config, leadership, term, store, replica, jobIndex, timers, workers, cloud, peers, recoveryTracer);
+            leaderTerm.start();
+            if (!machineTypes.isEmpty()) {
+                List<MachineType> types = List.copyOf(machineTypes.all());
+                leaderTerm.typesChanged(types);
+                leaderTerm.recordTypes(types);
+            }
+            leaderTerm.startAutoscaling();
+        }
+
+        @Override
+        public void leadershipLost(String why) {
+            if (leaderTerm != null) {
+                leaderTerm.end();
+                leaderTerm = null;
+            }
+        }
+    }
+
+    /** Passes new machine types to the present term, if this controller leads. */
+    private final class MachineTypeListener implements MachineTypeCatalog.Listener {
+        @Override
+        public void fetched(List<MachineType> types) {
+            if (leaderTerm != null) {
+                leaderTerm.typesChanged(types);
+                leaderTerm.recordTypes(types);
+            }
+        }
+
+        @Override
+        public void readFromRecord(List<MachineType> types) {
+            if (leaderTerm != null) {
+                leaderTerm.typesChanged(types);
+            }
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -1,13 +1,10 @@
 package org.granitepath.coordination.leadership;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.granitepath.coordination.config.Config;
-import org.granitepath.storage.FencingTokenRecord;
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
 import org.granitepath.storage.Keys;
@@ -28,16 +25,20 @@
     private static final long CHECK_MICROS = 250_000;
     private static final long BACKOFF_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
-    /**
-     * {@code DISCONNECTED}: lately no word from the store, or only about our lease and not about the records; workers
-     * are still answered, since an outage looks the same. {@code FENCED_OFF}: for so long that a cancellation might be
-     * missed; workers are left to their leases.
-     */
+    /** Where this controller stands. The last three are the phases of a term, by the age of the store's last word. */
     enum Phase {
+        /** Another controller leads, or none. */
         FOLLOWING,
+        /** This controller stands for leader. */
         CAMPAIGNING,
+        /** This controller leads, as the store confirmed lately. */
         LEADING,
+        /**
+         * Lately no word from the store, or only about our lease and not about the records. Workers are still
+         * answered, since an outage looks the same.
+         */
         DISCONNECTED,
+        /** Disconnected for so long that a cancellation might be missed: workers are left to their leases. */
         FENCED_OFF
     }
 
@@ -60,11 +61,11 @@
     private final Listener listener;
     private final BooleanSupplier peersDisconnected;
     private Phase phase = Phase.FOLLOWING;
-    private long lease;
+    /** The present term; null while this controller does not lead. */
     private Term term;
-    private long lastConfirmedMicros;
-    private boolean renewing;
-    private long renewDueMicros;
+    /** The lease of the latest term, released when the term ended; null before the first. */
+    private LeaderLease lease;
+
     private long campaignBackoffUntilMicros;
 
     /** @param peersDisconnected whether every other controller lately told that the store doesn't answer it */
@@ -119,9 +120,9 @@
         return leaseConfirmed() || (phase == Phase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
-    /** When the last request was sent that the store answered with our being the leader. */
+    /** When the last request was sent that the store answered with our being the leader; 0 before the first term. */
     public long lastConfirmedMicros() {
-        return lastConfirmedMicros;
+        return lease == null ? 0 : lease.lastConfirmedMicros();
     }
 
     /** The leader on record, or null. */
@@ -130,62 +131,44 @@
         return leader == null ? null : leader.node();
     }
 
-    private void transition(Phase next, String why) {
-        if (phase != next) {
-            LOG.info("leadership {} -> {} ({})", phase, next, why);
-            phase = next;
-        }
-    }
-
     /** The leader record changed. */
     public void leaderChanged() {
         LeaderRecord leader = replica.leader();
         if (term != null) {
-            boolean mine = leader != null
-                    && config.identity().incarnation().equals(leader.incarnation())
-                    && leader.fencingToken() == term.fencingToken();
-            if (!mine && replica.revision(Keys.LEADER) != term.leaderRevision()) {
+            if (!isOurs(leader) && replica.revision(Keys.LEADER) != term.leaderRevision()) {
                 loseLeadership(leader == null ? "our lease ran out" : "taken over by " + leader.node());
             }
-        } else if (leader == null && phase == Phase.FOLLOWING) {
+        } else if (leader == null) {
             considerCampaign();
         }
     }
 
-    private void tick() {
-        timers.after(CHECK_MICROS, this::tick);
-        long now = timers.nowMicros();
+    private boolean isOurs(LeaderRecord leader) {
+        return leader != null
+                && config.identity().incarnation().equals(leader.incarnation())
+                && leader.fencingToken() == term.fencingToken();
+    }
+
+    /** Hands the machines over: another can do better. */
+    public void stepDown(String why) {
         if (term == null) {
-            considerCampaign();
             return;
         }
-        if (now >= renewDueMicros && !renewing) {
-            renew();
-        }
-        refreshPhase();
+        Transaction removal = new Transaction(
+                List.of(new Precondition(Keys.LEADER, term.leaderRevision())), List.of(Change.remove(Keys.LEADER)));
+        store.commit(removal, answer -> {}); // should this be lost, the lease runs out by itself
+        campaignBackoffUntilMicros = timers.nowMicros() + BACKOFF_AFTER_STEPPING_DOWN_MICROS;
+        loseLeadership(why);
     }
 
-    /**
-     * Checks the phase against the time that has passed. A process that stood still goes on with whatever came first,
-     * a heartbeat that waited or a timer, in the phase from before its pause, while a successor may hold the machines.
-     * The time counts from the older of two words: that the lease is ours, and that the records were read. A
-     * cancellation shows in the records alone, and renewals may get through while reads don't; when an outage ends the
-     * first renewal comes before the first read.
-     */
-    private void refreshPhase() {
+    private void tick() {
+        timers.after(CHECK_MICROS, this::tick);
         if (term == null) {
+            considerCampaign();
             return;
         }
-        long sinceContactMicros = timers.nowMicros() - Math.min(lastConfirmedMicros, replica.lastContactMicros());
-        if (sinceContactMicros
-                <= Math.min(
-                        config.tuning().leaderLeaseMicros(), config.workers().maxDisconnectedMicros())) {
-            transition(Phase.LEADING, "the state service answers");
-        } else if (sinceContactMicros <= config.workers().maxDisconnectedMicros()) {
-            transition(Phase.DISCONNECTED, "no answer from the state service");
-        } else {
-            transition(Phase.FENCED_OFF, "a cancellation could have been missed for too long");
-        }
+        lease.renewIfDue(timers.nowMicros());
+        refreshPhase();
     }
 
     private void considerCampaign() {
@@ -193,65 +176,81 @@
             return;
         }
         LeaderRecord leader = replica.leader();
-        // A leader of our own name and another incarnation is our former process, and that has ended.
-        boolean formerSelf = leader != null
-                && config.node().equals(leader.node())
+        if (leader == null) {
+            startCampaign(Campaign.Reason.NO_LEADER);
+        } else if (isFormerSelf(leader)) {
+            startCampaign(Campaign.Reason.RESTARTED);
+        }
+    }
+
+    /** A leader of our own name and another incarnation is our former process, and that has ended. */
+    private boolean isFormerSelf(LeaderRecord leader) {
+        return config.node().equals(leader.node())
                 && !config.identity().incarnation().equals(leader.incarnation());
-        if (leader == null || formerSelf) {
-            campaign(formerSelf);
+    }
+
+    /** The only place where the phase changes. */
+    private void transition(Phase next, String why) {
+        if (phase != next) {
+            LOG.info("leadership {} -> {} ({})", phase, next, why);
+            phase = next;
         }
     }
 
-    private void campaign(boolean formerSelf) {
-        transition(Phase.CAMPAIGNING, formerSelf ? "we led before our restart" : "no leader on record");
-        long began = timers.nowMicros();
-        store.openLease(config.tuning().leaderLeaseMicros(), leased -> {
-            if (leased.outcome() != Outcome.OK) {
-                abandonCampaign("no lease to be had");
-                return;
+    /** {@code FOLLOWING -> CAMPAIGNING}. */
+    private void startCampaign(Campaign.Reason reason) {
+        transition(Phase.CAMPAIGNING, reason.text());
+        Campaign.Listener campaignListener = new Campaign.Listener() {
+            @Override
+            public void won(Campaign.Victory victory) {
+                beginTerm(victory);
             }
-            // The record as it is now: another may have won meanwhile.
-            replica.barrier(fresh -> {
-                LeaderRecord leader = replica.leader();
-                boolean free = leader == null || (formerSelf && config.node().equals(leader.node()));
-                if (!fresh || !free) {
-                    abandonCampaign(fresh ? "another was faster" : "can't read the records");
-                } else {
-                    acquire(leased.lease(), began);
-                }
-            });
-        });
+
+            @Override
+            public void abandoned(String why) {
+                abandonCampaign(why);
+            }
+        };
+        new Campaign(config, store, replica, timers, reason, campaignListener).start();
+    }
+
+    /** {@code CAMPAIGNING -> FOLLOWING}. */
+    private void abandonCampaign(String why) {
+        campaignBackoffUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
+        transition(Phase.FOLLOWING, why);
     }
 
-    private void acquire(long acquiredLease, long began) {
-        FencingTokenRecord counter = replica.fencingToken();
-        long fencingToken = (counter == null ? 0 : counter.last()) + 1;
-        List<Precondition> preconditions = new ArrayList<>();
-        List<Change> changes = new ArrayList<>();
-        LeaderRecord leader = new LeaderRecord(config.node(), config.identity().incarnation(), fencingToken);
-        changes.add(new Change(Keys.LEADER, leader, acquiredLease));
-        changes.add(
-                Change.write(Keys.FENCING_TOKEN, new FencingTokenRecord(config.node(), fencingToken, fencingToken)));
-        for (Change change : changes) {
-            preconditions.add(new Precondition(change.key(), replica.revision(change.key())));
+    /** {@code CAMPAIGNING -> LEADING}. */
+    private void beginTerm(Campaign.Victory victory) {
+        term = victory.term();
+        lease = newLease(victory);
+        // Only now: the change of the leader record is judged by the term.
+        for (Change change : victory.changes()) {
+            replica.applied(change.key(), change.record(), term.leaderRevision());
         }
-        store.commit(new Transaction(preconditions, changes), answer -> {
-            if (answer.outcome() != Outcome.OK) {
-                // If it is carried out all the same, nobody renews the lease and the key goes with it.
-                abandonCampaign("takeover " + answer.outcome());
-                return;
+        transition(Phase.LEADING, "fencing token " + term.fencingToken());
+        takeOver(term);
+    }
+
+    private LeaderLease newLease(Campaign.Victory victory) {
+        LeaderLease.Listener leaseListener = new LeaderLease.Listener() {
+            @Override
+            public void renewed() {
+                refreshPhase();
             }
-            lease = acquiredLease;
-            term = new Term(fencingToken, answer.storeRevision());
-            lastConfirmedMicros = began;
-            renewDueMicros = began + config.tuning().leaderLeaseMicros() / 3;
-            renewing = false;
-            for (Change change : changes) {
-                replica.applied(change.key(), change.record(), answer.storeRevision());
+
+            @Override
+            public void expired() {
+                loseLeadership("our lease ran out");
             }
-            transition(Phase.LEADING, "fencing token " + fencingToken);
-            takeOver(term);
-        });
+        };
+        return new LeaderLease(
+                store,
+                timers,
+                victory.lease(),
+                config.tuning().leaderLeaseMicros(),
+                victory.openedMicros(),
+                leaseListener);
     }
 
     /**
@@ -272,53 +271,44 @@
         });
     }
 
-    private void abandonCampaign(String why) {
-        campaignBackoffUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
-        transition(Phase.FOLLOWING, why);
-    }
-
-    private void renew() {
-        renewing = true;
-        Term ours = term;
-        long sent = timers.nowMicros();
-        renewDueMicros = sent + config.tuning().leaderLeaseMicros() / 4;
-        store.renewLease(lease, outcome -> {
-            if (!ours.equals(term)) {
-                return;
-            }
-            renewing = false;
-            if (outcome == Outcome.OK) {
-                lastConfirmedMicros = sent;
-                refreshPhase();
-            } else if (outcome == Outcome.NOT_FOUND) {
-                loseLeadership("our lease ran out");
-            } else {
-                LOG.debug("renewal of lease {}: {}", lease, outcome);
-            }
-        });
-    }
-
-    /** Hands the machines over: another can do better. */
-    public void stepDown(String why) {
+    /**
+     * Moves among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} by the time that has passed. A process
+     * that stood still goes on with whatever came first, a heartbeat that waited or a timer, in the phase from before
+     * its pause, while a successor may hold the machines: so the phase is looked at again before it is relied on.
+     */
+    private void refreshPhase() {
         if (term == null) {
             return;
         }
-        // Should this be lost, the lease runs out by itself.
-        store.commit(
-                new Transaction(
-                        List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
-                        List.of(Change.remove(Keys.LEADER))),
-                answer -> {});
-        campaignBackoffUntilMicros = timers.nowMicros() + BACKOFF_AFTER_STEPPING_DOWN_MICROS;
-        loseLeadership(why);
+        long sinceContactMicros = timers.nowMicros() - lastContactMicros();
+        long maxDisconnectedMicros = config.workers().maxDisconnectedMicros();
+        if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), maxDisconnectedMicros)) {
+            transition(Phase.LEADING, "the state service answers");
+        } else if (sinceContactMicros <= maxDisconnectedMicros) {
+            transition(Phase.DISCONNECTED, "no answer from the state service");
+        } else {
+            transition(Phase.FENCED_OFF, "a cancellation could have been missed for too long");
+        }
+    }
+
+    /**
+     * The older of two words of the store: that the lease is ours, and what the records are. A cancellation shows in
+     * the records alone, and renewals may get through while reads don't; when an outage ends the first renewal comes
+     * before the first read.
+     */
+    private long lastContactMicros() {
+        return Math.min(lease.lastConfirmedMicros(), replica.lastContactMicros());
     }
 
+    /** From any phase of a term to {@code FOLLOWING}. */
     private void loseLeadership(String why) {
-        if (term != null) {
-            term = null;
-            transition(Phase.FOLLOWING, why);
-            listener.leadershipLost(why);
-            considerCampaign();
+        if (term == null) {
+            return;
         }
+        term = null;
+        lease.release();
+        transition(Phase.FOLLOWING, why);
+        listener.leadershipLost(why);
+        considerCampaign();
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -3,9 +3,11 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Supplier;
+import java.util.stream.Stream;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.config.WorkerTiming;
 import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.coordination.ports.PeerPort.PeerStatus;
 import org.granitepath.storage.Timers;
 
 /**
@@ -13,119 +15,109 @@
  * a peer that is in contact tells them apart.
  */
 public final class Peers {
-    private static final long TICK_MICROS = 1_000_000;
-    private static final long FRESH_MICROS = 3_500_000;
-    private static final long SURELY_OVER_MICROS = 100_000;
+    private static final long EXCHANGE_MICROS = 1_000_000;
+    /** A status that is older than this tells nothing of the present. */
+    private static final long RECENT_MICROS = 3_500_000;
+    /** Beyond the time after which a leader out of reach starts nothing more: it must surely be over. */
+    private static final long ANNOUNCEMENT_MARGIN_MICROS = 100_000;
 
-    private record Heard(PeerPort.PeerStatus status, long atMicros) {}
+    private record LastStatus(PeerStatus status, long receivedMicros) {
+        boolean isRecent(long nowMicros) {
+            return nowMicros - receivedMicros < RECENT_MICROS;
+        }
+    }
 
     private final Config config;
     private final PeerPort port;
     private final Timers timers;
-    private final Supplier<PeerPort.PeerStatus> ours;
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Supplier<PeerStatus> ownStatus;
+    private final Map<String, LastStatus> lastStatusByPeer = new HashMap<>();
 
     /** Nothing is exchanged before it is started. */
-    public Peers(Config config, PeerPort port, Timers timers, Supplier<PeerPort.PeerStatus> ours) {
+    public Peers(Config config, PeerPort port, Timers timers, Supplier<PeerStatus> ownStatus) {
         this.config = config;
         this.port = port;
         this.timers = timers;
-        this.ours = ours;
+        this.ownStatus = ownStatus;
     }
 
     /** Begins to exchange status messages once a second. */
     public void start() {
-        tick();
+        exchangeStatus();
     }
 
-    private void tick() {
-        timers.after(TICK_MICROS, this::tick);
+    private void exchangeStatus() {
+        timers.after(EXCHANGE_MICROS, this::exchangeStatus);
         for (String peer : config.topology().peers()) {
-            port.exchangeStatus(peer, ours.get(), answer -> {
+            port.exchangeStatus(peer, ownStatus.get(), answer -> {
                 if (answer != null) {
-                    take(answer);
+                    statusReceived(answer);
                 }
             });
         }
     }
 
     /** A peer has told how it is. */
-    public void take(PeerPort.PeerStatus status) {
-        heard.put(status.node(), new Heard(status, timers.nowMicros()));
+    public void statusReceived(PeerStatus status) {
+        lastStatusByPeer.put(status.node(), new LastStatus(status, timers.nowMicros()));
     }
 
-    /** The most machines that one peer lately turned away; negative when no peer has been heard. */
+    /** The most machines that one peer lately turned away; negative without a recent status of any peer. */
     public int mostRedirectedMachines() {
-        long now = timers.nowMicros();
-        return heard.values().stream()
-                .filter(h -> now - h.atMicros() < FRESH_MICROS)
-                .mapToInt(h -> h.status().redirectedMachines())
-                .max()
-                .orElse(-1);
+        return recentStatuses().mapToInt(PeerStatus::redirectedMachines).max().orElse(-1);
     }
 
-    /**
-     * Whether every peer was lately heard and told that the store had not answered it for so long, or never.
-     */
+    /** Whether a peer lately told that it is the leader. */
+    public boolean hasRecentStatusOfLeader() {
+        return recentStatuses().anyMatch(PeerStatus::leader);
+    }
+
+    /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
+    public boolean anyConnected(long ageMicros) {
+        return recentStatuses().anyMatch(status -> isConnected(status, ageMicros));
+    }
+
+    /** Whether every peer lately told that the store had not answered it for so long, or never. */
     public boolean allDisconnected(long ageMicros) {
-        long now = timers.nowMicros();
-        for (String peer : config.topology().peers()) {
-            Heard h = heard.get(peer);
-            if (h == null || now - h.atMicros() >= FRESH_MICROS) {
-                return false;
-            }
-            long age = h.status().contactAgeMicros();
-            if (age >= 0 && age <= ageMicros) {
-                return false;
-            }
-        }
-        return true;
+        long nowMicros = timers.nowMicros();
+        return config.topology().peers().stream()
+                .map(lastStatusByPeer::get)
+                .allMatch(last -> last != null && last.isRecent(nowMicros) && !isConnected(last.status(), ageMicros));
+    }
+
+    private Stream<PeerStatus> recentStatuses() {
+        long nowMicros = timers.nowMicros();
+        return lastStatusByPeer.values().stream()
+                .filter(last -> last.isRecent(nowMicros))
+                .map(LastStatus::status);
+    }
+
+    private static boolean isConnected(PeerStatus status, long ageMicros) {
+        return status.contactAgeMicros() >= 0 && status.contactAgeMicros() <= ageMicros;
     }
 
     /**
      * Passes a cancellation on that is on record. {@code then} runs once no task of the job is started any more: when
      * the leader has taken it in, or when a leader that we don't reach can no longer count as in contact with the
      * records, nor go by an earlier status message of ours that told it that we were out of contact.
+     *
+     * @param leader the leader on record, or null
      */
     public void announceCancellation(PeerPort.CancellationNotice notice, String leader, Runnable then) {
-        boolean[] over = {!config.topology().peers().contains(leader)};
+        boolean leaderIsPeer = config.topology().peers().contains(leader);
+        OneShot effective = new OneShot();
         for (String peer : config.topology().peers()) {
             port.sendCancellation(peer, notice, taken -> {
-                if (taken && peer.equals(leader) && !over[0]) {
-                    over[0] = true;
-                    then.run();
+                if (taken && peer.equals(leader)) {
+                    effective.fire(then);
                 }
             });
         }
-        if (over[0]) {
-            then.run();
-            return;
-        }
-        long longest = Math.max(config.tuning().leaderLeaseMicros(), FRESH_MICROS);
-        timers.after(WorkerTiming.withDrift(longest) + SURELY_OVER_MICROS, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                then.run();
-            }
-        });
-    }
-
-    /** Whether the leader was lately heard. */
-    public boolean leaderRecentlyHeard() {
-        long now = timers.nowMicros();
-        return heard.values().stream()
-                .anyMatch(h -> now - h.atMicros() < FRESH_MICROS && h.status().leader());
-    }
-
-    /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
-    public boolean anyConnected(long ageMicros) {
-        long now = timers.nowMicros();
-        for (Heard h : heard.values()) {
-            long age = h.status().contactAgeMicros();
-            if (now - h.atMicros() < FRESH_MICROS && age >= 0 && age <= ageMicros) {
-                return true;
-            }
+        if (leaderIsPeer) {
+            long longestMicros = Math.max(config.tuning().leaderLeaseMicros(), RECENT_MICROS);
+            effective.fireAfter(timers, WorkerTiming.withDrift(longestMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+        } else {
+            effective.fire(then); // no other controller starts tasks
         }
-        return false;
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -31,13 +31,11 @@
     private final Predicate<String> jobHasEnded;
     private final Peers peers;
     private final Timers timers;
-    /**
-     * The present fencing token of each machine on record, as of the contact with the store at
-     * {@link #asOfMicros}.
-     */
+    /** The present fencing token of each machine on record, as of the contact at {@link #tokensAsOfMicros}. */
     private final Object2LongOpenHashMap<String> fencingTokens = new Object2LongOpenHashMap<>();
 
-    private long asOfMicros = Long.MIN_VALUE;
+    /** The contact with the store after which the tokens were read. */
+    private long tokensAsOfMicros = Long.MIN_VALUE;
 
     /** @param jobHasEnded whether the job of this name is done or cancelled, as far as this controller knows */
     public ZoneLeaseKeeper(
@@ -51,34 +49,44 @@
 
     /** Whether this controller may answer the worker in the place of the leader. */
     public boolean mayRenew(Heartbeat heartbeat) {
-        if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone())) {
+        if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
             return false;
         }
-        long age = timers.nowMicros() - replica.lastContactMicros();
-        if (age < Config.CONTACT_TIMEOUT_MICROS
-                || age > config.workers().maxDisconnectedMicros()
-                || peers.leaderRecentlyHeard()
-                || peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS)) {
-            return false;
-        }
-        if (asOfMicros != replica.lastContactMicros()) {
-            asOfMicros = replica.lastContactMicros();
-            readTokens();
-            LOG.info(
-                    "out of contact, and the leader is not heard: keeping the machines of {} alive for it",
-                    config.identity().zone());
-        }
+        readTokensOncePerContact();
         return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.host()) == heartbeat.fencingToken();
     }
 
+    /** Whether the store and the leader are out of reach, and have been for no longer than a leader may go on so. */
+    private boolean isCutOffFromLeader() {
+        long contactAgeMicros = timers.nowMicros() - replica.lastContactMicros();
+        return contactAgeMicros >= Config.CONTACT_TIMEOUT_MICROS
+                && contactAgeMicros <= config.workers().maxDisconnectedMicros()
+                && !peers.hasRecentStatusOfLeader()
+                && !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
+    }
+
+    /** The records don't change without contact, and the inventory is too long to be searched for each heartbeat. */
+    private void readTokensOncePerContact() {
+        if (tokensAsOfMicros == replica.lastContactMicros()) {
+            return;
+        }
+        tokensAsOfMicros = replica.lastContactMicros();
+        readTokens();
+        LOG.info(
+                "out of contact, without a recent status of the leader: keeping the machines of {} alive for it",
+                config.identity().zone());
+    }
+
     private void readTokens() {
         fencingTokens.clear();
         FencingTokenRecord counter = replica.fencingToken();
-        long term = counter == null ? 0 : counter.term();
+        long termToken = counter == null ? 0 : counter.term();
         for (int part = 0; part < replica.inventoryParts(); part++) {
-            InventoryRecord hosts = replica.inventory(part);
-            if (hosts != null) {
-                hosts.hosts().forEach(host -> fencingTokens.put(host.id(), Math.max(term, host.fencingToken())));
+            InventoryRecord inventory = replica.inventory(part);
+            if (inventory != null) {
+                inventory
+                        .hosts()
+                        .forEach(host -> fencingTokens.put(host.id(), Math.max(termToken, host.fencingToken())));
             }
         }
     }
@@ -88,12 +96,13 @@
      * here.
      */
     public HeartbeatResponse answer(Heartbeat heartbeat) {
-        List<WorkerCommand> commands = new ArrayList<>();
-        for (TaskStatus r : heartbeat.tasks()) {
-            if (r.state() != TaskState.EXITED && jobHasEnded.test(r.task().job())) {
-                commands.add(WorkerCommand.stop(r.task(), r.attempt(), 0));
+        List<WorkerCommand> stops = new ArrayList<>();
+        for (TaskStatus status : heartbeat.tasks()) {
+            if (status.state() != TaskState.EXITED
+                    && jobHasEnded.test(status.task().job())) {
+                stops.add(WorkerCommand.stop(status.task(), status.attempt(), 0));
             }
         }
-        return new HeartbeatResponse.Accepted(heartbeat.fencingToken(), commands);
+        return new HeartbeatResponse.Accepted(heartbeat.fencingToken(), stops);
     }
 }
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/TestConfigs.java
@@ -0,0 +1,35 @@
+package org.granitepath.coordination;
+
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.ControllerIdentity;
+import org.granitepath.coordination.config.PlatformLimits;
+import org.granitepath.coordination.config.StoreLimits;
+import org.granitepath.coordination.config.Topology;
+import org.granitepath.coordination.config.Tuning;
+import org.granitepath.coordination.config.WorkerTiming;
+
+/** Settings for tests of single parts. */
+public final class TestConfigs {
+    private static final long SECOND = 1_000_000;
+
+    private TestConfigs() {}
+
+    /** Settings of one controller; each peer stands in a zone of its own. */
+    public static Config of(String node, String incarnation, String... peers) {
+        Map<String, String> peerZones = new LinkedHashMap<>();
+        Arrays.stream(peers).forEach(peer -> peerZones.put(peer, "zone-" + peer));
+        return new Config(
+                new ControllerIdentity(node, incarnation, "zone-" + node),
+                new Topology(List.of("zone-" + node), peerZones),
+                Map.of(),
+                Map.of(),
+                new WorkerTiming(SECOND, 10 * SECOND, 30 * SECOND, 10 * SECOND, 5 * SECOND),
+                new PlatformLimits(100, new StoreLimits(50, 10_000, 20), 5, 100),
+                SECOND / 4,
+                Tuning.defaults());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -0,0 +1,49 @@
+package org.granitepath.coordination.admission;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import org.granitepath.recovery.RecordedTask;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.UnknownRecord;
+import org.junit.jupiter.api.Test;
+
+/** What is known of a job of which a record can't be read. */
+class JobIndexTest {
+    private static final UnknownRecord UNREADABLE = new UnknownRecord(Map.of());
+
+    private final JobIndex jobIndex = new JobIndex();
+
+    @Test
+    void unreadableProgressLeavesTheStatusKnown() {
+        jobIndex.changed(Keys.PROGRESS + "a", UNREADABLE);
+        assertTrue(jobIndex.unreadable("a"));
+        assertFalse(jobIndex.statusUnknown("a"));
+        assertEquals(RecordedTask.UNREADABLE, jobIndex.recorded("a"));
+    }
+
+    @Test
+    void withAnUnreadableDescriptionTheStatusStaysUnknownWhateverElseCantBeRead() {
+        jobIndex.changed(Keys.JOB + "a", UNREADABLE);
+        jobIndex.changed(Keys.PROGRESS + "a", UNREADABLE);
+        assertTrue(jobIndex.statusUnknown("a"));
+    }
+
+    @Test
+    void theEndOfAJobIsKnownWithoutItsDescription() {
+        jobIndex.changed(Keys.JOB + "a", UNREADABLE);
+        jobIndex.changed(Keys.FINAL + "a", new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        assertFalse(jobIndex.statusUnknown("a"));
+        assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
+        assertEquals(RecordedTask.JOB_CANCELLED, jobIndex.recorded("a"));
+    }
+
+    @Test
+    void aJobOfWhichNothingIsOnRecordIsNotKnown() {
+        assertFalse(jobIndex.isKnown("a") || jobIndex.unreadable("a") || jobIndex.statusUnknown("a"));
+        assertEquals(RecordedTask.UNKNOWN_JOB, jobIndex.recorded("a"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -0,0 +1,124 @@
+package org.granitepath.coordination.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.granitepath.coordination.ManualTimers;
+import org.granitepath.coordination.TestConfigs;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.storage.FencingTokenRecord;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.LeaderRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StoredRecord;
+import org.junit.jupiter.api.Test;
+
+/** The phases of leadership, with a store in memory and a clock moved by hand. */
+class LeadershipTest {
+    private static final long SECOND = 1_000_000;
+    private static final String NODE = "c1";
+
+    private final ManualTimers timers = new ManualTimers();
+    private final MemoryStore store = new MemoryStore(timers);
+    private final List<String> events = new ArrayList<>();
+    private boolean peersDisconnected;
+    private Leadership leadership;
+
+    private void start() {
+        Config config = TestConfigs.of(NODE, "c1-2", "c2");
+        RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
+            @Override
+            public void changed(String key, StoredRecord record, long revision) {
+                if (key.equals(Keys.LEADER)) {
+                    leadership.leaderChanged();
+                }
+            }
+
+            @Override
+            public void loaded() {}
+        });
+        leadership = new Leadership(config, store, replica, timers, () -> peersDisconnected, new Leadership.Listener() {
+            @Override
+            public void elected(Leadership.Term term) {
+                events.add("elected " + term.fencingToken());
+            }
+
+            @Override
+            public void leadershipLost(String why) {
+                events.add("lost: " + why);
+            }
+        });
+        replica.start();
+        leadership.start();
+        timers.advance(2 * SECOND);
+    }
+
+    @Test
+    void withoutALeaderOnRecordItCampaignsAndLeads() {
+        start();
+        assertEquals(List.of("elected 1"), events);
+        assertTrue(leadership.leaseConfirmed() && leadership.mayStart());
+        assertEquals(NODE, leadership.leaderNode());
+    }
+
+    @Test
+    void anotherLeaderIsFollowedUntilItsLeaseEnds() {
+        store.put(Keys.LEADER, new LeaderRecord("c2", "c2-1", 7), 99);
+        store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", 7, 7), 0);
+        start();
+        assertFalse(leadership.leads());
+        store.expireLeaseOf(Keys.LEADER);
+        timers.advance(SECOND);
+        assertEquals(List.of("elected 8"), events, "under the next fencing token");
+    }
+
+    @Test
+    void theFormerProcessOfTheSameNameIsReplacedAtOnce() {
+        store.put(Keys.LEADER, new LeaderRecord(NODE, "c1-1", 7), 99);
+        store.put(Keys.FENCING_TOKEN, new FencingTokenRecord(NODE, 7, 7), 0);
+        start();
+        assertEquals(List.of("elected 8"), events);
+    }
+
+    @Test
+    void inAnOutageItDisconnectsThenIsFencedOffAndLeadsAgainAfterwards() {
+        start();
+        store.silent = true;
+        timers.advance(5 * SECOND);
+        assertTrue(leadership.answersWorkers() && !leadership.leaseConfirmed(), "disconnected");
+        assertFalse(leadership.mayStart(), "a peer may have confirmed a cancellation");
+        peersDisconnected = true;
+        assertTrue(leadership.mayStart(), "no peer can have confirmed one");
+        timers.advance(15 * SECOND);
+        assertFalse(leadership.answersWorkers() || leadership.mayStart(), "fenced off");
+        assertTrue(leadership.leads(), "the term is not known to be over");
+        store.silent = false;
+        timers.advance(3 * SECOND);
+        assertTrue(leadership.leaseConfirmed());
+        assertEquals(List.of("elected 1"), events, "still the same term");
+    }
+
+    @Test
+    void aLeaseThatExpiredInAnOutageEndsTheTerm() {
+        start();
+        store.silent = true;
+        timers.advance(5 * SECOND);
+        store.expireLeaseOf(Keys.LEADER);
+        store.silent = false;
+        timers.advance(3 * SECOND);
+        assertEquals(List.of("elected 1", "lost: our lease ran out", "elected 2"), events);
+    }
+
+    @Test
+    void whoStepsDownLetsOthersCampaignFirst() {
+        start();
+        leadership.stepDown("the machines don't reach us");
+        timers.advance(14 * SECOND);
+        assertEquals(List.of("elected 1", "lost: the machines don't reach us"), events);
+        timers.advance(2 * SECOND);
+        assertEquals("elected 2", events.get(2));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -0,0 +1,92 @@
+package org.granitepath.coordination.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.granitepath.coordination.ManualTimers;
+import org.granitepath.coordination.TestConfigs;
+import org.granitepath.coordination.ports.PeerPort;
+import org.junit.jupiter.api.Test;
+
+/** What is concluded from the last status of each peer, and when a cancellation counts as effective. */
+class PeersTest {
+    private static final long SECOND = 1_000_000;
+    private static final long CONTACT = 2_500_000;
+
+    private final ManualTimers timers = new ManualTimers();
+    private final Map<String, Consumer<Boolean>> announcements = new LinkedHashMap<>();
+    private final PeerPort port = new PeerPort() {
+        @Override
+        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
+            announcements.put(peer, then);
+        }
+
+        @Override
+        public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {}
+    };
+    private final Peers peers = new Peers(TestConfigs.of("c1", "c1-1", "c2", "c3"), port, timers, () -> null);
+    private int effective;
+
+    private void receive(String peer, long contactAgeMicros, int redirected) {
+        peers.statusReceived(new PeerPort.PeerStatus(peer, contactAgeMicros, peer.equals("c2"), redirected));
+    }
+
+    private void announce(String leader) {
+        peers.announceCancellation(new PeerPort.CancellationNotice("job", 5), leader, () -> effective++);
+    }
+
+    @Test
+    void onlyRecentStatusesCount() {
+        assertEquals(-1, peers.mostRedirectedMachines(), "nothing is known");
+        receive("c2", 0, 4);
+        timers.advance(2 * SECOND);
+        receive("c3", 0, 1);
+        assertEquals(4, peers.mostRedirectedMachines());
+        assertTrue(peers.hasRecentStatusOfLeader());
+        timers.advance(2 * SECOND);
+        assertEquals(1, peers.mostRedirectedMachines());
+        assertFalse(peers.hasRecentStatusOfLeader());
+    }
+
+    @Test
+    void allAreDisconnectedOnlyIfEachOneSaysSo() {
+        receive("c2", CONTACT + 1, 0);
+        assertFalse(peers.allDisconnected(CONTACT), "nothing is known of c3");
+        receive("c3", CONTACT, 0);
+        assertFalse(peers.allDisconnected(CONTACT));
+        assertTrue(peers.anyConnected(CONTACT));
+        receive("c3", -1, 0);
+        assertTrue(peers.allDisconnected(CONTACT), "never in contact");
+        assertFalse(peers.anyConnected(CONTACT));
+    }
+
+    @Test
+    void aCancellationIsEffectiveOnceTheLeaderHasIt() {
+        announce("c2");
+        announcements.get("c3").accept(true);
+        announcements.get("c2").accept(false);
+        assertEquals(0, effective);
+        announcements.get("c2").accept(true);
+        timers.advance(10 * SECOND);
+        assertEquals(1, effective, "the timeout is void");
+    }
+
+    @Test
+    void aCancellationIsEffectiveOnceALeaderOutOfReachStartsNothing() {
+        announce("c2");
+        timers.advance(3 * SECOND);
+        assertEquals(0, effective);
+        timers.advance(SECOND);
+        assertEquals(1, effective);
+    }
+
+    @Test
+    void withoutALeaderElsewhereACancellationIsEffectiveAtOnce() {
+        announce("c1");
+        assertEquals(1, effective);
+    }
+}
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -61,7 +61,7 @@
                     long agentEpoch,
                     List<WorkerCommand> commands,
                     Consumer<Reply> then) {
-                long term = simulation.nodes.get(node).controller.term();
+                long term = simulation.nodes.get(node).controller.fencingToken();
                 simulation.commands.sent(term, node, address, commands);
                 boolean starts = commands.stream().anyMatch(o -> o.verb() == WorkerCommand.Verb.START);
                 simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -284,8 +284,8 @@
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
                 if (controller.leader()) {
-                    commands.heard(controller.term(), heartbeat.host());
-                    commands.sent(controller.term(), node, heartbeat.host(), accepted.commands());
+                    commands.heard(controller.fencingToken(), heartbeat.host());
+                    commands.sent(controller.fencingToken(), node, heartbeat.host(), accepted.commands());
                 }
             }
             return answer;
@@ -337,7 +337,7 @@
     /** What a controller tells whose recovery is in this phase; null when there is none. */
     RecoveryStatus recovery(RecoveryPhase phase) {
         return nodes.values().stream()
-                .filter(n -> n.controller != null && n.controller.term() > 0)
+                .filter(n -> n.controller != null && n.controller.fencingToken() > 0)
                 .map(n -> n.controller.recoveryStatus())
                 .filter(status -> status.phase() == phase)
                 .findFirst()
