--- a/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
+++ b/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
@@ -9,7 +9,7 @@
 /** Requests that wait for a read barrier, so that their answers miss nothing that was on record when they came. */
 final class BarrierReads {
     private static final long TIMEOUT_MICROS = 1_600_000;
-    private static final String STORE_SILENT = "the state service does not answer";
+    private static final String STORE_UNAVAILABLE = "the state service does not answer";
 
     private final RecordReplica replica;
     private final WaitingRequests waitingRequests;
@@ -29,7 +29,7 @@
         }
         waitingRequests.add();
         OneShot outcome = new OneShot();
-        Runnable unanswered = () -> then.accept(JobAnswers.retryLater(STORE_SILENT));
+        Runnable unanswered = () -> then.accept(JobAnswers.retryLater(STORE_UNAVAILABLE));
         outcome.fireAfter(timers, TIMEOUT_MICROS, () -> finish(unanswered));
         replica.barrier(fresh -> outcome.fire(() -> finish(fresh ? action : unanswered)));
     }
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -35,9 +35,9 @@
         STATUS
     }
 
-    private final Map<String, JobRecord> open = new Object2ObjectLinkedOpenHashMap<>();
-    private final Map<String, ProgressRecord> progress = new Object2ObjectLinkedOpenHashMap<>();
-    private final Map<String, FinalRecord.Outcome> finals = new Object2ObjectLinkedOpenHashMap<>();
+    private final Map<String, JobRecord> openJobs = new Object2ObjectLinkedOpenHashMap<>();
+    private final Map<String, ProgressRecord> progressByJob = new Object2ObjectLinkedOpenHashMap<>();
+    private final Map<String, FinalRecord.Outcome> outcomes = new Object2ObjectLinkedOpenHashMap<>();
     /** Jobs of which some record can't be read, and what is not known of them for that reason. */
     private final Map<String, Unreadable> unreadableJobs = new HashMap<>();
 
@@ -50,32 +50,32 @@
 
     /** All accepted jobs that are not over. */
     public Collection<JobRecord> openJobs() {
-        return open.values();
+        return openJobs.values();
     }
 
     /** The accepted job of this name if it is not over, or null. */
     public JobRecord openJob(String id) {
-        return open.get(id);
+        return openJobs.get(id);
     }
 
     /** How the job ended, or null if it has not. */
     public FinalRecord.Outcome finalOf(String id) {
-        return finals.get(id);
+        return outcomes.get(id);
     }
 
     /** Whether the job is done or cancelled, as far as this controller knows. */
     public boolean hasEnded(String id) {
-        return finals.containsKey(id);
+        return outcomes.containsKey(id);
     }
 
     /** Whether the job was ever accepted, as far as this controller knows. */
     boolean isKnown(String id) {
-        return open.containsKey(id) || hasEnded(id);
+        return openJobs.containsKey(id) || hasEnded(id);
     }
 
     /** How far the job has come; nothing done and nothing claimed when no record tells. */
     public ProgressRecord progressOf(String id) {
-        return progress.getOrDefault(id, ProgressRecord.none());
+        return progressByJob.getOrDefault(id, ProgressRecord.none());
     }
 
     /** Whether a record of the job can't be read. */
@@ -90,11 +90,11 @@
 
     /** What the records say of a task of a job that no leader here has open. */
     public RecordedTask recorded(String id) {
-        FinalRecord.Outcome outcome = finals.get(id);
+        FinalRecord.Outcome outcome = outcomes.get(id);
         if (outcome != null) {
             return outcome == FinalRecord.Outcome.DONE ? RecordedTask.JOB_DONE : RecordedTask.JOB_CANCELLED;
         }
-        return unreadable(id) || open.containsKey(id) ? RecordedTask.UNREADABLE : RecordedTask.UNKNOWN_JOB;
+        return unreadable(id) || openJobs.containsKey(id) ? RecordedTask.UNREADABLE : RecordedTask.UNKNOWN_JOB;
     }
 
     /** Takes a changed record in. Removals don't occur among jobs. */
@@ -127,7 +127,7 @@
         if (isKnown(id)) {
             return;
         }
-        open.put(id, record);
+        openJobs.put(id, record);
         if (listener != null) {
             listener.accepted(record);
         }
@@ -137,16 +137,16 @@
         if (hasEnded(id)) {
             return;
         }
-        progress.put(id, record);
+        progressByJob.put(id, record);
         if (listener != null) {
             listener.progressed(id, record);
         }
     }
 
     private void ended(String id, FinalRecord.Outcome outcome) {
-        finals.put(id, outcome);
-        open.remove(id);
-        progress.remove(id);
+        outcomes.put(id, outcome);
+        openJobs.remove(id);
+        progressByJob.remove(id);
         if (listener != null) {
             listener.ended(id, outcome);
         }
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -78,7 +78,7 @@
 
     /** Takes a submission; answered once it is on record, or at once when it can never run. */
     public void submit(JobSpec spec, Consumer<JobResponse> then) {
-        Optional<JobResponse> immediate = answerWithoutLooking(spec.id());
+        Optional<JobResponse> immediate = answerBeforeValidation(spec.id());
         if (immediate.isPresent()) {
             then.accept(immediate.get());
             return;
@@ -99,8 +99,8 @@
         submissions.record(spec, then);
     }
 
-    /** The answer to a submission that needs no look at its description; empty when it has to be looked at. */
-    private Optional<JobResponse> answerWithoutLooking(String jobId) {
+    /** The answer that does not depend on the description; empty when that has to be validated. */
+    private Optional<JobResponse> answerBeforeValidation(String jobId) {
         if (jobIndex.hasEnded(jobId)) {
             return Optional.of(answers.knownJob(jobId));
         }
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/MachineTypeCatalogTest.java
@@ -0,0 +1,73 @@
+package org.granitepath.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.granitepath.coordination.ports.CloudPort;
+import org.granitepath.storage.MachineType;
+import org.junit.jupiter.api.Test;
+
+/** Types on record stand in until the cloud has answered once; who asks the cloud again, and when. */
+class MachineTypeCatalogTest {
+    private static final long SECOND = 1_000_000;
+
+    private final ManualTimers timers = new ManualTimers();
+    private final List<Consumer<List<MachineType>>> requests = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
+    private final MachineTypeCatalog catalog =
+            new MachineTypeCatalog(cloud(), timers, new MachineTypeCatalog.Listener() {
+                @Override
+                public void fetched(List<MachineType> types) {
+                    events.add("fetched");
+                }
+
+                @Override
+                public void readFromRecord(List<MachineType> types) {
+                    events.add("read");
+                }
+            });
+
+    /** A cloud of which only the types are asked. */
+    @SuppressWarnings("unchecked")
+    private CloudPort cloud() {
+        return (CloudPort) Proxy.newProxyInstance(
+                CloudPort.class.getClassLoader(), new Class<?>[] {CloudPort.class}, (proxy, method, arguments) -> {
+                    requests.add((Consumer<List<MachineType>>) arguments[0]);
+                    return null;
+                });
+    }
+
+    private static List<MachineType> types(String name) {
+        return List.of(new MachineType(name, 1, 0, 1, 1, 1, 1, SECOND, List.of("zone")));
+    }
+
+    @Test
+    void theRecordCountsOnlyUntilTheCloudHasAnswered() {
+        catalog.recordRead(types("recorded"));
+        catalog.refreshIfDue(timers.nowMicros());
+        requests.get(0).accept(types("fetched"));
+        catalog.recordRead(types("recorded"));
+        assertEquals(List.of("read", "fetched"), events);
+        assertEquals("fetched", catalog.all().iterator().next().name());
+    }
+
+    @Test
+    void onlyALeaderAsksAgainForKnownTypes() {
+        catalog.fetchIfUnknown();
+        catalog.fetchIfUnknown();
+        assertEquals(1, requests.size(), "one request at a time");
+        requests.get(0).accept(null);
+        assertTrue(catalog.isEmpty() && events.isEmpty());
+        catalog.fetchIfUnknown();
+        requests.get(1).accept(types("fetched"));
+        timers.advance(61 * SECOND);
+        catalog.fetchIfUnknown();
+        assertEquals(2, requests.size(), "known");
+        catalog.refreshIfDue(timers.nowMicros());
+        assertEquals(3, requests.size(), "aged");
+    }
+}
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -112,6 +112,17 @@
         assertEquals(List.of("elected 1", "lost: our lease ran out", "elected 2"), events);
     }
 
+    @Test
+    void renewalsAloneKeepTheTermButDoNotConfirmIt() {
+        start();
+        store.readsSilent = true;
+        timers.advance(5 * SECOND);
+        assertTrue(leadership.leads() && !leadership.leaseConfirmed(), "a cancellation shows in the records alone");
+        store.expireLeaseOf(Keys.LEADER);
+        timers.advance(SECOND);
+        assertEquals(List.of("elected 1", "lost: our lease ran out"), events, "the renewal tells");
+    }
+
     @Test
     void whoStepsDownLetsOthersCampaignFirst() {
         start();
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -21,6 +21,8 @@
     private long leasesOpened;
     /** While set, no request is carried out or answered. */
     boolean silent;
+    /** While set, reads are not answered; all else is. */
+    boolean readsSilent;
 
     MemoryStore(Timers timers) {
         this.timers = timers;
@@ -44,7 +46,11 @@
     }
 
     private void answer(Runnable served, Runnable timedOut) {
-        if (silent) {
+        answer(silent, served, timedOut);
+    }
+
+    private void answer(boolean withheld, Runnable served, Runnable timedOut) {
+        if (withheld) {
             timers.after(TIMEOUT_MICROS, timedOut);
         } else {
             timers.after(ANSWER_MICROS, served);
@@ -87,6 +93,7 @@
 
     private void read(long from, Consumer<Page> then) {
         answer(
+                silent || readsSilent,
                 () -> then.accept(new Page(
                         Outcome.OK,
                         items.values().stream()
