--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -196,7 +196,7 @@
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= now
                 && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
-                && rules.teamAllows(job.spec());
+                && rules.isWithinTeamLimit(job.spec());
     }
 
     private void launch(long now) {
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -5,6 +5,7 @@
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.coordination.placement.StartDelay;
 import org.granitepath.storage.JobSpec;
 
 /**
@@ -13,14 +14,15 @@
  * largest of the present gangs takes. It does so for a bounded time: then it takes what there is.
  */
 public final class GangHeadroom {
-    /** The users allow 90 s beside a machine with capacity. */
-    private static final long LONGEST_WAIT_BESIDE_CAPACITY_MICROS = 75_000_000;
+    private static final String NO_ZONE = "";
 
     private final Fleet fleet;
     private final BatchPlanner batchPlanner;
-    private String zone = "";
-    /** CPUs free in that zone beyond what is to be left; negative when there are fewer. */
-    private long spareCpu;
+    private String zone = NO_ZONE;
+    /**
+     * Thousandths of a CPU free in that zone beyond what is to be left; negative when there are fewer.
+     */
+    private long spareCpuMillis;
 
     /** Nothing is kept before the first survey. */
     public GangHeadroom(Fleet fleet, BatchPlanner batchPlanner) {
@@ -30,59 +32,56 @@
 
     /** Looks at the fleet anew. */
     public void survey() {
-        Object2LongOpenHashMap<String> free = new Object2LongOpenHashMap<>();
+        Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
             if (!machine.spot() && machine.takesTasks()) {
-                free.addTo(machine.zone(), machine.capacity().cpuFree());
+                freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
             }
         }
-        zone = "";
-        long most = -1;
-        for (var entry : free.object2LongEntrySet()) {
-            if (entry.getLongValue() > most) {
+        zone = NO_ZONE;
+        long mostCpuMillis = -1;
+        for (var entry : freeCpuMillis.object2LongEntrySet()) {
+            if (entry.getLongValue() > mostCpuMillis) {
                 zone = entry.getKey();
-                most = entry.getLongValue();
+                mostCpuMillis = entry.getLongValue();
             }
         }
-        spareCpu = most - batchPlanner.promptGangCpu();
+        spareCpuMillis = mostCpuMillis - batchPlanner.largestPromptGangCpuMillis();
     }
 
-    private boolean isWanted(Machine machine) {
-        return batchPlanner.promptGangCpu() > 0
+    /** Whether the machine's free capacity counts as headroom. */
+    private boolean isPartOfHeadroom(Machine machine) {
+        return batchPlanner.largestPromptGangCpuMillis() > 0
                 && !machine.spot()
                 && machine.zone().equals(zone);
     }
 
     /** Whether the job may have a task there, as far as gangs are concerned. */
-    public boolean leavesHeadroom(Machine machine, ActiveJob job, long now) {
+    public boolean leavesHeadroom(Machine machine, ActiveJob job, long nowMicros) {
         JobSpec spec = job.spec();
-        if (!isWanted(machine) || spec.service() || spec.gang() || !spec.spot()) {
+        if (!isPartOfHeadroom(machine) || spec.service() || spec.gang() || !spec.spot()) {
             return true;
         }
-        return spareCpu >= spec.cpuMillis()
-                || now
-                                - Math.max(
-                                        job.scheduling().waitingSinceMicros(),
-                                        job.scheduling().lastStartMicros())
-                        > LONGEST_WAIT_BESIDE_CAPACITY_MICROS;
+        return spareCpuMillis >= spec.cpuMillis()
+                || StartDelay.micros(job, nowMicros) > StartDelay.MAX_BESIDE_FREE_CAPACITY_MICROS;
     }
 
-    /** A task was placed there. */
-    public void taken(Machine machine, JobSpec spec) {
-        if (isWanted(machine)) {
-            spareCpu -= spec.cpuMillis();
+    /** Notes that a task was placed there. */
+    public void taskPlaced(Machine machine, JobSpec spec) {
+        if (isPartOfHeadroom(machine)) {
+            spareCpuMillis -= spec.cpuMillis();
         }
     }
 
     /** Whether this idle machine is to be kept: without it too little would be free. */
     public boolean keeps(Machine machine) {
-        return isWanted(machine) && spareCpu < machine.capacity().cpuFree();
+        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().cpuFree();
     }
 
-    /** A machine is terminated. */
+    /** Notes that a machine is terminated. */
     public void terminated(Machine machine) {
-        if (isWanted(machine)) {
-            spareCpu -= machine.capacity().cpuFree();
+        if (isPartOfHeadroom(machine)) {
+            spareCpuMillis -= machine.capacity().cpuFree();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
@@ -0,0 +1,77 @@
+package org.granitepath.coordination.gang;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.storage.JobSpec;
+
+/** Finds machines for all tasks of a gang together. */
+final class GangPlacementFinder {
+    private final GangConstraints constraints;
+    private final PlacementRules rules;
+    private final MachinePreference preference;
+
+    GangPlacementFinder(GangConstraints constraints, PlacementRules rules, MachinePreference preference) {
+        this.constraints = constraints;
+        this.rules = rules;
+        this.preference = preference;
+    }
+
+    /**
+     * The placement with the fewest image fetches among the zones that may be tried, or null if the gang fits in none.
+     */
+    GangPlacement find(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
+        GangPlacement best = null;
+        for (String zone : constraints.zonesToTry(job.spec())) {
+            GangPlacement placement = findIn(zone, job, machinesWithCapacity, nowMicros);
+            if (placement != null && (best == null || placement.imageFetches() < best.imageFetches())) {
+                best = placement;
+            }
+        }
+        return best;
+    }
+
+    private GangPlacement findIn(String zone, ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
+        JobSpec spec = job.spec();
+        List<Machine> candidates = new ArrayList<>();
+        int slots = 0;
+        for (Machine machine : machinesWithCapacity) {
+            if (GangConstraints.isIn(machine, zone)
+                    && rules.respectsReservation(machine, job)
+                    && rules.satisfiesConstraints(machine, job, nowMicros)) {
+                candidates.add(machine);
+                slots += constraints.slots(machine, spec);
+            }
+        }
+        if (slots < spec.tasks()) {
+            return null;
+        }
+        candidates.sort(Comparator.comparingDouble((Machine machine) -> preference.score(machine, spec))
+                .reversed());
+        return fill(candidates, spec);
+    }
+
+    /** Fills one machine after the other, up to what the job may place in each zone. */
+    private GangPlacement fill(List<Machine> candidates, JobSpec spec) {
+        List<Machine> chosen = new ArrayList<>();
+        Map<String, Integer> tasksByZone = new HashMap<>();
+        int imageFetches = 0;
+        for (Machine machine : candidates) {
+            int slots = constraints.slots(machine, spec);
+            for (int slot = 0; slot < slots && chosen.size() < spec.tasks(); slot++) {
+                if (tasksByZone.merge(machine.zone(), 1, Integer::sum) > spec.zoneCap()) {
+                    break;
+                }
+                chosen.add(machine);
+                imageFetches += machine.capacity().hasImage(spec.image()) ? 0 : 1;
+            }
+        }
+        return chosen.size() == spec.tasks() ? new GangPlacement(chosen, imageFetches) : null;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -0,0 +1,49 @@
+package org.granitepath.coordination.placement;
+
+import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.SchedulingClass;
+
+/**
+ * Puts the jobs that are within their team's guaranteed quota into a class of their own. A job is within it when it
+ * fits in along with the team's earlier unfinished jobs. All else that a team has is borrowed, and keeps its class.
+ */
+final class GuaranteeClassifier {
+    private final Map<String, Team> teams;
+    private final ActiveJobs activeJobs;
+
+    GuaranteeClassifier(Map<String, Team> teams, ActiveJobs activeJobs) {
+        this.teams = teams;
+        this.activeJobs = activeJobs;
+    }
+
+    void classify() {
+        if (teams.values().stream().noneMatch(Team::hasGuarantee)) {
+            return;
+        }
+        Object2LongOpenHashMap<String> cpuMillis = new Object2LongOpenHashMap<>();
+        Object2LongOpenHashMap<String> gpuMillis = new Object2LongOpenHashMap<>();
+        List<ActiveJob> oldestFirst = new ArrayList<>(activeJobs.all());
+        oldestFirst.sort(Comparator.comparingLong((ActiveJob job) -> job.acceptedMicros())
+                .thenComparing(job -> job.spec().id()));
+        for (ActiveJob job : oldestFirst) {
+            Team team = teams.get(job.spec().team());
+            if (!job.isOpen() || team == null || !team.hasGuarantee()) {
+                continue;
+            }
+            cpuMillis.addTo(team.name(), job.left() * job.spec().cpuMillis());
+            gpuMillis.addTo(team.name(), job.left() * job.spec().gpuMillis());
+            if (!job.isLive()
+                    && cpuMillis.getLong(team.name()) <= team.cpuGuarantee()
+                    && gpuMillis.getLong(team.name()) <= team.gpuGuarantee()) {
+                job.scheduling().classify(SchedulingClass.GUARANTEED);
+            }
+        }
+    }
+}
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -20,7 +20,7 @@
     private final FaultTracker faults;
     private final RuntimeEstimator runtimeEstimator;
 
-    /** Judges by the state of this term. */
+    /** Rules that go by the state of this term. */
     public PlacementRules(
             Fleet fleet,
             TermRecovery recovery,
@@ -36,33 +36,39 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Whether a job may use this machine now, capacity aside. */
-    public boolean eligible(Machine machine, ActiveJob job, long now) {
-        return machine.takesTasks() && suits(machine, job, now) && !fleet.unresponsive(machine, now);
+    /**
+     * Whether a job may use this machine now, free capacity and reservations aside: the machine takes tasks, responds,
+     * and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
+     */
+    public boolean isEligible(Machine machine, ActiveJob job, long nowMicros) {
+        return machine.takesTasks()
+                && satisfiesConstraints(machine, job, nowMicros)
+                && !fleet.unresponsive(machine, nowMicros);
     }
 
     /**
-     * Whether the machine's type, zone and kind fit the job, and no task of the job failed there. Work that can wait
-     * leaves full-price machines alone that no service needs, so that they can be terminated, unless it is over before
-     * a return could save anything.
+     * Whether the machine's type, zone and kind fit the job, and no task of the job failed there; whatever the state of
+     * the machine. Work that can wait leaves full-price machines alone that no service needs, so that they can be
+     * terminated, unless it is over before a termination could save anything.
      */
-    public boolean suits(Machine machine, ActiveJob job, long now) {
+    public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
         return machine.allowedFor(job.spec())
                 && job.zoneAllows(machine.zone())
-                && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, now))
+                && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, nowMicros))
                 && faults.mayTry(machine, job);
     }
 
-    /** Whether the machine's capacity is not held for a gang, unless this is it, or work that goes before all gangs. */
-    public boolean mayHold(Machine machine, ActiveJob job) {
+    /** Whether the machine is not reserved for a gang, unless the job is this gang or goes before all gangs. */
+    public boolean respectsReservation(Machine machine, ActiveJob job) {
         return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
     }
 
-    private boolean isPaidForAnyway(Machine machine, ActiveJob job, long now) {
+    private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
         return machine.spot()
                 || machine.capacity().hostsService()
                 || machine.keptAsHeadroom()
-                || now + runtimeEstimator.taskMicros(job) < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
+                || nowMicros + runtimeEstimator.taskMicros(job)
+                        < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /** Whether tasks failed there lately, so that any other machine is better. */
@@ -72,35 +78,37 @@
 
     /** Whether a further task of this job may be started at all, capacity aside. */
     public boolean mayStartAnother(ActiveJob job) {
-        return teamAllows(job.spec()) && faults.mayStartAnother(job);
+        return isWithinTeamLimit(job.spec()) && faults.mayStartAnother(job);
     }
 
     /**
      * Whether one more such task is within its team's limit. While tasks are unconfirmed, or tasks of jobs that are
      * over are still to be stopped, what a team uses is not known.
      */
-    public boolean teamAllows(JobSpec spec) {
-        return teamAllows(spec, 1);
+    public boolean isWithinTeamLimit(JobSpec spec) {
+        return isWithinTeamLimit(spec, 1);
     }
 
-    /** The same for several tasks together. */
-    public boolean teamAllows(JobSpec spec, int count) {
+    /** Whether so many more such tasks together are within their team's limit. */
+    public boolean isWithinTeamLimit(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
                 && (!teamLimits.limits(spec) || (recovery.noMachineAwaited() && fleet.noOrphanedTasks()));
     }
 
-    /** CPUs that a team's tasks use beyond its guarantee, without those that are being stopped. */
-    public long borrowedCpu(String team) {
-        long stopping = 0;
+    /**
+     * Thousandths of a CPU that a team's tasks use beyond its guaranteed quota, without those that are being stopped.
+     */
+    public long borrowedCpuMillis(String team) {
+        long stoppingCpuMillis = 0;
         for (ActiveJob job : jobs.all()) {
             if (job.spec().team().equals(team)) {
                 for (Placement placement : job.placements()) {
-                    stopping += placement.phase() == Placement.Phase.STOPPING
+                    stoppingCpuMillis += placement.phase() == Placement.Phase.STOPPING
                             ? job.spec().cpuMillis()
                             : 0;
                 }
             }
         }
-        return teamLimits.borrowedCpu(team) - stopping;
+        return teamLimits.borrowedCpu(team) - stoppingCpuMillis;
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -12,6 +12,7 @@
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.placement.Resources;
 import org.granitepath.storage.JobSpec;
 
 /**
@@ -19,11 +20,12 @@
  * be terminated. A replica is stopped only to start at once elsewhere; machines with batch work are left alone.
  */
 public final class Consolidator {
-    private static final long EVERY_MICROS = 4_000_000;
-    private static final double MOST_USED_TO_EMPTY = 0.75;
-    private static final int MACHINES_FOR_ONE_MORE = 50;
+    private static final long INTERVAL_MICROS = 4_000_000;
+    private static final double MAX_CPU_USED_SHARE_TO_EMPTY = 0.75;
+    /** One machine is emptied at a time, and one more for each so many in the fleet. */
+    private static final int MACHINES_PER_FURTHER_DRAIN = 50;
     /** A replica is not to be away for longer than this, for its image, only because it moves. */
-    private static final double LONGEST_FETCH_SECONDS = 2;
+    private static final double MAX_FETCH_SECONDS = 2;
     /** A replica is not moved before it has run this long. */
     private static final long MIN_RUNTIME_MICROS = 40_000_000;
 
@@ -31,10 +33,10 @@
     private final ActiveJobs activeJobs;
     private final MachineLifecycle machines;
     private final TaskLifecycle tasks;
-    /** Capacity promised in this round. */
-    private final Map<Machine, long[]> taken = new LinkedHashMap<>();
+    /** What replicas that move in this round will use on other machines; nothing yet on those that were looked at. */
+    private final Map<Machine, Resources> promised = new LinkedHashMap<>();
 
-    private long dueMicros;
+    private long nextRoundMicros;
 
     /** Moves replicas on the machines of this fleet. */
     public Consolidator(Fleet fleet, ActiveJobs activeJobs, MachineLifecycle machines, TaskLifecycle tasks) {
@@ -45,92 +47,113 @@
     }
 
     /** Empties a few machines, unless it did so lately or work waits. */
-    public void tick(long now) {
-        if (now < dueMicros) {
+    public void tick(long nowMicros) {
+        if (nowMicros < nextRoundMicros) {
             return;
         }
-        dueMicros = now + EVERY_MICROS;
-        for (ActiveJob job : activeJobs.all()) {
-            if (job.waiting() > 0) {
-                return;
-            }
+        nextRoundMicros = nowMicros + INTERVAL_MICROS;
+        if (hasWaitingWork()) {
+            return;
         }
         // A few at a time, so that what moves finds its place before more moves.
-        int atOnce = 1 + fleet.machines().size() / MACHINES_FOR_ONE_MORE;
-        List<Machine> emptiest = new ArrayList<>();
+        int drainsLeft = 1 + fleet.machines().size() / MACHINES_PER_FURTHER_DRAIN;
+        List<Machine> emptiestFirst = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (machine.phase() == Machine.Phase.DRAINING && machine.hasPlacements()) {
-                atOnce--;
-            } else if (mayEmpty(machine, now)) {
-                emptiest.add(machine);
+                drainsLeft--;
+            } else if (mayEmpty(machine, nowMicros)) {
+                emptiestFirst.add(machine);
             }
         }
-        emptiest.sort(Comparator.comparingDouble(machine -> machine.capacity().cpuUsedShare()));
-        taken.clear();
-        for (Machine machine : emptiest) {
-            if (atOnce <= 0) {
+        emptiestFirst.sort(
+                Comparator.comparingDouble(machine -> machine.capacity().cpuUsedShare()));
+        drain(emptiestFirst, drainsLeft);
+    }
+
+    private boolean hasWaitingWork() {
+        for (ActiveJob job : activeJobs.all()) {
+            if (job.waiting() > 0) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private void drain(List<Machine> candidates, int most) {
+        int drainsLeft = most;
+        promised.clear();
+        for (Machine machine : candidates) {
+            if (drainsLeft <= 0) {
                 return;
             }
-            if (!taken.containsKey(machine) && othersHold(machine)) {
-                atOnce--;
-                machines.drain(machine, "its " + machine.placements().size() + " replicas fit elsewhere");
-                for (Placement placement : List.copyOf(machine.placements())) {
-                    tasks.stop(placement, 0, "moves to a fuller machine");
-                }
+            if (!promised.containsKey(machine) && othersHaveCapacityFor(machine)) {
+                drainsLeft--;
+                drain(machine);
             }
         }
     }
 
-    private static boolean mayEmpty(Machine machine, long now) {
+    private void drain(Machine machine) {
+        machines.drain(machine, "its " + machine.placements().size() + " replicas fit elsewhere");
+        for (Placement placement : List.copyOf(machine.placements())) {
+            tasks.stop(placement, 0, "moves to a fuller machine");
+        }
+    }
+
+    private static boolean mayEmpty(Machine machine, long nowMicros) {
         if (!machine.takesTasks()
                 || !machine.hasPlacements()
-                || machine.capacity().cpuUsedShare() > MOST_USED_TO_EMPTY) {
+                || machine.capacity().cpuUsedShare() > MAX_CPU_USED_SHARE_TO_EMPTY) {
             return false;
         }
         for (Placement placement : machine.placements()) {
             if (!placement.job().spec().service()
                     || placement.phase() != Placement.Phase.RUNNING
-                    || now - placement.runningSinceMicros() < MIN_RUNTIME_MICROS) {
+                    || nowMicros - placement.runningSinceMicros() < MIN_RUNTIME_MICROS) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean soonHas(Machine machine, JobSpec spec) {
+    private static boolean hasImageSoon(Machine machine, JobSpec spec) {
         return machine.capacity().hasImage(spec.image())
-                || spec.imageGb() / machine.type().fetchGbPerSecond() < LONGEST_FETCH_SECONDS;
+                || spec.imageGb() / machine.type().fetchGbPerSecond() < MAX_FETCH_SECONDS;
     }
 
     /**
      * Whether fuller machines have capacity for all tasks of this one, in its zone and with their images or nearly so.
+     * What they take is noted as promised, even if another task then finds none.
      */
-    private boolean othersHold(Machine from) {
-        for (Placement placement : from.placements()) {
-            JobSpec spec = placement.job().spec();
-            boolean placed = false;
-            for (Machine machine : fleet.machines()) {
-                if (machine == from
-                        || !machine.takesTasks()
-                        || !machine.allowedFor(spec)
-                        || (!machine.zone().equals(from.zone()) && spec.spread())
-                        || !soonHas(machine, spec)
-                        || machine.capacity().cpuUsedShare() <= from.capacity().cpuUsedShare()) {
-                    continue;
-                }
-                long[] used = taken.computeIfAbsent(machine, k -> new long[3]);
-                if (machine.capacity().slots(spec, -used[0], -used[1], -used[2]) > 0) {
-                    used[0] += spec.cpuMillis();
-                    used[1] += spec.gpuMillis();
-                    used[2] += spec.memoryMillis();
-                    placed = true;
-                    break;
-                }
-            }
-            if (!placed) {
+    private boolean othersHaveCapacityFor(Machine source) {
+        for (Placement placement : source.placements()) {
+            if (!promiseCapacity(placement.job().spec(), source)) {
                 return false;
             }
         }
         return true;
     }
+
+    private boolean promiseCapacity(JobSpec spec, Machine source) {
+        for (Machine machine : fleet.machines()) {
+            if (!mayMoveTo(machine, source, spec)) {
+                continue;
+            }
+            Resources taken = promised.computeIfAbsent(machine, unknown -> new Resources());
+            if (taken.slotsOnceUsed(machine.capacity(), spec) > 0) {
+                taken.add(spec);
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static boolean mayMoveTo(Machine machine, Machine source, JobSpec spec) {
+        return machine != source
+                && machine.takesTasks()
+                && machine.allowedFor(spec)
+                && (machine.zone().equals(source.zone()) || !spec.spread())
+                && hasImageSoon(machine, spec)
+                && machine.capacity().cpuUsedShare() > source.capacity().cpuUsedShare();
+    }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
@@ -7,10 +7,18 @@
 import org.granitepath.storage.Priority;
 
 /**
- * The paper's weighted workforce of a job, SDAFS: the next task goes to the job where this is lowest.
+ * The weighted workforce of a job as in D. Difallah et al., "Deadline-Aware Fair Scheduling for Multi-Tenant
+ * Crowd-Powered Systems", sections 3 and 4.6, in the simplified variant SDAFS: the next task goes to the job where it
+ * is lowest. A batch of the paper is a job here, a crowd worker is capacity for one task.
  *
- * <p>Best effort: {@code x = R / (P T)}. With a deadline: {@code x = 1/(P T) * sum over i below R of ln(1 + (L-i)/T)}.
- * The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
+ * <p>With P the weight of the priority, T the job's tasks, L those that are not done and R those that run:
+ *
+ * <ul>
+ *   <li>best effort: {@code x = R / (P T)}
+ *   <li>with a deadline: {@code x = 1/(P T) * sum over i below R of ln(1 + (L-i)/T)}
+ * </ul>
+ *
+ * <p>The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
  */
 public final class FairShare {
     private final Map<Priority, Double> weightOf = new EnumMap<>(Priority.class);
@@ -29,8 +37,9 @@
     }
 
     /**
-     * The weighted workforce of a job.
+     * The weighted workforce of a job, a number without a unit.
      *
+     * @param deadline whether the job has a deadline
      * @param total T, the number of its tasks
      * @param left L, those that are running or have not yet started
      * @param running R, those that are running
@@ -45,7 +54,7 @@
         if (running <= 0) {
             return 0;
         }
-        double top = (double) total + left;
-        return LogGamma.value(top + 1) - LogGamma.value(top - running + 1) - running * Math.log(total);
+        double upper = (double) total + left;
+        return LogGamma.value(upper + 1) - LogGamma.value(upper - running + 1) - running * Math.log(total);
     }
 }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -0,0 +1,87 @@
+package org.granitepath.coordination.scheduling;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.function.ToLongFunction;
+import org.granitepath.coordination.gang.GangHeadroom;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.storage.JobSpec;
+
+/** Chooses the machine for a task among those that have free capacity in this scheduling cycle. */
+final class MachineSelector {
+    private final Fleet fleet;
+    private final PlacementRules rules;
+    private final MachinePreference preference;
+    private final GangHeadroom gangHeadroom;
+    private final List<Machine> machinesWithCapacity = new ArrayList<>();
+    private final List<Machine> machinesWithCapacityView = Collections.unmodifiableList(machinesWithCapacity);
+
+    MachineSelector(Fleet fleet, PlacementRules rules, MachinePreference preference, GangHeadroom gangHeadroom) {
+        this.fleet = fleet;
+        this.rules = rules;
+        this.preference = preference;
+        this.gangHeadroom = gangHeadroom;
+    }
+
+    /** Finds the machines on which the smallest of the queued tasks would fit. */
+    void beginCycle(CandidateQueue candidates, long nowMicros) {
+        long cpuMillis = smallest(candidates, JobSpec::cpuMillis);
+        long memoryMillis = smallest(candidates, JobSpec::memoryMillis);
+        machinesWithCapacity.clear();
+        for (Machine machine : fleet.machines()) {
+            if (machine.takesTasks()
+                    && machine.capacity().hasFree(cpuMillis, memoryMillis)
+                    && !fleet.unresponsive(machine, nowMicros)) {
+                machinesWithCapacity.add(machine);
+            }
+        }
+        gangHeadroom.survey();
+    }
+
+    private static long smallest(CandidateQueue candidates, ToLongFunction<JobSpec> amount) {
+        return candidates
+                .queuedJobs()
+                .mapToLong(job -> amount.applyAsLong(job.spec()))
+                .min()
+                .orElse(Long.MAX_VALUE);
+    }
+
+    /** The machines that take tasks and had some capacity when the cycle began. */
+    List<Machine> machinesWithCapacity() {
+        return machinesWithCapacityView;
+    }
+
+    /** The best machine for the next task of this job, or null if none has capacity that the job may use. */
+    Machine best(ActiveJob job, long nowMicros) {
+        Machine best = null;
+        double bestScore = Double.NEGATIVE_INFINITY;
+        for (Machine machine : machinesWithCapacity) {
+            if (isUsable(machine, job, nowMicros)) {
+                double score = preference.score(machine, job.spec());
+                if (score > bestScore) {
+                    bestScore = score;
+                    best = machine;
+                }
+            }
+        }
+        return best;
+    }
+
+    /** Notes that a task was placed there. */
+    void placed(Machine machine, JobSpec spec) {
+        gangHeadroom.taskPlaced(machine, spec);
+    }
+
+    private boolean isUsable(Machine machine, ActiveJob job, long nowMicros) {
+        return machine.capacity().fits(job.spec())
+                && machine.takesTasks()
+                && rules.respectsReservation(machine, job)
+                && gangHeadroom.leavesHeadroom(machine, job, nowMicros)
+                && rules.satisfiesConstraints(machine, job, nowMicros);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -0,0 +1,96 @@
+package org.granitepath.coordination.scheduling;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.recovery.LiveWorkBacklog;
+
+/**
+ * Starts one task of a job that is no gang, or preempts other work for it. Remembers within a scheduling cycle which
+ * requests found no capacity, so that none that asks for as much is tried again.
+ */
+final class TaskScheduler {
+    /** A live replica waits this long for a machine that already has its image. */
+    private static final long IMAGE_WAIT_MICROS = 1_500_000;
+
+    private final List<String> zones;
+    private final CandidateQueue candidates;
+    private final MachineSelector machines;
+    private final PlacementRules rules;
+    private final Preemptor preemptor;
+    private final TaskLifecycle tasks;
+    private final List<ResourceRequest> unplaceable = new ArrayList<>();
+
+    TaskScheduler(
+            List<String> zones,
+            CandidateQueue candidates,
+            MachineSelector machines,
+            PlacementRules rules,
+            Preemptor preemptor,
+            TaskLifecycle tasks) {
+        this.zones = zones;
+        this.candidates = candidates;
+        this.machines = machines;
+        this.rules = rules;
+        this.preemptor = preemptor;
+        this.tasks = tasks;
+    }
+
+    /** Forgets what found no capacity in the last cycle. */
+    void beginCycle() {
+        unplaceable.clear();
+    }
+
+    /**
+     * Starts the next task of the job if there is capacity.
+     *
+     * @return for how many tasks that resume first there is no capacity yet, while others are stopped for them
+     */
+    int schedule(ActiveJob job, long nowMicros) {
+        ResourceRequest request = ResourceRequest.of(job, zones);
+        if (isUnplaceable(request) || !rules.mayStartAnother(job)) {
+            return 0;
+        }
+        Machine machine = machines.best(job, nowMicros);
+        if (machine == null) {
+            unplaceable.add(request);
+            return preemptForAllAlike(job, request, nowMicros);
+        }
+        if (waitsForImage(job, machine, nowMicros) && preemptor.preemptFor(job, 1, true, nowMicros) > 0) {
+            return 1;
+        }
+        tasks.start(job, machine, nowMicros);
+        machines.placed(machine, job.spec());
+        candidates.addAgain(job, nowMicros);
+        return 0;
+    }
+
+    private boolean isUnplaceable(ResourceRequest request) {
+        return unplaceable.stream().anyMatch(other -> other.isAtMost(request));
+    }
+
+    /** Preempts for all waiting tasks with this request at once. */
+    private int preemptForAllAlike(ActiveJob job, ResourceRequest request, long nowMicros) {
+        int wanted = job.waiting() + waitingWithSameRequest(request);
+        int pending = preemptor.preemptFor(job, wanted, false, nowMicros);
+        return LiveWorkBacklog.includes(job.spec()) ? pending : 0;
+    }
+
+    private int waitingWithSameRequest(ResourceRequest request) {
+        return candidates
+                .queuedJobs()
+                .filter(job -> ResourceRequest.of(job, zones).equals(request))
+                .mapToInt(ActiveJob::waiting)
+                .sum();
+    }
+
+    /** A short wait gets a live replica onto a machine that already has its image. */
+    private static boolean waitsForImage(ActiveJob job, Machine machine, long nowMicros) {
+        return job.isLive()
+                && !machine.capacity().hasImage(job.spec().image())
+                && nowMicros - job.scheduling().waitingSinceMicros() < IMAGE_WAIT_MICROS;
+    }
+}
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -145,8 +145,8 @@
         BatchPlanner batchPlanner = new BatchPlanner(config, fleet, activeJobs, runtimeEstimator);
         Preemptor preemptor = new Preemptor(fleet, rules, tasks);
         GangHeadroom gangHeadroom = new GangHeadroom(fleet, batchPlanner);
-        this.scheduler = new Scheduler(
-                config, fleet, activeJobs, recovery, rules, tasks, jobs, batchPlanner, preemptor, gangHeadroom, timers);
+        Scheduler.Policies policies = new Scheduler.Policies(rules, batchPlanner, preemptor, gangHeadroom);
+        this.scheduler = new Scheduler(config, fleet, activeJobs, recovery, tasks, jobs, policies, timers);
         this.consolidator = new Consolidator(fleet, activeJobs, machines, tasks);
         this.autoscaler = newAutoscaler(
                 new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
@@ -0,0 +1,70 @@
+package org.granitepath.coordination.placement;
+
+import static org.granitepath.coordination.placement.PlacementFixture.CPU;
+import static org.granitepath.coordination.placement.PlacementFixture.NOW;
+import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.Priority;
+import org.junit.jupiter.api.Test;
+
+/** The order in which machines are preferred. */
+class MachinePreferenceTest {
+    private final PlacementFixture fixture = new PlacementFixture();
+    private final MachinePreference preference = new MachinePreference(fixture.rules);
+    private final ActiveJob batch = fixture.batch("batch", Priority.STANDARD).build();
+    private final ActiveJob service =
+            fixture.service("service", Priority.STANDARD).build();
+    private final ActiveJob otherService =
+            fixture.service("other-service", Priority.STANDARD).build();
+
+    private void assertPreferred(Machine better, Machine worse, ActiveJob job) {
+        assertTrue(preference.score(better, job.spec()) > preference.score(worse, job.spec()));
+    }
+
+    @Test
+    void imageThenFetchUnderWayThenNeither() {
+        Machine withImage = fixture.machine("with-image", false);
+        Machine fetching = fixture.machine("fetching", false);
+        Machine without = fixture.machine("without", false);
+        withImage.capacity().imageSeen(batch.spec().image());
+        fixture.tasks.start(batch, fetching, NOW);
+        assertPreferred(withImage, fetching, batch);
+        assertPreferred(fetching, without, batch);
+    }
+
+    @Test
+    void tighterFit() {
+        Machine empty = fixture.machine("empty", false);
+        Machine fuller = fixture.machine("fuller", false);
+        ActiveJob large =
+                fixture.batch("large", Priority.STANDARD).cpuMillis(3 * CPU).build();
+        fixture.running(large, fuller, SECOND);
+        assertPreferred(fuller, empty, batch);
+    }
+
+    @Test
+    void servicesGatherAndBatchWorkAvoidsThem() {
+        Machine empty = fixture.machine("empty", false);
+        Machine withService = fixture.machine("with-service", false);
+        fixture.running(otherService, withService, SECOND);
+        assertPreferred(withService, empty, service);
+        assertPreferred(empty, withService, batch);
+    }
+
+    @Test
+    void batchWorkPrefersSpot() {
+        assertPreferred(fixture.machine("spot", true), fixture.machine("full-price", false), batch);
+    }
+
+    @Test
+    void suspectMachineComesLast() {
+        Machine suspect = fixture.machine("suspect", true);
+        Machine sound = fixture.machine("sound", false);
+        suspect.capacity().imageSeen(batch.spec().image());
+        fixture.faults.failed(suspect, otherService, NOW);
+        assertPreferred(sound, suspect, batch);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -0,0 +1,192 @@
+package org.granitepath.coordination.placement;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.config.ControllerIdentity;
+import org.granitepath.coordination.config.Objective;
+import org.granitepath.coordination.config.PlatformLimits;
+import org.granitepath.coordination.config.StoreLimits;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.coordination.config.Topology;
+import org.granitepath.coordination.config.Tuning;
+import org.granitepath.coordination.config.WorkerTiming;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.SchedulingLoop;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.model.TeamLimits;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.recovery.RecoveryPlan;
+import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.Priority;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.Timers;
+
+/** A small fleet and its jobs, out of the real classes, at one moment. */
+public final class PlacementFixture {
+    public static final long SECOND = 1_000_000;
+    public static final long NOW = 1_000 * SECOND;
+    public static final long CPU = 1_000;
+    /** Each machine has four CPUs and fetches images at 1 GB/s. */
+    private static final MachineType TYPE =
+            new MachineType("small", 4 * CPU, 0, 16_000, 1, 1, 0.3, 20 * SECOND, List.of("a", "b"));
+
+    private static final Timers TIMERS = new Timers() {
+        @Override
+        public long nowMicros() {
+            return NOW;
+        }
+
+        @Override
+        public long timeOfDayMicros() {
+            return NOW;
+        }
+
+        @Override
+        public void after(long delayMicros, Runnable action) {
+            // what is to happen later is not part of these tests
+        }
+    };
+
+    public final Fleet fleet;
+    public final PlacementRules rules;
+    public final TaskLifecycle tasks;
+    public final ActiveJobs jobs;
+    public final FaultTracker faults = new FaultTracker();
+
+    public PlacementFixture(Team... teams) {
+        Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
+        fleet = new Fleet(config(byName), TIMERS);
+        fleet.typesChanged(List.of(TYPE));
+        jobs = new ActiveJobs(0, TIMERS, faults::forget);
+        SchedulingLoop loop = new SchedulingLoop(TIMERS, () -> false, () -> true, () -> {}, () -> {});
+        TermRecovery recovery = new TermRecovery(new RecoveryPlan(1, 0, RecoveryTracer.NONE), jobs, TIMERS, loop);
+        TeamLimits teamLimits = new TeamLimits(byName);
+        rules = new PlacementRules(fleet, recovery, jobs, teamLimits, faults, new RuntimeEstimator());
+        tasks = new TaskLifecycle(
+                new Leadership.Term(1, 1), recovery, jobs, teamLimits, TIMERS, loop, new CommandQueue(() -> {}));
+    }
+
+    private static Config config(Map<String, Team> teams) {
+        return new Config(
+                new ControllerIdentity("c1", "c1-1", "a"),
+                new Topology(List.of("a", "b"), Map.of()),
+                teams,
+                Map.<String, Objective>of(),
+                new WorkerTiming(SECOND, 10 * SECOND, 10 * SECOND, 30 * SECOND, 5 * SECOND),
+                new PlatformLimits(10, new StoreLimits(10, 10_000, 10), 5, 100),
+                0,
+                Tuning.defaults());
+    }
+
+    /** An empty machine that takes tasks. */
+    public Machine machine(String id, boolean spot) {
+        Machine machine =
+                fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
+        machine.inventory().onRecord();
+        machine.heartbeatReceived(false, NOW);
+        machine.confirmed();
+        fleet.add(machine);
+        return machine;
+    }
+
+    /** A task of the job that has run there for so long. */
+    public Placement running(ActiveJob job, Machine machine, long ranMicros) {
+        Placement placement = tasks.start(job, machine, NOW - ranMicros);
+        placement.sentDirectly();
+        placement.running(NOW - ranMicros);
+        return placement;
+    }
+
+    public JobBuilder batch(String id, Priority priority) {
+        return new JobBuilder(id, JobSpec.Shape.BATCH, priority);
+    }
+
+    public JobBuilder service(String id, Priority priority) {
+        return new JobBuilder(id, JobSpec.Shape.SERVICE, priority);
+    }
+
+    /** A job with 10 tasks of one CPU each, of team "t", that allows spot machines; what differs is set. */
+    public final class JobBuilder {
+        private final String id;
+        private final JobSpec.Shape shape;
+        private final Priority priority;
+        private String team = "t";
+        private long cpuMillis = CPU;
+        private long checkpointMicros;
+        private long deadlineMicros = JobSpec.NO_DEADLINE;
+        private long acceptedMicros;
+
+        private JobBuilder(String id, JobSpec.Shape shape, Priority priority) {
+            this.id = id;
+            this.shape = shape;
+            this.priority = priority;
+        }
+
+        public JobBuilder team(String name) {
+            team = name;
+            return this;
+        }
+
+        public JobBuilder cpuMillis(long amount) {
+            cpuMillis = amount;
+            return this;
+        }
+
+        public JobBuilder checkpointMicros(long interval) {
+            checkpointMicros = interval;
+            return this;
+        }
+
+        public JobBuilder deadlineMicros(long deadline) {
+            deadlineMicros = deadline;
+            return this;
+        }
+
+        public JobBuilder acceptedMicros(long timeOfDay) {
+            acceptedMicros = timeOfDay;
+            return this;
+        }
+
+        public ActiveJob build() {
+            JobSpec spec = new JobSpec(
+                    id,
+                    "class",
+                    team,
+                    shape,
+                    priority,
+                    10,
+                    cpuMillis,
+                    0,
+                    1,
+                    "image-of-" + id,
+                    1,
+                    null,
+                    null,
+                    false,
+                    false,
+                    true,
+                    60 * SECOND,
+                    checkpointMicros,
+                    SECOND,
+                    deadlineMicros);
+            ActiveJob job = new ActiveJob(new JobRecord(spec, acceptedMicros, 0, 1), ProgressRecord.none(), NOW);
+            jobs.add(job);
+            return job;
+        }
+    }
+}
