--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -1,7 +1,6 @@
 package org.granitepath.coordination.placement;
 
 import org.granitepath.coordination.config.Config;
-import org.granitepath.coordination.config.Objective;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.ActiveJobs;
@@ -15,11 +14,10 @@
 public final class BatchPlanner {
     private static final long INTERVAL_MICROS = 250_000;
 
-    private final Config config;
     private final ActiveJobs activeJobs;
-    private final RuntimeEstimator runtimeEstimator;
     private final JobObjectives objectives;
     private final CapacitySurvey survey;
+    private final Deferral deferral;
     private final DeadlineClassifier deadlineClassifier;
     private final GuaranteeClassifier guaranteeClassifier;
     private long nextUpdateMicros;
@@ -27,11 +25,10 @@
 
     /** Knows nothing before the first update. */
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
-        this.config = config;
         this.activeJobs = activeJobs;
-        this.runtimeEstimator = runtimeEstimator;
         this.objectives = new JobObjectives(config, fleet, activeJobs);
         this.survey = new CapacitySurvey(config, fleet, activeJobs, runtimeEstimator);
+        this.deferral = new Deferral(config.tuning(), activeJobs, objectives, survey, runtimeEstimator);
         this.deadlineClassifier = new DeadlineClassifier(activeJobs, objectives, survey, runtimeEstimator);
         this.guaranteeClassifier = new GuaranteeClassifier(config.teams(), activeJobs);
     }
@@ -72,38 +69,7 @@
      * @param pendingCpuMillis capacity that is on its way, in thousandths of a CPU
      */
     public boolean deferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
-            return false;
-        }
-        if (job.spec().hasDeadline() && objectives.finishInsteadOfDeadlineMicros(job) == 0) {
-            return leavesTimeForDeadline(job, pendingCpuMillis, nowMicros);
-        }
-        Objective objective = objectives.of(job);
-        if (objective.waitMicros() == 0 && objective.finishMicros() == 0) {
-            return !objectives.isStarved(job, nowMicros);
-        }
-        return leavesTimeForObjective(job, objective, pendingCpuMillis, nowMicros);
-    }
-
-    /** Should the wait turn out longer, there must be time left to launch a machine after all. */
-    private boolean leavesTimeForDeadline(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        double waitMicros =
-                survey.drainDeadlineWorkOnCheapCapacityMicros(pendingCpuMillis) + objectives.shortestBootMicros();
-        return activeJobs.ageMicros(job, nowMicros) + waitMicros + runtimeEstimator.taskMicros(job)
-                <= job.spec().deadlineMicros();
-    }
-
-    private boolean leavesTimeForObjective(
-            ActiveJob job, Objective objective, double pendingCpuMillis, long nowMicros) {
-        double latestStartMicros = Math.min(
-                objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros(),
-                objective.finishMicros() == 0
-                        ? Double.MAX_VALUE
-                        : objective.finishMicros() - runtimeEstimator.taskMicros(job));
-        long waitedMicros =
-                !job.scheduling().isWaiting() ? 0 : nowMicros - job.scheduling().waitingSinceMicros();
-        return waitedMicros + survey.drainOnCheapCapacityMicros(pendingCpuMillis)
-                <= latestStartMicros * config.tuning().deferralShare();
+        return deferral.canWait(job, pendingCpuMillis, nowMicros);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -35,6 +35,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
+    /** Puts each job into its class, guaranteed quotas aside. */
     void classify(long nowMicros) {
         List<DueJob> possiblyInTime = new ArrayList<>();
         List<DueJob> late = new ArrayList<>();
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/placement/Deferral.java
@@ -0,0 +1,65 @@
+package org.granitepath.coordination.placement;
+
+import org.granitepath.coordination.config.Objective;
+import org.granitepath.coordination.config.Tuning;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+
+/** Which jobs can wait for capacity that is cheap or paid for anyway. */
+final class Deferral {
+    private final Tuning tuning;
+    private final ActiveJobs activeJobs;
+    private final JobObjectives objectives;
+    private final CapacitySurvey survey;
+    private final RuntimeEstimator runtimeEstimator;
+
+    Deferral(
+            Tuning tuning,
+            ActiveJobs activeJobs,
+            JobObjectives objectives,
+            CapacitySurvey survey,
+            RuntimeEstimator runtimeEstimator) {
+        this.tuning = tuning;
+        this.activeJobs = activeJobs;
+        this.objectives = objectives;
+        this.survey = survey;
+        this.runtimeEstimator = runtimeEstimator;
+    }
+
+    /** See {@link BatchPlanner#deferrable}. */
+    boolean canWait(ActiveJob job, double pendingCpuMillis, long nowMicros) {
+        if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
+            return false;
+        }
+        if (job.spec().hasDeadline() && objectives.finishInsteadOfDeadlineMicros(job) == 0) {
+            return leavesTimeForDeadline(job, pendingCpuMillis, nowMicros);
+        }
+        Objective objective = objectives.of(job);
+        if (objective.waitMicros() == 0 && objective.finishMicros() == 0) {
+            return !objectives.isStarved(job, nowMicros);
+        }
+        return leavesTimeForObjective(job, objective, pendingCpuMillis, nowMicros);
+    }
+
+    /** Should the wait turn out longer, there must be time left to launch a machine after all. */
+    private boolean leavesTimeForDeadline(ActiveJob job, double pendingCpuMillis, long nowMicros) {
+        double waitMicros =
+                survey.drainDeadlineWorkOnCheapCapacityMicros(pendingCpuMillis) + objectives.shortestBootMicros();
+        return activeJobs.ageMicros(job, nowMicros) + waitMicros + runtimeEstimator.taskMicros(job)
+                <= job.spec().deadlineMicros();
+    }
+
+    private boolean leavesTimeForObjective(
+            ActiveJob job, Objective objective, double pendingCpuMillis, long nowMicros) {
+        double latestStartMicros = Math.min(
+                objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros(),
+                objective.finishMicros() == 0
+                        ? Double.MAX_VALUE
+                        : objective.finishMicros() - runtimeEstimator.taskMicros(job));
+        long waitedMicros =
+                !job.scheduling().isWaiting() ? 0 : nowMicros - job.scheduling().waitingSinceMicros();
+        return waitedMicros + survey.drainOnCheapCapacityMicros(pendingCpuMillis)
+                <= latestStartMicros * tuning.deferralShare();
+    }
+}
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -23,6 +23,7 @@
         this.activeJobs = activeJobs;
     }
 
+    /** Puts jobs into the class; all others have been put into theirs before. */
     void classify() {
         if (teams.values().stream().noneMatch(Team::hasGuarantee)) {
             return;
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -62,21 +62,24 @@
         }
     };
 
+    public final Config config;
     public final Fleet fleet;
     public final PlacementRules rules;
     public final TaskLifecycle tasks;
     public final ActiveJobs jobs;
     public final FaultTracker faults = new FaultTracker();
+    public final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
 
     public PlacementFixture(Team... teams) {
         Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
-        fleet = new Fleet(config(byName), TIMERS);
+        config = config(byName);
+        fleet = new Fleet(config, TIMERS);
         fleet.typesChanged(List.of(TYPE));
         jobs = new ActiveJobs(0, TIMERS, faults::forget);
         SchedulingLoop loop = new SchedulingLoop(TIMERS, () -> false, () -> true, () -> {}, () -> {});
         TermRecovery recovery = new TermRecovery(new RecoveryPlan(1, 0, RecoveryTracer.NONE), jobs, TIMERS, loop);
         TeamLimits teamLimits = new TeamLimits(byName);
-        rules = new PlacementRules(fleet, recovery, jobs, teamLimits, faults, new RuntimeEstimator());
+        rules = new PlacementRules(fleet, recovery, jobs, teamLimits, faults, runtimeEstimator);
         tasks = new TaskLifecycle(
                 new Leadership.Term(1, 1), recovery, jobs, teamLimits, TIMERS, loop, new CommandQueue(() -> {}));
     }
@@ -116,6 +119,10 @@
         return new JobBuilder(id, JobSpec.Shape.BATCH, priority);
     }
 
+    public JobBuilder gang(String id, Priority priority) {
+        return new JobBuilder(id, JobSpec.Shape.GANG, priority);
+    }
+
     public JobBuilder service(String id, Priority priority) {
         return new JobBuilder(id, JobSpec.Shape.SERVICE, priority);
     }
@@ -126,6 +133,7 @@
         private final JobSpec.Shape shape;
         private final Priority priority;
         private String team = "t";
+        private int tasks = 10;
         private long cpuMillis = CPU;
         private long checkpointMicros;
         private long deadlineMicros = JobSpec.NO_DEADLINE;
@@ -142,6 +150,11 @@
             return this;
         }
 
+        public JobBuilder tasks(int count) {
+            tasks = count;
+            return this;
+        }
+
         public JobBuilder cpuMillis(long amount) {
             cpuMillis = amount;
             return this;
@@ -169,7 +182,7 @@
                     team,
                     shape,
                     priority,
-                    10,
+                    tasks,
                     cpuMillis,
                     0,
                     1,
