--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -23,9 +23,9 @@
     /** Of it, that with a deadline: it goes before the rest. */
     private double deadlineWork;
 
-    private double capacity;
+    private double cpuMillis;
     /** Of it, that on spot machines and beside services, which is paid for anyway. */
-    private double cheapCapacity;
+    private double cheapCpuMillis;
 
     CapacitySurvey(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.config = config;
@@ -52,16 +52,17 @@
     }
 
     private void sumUpCapacity(long nowMicros) {
-        capacity = 0;
-        cheapCapacity = 0;
+        cpuMillis = 0;
+        cheapCpuMillis = 0;
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && !machine.contact()
                             .unresponsive(nowMicros, config.workers().heartbeatIntervalMicros())) {
-                long forBatch = machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
-                capacity += forBatch;
-                cheapCapacity += machine.spot() || machine.capacity().hostsService() ? forBatch : 0;
+                long batchCpuMillis =
+                        machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
+                cpuMillis += batchCpuMillis;
+                cheapCpuMillis += machine.spot() || machine.capacity().hostsService() ? batchCpuMillis : 0;
             }
         }
     }
@@ -75,21 +76,21 @@
 
     /** Thousandths of a CPU that batch work has or can have. */
     double capacityCpuMillis() {
-        return capacity;
+        return cpuMillis;
     }
 
     /** How long all batch work takes, with so much more capacity. */
     double drainMicros(double moreCpuMillis) {
-        return batchWork / Math.max(1, capacity + moreCpuMillis);
+        return batchWork / Math.max(1, cpuMillis + moreCpuMillis);
     }
 
     /** How long all batch work takes on cheap capacity alone, with so much more of it. */
     double drainOnCheapCapacityMicros(double moreCpuMillis) {
-        return batchWork / Math.max(1, cheapCapacity + moreCpuMillis);
+        return batchWork / Math.max(1, cheapCpuMillis + moreCpuMillis);
     }
 
     /** The same for the work that has a deadline. */
     double drainDeadlineWorkOnCheapCapacityMicros(double moreCpuMillis) {
-        return deadlineWork / Math.max(1, cheapCapacity + moreCpuMillis);
+        return deadlineWork / Math.max(1, cheapCpuMillis + moreCpuMillis);
     }
 }
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -0,0 +1,76 @@
+package org.granitepath.coordination.gang;
+
+import static org.granitepath.coordination.placement.PlacementFixture.CPU;
+import static org.granitepath.coordination.placement.PlacementFixture.NOW;
+import static org.granitepath.coordination.placement.PlacementFixture.PROMPT_CLASS;
+import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.coordination.placement.PlacementFixture;
+import org.granitepath.storage.Priority;
+import org.junit.jupiter.api.Test;
+
+/** What batch work leaves free for a gang of four CPUs, on two machines with four each. */
+class GangHeadroomTest {
+    private final PlacementFixture fixture = new PlacementFixture();
+    private final BatchPlanner planner =
+            new BatchPlanner(fixture.config, fixture.fleet, fixture.jobs, fixture.runtimeEstimator);
+    private final GangHeadroom headroom = new GangHeadroom(fixture.fleet, planner);
+    private final Machine first = fixture.machine("m1", false);
+    private final ActiveJob batch =
+            fixture.batch("batch", Priority.STANDARD).cpuMillis(3 * CPU).build();
+
+    GangHeadroomTest() {
+        fixture.machine("m2", false);
+        batch.scheduling().waits(NOW);
+    }
+
+    private void promptGang() {
+        fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
+    }
+
+    private void survey() {
+        planner.update(NOW);
+        headroom.survey();
+    }
+
+    @Test
+    void nothingIsKeptWithoutAPromptGang() {
+        survey();
+        headroom.taskPlaced(first, batch.spec());
+        headroom.taskPlaced(first, batch.spec());
+        assertTrue(headroom.leavesHeadroom(first, batch, NOW));
+        assertFalse(headroom.keeps(first));
+    }
+
+    @Test
+    void batchWorkLeavesWhatTheGangTakes() {
+        promptGang();
+        survey();
+        assertTrue(headroom.leavesHeadroom(first, batch, NOW));
+        headroom.taskPlaced(first, batch.spec());
+        assertFalse(headroom.leavesHeadroom(first, batch, NOW));
+        assertTrue(headroom.leavesHeadroom(fixture.machine("spot", true), batch, NOW));
+    }
+
+    @Test
+    void batchWorkThatHasWaitedLongTakesWhatThereIs() {
+        promptGang();
+        survey();
+        headroom.taskPlaced(first, batch.spec());
+        assertTrue(headroom.leavesHeadroom(first, batch, NOW + 76 * SECOND));
+    }
+
+    @Test
+    void oneIdleMachineOfTwoIsKept() {
+        promptGang();
+        survey();
+        assertFalse(headroom.keeps(first));
+        headroom.terminated(first);
+        assertTrue(headroom.keeps(first));
+    }
+}
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -41,6 +41,9 @@
     public static final long SECOND = 1_000_000;
     public static final long NOW = 1_000 * SECOND;
     public static final long CPU = 1_000;
+    /** Its tasks are expected to start sooner than a machine boots. */
+    public static final String PROMPT_CLASS = "prompt";
+
     /** Each machine has four CPUs and fetches images at 1 GB/s. */
     private static final MachineType TYPE =
             new MachineType("small", 4 * CPU, 0, 16_000, 1, 1, 0.3, 20 * SECOND, List.of("a", "b"));
@@ -89,7 +92,7 @@
                 new ControllerIdentity("c1", "c1-1", "a"),
                 new Topology(List.of("a", "b"), Map.of()),
                 teams,
-                Map.<String, Objective>of(),
+                Map.of(PROMPT_CLASS, new Objective(4 * SECOND, 0, 0)),
                 new WorkerTiming(SECOND, 10 * SECOND, 10 * SECOND, 30 * SECOND, 5 * SECOND),
                 new PlatformLimits(10, new StoreLimits(10, 10_000, 10), 5, 100),
                 0,
@@ -132,6 +135,7 @@
         private final String id;
         private final JobSpec.Shape shape;
         private final Priority priority;
+        private String jobClass = "class";
         private String team = "t";
         private int tasks = 10;
         private long cpuMillis = CPU;
@@ -145,6 +149,11 @@
             this.priority = priority;
         }
 
+        public JobBuilder jobClass(String name) {
+            jobClass = name;
+            return this;
+        }
+
         public JobBuilder team(String name) {
             team = name;
             return this;
@@ -178,7 +187,7 @@
         public ActiveJob build() {
             JobSpec spec = new JobSpec(
                     id,
-                    "class",
+                    jobClass,
                     team,
                     shape,
                     priority,
