--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -0,0 +1,98 @@
+package org.granitepath.coordination.autoscaling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.JobSpec;
+
+/** Plans machines for gangs: for a whole one, or none. */
+final class GangPlan {
+    private final ScaleOutPlan.Demand demand;
+    private final PlannedCapacity planned;
+    private final OfferMarket market;
+
+    /** Plans nothing before it is told to. */
+    GangPlan(ScaleOutPlan.Demand demand, PlannedCapacity planned, OfferMarket market) {
+        this.demand = demand;
+        this.planned = planned;
+        this.market = market;
+    }
+
+    /**
+     * Plans machines for a gang: where its tasks have to stand together, in the zone where most capacity is free or on
+     * its way, as long as machines are to be had there.
+     */
+    void plan(ActiveJob job) {
+        JobSpec spec = job.spec();
+        if (!spec.oneZone() || spec.zone() != null) {
+            planWhole(job, null);
+            return;
+        }
+        List<String> zones = new ArrayList<>(demand.config().topology().zones());
+        zones.removeIf(zone -> market.isCutOff(zone) || !job.zoneAllows(zone));
+        zones.sort(Comparator.comparingInt(zone -> -(freeSlots(spec, zone) + pendingSlots(spec, zone))));
+        for (String zone : zones) {
+            if (planWhole(job, zone)) {
+                return;
+            }
+        }
+    }
+
+    private int freeSlots(JobSpec spec, String zone) {
+        int slots = 0;
+        for (Machine machine : demand.fleet().machines()) {
+            boolean usable = machine.takesTasks()
+                    && machine.allowedFor(spec)
+                    && (zone == null || machine.zone().equals(zone))
+                    && (machine.reservedFor() == null
+                            || machine.reservedFor().spec().equals(spec));
+            slots += usable ? machine.capacity().slots(spec, 0, 0, 0) : 0;
+        }
+        return slots;
+    }
+
+    private int pendingSlots(JobSpec spec, String zone) {
+        int slots = 0;
+        for (PlannedMachine machine : planned.machines()) {
+            slots += machine.isIn(zone) ? machine.slots(spec) : 0;
+        }
+        return slots;
+    }
+
+    /** Plans what this gang lacks in the zone (null: in any); false when so much is not to be had there. */
+    private boolean planWhole(ActiveJob job, String zone) {
+        JobSpec spec = job.spec();
+        int left = job.waiting() - freeSlots(spec, zone);
+        List<PlannedMachine> used = new ArrayList<>();
+        for (PlannedMachine machine : planned.machines()) {
+            while (left > 0 && machine.isIn(zone) && machine.take(spec)) {
+                used.add(machine);
+                left--;
+            }
+        }
+        List<Offer> launches = new ArrayList<>();
+        while (left > 0 && planned.mayConsiderMore(launches.size())) {
+            Offer offer = market.cheapest(OfferRequest.atAnyPrice(job, left, zone));
+            if (offer == null) {
+                used.forEach(machine -> machine.undoTake(spec));
+                return false;
+            }
+            left -= offer.type().slots(spec);
+            launches.add(offer);
+        }
+        launches.forEach(this::addNew);
+        return true;
+    }
+
+    private void addNew(Offer offer) {
+        JobSpec spec = offer.job().spec();
+        planned.countConsidered();
+        PlannedMachine machine = PlannedMachine.of(offer);
+        for (int task = 0; task < spec.tasks(); task++) {
+            machine.take(spec);
+        }
+        planned.addNew(machine, offer);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -0,0 +1,94 @@
+package org.granitepath.coordination.autoscaling;
+
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.Map;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.MachineType;
+
+/**
+ * Plans headroom: capacity that live services can take at once, free or by stopping lower work, for as many as arrive
+ * while a machine boots. Lower work may use it meanwhile. CPU amounts are in thousandths.
+ */
+final class HeadroomPlan {
+    private final ScaleOutPlan.Demand demand;
+    private final PlannedCapacity planned;
+    private final OfferMarket market;
+    private final long nowMicros;
+    private final Map<String, Double> cpuMillisByZone = new HashMap<>();
+    private double cpuMillis;
+    private double servicesCpuMillis;
+    private double spareCpuMillis = Double.MAX_VALUE;
+
+    /** Plans nothing before it is told to. */
+    HeadroomPlan(ScaleOutPlan.Demand demand, PlannedCapacity planned, OfferMarket market, long nowMicros) {
+        this.demand = demand;
+        this.planned = planned;
+        this.market = market;
+        this.nowMicros = nowMicros;
+    }
+
+    /** What live services could take beyond the headroom wanted for them. */
+    double spareCpuMillis() {
+        return spareCpuMillis;
+    }
+
+    /** Adds launches for the headroom that is lacking. */
+    void make() {
+        ActiveJob newest = demand.arrivalRate().newest();
+        if (newest == null) {
+            return;
+        }
+        countFleet(newest);
+        countPlanned();
+        Offer offer = market.cheapest(OfferRequest.atAnyPrice(newest, Integer.MAX_VALUE, null));
+        if (offer == null) {
+            return;
+        }
+        MachineType type = offer.type();
+        double wantedCpuMillis = Math.min(
+                demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros(),
+                demand.config().tuning().scaling().headroomShare() * servicesCpuMillis);
+        spareCpuMillis = cpuMillis - wantedCpuMillis;
+        if (cpuMillis < wantedCpuMillis) {
+            int count = (int) Math.ceil((wantedCpuMillis - cpuMillis) / type.cpuMillis());
+            planned.addLaunch(inEmptiestZone(offer), count);
+        }
+    }
+
+    private void countFleet(ActiveJob newest) {
+        for (Machine machine : demand.fleet().machines()) {
+            if (!machine.spot()
+                    && machine.type() != null
+                    && machine.phase() != Machine.Phase.TERMINATING
+                    && machine.type().fits(newest.spec())) {
+                long usedCpuMillis = machine.capacity().cpuUsedByServices();
+                servicesCpuMillis += usedCpuMillis;
+                add(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
+            }
+        }
+    }
+
+    private void countPlanned() {
+        for (PlannedMachine machine : planned.machines()) {
+            if (!machine.spot()) {
+                add(machine.zone(), machine.freeCpuMillis());
+            }
+        }
+    }
+
+    private void add(String zone, long freeCpuMillis) {
+        cpuMillis += freeCpuMillis;
+        cpuMillisByZone.merge(zone, (double) freeCpuMillis, Double::sum);
+    }
+
+    /** The offer at full price in the zone with the least such capacity; where it is if no zone has it. */
+    private Offer inEmptiestZone(Offer offer) {
+        String emptiest = offer.type().zones().stream()
+                .filter(zone -> market.has(new Offer(offer.type(), zone, false, offer.job())))
+                .min(Comparator.comparingDouble(zone -> cpuMillisByZone.getOrDefault(zone, 0.0)))
+                .orElse(offer.zone());
+        return new Offer(offer.type(), emptiest, false, offer.job());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
@@ -0,0 +1,11 @@
+package org.granitepath.coordination.autoscaling;
+
+/** How many machines of an offer to launch. */
+record PlannedLaunch(Offer offer, int count) {
+    /** Whether it goes before another: live services before other work, then most of a kind. */
+    boolean goesBefore(PlannedLaunch other) {
+        boolean live = offer.job().isLive();
+        boolean otherLive = other.offer.job().isLive();
+        return live == otherLive ? count > other.count : live;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -0,0 +1,93 @@
+package org.granitepath.coordination.autoscaling;
+
+import java.util.List;
+import org.granitepath.coordination.fleet.FailureDetector;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.PlacementRules;
+
+/** Plans anew whenever the last launch is over, and launches what the plan puts first. */
+final class ScaleOut {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final ScaleOutPlan.Demand demand;
+    private final PlacementRules rules;
+    private final Leadership leadership;
+    private final FailureDetector failureDetector;
+    private final BootingMachines booting;
+    private final CloudRequestBudget requestBudget;
+    private final Launcher launcher;
+    private final SpareHeadroom spareHeadroom;
+
+    /** Launches nothing before it is told to. */
+    ScaleOut(
+            ScaleOutPlan.Demand demand,
+            PlacementRules rules,
+            Leadership leadership,
+            FailureDetector failureDetector,
+            BootingMachines booting,
+            CloudRequestBudget requestBudget,
+            Launcher launcher,
+            SpareHeadroom spareHeadroom) {
+        this.demand = demand;
+        this.rules = rules;
+        this.leadership = leadership;
+        this.failureDetector = failureDetector;
+        this.booting = booting;
+        this.requestBudget = requestBudget;
+        this.launcher = launcher;
+        this.spareHeadroom = spareHeadroom;
+    }
+
+    /** Launches machines for the work that waits, one kind after the other as long as any is lacking. */
+    void launch(long nowMicros) {
+        if (launcher.underWay() || !leadership.leaseConfirmed()) {
+            return;
+        }
+        demand.batchPlanner().update(nowMicros);
+        ScaleOutPlan plan = new ScaleOutPlan(
+                demand, launcher::refusedLately, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
+        addPending(plan, nowMicros);
+        List<ActiveJob> waiting = demand.jobs().all().stream()
+                .filter(job -> launchesFor(job, nowMicros))
+                .toList();
+        plan.make(waiting);
+        spareHeadroom.update(plan.spareHeadroomCpuMillis());
+        PlannedLaunch first = plan.first();
+        if (first != null && requestBudget.tryTake(nowMicros)) {
+            launcher.launch(first, Math.round(plan.drainMicros() / MICROS_PER_SECOND), this::launch);
+        }
+    }
+
+    private void addPending(ScaleOutPlan plan, long nowMicros) {
+        for (BootingMachine machine : booting.all()) {
+            if (!machine.overdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
+                plan.pending(machine.type(), machine.zone(), machine.spot());
+            }
+        }
+        Fleet fleet = demand.fleet();
+        for (Machine machine : fleet.machines()) {
+            if (justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
+                plan.pending(machine.type(), machine.zone(), machine.spot());
+            }
+        }
+    }
+
+    /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
+    private static boolean justJoined(Machine machine) {
+        return machine.phase() == Machine.Phase.UNCONFIRMED
+                && machine.type() != null
+                && machine.isEmpty()
+                && !machine.awaitingFirstHeartbeat();
+    }
+
+    private boolean launchesFor(ActiveJob job, long nowMicros) {
+        return job.waiting() > 0
+                && job.scheduling().isWaiting()
+                && job.scheduling().notBeforeMicros() <= nowMicros
+                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && rules.teamAllows(job.spec());
+    }
+}
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -171,18 +171,14 @@
     private Autoscaler newAutoscaler(
             ScaleOutPlan.Demand demand, PlacementRules rules, GangHeadroom gangHeadroom, Peers peers, CloudPort cloud) {
         return new Autoscaler(
-                config,
                 demand,
+                new Autoscaler.Term(term.fencingToken(), leadership, recovery, this::ended),
                 rules,
                 gangHeadroom,
                 machines,
-                leadership,
                 peers,
                 cloud,
-                timers,
-                term.fencingToken(),
-                recovery,
-                this::ended);
+                timers);
     }
 
     /** Begins the term: takes the machines and jobs on record over. */
