--- /dev/null
+++ b/src/main/java/org/granitepath/cli/Address.java
@@ -0,0 +1,4 @@
+package org.granitepath.cli;
+
+/** An address to listen on or to call. */
+record Address(String host, int port) {}
--- a/src/main/java/org/granitepath/cli/CheckConfigCommand.java
+++ b/src/main/java/org/granitepath/cli/CheckConfigCommand.java
@@ -6,10 +6,11 @@
 @Parameters(commandDescription = "checks settings and says what is wrong with them")
 final class CheckConfigCommand extends Command.WithSettings {
     @Override
-    int run() throws Settings.Invalid {
-        Settings s = settings();
-        System.out.println("ok: " + s.config().node() + " with "
-                + s.peerAddresses().size() + " others, " + s.config().teams().size() + " teams");
+    int run() throws InvalidSettingException {
+        Settings settings = settings();
+        int peers = settings.peerAddresses().size();
+        int teams = settings.config().teams().size();
+        System.out.println("ok: " + settings.config().node() + " with " + peers + " others, " + teams + " teams");
         return OK;
     }
 }
--- a/src/main/java/org/granitepath/cli/Command.java
+++ b/src/main/java/org/granitepath/cli/Command.java
@@ -2,14 +2,17 @@
 
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.converters.PathConverter;
+import java.io.IOException;
 import java.nio.file.Path;
 
 /** A subcommand. Its options are the annotated fields. */
 abstract class Command {
-    /** What the shell is told. */
+    /** The exit status of a command that did its work, or began it. */
     static final int OK = 0;
 
+    /** The exit status of a command that could not go on. */
     static final int FAILED = 1;
+    /** The exit status for arguments or settings that can't be used. */
     static final int BAD_USE = 2;
 
     @Parameter(
@@ -19,7 +22,7 @@
     boolean help;
 
     /** Runs and returns the exit status; {@code OK} leaves the process alive while its threads live. */
-    abstract int run() throws Exception;
+    abstract int run() throws InvalidSettingException, IOException, InterruptedException;
 
     /** The options of commands that read settings. */
     abstract static class WithSettings extends Command {
@@ -42,7 +45,8 @@
                         "after a change of leader, holds other work until services are placed, for a bounded time")
         boolean liveFirst;
 
-        Settings settings() throws Settings.Invalid {
+        /** Reads the settings that the options name. */
+        Settings settings() throws InvalidSettingException {
             return Settings.read(config, tuning, liveFirst);
         }
     }
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -2,6 +2,7 @@
 
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.ParameterException;
+import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
@@ -21,45 +22,55 @@
         }
     }
 
+    /** Runs the subcommand that the arguments name and returns the exit status; what is wrong is told on stderr. */
     static int execute(String... args) {
-        Map<String, Command> commands = new LinkedHashMap<>();
-        commands.put("serve", new ServeCommand());
-        commands.put("check-config", new CheckConfigCommand());
-        commands.put("rehearse", new RehearseCommand());
-        JCommander.Builder builder = JCommander.newBuilder().programName("granitepath");
-        commands.forEach(builder::addCommand);
-        JCommander parser = builder.build();
         try {
-            if (args.length == 1 && args[0].equals("--version")) {
-                System.out.println(VERSION);
-                return Command.OK;
-            }
-            if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
-                parser.usage();
-                return args.length == 0 ? Command.BAD_USE : Command.OK;
-            }
-            parser.parse(args);
-            Command command = commands.get(parser.getParsedCommand());
-            if (command.help) {
-                parser.getUsageFormatter().usage(parser.getParsedCommand());
-                return Command.OK;
-            }
-            return command.run();
-        } catch (Settings.Invalid e) {
+            return run(args);
+        } catch (InvalidSettingException e) {
             System.err.println("granitepath: " + e.getMessage());
             return Command.BAD_USE;
         } catch (ParameterException e) {
-            // The parser takes an option that it does not know for an argument.
-            System.err.println("granitepath: "
-                    + e.getMessage()
-                            .replaceFirst("Was passed main parameter ('.*?') but.*", "unknown option or argument $1"));
+            System.err.println("granitepath: " + inOurWords(e));
             return Command.BAD_USE;
         } catch (Exception e) {
+            // The outermost edge: whatever went wrong is told in one line, and the status says so.
             System.err.println("granitepath: can't go on: " + e.getMessage());
             return Command.FAILED;
         }
     }
 
+    private static int run(String... args) throws InvalidSettingException, IOException, InterruptedException {
+        Map<String, Command> commands = new LinkedHashMap<>();
+        commands.put("serve", new ServeCommand());
+        commands.put("check-config", new CheckConfigCommand());
+        commands.put("rehearse", new ClassArchiveTrainingCommand());
+        JCommander.Builder builder = JCommander.newBuilder().programName("granitepath");
+        commands.forEach(builder::addCommand);
+        JCommander parser = builder.build();
+        if (args.length == 1 && args[0].equals("--version")) {
+            System.out.println(VERSION);
+            return Command.OK;
+        }
+        if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
+            parser.usage();
+            return args.length == 0 ? Command.BAD_USE : Command.OK;
+        }
+        parser.parse(args);
+        Command command = commands.get(parser.getParsedCommand());
+        if (command.help) {
+            parser.getUsageFormatter().usage(parser.getParsedCommand());
+            return Command.OK;
+        }
+        return command.run();
+    }
+
+    /** The parser takes an option that it does not know for an argument. */
+    private static String inOurWords(ParameterException exception) {
+        return exception
+                .getMessage()
+                .replaceFirst("Was passed main parameter ('.*?') but.*", "unknown option or argument $1");
+    }
+
     /** Before the first logger is made. */
     private static void configureLogging(String level) {
         String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -28,7 +28,7 @@
     boolean traceRecovery;
 
     @Override
-    int run() throws Settings.Invalid, IOException {
+    int run() throws InvalidSettingException, IOException {
         start(settings(), traceRecovery);
         return OK;
     }
@@ -37,12 +37,12 @@
      * Starts a controller; its threads keep the process alive. All is set up on the event loop, so that one thread
      * alone reads during a start: see the known faults in docs/results.md.
      */
-    static void start(Settings s, boolean traceRecovery) throws IOException {
+    static void start(Settings settings, boolean traceRecovery) throws IOException {
         EventLoop loop = new EventLoop();
         CompletableFuture<Void> started = new CompletableFuture<>();
         loop.run(() -> {
             try {
-                serve(s, loop, traceRecovery);
+                serve(settings, loop, traceRecovery);
                 started.complete(null);
             } catch (RuntimeException e) {
                 started.completeExceptionally(e);
@@ -55,30 +55,31 @@
         }
     }
 
-    private static void serve(Settings s, EventLoop loop, boolean traceRecovery) {
+    private static void serve(Settings settings, EventLoop loop, boolean traceRecovery) {
+        // Made here, since on the event loop no other thread reads classes at the same time.
         Logger log = LoggerFactory.getLogger(ServeCommand.class);
         HttpCalls http = new HttpCalls(loop);
         Controller controller = new Controller(
-                s.config(),
-                new KeyValueStoreClient(http, s.state()),
-                new CloudClient(http, s.cloud()),
+                settings.config(),
+                new KeyValueStoreClient(http, settings.storeAddress()),
+                new CloudClient(http, settings.cloudAddress()),
                 new WorkerClient(http),
-                new PeerClient(http, s.peerAddresses()),
+                new PeerClient(http, settings.peerAddresses()),
                 loop,
                 traceRecovery ? new OpenTelemetryRecoveryTracer(GlobalOpenTelemetry.get()) : RecoveryTracer.NONE);
         ServiceServer.listen(
                 controller,
-                s.config(),
+                settings.config(),
                 loop,
-                s.listen().host(),
-                s.listen().port(),
-                s.peerListen().host(),
-                s.peerListen().port());
+                settings.listen().host(),
+                settings.listen().port(),
+                settings.peerListen().host(),
+                settings.peerListen().port());
         controller.start();
         log.info(
                 "{} serves on {}:{}",
-                s.config().node(),
-                s.listen().host(),
-                s.listen().port());
+                settings.config().node(),
+                settings.listen().host(),
+                settings.listen().port());
     }
 }
--- /dev/null
+++ b/src/main/java/org/granitepath/cli/TomlFields.java
@@ -0,0 +1,147 @@
+package org.granitepath.cli;
+
+import com.electronwill.nightconfig.core.UnmodifiableConfig;
+import com.electronwill.nightconfig.core.io.ParsingException;
+import com.electronwill.nightconfig.toml.TomlParser;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Typed fields of a TOML table. A field is named by its path from the table, with dots; a field that is missing or of
+ * another kind is reported by that path.
+ */
+final class TomlFields {
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MIN_POSITIVE_SECONDS = 0.001;
+    private static final int THOUSANDTHS = 1000;
+    private static final int MAX_PORT = 65_535;
+
+    private final UnmodifiableConfig table;
+
+    private TomlFields(UnmodifiableConfig table) {
+        this.table = table;
+    }
+
+    /** Reads the file's fields. */
+    static TomlFields parse(Path file) throws InvalidSettingException {
+        try {
+            return new TomlFields(new TomlParser().parse(Files.readString(file)));
+        } catch (IOException e) {
+            throw new InvalidSettingException("can't read " + file + ": " + e.getMessage());
+        } catch (ParsingException e) {
+            throw new InvalidSettingException(file + " is not valid TOML: " + e.getMessage());
+        }
+    }
+
+    /** Whether there is such a field, of whatever kind. */
+    boolean has(String path) {
+        return table.get(path) != null;
+    }
+
+    /** Whether the field is a table. */
+    boolean isTable(String path) {
+        return table.get(path) instanceof UnmodifiableConfig;
+    }
+
+    /** A list of tables; empty if it is missing. */
+    List<TomlFields> tables(String path) throws InvalidSettingException {
+        Object value = table.get(path);
+        if (value == null) {
+            return List.of();
+        }
+        if (!(value instanceof List<?> list)) {
+            throw new InvalidSettingException(path + " must be a list of tables");
+        }
+        List<TomlFields> tables = new ArrayList<>();
+        for (Object element : list) {
+            if (!(element instanceof UnmodifiableConfig elementTable)) {
+                throw new InvalidSettingException(path + " must be a list of tables");
+            }
+            tables.add(new TomlFields(elementTable));
+        }
+        return tables;
+    }
+
+    /** A text that is not empty. */
+    String text(String path) throws InvalidSettingException {
+        if (!(table.get(path) instanceof String text) || text.isEmpty()) {
+            throw new InvalidSettingException(path + " is missing or not a text");
+        }
+        return text;
+    }
+
+    /** A text; null if it is missing. */
+    String textOrNull(String path) {
+        return table.get(path);
+    }
+
+    /** Whatever the field holds, as a text; "null" if it is missing. */
+    String anyAsText(String path) {
+        Object value = table.get(path);
+        return String.valueOf(value);
+    }
+
+    /** The elements of a list as texts; empty if it is missing or no list. */
+    List<String> textsOrNone(String path) {
+        return table.get(path) instanceof List<?> list
+                ? list.stream().map(String::valueOf).toList()
+                : List.of();
+    }
+
+    /** A HOST:PORT. */
+    Address address(String path) throws InvalidSettingException {
+        String text = text(path);
+        int colon = text.lastIndexOf(':');
+        try {
+            int port = Integer.parseInt(text.substring(colon + 1));
+            if (colon > 0 && port > 0 && port <= MAX_PORT) {
+                return new Address(text.substring(0, colon), port);
+            }
+        } catch (NumberFormatException e) {
+            // reported below
+        }
+        throw new InvalidSettingException(path + " must be HOST:PORT, not " + text);
+    }
+
+    /** A HOST:PORT as it is written. */
+    String addressText(String path) throws InvalidSettingException {
+        address(path);
+        return text(path);
+    }
+
+    /** A number that is not less than the least. */
+    double number(String path, double least) throws InvalidSettingException {
+        if (!(table.get(path) instanceof Number number) || !(number.doubleValue() >= least)) {
+            throw new InvalidSettingException(path + " must be a number of at least " + least);
+        }
+        return number.doubleValue();
+    }
+
+    /** A number; {@code otherwise} if it is missing or no number. */
+    double numberOr(String path, double otherwise) {
+        return table.get(path) instanceof Number number ? number.doubleValue() : otherwise;
+    }
+
+    /** A time in seconds, which may be zero. */
+    long micros(String path) throws InvalidSettingException {
+        return Math.round(number(path, 0) * MICROS_PER_SECOND);
+    }
+
+    /** A time in seconds, which is more than zero. */
+    long positiveMicros(String path) throws InvalidSettingException {
+        return Math.round(number(path, MIN_POSITIVE_SECONDS) * MICROS_PER_SECOND);
+    }
+
+    /** A time in seconds, which is more than zero; {@code otherwise} if it is missing. */
+    long positiveMicrosOr(String path, long otherwise) throws InvalidSettingException {
+        return has(path) ? positiveMicros(path) : otherwise;
+    }
+
+    /** An amount in thousandths; 0 if it is missing or no number. */
+    long thousandthsOrZero(String path) {
+        return Math.round(numberOr(path, 0) * THOUSANDTHS);
+    }
+}
--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -18,87 +18,112 @@
     private static final Map<String, String> RENAMED =
             Map.of("patience-share", "deferral-share", "longest-yield-s", "max-starvation-s");
     /** Users allow no job to be left waiting for 90 s beside capacity that fits. */
-    private static final double LONGEST_HOLD_SECONDS = 60;
+    private static final double MAX_HOLD_SECONDS = 60;
 
-    private TuningFile() {}
+    private static final double MAX_LEASE_SECONDS = 60;
+    private static final double MAX_GANG_HOLD_SECONDS = 600;
+    private static final double MAX_STARVATION_SECONDS = 86_400;
+    private static final double MAX_CLAIM_BLOCK = 100_000;
+    private static final double MAX_IDLE_SHARE = 100;
+    private static final double MAX_HEADROOM_SHARE = 10;
+    private static final double MAX_WEIGHT = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final Path file;
+    /** What the file holds and was not read yet; in the end, what is unknown. */
+    private final Map<String, Object> unread = new LinkedHashMap<>();
+
+    private TuningFile(Path file, Map<?, ?> yaml) {
+        this.file = file;
+        yaml.forEach((name, value) -> unread.put(String.valueOf(name), value));
+    }
 
     /**
      * Reads and checks the file.
      *
      * @param file null: there is none
      * @param defaultHoldMicros how long a recovery holds other work unless the file says so
-     * @throws Settings.Invalid when a setting is unknown or can't be used
+     * @throws InvalidSettingException when a setting is unknown or can't be used
      */
-    static Tuning read(Path file, long defaultHoldMicros) throws Settings.Invalid {
-        Tuning d = Tuning.defaults().withRecoveryHold(defaultHoldMicros);
+    static Tuning read(Path file, long defaultHoldMicros) throws InvalidSettingException {
+        Tuning defaults = Tuning.defaults().withRecoveryHold(defaultHoldMicros);
         if (file == null) {
-            return d;
+            return defaults;
+        }
+        Object yaml = parse(file);
+        if (yaml == null) {
+            return defaults;
         }
-        Map<?, ?> yaml;
+        if (!(yaml instanceof Map<?, ?> byName)) {
+            throw new InvalidSettingException(file + " must hold settings by name");
+        }
+        TuningFile settings = new TuningFile(file, byName);
+        Tuning tuning = settings.tuning(defaults);
+        settings.checkAllRead();
+        return tuning;
+    }
+
+    private static Object parse(Path file) throws InvalidSettingException {
         try {
-            Object loaded = new Load(LoadSettings.builder().build()).loadFromString(Files.readString(file));
-            if (loaded == null) {
-                return d;
-            }
-            if (!(loaded instanceof Map<?, ?> map)) {
-                throw new Settings.Invalid(file + " must hold settings by name");
-            }
-            yaml = map;
+            return new Load(LoadSettings.builder().build()).loadFromString(Files.readString(file));
         } catch (IOException e) {
-            throw new Settings.Invalid("can't read " + file + ": " + e.getMessage());
+            throw new InvalidSettingException("can't read " + file + ": " + e.getMessage());
         } catch (YamlEngineException e) {
-            throw new Settings.Invalid(file + " is not valid YAML: " + e.getMessage());
+            throw new InvalidSettingException(file + " is not valid YAML: " + e.getMessage());
         }
-        Map<String, Object> rest = new LinkedHashMap<>();
-        yaml.forEach((k, v) -> rest.put(String.valueOf(k), v));
-        Tuning t = new Tuning(
-                seconds(rest, "leader-lease-s", d.leaderLeaseMicros(), 1, 60),
-                scaling(rest, d.scaling()),
-                weights(rest, d.weights()),
-                real(rest, "deferral-share", d.deferralShare(), 0, 1),
-                seconds(rest, "gang-hold-s", d.gangHoldMicros(), 0, 600),
-                (int) real(rest, "claim-block", d.claimBlock(), 1, 100_000),
-                seconds(rest, "max-starvation-s", d.maxStarvationMicros(), 1, 86_400),
-                seconds(rest, "recovery-hold-s", d.recoveryHoldMicros(), 0, LONGEST_HOLD_SECONDS));
-        if (!rest.isEmpty()) {
-            String unknown = rest.keySet().iterator().next();
-            String renamed = RENAMED.get(unknown);
-            throw new Settings.Invalid(file + ": unknown setting " + unknown
-                    + (renamed == null ? "" : ", which is called " + renamed + " now"));
-        }
-        return t;
     }
 
-    private static ScalingPolicy scaling(Map<String, Object> rest, ScalingPolicy otherwise) throws Settings.Invalid {
+    private Tuning tuning(Tuning defaults) throws InvalidSettingException {
+        return new Tuning(
+                micros("leader-lease-s", defaults.leaderLeaseMicros(), 1, MAX_LEASE_SECONDS),
+                scaling(defaults.scaling()),
+                weights(defaults.weights()),
+                number("deferral-share", defaults.deferralShare(), 0, 1),
+                micros("gang-hold-s", defaults.gangHoldMicros(), 0, MAX_GANG_HOLD_SECONDS),
+                (int) number("claim-block", defaults.claimBlock(), 1, MAX_CLAIM_BLOCK),
+                micros("max-starvation-s", defaults.maxStarvationMicros(), 1, MAX_STARVATION_SECONDS),
+                micros("recovery-hold-s", defaults.recoveryHoldMicros(), 0, MAX_HOLD_SECONDS));
+    }
+
+    private ScalingPolicy scaling(ScalingPolicy defaults) throws InvalidSettingException {
         return new ScalingPolicy(
-                real(rest, "idle-share", otherwise.idleShare(), 0, 100),
-                real(rest, "idle-share-spot", otherwise.idleShareSpot(), 0, 100),
-                real(rest, "headroom-share", otherwise.headroomShare(), 0, 10));
+                number("idle-share", defaults.idleShare(), 0, MAX_IDLE_SHARE),
+                number("idle-share-spot", defaults.idleShareSpot(), 0, MAX_IDLE_SHARE),
+                number("headroom-share", defaults.headroomShare(), 0, MAX_HEADROOM_SHARE));
     }
 
-    private static PriorityWeights weights(Map<String, Object> rest, PriorityWeights otherwise)
-            throws Settings.Invalid {
+    private PriorityWeights weights(PriorityWeights defaults) throws InvalidSettingException {
         return new PriorityWeights(
-                real(rest, "weight-critical", otherwise.critical(), 1, 1e6),
-                real(rest, "weight-high", otherwise.high(), 1, 1e6),
-                real(rest, "weight-standard", otherwise.standard(), 1, 1e6),
-                real(rest, "weight-best-effort", otherwise.bestEffort(), 1, 1e6));
+                number("weight-critical", defaults.critical(), 1, MAX_WEIGHT),
+                number("weight-high", defaults.high(), 1, MAX_WEIGHT),
+                number("weight-standard", defaults.standard(), 1, MAX_WEIGHT),
+                number("weight-best-effort", defaults.bestEffort(), 1, MAX_WEIGHT));
+    }
+
+    private void checkAllRead() throws InvalidSettingException {
+        if (unread.isEmpty()) {
+            return;
+        }
+        String unknown = unread.keySet().iterator().next();
+        String renamed = RENAMED.get(unknown);
+        throw new InvalidSettingException(file + ": unknown setting " + unknown
+                + (renamed == null ? "" : ", which is called " + renamed + " now"));
     }
 
-    private static long seconds(Map<String, Object> m, String name, long otherwise, double least, double most)
-            throws Settings.Invalid {
-        return Math.round(real(m, name, otherwise / 1e6, least, most) * 1e6);
+    private long micros(String name, long otherwiseMicros, double leastSeconds, double mostSeconds)
+            throws InvalidSettingException {
+        double seconds = number(name, otherwiseMicros / MICROS_PER_SECOND, leastSeconds, mostSeconds);
+        return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    private static double real(Map<String, Object> m, String name, double otherwise, double least, double most)
-            throws Settings.Invalid {
-        Object v = m.remove(name);
-        if (v == null) {
+    private double number(String name, double otherwise, double least, double most) throws InvalidSettingException {
+        Object value = unread.remove(name);
+        if (value == null) {
             return otherwise;
         }
-        if (!(v instanceof Number n) || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            throw new Settings.Invalid(name + " must be a number from " + least + " to " + most);
+        if (!(value instanceof Number number) || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
+            throw new InvalidSettingException(name + " must be a number from " + least + " to " + most);
         }
-        return n.doubleValue();
+        return number.doubleValue();
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -16,8 +16,8 @@
  */
 final class Launcher {
     private static final Logger LOG = LoggerFactory.getLogger(Launcher.class);
-    private static final int MOST_MACHINES_PER_REQUEST = 50;
-    private static final int MOST_REPEATS = 20;
+    private static final int MAX_MACHINES_PER_REQUEST = 50;
+    private static final int MAX_REPEATS = 20;
     private static final long REPEAT_MICROS = 1_000_000;
     /** How long an offer is avoided after the cloud had no capacity for it. */
     private static final long REFUSED_MICROS = 15_000_000;
@@ -71,7 +71,7 @@
     void launch(PlannedLaunch launch, long drainSeconds, LongConsumer whenAnswered) {
         underWay = true;
         Offer offer = launch.offer();
-        int count = Math.min(launch.count(), MOST_MACHINES_PER_REQUEST);
+        int count = Math.min(launch.count(), MAX_MACHINES_PER_REQUEST);
         // The fencing token is unique to this term of leadership, so no key is ever used for two requests.
         String idempotencyKey = "b" + fencingToken + "-" + ++requestCount;
         ActiveJob job = offer.job();
@@ -127,7 +127,7 @@
 
     /** It may have been carried out: only the same request tells, and launches nothing twice. */
     private void repeatLater(CloudPort.LaunchRequest request, Offer offer, int repeats, LongConsumer whenAnswered) {
-        if (repeats >= MOST_REPEATS) {
+        if (repeats >= MAX_REPEATS) {
             underWay = false;
             return;
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
@@ -10,7 +10,7 @@
 /** The machines that are on their way and those that the plan adds, with the launches that bring the latter. */
 final class PlannedCapacity {
     /** More machines than a few launches bring are not planned for: the plan is made anew after each. */
-    private static final int MOST_NEW_MACHINES = 400;
+    private static final int MAX_NEW_MACHINES = 400;
 
     private final List<PlannedMachine> machines = new ArrayList<>();
     private final Map<String, Integer> launchCounts = new LinkedHashMap<>();
@@ -54,7 +54,7 @@
 
     /** Whether one more new machine may be considered beside so many that are not counted yet. */
     boolean mayConsiderMore(int uncounted) {
-        return newMachines + uncounted < MOST_NEW_MACHINES;
+        return newMachines + uncounted < MAX_NEW_MACHINES;
     }
 
     /** Counts a new machine that was looked for, whether it was found or not. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -53,7 +53,7 @@
         boolean keepsIdle = recovery.keepsIdleMachines();
         gangHeadroom.survey();
         for (Machine machine : List.copyOf(fleet.machines())) {
-            if (ids.size() >= Terminator.MOST_MACHINES_PER_REQUEST) {
+            if (ids.size() >= Terminator.MAX_MACHINES_PER_REQUEST) {
                 break;
             }
             boolean idle = !keepsIdle && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
@@ -72,7 +72,7 @@
 
     private void chooseFailedToBoot(List<String> ids, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (machine.failedToBoot(nowMicros) && ids.size() < Terminator.MOST_MACHINES_PER_REQUEST) {
+            if (machine.failedToBoot(nowMicros) && ids.size() < Terminator.MAX_MACHINES_PER_REQUEST) {
                 long ageSeconds = (nowMicros - machine.launchedMicros()) / MICROS_PER_SECOND;
                 LOG.info("machine {} terminating: not up after {} s", machine.id(), ageSeconds);
                 ids.add(machine.id());
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -21,7 +21,7 @@
 /** What is to be launched for the work that waits, given what is on its way. Made anew before each launch. */
 public final class ScaleOutPlan {
     /** Tasks of one job that are planned for at a time: as many as 6,000 machines with a task each. */
-    private static final int MOST_PLANNED_TASKS = 6_000;
+    private static final int MAX_PLANNED_TASKS = 6_000;
 
     /** Live services that need the same are launched for as a class: they share machines. */
     private record EquivalenceClass(
@@ -117,7 +117,7 @@
         int others = job.isLive()
                 ? waitingByClass.addTo(EquivalenceClass.of(job.spec()), -job.waiting()) - job.waiting()
                 : 0;
-        int left = Math.min(job.waiting(), MOST_PLANNED_TASKS);
+        int left = Math.min(job.waiting(), MAX_PLANNED_TASKS);
         planNew(job, usePending(job, left, tasksByZone), others, tasksByZone);
     }
 
--- a/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
@@ -11,7 +11,7 @@
 /** Terminates machines, one request at a time, and remembers for a while which ones it terminated. */
 final class Terminator {
     /** The most machines that one request may name. */
-    static final int MOST_MACHINES_PER_REQUEST = 100;
+    static final int MAX_MACHINES_PER_REQUEST = 100;
 
     /** For longer than the cloud's list may be out of date. */
     private static final long REMEMBERED_MICROS = 120_000_000;
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -12,39 +12,6 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class MainTest {
-    static final String GOOD = """
-            node_name = "n0"
-            site = "z"
-            serve_on = "127.0.0.1:1"
-            back = "127.0.0.1:2"
-            unknown_field = 7
-            [services]
-            cloud = "127.0.0.1:3"
-            state = "127.0.0.1:4"
-            [facts]
-            zones = ["z"]
-            skew_ms = 25.0
-            [[facts.teams]]
-            name = "t"
-            cpus_max = 12.5
-            [[facts.objectives]]
-            kind = "deadline"
-            class = "c"
-            times = 1.5
-            [facts.workers]
-            report_s = 1.0
-            lease_s = 10.0
-            cancel_s = 30.0
-            [facts.state]
-            rps = 10.0
-            write_rps = 10.0
-            value_kb = 8.0
-            txn_ops = 8
-            [facts.cloud]
-            rps = 1.0
-            list_lag_s = 1.0
-            """;
-
     @TempDir
     Path dir;
 
@@ -54,26 +21,31 @@
 
     @Test
     void goodSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
-        Settings s = Settings.read(file("a.toml", GOOD), null, false);
-        assertEquals(12_500, s.config().teams().get("t").cpuLimit());
-        assertEquals(1.5, s.config().objectives().get("c").deadlineTimes());
-        assertEquals(25_000, s.config().skewMicros());
+        Settings settings = Settings.read(file("a.toml", SettingsFixture.GOOD), null, false);
+        assertEquals(12_500, settings.config().teams().get("t").cpuLimit());
+        assertEquals(1.5, settings.config().objectives().get("c").deadlineTimes());
+        assertEquals(25_000, settings.config().skewMicros());
     }
 
     @Test
     void badSettingsAreNamed() throws IOException {
-        Path bad = file("b.toml", GOOD.replace("lease_s = 10.0", "lease_s = \"ten\""));
-        Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> Settings.read(bad, null, false));
-        assertTrue(e.getMessage().contains("facts.workers.lease_s"), e.getMessage());
-        Path sockets = file("s.toml", GOOD + "[facts.resources]\nmax_connections = 0\n");
-        e = assertThrows(Settings.Invalid.class, () -> Settings.read(sockets, null, false));
-        assertTrue(e.getMessage().contains("facts.resources.max_connections"), e.getMessage());
+        Path bad = file("b.toml", SettingsFixture.GOOD.replace("lease_s = 10.0", "lease_s = \"ten\""));
+        InvalidSettingException thrown =
+                assertThrows(InvalidSettingException.class, () -> Settings.read(bad, null, false));
+        assertTrue(thrown.getMessage().contains("facts.workers.lease_s"), thrown.getMessage());
+        Path sockets = file("s.toml", SettingsFixture.GOOD + "[facts.resources]\nmax_connections = 0\n");
+        thrown = assertThrows(InvalidSettingException.class, () -> Settings.read(sockets, null, false));
+        assertTrue(thrown.getMessage().contains("facts.resources.max_connections"), thrown.getMessage());
         Path tuning = file("t.yaml", "idle-shar: 2\n");
-        e = assertThrows(Settings.Invalid.class, () -> Settings.read(file("c.toml", GOOD), tuning, false));
-        assertTrue(e.getMessage().contains("idle-shar"), e.getMessage());
+        thrown = assertThrows(
+                InvalidSettingException.class,
+                () -> Settings.read(file("c.toml", SettingsFixture.GOOD), tuning, false));
+        assertTrue(thrown.getMessage().contains("idle-shar"), thrown.getMessage());
         Path former = file("f.yaml", "patience-share: 0.4\n");
-        e = assertThrows(Settings.Invalid.class, () -> Settings.read(file("c.toml", GOOD), former, false));
-        assertTrue(e.getMessage().contains("deferral-share"), e.getMessage());
+        thrown = assertThrows(
+                InvalidSettingException.class,
+                () -> Settings.read(file("c.toml", SettingsFixture.GOOD), former, false));
+        assertTrue(thrown.getMessage().contains("deferral-share"), thrown.getMessage());
     }
 
     /**
@@ -89,15 +61,17 @@
     }
 
     private void assertInvalid(String named, String good, String bad) throws IOException {
-        Path file = file("x.toml", GOOD.replace(good, bad));
-        Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> Settings.read(file, null, false));
-        assertTrue(e.getMessage().contains(named) && !e.getMessage().contains("\n"), e.getMessage());
+        Path file = file("x.toml", SettingsFixture.GOOD.replace(good, bad));
+        InvalidSettingException thrown =
+                assertThrows(InvalidSettingException.class, () -> Settings.read(file, null, false));
+        assertTrue(thrown.getMessage().contains(named) && !thrown.getMessage().contains("\n"), thrown.getMessage());
     }
 
     @Test
     void leastTimesAreAccepted() throws Exception {
-        Settings s = Settings.read(file("y.toml", GOOD.replace("cancel_s = 30.0", "cancel_s = 14.1")), null, false);
-        assertTrue(s.config().workers().maxDisconnectedMicros() >= 1_000_000);
+        Settings settings = Settings.read(
+                file("y.toml", SettingsFixture.GOOD.replace("cancel_s = 30.0", "cancel_s = 14.1")), null, false);
+        assertTrue(settings.config().workers().maxDisconnectedMicros() >= 1_000_000);
     }
 
     @Test
@@ -108,7 +82,10 @@
         assertEquals(Command.BAD_USE, Main.execute("dance"));
         assertEquals(
                 Command.OK,
-                Main.execute("check-config", "--config", file("d.toml", GOOD).toString()));
+                Main.execute(
+                        "check-config",
+                        "--config",
+                        file("d.toml", SettingsFixture.GOOD).toString()));
     }
 
     private static final String NEXT =
@@ -117,12 +94,15 @@
     /** Limits that the store will have later hold from the first start, since they come without notice. */
     @Test
     void nextLimitsAreKeptFromTheStart() throws Exception {
-        Settings next = Settings.read(file("n.toml", GOOD.replace("txn_ops = 8\n", NEXT)), null, false);
+        Settings next = Settings.read(file("n.toml", SettingsFixture.GOOD.replace("txn_ops = 8\n", NEXT)), null, false);
         assertEquals(new StoreLimits(7.5, 2048, 5), next.config().limits().store());
-        Settings present = Settings.read(file("p.toml", GOOD), null, false);
+        Settings present = Settings.read(file("p.toml", SettingsFixture.GOOD), null, false);
         assertEquals(new StoreLimits(10, 8192, 8), present.config().limits().store());
         Settings some = Settings.read(
-                file("o.toml", GOOD.replace("txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\nvalue_kb = 4.0\n")),
+                file(
+                        "o.toml",
+                        SettingsFixture.GOOD.replace(
+                                "txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\nvalue_kb = 4.0\n")),
                 null,
                 false);
         assertEquals(new StoreLimits(10, 4096, 8), some.config().limits().store());
@@ -141,7 +121,7 @@
     /** The hold of a recovery follows from the leases, or from the operators' file; contradictions are named. */
     @Test
     void theHoldOfARecovery() throws Exception {
-        Path platform = file("h.toml", GOOD);
+        Path platform = file("h.toml", SettingsFixture.GOOD);
         assertEquals(0, Settings.read(platform, null, false).config().tuning().recoveryHoldMicros());
         Settings byLease = Settings.read(platform, null, true);
         assertEquals(
@@ -158,8 +138,9 @@
             "recovery-hold-s: 30\nmax-starvation-s: 20\n"
         }) {
             Path tuning = file("bad.yaml", bad);
-            Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> Settings.read(platform, tuning, true), bad);
-            assertTrue(e.getMessage().contains("recovery-hold-s"), e.getMessage());
+            InvalidSettingException thrown =
+                    assertThrows(InvalidSettingException.class, () -> Settings.read(platform, tuning, true), bad);
+            assertTrue(thrown.getMessage().contains("recovery-hold-s"), thrown.getMessage());
         }
     }
 }
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -27,24 +27,24 @@
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
     private static final int MOST = 64;
     private static int port;
-    private static int backPort;
+    private static int peerPort;
 
     @BeforeAll
     static void serve(@TempDir Path dir) throws Exception {
         port = freePort();
-        backPort = freePort();
+        peerPort = freePort();
         Path file = Files.writeString(
                 dir.resolve("n.toml"),
-                MainTest.GOOD
+                SettingsFixture.GOOD
                                 .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"")
-                                .replace("127.0.0.1:2\"", "127.0.0.1:" + backPort + "\"")
+                                .replace("127.0.0.1:2\"", "127.0.0.1:" + peerPort + "\"")
                         + "[facts.resources]\nmax_connections = " + MOST + "\n");
         ServeCommand.start(Settings.read(file, null, false), false);
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket(0)) {
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0)) {
+            return socket.getLocalPort();
         }
     }
 
@@ -68,17 +68,17 @@
     /** A controller that has read no records can't know who leads. */
     @Test
     void tellsThatItCannotKnowOfARecovery() throws Exception {
-        HttpResponse<String> r = ask(backPort, "GET", "/recovery", "");
-        assertEquals(200, r.statusCode());
-        assertTrue(r.body().contains("\"role\":\"unknown\""), r.body());
-        assertTrue(r.body().contains("the records have not been read yet"), r.body());
-        assertEquals(404, ask(backPort, "GET", "/nowhere", "").statusCode());
+        HttpResponse<String> response = ask(peerPort, "GET", "/recovery", "");
+        assertEquals(200, response.statusCode());
+        assertTrue(response.body().contains("\"role\":\"unknown\""), response.body());
+        assertTrue(response.body().contains("the records have not been read yet"), response.body());
+        assertEquals(404, ask(peerPort, "GET", "/nowhere", "").statusCode());
     }
 
     @Test
     void unreadableReportsAreCounted() throws Exception {
         ask("POST", "/agent/beat", "{\"host\":7}");
-        String metrics = ask(backPort, "GET", "/metrics", "").body();
+        String metrics = ask(peerPort, "GET", "/metrics", "").body();
         assertTrue(
                 metrics.lines().anyMatch(line -> line.matches("granitepath\\.reports\\.unreadable.* [1-9].*")),
                 metrics);
@@ -87,9 +87,9 @@
 
     @Test
     void refusesAtOnceAndSaysWhenToComeBack() throws Exception {
-        HttpResponse<String> r = ask("GET", "/submissions/run-000001", "");
-        assertEquals(503, r.statusCode());
-        assertTrue(r.headers().firstValue("Retry-After").isPresent());
+        HttpResponse<String> response = ask("GET", "/submissions/run-000001", "");
+        assertEquals(503, response.statusCode());
+        assertTrue(response.headers().firstValue("Retry-After").isPresent());
         assertEquals(503, ask("POST", "/submissions/run-000001/cancel", "").statusCode());
     }
 
@@ -112,12 +112,12 @@
         List<Socket> open = new ArrayList<>();
         int kept = 0;
         for (int i = 0; i < 2 * MOST; i++) {
-            Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-            open.add(s);
-            s.setSoTimeout(5_000);
-            s.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+            open.add(socket);
+            socket.setSoTimeout(5_000);
+            socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+                    new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             boolean closes = false;
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                 closes |= line.equalsIgnoreCase("Connection: close");
@@ -125,8 +125,8 @@
             kept += closes ? 0 : 1;
         }
         assertTrue(kept > MOST / 2 && kept < MOST * 0.9, kept + " connections kept");
-        for (Socket s : open) {
-            s.close();
+        for (Socket socket : open) {
+            socket.close();
         }
     }
 
