--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -56,7 +56,7 @@
     }
 
     private static void serve(Settings settings, EventLoop loop, boolean traceRecovery) {
-        // Made here, since on the event loop no other thread reads classes at the same time.
+        // Made here, on the event loop, as all that a start sets up.
         Logger log = LoggerFactory.getLogger(ServeCommand.class);
         HttpCalls http = new HttpCalls(loop);
         Controller controller = new Controller(
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -32,7 +32,15 @@
         }
     }
 
-    /** What a plan is made from. */
+    /**
+     * What a plan is made from.
+     *
+     * @param fleet the machines that there are
+     * @param jobs the jobs that are not over
+     * @param batchPlanner tells which batch work can wait for cheaper capacity
+     * @param runtimeEstimator tells how long a job's tasks take
+     * @param arrivalRate tells how much work of live services arrives
+     */
     public record Demand(
             Config config,
             Fleet fleet,
