--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -17,7 +17,7 @@
      * The offers as they are now.
      *
      * @param refused keys of offers of which the cloud lately had none
-     * @param cutOff zones whose machines would not be heard
+     * @param cutOff zones from which no heartbeat would arrive
      */
     OfferMarket(
             ScaleOutPlan.Demand demand,
@@ -32,12 +32,12 @@
         this.nowMicros = nowMicros;
     }
 
-    /** Whether machines of this zone would not be heard at present. */
+    /** Whether no heartbeat would arrive from this zone at present. */
     boolean isCutOff(String zone) {
         return cutOff.test(zone);
     }
 
-    /** Whether the cloud is likely to have a machine of this kind, and it would be heard. */
+    /** Whether the cloud is likely to have a machine of this kind, whose heartbeats would arrive. */
     boolean has(Offer offer) {
         return !cutOff.test(offer.zone()) && !refused.test(offer.key());
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -61,7 +61,7 @@
      * An empty plan.
      *
      * @param refused keys of offers of which the cloud lately had none
-     * @param cutOff zones whose machines would not be heard
+     * @param cutOff zones from which no heartbeat would arrive
      */
     ScaleOutPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
         this.batchPlanner = demand.batchPlanner();
--- a/src/main/java/org/granitepath/coordination/autoscaling/package-info.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/package-info.java
@@ -1,5 +1,5 @@
 /**
  * How many machines there are: what to launch for the work that waits, and which machines to terminate. Owns the
- * machines that are launched and not yet heard.
+ * machines that were launched and have sent no heartbeat yet.
  */
 package org.granitepath.coordination.autoscaling;
