--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -192,7 +192,7 @@
     // ---- launching -------------------------------------------------------------------------------------------------
 
     private boolean launchesFor(ActiveJob job, long now) {
-        return job.waiting() > 0
+        return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= now
                 && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
@@ -244,7 +244,7 @@
                 idempotencyKey,
                 offer.job().spec().id(),
                 offer.job().spec().jobClass(),
-                offer.job().waiting(),
+                offer.job().waitingTasks(),
                 drainSeconds);
         send(
                 new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count),
@@ -331,12 +331,12 @@
             boolean deaf = machine.phase() == Machine.Phase.UNCONFIRMED
                     && !machine.awaitingFirstHeartbeat()
                     && machine.inventory().recorded()
-                    && now - machine.unconfirmedMicros() > config.workers().leaseMicros()
+                    && now - machine.unconfirmedSinceMicros() > config.workers().leaseMicros()
                     && trust;
             boolean drained = machine.phase() == Machine.Phase.DRAINING && machine.isEmpty();
             if (machine.phase() == Machine.Phase.TERMINATING || dead || deaf || idle || drained) {
                 if (machine.phase() != Machine.Phase.TERMINATING) {
-                    machine.terminating(dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
+                    machine.terminationDecided(dead ? "silent" : deaf ? "does not hear us" : idle ? "idle" : "drained");
                 }
                 ids.add(machine.id());
             }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -96,7 +96,7 @@
                 .thenComparing(job -> job.acceptedMicros()));
         for (ActiveJob job : waiting) {
             if (job.isLive()) {
-                waitingByClass.addTo(EquivalenceClass.of(job.spec()), job.waiting());
+                waitingByClass.addTo(EquivalenceClass.of(job.spec()), job.waitingTasks());
             }
         }
         boolean liveDone = false;
@@ -196,10 +196,11 @@
         }
         JobSpec spec = job.spec();
         Map<String, Integer> zoneCounts = new HashMap<>(job.tasksByZone());
-        int left = Math.min(job.waiting(), MOST_PLANNED);
+        int left = Math.min(job.waitingTasks(), MOST_PLANNED);
         EquivalenceClass equivalenceClass = EquivalenceClass.of(spec);
         // From here on the class lacks what the jobs after this one want.
-        int others = job.isLive() ? waitingByClass.addTo(equivalenceClass, -job.waiting()) - job.waiting() : 0;
+        int others =
+                job.isLive() ? waitingByClass.addTo(equivalenceClass, -job.waitingTasks()) - job.waitingTasks() : 0;
         boolean deferrable = demand.batchPlanner().deferrable(job, pendingCapacity, now);
         for (PlannedMachine planned : plannedMachines) {
             while (left > 0
@@ -276,7 +277,7 @@
     /** Plans what this gang lacks in the zone (null: in any); false when so much is not to be had there. */
     private boolean planWholeGang(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
-        int left = job.waiting() - freeSlots(spec, zone);
+        int left = job.waitingTasks() - freeSlots(spec, zone);
         List<PlannedMachine> used = new ArrayList<>();
         for (PlannedMachine planned : plannedMachines) {
             while (left > 0 && (zone == null || planned.zone.equals(zone)) && planned.take(spec)) {
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -106,7 +106,7 @@
             if (calls >= config.limits().callsAtOnce()) {
                 return;
             }
-            if (!machine.contact().callUnderWay()
+            if (!machine.contact().callInFlight()
                     && machine.contact().agentEpoch() >= 0
                     && !fleet.unresponsive(machine, now)) {
                 sendDirectly(machine);
@@ -134,7 +134,7 @@
      * does.
      */
     public void showToken(Machine machine) {
-        if (!machine.contact().callUnderWay()
+        if (!machine.contact().callInFlight()
                 && machine.contact().agentEpoch() >= 0
                 && calls < config.limits().callsAtOnce()) {
             call(machine, List.of(), List.of(), () -> {});
@@ -157,8 +157,8 @@
         if (fleet.overdue(machine, now)
                 && !machine.contact().fenced()
                 && !machine.awaitingFirstHeartbeat()
-                && !machine.contact().callUnderWay()
-                && now - machine.contact().probedMicros() > config.workers().heartbeatIntervalMicros()
+                && !machine.contact().callInFlight()
+                && now - machine.contact().lastCallMicros() > config.workers().heartbeatIntervalMicros()
                 && calls < config.limits().callsAtOnce() / 2) {
             call(machine, List.of(), List.of(), () -> {});
         }
@@ -180,7 +180,7 @@
                     || machine.contact().fenced()) {
                 continue;
             }
-            if (machine.contact().callUnderWay()) {
+            if (machine.contact().callInFlight()) {
                 callAgain(machine);
                 continue;
             }
@@ -203,7 +203,7 @@
     }
 
     private void call(Machine machine, List<WorkerCommand> list, List<Placement> starts, Runnable answered) {
-        machine.contact().callBegins(timers.nowMicros());
+        machine.contact().callBegan(timers.nowMicros());
         calls++;
         long token = machine.fencingToken();
         // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -56,7 +56,7 @@
         int waiting = 0;
         int running = 0;
         for (ActiveJob job : jobs.all()) {
-            waiting += Math.max(0, job.waiting());
+            waiting += Math.max(0, job.waitingTasks());
             running += job.running();
         }
         LOG.info(
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -120,7 +120,7 @@
             inventory.requestTokenForCleanup(machine);
         }
         if (current && machine.phase() == Machine.Phase.UNCONFIRMED) {
-            machine.confirmed();
+            machine.tasksConfirmed();
             loop.wantCycle();
         }
         if (current) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -77,7 +77,7 @@
         long now = timers.nowMicros();
         if (fleet.unresponsive(machine, now)) {
             machine.contact().fence();
-            if (config.topology().peerIn(machine.zone()) && machine.contact().leaseOverMicros() > 0) {
+            if (config.topology().peerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
                 // A controller cut off together with it may not know yet, and go on under the former token.
                 long longest = now
                         + config.workers().maxDisconnectedMicros()
@@ -85,7 +85,7 @@
                 machine.contact().leaseRunsUntil(longest, false);
             }
         }
-        machine.unconfirmed(now, "fencing token raised to " + machine.fencingToken());
+        machine.confirmationLost(now, "fencing token raised to " + machine.fencingToken());
     }
 
     /**
@@ -102,7 +102,7 @@
                 machine.placements().size());
         machine.leaseExpired();
         tasks.freeAll(machine, "its worker's lease is over");
-        machine.unconfirmed(timers.nowMicros(), "its lease is over");
+        machine.confirmationLost(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
         recovery.resolved(machine, "its lease is over");
         loop.requestCycle();
@@ -122,7 +122,7 @@
         if (machine.isGone()) {
             return;
         }
-        machine.gone(why);
+        machine.provedGone(why);
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -53,7 +53,7 @@
     public void releaseReservations(long now) {
         for (Machine machine : fleet.machines()) {
             ActiveJob job = machine.reservedFor();
-            if (job != null && (job.waiting() <= 0 || job.gangAttempt() != null || reservationIsOver(job, now))) {
+            if (job != null && (job.waitingTasks() <= 0 || job.gangAttempt() != null || reservationIsOver(job, now))) {
                 machine.endReservation();
             }
         }
@@ -246,7 +246,7 @@
         if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
             return;
         }
-        while (job.waiting() > 0) {
+        while (job.waitingTasks() > 0) {
             int index = job.firstFreed();
             Machine machine = replacement(job, index, machinesWithCapacity, now);
             if (machine == null) {
@@ -260,7 +260,7 @@
         }
         long lastMoment = config.workers().gangWaitMicros()
                 - HEARTBEATS_OF_A_WAIT * config.workers().heartbeatIntervalMicros();
-        if (job.waiting() > 0 && attempt.isHopeless(now, config.tuning().gangHoldMicros(), lastMoment)) {
+        if (job.waitingTasks() > 0 && attempt.isHopeless(now, config.tuning().gangHoldMicros(), lastMoment)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -99,7 +99,7 @@
 
     /** Records the end of the job when all its tasks are done. */
     public void endIfDone(ActiveJob job) {
-        if (job.isOpen() && job.left() == 0) {
+        if (job.isOpen() && job.unfinishedTasks() == 0) {
             job.allTasksDone();
             recordDone(job);
         }
@@ -133,7 +133,7 @@
         if (job == null) {
             return;
         }
-        job.over(how.toString());
+        job.finalStateRecorded(how.toString());
         if (how == FinalRecord.Outcome.DONE) {
             logDone(job);
         }
@@ -166,8 +166,8 @@
         int block = writeQueue.behind() ? job.spec().tasks() : config.tuning().nextBlock(job.spec());
         int target =
                 job.spec().gang() ? job.spec().tasks() : Math.min(job.spec().tasks(), job.firstNeverStarted() + block);
-        boolean soonUsedUp = job.claimWanted() - job.firstNeverStarted() <= block / 2;
-        if (target > job.claimWanted() && (target == job.spec().tasks() || soonUsedUp)) {
+        boolean soonUsedUp = job.requestedClaim() - job.firstNeverStarted() <= block / 2;
+        if (target > job.requestedClaim() && (target == job.spec().tasks() || soonUsedUp)) {
             job.claimRequested(target);
             recordProgress(job, WriteQueue.Urgency.WORK, 0);
         }
@@ -188,7 +188,7 @@
                         ? List.of()
                         : List.of(Change.write(
                                 key,
-                                new ProgressRecord(config.node(), job.claimWanted(), job.done(), job.running())
+                                new ProgressRecord(config.node(), job.requestedClaim(), job.done(), job.running())
                                         .atMost(config.limits().store().valueBytes()))),
                 storeRevision -> loop.requestCycle());
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -62,7 +62,7 @@
         Placement placement = new Placement(task, job, machine, attempt, now);
         place(placement);
         commands.due(machine);
-        LOG.debug("task {} goes to {} (running {}, left {})", task, machine.id(), job.running(), job.left());
+        LOG.debug("task {} goes to {} (running {}, left {})", task, machine.id(), job.running(), job.unfinishedTasks());
         return placement;
     }
 
@@ -79,7 +79,7 @@
         job.takeTask(index);
         start(job, index, machine, job.gangAttempt().number(), now);
         job.gangAttempt().placed(index, machine.id());
-        if (job.waiting() == 0) {
+        if (job.waitingTasks() == 0) {
             job.gangAttempt().complete();
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -121,7 +121,7 @@
                 continue;
             }
             unconfirmed += job.unconfirmedTasks();
-            claiming += job.waiting() > 0 && !job.hasClaimedTask() ? 1 : 0;
+            claiming += job.waitingTasks() > 0 && !job.hasClaimedTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
                 unacknowledged += placement.seen() ? 0 : 1;
             }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -44,16 +44,16 @@
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
     private final Object2IntOpenHashMap<String> zoneCounts = new Object2IntOpenHashMap<>();
     /** Claimed, not done, not placed, and proved to be on no machine. */
-    private final IntAVLTreeSet free = new IntAVLTreeSet();
+    private final IntAVLTreeSet freedTasks = new IntAVLTreeSet();
     /** Claimed by a predecessor; may be running on a machine still awaited. */
     private final IntOpenHashSet unconfirmed = new IntOpenHashSet();
 
     private Phase phase = Phase.OPEN;
     private int doneCount;
     private int claimed;
-    private int claimWanted;
+    private int requestedClaim;
     /** Tasks at or above this were never handed out. */
-    private int fresh;
+    private int firstNeverStarted;
 
     private double ranMicros;
     private int ranCount;
@@ -68,8 +68,8 @@
         this.done = TreeRangeSet.create(progress.done());
         this.doneCount = ProgressRecord.count(done);
         this.claimed = Math.max(record.claimed(), progress.claimed());
-        this.claimWanted = claimed;
-        this.fresh = claimed;
+        this.requestedClaim = claimed;
+        this.firstNeverStarted = claimed;
         for (int i = 0; i < claimed; i++) {
             if (!done.contains(i)) {
                 unconfirmed.add(i);
@@ -130,7 +130,7 @@
     }
 
     /** Its final state is on record. */
-    public void over(String how) {
+    public void finalStateRecorded(String how) {
         transition(Phase.OVER, how);
     }
 
@@ -142,13 +142,13 @@
     }
 
     /** How many of its tasks are not done. */
-    public int left() {
+    public int unfinishedTasks() {
         return spec.tasks() - doneCount;
     }
 
     /** Tasks that could start now if there were capacity, claimed or not. */
-    public int waiting() {
-        return phase == Phase.OPEN ? left() - running() : 0;
+    public int waitingTasks() {
+        return phase == Phase.OPEN ? unfinishedTasks() - running() : 0;
     }
 
     /** The finished tasks, as ranges of their numbers. */
@@ -174,45 +174,45 @@
     }
 
     /** The claim that was asked for last, on record or not. */
-    public int claimWanted() {
-        return claimWanted;
+    public int requestedClaim() {
+        return requestedClaim;
     }
 
     /** A claim of this many tasks is to be recorded. */
     public void claimRequested(int tasks) {
-        claimWanted = tasks;
+        requestedClaim = tasks;
     }
 
     /** Tasks at or above this were never handed out. */
     public int firstNeverStarted() {
-        return fresh;
+        return firstNeverStarted;
     }
 
     /** Whether a task could be started without a further claim. */
     public boolean hasClaimedTask() {
-        return !free.isEmpty() || fresh < claimed;
+        return !freedTasks.isEmpty() || firstNeverStarted < claimed;
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
 
     /** Takes the next task number to start. */
     public int takeTask() {
-        if (!free.isEmpty()) {
-            int task = free.firstInt();
-            free.remove(task);
+        if (!freedTasks.isEmpty()) {
+            int task = freedTasks.firstInt();
+            freedTasks.remove(task);
             return task;
         }
-        return fresh++;
+        return firstNeverStarted++;
     }
 
     /** Takes this task number, which is free, to start. */
     public void takeTask(int task) {
-        free.remove(task);
+        freedTasks.remove(task);
     }
 
     /** The lowest task number that was started before and is free again. */
     public int firstFreed() {
-        return free.firstInt();
+        return freedTasks.firstInt();
     }
 
     /** The attempts of its tasks that are on machines, or may be. */
@@ -236,7 +236,7 @@
         placements.put(task, placement);
         zoneCounts.addTo(placement.machine().zone(), 1);
         unconfirmed.remove(task);
-        free.remove(task);
+        freedTasks.remove(task);
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
@@ -250,7 +250,7 @@
             if (elsewhere) {
                 unconfirmed.add(task);
             } else {
-                free.add(task);
+                freedTasks.add(task);
             }
         }
     }
@@ -261,7 +261,7 @@
             ProgressRecord.addTask(done, task);
             doneCount++;
         }
-        free.remove(task);
+        freedTasks.remove(task);
         unconfirmed.remove(task);
     }
 
@@ -269,7 +269,7 @@
     public void markAllDone() {
         ProgressRecord.addTasks(done, spec.tasks());
         doneCount = spec.tasks();
-        free.clear();
+        freedTasks.clear();
         unconfirmed.clear();
     }
 
@@ -282,7 +282,7 @@
 
     /** Every machine that could have held a task of ours was heard or is proved gone. */
     public void resolveUnconfirmed() {
-        free.addAll(unconfirmed);
+        freedTasks.addAll(unconfirmed);
         unconfirmed.clear();
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -73,7 +73,7 @@
                 + config.workers().maxDisconnectedMicros()
                 + config.workers().longestLeaseMicros();
         for (Machine machine : takenOver) {
-            machine.takenOver(startedMicros, leaseOver);
+            machine.takenOverFromFormerLeader(startedMicros, leaseOver);
             machines.put(machine.id(), machine);
         }
     }
@@ -83,7 +83,7 @@
         Machine machine = new Machine(
                 heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         machine.typeKnown(types.get(machine.typeName()));
-        machine.joined(fencingToken, timers.nowMicros());
+        machine.joinedFleet(fencingToken, timers.nowMicros());
         return machine;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -57,7 +57,7 @@
 
     private boolean awaitingFirstHeartbeat;
 
-    private long unconfirmedMicros;
+    private long unconfirmedSinceMicros;
 
     private boolean keptAsHeadroom;
     private ActiveJob reservedFor;
@@ -140,17 +140,17 @@
     }
 
     /** Its worker is heard under the present fencing token, so its tasks are known. */
-    public void confirmed() {
+    public void tasksConfirmed() {
         if (phase == Phase.UNCONFIRMED) {
             transition(Phase.READY, "heard under fencing token " + fencingToken());
         }
     }
 
     /** What is on it is not known for certain any more. */
-    public void unconfirmed(long nowMicros, String why) {
+    public void confirmationLost(long nowMicros, String why) {
         if (phase == Phase.READY) {
             transition(Phase.UNCONFIRMED, why);
-            unconfirmedMicros = nowMicros;
+            unconfirmedSinceMicros = nowMicros;
         }
     }
 
@@ -162,12 +162,12 @@
     }
 
     /** The cloud is about to be asked to take it. */
-    public void terminating(String why) {
+    public void terminationDecided(String why) {
         transition(Phase.TERMINATING, why);
     }
 
     /** Nothing can be on it any more, and nothing will be. */
-    public void gone(String why) {
+    public void provedGone(String why) {
         transition(Phase.GONE, why);
     }
 
@@ -184,11 +184,11 @@
     // ---- taking over and joining -------------------------------------------------------------------------------
 
     /** It was on record when the term began: its tasks are unknown until it is heard. */
-    void takenOver(long nowMicros, long formerLeaseOverMicros) {
+    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
         awaitingFirstHeartbeat = true;
-        contact.takenOver(nowMicros, formerLeaseOverMicros);
+        contact.takenOverFromFormerLeader(nowMicros, formerLeaseExpiryMicros);
         idleSinceMicros = nowMicros;
-        unconfirmedMicros = nowMicros;
+        unconfirmedSinceMicros = nowMicros;
     }
 
     /** What a former leader left on it is known, or it is gone. */
@@ -202,10 +202,10 @@
     }
 
     /** It reports for the first time and is to be commanded under this fencing token. */
-    void joined(long token, long nowMicros) {
-        inventory.joined(token);
+    void joinedFleet(long token, long nowMicros) {
+        inventory.joinedFleet(token);
         launchedMicros = nowMicros;
-        unconfirmedMicros = nowMicros;
+        unconfirmedSinceMicros = nowMicros;
         idleSinceMicros = nowMicros;
     }
 
@@ -235,15 +235,15 @@
      */
     public void heartbeatReceived(boolean wasUnresponsive, long nowMicros) {
         if (wasUnresponsive) {
-            unconfirmedMicros = nowMicros;
+            unconfirmedSinceMicros = nowMicros;
             idleSinceMicros = nowMicros;
         }
         contact.heartbeatReceived(nowMicros);
     }
 
     /** Since when it has not been heard under its present fencing token. */
-    public long unconfirmedMicros() {
-        return unconfirmedMicros;
+    public long unconfirmedSinceMicros() {
+        return unconfirmedSinceMicros;
     }
 
     /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -38,8 +38,8 @@
     }
 
     /** No task of it is started before then. */
-    public void startNothingBefore(long micros) {
-        notBeforeMicros = micros;
+    public void startNothingBefore(long earliestStartMicros) {
+        notBeforeMicros = earliestStartMicros;
     }
 
     /** Since when tasks wait without capacity; negative when none does. */
@@ -52,14 +52,14 @@
     }
 
     /** It is seen to have tasks that wait. */
-    public void waits(long nowMicros) {
+    public void tasksWaiting(long nowMicros) {
         if (!isWaiting()) {
             waitingSinceMicros = nowMicros;
         }
     }
 
     /** No task of it waits. */
-    public void waitsNoMore() {
+    public void noTaskWaiting() {
         waitingSinceMicros = NEVER;
     }
 
@@ -111,7 +111,7 @@
     }
 
     /** Other work has its turn until then. */
-    public void reserveNothingUntil(long micros) {
-        noReservationUntilMicros = micros;
+    public void reserveNothingUntil(long earliestReservationMicros) {
+        noReservationUntilMicros = earliestReservationMicros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -19,11 +19,11 @@
     private long agentEpoch = UNKNOWN_AGENT_EPOCH;
     private long sequence = NO_SEQUENCE;
     private long lastHeartbeatMicros;
-    private long leaseOverMicros;
+    private long leaseExpiryMicros;
     private boolean fenced;
     private boolean probeFailed;
-    private long probedMicros;
-    private boolean callUnderWay;
+    private long lastCallMicros;
+    private boolean callInFlight;
     /** Attempts started by a direct command, each with the fencing token of the command. */
     private final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
 
@@ -37,9 +37,9 @@
     }
 
     /** The machine was on record when the term began: the former leader may have kept its lease alive until then. */
-    void takenOver(long nowMicros, long formerLeaseOverMicros) {
+    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
         lastHeartbeatMicros = nowMicros;
-        leaseOverMicros = formerLeaseOverMicros;
+        leaseExpiryMicros = formerLeaseExpiryMicros;
     }
 
     // ---- what its worker says ----------------------------------------------------------------------------------
@@ -92,18 +92,18 @@
      * From this moment on nobody can have kept the worker's lease alive, provided that we don't either; 0 when it is
      * over.
      */
-    public long leaseOverMicros() {
-        return leaseOverMicros;
+    public long leaseExpiryMicros() {
+        return leaseExpiryMicros;
     }
 
     /** The worker may go on until then; only a message under the present fencing token can shorten that. */
     public void leaseRunsUntil(long micros, boolean underPresentToken) {
-        leaseOverMicros = underPresentToken ? micros : Math.max(leaseOverMicros, micros);
+        leaseExpiryMicros = underPresentToken ? micros : Math.max(leaseExpiryMicros, micros);
     }
 
     /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
     public void leaseExpired() {
-        leaseOverMicros = 0;
+        leaseExpiryMicros = 0;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
         sequence = NO_SEQUENCE;
         directAttempts.clear();
@@ -131,30 +131,30 @@
     // ---- direct calls ------------------------------------------------------------------------------------------
 
     /** Whether a direct call has not ended yet. */
-    public boolean callUnderWay() {
-        return callUnderWay;
+    public boolean callInFlight() {
+        return callInFlight;
     }
 
     /** A direct call begins. The worker may see the token, and a lease keeper that knows it may go on under it. */
-    public void callBegins(long nowMicros) {
-        callUnderWay = true;
+    public void callBegan(long nowMicros) {
+        callInFlight = true;
         fenced = false;
-        probedMicros = nowMicros;
+        lastCallMicros = nowMicros;
     }
 
     /** The direct call was answered or given up. */
     public void callEnded() {
-        callUnderWay = false;
+        callInFlight = false;
     }
 
     /** Whether the call that has ended brought a message of the worker. */
     public void callAnswered(boolean answered) {
-        probeFailed = !answered && lastHeartbeatMicros < probedMicros;
+        probeFailed = !answered && lastHeartbeatMicros < lastCallMicros;
     }
 
     /** When it was last called. */
-    public long probedMicros() {
-        return probedMicros;
+    public long lastCallMicros() {
+        return lastCallMicros;
     }
 
     /** Whether it was called since its latest heartbeat, and there was no answer. */
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -118,8 +118,8 @@
             if (!job.isOpen() || team == null || !team.hasGuarantee()) {
                 continue;
             }
-            cpu.addTo(team.name(), job.left() * job.spec().cpuMillis());
-            gpu.addTo(team.name(), job.left() * job.spec().gpuMillis());
+            cpu.addTo(team.name(), job.unfinishedTasks() * job.spec().cpuMillis());
+            gpu.addTo(team.name(), job.unfinishedTasks() * job.spec().gpuMillis());
             if (!job.isLive()
                     && cpu.getLong(team.name()) <= team.cpuGuarantee()
                     && gpu.getLong(team.name()) <= team.gpuGuarantee()) {
@@ -179,7 +179,9 @@
 
     /** CPU time that the job still needs; tasks under way are half over, on the average. */
     private double work(ActiveJob job) {
-        return (job.left() - 0.5 * job.running()) * job.spec().cpuMillis() * runtimeEstimator.taskMicros(job);
+        return (job.unfinishedTasks() - 0.5 * job.running())
+                * job.spec().cpuMillis()
+                * runtimeEstimator.taskMicros(job);
     }
 
     private void survey(long now) {
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -51,7 +51,7 @@
         }
         dueMicros = now + EVERY_MICROS;
         for (ActiveJob job : activeJobs.all()) {
-            if (job.waiting() > 0) {
+            if (job.waitingTasks() > 0) {
                 return;
             }
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -143,7 +143,8 @@
             Machine machine = pick(job, now);
             if (machine == null) {
                 unplaceable.add(request);
-                int pending = preemptor.preemptFor(job, job.waiting() + waitingInSameClass(queue, request), false, now);
+                int pending =
+                        preemptor.preemptFor(job, job.waitingTasks() + waitingInSameClass(queue, request), false, now);
                 awaitingPreemption += LiveWorkBacklog.includes(job.spec()) ? pending : 0;
                 continue;
             }
@@ -158,7 +159,7 @@
             tasks.start(job, machine, now);
             gangHeadroom.taken(machine, job.spec());
             jobs.claim(job);
-            if (job.waiting() > 0 && job.hasClaimedTask()) {
+            if (job.waitingTasks() > 0 && job.hasClaimedTask()) {
                 job.scheduling().setDeferrable(deferrable(job, now));
                 queue.add(candidate(job));
             }
@@ -169,15 +170,15 @@
     private PriorityQueue<Candidate> candidates(long now) {
         PriorityQueue<Candidate> queue = new PriorityQueue<>(LOWEST_FIRST);
         for (ActiveJob job : activeJobs.all()) {
-            if (job.waiting() <= 0) {
-                job.scheduling().waitsNoMore();
+            if (job.waitingTasks() <= 0) {
+                job.scheduling().noTaskWaiting();
                 continue;
             }
             if (job.scheduling().notBeforeMicros() > now) {
                 continue;
             }
             jobs.claim(job);
-            job.scheduling().waits(now);
+            job.scheduling().tasksWaiting(now);
             if (job.hasClaimedTask() && recovery.mayStart(job)) {
                 job.scheduling().setDeferrable(deferrable(job, now));
                 queue.add(candidate(job));
@@ -216,7 +217,7 @@
         int waiting = 0;
         for (Candidate candidate : queue) {
             if (request(candidate.job()).equals(request)) {
-                waiting += candidate.job().waiting();
+                waiting += candidate.job().waitingTasks();
             }
         }
         return waiting;
@@ -249,7 +250,7 @@
                         job.spec().priority(),
                         job.spec().hasDeadline(),
                         job.spec().tasks(),
-                        job.left(),
+                        job.unfinishedTasks(),
                         job.running()));
     }
 
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -330,8 +330,8 @@
      * be answering this worker. So the store must have confirmed us after the end.
      */
     private void checkLease(Machine machine) {
-        if (machine.contact().leaseOverMicros() <= 0
-                || leadership.lastConfirmedMicros() <= machine.contact().leaseOverMicros()) {
+        if (machine.contact().leaseExpiryMicros() <= 0
+                || leadership.lastConfirmedMicros() <= machine.contact().leaseExpiryMicros()) {
             return;
         }
         if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
