--- a/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -2,25 +2,27 @@
 
 import org.granitepath.coordination.model.ActiveJob;
 
-/** How fast live services arrive, as a fading average. */
+/** How fast live services arrive, as an average that fades within about a minute. */
 public final class ArrivalRate {
     private static final double MEMORY_MICROS = 60e6;
 
-    private double rate;
-    private long atMicros;
+    private double cpuPerMicroThen;
+    private long lastArrivalMicros;
     private ActiveJob newest;
 
-    void accepted(ActiveJob job, long now) {
+    /** A job was accepted; only live services count. */
+    void accepted(ActiveJob job, long nowMicros) {
         if (job.isLive()) {
-            rate = cpuPerMicro(now) + job.spec().tasks() * (double) job.spec().cpuMillis() / MEMORY_MICROS;
-            atMicros = now;
+            double arrivedCpu = job.spec().tasks() * (double) job.spec().cpuMillis();
+            cpuPerMicroThen = cpuPerMicro(nowMicros) + arrivedCpu / MEMORY_MICROS;
+            lastArrivalMicros = nowMicros;
             newest = job;
         }
     }
 
     /** Thousandths of a CPU that arrive in a microsecond. */
-    public double cpuPerMicro(long now) {
-        return rate * Math.exp((atMicros - now) / MEMORY_MICROS);
+    public double cpuPerMicro(long nowMicros) {
+        return cpuPerMicroThen * Math.exp((lastArrivalMicros - nowMicros) / MEMORY_MICROS);
     }
 
     /** An example of what arrives; null when nothing has. */
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -45,15 +45,15 @@
     private final Set<ActiveJob> provenJobs = new HashSet<>();
 
     /** A task of the job failed there. Returns the machines that have turned out to be faulty. */
-    public List<Machine> failed(Machine machine, ActiveJob job, long now) {
+    public List<Machine> failed(Machine machine, ActiveJob job, long nowMicros) {
         if (provenJobs.contains(job)) {
-            return blame(machine, job, now) ? List.of(machine) : List.of();
+            return blame(machine, job, nowMicros) ? List.of(machine) : List.of();
         }
         Set<Machine> machines = failedOn.computeIfAbsent(job, unknown -> new LinkedHashSet<>());
         machines.add(machine);
         boolean jobInQuestion = machines.size() >= MACHINES_OF_A_FAULTY_JOB;
-        boolean turnedFaulty = !jobInQuestion && blame(machine, job, now);
-        job.scheduling().startNothingBefore(now + backoffMicros(machines.size()));
+        boolean turnedFaulty = !jobInQuestion && blame(machine, job, nowMicros);
+        job.scheduling().startNothingBefore(nowMicros + backoffMicros(machines.size()));
         return turnedFaulty ? List.of(machine) : List.of();
     }
 
@@ -61,7 +61,7 @@
      * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty:
      * those on which the job failed before, which is now known not to be the job's own fault.
      */
-    public List<Machine> proved(Placement placement, long now) {
+    public List<Machine> proved(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         Suspect suspect = suspects.get(placement.machine());
         if (suspect != null && !placement.wasAdopted() && placement.runningSinceMicros() > suspect.failedMicros) {
@@ -74,9 +74,9 @@
         if (machines == null) {
             return List.of();
         }
-        job.scheduling().startNothingBefore(now);
+        job.scheduling().startNothingBefore(nowMicros);
         return machines.stream()
-                .filter(machine -> !machine.isGone() && blame(machine, job, now))
+                .filter(machine -> !machine.isGone() && blame(machine, job, nowMicros))
                 .toList();
     }
 
@@ -124,9 +124,9 @@
     }
 
     /** Notes that the machine failed a task; true when that makes it faulty. */
-    private boolean blame(Machine machine, ActiveJob job, long now) {
+    private boolean blame(Machine machine, ActiveJob job, long nowMicros) {
         Suspect suspect = suspects.computeIfAbsent(machine, unknown -> new Suspect());
-        suspect.failedMicros = now;
+        suspect.failedMicros = nowMicros;
         suspect.failedJobs.add(job);
         if (suspect.faulty || suspect.failedJobs.size() < JOBS_OF_A_FAULTY_MACHINE) {
             return false;
@@ -136,7 +136,7 @@
         for (ActiveJob failedJob : suspect.failedJobs) {
             Set<Machine> machines = failedOn.get(failedJob);
             if (machines != null && machines.remove(machine) && machines.isEmpty()) {
-                failedJob.scheduling().startNothingBefore(now);
+                failedJob.scheduling().startNothingBefore(nowMicros);
             }
         }
         return true;
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -14,38 +14,46 @@
 
     private static final double JOB_PRIOR = 2;
     /** Older experience fades. */
-    private static final double MEMORY = 200;
+    private static final double MEMORY_TASKS = 200;
 
-    private static final class Tally {
-        double expected;
-        double actual;
-        double count;
+    private static final long LEAST_ESTIMATE_MICROS = 1_000_000;
+    /** Experience with a class changes an estimate by these factors at most. */
+    private static final double LARGEST_CORRECTION = 5;
+
+    private static final double LEAST_CORRECTION = 0.2;
+
+    /** What the finished tasks of one job class were expected to take, and took. */
+    private static final class ClassHistory {
+        double expectedMicros;
+        double actualMicros;
+        double finishedTasks;
     }
 
-    private final Map<String, Tally> classes = new Object2ObjectOpenHashMap<>();
+    private final Map<String, ClassHistory> historyByClass = new Object2ObjectOpenHashMap<>();
 
     /** A task of the job ran to its end. */
     public void finished(ActiveJob job, long ranMicros) {
         job.taskFinished(ranMicros);
-        Tally tally = classes.computeIfAbsent(job.spec().jobClass(), unused -> new Tally());
-        if (tally.count >= MEMORY) {
-            tally.expected /= 2;
-            tally.actual /= 2;
-            tally.count /= 2;
+        ClassHistory history = historyByClass.computeIfAbsent(job.spec().jobClass(), unused -> new ClassHistory());
+        if (history.finishedTasks >= MEMORY_TASKS) {
+            history.expectedMicros /= 2;
+            history.actualMicros /= 2;
+            history.finishedTasks /= 2;
         }
-        tally.expected += job.spec().estimateMicros();
-        tally.actual += ranMicros;
-        tally.count++;
+        history.expectedMicros += job.spec().estimateMicros();
+        history.actualMicros += ranMicros;
+        history.finishedTasks++;
     }
 
     /** The run time to expect of one task of this job. */
     public long taskMicros(ActiveJob job) {
-        double estimate = Math.max(1_000_000, job.spec().estimateMicros());
-        Tally tally = classes.get(job.spec().jobClass());
-        if (tally != null && tally.expected > 0) {
-            double ratio = (tally.actual / tally.expected * tally.count + CLASS_PRIOR) / (tally.count + CLASS_PRIOR);
-            estimate *= Math.max(0.2, Math.min(5, ratio));
+        double estimateMicros = Math.max(LEAST_ESTIMATE_MICROS, job.spec().estimateMicros());
+        ClassHistory history = historyByClass.get(job.spec().jobClass());
+        if (history != null && history.expectedMicros > 0) {
+            double measured = history.actualMicros / history.expectedMicros;
+            double ratio = (measured * history.finishedTasks + CLASS_PRIOR) / (history.finishedTasks + CLASS_PRIOR);
+            estimateMicros *= Math.max(LEAST_CORRECTION, Math.min(LARGEST_CORRECTION, ratio));
         }
-        return (long) ((job.finishedMicros() + JOB_PRIOR * estimate) / (job.finishedTasks() + JOB_PRIOR));
+        return (long) ((job.finishedMicros() + JOB_PRIOR * estimateMicros) / (job.finishedTasks() + JOB_PRIOR));
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
@@ -82,10 +82,11 @@
         if (!cycleRequested || !mayStart.getAsBoolean()) {
             return;
         }
-        long began = timers.nowMicros();
+        long beganMicros = timers.nowMicros();
         cycleRequested = false;
         runCycle.run();
-        long finished = timers.nowMicros();
-        nextCycleMicros = finished + Math.min(LONGEST_CYCLE_SPACING_MICROS, CYCLE_SPACING * (finished - began));
+        long finishedMicros = timers.nowMicros();
+        nextCycleMicros =
+                finishedMicros + Math.min(LONGEST_CYCLE_SPACING_MICROS, CYCLE_SPACING * (finishedMicros - beganMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -10,6 +10,7 @@
 import org.granitepath.coordination.model.TeamLimits;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,7 +27,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
     private final CommandQueue commands;
-    private long attempts;
+    private long attemptsNumbered;
 
     /** Places and frees tasks under the fencing token of this term. */
     public TaskLifecycle(
@@ -47,59 +48,68 @@
     }
 
     /** Decides that the job's next task is to start there. The command goes out with the next answer or call. */
-    public Placement start(ActiveJob job, Machine machine, long now) {
-        return start(job, job.takeTask(), machine, nextAttempt(), now);
+    public Placement start(ActiveJob job, Machine machine, long nowMicros) {
+        return start(job, job.takeTask(), machine, nextAttempt(), nowMicros);
     }
 
     private long nextAttempt() {
-        attempts++;
-        return term.fencingToken() * ATTEMPTS_PER_TERM + attempts;
+        attemptsNumbered++;
+        return term.fencingToken() * ATTEMPTS_PER_TERM + attemptsNumbered;
     }
 
-    private Placement start(ActiveJob job, int index, Machine machine, long attempt, long now) {
+    private Placement start(ActiveJob job, int index, Machine machine, long attempt, long nowMicros) {
         TaskId task = new TaskId(job.spec().id(), index);
-        job.scheduling().taskStarted(now);
-        Placement placement = new Placement(task, job, machine, attempt, now);
+        job.scheduling().taskStarted(nowMicros);
+        Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         place(placement);
         commands.due(machine);
-        LOG.debug("task {} goes to {} (running {}, left {})", task, machine.id(), job.running(), job.unfinishedTasks());
+        LOG.debug(
+                "task {} attempt {} goes to machine {} ({} running, {} unfinished)",
+                task,
+                attempt,
+                machine.id(),
+                job.running(),
+                job.unfinishedTasks());
         return placement;
     }
 
     /** Decides that a whole gang is to start, one task on each of these machines, under an attempt of its own. */
-    public void startGang(ActiveJob job, List<Machine> machines, long now) {
+    public void startGang(ActiveJob job, List<Machine> machines, long nowMicros) {
         job.beginGangAttempt(nextAttempt());
         for (Machine machine : machines) {
-            startInGang(job, job.takeTask(), machine, now);
+            startInGang(job, job.takeTask(), machine, nowMicros);
         }
     }
 
     /** Decides that a task of a gang is to join the others of its attempt. */
-    public void startInGang(ActiveJob job, int index, Machine machine, long now) {
+    public void startInGang(ActiveJob job, int index, Machine machine, long nowMicros) {
         job.takeTask(index);
-        start(job, index, machine, job.gangAttempt().number(), now);
+        start(job, index, machine, job.gangAttempt().number(), nowMicros);
         job.gangAttempt().placed(index, machine.id());
         if (job.waitingTasks() == 0) {
             job.gangAttempt().complete();
         }
     }
 
-    /** A task that a former leader started is on this machine: from now on it is ours. */
-    public Placement adopt(ActiveJob job, Machine machine, Heartbeat.TaskStatus status, boolean certain, long now) {
-        Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), certain, now);
+    /**
+     * A task that a former leader started is on this machine: from now on it is ours.
+     *
+     * @param onlyHere whether it is listed under the present fencing token, so that it can be nowhere else
+     */
+    public Placement adopt(
+            ActiveJob job, Machine machine, Heartbeat.TaskStatus status, boolean onlyHere, long nowMicros) {
+        Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), onlyHere, nowMicros);
         place(placement);
         if (job.spec().gang()) {
-            joinAttempt(placement);
+            joinGangAttempt(placement);
         }
         return placement;
     }
 
     /** Attempts only grow, and a newer one begins when the older ones are proved gone: what is older is a leftover. */
-    private void joinAttempt(Placement placement) {
+    private void joinGangAttempt(Placement placement) {
         ActiveJob job = placement.job();
-        long known =
-                job.gangAttempt() == null ? Long.MIN_VALUE : job.gangAttempt().number();
-        if (placement.attempt() > known) {
+        if (job.gangAttempt() == null || placement.attempt() > job.gangAttempt().number()) {
             job.beginGangAttempt(placement.attempt());
             for (Placement older : List.copyOf(job.placements())) {
                 if (older.attempt() < placement.attempt()) {
@@ -144,11 +154,6 @@
             placement.shortenGrace(graceMicros);
             commands.due(placement.machine());
         } else if (placement.live() && placement.phase() != Placement.Phase.STOPPING) {
-            LOG.debug(
-                    "stopping {} on {}: {}",
-                    placement.task(),
-                    placement.machine().id(),
-                    why);
             placement.stop(graceMicros, why);
             commands.due(placement.machine());
         }
@@ -175,7 +180,7 @@
         boolean maybeElsewhere = !placement.onlyHere() && recovery.mayRunOnAwaitedMachine(placement.job());
         placement.job().unplace(placement, maybeElsewhere);
         if (placement.job().gangAttempt() != null) {
-            leftGang(placement, maybeElsewhere);
+            leftGangAttempt(placement, maybeElsewhere);
         }
         jobs.removeIfOver(placement.job());
     }
@@ -183,7 +188,7 @@
     /**
      * An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back.
      */
-    private void leftGang(Placement placement, boolean maybeElsewhere) {
+    private void leftGangAttempt(Placement placement, boolean maybeElsewhere) {
         ActiveJob job = placement.job();
         GangAttempt attempt = job.gangAttempt();
         if (placement.attempt() == attempt.number() && !maybeElsewhere) {
@@ -208,13 +213,14 @@
 
     /** A spot machine is about to be taken: work that can be saved or won't finish moves. */
     public void evacuate(Machine machine, long noticeMicros) {
-        long now = timers.nowMicros();
+        long nowMicros = timers.nowMicros();
         for (Placement placement : List.copyOf(machine.placements())) {
-            long ran = placement.ranMicros(now);
-            boolean saves = placement.job().spec().checkpointMicros() > 0;
-            boolean finishes = placement.hasRun() && placement.job().spec().estimateMicros() - ran < noticeMicros / 2;
-            if (placement.job().spec().service() || saves || !finishes) {
-                stop(placement, saves ? placement.job().spec().saveMicros() : 0, "machine is taken back");
+            JobSpec spec = placement.job().spec();
+            long leftMicros = spec.estimateMicros() - placement.ranMicros(nowMicros);
+            boolean saves = spec.checkpointMicros() > 0;
+            boolean finishes = placement.hasRun() && leftMicros < noticeMicros / 2;
+            if (spec.service() || saves || !finishes) {
+                stop(placement, saves ? spec.saveMicros() : 0, "machine is taken back");
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -6,7 +6,6 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.recovery.LiveWorkBacklog;
-import org.granitepath.recovery.MachineProfile;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.Verdict;
 import org.granitepath.storage.Timers;
@@ -33,15 +32,11 @@
 
     /** Begins with the machines and the records as of this revision. */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
-        takenOver.forEach(machine -> plan.takeOver(machine.id(), profile(machine)));
+        takenOver.forEach(machine -> plan.takeOver(machine.id(), machine.profile()));
         plan.takeOverUnreadable(unreadableParts);
         plan.recordsRead(revision, timers.nowMicros());
     }
 
-    private static MachineProfile profile(Machine machine) {
-        return new MachineProfile(machine.typeName(), machine.zone(), machine.spot());
-    }
-
     /** Whether every machine taken over is heard under the present token or proved gone. */
     public boolean noMachineAwaited() {
         return plan.noMachineAwaited();
@@ -58,7 +53,7 @@
             return;
         }
         machine.takeoverResolved();
-        if (plan.resolved(machine.id(), profile(machine), proof)) {
+        if (plan.resolved(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
         }
@@ -78,14 +73,14 @@
     }
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
-    public void cycleBegins(long now) {
-        plan.checkBound(now);
+    public void cycleBegins(long nowMicros) {
+        plan.checkBound(nowMicros);
     }
 
     /**
      * A scheduling cycle has ended.
      *
-     * @param awaitingPreemption how many tasks that go first have no capacity yet, while others are being stopped
+     * @param awaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
      *     for them
      */
     public void cycleEnded(int awaitingPreemption) {
@@ -99,12 +94,12 @@
     }
 
     /**
-     * Whether capacity that is free may be wanted shortly by work that goes first: machines that look idle are kept
-     * until it is known what of that work is lost.
+     * Whether capacity that is free may be wanted shortly by live work: machines that look idle are kept until it is
+     * known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
         return plan.holdsBatchWork()
-                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmed() > 0);
+                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
     /** How many claimed tasks may be on machines still awaited. */
@@ -113,19 +108,19 @@
     }
 
     private LiveWorkBacklog liveWorkBacklog(int awaitingPreemption) {
-        int unconfirmed = 0;
-        int claiming = 0;
-        int unacknowledged = 0;
+        int unconfirmedTasks = 0;
+        int jobsAwaitingClaim = 0;
+        int unacknowledgedTasks = 0;
         for (ActiveJob job : jobs.all()) {
             if (!job.isOpen() || !LiveWorkBacklog.includes(job.spec())) {
                 continue;
             }
-            unconfirmed += job.unconfirmedTasks();
-            claiming += job.waitingTasks() > 0 && !job.hasClaimedTask() ? 1 : 0;
+            unconfirmedTasks += job.unconfirmedTasks();
+            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasClaimedTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
-                unacknowledged += placement.seen() ? 0 : 1;
+                unacknowledgedTasks += placement.seen() ? 0 : 1;
             }
         }
-        return new LiveWorkBacklog(unconfirmed, claiming, unacknowledged, awaitingPreemption);
+        return new LiveWorkBacklog(unconfirmedTasks, jobsAwaitingClaim, unacknowledgedTasks, awaitingPreemption);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -55,8 +55,8 @@
     /** Tasks at or above this were never handed out. */
     private int firstNeverStarted;
 
-    private double ranMicros;
-    private int ranCount;
+    private double finishedMicros;
+    private int finishedTasks;
     private GangAttempt gangAttempt;
     private final SchedulingState scheduling = new SchedulingState();
 
@@ -70,9 +70,9 @@
         this.claimed = Math.max(record.claimed(), progress.claimed());
         this.requestedClaim = claimed;
         this.firstNeverStarted = claimed;
-        for (int i = 0; i < claimed; i++) {
-            if (!done.contains(i)) {
-                unconfirmed.add(i);
+        for (int task = 0; task < claimed; task++) {
+            if (!done.contains(task)) {
+                unconfirmed.add(task);
             }
         }
     }
@@ -109,6 +109,7 @@
         return phase;
     }
 
+    /** Whether tasks of it may still start. */
     public boolean isOpen() {
         return phase == Phase.OPEN;
     }
@@ -129,14 +130,14 @@
         transition(Phase.ENDING, "all tasks done");
     }
 
-    /** Its final state is on record. */
-    public void finalStateRecorded(String how) {
-        transition(Phase.OVER, how);
+    /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
+    public void finalStateRecorded(String outcome) {
+        transition(Phase.OVER, outcome);
     }
 
     // ---- counts ------------------------------------------------------------------------------------------------
 
-    /** Running in the paper's sense: handed out and not known to be over. */
+    /** Handed out and not known to be over: placed, or unconfirmed. */
     public int running() {
         return placements.size() + unconfirmed.size();
     }
@@ -311,19 +312,19 @@
     // ---- run times ---------------------------------------------------------------------------------------------
 
     /** A task that this term has seen from its start on has run to its end. */
-    public void taskFinished(long micros) {
-        ranMicros += micros;
-        ranCount++;
+    public void taskFinished(long runMicros) {
+        finishedMicros += runMicros;
+        finishedTasks++;
     }
 
     /** Run time of those of its tasks that finished in this term, together. */
     public double finishedMicros() {
-        return ranMicros;
+        return finishedMicros;
     }
 
     /** How many of its tasks finished in this term, run time known. */
     public int finishedTasks() {
-        return ranCount;
+        return finishedTasks;
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -18,6 +18,8 @@
     private static final double OVERDUE_HEARTBEATS = 1.5;
     /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
     private static final double CUT_OFF_SHARE = 0.6;
+    /** A peer that hears fewer of them proves little, however small the fleet is. */
+    private static final int FEWEST_HEARD_BY_PEER = 2;
 
     private final Config config;
     private final Timers timers;
@@ -69,11 +71,11 @@
     /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
     public void inherit(List<Machine> takenOver) {
         // The former leader may go on answering them for a while, if it is out of contact.
-        long leaseOver = startedMicros
+        long leaseExpiryMicros = startedMicros
                 + config.workers().maxDisconnectedMicros()
                 + config.workers().longestLeaseMicros();
         for (Machine machine : takenOver) {
-            machine.takenOverFromFormerLeader(startedMicros, leaseOver);
+            machine.takenOverFromFormerLeader(startedMicros, leaseExpiryMicros);
             machines.put(machine.id(), machine);
         }
     }
@@ -109,13 +111,13 @@
     }
 
     /** Whether the machine has been silent for so long that a command would hardly arrive. */
-    public boolean unresponsive(Machine machine, long now) {
-        return machine.contact().unresponsive(now, config.workers().heartbeatIntervalMicros());
+    public boolean unresponsive(Machine machine, long nowMicros) {
+        return machine.contact().unresponsive(nowMicros, config.workers().heartbeatIntervalMicros());
     }
 
     /** Whether a heartbeat is late by so much that it is worth asking for one. */
-    public boolean overdue(Machine machine, long now) {
-        return now - machine.contact().lastHeartbeatMicros()
+    public boolean overdue(Machine machine, long nowMicros) {
+        return nowMicros - machine.contact().lastHeartbeatMicros()
                 > OVERDUE_HEARTBEATS * config.workers().heartbeatIntervalMicros();
     }
 
@@ -136,20 +138,20 @@
      * their leases run out.
      */
     public boolean cutFromWorkers(int redirectedByPeer) {
-        long now = timers.nowMicros();
-        int silent = 0;
+        long nowMicros = timers.nowMicros();
+        int unresponsive = 0;
         for (Machine machine : machines.values()) {
-            silent += unresponsive(machine, now) ? 1 : 0;
+            unresponsive += unresponsive(machine, nowMicros) ? 1 : 0;
         }
-        return silent >= CUT_OFF_SHARE * machines.size()
-                && redirectedByPeer >= Math.max(2, silent / 2)
-                && now - startedMicros > config.workers().leaseMicros();
+        return unresponsive >= CUT_OFF_SHARE * machines.size()
+                && redirectedByPeer >= Math.max(FEWEST_HEARD_BY_PEER, unresponsive / 2)
+                && nowMicros - startedMicros > config.workers().leaseMicros();
     }
 
     /** This process stood still: no machine was silent for that time. */
-    public void excusePause(long pauseMicros, long now) {
+    public void excusePause(long pauseMicros, long nowMicros) {
         for (Machine machine : machines.values()) {
-            machine.contact().excusePause(pauseMicros, now);
+            machine.contact().excusePause(pauseMicros, nowMicros);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -14,6 +14,7 @@
  */
 public final class GangAttempt {
     private static final Logger LOG = LoggerFactory.getLogger(GangAttempt.class);
+    private static final long NEVER = -1;
 
     /**
      * {@code FORMING}: starts are under way or images are fetched. {@code WAITING}: a task has its image and waits for
@@ -32,8 +33,8 @@
     private final String job;
     private final long number;
     private Phase phase = Phase.FORMING;
-    private long waitingSinceMicros = -1;
-    private long incompleteSinceMicros = -1;
+    private long waitingSinceMicros = NEVER;
+    private long incompleteSinceMicros = NEVER;
     /** Where each task of the attempt was sent: a worker that knows this task and attempt ignores a second start. */
     private final Map<Integer, Set<String>> machinesTried = new HashMap<>();
 
@@ -55,7 +56,7 @@
 
     private void transition(Phase next, String why) {
         if (phase != next) {
-            LOG.debug("gang {} attempt {}: {} -> {} ({})", job, number, phase, next, why);
+            LOG.debug("job {} gang attempt {}: {} -> {} ({})", job, number, phase, next, why);
             phase = next;
         }
     }
@@ -72,13 +73,13 @@
 
     /** All tasks are placed. */
     public void complete() {
-        incompleteSinceMicros = -1;
+        incompleteSinceMicros = NEVER;
     }
 
     /** A task waits for the others. */
-    public void waiting(long now) {
+    public void waiting(long nowMicros) {
         if (phase == Phase.FORMING) {
-            waitingSinceMicros = now;
+            waitingSinceMicros = nowMicros;
             transition(Phase.WAITING, "a task waits for the others");
         }
     }
@@ -103,11 +104,11 @@
     }
 
     /** A task is proved gone. Before the gang has started another may take its place; otherwise the attempt is over. */
-    public void taskGone(long now) {
+    public void taskGone(long nowMicros) {
         if (phase == Phase.RUNNING) {
             transition(Phase.STOPPING, "a task is gone");
         } else if (incompleteSinceMicros < 0) {
-            incompleteSinceMicros = now;
+            incompleteSinceMicros = nowMicros;
         }
     }
 
@@ -128,10 +129,10 @@
      * @param patienceMicros how long a task may be missing
      * @param lastMomentMicros how long a task may have waited when a start is still worth sending
      */
-    public boolean isHopeless(long now, long patienceMicros, long lastMomentMicros) {
+    public boolean isHopeless(long nowMicros, long patienceMicros, long lastMomentMicros) {
         return mayBeCompleted()
                 && incompleteSinceMicros >= 0
-                && (now - incompleteSinceMicros > patienceMicros
-                        || (waitingSinceMicros >= 0 && now - waitingSinceMicros > lastMomentMicros));
+                && (nowMicros - incompleteSinceMicros > patienceMicros
+                        || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > lastMomentMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.recovery.MachineProfile;
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
@@ -47,18 +48,14 @@
     }
 
     private final String id;
-    private final String typeName;
-    private final String zone;
-    private final boolean spot;
+    private final MachineProfile profile;
     private final WorkerContact contact;
     private final InventoryEntry inventory = new InventoryEntry();
     private final MachineCapacity capacity = new MachineCapacity();
     private Phase phase = Phase.UNCONFIRMED;
 
     private boolean awaitingFirstHeartbeat;
-
     private long unconfirmedSinceMicros;
-
     private boolean keptAsHeadroom;
     private ActiveJob reservedFor;
     private long idleSinceMicros;
@@ -74,9 +71,7 @@
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
         this.id = id;
         this.contact = new WorkerContact(address);
-        this.typeName = typeName;
-        this.zone = zone;
-        this.spot = spot;
+        this.profile = new MachineProfile(typeName, zone, spot);
     }
 
     // ---- what it is --------------------------------------------------------------------------------------------
@@ -88,17 +83,22 @@
 
     /** The name of its type. */
     public String typeName() {
-        return typeName;
+        return profile.type();
     }
 
     /** The zone in which it stands. */
     public String zone() {
-        return zone;
+        return profile.zone();
     }
 
     /** Whether the cloud may take it back at any time. */
     public boolean spot() {
-        return spot;
+        return profile.spot();
+    }
+
+    /** What of it decides which jobs it may hold. */
+    public MachineProfile profile() {
+        return profile;
     }
 
     /** What is known of its worker. */
@@ -135,18 +135,22 @@
         if (!phase.allows(next)) {
             throw new IllegalStateException("machine " + id + " can't go from " + phase + " to " + next);
         }
-        LOG.info("machine {} ({} {}{}): {} -> {} ({})", id, typeName, zone, spot ? " spot" : "", phase, next, why);
+        LOG.info(
+                "machine {} ({} {}{}): {} -> {} ({})", id, typeName(), zone(), spot() ? " spot" : "", phase, next, why);
         phase = next;
     }
 
-    /** Its worker is heard under the present fencing token, so its tasks are known. */
+    /**
+     * Its worker is heard under the present fencing token, so its tasks are known. Changes nothing on a machine that
+     * drains or is being taken: it gets no tasks again.
+     */
     public void tasksConfirmed() {
         if (phase == Phase.UNCONFIRMED) {
             transition(Phase.READY, "heard under fencing token " + fencingToken());
         }
     }
 
-    /** What is on it is not known for certain any more. */
+    /** What is on it is not known for certain any more: nothing is placed there until it is confirmed anew. */
     public void confirmationLost(long nowMicros, String why) {
         if (phase == Phase.READY) {
             transition(Phase.UNCONFIRMED, why);
@@ -223,7 +227,7 @@
 
     /** Its row in the inventory, with this fencing token. */
     public InventoryRecord.Host inventoryRow(long withToken) {
-        return new InventoryRecord.Host(id, contact.address(), typeName, zone, spot, withToken);
+        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), spot(), withToken);
     }
 
     // ---- what its worker says ----------------------------------------------------------------------------------
@@ -320,8 +324,8 @@
     }
 
     /** The cloud has told since when it is charged. */
-    public void launchedAt(long micros) {
-        launchedMicros = micros;
+    public void launchedAt(long chargedSinceMicros) {
+        launchedMicros = chargedSinceMicros;
     }
 
     // ---- placements and capacity -------------------------------------------------------------------------------
@@ -374,22 +378,22 @@
 
     /** How many tasks of this shape fit once all but the services here has ended. */
     public int slotsBesideServices(JobSpec spec) {
-        long cpu = 0;
-        long gpu = 0;
-        long memory = 0;
+        long cpuMillis = 0;
+        long gpuMillis = 0;
+        long memoryMillis = 0;
         for (Placement placement : placements.values()) {
             JobSpec other = placement.job().spec();
             if (!other.service()) {
-                cpu += other.cpuMillis();
-                gpu += other.gpuMillis();
-                memory += other.memoryMillis();
+                cpuMillis += other.cpuMillis();
+                gpuMillis += other.gpuMillis();
+                memoryMillis += other.memoryMillis();
             }
         }
-        return capacity.slots(spec, cpu, gpu, memory);
+        return capacity.slots(spec, cpuMillis, gpuMillis, memoryMillis);
     }
 
     /** Whether a job may use this machine at all, capacity and other tasks aside. */
     public boolean allowedFor(JobSpec spec) {
-        return spec.allowsType(typeName) && spec.allowsZone(zone) && (spec.spot() || !spot);
+        return profile.allows(spec);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -8,13 +8,15 @@
 public final class MachineCapacity {
     private static final int IMAGES_REMEMBERED = 16;
 
+    /** The image seen last comes last, so the first one is the first to be forgotten. */
     private final LinkedHashSet<String> images = new LinkedHashSet<>();
+
     private MachineType type;
-    private long cpuUsed;
-    private long gpuUsed;
-    private long memoryUsed;
+    private long cpuUsedMillis;
+    private long gpuUsedMillis;
+    private long memoryUsedMillis;
     private int services;
-    private long servicesCpu;
+    private long servicesCpuMillis;
 
     /** The machine's type, or null while the cloud has not told of it. */
     MachineType type() {
@@ -34,12 +36,12 @@
     }
 
     private void count(JobSpec spec, int sign) {
-        cpuUsed += sign * spec.cpuMillis();
-        gpuUsed += sign * spec.gpuMillis();
-        memoryUsed += sign * spec.memoryMillis();
+        cpuUsedMillis += sign * spec.cpuMillis();
+        gpuUsedMillis += sign * spec.gpuMillis();
+        memoryUsedMillis += sign * spec.memoryMillis();
         if (spec.service()) {
             services += sign;
-            servicesCpu += sign * spec.cpuMillis();
+            servicesCpuMillis += sign * spec.cpuMillis();
         }
     }
 
@@ -64,22 +66,22 @@
 
     /** Thousandths of a CPU that services use. */
     public long cpuUsedByServices() {
-        return servicesCpu;
+        return servicesCpuMillis;
     }
 
     /** The share of the CPUs that is used; 0 while the type is not known. */
     public double cpuUsedShare() {
-        return type == null ? 0 : (double) cpuUsed / type.cpuMillis();
+        return type == null ? 0 : (double) cpuUsedMillis / type.cpuMillis();
     }
 
     /** Thousandths of a CPU that are free; 0 while the type is not known. */
     public long cpuFree() {
-        return type == null ? 0 : type.cpuMillis() - cpuUsed;
+        return type == null ? 0 : type.cpuMillis() - cpuUsedMillis;
     }
 
     /** Whether this much is free. The type must be known. */
     public boolean hasFree(long cpuMillis, long memoryMillis) {
-        return type.cpuMillis() - cpuUsed >= cpuMillis && type.memoryMillis() - memoryUsed >= memoryMillis;
+        return type.cpuMillis() - cpuUsedMillis >= cpuMillis && type.memoryMillis() - memoryUsedMillis >= memoryMillis;
     }
 
     /** Whether one more such task fits. */
@@ -88,14 +90,14 @@
     }
 
     /** How many tasks of this shape fit, were this much more free. */
-    public int slots(JobSpec spec, long moreCpu, long moreGpu, long moreMemory) {
+    public int slots(JobSpec spec, long moreCpuMillis, long moreGpuMillis, long moreMemoryMillis) {
         if (type == null) {
             return 0;
         }
         return MachineType.slots(
                 spec,
-                type.cpuMillis() - cpuUsed + moreCpu,
-                type.gpuMillis() - gpuUsed + moreGpu,
-                type.memoryMillis() - memoryUsed + moreMemory);
+                type.cpuMillis() - cpuUsedMillis + moreCpuMillis,
+                type.gpuMillis() - gpuUsedMillis + moreGpuMillis,
+                type.memoryMillis() - memoryUsedMillis + moreMemoryMillis);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -125,7 +125,7 @@
             throw new IllegalStateException(
                     "task " + task + " attempt " + attempt + " can't go from " + phase + " to " + next);
         }
-        LOG.debug("task {} attempt {} on {}: {} -> {} ({})", task, attempt, machine.id(), phase, next, why);
+        LOG.debug("task {} attempt {} on machine {}: {} -> {} ({})", task, attempt, machine.id(), phase, next, why);
         phase = next;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -6,9 +6,14 @@
  * objectives name, and these before what is late all the same or has no deadline.
  */
 public enum SchedulingClass {
+    /** A service whose start its users wait for. */
     LIVE,
+    /** Within the guaranteed quota of its team. */
     GUARANTEED,
+    /** Makes its deadline together with all others that do. */
     IN_TIME,
+    /** Makes the longest multiple of its deadline that the objectives name. */
     NEARLY,
+    /** Late all the same, or without a deadline. */
     ANY
 }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -28,6 +28,7 @@
         return deferrable;
     }
 
+    /** It can wait for cheap capacity, or can't, until the scheduler looks at it again. */
     public void setDeferrable(boolean canWait) {
         deferrable = canWait;
     }
@@ -47,11 +48,12 @@
         return waitingSinceMicros;
     }
 
+    /** Whether tasks of it wait without capacity. */
     public boolean isWaiting() {
         return waitingSinceMicros != NEVER;
     }
 
-    /** It is seen to have tasks that wait. */
+    /** It is seen to have tasks that wait; the first sight of that counts until none does. */
     public void tasksWaiting(long nowMicros) {
         if (!isWaiting()) {
             waitingSinceMicros = nowMicros;
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -8,8 +8,8 @@
 /** What each team's tasks take of its limit. */
 public final class TeamLimits {
     private final Map<String, Team> teams;
-    private final Object2LongOpenHashMap<String> cpu = new Object2LongOpenHashMap<>();
-    private final Object2LongOpenHashMap<String> gpu = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<String> cpuMillisUsed = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<String> gpuMillisUsed = new Object2LongOpenHashMap<>();
 
     /** Nothing is used yet. */
     public TeamLimits(Map<String, Team> teams) {
@@ -18,20 +18,20 @@
 
     /** A task of this kind is placed. */
     public void placed(JobSpec spec) {
-        cpu.addTo(spec.team(), spec.cpuMillis());
-        gpu.addTo(spec.team(), spec.gpuMillis());
+        cpuMillisUsed.addTo(spec.team(), spec.cpuMillis());
+        gpuMillisUsed.addTo(spec.team(), spec.gpuMillis());
     }
 
     /** A task of this kind is proved gone. */
     public void freed(JobSpec spec) {
-        cpu.addTo(spec.team(), -spec.cpuMillis());
-        gpu.addTo(spec.team(), -spec.gpuMillis());
+        cpuMillisUsed.addTo(spec.team(), -spec.cpuMillis());
+        gpuMillisUsed.addTo(spec.team(), -spec.gpuMillis());
     }
 
-    /** CPUs that a team uses beyond its guarantee: these are borrowed. */
-    public long borrowedCpu(String name) {
-        Team team = teams.get(name);
-        return cpu.getLong(name) - (team == null ? 0 : team.cpuGuarantee());
+    /** Thousandths of a CPU that a team uses beyond its guarantee: these are borrowed. Negative: it has some left. */
+    public long borrowedCpu(String teamName) {
+        Team team = teams.get(teamName);
+        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuarantee());
     }
 
     /** Whether the job's team has a limit at all. */
@@ -46,7 +46,9 @@
             return true;
         }
         Team team = teams.get(spec.team());
-        return (team.cpuLimit() == 0 || cpu.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
-                && (team.gpuLimit() == 0 || gpu.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimit());
+        return (team.cpuLimit() == 0
+                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
+                && (team.gpuLimit() == 0
+                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimit());
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -12,6 +12,9 @@
     /** No message is numbered so: sequence numbers start at 0. */
     private static final long NO_SEQUENCE = -1;
 
+    /** A lease that is over, or was never given. */
+    private static final long NO_LEASE = 0;
+
     private static final int MISSED_HEARTBEATS = 2;
     private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
@@ -97,13 +100,13 @@
     }
 
     /** The worker may go on until then; only a message under the present fencing token can shorten that. */
-    public void leaseRunsUntil(long micros, boolean underPresentToken) {
-        leaseExpiryMicros = underPresentToken ? micros : Math.max(leaseExpiryMicros, micros);
+    public void leaseRunsUntil(long expiryMicros, boolean underPresentToken) {
+        leaseExpiryMicros = underPresentToken ? expiryMicros : Math.max(leaseExpiryMicros, expiryMicros);
     }
 
     /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
     public void leaseExpired() {
-        leaseExpiryMicros = 0;
+        leaseExpiryMicros = NO_LEASE;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
         sequence = NO_SEQUENCE;
         directAttempts.clear();
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -14,6 +14,7 @@
 import org.granitepath.coordination.jobs.CommandQueue;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
+import org.granitepath.coordination.jobs.JobRecorder;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
@@ -121,8 +122,8 @@
         this.inventory = new MachineInventory(
                 config, term, replica, writeQueue, timers, fleet, this::tokenRaised, loop::requestCycle);
         this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
-        this.jobs = new JobLifecycle(
-                config, term, replica, jobIndex, writeQueue, recovery, activeJobs, tasks, arrivalRate, timers, loop);
+        JobRecorder recorder = new JobRecorder(config, term, replica, writeQueue, loop);
+        this.jobs = new JobLifecycle(jobIndex, recorder, recovery, activeJobs, tasks, arrivalRate, timers, loop);
         this.machines = new MachineLifecycle(config, fleet, inventory, tasks, recovery, faults, commands, timers, loop);
         this.reconciler = new HeartbeatReconciler(
                 config,
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -3,6 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.TermRecovery;
 import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryPlan;
@@ -10,10 +11,12 @@
 import org.granitepath.recovery.RecoveryStatus.Role;
 import org.granitepath.recovery.Verdict;
 import org.granitepath.storage.RecordReplica;
-import org.pcollections.OrderedPSet;
 
 /** Puts together what a controller can tell of a recovery, and says so when it can't. */
 public final class RecoveryStatusFactory {
+    /** The hold ends when the records are read, and nobody knows when that is. */
+    private static final long HELD_FOR_UNKNOWN_TIME = -1;
+
     private RecoveryStatusFactory() {}
 
     /**
@@ -23,85 +26,69 @@
      */
     public static RecoveryStatus of(
             Config config, Leadership leadership, RecordReplica replica, LeaderTerm leaderTerm, long nowMicros) {
-        long age = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
+        long recordsAgeMicros = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
         if (!leadership.leads()) {
-            return withoutTerm(config, leadership, replica, age);
+            return withoutTerm(config, leadership, replica, recordsAgeMicros);
         }
         Role role = leadership.leaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
         String reason = role == Role.LEADING
                 ? "the state service confirmed lately that this controller leads"
                 : "no recent answer from the state service: another controller may lead by now";
-        if (leaderTerm == null) {
-            return reading(config, leadership, replica, role, reason, age);
-        }
-        return during(config, replica, leaderTerm, role, reason, age, nowMicros);
+        RecoveryStatus.Term term =
+                leaderTerm == null ? reading(leadership.fencingToken()) : during(leaderTerm.recovery(), nowMicros);
+        return new RecoveryStatus(
+                config.node(), role, config.node(), reason, recordsAgeMicros, replica.malformedRecords(), term);
     }
 
-    private static RecoveryStatus withoutTerm(Config config, Leadership leadership, RecordReplica replica, long age) {
+    private static RecoveryStatus withoutTerm(
+            Config config, Leadership leadership, RecordReplica replica, long recordsAgeMicros) {
         long unreadable = replica.malformedRecords();
         if (!replica.loaded()) {
             return RecoveryStatus.withoutTerm(
-                    config.node(), Role.UNKNOWN, null, "the records have not been read yet", age, unreadable);
+                    config.node(),
+                    Role.UNKNOWN,
+                    null,
+                    "the records have not been read yet",
+                    recordsAgeMicros,
+                    unreadable);
         }
-        if (age > Config.CONTACT_TIMEOUT_MICROS) {
+        if (recordsAgeMicros > Config.CONTACT_TIMEOUT_MICROS) {
             return RecoveryStatus.withoutTerm(
-                    config.node(), Role.UNKNOWN, null, "no recent answer from the state service", age, unreadable);
+                    config.node(),
+                    Role.UNKNOWN,
+                    null,
+                    "no recent answer from the state service",
+                    recordsAgeMicros,
+                    unreadable);
         }
         String leader = leadership.leaderNode();
         String reason = leader == null ? "no leader is on record" : "ask the leader";
-        return RecoveryStatus.withoutTerm(config.node(), Role.FOLLOWING, leader, reason, age, unreadable);
+        return RecoveryStatus.withoutTerm(config.node(), Role.FOLLOWING, leader, reason, recordsAgeMicros, unreadable);
     }
 
-    private static RecoveryStatus reading(
-            Config config, Leadership leadership, RecordReplica replica, Role role, String reason, long age) {
-        return new RecoveryStatus(
-                config.node(),
-                role,
-                config.node(),
-                reason,
-                RecoveryPhase.READING,
-                leadership.fencingToken(),
-                0,
-                age,
-                0,
-                OrderedPSet.empty(),
-                0,
-                replica.malformedRecords(),
-                Map.of(),
-                0,
-                "the records",
-                -1);
+    private static RecoveryStatus.Term reading(long fencingToken) {
+        RecoveryStatus.Hold hold = new RecoveryStatus.Hold("the records", HELD_FOR_UNKNOWN_TIME);
+        return new RecoveryStatus.Term(
+                RecoveryPhase.READING, fencingToken, 0, RecoveryStatus.Machines.NONE, Map.of(), 0, hold);
     }
 
-    private static RecoveryStatus during(
-            Config config,
-            RecordReplica replica,
-            LeaderTerm leaderTerm,
-            Role role,
-            String reason,
-            long age,
-            long nowMicros) {
-        RecoveryPlan plan = leaderTerm.recovery().plan();
+    private static RecoveryStatus.Term during(TermRecovery recovery, long nowMicros) {
+        RecoveryPlan plan = recovery.plan();
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.putAll(plan.verdicts());
-        tasks.put(Verdict.UNCONFIRMED, leaderTerm.recovery().unconfirmedTasks());
-        boolean held = plan.holdsBatchWork();
-        return new RecoveryStatus(
-                config.node(),
-                role,
-                config.node(),
-                reason,
+        tasks.put(Verdict.UNCONFIRMED, recovery.unconfirmedTasks());
+        return new RecoveryStatus.Term(
                 plan.phase(),
                 plan.fencingToken(),
                 plan.revision(),
-                age,
-                plan.machinesTakenOver(),
-                plan.machinesAwaited(),
-                plan.unreadableInventoryParts(),
-                replica.malformedRecords(),
+                new RecoveryStatus.Machines(
+                        plan.machinesTakenOver(), plan.machinesAwaited(), plan.unreadableInventoryParts()),
                 tasks,
                 plan.comparisons(),
-                held ? plan.waitingFor() : null,
-                held ? Math.max(0, plan.holdEndsMicros() - nowMicros) : 0);
+                plan.holdsBatchWork() ? hold(plan, nowMicros) : null);
+    }
+
+    private static RecoveryStatus.Hold hold(RecoveryPlan plan, long nowMicros) {
+        return new RecoveryStatus.Hold(plan.waitingFor(), Math.max(0, plan.holdEndsMicros() - nowMicros));
     }
 }
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -26,34 +26,40 @@
             fields.put("records_age_s", status.recordsAgeMicros() / MICROS_PER_SECOND);
         }
         fields.put("unreadable_records", status.unreadableRecords());
-        if (status.phase() != null) {
-            putTerm(fields, status);
+        if (status.term() != null) {
+            putTerm(fields, status.term());
         }
         return Json.text(fields);
     }
 
-    private static void putTerm(Map<String, Object> fields, RecoveryStatus status) {
-        fields.put("phase", RecoveryLabels.of(status.phase()));
-        fields.put("fencing_token", status.fencingToken());
-        fields.put("revision", status.revision());
-        Map<String, Object> machines = new LinkedHashMap<>();
-        machines.put("taken_over", status.machinesTakenOver());
-        machines.put("heard_or_gone", status.machinesTakenOver() - status.machinesMissing());
-        machines.put("missing", status.machinesMissing());
-        machines.put(
-                "missing_names", status.missing().stream().limit(MOST_NAMES).toList());
-        machines.put("unreadable_inventory_parts", status.unreadableInventoryParts());
-        fields.put("machines", machines);
+    private static void putTerm(Map<String, Object> fields, RecoveryStatus.Term term) {
+        fields.put("phase", RecoveryLabels.of(term.phase()));
+        fields.put("fencing_token", term.fencingToken());
+        fields.put("revision", term.revision());
+        fields.put("machines", machines(term.machines()));
         Map<String, Object> tasks = new LinkedHashMap<>();
-        status.tasks().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
+        term.tasks().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
         fields.put("tasks", tasks);
-        fields.put("attempts_compared", status.comparisons());
-        fields.put("other_work_held", status.batchWaitsFor() != null);
-        if (status.batchWaitsFor() != null) {
-            fields.put("held_for", status.batchWaitsFor());
-            if (status.batchHeldMicros() >= 0) {
-                fields.put("held_at_most_s", status.batchHeldMicros() / MICROS_PER_SECOND);
+        fields.put("attempts_compared", term.comparisons());
+        RecoveryStatus.Hold hold = term.hold();
+        fields.put("other_work_held", hold != null);
+        if (hold != null) {
+            fields.put("held_for", hold.waitsFor());
+            if (hold.remainingMicros() >= 0) {
+                fields.put("held_at_most_s", hold.remainingMicros() / MICROS_PER_SECOND);
             }
         }
     }
+
+    private static Map<String, Object> machines(RecoveryStatus.Machines machines) {
+        int missing = machines.awaited().size();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("taken_over", machines.takenOver());
+        fields.put("heard_or_gone", machines.takenOver() - missing);
+        fields.put("missing", missing);
+        fields.put(
+                "missing_names", machines.awaited().stream().limit(MOST_NAMES).toList());
+        fields.put("unreadable_inventory_parts", machines.unreadableInventoryParts());
+        return fields;
+    }
 }
--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -28,9 +28,9 @@
 
     /** One machine of this profile is heard or gone; true when it was the last one of its profile. */
     boolean remove(String machine, MachineProfile profile) {
-        int left = byProfile.addTo(profile, -1) - 1;
+        int stillAwaited = byProfile.addTo(profile, -1) - 1;
         names = names.minus(machine);
-        if (left > 0) {
+        if (stillAwaited > 0) {
             return false;
         }
         byProfile.removeInt(profile);
--- a/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
+++ b/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
@@ -4,24 +4,26 @@
 import org.granitepath.storage.Priority;
 
 /**
- * What is left to do about the work that goes first, in tasks, after a scheduling cycle.
+ * What is left to do about live work after a scheduling cycle. Live work resumes before all other: services, and jobs
+ * of the highest priority.
  *
- * @param unconfirmed may be on machines still awaited
- * @param claiming wait for their claim to be on record
- * @param unacknowledged were placed, and no heartbeat has listed them yet
- * @param awaitingPreemption have no capacity yet, but tasks are being stopped for them
+ * @param unconfirmedTasks may be on machines still awaited
+ * @param jobsAwaitingClaim have tasks to start, and wait for their next claim to be on record
+ * @param unacknowledgedTasks were placed, and no heartbeat has listed them yet
+ * @param tasksAwaitingPreemption have no capacity yet, but other tasks are being preempted for them
  */
-public record LiveWorkBacklog(int unconfirmed, int claiming, int unacknowledged, int awaitingPreemption) {
+public record LiveWorkBacklog(
+        int unconfirmedTasks, int jobsAwaitingClaim, int unacknowledgedTasks, int tasksAwaitingPreemption) {
     /** Nothing is left. */
     public static final LiveWorkBacklog NONE = new LiveWorkBacklog(0, 0, 0, 0);
 
-    /** Whether a job's tasks resume before those of others: services, and work of the highest priority. */
+    /** Whether this job is live work. */
     public static boolean includes(JobSpec spec) {
         return spec.service() || spec.priority() == Priority.CRITICAL;
     }
 
     /** Whether nothing is left that could be placed at once. What waits for a machine to boot is not counted. */
     boolean isPlaced() {
-        return claiming == 0 && unacknowledged == 0 && awaitingPreemption == 0;
+        return jobsAwaitingClaim == 0 && unacknowledgedTasks == 0 && tasksAwaitingPreemption == 0;
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -4,16 +4,16 @@
 public enum RecoveryPhase {
     /** The term is won; the records are being read up to its beginning. Nothing is commanded. */
     READING,
-    /** Reports are compared with the records; work that goes first starts as its proofs come in. */
+    /** Reports are compared with the records; live work starts as its proofs come in. */
     RECONCILING,
-    /** No task that goes first is unconfirmed any more; those that have or get capacity are being started. */
+    /** No task of live work is unconfirmed any more; those that have or get capacity are being started. */
     RESUMING_LIVE,
     /** All work may start, each task on its own proof; some machines are still awaited. */
     RESUMING_BATCH,
     /** Every machine taken over is heard or proved gone. */
     RECOVERED;
 
-    /** Whether work that comes after live work may start. */
+    /** Whether batch work, which comes after live work, may start. */
     public boolean startsBatchWork() {
         return compareTo(RESUMING_BATCH) >= 0;
     }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -9,8 +9,8 @@
 
 /**
  * The recovery of one term of leadership: which machines are still awaited, what has been found so far, and which
- * work may start. Work that goes first starts by the proof of each task; other work is held until the former is placed,
- * but never beyond a bound.
+ * work may start. Live work starts by the proof of each task; batch work, which is all other, is held until live work
+ * is placed, but never beyond a bound.
  */
 public final class RecoveryPlan {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryPlan.class);
@@ -23,11 +23,11 @@
     private RecoveryPhase phase = RecoveryPhase.READING;
     private LiveWorkBacklog liveWorkBacklog = LiveWorkBacklog.NONE;
     private long revision;
-    private int takenOver;
+    private int machinesTakenOver;
     private long holdEndsMicros;
     private long comparisons;
 
-    /** @param batchHoldMicros how long other work is held for work that goes first, at most; 0: not at all */
+    /** @param batchHoldMicros how long batch work is held for live work, at most; 0: not at all */
     public RecoveryPlan(long fencingToken, long batchHoldMicros, RecoveryTracer tracer) {
         this.fencingToken = fencingToken;
         this.batchHoldMicros = batchHoldMicros;
@@ -39,7 +39,7 @@
     /** Takes a machine of the inventory over, before the records count as read. */
     public void takeOver(String machine, MachineProfile profile) {
         awaited.add(machine, profile);
-        takenOver++;
+        machinesTakenOver++;
         tracer.machineAwaited(machine);
     }
 
@@ -49,13 +49,13 @@
     }
 
     /** The records are read, as of this revision: from now on machines are heard. */
-    public void recordsRead(long asOfRevision, long nowMicros) {
-        revision = asOfRevision;
+    public void recordsRead(long revisionRead, long nowMicros) {
+        revision = revisionRead;
         holdEndsMicros = nowMicros + batchHoldMicros;
         if (awaited.isEmpty()) {
             enter(RecoveryPhase.RECOVERED, "no machine to take over");
         } else {
-            enter(RecoveryPhase.RECONCILING, takenOver + " machines taken over at revision " + revision);
+            enter(RecoveryPhase.RECONCILING, machinesTakenOver + " machines taken over at revision " + revision);
             checkBound(nowMicros);
         }
     }
@@ -90,20 +90,20 @@
         return phase.startsBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.includes(spec));
     }
 
-    /** Ends the hold when its time is over. Called before each scheduling cycle. */
+    /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
     public void checkBound(long nowMicros) {
         if (holdsBatchWork() && nowMicros >= holdEndsMicros) {
             resumeBatch(batchHoldMicros == 0 ? "no hold is set" : "the longest hold is over, with " + waitingFor());
         }
     }
 
-    /** A scheduling cycle has ended and left this of the work that goes first. */
-    public void cycleEnded(LiveWorkBacklog left) {
-        liveWorkBacklog = left;
-        if (phase == RecoveryPhase.RECONCILING && left.unconfirmed() == 0) {
+    /** A scheduling cycle has ended and left this of the live work. */
+    public void cycleEnded(LiveWorkBacklog backlog) {
+        liveWorkBacklog = backlog;
+        if (phase == RecoveryPhase.RECONCILING && backlog.unconfirmedTasks() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
         }
-        if (phase == RecoveryPhase.RESUMING_LIVE && left.unconfirmed() == 0 && left.isPlaced()) {
+        if (phase == RecoveryPhase.RESUMING_LIVE && backlog.unconfirmedTasks() == 0 && backlog.isPlaced()) {
             resumeBatch("work that goes first is placed");
         }
     }
@@ -130,19 +130,20 @@
         tracer.phaseEntered(next, reason);
     }
 
-    /** Whether work is held for that which goes first. */
+    /** Whether batch work is held for live work. */
     public boolean holdsBatchWork() {
         return phase == RecoveryPhase.RECONCILING || phase == RecoveryPhase.RESUMING_LIVE;
     }
 
-    /** What other work waits for, in words. */
+    /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
     public String waitingFor() {
         if (!holdsBatchWork()) {
             return "nothing";
         }
-        return liveWorkBacklog.unconfirmed() + " tasks in doubt, " + liveWorkBacklog.claiming() + " to be claimed, "
-                + liveWorkBacklog.unacknowledged() + " sent and not seen yet, " + liveWorkBacklog.awaitingPreemption()
-                + " getting room";
+        return liveWorkBacklog.unconfirmedTasks() + " tasks in doubt, " + liveWorkBacklog.jobsAwaitingClaim()
+                + " to be claimed, "
+                + liveWorkBacklog.unacknowledgedTasks() + " sent and not seen yet, "
+                + liveWorkBacklog.tasksAwaitingPreemption() + " getting room";
     }
 
     /** Whether every machine taken over is heard or proved gone. */
@@ -167,7 +168,7 @@
 
     /** How many machines the inventory had when the term began. */
     public int machinesTakenOver() {
-        return takenOver;
+        return machinesTakenOver;
     }
 
     /** The machines still awaited, as of now. */
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -9,29 +9,18 @@
  *
  * @param leader the leader that this controller knows of, or null
  * @param reason why the role is what it is
- * @param missing the machines still awaited, by name
- * @param comparisons how many attempts were compared with the records so far
- * @param batchWaitsFor what work that does not go first is held for, or null
- * @param batchHeldMicros for how much longer it is held, at most
  * @param recordsAgeMicros how old the word is by which this controller knows the records; negative: never
+ * @param unreadableRecords how many records can't be read
+ * @param term the recovery of the controller's own term; null when it does not lead
  */
 public record RecoveryStatus(
         String node,
         Role role,
         String leader,
         String reason,
-        RecoveryPhase phase,
-        long fencingToken,
-        long revision,
         long recordsAgeMicros,
-        int machinesTakenOver,
-        PSet<String> missing,
-        int unreadableInventoryParts,
         long unreadableRecords,
-        Map<Verdict, Integer> tasks,
-        long comparisons,
-        String batchWaitsFor,
-        long batchHeldMicros) {
+        Term term) {
 
     /** Whether the controller can tell at all. */
     public enum Role {
@@ -45,30 +34,60 @@
         UNKNOWN
     }
 
-    /** How many machines are still awaited. */
-    public int machinesMissing() {
-        return missing.size();
+    /**
+     * The recovery of one term of leadership.
+     *
+     * @param revision the revision of the records that it began with; 0 while they are read
+     * @param tasks how many tasks got each verdict so far
+     * @param comparisons how many attempts were compared with the records so far
+     * @param hold what holds batch work back; null when it may start
+     */
+    public record Term(
+            RecoveryPhase phase,
+            long fencingToken,
+            long revision,
+            Machines machines,
+            Map<Verdict, Integer> tasks,
+            long comparisons,
+            Hold hold) {}
+
+    /**
+     * The machines that the term began with.
+     *
+     * @param awaited those that are neither heard nor proved gone, by name
+     * @param unreadableInventoryParts parts of the inventory that can't be read: any machine may be among them
+     */
+    public record Machines(int takenOver, PSet<String> awaited, int unreadableInventoryParts) {
+        /** None is known: the inventory is not read yet. */
+        public static final Machines NONE = new Machines(0, OrderedPSet.empty(), 0);
     }
 
+    /**
+     * What holds batch work back.
+     *
+     * @param waitsFor what it waits for, in words
+     * @param remainingMicros for how much longer it is held, at most; negative: not known
+     */
+    public record Hold(String waitsFor, long remainingMicros) {}
+
     /** Of a controller that does not lead. */
     public static RecoveryStatus withoutTerm(
             String node, Role role, String leader, String reason, long recordsAgeMicros, long unreadableRecords) {
-        return new RecoveryStatus(
-                node,
-                role,
-                leader,
-                reason,
-                null,
-                0,
-                0,
-                recordsAgeMicros,
-                0,
-                OrderedPSet.empty(),
-                0,
-                unreadableRecords,
-                Map.of(),
-                0,
-                null,
-                0);
+        return new RecoveryStatus(node, role, leader, reason, recordsAgeMicros, unreadableRecords, null);
+    }
+
+    /** How far the recovery has come; null when this controller does not lead. */
+    public RecoveryPhase phase() {
+        return term == null ? null : term.phase();
+    }
+
+    /** How many machines are still awaited; 0 when this controller does not lead. */
+    public int machinesMissing() {
+        return term == null ? 0 : term.machines().awaited().size();
+    }
+
+    /** How many tasks got each verdict so far; empty when this controller does not lead. */
+    public Map<Verdict, Integer> tasks() {
+        return term == null ? Map.of() : term.tasks();
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -1,6 +1,9 @@
 package org.granitepath.recovery;
 
-/** Told how a recovery goes. Times are those of the caller's steady clock. */
+/**
+ * Is told how a recovery goes, for metrics and traces; nothing is decided by it. Times are those of the caller's steady
+ * clock.
+ */
 public interface RecoveryTracer {
     /** Tells nobody. */
     RecoveryTracer NONE = new RecoveryTracer() {
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
@@ -0,0 +1,41 @@
+package org.granitepath.coordination.jobs;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fixtures;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
+import org.granitepath.storage.ProgressRecord;
+import org.junit.jupiter.api.Test;
+
+/** How fast live services arrive. */
+class ArrivalRateTest {
+    /** Ten tasks of one CPU, within a minute. */
+    private static final double ONE_ARRIVAL = 10 * 1_000 / 60e6;
+
+    private final ArrivalRate arrivalRate = new ArrivalRate();
+    private final ActiveJob service =
+            Fixtures.job(Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.HIGH), 0, ProgressRecord.none());
+
+    @Test
+    void onlyLiveServicesCount() {
+        arrivalRate.accepted(Fixtures.job(), SECOND);
+        assertNull(arrivalRate.newest());
+        assertEquals(0, arrivalRate.cpuPerMicro(SECOND));
+        arrivalRate.accepted(service, SECOND);
+        assertSame(service, arrivalRate.newest());
+        assertEquals(ONE_ARRIVAL, arrivalRate.cpuPerMicro(SECOND), 1e-15);
+    }
+
+    @Test
+    void arrivalsAddUpAndFade() {
+        arrivalRate.accepted(service, SECOND);
+        assertEquals(ONE_ARRIVAL / Math.E, arrivalRate.cpuPerMicro(61 * SECOND), 1e-15);
+        arrivalRate.accepted(service, 61 * SECOND);
+        assertEquals(ONE_ARRIVAL * (1 + 1 / Math.E), arrivalRate.cpuPerMicro(61 * SECOND), 1e-15);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -0,0 +1,119 @@
+package org.granitepath.coordination.jobs;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fixtures;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.junit.jupiter.api.Test;
+
+/** Whose fault a failed task is: its machine's or its job's. */
+class FaultTrackerTest {
+    private static final long FAILED = 10 * SECOND;
+
+    private final FaultTracker faults = new FaultTracker();
+    private final Machine first = Fixtures.machine("i-1", "north");
+    private final Machine second = Fixtures.machine("i-2", "north");
+    private final Machine third = Fixtures.machine("i-3", "north");
+    private final ActiveJob job = Fixtures.job();
+    private final ActiveJob other = Fixtures.job();
+
+    @Test
+    void aFailureMakesTheMachineASuspect() {
+        assertTrue(faults.mayTry(first, job));
+        assertEquals(List.of(), faults.failed(first, job, FAILED));
+        assertTrue(faults.suspects(first));
+        assertFalse(faults.mayTry(first, job), "no job is tried again where it failed");
+        assertTrue(faults.mayTry(first, other));
+        assertTrue(faults.mayTry(second, job));
+    }
+
+    @Test
+    void aSuspectIsOfferedOneTaskAtATime() {
+        faults.failed(first, job, FAILED);
+        first.add(started(other, first, FAILED + SECOND));
+        assertFalse(faults.mayTry(first, other));
+    }
+
+    @Test
+    void aSecondJobThatFailsThereMakesItFaulty() {
+        faults.failed(first, job, FAILED);
+        assertEquals(List.of(first), faults.failed(first, other, FAILED + SECOND));
+        assertFalse(faults.mayTry(first, Fixtures.job()));
+        assertEquals(List.of(), faults.failed(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
+    }
+
+    @Test
+    void aJobThatFailsOnThreeMachinesIsItselfInQuestion() {
+        faults.failed(first, job, FAILED);
+        faults.failed(second, job, FAILED);
+        assertTrue(faults.mayStartAnother(job));
+        faults.failed(third, job, FAILED);
+        assertFalse(faults.suspects(third), "it makes no further machine a suspect");
+        assertTrue(faults.mayStartAnother(job), "nothing of it is placed");
+        job.place(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
+        assertFalse(faults.mayStartAnother(job));
+    }
+
+    @Test
+    void aJobWithoutProofIsRetriedLessAndLessOften() {
+        faults.failed(first, job, FAILED);
+        assertEquals(FAILED + SECOND / 2, job.scheduling().notBeforeMicros());
+        faults.failed(second, job, FAILED);
+        assertEquals(FAILED + SECOND, job.scheduling().notBeforeMicros());
+    }
+
+    @Test
+    void aTaskThatStartedAfterTheFailureClearsTheMachine() {
+        faults.failed(first, job, FAILED);
+        Placement before = started(other, first, FAILED - SECOND);
+        faults.proved(before, FAILED + SECOND);
+        assertTrue(faults.suspects(first), "it started before the failure");
+        Placement after = started(other, first, FAILED + SECOND);
+        assertTrue(faults.wantsProof(after));
+        faults.proved(after, FAILED + 6 * SECOND);
+        assertFalse(faults.suspects(first));
+        assertFalse(faults.wantsProof(after));
+    }
+
+    @Test
+    void nothingClearsAFaultyMachine() {
+        faults.failed(first, job, FAILED);
+        faults.failed(first, other, FAILED);
+        faults.proved(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
+        assertTrue(faults.suspects(first));
+    }
+
+    @Test
+    void proofOfAJobPutsItsFailuresOnTheMachines() {
+        faults.failed(first, job, FAILED);
+        faults.failed(second, job, FAILED);
+        faults.failed(third, job, FAILED);
+        faults.failed(third, other, FAILED);
+        List<Machine> faulty =
+                faults.proved(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
+        assertEquals(List.of(third), faulty, "where another job failed too");
+        assertEquals(FAILED + 6 * SECOND, job.scheduling().notBeforeMicros(), "it need not wait any longer");
+        assertTrue(faults.mayStartAnother(job));
+    }
+
+    @Test
+    void whatIsForgottenCountsNoMore() {
+        faults.failed(first, job, FAILED);
+        faults.forget(job);
+        assertTrue(faults.mayTry(first, job));
+        faults.forget(first);
+        assertFalse(faults.suspects(first));
+    }
+
+    private static Placement started(ActiveJob job, Machine machine, long startedMicros) {
+        Placement placement = Fixtures.placement(job, 0, machine, 1, startedMicros);
+        placement.running(startedMicros);
+        return placement;
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
@@ -0,0 +1,44 @@
+package org.granitepath.coordination.jobs;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fixtures;
+import org.junit.jupiter.api.Test;
+
+/** How run times that were seen correct the estimates, which are 60 s here. */
+class RuntimeEstimatorTest {
+    private final RuntimeEstimator estimator = new RuntimeEstimator();
+    private final ActiveJob job = Fixtures.job();
+    private final ActiveJob sameClass = Fixtures.job();
+
+    @Test
+    void withoutExperienceTheEstimateHolds() {
+        assertEquals(60 * SECOND, estimator.taskMicros(job));
+    }
+
+    @Test
+    void oneFinishedTaskCountsForItsJobMoreThanForItsClass() {
+        estimator.finished(job, 30 * SECOND);
+        double classMicros = 60.0 * SECOND * (0.5 + 10) / 11;
+        assertEquals(classMicros, (double) estimator.taskMicros(sameClass), 1);
+        assertEquals((30.0 * SECOND + 2 * classMicros) / 3, (double) estimator.taskMicros(job), 1);
+    }
+
+    @Test
+    void aClassChangesAnEstimateFivefoldAtMost() {
+        for (int i = 0; i < 300; i++) {
+            estimator.finished(job, 6_000 * SECOND);
+        }
+        assertEquals(300 * SECOND, estimator.taskMicros(sameClass));
+    }
+
+    @Test
+    void aClassReducesAnEstimateToAFifthAtMost() {
+        for (int i = 0; i < 300; i++) {
+            estimator.finished(job, 1);
+        }
+        assertEquals(12 * SECOND, estimator.taskMicros(sameClass));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -0,0 +1,263 @@
+package org.granitepath.coordination.model;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.granitepath.coordination.model.Fixtures.TASKS;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.common.collect.RangeSet;
+import com.google.common.collect.TreeRangeSet;
+import java.util.stream.Stream;
+import org.granitepath.coordination.model.ActiveJob.Phase;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Priority;
+import org.granitepath.storage.ProgressRecord;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
+class ActiveJobTest {
+    private static final String STEPS = """
+            from    OPEN  ENDING  OVER
+            OPEN    =     yes     yes
+            ENDING  -     =       yes
+            OVER    -     -       =
+            """;
+
+    private static final String EVENTS = """
+            in      allTasksDone  finalStateRecorded
+            OPEN    ENDING        OVER
+            ENDING  ENDING        OVER
+            OVER    refused       OVER
+            """;
+
+    private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
+
+    private final Machine north = Fixtures.machine("i-1", "north");
+    private final Machine south = Fixtures.machine("i-2", "south");
+    private final ActiveJob job = Fixtures.job();
+
+    static Stream<Arguments> steps() {
+        return RuleTable.steps(Phase.class, STEPS);
+    }
+
+    @ParameterizedTest(name = "{0} -> {1}: {2}")
+    @MethodSource("steps")
+    void onlyTheseStepsAreAllowed(Phase from, Phase next, boolean allowed) {
+        assertEquals(allowed, from.allows(next));
+    }
+
+    static Stream<Arguments> events() {
+        return RuleTable.cells(Phase.class, EVENTS);
+    }
+
+    @ParameterizedTest(name = "{0}, {1} -> {2}")
+    @MethodSource("events")
+    void eachEventInEachPhase(Phase from, String event, String expected) {
+        bringTo(from);
+        if (RuleTable.REFUSED.equals(expected)) {
+            assertThrows(IllegalStateException.class, () -> apply(event));
+            assertEquals(from, job.phase());
+        } else {
+            apply(event);
+            assertEquals(Phase.valueOf(expected), job.phase());
+        }
+    }
+
+    private void bringTo(Phase phase) {
+        switch (phase) {
+            case OPEN -> {}
+            case ENDING -> job.allTasksDone();
+            case OVER -> job.finalStateRecorded("test");
+        }
+        assertEquals(phase, job.phase());
+    }
+
+    private void apply(String event) {
+        switch (event) {
+            case "allTasksDone" -> job.allTasksDone();
+            case "finalStateRecorded" -> job.finalStateRecorded("test");
+            default -> throw new IllegalArgumentException(event);
+        }
+    }
+
+    /** Five tasks claimed by a former leader, of which task 1 is done. */
+    private static ActiveJob inherited(JobSpec spec) {
+        RangeSet<Integer> done = TreeRangeSet.create();
+        ProgressRecord.addTask(done, 1);
+        return Fixtures.job(spec, 3, new ProgressRecord("n0", 5, done, 2));
+    }
+
+    @Test
+    void whatAFormerLeaderClaimedAndIsNotDoneIsUnconfirmed() {
+        ActiveJob inherited = inherited(BATCH);
+        assertEquals(5, inherited.claimed(), "the larger claim of its two records");
+        assertEquals(5, inherited.requestedClaim());
+        assertEquals(5, inherited.firstNeverStarted());
+        assertEquals(4, inherited.unconfirmedTasks());
+        assertEquals(4, inherited.running());
+        assertEquals(9, inherited.unfinishedTasks());
+        assertEquals(5, inherited.waitingTasks());
+        assertFalse(inherited.hasClaimedTask(), "none is proved to be on no machine");
+    }
+
+    @Test
+    void whatIsResolvedStartsAgainLowestNumberFirst() {
+        ActiveJob inherited = inherited(BATCH);
+        inherited.resolveUnconfirmed();
+        assertEquals(0, inherited.unconfirmedTasks());
+        assertEquals(9, inherited.waitingTasks());
+        assertEquals(0, inherited.firstFreed());
+        assertEquals(0, inherited.takeTask());
+        assertEquals(2, inherited.takeTask());
+        inherited.takeTask(3);
+        assertEquals(4, inherited.takeTask());
+        assertFalse(inherited.hasClaimedTask());
+        inherited.claimRecorded(6);
+        assertTrue(inherited.hasClaimedTask());
+        assertEquals(5, inherited.takeTask());
+        assertEquals(6, inherited.firstNeverStarted());
+    }
+
+    @Test
+    void aClaimCountsOnceItIsOnRecord() {
+        job.claimRequested(4);
+        assertEquals(4, job.requestedClaim());
+        assertFalse(job.hasClaimedTask());
+        job.claimRecorded(4);
+        assertTrue(job.hasClaimedTask());
+    }
+
+    @Test
+    void aTaskThatIsFoundIsUnconfirmedNoMore() {
+        ActiveJob inherited = inherited(BATCH);
+        Placement found = Fixtures.placement(inherited, 2, north, 1);
+        inherited.place(found);
+        assertEquals(3, inherited.unconfirmedTasks());
+        assertEquals(4, inherited.running());
+        assertSame(found, inherited.placement(2));
+        assertEquals(1, inherited.tasksByZone().get("north"));
+    }
+
+    @Test
+    void aTaskProvedGoneIsFreeUnlessItMayBeElsewhere() {
+        ActiveJob inherited = inherited(BATCH);
+        Placement here = Fixtures.placement(inherited, 2, north, 1);
+        inherited.place(here);
+        inherited.unplace(here, true);
+        assertEquals(4, inherited.unconfirmedTasks());
+        assertFalse(inherited.hasClaimedTask());
+        inherited.place(here);
+        inherited.unplace(here, false);
+        assertEquals(3, inherited.unconfirmedTasks());
+        assertEquals(2, inherited.firstFreed());
+        assertNull(inherited.placement(2));
+        assertEquals(0, inherited.tasksByZone().get("north"));
+    }
+
+    @Test
+    void anEarlierAttemptDoesNotDisplaceALaterOne() {
+        Placement earlier = Fixtures.placement(job, 2, north, 1);
+        Placement later = Fixtures.placement(job, 2, south, 2);
+        job.place(later);
+        job.unplace(earlier, false);
+        assertSame(later, job.placement(2));
+        assertFalse(job.hasClaimedTask());
+    }
+
+    @Test
+    void aTaskThatIsDoneNeverStartsAgain() {
+        Placement placement = Fixtures.placement(job, 0, north, 1);
+        job.place(placement);
+        job.markDone(0);
+        job.markDone(0);
+        assertEquals(TASKS - 1, job.unfinishedTasks(), "counted once");
+        job.unplace(placement, false);
+        assertFalse(job.hasClaimedTask());
+        assertTrue(job.isDone(0));
+    }
+
+    @Test
+    void nothingOfAJobThatIsOverWaitsOrIsFreed() {
+        Placement placement = Fixtures.placement(job, 0, north, 1);
+        job.place(placement);
+        job.finalStateRecorded("cancelled");
+        assertEquals(0, job.waitingTasks());
+        job.unplace(placement, false);
+        assertFalse(job.hasClaimedTask());
+        assertFalse(job.hasPlacements());
+    }
+
+    @Test
+    void aGangIsDoneAsAWhole() {
+        ActiveJob gang = inherited(Fixtures.spec(JobSpec.Shape.GANG, false, false));
+        gang.markAllDone();
+        assertEquals(0, gang.unfinishedTasks());
+        assertEquals(0, gang.unconfirmedTasks());
+        assertTrue(gang.isDone(TASKS - 1));
+    }
+
+    @Test
+    void aGangHasOneAttemptAtATime() {
+        assertNull(job.gangAttempt());
+        GangAttempt attempt = job.beginGangAttempt(5);
+        assertSame(attempt, job.gangAttempt());
+        assertEquals(5, attempt.number());
+        job.forgetGangAttempt();
+        assertNull(job.gangAttempt());
+    }
+
+    @Test
+    void oneZoneStandsOnceAnythingIsPlaced() {
+        ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
+        assertTrue(oneZone.zoneAllows("north"));
+        Placement placement = Fixtures.placement(oneZone, 0, south, 1);
+        oneZone.place(placement);
+        assertFalse(oneZone.zoneAllows("north"));
+        assertTrue(oneZone.zoneAllows("south"));
+        oneZone.unplace(placement, false);
+        assertTrue(oneZone.zoneAllows("north"));
+    }
+
+    @Test
+    void anUnconfirmedTaskMayStandInAnyZone() {
+        assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).zoneAllows("north"));
+        ActiveJob spread = inherited(Fixtures.spec(JobSpec.Shape.SERVICE, false, true));
+        int cap = spread.spec().zoneCap();
+        assertEquals(4 + 1 <= cap, spread.zoneAllows("north"));
+        while (spread.tasksByZone().getOrDefault("north", 0) + spread.unconfirmedTasks() < cap) {
+            spread.place(Fixtures.placement(spread, 5 + spread.placements().size(), north, 1));
+        }
+        assertFalse(spread.zoneAllows("north"));
+    }
+
+    @Test
+    void servicesOfHighPriorityAreLive() {
+        assertTrue(Fixtures.job(
+                        Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.CRITICAL), 0, ProgressRecord.none())
+                .isLive());
+        assertTrue(Fixtures.job(
+                        Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.HIGH), 0, ProgressRecord.none())
+                .isLive());
+        assertFalse(Fixtures.job(
+                        Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.STANDARD), 0, ProgressRecord.none())
+                .isLive());
+        assertFalse(Fixtures.job(
+                        Fixtures.spec(JobSpec.Shape.BATCH, false, false, Priority.CRITICAL), 0, ProgressRecord.none())
+                .isLive());
+    }
+
+    @Test
+    void runTimesAddUp() {
+        job.taskFinished(3 * SECOND);
+        job.taskFinished(5 * SECOND);
+        assertEquals(2, job.finishedTasks());
+        assertEquals(8.0 * SECOND, job.finishedMicros());
+    }
+}
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -4,8 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.stream.Stream;
 import org.granitepath.coordination.model.GangAttempt.Phase;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** The states of one attempt of a gang. */
 class GangAttemptTest {
@@ -13,8 +17,54 @@
     private static final long PATIENCE = 10 * SECOND;
     private static final long LAST_MOMENT = 20 * SECOND;
 
+    private static final String EVENTS = """
+            in        waiting   running   stopping  completed  taskGone
+            FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
+            WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
+            RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
+            STOPPING  STOPPING  STOPPING  STOPPING  ENDING     STOPPING
+            ENDING    ENDING    ENDING    ENDING    ENDING     ENDING
+            """;
+
     private final GangAttempt attempt = new GangAttempt("run-1", 7);
 
+    static Stream<Arguments> events() {
+        return RuleTable.cells(Phase.class, EVENTS);
+    }
+
+    /** An older report never takes an attempt back: none is refused, what comes too late changes nothing. */
+    @ParameterizedTest(name = "{0}, {1} -> {2}")
+    @MethodSource("events")
+    void eachEventInEachPhase(Phase from, String event, String expected) {
+        bringTo(from);
+        apply(event);
+        assertEquals(Phase.valueOf(expected), attempt.phase());
+        assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.mayBeCompleted());
+        assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.ENDING, attempt.isEnding());
+    }
+
+    private void bringTo(Phase phase) {
+        switch (phase) {
+            case FORMING -> {}
+            case WAITING -> attempt.waiting(SECOND);
+            case RUNNING -> attempt.running();
+            case STOPPING -> attempt.stopping("test");
+            case ENDING -> attempt.completed();
+        }
+        assertEquals(phase, attempt.phase());
+    }
+
+    private void apply(String event) {
+        switch (event) {
+            case "waiting" -> attempt.waiting(2 * SECOND);
+            case "running" -> attempt.running();
+            case "stopping" -> attempt.stopping("test");
+            case "completed" -> attempt.completed();
+            case "taskGone" -> attempt.taskGone(2 * SECOND);
+            default -> throw new IllegalArgumentException(event);
+        }
+    }
+
     @Test
     void itFormsWaitsRunsAndEnds() {
         assertEquals(Phase.FORMING, attempt.phase());
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -0,0 +1,246 @@
+package org.granitepath.coordination.model;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.Stream;
+import org.granitepath.coordination.model.Machine.Phase;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.ProgressRecord;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** The life cycle of a machine of the inventory, and what its events change beside the phase. */
+class MachineTest {
+    private static final String STEPS = """
+            from         UNCONFIRMED  READY  DRAINING  TERMINATING  GONE
+            UNCONFIRMED  =            yes    -         yes          yes
+            READY        yes          =      yes       yes          yes
+            DRAINING     -            -      =         yes          yes
+            TERMINATING  -            -      -         =            yes
+            GONE         -            -      -         -            =
+            """;
+
+    private static final String EVENTS = """
+            in           tasksConfirmed  confirmationLost  drain        terminationDecided  provedGone
+            UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
+            READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
+            DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
+            TERMINATING  TERMINATING     TERMINATING       TERMINATING  TERMINATING         GONE
+            GONE         GONE            GONE              GONE         refused             GONE
+            """;
+
+    private final Machine machine = Fixtures.machine("i-1", "north");
+
+    static Stream<Arguments> steps() {
+        return RuleTable.steps(Phase.class, STEPS);
+    }
+
+    @ParameterizedTest(name = "{0} -> {1}: {2}")
+    @MethodSource("steps")
+    void onlyTheseStepsAreAllowed(Phase from, Phase next, boolean allowed) {
+        assertEquals(allowed, from.allows(next));
+    }
+
+    static Stream<Arguments> events() {
+        return RuleTable.cells(Phase.class, EVENTS);
+    }
+
+    @ParameterizedTest(name = "{0}, {1} -> {2}")
+    @MethodSource("events")
+    void eachEventInEachPhase(Phase from, String event, String expected) {
+        bringTo(from);
+        if (RuleTable.REFUSED.equals(expected)) {
+            assertThrows(IllegalStateException.class, () -> apply(event));
+            assertEquals(from, machine.phase());
+        } else {
+            apply(event);
+            assertEquals(Phase.valueOf(expected), machine.phase());
+        }
+    }
+
+    private void bringTo(Phase phase) {
+        switch (phase) {
+            case UNCONFIRMED -> {}
+            case READY -> machine.tasksConfirmed();
+            case DRAINING -> {
+                machine.tasksConfirmed();
+                machine.drain("test");
+            }
+            case TERMINATING -> machine.terminationDecided("test");
+            case GONE -> machine.provedGone("test");
+        }
+        assertEquals(phase, machine.phase());
+    }
+
+    private void apply(String event) {
+        switch (event) {
+            case "tasksConfirmed" -> machine.tasksConfirmed();
+            case "confirmationLost" -> machine.confirmationLost(9 * SECOND, "test");
+            case "drain" -> machine.drain("test");
+            case "terminationDecided" -> machine.terminationDecided("test");
+            case "provedGone" -> machine.provedGone("test");
+            default -> throw new IllegalArgumentException(event);
+        }
+    }
+
+    @Test
+    void confirmationCanBeLostOnlyOnce() {
+        machine.tasksConfirmed();
+        machine.confirmationLost(3 * SECOND, "fencing token raised");
+        machine.confirmationLost(4 * SECOND, "fencing token raised");
+        assertEquals(3 * SECOND, machine.unconfirmedSinceMicros());
+    }
+
+    @Test
+    void aMachineThatDrainsIsNotSaidToBeUnconfirmedSinceLater() {
+        machine.joinedFleet(7, SECOND);
+        machine.tasksConfirmed();
+        machine.drain("test");
+        machine.confirmationLost(4 * SECOND, "test");
+        assertEquals(SECOND, machine.unconfirmedSinceMicros());
+    }
+
+    @Test
+    void itTakesTasksOnceItIsConfirmedAndOnRecord() {
+        machine.joinedFleet(7, SECOND);
+        assertEquals(7, machine.fencingToken());
+        assertFalse(machine.takesTasks());
+        machine.tasksConfirmed();
+        assertFalse(machine.takesTasks(), "its row is not on record");
+        machine.inventory().onRecord();
+        assertTrue(machine.takesTasks());
+        machine.inventory().requireNewToken();
+        assertFalse(machine.takesTasks(), "waits for a higher fencing token");
+        machine.inventory().tokenRaised(8);
+        assertTrue(machine.takesTasks());
+        machine.typeKnown(null);
+        assertFalse(machine.takesTasks(), "its capacity is not known");
+        machine.typeKnown(Fixtures.TYPE);
+        machine.drain("test");
+        assertFalse(machine.takesTasks());
+    }
+
+    @Test
+    void aTokenForCleanupWaitsUntilItIsDue() {
+        machine.inventory().requireTokenForCleanup();
+        assertFalse(machine.inventory().needsNewToken());
+        machine.inventory().cleanupTokenDue();
+        assertTrue(machine.inventory().needsNewToken());
+        machine.inventory().tokenRaised(8);
+        assertFalse(machine.inventory().needsNewToken());
+        assertFalse(machine.inventory().needsTokenForCleanup());
+        assertEquals(8, machine.fencingToken());
+    }
+
+    @Test
+    void aMachineTakenOverIsAwaitedUntilWhatIsOnItIsKnown() {
+        machine.takenOverFromFormerLeader(SECOND, 30 * SECOND);
+        assertTrue(machine.awaitingFirstHeartbeat());
+        assertEquals(30 * SECOND, machine.contact().leaseExpiryMicros());
+        assertEquals(SECOND, machine.contact().lastHeartbeatMicros());
+        assertEquals(SECOND, machine.unconfirmedSinceMicros());
+        assertEquals(SECOND, machine.idleSinceMicros());
+        machine.takeoverResolved();
+        assertFalse(machine.awaitingFirstHeartbeat());
+    }
+
+    @Test
+    void aMachineThatWasUnresponsiveCountsAsIdleAndUnconfirmedAnew() {
+        machine.joinedFleet(7, SECOND);
+        machine.heartbeatReceived(false, 5 * SECOND);
+        assertEquals(SECOND, machine.idleSinceMicros());
+        assertEquals(SECOND, machine.unconfirmedSinceMicros());
+        machine.heartbeatReceived(true, 50 * SECOND);
+        assertEquals(50 * SECOND, machine.idleSinceMicros());
+        assertEquals(50 * SECOND, machine.unconfirmedSinceMicros());
+        assertEquals(50 * SECOND, machine.contact().lastHeartbeatMicros());
+    }
+
+    @Test
+    void findingsHoldUntilTheNextMessage() {
+        machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
+        machine.taskUnconfirmed();
+        assertEquals(1, machine.cleanupCommands().size());
+        assertFalse(machine.isEmpty(), "a task that nothing is known of may not be cut short");
+        machine.clearFindings();
+        assertEquals(List.of(), machine.cleanupCommands());
+        assertTrue(machine.isEmpty());
+    }
+
+    @Test
+    void leaseExpiryVoidsTheCleanup() {
+        machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
+        machine.leaseExpired();
+        assertEquals(List.of(), machine.cleanupCommands());
+        assertEquals(5, machine.contact().agentEpoch());
+    }
+
+    @Test
+    void itIsIdleFromItsLastPlacementOn() {
+        ActiveJob job = Fixtures.job();
+        Placement first = Fixtures.placement(job, 0, machine, 1);
+        Placement second = Fixtures.placement(job, 1, machine, 2);
+        machine.add(first);
+        machine.add(second);
+        assertEquals(List.of(first, second), List.copyOf(machine.placements()));
+        assertEquals(2_000, machine.capacity().cpuFree());
+        machine.remove(first, 3 * SECOND);
+        assertEquals(0, machine.idleSinceMicros());
+        machine.remove(second, 4 * SECOND);
+        machine.remove(second, 5 * SECOND);
+        assertEquals(4 * SECOND, machine.idleSinceMicros());
+        assertEquals(4_000, machine.capacity().cpuFree(), "released once");
+    }
+
+    @Test
+    void anEarlierAttemptDoesNotRemoveALaterOne() {
+        ActiveJob job = Fixtures.job();
+        Placement earlier = Fixtures.placement(job, 0, machine, 1);
+        Placement later = Fixtures.placement(job, 0, machine, 2);
+        machine.add(later);
+        machine.remove(earlier, 3 * SECOND);
+        assertSame(later, machine.placement(later.task()));
+    }
+
+    @Test
+    void onlyServicesCountAgainstTheCapacityThatIsLeftBesideThem() {
+        JobSpec service = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
+        machine.add(Fixtures.placement(Fixtures.job(), 0, machine, 1));
+        assertEquals(4, machine.slotsBesideServices(service));
+        machine.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
+        assertEquals(3, machine.slotsBesideServices(service));
+    }
+
+    @Test
+    void aReservationEndsForItsGangOnly() {
+        ActiveJob gang = Fixtures.job();
+        ActiveJob other = Fixtures.job();
+        machine.reserveFor(gang);
+        machine.endReservationFor(other);
+        assertSame(gang, machine.reservedFor());
+        machine.endReservationFor(gang);
+        assertNull(machine.reservedFor());
+    }
+
+    @Test
+    void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
+        Placement placement = Fixtures.placement(Fixtures.job(), 0, machine, 1);
+        machine.add(placement);
+        assertTrue(machine.fetches("image"));
+        assertFalse(machine.fetches("other"));
+        placement.running(3 * SECOND);
+        assertFalse(machine.fetches("image"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -0,0 +1,203 @@
+package org.granitepath.coordination.model;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.stream.Stream;
+import org.granitepath.coordination.model.Placement.Phase;
+import org.granitepath.coordination.ports.TaskId;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** The life cycle of one attempt of a task on a machine. */
+class PlacementTest {
+    private static final String STEPS = """
+            from      ASSIGNED  SENT  FETCHING  WAITING  RUNNING  STOPPING  FREED
+            ASSIGNED  =         yes   yes       yes      yes      yes       yes
+            SENT      -         =     yes       yes      yes      yes       yes
+            FETCHING  -         -     =         yes      yes      yes       yes
+            WAITING   -         -     yes       =        yes      yes       yes
+            RUNNING   -         -     yes       yes      =        yes       yes
+            STOPPING  -         -     -         -        -        =         yes
+            FREED     -         -     -         -        -        -         =
+            """;
+
+    private static final String EVENTS = """
+            in        sentInAnswer  sentDirectly  fetching  waiting   running   saving    stop      freed
+            ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
+            SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
+            FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
+            WAITING   refused       refused       WAITING   WAITING   RUNNING   STOPPING  STOPPING  FREED
+            RUNNING   refused       refused       RUNNING   WAITING   RUNNING   STOPPING  STOPPING  FREED
+            STOPPING  refused       refused       STOPPING  STOPPING  STOPPING  STOPPING  STOPPING  FREED
+            FREED     refused       refused       FREED     refused   refused   refused   refused   FREED
+            """;
+
+    private final Machine machine = Fixtures.machine("i-1", "north");
+    private final ActiveJob job = Fixtures.job();
+    private final Placement placement = Fixtures.placement(job, 3, machine, 11);
+
+    static Stream<Arguments> steps() {
+        return RuleTable.steps(Phase.class, STEPS);
+    }
+
+    @ParameterizedTest(name = "{0} -> {1}: {2}")
+    @MethodSource("steps")
+    void onlyTheseStepsAreAllowed(Phase from, Phase next, boolean allowed) {
+        assertEquals(allowed, from.allows(next));
+    }
+
+    static Stream<Arguments> events() {
+        return RuleTable.cells(Phase.class, EVENTS);
+    }
+
+    @ParameterizedTest(name = "{0}, {1} -> {2}")
+    @MethodSource("events")
+    void eachEventInEachPhase(Phase from, String event, String expected) {
+        bringTo(from);
+        if (RuleTable.REFUSED.equals(expected)) {
+            assertThrows(IllegalStateException.class, () -> apply(event));
+            assertEquals(from, placement.phase());
+        } else {
+            apply(event);
+            assertEquals(Phase.valueOf(expected), placement.phase());
+        }
+    }
+
+    private void bringTo(Phase phase) {
+        switch (phase) {
+            case ASSIGNED -> {}
+            case SENT -> placement.sentDirectly();
+            case FETCHING -> placement.fetching();
+            case WAITING -> placement.waiting();
+            case RUNNING -> placement.running(SECOND);
+            case STOPPING -> placement.stop(0, "test");
+            case FREED -> placement.freed("test");
+        }
+        assertEquals(phase, placement.phase());
+    }
+
+    private void apply(String event) {
+        switch (event) {
+            case "sentInAnswer" -> placement.sentInAnswer();
+            case "sentDirectly" -> placement.sentDirectly();
+            case "fetching" -> placement.fetching();
+            case "waiting" -> placement.waiting();
+            case "running" -> placement.running(9 * SECOND);
+            case "saving" -> placement.saving();
+            case "stop" -> placement.stop(0, "test");
+            case "freed" -> placement.freed("test");
+            default -> throw new IllegalArgumentException(event);
+        }
+    }
+
+    @Test
+    void itIsMeantForTheAgentEpochThatIsKnown() {
+        machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        assertEquals(4, Fixtures.placement(job, 3, machine, 12).agentEpoch());
+    }
+
+    @Test
+    void aDirectStartWithoutAnAnswerMayStillBeCarriedOutUnderItsTokenOrAnOlderOne() {
+        machine.joinedFleet(7, SECOND);
+        placement.sentDirectly();
+        assertFalse(placement.wentOutInAnswer());
+        assertTrue(placement.mayStillBeStarted(6));
+        assertTrue(placement.mayStillBeStarted(7));
+        assertFalse(placement.mayStillBeStarted(8));
+    }
+
+    @Test
+    void onlyTheAnswerToTheLatestCallCounts() {
+        machine.joinedFleet(7, SECOND);
+        placement.sentDirectly();
+        placement.directStartAnswered(6);
+        assertTrue(placement.mayStillBeStarted(7));
+        placement.directStartAnswered(7);
+        assertFalse(placement.mayStillBeStarted(7));
+    }
+
+    @Test
+    void aStartInAnAnswerIsNoDirectOne() {
+        machine.joinedFleet(7, SECOND);
+        placement.sentInAnswer();
+        assertTrue(placement.wentOutInAnswer());
+        assertFalse(placement.mayStillBeStarted(7));
+        placement.sentDirectly();
+        assertFalse(placement.wentOutInAnswer());
+        assertTrue(placement.mayStillBeStarted(7));
+    }
+
+    @Test
+    void whatIsListedHasArrived() {
+        machine.joinedFleet(7, SECOND);
+        placement.sentDirectly();
+        assertFalse(placement.seen());
+        placement.listed(false);
+        assertTrue(placement.seen());
+        assertFalse(placement.mayStillBeStarted(7));
+    }
+
+    @Test
+    void anAttemptOfOurOwnCanBeNowhereElse() {
+        assertTrue(placement.onlyHere());
+        assertFalse(placement.wasAdopted());
+        placement.listed(false);
+        assertTrue(placement.onlyHere());
+    }
+
+    @Test
+    void anAdoptedAttemptIsOnlyHereOnceItIsListedUnderThePresentToken() {
+        Placement adopted = Placement.adopted(new TaskId("run-1", 4), job, machine, 12, false, SECOND);
+        assertEquals(Phase.SENT, adopted.phase());
+        assertTrue(adopted.seen());
+        assertTrue(adopted.wasAdopted());
+        assertFalse(adopted.onlyHere());
+        adopted.listed(false);
+        assertFalse(adopted.onlyHere());
+        adopted.listed(true);
+        assertTrue(adopted.onlyHere());
+        adopted.listed(false);
+        assertTrue(adopted.onlyHere(), "what was proved once stays so");
+    }
+
+    @Test
+    void theFirstReportTellsSinceWhenItRuns() {
+        assertEquals(0, placement.ranMicros(5 * SECOND));
+        placement.running(5 * SECOND);
+        placement.running(6 * SECOND);
+        assertTrue(placement.hasRun());
+        assertEquals(5 * SECOND, placement.runningSinceMicros());
+        assertEquals(3 * SECOND, placement.ranMicros(8 * SECOND));
+    }
+
+    @Test
+    void aTaskThatIsStoppedBeforeItWasSeenToRunStillTellsItsStart() {
+        placement.stop(0, "test");
+        placement.running(5 * SECOND);
+        assertEquals(Phase.STOPPING, placement.phase());
+        assertEquals(5 * SECOND, placement.runningSinceMicros());
+    }
+
+    @Test
+    void theGracePeriodCanBeChangedWhileItStops() {
+        placement.stop(30 * SECOND, "preempted");
+        assertEquals(30 * SECOND, placement.graceMicros());
+        placement.shortenGrace(0);
+        assertEquals(0, placement.graceMicros());
+        assertEquals(Phase.STOPPING, placement.phase());
+    }
+
+    @Test
+    void itMayBeOnTheMachineUntilItIsFreed() {
+        placement.stop(0, "test");
+        assertTrue(placement.live());
+        placement.freed("test");
+        assertFalse(placement.live());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -0,0 +1,130 @@
+package org.granitepath.coordination.model;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** What heartbeats, direct calls and the expiry of the lease change in what is known of a worker. */
+class WorkerContactTest {
+    private final Machine machine = Fixtures.machine("i-1", "north");
+    private final WorkerContact contact = machine.contact();
+
+    @Test
+    void nothingIsKnownAtFirst() {
+        assertTrue(contact.agentEpoch() < 0);
+        assertTrue(contact.sequence() < 0);
+        assertFalse(contact.fenced());
+        assertFalse(contact.callInFlight());
+        assertFalse(contact.probeFailed());
+    }
+
+    @Test
+    void aMessageTellsEpochAndSequence() {
+        contact.messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        assertEquals(4, contact.agentEpoch());
+        assertEquals(12, contact.sequence());
+    }
+
+    @Test
+    void aHeartbeatClearsAFailedProbeAndTheFence() {
+        contact.callBegan(2 * SECOND);
+        contact.callEnded();
+        contact.callAnswered(false);
+        contact.fence();
+        assertTrue(contact.probeFailed());
+        assertTrue(contact.fenced());
+        contact.heartbeatReceived(3 * SECOND);
+        assertFalse(contact.probeFailed());
+        assertFalse(contact.fenced());
+        assertEquals(3 * SECOND, contact.lastHeartbeatMicros());
+    }
+
+    @Test
+    void aCallLiftsTheFenceSinceItShowsTheToken() {
+        contact.fence();
+        contact.callBegan(2 * SECOND);
+        assertFalse(contact.fenced());
+        assertTrue(contact.callInFlight());
+        assertEquals(2 * SECOND, contact.lastCallMicros());
+        contact.callEnded();
+        assertFalse(contact.callInFlight());
+    }
+
+    @Test
+    void aCallThatAHeartbeatOvertookHasNotFailed() {
+        contact.callBegan(2 * SECOND);
+        contact.heartbeatReceived(3 * SECOND);
+        contact.callEnded();
+        contact.callAnswered(false);
+        assertFalse(contact.probeFailed());
+    }
+
+    @Test
+    void anAnswerIsNoHeartbeat() {
+        contact.heartbeatReceived(SECOND);
+        contact.callBegan(2 * SECOND);
+        contact.callEnded();
+        contact.callAnswered(true);
+        assertFalse(contact.probeFailed());
+        assertEquals(SECOND, contact.lastHeartbeatMicros());
+    }
+
+    @Test
+    void onlyAMessageUnderThePresentTokenShortensTheLease() {
+        contact.leaseRunsUntil(30 * SECOND, true);
+        contact.leaseRunsUntil(20 * SECOND, false);
+        assertEquals(30 * SECOND, contact.leaseExpiryMicros());
+        contact.leaseRunsUntil(40 * SECOND, false);
+        assertEquals(40 * SECOND, contact.leaseExpiryMicros());
+        contact.leaseRunsUntil(20 * SECOND, true);
+        assertEquals(20 * SECOND, contact.leaseExpiryMicros());
+    }
+
+    @Test
+    void leaseExpiryMovesTheAgentEpochOnAndForgetsDirectStarts() {
+        contact.messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        contact.leaseRunsUntil(30 * SECOND, true);
+        contact.startedDirectly(9, 7);
+        contact.leaseExpired();
+        assertEquals(5, contact.agentEpoch());
+        assertTrue(contact.sequence() < 0, "any message of the later epoch is newer");
+        assertEquals(0, contact.leaseExpiryMicros());
+        assertFalse(contact.mayBeStartedAgain(9, 7));
+    }
+
+    @Test
+    void leaseExpiryOfAWorkerNeverHeardLeavesEpochZeroBehind() {
+        contact.leaseExpired();
+        assertEquals(1, contact.agentEpoch());
+    }
+
+    @Test
+    void aLateCopyOfADirectStartIsCarriedOutUnderItsTokenOrAnOlderOne() {
+        contact.startedDirectly(9, 7);
+        assertTrue(contact.mayBeStartedAgain(9, 6));
+        assertTrue(contact.mayBeStartedAgain(9, 7));
+        assertFalse(contact.mayBeStartedAgain(9, 8));
+        assertFalse(contact.mayBeStartedAgain(10, 7));
+        contact.forgetDirectStart(9);
+        assertFalse(contact.mayBeStartedAgain(9, 7));
+    }
+
+    @Test
+    void itIsUnresponsiveAfterTwoHeartbeatsAndAMargin() {
+        contact.heartbeatReceived(10 * SECOND);
+        assertFalse(contact.unresponsive(21 * SECOND, 5 * SECOND));
+        assertTrue(contact.unresponsive(21 * SECOND + 1, 5 * SECOND));
+    }
+
+    @Test
+    void aPauseOfThisProcessIsNoSilenceButNeverLiesAhead() {
+        contact.heartbeatReceived(10 * SECOND);
+        contact.excusePause(4 * SECOND, 20 * SECOND);
+        assertEquals(14 * SECOND, contact.lastHeartbeatMicros());
+        contact.excusePause(60 * SECOND, 20 * SECOND);
+        assertEquals(20 * SECOND, contact.lastHeartbeatMicros());
+    }
+}
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -250,18 +250,16 @@
                 Role.LEADING,
                 "n0",
                 "confirmed",
-                RecoveryPhase.RESUMING_LIVE,
-                41,
-                431,
                 250_000,
-                3,
-                OrderedPSet.singleton("i-1"),
-                0,
                 0,
-                tasks,
-                9,
-                "2 tasks in doubt",
-                1_500_000);
+                new RecoveryStatus.Term(
+                        RecoveryPhase.RESUMING_LIVE,
+                        41,
+                        431,
+                        new RecoveryStatus.Machines(3, OrderedPSet.singleton("i-1"), 0),
+                        tasks,
+                        9,
+                        new RecoveryStatus.Hold("2 tasks in doubt", 1_500_000)));
         assertEquals(
                 "{\"node\":\"n0\",\"role\":\"leading\",\"leader\":\"n0\",\"reason\":\"confirmed\","
                         + "\"records_age_s\":0.25,\"unreadable_records\":0,\"phase\":\"resuming_live\","
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -54,12 +54,14 @@
         s.run(RecoveryLoad.RESTART + 30 * SECOND);
         RecoveryStatus status = s.recovery();
         assertEquals(RecoveryPhase.RECOVERED, status.phase());
-        assertTrue(status.machinesTakenOver() >= 4_000, status.machinesTakenOver() + " machines");
+        assertTrue(
+                status.term().machines().takenOver() >= 4_000,
+                status.term().machines().takenOver() + " machines");
         assertTrue(running[0] >= 10_000, running[0] + " tasks");
         // Some eight reports of each machine in that time, each listing what runs there.
         assertTrue(
-                status.comparisons() < 12L * running[0],
-                status.comparisons() + " comparisons of " + running[0] + " tasks");
+                status.term().comparisons() < 12L * running[0],
+                status.term().comparisons() + " comparisons of " + running[0] + " tasks");
         assertTrue(s.store.refusals - refusals[0] < 150, (s.store.refusals - refusals[0]) + " requests came too fast");
         assertTrue(s.mostCalls <= s.shape.connections() / 6, s.mostCalls + " calls to machines at once");
         assertEquals(0, s.store.oversized, "a transaction or a value over its limit");
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -84,7 +84,7 @@
         s.run(RecoveryLoad.RESTART);
         s.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
             RecoveryStatus status = s.world.now() % 20 == 0 && lastVerdict[0] < 0 ? s.recovery() : null;
-            if (status != null && status.fencingToken() > 1 && status.machinesMissing() == 0) {
+            if (status != null && status.term().fencingToken() > 1 && status.machinesMissing() == 0) {
                 lastVerdict[0] = s.world.now();
             }
         });
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -79,7 +79,7 @@
         });
         s.run(RESTART + 60 * SECOND);
         RecoveryStatus status = s.recovery();
-        assertEquals(1, status.unreadableInventoryParts());
+        assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
         assertTrue(s.store.holds(key, "{\"hosts\":[7]}"), "it was written over");
         s.run(300 * SECOND);
