--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -168,7 +168,7 @@
     private void confirmed(Machine machine, TaskStatus status, boolean current, long now) {
         Placement placement = machine.placement(status.task());
         if (!placement.seen()) {
-            plan.found(Verdict.CONFIRMED, 1);
+            plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
         placement.listed(current);
         update(machine, placement, status, now);
@@ -177,7 +177,7 @@
     private void adopted(Machine machine, TaskStatus status, boolean current, long now) {
         ActiveJob job = activeJobs.get(status.task().job());
         Placement placement = tasks.adopt(job, machine, status, current, now);
-        plan.found(Verdict.ADOPTED, 1);
+        plan.countVerdicts(Verdict.ADOPTED, 1);
         update(machine, placement, status, now);
     }
 
@@ -187,7 +187,7 @@
         commands.due(machine);
         loop.wantCycle();
         if (!repeated.contains(stop)) {
-            plan.found(verdict, 1);
+            plan.countVerdicts(verdict, 1);
             LOG.info("stopping {} attempt {} on {}: {}", status.task(), status.attempt(), machine.id(), verdict);
         }
     }
@@ -214,7 +214,7 @@
             if (!placement.seen() && placement.wentOutInAnswer() && placement.agentEpoch() == heartbeat.agentEpoch()) {
                 inventory.requestToken(machine, "an answer to it was lost");
             }
-            plan.found(Verdict.LOST, 1);
+            plan.countVerdicts(Verdict.LOST, 1);
             tasks.free(
                     placement,
                     "not in report " + heartbeat.agentEpoch() + "." + heartbeat.sequence() + " under fencing token "
@@ -305,7 +305,7 @@
     /** An attempt that we did not start has completed the task: any other attempt is of no use. */
     private void finishedMeanwhile(TaskId task) {
         ActiveJob job = activeJobs.get(task.job());
-        plan.found(Verdict.FINISHED_MEANWHILE, 1);
+        plan.countVerdicts(Verdict.FINISHED_MEANWHILE, 1);
         Placement other = job.placement(task.index());
         markDone(job, task.index());
         jobs.recordTaskDone(job);
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -32,7 +32,7 @@
 
     /** The verdict on an attempt that the machine's heartbeat lists. */
     Verdict ofReported(Machine machine, TaskStatus status) {
-        plan.compared(1);
+        plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
         return VerdictTable.ofReported(
                 recorded(job, status.task()), placement(job, machine, status), reported(job, status));
@@ -40,7 +40,7 @@
 
     /** The verdict on a placement that the machine's heartbeat does not list. */
     Verdict ofMissing(Placement placement, Heartbeat heartbeat, boolean current, boolean isHeartbeat) {
-        plan.compared(1);
+        plan.countComparisons(1);
         return VerdictTable.ofMissing(new StartEvidence(
                 placement.agentEpoch() < heartbeat.agentEpoch(),
                 current,
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -260,7 +260,8 @@
         }
         long lastMoment = config.workers().gangWaitMicros()
                 - HEARTBEATS_OF_A_WAIT * config.workers().heartbeatIntervalMicros();
-        if (job.waitingTasks() > 0 && attempt.isHopeless(now, config.tuning().gangHoldMicros(), lastMoment)) {
+        if (job.waitingTasks() > 0
+                && attempt.shouldBeAbandoned(now, config.tuning().gangHoldMicros(), lastMoment)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -39,7 +39,7 @@
         this.loop = loop;
     }
 
-    /** Whether the job was claimed for a successor of ours that we have not heard of yet. */
+    /** Whether the job was claimed for a successor of ours that this controller does not know of yet. */
     boolean isOfSuccessor(JobRecord record) {
         return record.term() > term.fencingToken();
     }
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -9,9 +9,10 @@
  * finished corrects them, by class and, once some of its tasks are done, by job.
  */
 public final class RuntimeEstimator {
-    /** How many finished tasks it takes to outweigh the owners' word. */
+    /** How many finished tasks of a class weigh as much as its owners' estimates. */
     private static final double CLASS_PRIOR = 10;
 
+    /** The same for the finished tasks of one job. */
     private static final double JOB_PRIOR = 2;
     /** Older experience fades. */
     private static final double MEMORY_TASKS = 200;
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -37,17 +37,17 @@
         plan.recordsRead(revision, timers.nowMicros());
     }
 
-    /** Whether every machine taken over is heard under the present token or proved gone. */
+    /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
     public boolean noMachineAwaited() {
         return plan.noMachineAwaited();
     }
 
     /** Whether a task of this job may be on a machine that is still awaited. */
     boolean mayRunOnAwaitedMachine(ActiveJob job) {
-        return plan.ofUnreported(job.spec()) == Verdict.UNCONFIRMED;
+        return plan.verdictOnUnreported(job.spec()) == Verdict.UNCONFIRMED;
     }
 
-    /** The machine is heard under its present token, or gone: what a former leader left there is known. */
+    /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
     public void resolved(Machine machine, String proof) {
         if (!machine.awaitingFirstHeartbeat()) {
             return;
@@ -62,7 +62,7 @@
     /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
         if (job.unconfirmedTasks() > 0 && !mayRunOnAwaitedMachine(job)) {
-            plan.found(Verdict.LOST, job.unconfirmedTasks());
+            plan.countVerdicts(Verdict.LOST, job.unconfirmedTasks());
             job.resolveUnconfirmed();
         }
     }
@@ -74,7 +74,7 @@
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
     public void cycleBegins(long nowMicros) {
-        plan.checkBound(nowMicros);
+        plan.endHoldIfDue(nowMicros);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -281,7 +281,7 @@
         return unconfirmed.size();
     }
 
-    /** Every machine that could have held a task of ours was heard or is proved gone. */
+    /** Every machine that could have held a task of ours has sent a heartbeat or is proved gone. */
     public void resolveUnconfirmed() {
         freedTasks.addAll(unconfirmed);
         unconfirmed.clear();
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -126,13 +126,13 @@
      * Whether the tasks that are there had better be stopped than left to wait: tasks have been missing for long, or
      * could not start before those that wait give up.
      *
-     * @param patienceMicros how long a task may be missing
-     * @param lastMomentMicros how long a task may have waited when a start is still worth sending
+     * @param longestIncompleteMicros for how long a task may be missing
+     * @param longestWaitMicros for how long a task may have waited when a start is still worth sending
      */
-    public boolean isHopeless(long nowMicros, long patienceMicros, long lastMomentMicros) {
+    public boolean shouldBeAbandoned(long nowMicros, long longestIncompleteMicros, long longestWaitMicros) {
         return mayBeCompleted()
                 && incompleteSinceMicros >= 0
-                && (nowMicros - incompleteSinceMicros > patienceMicros
-                        || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > lastMomentMicros));
+                && (nowMicros - incompleteSinceMicros > longestIncompleteMicros
+                        || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > longestWaitMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A machine of the leader's inventory: its life cycle, what its worker was last heard to say, under which fencing token
- * it is commanded, and the tasks placed on it. State changes through the named methods alone.
+ * A machine of the leader's inventory: its life cycle, what is known of its worker, under which fencing token it is
+ * commanded, and the tasks placed on it. State changes through the named methods alone.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -25,8 +25,8 @@
     public static final long MINIMUM_CHARGE_MICROS = 60_000_000;
 
     /**
-     * {@code UNCONFIRMED}: not heard under its present fencing token, so its tasks are not known for certain. {@code
-     * DRAINING}: takes no new tasks. {@code TERMINATING}: the cloud was asked to take it; it may vanish at any moment.
+     * {@code UNCONFIRMED}: no heartbeat under its present fencing token yet, so its tasks are not known for certain.
+     * {@code DRAINING}: takes no new tasks. {@code TERMINATING}: the cloud was asked to take it and may do so now.
      */
     public enum Phase {
         UNCONFIRMED,
@@ -67,7 +67,7 @@
     private final List<WorkerCommand> cleanupCommands = new ArrayList<>();
     private int unconfirmedTasks;
 
-    /** A machine of which nothing was heard yet. */
+    /** A machine from which no heartbeat has come yet. */
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
         this.id = id;
         this.contact = new WorkerContact(address);
@@ -141,12 +141,12 @@
     }
 
     /**
-     * Its worker is heard under the present fencing token, so its tasks are known. Changes nothing on a machine that
-     * drains or is being taken: it gets no tasks again.
+     * A heartbeat under the present fencing token has come, so its tasks are known. Changes nothing on a machine that
+     * drains or is being terminated: it gets no tasks again.
      */
     public void tasksConfirmed() {
         if (phase == Phase.UNCONFIRMED) {
-            transition(Phase.READY, "heard under fencing token " + fencingToken());
+            transition(Phase.READY, "heartbeat under fencing token " + fencingToken());
         }
     }
 
@@ -187,7 +187,7 @@
 
     // ---- taking over and joining -------------------------------------------------------------------------------
 
-    /** It was on record when the term began: its tasks are unknown until it is heard. */
+    /** It was on record when the term began: its tasks are unknown until its first heartbeat. */
     void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
         awaitingFirstHeartbeat = true;
         contact.takenOverFromFormerLeader(nowMicros, formerLeaseExpiryMicros);
@@ -235,7 +235,7 @@
     /**
      * The worker has reported by itself.
      *
-     * @param wasUnresponsive whether it had been silent for long: it could neither show anything nor be given work
+     * @param wasUnresponsive whether heartbeats were overdue for long: it could show nothing and get no work
      */
     public void heartbeatReceived(boolean wasUnresponsive, long nowMicros) {
         if (wasUnresponsive) {
@@ -245,12 +245,12 @@
         contact.heartbeatReceived(nowMicros);
     }
 
-    /** Since when it has not been heard under its present fencing token. */
+    /** Since when a heartbeat under its present fencing token is awaited. */
     public long unconfirmedSinceMicros() {
         return unconfirmedSinceMicros;
     }
 
-    /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
+    /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
     public void leaseExpired() {
         contact.leaseExpired();
         cleanupCommands.clear();
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -199,7 +199,7 @@
         }
     }
 
-    /** It runs; the first word of that tells since when, at the latest. */
+    /** It is reported to run; the first such report tells since when, at the latest. */
     public void running(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -84,7 +84,7 @@
         lastHeartbeatMicros = Math.min(nowMicros, lastHeartbeatMicros + pauseMicros);
     }
 
-    /** Whether a heartbeat is overdue by so much that an order would hardly arrive. */
+    /** Whether a heartbeat is overdue by so much that a command would hardly arrive. */
     public boolean unresponsive(long nowMicros, long heartbeatIntervalMicros) {
         return nowMicros - lastHeartbeatMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
@@ -104,7 +104,7 @@
         leaseExpiryMicros = underPresentToken ? expiryMicros : Math.max(leaseExpiryMicros, expiryMicros);
     }
 
-    /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
+    /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
     public void leaseExpired() {
         leaseExpiryMicros = NO_LEASE;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -6,8 +6,8 @@
 import org.pcollections.PSet;
 
 /**
- * The machines taken over that have neither been heard under the present fencing token nor proved gone. They are
- * counted by profile: whether a task may be on one of them costs as many steps as there are profiles, not machines.
+ * The machines taken over that have neither sent a heartbeat under the present fencing token nor are proved gone. They
+ * are counted by profile: whether a task may be on one of them costs as many steps as there are profiles, not machines.
  */
 final class AwaitedMachines {
     private final Object2IntLinkedOpenHashMap<MachineProfile> byProfile = new Object2IntLinkedOpenHashMap<>();
@@ -26,7 +26,7 @@
         unreadableParts += parts;
     }
 
-    /** One machine of this profile is heard or gone; true when it was the last one of its profile. */
+    /** One machine of this profile has sent a heartbeat or is gone; true when it was the last one of its profile. */
     boolean remove(String machine, MachineProfile profile) {
         int stillAwaited = byProfile.addTo(profile, -1) - 1;
         names = names.minus(machine);
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -10,7 +10,7 @@
     RESUMING_LIVE,
     /** All work may start, each task on its own proof; some machines are still awaited. */
     RESUMING_BATCH,
-    /** Every machine taken over is heard or proved gone. */
+    /** Every machine taken over has sent a heartbeat or is proved gone. */
     RECOVERED;
 
     /** Whether batch work, which comes after live work, may start. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -48,7 +48,7 @@
         awaited.addUnreadableParts(parts);
     }
 
-    /** The records are read, as of this revision: from now on machines are heard. */
+    /** The records are read, as of this revision: from now on heartbeats are taken. */
     public void recordsRead(long revisionRead, long nowMicros) {
         revision = revisionRead;
         holdEndsMicros = nowMicros + batchHoldMicros;
@@ -56,11 +56,11 @@
             enter(RecoveryPhase.RECOVERED, "no machine to take over");
         } else {
             enter(RecoveryPhase.RECONCILING, machinesTakenOver + " machines taken over at revision " + revision);
-            checkBound(nowMicros);
+            endHoldIfDue(nowMicros);
         }
     }
 
-    /** A machine taken over is heard, or proved gone; true when doubts of some jobs may have ended with that. */
+    /** A machine taken over has sent a heartbeat or is proved gone; true when that may tell of unconfirmed tasks. */
     public boolean resolved(String machine, MachineProfile profile, String proof) {
         boolean lastOfItsProfile = awaited.remove(machine, profile);
         tracer.machineResolved(machine, proof);
@@ -71,17 +71,17 @@
     }
 
     /** The verdict on a claimed task that no heartbeat has listed so far. */
-    public Verdict ofUnreported(JobSpec spec) {
+    public Verdict verdictOnUnreported(JobSpec spec) {
         return VerdictTable.ofUnreported(awaited.mayHold(spec));
     }
 
     /** Counts a verdict on one task. */
-    public void found(Verdict verdict, int tasks) {
+    public void countVerdicts(Verdict verdict, int tasks) {
         verdicts.merge(verdict, tasks, Integer::sum);
     }
 
     /** Counts the comparisons of an attempt with the records. */
-    public void compared(int attempts) {
+    public void countComparisons(int attempts) {
         comparisons += attempts;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
-    public void checkBound(long nowMicros) {
+    public void endHoldIfDue(long nowMicros) {
         if (holdsBatchWork() && nowMicros >= holdEndsMicros) {
             resumeBatch(batchHoldMicros == 0 ? "no hold is set" : "the longest hold is over, with " + waitingFor());
         }
@@ -146,7 +146,7 @@
                 + liveWorkBacklog.tasksAwaitingPreemption() + " getting room";
     }
 
-    /** Whether every machine taken over is heard or proved gone. */
+    /** Whether every machine taken over has sent a heartbeat or is proved gone. */
     public boolean noMachineAwaited() {
         return awaited.isEmpty();
     }
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -9,7 +9,7 @@
  *
  * @param leader the leader that this controller knows of, or null
  * @param reason why the role is what it is
- * @param recordsAgeMicros how old the word is by which this controller knows the records; negative: never
+ * @param recordsAgeMicros how long ago the store last told this controller of the records; negative: never
  * @param unreadableRecords how many records can't be read
  * @param term the recovery of the controller's own term; null when it does not lead
  */
@@ -26,11 +26,11 @@
     public enum Role {
         /** It leads, confirmed lately by the store: what it tells holds. */
         LEADING,
-        /** It led when it last had word from the store: another may lead by now. */
+        /** It led when the store last answered: another may lead by now. */
         LEADING_UNCONFIRMED,
         /** Another controller leads, or none does. */
         FOLLOWING,
-        /** It has no word from the store that is recent enough to say who leads. */
+        /** It has no answer of the store that is recent enough to say who leads. */
         UNKNOWN
     }
 
@@ -54,7 +54,7 @@
     /**
      * The machines that the term began with.
      *
-     * @param awaited those that are neither heard nor proved gone, by name
+     * @param awaited those that have neither sent a heartbeat nor are proved gone, by name
      * @param unreadableInventoryParts parts of the inventory that can't be read: any machine may be among them
      */
     public record Machines(int takenOver, PSet<String> awaited, int unreadableInventoryParts) {
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -52,7 +52,7 @@
         return answerWasTaken ? Verdict.LOST : Verdict.UNCONFIRMED;
     }
 
-    /** The verdict on a task that is claimed on record and that no machine heard so far has reported. */
+    /** The verdict on a task that is claimed on record and that no heartbeat so far has listed. */
     public static Verdict ofUnreported(boolean mayRunOnAwaitedMachine) {
         return mayRunOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
     }
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -85,17 +85,17 @@
         attempt.waiting(SECOND);
         attempt.taskGone(2 * SECOND);
         assertTrue(attempt.mayBeCompleted());
-        assertFalse(attempt.isHopeless(3 * SECOND, PATIENCE, LAST_MOMENT));
-        assertTrue(attempt.isHopeless(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
+        assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
+        assertTrue(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
         attempt.complete();
-        assertFalse(attempt.isHopeless(13 * SECOND, PATIENCE, LAST_MOMENT));
+        assertFalse(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT));
     }
 
     @Test
     void aReplacementThatComesTooLateIsHopeless() {
         attempt.waiting(SECOND);
         attempt.taskGone(20 * SECOND);
-        assertTrue(attempt.isHopeless(22 * SECOND, PATIENCE, LAST_MOMENT));
+        assertTrue(attempt.shouldBeAbandoned(22 * SECOND, PATIENCE, LAST_MOMENT));
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -0,0 +1,72 @@
+package org.granitepath.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.granitepath.storage.JobSpec;
+import org.junit.jupiter.api.Test;
+
+/** What is used and free of a machine with 4 CPUs, a GPU and 8 GB, by tasks of 1 CPU and 2 GB. */
+class MachineCapacityTest {
+    private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
+    private static final JobSpec SERVICE = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
+
+    private final MachineCapacity capacity = new MachineCapacity();
+
+    @Test
+    void nothingFitsWhileTheTypeIsNotKnown() {
+        assertFalse(capacity.fits(BATCH));
+        assertEquals(0, capacity.cpuFree());
+        assertEquals(0, capacity.cpuUsedShare());
+        assertEquals(0, capacity.slots(BATCH, 1_000_000, 0, 1_000_000));
+    }
+
+    @Test
+    void whatIsTakenIsNotFree() {
+        capacity.typeKnown(Fixtures.TYPE);
+        assertEquals(4, capacity.slots(BATCH, 0, 0, 0));
+        capacity.take(BATCH);
+        assertEquals(3, capacity.slots(BATCH, 0, 0, 0));
+        assertEquals(0.25, capacity.cpuUsedShare());
+        assertTrue(capacity.hasFree(3_000, 6_000));
+        assertFalse(capacity.hasFree(3_001, 6_000));
+        assertFalse(capacity.hasFree(3_000, 6_001));
+        capacity.release(BATCH);
+        assertEquals(4_000, capacity.cpuFree());
+    }
+
+    @Test
+    void theScarcestResourceDecides() {
+        capacity.typeKnown(Fixtures.TYPE);
+        assertEquals(4, capacity.slots(BATCH, 10_000, 0, 0), "memory for four");
+        assertEquals(4, capacity.slots(BATCH, 0, 0, 10_000), "CPUs for four");
+        assertEquals(6, capacity.slots(BATCH, 2_000, 0, 4_000));
+        assertEquals(0, capacity.slots(BATCH, -4_000, 0, 0));
+    }
+
+    @Test
+    void servicesAreCountedApart() {
+        capacity.take(BATCH);
+        assertFalse(capacity.hostsService());
+        capacity.take(SERVICE);
+        assertTrue(capacity.hostsService());
+        assertEquals(1_000, capacity.cpuUsedByServices());
+        capacity.release(SERVICE);
+        assertFalse(capacity.hostsService());
+        assertEquals(0, capacity.cpuUsedByServices());
+    }
+
+    @Test
+    void theSixteenImagesSeenLastAreRemembered() {
+        for (int i = 0; i < 16; i++) {
+            capacity.imageSeen("image-" + i);
+        }
+        capacity.imageSeen("image-0");
+        capacity.imageSeen("image-16");
+        assertTrue(capacity.hasImage("image-0"), "seen again lately");
+        assertFalse(capacity.hasImage("image-1"));
+        assertTrue(capacity.hasImage("image-2"));
+        assertTrue(capacity.hasImage("image-16"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -0,0 +1,50 @@
+package org.granitepath.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.storage.JobSpec;
+import org.junit.jupiter.api.Test;
+
+/** What a team may use and what it borrows, by tasks of 1 CPU. */
+class TeamLimitsTest {
+    private static final JobSpec SPEC = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
+
+    private static TeamLimits limits(long cpuGuarantee, long cpuLimit) {
+        return new TeamLimits(Map.of(SPEC.team(), new Team(SPEC.team(), cpuGuarantee, cpuLimit, 0, 0)));
+    }
+
+    @Test
+    void aTeamThatIsNotListedHasNoLimit() {
+        TeamLimits limits = new TeamLimits(Map.of());
+        assertFalse(limits.limits(SPEC));
+        assertTrue(limits.allows(SPEC, 1_000_000));
+        limits.placed(SPEC);
+        assertEquals(1_000, limits.borrowedCpu(SPEC.team()));
+    }
+
+    @Test
+    void tasksAreAllowedUpToTheLimit() {
+        TeamLimits limits = limits(0, 3_000);
+        assertTrue(limits.limits(SPEC));
+        assertTrue(limits.allows(SPEC, 3));
+        assertFalse(limits.allows(SPEC, 4));
+        limits.placed(SPEC);
+        assertFalse(limits.allows(SPEC, 3));
+        limits.freed(SPEC);
+        assertTrue(limits.allows(SPEC, 3));
+    }
+
+    @Test
+    void whatIsWithinTheGuaranteeIsNotBorrowed() {
+        TeamLimits limits = limits(1_500, 0);
+        assertFalse(limits.limits(SPEC));
+        assertEquals(-1_500, limits.borrowedCpu(SPEC.team()));
+        limits.placed(SPEC);
+        limits.placed(SPEC);
+        assertEquals(500, limits.borrowedCpu(SPEC.team()));
+    }
+}
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -90,10 +90,10 @@
                 List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1))) {
             RecoveryPlan plan = plan(HOLD);
             plan.recordsRead(42, 100);
-            plan.checkBound(100 + HOLD - 1);
+            plan.endHoldIfDue(100 + HOLD - 1);
             plan.cycleEnded(left);
             assertFalse(plan.mayStart(BATCH), left.toString());
-            plan.checkBound(100 + HOLD);
+            plan.endHoldIfDue(100 + HOLD);
             assertTrue(plan.mayStart(BATCH), left.toString());
         }
     }
@@ -120,12 +120,13 @@
         RecoveryPlan plan = plan(HOLD);
         plan.recordsRead(42, 0);
         JobSpec inTheSouth = job(JobSpec.Shape.BATCH, Priority.STANDARD, "south", true);
-        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(SERVICE));
         assertTrue(plan.resolved("a", NORTH, "heard"));
-        assertEquals(Verdict.LOST, plan.ofUnreported(SERVICE));
-        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(BATCH));
-        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(inTheSouth));
-        assertEquals(Verdict.LOST, plan.ofUnreported(job(JobSpec.Shape.BATCH, Priority.STANDARD, "north", true)));
+        assertEquals(Verdict.LOST, plan.verdictOnUnreported(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(BATCH));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(inTheSouth));
+        assertEquals(
+                Verdict.LOST, plan.verdictOnUnreported(job(JobSpec.Shape.BATCH, Priority.STANDARD, "north", true)));
     }
 
     /** Any machine may be in a part of the inventory that can't be read. */
@@ -137,8 +138,8 @@
         plan.resolved("a", NORTH, "heard");
         plan.resolved("b", SOUTH_SPOT, "heard");
         assertFalse(plan.noMachineAwaited());
-        assertEquals(Verdict.UNCONFIRMED, plan.ofUnreported(SERVICE));
-        plan.checkBound(HOLD);
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(SERVICE));
+        plan.endHoldIfDue(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
 
@@ -156,7 +157,7 @@
             long now = 0;
             for (int step = 0; step < 40; step++) {
                 now += random.nextInt((int) SECOND / 2);
-                plan.checkBound(now);
+                plan.endHoldIfDue(now);
                 LiveWorkBacklog left =
                         new LiveWorkBacklog(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
                 plan.cycleEnded(left);
