--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -101,7 +101,8 @@
         }
         return !suspect.faulty
                 && !suspect.failedJobs.contains(job)
-                && machine.placements().stream().noneMatch(p -> p.placedMicros() > suspect.failedMicros);
+                && machine.placements().stream()
+                        .noneMatch(placement -> placement.placedMicros() > suspect.failedMicros);
     }
 
     /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -87,7 +87,7 @@
         start(job, index, machine, job.gangAttempt().number(), nowMicros);
         job.gangAttempt().placed(index, machine.id());
         if (job.waitingTasks() == 0) {
-            job.gangAttempt().complete();
+            job.gangAttempt().allTasksPlaced();
         }
     }
 
@@ -216,12 +216,15 @@
         long nowMicros = timers.nowMicros();
         for (Placement placement : List.copyOf(machine.placements())) {
             JobSpec spec = placement.job().spec();
-            long leftMicros = spec.estimateMicros() - placement.ranMicros(nowMicros);
             boolean saves = spec.checkpointMicros() > 0;
-            boolean finishes = placement.hasRun() && leftMicros < noticeMicros / 2;
-            if (spec.service() || saves || !finishes) {
+            if (spec.service() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
                 stop(placement, saves ? spec.saveMicros() : 0, "machine is taken back");
             }
         }
     }
+
+    private static boolean finishesWithin(long micros, Placement placement, long nowMicros) {
+        long leftMicros = placement.job().spec().estimateMicros() - placement.ranMicros(nowMicros);
+        return placement.hasRun() && leftMicros < micros;
+    }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -80,14 +80,14 @@
     /**
      * A scheduling cycle has ended.
      *
-     * @param awaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
+     * @param tasksAwaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
      *     for them
      */
-    public void cycleEnded(int awaitingPreemption) {
+    public void cycleEnded(int tasksAwaitingPreemption) {
         if (!plan.holdsBatchWork()) {
             return;
         }
-        plan.cycleEnded(liveWorkBacklog(awaitingPreemption));
+        plan.cycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
         if (!plan.holdsBatchWork()) {
             loop.requestCycle();
         }
@@ -107,7 +107,7 @@
         return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
 
-    private LiveWorkBacklog liveWorkBacklog(int awaitingPreemption) {
+    private LiveWorkBacklog liveWorkBacklog(int tasksAwaitingPreemption) {
         int unconfirmedTasks = 0;
         int jobsAwaitingClaim = 0;
         int unacknowledgedTasks = 0;
@@ -121,6 +121,6 @@
                 unacknowledgedTasks += placement.seen() ? 0 : 1;
             }
         }
-        return new LiveWorkBacklog(unconfirmedTasks, jobsAwaitingClaim, unacknowledgedTasks, awaitingPreemption);
+        return new LiveWorkBacklog(unconfirmedTasks, jobsAwaitingClaim, unacknowledgedTasks, tasksAwaitingPreemption);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -71,8 +71,8 @@
         return machinesTried.getOrDefault(task, Set.of()).contains(machine);
     }
 
-    /** All tasks are placed. */
-    public void complete() {
+    /** All tasks are placed, so none is missing any more. */
+    public void allTasksPlaced() {
         incompleteSinceMicros = NEVER;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -232,14 +232,14 @@
     // ---- stopping ----------------------------------------------------------------------------------------------
 
     /** The machine is to be told to end it. */
-    public void stop(long grace, String why) {
-        graceMicros = grace;
+    public void stop(long longestGraceMicros, String why) {
+        graceMicros = longestGraceMicros;
         transition(Phase.STOPPING, why);
     }
 
     /** Told to save before, and cancelled meanwhile: it need not, and must not go on. */
-    public void shortenGrace(long grace) {
-        graceMicros = grace;
+    public void shortenGrace(long longestGraceMicros) {
+        graceMicros = longestGraceMicros;
     }
 
     /** How long it may take to save itself when it is stopped. */
--- a/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
+++ b/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
@@ -22,6 +22,14 @@
         return spec.service() || spec.priority() == Priority.CRITICAL;
     }
 
+    /** What is left, in words that operators read in the log and in {@code GET /recovery}. */
+    String summary() {
+        return unconfirmedTasks + " tasks in doubt, "
+                + jobsAwaitingClaim + " to be claimed, "
+                + unacknowledgedTasks + " sent and not seen yet, "
+                + tasksAwaitingPreemption + " getting room";
+    }
+
     /** Whether nothing is left that could be placed at once. What waits for a machine to boot is not counted. */
     boolean isPlaced() {
         return jobsAwaitingClaim == 0 && unacknowledgedTasks == 0 && tasksAwaitingPreemption == 0;
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -137,13 +137,7 @@
 
     /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
     public String waitingFor() {
-        if (!holdsBatchWork()) {
-            return "nothing";
-        }
-        return liveWorkBacklog.unconfirmedTasks() + " tasks in doubt, " + liveWorkBacklog.jobsAwaitingClaim()
-                + " to be claimed, "
-                + liveWorkBacklog.unacknowledgedTasks() + " sent and not seen yet, "
-                + liveWorkBacklog.tasksAwaitingPreemption() + " getting room";
+        return holdsBatchWork() ? liveWorkBacklog.summary() : "nothing";
     }
 
     /** Whether every machine taken over has sent a heartbeat or is proved gone. */
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -0,0 +1,45 @@
+package org.granitepath.coordination.model;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** What the scheduler has noted of a job. */
+class SchedulingStateTest {
+    private final SchedulingState scheduling = new SchedulingState();
+
+    @Test
+    void nothingIsNotedAtFirst() {
+        assertEquals(SchedulingClass.ANY, scheduling.schedulingClass());
+        assertEquals(0, scheduling.notBeforeMicros());
+        assertFalse(scheduling.isWaiting());
+        assertFalse(scheduling.holdsReservation());
+        assertTrue(scheduling.lastStartMicros() < 0);
+        assertTrue(scheduling.lastRunningMicros() < 0);
+    }
+
+    @Test
+    void aJobWaitsSinceItWasFirstSeenTo() {
+        scheduling.tasksWaiting(SECOND);
+        scheduling.tasksWaiting(2 * SECOND);
+        assertEquals(SECOND, scheduling.waitingSinceMicros());
+        scheduling.noTaskWaiting();
+        assertFalse(scheduling.isWaiting());
+        scheduling.tasksWaiting(3 * SECOND);
+        assertEquals(3 * SECOND, scheduling.waitingSinceMicros());
+    }
+
+    @Test
+    void aReservationEndsAndIsBarredForAWhile() {
+        scheduling.reservationBegins(SECOND);
+        assertTrue(scheduling.holdsReservation());
+        assertEquals(SECOND, scheduling.reservedSinceMicros());
+        scheduling.reservationEnds();
+        scheduling.reserveNothingUntil(9 * SECOND);
+        assertFalse(scheduling.holdsReservation());
+        assertEquals(9 * SECOND, scheduling.noReservationUntilMicros());
+    }
+}
