--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -64,7 +64,7 @@
     /** Plans what this gang lacks in the zone (null: in any); false when so much is not to be had there. */
     private boolean planWhole(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
-        int left = job.waiting() - freeSlots(spec, zone);
+        int left = job.waitingTasks() - freeSlots(spec, zone);
         List<PlannedMachine> used = new ArrayList<>();
         for (PlannedMachine machine : planned.machines()) {
             while (left > 0 && machine.isIn(zone) && machine.take(spec)) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -84,7 +84,7 @@
                 offer.spot() ? " (spot)" : "",
                 job.spec().id(),
                 job.spec().jobClass(),
-                job.waiting(),
+                job.waitingTasks(),
                 drainSeconds);
         CloudPort.LaunchRequest request =
                 new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count);
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -61,7 +61,7 @@
             TerminationReason reason = reason(machine, heartbeatsTrusted, notNeeded, nowMicros);
             boolean terminating = machine.phase() == Machine.Phase.TERMINATING;
             if (reason != null && !terminating) {
-                machine.terminating(reason.text());
+                machine.terminationDecided(reason.text());
             }
             if (reason != null || terminating) {
                 ids.add(machine.id());
@@ -118,7 +118,7 @@
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
                 && machine.inventory().recorded()
-                && nowMicros - machine.unconfirmedMicros() > config.workers().leaseMicros();
+                && nowMicros - machine.unconfirmedSinceMicros() > config.workers().leaseMicros();
     }
 
     private boolean isIdle(Machine machine, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -84,7 +84,7 @@
     }
 
     private boolean launchesFor(ActiveJob job, long nowMicros) {
-        return job.waiting() > 0
+        return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
                 && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -83,7 +83,7 @@
                 .thenComparing(job -> job.acceptedMicros()));
         for (ActiveJob job : waiting) {
             if (job.isLive()) {
-                waitingByClass.addTo(EquivalenceClass.of(job.spec()), job.waiting());
+                waitingByClass.addTo(EquivalenceClass.of(job.spec()), job.waitingTasks());
             }
         }
         boolean liveDone = false;
@@ -123,9 +123,9 @@
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
         // From here on the class lacks what the jobs after this one want.
         int others = job.isLive()
-                ? waitingByClass.addTo(EquivalenceClass.of(job.spec()), -job.waiting()) - job.waiting()
+                ? waitingByClass.addTo(EquivalenceClass.of(job.spec()), -job.waitingTasks()) - job.waitingTasks()
                 : 0;
-        int left = Math.min(job.waiting(), MAX_PLANNED_TASKS);
+        int left = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
         planNew(job, usePending(job, left, tasksByZone), others, tasksByZone);
     }
 
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -38,13 +38,13 @@
         replaceLostTasks(job, machinesWithCapacity, nowMicros);
         long longestWaitMicros = config.workers().gangWaitMicros()
                 - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
-        if (job.waiting() > 0 && attempt.isHopeless(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
+        if (job.waitingTasks() > 0 && attempt.shouldBeAbandoned(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
     }
 
     private void replaceLostTasks(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
-        while (job.waiting() > 0) {
+        while (job.waitingTasks() > 0) {
             int index = job.firstFreed();
             Machine machine = replacementMachine(job, index, machinesWithCapacity, nowMicros);
             if (machine == null) {
--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -49,7 +49,7 @@
     void releaseEnded(long nowMicros) {
         for (Machine machine : fleet.machines()) {
             ActiveJob job = machine.reservedFor();
-            if (job != null && (job.waiting() <= 0 || job.gangAttempt() != null || hasEnded(job, nowMicros))) {
+            if (job != null && (job.waitingTasks() <= 0 || job.gangAttempt() != null || hasEnded(job, nowMicros))) {
                 machine.endReservation();
             }
         }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -44,19 +44,19 @@
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
     private final Object2IntOpenHashMap<String> zoneCounts = new Object2IntOpenHashMap<>();
     /** Claimed, not done, not placed, and proved to be on no machine. */
-    private final IntAVLTreeSet free = new IntAVLTreeSet();
+    private final IntAVLTreeSet freedTasks = new IntAVLTreeSet();
     /** Claimed by a predecessor; may be running on a machine still awaited. */
     private final IntOpenHashSet unconfirmed = new IntOpenHashSet();
 
     private Phase phase = Phase.OPEN;
     private int doneCount;
     private int claimed;
-    private int claimWanted;
+    private int requestedClaim;
     /** Tasks at or above this were never handed out. */
-    private int fresh;
+    private int firstNeverStarted;
 
-    private double ranMicros;
-    private int ranCount;
+    private double finishedMicros;
+    private int finishedTasks;
     private GangAttempt gangAttempt;
     private final SchedulingState scheduling = new SchedulingState();
 
@@ -68,11 +68,11 @@
         this.done = TreeRangeSet.create(progress.done());
         this.doneCount = ProgressRecord.count(done);
         this.claimed = Math.max(record.claimed(), progress.claimed());
-        this.claimWanted = claimed;
-        this.fresh = claimed;
-        for (int i = 0; i < claimed; i++) {
-            if (!done.contains(i)) {
-                unconfirmed.add(i);
+        this.requestedClaim = claimed;
+        this.firstNeverStarted = claimed;
+        for (int task = 0; task < claimed; task++) {
+            if (!done.contains(task)) {
+                unconfirmed.add(task);
             }
         }
     }
@@ -109,6 +109,7 @@
         return phase;
     }
 
+    /** Whether tasks of it may still start. */
     public boolean isOpen() {
         return phase == Phase.OPEN;
     }
@@ -129,26 +130,26 @@
         transition(Phase.ENDING, "all tasks done");
     }
 
-    /** Its final state is on record. */
-    public void over(String how) {
-        transition(Phase.OVER, how);
+    /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
+    public void finalStateRecorded(String outcome) {
+        transition(Phase.OVER, outcome);
     }
 
     // ---- counts ------------------------------------------------------------------------------------------------
 
-    /** Running in the paper's sense: handed out and not known to be over. */
+    /** Handed out and not known to be over: placed, or unconfirmed. */
     public int running() {
         return placements.size() + unconfirmed.size();
     }
 
     /** How many of its tasks are not done. */
-    public int left() {
+    public int unfinishedTasks() {
         return spec.tasks() - doneCount;
     }
 
     /** Tasks that could start now if there were capacity, claimed or not. */
-    public int waiting() {
-        return phase == Phase.OPEN ? left() - running() : 0;
+    public int waitingTasks() {
+        return phase == Phase.OPEN ? unfinishedTasks() - running() : 0;
     }
 
     /** The finished tasks, as ranges of their numbers. */
@@ -174,45 +175,45 @@
     }
 
     /** The claim that was asked for last, on record or not. */
-    public int claimWanted() {
-        return claimWanted;
+    public int requestedClaim() {
+        return requestedClaim;
     }
 
     /** A claim of this many tasks is to be recorded. */
     public void claimRequested(int tasks) {
-        claimWanted = tasks;
+        requestedClaim = tasks;
     }
 
     /** Tasks at or above this were never handed out. */
     public int firstNeverStarted() {
-        return fresh;
+        return firstNeverStarted;
     }
 
     /** Whether a task could be started without a further claim. */
     public boolean hasClaimedTask() {
-        return !free.isEmpty() || fresh < claimed;
+        return !freedTasks.isEmpty() || firstNeverStarted < claimed;
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
 
     /** Takes the next task number to start. */
     public int takeTask() {
-        if (!free.isEmpty()) {
-            int task = free.firstInt();
-            free.remove(task);
+        if (!freedTasks.isEmpty()) {
+            int task = freedTasks.firstInt();
+            freedTasks.remove(task);
             return task;
         }
-        return fresh++;
+        return firstNeverStarted++;
     }
 
     /** Takes this task number, which is free, to start. */
     public void takeTask(int task) {
-        free.remove(task);
+        freedTasks.remove(task);
     }
 
     /** The lowest task number that was started before and is free again. */
     public int firstFreed() {
-        return free.firstInt();
+        return freedTasks.firstInt();
     }
 
     /** The attempts of its tasks that are on machines, or may be. */
@@ -236,7 +237,7 @@
         placements.put(task, placement);
         zoneCounts.addTo(placement.machine().zone(), 1);
         unconfirmed.remove(task);
-        free.remove(task);
+        freedTasks.remove(task);
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
@@ -250,7 +251,7 @@
             if (elsewhere) {
                 unconfirmed.add(task);
             } else {
-                free.add(task);
+                freedTasks.add(task);
             }
         }
     }
@@ -261,7 +262,7 @@
             ProgressRecord.addTask(done, task);
             doneCount++;
         }
-        free.remove(task);
+        freedTasks.remove(task);
         unconfirmed.remove(task);
     }
 
@@ -269,7 +270,7 @@
     public void markAllDone() {
         ProgressRecord.addTasks(done, spec.tasks());
         doneCount = spec.tasks();
-        free.clear();
+        freedTasks.clear();
         unconfirmed.clear();
     }
 
@@ -280,9 +281,9 @@
         return unconfirmed.size();
     }
 
-    /** Every machine that could have held a task of ours was heard or is proved gone. */
+    /** Every machine that could have held a task of ours has sent a heartbeat or is proved gone. */
     public void resolveUnconfirmed() {
-        free.addAll(unconfirmed);
+        freedTasks.addAll(unconfirmed);
         unconfirmed.clear();
     }
 
@@ -311,19 +312,19 @@
     // ---- run times ---------------------------------------------------------------------------------------------
 
     /** A task that this term has seen from its start on has run to its end. */
-    public void taskFinished(long micros) {
-        ranMicros += micros;
-        ranCount++;
+    public void taskFinished(long runMicros) {
+        finishedMicros += runMicros;
+        finishedTasks++;
     }
 
     /** Run time of those of its tasks that finished in this term, together. */
     public double finishedMicros() {
-        return ranMicros;
+        return finishedMicros;
     }
 
     /** How many of its tasks finished in this term, run time known. */
     public int finishedTasks() {
-        return ranCount;
+        return finishedTasks;
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.recovery.MachineProfile;
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
@@ -15,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A machine of the leader's inventory: its life cycle, what its worker was last heard to say, under which fencing token
- * it is commanded, and the tasks placed on it. State changes through the named methods alone.
+ * A machine of the leader's inventory: its life cycle, what is known of its worker, under which fencing token it is
+ * commanded, and the tasks placed on it. State changes through the named methods alone.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -24,8 +25,8 @@
     public static final long MINIMUM_CHARGE_MICROS = 60_000_000;
 
     /**
-     * {@code UNCONFIRMED}: not heard under its present fencing token, so its tasks are not known for certain. {@code
-     * DRAINING}: takes no new tasks. {@code TERMINATING}: the cloud was asked to take it; it may vanish at any moment.
+     * {@code UNCONFIRMED}: no heartbeat under its present fencing token yet, so its tasks are not known for certain.
+     * {@code DRAINING}: takes no new tasks. {@code TERMINATING}: the cloud was asked to take it and may do so now.
      */
     public enum Phase {
         UNCONFIRMED,
@@ -47,18 +48,14 @@
     }
 
     private final String id;
-    private final String typeName;
-    private final String zone;
-    private final boolean spot;
+    private final MachineProfile profile;
     private final WorkerContact contact;
     private final InventoryEntry inventory = new InventoryEntry();
     private final MachineCapacity capacity = new MachineCapacity();
     private Phase phase = Phase.UNCONFIRMED;
 
     private boolean awaitingFirstHeartbeat;
-
-    private long unconfirmedMicros;
-
+    private long unconfirmedSinceMicros;
     private boolean keptAsHeadroom;
     private ActiveJob reservedFor;
     private long idleSinceMicros;
@@ -70,13 +67,11 @@
     private final List<WorkerCommand> cleanupCommands = new ArrayList<>();
     private int unconfirmedTasks;
 
-    /** A machine of which nothing was heard yet. */
+    /** A machine from which no heartbeat has come yet. */
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
         this.id = id;
         this.contact = new WorkerContact(address);
-        this.typeName = typeName;
-        this.zone = zone;
-        this.spot = spot;
+        this.profile = new MachineProfile(typeName, zone, spot);
     }
 
     // ---- what it is --------------------------------------------------------------------------------------------
@@ -88,17 +83,22 @@
 
     /** The name of its type. */
     public String typeName() {
-        return typeName;
+        return profile.type();
     }
 
     /** The zone in which it stands. */
     public String zone() {
-        return zone;
+        return profile.zone();
     }
 
     /** Whether the cloud may take it back at any time. */
     public boolean spot() {
-        return spot;
+        return profile.spot();
+    }
+
+    /** What of it decides which jobs it may hold. */
+    public MachineProfile profile() {
+        return profile;
     }
 
     /** What is known of its worker. */
@@ -135,22 +135,26 @@
         if (!phase.allows(next)) {
             throw new IllegalStateException("machine " + id + " can't go from " + phase + " to " + next);
         }
-        LOG.info("machine {} ({} {}{}): {} -> {} ({})", id, typeName, zone, spot ? " spot" : "", phase, next, why);
+        LOG.info(
+                "machine {} ({} {}{}): {} -> {} ({})", id, typeName(), zone(), spot() ? " spot" : "", phase, next, why);
         phase = next;
     }
 
-    /** Its worker is heard under the present fencing token, so its tasks are known. */
-    public void confirmed() {
+    /**
+     * A heartbeat under the present fencing token has come, so its tasks are known. Changes nothing on a machine that
+     * drains or is being terminated: it gets no tasks again.
+     */
+    public void tasksConfirmed() {
         if (phase == Phase.UNCONFIRMED) {
-            transition(Phase.READY, "heard under fencing token " + fencingToken());
+            transition(Phase.READY, "heartbeat under fencing token " + fencingToken());
         }
     }
 
-    /** What is on it is not known for certain any more. */
-    public void unconfirmed(long nowMicros, String why) {
+    /** What is on it is not known for certain any more: nothing is placed there until it is confirmed anew. */
+    public void confirmationLost(long nowMicros, String why) {
         if (phase == Phase.READY) {
             transition(Phase.UNCONFIRMED, why);
-            unconfirmedMicros = nowMicros;
+            unconfirmedSinceMicros = nowMicros;
         }
     }
 
@@ -162,12 +166,12 @@
     }
 
     /** The cloud is about to be asked to take it. */
-    public void terminating(String why) {
+    public void terminationDecided(String why) {
         transition(Phase.TERMINATING, why);
     }
 
     /** Nothing can be on it any more, and nothing will be. */
-    public void gone(String why) {
+    public void provedGone(String why) {
         transition(Phase.GONE, why);
     }
 
@@ -183,12 +187,12 @@
 
     // ---- taking over and joining -------------------------------------------------------------------------------
 
-    /** It was on record when the term began: its tasks are unknown until it is heard. */
-    void takenOver(long nowMicros, long formerLeaseOverMicros) {
+    /** It was on record when the term began: its tasks are unknown until its first heartbeat. */
+    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
         awaitingFirstHeartbeat = true;
-        contact.takenOver(nowMicros, formerLeaseOverMicros);
+        contact.takenOverFromFormerLeader(nowMicros, formerLeaseExpiryMicros);
         idleSinceMicros = nowMicros;
-        unconfirmedMicros = nowMicros;
+        unconfirmedSinceMicros = nowMicros;
     }
 
     /** What a former leader left on it is known, or it is gone. */
@@ -202,10 +206,10 @@
     }
 
     /** It reports for the first time and is to be commanded under this fencing token. */
-    void joined(long token, long nowMicros) {
-        inventory.joined(token);
+    void joinedFleet(long token, long nowMicros) {
+        inventory.joinedFleet(token);
         launchedMicros = nowMicros;
-        unconfirmedMicros = nowMicros;
+        unconfirmedSinceMicros = nowMicros;
         idleSinceMicros = nowMicros;
     }
 
@@ -223,7 +227,7 @@
 
     /** Its row in the inventory, with this fencing token. */
     public InventoryRecord.Host inventoryRow(long withToken) {
-        return new InventoryRecord.Host(id, contact.address(), typeName, zone, spot, withToken);
+        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), spot(), withToken);
     }
 
     // ---- what its worker says ----------------------------------------------------------------------------------
@@ -231,22 +235,22 @@
     /**
      * The worker has reported by itself.
      *
-     * @param wasUnresponsive whether it had been silent for long: it could neither show anything nor be given work
+     * @param wasUnresponsive whether heartbeats were overdue for long: it could show nothing and get no work
      */
     public void heartbeatReceived(boolean wasUnresponsive, long nowMicros) {
         if (wasUnresponsive) {
-            unconfirmedMicros = nowMicros;
+            unconfirmedSinceMicros = nowMicros;
             idleSinceMicros = nowMicros;
         }
         contact.heartbeatReceived(nowMicros);
     }
 
-    /** Since when it has not been heard under its present fencing token. */
-    public long unconfirmedMicros() {
-        return unconfirmedMicros;
+    /** Since when a heartbeat under its present fencing token is awaited. */
+    public long unconfirmedSinceMicros() {
+        return unconfirmedSinceMicros;
     }
 
-    /** The worker's lease is over: it is heard again in a later agent epoch, if ever. */
+    /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
     public void leaseExpired() {
         contact.leaseExpired();
         cleanupCommands.clear();
@@ -320,8 +324,8 @@
     }
 
     /** The cloud has told since when it is charged. */
-    public void launchedAt(long micros) {
-        launchedMicros = micros;
+    public void launchedAt(long chargedSinceMicros) {
+        launchedMicros = chargedSinceMicros;
     }
 
     // ---- placements and capacity -------------------------------------------------------------------------------
@@ -374,22 +378,22 @@
 
     /** How many tasks of this shape fit once all but the services here has ended. */
     public int slotsBesideServices(JobSpec spec) {
-        long cpu = 0;
-        long gpu = 0;
-        long memory = 0;
+        long cpuMillis = 0;
+        long gpuMillis = 0;
+        long memoryMillis = 0;
         for (Placement placement : placements.values()) {
             JobSpec other = placement.job().spec();
             if (!other.service()) {
-                cpu += other.cpuMillis();
-                gpu += other.gpuMillis();
-                memory += other.memoryMillis();
+                cpuMillis += other.cpuMillis();
+                gpuMillis += other.gpuMillis();
+                memoryMillis += other.memoryMillis();
             }
         }
-        return capacity.slots(spec, cpu, gpu, memory);
+        return capacity.slots(spec, cpuMillis, gpuMillis, memoryMillis);
     }
 
     /** Whether a job may use this machine at all, capacity and other tasks aside. */
     public boolean allowedFor(JobSpec spec) {
-        return spec.allowsType(typeName) && spec.allowsZone(zone) && (spec.spot() || !spot);
+        return profile.allows(spec);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -125,7 +125,7 @@
             throw new IllegalStateException(
                     "task " + task + " attempt " + attempt + " can't go from " + phase + " to " + next);
         }
-        LOG.debug("task {} attempt {} on {}: {} -> {} ({})", task, attempt, machine.id(), phase, next, why);
+        LOG.debug("task {} attempt {} on machine {}: {} -> {} ({})", task, attempt, machine.id(), phase, next, why);
         phase = next;
     }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /** It runs; the first word of that tells since when, at the latest. */
+    /** It is reported to run; the first such report tells since when, at the latest. */
     public void running(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
@@ -232,14 +232,14 @@
     // ---- stopping ----------------------------------------------------------------------------------------------
 
     /** The machine is to be told to end it. */
-    public void stop(long grace, String why) {
-        graceMicros = grace;
+    public void stop(long longestGraceMicros, String why) {
+        graceMicros = longestGraceMicros;
         transition(Phase.STOPPING, why);
     }
 
     /** Told to save before, and cancelled meanwhile: it need not, and must not go on. */
-    public void shortenGrace(long grace) {
-        graceMicros = grace;
+    public void shortenGrace(long longestGraceMicros) {
+        graceMicros = longestGraceMicros;
     }
 
     /** How long it may take to save itself when it is stopped. */
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -28,6 +28,7 @@
         return deferrable;
     }
 
+    /** It can wait for cheap capacity, or can't, until the scheduler looks at it again. */
     public void setDeferrable(boolean canWait) {
         deferrable = canWait;
     }
@@ -38,8 +39,8 @@
     }
 
     /** No task of it is started before then. */
-    public void startNothingBefore(long micros) {
-        notBeforeMicros = micros;
+    public void startNothingBefore(long earliestStartMicros) {
+        notBeforeMicros = earliestStartMicros;
     }
 
     /** Since when tasks wait without capacity; negative when none does. */
@@ -47,19 +48,20 @@
         return waitingSinceMicros;
     }
 
+    /** Whether tasks of it wait without capacity. */
     public boolean isWaiting() {
         return waitingSinceMicros != NEVER;
     }
 
-    /** It is seen to have tasks that wait. */
-    public void waits(long nowMicros) {
+    /** It is seen to have tasks that wait; the first sight of that counts until none does. */
+    public void tasksWaiting(long nowMicros) {
         if (!isWaiting()) {
             waitingSinceMicros = nowMicros;
         }
     }
 
     /** No task of it waits. */
-    public void waitsNoMore() {
+    public void noTaskWaiting() {
         waitingSinceMicros = NEVER;
     }
 
@@ -111,7 +113,7 @@
     }
 
     /** Other work has its turn until then. */
-    public void reserveNothingUntil(long micros) {
-        noReservationUntilMicros = micros;
+    public void reserveNothingUntil(long earliestReservationMicros) {
+        noReservationUntilMicros = earliestReservationMicros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -38,8 +38,8 @@
             if (!job.isOpen() || team == null || !team.hasGuarantee()) {
                 continue;
             }
-            cpuMillis.addTo(team.name(), job.left() * job.spec().cpuMillis());
-            gpuMillis.addTo(team.name(), job.left() * job.spec().gpuMillis());
+            cpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().cpuMillis());
+            gpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().gpuMillis());
             if (!job.isLive()
                     && cpuMillis.getLong(team.name()) <= team.cpuGuarantee()
                     && gpuMillis.getLong(team.name()) <= team.gpuGuarantee()) {
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -46,15 +46,15 @@
     void refill(long nowMicros) {
         queue.clear();
         for (ActiveJob job : activeJobs.all()) {
-            if (job.waiting() <= 0) {
-                job.scheduling().waitsNoMore();
+            if (job.waitingTasks() <= 0) {
+                job.scheduling().noTaskWaiting();
                 continue;
             }
             if (job.scheduling().notBeforeMicros() > nowMicros) {
                 continue;
             }
             jobs.claim(job);
-            job.scheduling().waits(nowMicros);
+            job.scheduling().tasksWaiting(nowMicros);
             if (job.hasClaimedTask() && recovery.mayStart(job)) {
                 add(job, nowMicros);
             }
@@ -64,7 +64,7 @@
     /** Queues a job again, by its present share, if it has a further claimed task. */
     void addAgain(ActiveJob job, long nowMicros) {
         jobs.claim(job);
-        if (job.waiting() > 0 && job.hasClaimedTask()) {
+        if (job.waitingTasks() > 0 && job.hasClaimedTask()) {
             add(job, nowMicros);
         }
     }
@@ -103,7 +103,7 @@
                         job.spec().priority(),
                         job.spec().hasDeadline(),
                         job.spec().tasks(),
-                        job.left(),
+                        job.unfinishedTasks(),
                         job.running()));
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -72,7 +72,7 @@
 
     private boolean hasWaitingWork() {
         for (ActiveJob job : activeJobs.all()) {
-            if (job.waiting() > 0) {
+            if (job.waitingTasks() > 0) {
                 return true;
             }
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -74,7 +74,7 @@
 
     /** Preempts for all waiting tasks with this request at once. */
     private int preemptForAllAlike(ActiveJob job, ResourceRequest request, long nowMicros) {
-        int wanted = job.waiting() + waitingWithSameRequest(request);
+        int wanted = job.waitingTasks() + waitingWithSameRequest(request);
         int pending = preemptor.preemptFor(job, wanted, false, nowMicros);
         return LiveWorkBacklog.includes(job.spec()) ? pending : 0;
     }
@@ -83,7 +83,7 @@
         return candidates
                 .queuedJobs()
                 .filter(job -> ResourceRequest.of(job, zones).equals(request))
-                .mapToInt(ActiveJob::waiting)
+                .mapToInt(ActiveJob::waitingTasks)
                 .sum();
     }
 
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -26,7 +26,7 @@
 
     GangHeadroomTest() {
         fixture.machine("m2", false);
-        batch.scheduling().waits(NOW);
+        batch.scheduling().tasksWaiting(NOW);
     }
 
     private void promptGang() {
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -105,7 +105,7 @@
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
         machine.inventory().onRecord();
         machine.heartbeatReceived(false, NOW);
-        machine.confirmed();
+        machine.tasksConfirmed();
         fleet.add(machine);
         return machine;
     }
