--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -11,6 +11,7 @@
 import org.granitepath.storage.KeyValueStore.Page;
 import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
+import org.granitepath.storage.StoredRecordCodec;
 
 /** Calls to the store. */
 public final class KeyValueStoreCodec {
@@ -29,7 +30,7 @@
                 m.put("remove", c.key());
             } else {
                 m.put("write", c.key());
-                m.put("v", c.record().toMap());
+                m.put("v", StoredRecordCodec.encode(c.record()));
                 if (c.lease() != 0) {
                     m.put("permit", c.lease());
                 }
--- /dev/null
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -0,0 +1,70 @@
+package org.granitepath.storage;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.storage.InventoryRecord.Host;
+
+/**
+ * Inventory records as JSON objects. A machine is a row without field names, as thousands stand in the store: id,
+ * address, type, zone, 1 for a spot machine or else 0, fencing token.
+ */
+final class InventoryRecordCodec {
+    private static final String HOSTS = "hosts";
+    private static final int COLUMNS = 6;
+    private static final int SPOT = 1;
+    private static final int NOT_SPOT = 0;
+
+    private InventoryRecordCodec() {}
+
+    static Map<String, Object> encode(InventoryRecord inventory) {
+        List<Object> rows = new ArrayList<>();
+        for (Host host : inventory.hosts()) {
+            rows.add(encodeRow(host));
+        }
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(HOSTS, rows);
+        return fields;
+    }
+
+    static List<Object> encodeRow(Host host) {
+        return List.of(
+                host.id(),
+                host.address(),
+                host.type(),
+                host.zone(),
+                host.spot() ? SPOT : NOT_SPOT,
+                host.fencingToken());
+    }
+
+    /** @throws MalformedFieldException when a row is none, is too short or has a value of another type */
+    static InventoryRecord decode(Map<String, Object> fields) {
+        List<Host> hosts = new ArrayList<>();
+        for (Object row : Fields.requiredList(fields, HOSTS)) {
+            hosts.add(decodeRow(Fields.requiredList(row, HOSTS)));
+        }
+        return new InventoryRecord(hosts);
+    }
+
+    private static Host decodeRow(List<?> row) {
+        if (row.size() < COLUMNS) {
+            throw new MalformedFieldException(HOSTS, "a list of rows of " + COLUMNS + " values", row);
+        }
+        return new Host(
+                textOrNull(row.get(0)),
+                textOrNull(row.get(1)),
+                textOrNull(row.get(2)),
+                textOrNull(row.get(3)),
+                Fields.requiredNumber(row.get(4), HOSTS).intValue() == SPOT,
+                Fields.requiredNumber(row.get(5), HOSTS).longValue());
+    }
+
+    /** A null is let pass, as it always was; anything else must be a text. */
+    private static String textOrNull(Object value) {
+        if (value == null || value instanceof String) {
+            return (String) value;
+        }
+        throw new MalformedFieldException(HOSTS, "a list of rows with texts", value);
+    }
+}
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -1,15 +1,43 @@
 package org.granitepath.storage;
 
-/** Names of the records in the store. */
+/** Keys of the records in the store. They are fixed: running controllers of other versions use them. */
 public final class Keys {
+    /** Prefix of all our records. */
     public static final String ALL = "g/";
+    /** Prefix of the records of accepted jobs; the job's id follows. */
     public static final String JOB = "g/j/";
+    /** Prefix of the records of the progress of jobs; the job's id follows. */
     public static final String PROGRESS = "g/p/";
+    /** Prefix of the records of how jobs ended; the job's id follows. */
     public static final String FINAL = "g/f/";
+    /** Prefix of the parts of the machine inventory; the number of the part follows, from 0. */
     public static final String INVENTORY = "g/roster/";
+    /** The leader. */
     public static final String LEADER = "g/leader";
+    /** The shared counter of fencing tokens. */
     public static final String FENCING_TOKEN = "g/baton";
+    /** The machine types that the cloud launches. */
     public static final String TYPES = "g/types";
 
     private Keys() {}
+
+    /** The key of an accepted job. */
+    public static String job(String jobId) {
+        return JOB + jobId;
+    }
+
+    /** The key of the progress of a job. */
+    public static String progress(String jobId) {
+        return PROGRESS + jobId;
+    }
+
+    /** The key of how a job ended. */
+    public static String finalOf(String jobId) {
+        return FINAL + jobId;
+    }
+
+    /** The key of a part of the machine inventory. */
+    public static String inventory(int part) {
+        return INVENTORY + part;
+    }
 }
--- /dev/null
+++ b/src/main/java/org/granitepath/storage/MalformedFieldException.java
@@ -0,0 +1,19 @@
+package org.granitepath.storage;
+
+/** A field of a decoded JSON object that is missing or of another type than every version writes. */
+public final class MalformedFieldException extends RuntimeException {
+    private static final long serialVersionUID = 1;
+
+    private final String field;
+
+    MalformedFieldException(String field, String expected, Object found) {
+        super("field " + field + " must be " + expected + ", but is "
+                + (found == null ? "missing" : "of " + found.getClass().getSimpleName()));
+        this.field = field;
+    }
+
+    /** The name of the field. */
+    public String field() {
+        return field;
+    }
+}
--- a/src/main/java/org/granitepath/storage/MalformedRecordException.java
+++ b/src/main/java/org/granitepath/storage/MalformedRecordException.java
@@ -6,7 +6,7 @@
 
     private final String key;
 
-    MalformedRecordException(String key, Throwable cause) {
+    MalformedRecordException(String key, MalformedFieldException cause) {
         super("record " + key + " is malformed: " + cause.getMessage(), cause);
         this.key = key;
     }
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -7,9 +7,7 @@
 import com.google.common.collect.TreeRangeSet;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
  * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
@@ -58,37 +56,11 @@
 
     /** How many task numbers a set of ranges holds. */
     public static int count(RangeSet<Integer> set) {
-        int n = 0;
-        for (Range<Integer> r : set.asRanges()) {
-            Range<Integer> c = r.canonical(DiscreteDomain.integers());
-            n += c.upperEndpoint() - c.lowerEndpoint();
+        int count = 0;
+        for (Range<Integer> range : set.asRanges()) {
+            Range<Integer> canonical = range.canonical(DiscreteDomain.integers());
+            count += canonical.upperEndpoint() - canonical.lowerEndpoint();
         }
-        return n;
-    }
-
-    @Override
-    public Map<String, Object> toMap() {
-        List<Integer> ends = new ArrayList<>();
-        for (Range<Integer> r : done.asRanges()) {
-            ends.add(r.lowerEndpoint());
-            ends.add(r.upperEndpoint());
-        }
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("owner", leader);
-        m.put("claimed", claimed);
-        m.put("done", ends);
-        m.put("running", running);
-        return m;
-    }
-
-    /** Reads the record. */
-    public static ProgressRecord fromMap(Map<String, Object> m) {
-        RangeSet<Integer> done = TreeRangeSet.create();
-        List<?> ends = Fields.requiredList(m, "done");
-        for (int i = 0; i + 1 < ends.size(); i += 2) {
-            done.add(Range.closedOpen(((Number) ends.get(i)).intValue(), ((Number) ends.get(i + 1)).intValue()));
-        }
-        return new ProgressRecord(
-                Fields.textOf(m, "owner"), Fields.requiredInt(m, "claimed"), done, Fields.intOf(m, "running", 0));
+        return count;
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -105,7 +105,7 @@
     /** How many parts the machine inventory has, those that can't be read included. */
     public int inventoryParts() {
         int parts = 0;
-        while (has(Keys.INVENTORY + parts)) {
+        while (has(Keys.inventory(parts))) {
             parts++;
         }
         return parts;
@@ -123,7 +123,7 @@
 
     /** A part of the machine inventory, or null when it has fewer or this one can't be read. */
     public InventoryRecord inventory(int part) {
-        return record(Keys.INVENTORY + part, InventoryRecord.class);
+        return record(Keys.inventory(part), InventoryRecord.class);
     }
 
     private <T extends StoredRecord> T record(String key, Class<T> kind) {
@@ -296,7 +296,7 @@
             return null;
         }
         try {
-            return StoredRecord.decode(item.key(), item.value());
+            return StoredRecordCodec.decode(item.key(), item.value());
         } catch (MalformedRecordException e) {
             malformedRecords++;
             LOG.error("{} ({} so far)", e.getMessage(), malformedRecords);
--- a/src/main/java/org/granitepath/storage/RecordSize.java
+++ b/src/main/java/org/granitepath/storage/RecordSize.java
@@ -14,7 +14,7 @@
 
     /** The bytes of a record, never fewer than it takes. */
     public static int of(StoredRecord record) {
-        return ofValue(record.toMap());
+        return ofValue(StoredRecordCodec.encode(record));
     }
 
     /** The bytes of a JSON value, never fewer than it takes. */
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -13,6 +13,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.JobSpecCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -31,7 +32,7 @@
         assertEquals(900_000_000, s.deadlineMicros());
         assertEquals(List.of("g8"), s.types());
         assertFalse(s.service());
-        assertEquals(s, JobSpec.fromMap(Json.object(Json.text(s.toMap()))));
+        assertEquals(s, JobSpecCodec.decode(Json.object(Json.text(JobSpecCodec.encode(s)))));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -33,6 +33,7 @@
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.MachineTypesRecord;
+import org.granitepath.storage.StoredRecordCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -208,8 +209,8 @@
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))));
         String json = "{\"types\":[{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,"
                 + "\"price\":12.0,\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}]}";
-        assertEquals(json, Json.text(record.toMap()));
-        assertEquals(record, org.granitepath.storage.StoredRecord.decode(Keys.TYPES, Json.object(json)));
+        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
+        assertEquals(record, StoredRecordCodec.decode(Keys.TYPES, Json.object(json)));
     }
 
     // ---- users and operators -----------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -12,12 +12,13 @@
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.JobRecord;
 import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.JobSpecCodec;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.LeaderRecord;
-import org.granitepath.storage.MachineType;
+import org.granitepath.storage.MachineTypeCodec;
 import org.granitepath.storage.MalformedRecordException;
 import org.granitepath.storage.ProgressRecord;
-import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.StoredRecordCodec;
 import org.granitepath.storage.UnknownRecord;
 import org.junit.jupiter.api.Test;
 
@@ -47,56 +48,58 @@
     }
 
     @Test
-    void jobs() {
+    void jobs() throws MalformedRecordException {
         String json = "{\"spec\":" + SPEC + ",\"at\":1700000000000000,\"claimed\":6,\"term\":41}";
-        JobRecord record = JobRecord.fromMap(Json.object(json));
+        JobRecord record = (JobRecord) StoredRecordCodec.decode(Keys.job("run-000412"), Json.object(json));
         assertEquals(JobSpec.Shape.BATCH, record.spec().shape());
         assertEquals("HIGH", record.spec().priority().name());
-        assertEquals(json, Json.text(record.toMap()));
+        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
     @Test
     void services() {
         String json = SPEC.replace("\"shape\":0", "\"shape\":2").replace("\"rank\":1", "\"rank\":0");
-        JobSpec spec = JobSpec.fromMap(Json.object(json));
+        JobSpec spec = JobSpecCodec.decode(Json.object(json));
         assertEquals(JobSpec.Shape.SERVICE, spec.shape());
         assertEquals("CRITICAL", spec.priority().name());
-        assertEquals(json, Json.text(spec.toMap()));
+        assertEquals(json, Json.text(JobSpecCodec.encode(spec)));
         assertEquals(
                 JobSpec.Shape.GANG,
-                JobSpec.fromMap(Json.object(SPEC.replace("\"shape\":0", "\"shape\":1")))
+                JobSpecCodec.decode(Json.object(SPEC.replace("\"shape\":0", "\"shape\":1")))
                         .shape());
     }
 
     @Test
-    void progress() {
+    void progress() throws MalformedRecordException {
         String json = "{\"owner\":\"worker-1\",\"claimed\":12,\"done\":[0,3,5,6],\"running\":4}";
-        ProgressRecord record = ProgressRecord.fromMap(Json.object(json));
+        ProgressRecord record =
+                (ProgressRecord) StoredRecordCodec.decode(Keys.progress("run-000412"), Json.object(json));
         assertEquals(4, ProgressRecord.count(record.done()));
-        assertEquals(json, Json.text(record.toMap()));
+        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
     @Test
     void finalStates() {
-        assertEquals("{\"how\":0}", Json.text(new FinalRecord(FinalRecord.Outcome.DONE).toMap()));
-        assertEquals("{\"how\":1}", Json.text(new FinalRecord(FinalRecord.Outcome.CANCELLED).toMap()));
+        assertEquals("{\"how\":0}", Json.text(StoredRecordCodec.encode(new FinalRecord(FinalRecord.Outcome.DONE))));
+        assertEquals(
+                "{\"how\":1}", Json.text(StoredRecordCodec.encode(new FinalRecord(FinalRecord.Outcome.CANCELLED))));
     }
 
     @Test
-    void machines() {
+    void machines() throws MalformedRecordException {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
-        InventoryRecord record = InventoryRecord.fromMap(Json.object(json));
+        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventory(0), Json.object(json));
         assertEquals(
                 new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.hosts().get(0));
-        assertEquals(json, Json.text(record.toMap()));
+        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
     @Test
     void machineTypes() {
         String json = "{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,\"price\":12.0,"
                 + "\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}";
-        assertEquals(json, Json.text(MachineType.fromMap(Json.object(json)).toMap()));
+        assertEquals(json, Json.text(MachineTypeCodec.encode(MachineTypeCodec.decode(Json.object(json)))));
     }
 
     @Test
@@ -117,12 +120,18 @@
     @Test
     void leaderAndToken() throws MalformedRecordException {
         LeaderRecord leader = new LeaderRecord("worker-1", "worker-1-2", 41);
-        assertEquals("{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41}", Json.text(leader.toMap()));
+        assertEquals(
+                "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41}",
+                Json.text(StoredRecordCodec.encode(leader)));
         String former = "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41,\"at\":1700000000000000}";
-        assertEquals(leader, StoredRecord.decode(Keys.LEADER, Json.object(former)));
+        assertEquals(leader, StoredRecordCodec.decode(Keys.LEADER, Json.object(former)));
         FencingTokenRecord token = new FencingTokenRecord("worker-1", 41, 43);
-        assertEquals(Map.of("owner", "worker-1", "term", 41, "last", 43), Json.object(Json.text(token.toMap())));
-        assertEquals(token, StoredRecord.decode(Keys.FENCING_TOKEN, Json.object(Json.text(token.toMap()))));
+        assertEquals(
+                Map.of("owner", "worker-1", "term", 41, "last", 43),
+                Json.object(Json.text(StoredRecordCodec.encode(token))));
+        assertEquals(
+                token,
+                StoredRecordCodec.decode(Keys.FENCING_TOKEN, Json.object(Json.text(StoredRecordCodec.encode(token)))));
     }
 
     /** What can't be read is an error that names the record; kinds of later versions are let be. */
@@ -131,13 +140,13 @@
         for (String key : List.of(Keys.JOB + "run-1", Keys.LEADER)) {
             Map<String, Object> empty = Map.of("spec", Map.of("id", "run-1"));
             MalformedRecordException e =
-                    assertThrows(MalformedRecordException.class, () -> StoredRecord.decode(key, empty));
+                    assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(key, empty));
             assertEquals(key, e.key());
         }
         Map<String, Object> badRow = Map.of("hosts", List.of(List.of("i-1", 7)));
-        assertThrows(MalformedRecordException.class, () -> StoredRecord.decode(Keys.INVENTORY + 0, badRow));
+        assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(Keys.INVENTORY + 0, badRow));
         assertEquals(
                 UnknownRecord.class,
-                StoredRecord.decode("g/later/1", Map.of("x", 1)).getClass());
+                StoredRecordCodec.decode("g/later/1", Map.of("x", 1)).getClass());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -12,6 +12,7 @@
 import org.granitepath.protocol.Json;
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.Keys;
+import org.granitepath.storage.StoredRecordCodec;
 
 /** A stand-in for the store. Values pass through JSON text, as over the wire. */
 final class SimStore {
@@ -212,7 +213,9 @@
                 || transaction.preconditions().size() > PRECONDITIONS_PER_CHANGE * transactionChanges
                 || transaction.changes().stream()
                         .anyMatch(c -> c.record() != null
-                                && Json.text(c.record().toMap()).length() > valueBytes);
+                                && Json.text(StoredRecordCodec.encode(c.record()))
+                                                .length()
+                                        > valueBytes);
     }
 
     /** The largest value that is stored. */
@@ -248,8 +251,7 @@
         writes += transaction.changes().size();
         for (KeyValueStore.Change c : transaction.changes()) {
             writesByKey.merge(c.key(), 1, Integer::sum);
-            String json = c.record() == null ? null : Json.text(c.record().toMap());
-
+            String json = c.record() == null ? null : Json.text(StoredRecordCodec.encode(c.record()));
             if (json == null) {
                 keys.remove(c.key());
             } else {
