--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -22,6 +22,7 @@
 import org.granitepath.storage.LeaderRecord;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RateControl;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
 import org.granitepath.storage.Timers;
@@ -86,7 +87,7 @@
                 timers,
                 config.limits().store().transactionChanges(),
                 config.limits().store().writesPerSecond() * WRITE_SHARE,
-                true,
+                RateControl.ADAPTIVE,
                 // An acceptance claims tasks for the leader that we know of: it must be the leader still.
                 () -> List.of(new Precondition(Keys.LEADER, replica.revision(Keys.LEADER))),
                 () -> true);
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -42,6 +42,7 @@
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.MachineTypesRecord;
+import org.granitepath.storage.RateControl;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
 import org.granitepath.storage.Timers;
@@ -163,7 +164,7 @@
                 timers,
                 config.limits().store().transactionChanges(),
                 config.limits().store().writesPerSecond() * WRITE_SHARE,
-                false,
+                RateControl.FIXED,
                 () -> List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
                 () -> !ended);
     }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -13,6 +13,7 @@
 import org.granitepath.protocol.Json;
 import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RateControl;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
 import org.granitepath.storage.StoredRecord;
@@ -68,7 +69,8 @@
     @Test
     void manyQuestionsShareFewReads() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 20, false, List::of, () -> true);
+        WriteQueue writeQueue =
+                new WriteQueue(state.portFor("n"), replica, timers, 8, 20, RateControl.FIXED, List::of, () -> true);
         int[] answered = new int[1];
         for (int i = 0; i < 2_000; i++) {
             world.after(i * 5_000L, () -> replica.barrier(fresh -> answered[0] += fresh ? 1 : 0));
@@ -89,7 +91,8 @@
     @Test
     void urgentWishesOvertakeAndWaitingOnesCostNothing() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 10, false, List::of, () -> true);
+        WriteQueue writeQueue =
+                new WriteQueue(state.portFor("n"), replica, timers, 8, 10, RateControl.FIXED, List::of, () -> true);
         List<String> written = new ArrayList<>();
         int[] made = new int[1];
         for (int i = 0; i < 300; i++) {
@@ -127,7 +130,14 @@
             int node = n;
             RecordReplica replica = replicaOf(tight, "n" + n);
             WriteQueue writeQueue = new WriteQueue(
-                    tight.portFor("n" + n), replica, timers, 8, n == 0 ? 11.7 : 9, n > 0, List::of, () -> true);
+                    tight.portFor("n" + n),
+                    replica,
+                    timers,
+                    8,
+                    n == 0 ? 11.7 : 9,
+                    n > 0 ? RateControl.ADAPTIVE : RateControl.FIXED,
+                    List::of,
+                    () -> true);
             for (int i = 0; i < 900; i++) {
                 String key = "g/" + node + "/" + i;
                 world.after(
@@ -148,7 +158,8 @@
     @Test
     void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 20, false, List::of, () -> true);
+        WriteQueue writeQueue =
+                new WriteQueue(state.portFor("n"), replica, timers, 8, 20, RateControl.FIXED, List::of, () -> true);
         List<String> written = new ArrayList<>();
         int[] made = new int[1];
         StoredRecord large = new UnknownRecord(Map.of("x", "y".repeat(3_000)));
