--- a/src/main/java/org/granitepath/cli/RehearseCommand.java
+++ b/src/main/java/org/granitepath/cli/RehearseCommand.java
@@ -68,10 +68,10 @@
         String address = "127.0.0.1:" + port;
         CountDownLatch answered = new CountDownLatch(4);
         HttpCalls.Reply count = (status, body) -> answered.countDown();
-        http.call(address, Methods.GET, "/up", null, 2_000_000, false, count);
-        http.call(address, Methods.POST, "/submissions", SUBMISSION, 2_000_000, true, count);
-        http.call(address, Methods.POST, "/agent/beat", HEARTBEAT, 2_000_000, true, count);
-        http.call(address, Methods.GET, "/submissions/run-1", null, 2_000_000, true, count);
+        http.call(address, Methods.GET, "/up", null, 2_000_000, HttpCalls.AfterCall.CLOSE, count);
+        http.call(address, Methods.POST, "/submissions", SUBMISSION, 2_000_000, HttpCalls.AfterCall.KEEP, count);
+        http.call(address, Methods.POST, "/agent/beat", HEARTBEAT, 2_000_000, HttpCalls.AfterCall.KEEP, count);
+        http.call(address, Methods.GET, "/submissions/run-1", null, 2_000_000, HttpCalls.AfterCall.KEEP, count);
         answered.await(5, TimeUnit.SECONDS);
         System.exit(OK);
         return OK;
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -10,75 +10,101 @@
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.MachineType;
 
-/** Calls to the cloud. */
+/**
+ * Calls to the cloud.
+ *
+ * <p>Words of the pages: {@code model}, {@code sku} machine type; {@code cards} GPUs; {@code site} zone; {@code loaner}
+ * spot instance; {@code market_price} spot price; {@code booking} idempotency key; {@code uid} machine id;
+ * {@code ready_s} boot time; {@code held_s} time since the launch.
+ */
 public final class CloudCodec {
+    private static final String HOSTS = "hosts";
+    private static final double LEAST_FETCH_GB_PER_SECOND = 0.001;
+    private static final double MILLIS_PER_UNIT = 1000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** So that what is a whole number but for the error of binary fractions is not rounded down. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
+
     private CloudCodec() {}
 
     /** Reads the machine types that the cloud launches. */
-    @SuppressWarnings("unchecked")
     public static List<MachineType> decodeTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
-        for (Object o : Fields.listOf(body, "models")) {
-            Map<String, Object> m = (Map<String, Object>) o;
+        for (Object element : Fields.listOf(body, "models")) {
+            Map<String, Object> fields = Fields.requiredObject(element, "models");
             types.add(new MachineType(
-                    Fields.textOf(m, "sku"),
-                    millis(m, "cpus"),
-                    millis(m, "cards"),
-                    millis(m, "mem_gb"),
-                    Math.max(0.001, Fields.doubleOf(m, "fetch_gb_per_s", 0.1)),
-                    Fields.doubleOf(m, "rate", 0),
-                    Fields.doubleOf(m, "market_price", 0),
-                    Math.round(Fields.doubleOf(m, "ready_s", 60) * 1e6),
-                    Fields.listOf(m, "sites").stream().map(String::valueOf).toList()));
+                    Fields.textOf(fields, "sku"),
+                    millis(fields, "cpus"),
+                    millis(fields, "cards"),
+                    millis(fields, "mem_gb"),
+                    Math.max(LEAST_FETCH_GB_PER_SECOND, Fields.doubleOf(fields, "fetch_gb_per_s", 0.1)),
+                    Fields.doubleOf(fields, "rate", 0),
+                    Fields.doubleOf(fields, "market_price", 0),
+                    Math.round(Fields.doubleOf(fields, "ready_s", 60) * MICROS_PER_SECOND),
+                    Fields.textsOf(fields, "sites")));
         }
         return types;
     }
 
-    private static long millis(Map<String, Object> m, String name) {
-        return (long) Math.floor(Fields.doubleOf(m, name, 0) * 1000 + 1e-6);
+    /** In whole thousandths, rounded down: a machine is not taken for larger than it is. */
+    private static long millis(Map<String, Object> fields, String name) {
+        return (long) Math.floor(Fields.doubleOf(fields, name, 0) * MILLIS_PER_UNIT + ROUNDING_TOLERANCE);
     }
 
     /** The request for a launch. */
-    public static String encodeLaunch(LaunchRequest r) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("booking", r.idempotencyKey());
-        m.put("model", r.type());
-        m.put("site", r.zone());
-        m.put("loaner", r.spot());
-        m.put("count", r.count());
-        return Json.text(m);
+    public static String encodeLaunch(LaunchRequest request) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("booking", request.idempotencyKey());
+        fields.put("model", request.type());
+        fields.put("site", request.zone());
+        fields.put("loaner", request.spot());
+        fields.put("count", request.count());
+        return Json.text(fields);
     }
 
     /** The request to return machines. */
     public static String encodeHosts(List<String> hosts) {
-        return Json.text(Map.of("hosts", hosts));
+        return Json.text(Map.of(HOSTS, hosts));
     }
 
     /** Reads the names of the machines that a launch brought. */
     public static List<String> decodeHosts(Map<String, Object> body) {
-        return Fields.listOf(body, "hosts").stream().map(String::valueOf).toList();
+        return Fields.textsOf(body, HOSTS);
     }
 
     /** Reads a page of the list of machines. */
-    @SuppressWarnings("unchecked")
     public static List<ListedHost> decodeListing(Map<String, Object> body) {
         List<ListedHost> hosts = new ArrayList<>();
-        for (Object o : Fields.listOf(body, "hosts")) {
-            Map<String, Object> m = (Map<String, Object>) o;
-            HostState state = switch (String.valueOf(m.get("status"))) {
-                case "running" -> HostState.RUNNING;
-                case "failed" -> HostState.FAILED;
-                default -> HostState.BOOTING;
-            };
+        for (Object element : Fields.listOf(body, HOSTS)) {
+            Map<String, Object> fields = Fields.requiredObject(element, HOSTS);
             hosts.add(new ListedHost(
-                    Fields.textOf(m, "uid"),
-                    Fields.textOf(m, "address"),
-                    Fields.textOf(m, "model"),
-                    Fields.textOf(m, "site"),
-                    Fields.boolOf(m, "loaner"),
-                    state,
-                    Math.round(Fields.doubleOf(m, "held_s", 0) * 1e6)));
+                    Fields.textOf(fields, "uid"),
+                    Fields.textOf(fields, "address"),
+                    Fields.textOf(fields, "model"),
+                    Fields.textOf(fields, "site"),
+                    Fields.boolOf(fields, "loaner"),
+                    hostState(String.valueOf(fields.get("status"))),
+                    Math.round(Fields.doubleOf(fields, "held_s", 0) * MICROS_PER_SECOND)));
         }
         return hosts;
     }
+
+    /** A state that we don't know counts as booting: the machine is there, but not yet of use. */
+    private static HostState hostState(String word) {
+        return switch (word) {
+            case "running" -> HostState.RUNNING;
+            case "failed" -> HostState.FAILED;
+            default -> HostState.BOOTING;
+        };
+    }
+
+    /** Whether more pages follow this one of the list of machines. */
+    public static boolean hasMore(Map<String, Object> body) {
+        return Fields.boolOf(body, "has_next");
+    }
+
+    /** Whether a launch was refused as the cloud has no machine of the type at present. */
+    public static boolean isNoCapacity(Map<String, Object> body) {
+        return "no capacity".equals(body.get("error"));
+    }
 }
--- a/src/main/java/org/granitepath/protocol/Json.java
+++ b/src/main/java/org/granitepath/protocol/Json.java
@@ -2,28 +2,30 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.util.Map;
 
 /** JSON objects as maps. A field named twice is an error. */
 public final class Json {
-    private static final JSON JR = JSON.builder(JsonFactory.builder()
-                    .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+    private static final JSON JSON_MAPPER = JSON.builder(JsonFactory.builder()
+                    .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                     .build())
             .build();
 
     private Json() {}
 
-    /** Null when the text is not exactly one JSON object. */
+    /** Reads an object; null when the text is not exactly one JSON object. */
     public static Map<String, Object> object(String text) {
-        try (JsonParser p = JR.createParser(text)) {
-            if (p.nextToken() != com.fasterxml.jackson.core.JsonToken.START_OBJECT) {
+        try (JsonParser parser = JSON_MAPPER.createParser(text)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 return null;
             }
-            Map<String, Object> map = JR.mapFrom(p);
-            return p.nextToken() == null ? map : null;
+            Map<String, Object> map = JSON_MAPPER.mapFrom(parser);
+            return parser.nextToken() == null ? map : null;
         } catch (IOException | RuntimeException e) {
             return null;
         }
@@ -32,7 +34,7 @@
     /** The value as JSON text. */
     public static String text(Object value) {
         try {
-            return JR.asString(value);
+            return JSON_MAPPER.asString(value);
         } catch (IOException e) {
             throw new IllegalStateException("unwritable value", e);
         }
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Committed;
 import org.granitepath.storage.KeyValueStore.Item;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
@@ -13,69 +14,91 @@
 import org.granitepath.storage.KeyValueStore.Transaction;
 import org.granitepath.storage.StoredRecordCodec;
 
-/** Calls to the store. */
+/**
+ * Calls to the store.
+ *
+ * <p>Words of the pages: {@code guards} preconditions; {@code stamp} revision of a key; {@code epoch} revision of the
+ * store; {@code permit} lease.
+ */
 public final class KeyValueStoreCodec {
+    private static final String KEY = "key";
+    private static final String STAMP = "stamp";
+    private static final String EPOCH = "epoch";
+    private static final String WRITE = "write";
+    private static final String REMOVE = "remove";
+    private static final String VALUE = "v";
+    private static final String PERMIT = "permit";
+    private static final long MICROS_PER_MILLI = 1000;
+
     private KeyValueStoreCodec() {}
 
     /** The request for a transaction. */
     public static String encodeTransaction(Transaction transaction) {
         List<Object> preconditions = new ArrayList<>();
-        for (Precondition g : transaction.preconditions()) {
-            preconditions.add(Map.of("key", g.key(), "stamp", g.revision()));
+        for (Precondition precondition : transaction.preconditions()) {
+            preconditions.add(Map.of(KEY, precondition.key(), STAMP, precondition.revision()));
         }
-        List<Object> apply = new ArrayList<>();
-        for (Change c : transaction.changes()) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            if (c.record() == null) {
-                m.put("remove", c.key());
-            } else {
-                m.put("write", c.key());
-                m.put("v", StoredRecordCodec.encode(c.record()));
-                if (c.lease() != 0) {
-                    m.put("permit", c.lease());
-                }
-            }
-            apply.add(m);
+        List<Object> changes = new ArrayList<>();
+        for (Change change : transaction.changes()) {
+            changes.add(encodeChange(change));
         }
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("guards", preconditions);
-        body.put("apply", apply);
+        body.put("apply", changes);
         return Json.text(body);
     }
 
+    private static Map<String, Object> encodeChange(Change change) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        if (change.record() == null) {
+            fields.put(REMOVE, change.key());
+            return fields;
+        }
+        fields.put(WRITE, change.key());
+        fields.put(VALUE, StoredRecordCodec.encode(change.record()));
+        if (change.lease() != 0) {
+            fields.put(PERMIT, change.lease());
+        }
+        return fields;
+    }
+
+    /** Reads how a transaction ended, of which the status has told the outcome. */
+    public static Committed decodeCommitted(Outcome outcome, Map<String, Object> body) {
+        return new Committed(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
+    }
+
     /** Reads a page of keys. */
-    @SuppressWarnings("unchecked")
     public static Page decodeList(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
-        for (Object o : Fields.listOf(body, "items")) {
-            Map<String, Object> m = (Map<String, Object>) o;
-            items.add(new Item(Fields.textOf(m, "key"), Fields.mapOf(m, "v"), Fields.longOf(m, "stamp", 0)));
+        for (Object element : Fields.listOf(body, "items")) {
+            Map<String, Object> fields = Fields.requiredObject(element, "items");
+            items.add(
+                    new Item(Fields.textOf(fields, KEY), Fields.mapOf(fields, VALUE), Fields.longOf(fields, STAMP, 0)));
         }
-        return new Page(Outcome.OK, items, Fields.boolOf(body, "has_next"), Fields.longOf(body, "epoch", 0));
+        return new Page(Outcome.OK, items, Fields.boolOf(body, "has_next"), Fields.longOf(body, EPOCH, 0));
     }
 
     /** Reads the changes that a watch brought. */
-    @SuppressWarnings("unchecked")
     public static Page decodeFollow(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
-        for (Object o : Fields.listOf(body, "events")) {
-            Map<String, Object> m = (Map<String, Object>) o;
-            String written = Fields.textOf(m, "write");
+        for (Object element : Fields.listOf(body, "events")) {
+            Map<String, Object> fields = Fields.requiredObject(element, "events");
+            String written = Fields.textOf(fields, WRITE);
             items.add(new Item(
-                    written != null ? written : Fields.textOf(m, "remove"),
-                    written != null ? Fields.mapOf(m, "v") : null,
-                    Fields.longOf(m, "stamp", 0)));
+                    written != null ? written : Fields.textOf(fields, REMOVE),
+                    written != null ? Fields.mapOf(fields, VALUE) : null,
+                    Fields.longOf(fields, STAMP, 0)));
         }
-        return new Page(Outcome.OK, items, false, Fields.longOf(body, "epoch", 0));
+        return new Page(Outcome.OK, items, false, Fields.longOf(body, EPOCH, 0));
     }
 
     /** The request for a lease. */
     public static String encodeLease(long lifeMicros) {
-        return Json.text(Map.of("life_ms", lifeMicros / 1000));
+        return Json.text(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
     }
 
     /** Reads the number of a new lease. */
     public static long decodeLease(Map<String, Object> body) {
-        return Fields.longOf(body, "permit", 0);
+        return Fields.longOf(body, PERMIT, 0);
     }
 }
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -8,23 +8,27 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** Messages between controllers, in MessagePack: an array that begins with the version of its layout. */
+/**
+ * Messages between controllers, in MessagePack: an array that begins with the version of its layout.
+ *
+ * <p>The pages call a status message a greeting; its fields have no names on the wire, only an order.
+ */
 public final class PeerCodec {
     private static final int VERSION = 2;
-    private static final int FIELDS = 5;
-    private static final int CANCELLED_FIELDS = 3;
+    private static final int STATUS_FIELDS = 5;
+    private static final int CANCELLATION_FIELDS = 3;
 
     private PeerCodec() {}
 
     /** A status message. */
-    public static byte[] encode(PeerStatus g) {
+    public static byte[] encode(PeerStatus status) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packArrayHeader(FIELDS)
+            packer.packArrayHeader(STATUS_FIELDS)
                     .packInt(VERSION)
-                    .packString(g.node())
-                    .packLong(g.contactAgeMicros())
-                    .packBoolean(g.leader())
-                    .packInt(g.redirectedMachines());
+                    .packString(status.node())
+                    .packLong(status.contactAgeMicros())
+                    .packBoolean(status.leader())
+                    .packInt(status.redirectedMachines());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("packing in memory failed", e);
@@ -34,7 +38,7 @@
     /** A notice of a cancellation. */
     public static byte[] encode(CancellationNotice notice) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packArrayHeader(CANCELLED_FIELDS)
+            packer.packArrayHeader(CANCELLATION_FIELDS)
                     .packInt(VERSION)
                     .packString(notice.job())
                     .packLong(notice.revision());
@@ -44,10 +48,10 @@
         }
     }
 
-    /** Null when it is no word of a cancellation that we understand. */
+    /** Reads a notice of a cancellation; null when it is none that we understand. */
     public static CancellationNotice decodeCancelled(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
-            if (unpacker.unpackArrayHeader() < CANCELLED_FIELDS || unpacker.unpackInt() != VERSION) {
+            if (unpacker.unpackArrayHeader() < CANCELLATION_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
             }
             CancellationNotice notice = new CancellationNotice(unpacker.unpackString(), unpacker.unpackLong());
@@ -57,10 +61,10 @@
         }
     }
 
-    /** Null when it is no status message that we understand. */
+    /** Reads a status message; null when it is none that we understand. */
     public static PeerStatus decode(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
-            if (unpacker.unpackArrayHeader() < FIELDS || unpacker.unpackInt() != VERSION) {
+            if (unpacker.unpackArrayHeader() < STATUS_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
             }
             return new PeerStatus(
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -9,12 +9,26 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 
-/** What users send and are told. */
+/**
+ * What users send and are told.
+ *
+ * <p>Words of the pages: {@code uid} job id; {@code lane} job class; {@code owner} team; {@code pieces} tasks;
+ * {@code daemon} service; {@code rank} priority; {@code cards} GPUs; {@code bundle} image; {@code models} machine
+ * types; {@code site} zone; {@code same_place} all tasks in one zone; {@code scatter} spread over zones; {@code loaner}
+ * spot instances allowed; {@code expect_s} estimate; {@code snapshot_s} time between checkpoints; {@code flush_s} time
+ * to save; {@code due_s} deadline; {@code aborted} cancelled.
+ */
 public final class SubmissionCodec {
     private static final Pattern JOB_ID = Pattern.compile("run-[0-9]{1,18}");
     private static final int MOST_TASKS = 100_000;
     private static final double MOST_AMOUNT = 1e9;
     private static final int LONGEST_NAME = 200;
+    private static final double MILLIS_PER_UNIT = 1000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** So that what is a whole number but for the error of binary fractions is not rounded up. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
+
+    private static final String ERROR = "error";
 
     /** Why a submission is malformed, in words for its sender. */
     public static final class Malformed extends Exception {
@@ -34,39 +48,39 @@
 
     /** Reads and checks a submission. */
     public static JobSpec decode(String body) throws Malformed {
-        Map<String, Object> m = Json.object(body);
-        if (m == null) {
+        Map<String, Object> fields = Json.object(body);
+        if (fields == null) {
             throw new Malformed("not a JSON object");
         }
-        String id = text(m, "uid");
+        String id = text(fields, "uid");
         if (!isJobId(id)) {
             throw new Malformed("uid: not a job id");
         }
-        if (!(m.get("pieces") instanceof Integer pieces) || pieces < 1 || pieces > MOST_TASKS) {
+        if (!(fields.get("pieces") instanceof Integer pieces) || pieces < 1 || pieces > MOST_TASKS) {
             throw new Malformed("pieces: must be a whole number from 1 to " + MOST_TASKS);
         }
-        Object due = m.get("due_s");
+        Object due = fields.get("due_s");
         return new JobSpec(
                 id,
-                text(m, "lane"),
-                text(m, "owner"),
-                shape(text(m, "shape")),
-                rank(text(m, "rank")),
+                text(fields, "lane"),
+                text(fields, "owner"),
+                shape(text(fields, "shape")),
+                priority(text(fields, "rank")),
                 pieces,
-                millis(m, "cpus"),
-                millis(m, "cards"),
-                millis(m, "mem_gb"),
-                text(m, "bundle"),
-                amount(m, "size_gb"),
-                models(m.get("models")),
-                m.get("site") == null ? null : text(m, "site"),
-                flag(m, "same_place"),
-                flag(m, "scatter"),
-                flag(m, "loaner"),
-                micros(m, "expect_s"),
-                micros(m, "snapshot_s"),
-                micros(m, "flush_s"),
-                due == null ? JobSpec.NO_DEADLINE : micros(m, "due_s"));
+                millis(fields, "cpus"),
+                millis(fields, "cards"),
+                millis(fields, "mem_gb"),
+                text(fields, "bundle"),
+                amount(fields, "size_gb"),
+                machineTypes(fields.get("models")),
+                fields.get("site") == null ? null : text(fields, "site"),
+                flag(fields, "same_place"),
+                flag(fields, "scatter"),
+                flag(fields, "loaner"),
+                micros(fields, "expect_s"),
+                micros(fields, "snapshot_s"),
+                micros(fields, "flush_s"),
+                due == null ? JobSpec.NO_DEADLINE : micros(fields, "due_s"));
     }
 
     private static JobSpec.Shape shape(String word) throws Malformed {
@@ -78,7 +92,7 @@
         };
     }
 
-    private static Priority rank(String word) throws Malformed {
+    private static Priority priority(String word) throws Malformed {
         return switch (word) {
             case "critical" -> Priority.CRITICAL;
             case "high" -> Priority.HIGH;
@@ -88,7 +102,7 @@
         };
     }
 
-    private static List<String> models(Object value) throws Malformed {
+    private static List<String> machineTypes(Object value) throws Malformed {
         if (value == null) {
             return null;
         }
@@ -96,78 +110,88 @@
             throw new Malformed("models: must be a list of names or null");
         }
         List<String> names = new ArrayList<>();
-        for (Object o : list) {
-            if (!(o instanceof String s)) {
+        for (Object element : list) {
+            if (!(element instanceof String name)) {
                 throw new Malformed("models: must be a list of names or null");
             }
-            names.add(s);
+            names.add(name);
         }
         return names;
     }
 
-    private static String text(Map<String, Object> m, String name) throws Malformed {
-        if (!(m.get(name) instanceof String s) || s.isEmpty() || s.length() > LONGEST_NAME) {
+    private static String text(Map<String, Object> fields, String name) throws Malformed {
+        if (!(fields.get(name) instanceof String text) || text.isEmpty() || text.length() > LONGEST_NAME) {
             throw new Malformed(name + ": must be a text of 1 to " + LONGEST_NAME + " characters");
         }
-        return s;
+        return text;
     }
 
-    private static boolean flag(Map<String, Object> m, String name) throws Malformed {
-        if (!(m.get(name) instanceof Boolean b)) {
+    private static boolean flag(Map<String, Object> fields, String name) throws Malformed {
+        if (!(fields.get(name) instanceof Boolean flag)) {
             throw new Malformed(name + ": must be true or false");
         }
-        return b;
+        return flag;
     }
 
-    private static double amount(Map<String, Object> m, String name) throws Malformed {
-        if (!(m.get(name) instanceof Number n)) {
+    private static double amount(Map<String, Object> fields, String name) throws Malformed {
+        if (!(fields.get(name) instanceof Number number)) {
             throw new Malformed(name + ": must be a number");
         }
-        double v = n.doubleValue();
-        if (!(v >= 0 && v <= MOST_AMOUNT)) {
+        double amount = number.doubleValue();
+        if (!(amount >= 0 && amount <= MOST_AMOUNT)) {
             throw new Malformed(name + ": must be from 0 to " + (long) MOST_AMOUNT);
         }
-        return v;
+        return amount;
     }
 
-    private static long millis(Map<String, Object> m, String name) throws Malformed {
-        return (long) Math.ceil(amount(m, name) * 1000 - 1e-6);
+    /** In whole thousandths, rounded up: a task gets no less than was asked for. */
+    private static long millis(Map<String, Object> fields, String name) throws Malformed {
+        return (long) Math.ceil(amount(fields, name) * MILLIS_PER_UNIT - ROUNDING_TOLERANCE);
     }
 
-    private static long micros(Map<String, Object> m, String name) throws Malformed {
-        return Math.round(amount(m, name) * 1e6);
+    private static long micros(Map<String, Object> fields, String name) throws Malformed {
+        return Math.round(amount(fields, name) * MICROS_PER_SECOND);
     }
 
     /** The status that tells the user how the request ended. */
     public static int httpStatus(JobResponse answer) {
-        if (answer instanceof JobResponse.Status s) {
-            return s.created() ? 201 : 200;
+        if (answer instanceof JobResponse.Status status) {
+            return status.created() ? HttpStatus.CREATED : HttpStatus.OK;
+        } else if (answer instanceof JobResponse.NotFound) {
+            return HttpStatus.NOT_FOUND;
         }
-        return answer instanceof JobResponse.NotFound ? 404 : answer instanceof JobResponse.Unschedulable ? 422 : 503;
+        return answer instanceof JobResponse.Unschedulable ? HttpStatus.UNPROCESSABLE : HttpStatus.SERVICE_UNAVAILABLE;
     }
 
     /** The body of the answer to a user. */
     public static String encode(JobResponse answer) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        if (answer instanceof JobResponse.Status s) {
-            m.put("uid", s.job());
-            m.put(
-                    "status",
-                    switch (s.state()) {
-                        case PENDING -> "pending";
-                        case RUNNING -> "running";
-                        case DONE -> "done";
-                        case CANCELLED -> "aborted";
-                    });
-            m.put("done", s.done());
-            m.put("running", s.running());
-        } else if (answer instanceof JobResponse.Unschedulable i) {
-            m.put("error", i.reason());
-        } else if (answer instanceof JobResponse.RetryLater t) {
-            m.put("error", t.reason());
+        Map<String, Object> fields = new LinkedHashMap<>();
+        if (answer instanceof JobResponse.Status status) {
+            fields.put("uid", status.job());
+            fields.put("status", word(status.state()));
+            fields.put("done", status.done());
+            fields.put("running", status.running());
+        } else if (answer instanceof JobResponse.Unschedulable unschedulable) {
+            fields.put(ERROR, unschedulable.reason());
+        } else if (answer instanceof JobResponse.RetryLater later) {
+            fields.put(ERROR, later.reason());
         } else {
-            m.put("error", "no such job");
+            fields.put(ERROR, "no such job");
         }
-        return Json.text(m);
+        return Json.text(fields);
+    }
+
+    /** The body of the answer to a user whose submission is malformed. */
+    public static String encode(Malformed malformed) {
+        return Json.text(Map.of(ERROR, malformed.getMessage()));
+    }
+
+    private static String word(JobResponse.JobState state) {
+        return switch (state) {
+            case PENDING -> "pending";
+            case RUNNING -> "running";
+            case DONE -> "done";
+            case CANCELLED -> "aborted";
+        };
     }
 }
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -15,69 +15,105 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Heartbeats of workers and commands to them. */
+/**
+ * Heartbeats of workers and commands to them.
+ *
+ * <p>Words of the pages: report heartbeat; {@code shift} agent epoch; {@code tally} heartbeat sequence number;
+ * {@code baton} fencing token; {@code piece} task; {@code try} attempt; {@code model} machine type; {@code site} zone;
+ * {@code loaner} spot instance; {@code warning_s} notice of the end of a spot instance; {@code pulling} fetching;
+ * {@code mates_gone} peer gone; {@code alone} gang incomplete; {@code supervisor} leader; {@code orders} commands;
+ * {@code verb} kind of command; {@code halt} stop; {@code leeway_s} grace period.
+ */
 public final class WorkerCodec {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
 
+    private static final String HOST = "host";
+    private static final String ADDRESS = "address";
+    private static final String MODEL = "model";
+    private static final String SITE = "site";
+    private static final String SHIFT = "shift";
+    private static final String TALLY = "tally";
+    private static final String BATON = "baton";
+    private static final String PIECE = "piece";
+    private static final String TRY = "try";
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private WorkerCodec() {}
 
-    /** Null when it is no heartbeat. */
+    /** Reads a heartbeat; null when it is none. */
     public static Heartbeat decodeHeartbeat(String body) {
-        Map<String, Object> m = Json.object(body);
-        if (m == null
-                || Fields.textOf(m, "host") == null
-                || Fields.textOf(m, "address") == null
-                || Fields.textOf(m, "model") == null
-                || Fields.textOf(m, "site") == null
-                || !(m.get("shift") instanceof Number)
-                || !(m.get("tally") instanceof Number)) {
+        Map<String, Object> fields = Json.object(body);
+        if (fields == null || !hasRequiredFields(fields)) {
+            return null;
+        }
+        List<TaskStatus> tasks = decodeTasks(Fields.listOf(fields, "pieces"));
+        if (tasks == null) {
             return null;
         }
+        double noticeSeconds = Fields.doubleOf(fields, "warning_s", -1);
+        return new Heartbeat(
+                Fields.textOf(fields, HOST),
+                Fields.textOf(fields, ADDRESS),
+                Fields.textOf(fields, MODEL),
+                Fields.textOf(fields, SITE),
+                Fields.boolOf(fields, "loaner"),
+                Fields.longOf(fields, SHIFT, 0),
+                Fields.longOf(fields, TALLY, 0),
+                Fields.longOf(fields, BATON, 0),
+                noticeSeconds < 0 ? -1 : Math.round(noticeSeconds * MICROS_PER_SECOND),
+                tasks);
+    }
+
+    private static boolean hasRequiredFields(Map<String, Object> fields) {
+        return Fields.textOf(fields, HOST) != null
+                && Fields.textOf(fields, ADDRESS) != null
+                && Fields.textOf(fields, MODEL) != null
+                && Fields.textOf(fields, SITE) != null
+                && Fields.isNumber(fields, SHIFT)
+                && Fields.isNumber(fields, TALLY);
+    }
+
+    /** Null when one of them can't be read. */
+    private static List<TaskStatus> decodeTasks(List<?> elements) {
         List<TaskStatus> tasks = new ArrayList<>();
-        for (Object o : Fields.listOf(m, "pieces")) {
-            if (!(o instanceof Map<?, ?>)) {
-                return null;
-            }
-            @SuppressWarnings("unchecked")
-            TaskStatus r = decodeTask((Map<String, Object>) o);
-            if (r == null) {
+        for (Object element : elements) {
+            Map<String, Object> fields = Fields.objectOrNull(element);
+            TaskStatus task = fields == null ? null : decodeTask(fields);
+            if (task == null) {
                 return null;
             }
-            tasks.add(r);
+            tasks.add(task);
         }
-        double notice = Fields.doubleOf(m, "warning_s", -1);
-        return new Heartbeat(
-                Fields.textOf(m, "host"),
-                Fields.textOf(m, "address"),
-                Fields.textOf(m, "model"),
-                Fields.textOf(m, "site"),
-                Fields.boolOf(m, "loaner"),
-                Fields.longOf(m, "shift", 0),
-                Fields.longOf(m, "tally", 0),
-                Fields.longOf(m, "baton", 0),
-                notice < 0 ? -1 : Math.round(notice * 1e6),
-                tasks);
+        return tasks;
     }
 
-    private static TaskStatus decodeTask(Map<String, Object> m) {
-        String piece = Fields.textOf(m, "piece");
-        String status = Fields.textOf(m, "status");
-        int slash = piece == null ? -1 : piece.lastIndexOf('/');
-        if (slash < 0 || status == null) {
+    /** Null when it can't be read. */
+    private static TaskStatus decodeTask(Map<String, Object> fields) {
+        String piece = Fields.textOf(fields, PIECE);
+        String status = Fields.textOf(fields, "status");
+        TaskId task = piece == null ? null : decodeTaskId(piece);
+        if (task == null || status == null) {
+            return null;
+        }
+        return new TaskStatus(
+                task,
+                Fields.longOf(fields, TRY, 0),
+                taskState(task, status),
+                cause(task, Fields.textOf(fields, "cause")),
+                Fields.boolOf(fields, "kept"));
+    }
+
+    /** Null when it is no job id and number with a slash between. */
+    private static TaskId decodeTaskId(String piece) {
+        int slash = piece.lastIndexOf('/');
+        if (slash < 0) {
             return null;
         }
-        TaskId id;
         try {
-            id = new TaskId(piece.substring(0, slash), Integer.parseInt(piece.substring(slash + 1)));
+            return new TaskId(piece.substring(0, slash), Integer.parseInt(piece.substring(slash + 1)));
         } catch (NumberFormatException e) {
             return null;
         }
-        return new TaskStatus(
-                id,
-                Fields.longOf(m, "try", 0),
-                taskState(id, status),
-                cause(id, Fields.textOf(m, "cause")),
-                Fields.boolOf(m, "kept"));
     }
 
     /** A state that we don't know may be anything: the task counts as being on the machine. */
@@ -117,47 +153,56 @@
 
     /** The status that tells the worker what to do. */
     public static int httpStatus(HeartbeatResponse answer) {
-        return answer instanceof HeartbeatResponse.Accepted
-                ? 200
-                : answer instanceof HeartbeatResponse.Redirect ? 421 : 503;
+        if (answer instanceof HeartbeatResponse.Accepted) {
+            return HttpStatus.OK;
+        }
+        return answer instanceof HeartbeatResponse.Redirect
+                ? HttpStatus.MISDIRECTED_REQUEST
+                : HttpStatus.SERVICE_UNAVAILABLE;
     }
 
     /** The body of the answer to a heartbeat. */
     public static String encode(HeartbeatResponse answer) {
-        if (answer instanceof HeartbeatResponse.Accepted a) {
-            return encodeCommands(a.fencingToken(), -1, a.commands());
+        if (answer instanceof HeartbeatResponse.Accepted accepted) {
+            return encodeCommands(accepted.fencingToken(), -1, accepted.commands());
         }
-        if (answer instanceof HeartbeatResponse.Redirect e && e.node() != null) {
-            return Json.text(Map.of("supervisor", e.node()));
+        if (answer instanceof HeartbeatResponse.Redirect redirect && redirect.node() != null) {
+            return Json.text(Map.of("supervisor", redirect.node()));
         }
         return "{}";
     }
 
-    /** {@code agentEpoch} negative: left out, as in the answer to a heartbeat. */
+    /** Commands to a worker. {@code agentEpoch} negative: left out, as in the answer to a heartbeat. */
     public static String encodeCommands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
-        List<Object> list = new ArrayList<>(commands.size());
-        for (WorkerCommand o : commands) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put(
-                    "verb",
-                    switch (o.verb()) {
-                        case START -> "start";
-                        case STOP -> "halt";
-                        case CLEAR -> "clear";
-                    });
-            m.put("piece", o.task().toString());
-            m.put("try", o.attempt());
-            if (o.verb() == WorkerCommand.Verb.STOP) {
-                m.put("leeway_s", o.graceMicros() / 1e6);
-            }
-            list.add(m);
+        List<Object> orders = new ArrayList<>(commands.size());
+        for (WorkerCommand command : commands) {
+            orders.add(encodeCommand(command));
         }
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("baton", fencingToken);
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(BATON, fencingToken);
         if (agentEpoch >= 0) {
-            m.put("shift", agentEpoch);
+            fields.put(SHIFT, agentEpoch);
         }
-        m.put("orders", list);
-        return Json.text(m);
+        fields.put("orders", orders);
+        return Json.text(fields);
+    }
+
+    private static Map<String, Object> encodeCommand(WorkerCommand command) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("verb", verb(command.verb()));
+        fields.put(PIECE, command.task().toString());
+        fields.put(TRY, command.attempt());
+        if (command.verb() == WorkerCommand.Verb.STOP) {
+            fields.put("leeway_s", command.graceMicros() / MICROS_PER_SECOND);
+        }
+        return fields;
+    }
+
+    private static String verb(WorkerCommand.Verb verb) {
+        return switch (verb) {
+            case START -> "start";
+            case STOP -> "halt";
+            case CLEAR -> "clear";
+        };
     }
 }
--- a/src/main/java/org/granitepath/storage/FinalRecord.java
+++ b/src/main/java/org/granitepath/storage/FinalRecord.java
@@ -4,7 +4,9 @@
 public record FinalRecord(Outcome outcome) implements StoredRecord {
     /** The two ways in which a job ends. */
     public enum Outcome {
+        /** All its tasks are complete. */
         DONE,
+        /** A user cancelled it. */
         CANCELLED
     }
 }
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -5,6 +5,13 @@
 /**
  * What a user asked for. Amounts are whole thousandths (of a CPU, a GPU, a gigabyte), rounded up, so that sums are
  * exact; times are microseconds.
+ *
+ * @param types the machine types that may be used; null: any
+ * @param zone the only zone that may be used; null: any
+ * @param oneZone whether all tasks must run in one zone
+ * @param spread whether no zone may hold more than half of the tasks, rounded up
+ * @param spot whether spot instances may be used
+ * @param deadlineMicros time after acceptance, or {@link #NO_DEADLINE}
  */
 public record JobSpec(
         String id,
@@ -28,13 +35,17 @@
         long saveMicros,
         long deadlineMicros) {
 
-    /** {@code GANG}: its tasks work together; they start whole, and none goes on without the others. */
+    /** How the tasks of a job relate to one another and to time. */
     public enum Shape {
+        /** Independent tasks, each of which ends by itself. */
         BATCH,
+        /** Tasks that work together: they start all at once, and none goes on without the others. */
         GANG,
+        /** Tasks that run until the job is cancelled. */
         SERVICE
     }
 
+    /** Stands for a deadline that there is not. */
     public static final long NO_DEADLINE = -1;
 
     /** Whether its tasks run until it is cancelled. */
--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -7,17 +7,21 @@
 /** The store as the decision code sees it. Every call answers exactly once, later, on the event loop. */
 public interface KeyValueStore {
 
-    /**
-     * How a call ended. {@code REFUSED}: not now. {@code REJECTED}: never, as it stands. {@code UNKNOWN}: no answer, so
-     * it may have been carried out, or may yet be.
-     */
+    /** How a call ended. */
     enum Outcome {
+        /** Carried out. */
         OK,
+        /** Not carried out: a precondition does not hold. */
         CONFLICT,
+        /** There is no such key or lease. */
         NOT_FOUND,
+        /** The changes that were asked for are no longer kept. */
         GONE,
+        /** Not carried out: not now. */
         REFUSED,
+        /** Not carried out, and never will be as it stands. */
         REJECTED,
+        /** No answer, so it may have been carried out, or may yet be. */
         UNKNOWN
     }
 
@@ -37,10 +41,10 @@
         }
     }
 
-    /** Changes that are made together, if all guards hold, or not at all. */
+    /** Changes that are made together, if all preconditions hold, or not at all. */
     record Transaction(List<Precondition> preconditions, List<Change> changes) {}
 
-    /** How a transaction ended: the new revision, or the keys whose guards failed. */
+    /** How a transaction ended: the new revision, or the keys whose preconditions do not hold. */
     record Committed(Outcome outcome, long storeRevision, List<String> failed) {}
 
     /** One key as read or followed; {@code value} null: removed. */
--- a/src/main/java/org/granitepath/transport/BackServer.java
+++ b/src/main/java/org/granitepath/transport/BackServer.java
@@ -7,6 +7,7 @@
 import java.nio.ByteBuffer;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.RecoveryStatusCodec;
 
@@ -14,6 +15,8 @@
 public final class BackServer {
     private static final String METRICS = "/metrics";
     private static final String RECOVERY = "/recovery";
+    private static final String TEXT = "text/plain";
+    private static final String JSON = "application/json";
 
     private final Controller controller;
     private final Metrics metrics;
@@ -34,14 +37,11 @@
 
     private void route(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
-            case METRICS -> send(exchange, "text/plain", metrics.text());
-            case RECOVERY ->
-                send(exchange, "application/json", RecoveryStatusCodec.encode(controller.recoveryStatus()));
-            case PeerClient.STATUS ->
-                exchange.getRequestReceiver().receiveFullBytes((ex, bytes) -> exchangeStatus(ex, bytes));
-            case PeerClient.CANCELLED ->
-                exchange.getRequestReceiver().receiveFullBytes((ex, bytes) -> takeCancellation(ex, bytes));
-            default -> exchange.setStatusCode(404).endExchange();
+            case METRICS -> send(exchange, TEXT, metrics.text());
+            case RECOVERY -> send(exchange, JSON, RecoveryStatusCodec.encode(controller.recoveryStatus()));
+            case PeerClient.STATUS -> exchange.getRequestReceiver().receiveFullBytes(this::exchangeStatus);
+            case PeerClient.CANCELLED -> exchange.getRequestReceiver().receiveFullBytes(this::takeCancellation);
+            default -> exchange.setStatusCode(HttpStatus.NOT_FOUND).endExchange();
         }
     }
 
@@ -53,7 +53,7 @@
     private void exchangeStatus(HttpServerExchange exchange, byte[] bytes) {
         PeerPort.PeerStatus theirs = PeerCodec.decode(bytes);
         if (theirs == null) {
-            exchange.setStatusCode(400).endExchange();
+            exchange.setStatusCode(HttpStatus.BAD_REQUEST).endExchange();
             return;
         }
         byte[] ours = PeerCodec.encode(controller.statusReceived(theirs));
@@ -63,7 +63,7 @@
     private void takeCancellation(HttpServerExchange exchange, byte[] bytes) {
         PeerPort.CancellationNotice notice = PeerCodec.decodeCancelled(bytes);
         if (notice == null) {
-            exchange.setStatusCode(400);
+            exchange.setStatusCode(HttpStatus.BAD_REQUEST);
         } else {
             controller.cancellationReceived(notice);
         }
--- a/src/main/java/org/granitepath/transport/BytesReader.java
+++ b/src/main/java/org/granitepath/transport/BytesReader.java
@@ -36,12 +36,12 @@
             ByteBuffer buffer = pooled.getBuffer();
             while (true) {
                 buffer.clear();
-                int n = channel.read(buffer);
-                if (n == 0) {
+                int bytesRead = channel.read(buffer);
+                if (bytesRead == 0) {
                     channel.resumeReads();
                     return;
                 }
-                if (n < 0) {
+                if (bytesRead < 0) {
                     IoUtils.safeClose(channel);
                     done.accept(body.toByteArray());
                     return;
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -1,78 +1,62 @@
 package org.granitepath.transport;
 
-import io.undertow.util.Methods;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.protocol.CloudCodec;
-import org.granitepath.protocol.Json;
+import org.granitepath.protocol.HttpStatus;
 import org.granitepath.storage.MachineType;
 
 /** The cloud over HTTP. */
 public final class CloudClient implements CloudPort {
     private static final long TIMEOUT_MICROS = 5_000_000;
 
-    private final HttpCalls http;
-    private final String address;
+    private final JsonClient cloud;
 
     /** Calls the cloud at this address. */
     public CloudClient(HttpCalls http, String address) {
-        this.http = http;
-        this.address = address;
+        this.cloud = new JsonClient(http, address, HttpCalls.AfterCall.CLOSE, TIMEOUT_MICROS);
     }
 
     @Override
     public void types(Consumer<List<MachineType>> then) {
-        http.call(address, Methods.GET, "/flavors", null, TIMEOUT_MICROS, false, (status, body) -> {
-            Map<String, Object> m = status == 200 ? Json.object(body) : null;
-            then.accept(m == null ? null : CloudCodec.decodeTypes(m));
+        cloud.get("/flavors", answer -> {
+            Map<String, Object> body = answer.bodyIfOk();
+            then.accept(body == null ? null : CloudCodec.decodeTypes(body));
         });
     }
 
     @Override
     public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
-        http.call(
-                address,
-                Methods.POST,
-                "/rentals",
-                CloudCodec.encodeLaunch(request),
-                TIMEOUT_MICROS,
-                false,
-                (status, body) -> {
-                    Map<String, Object> m = status == 0 ? null : Json.object(body);
-                    if (status == 200 && m != null) {
-                        then.accept(new LaunchResult(Outcome.OK, CloudCodec.decodeHosts(m)));
-                    } else if (status == 503 && m != null && "no capacity".equals(m.get("error"))) {
-                        then.accept(new LaunchResult(Outcome.NO_CAPACITY, List.of()));
-                    } else {
-                        then.accept(new LaunchResult(status == 0 ? Outcome.UNKNOWN : Outcome.REFUSED, List.of()));
-                    }
-                });
+        cloud.post("/rentals", CloudCodec.encodeLaunch(request), answer -> then.accept(launchResult(answer)));
+    }
+
+    private static LaunchResult launchResult(JsonClient.Answer answer) {
+        Map<String, Object> body = answer.body();
+        if (answer.isOk() && body != null) {
+            return new LaunchResult(Outcome.OK, CloudCodec.decodeHosts(body));
+        }
+        if (answer.status() == HttpStatus.SERVICE_UNAVAILABLE && body != null && CloudCodec.isNoCapacity(body)) {
+            return new LaunchResult(Outcome.NO_CAPACITY, List.of());
+        }
+        return new LaunchResult(answer.isMissing() ? Outcome.UNKNOWN : Outcome.REFUSED, List.of());
     }
 
     @Override
     public void terminate(List<String> hosts, Consumer<Boolean> then) {
-        http.call(
-                address,
-                Methods.POST,
-                "/rentals/return",
-                CloudCodec.encodeHosts(hosts),
-                TIMEOUT_MICROS,
-                false,
-                (status, body) -> then.accept(status == 200));
+        cloud.post("/rentals/return", CloudCodec.encodeHosts(hosts), answer -> then.accept(answer.isOk()));
     }
 
     @Override
     public void list(String from, int limit, Consumer<Listing> then) {
         String path = "/rentals?most=" + limit + (from.isEmpty() ? "" : "&from=" + from);
-        http.call(address, Methods.GET, path, null, TIMEOUT_MICROS, false, (status, body) -> {
-            Map<String, Object> m = status == 200 ? Json.object(body) : null;
+        cloud.get(path, answer -> {
+            Map<String, Object> body = answer.bodyIfOk();
             then.accept(
-                    m == null
+                    body == null
                             ? new Listing(Outcome.UNKNOWN, List.of(), false)
-                            : new Listing(
-                                    Outcome.OK, CloudCodec.decodeListing(m), Boolean.TRUE.equals(m.get("has_next"))));
+                            : new Listing(Outcome.OK, CloudCodec.decodeListing(body), CloudCodec.hasMore(body)));
         });
     }
 }
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -13,6 +13,8 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.granitepath.protocol.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoFuture;
@@ -26,16 +28,25 @@
 public final class HttpCalls {
     private static final Logger LOG = LoggerFactory.getLogger(HttpCalls.class);
     private static final int IDLE_KEPT = 4;
+    private static final long MICROS_PER_MILLI = 1000;
 
-    /** {@code status} 0: no answer. */
+    /** What becomes of the connection after a call. */
+    public enum AfterCall {
+        /** It is kept for later calls to the same address. */
+        KEEP,
+        /** It is closed: the next call to this address is far off. */
+        CLOSE
+    }
+
+    /** Takes the end of a call with a text for its body. */
     public interface Reply {
-        /** The call has ended; status 0: without an answer. */
+        /** The call has ended; status {@link HttpStatus#NO_ANSWER}: without an answer, and the body is null. */
         void done(int status, String body);
     }
 
-    /** The same for a body that is no text. */
-    public interface BytesReply {
-        /** The call has ended; status 0: without an answer. */
+    /** Takes the end of a call with a body that is no text. */
+    interface BytesReply {
+        /** The call has ended; status {@link HttpStatus#NO_ANSWER}: without an answer, and the body is null. */
         void done(int status, byte[] body);
     }
 
@@ -52,7 +63,7 @@
     /**
      * Sends a request with a text for its body.
      *
-     * @param keep whether the connection is kept for later requests to the same address
+     * @param body null: none
      */
     public void call(
             String address,
@@ -60,7 +71,7 @@
             String path,
             String body,
             long timeoutMicros,
-            boolean keep,
+            AfterCall afterCall,
             Reply reply) {
         exchange(
                 address,
@@ -69,7 +80,7 @@
                 body == null ? null : body.getBytes(StandardCharsets.UTF_8),
                 "application/json",
                 timeoutMicros,
-                keep,
+                afterCall,
                 (status, bytes) ->
                         reply.done(status, bytes == null ? null : new String(bytes, StandardCharsets.UTF_8)));
     }
@@ -81,31 +92,60 @@
             byte[] body,
             String type,
             long timeoutMicros,
-            boolean keep,
+            AfterCall afterCall,
             BytesReply reply) {
-        new Call(address, method, path, body, type, keep, reply).begin(timeoutMicros);
+        new Call(address, method, path, body, type, afterCall, reply).begin(timeoutMicros);
+    }
+
+    /** A connection to this address that is kept and still open, or null. */
+    private ClientConnection takeIdle(String address) {
+        ArrayDeque<ClientConnection> kept = idle.get(address);
+        while (kept != null && !kept.isEmpty()) {
+            ClientConnection connection = kept.pop();
+            if (connection.isOpen()) {
+                return connection;
+            }
+        }
+        return null;
     }
 
+    private void keepIdle(String address, ClientConnection connection) {
+        ArrayDeque<ClientConnection> kept = idle.computeIfAbsent(address, unused -> new ArrayDeque<>());
+        if (connection.isOpen() && kept.size() < IDLE_KEPT) {
+            kept.push(connection);
+        } else {
+            IoUtils.safeClose(connection);
+        }
+    }
+
+    /** One call, from its beginning to its end: an answer, a failure or a timeout, whichever comes first. */
     private final class Call {
         private final String address;
         private final HttpString method;
         private final String path;
         private final byte[] body;
         private final String type;
-        private final boolean keep;
+        private final AfterCall afterCall;
         private final BytesReply reply;
         private IoFuture<StreamConnection> connecting;
         private ClientConnection connection;
         private XnioExecutor.Key timer;
         private boolean over;
 
-        Call(String address, HttpString method, String path, byte[] body, String type, boolean keep, BytesReply reply) {
+        Call(
+                String address,
+                HttpString method,
+                String path,
+                byte[] body,
+                String type,
+                AfterCall afterCall,
+                BytesReply reply) {
             this.address = address;
             this.method = method;
             this.path = path;
             this.body = body;
             this.type = type;
-            this.keep = keep;
+            this.afterCall = afterCall;
             this.reply = reply;
         }
 
@@ -113,32 +153,28 @@
             timer = loop.thread()
                     .executeAfter(
                             EventLoop.guarded(() -> fail("timed out")),
-                            timeoutMicros / 1000,
-                            java.util.concurrent.TimeUnit.MILLISECONDS);
-            ArrayDeque<ClientConnection> kept = idle.get(address);
-            while (keep && kept != null && !kept.isEmpty()) {
-                ClientConnection c = kept.pop();
-                if (c.isOpen()) {
-                    send(c);
-                    return;
-                }
+                            timeoutMicros / MICROS_PER_MILLI,
+                            TimeUnit.MILLISECONDS);
+            ClientConnection kept = afterCall == AfterCall.KEEP ? takeIdle(address) : null;
+            if (kept != null) {
+                send(kept);
+            } else {
+                connect();
             }
+        }
+
+        private void connect() {
             UndertowClient.getInstance()
                     .connect(
-                            new ClientCallback<>() {
+                            new Step<ClientConnection>() {
                                 @Override
-                                public void completed(ClientConnection c) {
+                                public void completed(ClientConnection opened) {
                                     if (over) {
-                                        IoUtils.safeClose(c);
+                                        IoUtils.safeClose(opened);
                                     } else {
-                                        send(c);
+                                        send(opened);
                                     }
                                 }
-
-                                @Override
-                                public void failed(IOException e) {
-                                    fail(String.valueOf(e.getMessage()));
-                                }
                             },
                             URI.create("http://" + address),
                             connector,
@@ -147,46 +183,40 @@
             connecting = connector.latest();
         }
 
-        private void send(ClientConnection c) {
-            connection = c;
-            ClientRequest request = new ClientRequest().setMethod(method).setPath(path);
-            request.getRequestHeaders().put(Headers.HOST, address);
-            if (!keep) {
-                request.getRequestHeaders().put(Headers.CONNECTION, "close");
-            }
-            if (body != null) {
-                request.getRequestHeaders().put(Headers.CONTENT_TYPE, type);
-                request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
-            }
-            c.sendRequest(request, new ClientCallback<>() {
+        private void send(ClientConnection open) {
+            connection = open;
+            open.sendRequest(request(), new Step<ClientExchange>() {
                 @Override
                 public void completed(ClientExchange exchange) {
-                    exchange.setResponseListener(new ClientCallback<>() {
+                    exchange.setResponseListener(new Step<ClientExchange>() {
                         @Override
                         public void completed(ClientExchange answered) {
                             read(answered);
                         }
-
-                        @Override
-                        public void failed(IOException e) {
-                            fail(String.valueOf(e.getMessage()));
-                        }
                     });
                     if (body != null) {
                         new BytesWriter(body).setup(exchange.getRequestChannel());
                     }
                 }
-
-                @Override
-                public void failed(IOException e) {
-                    fail(String.valueOf(e.getMessage()));
-                }
             });
         }
 
+        private ClientRequest request() {
+            ClientRequest request = new ClientRequest().setMethod(method).setPath(path);
+            request.getRequestHeaders().put(Headers.HOST, address);
+            if (afterCall == AfterCall.CLOSE) {
+                request.getRequestHeaders().put(Headers.CONNECTION, "close");
+            }
+            if (body != null) {
+                request.getRequestHeaders().put(Headers.CONTENT_TYPE, type);
+                request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
+            }
+            return request;
+        }
+
         private void read(ClientExchange exchange) {
             int status = exchange.getResponse().getResponseCode();
-            new BytesReader(loop.buffers(), bytes -> finish(status, bytes), e -> fail(String.valueOf(e.getMessage())))
+            new BytesReader(loop.buffers(), bytes -> finish(status, bytes), this::fail)
                     .setup(exchange.getResponseChannel());
         }
 
@@ -196,23 +226,20 @@
             }
             over = true;
             timer.remove();
-            ClientConnection c = connection;
-            if (keep && c.isOpen()) {
+            ClientConnection used = connection;
+            if (afterCall == AfterCall.KEEP && used.isOpen()) {
                 // Only after the exchange has been closed by the client may the connection take the next request.
-                loop.run(() -> {
-                    ArrayDeque<ClientConnection> kept = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-                    if (c.isOpen() && kept.size() < IDLE_KEPT) {
-                        kept.push(c);
-                    } else {
-                        IoUtils.safeClose(c);
-                    }
-                });
+                loop.run(() -> keepIdle(address, used));
             } else {
-                IoUtils.safeClose(c);
+                IoUtils.safeClose(used);
             }
             EventLoop.guarded(() -> reply.done(status, bytes)).run();
         }
 
+        private void fail(IOException cause) {
+            fail(String.valueOf(cause.getMessage()));
+        }
+
         private void fail(String why) {
             if (over) {
                 return;
@@ -224,7 +251,15 @@
             if (connecting != null) {
                 connecting.cancel();
             }
-            EventLoop.guarded(() -> reply.done(0, null)).run();
+            EventLoop.guarded(() -> reply.done(HttpStatus.NO_ANSWER, null)).run();
+        }
+
+        /** A step of the call, whose failure is that of the call. */
+        private abstract class Step<T> implements ClientCallback<T> {
+            @Override
+            public void failed(IOException cause) {
+                fail(cause);
+            }
         }
     }
 }
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -1,107 +1,91 @@
 package org.granitepath.transport;
 
-import io.undertow.util.Methods;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.granitepath.protocol.Json;
+import java.util.function.Function;
+import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.KeyValueStoreCodec;
-import org.granitepath.storage.Fields;
 import org.granitepath.storage.KeyValueStore;
 
 /** The store over HTTP. */
 public final class KeyValueStoreClient implements KeyValueStore {
     private static final long TIMEOUT_MICROS = 2_000_000;
+    /** A renewal must have ended in time for another before the lease expires. */
+    private static final long RENEWAL_TIMEOUT_MICROS = TIMEOUT_MICROS / 2;
 
-    private final HttpCalls http;
-    private final String address;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final String NO_PARAMETERS = "{}";
+
+    private final JsonClient store;
 
     /** Calls the store at this address. */
     public KeyValueStoreClient(HttpCalls http, String address) {
-        this.http = http;
-        this.address = address;
+        this.store = new JsonClient(http, address, HttpCalls.AfterCall.KEEP, TIMEOUT_MICROS);
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<Committed> then) {
-        http.call(
-                address,
-                Methods.POST,
-                "/commit",
-                KeyValueStoreCodec.encodeTransaction(transaction),
-                TIMEOUT_MICROS,
-                true,
-                (status, body) -> {
-                    Map<String, Object> m = status == 0 ? null : Json.object(body);
-                    Outcome outcome = outcome(status, m);
-                    then.accept(new Committed(
-                            outcome,
-                            m == null ? 0 : Fields.longOf(m, "epoch", 0),
-                            m == null
-                                    ? List.of()
-                                    : Fields.listOf(m, "failed").stream()
-                                            .map(String::valueOf)
-                                            .toList()));
-                });
+        store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), answer -> {
+            Map<String, Object> body = answer.body();
+            Outcome outcome = outcome(answer.status(), body);
+            then.accept(
+                    body == null
+                            ? new Committed(outcome, 0, List.of())
+                            : KeyValueStoreCodec.decodeCommitted(outcome, body));
+        });
     }
 
     @Override
     public void list(String prefix, String from, int limit, Consumer<Page> then) {
         String path = "/keys?prefix=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&most=" + limit;
-        http.call(address, Methods.GET, path, null, TIMEOUT_MICROS, true, (status, body) -> {
-            Map<String, Object> m = status == 0 ? null : Json.object(body);
-            then.accept(status == 200 && m != null ? KeyValueStoreCodec.decodeList(m) : failed(outcome(status, m)));
-        });
+        store.get(path, answer -> then.accept(page(answer, KeyValueStoreCodec::decodeList)));
     }
 
     @Override
     public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-        String path = "/follow?prefix=" + prefix + "&from=" + from + "&wait_ms=" + waitMicros / 1000;
-        http.call(address, Methods.GET, path, null, waitMicros + TIMEOUT_MICROS, true, (status, body) -> {
-            Map<String, Object> m = status == 0 ? null : Json.object(body);
-            then.accept(status == 200 && m != null ? KeyValueStoreCodec.decodeFollow(m) : failed(outcome(status, m)));
-        });
+        String path = "/follow?prefix=" + prefix + "&from=" + from + "&wait_ms=" + waitMicros / MICROS_PER_MILLI;
+        store.get(
+                path,
+                waitMicros + TIMEOUT_MICROS,
+                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeFollow)));
     }
 
     @Override
     public void openLease(long lifeMicros, Consumer<Leased> then) {
-        http.call(
-                address,
-                Methods.POST,
-                "/leases",
-                KeyValueStoreCodec.encodeLease(lifeMicros),
-                TIMEOUT_MICROS,
-                true,
-                (status, body) -> {
-                    Map<String, Object> m = status == 0 ? null : Json.object(body);
-                    then.accept(new Leased(outcome(status, m), m == null ? 0 : KeyValueStoreCodec.decodeLease(m)));
-                });
+        store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
+            Map<String, Object> body = answer.body();
+            long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
+            then.accept(new Leased(outcome(answer.status(), body), lease));
+        });
     }
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> then) {
-        http.call(
-                address,
-                Methods.POST,
+        store.post(
                 "/leases/" + lease + "/touch",
-                "{}",
-                TIMEOUT_MICROS / 2,
-                true,
-                (status, body) -> then.accept(status == 200 ? Outcome.OK : outcome(status, Map.of())));
+                NO_PARAMETERS,
+                RENEWAL_TIMEOUT_MICROS,
+                // The status says all: the body is not looked at.
+                answer -> then.accept(outcome(answer.status(), Map.of())));
     }
 
-    private static Page failed(Outcome outcome) {
-        return new Page(outcome, List.of(), false, 0);
+    private static Page page(JsonClient.Answer answer, Function<Map<String, Object>, Page> decoder) {
+        Map<String, Object> body = answer.body();
+        return answer.isOk() && body != null
+                ? decoder.apply(body)
+                : new Page(outcome(answer.status(), body), List.of(), false, 0);
     }
 
+    /** @param body null when there was none or it is no JSON object: then nothing is known of a success */
     private static Outcome outcome(int status, Map<String, Object> body) {
         return switch (status) {
-            case 0 -> Outcome.UNKNOWN;
-            case 200, 201 -> body == null ? Outcome.UNKNOWN : Outcome.OK;
-            case 400 -> Outcome.REJECTED;
-            case 404 -> Outcome.NOT_FOUND;
-            case 409 -> Outcome.CONFLICT;
-            case 410 -> Outcome.GONE;
+            case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
+            case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
+            case HttpStatus.BAD_REQUEST -> Outcome.REJECTED;
+            case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
+            case HttpStatus.CONFLICT -> Outcome.CONFLICT;
+            case HttpStatus.GONE -> Outcome.GONE;
             default -> Outcome.REFUSED;
         };
     }
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.granitepath.coordination.ports.PeerPort;
+import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.PeerCodec;
 
 /** The other controllers' back addresses over HTTP. */
@@ -31,8 +32,8 @@
                 PeerCodec.encode(ours),
                 TYPE,
                 TIMEOUT_MICROS,
-                true,
-                (status, body) -> then.accept(status == 200 ? PeerCodec.decode(body) : null));
+                HttpCalls.AfterCall.KEEP,
+                (status, body) -> then.accept(status == HttpStatus.OK ? PeerCodec.decode(body) : null));
     }
 
     @Override
@@ -44,7 +45,7 @@
                 PeerCodec.encode(notice),
                 TYPE,
                 TIMEOUT_MICROS,
-                true,
-                (status, body) -> then.accept(status == 200));
+                HttpCalls.AfterCall.KEEP,
+                (status, body) -> then.accept(status == HttpStatus.OK));
     }
 }
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -7,12 +7,13 @@
 import io.undertow.util.Methods;
 import io.undertow.util.SameThreadExecutor;
 import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.JobResponse;
-import org.granitepath.protocol.Json;
+import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
 import org.xnio.Options;
@@ -26,7 +27,16 @@
 
     private static final String HEARTBEATS = "/agent/beat";
     private static final String JOBS = "/submissions";
+    private static final String JOB_PREFIX = JOBS + "/";
     private static final String CANCEL = "/cancel";
+    private static final String HEALTH = "/up";
+
+    private static final String EMPTY_OBJECT = "{}";
+    private static final String NOT_HEALTHY = "{\"error\":\"starting, or cut from the state service\"}";
+    private static final String NO_SUCH_PATH = "{\"error\":\"no such path\"}";
+    private static final String METHOD_NOT_ALLOWED = "{\"error\":\"method not allowed\"}";
+    private static final String NOT_A_HEARTBEAT = "{\"error\":\"not a report\"}";
+    private static final String UNREADABLE_BODY = "{\"error\":\"unreadable or over 64 KiB\"}";
 
     private final Controller controller;
     private final Metrics metrics;
@@ -83,46 +93,52 @@
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
         connections.requested(exchange, path.equals(HEARTBEATS));
         if (path.equals(HEARTBEATS) && post) {
-            body(exchange, text -> heartbeat(exchange, text));
-        } else if (path.equals("/up") && get) {
+            readBody(exchange, text -> heartbeat(exchange, text));
+        } else if (path.equals(HEALTH) && get) {
             boolean up = controller.healthy();
-            reply(exchange, up ? 200 : 503, up ? "{}" : "{\"error\":\"starting, or cut from the state service\"}");
+            reply(exchange, up ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, up ? EMPTY_OBJECT : NOT_HEALTHY);
         } else if (path.equals(JOBS) && post) {
-            timed(exchange, "submit");
-            body(exchange, text -> submit(exchange, text));
-        } else if (path.startsWith(JOBS + "/")) {
-            String rest = path.substring(JOBS.length() + 1);
-            boolean cancel = rest.endsWith(CANCEL);
-            String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
-            if (!(cancel ? post : get)) {
-                reply(exchange, 405, "{\"error\":\"method not allowed\"}");
-            } else if (!SubmissionCodec.isJobId(id)) {
-                answer(exchange, new JobResponse.NotFound());
-            } else if (cancel) {
-                timed(exchange, "cancel");
-                body(exchange, text -> controller.cancel(id, a -> answer(exchange, a)));
-            } else {
-                timed(exchange, "poll");
-                controller.poll(id, a -> answer(exchange, a));
-            }
+            measure(exchange, "submit");
+            readBody(exchange, text -> submit(exchange, text));
+        } else if (path.startsWith(JOB_PREFIX)) {
+            routeJob(exchange, path.substring(JOB_PREFIX.length()), post, get);
         } else {
-            reply(exchange, 404, "{\"error\":\"no such path\"}");
+            reply(exchange, HttpStatus.NOT_FOUND, NO_SUCH_PATH);
         }
     }
 
-    private void timed(HttpServerExchange exchange, String what) {
-        long began = loop.nowMicros();
-        exchange.addExchangeCompleteListener((ex, next) -> {
-            metrics.served(what, ex.getStatusCode(), loop.nowMicros() - began);
+    /** @param rest the path after the prefix of jobs: the id, and perhaps what is to be done with the job */
+    private void routeJob(HttpServerExchange exchange, String rest, boolean post, boolean get) {
+        boolean cancel = rest.endsWith(CANCEL);
+        String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
+        boolean methodAllowed = cancel ? post : get;
+        if (!methodAllowed) {
+            reply(exchange, HttpStatus.METHOD_NOT_ALLOWED, METHOD_NOT_ALLOWED);
+        } else if (!SubmissionCodec.isJobId(id)) {
+            answer(exchange, new JobResponse.NotFound());
+        } else if (cancel) {
+            measure(exchange, "cancel");
+            readBody(exchange, unused -> controller.cancel(id, response -> answer(exchange, response)));
+        } else {
+            measure(exchange, "poll");
+            controller.poll(id, response -> answer(exchange, response));
+        }
+    }
+
+    /** Has the latency and the status counted once the exchange is complete. */
+    private void measure(HttpServerExchange exchange, String request) {
+        long beganMicros = loop.nowMicros();
+        exchange.addExchangeCompleteListener((completed, next) -> {
+            metrics.served(request, completed.getStatusCode(), loop.nowMicros() - beganMicros);
             next.proceed();
         });
     }
 
     private void submit(HttpServerExchange exchange, String text) {
         try {
-            controller.submit(SubmissionCodec.decode(text), a -> answer(exchange, a));
+            controller.submit(SubmissionCodec.decode(text), response -> answer(exchange, response));
         } catch (SubmissionCodec.Malformed e) {
-            reply(exchange, 400, Json.text(java.util.Map.of("error", e.getMessage())));
+            reply(exchange, HttpStatus.BAD_REQUEST, SubmissionCodec.encode(e));
         }
     }
 
@@ -130,7 +146,7 @@
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
         if (heartbeat == null) {
             metrics.unreadableHeartbeat(exchange.getSourceAddress().toString());
-            reply(exchange, 400, "{\"error\":\"not a report\"}");
+            reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
         HeartbeatResponse answer = controller.heartbeat(heartbeat);
@@ -140,16 +156,13 @@
         reply(exchange, WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
     }
 
-    private interface Taker {
-        void take(String text);
-    }
-
-    private static void body(HttpServerExchange exchange, Taker then) {
+    private static void readBody(HttpServerExchange exchange, Consumer<String> then) {
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (ex, bytes) -> EventLoop.guarded(() -> then.take(new String(bytes, StandardCharsets.UTF_8)))
+                        (received, bytes) -> EventLoop.guarded(
+                                        () -> then.accept(new String(bytes, StandardCharsets.UTF_8)))
                                 .run(),
-                        (ex, e) -> reply(ex, 400, "{\"error\":\"unreadable or over 64 KiB\"}"));
+                        (received, cause) -> reply(received, HttpStatus.BAD_REQUEST, UNREADABLE_BODY));
     }
 
     private static void answer(HttpServerExchange exchange, JobResponse answer) {
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -5,6 +5,7 @@
 import java.util.function.Consumer;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.coordination.ports.WorkerPort;
+import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.WorkerCodec;
 
 /** Direct calls to workers over HTTP. */
@@ -27,8 +28,14 @@
                 "/orders",
                 WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands),
                 TIMEOUT_MICROS,
-                false,
-                (status, body) -> then.accept(new Reply(
-                        status == 200, status == 200 || status == 409 ? WorkerCodec.decodeHeartbeat(body) : null)));
+                HttpCalls.AfterCall.CLOSE,
+                (status, body) -> then.accept(reply(status, body)));
+    }
+
+    /** A worker that refuses, as it has another fencing token or agent epoch, tells its state all the same. */
+    private static Reply reply(int status, String body) {
+        boolean accepted = status == HttpStatus.OK;
+        boolean hasHeartbeat = accepted || status == HttpStatus.CONFLICT;
+        return new Reply(accepted, hasHeartbeat ? WorkerCodec.decodeHeartbeat(body) : null);
     }
 }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Map;
@@ -14,6 +15,8 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.JobSpecCodec;
+import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -86,8 +89,8 @@
 
     @Test
     void messagesPassBetweenControllers() {
-        PeerPort.PeerStatus g = new PeerPort.PeerStatus("worker-1", 1234, true, 17);
-        assertEquals(g, PeerCodec.decode(PeerCodec.encode(g)));
+        PeerPort.PeerStatus status = new PeerPort.PeerStatus("worker-1", 1234, true, 17);
+        assertEquals(status, PeerCodec.decode(PeerCodec.encode(status)));
         assertNull(PeerCodec.decode(new byte[] {1, 2, 3}));
         PeerPort.CancellationNotice notice = new PeerPort.CancellationNotice("run-000412", 77);
         assertEquals(notice, PeerCodec.decodeCancelled(PeerCodec.encode(notice)));
@@ -123,4 +126,31 @@
                         Heartbeat.Cause.STOPPED),
                 tasks.stream().map(Heartbeat.TaskStatus::cause).toList());
     }
+
+    @Test
+    void endOfTransactionsIsRead() {
+        assertEquals(
+                new Committed(Outcome.CONFLICT, 12, List.of("g/leader")),
+                KeyValueStoreCodec.decodeCommitted(
+                        Outcome.CONFLICT, Json.object("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
+        assertEquals(
+                new Committed(Outcome.REFUSED, 0, List.of()),
+                KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.object("{\"error\":\"busy\"}")));
+    }
+
+    @Test
+    void answersOfTheCloudAreRead() {
+        assertTrue(CloudCodec.isNoCapacity(Json.object("{\"error\":\"no capacity\"}")));
+        assertFalse(CloudCodec.isNoCapacity(Json.object("{\"error\":\"busy\"}")));
+        assertFalse(CloudCodec.isNoCapacity(Map.of()));
+        assertTrue(CloudCodec.hasMore(Json.object("{\"hosts\":[],\"has_next\":true}")));
+        assertFalse(CloudCodec.hasMore(Json.object("{\"hosts\":[]}")));
+    }
+
+    @Test
+    void malformedSubmissionsAreAnswered() {
+        SubmissionCodec.Malformed malformed =
+                assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode("[]"));
+        assertEquals("{\"error\":\"not a JSON object\"}", SubmissionCodec.encode(malformed));
+    }
 }
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -47,7 +47,7 @@
                             "/",
                             null,
                             300_000,
-                            false,
+                            HttpCalls.AfterCall.CLOSE,
                             (status, body) -> {
                                 statuses.add(status);
                                 ended.countDown();
