--- a/src/main/java/org/granitepath/storage/ReplicaPosition.java
+++ b/src/main/java/org/granitepath/storage/ReplicaPosition.java
@@ -5,7 +5,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How far a replica has come: its phase, the revision up to which it knows the records, and when it last heard. */
+/**
+ * How far a replica has come: its phase, the revision up to which it knows the records, and when it was last in
+ * contact with the store.
+ */
 final class ReplicaPosition {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaPosition.class);
 
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -7,11 +7,11 @@
 import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.PeerCodec;
 
-/** The other controllers' back addresses over HTTP. */
+/** The other controllers over HTTP, each at its peer address. */
 public final class PeerClient implements PeerPort {
-    static final String STATUS = "/greeting";
-    static final String CANCELLED = "/cancelled";
-    private static final String TYPE = "application/msgpack";
+    static final String STATUS_PATH = "/greeting";
+    static final String CANCELLATION_PATH = "/cancelled";
+    private static final String CONTENT_TYPE = "application/msgpack";
     private static final long TIMEOUT_MICROS = 900_000;
 
     private final HttpCalls http;
@@ -28,9 +28,9 @@
         http.exchange(
                 addresses.get(peer),
                 Methods.POST,
-                STATUS,
+                STATUS_PATH,
                 PeerCodec.encode(ours),
-                TYPE,
+                CONTENT_TYPE,
                 TIMEOUT_MICROS,
                 HttpCalls.AfterCall.KEEP,
                 (status, body) -> then.accept(status == HttpStatus.OK ? PeerCodec.decode(body) : null));
@@ -41,9 +41,9 @@
         http.exchange(
                 addresses.get(peer),
                 Methods.POST,
-                CANCELLED,
+                CANCELLATION_PATH,
                 PeerCodec.encode(notice),
-                TYPE,
+                CONTENT_TYPE,
                 TIMEOUT_MICROS,
                 HttpCalls.AfterCall.KEEP,
                 (status, body) -> then.accept(status == HttpStatus.OK));
--- a/src/main/java/org/granitepath/transport/BackServer.java
+++ b/src/main/java/org/granitepath/transport/PeerServer.java
@@ -11,17 +11,17 @@
 import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.RecoveryStatusCodec;
 
-/** What the other controllers and the operators talk to. */
-public final class BackServer {
-    private static final String METRICS = "/metrics";
-    private static final String RECOVERY = "/recovery";
+/** The peer interface: what the other controllers and the operators talk to. */
+public final class PeerServer {
+    private static final String METRICS_PATH = "/metrics";
+    private static final String RECOVERY_PATH = "/recovery";
     private static final String TEXT = "text/plain";
     private static final String JSON = "application/json";
 
     private final Controller controller;
     private final Metrics metrics;
 
-    BackServer(Controller controller, Metrics metrics) {
+    PeerServer(Controller controller, Metrics metrics) {
         this.controller = controller;
         this.metrics = metrics;
     }
@@ -37,10 +37,11 @@
 
     private void route(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
-            case METRICS -> send(exchange, TEXT, metrics.text());
-            case RECOVERY -> send(exchange, JSON, RecoveryStatusCodec.encode(controller.recoveryStatus()));
-            case PeerClient.STATUS -> exchange.getRequestReceiver().receiveFullBytes(this::exchangeStatus);
-            case PeerClient.CANCELLED -> exchange.getRequestReceiver().receiveFullBytes(this::takeCancellation);
+            case METRICS_PATH -> send(exchange, TEXT, metrics.text());
+            case RECOVERY_PATH -> send(exchange, JSON, RecoveryStatusCodec.encode(controller.recoveryStatus()));
+            case PeerClient.STATUS_PATH -> exchange.getRequestReceiver().receiveFullBytes(this::exchangeStatus);
+            case PeerClient.CANCELLATION_PATH ->
+                exchange.getRequestReceiver().receiveFullBytes(this::receiveCancellation);
             default -> exchange.setStatusCode(HttpStatus.NOT_FOUND).endExchange();
         }
     }
@@ -60,7 +61,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(ours));
     }
 
-    private void takeCancellation(HttpServerExchange exchange, byte[] bytes) {
+    private void receiveCancellation(HttpServerExchange exchange, byte[] bytes) {
         PeerPort.CancellationNotice notice = PeerCodec.decodeCancelled(bytes);
         if (notice == null) {
             exchange.setStatusCode(HttpStatus.BAD_REQUEST);
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -25,7 +25,7 @@
     /** A machine that is gone closes nothing: what is silent for longer than any lease or poll is closed from here. */
     private static final int IDLE_TIMEOUT_MILLIS = 40_000;
 
-    private static final String HEARTBEATS = "/agent/beat";
+    private static final String HEARTBEAT_PATH = "/agent/beat";
     private static final String JOBS = "/submissions";
     private static final String JOB_PREFIX = JOBS + "/";
     private static final String CANCEL = "/cancel";
@@ -57,16 +57,16 @@
             EventLoop loop,
             String host,
             int port,
-            String backHost,
-            int backPort) {
+            String peerHost,
+            int peerPort) {
         Metrics metrics = new Metrics();
         Connections connections = new Connections(
                 config.limits().machineConnections(), config.limits().heldConnections());
         metrics.watch(connections);
         metrics.watch(controller::recoveryStatus);
         ServiceServer service = new ServiceServer(controller, metrics, loop, connections);
-        new BackServer(controller, metrics)
-                .listen(loop, backHost, backPort, config.limits().backlog());
+        new PeerServer(controller, metrics)
+                .listen(loop, peerHost, peerPort, config.limits().backlog());
         builder(loop, host, port, config.limits().backlog())
                 .setHandler(exchange -> exchange.dispatch(
                         SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> service.route(exchange))))
@@ -91,8 +91,8 @@
         String path = exchange.getRequestPath();
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
-        connections.requested(exchange, path.equals(HEARTBEATS));
-        if (path.equals(HEARTBEATS) && post) {
+        connections.requested(exchange, path.equals(HEARTBEAT_PATH));
+        if (path.equals(HEARTBEAT_PATH) && post) {
             readBody(exchange, text -> heartbeat(exchange, text));
         } else if (path.equals(HEALTH) && get) {
             boolean up = controller.healthy();
