--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -84,10 +84,10 @@
         HttpCalls http = new HttpCalls(new EventLoop());
         CountDownLatch answered = new CountDownLatch(REQUESTS);
         HttpCalls.Reply count = (status, body) -> answered.countDown();
-        http.call(address, Methods.GET, "/up", null, REQUEST_TIMEOUT_MICROS, false, count);
-        http.call(address, Methods.POST, "/submissions", SUBMISSION, REQUEST_TIMEOUT_MICROS, true, count);
-        http.call(address, Methods.POST, "/agent/beat", HEARTBEAT, REQUEST_TIMEOUT_MICROS, true, count);
-        http.call(address, Methods.GET, "/submissions/run-1", null, REQUEST_TIMEOUT_MICROS, true, count);
+        http.call(address, Methods.GET, "/up", null, REQUEST_TIMEOUT_MICROS, HttpCalls.AfterCall.CLOSE, count);
+        http.call(address, Methods.POST, "/submissions", SUBMISSION, REQUEST_TIMEOUT_MICROS, HttpCalls.AfterCall.KEEP, count);
+        http.call(address, Methods.POST, "/agent/beat", HEARTBEAT, REQUEST_TIMEOUT_MICROS, HttpCalls.AfterCall.KEEP, count);
+        http.call(address, Methods.GET, "/submissions/run-1", null, REQUEST_TIMEOUT_MICROS, HttpCalls.AfterCall.KEEP, count);
         answered.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -13,6 +13,7 @@
 import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.MachineType;
+import org.granitepath.storage.RateControl;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
@@ -70,7 +71,7 @@
                 timers,
                 limits.transactionChanges(),
                 limits.writesPerSecond() * WRITE_SHARE,
-                true,
+                RateControl.ADAPTIVE,
                 // An acceptance claims tasks for the leader that we know of: it must be the leader still.
                 () -> List.of(new Precondition(Keys.LEADER, replica.revision(Keys.LEADER))),
                 () -> true);
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.StoredRecordCodec;
 import org.granitepath.storage.Timers;
 
 /** A store in memory that answers after a millisecond, or not while it is silent. */
@@ -31,7 +32,7 @@
     /** Writes as another client would; null removes. */
     void put(String key, StoredRecord record, long lease) {
         storeRevision++;
-        items.put(key, new Item(key, record == null ? null : record.toMap(), storeRevision));
+        items.put(key, new Item(key, record == null ? null : StoredRecordCodec.encode(record), storeRevision));
         leaseOfKey.put(key, lease);
     }
 
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -13,9 +13,11 @@
 import org.granitepath.protocol.Json;
 import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RateControl;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.RecordSize;
 import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.StoredRecordCodec;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.UnknownRecord;
 import org.granitepath.storage.WriteQueue;
@@ -67,7 +69,8 @@
     @Test
     void manyQuestionsShareFewReads() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 20, false, List::of, () -> true);
+        WriteQueue writeQueue =
+                new WriteQueue(state.portFor("n"), replica, timers, 8, 20, RateControl.FIXED, List::of, () -> true);
         int[] answered = new int[1];
         for (int i = 0; i < 2_000; i++) {
             world.after(i * 5_000L, () -> replica.barrier(fresh -> answered[0] += fresh ? 1 : 0));
@@ -88,7 +91,8 @@
     @Test
     void urgentWishesOvertakeAndWaitingOnesCostNothing() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 10, false, List::of, () -> true);
+        WriteQueue writeQueue =
+                new WriteQueue(state.portFor("n"), replica, timers, 8, 10, RateControl.FIXED, List::of, () -> true);
         List<String> written = new ArrayList<>();
         int[] made = new int[1];
         for (int i = 0; i < 300; i++) {
@@ -126,7 +130,14 @@
             int node = n;
             RecordReplica replica = replicaOf(tight, "n" + n);
             WriteQueue writeQueue = new WriteQueue(
-                    tight.portFor("n" + n), replica, timers, 8, n == 0 ? 11.7 : 9, n > 0, List::of, () -> true);
+                    tight.portFor("n" + n),
+                    replica,
+                    timers,
+                    8,
+                    n == 0 ? 11.7 : 9,
+                    n > 0 ? RateControl.ADAPTIVE : RateControl.FIXED,
+                    List::of,
+                    () -> true);
             for (int i = 0; i < 900; i++) {
                 String key = "g/" + node + "/" + i;
                 world.after(
@@ -147,7 +158,8 @@
     @Test
     void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue = new WriteQueue(state.portFor("n"), replica, timers, 8, 20, false, List::of, () -> true);
+        WriteQueue writeQueue =
+                new WriteQueue(state.portFor("n"), replica, timers, 8, 20, RateControl.FIXED, List::of, () -> true);
         List<String> written = new ArrayList<>();
         int[] made = new int[1];
         StoredRecord large = new UnknownRecord(Map.of("x", "y".repeat(3_000)));
@@ -179,7 +191,7 @@
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
         ProgressRecord kept = whole.atMost(2048);
-        assertTrue(Json.text(kept.toMap()).length() <= 2048);
+        assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
         assertTrue(kept.done().encloses(Range.closedOpen(3_000, 3_500)));
         assertTrue(ProgressRecord.count(kept.done()) > 600, ProgressRecord.count(kept.done()) + " kept");
         assertEquals(whole, whole.atMost(100_000));
@@ -190,7 +202,7 @@
     void sizesAreNotUnderrated() {
         StoredRecord record = new UnknownRecord(
                 Map.of("a\"\\/", List.of(1, 2.5, true, "\u0001\u00e9\u4e2d"), "b", Map.of("c", List.of(), "d", -17L)));
-        int bytes = Json.text(record.toMap()).getBytes(StandardCharsets.UTF_8).length;
+        int bytes = Json.text(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
         assertTrue(RecordSize.of(record) >= bytes, RecordSize.of(record) + " < " + bytes);
     }
 }
