--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
@@ -0,0 +1,232 @@
+package org.granitepath.coordination.fleet;
+
+import it.unimi.dsi.fastutil.ints.IntArrayList;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Function;
+import org.granitepath.coordination.model.Machine;
+
+/**
+ * Which part of the machine inventory holds the row of which machine. A part is one value of the store; parts are
+ * numbered from 0, and those on record have no gap. Decides only: what is written, and when, is decided elsewhere.
+ */
+final class InventoryLayout {
+    /** A part without machines, with the space around its rows. */
+    static final int EMPTY_PART_BYTES = 64;
+
+    private final int partBytes;
+    private final int mostPartsOfSplit;
+    private final Function<String, Machine> machineById;
+    /** The ids of the machines of each part, in the order of their rows. */
+    private final List<Set<String>> machineIds = new ArrayList<>();
+    /** The bytes of each part, at most. */
+    private final IntArrayList usedBytes = new IntArrayList();
+    /**
+     * Parts on record that are larger than may be written, each with those that take over some of its machines. Each
+     * group is written whole, so that no machine is ever on record twice or not at all, and in order, so that there is
+     * no gap between the parts.
+     */
+    private final ArrayDeque<List<Integer>> pendingSplits = new ArrayDeque<>();
+    /** Large parts with more machines than one transaction can spread: they stay as they are until it can. */
+    private final Set<Integer> unsplittableParts = new HashSet<>();
+
+    private int partsOnRecord;
+
+    /**
+     * A layout without parts.
+     *
+     * @param partBytes how large a part may become
+     * @param mostPartsOfSplit into how many parts a large one may be split, since one transaction writes them all
+     * @param machineById finds the machines that are part of the fleet
+     */
+    InventoryLayout(int partBytes, int mostPartsOfSplit, Function<String, Machine> machineById) {
+        this.partBytes = partBytes;
+        this.mostPartsOfSplit = mostPartsOfSplit;
+        this.machineById = machineById;
+    }
+
+    // ---- what is on record when the term begins ----------------------------------------------------------------
+
+    /** The next part on record holds these machines. */
+    void partFound(List<Machine> machines) {
+        Set<String> ids = new LinkedHashSet<>();
+        int bytes = EMPTY_PART_BYTES;
+        for (Machine machine : machines) {
+            ids.add(machine.id());
+            bytes += rowBytes(machine);
+        }
+        machineIds.add(ids);
+        usedBytes.add(bytes);
+        partsOnRecord = machineIds.size();
+    }
+
+    /** The next part on record can't be read: it counts as full and without machines, so nothing is written there. */
+    void unreadablePartFound() {
+        machineIds.add(new LinkedHashSet<>());
+        usedBytes.add(partBytes);
+        partsOnRecord = machineIds.size();
+    }
+
+    /** A controller that knew of larger limits may have left parts that may no longer be written: they are split. */
+    void splitLargeParts(List<Machine> machines) {
+        int partsFound = partCount();
+        for (int part = 0; part < partsFound; part++) {
+            if (usedBytes.getInt(part) > partBytes) {
+                int large = part;
+                split(
+                        part,
+                        machines.stream()
+                                .filter(machine -> machine.inventory().part() == large)
+                                .toList());
+            }
+        }
+    }
+
+    // ---- machines that come and go -----------------------------------------------------------------------------
+
+    /** Puts the machine into the first part with space for its row, and tells which. */
+    int add(Machine machine) {
+        int part = firstPartWithSpace(rowBytes(machine));
+        if (part == partCount()) {
+            addEmptyPart();
+        }
+        put(machine, part);
+        return part;
+    }
+
+    private int firstPartWithSpace(int bytes) {
+        int part = 0;
+        while (part < partCount() && usedBytes.getInt(part) + bytes > partBytes) {
+            part++;
+        }
+        return part;
+    }
+
+    /** Takes the machine out of its part, and tells which that was. A large part may become small enough to split. */
+    int remove(Machine machine) {
+        int part = machine.inventory().part();
+        if (machineIds.get(part).remove(machine.id())) {
+            usedBytes.set(part, usedBytes.getInt(part) - rowBytes(machine));
+        }
+        if (isUnsplittable(part)) {
+            split(part, machineIds.get(part).stream().map(machineById).toList());
+        }
+        return part;
+    }
+
+    private void addEmptyPart() {
+        machineIds.add(new LinkedHashSet<>());
+        usedBytes.add(EMPTY_PART_BYTES);
+    }
+
+    private void put(Machine machine, int part) {
+        machineIds.get(part).add(machine.id());
+        usedBytes.set(part, usedBytes.getInt(part) + rowBytes(machine));
+        machine.inventory().putInPart(part);
+    }
+
+    private static int rowBytes(Machine machine) {
+        return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
+    }
+
+    // ---- splits ------------------------------------------------------------------------------------------------
+
+    private void split(int part, List<Machine> machines) {
+        List<List<Machine>> groups = groupsThatFit(machines);
+        if (groups.size() > mostPartsOfSplit) {
+            unsplittableParts.add(part);
+            return;
+        }
+        unsplittableParts.remove(part);
+        List<Integer> parts = new ArrayList<>();
+        for (List<Machine> group : groups) {
+            int target = parts.isEmpty() ? part : partCount();
+            if (!parts.isEmpty()) {
+                addEmptyPart();
+            }
+            machineIds.get(target).clear();
+            usedBytes.set(target, EMPTY_PART_BYTES);
+            group.forEach(machine -> put(machine, target));
+            parts.add(target);
+        }
+        pendingSplits.add(parts);
+    }
+
+    /** These machines in order, each group as large as one part can hold. */
+    private List<List<Machine>> groupsThatFit(List<Machine> machines) {
+        List<List<Machine>> groups = new ArrayList<>();
+        int freeBytes = 0;
+        for (Machine machine : machines) {
+            int bytes = rowBytes(machine);
+            if (groups.isEmpty() || bytes > freeBytes) {
+                groups.add(new ArrayList<>());
+                freeBytes = partBytes - EMPTY_PART_BYTES;
+            }
+            groups.get(groups.size() - 1).add(machine);
+            freeBytes -= bytes;
+        }
+        return groups;
+    }
+
+    /** How many splits are not on record yet. */
+    int pendingSplitCount() {
+        return pendingSplits.size();
+    }
+
+    /** The parts of the next split, the one that was too large first; null when none is pending. */
+    List<Integer> nextSplit() {
+        return pendingSplits.peek();
+    }
+
+    /** Whether a split is pending, and the parts that it adds would follow those on record without a gap. */
+    boolean mayWriteNextSplit() {
+        List<Integer> parts = pendingSplits.peek();
+        return parts != null && (parts.size() == 1 || parts.get(1) <= partsOnRecord);
+    }
+
+    /** The next split is on record. */
+    void nextSplitRecorded() {
+        pendingSplits.remove();
+    }
+
+    /** Whether this part may only be written with its split. */
+    boolean isInPendingSplit(int part) {
+        return pendingSplits.stream().anyMatch(parts -> parts.contains(part));
+    }
+
+    /** Whether this part is too large to be written, and can't be split either. */
+    boolean isUnsplittable(int part) {
+        return unsplittableParts.contains(part);
+    }
+
+    /** The parts that are too large to be written, and can't be split either. */
+    Set<Integer> unsplittableParts() {
+        return unsplittableParts;
+    }
+
+    // ---- parts -------------------------------------------------------------------------------------------------
+
+    /** How many parts there are, on record or not. */
+    int partCount() {
+        return machineIds.size();
+    }
+
+    /** The ids of the machines of a part, in the order of their rows. */
+    Set<String> machineIds(int part) {
+        return machineIds.get(part);
+    }
+
+    /** Whether the part is on record, though perhaps not with its present machines. */
+    boolean isOnRecord(int part) {
+        return part < partsOnRecord;
+    }
+
+    /** The part is on record from now on. */
+    void partRecorded(int part) {
+        partsOnRecord = Math.max(partsOnRecord, part + 1);
+    }
+}
