--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -17,7 +17,9 @@
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.coordination.term.LeaderTerm;
+import org.granitepath.coordination.term.LeaderTermFactory;
 import org.granitepath.coordination.term.RecoveryStatusFactory;
+import org.granitepath.coordination.term.TermPorts;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryTracer;
 import org.granitepath.storage.FinalRecord;
@@ -280,8 +282,9 @@
     }
 
     private void startLeading(Leadership.Term term) {
-        leaderTerm = new LeaderTerm(
-                config, leadership, term, store, replica, jobIndex, timers, workers, cloud, peers, recoveryTracer);
+        TermPorts ports = new TermPorts(store, cloud, workers, peers);
+        leaderTerm = new LeaderTermFactory(config, leadership, term, ports, replica, jobIndex, timers, recoveryTracer)
+                .create();
         leaderTerm.start();
         if (!types.isEmpty()) {
             leaderTerm.typesChanged(List.copyOf(types.values()));
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -307,14 +307,14 @@
                 ids.add(host.id());
             }
         }
-        boolean trustSilence = failureDetector.trusted(now);
+        boolean trustSilence = failureDetector.canJudgeMachines();
         boolean keepsIdle = recovery.keepsIdleMachines();
         gangHeadroom.survey();
         for (Machine machine : List.copyOf(fleet.machines())) {
             if (ids.size() >= TERMINATIONS_AT_ONCE) {
                 break;
             }
-            boolean trust = (trustSilence && !failureDetector.waitedFor(machine, now))
+            boolean trust = (trustSilence && !failureDetector.mayWorkWhileCutOff(machine, now))
                     || now - machine.contact().lastHeartbeatMicros() > partitionTimeoutMicros();
             boolean dead = trust && now - machine.contact().lastHeartbeatMicros() > failureTimeoutMicros(machine);
             boolean idle = !keepsIdle && isIdle(machine, now) && !gangHeadroom.keeps(machine);
@@ -390,7 +390,7 @@
      */
     private long failureTimeoutMicros(Machine machine) {
         return machine.contact().probeFailed()
-                ? failureDetector.silenceMicros(machine)
+                ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : config.workers().leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -13,32 +13,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What it means that machines are not heard: that they failed, that a zone is cut off, or that we are. Judged by the
- * heartbeats that are overdue, before any machine has been silent for long enough to be given up: in a cut machines
- * fall silent one after the other, and the first of them must not be terminated before the rest are.
+ * What it means that heartbeats are overdue: that machines failed, that a zone is cut off, or that we are. Judged
+ * before any machine is given up: in a cut the heartbeats of one machine after the other fail to come, and the first
+ * machine must not be terminated before the rest are overdue too.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** A zone with fewer machines than this tells nothing. */
-    private static final int LEAST_MACHINES = 4;
-    /** Overdue share of a zone's machines, and at most of the others', for the zone to count as cut off. */
-    private static final double CUT_OFF_SHARE = 0.7;
-
-    private static final double REST_SHARE = 0.3;
+    /** This share of all machines, or two of them, may be overdue without a doubt in our own connection. */
     private static final double FEW_SHARE = 0.2;
+
+    private static final int FEW_MACHINES = 2;
     private static final int HEARTBEATS_MISSED = 2;
     private static final long ANSWER_MICROS = 1_000_000;
 
     private final Config config;
     private final Fleet fleet;
     private final Peers peers;
-    private final Set<String> cutOff = new HashSet<>();
+    private final Set<String> cutOffZones = new HashSet<>();
     /** Zones in which many machines are overdue: perhaps a cut of which only the beginning shows. */
     private final Set<String> suspectedZones = new HashSet<>();
     /** When each zone was last found cut off. */
-    private final Map<String, Long> lastCutMicros = new HashMap<>();
+    private final Map<String, Long> lastCutOffMicros = new HashMap<>();
 
-    private int overdue;
+    private int overdueMachines;
 
     /** Judges the machines of this fleet, with what peers tell of them. */
     public FailureDetector(Config config, Fleet fleet, Peers peers) {
@@ -48,77 +45,100 @@
     }
 
     /** Looks at all machines anew. */
-    public void update(long now) {
-        Object2IntOpenHashMap<String> all = new Object2IntOpenHashMap<>();
-        Object2IntOpenHashMap<String> late = new Object2IntOpenHashMap<>();
-        overdue = 0;
+    public void update(long nowMicros) {
+        Object2IntOpenHashMap<String> machinesByZone = new Object2IntOpenHashMap<>();
+        Object2IntOpenHashMap<String> overdueByZone = new Object2IntOpenHashMap<>();
+        count(machinesByZone, overdueByZone, nowMicros);
         suspectedZones.clear();
+        for (String zone : machinesByZone.keySet()) {
+            judge(zone, counts(machinesByZone.getInt(zone), overdueByZone.getInt(zone)), nowMicros);
+        }
+        cutOffZones.retainAll(machinesByZone.keySet());
+    }
+
+    private void count(
+            Object2IntOpenHashMap<String> machinesByZone, Object2IntOpenHashMap<String> overdueByZone, long nowMicros) {
+        overdueMachines = 0;
         for (Machine machine : fleet.machines()) {
-            all.addTo(machine.zone(), 1);
-            if (fleet.overdue(machine, now)) {
-                late.addTo(machine.zone(), 1);
-                overdue++;
+            machinesByZone.addTo(machine.zone(), 1);
+            if (fleet.overdue(machine, nowMicros)) {
+                overdueByZone.addTo(machine.zone(), 1);
+                overdueMachines++;
             }
         }
-        int machines = fleet.machines().size();
-        for (String zone : all.keySet()) {
-            int inZone = all.getInt(zone);
-            int lateInZone = late.getInt(zone);
-            boolean isCut = inZone >= LEAST_MACHINES
-                    && lateInZone >= CUT_OFF_SHARE * inZone
-                    && overdue - lateInZone < REST_SHARE * (machines - inZone);
-            if (isCut) {
-                lastCutMicros.put(zone, now);
-            }
-            if (lateInZone > FEW_SHARE * inZone) {
-                suspectedZones.add(zone);
-            }
-            if (isCut && cutOff.add(zone)) {
-                LOG.info(
-                        "zone {} seems cut off: {} of {} machines are overdue there, {} of {} elsewhere",
-                        zone,
-                        lateInZone,
-                        inZone,
-                        overdue - lateInZone,
-                        machines - inZone);
-            } else if (!isCut && cutOff.remove(zone)) {
-                LOG.info("zone {} is heard again: {} of {} machines are overdue", zone, lateInZone, inZone);
-            }
+    }
+
+    private ZoneCounts counts(int machinesInZone, int overdueInZone) {
+        int machinesElsewhere = fleet.machines().size() - machinesInZone;
+        return new ZoneCounts(machinesInZone, overdueInZone, machinesElsewhere, overdueMachines - overdueInZone);
+    }
+
+    private void judge(String zone, ZoneCounts counts, long nowMicros) {
+        if (counts.isSuspected()) {
+            suspectedZones.add(zone);
+        }
+        if (counts.isCutOff()) {
+            lastCutOffMicros.put(zone, nowMicros);
+            foundCutOff(zone, counts);
+        } else {
+            foundConnected(zone, counts);
+        }
+    }
+
+    private void foundCutOff(String zone, ZoneCounts counts) {
+        if (cutOffZones.add(zone)) {
+            LOG.info(
+                    "zone {} seems cut off: {} of {} machines are overdue there, {} of {} elsewhere",
+                    zone,
+                    counts.overdue(),
+                    counts.machines(),
+                    counts.overdueElsewhere(),
+                    counts.machinesElsewhere());
+        }
+    }
+
+    private void foundConnected(String zone, ZoneCounts counts) {
+        if (cutOffZones.remove(zone)) {
+            LOG.info(
+                    "zone {} is heard again: {} of {} machines are overdue", zone, counts.overdue(), counts.machines());
         }
-        cutOff.retainAll(all.keySet());
     }
 
-    /** Whether the machines of this zone alone were lately not heard: none is launched there. */
-    public boolean cutOff(String zone, long now) {
-        Long last = lastCutMicros.get(zone);
-        return last != null && now - last < config.workers().leaseMicros();
+    /** Whether this zone alone was lately cut off: no machine is launched there. */
+    public boolean cutOff(String zone, long nowMicros) {
+        Long lastMicros = lastCutOffMicros.get(zone);
+        return lastMicros != null && nowMicros - lastMicros < config.workers().leaseMicros();
     }
 
     /**
      * Whether this machine may be cut off with work that goes on: only where a controller inside can keep its lease
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
-    public boolean waitedFor(Machine machine, long now) {
-        return cutOff(machine.zone(), now) && config.topology().peerIn(machine.zone());
+    public boolean mayWorkWhileCutOff(Machine machine, long nowMicros) {
+        return cutOff(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
     }
 
     /**
-     * How long a machine that does not answer calls may be silent before it is given up. Where many of its zone are
-     * overdue it is one heartbeat more: when the last one to report before a cut is overdue, the first one has been
-     * silent for that much longer, and without the wait the first ones were terminated with all their work.
+     * How old the last heartbeat of a machine that does not answer calls may become before the machine is given up.
+     * Where many of its zone are overdue it is one heartbeat more: when the last one to report before a cut is overdue,
+     * the heartbeat of the first one is older by that much, and without the wait the first ones were terminated with
+     * all their work.
      */
-    public long silenceMicros(Machine machine) {
-        int reports = suspectedZones.contains(machine.zone()) ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
-        return reports * config.workers().heartbeatIntervalMicros() + ANSWER_MICROS;
+    public long unresponsiveTimeoutMicros(Machine machine) {
+        boolean suspected = suspectedZones.contains(machine.zone());
+        int heartbeatsMissed = suspected ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
+        return heartbeatsMissed * config.workers().heartbeatIntervalMicros() + ANSWER_MICROS;
     }
 
     /**
-     * Many overdue at once: perhaps we are the ones cut off. Peers that don't hear them either tell us that we are not.
+     * Whether overdue heartbeats tell of the machines. When many are overdue at once, perhaps we are the ones cut off;
+     * peers that don't receive them either tell us that we are not.
      */
-    public boolean trusted(long now) {
+    public boolean canJudgeMachines() {
         int machines = fleet.machines().size();
-        int elsewhere = peers.mostRedirectedMachines();
-        return overdue <= Math.max(2, machines * FEW_SHARE)
-                || (overdue <= machines / 2 && elsewhere >= 0 && elsewhere < overdue / 4);
+        int redirectedByPeer = peers.mostRedirectedMachines();
+        boolean few = overdueMachines <= Math.max(FEW_MACHINES, machines * FEW_SHARE);
+        boolean peersMissThemToo = redirectedByPeer >= 0 && redirectedByPeer < overdueMachines / 4;
+        return few || (overdueMachines <= machines / 2 && peersMissThemToo);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -10,21 +10,21 @@
 /** One log line now and then for those on call: what there is, what of it is used, what waits. */
 public final class FleetSummary {
     private static final Logger LOG = LoggerFactory.getLogger(FleetSummary.class);
-    private static final long EVERY_MICROS = 10_000_000;
+    private static final long INTERVAL_MICROS = 10_000_000;
 
     /** CPUs of one kind of machine, in thousandths. */
-    private static final class Cpu {
-        long total;
-        long used;
+    private static final class CpuUse {
+        private long totalMillis;
+        private long usedMillis;
 
         void add(Machine machine) {
-            total += machine.type().cpuMillis();
-            used += machine.type().cpuMillis() - machine.capacity().cpuFree();
+            totalMillis += machine.type().cpuMillis();
+            usedMillis += machine.type().cpuMillis() - machine.capacity().cpuFree();
         }
 
         @Override
         public String toString() {
-            return used / 1000 + "/" + total / 1000;
+            return usedMillis / 1000 + "/" + totalMillis / 1000;
         }
     }
 
@@ -38,14 +38,18 @@
         this.jobs = jobs;
     }
 
-    /** Writes the line unless it was written lately. */
-    public void logIfDue(int booting, long now) {
-        if (now < dueMicros) {
+    /**
+     * Writes the line unless it was written lately.
+     *
+     * @param booting how many machines were launched and have not reported yet
+     */
+    public void logIfDue(int booting, long nowMicros) {
+        if (nowMicros < dueMicros) {
             return;
         }
-        dueMicros = now + EVERY_MICROS;
-        Cpu fullPrice = new Cpu();
-        Cpu spot = new Cpu();
+        dueMicros = nowMicros + INTERVAL_MICROS;
+        CpuUse fullPrice = new CpuUse();
+        CpuUse spot = new CpuUse();
         int idle = 0;
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -1,7 +1,6 @@
 package org.granitepath.coordination.fleet;
 
 import java.util.List;
-import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.jobs.CommandQueue;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.SchedulingLoop;
@@ -17,7 +16,6 @@
 public final class MachineLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
-    private final Config config;
     private final Fleet fleet;
     private final MachineInventory inventory;
     private final TaskLifecycle tasks;
@@ -29,7 +27,6 @@
 
     /** Changes the machines of this fleet, and frees the tasks on them. */
     public MachineLifecycle(
-            Config config,
             Fleet fleet,
             MachineInventory inventory,
             TaskLifecycle tasks,
@@ -38,7 +35,6 @@
             CommandQueue commands,
             Timers timers,
             SchedulingLoop loop) {
-        this.config = config;
         this.fleet = fleet;
         this.inventory = inventory;
         this.tasks = tasks;
@@ -66,31 +62,22 @@
         machine.drain(why);
     }
 
+    /** The cloud has announced that it takes the machine back: its tasks are stopped while they can still be saved. */
+    void drainBeforePreemption(Machine machine, long noticeMicros) {
+        drain(machine, "the cloud takes it in " + noticeMicros / 1_000_000 + " s");
+        tasks.evacuate(machine, noticeMicros);
+    }
+
+    /** Tasks of several jobs failed on each of these machines: they take no new ones. */
     void drainFaulty(List<Machine> faulty) {
         for (Machine machine : faulty) {
             drain(machine, "faulty: tasks of several jobs failed there");
         }
     }
 
-    /** The machine's new fencing token is on record: it must show it before it is given work again. */
-    public void tokenRaised(Machine machine) {
-        long now = timers.nowMicros();
-        if (fleet.unresponsive(machine, now)) {
-            machine.contact().fence();
-            if (config.topology().peerIn(machine.zone()) && machine.contact().leaseOverMicros() > 0) {
-                // A controller cut off together with it may not know yet, and go on under the former token.
-                long longest = now
-                        + config.workers().maxDisconnectedMicros()
-                        + config.workers().longestLeaseMicros();
-                machine.contact().leaseRunsUntil(longest, false);
-            }
-        }
-        machine.unconfirmed(now, "fencing token raised to " + machine.fencingToken());
-    }
-
     /**
-     * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it is heard
-     * again, in a later agent epoch, it must show that it hears us before it is given work.
+     * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it reports
+     * again, in a later agent epoch, it must show that it receives our commands before it is given work.
      */
     public void leaseExpired(Machine machine) {
         LOG.info(
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -24,34 +24,35 @@
     private final ActiveJobs activeJobs;
     private final RecoveryPlan plan;
 
+    /** Judges by the records and the placements of this term, and counts the comparisons in the plan. */
     TaskEvidence(JobIndex jobIndex, ActiveJobs activeJobs, RecoveryPlan plan) {
         this.jobIndex = jobIndex;
         this.activeJobs = activeJobs;
         this.plan = plan;
     }
 
-    /** The verdict on an attempt that the machine's heartbeat lists. */
+    /** The verdict on an attempt that the machine's message lists. */
     Verdict ofReported(Machine machine, TaskStatus status) {
         plan.compared(1);
         ActiveJob job = activeJobs.get(status.task().job());
         return VerdictTable.ofReported(
-                recorded(job, status.task()), placement(job, machine, status), reported(job, status));
+                recordedTask(job, status.task()), knownPlacement(job, machine, status), reportedTask(job, status));
     }
 
-    /** The verdict on a placement that the machine's heartbeat does not list. */
-    Verdict ofMissing(Placement placement, Heartbeat heartbeat, boolean current, boolean isHeartbeat) {
+    /** The verdict on a placement that the machine's message does not list. */
+    Verdict ofMissing(Placement placement, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken) {
         plan.compared(1);
         return VerdictTable.ofMissing(new StartEvidence(
                 placement.agentEpoch() < heartbeat.agentEpoch(),
-                current,
+                underPresentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
                 placement.mayStillBeStarted(heartbeat.fencingToken()),
                 placement.seen(),
                 placement.wentOutInAnswer(),
-                isHeartbeat));
+                origin == MessageOrigin.HEARTBEAT));
     }
 
-    private RecordedTask recorded(ActiveJob job, TaskId task) {
+    private RecordedTask recordedTask(ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.OVER) {
             return jobIndex.recorded(task.job());
         }
@@ -67,7 +68,7 @@
         return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
     }
 
-    private static KnownPlacement placement(ActiveJob job, Machine machine, TaskStatus status) {
+    private static KnownPlacement knownPlacement(ActiveJob job, Machine machine, TaskStatus status) {
         Placement here = machine.placement(status.task());
         if (here != null) {
             return here.attempt() == status.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
@@ -78,7 +79,7 @@
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ReportedTask reported(ActiveJob job, TaskStatus status) {
+    private static ReportedTask reportedTask(ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
             return ReportedTask.LIVE;
         }
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -0,0 +1,209 @@
+package org.granitepath.coordination.term;
+
+import java.util.List;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.autoscaling.Autoscaler;
+import org.granitepath.coordination.autoscaling.ScaleOutPlan;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.fleet.CleanupCommands;
+import org.granitepath.coordination.fleet.CommandSender;
+import org.granitepath.coordination.fleet.HeartbeatReconciler;
+import org.granitepath.coordination.fleet.MachineCommands;
+import org.granitepath.coordination.fleet.MachineInventory;
+import org.granitepath.coordination.fleet.MachineLifecycle;
+import org.granitepath.coordination.fleet.TakeoverCalls;
+import org.granitepath.coordination.fleet.TaskReconciler;
+import org.granitepath.coordination.fleet.TaskStatusUpdater;
+import org.granitepath.coordination.fleet.TokenRaiseHandler;
+import org.granitepath.coordination.fleet.WorkerCalls;
+import org.granitepath.coordination.gang.GangHeadroom;
+import org.granitepath.coordination.jobs.ArrivalRate;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.JobLifecycle;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.SchedulingLoop;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.TeamLimits;
+import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.coordination.scheduling.Consolidator;
+import org.granitepath.coordination.scheduling.Preemptor;
+import org.granitepath.coordination.scheduling.Scheduler;
+import org.granitepath.recovery.RecoveryPlan;
+import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.KeyValueStore.Precondition;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.Timers;
+import org.granitepath.storage.WriteQueue;
+
+/**
+ * Puts the parts of one term together. Parts that call each other in a circle are joined by the private methods here:
+ * the scheduling loop calls scheduler and sender, and the inventory tells of raised tokens.
+ */
+public final class LeaderTermFactory {
+    /** The leader's share of the budget for changes; request handlers of all controllers share what is left. */
+    private static final double WRITE_SHARE = 0.65;
+
+    private final Config config;
+    private final Leadership leadership;
+    private final Leadership.Term term;
+    private final TermPorts ports;
+    private final RecordReplica replica;
+    private final JobIndex jobIndex;
+    private final Timers timers;
+
+    private final TermEnd termEnd = new TermEnd();
+    private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
+    private final FaultTracker faults = new FaultTracker();
+    private final ArrivalRate arrivalRate = new ArrivalRate();
+    private final ActiveJobs activeJobs;
+    private final Fleet fleet;
+    private final SchedulingLoop loop;
+    private final CommandQueue commands;
+    private final WriteQueue writeQueue;
+    private final TermRecovery recovery;
+    private final MachineInventory inventory;
+    private final TaskLifecycle tasks;
+    private final JobLifecycle jobs;
+    private final MachineLifecycle machines;
+    private final TokenRaiseHandler tokenRaiseHandler;
+    private final HeartbeatReconciler reconciler;
+    private final MachineCommands machineCommands;
+    private final WorkerCalls calls;
+    private final CommandSender sender;
+    private final PlacementRules rules;
+    private final BatchPlanner batchPlanner;
+    private final GangHeadroom gangHeadroom;
+    private final Scheduler scheduler;
+
+    /** Puts together what the parts of this term share; nothing happens before the term is started. */
+    public LeaderTermFactory(
+            Config config,
+            Leadership leadership,
+            Leadership.Term term,
+            TermPorts ports,
+            RecordReplica replica,
+            JobIndex jobIndex,
+            Timers timers,
+            RecoveryTracer recoveryTracer) {
+        this.config = config;
+        this.leadership = leadership;
+        this.term = term;
+        this.ports = ports;
+        this.replica = replica;
+        this.jobIndex = jobIndex;
+        this.timers = timers;
+        TeamLimits teamLimits = new TeamLimits(config.teams());
+        this.activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
+        this.fleet = new Fleet(config, timers);
+        this.loop =
+                new SchedulingLoop(timers, termEnd::ended, leadership::mayStart, this::runCycle, this::sendCommands);
+        this.commands = new CommandQueue(loop::requestSend);
+        this.writeQueue = newWriteQueue();
+        this.recovery = new TermRecovery(newRecoveryPlan(recoveryTracer), activeJobs, timers, loop);
+        this.inventory = new MachineInventory(
+                config, term, replica, writeQueue, timers, fleet, this::tokenRaised, loop::requestCycle);
+        this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
+        this.jobs = newJobLifecycle();
+        this.machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, commands, timers, loop);
+        this.tokenRaiseHandler = new TokenRaiseHandler(config, fleet, timers);
+        this.reconciler = newReconciler();
+        this.machineCommands = new MachineCommands(leadership, commands);
+        this.calls = new WorkerCalls(config, ports.workers(), inventory, reconciler, timers, loop, termEnd::ended);
+        this.sender = new CommandSender(config, leadership, fleet, machineCommands, commands, calls, timers);
+        this.rules = new PlacementRules(fleet, recovery, activeJobs, teamLimits, faults, runtimeEstimator);
+        this.batchPlanner = new BatchPlanner(config, fleet, activeJobs, runtimeEstimator);
+        this.gangHeadroom = new GangHeadroom(fleet, batchPlanner);
+        this.scheduler = newScheduler();
+    }
+
+    private WriteQueue newWriteQueue() {
+        return new WriteQueue(
+                ports.store(),
+                replica,
+                timers,
+                config.limits().store().transactionChanges(),
+                config.limits().store().writesPerSecond() * WRITE_SHARE,
+                false,
+                () -> List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
+                () -> !termEnd.ended());
+    }
+
+    private RecoveryPlan newRecoveryPlan(RecoveryTracer recoveryTracer) {
+        return new RecoveryPlan(term.fencingToken(), config.tuning().recoveryHoldMicros(), recoveryTracer);
+    }
+
+    private JobLifecycle newJobLifecycle() {
+        return new JobLifecycle(
+                config, term, replica, jobIndex, writeQueue, recovery, activeJobs, tasks, arrivalRate, timers, loop);
+    }
+
+    private HeartbeatReconciler newReconciler() {
+        TaskStatusUpdater statusUpdater = new TaskStatusUpdater(jobs, tasks, machines, faults, runtimeEstimator, loop);
+        CleanupCommands cleanup = new CleanupCommands(jobIndex, recovery.plan(), inventory, commands, loop);
+        TaskReconciler taskReconciler =
+                new TaskReconciler(jobIndex, activeJobs, tasks, inventory, recovery.plan(), statusUpdater, cleanup);
+        return new HeartbeatReconciler(config, fleet, inventory, machines, taskReconciler, recovery, timers, loop);
+    }
+
+    private Scheduler newScheduler() {
+        Preemptor preemptor = new Preemptor(fleet, rules, tasks);
+        return new Scheduler(
+                config, fleet, activeJobs, recovery, rules, tasks, jobs, batchPlanner, preemptor, gangHeadroom, timers);
+    }
+
+    private void runCycle() {
+        scheduler.runCycle();
+    }
+
+    private void sendCommands() {
+        sender.sendDue();
+    }
+
+    private void tokenRaised(Machine machine) {
+        tokenRaiseHandler.tokenRaised(machine);
+        sender.showRaisedToken(machine);
+    }
+
+    /** The term, which is made once. */
+    public LeaderTerm create() {
+        return new LeaderTerm(
+                termEnd,
+                new TermRecords(term, replica, fleet, inventory, recovery, jobs),
+                new TakeoverCalls(config, fleet, calls, timers, termEnd::ended),
+                new HeartbeatHandler(term, replica, fleet, machines, reconciler, machineCommands, loop),
+                newPeriodicChecks(),
+                new TermMachineTypes(config, replica, writeQueue, fleet, loop),
+                newAutoscaler(),
+                fleet);
+    }
+
+    private PeriodicChecks newPeriodicChecks() {
+        MachineChecks machineChecks = new MachineChecks(config, leadership, fleet, inventory, machines, tasks, sender);
+        Consolidator consolidator = new Consolidator(fleet, activeJobs, machines, tasks);
+        return new PeriodicChecks(termEnd, leadership, fleet, machineChecks, recovery, consolidator, timers, loop);
+    }
+
+    private Autoscaler newAutoscaler() {
+        return new Autoscaler(
+                config,
+                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
+                rules,
+                gangHeadroom,
+                machines,
+                leadership,
+                ports.peers(),
+                ports.cloud(),
+                timers,
+                term.fencingToken(),
+                recovery,
+                termEnd::ended);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -0,0 +1,80 @@
+package org.granitepath.coordination.term;
+
+import java.util.List;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.fleet.CommandSender;
+import org.granitepath.coordination.fleet.MachineInventory;
+import org.granitepath.coordination.fleet.MachineLifecycle;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+
+/** What is checked of each machine again and again: its lease, whether it can be reached, and its placements. */
+final class MachineChecks {
+    private final Config config;
+    private final Leadership leadership;
+    private final Fleet fleet;
+    private final MachineInventory inventory;
+    private final MachineLifecycle machines;
+    private final TaskLifecycle tasks;
+    private final CommandSender sender;
+
+    /** Checks machines of this fleet. */
+    MachineChecks(
+            Config config,
+            Leadership leadership,
+            Fleet fleet,
+            MachineInventory inventory,
+            MachineLifecycle machines,
+            TaskLifecycle tasks,
+            CommandSender sender) {
+        this.config = config;
+        this.leadership = leadership;
+        this.fleet = fleet;
+        this.inventory = inventory;
+        this.machines = machines;
+        this.tasks = tasks;
+        this.sender = sender;
+    }
+
+    /** Makes all checks of one machine. */
+    void check(Machine machine, long nowMicros) {
+        checkLease(machine);
+        sender.probeIfOverdue(machine, nowMicros);
+        sender.showTokenIfNotAdopted(machine, nowMicros);
+        checkPlacements(machine, nowMicros);
+    }
+
+    private void checkLease(Machine machine) {
+        if (!isLeaseProvedOver(machine)) {
+            return;
+        }
+        if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
+            machines.leaseExpired(machine);
+        } else {
+            inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
+        }
+    }
+
+    /**
+     * A lease that ran out proves something only if we were the leader all along: a successor that we don't know of may
+     * be answering this worker. So the store must have confirmed us after the end.
+     */
+    private boolean isLeaseProvedOver(Machine machine) {
+        long leaseOverMicros = machine.contact().leaseOverMicros();
+        return leaseOverMicros > 0 && leadership.lastConfirmedMicros() > leaseOverMicros;
+    }
+
+    private void checkPlacements(Machine machine, long nowMicros) {
+        boolean unresponsive = fleet.unresponsive(machine, nowMicros);
+        for (Placement placement : List.copyOf(machine.placements())) {
+            if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
+                tasks.free(placement, "never sent: the machine has fallen silent");
+            } else if (placement.phase() == Placement.Phase.STOPPING) {
+                tasks.stopAgain(placement);
+            }
+        }
+    }
+}
