--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -53,7 +53,12 @@
         loop.wantCycle();
         if (!repeated.contains(stop)) {
             plan.found(verdict, 1);
-            LOG.info("stopping {} attempt {} on {}: {}", status.task(), status.attempt(), machine.id(), verdict);
+            LOG.info(
+                    "stopping task {} attempt {} on machine {}: {}",
+                    status.task(),
+                    status.attempt(),
+                    machine.id(),
+                    verdict);
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.granitepath.coordination.model.Fleet;
+import java.util.function.Function;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.KeyValueStore.Change;
@@ -11,7 +11,7 @@
 
 /** What the present write of the machine inventory holds: which parts, which new machines, which new tokens. */
 final class InventoryTransaction {
-    private final Fleet fleet;
+    private final Function<String, Machine> machineById;
     private final List<Change> changes = new ArrayList<>();
     private final List<Integer> parts = new ArrayList<>();
     private final List<Machine> machinesAdded = new ArrayList<>();
@@ -19,23 +19,23 @@
     private final boolean isSplit;
     private final long newToken;
 
-    private InventoryTransaction(Fleet fleet, boolean isSplit, long newToken) {
-        this.fleet = fleet;
+    private InventoryTransaction(Function<String, Machine> machineById, boolean isSplit, long newToken) {
+        this.machineById = machineById;
         this.isSplit = isSplit;
         this.newToken = newToken;
     }
 
     /** Writes parts of which machines may be given this new token. */
-    static InventoryTransaction drawing(Fleet fleet, long newToken) {
-        return new InventoryTransaction(fleet, false, newToken);
+    static InventoryTransaction drawing(Function<String, Machine> machineById, long newToken) {
+        return new InventoryTransaction(machineById, false, newToken);
     }
 
     /**
      * Writes one split. No token is drawn: the counter of fencing tokens might not fit into the same transaction as all
      * parts of the split.
      */
-    static InventoryTransaction ofSplit(Fleet fleet) {
-        return new InventoryTransaction(fleet, true, 0);
+    static InventoryTransaction ofSplit(Function<String, Machine> machineById) {
+        return new InventoryTransaction(machineById, true, 0);
     }
 
     /**
@@ -46,7 +46,7 @@
     void write(int part, Set<String> machineIds, boolean cleanupTokensDue) {
         List<InventoryRecord.Host> rows = new ArrayList<>();
         for (String id : machineIds) {
-            Machine machine = fleet.machine(id);
+            Machine machine = machineById.apply(id);
             if (cleanupTokensDue) {
                 machine.inventory().cleanupTokenDue();
             }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -220,7 +220,7 @@
     }
 
     private InventoryTransaction nextSplit() {
-        InventoryTransaction transaction = InventoryTransaction.ofSplit(fleet);
+        InventoryTransaction transaction = InventoryTransaction.ofSplit(fleet::machine);
         for (int part : layout.nextSplit()) {
             transaction.write(part, layout.machineIds(part), cleanupTokensDue);
         }
@@ -239,7 +239,7 @@
     }
 
     private InventoryTransaction dirtyParts() {
-        InventoryTransaction transaction = InventoryTransaction.drawing(fleet, nextToken());
+        InventoryTransaction transaction = InventoryTransaction.drawing(fleet::machine, nextToken());
         for (int part = 0; part < layout.partCount() && transaction.parts().size() < partsAtOnce; part++) {
             boolean toBeSplit = layout.isInPendingSplit(part);
             if (toBeSplit && !layout.isOnRecord(part)) {
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -92,7 +92,12 @@
         if (hasCompleted(job, status)) {
             completed(placement, nowMicros);
         } else if (status.cause() == Cause.FAILED) {
-            LOG.info("a task of {} failed on {}", job.spec().id(), machine.id());
+            LOG.info(
+                    "a task of job {} failed on machine {}: task {} attempt {}",
+                    job.spec().id(),
+                    machine.id(),
+                    status.task(),
+                    status.attempt());
             machines.drainFaulty(faults.failed(machine, job, nowMicros));
         } else if (startWasRefused(status)) {
             job.scheduling().startNothingBefore(nowMicros + REFUSED_START_DELAY_MICROS);
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -65,7 +65,7 @@
 
     private boolean mayJoin(Heartbeat heartbeat) {
         if (fleet.isLateCopy(heartbeat)) {
-            LOG.debug("a late copy of a heartbeat of {}, which is gone", heartbeat.host());
+            LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.host());
             return false;
         }
         return heartbeat.fencingToken() <= term.fencingToken();
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -71,7 +71,7 @@
         boolean unresponsive = fleet.unresponsive(machine, nowMicros);
         for (Placement placement : List.copyOf(machine.placements())) {
             if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
-                tasks.free(placement, "never sent: the machine has fallen silent");
+                tasks.free(placement, "never sent: the machine is unresponsive");
             } else if (placement.phase() == Placement.Phase.STOPPING) {
                 tasks.stopAgain(placement);
             }
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -76,7 +76,7 @@
         long pauseMicros = nowMicros - lastRunMicros - INTERVAL_MICROS;
         lastRunMicros = nowMicros;
         if (pauseMicros > PAUSE_MICROS) {
-            LOG.info("we stood still for {} s: nobody is silent for that", pauseMicros / 1_000_000);
+            LOG.info("we stood still for {} s: no machine counts as unresponsive for that", pauseMicros / 1_000_000);
             fleet.excusePause(pauseMicros, nowMicros);
         }
     }
