--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -50,7 +50,7 @@
         long nowMicros = timers.nowMicros();
         boolean underPresentToken = heartbeat.fencingToken() == machine.fencingToken();
         if (origin == MessageOrigin.HEARTBEAT && isOfLaterAgentEpoch(machine, heartbeat)) {
-            // Its reports come, but do our answers get there? It must show that before it is given work again.
+            // Its heartbeats come, but do our answers get there? It must show that before it is given work again.
             inventory.requestToken(machine, "its session moved on to " + heartbeat.agentEpoch());
         }
         noteContact(machine, heartbeat, origin, underPresentToken, nowMicros);
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -25,6 +25,9 @@
  */
 public final class MachineInventory {
     private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
+    /** All writes of the inventory wait in the queue as one. */
+    private static final String QUEUE_NAME = "rosters";
+
     /** Larger values would only be read over and over by every controller. */
     private static final int MOST_PART_BYTES = 8 * 1024;
 
@@ -194,7 +197,7 @@
         dirtyParts.add(part);
         long delayMicros = Math.max(LEAST_GATHER_MICROS, nextWriteMicros - timers.nowMicros());
         writeQueue.enqueue(
-                "rosters",
+                QUEUE_NAME,
                 WriteQueue.Urgency.SAFETY,
                 delayMicros,
                 this::beginTransaction,
@@ -207,7 +210,7 @@
         if (underWay != null) {
             dirtyParts.addAll(underWay.parts()); // the transaction before this one failed
         }
-        underWay = layout.mayWriteNextSplit() ? nextSplit() : dirtyParts();
+        underWay = layout.mayWriteNextSplit() ? splitTransaction() : dirtyPartsTransaction();
         List<Change> changes = underWay.changes();
         if (!underWay.machinesWithNewToken().isEmpty()) {
             changes.add(Change.write(
@@ -219,7 +222,7 @@
         return changes;
     }
 
-    private InventoryTransaction nextSplit() {
+    private InventoryTransaction splitTransaction() {
         InventoryTransaction transaction = InventoryTransaction.ofSplit(fleet::machine);
         for (int part : layout.nextSplit()) {
             transaction.write(part, layout.machineIds(part), cleanupTokensDue);
@@ -238,7 +241,7 @@
                 .anyMatch(id -> fleet.machine(id).inventory().needsNewToken());
     }
 
-    private InventoryTransaction dirtyParts() {
+    private InventoryTransaction dirtyPartsTransaction() {
         InventoryTransaction transaction = InventoryTransaction.drawing(fleet::machine, nextToken());
         for (int part = 0; part < layout.partCount() && transaction.parts().size() < partsAtOnce; part++) {
             boolean toBeSplit = layout.isInPendingSplit(part);
