--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -49,7 +49,7 @@
     List<String> choose(long nowMicros) {
         List<String> ids = new ArrayList<>();
         chooseFailedToBoot(ids, nowMicros);
-        boolean heartbeatsTrusted = failureDetector.trusted(nowMicros);
+        boolean heartbeatsTrusted = failureDetector.canJudgeMachines();
         boolean keepsIdle = recovery.keepsIdleMachines();
         gangHeadroom.survey();
         for (Machine machine : List.copyOf(fleet.machines())) {
@@ -98,7 +98,7 @@
     /** Why the machine is to be terminated; null: it is not. */
     private TerminationReason reason(Machine machine, boolean heartbeatsTrusted, boolean notNeeded, long nowMicros) {
         long sinceHeartbeatMicros = nowMicros - machine.contact().lastHeartbeatMicros();
-        boolean conclusive = (heartbeatsTrusted && !failureDetector.waitedFor(machine, nowMicros))
+        boolean conclusive = (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
         if (conclusive && sinceHeartbeatMicros > failureTimeoutMicros(machine)) {
             return TerminationReason.UNRESPONSIVE;
@@ -118,7 +118,8 @@
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
                 && machine.inventory().recorded()
-                && nowMicros - machine.unconfirmedSinceMicros() > config.workers().leaseMicros();
+                && nowMicros - machine.unconfirmedSinceMicros()
+                        > config.workers().leaseMicros();
     }
 
     private boolean isIdle(Machine machine, long nowMicros) {
@@ -153,7 +154,7 @@
      */
     private long failureTimeoutMicros(Machine machine) {
         return machine.contact().probeFailed()
-                ? failureDetector.silenceMicros(machine)
+                ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : config.workers().leaseMicros();
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -38,7 +38,8 @@
         replaceLostTasks(job, machinesWithCapacity, nowMicros);
         long longestWaitMicros = config.workers().gangWaitMicros()
                 - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
-        if (job.waitingTasks() > 0 && attempt.shouldBeAbandoned(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
+        if (job.waitingTasks() > 0
+                && attempt.shouldBeAbandoned(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
         }
     }
