--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -23,7 +23,7 @@
     /** Long enough for a machine under load to report in time. */
     private static final long LEASE_MILLIS = 20_000;
 
-    /** Of a job that a user submits: how many tasks, whether they run on, and how long they take otherwise. */
+    /** A job that a user submits: how many tasks, whether they run on, and how long they take otherwise. */
     record Job(String id, boolean service, int tasks, int cpus, long runMillis) {
         String submission() {
             Map<String, Object> fields = new LinkedHashMap<>();
@@ -58,7 +58,7 @@
             .version(HttpClient.Version.HTTP_1_1)
             .build();
     final History history = new History();
-    final StoreStandIn state = new StoreStandIn(executor);
+    final StoreStandIn store = new StoreStandIn(executor);
     final CloudStandIn cloud = new CloudStandIn(executor);
     final List<WorkerStandIn> workers = new ArrayList<>();
     final List<ControllerProcess> controllers = new ArrayList<>();
@@ -67,13 +67,11 @@
     Cluster(Path dir, int workerCount) throws IOException {
         Map<String, String> addresses = new LinkedHashMap<>();
         Map<String, String> backAddresses = new LinkedHashMap<>();
-        List<ServerSocket> reserved = new ArrayList<>();
-        for (int i = 0; i < CONTROLLERS; i++) {
-            addresses.put("node-" + i, reserve(reserved));
-            backAddresses.put("node-" + i, reserve(reserved));
-        }
-        for (ServerSocket socket : reserved) {
-            socket.close();
+        try (ReservedPorts ports = new ReservedPorts()) {
+            for (int i = 0; i < CONTROLLERS; i++) {
+                addresses.put("node-" + i, ports.reserve());
+                backAddresses.put("node-" + i, ports.reserve());
+            }
         }
         Path tuning = Files.writeString(dir.resolve("tuning.yaml"), "recovery-hold-s: 60\n");
         for (String node : addresses.keySet()) {
@@ -90,10 +88,22 @@
         }
     }
 
-    private static String reserve(List<ServerSocket> reserved) throws IOException {
-        ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        reserved.add(socket);
-        return "127.0.0.1:" + socket.getLocalPort();
+    /** Ports that nobody else is given until all that are needed are known. */
+    private static final class ReservedPorts implements AutoCloseable {
+        private final List<ServerSocket> sockets = new ArrayList<>();
+
+        String reserve() throws IOException {
+            ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+            sockets.add(socket);
+            return "127.0.0.1:" + socket.getLocalPort();
+        }
+
+        @Override
+        public void close() throws IOException {
+            for (ServerSocket socket : sockets) {
+                socket.close();
+            }
+        }
     }
 
     private String settings(String node, Map<String, String> addresses, Map<String, String> backAddresses) {
@@ -132,7 +142,7 @@
                 rps = 5.0
                 list_lag_s = 1.0
                 """.formatted(
-                        cloud.address(), state.address(), CloudStandIn.ZONE, REPORT_MILLIS / 1e3, LEASE_MILLIS / 1e3))
+                        cloud.address(), store.address(), CloudStandIn.ZONE, REPORT_MILLIS / 1e3, LEASE_MILLIS / 1e3))
                 .toString();
     }
 
@@ -141,12 +151,14 @@
         return known == null || known.service() ? -1 : known.runMillis();
     }
 
+    /** All controllers start, without waiting for them. */
     void startControllers() throws IOException {
         for (ControllerProcess controller : controllers) {
             controller.start();
         }
     }
 
+    /** All controllers end without a warning, and are gone. */
     void killControllers() throws InterruptedException {
         for (ControllerProcess controller : controllers) {
             controller.kill();
@@ -196,7 +208,7 @@
         controllers.forEach(ControllerProcess::close);
         workers.forEach(WorkerStandIn::close);
         cloud.close();
-        state.close();
+        store.close();
         executor.shutdownNow();
     }
 }
--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -68,7 +69,9 @@
         }
         await("all services run", () -> cluster.history.running(cluster::isService) == SERVICES * REPLICAS);
         int third = BATCH_JOBS * BATCH_TASKS / 3;
-        await("a third of the batch work is done", () -> cluster.history.completed(j -> !cluster.isService(j)) > third);
+        await(
+                "a third of the batch work is done",
+                () -> cluster.history.completed(job -> !cluster.isService(job)) > third);
     }
 
     private static void loseReplicas(Cluster cluster) {
@@ -116,15 +119,17 @@
 
     @Test
     void allControllersEndAtOnce(@TempDir Path dir) throws Exception {
-        java.nio.file.Files.createDirectories(dir);
+        Files.createDirectories(dir);
         try (Cluster cluster = new Cluster(dir, WORKERS)) {
             bringUp(cluster);
+
             cluster.killControllers();
             int restart = cluster.history.position();
             loseReplicas(cluster);
             cluster.startControllers();
             awaitAllWorkDone(cluster);
             awaitRecovered(cluster);
+
             assertServicesFirst(cluster, cluster.history.since(restart));
             assertEquals(List.of(), cluster.history.violations());
         }
@@ -135,13 +140,14 @@
     void allEndOnceMoreWhileTheyRecover(@TempDir Path dir) throws Exception {
         try (Cluster cluster = new Cluster(dir, WORKERS)) {
             bringUp(cluster);
+
             cluster.killControllers();
-            cluster.state.setAway(true);
+            cluster.store.setAway(true);
             int restart = cluster.history.position();
             loseReplicas(cluster);
             cluster.startControllers();
             Thread.sleep(1_000);
-            cluster.state.setAway(false);
+            cluster.store.setAway(false);
             await(
                     "an order of the new leader",
                     () -> cluster.history.since(restart).stream().anyMatch(event -> event.kind() == Kind.ORDERED));
@@ -149,6 +155,7 @@
             cluster.startControllers();
             awaitAllWorkDone(cluster);
             awaitRecovered(cluster);
+
             assertServicesFirst(cluster, cluster.history.since(restart));
             assertEquals(List.of(), cluster.history.violations());
         }
--- a/src/test/java/org/granitepath/loopback/StoreStandIn.java
+++ b/src/test/java/org/granitepath/loopback/StoreStandIn.java
@@ -55,27 +55,30 @@
             return Answer.error(503, "outage");
         }
         expire();
-        if (path.equals("/keys")) {
-            return list(query);
-        } else if (path.equals("/commit")) {
-            return commit(body);
-        } else if (path.equals("/follow")) {
-            return follow(query);
-        } else if (path.equals("/leases")) {
-            Lease lease = new Lease(Fields.longOf(body, "life_ms", 0) * 1_000_000);
-            lease.touch();
-            leases.put(++leaseCount, lease);
-            return Answer.ok(Map.of("permit", leaseCount));
-        } else if (path.startsWith("/leases/")) {
-            Lease lease =
-                    leases.get(Long.parseLong(Splitter.on('/').splitToList(path).get(2)));
-            if (lease == null) {
-                return Answer.error(404, "no such lease");
-            }
-            lease.touch();
-            return Answer.ok(Map.of());
+        return switch (path) {
+            case "/keys" -> list(query);
+            case "/commit" -> commit(body);
+            case "/follow" -> follow(query);
+            case "/leases" -> openLease(body);
+            default -> path.startsWith("/leases/") ? renewLease(path) : Answer.error(400, "unknown request");
+        };
+    }
+
+    private Answer openLease(Map<String, Object> body) {
+        Lease lease = new Lease(Fields.longOf(body, "life_ms", 0) * 1_000_000);
+        lease.touch();
+        leases.put(++leaseCount, lease);
+        return Answer.ok(Map.of("permit", leaseCount));
+    }
+
+    private Answer renewLease(String path) {
+        Lease lease =
+                leases.get(Long.parseLong(Splitter.on('/').splitToList(path).get(2)));
+        if (lease == null) {
+            return Answer.error(404, "no such lease");
         }
-        return Answer.error(400, "unknown request");
+        lease.touch();
+        return Answer.ok(Map.of());
     }
 
     private void expire() {
@@ -120,8 +123,16 @@
         return Answer.ok(Map.of("items", items, "has_next", more, "epoch", storeRevision));
     }
 
-    @SuppressWarnings("unchecked")
     private Answer commit(Map<String, Object> body) {
+        List<String> failed = failedPreconditions(body);
+        if (!failed.isEmpty()) {
+            return new Answer(409, Map.of("failed", failed, "epoch", storeRevision));
+        }
+        return applyAll(Fields.listOf(body, "apply"));
+    }
+
+    @SuppressWarnings("unchecked")
+    private List<String> failedPreconditions(Map<String, Object> body) {
         List<String> failed = new ArrayList<>();
         for (Object each : Fields.listOf(body, "guards")) {
             Map<String, Object> precondition = (Map<String, Object>) each;
@@ -130,10 +141,11 @@
                 failed.add(Fields.textOf(precondition, "key"));
             }
         }
-        if (!failed.isEmpty()) {
-            return new Answer(409, Map.of("failed", failed, "epoch", storeRevision));
-        }
-        List<?> apply = Fields.listOf(body, "apply");
+        return failed;
+    }
+
+    @SuppressWarnings("unchecked")
+    private Answer applyAll(List<?> apply) {
         for (Object each : apply) {
             long lease = Fields.longOf((Map<String, Object>) each, "permit", 0);
             if (lease != 0 && !leases.containsKey(lease)) {
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -1,8 +1,9 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.LONG;
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.SHORT;
+import static org.granitepath.simulation.FaultScenarios.crowded;
+import static org.granitepath.simulation.FaultScenarios.cutOf;
+import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.others;
 import static org.granitepath.simulation.FaultScenarios.simulation;
@@ -20,18 +21,19 @@
 
 /** Cancellations that meet other faults: no task starts or goes on for too long after one is confirmed. */
 class CancellationFaultsTest {
-    /** 3. Cancellations, questions and repeated submissions meet the end of a job's last task. */
+    /** Cancellations, questions and repeated submissions meet the end of a job's last task. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancelledAtTheEnd(long seed) {
-        Simulation s = withJobs(simulation(seed), 40, 60 * SECOND);
-        s.cancelledAtEnd = 0.6;
-        s.users.oddRequests(100 * SECOND);
-        s.run(100 * SECOND, 400 * SECOND);
-        assertTrue(s.users.doneTold > 2 && s.rules.cancellationsTold() > 2);
+        Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
+        simulation.cancelledAtEnd = 0.6;
+        simulation.users.oddRequests(100 * SECOND);
+        simulation.run(100 * SECOND, 400 * SECOND);
+        assertTrue(simulation.users.doneTold > 2 && simulation.rules.cancellationsTold() > 2);
         assertTrue(
-                s.users.unschedulableRefused > 20, s.users.unschedulableRefused + " jobs that can't run were refused");
-        assertRulesAndAllDone(s);
+                simulation.users.unschedulableRefused > 20,
+                simulation.users.unschedulableRefused + " jobs that can't run were refused");
+        assertRulesAndAllDone(simulation);
     }
 
     /**
@@ -41,50 +43,52 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledBeforeTheirZoneIsCutOff(long seed) {
-        Simulation s = simulation(seed);
-        longWork(s, 6, 8, 200 * SECOND);
+        Simulation simulation = simulation(seed);
+        longWork(simulation, 6, 8, 200 * SECOND);
         int[] told = new int[1];
-        s.world.after(60 * SECOND, () -> {
-            String zone = s.zoneOf(s.leader()).equals("south") ? "north" : "south";
-            s.cloud.workers().stream()
-                    .filter(w -> w.zone.equals(zone))
-                    .forEach(w -> s.faults.cut(s.leader(), w.id, World.Cut.DROP, 60 * SECOND));
-            s.users.cancelRunning(10, 0);
-            s.world.after(6 * SECOND, () -> {
-                told[0] = s.rules.cancellationsTold();
-                s.faults.cutZone(zone, World.Cut.DROP, 50 * SECOND);
+        simulation.after(60 * SECOND, () -> {
+            String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
+            simulation.cloud.workers().stream()
+                    .filter(worker -> worker.zone.equals(zone))
+                    .forEach(worker ->
+                            simulation.faults.cut(simulation.leader(), worker.id, World.Cut.DROP, 60 * SECOND));
+            simulation.users.cancelRunning(10, 0);
+            simulation.after(6 * SECOND, () -> {
+                told[0] = simulation.rules.cancellationsTold();
+                simulation.faults.cutZone(zone, World.Cut.DROP, 50 * SECOND);
             });
         });
-        s.run(125 * SECOND, 900 * SECOND);
+        simulation.run(125 * SECOND, 900 * SECOND);
         assertEquals(10, told[0], "cancellations confirmed before the cut");
-        assertRulesAndAllDone(s);
+        assertRulesAndAllDone(simulation);
     }
 
     /**
-     * 18. A leader loses the store and its peers, not its workers and users; jobs are cancelled through the
+     * A leader loses the store and its peers, not its workers and users; jobs are cancelled through the
      * new one.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledThroughTheNewLeader(long seed) {
-        Simulation s = simulation(seed);
-        List<JobSpec> jobs = longWork(s, 6, 8, 200 * SECOND);
+        Simulation simulation = simulation(seed);
+        List<JobSpec> jobs = longWork(simulation, 6, 8, 200 * SECOND);
         int[] told = new int[1];
-        s.world.after(60 * SECOND, () -> {
-            String former = s.leader();
-            s.faults.cutFromPeersAndStore(former, seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP, 70 * SECOND);
-            s.world.after(6 * SECOND, () -> {
-                String leader = s.leaderOtherThan(former);
+        simulation.after(60 * SECOND, () -> {
+            String former = simulation.leader();
+            simulation.faults.cutFromPeersAndStore(former, cutOf(seed), 70 * SECOND);
+            simulation.after(6 * SECOND, () -> {
+                String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
                 // It can't reach any machine either: only leases can end what the former one keeps alive.
-                others(s, former).forEach(n -> s.faults.cutFromWorkers(n, World.Cut.DROP, 64 * SECOND));
-                jobs.stream().limit(9).forEach(j -> s.users.cancelAt(leader, j.id()));
+                others(simulation, former)
+                        .forEach(node -> simulation.faults.cutFromWorkers(node, World.Cut.DROP, 64 * SECOND));
+                jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
-            s.world.after(12 * SECOND, () -> told[0] = s.rules.cancellationsTold());
+            simulation.after(12 * SECOND, () -> told[0] = simulation.rules.cancellationsTold());
         });
-        s.run(135 * SECOND, 900 * SECOND);
+        simulation.run(135 * SECOND, 900 * SECOND);
         assertEquals(9, told[0], "cancellations confirmed by the new leader");
-        assertRulesAndAllDone(s);
+        assertRulesAndAllDone(simulation);
     }
 
     /**
@@ -94,37 +98,39 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void renewalsGetThroughAndReadsDoNot(long seed) {
-        Simulation s = simulation(seed);
-        s.peersSendNoCancellations = true;
-        List<JobSpec> jobs = longWork(s, 6, 6, 300 * SECOND);
-        s.world.after(60 * SECOND, () -> {
-            String leader = s.leader();
-            s.store.blindFor(leader, 2 * s.shape.cancel());
-            s.world.after(
+        Simulation simulation = simulation(seed);
+        simulation.peersSendNoCancellations = true;
+        List<JobSpec> jobs = longWork(simulation, 6, 6, 300 * SECOND);
+        simulation.after(60 * SECOND, () -> {
+            String leader = simulation.leader();
+            simulation.store.blindFor(leader, 2 * simulation.shape.cancel());
+            simulation.after(
                     2 * SECOND,
-                    () -> jobs.forEach(j -> s.users.cancelAt(others(s, leader).get(0), j.id())));
+                    () -> jobs.forEach(job ->
+                            simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
         });
-        s.run(60 * SECOND + 2 * s.shape.cancel(), 300 * SECOND);
-        assertTrue(s.rules.cancellationsTold() >= 10);
-        assertRules(s);
+        simulation.run(60 * SECOND + 2 * simulation.shape.cancel(), 300 * SECOND);
+        assertTrue(simulation.rules.cancellationsTold() >= 10);
+        assertRules(simulation);
     }
 
     /** Machines hang with tasks of cancelled jobs, for less and for more than a lease, and the leader ends. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void machinesHangWithCancelledTasks(long seed) {
-        Simulation s = simulation(seed);
-        longWork(s, 6, 8, 200 * SECOND);
+        Simulation simulation = simulation(seed);
+        longWork(simulation, 6, 8, 200 * SECOND);
         int[] hung = new int[1];
-        s.world.after(60 * SECOND, () -> {
-            hung[0] = s.users
-                    .cancelRunning(8, seed < 3 ? 8 * SECOND : s.shape.lease() + 6 * SECOND)
+        simulation.after(60 * SECOND, () -> {
+            hung[0] = simulation
+                    .users
+                    .cancelRunning(8, seed < 3 ? 8 * SECOND : simulation.shape.lease() + 6 * SECOND)
                     .size();
-            s.world.after(SECOND, () -> s.faults.crash(s.leader(), 300_000));
+            leaderEnds(simulation, SECOND, 300_000);
         });
-        s.run(75 * SECOND + s.shape.lease(), 800 * SECOND);
+        simulation.run(75 * SECOND + simulation.shape.lease(), 800 * SECOND);
         assertTrue(hung[0] > 4);
-        assertRulesAndAllDone(s);
+        assertRulesAndAllDone(simulation);
     }
 
     /**
@@ -135,20 +141,21 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledWhileTheLeadersReadsLag(long seed) {
-        Simulation s = new Simulation(seed, (seed % 2 == 0 ? LONG : SHORT).with(5, 1));
-        s.peersSendNoCancellations = seed % 2 == 1;
-        longWork(s, 1, 40, 3 * SECOND);
+        Simulation simulation = crowded(seed);
+        simulation.peersSendNoCancellations = seed % 2 == 1;
+        longWork(simulation, 1, 40, 3 * SECOND);
         for (int i = 0; i < 8; i++) {
-            s.world.after((30 + 6 * i) * SECOND, () -> {
-                String leader = s.leader();
-                s.store.blindFor(leader, 2_500_000);
-                s.rules.running().stream()
+            simulation.after((30 + 6 * i) * SECOND, () -> {
+                String leader = simulation.leader();
+                simulation.store.blindFor(leader, 2_500_000);
+                simulation.rules.running().stream()
                         .limit(6)
-                        .forEach(j -> s.users.cancelAt(others(s, leader).get(0), j));
+                        .forEach(job -> simulation.users.cancelAt(
+                                others(simulation, leader).get(0), job));
             });
         }
-        s.run(85 * SECOND, 500 * SECOND);
-        assertTrue(s.rules.cancellationsTold() > 10, s.rules.cancellationsTold() + " cancellations");
-        assertRulesAndAllDone(s);
+        simulation.run(85 * SECOND, 500 * SECOND);
+        assertTrue(simulation.rules.cancellationsTold() > 10, simulation.rules.cancellationsTold() + " cancellations");
+        assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -1,5 +1,7 @@
 package org.granitepath.simulation;
 
+import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.submitServices;
 import static org.granitepath.simulation.SimulationTest.assertRules;
 import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,40 +27,37 @@
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
     void fiveControllersAndHundredsOfMachines(long seed) {
-        Simulation s = new Simulation(seed, 5, 30);
+        Simulation simulation = new Simulation(seed, 5, 30);
         for (int i = 0; i < 12; i++) {
-            s.world.after(
+            simulation.after(
                     2 * SECOND + 5L * i * SECOND,
-                    () -> s.users.submit(
-                            s.jobs.job(
-                                    false,
-                                    120,
-                                    Priority.STANDARD,
-                                    "free",
-                                    s.world.random.nextBoolean(),
-                                    false,
-                                    false,
-                                    25 * SECOND,
-                                    0),
-                            -1));
-            s.world.after(
+                    () -> simulation.users.submit(simulation.jobs.job(
+                            false,
+                            120,
+                            Priority.STANDARD,
+                            "free",
+                            simulation.world.random.nextBoolean(),
+                            false,
+                            false,
+                            25 * SECOND,
+                            0)));
+            simulation.after(
                     2 * SECOND + 5L * i * SECOND,
-                    () -> s.users.submit(
-                            s.jobs.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), 120 * SECOND));
+                    () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
         int[] most = new int[1];
-        s.world.after(45 * SECOND, () -> {
-            most[0] = s.cloud.workers().size();
-            s.faults.crash(s.leader(), 4 * SECOND);
+        simulation.after(45 * SECOND, () -> {
+            most[0] = simulation.cloud.workers().size();
+            simulation.faults.crash(simulation.leader(), 4 * SECOND);
         });
-        s.world.after(49 * SECOND, () -> s.faults.crash(s.leader(), 300_000));
-        s.world.after(70 * SECOND, () -> s.names.forEach(n -> s.faults.crash(n, SECOND)));
-        s.world.after(75 * SECOND, () -> s.store.outage(10 * SECOND));
-        s.run(100 * SECOND, 300 * SECOND);
+        leaderEnds(simulation, 49 * SECOND, 300_000);
+        simulation.after(70 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(75 * SECOND, () -> simulation.store.outage(10 * SECOND));
+        simulation.run(100 * SECOND, 300 * SECOND);
         assertTrue(most[0] > 150, "only " + most[0] + " machines");
-        assertRulesAndAllDone(s);
-        s.rules.checkServed();
-        assertRules(s);
+        assertRulesAndAllDone(simulation);
+        simulation.rules.checkServed();
+        assertRules(simulation);
     }
 
     /**
@@ -67,61 +66,57 @@
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
     void overloadStarvesNobody(long seed) {
-        Simulation s = new Simulation(seed, 3, 1);
+        Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 60; i++) {
-            int n = i;
-            s.world.after(
+            int node = i;
+            simulation.after(
                     2 * SECOND + 5L * i * SECOND,
-                    () -> s.users.submit(
-                            s.jobs.job(
-                                    false,
-                                    n % 10 == 3 ? 60 : 16,
-                                    Priority.STANDARD,
-                                    n % 7 == 0 ? "tight" : "free",
-                                    true,
-                                    false,
-                                    false,
-                                    15 * SECOND,
-                                    0),
-                            -1));
-            s.world.after(2 * SECOND + 5L * i * SECOND, () -> {
-                if (n % 4 == 0) {
-                    s.users.submit(
-                            s.jobs.job(
-                                    false,
-                                    n % 8 == 0 ? 40 : 6,
-                                    Priority.BEST_EFFORT,
-                                    "free",
-                                    true,
-                                    false,
-                                    false,
-                                    12 * SECOND,
-                                    3 * SECOND),
-                            -1);
+                    () -> simulation.users.submit(simulation.jobs.job(
+                            false,
+                            node % 10 == 3 ? 60 : 16,
+                            Priority.STANDARD,
+                            node % 7 == 0 ? "tight" : "free",
+                            true,
+                            false,
+                            false,
+                            15 * SECOND,
+                            0)));
+            simulation.after(2 * SECOND + 5L * i * SECOND, () -> {
+                if (node % 4 == 0) {
+                    simulation.users.submit(simulation.jobs.job(
+                            false,
+                            node % 8 == 0 ? 40 : 6,
+                            Priority.BEST_EFFORT,
+                            "free",
+                            true,
+                            false,
+                            false,
+                            12 * SECOND,
+                            3 * SECOND));
                 }
             });
         }
-        s.run(310 * SECOND, 900 * SECOND);
-        s.rules.checkServed();
-        assertRules(s);
+        simulation.run(310 * SECOND, 900 * SECOND);
+        simulation.rules.checkServed();
+        assertRules(simulation);
     }
 
     /** Services keep arriving: for most of them there is capacity already when they come. */
     @Test
     void headroomForServicesToCome() {
-        Simulation s = new Simulation(75, 3, 10);
+        Simulation simulation = new Simulation(75, 3, 10);
         List<JobSpec> late = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            JobSpec j = s.jobs.job(true, 2, Priority.CRITICAL, "free", false, true, false, 0, 0);
-            s.world.after(2 * SECOND + 3L * i * SECOND, () -> s.users.submit(j, -1));
+            JobSpec job = simulation.jobs.service(2);
+            simulation.after(2 * SECOND + 3L * i * SECOND, () -> simulation.users.submit(job));
             if (i >= 25) {
-                late.add(j);
+                late.add(job);
             }
         }
-        s.run(200 * SECOND);
-        assertRules(s);
+        simulation.run(200 * SECOND);
+        assertRules(simulation);
         long prompt = late.stream()
-                .filter(j -> s.rules.begunAfter(j.id()) < 5 * SECOND)
+                .filter(job -> simulation.rules.begunAfter(job.id()) < 5 * SECOND)
                 .count();
         assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
     }
@@ -132,32 +127,31 @@
      */
     @Test
     void cleanupOfMachinesWithManyTasksIsRare() {
-        Simulation s = new Simulation(85, 3, 3);
-        JobSpec like = s.jobs.job(true, 31, Priority.CRITICAL, "free", false, false, false, 0, 0);
+        Simulation simulation = new Simulation(85, 3, 3);
+        JobSpec like = simulation.jobs.job(true, 31, Priority.CRITICAL, "free", false, false, false, 0, 0);
         for (int i = 0; i < 4; i++) {
-            s.users.submit(s.jobs.withCpu(like, 31, 250), -1);
+            simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
         }
-        JobSpec batch = s.jobs.job(false, 60, Priority.STANDARD, "free", true, false, false, 2 * SECOND, 0);
+        JobSpec batch = simulation.jobs.batch(60, 2 * SECOND);
         for (int i = 0; i < 30; i++) {
-            s.world.after((20 + 3 * i) * SECOND, () -> s.users.submit(s.jobs.withCpu(batch, 60, 250), -1));
+            simulation.after(
+                    (20 + 3 * i) * SECOND, () -> simulation.users.submit(simulation.jobs.withCpu(batch, 60, 250)));
         }
-        s.run(150 * SECOND);
-        assertRulesAndAllDone(s);
-        int drawn = s.store.writesOf(Keys.FENCING_TOKEN);
+        simulation.run(150 * SECOND);
+        assertRulesAndAllDone(simulation);
+        int drawn = simulation.store.writesOf(Keys.FENCING_TOKEN);
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
     /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
     @Test
     void machinesForServicesAreLaunchedAsAClass() {
-        Simulation s = new Simulation(76, 3, 20);
-        for (int i = 0; i < 40; i++) {
-            s.users.submit(s.jobs.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
-        }
-        s.run(30 * SECOND);
-        assertRules(s);
-        long large = s.cloud.workers().stream()
-                .filter(w -> w.type.name().equals("large"))
+        Simulation simulation = new Simulation(76, 3, 20);
+        submitServices(simulation, 40, 4);
+        simulation.run(30 * SECOND);
+        assertRules(simulation);
+        long large = simulation.cloud.workers().stream()
+                .filter(worker -> worker.type.name().equals("large"))
                 .count();
         assertTrue(large >= 2, large + " large machines");
     }
@@ -166,33 +160,33 @@
     @ParameterizedTest
     @ValueSource(longs = {77, 78, 79})
     void lateBootsAreNotWaitedFor(long seed) {
-        Simulation s = new Simulation(seed, 3, 5);
-        s.cloud.neverUp = 2;
-        JobSpec j = s.jobs.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0);
-        s.users.submit(j, -1);
-        s.run(90 * SECOND);
-        assertRules(s);
+        Simulation simulation = new Simulation(seed, 3, 5);
+        simulation.cloud.neverUp = 2;
+        JobSpec job = simulation.jobs.service(4);
+        simulation.users.submit(job);
+        simulation.run(90 * SECOND);
+        assertRules(simulation);
         assertTrue(
-                s.rules.begunAfter(j.id()) < 45 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / SECOND + " s");
+                simulation.rules.begunAfter(job.id()) < 45 * SECOND,
+                "begun after " + simulation.rules.begunAfter(job.id()) / SECOND + " s");
     }
 
     /** On a full site the jobs that can be in time together are, instead of all being late together. */
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83})
     void someInTimeRatherThanAllLate(long seed) {
-        Simulation s = new Simulation(seed, 3, 1);
-        s.users.submit(s.jobs.job(false, 120, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0), -1);
+        Simulation simulation = new Simulation(seed, 3, 1);
+        simulation.users.submit(simulation.jobs.batch(120, 8 * SECOND));
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            jobs.add(s.jobs.job(
-                    false, i % 4 == 0 ? 240 : 50, Priority.STANDARD, "free", true, false, false, 8 * SECOND, 0));
-            JobSpec j = jobs.get(i);
-            s.world.after(30 * SECOND + 6L * i * SECOND, () -> s.users.submit(j, -1));
+            jobs.add(simulation.jobs.batch(i % 4 == 0 ? 240 : 50, 8 * SECOND));
+            JobSpec job = jobs.get(i);
+            simulation.after(30 * SECOND + 6L * i * SECOND, () -> simulation.users.submit(job));
         }
-        s.run(700 * SECOND);
-        assertRulesAndAllDone(s);
+        simulation.run(700 * SECOND);
+        assertRulesAndAllDone(simulation);
         long inTime = jobs.stream()
-                .filter(j -> s.rules.finishedAfter(j.id()) <= j.deadlineMicros())
+                .filter(job -> simulation.rules.finishedAfter(job.id()) <= job.deadlineMicros())
                 .count();
         assertTrue(inTime >= 4, inTime + " of " + jobs.size() + " in time");
     }
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -3,38 +3,87 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.granitepath.storage.JobSpec;
-import org.granitepath.storage.Priority;
 
 /** Deployments, long work and helpers that the tests of faults share. */
 final class FaultScenarios {
     static final long SECOND = Simulation.SECOND;
 
     /** Long leases and little time beside them; then short ones, and heartbeats that come often. */
-    static final Simulation.Shape LONG =
-            new Simulation.Shape(5, 4, 3 * SECOND, 27 * SECOND, 52 * SECOND, 150, 18, 8 * 1024, 8, 1_500);
+    static final Shape LONG = Shape.small()
+            .withControllers(5)
+            .withPerOffer(4)
+            .withReport(3 * SECOND)
+            .withLease(27 * SECOND)
+            .withCancel(52 * SECOND)
+            .withRequestsPerSecond(150)
+            .withWritesPerSecond(18)
+            .withValueBytes(8 * 1024)
+            .withConnections(1_500);
 
-    static final Simulation.Shape SHORT =
-            new Simulation.Shape(5, 4, 2 * SECOND, 13 * SECOND, 33 * SECOND, 300, 90, 32 * 1024, 16, 2_000);
+    static final Shape SHORT = Shape.small()
+            .withControllers(5)
+            .withPerOffer(4)
+            .withReport(2 * SECOND)
+            .withLease(13 * SECOND)
+            .withCancel(33 * SECOND)
+            .withRequestsPerSecond(300)
+            .withWritesPerSecond(90)
+            .withValueBytes(32 * 1024)
+            .withTransactionChanges(16)
+            .withConnections(2_000);
 
     static Simulation simulation(long seed) {
-        return new Simulation(seed, seed % 2 == 0 ? LONG : SHORT);
+        return new Simulation(seed, shapeOf(seed));
+    }
+
+    /** The times and limits that a seed is played with. */
+    static Shape shapeOf(long seed) {
+        return seed % 2 == 0 ? LONG : SHORT;
+    }
+
+    /** Five controllers and a few machines, too few for much work. */
+    static Simulation crowded(long seed) {
+        return new Simulation(seed, shapeOf(seed).withControllers(5).withPerOffer(1));
+    }
+
+    /** What a cut does with packets under way, with half of the seeds the one, with half the other. */
+    static World.Cut cutOf(long seed) {
+        return seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP;
+    }
+
+    static void submitServices(Simulation simulation, int count, int replicas) {
+        for (int i = 0; i < count; i++) {
+            simulation.users.submit(simulation.jobs.service(replicas));
+        }
+    }
+
+    static void submitBatches(Simulation simulation, int count, int tasks, long runMicros) {
+        for (int i = 0; i < count; i++) {
+            simulation.users.submit(simulation.jobs.batch(tasks, runMicros));
+        }
+    }
+
+    /** So much later than now whoever leads then ends, and comes back after a while. */
+    static void leaderEnds(Simulation simulation, long delayMicros, long downMicros) {
+        simulation.after(delayMicros, () -> simulation.faults.crash(simulation.leader(), downMicros));
     }
 
     /** Services and wide jobs with long tasks, so that whatever happens meets work that runs. */
-    static List<JobSpec> longWork(Simulation s, int services, int batches, long runMicros) {
+    static List<JobSpec> longWork(Simulation simulation, int services, int batches, long runMicros) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < services; i++) {
-            jobs.add(s.jobs.job(true, 4, Priority.CRITICAL, "free", false, true, false, 0, 0));
+            jobs.add(simulation.jobs.service(4));
         }
         for (int i = 0; i < batches; i++) {
-            jobs.add(s.jobs.job(false, 10, Priority.STANDARD, "free", true, false, false, runMicros, 0));
+            jobs.add(simulation.jobs.batch(10, runMicros));
         }
-        jobs.forEach(j -> s.users.submit(j, -1));
+        jobs.forEach(job -> simulation.users.submit(job));
         return jobs;
     }
 
-    static List<String> others(Simulation s, String node) {
-        return s.names.stream().filter(n -> !n.equals(node)).toList();
+    /** The controllers but this one. */
+    static List<String> others(Simulation simulation, String node) {
+        return simulation.names.stream().filter(other -> !other.equals(node)).toList();
     }
 
     private FaultScenarios() {}
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.granitepath.storage.JobSpec;
-import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -17,39 +16,41 @@
     /** Two tasks make a machine faulty; more may have been on their way when the second failed. */
     private static final int MOST_FAILURES_OF_A_MACHINE = 4;
 
-    private static JobSpec job(Simulation s, int tasks) {
-        return s.jobs.withoutDeadline(
-                s.jobs.job(false, tasks, Priority.STANDARD, "free", true, false, false, 15 * SECOND, 0));
+    private static JobSpec job(Simulation simulation, int tasks) {
+        return simulation.jobs.withoutDeadline(simulation.jobs.batch(tasks, 15 * SECOND));
     }
 
     /** Many machines fail at once: each is found after a few tasks, and no job is made to wait for it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void faultyMachinesAreFoundAfterFewFailures(long seed) {
-        Simulation s = new Simulation(seed, 3, 4);
+        Simulation simulation = new Simulation(seed, 3, 4);
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            JobSpec next = job(s, 7);
-            s.world.after(2L * i * SECOND, () -> s.users.submit(next, -1));
+            JobSpec next = job(simulation, 7);
+            simulation.after(2L * i * SECOND, () -> simulation.users.submit(next));
             if (i >= 20) {
                 jobs.add(next);
             }
         }
         List<SimWorker> faulty = new ArrayList<>();
-        s.world.after(38 * SECOND, () -> {
-            faulty.addAll(s.cloud.workers().stream().limit(FAULTY_MACHINES).toList());
-            faulty.forEach(w -> w.faulty = true);
+        simulation.after(38 * SECOND, () -> {
+            faulty.addAll(
+                    simulation.cloud.workers().stream().limit(FAULTY_MACHINES).toList());
+            faulty.forEach(worker -> worker.faulty = true);
         });
-        s.run(220 * SECOND);
-        assertRules(s);
-        int failures = faulty.stream().mapToInt(w -> w.failures).sum();
+        simulation.run(220 * SECOND);
+        assertRules(simulation);
+        int failures = faulty.stream().mapToInt(worker -> worker.failures).sum();
         assertTrue(failures >= FAULTY_MACHINES / 2, failures + " failures");
-        for (SimWorker w : faulty) {
-            assertTrue(w.failures <= MOST_FAILURES_OF_A_MACHINE, w.failures + " tasks failed on " + w.id);
+        for (SimWorker worker : faulty) {
+            assertTrue(
+                    worker.failures <= MOST_FAILURES_OF_A_MACHINE, worker.failures + " tasks failed on " + worker.id);
         }
-        for (JobSpec j : jobs) {
+        for (JobSpec job : jobs) {
             assertTrue(
-                    s.rules.finishedAfter(j.id()) < 60 * SECOND, "done after " + s.rules.finishedAfter(j.id()) / 1e6);
+                    simulation.rules.finishedAfter(job.id()) < 60 * SECOND,
+                    "done after " + simulation.rules.finishedAfter(job.id()) / 1e6);
         }
     }
 
@@ -57,24 +58,26 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void jobsThatFailEverywhereTakeNoMachines(long seed) {
-        Simulation s = new Simulation(seed, 3, 2);
+        Simulation simulation = new Simulation(seed, 3, 2);
         for (int i = 0; i < 45; i++) {
-            s.world.after(4L * i * SECOND, () -> s.users.submit(job(s, 8), -1));
+            simulation.after(4L * i * SECOND, () -> simulation.users.submit(job(simulation, 8)));
         }
         List<SimWorker> before = new ArrayList<>();
-        s.world.after(40 * SECOND, () -> {
-            before.addAll(s.cloud.workers());
+        simulation.after(40 * SECOND, () -> {
+            before.addAll(simulation.cloud.workers());
             for (int i = 0; i < 2; i++) {
-                JobSpec broken = job(s, 8);
-                s.brokenJobs.add(broken.id());
-                s.users.submit(broken, -1);
+                JobSpec broken = job(simulation, 8);
+                simulation.brokenJobs.add(broken.id());
+                simulation.users.submit(broken);
             }
         });
-        s.run(180 * SECOND);
-        assertRules(s);
-        int failures = s.cloud.workers().stream().mapToInt(w -> w.failures).sum();
+        simulation.run(180 * SECOND);
+        assertRules(simulation);
+        int failures = simulation.cloud.workers().stream()
+                .mapToInt(worker -> worker.failures)
+                .sum();
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
-        long left = before.stream().filter(w -> !w.alive()).count();
+        long left = before.stream().filter(worker -> !worker.alive()).count();
         assertTrue(left <= 2, left + " of " + before.size() + " machines were given up");
     }
 }
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -15,9 +15,9 @@
     /** A task may be stopped for guaranteed work now and then. */
     private static final int MOST_STARTS = 8;
 
-    private static JobSpec wide(Simulation s, String team, int tasks, long runMicros) {
-        return s.jobs.withoutDeadline(
-                s.jobs.job(false, tasks, Priority.STANDARD, team, true, false, false, runMicros, 0));
+    private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
+        return simulation.jobs.withoutDeadline(
+                simulation.jobs.job(false, tasks, Priority.STANDARD, team, true, false, false, runMicros, 0));
     }
 
     /**
@@ -27,60 +27,58 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void borrowedCapacityIsReclaimed(long seed) {
-        Simulation s = new Simulation(seed, 3, 1);
+        Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 2; i++) {
-            s.users.submit(wide(s, "free", 35, 150 * SECOND), -1);
+            simulation.users.submit(wide(simulation, "free", 35, 150 * SECOND));
         }
         long[] used = new long[3];
-        s.world.after(60 * SECOND, () -> {
-            used[0] = s.rules.usedBy("free");
+        simulation.after(60 * SECOND, () -> {
+            used[0] = simulation.rules.usedBy("free");
             if (seed % 2 == 1) {
-                s.faults.crash(s.leader(), 300_000);
+                simulation.faults.crash(simulation.leader(), 300_000);
             }
-            s.users.submit(wide(s, "granted", 8, 30 * SECOND), -1);
+            simulation.users.submit(wide(simulation, "granted", 8, 30 * SECOND));
             // Beyond the guarantee it borrows like everybody else: nothing is stopped for that.
-            s.world.after(SECOND, () -> s.users.submit(wide(s, "granted", 5, 30 * SECOND), -1));
+            simulation.after(SECOND, () -> simulation.users.submit(wide(simulation, "granted", 5, 30 * SECOND)));
         });
         long within = seed % 2 == 1 ? 16 : 10;
         for (long i = 1; i <= within; i++) {
-            s.world.after((60 + i) * SECOND, () -> {
-                used[1] = Math.max(used[1], s.rules.usedBy("granted"));
-                used[2] = s.rules.usedBy("free");
+            simulation.after((60 + i) * SECOND, () -> {
+                used[1] = Math.max(used[1], simulation.rules.usedBy("granted"));
+                used[2] = simulation.rules.usedBy("free");
             });
         }
-        s.run(80 * SECOND, 900 * SECOND);
+        simulation.run(80 * SECOND, 900 * SECOND);
         assertTrue(used[0] > 20_000, "the others use only " + used[0]);
         assertTrue(used[1] >= 16_000, "the guaranteed team uses " + used[1]);
         assertTrue(used[2] >= used[0] - 20_000, "the others were left " + used[2] + " of " + used[0]);
-        assertRulesAndAllDone(s);
+        assertRulesAndAllDone(simulation);
     }
 
     /** A job that goes beyond its team's guarantee is borrowed in part: no more than that part is taken back. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void nobodyGivesBackMoreThanItBorrowed(long seed) {
-        Simulation s = new Simulation(seed, 3, 1);
-        s.users.submit(wide(s, "free", 10, 300 * SECOND), -1);
+        Simulation simulation = new Simulation(seed, 3, 1);
+        simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
         // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
         // once.
-        s.users.submit(
-                s.jobs.withoutDeadline(
-                        s.jobs.job(false, 10, Priority.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)),
-                -1);
+        simulation.users.submit(simulation.jobs.withoutDeadline(
+                simulation.jobs.job(false, 10, Priority.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)));
         long[] lent = {0, Long.MAX_VALUE, 0};
-        s.world.after(60 * SECOND, () -> {
-            lent[0] = s.rules.usedBy("lender");
-            s.users.submit(wide(s, "free", 40, 300 * SECOND), -1);
+        simulation.after(60 * SECOND, () -> {
+            lent[0] = simulation.rules.usedBy("lender");
+            simulation.users.submit(wide(simulation, "free", 40, 300 * SECOND));
         });
-        s.world.after(75 * SECOND, () -> s.users.submit(wide(s, "granted", 8, 60 * SECOND), -1));
+        simulation.after(75 * SECOND, () -> simulation.users.submit(wide(simulation, "granted", 8, 60 * SECOND)));
         for (long i = 1; i <= 12; i++) {
-            s.world.after((75 + i) * SECOND, () -> {
-                lent[1] = Math.min(lent[1], s.rules.usedBy("lender"));
-                lent[2] = Math.max(lent[2], s.rules.usedBy("granted"));
+            simulation.after((75 + i) * SECOND, () -> {
+                lent[1] = Math.min(lent[1], simulation.rules.usedBy("lender"));
+                lent[2] = Math.max(lent[2], simulation.rules.usedBy("granted"));
             });
         }
-        s.run(90 * SECOND);
-        assertRules(s);
+        simulation.run(90 * SECOND);
+        assertRules(simulation);
         assertTrue(lent[0] == 20_000 && lent[2] >= 16_000, "the lender used " + lent[0] + ", the other got " + lent[2]);
         assertTrue(lent[1] >= 16_000, "the lender was left " + lent[1]);
     }
@@ -89,21 +87,22 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void aSwarmDoesNotStarveOthers(long seed) {
-        Simulation s = new Simulation(seed, 3, 1);
+        Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 40; i++) {
-            s.users.submit(wide(s, "free", 5, 12 * SECOND), -1);
+            simulation.users.submit(wide(simulation, "free", 5, 12 * SECOND));
         }
         JobSpec[] granted = new JobSpec[6];
         for (int i = 0; i < granted.length; i++) {
-            granted[i] = wide(s, "granted", 3, 10 * SECOND);
-            JobSpec j = granted[i];
-            s.world.after((30 + 12 * i) * SECOND, () -> s.users.submit(j, -1));
+            granted[i] = wide(simulation, "granted", 3, 10 * SECOND);
+            JobSpec job = granted[i];
+            simulation.after((30 + 12 * i) * SECOND, () -> simulation.users.submit(job));
         }
-        s.run(300 * SECOND);
-        assertRules(s);
-        for (JobSpec j : granted) {
+        simulation.run(300 * SECOND);
+        assertRules(simulation);
+        for (JobSpec job : granted) {
             assertTrue(
-                    s.rules.begunAfter(j.id()) < 6 * SECOND, "begun after " + s.rules.begunAfter(j.id()) / 1e6 + " s");
+                    simulation.rules.begunAfter(job.id()) < 6 * SECOND,
+                    "begun after " + simulation.rules.begunAfter(job.id()) / 1e6 + " s");
         }
     }
 
@@ -115,26 +114,27 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
-        Simulation s = new Simulation(seed, 3, 1);
-        JobSpec like = s.jobs.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
-        s.users.submit(s.jobs.withCpu(like, 1, 9_000), -1); // holds a part of a full-price machine
-        s.users.submit(wide(s, "free", 30, 300 * SECOND), -1); // fills the spot machines, and asks for no others
+        Simulation simulation = new Simulation(seed, 3, 1);
+        JobSpec like = simulation.jobs.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
+        simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
+        simulation.users.submit(
+                wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
         boolean guaranteed = seed % 2 == 1;
-        JobSpec job = s.jobs.job(
+        JobSpec job = simulation.jobs.job(
                 false, 2, Priority.STANDARD, guaranteed ? "granted" : "free", true, false, false, 300 * SECOND, 0);
-        JobSpec urgent = guaranteed ? job : s.jobs.ofClass(job, Simulation.PROMPT);
+        JobSpec urgent = guaranteed ? job : simulation.jobs.ofClass(job, Simulation.PROMPT);
         long[] used = new long[2];
-        s.world.after(60 * SECOND, () -> {
-            used[0] = s.rules.usedBy("free");
-            s.users.submit(urgent, -1);
+        simulation.after(60 * SECOND, () -> {
+            used[0] = simulation.rules.usedBy("free");
+            simulation.users.submit(urgent);
         });
-        s.world.after(80 * SECOND, () -> used[1] = s.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
-        s.run(90 * SECOND);
-        assertRules(s);
+        simulation.after(80 * SECOND, () -> used[1] = simulation.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
+        simulation.run(90 * SECOND);
+        assertRules(simulation);
         assertTrue(used[1] == used[0], "the others use " + used[1] + " after " + used[0]);
         assertTrue(
-                s.rules.begunAfter(urgent.id()) < 6 * SECOND,
-                "begun after " + s.rules.begunAfter(urgent.id()) / 1e6 + " s");
+                simulation.rules.begunAfter(urgent.id()) < 6 * SECOND,
+                "begun after " + simulation.rules.begunAfter(urgent.id()) / 1e6 + " s");
     }
 
     /**
@@ -144,17 +144,17 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void tasksAreNotStoppedOverAndOver(long seed) {
-        Simulation s = new Simulation(seed, 3, 3);
+        Simulation simulation = new Simulation(seed, 3, 3);
         for (int i = 0; i < 30; i++) {
-            s.users.submit(wide(s, "free", 20, 60 * SECOND), -1);
+            simulation.users.submit(wide(simulation, "free", 20, 60 * SECOND));
         }
         for (int i = 0; i < 120; i++) {
-            JobSpec granted = wide(s, i % 2 == 0 ? "granted" : "lender", 7, 12 * SECOND);
-            s.world.after(30 * SECOND + 700_000L * i, () -> s.users.submit(granted, -1));
+            JobSpec granted = wide(simulation, i % 2 == 0 ? "granted" : "lender", 7, 12 * SECOND);
+            simulation.after(30 * SECOND + 700_000L * i, () -> simulation.users.submit(granted));
         }
-        s.run(200 * SECOND);
-        assertRules(s);
-        int most = s.rules.mostStartsOfATask();
+        simulation.run(200 * SECOND);
+        assertRules(simulation);
+        int most = simulation.rules.mostStartsOfATask();
         assertTrue(most > 1 && most <= MOST_STARTS, "one task was started " + most + " times");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -28,48 +28,46 @@
     @ParameterizedTest
     @MethodSource("pairs")
     void anyTwoTroublesMeet(long seed) {
-        Simulation s = withJobs(simulation(seed), 35, 150 * SECOND);
-        longWork(s, 4, 4, 60 * SECOND);
+        Simulation simulation = withJobs(simulation(seed), 35, 150 * SECOND);
+        longWork(simulation, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
-            s.world.after(
+            simulation.after(
                     (5 + 14 * i) * SECOND,
-                    () -> s.users.submit(
-                            s.jobs.job(
-                                    false,
-                                    1 + s.world.random.nextInt(8),
-                                    Priority.STANDARD,
-                                    s.world.random.nextBoolean() ? "granted" : "lender",
-                                    true,
-                                    false,
-                                    false,
-                                    15 * SECOND,
-                                    0),
-                            -1));
+                    () -> simulation.users.submit(simulation.jobs.job(
+                            false,
+                            1 + simulation.world.random.nextInt(8),
+                            Priority.STANDARD,
+                            simulation.world.random.nextBoolean() ? "granted" : "lender",
+                            true,
+                            false,
+                            false,
+                            15 * SECOND,
+                            0)));
         }
         List<Consumer<Simulation>> troubles = troubles();
         for (int i = 0; i < 3; i++) {
-            long at = (30 + 55 * i) * SECOND + s.world.random.nextInt(8_000_000);
-            Consumer<Simulation> one = troubles.get(s.world.random.nextInt(troubles.size()));
-            Consumer<Simulation> other = troubles.get(s.world.random.nextInt(troubles.size()));
-            s.world.after(at, () -> one.accept(s));
-            s.world.after(at + s.world.random.nextInt(6_000_000), () -> other.accept(s));
+            long at = (30 + 55 * i) * SECOND + simulation.world.random.nextInt(8_000_000);
+            Consumer<Simulation> one = troubles.get(simulation.world.random.nextInt(troubles.size()));
+            Consumer<Simulation> other = troubles.get(simulation.world.random.nextInt(troubles.size()));
+            simulation.after(at, () -> one.accept(simulation));
+            simulation.after(at + simulation.world.random.nextInt(6_000_000), () -> other.accept(simulation));
         }
-        s.run(250 * SECOND, 650 * SECOND);
-        assertRulesAndAllDone(s);
+        simulation.run(250 * SECOND, 650 * SECOND);
+        assertRulesAndAllDone(simulation);
     }
 
-    private static long time(Simulation s) {
-        return (2 + s.world.random.nextInt(40)) * SECOND;
+    private static long time(Simulation simulation) {
+        return (2 + simulation.world.random.nextInt(40)) * SECOND;
     }
 
-    private static World.Cut cut(Simulation s) {
-        return s.world.random.nextBoolean() ? World.Cut.HOLD : World.Cut.DROP;
+    private static World.Cut cut(Simulation simulation) {
+        return simulation.world.random.nextBoolean() ? World.Cut.HOLD : World.Cut.DROP;
     }
 
-    private static void someMachines(Simulation s, Consumer<SimWorker> what) {
-        List<SimWorker> all = s.cloud.workers();
-        int every = 2 + s.world.random.nextInt(4);
+    private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
+        List<SimWorker> all = simulation.cloud.workers();
+        int every = 2 + simulation.world.random.nextInt(4);
         for (int i = 0; i < all.size(); i += every) {
             what.accept(all.get(i));
         }
@@ -77,39 +75,48 @@
 
     private static List<Consumer<Simulation>> troubles() {
         return List.of(
-                s -> s.faults.crash(s.leader(), 200_000 + s.world.random.nextInt(6_000_000)),
-                s -> s.names.forEach(n -> s.faults.crash(n, 200_000 + s.world.random.nextInt(30_000_000))),
-                s -> s.store.refuse(s.leader(), time(s)),
-                s -> s.store.outage(time(s) + s.shape.cancel() / 2),
-                s -> s.faults.cutFromPeersAndStore(s.leader(), cut(s), time(s)),
-                s -> s.faults.cut(s.leader(), SimStore.NAME, cut(s), time(s)),
-                s -> s.faults.cutFromWorkers(s.leader(), cut(s), time(s)),
-                s -> s.faults.cutZone(s.zoneOf(s.anyNode()), cut(s), time(s)),
-                s -> s.faults.freeze(s.leader(), time(s)),
-                s -> s.users.cancelRunning(6, s.world.random.nextBoolean() ? 0 : time(s)),
-                s -> {
-                    s.cancelledAtEnd = 0.5;
-                    s.world.after(time(s), () -> s.cancelledAtEnd = 0);
+                simulation -> simulation.faults.crash(
+                        simulation.leader(), 200_000 + simulation.world.random.nextInt(6_000_000)),
+                simulation -> simulation.names.forEach(
+                        node -> simulation.faults.crash(node, 200_000 + simulation.world.random.nextInt(30_000_000))),
+                simulation -> simulation.store.refuse(simulation.leader(), time(simulation)),
+                simulation -> simulation.store.outage(time(simulation) + simulation.shape.cancel() / 2),
+                simulation ->
+                        simulation.faults.cutFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
+                simulation ->
+                        simulation.faults.cut(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
+                simulation -> simulation.faults.cutFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.cutZone(
+                        simulation.zoneOf(simulation.anyNode()), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.freeze(simulation.leader(), time(simulation)),
+                simulation ->
+                        simulation.users.cancelRunning(6, simulation.world.random.nextBoolean() ? 0 : time(simulation)),
+                simulation -> {
+                    simulation.cancelledAtEnd = 0.5;
+                    simulation.after(time(simulation), () -> simulation.cancelledAtEnd = 0);
                 },
-                s -> {
-                    s.store.lateWrites = 0.3;
-                    s.world.after(time(s), () -> s.store.lateWrites = 0);
+                simulation -> {
+                    simulation.store.lateWrites = 0.3;
+                    simulation.after(time(simulation), () -> simulation.store.lateWrites = 0);
                 },
-                s -> {
-                    s.world.lateCopies = 0.2;
-                    s.world.after(time(s), () -> s.world.lateCopies = 0);
+                simulation -> {
+                    simulation.world.lateCopies = 0.2;
+                    simulation.after(time(simulation), () -> simulation.world.lateCopies = 0);
                 },
-                s -> {
-                    s.world.heldUp = 0.06;
-                    s.world.after(time(s), () -> s.world.heldUp = 0);
+                simulation -> {
+                    simulation.world.heldUp = 0.06;
+                    simulation.after(time(simulation), () -> simulation.world.heldUp = 0);
                 },
-                s -> s.store.blindFor(s.leader(), time(s)),
-                s -> someMachines(s, w -> s.faults.deafen(w, time(s))),
-                s -> someMachines(s, w -> s.faults.mute(w, time(s))),
-                s -> someMachines(s, w -> s.faults.cutMachine(w, cut(s), time(s))),
-                s -> someMachines(s, w -> w.hangFor(time(s))),
-                s -> someMachines(s, w -> s.world.after(s.world.random.nextInt(3_000_000), w::die)),
-                s -> s.users.oddRequests(time(s)),
-                s -> s.cloud.outage(time(s)));
+                simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)),
+                simulation -> someMachines(simulation, worker -> simulation.faults.deafen(worker, time(simulation))),
+                simulation -> someMachines(simulation, worker -> simulation.faults.mute(worker, time(simulation))),
+                simulation -> someMachines(
+                        simulation, worker -> simulation.faults.cutMachine(worker, cut(simulation), time(simulation))),
+                simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
+                simulation -> someMachines(
+                        simulation,
+                        worker -> simulation.after(simulation.world.random.nextInt(3_000_000), worker::die)),
+                simulation -> simulation.users.oddRequests(time(simulation)),
+                simulation -> simulation.cloud.outage(time(simulation)));
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -1,7 +1,5 @@
 package org.granitepath.simulation;
 
-import org.granitepath.storage.Priority;
-
 /** Fleets of three sizes with services and batch work, for what a cold restart costs. */
 final class RecoveryLoad {
     static final long SECOND = Simulation.SECOND;
@@ -33,29 +31,22 @@
 
     /** The deployment's limits do not grow with the fleet, but for the sockets. */
     static Simulation fleet(long seed, Size size) {
-        Simulation s = new Simulation(
+        Simulation simulation = new Simulation(
                 seed,
-                new Simulation.Shape(
-                        5,
-                        size.machines / OFFERS + size.machines / 100,
-                        5 * SECOND,
-                        27 * SECOND,
-                        52 * SECOND,
-                        150,
-                        18,
-                        8 * 1024,
-                        8,
-                        Math.max(1_000, size.machines)));
+                FaultScenarios.LONG
+                        .withPerOffer(size.machines / OFFERS + size.machines / 100)
+                        .withReport(5 * SECOND)
+                        .withConnections(Math.max(1_000, size.machines)));
         for (int i = 0; i < size.services; i++) {
-            s.users.submit(s.jobs.job(true, SERVICE_REPLICAS, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
+            simulation.users.submit(simulation.jobs.service(SERVICE_REPLICAS));
         }
         int tasks = size.machines * 3 / size.batchJobs;
         for (int i = 0; i < size.batchJobs; i++) {
-            s.world.after((3 + i) * SECOND / 2, () -> {
-                var any = s.jobs.job(false, 5, Priority.STANDARD, "free", true, false, false, BATCH_RUN, 0);
-                s.users.submit(s.jobs.withCpu(any, tasks, BATCH_CPU_MILLIS), -1);
+            simulation.after((3 + i) * SECOND / 2, () -> {
+                var any = simulation.jobs.batch(5, BATCH_RUN);
+                simulation.users.submit(simulation.jobs.withCpu(any, tasks, BATCH_CPU_MILLIS));
             });
         }
-        return s;
+        return simulation;
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -65,14 +65,14 @@
 
     /** A tenth of the machines lose their tasks while nobody leads. */
     private static Figures measure(long seed, RecoveryLoad.Size size, boolean machinesDie, long hold) {
-        Simulation s = RecoveryLoad.fleet(seed, size);
-        s.recoveryHold = hold;
+        Simulation simulation = RecoveryLoad.fleet(seed, size);
+        simulation.recoveryHold = hold;
         int[] before = new int[2];
-        s.world.after(RecoveryLoad.RESTART, () -> {
-            before[0] = s.store.requests;
-            before[1] = s.store.writes;
-            s.faults.crashAll(SECOND);
-            List<SimWorker> workers = s.cloud.workers();
+        simulation.after(RecoveryLoad.RESTART, () -> {
+            before[0] = simulation.store.requests;
+            before[1] = simulation.store.writes;
+            simulation.faults.crashAll(SECOND);
+            List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
                 workers.get(i).endTasks(spec -> true, Cause.STOPPED);
             }
@@ -81,19 +81,20 @@
             }
         });
         long[] lastVerdict = {-1};
-        s.run(RecoveryLoad.RESTART);
-        s.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
-            RecoveryStatus status = s.world.now() % 20 == 0 && lastVerdict[0] < 0 ? s.recovery() : null;
+        simulation.run(RecoveryLoad.RESTART);
+        simulation.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
+            RecoveryStatus status =
+                    simulation.world.now() % 20 == 0 && lastVerdict[0] < 0 ? simulation.recovery() : null;
             if (status != null && status.fencingToken() > 1 && status.machinesMissing() == 0) {
-                lastVerdict[0] = s.world.now();
+                lastVerdict[0] = simulation.world.now();
             }
         });
-        int requests = s.store.requests - before[0];
-        int writes = s.store.writes - before[1];
-        s.run(RecoveryLoad.RESTART + 60 * SECOND);
-        List<SimCommands.Start> starts = s.commands.startsSince(RecoveryLoad.RESTART);
-        List<Long> live = times(s, starts, true);
-        List<Long> batch = times(s, starts, false);
+        int requests = simulation.store.requests - before[0];
+        int writes = simulation.store.writes - before[1];
+        simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
+        List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
+        List<Long> live = times(simulation, starts, true);
+        List<Long> batch = times(simulation, starts, false);
         return new Figures(
                 seconds(live.isEmpty() ? -1 : live.get(0)),
                 seconds(live.isEmpty() ? -1 : live.get(live.size() - 1)),
@@ -103,9 +104,10 @@
                 writes);
     }
 
-    private static List<Long> times(Simulation s, List<SimCommands.Start> starts, boolean services) {
+    private static List<Long> times(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
         return starts.stream()
-                .filter(start -> s.users.describedAs(start.task().job()).service() == services)
+                .filter(start ->
+                        simulation.users.describedAs(start.task().job()).service() == services)
                 .map(SimCommands.Start::at)
                 .toList();
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -82,15 +82,15 @@
         boolean elsewhere = false;
         long cpu = 0;
         long gpu = 0;
-        for (var e : on.entrySet()) {
-            JobSpec s = submitted.get(e.getKey().job());
-            if (s.team().equals(spec.team())) {
-                cpu += s.cpuMillis();
-                gpu += s.gpuMillis();
+        for (var entry : on.entrySet()) {
+            JobSpec running = submitted.get(entry.getKey().job());
+            if (running.team().equals(spec.team())) {
+                cpu += running.cpuMillis();
+                gpu += running.gpuMillis();
             }
-            if (e.getKey().job().equals(task.job())) {
-                here += e.getValue().zone().equals(zone) ? 1 : 0;
-                elsewhere |= !e.getValue().zone().equals(zone);
+            if (entry.getKey().job().equals(task.job())) {
+                here += entry.getValue().zone().equals(zone) ? 1 : 0;
+                elsewhere |= !entry.getValue().zone().equals(zone);
             }
         }
         if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere)) {
@@ -107,15 +107,15 @@
     }
 
     void left(TaskId task, String host) {
-        Where w = on.get(task);
-        if (w != null && w.host().equals(host)) {
+        Where where = on.get(task);
+        if (where != null && where.host().equals(host)) {
             on.remove(task);
         }
     }
 
     void completed(TaskId task) {
         completedAt.put(task.job(), world.now());
-        Set<Integer> done = completed.computeIfAbsent(task.job(), j -> new HashSet<>());
+        Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
         if (done.add(task.index()) && done.size() == submitted.get(task.job()).tasks()) {
             lastTaskDone.accept(task.job());
         }
@@ -139,7 +139,7 @@
     List<String> running() {
         return on.keySet().stream()
                 .map(TaskId::job)
-                .filter(j -> !cancelAsked.contains(j))
+                .filter(job -> !cancelAsked.contains(job))
                 .distinct()
                 .sorted()
                 .toList();
@@ -148,17 +148,17 @@
     /** CPUs that a team's tasks use. */
     long usedBy(String team) {
         return on.keySet().stream()
-                .map(t -> submitted.get(t.job()))
-                .filter(j -> j.team().equals(team))
+                .map(task -> submitted.get(task.job()))
+                .filter(job -> job.team().equals(team))
                 .mapToLong(JobSpec::cpuMillis)
                 .sum();
     }
 
     Set<String> hostsOf(String job) {
         Set<String> hosts = new TreeSet<>();
-        on.forEach((t, w) -> {
-            if (t.job().equals(job)) {
-                hosts.add(w.host());
+        on.forEach((task, where) -> {
+            if (task.job().equals(job)) {
+                hosts.add(where.host());
             }
         });
         return hosts;
@@ -166,8 +166,9 @@
 
     /** Jobs of which users were told that they are cancelled, so far. */
     int cancellationsTold() {
-        return (int)
-                toldFinal.values().stream().filter(s -> s == JobState.CANCELLED).count();
+        return (int) toldFinal.values().stream()
+                .filter(state -> state == JobState.CANCELLED)
+                .count();
     }
 
     /** After each step: nothing of a cancelled job may be left when its time is over. */
@@ -175,10 +176,10 @@
         if (cancelTold.isEmpty()) {
             return;
         }
-        for (TaskId t : on.keySet()) {
-            Long told = cancelTold.get(t.job());
+        for (TaskId task : on.keySet()) {
+            Long told = cancelTold.get(task.job());
             if (told != null && world.now() > told + cancelMicros) {
-                breach("ran_cancelled", t + " is still on " + on.get(t).host());
+                breach("ran_cancelled", task + " is still on " + on.get(task).host());
             }
         }
         cancelTold.values().removeIf(told -> world.now() > told + cancelMicros + 120_000_000);
@@ -205,37 +206,39 @@
         Map<String, Set<String>> zones = new HashMap<>();
         Map<String, Integer> inZone = new HashMap<>();
         Map<String, Long> teamCpu = new HashMap<>();
-        for (SimWorker w : machines) {
-            w.runs().held().forEach((job, n) -> {
-                held.merge(job, n, Integer::sum);
-                zones.computeIfAbsent(job, k -> new HashSet<>()).add(w.zone);
-                inZone.merge(job + w.zone, n, Integer::sum);
-                teamCpu.merge(submitted.get(job).team(), n * submitted.get(job).cpuMillis(), Long::sum);
+        for (SimWorker machine : machines) {
+            machine.runs().held().forEach((job, count) -> {
+                held.merge(job, count, Integer::sum);
+                zones.computeIfAbsent(job, unknown -> new HashSet<>()).add(machine.zone);
+                inZone.merge(job + machine.zone, count, Integer::sum);
+                teamCpu.merge(
+                        submitted.get(job).team(), count * submitted.get(job).cpuMillis(), Long::sum);
             });
         }
         for (String job : accepted) {
-            JobSpec s = submitted.get(job);
-            int left = s.tasks() - completed.getOrDefault(job, Set.of()).size() - held.getOrDefault(job, 0);
-            long limit = teams.get(s.team()).cpuLimit();
+            JobSpec spec = submitted.get(job);
+            int left = spec.tasks() - completed.getOrDefault(job, Set.of()).size() - held.getOrDefault(job, 0);
+            long limit = teams.get(spec.team()).cpuLimit();
             boolean could = left > 0
-                    && (!s.gang() || wholeGangFits(s, left, held.getOrDefault(job, 0), machines))
+                    && (!spec.gang() || wholeGangFits(spec, left, held.getOrDefault(job, 0), machines))
                     && !cancelAsked.contains(job)
                     && toldFinal.get(job) == null
-                    && (limit == 0 || teamCpu.getOrDefault(s.team(), 0L) + needed(s) <= limit)
+                    && (limit == 0 || teamCpu.getOrDefault(spec.team(), 0L) + needed(spec) <= limit)
                     && machines.stream()
-                            .anyMatch(w -> w.wouldTake(s)
-                                    && (!s.oneZone() || Set.of(w.zone).containsAll(zones.getOrDefault(job, Set.of())))
-                                    && (!s.spread() || inZone.getOrDefault(job + w.zone, 0) < s.zoneCap()));
+                            .anyMatch(machine -> machine.wouldTake(spec)
+                                    && (!spec.oneZone()
+                                            || Set.of(machine.zone).containsAll(zones.getOrDefault(job, Set.of())))
+                                    && (!spec.spread() || inZone.getOrDefault(job + machine.zone, 0) < spec.zoneCap()));
             if (!could) {
                 couldRunSince.remove(job);
                 continue;
             }
-            long since =
-                    Math.max(couldRunSince.computeIfAbsent(job, k -> world.now()), commandedAt.getOrDefault(job, 0L));
+            long since = Math.max(
+                    couldRunSince.computeIfAbsent(job, unknown -> world.now()), commandedAt.getOrDefault(job, 0L));
             if (world.now() - since > NEGLECTED_MICROS) {
                 breach(
                         "neglected",
-                        job + " of team " + s.team() + " waits with " + left + " tasks while a machine has room");
+                        job + " of team " + spec.team() + " waits with " + left + " tasks while a machine has room");
             }
         }
     }
@@ -248,8 +251,9 @@
     /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
     private static boolean wholeGangFits(JobSpec spec, int left, int held, Collection<SimWorker> machines) {
         Map<String, Integer> slots = new HashMap<>();
-        machines.forEach(w -> slots.merge(spec.oneZone() ? w.zone : "any", w.slots(spec), Integer::sum));
-        return held == 0 && slots.values().stream().anyMatch(n -> n >= left);
+        machines.forEach(
+                machine -> slots.merge(spec.oneZone() ? machine.zone : "any", machine.slots(spec), Integer::sum));
+        return held == 0 && slots.values().stream().anyMatch(count -> count >= left);
     }
 
     /**
@@ -259,12 +263,12 @@
     void checkServed() {
         Map<String, List<JobSpec>> groups = new TreeMap<>();
         for (String id : submittedAt.keySet()) {
-            JobSpec s = submitted.get(id);
-            if ((accepted.contains(id) && !cancelAsked.contains(id)) || (s.service() && begunAt.containsKey(id))) {
-                groups.computeIfAbsent("class " + s.jobClass(), k -> new ArrayList<>())
-                        .add(s);
-                groups.computeIfAbsent("team " + s.team(), k -> new ArrayList<>())
-                        .add(s);
+            JobSpec spec = submitted.get(id);
+            if ((accepted.contains(id) && !cancelAsked.contains(id)) || (spec.service() && begunAt.containsKey(id))) {
+                groups.computeIfAbsent("class " + spec.jobClass(), unknown -> new ArrayList<>())
+                        .add(spec);
+                groups.computeIfAbsent("team " + spec.team(), unknown -> new ArrayList<>())
+                        .add(spec);
             }
         }
         for (String name : List.copyOf(groups.keySet())) {
@@ -276,17 +280,17 @@
         }
         groups.forEach((name, list) -> {
             long served = list.stream()
-                    .filter(s -> s.service()
-                            ? begunAt.containsKey(s.id())
-                            : completed.getOrDefault(s.id(), Set.of()).size() == s.tasks())
+                    .filter(spec -> spec.service()
+                            ? begunAt.containsKey(spec.id())
+                            : completed.getOrDefault(spec.id(), Set.of()).size() == spec.tasks())
                     .count();
             if (served * 2 < list.size()) {
                 breach("unserved", name + ": " + served + " of " + list.size());
             }
-            for (JobSpec s : name.startsWith("largest") ? list : List.<JobSpec>of()) {
-                long waited = begunAt.getOrDefault(s.id(), world.now()) - submittedAt.get(s.id());
+            for (JobSpec spec : name.startsWith("largest") ? list : List.<JobSpec>of()) {
+                long waited = begunAt.getOrDefault(spec.id(), world.now()) - submittedAt.get(spec.id());
                 if (waited > BEGIN_MICROS) {
-                    breach("unserved", name + ": " + s.id() + " begins after " + waited / 1_000_000 + " s");
+                    breach("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
                 }
             }
         });
@@ -320,7 +324,7 @@
     /** Tasks of services that are on a machine. */
     long replicasUp() {
         return on.keySet().stream()
-                .filter(t -> submitted.get(t.job()).service())
+                .filter(task -> submitted.get(task.job()).service())
                 .count();
     }
 
@@ -344,7 +348,7 @@
             breach("forgotten", job + " is not found");
         } else if (answer instanceof JobResponse.Unschedulable && accepted.contains(job)) {
             breach("forgotten", job + " is called impossible");
-        } else if (answer instanceof JobResponse.Status s) {
+        } else if (answer instanceof JobResponse.Status status) {
             if (unschedulable.contains(job)) {
                 breach("accepted_impossible", job + " can never run");
                 return;
@@ -355,10 +359,10 @@
             accepted.add(job);
             answeredAt.put(job, world.now());
             JobState earlier = toldFinal.get(job);
-            if (earlier != null && earlier != s.state()) {
-                breach("went_back", job + " was " + earlier + ", is " + s.state());
+            if (earlier != null && earlier != status.state()) {
+                breach("went_back", job + " was " + earlier + ", is " + status.state());
             }
-            if (s.state() == JobState.DONE) {
+            if (status.state() == JobState.DONE) {
                 Set<Integer> done = completed.getOrDefault(job, Set.of());
                 if (done.size() < submitted.get(job).tasks()) {
                     breach(
@@ -367,7 +371,7 @@
                                     + submitted.get(job).tasks());
                 }
                 toldFinal.put(job, JobState.DONE);
-            } else if (s.state() == JobState.CANCELLED) {
+            } else if (status.state() == JobState.CANCELLED) {
                 if (!cancelAsked.contains(job)) {
                     breach("went_back", job + " is cancelled unasked");
                 }
--- a/src/test/java/org/granitepath/simulation/RulesTest.java
+++ b/src/test/java/org/granitepath/simulation/RulesTest.java
@@ -226,12 +226,9 @@
                 job -> spec(job, 2, false, false, 300_000_000),
                 new HashSet<>(),
                 new SimGangs(world, rules, new HashSet<>()),
-                "i-1",
-                new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")),
-                "z",
-                false,
-                1_000_000,
-                20_000_000);
+                new SimWorker.Facts(
+                        "i-1", new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")), "z", false),
+                new SimWorker.Timing(1_000_000, 20_000_000));
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/Shape.java
@@ -0,0 +1,89 @@
+package org.granitepath.simulation;
+
+/**
+ * A deployment that is simulated. Whoever needs another one takes {@link #small} and names what differs.
+ *
+ * @param perOffer how many machines of each type, zone and kind there are
+ */
+record Shape(int controllers, int perOffer, Times times, Limits limits) {
+    private static final long SECOND = Simulation.SECOND;
+
+    /** How often machines report, how long their leases are, and how long cancelled tasks may go on. */
+    record Times(long report, long lease, long cancel) {}
+
+    /** What the store takes, and how many connections a controller may hold. */
+    record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
+
+    /** Three controllers, a few machines that report every second, and a store with room to spare. */
+    static Shape small() {
+        return new Shape(3, 5, new Times(SECOND, Simulation.LEASE, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
+    }
+
+    Shape withControllers(int count) {
+        return new Shape(count, perOffer, times, limits);
+    }
+
+    Shape withPerOffer(int machines) {
+        return new Shape(controllers, machines, times, limits);
+    }
+
+    Shape withReport(long micros) {
+        return withTimes(new Times(micros, times.lease, times.cancel));
+    }
+
+    Shape withLease(long micros) {
+        return withTimes(new Times(times.report, micros, times.cancel));
+    }
+
+    Shape withCancel(long micros) {
+        return withTimes(new Times(times.report, times.lease, micros));
+    }
+
+    Shape withRequestsPerSecond(double requests) {
+        return withLimits(
+                new Limits(requests, limits.writes, limits.valueBytes, limits.transactionChanges, limits.connections));
+    }
+
+    Shape withWritesPerSecond(double writes) {
+        return withLimits(
+                new Limits(limits.requests, writes, limits.valueBytes, limits.transactionChanges, limits.connections));
+    }
+
+    Shape withValueBytes(int bytes) {
+        return withLimits(
+                new Limits(limits.requests, limits.writes, bytes, limits.transactionChanges, limits.connections));
+    }
+
+    Shape withTransactionChanges(int changes) {
+        return withLimits(new Limits(limits.requests, limits.writes, limits.valueBytes, changes, limits.connections));
+    }
+
+    Shape withConnections(int connections) {
+        return withLimits(
+                new Limits(limits.requests, limits.writes, limits.valueBytes, limits.transactionChanges, connections));
+    }
+
+    private Shape withTimes(Times changed) {
+        return new Shape(controllers, perOffer, changed, limits);
+    }
+
+    private Shape withLimits(Limits changed) {
+        return new Shape(controllers, perOffer, times, changed);
+    }
+
+    long report() {
+        return times.report;
+    }
+
+    long lease() {
+        return times.lease;
+    }
+
+    long cancel() {
+        return times.cancel;
+    }
+
+    int connections() {
+        return limits.connections;
+    }
+}
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -21,7 +21,6 @@
         String zone;
         boolean spot;
         long launched;
-        long up;
         SimWorker worker;
     }
 
@@ -62,78 +61,79 @@
 
     List<SimWorker> workers() {
         return hosts.values().stream()
-                .filter(h -> h.worker != null && h.worker.alive())
-                .map(h -> h.worker)
+                .filter(host -> host.worker != null && host.worker.alive())
+                .map(host -> host.worker)
                 .toList();
     }
 
     private void snapshot() {
         List<CloudPort.ListedHost> list = hosts.values().stream()
-                .map(h -> new CloudPort.ListedHost(
-                        h.id,
-                        h.id,
-                        h.type.name(),
-                        h.zone,
-                        h.spot,
-                        h.worker == null ? CloudPort.HostState.BOOTING : CloudPort.HostState.RUNNING,
-                        world.now() - h.launched))
+                .map(host -> listed(
+                        host,
+                        host.worker == null ? CloudPort.HostState.BOOTING : CloudPort.HostState.RUNNING,
+                        world.now() - host.launched))
                 .toList();
         snapshots.put(world.now(), list);
         snapshots.headMap(world.now() - 3 * listLag - 1_000_000).clear();
         world.after(1_000_000, this::snapshot);
     }
 
-    private CloudPort.LaunchResult launch(CloudPort.LaunchRequest r) {
-        if (launchCount.containsKey(r.idempotencyKey())) {
-            return new CloudPort.LaunchResult(CloudPort.Outcome.OK, launchCount.get(r.idempotencyKey()));
+    private CloudPort.LaunchResult launch(CloudPort.LaunchRequest request) {
+        if (launchCount.containsKey(request.idempotencyKey())) {
+            return new CloudPort.LaunchResult(CloudPort.Outcome.OK, launchCount.get(request.idempotencyKey()));
         }
         long there = hosts.values().stream()
-                .filter(h -> h.type.name().equals(r.type()) && h.zone.equals(r.zone()) && h.spot == r.spot())
+                .filter(host -> host.type.name().equals(request.type())
+                        && host.zone.equals(request.zone())
+                        && host.spot == request.spot())
                 .count();
-        int count = (int) Math.min(r.count(), perOffer - there);
+        int count = (int) Math.min(request.count(), perOffer - there);
         if (count <= 0) {
             return new CloudPort.LaunchResult(CloudPort.Outcome.NO_CAPACITY, List.of());
         }
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Host h = new Host();
-            h.id = String.format("i-%06d", ++created);
-            h.type = types.stream()
-                    .filter(t -> t.name().equals(r.type()))
-                    .findFirst()
-                    .orElseThrow();
-            h.zone = r.zone();
-            h.spot = r.spot();
-            h.launched = world.now();
-            boolean never = world.random.nextInt(30) == 0 || neverUp-- > 0;
-            h.up = world.now()
-                    + (never
-                            ? Long.MAX_VALUE / 4
-                            : (long) (h.type.bootMicros() * (0.1 + 1.4 * world.random.nextDouble())));
-            hosts.put(h.id, h);
-            ids.add(h.id);
-            if (!never) {
-                world.after(h.up - world.now(), () -> {
-                    if (hosts.containsKey(h.id)) {
-                        h.worker = boot.apply(
-                                h.id,
-                                new CloudPort.ListedHost(
-                                        h.id, h.id, h.type.name(), h.zone, h.spot, CloudPort.HostState.RUNNING, 0));
-                    }
-                });
-            }
+            ids.add(launchOne(request).id);
         }
-        launchCount.put(r.idempotencyKey(), ids);
+        launchCount.put(request.idempotencyKey(), ids);
         return new CloudPort.LaunchResult(CloudPort.Outcome.OK, ids);
     }
 
+    /** One of thirty never comes up, the others earlier or later than their type promises. */
+    private Host launchOne(CloudPort.LaunchRequest request) {
+        Host host = new Host();
+        host.id = String.format("i-%06d", ++created);
+        host.type = types.stream()
+                .filter(type -> type.name().equals(request.type()))
+                .findFirst()
+                .orElseThrow();
+        host.zone = request.zone();
+        host.spot = request.spot();
+        host.launched = world.now();
+        boolean never = world.random.nextInt(30) == 0 || neverUp-- > 0;
+        hosts.put(host.id, host);
+        if (!never) {
+            long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * world.random.nextDouble()));
+            world.after(bootMicros, () -> {
+                if (hosts.containsKey(host.id)) {
+                    host.worker = boot.apply(host.id, listed(host, CloudPort.HostState.RUNNING, 0));
+                }
+            });
+        }
+        return host;
+    }
+
+    private static CloudPort.ListedHost listed(Host host, CloudPort.HostState state, long ageMicros) {
+        return new CloudPort.ListedHost(host.id, host.id, host.type.name(), host.zone, host.spot, state, ageMicros);
+    }
+
     private void remove(String id) {
-        Host h = hosts.remove(id);
-        if (h != null && h.worker != null) {
-            if (h.worker.alive() && h.worker.runs().busy()) {
+        Host host = hosts.remove(id);
+        if (host != null && host.worker != null) {
+            if (host.worker.alive() && host.worker.runs().busy()) {
                 terminatedBusy.add(id);
             }
-            h.worker.die();
+            host.worker.die();
         }
     }
 
@@ -146,7 +146,7 @@
                         NAME,
                         TIMEOUT,
                         () -> outage ? List.<MachineType>of() : types,
-                        l -> then.accept(l == null || l.isEmpty() ? null : l));
+                        answer -> then.accept(answer == null || answer.isEmpty() ? null : answer));
             }
 
             @Override
@@ -156,7 +156,7 @@
                         NAME,
                         TIMEOUT,
                         () -> outage ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
-                        r -> then.accept(r == null ? new LaunchResult(Outcome.UNKNOWN, List.of()) : r));
+                        answer -> then.accept(answer == null ? new LaunchResult(Outcome.UNKNOWN, List.of()) : answer));
             }
 
             @Override
@@ -187,11 +187,12 @@
                             return new Listing(
                                     outage ? Outcome.REFUSED : Outcome.OK,
                                     all.stream()
-                                            .filter(h -> h.id().compareTo(from) > 0)
+                                            .filter(host -> host.id().compareTo(from) > 0)
                                             .toList(),
                                     false);
                         },
-                        l -> then.accept(l == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : l));
+                        answer ->
+                                then.accept(answer == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : answer));
             }
         };
     }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -14,17 +14,17 @@
     }
 
     void crash(String node, long forMicros) {
-        Simulation.Node n = simulation.nodes.get(node);
-        if (n.controller != null) {
-            n.crash();
-            simulation.world.after(forMicros, n::boot);
+        Simulation.Node crashed = simulation.nodes.get(node);
+        if (crashed.controller != null) {
+            crashed.crash();
+            simulation.world.after(forMicros, crashed::boot);
         }
     }
 
     /** All controllers end at once; each comes back within the given time. */
     void crashAll(long longestDownMicros) {
         simulation.names.forEach(
-                n -> crash(n, 20_000 + (long) (simulation.world.random.nextDouble() * longestDownMicros)));
+                name -> crash(name, 20_000 + (long) (simulation.world.random.nextDouble() * longestDownMicros)));
     }
 
     /** A controller ends and comes back with the next version, which knows of the next limits. */
@@ -39,29 +39,29 @@
         simulation.world.after(forMicros, () -> simulation.world.thaw(node));
     }
 
-    void cut(String a, String b, World.Cut how, long forMicros) {
-        simulation.world.cut(a, b, how);
-        simulation.world.after(forMicros, () -> simulation.world.heal(a, b));
+    void cut(String one, String other, World.Cut how, long forMicros) {
+        simulation.world.cut(one, other, how);
+        simulation.world.after(forMicros, () -> simulation.world.heal(one, other));
     }
 
     void cutFromWorkers(String node, World.Cut how, long forMicros) {
-        for (SimWorker w : simulation.cloud.workers()) {
-            cut(node, w.id, how, forMicros);
+        for (SimWorker worker : simulation.cloud.workers()) {
+            cut(node, worker.id, how, forMicros);
         }
     }
 
     /** Its reports arrive, but neither answers nor commands reach it. */
-    void deafen(SimWorker w, long forMicros) {
-        for (String n : simulation.names) {
-            simulation.world.block(n, w.id);
-            simulation.world.after(forMicros, () -> simulation.world.heal(n, w.id));
+    void deafen(SimWorker worker, long forMicros) {
+        for (String name : simulation.names) {
+            simulation.world.block(name, worker.id);
+            simulation.world.after(forMicros, () -> simulation.world.heal(name, worker.id));
         }
     }
 
     /** Answers and commands reach it, but its heartbeats are lost. */
-    void mute(SimWorker w, long forMicros) {
-        w.mute(true);
-        simulation.world.after(forMicros, () -> w.mute(false));
+    void mute(SimWorker worker, long forMicros) {
+        worker.mute(true);
+        simulation.world.after(forMicros, () -> worker.mute(false));
     }
 
     /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
@@ -70,18 +70,18 @@
     }
 
     void deliver(String node, Heartbeat late) {
-        Controller c = simulation.nodes.get(node).controller;
-        if (c != null) {
-            c.heartbeat(late);
+        Controller controller = simulation.nodes.get(node).controller;
+        if (controller != null) {
+            controller.heartbeat(late);
         }
     }
 
     /** Loses the store and the other controllers, but not its workers. */
     void cutFromPeersAndStore(String node, World.Cut how, long forMicros) {
         cut(node, SimStore.NAME, how, forMicros);
-        for (String n : simulation.names) {
-            if (!n.equals(node)) {
-                cut(node, n, how, forMicros);
+        for (String name : simulation.names) {
+            if (!name.equals(node)) {
+                cut(node, name, how, forMicros);
             }
         }
     }
@@ -90,25 +90,25 @@
     void cutZone(String zone, World.Cut how, long forMicros) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
-        simulation.names.forEach(n -> (simulation.zoneOf(n).equals(zone) ? inside : outside).add(n));
-        simulation.cloud.workers().forEach(w -> (w.zone.equals(zone) ? inside : outside).add(w.id));
-        for (String a : inside) {
-            boolean node = simulation.names.contains(a);
-            for (String b : outside) {
-                if (node || simulation.names.contains(b)) {
-                    cut(a, b, how, forMicros);
+        simulation.names.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
+        simulation.cloud.workers().forEach(worker -> (worker.zone.equals(zone) ? inside : outside).add(worker.id));
+        for (String here : inside) {
+            boolean node = simulation.names.contains(here);
+            for (String there : outside) {
+                if (node || simulation.names.contains(there)) {
+                    cut(here, there, how, forMicros);
                 }
             }
             if (node) {
-                simulation.unreachable.add(a);
-                simulation.world.after(forMicros, () -> simulation.unreachable.remove(a));
+                simulation.unreachable.add(here);
+                simulation.world.after(forMicros, () -> simulation.unreachable.remove(here));
             }
         }
     }
 
-    void cutMachine(SimWorker w, World.Cut how, long forMicros) {
-        for (String n : simulation.names) {
-            cut(n, w.id, how, forMicros);
+    void cutMachine(SimWorker worker, World.Cut how, long forMicros) {
+        for (String name : simulation.names) {
+            cut(name, worker.id, how, forMicros);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -15,6 +15,26 @@
         this.perOffer = perOffer;
     }
 
+    /** Work that may use spot machines and do without checkpoints, of a team without limits. */
+    JobSpec batch(int tasks, long runMicros) {
+        return job(false, tasks, Priority.STANDARD, "free", true, false, false, runMicros, 0);
+    }
+
+    /** The same, all in one zone. */
+    JobSpec oneZoneBatch(int tasks, long runMicros) {
+        return job(false, tasks, Priority.STANDARD, "free", true, false, true, runMicros, 0);
+    }
+
+    /** The same as {@link #batch}, of the team that has a limit. */
+    JobSpec limitedBatch(int tasks, long runMicros) {
+        return job(false, tasks, Priority.STANDARD, "tight", true, false, false, runMicros, 0);
+    }
+
+    /** A service whose replicas are spread over the zones, on full-price machines. */
+    JobSpec service(int replicas) {
+        return job(true, replicas, Priority.CRITICAL, "free", false, true, false, 0, 0);
+    }
+
     JobSpec job(
             boolean service,
             int tasks,
@@ -56,43 +76,57 @@
     }
 
     /** Another job like this one, of so many tasks that take so little. */
-    JobSpec withCpu(JobSpec j, int tasks, long cpuMillis) {
+    JobSpec withCpu(JobSpec like, int tasks, long cpuMillis) {
         String id = String.format("run-%06d", ++submissions);
-        return like(j, id, j.jobClass(), tasks, cpuMillis, 100, j.deadlineMicros());
+        return like(like, id, like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
     }
 
     /** The same job, without a deadline. */
-    JobSpec withoutDeadline(JobSpec j) {
-        return like(j, j.id(), j.jobClass(), j.tasks(), j.cpuMillis(), j.memoryMillis(), JobSpec.NO_DEADLINE);
+    JobSpec withoutDeadline(JobSpec like) {
+        return like(
+                like,
+                like.id(),
+                like.jobClass(),
+                like.tasks(),
+                like.cpuMillis(),
+                like.memoryMillis(),
+                JobSpec.NO_DEADLINE);
     }
 
     /** The same job, of another class. */
-    JobSpec ofClass(JobSpec j, String jobClass) {
-        return like(j, j.id(), jobClass, j.tasks(), j.cpuMillis(), j.memoryMillis(), j.deadlineMicros());
+    JobSpec ofClass(JobSpec like, String jobClass) {
+        return like(
+                like, like.id(), jobClass, like.tasks(), like.cpuMillis(), like.memoryMillis(), like.deadlineMicros());
     }
 
     private static JobSpec like(
-            JobSpec j, String id, String jobClass, int tasks, long cpuMillis, long memoryMillis, long deadlineMicros) {
+            JobSpec like,
+            String id,
+            String jobClass,
+            int tasks,
+            long cpuMillis,
+            long memoryMillis,
+            long deadlineMicros) {
         return new JobSpec(
                 id,
                 jobClass,
-                j.team(),
-                j.shape(),
-                j.priority(),
+                like.team(),
+                like.shape(),
+                like.priority(),
                 tasks,
                 cpuMillis,
                 0,
                 memoryMillis,
-                j.image(),
-                j.imageGb(),
-                j.types(),
-                j.zone(),
-                j.oneZone(),
-                j.spread(),
-                j.spot(),
-                j.estimateMicros(),
-                j.checkpointMicros(),
-                j.saveMicros(),
+                like.image(),
+                like.imageGb(),
+                like.types(),
+                like.zone(),
+                like.oneZone(),
+                like.spread(),
+                like.spot(),
+                like.estimateMicros(),
+                like.checkpointMicros(),
+                like.saveMicros(),
                 deadlineMicros);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -24,9 +25,9 @@
                         peer,
                         Simulation.SECOND,
                         answer -> {
-                            Controller c = simulation.nodes.get(peer).controller;
-                            if (c != null) {
-                                answer.accept(c.statusReceived(ours));
+                            Controller controller = simulation.nodes.get(peer).controller;
+                            if (controller != null) {
+                                answer.accept(controller.statusReceived(ours));
                             }
                         },
                         then);
@@ -39,9 +40,9 @@
                         peer,
                         Simulation.SECOND,
                         answer -> {
-                            Controller c = simulation.nodes.get(peer).controller;
-                            if (c != null && !simulation.peersSendNoCancellations) {
-                                c.cancellationReceived(notice);
+                            Controller controller = simulation.nodes.get(peer).controller;
+                            if (controller != null && !simulation.peersSendNoCancellations) {
+                                controller.cancellationReceived(notice);
                                 answer.accept(true);
                             }
                         },
@@ -63,7 +64,7 @@
                     Consumer<Reply> then) {
                 long term = simulation.nodes.get(node).controller.term();
                 simulation.commands.sent(term, node, address, commands);
-                boolean starts = commands.stream().anyMatch(o -> o.verb() == WorkerCommand.Verb.START);
+                boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
                 simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
                 simulation.world.<Reply>callLater(
                         node,
@@ -71,31 +72,30 @@
                         2 * Simulation.SECOND,
                         answer -> {
                             Runnable serve = () -> serveWhenAwake(
-                                    address, w -> w.commands(fencingToken, agentEpoch, commands), answer);
+                                    address, worker -> worker.commands(fencingToken, agentEpoch, commands), answer);
                             if (starts && simulation.heldStarts > 0) {
                                 simulation.world.after(simulation.heldStarts, serve);
                             } else {
                                 serve.run();
                             }
                         },
-                        r -> {
+                        reply -> {
                             calls--;
-                            if (r != null) {
+                            if (reply != null) {
                                 simulation.commands.heard(term, address);
                             }
-                            then.accept(r == null ? new Reply(false, null) : r);
+                            then.accept(reply == null ? new Reply(false, null) : reply);
                         });
             }
 
             // A hanging machine carries commands out when it goes on.
-            private void serveWhenAwake(
-                    String address, java.util.function.Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
-                for (SimWorker w : simulation.cloud.workers()) {
-                    if (w.id.equals(address)) {
-                        if (w.hangs()) {
+            private void serveWhenAwake(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
+                for (SimWorker worker : simulation.cloud.workers()) {
+                    if (worker.id.equals(address)) {
+                        if (worker.hangs()) {
                             simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
                         } else {
-                            answer.accept(serve.apply(w));
+                            answer.accept(serve.apply(worker));
                         }
                     }
                 }
--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimRuns.java
@@ -8,6 +8,7 @@
 import java.util.function.Function;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
@@ -62,6 +63,13 @@
         runs.clear();
     }
 
+    /** What a heartbeat tells of them. */
+    List<TaskStatus> statuses() {
+        return runs.values().stream()
+                .map(run -> new TaskStatus(run.task, run.attempt, run.state, run.cause, run.saved))
+                .toList();
+    }
+
     /** The attempts that have not exited. */
     List<Run> live() {
         return runs.values().stream()
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -25,17 +25,22 @@
     private record Logged(String key, String json, long revision) {}
 
     private static final class Watch {
-        String prefix;
-        long from;
-        Consumer<KeyValueStore.Page> answer;
+        final String prefix;
+        final long from;
+        final Consumer<KeyValueStore.Page> answer;
         boolean over;
+
+        Watch(String prefix, long from, Consumer<KeyValueStore.Page> answer) {
+            this.prefix = prefix;
+            this.from = from;
+            this.answer = answer;
+        }
     }
 
     private final World world;
     private final TreeMap<String, Stored> keys = new TreeMap<>();
     private final List<Logged> log = new ArrayList<>();
-    private final Map<Long, Long> leaseEnds = new HashMap<>();
-    private final Map<Long, Long> leaseLives = new HashMap<>();
+    private final SimLeases leases = new SimLeases();
     private final List<Watch> watches = new ArrayList<>();
     private final Set<String> refused = new HashSet<>();
     private final Set<String> blind = new HashSet<>();
@@ -51,7 +56,6 @@
 
     private final Map<String, Integer> writesByKey = new HashMap<>();
     private long storeRevision;
-    private long leases;
     /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
     double lateWrites;
     /** Transactions that changed something although they were carried out late. */
@@ -124,7 +128,7 @@
 
     private void setOutage(boolean now) {
         if (outage && !now) {
-            leaseEnds.replaceAll((id, end) -> world.now() + leaseLives.get(id));
+            leases.renewAll(world.now());
         }
         outage = now;
         wake();
@@ -152,15 +156,9 @@
         if (outage) {
             return;
         }
-        List<Long> over = leaseEnds.entrySet().stream()
-                .filter(e -> e.getValue() < world.now())
-                .map(Map.Entry::getKey)
-                .sorted()
-                .toList();
-        for (long id : over) {
-            leaseEnds.remove(id);
+        for (long lease : leases.removeOver(world.now())) {
             List<String> gone = keys.entrySet().stream()
-                    .filter(e -> e.getValue().lease() == id)
+                    .filter(entry -> entry.getValue().lease() == lease)
                     .map(Map.Entry::getKey)
                     .toList();
             for (String key : gone) {
@@ -173,20 +171,20 @@
     }
 
     private void wake() {
-        for (Watch w : new ArrayList<>(watches)) {
-            deliver(w, false);
+        for (Watch watch : new ArrayList<>(watches)) {
+            deliver(watch, false);
         }
     }
 
-    private void deliver(Watch w, boolean evenEmpty) {
-        if (w.over) {
+    private void deliver(Watch watch, boolean evenEmpty) {
+        if (watch.over) {
             return;
         }
-        KeyValueStore.Page page = changes(w.prefix, w.from);
+        KeyValueStore.Page page = changes(watch.prefix, watch.from);
         if (evenEmpty || !page.items().isEmpty()) {
-            w.over = true;
-            watches.remove(w);
-            w.answer.accept(page);
+            watch.over = true;
+            watches.remove(watch);
+            watch.answer.accept(page);
         }
     }
 
@@ -198,10 +196,10 @@
             return new KeyValueStore.Page(KeyValueStore.Outcome.GONE, List.of(), false, storeRevision);
         }
         List<KeyValueStore.Item> items = new ArrayList<>();
-        for (Logged l : log) {
-            if (l.revision() > from && l.key().startsWith(prefix)) {
-                items.add(
-                        new KeyValueStore.Item(l.key(), l.json() == null ? null : Json.object(l.json()), l.revision()));
+        for (Logged logged : log) {
+            if (logged.revision() > from && logged.key().startsWith(prefix)) {
+                items.add(new KeyValueStore.Item(
+                        logged.key(), logged.json() == null ? null : Json.object(logged.json()), logged.revision()));
             }
         }
         return new KeyValueStore.Page(KeyValueStore.Outcome.OK, items, false, storeRevision);
@@ -211,54 +209,62 @@
         return transaction.changes().size() > transactionChanges
                 || transaction.preconditions().size() > PRECONDITIONS_PER_CHANGE * transactionChanges
                 || transaction.changes().stream()
-                        .anyMatch(c -> c.record() != null
-                                && Json.text(c.record().toMap()).length() > valueBytes);
+                        .anyMatch(change -> change.record() != null
+                                && Json.text(change.record().toMap()).length() > valueBytes);
     }
 
     /** The largest value that is stored. */
     int largestValue() {
-        return keys.values().stream().mapToInt(s -> s.json().length()).max().orElse(0);
+        return keys.values().stream()
+                .mapToInt(stored -> stored.json().length())
+                .max()
+                .orElse(0);
     }
 
     private KeyValueStore.Committed commit(KeyValueStore.Transaction transaction) {
         if (exceedsLimits(transaction)) {
             oversized++;
-            return new KeyValueStore.Committed(KeyValueStore.Outcome.REJECTED, storeRevision, List.of());
+            return committed(KeyValueStore.Outcome.REJECTED, List.of());
         }
-        if (transaction.changes().stream().anyMatch(c -> c.key().startsWith(Keys.JOB))
-                && transaction.preconditions().stream().noneMatch(g -> g.key().equals(Keys.LEADER))) {
+        if (transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB))
+                && transaction.preconditions().stream()
+                        .noneMatch(precondition -> precondition.key().equals(Keys.LEADER))) {
             unfenced++;
         }
-        List<String> failed = new ArrayList<>();
-        for (KeyValueStore.Precondition g : transaction.preconditions()) {
-            Stored s = keys.get(g.key());
-            if ((s == null ? 0 : s.revision()) != g.revision()) {
-                failed.add(g.key());
-            }
-        }
+        List<String> failed = transaction.preconditions().stream()
+                .filter(precondition -> revisionOf(precondition.key()) != precondition.revision())
+                .map(KeyValueStore.Precondition::key)
+                .toList();
         if (!failed.isEmpty()) {
-            return new KeyValueStore.Committed(KeyValueStore.Outcome.CONFLICT, storeRevision, failed);
+            return committed(KeyValueStore.Outcome.CONFLICT, failed);
         }
-        for (KeyValueStore.Change c : transaction.changes()) {
-            if (c.lease() != 0 && !leaseEnds.containsKey(c.lease())) {
-                return new KeyValueStore.Committed(KeyValueStore.Outcome.REFUSED, storeRevision, List.of());
-            }
+        if (transaction.changes().stream().anyMatch(change -> change.lease() != 0 && !leases.holds(change.lease()))) {
+            return committed(KeyValueStore.Outcome.REFUSED, List.of());
         }
         storeRevision++;
         writes += transaction.changes().size();
-        for (KeyValueStore.Change c : transaction.changes()) {
-            writesByKey.merge(c.key(), 1, Integer::sum);
-            String json = c.record() == null ? null : Json.text(c.record().toMap());
-
-            if (json == null) {
-                keys.remove(c.key());
-            } else {
-                keys.put(c.key(), new Stored(json, storeRevision, c.lease()));
-            }
-            log.add(new Logged(c.key(), json, storeRevision));
-        }
+        transaction.changes().forEach(this::apply);
         wake();
-        return new KeyValueStore.Committed(KeyValueStore.Outcome.OK, storeRevision, List.of());
+        return committed(KeyValueStore.Outcome.OK, List.of());
+    }
+
+    private long revisionOf(String key) {
+        return keys.containsKey(key) ? keys.get(key).revision() : 0;
+    }
+
+    private void apply(KeyValueStore.Change change) {
+        writesByKey.merge(change.key(), 1, Integer::sum);
+        String json = change.record() == null ? null : Json.text(change.record().toMap());
+        if (json == null) {
+            keys.remove(change.key());
+        } else {
+            keys.put(change.key(), new Stored(json, storeRevision, change.lease()));
+        }
+        log.add(new Logged(change.key(), json, storeRevision));
+    }
+
+    private KeyValueStore.Committed committed(KeyValueStore.Outcome outcome, List<String> failed) {
+        return new KeyValueStore.Committed(outcome, storeRevision, failed);
     }
 
     /** The service as one node reaches it. */
@@ -296,7 +302,7 @@
                             answer.accept(SimStore.this.commit(transaction));
                         }
                     },
-                    c -> then.accept(c == null ? new Committed(Outcome.UNKNOWN, 0, List.of()) : c));
+                    answer -> then.accept(answer == null ? new Committed(Outcome.UNKNOWN, 0, List.of()) : answer));
         }
 
         @Override
@@ -311,9 +317,9 @@
                         }
                         List<Item> items = new ArrayList<>();
                         boolean more = false;
-                        for (var e : keys.tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
+                        for (var entry : keys.tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
                                 .entrySet()) {
-                            if (!e.getKey().startsWith(prefix)) {
+                            if (!entry.getKey().startsWith(prefix)) {
                                 break;
                             }
                             if (items.size() == Math.min(limit, 20)) {
@@ -321,13 +327,13 @@
                                 break;
                             }
                             items.add(new Item(
-                                    e.getKey(),
-                                    Json.object(e.getValue().json()),
-                                    e.getValue().revision()));
+                                    entry.getKey(),
+                                    Json.object(entry.getValue().json()),
+                                    entry.getValue().revision()));
                         }
                         return new Page(Outcome.OK, items, more, storeRevision);
                     },
-                    p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
+                    answer -> then.accept(answer == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : answer));
         }
 
         @Override
@@ -345,17 +351,14 @@
                             answer.accept(new Page(Outcome.REFUSED, List.of(), false, 0));
                             return;
                         }
-                        Watch w = new Watch();
-                        w.prefix = prefix;
-                        w.from = from;
-                        w.answer = answer;
-                        watches.add(w);
-                        deliver(w, waitMicros == 0);
-                        if (!w.over) {
-                            world.after(waitMicros, () -> deliver(w, true));
+                        Watch watch = new Watch(prefix, from, answer);
+                        watches.add(watch);
+                        deliver(watch, waitMicros == 0);
+                        if (!watch.over) {
+                            world.after(waitMicros, () -> deliver(watch, true));
                         }
                     },
-                    p -> then.accept(p == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : p));
+                    answer -> then.accept(answer == null ? new Page(Outcome.UNKNOWN, List.of(), false, 0) : answer));
         }
 
         @Override
@@ -368,12 +371,9 @@
                         if (away(node, 0)) {
                             return new Leased(Outcome.REFUSED, 0);
                         }
-                        leases++;
-                        leaseLives.put(leases, lifeMicros);
-                        leaseEnds.put(leases, world.now() + lifeMicros);
-                        return new Leased(Outcome.OK, leases);
+                        return new Leased(Outcome.OK, leases.open(world.now(), lifeMicros));
                     },
-                    l -> then.accept(l == null ? new Leased(Outcome.UNKNOWN, 0) : l));
+                    answer -> then.accept(answer == null ? new Leased(Outcome.UNKNOWN, 0) : answer));
         }
 
         @Override
@@ -386,13 +386,13 @@
                         if (away(node, 0)) {
                             return Outcome.REFUSED;
                         }
-                        if (!leaseEnds.containsKey(lease)) {
+                        if (!leases.holds(lease)) {
                             return Outcome.NOT_FOUND;
                         }
-                        leaseEnds.put(lease, world.now() + leaseLives.get(lease));
+                        leases.renew(lease, world.now());
                         return Outcome.OK;
                     },
-                    o -> then.accept(o == null ? Outcome.UNKNOWN : o));
+                    answer -> then.accept(answer == null ? Outcome.UNKNOWN : answer));
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -35,14 +35,14 @@
     List<String> cancelRunning(int count, long hangMicros) {
         List<String> chosen = simulation.rules.running().stream().limit(count).toList();
         List<String> hosts = chosen.stream()
-                .flatMap(j -> simulation.rules.hostsOf(j).stream())
+                .flatMap(job -> simulation.rules.hostsOf(job).stream())
                 .distinct()
                 .limit(8)
                 .toList();
-        chosen.forEach(j -> simulation.world.after(simulation.world.random.nextInt(200_000), () -> cancel(j)));
+        chosen.forEach(job -> simulation.world.after(simulation.world.random.nextInt(200_000), () -> cancel(job)));
         simulation.cloud.workers().stream()
-                .filter(w -> hangMicros > 0 && hosts.contains(w.id))
-                .forEach(w -> w.hangFor(hangMicros));
+                .filter(worker -> hangMicros > 0 && hosts.contains(worker.id))
+                .forEach(worker -> worker.hangFor(hangMicros));
         return chosen;
     }
 
@@ -54,7 +54,7 @@
                 if (!known.isEmpty()) {
                     JobSpec spec = described.get(known.get(simulation.world.random.nextInt(known.size())));
                     if (simulation.rules.acceptedJob(spec.id())) {
-                        ask(spec.id(), (c, then) -> c.submit(spec, then), answer -> {});
+                        ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
                     }
                     if (simulation.rules.finalTold(spec.id()) == JobState.DONE) {
                         cancel(spec.id());
@@ -68,7 +68,7 @@
                 simulation.rules.submittingUnschedulable(odd.id());
                 ask(
                         odd.id(),
-                        (c, then) -> c.submit(odd, then),
+                        (controller, then) -> controller.submit(odd, then),
                         answer -> unschedulableRefused += answer instanceof JobResponse.Unschedulable ? 1 : 0);
             });
         }
@@ -79,11 +79,16 @@
         described.put(spec.id(), spec);
     }
 
+    /** A user submits and polls to the end. */
+    void submit(JobSpec spec) {
+        submit(spec, -1);
+    }
+
     /** A user submits, polls to the end and may cancel after a while (negative: never). */
     void submit(JobSpec spec, long cancelAfter) {
         described.put(spec.id(), spec);
         simulation.rules.submitting(spec);
-        ask(spec.id(), (c, then) -> c.submit(spec, then), answer -> {
+        ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 if (cancelAfter >= 0) {
                     simulation.world.after(cancelAfter, () -> cancel(spec.id()));
@@ -99,7 +104,7 @@
     void submitAt(String node, JobSpec spec) {
         described.put(spec.id(), spec);
         simulation.rules.submitting(spec);
-        askAt(node, spec.id(), (c, then) -> c.submit(spec, then), answer -> {
+        askAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 poll(spec.id());
             } else {
@@ -111,9 +116,9 @@
     private void poll(String id) {
         simulation.world.after(
                 5 * Simulation.SECOND,
-                () -> ask(id, (c, then) -> c.poll(id, then), answer -> {
+                () -> ask(id, (controller, then) -> controller.poll(id, then), answer -> {
                     poll(id);
-                    if (answer instanceof JobResponse.Status s && s.state() == JobState.DONE) {
+                    if (answer instanceof JobResponse.Status status && status.state() == JobState.DONE) {
                         doneTold++;
                     }
                 }));
@@ -126,7 +131,7 @@
     /** The same at one controller first. */
     void cancelAt(String node, String id) {
         simulation.rules.cancelling(id);
-        askAt(node, id, (c, then) -> c.cancel(id, then), answer -> {
+        askAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
             if (!(answer instanceof JobResponse.Status)) {
                 simulation.world.after(2 * Simulation.SECOND, () -> cancel(id));
             }
@@ -134,7 +139,7 @@
     }
 
     private interface Question {
-        void ask(Controller c, Consumer<JobResponse> then);
+        void ask(Controller controller, Consumer<JobResponse> then);
     }
 
     private final Map<String, Integer> asking = new LinkedHashMap<>();
@@ -156,9 +161,9 @@
                 node,
                 TIMEOUT,
                 answer -> {
-                    Controller c = simulation.nodes.get(node).controller;
-                    if (c != null && !simulation.unreachable.contains(node)) {
-                        question.ask(c, simulation.traced(node, user, answer));
+                    Controller controller = simulation.nodes.get(node).controller;
+                    if (controller != null && !simulation.unreachable.contains(node)) {
+                        question.ask(controller, simulation.traced(node, user, answer));
                     }
                 },
                 answer -> {
@@ -172,14 +177,16 @@
 
     void pollUnknownJob() {
         String id = "run-999" + simulation.world.random.nextInt(1000);
-        ask(id, (c, then) -> c.poll(id, then), answer -> {});
+        ask(id, (controller, then) -> controller.poll(id, then), answer -> {});
     }
 
     List<String> unfinishedBatches() {
         List<String> list = new ArrayList<>();
-        for (JobSpec s : described.values()) {
-            if (!s.service() && simulation.rules.acceptedJob(s.id()) && simulation.rules.finalTold(s.id()) == null) {
-                list.add(s.id());
+        for (JobSpec spec : described.values()) {
+            if (!spec.service()
+                    && simulation.rules.acceptedJob(spec.id())
+                    && simulation.rules.finalTold(spec.id()) == null) {
+                list.add(spec.id());
             }
         }
         return list;
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -1,6 +1,5 @@
 package org.granitepath.simulation;
 
-import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -9,7 +8,6 @@
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
-import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -21,6 +19,12 @@
 
 /** A stand-in for a machine's worker, as the protocol describes it. */
 final class SimWorker {
+    /** What the cloud has said of the machine. */
+    record Facts(String id, MachineType type, String zone, boolean spot) {}
+
+    /** How often it reports, and how long its tasks outlive the last answer. */
+    record Timing(long heartbeatIntervalMicros, long leaseMicros) {}
+
     /** A worker looks at its tasks this many times between two heartbeats. */
     private static final int TICKS = 10;
 
@@ -66,25 +70,21 @@
             Function<String, JobSpec> jobs,
             Set<TaskId> results,
             SimGangs gangs,
-            String id,
-            MachineType type,
-            String zone,
-            boolean spot,
-            long heartbeatIntervalMicros,
-            long leaseMicros) {
+            Facts facts,
+            Timing timing) {
         this.world = world;
         this.rules = rules;
         this.controllers = controllers;
         this.jobs = jobs;
         this.results = results;
         this.gangs = gangs;
-        this.runs = new SimRuns(type, jobs);
-        this.id = id;
-        this.type = type;
-        this.zone = zone;
-        this.spot = spot;
-        this.heartbeatIntervalMicros = heartbeatIntervalMicros;
-        this.leaseMicros = leaseMicros;
+        this.runs = new SimRuns(facts.type, jobs);
+        this.id = facts.id;
+        this.type = facts.type;
+        this.zone = facts.zone;
+        this.spot = facts.spot;
+        this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
+        this.leaseMicros = timing.leaseMicros;
         this.leaseFrom = world.now();
         this.at = world.random.nextInt(controllers.names().size());
         tick();
@@ -152,28 +152,26 @@
 
     /** All tasks here that fit are over, each for this reason. */
     void endTasks(Predicate<JobSpec> which, Cause cause) {
-        for (Run run : List.copyOf(runs.all())) {
-            if (run.state != TaskState.EXITED && which.test(jobs.apply(run.task.job()))) {
-                end(run, cause);
-            }
-        }
+        runs.live().stream()
+                .filter(run -> which.test(jobs.apply(run.task.job())))
+                .forEach(run -> end(run, cause));
     }
 
     private void killAll() {
-        for (Run r : runs.all()) {
-            leave(r);
+        for (Run run : runs.all()) {
+            leave(run);
         }
         runs.clear();
     }
 
     /** A task that is on the machine is so no longer. */
-    private void leave(Run r) {
-        if (r.state == TaskState.WAITING || r.state == TaskState.RUNNING || r.state == TaskState.SAVING) {
-            rules.left(r.task, id);
+    private void leave(Run run) {
+        if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
+            rules.left(run.task, id);
         }
-        if (r.member != null) {
-            r.member.leave();
-            r.member = null;
+        if (run.member != null) {
+            run.member.leave();
+            run.member = null;
         }
     }
 
@@ -196,11 +194,11 @@
         if (hanging) {
             return;
         }
-        for (Run r : runs.all()) {
-            if (r.member != null) {
-                advanceInGang(r);
-            } else if (r.state != TaskState.EXITED && world.now() >= r.until) {
-                advance(r);
+        for (Run run : runs.all()) {
+            if (run.member != null) {
+                advanceInGang(run);
+            } else if (run.state != TaskState.EXITED && world.now() >= run.until) {
+                advance(run);
             }
         }
         if (!reporting
@@ -210,67 +208,63 @@
         }
     }
 
-    private boolean fails(Run r) {
-        return faulty || controllers.fails(r.task.job());
+    private boolean fails(Run run) {
+        return faulty || controllers.fails(run.task.job());
     }
 
-    private void advance(Run r) {
+    private void advance(Run run) {
         changed = true;
-        JobSpec spec = jobs.apply(r.task.job());
-        if (r.state == TaskState.FETCHING) {
+        JobSpec spec = jobs.apply(run.task.job());
+        if (run.state == TaskState.FETCHING) {
             images.add(spec.image());
-            rules.started(r.task, id, type.name(), zone, spot);
-            if (spec.gang() && !results.contains(r.task) && !fails(r)) {
-                r.state = TaskState.WAITING;
-                r.until = Long.MAX_VALUE;
-                r.member = gangs.join(spec, r.task, r.attempt, this::hangs);
+            rules.started(run.task, id, type.name(), zone, spot);
+            if (spec.gang() && !results.contains(run.task) && !fails(run)) {
+                run.state = TaskState.WAITING;
+                run.until = Long.MAX_VALUE;
+                run.member = gangs.join(spec, run.task, run.attempt, this::hangs);
                 return;
             }
-            r.state = TaskState.RUNNING;
-            long run = results.contains(r.task)
+            run.state = TaskState.RUNNING;
+            long runMicros = results.contains(run.task)
                     ? 0
                     : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
-            r.until = spec.service() ? Long.MAX_VALUE : world.now() + run;
-            if (fails(r)) {
+            run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
+            if (fails(run)) {
                 failures++;
-                r.until = world.now() + 200_000;
+                run.until = world.now() + 200_000;
             }
         } else {
-            boolean saving = r.state == TaskState.SAVING;
-            end(r, saving ? Cause.STOPPED : fails(r) ? Cause.FAILED : Cause.DONE);
-            r.saved = saving;
+            boolean saving = run.state == TaskState.SAVING;
+            end(run, saving ? Cause.STOPPED : fails(run) ? Cause.FAILED : Cause.DONE);
+            run.saved = saving;
         }
     }
 
-    private void advanceInGang(Run r) {
-        Cause cause = r.member.exit();
+    private void advanceInGang(Run run) {
+        Cause cause = run.member.exit();
         if (cause != null) {
-            r.saved = r.member.kept();
-            end(r, cause);
+            run.saved = run.member.kept();
+            end(run, cause);
             return;
         }
         TaskState state =
-                r.member.saves() ? TaskState.SAVING : r.member.running() ? TaskState.RUNNING : TaskState.WAITING;
-        changed |= state != r.state;
-        r.state = state;
+                run.member.saves() ? TaskState.SAVING : run.member.running() ? TaskState.RUNNING : TaskState.WAITING;
+        changed |= state != run.state;
+        run.state = state;
     }
 
-    private void end(Run r, Cause cause) {
-        leave(r);
+    private void end(Run run, Cause cause) {
+        leave(run);
         if (cause == Cause.DONE) {
-            results.add(r.task);
-            rules.completed(r.task);
+            results.add(run.task);
+            rules.completed(run.task);
         }
-        r.state = TaskState.EXITED;
-        r.cause = cause;
+        run.state = TaskState.EXITED;
+        run.cause = cause;
         changed = true;
     }
 
     private Heartbeat heartbeat() {
-        List<TaskStatus> list = new ArrayList<>();
-        for (Run r : runs.all()) {
-            list.add(new TaskStatus(r.task, r.attempt, r.state, r.cause, r.saved));
-        }
         return new Heartbeat(
                 id,
                 id,
@@ -281,7 +275,7 @@
                 ++sequence,
                 fencingToken,
                 noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
-                list);
+                runs.statuses());
     }
 
     private void report() {
@@ -304,15 +298,15 @@
             if (hanging) {
                 answer = null;
             }
-            if (answer instanceof HeartbeatResponse.Accepted a) {
-                if (ofAgentEpoch == agentEpoch && a.fencingToken() >= fencingToken) {
-                    changed |= a.fencingToken() > fencingToken;
-                    fencingToken = a.fencingToken();
+            if (answer instanceof HeartbeatResponse.Accepted accepted) {
+                if (ofAgentEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
+                    changed |= accepted.fencingToken() > fencingToken;
+                    fencingToken = accepted.fencingToken();
                     leaseFrom = Math.max(leaseFrom, sent);
-                    execute(a.commands());
+                    execute(accepted.commands());
                 }
             } else {
-                String to = answer instanceof HeartbeatResponse.Redirect e ? e.node() : null;
+                String to = answer instanceof HeartbeatResponse.Redirect redirect ? redirect.node() : null;
                 int named = to == null ? -1 : controllers.names().indexOf(to);
                 if (named >= 0 && named != at) {
                     at = named;
@@ -342,59 +336,59 @@
     }
 
     private void execute(List<WorkerCommand> commands) {
-        for (WorkerCommand o : commands) {
+        for (WorkerCommand command : commands) {
             // Through the wire's words and back, as between real processes.
-            assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(o)) != null;
-            Run r = runs.get(o.task(), o.attempt());
-            switch (o.verb()) {
+            assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(command)) != null;
+            Run run = runs.get(command.task(), command.attempt());
+            switch (command.verb()) {
                 case START -> {
-                    if (r == null) {
-                        start(o);
+                    if (run == null) {
+                        start(command);
                     }
                 }
                 case STOP -> {
-                    if (r != null && r.state != TaskState.EXITED) {
-                        stop(r, o.graceMicros());
+                    if (run != null && run.state != TaskState.EXITED) {
+                        stop(run, command.graceMicros());
                     }
                 }
                 case CLEAR -> {
-                    if (r != null && r.state == TaskState.EXITED) {
-                        runs.remove(r);
+                    if (run != null && run.state == TaskState.EXITED) {
+                        runs.remove(run);
                     }
                 }
             }
         }
     }
 
-    private void start(WorkerCommand o) {
+    private void start(WorkerCommand command) {
         changed = true;
-        Run r = new Run(o.task(), o.attempt());
-        JobSpec spec = jobs.apply(o.task().job());
-        runs.add(r);
-        Cause refusal = runs.refusal(spec, r);
+        Run run = new Run(command.task(), command.attempt());
+        JobSpec spec = jobs.apply(command.task().job());
+        runs.add(run);
+        Cause refusal = runs.refusal(spec, run);
         if (refusal != Cause.NONE) {
-            r.state = TaskState.EXITED;
-            r.cause = refusal;
+            run.state = TaskState.EXITED;
+            run.cause = refusal;
             return;
         }
-        r.until = world.now()
+        run.until = world.now()
                 + (images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / type.fetchGbPerSecond() * 1e6));
     }
 
-    private void stop(Run r, long grace) {
-        JobSpec spec = jobs.apply(r.task.job());
-        boolean savesInGang = r.member != null && r.member.running() && spec.checkpointMicros() > 0;
+    private void stop(Run run, long grace) {
+        JobSpec spec = jobs.apply(run.task.job());
+        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
         if (savesInGang && grace > 0 && grace >= spec.saveMicros()) {
-            r.member.halt();
+            run.member.halt();
             changed = true;
             return;
         }
-        if (r.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && grace >= spec.saveMicros()) {
-            r.state = TaskState.SAVING;
-            r.until = world.now() + spec.saveMicros();
+        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && grace >= spec.saveMicros()) {
+            run.state = TaskState.SAVING;
+            run.until = world.now() + spec.saveMicros();
             changed = true;
-        } else if (r.state != TaskState.SAVING || grace == 0) {
-            end(r, Cause.STOPPED);
+        } else if (run.state != TaskState.SAVING || grace == 0) {
+            end(run, Cause.STOPPED);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -62,53 +62,61 @@
             life++;
             world.setDown(name, false);
             int ours = life;
-            Config config = new Config(
+            controller = new Controller(
+                    config(),
+                    traced(store.portFor(name), port -> trace.tracing(name, port)),
+                    traced(cloud.portFor(name), port -> trace.tracing(name, port)),
+                    traced(ports.workerPort(name), port -> trace.tracing(name, port)),
+                    traced(ports.peerPort(name), port -> trace.tracing(name, port)),
+                    timersOf(ours),
+                    RecoveryTracer.NONE);
+            controller.start();
+        }
+
+        private Config config() {
+            return new Config(
                     new ControllerIdentity(name, name + "-" + life, zoneOf(name)),
                     new Topology(
                             ZONES,
                             names.stream()
-                                    .filter(n -> !n.equals(name))
-                                    .collect(Collectors.toMap(n -> n, Simulation.this::zoneOf))),
+                                    .filter(node -> !node.equals(name))
+                                    .collect(Collectors.toMap(node -> node, Simulation.this::zoneOf))),
                     TEAMS,
                     Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
-                    new WorkerTiming(shape.report, shape.lease, shape.cancel, SimGangs.WAIT, SimGangs.PEER),
+                    new WorkerTiming(shape.report(), shape.lease(), shape.cancel(), SimGangs.WAIT, SimGangs.PEER),
                     new PlatformLimits(
-                            shape.requests,
+                            shape.limits().requests(),
                             upgraded.contains(name) ? limits.within(nextLimits) : limits,
                             5,
-                            shape.connections),
+                            shape.connections()),
                     250_000,
                     Tuning.defaults().withRecoveryHold(recoveryHold));
-            controller = new Controller(
-                    config,
-                    traced(store.portFor(name), port -> trace.tracing(name, port)),
-                    traced(cloud.portFor(name), port -> trace.tracing(name, port)),
-                    traced(ports.workerPort(name), port -> trace.tracing(name, port)),
-                    traced(ports.peerPort(name), port -> trace.tracing(name, port)),
-                    new Timers() {
-                        @Override
-                        public long nowMicros() {
-                            return Node.this.nowMicros();
-                        }
-
-                        @Override
-                        public long timeOfDayMicros() {
-                            return Node.this.timeOfDayMicros();
-                        }
-
-                        @Override
-                        public void after(long delayMicros, Runnable action) {
-                            world.after(
-                                    (long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
-                                    () -> world.fire(name, () -> {
-                                        if (life == ours && controller != null) {
-                                            action.run();
-                                        }
-                                    }));
-                        }
-                    },
-                    RecoveryTracer.NONE);
-            controller.start();
+        }
+
+        /** The clocks and timers of one process: what it has asked for ends with it. */
+        private Timers timersOf(int process) {
+            return new Timers() {
+                @Override
+                public long nowMicros() {
+                    return Node.this.nowMicros();
+                }
+
+                @Override
+                public long timeOfDayMicros() {
+                    return Node.this.timeOfDayMicros();
+                }
+
+                @Override
+                public void after(long delayMicros, Runnable action) {
+                    world.after(
+                            (long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
+                            () -> world.fire(name, () -> {
+                                if (life == process && controller != null) {
+                                    action.run();
+                                }
+                            }));
+                }
+            };
         }
 
         void crash() {
@@ -135,38 +143,6 @@
 
     static final long LEASE = 11 * SECOND;
 
-    /**
-     * A deployment: its controllers, how many machines of each type, zone and kind there are, the workers' times, and
-     * the limits of the store.
-     */
-    record Shape(
-            int controllers,
-            int perOffer,
-            long report,
-            long lease,
-            long cancel,
-            double requests,
-            double writes,
-            int valueBytes,
-            int transactionChanges,
-            int connections) {
-        static final Shape SMALL = new Shape(3, 5, SECOND, LEASE, 31 * SECOND, 1000, 200, 2048, 8, 1_000);
-
-        Shape with(int controllers, int perOffer) {
-            return new Shape(
-                    controllers,
-                    perOffer,
-                    report,
-                    lease,
-                    cancel,
-                    requests,
-                    writes,
-                    valueBytes,
-                    transactionChanges,
-                    connections);
-        }
-    }
-
     final Shape shape;
     final SimGangs gangs;
     /** What the settings say of the limits of the store. */
@@ -208,31 +184,39 @@
     int mostCalls;
 
     Simulation(long seed) {
-        this(seed, Shape.SMALL);
+        this(seed, Shape.small());
     }
 
     /** @param perOffer how many machines of each type, zone and kind there are */
     Simulation(long seed, int controllers, int perOffer) {
-        this(seed, Shape.SMALL.with(controllers, perOffer));
+        this(seed, Shape.small().withControllers(controllers).withPerOffer(perOffer));
     }
 
     Simulation(long seed, Shape shape) {
         this.shape = shape;
-        names = IntStream.range(0, shape.controllers).mapToObj(i -> "n" + i).toList();
+        names = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         world = new World(seed);
         trace = EdgeTrace.of(world);
-        rules = new Rules(world, TEAMS, shape.cancel, this::endedOnMachines);
+        rules = new Rules(world, TEAMS, shape.cancel(), this::endedOnMachines);
         commands = new SimCommands(world, rules);
-        jobs = new SimJobs(world, shape.perOffer);
+        jobs = new SimJobs(world, shape.perOffer());
         gangs = new SimGangs(world, rules, results);
-        limits = new StoreLimits(shape.writes, shape.valueBytes, shape.transactionChanges);
-        store = new SimStore(world, shape.transactionChanges, shape.valueBytes, shape.requests, shape.writes);
+        limits = new StoreLimits(
+                shape.limits().writes(),
+                shape.limits().valueBytes(),
+                shape.limits().transactionChanges());
+        store = new SimStore(
+                world,
+                shape.limits().transactionChanges(),
+                shape.limits().valueBytes(),
+                shape.limits().requests(),
+                shape.limits().writes());
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
-        cloud = new SimCloud(world, types, shape.perOffer, 4 * SECOND, (id, host) -> newWorker(types, id, host));
-        for (String n : names) {
-            nodes.put(n, new Node(n));
+        cloud = new SimCloud(world, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
+        for (String node : names) {
+            nodes.put(node, new Node(node));
         }
         nodes.values().forEach(Node::boot);
     }
@@ -258,12 +242,8 @@
                 users::describedAs,
                 results,
                 gangs,
-                id,
-                type,
-                host.zone(),
-                host.spot(),
-                shape.report,
-                shape.lease);
+                new SimWorker.Facts(id, type, host.zone(), host.spot()),
+                new SimWorker.Timing(shape.report(), shape.lease()));
     }
 
     /** The controllers as machines see them. */
@@ -318,9 +298,9 @@
 
     private Stream<String> leadersOtherThan(String one) {
         return nodes.values().stream()
-                .filter(n -> n.controller != null && n.controller.leader())
-                .map(n -> n.name)
-                .filter(n -> !n.equals(one));
+                .filter(node -> node.controller != null && node.controller.leader())
+                .map(node -> node.name)
+                .filter(node -> !node.equals(one));
     }
 
     /** How many heartbeats this controller answered so far as one that may. */
@@ -337,8 +317,8 @@
     /** What a controller tells whose recovery is in this phase; null when there is none. */
     RecoveryStatus recovery(RecoveryPhase phase) {
         return nodes.values().stream()
-                .filter(n -> n.controller != null && n.controller.term() > 0)
-                .map(n -> n.controller.recoveryStatus())
+                .filter(node -> node.controller != null && node.controller.term() > 0)
+                .map(node -> node.controller.recoveryStatus())
                 .filter(status -> status.phase() == phase)
                 .findFirst()
                 .orElse(null);
@@ -359,6 +339,12 @@
         return all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
     }
 
+    /** Does this so much later than now: before the run, at this time of it. */
+    void after(long delayMicros, Runnable action) {
+        world.after(delayMicros, action);
+    }
+
+    /** Runs with the rules checked after each step. */
     void run(long until) {
         world.run(until, rules::check);
     }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -6,7 +6,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -18,36 +17,37 @@
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
     void leadersCrashDuringTakeover(long seed) {
-        Simulation s = SimulationTest.withJobs(seed, 30, 120 * SECOND);
+        Simulation simulation = SimulationTest.withJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
-            s.world.after(
-                    (20 + 6 * i) * SECOND + s.world.random.nextInt(4_000_000),
-                    () -> s.faults.crash(s.leader(), 500_000 + s.world.random.nextInt(3_000_000)));
+            simulation.after(
+                    (20 + 6 * i) * SECOND + simulation.world.random.nextInt(4_000_000),
+                    () -> simulation.faults.crash(
+                            simulation.leader(), 500_000 + simulation.world.random.nextInt(3_000_000)));
         }
-        s.run(300 * SECOND);
-        assertRulesAndAllDone(s);
+        simulation.run(300 * SECOND);
+        assertRulesAndAllDone(simulation);
     }
 
     /** A leader that alone has lost the machines hands them over before their leases run out. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
     void leaderCutFromItsWorkersStepsDown(long seed) {
-        Simulation s = new Simulation(seed, 5, 12);
+        Simulation simulation = new Simulation(seed, 5, 12);
         for (int i = 0; i < 8; i++) {
-            s.users.submit(s.jobs.job(false, 100, Priority.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
-            s.users.submit(s.jobs.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
+            simulation.users.submit(simulation.jobs.batch(100, 30 * SECOND));
+            simulation.users.submit(simulation.jobs.service(6));
         }
         String[] cut = new String[1];
-        s.world.after(50 * SECOND, () -> {
-            cut[0] = s.leader();
-            s.faults.cutFromWorkers(cut[0], World.Cut.DROP, 60 * SECOND);
+        simulation.after(50 * SECOND, () -> {
+            cut[0] = simulation.leader();
+            simulation.faults.cutFromWorkers(cut[0], World.Cut.DROP, 60 * SECOND);
         });
-        s.run(50 * SECOND + Simulation.LEASE);
-        assertNotEquals(cut[0], s.leader(), "the leader that reaches no machine is still the leader");
+        simulation.run(50 * SECOND + Simulation.LEASE);
+        assertNotEquals(cut[0], simulation.leader(), "the leader that reaches no machine is still the leader");
         // They fall silent one after the other; the first are not to be given up before the rest tell what it is.
-        assertEquals(List.of(), s.cloud.terminatedBusy, "returned with tasks on them");
-        s.run(120 * SECOND, 300 * SECOND);
-        assertRulesAndAllDone(s);
+        assertEquals(List.of(), simulation.cloud.terminatedBusy, "returned with tasks on them");
+        simulation.run(120 * SECOND, 300 * SECOND);
+        assertRulesAndAllDone(simulation);
     }
 
     /**
@@ -57,47 +57,49 @@
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93})
     void takeoverTerminatesNoHealthyMachine(long seed) {
-        Simulation s = new Simulation(seed, 5, 20);
+        Simulation simulation = new Simulation(seed, 5, 20);
         for (int i = 0; i < 8; i++) {
-            s.users.submit(s.jobs.job(false, 150, Priority.STANDARD, "free", true, false, false, 30 * SECOND, 0), -1);
-            s.users.submit(s.jobs.job(true, 6, Priority.CRITICAL, "free", false, true, false, 0, 0), -1);
+            simulation.users.submit(simulation.jobs.batch(150, 30 * SECOND));
+            simulation.users.submit(simulation.jobs.service(6));
         }
         List<String> cut = new ArrayList<>();
-        s.world.after(45 * SECOND, () -> {
-            s.faults.cutFromPeersAndStore(s.leader(), World.Cut.DROP, 40 * SECOND);
-            List<SimWorker> all = s.cloud.workers();
+        simulation.after(45 * SECOND, () -> {
+            simulation.faults.cutFromPeersAndStore(simulation.leader(), World.Cut.DROP, 40 * SECOND);
+            List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
-                s.faults.cutMachine(all.get(i), World.Cut.HOLD, 25 * SECOND);
+                simulation.faults.cutMachine(all.get(i), World.Cut.HOLD, 25 * SECOND);
             }
         });
-        s.run(100 * SECOND);
-        List<String> healthy = new ArrayList<>(s.cloud.terminatedBusy);
+        simulation.run(100 * SECOND);
+        List<String> healthy = new ArrayList<>(simulation.cloud.terminatedBusy);
         healthy.removeAll(cut);
         assertEquals(List.of(), healthy, "returned with tasks on them");
-        s.run(100 * SECOND, 500 * SECOND);
-        assertRulesAndAllDone(s);
+        simulation.run(100 * SECOND, 500 * SECOND);
+        assertRulesAndAllDone(simulation);
     }
 
     /** Back within a fraction of a second: controllers, at any moment of an election, and machines. */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void backWithinAFractionOfASecond(long seed) {
-        Simulation s = SimulationTest.withJobs(seed, 30, 100 * SECOND);
-        s.world.lateCopies = 0.1;
+        Simulation simulation = SimulationTest.withJobs(seed, 30, 100 * SECOND);
+        simulation.world.lateCopies = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean leader = i % 3 > 0;
-            s.world.after(
-                    20 * SECOND + 2L * i * SECOND + s.world.random.nextInt(2_000_000),
-                    () -> s.faults.crash(leader ? s.leader() : s.anyNode(), 20_000 + s.world.random.nextInt(400_000)));
-            s.world.after(21 * SECOND + 2L * i * SECOND, () -> {
-                SimWorker w = s.anyWorker();
-                if (w != null) {
-                    w.hangFor(100_000 + s.world.random.nextInt(800_000));
+            simulation.after(
+                    20 * SECOND + 2L * i * SECOND + simulation.world.random.nextInt(2_000_000),
+                    () -> simulation.faults.crash(
+                            leader ? simulation.leader() : simulation.anyNode(),
+                            20_000 + simulation.world.random.nextInt(400_000)));
+            simulation.after(21 * SECOND + 2L * i * SECOND, () -> {
+                SimWorker worker = simulation.anyWorker();
+                if (worker != null) {
+                    worker.hangFor(100_000 + simulation.world.random.nextInt(800_000));
                 }
             });
         }
-        s.run(110 * SECOND, 330 * SECOND);
-        assertRulesAndAllDone(s);
+        simulation.run(110 * SECOND, 330 * SECOND);
+        assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/World.java
+++ b/src/test/java/org/granitepath/simulation/World.java
@@ -10,6 +10,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 
 /** Simulated time and network. Everything that happens follows from the seed. */
 final class World {
@@ -22,8 +23,8 @@
     }
 
     final Random random;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (one, other) -> one.at != other.at ? Long.compare(one.at, other.at) : Long.compare(one.order, other.order));
     private final Map<String, Cut> cuts = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> held = new HashMap<>();
     private final Set<String> down = new HashSet<>();
@@ -56,21 +57,21 @@
     /** Runs until {@code end}; {@code check} after each step. */
     void run(long end, Runnable check) {
         while (!events.isEmpty() && events.peek().at <= end) {
-            Event e = events.poll();
-            now = e.at;
-            e.action.run();
+            Event event = events.poll();
+            now = event.at;
+            event.action.run();
             check.run();
         }
         now = end;
     }
 
-    private static String link(String a, String b) {
-        return a + ">" + b;
+    private static String link(String from, String to) {
+        return from + ">" + to;
     }
 
-    void cut(String a, String b, Cut how) {
-        cuts.put(link(a, b), how);
-        cuts.put(link(b, a), how);
+    void cut(String one, String other, Cut how) {
+        cuts.put(link(one, other), how);
+        cuts.put(link(other, one), how);
     }
 
     /** One direction only. */
@@ -78,14 +79,14 @@
         cuts.put(link(from, to), Cut.DROP);
     }
 
-    void heal(String a, String b) {
-        for (String l : List.of(link(a, b), link(b, a))) {
-            cuts.remove(l);
-            ArrayDeque<Runnable> queue = held.remove(l);
+    void heal(String one, String other) {
+        for (String direction : List.of(link(one, other), link(other, one))) {
+            cuts.remove(direction);
+            ArrayDeque<Runnable> queue = held.remove(direction);
             if (queue != null) {
-                String to = l.substring(l.indexOf('>') + 1);
-                for (Runnable r : new ArrayList<>(queue)) {
-                    after(1_000 + random.nextInt(5_000), () -> arrive(to, r));
+                String to = direction.substring(direction.indexOf('>') + 1);
+                for (Runnable packet : new ArrayList<>(queue)) {
+                    after(1_000 + random.nextInt(5_000), () -> arrive(to, packet));
                 }
             }
         }
@@ -107,7 +108,8 @@
             return;
         }
         if (cut == Cut.HOLD) {
-            held.computeIfAbsent(link(from, to), l -> new ArrayDeque<>()).add(arrive);
+            held.computeIfAbsent(link(from, to), direction -> new ArrayDeque<>())
+                    .add(arrive);
             return;
         }
         long delay = 300L + random.nextInt(4_000) + (random.nextInt(500) == 0 ? 400_000 : 0);
@@ -142,13 +144,13 @@
         ArrayDeque<Runnable> packets = frozenPackets.remove(host);
         ArrayDeque<Runnable> timers = frozenTimers.remove(host);
         if (packets != null) {
-            packets.forEach(p -> after(100, p));
-            timers.forEach(t -> after(200, t));
+            packets.forEach(packet -> after(100, packet));
+            timers.forEach(timer -> after(200, timer));
         }
     }
 
     /** A request and its answer. {@code then} is told null when nothing came in time. */
-    <T> void call(String from, String to, long timeout, java.util.function.Supplier<T> serve, Consumer<T> then) {
+    <T> void call(String from, String to, long timeout, Supplier<T> serve, Consumer<T> then) {
         callLater(from, to, timeout, answer -> answer.accept(serve.get()), then);
     }
 
