--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -24,11 +24,13 @@
     /** Cancellations, questions and repeated submissions meet the end of a job's last task. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void cancelledAtTheEnd(long seed) {
+    void jobsCancelledAtTheirEndHaveOneOutcome(long seed) {
         Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
         simulation.cancelledAtEnd = 0.6;
         simulation.users.oddRequests(100 * SECOND);
+
         simulation.run(100 * SECOND, 400 * SECOND);
+
         assertTrue(simulation.users.doneTold > 2 && simulation.rules.cancellationsTold() > 2);
         assertTrue(
                 simulation.users.unschedulableRefused > 20,
@@ -42,9 +44,10 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancelledBeforeTheirZoneIsCutOff(long seed) {
+    void tasksCancelledBeforeTheirZoneIsCutOffEnd(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 200 * SECOND);
+
         int[] told = new int[1];
         simulation.after(60 * SECOND, () -> {
             String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
@@ -59,6 +62,7 @@
             });
         });
         simulation.run(125 * SECOND, 900 * SECOND);
+
         assertEquals(10, told[0], "cancellations confirmed before the cut");
         assertRulesAndAllDone(simulation);
     }
@@ -69,9 +73,10 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancelledThroughTheNewLeader(long seed) {
+    void tasksCancelledThroughTheNewLeaderEndAtTheFormerOne(long seed) {
         Simulation simulation = simulation(seed);
         List<JobSpec> jobs = longWork(simulation, 6, 8, 200 * SECOND);
+
         int[] told = new int[1];
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
@@ -87,6 +92,7 @@
             simulation.after(12 * SECOND, () -> told[0] = simulation.rules.cancellationsTold());
         });
         simulation.run(135 * SECOND, 900 * SECOND);
+
         assertEquals(9, told[0], "cancellations confirmed by the new leader");
         assertRulesAndAllDone(simulation);
     }
@@ -97,10 +103,11 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void renewalsGetThroughAndReadsDoNot(long seed) {
+    void cancelledTasksEndWhenRenewalsGetThroughAndReadsDoNot(long seed) {
         Simulation simulation = simulation(seed);
         simulation.peersSendNoCancellations = true;
         List<JobSpec> jobs = longWork(simulation, 6, 6, 300 * SECOND);
+
         simulation.after(60 * SECOND, () -> {
             String leader = simulation.leader();
             simulation.store.blindFor(leader, 2 * simulation.shape.cancel());
@@ -110,6 +117,7 @@
                             simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
         });
         simulation.run(60 * SECOND + 2 * simulation.shape.cancel(), 300 * SECOND);
+
         assertTrue(simulation.rules.cancellationsTold() >= 10);
         assertRules(simulation);
     }
@@ -117,9 +125,10 @@
     /** Machines hang with tasks of cancelled jobs, for less and for more than a lease, and the leader ends. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void machinesHangWithCancelledTasks(long seed) {
+    void cancelledTasksEndOnMachinesThatHang(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 200 * SECOND);
+
         int[] hung = new int[1];
         simulation.after(60 * SECOND, () -> {
             hung[0] = simulation
@@ -129,6 +138,7 @@
             leaderEnds(simulation, SECOND, 300_000);
         });
         simulation.run(75 * SECOND + simulation.shape.lease(), 800 * SECOND);
+
         assertTrue(hung[0] > 4);
         assertRulesAndAllDone(simulation);
     }
@@ -140,10 +150,11 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancelledWhileTheLeadersReadsLag(long seed) {
+    void nothingCancelledStartsWhileTheLeadersReadsLag(long seed) {
         Simulation simulation = crowded(seed);
         simulation.peersSendNoCancellations = seed % 2 == 1;
         longWork(simulation, 1, 40, 3 * SECOND);
+
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
                 String leader = simulation.leader();
@@ -155,6 +166,7 @@
             });
         }
         simulation.run(85 * SECOND, 500 * SECOND);
+
         assertTrue(simulation.rules.cancellationsTold() > 10, simulation.rules.cancellationsTold() + " cancellations");
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -31,10 +31,11 @@
     /** More work than capacity, urgent and not, over links on which packets are held up. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void overloadOverSlowLinks(long seed) {
+    void overloadOverSlowLinksLeavesNobodyUnserved(long seed) {
         Simulation simulation = crowded(seed);
         withJobs(simulation, 30, 60 * SECOND);
         longWork(simulation, 4, 6, 20 * SECOND);
+
         simulation.after(20 * SECOND, () -> simulation.world.heldUp = 0.03);
         int[] waiting = new int[1];
         simulation.after(
@@ -42,6 +43,7 @@
                 () -> waiting[0] = simulation.users.unfinishedBatches().size());
         simulation.after(90 * SECOND, () -> simulation.world.heldUp = 0);
         simulation.run(100 * SECOND, 700 * SECOND);
+
         assertTrue(waiting[0] > 5, "only " + waiting[0] + " jobs wait");
         assertRulesAndAllDone(simulation);
         simulation.rules.checkServed();
@@ -51,9 +53,10 @@
     /** A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answers. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void leaderEndsWhileMachinesAreCutOrDeaf(long seed) {
+    void workIsDoneWhenALeaderEndsWhileMachinesAreCutOrDeaf(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 60 * SECOND);
+
         String[] leader = new String[1];
         simulation.after(50 * SECOND, () -> {
             leader[0] = simulation.leader();
@@ -69,17 +72,19 @@
         });
         simulation.after(60 * SECOND, () -> assertNotEquals(leader[0], simulation.leader()));
         simulation.run(95 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
     /** Jobs bound to one zone, arrays too, lose machines. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneLoseMachines(long seed) {
+    void jobsOfOneZoneStayThereWhenTheyLoseMachines(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 12; i++) {
             simulation.users.submit(simulation.jobs.oneZoneBatch(3 + i % 5, 25 * SECOND));
         }
+
         int[] lost = new int[1];
         for (int i = 0; i < 6; i++) {
             simulation.after((35 + 4 * i) * SECOND, () -> {
@@ -92,6 +97,7 @@
         }
         leaderEnds(simulation, 45 * SECOND, 300_000);
         simulation.run(60 * SECOND, 400 * SECOND);
+
         assertTrue(lost[0] > 0, "no machine at work was lost");
         assertRulesAndAllDone(simulation);
     }
@@ -102,11 +108,12 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneUnconfirmed(long seed) {
+    void jobsOfOneZoneStayThereWhileTheyAreUnconfirmed(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 6; i++) {
             simulation.users.submit(simulation.jobs.oneZoneBatch(21, 40 * SECOND));
         }
+
         int[] cut = new int[1];
         simulation.after(40 * SECOND, () -> {
             Set<String> hosts = new HashSet<>();
@@ -118,6 +125,7 @@
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
         });
         simulation.run(60 * SECOND, 700 * SECOND);
+
         assertTrue(cut[0] > 2, cut[0] + " machines were cut off");
         assertRulesAndAllDone(simulation);
     }
@@ -130,10 +138,11 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void leaderRefusedThenOutage(long seed) {
+    void cancelledTasksEndWhenTheLeaderIsRefusedBeforeAnOutage(long seed) {
         Simulation simulation = simulation(seed);
         simulation.peersSendNoCancellations = seed > 2;
         List<JobSpec> jobs = longWork(simulation, 6, 8, 300 * SECOND);
+
         int[] confirmed = new int[1];
         int[] running = new int[1];
         int[] answered = new int[1];
@@ -153,6 +162,7 @@
             });
         });
         simulation.run(70 * SECOND + simulation.shape.cancel() + 20 * SECOND, 400 * SECOND);
+
         assertTrue(
                 running[0] >= 10 && confirmed[0] >= 10,
                 running[0] + " jobs ran, " + confirmed[0] + " cancellations confirmed");
@@ -163,9 +173,10 @@
     /** The store answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void slowThenRefusedThenOutage(long seed) {
+    void cancellationsHoldWhileTheStoreIsSlowThenRefusesThenIsAway(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
         longWork(simulation, 6, 6, 100 * SECOND);
+
         simulation.after(45 * SECOND, () -> simulation.world.heldUp = 0.05);
         simulation.after(60 * SECOND, () -> simulation.world.heldUp = 0);
         int[] told = new int[2];
@@ -180,6 +191,7 @@
             told[1] = simulation.rules.cancellationsTold();
         });
         simulation.run(70 * SECOND + simulation.shape.cancel() + 6 * SECOND, 600 * SECOND);
+
         assertTrue(told[1] > told[0], "nothing was cancelled while the leader was refused");
         assertRulesAndAllDone(simulation);
     }
@@ -187,9 +199,10 @@
     /** A zone with workers and a controller is cut off for longer than a lease, and jobs are cancelled meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void zoneCutOffForLongerThanALease(long seed) {
+    void cancelledTasksEndInAZoneCutOffForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 70 * SECOND);
+
         int[] told = new int[1];
         simulation.after(
                 50 * SECOND,
@@ -200,6 +213,7 @@
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         simulation.after(50 * SECOND + simulation.shape.lease(), () -> told[0] = simulation.rules.cancellationsTold());
         simulation.run(65 * SECOND + simulation.shape.lease(), 500 * SECOND);
+
         assertTrue(told[0] > 0, "nothing was cancelled in the cut");
         assertRulesAndAllDone(simulation);
     }
@@ -207,9 +221,10 @@
     /** All controllers are away for longer than a lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void allControllersAwayForLongerThanALease(long seed) {
+    void workGoesOnAfterAllControllersWereAwayForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 6, 70 * SECOND);
+
         int[] left = {-1};
         simulation.after(
                 50 * SECOND,
@@ -219,6 +234,7 @@
                 54 * SECOND + simulation.shape.lease(),
                 () -> left[0] = simulation.rules.running().size());
         simulation.run(57 * SECOND + simulation.shape.lease(), 400 * SECOND);
+
         assertEquals(0, left[0], "every lease ran out");
         assertRulesAndAllDone(simulation);
         simulation.rules.checkServed();
@@ -231,11 +247,12 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void tasksOfOneJobEndFarApart(long seed) {
+    void jobsAreDoneWhenTheirTasksEndFarApart(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 15; i++) {
             simulation.users.submit(simulation.jobs.batch(2 + i % 2, (10 + 4 * i) * SECOND));
         }
+
         Set<String> leaders = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             simulation.after((28 + 9 * i) * SECOND, () -> {
@@ -246,6 +263,7 @@
         }
         simulation.after(65 * SECOND, () -> simulation.store.lateWrites = 0);
         simulation.run(78 * SECOND, 300 * SECOND);
+
         assertTrue(leaders.size() > 1, "one leader throughout");
         assertRulesAndAllDone(simulation);
     }
@@ -256,11 +274,12 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void teamAtItsLimitWhenTheLeaderChanges(long seed) {
+    void aTeamStaysWithinItsLimitWhenTheLeaderChanges(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(simulation.jobs.limitedBatch(6, 40 * SECOND));
         }
+
         boolean[] met = new boolean[1];
         simulation.after(55 * SECOND, () -> {
             List<String> running = simulation.rules.running();
@@ -281,6 +300,7 @@
             }
         });
         simulation.run(80 * SECOND, 600 * SECOND);
+
         assertTrue(met[0], "the team was not at its limit");
         assertRulesAndAllDone(simulation);
     }
@@ -288,9 +308,10 @@
     /** Ten leaders in two minutes, also with an outage among them, and cancellations all the time. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void tenLeadersInTwoMinutes(long seed) {
+    void workIsDoneUnderTenLeadersInTwoMinutes(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 120 * SECOND);
         longWork(simulation, 6, 4, 60 * SECOND);
+
         int[] changes = new int[1];
         for (int i = 0; i < 11; i++) {
             simulation.after((35 + 11 * i) * SECOND, () -> {
@@ -307,6 +328,7 @@
         }
         simulation.after(90 * SECOND, () -> simulation.store.outage(20 * SECOND));
         simulation.run(160 * SECOND, 600 * SECOND);
+
         assertTrue(changes[0] >= 5, changes[0] + " changes of leader");
         assertRulesAndAllDone(simulation);
     }
@@ -314,9 +336,10 @@
     /** Controllers hand over and back, all end, and one returns, also within a second. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void allEndAndOneReturnsAtOnce(long seed) {
+    void theOneThatReturnsAtOnceLeadsAfterAllHaveEnded(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
         simulation.world.lateCopies = 0.1;
+
         simulation.after(40 * SECOND, () -> {
             String first = simulation.leader();
             simulation.faults.crash(first, 400_000);
@@ -328,6 +351,7 @@
             simulation.after(20 * SECOND, () -> assertEquals(first, simulation.leader()));
         });
         simulation.run(80 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -346,8 +370,10 @@
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         JobSpec late = simulation.jobs.withoutDeadline(
                 simulation.jobs.job(false, 2, Priority.BEST_EFFORT, "free", true, false, false, 20 * SECOND, 0));
+
         simulation.after(60 * SECOND, () -> simulation.users.submit(late));
         simulation.run(20 * SECOND, 400 * SECOND);
+
         assertTrue(simulation.rules.begunAfter(late.id()) > 30 * SECOND, "it found room at once");
         assertRules(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -20,8 +20,9 @@
     /** Transactions without an answer are carried out late, after newer ones of the same controller. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void transactionsAreCarriedOutLate(long seed) {
+    void lateTransactionsDoNotOverwriteNewerOnes(long seed) {
         Simulation simulation = withJobs(simulation(seed), 40, 100 * SECOND);
+
         simulation.after(10 * SECOND, () -> simulation.store.lateWrites = 0.3);
         for (int i = 0; i < 4; i++) {
             simulation.after(
@@ -31,6 +32,7 @@
         }
         simulation.after(120 * SECOND, () -> simulation.store.lateWrites = 0);
         simulation.run(135 * SECOND, 500 * SECOND);
+
         assertTrue(simulation.store.lateSuccesses > 0, "no late transaction went in");
         assertRulesAndAllDone(simulation);
     }
@@ -41,9 +43,10 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void muteMachinesAndANewLeader(long seed) {
+    void workOfMuteMachinesIsDoneUnderANewLeader(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 40 * SECOND);
+
         int[] muted = new int[1];
         simulation.after(
                 45 * SECOND,
@@ -57,6 +60,7 @@
         leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
         simulation.run(60 * SECOND + simulation.shape.lease(), 400 * SECOND);
+
         assertTrue(muted[0] > 2, muted[0] + " machines at work fell mute");
         assertRulesAndAllDone(simulation);
     }
@@ -64,9 +68,10 @@
     /** Reports are held back until a new leader has acted, and then arrive there and at the former one. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void heartbeatsOfBeforeArriveAtTheNewLeader(long seed) {
+    void heartbeatsOfBeforeProveNothingToTheNewLeader(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 20 * SECOND);
+
         int[] met = new int[2];
         simulation.after(45 * SECOND, () -> {
             int fencingTokens = simulation.store.writesOf(Keys.FENCING_TOKEN);
@@ -82,6 +87,7 @@
             simulation.after(3 * simulation.shape.lease(), () -> held.forEach(simulation.faults::deliver));
         });
         simulation.run(50 * SECOND + 3 * simulation.shape.lease(), 400 * SECOND);
+
         assertTrue(
                 met[0] > 2 && met[1] > 0, met[0] + " reports held back, " + met[1] + " fencing tokens drawn meanwhile");
         assertRulesAndAllDone(simulation);
@@ -90,9 +96,10 @@
     /** Old reports arrive after newer ones, also of earlier agent epochs and attempts. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void heartbeatsOfEarlierAgentEpochsAndAttempts(long seed) {
+    void heartbeatsOfEarlierAgentEpochsAndAttemptsProveNothing(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 10, 15 * SECOND);
+
         int[] delivered = new int[1];
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
@@ -112,6 +119,7 @@
         }
         leaderEnds(simulation, 60 * SECOND, 300_000);
         simulation.run(80 * SECOND + 2 * simulation.shape.lease(), 500 * SECOND);
+
         assertTrue(delivered[0] > 10, delivered[0] + " old reports");
         assertRulesAndAllDone(simulation);
     }
@@ -119,9 +127,10 @@
     /** Commands and their answers are held up for seconds, machines hang and go on, and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void commandsHeldUpWhileMachinesHang(long seed) {
+    void commandsHeldUpWhileMachinesHangStartNothingTwice(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
         longWork(simulation, 4, 6, 40 * SECOND);
+
         simulation.after(25 * SECOND, () -> simulation.world.heldUp = 0.08);
         for (int i = 0; i < 6; i++) {
             simulation.after(
@@ -130,6 +139,7 @@
         }
         simulation.after(85 * SECOND, () -> simulation.world.heldUp = 0);
         simulation.run(125 * SECOND, 500 * SECOND);
+
         assertTrue(simulation.rules.cancellationsTold() > 5);
         assertRulesAndAllDone(simulation);
     }
@@ -141,9 +151,10 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void startsHeldUpAndLaterCallsAnswered(long seed) {
+    void answersOfLaterCallsAreNotTakenForThoseOfHeldStarts(long seed) {
         Simulation simulation = crowded(seed);
         longWork(simulation, 2, 16, 25 * SECOND);
+
         int[] told = new int[1];
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
@@ -158,6 +169,7 @@
             told[0] = simulation.rules.cancellationsTold() - told[0];
         });
         simulation.run(65 * SECOND, 500 * SECOND);
+
         assertTrue(told[0] > 3, told[0] + " cancellations");
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.LongStream;
+import java.util.stream.Stream;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -73,7 +74,14 @@
         }
     }
 
+    /** All troubles, always in this order: the seed draws from it. */
     private static List<Consumer<Simulation>> troubles() {
+        return Stream.of(ofControllersAndLinks(), ofMessages(), ofMachines())
+                .flatMap(List::stream)
+                .toList();
+    }
+
+    private static List<Consumer<Simulation>> ofControllersAndLinks() {
         return List.of(
                 simulation -> simulation.faults.crash(
                         simulation.leader(), 200_000 + simulation.world.random.nextInt(6_000_000)),
@@ -89,8 +97,12 @@
                 simulation -> simulation.faults.cutZone(
                         simulation.zoneOf(simulation.anyNode()), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.freeze(simulation.leader(), time(simulation)),
-                simulation ->
-                        simulation.users.cancelRunning(6, simulation.world.random.nextBoolean() ? 0 : time(simulation)),
+                simulation -> simulation.users.cancelRunning(
+                        6, simulation.world.random.nextBoolean() ? 0 : time(simulation)));
+    }
+
+    private static List<Consumer<Simulation>> ofMessages() {
+        return List.of(
                 simulation -> {
                     simulation.cancelledAtEnd = 0.5;
                     simulation.after(time(simulation), () -> simulation.cancelledAtEnd = 0);
@@ -107,7 +119,11 @@
                     simulation.world.heldUp = 0.06;
                     simulation.after(time(simulation), () -> simulation.world.heldUp = 0);
                 },
-                simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)),
+                simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)));
+    }
+
+    private static List<Consumer<Simulation>> ofMachines() {
+        return List.of(
                 simulation -> someMachines(simulation, worker -> simulation.faults.deafen(worker, time(simulation))),
                 simulation -> someMachines(simulation, worker -> simulation.faults.mute(worker, time(simulation))),
                 simulation -> someMachines(
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -57,11 +58,13 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void servicesResumeBeforeBatchWork(long seed) {
         Simulation simulation = busy(seed);
+
         simulation.after(RESTART, () -> {
             restart(simulation, seed % 2 == 0);
             endAllWork(simulation);
         });
         simulation.run(RESTART + 30 * SECOND, 400 * SECOND);
+
         assertRulesAndAllDone(simulation);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART);
         List<Boolean> liveWorkBacklog =
@@ -118,6 +121,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void silentMachinesHoldNobodyBeyondTheBound(long seed) {
         Simulation simulation = busy(seed);
+
         simulation.after(RESTART, () -> {
             restart(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
@@ -130,6 +134,7 @@
             all.forEach(worker -> worker.endTasks(spec -> !spec.service(), Cause.STOPPED));
         });
         simulation.run(RESTART + 30 * SECOND);
+
         List<SimCommands.Start> batch = simulation.commands.startsSince(RESTART).stream()
                 .filter(start -> !isService(simulation, start))
                 .toList();
@@ -137,7 +142,9 @@
         assertTrue(
                 batch.get(0).at() < RESTART + HOLD + 12 * SECOND,
                 "the first batch task started " + (batch.get(0).at() - RESTART) / 1e6 + " s after the restart");
+
         simulation.run(RESTART + 90 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -146,6 +153,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void servicesDoNotWaitForSilentSpotMachines(long seed) {
         Simulation simulation = busy(seed);
+
         simulation.after(RESTART, () -> {
             restart(simulation, false);
             List<SimWorker> spot = simulation.cloud.workers().stream()
@@ -156,6 +164,7 @@
             simulation.cloud.workers().forEach(worker -> worker.endTasks(spec -> spec.service(), Cause.STOPPED));
         });
         simulation.run(RESTART + Simulation.LEASE);
+
         RecoveryStatus status = simulation.recovery();
         assertNotNull(status);
         assertTrue(status.machinesMissing() > 0, "no machine is silent");
@@ -165,7 +174,9 @@
                 .distinct()
                 .count();
         assertEquals(6 * 6, replicas, "replicas that wait for machines which can't hold them");
+
         simulation.run(RESTART + 60 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -182,34 +193,19 @@
         simulation.users.submit(done);
         simulation.users.submit(cancelled, 30 * SECOND);
         simulation.users.describe(unknown);
-        List<TaskId> planted = new ArrayList<>();
-        List<SimWorker> hosts = new ArrayList<>();
+
+        Planted[] planted = new Planted[1];
         simulation.after(RESTART, () -> {
             restart(simulation, false);
-            List<SimWorker> atWork = simulation.cloud.workers().stream()
-                    .filter(worker -> worker.runs().busy())
-                    .toList();
-            SimWorker busy = atWork.get(0);
-            TaskId held = busy.runs().live().get(0).task;
-            SimWorker other = atWork.get(1);
-            for (TaskId task : List.of(
-                    new TaskId(done.id(), 0),
-                    new TaskId(cancelled.id(), 1),
-                    new TaskId(unknown.id(), 2),
-                    new TaskId(held.job(), 99),
-                    held)) {
-                other.runs().plant(task, 3);
-                planted.add(task);
-                hosts.add(other);
-            }
-            busy.runs().plant(held, 5);
+            planted[0] = plant(
+                    simulation, new TaskId(done.id(), 0), new TaskId(cancelled.id(), 1), new TaskId(unknown.id(), 2));
         });
         simulation.run(RESTART + 20 * SECOND);
-        for (int i = 0; i < planted.size() - 1; i++) {
-            assertFalse(
-                    hosts.get(i).runs().get(planted.get(i), 3) != null, planted.get(i) + " is not stopped and cleared");
+
+        for (TaskId task : planted[0].forbidden) {
+            assertNull(planted[0].host.runs().get(task, 3), task + " is not stopped and cleared");
         }
-        TaskId held = planted.get(planted.size() - 1);
+        TaskId held = planted[0].held;
         long attempts = simulation.cloud.workers().stream()
                 .flatMap(worker -> worker.runs().live().stream())
                 .filter(run -> run.task.equals(held))
@@ -221,12 +217,32 @@
         assertTrue(tasks.get(Verdict.ADOPTED) > 0, tasks.toString());
     }
 
+    /** What was planted on a machine: tasks that may not run anywhere, and one that runs elsewhere already. */
+    private record Planted(SimWorker host, List<TaskId> forbidden, TaskId held) {}
+
+    /** Plants these tasks, one beyond the end of a job, and one that another machine holds, under two attempts. */
+    private static Planted plant(Simulation simulation, TaskId... tasks) {
+        List<SimWorker> atWork = simulation.cloud.workers().stream()
+                .filter(worker -> worker.runs().busy())
+                .toList();
+        SimWorker busy = atWork.get(0);
+        TaskId held = busy.runs().live().get(0).task;
+        SimWorker other = atWork.get(1);
+        List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
+        forbidden.add(new TaskId(held.job(), 99));
+        forbidden.forEach(task -> other.runs().plant(task, 3));
+        other.runs().plant(held, 3);
+        busy.runs().plant(held, 5);
+        return new Planted(other, forbidden, held);
+    }
+
     /** Results that came while nobody led count; first reports come twice, late, and from an earlier agent epoch. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void heartbeatsOfBeforeAndResultsOfMeanwhile(long seed) {
+    void resultsOfMeanwhileCountAndHeartbeatsOfBeforeDoNot(long seed) {
         Simulation simulation = busy(seed);
         simulation.world.lateCopies = 0.2;
+
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
                 RESTART - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.latest())));
@@ -242,14 +258,16 @@
                     () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliver));
         }
         simulation.run(RESTART + 40 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
     /** Machines that boot, are terminated by the cloud or die while nobody leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void machinesComeAndGoMeanwhile(long seed) {
+    void workIsDoneWhenMachinesComeAndGoMeanwhile(long seed) {
         Simulation simulation = busy(seed);
+
         // The restart comes while machines boot, so that some are on no record yet.
         simulation.after(4 * SECOND, () -> restart(simulation, seed % 2 == 0));
         simulation.after(RESTART, () -> {
@@ -260,13 +278,14 @@
             }
         });
         simulation.run(RESTART + 5 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
     /** A gang of which one machine is gone, or one zone silent, ends as a whole and starts as a whole. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void gangsOfWhichAPartReports(long seed) {
+    void gangsOfWhichAPartReportsEndAndStartWhole(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
         simulation.recoveryHold = HOLD;
         for (int i = 0; i < 5; i++) {
@@ -274,6 +293,7 @@
                     simulation.jobs.job(false, 9, Priority.STANDARD, "free", false, false, i % 2 == 0, 40 * SECOND, 0));
             simulation.users.submit(simulation.jobs.service(4));
         }
+
         simulation.after(40 * SECOND, () -> {
             restart(simulation, false);
             if (seed % 2 == 0) {
@@ -286,6 +306,7 @@
             }
         });
         simulation.run(75 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -60,12 +60,14 @@
         this.cancelMicros = cancelMicros;
     }
 
+    /** A rule is broken. */
     void breach(String rule, String what) {
         broken.add(rule + " at " + world.now() / 1e6 + " s: " + what);
     }
 
     // ---- machines ----------------------------------------------------------------------------------------------
 
+    /** A task is on a machine now. */
     void started(TaskId task, String host, String type, String zone, boolean spot) {
         starts++;
         begunAt.putIfAbsent(task.job(), world.now());
@@ -106,6 +108,7 @@
         }
     }
 
+    /** A task is no longer on the machine. */
     void left(TaskId task, String host) {
         Where where = on.get(task);
         if (where != null && where.host().equals(host)) {
@@ -113,6 +116,7 @@
         }
     }
 
+    /** A task has its result. */
     void completed(TaskId task) {
         completedAt.put(task.job(), world.now());
         Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
@@ -154,6 +158,7 @@
                 .sum();
     }
 
+    /** The machines that hold tasks of a job. */
     Set<String> hostsOf(String job) {
         Set<String> hosts = new TreeSet<>();
         on.forEach((task, where) -> {
@@ -202,33 +207,22 @@
      * its team is under its limit. Called again and again; whoever is given a start begins to wait anew.
      */
     void checkWaiting(Collection<SimWorker> machines) {
-        Map<String, Integer> held = new HashMap<>();
-        Map<String, Set<String>> zones = new HashMap<>();
-        Map<String, Integer> inZone = new HashMap<>();
-        Map<String, Long> teamCpu = new HashMap<>();
-        for (SimWorker machine : machines) {
-            machine.runs().held().forEach((job, count) -> {
-                held.merge(job, count, Integer::sum);
-                zones.computeIfAbsent(job, unknown -> new HashSet<>()).add(machine.zone);
-                inZone.merge(job + machine.zone, count, Integer::sum);
-                teamCpu.merge(
-                        submitted.get(job).team(), count * submitted.get(job).cpuMillis(), Long::sum);
-            });
-        }
+        Held held = held(machines);
         for (String job : accepted) {
             JobSpec spec = submitted.get(job);
-            int left = spec.tasks() - completed.getOrDefault(job, Set.of()).size() - held.getOrDefault(job, 0);
+            int left = spec.tasks() - completed.getOrDefault(job, Set.of()).size() - held.tasks.getOrDefault(job, 0);
             long limit = teams.get(spec.team()).cpuLimit();
             boolean could = left > 0
-                    && (!spec.gang() || wholeGangFits(spec, left, held.getOrDefault(job, 0), machines))
+                    && (!spec.gang() || wholeGangFits(spec, left, held.tasks.getOrDefault(job, 0), machines))
                     && !cancelAsked.contains(job)
                     && toldFinal.get(job) == null
-                    && (limit == 0 || teamCpu.getOrDefault(spec.team(), 0L) + needed(spec) <= limit)
+                    && (limit == 0 || held.teamCpu.getOrDefault(spec.team(), 0L) + needed(spec) <= limit)
                     && machines.stream()
                             .anyMatch(machine -> machine.wouldTake(spec)
                                     && (!spec.oneZone()
-                                            || Set.of(machine.zone).containsAll(zones.getOrDefault(job, Set.of())))
-                                    && (!spec.spread() || inZone.getOrDefault(job + machine.zone, 0) < spec.zoneCap()));
+                                            || Set.of(machine.zone).containsAll(held.zones.getOrDefault(job, Set.of())))
+                                    && (!spec.spread()
+                                            || held.inZone.getOrDefault(job + machine.zone, 0) < spec.zoneCap()));
             if (!could) {
                 couldRunSince.remove(job);
                 continue;
@@ -243,6 +237,27 @@
         }
     }
 
+    /** What machines hold: tasks by job, a job's zones, tasks by job and zone, and CPUs by team. */
+    private record Held(
+            Map<String, Integer> tasks,
+            Map<String, Set<String>> zones,
+            Map<String, Integer> inZone,
+            Map<String, Long> teamCpu) {}
+
+    private Held held(Collection<SimWorker> machines) {
+        Held held = new Held(new HashMap<>(), new HashMap<>(), new HashMap<>(), new HashMap<>());
+        for (SimWorker machine : machines) {
+            machine.runs().held().forEach((job, count) -> {
+                JobSpec spec = submitted.get(job);
+                held.tasks.merge(job, count, Integer::sum);
+                held.zones.computeIfAbsent(job, unknown -> new HashSet<>()).add(machine.zone);
+                held.inZone.merge(job + machine.zone, count, Integer::sum);
+                held.teamCpu.merge(spec.team(), count * spec.cpuMillis(), Long::sum);
+            });
+        }
+        return held;
+    }
+
     /** What starting more of the job takes of its team's limit, at least. */
     private static long needed(JobSpec spec) {
         return spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
@@ -308,6 +323,7 @@
         unschedulable.add(job);
     }
 
+    /** A user asks to cancel the job, maybe in vain so far. */
     void cancelling(String job) {
         cancelAsked.add(job);
     }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -54,11 +54,13 @@
         snapshot();
     }
 
+    /** Nobody is served. */
     void outage(long forMicros) {
         outage = true;
         world.after(forMicros, () -> outage = false);
     }
 
+    /** The machines that are up, by id. */
     List<SimWorker> workers() {
         return hosts.values().stream()
                 .filter(host -> host.worker != null && host.worker.alive())
@@ -137,63 +139,71 @@
         }
     }
 
+    /** The cloud as one node reaches it. */
     CloudPort portFor(String node) {
-        return new CloudPort() {
-            @Override
-            public void types(Consumer<List<MachineType>> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        () -> outage ? List.<MachineType>of() : types,
-                        answer -> then.accept(answer == null || answer.isEmpty() ? null : answer));
-            }
+        return new Port(node);
+    }
 
-            @Override
-            public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        () -> outage ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
-                        answer -> then.accept(answer == null ? new LaunchResult(Outcome.UNKNOWN, List.of()) : answer));
-            }
+    private final class Port implements CloudPort {
+        private final String node;
 
-            @Override
-            public void terminate(List<String> ids, Consumer<Boolean> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        () -> {
-                            if (!outage) {
-                                ids.forEach(SimCloud.this::remove);
-                            }
-                            return !outage;
-                        },
-                        done -> then.accept(done != null && done));
-            }
+        Port(String node) {
+            this.node = node;
+        }
 
-            @Override
-            public void list(String from, int limit, Consumer<Listing> then) {
-                world.call(
-                        node,
-                        NAME,
-                        TIMEOUT,
-                        () -> {
-                            long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
-                            var seen = snapshots.floorEntry(at);
-                            List<ListedHost> all = seen == null ? List.of() : seen.getValue();
-                            return new Listing(
-                                    outage ? Outcome.REFUSED : Outcome.OK,
-                                    all.stream()
-                                            .filter(host -> host.id().compareTo(from) > 0)
-                                            .toList(),
-                                    false);
-                        },
-                        answer ->
-                                then.accept(answer == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : answer));
-            }
-        };
+        @Override
+        public void types(Consumer<List<MachineType>> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    () -> outage ? List.<MachineType>of() : types,
+                    answer -> then.accept(answer == null || answer.isEmpty() ? null : answer));
+        }
+
+        @Override
+        public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    () -> outage ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
+                    answer -> then.accept(answer == null ? new LaunchResult(Outcome.UNKNOWN, List.of()) : answer));
+        }
+
+        @Override
+        public void terminate(List<String> ids, Consumer<Boolean> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    () -> {
+                        if (!outage) {
+                            ids.forEach(SimCloud.this::remove);
+                        }
+                        return !outage;
+                    },
+                    done -> then.accept(done != null && done));
+        }
+
+        @Override
+        public void list(String from, int limit, Consumer<Listing> then) {
+            world.call(
+                    node,
+                    NAME,
+                    TIMEOUT,
+                    () -> {
+                        long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
+                        var seen = snapshots.floorEntry(at);
+                        List<ListedHost> all = seen == null ? List.of() : seen.getValue();
+                        return new Listing(
+                                outage ? Outcome.REFUSED : Outcome.OK,
+                                all.stream()
+                                        .filter(host -> host.id().compareTo(from) > 0)
+                                        .toList(),
+                                false);
+                    },
+                    answer -> then.accept(answer == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : answer));
+        }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -13,6 +13,7 @@
         this.simulation = simulation;
     }
 
+    /** A controller that is up ends and comes back after a while. */
     void crash(String node, long forMicros) {
         Simulation.Node crashed = simulation.nodes.get(node);
         if (crashed.controller != null) {
@@ -39,11 +40,13 @@
         simulation.world.after(forMicros, () -> simulation.world.thaw(node));
     }
 
+    /** Nothing passes between the two, in either direction. */
     void cut(String one, String other, World.Cut how, long forMicros) {
         simulation.world.cut(one, other, how);
         simulation.world.after(forMicros, () -> simulation.world.heal(one, other));
     }
 
+    /** A controller loses all machines that are up. */
     void cutFromWorkers(String node, World.Cut how, long forMicros) {
         for (SimWorker worker : simulation.cloud.workers()) {
             cut(node, worker.id, how, forMicros);
@@ -69,6 +72,7 @@
         deliver(simulation.leader(), late);
     }
 
+    /** The same at one controller. */
     void deliver(String node, Heartbeat late) {
         Controller controller = simulation.nodes.get(node).controller;
         if (controller != null) {
@@ -106,6 +110,7 @@
         }
     }
 
+    /** A machine loses all controllers. */
     void cutMachine(SimWorker worker, World.Cut how, long forMicros) {
         for (String name : simulation.names) {
             cut(name, worker.id, how, forMicros);
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -130,6 +130,7 @@
                 deadlineMicros);
     }
 
+    /** A service or other work, of drawn size, place and length. */
     JobSpec randomJob() {
         boolean service = world.random.nextInt(3) == 0;
         return job(
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -16,6 +16,7 @@
         this.simulation = simulation;
     }
 
+    /** How this controller reaches the others. */
     PeerPort peerPort(String node) {
         return new PeerPort() {
             @Override
@@ -51,55 +52,64 @@
         };
     }
 
+    /** How this controller calls machines. */
     WorkerPort workerPort(String node) {
-        return new WorkerPort() {
-            private int calls;
+        return new DirectCalls(node);
+    }
 
-            @Override
-            public void send(
-                    String address,
-                    long fencingToken,
-                    long agentEpoch,
-                    List<WorkerCommand> commands,
-                    Consumer<Reply> then) {
-                long term = simulation.nodes.get(node).controller.term();
-                simulation.commands.sent(term, node, address, commands);
-                boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
-                simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
-                simulation.world.<Reply>callLater(
-                        node,
-                        address,
-                        2 * Simulation.SECOND,
-                        answer -> {
-                            Runnable serve = () -> serveWhenAwake(
-                                    address, worker -> worker.commands(fencingToken, agentEpoch, commands), answer);
-                            if (starts && simulation.heldStarts > 0) {
-                                simulation.world.after(simulation.heldStarts, serve);
-                            } else {
-                                serve.run();
-                            }
-                        },
-                        reply -> {
-                            calls--;
-                            if (reply != null) {
-                                simulation.commands.heard(term, address);
-                            }
-                            then.accept(reply == null ? new Reply(false, null) : reply);
-                        });
-            }
+    /** Calls of one controller to machines. */
+    private final class DirectCalls implements WorkerPort {
+        private final String node;
+        private int calls;
+
+        DirectCalls(String node) {
+            this.node = node;
+        }
 
-            // A hanging machine carries commands out when it goes on.
-            private void serveWhenAwake(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
-                for (SimWorker worker : simulation.cloud.workers()) {
-                    if (worker.id.equals(address)) {
-                        if (worker.hangs()) {
-                            simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
+        @Override
+        public void send(
+                String address,
+                long fencingToken,
+                long agentEpoch,
+                List<WorkerCommand> commands,
+                Consumer<Reply> then) {
+            long term = simulation.nodes.get(node).controller.term();
+            simulation.commands.sent(term, node, address, commands);
+            boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
+            simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
+            simulation.world.<Reply>callLater(
+                    node,
+                    address,
+                    2 * Simulation.SECOND,
+                    answer -> {
+                        Runnable serve = () -> serveWhenAwake(
+                                address, worker -> worker.commands(fencingToken, agentEpoch, commands), answer);
+                        if (starts && simulation.heldStarts > 0) {
+                            simulation.world.after(simulation.heldStarts, serve);
                         } else {
-                            answer.accept(serve.apply(worker));
+                            serve.run();
                         }
+                    },
+                    reply -> {
+                        calls--;
+                        if (reply != null) {
+                            simulation.commands.heard(term, address);
+                        }
+                        then.accept(reply == null ? new Reply(false, null) : reply);
+                    });
+        }
+
+        /** A hanging machine carries commands out when it goes on. */
+        private void serveWhenAwake(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
+            for (SimWorker worker : simulation.cloud.workers()) {
+                if (worker.id.equals(address)) {
+                    if (worker.hangs()) {
+                        simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
+                    } else {
+                        answer.accept(serve.apply(worker));
                     }
                 }
             }
-        };
+        }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimRuns.java
@@ -43,10 +43,12 @@
         this.jobs = jobs;
     }
 
+    /** All attempts, in the order in which they came. */
     Collection<Run> all() {
         return runs.values();
     }
 
+    /** The attempt; null when it is not known here. */
     Run get(TaskId task, long attempt) {
         return runs.get(new Key(task, attempt));
     }
@@ -85,6 +87,7 @@
         add(run);
     }
 
+    /** Whether any task runs. */
     boolean busy() {
         return runs.values().stream().anyMatch(run -> run.state == TaskState.RUNNING);
     }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -91,11 +91,13 @@
         rates.lowerWrites(next.writesPerSecond());
     }
 
+    /** Nobody is served, and no lease ends meanwhile. */
     void outage(long forMicros) {
         setOutage(true);
         world.after(forMicros, () -> setOutage(false));
     }
 
+    /** This node alone is not served. */
     void refuse(String node, long forMicros) {
         refuse(node, true);
         world.after(forMicros, () -> refuse(node, false));
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -124,6 +124,7 @@
                 }));
     }
 
+    /** A user calls the job off, at any controller until one has confirmed it. */
     void cancel(String id) {
         cancelAt(simulation.anyNode(), id);
     }
@@ -175,11 +176,13 @@
                 });
     }
 
+    /** A user asks for a job that nobody has submitted. */
     void pollUnknownJob() {
         String id = "run-999" + simulation.world.random.nextInt(1000);
         ask(id, (controller, then) -> controller.poll(id, then), answer -> {});
     }
 
+    /** Accepted jobs, services aside, of which no user was told the end. */
     List<String> unfinishedBatches() {
         List<String> list = new ArrayList<>();
         for (JobSpec spec : described.values()) {
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -95,6 +95,7 @@
         muted = now;
     }
 
+    /** What it reported last; null before the first report. */
     Heartbeat latest() {
         return latest;
     }
@@ -125,6 +126,7 @@
         return !dead;
     }
 
+    /** It is gone for good, with all that runs on it. */
     void die() {
         if (!dead) {
             dead = true;
@@ -133,6 +135,7 @@
         }
     }
 
+    /** While it hangs it does nothing, but its clock runs on. */
     void hang(boolean now) {
         hanging = now;
         if (!now && !dead) {
@@ -145,6 +148,7 @@
         world.after(micros, () -> hang(false));
     }
 
+    /** The cloud takes it back after this time, and it tells so. */
     void notice(long micros) {
         noticeEnd = world.now() + micros;
         changed = true;
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -277,6 +277,7 @@
         }
     }
 
+    /** The zone in which a controller stands. */
     String zoneOf(String node) {
         return ZONES.get(names.indexOf(node) % ZONES.size());
     }
@@ -287,6 +288,7 @@
         }
     }
 
+    /** The controller that takes itself for the leader, or the first of all while none does. */
     String leader() {
         return leadersOtherThan(null).findFirst().orElse(names.get(0));
     }
@@ -330,10 +332,12 @@
         return controller == null ? null : controller.recoveryStatus();
     }
 
+    /** A controller drawn at random. */
     String anyNode() {
         return names.get(world.random.nextInt(names.size()));
     }
 
+    /** A machine drawn at random; null while there is none. */
     SimWorker anyWorker() {
         List<SimWorker> all = cloud.workers();
         return all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -66,7 +66,9 @@
     @Test
     void quietDayFinishesItsWork() {
         Simulation simulation = withJobs(1, 25, 90 * SECOND);
+
         simulation.run(240 * SECOND);
+
         assertRulesAndAllDone(simulation);
         assertTrue(simulation.users.doneTold > 5);
     }
@@ -76,12 +78,14 @@
     void anyTroublesTogether(long seed) {
         Simulation simulation = withJobs(seed, 40, 200 * SECOND);
         simulation.world.lateCopies = 0.02;
+
         for (int i = 0; i < 14; i++) {
             simulation.after(
                     15 * SECOND + (long) (simulation.world.random.nextDouble() * 200 * SECOND),
                     () -> trouble(simulation));
         }
         simulation.run(600 * SECOND);
+
         assertRules(simulation);
         assertEquals(List.of(), simulation.users.unfinishedBatches(), "work must go on once the troubles are over");
     }
@@ -126,10 +130,11 @@
     /** Leader cut from the store alone: it must fall silent before an unseen cancellation overstays. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancellationReachesTasksOfALeaderCutFromTheState(long seed) {
+    void cancellationReachesTasksOfALeaderCutFromTheStore(long seed) {
         Simulation simulation = new Simulation(seed);
         JobSpec service = simulation.jobs.service(4);
         simulation.users.submit(service, 40 * SECOND);
+
         simulation.after(35 * SECOND, () -> {
             String leader = simulation.leader();
             simulation.faults.cut(leader, SimStore.NAME, World.Cut.HOLD, 120 * SECOND);
@@ -141,6 +146,7 @@
             }
         });
         simulation.run(200 * SECOND);
+
         assertRules(simulation);
     }
 
@@ -150,8 +156,9 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
-    void machineCutInOneDirection(long seed) {
+    void machineCutInOneDirectionIsGivenBack(long seed) {
         Simulation simulation = new Simulation(seed, 3, 2);
+
         for (int i = 0; i < 12; i++) {
             simulation.after(
                     2 * SECOND + 8L * i * SECOND, () -> simulation.users.submit(simulation.jobs.batch(40, 8 * SECOND)));
@@ -168,6 +175,7 @@
             }
         });
         simulation.run(200 * SECOND, 700 * SECOND);
+
         assertRulesAndAllDone(simulation);
         assertFalse(cut[0].alive(), "it is to be returned");
         int slots = (int) (cut[0].type.cpuMillis() / 2_000);
@@ -181,9 +189,10 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {16, 17})
-    void mostMachinesStopHearing(long seed) {
+    void machinesThatStopHearingAreNotFilledAgain(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         submitBatches(simulation, 8, 200, 8 * SECOND);
+
         List<SimWorker> deaf = new ArrayList<>();
         List<Integer> before = new ArrayList<>();
         simulation.after(
@@ -194,19 +203,23 @@
                     simulation.faults.deafen(worker, 80 * SECOND);
                 }));
         simulation.run(125 * SECOND);
+
         for (int i = 0; i < deaf.size(); i++) {
             int slots = (int) (deaf.get(i).type.cpuMillis() / 2_000);
             int filled = simulation.commands.startsOf(deaf.get(i).id) - before.get(i);
             assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
         }
+
         simulation.run(130 * SECOND, 700 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
     /** A heartbeat of a machine that is gone arrives once more, much later: nothing is placed on the ghost. */
     @Test
-    void lateHeartbeatOfAMachineThatIsGone() {
+    void lateHeartbeatOfAMachineThatIsGoneBringsItNoWork() {
         Simulation simulation = new Simulation(15, 3, 1);
+
         simulation.after(2 * SECOND, () -> simulation.users.submit(simulation.jobs.batch(900, 8 * SECOND)));
         SimWorker[] gone = new SimWorker[1];
         int[] before = new int[1];
@@ -220,6 +233,7 @@
             }
         });
         simulation.run(110 * SECOND);
+
         assertRules(simulation);
         assertEquals(before[0], simulation.commands.startsOf(gone[0].id), "work was placed on a machine that is gone");
     }
@@ -227,9 +241,10 @@
     /** Copies of heartbeats and requests, seconds to several leases late, while leaders and machines come and go. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-    void lateCopiesOfHeartbeats(long seed) {
+    void lateCopiesOfHeartbeatsChangeNothing(long seed) {
         Simulation simulation = withJobs(seed, 35, 120 * SECOND);
         simulation.world.lateCopies = 0.25;
+
         for (int i = 0; i < 5; i++) {
             simulation.after(
                     (20 + 25 * i) * SECOND,
@@ -238,6 +253,7 @@
             simulation.after((32 + 25 * i) * SECOND, () -> machineTrouble(simulation, World.Cut.HOLD, 15 * SECOND));
         }
         simulation.run(180 * SECOND, 420 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -246,15 +262,17 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
-    void leaderKeepsOnlyItsWorkers(long seed) {
+    void cancelledTasksEndWhenTheLeaderKeepsOnlyItsWorkers(long seed) {
         Simulation simulation = withJobs(seed, 25, 80 * SECOND);
         for (int i = 0; i < 3; i++) {
             simulation.users.submit(simulation.jobs.service(4), (30 + 6 * i) * SECOND);
         }
+
         simulation.after(
                 32 * SECOND,
                 () -> simulation.faults.cutFromPeersAndStore(simulation.leader(), cutOf(seed), 70 * SECOND));
         simulation.run(110 * SECOND, 300 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -264,8 +282,9 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
-    void replacedLeaderAcceptsAJob(long seed) {
+    void jobAcceptedByAReplacedLeaderIsItsSuccessors(long seed) {
         Simulation simulation = withJobs(seed, 10, 30 * SECOND);
+
         simulation.after(40 * SECOND, () -> {
             String former = simulation.leader();
             simulation.faults.cut(former, SimStore.NAME, World.Cut.HOLD, 4 * SECOND);
@@ -286,6 +305,7 @@
             }
         });
         simulation.run(60 * SECOND, 300 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -297,7 +317,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
-    void leaderStandsStillAndWakes(long seed) {
+    void leaderThatStoodStillKeepsNoCancelledTaskAlive(long seed) {
         Simulation simulation = new Simulation(
                 seed,
                 Shape.small()
@@ -311,6 +331,7 @@
             simulation.users.submit(services[i]);
             simulation.users.submit(simulation.jobs.batch(30, 8 * SECOND));
         }
+
         simulation.after(45 * SECOND, () -> {
             String leader = simulation.leader();
             String other = simulation.names.get(1 - simulation.names.indexOf(leader));
@@ -320,6 +341,7 @@
             List.of(services).forEach(job -> simulation.users.cancelAt(other, job.id()));
         });
         simulation.run(120 * SECOND, 400 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -330,10 +352,12 @@
         Simulation simulation =
                 new Simulation(seed, Shape.small().withPerOffer(1).withReport(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
+
         // In an outage no successor is found, and the leader is the leader still when all goes on.
         simulation.after(60 * SECOND, () -> simulation.store.outage(12_900_000));
         simulation.after(61 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 12 * SECOND));
         simulation.run(85 * SECOND, 200 * SECOND);
+
         assertRules(simulation);
         assertEquals(List.of(), simulation.cloud.terminatedBusy, "returned with tasks on them");
     }
@@ -350,6 +374,7 @@
             simulation.users.submit(simulation.jobs.service(6));
             simulation.users.submit(simulation.jobs.batch(20, 25 * SECOND));
         }
+
         long[] before = new long[1];
         long[] least = {Long.MAX_VALUE};
         simulation.after(50 * SECOND, () -> {
@@ -363,6 +388,7 @@
             simulation.after((50 + i) * SECOND, () -> least[0] = Math.min(least[0], simulation.rules.replicasUp()));
         }
         simulation.run(82 * SECOND, 400 * SECOND);
+
         assertRulesAndAllDone(simulation);
         assertEquals(60, before[0]);
         assertTrue(least[0] >= 57, "only " + least[0] + " of " + before[0] + " replicas up");
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -60,17 +60,22 @@
                 new Scenario("any two troubles meet", new RandomFaultPairsTest()::anyTwoTroublesMeet, 0, 1, 2, 3, 4, 5),
                 new Scenario("faulty machines", new FaultyMachinesTest()::faultyMachinesAreFoundAfterFewFailures, 1),
                 new Scenario("faulty jobs", new FaultyMachinesTest()::jobsThatFailEverywhereTakeNoMachines, 11),
-                new Scenario("overload over slow links", combined::overloadOverSlowLinks, 1),
-                new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneLoseMachines, 1, 2),
-                new Scenario("zone cut off for long", combined::zoneCutOffForLongerThanALease, 1, 2),
-                new Scenario("team at its limit", combined::teamAtItsLimitWhenTheLeaderChanges, 1, 2),
-                new Scenario("writes carried out late", delayed::transactionsAreCarriedOutLate, 1, 2),
-                new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeArriveAtTheNewLeader, 1, 2),
-                new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHang, 1),
-                new Scenario("starts held up", delayed::startsHeldUpAndLaterCallsAnswered, 1),
-                new Scenario("cancelled at the end", cancellation::cancelledAtTheEnd, 1),
-                new Scenario("cancelled through the new leader", cancellation::cancelledThroughTheNewLeader, 1, 2),
-                new Scenario("cancelled on hanging machines", cancellation::machinesHangWithCancelledTasks, 1));
+                new Scenario("overload over slow links", combined::overloadOverSlowLinksLeavesNobodyUnserved, 1),
+                new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneStayThereWhenTheyLoseMachines, 1, 2),
+                new Scenario(
+                        "zone cut off for long", combined::cancelledTasksEndInAZoneCutOffForLongerThanALease, 1, 2),
+                new Scenario("team at its limit", combined::aTeamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
+                new Scenario("writes carried out late", delayed::lateTransactionsDoNotOverwriteNewerOnes, 1, 2),
+                new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeProveNothingToTheNewLeader, 1, 2),
+                new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHangStartNothingTwice, 1),
+                new Scenario("starts held up", delayed::answersOfLaterCallsAreNotTakenForThoseOfHeldStarts, 1),
+                new Scenario("cancelled at the end", cancellation::jobsCancelledAtTheirEndHaveOneOutcome, 1),
+                new Scenario(
+                        "cancelled through the new leader",
+                        cancellation::tasksCancelledThroughTheNewLeaderEndAtTheFormerOne,
+                        1,
+                        2),
+                new Scenario("cancelled on hanging machines", cancellation::cancelledTasksEndOnMachinesThatHang, 1));
     }
 
     private static List<Scenario> gangsAndGuarantees() {
@@ -100,7 +105,7 @@
                 new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
                 new Scenario("cold restart", recovery::servicesResumeBeforeBatchWork, 1, 2),
                 new Scenario("cold restart, forbidden work", recovery::whatMayNotRunIsStoppedAndCleared, 1),
-                new Scenario("cold restart, gangs", recovery::gangsOfWhichAPartReports, 1),
+                new Scenario("cold restart, gangs", recovery::gangsOfWhichAPartReportsEndAndStartWhole, 1),
                 new Scenario("cold restart, store away", troubles::theStateServiceIsAwayOrSlow, 1, 2),
                 new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
                 new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
--- a/src/test/java/org/granitepath/simulation/World.java
+++ b/src/test/java/org/granitepath/simulation/World.java
@@ -46,10 +46,12 @@
         random = new Random(seed);
     }
 
+    /** The simulated time, in microseconds. */
     long now() {
         return now;
     }
 
+    /** Does this so much later than now. */
     void after(long delay, Runnable action) {
         events.add(new Event(now + Math.max(0, delay), order++, action));
     }
@@ -69,6 +71,7 @@
         return from + ">" + to;
     }
 
+    /** Both directions. */
     void cut(String one, String other, Cut how) {
         cuts.put(link(one, other), how);
         cuts.put(link(other, one), how);
@@ -79,6 +82,7 @@
         cuts.put(link(from, to), Cut.DROP);
     }
 
+    /** Packets pass again, those first that were kept. */
     void heal(String one, String other) {
         for (String direction : List.of(link(one, other), link(other, one))) {
             cuts.remove(direction);
@@ -92,6 +96,7 @@
         }
     }
 
+    /** The host's process ends, or a new one is there. */
     void setDown(String host, boolean isDown) {
         if (isDown) {
             down.add(host);
@@ -134,6 +139,7 @@
         }
     }
 
+    /** The host stands still while its clock runs on. */
     void freeze(String host) {
         frozenPackets.putIfAbsent(host, new ArrayDeque<>());
         frozenTimers.putIfAbsent(host, new ArrayDeque<>());
@@ -154,6 +160,7 @@
         callLater(from, to, timeout, answer -> answer.accept(serve.get()), then);
     }
 
+    /** The same, where the other side answers when it likes. */
     <T> void callLater(String from, String to, long timeout, Consumer<Consumer<T>> serve, Consumer<T> then) {
         boolean[] over = new boolean[1];
         int life = ended.getOrDefault(from, 0);
