--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimRuns.java
@@ -8,6 +8,7 @@
 import java.util.function.Function;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
@@ -42,10 +43,12 @@
         this.jobs = jobs;
     }
 
+    /** All attempts, in the order in which they came. */
     Collection<Run> all() {
         return runs.values();
     }
 
+    /** The attempt; null when it is not known here. */
     Run get(TaskId task, long attempt) {
         return runs.get(new Key(task, attempt));
     }
@@ -62,6 +65,13 @@
         runs.clear();
     }
 
+    /** What a heartbeat tells of them. */
+    List<TaskStatus> statuses() {
+        return runs.values().stream()
+                .map(run -> new TaskStatus(run.task, run.attempt, run.state, run.cause, run.saved))
+                .toList();
+    }
+
     /** The attempts that have not exited. */
     List<Run> live() {
         return runs.values().stream()
@@ -77,6 +87,7 @@
         add(run);
     }
 
+    /** Whether any task runs. */
     boolean busy() {
         return runs.values().stream().anyMatch(run -> run.state == TaskState.RUNNING);
     }
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/TransactionLimits.java
@@ -0,0 +1,25 @@
+package org.granitepath.simulation;
+
+import org.granitepath.protocol.Json;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.StoredRecordCodec;
+
+/** How large a transaction the simulated store takes: its changes, its preconditions and each of its values. */
+record TransactionLimits(int changes, int valueBytes) {
+    private static final int PRECONDITIONS_PER_CHANGE = 4;
+
+    boolean exceededBy(KeyValueStore.Transaction transaction) {
+        return transaction.changes().size() > changes
+                || transaction.preconditions().size() > PRECONDITIONS_PER_CHANGE * changes
+                || transaction.changes().stream().anyMatch(this::isTooLarge);
+    }
+
+    private boolean isTooLarge(KeyValueStore.Change change) {
+        return change.record() != null && json(change).length() > valueBytes;
+    }
+
+    /** The value as the store keeps it. */
+    static String json(KeyValueStore.Change change) {
+        return Json.text(StoredRecordCodec.encode(change.record()));
+    }
+}
