--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -142,7 +142,7 @@
 
     /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
     public void cancellationReceived(PeerPort.CancellationNotice notice) {
-        replica.applied(Keys.FINAL + notice.job(), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
+        replica.applied(Keys.finalOf(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
     /** Whether this controller leads. */
@@ -221,8 +221,8 @@
             if (record != null && key.startsWith(prefix)) {
                 String id = key.substring(prefix.length());
                 if (jobIndex.hasEnded(id)) {
-                    replica.forget(Keys.JOB + id);
-                    replica.forget(Keys.PROGRESS + id);
+                    replica.forget(Keys.job(id));
+                    replica.forget(Keys.progress(id));
                 }
             }
         }
--- a/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
+++ b/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
@@ -1,8 +1,8 @@
 package org.granitepath.coordination.admission;
 
 import java.util.function.Consumer;
-import org.granitepath.coordination.leadership.OneShot;
 import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.storage.OneShot;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 
--- a/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
@@ -49,7 +49,7 @@
             return;
         }
         writeQueue.enqueue(
-                Keys.JOB + spec.id(),
+                Keys.job(spec.id()),
                 WriteQueue.Urgency.WORK,
                 0,
                 () -> acceptance(spec),
@@ -62,9 +62,7 @@
             pending.resolve(spec.id(), answers.knownJob(spec.id()));
             return List.of();
         }
-        return pending.isAwaited(spec.id())
-                ? List.of(Change.write(Keys.JOB + spec.id(), acceptedJob(spec)))
-                : List.of();
+        return pending.isAwaited(spec.id()) ? List.of(Change.write(Keys.job(spec.id()), acceptedJob(spec))) : List.of();
     }
 
     /** The record claims the first tasks for the leader, which can then start them without a write of its own. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
@@ -3,9 +3,9 @@
 /** Why a machine is terminated. */
 enum TerminationReason {
     /** It has sent no heartbeat for too long, and what is known of other machines says that it is to blame. */
-    UNRESPONSIVE("silent"),
+    UNRESPONSIVE("unresponsive"),
     /** Its heartbeats arrive, but our answers and commands do not reach it. */
-    UNREACHABLE("does not hear us"),
+    UNREACHABLE("our answers do not reach it"),
     /** Nothing has needed it for longer than it pays to keep it. */
     IDLE("idle"),
     /** It was to be vacated, and is empty. */
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -100,7 +100,10 @@
     private void foundConnected(String zone, ZoneCounts counts) {
         if (cutOffZones.remove(zone)) {
             LOG.info(
-                    "zone {} is heard again: {} of {} machines are overdue", zone, counts.overdue(), counts.machines());
+                    "zone {} sends heartbeats again: {} of {} machines are overdue",
+                    zone,
+                    counts.overdue(),
+                    counts.machines());
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -51,7 +51,7 @@
         boolean underPresentToken = heartbeat.fencingToken() == machine.fencingToken();
         if (origin == MessageOrigin.HEARTBEAT && isOfLaterAgentEpoch(machine, heartbeat)) {
             // Its heartbeats come, but do our answers get there? It must show that before it is given work again.
-            inventory.requestToken(machine, "its session moved on to " + heartbeat.agentEpoch());
+            inventory.requestToken(machine, "its agent epoch moved on to " + heartbeat.agentEpoch());
         }
         noteContact(machine, heartbeat, origin, underPresentToken, nowMicros);
         taskReconciler.reconcile(machine, heartbeat, origin, underPresentToken, nowMicros);
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -26,7 +26,7 @@
 public final class MachineInventory {
     private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
     /** All writes of the inventory wait in the queue as one. */
-    private static final String QUEUE_NAME = "rosters";
+    private static final String QUEUE_NAME = "machine inventory";
 
     /** Larger values would only be read over and over by every controller. */
     private static final int MOST_PART_BYTES = 8 * 1024;
@@ -126,7 +126,7 @@
     private void leaveUnreadable(int part) {
         LOG.error(
                 "record {} can't be read: its machines are not known, and no task is taken for lost in this term",
-                Keys.INVENTORY + part);
+                Keys.inventory(part));
         layout.unreadablePartFound();
         unreadableParts++;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -48,7 +48,7 @@
     /** A machine that is not in the fleet reports: it joins and is put on record. */
     public void join(Machine machine) {
         LOG.info(
-                "machine {} ({} {}{}) reports for the first time",
+                "machine {} ({} {}{}) sends its first heartbeat",
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -126,7 +126,7 @@
         plan.countVerdicts(Verdict.LOST, 1);
         tasks.free(
                 placement,
-                "not in report " + heartbeat.agentEpoch() + "." + heartbeat.sequence() + " under fencing token "
+                "not in heartbeat " + heartbeat.agentEpoch() + "." + heartbeat.sequence() + " under fencing token "
                         + heartbeat.fencingToken());
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -68,7 +68,7 @@
     }
 
     private void recordProgress(ActiveJob job, WriteQueue.Urgency urgency, long delayMicros) {
-        String key = Keys.PROGRESS + job.spec().id();
+        String key = Keys.progress(job.spec().id());
         writeQueue.enqueue(
                 key, urgency, delayMicros, () -> progressChange(key, job), storeRevision -> loop.requestCycle());
     }
@@ -83,7 +83,7 @@
 
     /** All tasks of the job are done: that goes on record at once, unless a final state is there already. */
     void recordDone(ActiveJob job) {
-        String key = Keys.FINAL + job.spec().id();
+        String key = Keys.finalOf(job.spec().id());
         writeQueue.enqueue(
                 key,
                 WriteQueue.Urgency.SAFETY,
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -8,6 +8,7 @@
 import org.granitepath.coordination.config.WorkerTiming;
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.coordination.ports.PeerPort.PeerStatus;
+import org.granitepath.storage.OneShot;
 import org.granitepath.storage.Timers;
 
 /**
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -188,14 +188,14 @@
     /** It is reported to wait for its image. */
     public void fetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
-            transition(Phase.FETCHING, "reported");
+            transition(Phase.FETCHING, "listed in a heartbeat");
         }
     }
 
     /** It is reported to wait for the others of its gang. */
     public void waiting() {
         if (phase != Phase.STOPPING) {
-            transition(Phase.WAITING, "reported");
+            transition(Phase.WAITING, "listed in a heartbeat");
         }
     }
 
@@ -205,7 +205,7 @@
             runningSinceMicros = nowMicros;
         }
         if (phase != Phase.STOPPING) {
-            transition(Phase.RUNNING, "reported");
+            transition(Phase.RUNNING, "listed in a heartbeat");
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -5,7 +5,12 @@
 
 /** Direct calls to workers. Every call answers once, later, on the event loop. */
 public interface WorkerPort {
-    /** {@code executed} false: refused, or no answer at all; then {@code report} is null when nothing was heard. */
+    /**
+     * How a call ended.
+     *
+     * @param executed whether the worker has taken the commands; otherwise it refused them, or did not answer
+     * @param heartbeat the worker's status with its answer; null when none came
+     */
     record Reply(boolean executed, Heartbeat heartbeat) {}
 
     /** Sends commands under a fencing token, for one agent epoch of the worker. */
--- a/src/main/java/org/granitepath/coordination/leadership/OneShot.java
+++ b/src/main/java/org/granitepath/storage/OneShot.java
@@ -1,6 +1,4 @@
-package org.granitepath.coordination.leadership;
-
-import org.granitepath.storage.Timers;
+package org.granitepath.storage;
 
 /** One outcome for which several events race, such as an answer and its timeout: the first decides. */
 public final class OneShot {
