--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -1,8 +1,6 @@
 package org.granitepath.loopback;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.http.HttpClient;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,8 +17,8 @@
 /** Three controller processes and stand-in workers, with a store and a cloud of our own, on loopback. */
 final class Cluster implements AutoCloseable {
     private static final int CONTROLLERS = 3;
-    private static final long REPORT_MILLIS = 1_000;
-    /** Long enough for a machine under load to report in time. */
+    private static final long HEARTBEAT_MILLIS = 1_000;
+    /** Long enough for a machine under load to send its heartbeats in time. */
     private static final long LEASE_MILLIS = 20_000;
 
     /** A job that a user submits: how many tasks, whether they run on, and how long they take otherwise. */
@@ -66,20 +64,19 @@
 
     Cluster(Path dir, int workerCount) throws IOException {
         Map<String, String> addresses = new LinkedHashMap<>();
-        Map<String, String> backAddresses = new LinkedHashMap<>();
-        try (ReservedPorts ports = new ReservedPorts()) {
-            for (int i = 0; i < CONTROLLERS; i++) {
-                addresses.put("node-" + i, ports.reserve());
-                backAddresses.put("node-" + i, ports.reserve());
-            }
+        Map<String, String> peerAddresses = new LinkedHashMap<>();
+        LoopbackPorts ports = new LoopbackPorts();
+        for (int i = 0; i < CONTROLLERS; i++) {
+            addresses.put("node-" + i, "127.0.0.1:" + ports.reserve());
+            peerAddresses.put("node-" + i, "127.0.0.1:" + ports.reserve());
         }
         Path tuning = Files.writeString(dir.resolve("tuning.yaml"), "recovery-hold-s: 60\n");
         for (String node : addresses.keySet()) {
-            Path config = Files.writeString(dir.resolve(node + ".toml"), settings(node, addresses, backAddresses));
+            Path config = Files.writeString(dir.resolve(node + ".toml"), settings(node, addresses, peerAddresses));
             controllers.add(new ControllerProcess(
-                    addresses.get(node), backAddresses.get(node), client, config, tuning, dir.resolve(node + ".log")));
+                    addresses.get(node), peerAddresses.get(node), client, config, tuning, dir.resolve(node + ".log")));
         }
-        WorkerStandIn.Deployment deployment = new WorkerStandIn.Deployment(REPORT_MILLIS, LEASE_MILLIS, addresses);
+        WorkerStandIn.Deployment deployment = new WorkerStandIn.Deployment(HEARTBEAT_MILLIS, LEASE_MILLIS, addresses);
         for (int i = 0; i < workerCount; i++) {
             WorkerStandIn worker = new WorkerStandIn(
                     String.format("i-%06d", i + 1), executor, client, deployment, this::runMillis, history);
@@ -88,35 +85,17 @@
         }
     }
 
-    /** Ports that nobody else is given until all that are needed are known. */
-    private static final class ReservedPorts implements AutoCloseable {
-        private final List<ServerSocket> sockets = new ArrayList<>();
-
-        String reserve() throws IOException {
-            ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            sockets.add(socket);
-            return "127.0.0.1:" + socket.getLocalPort();
-        }
-
-        @Override
-        public void close() throws IOException {
-            for (ServerSocket socket : sockets) {
-                socket.close();
-            }
-        }
-    }
-
-    private String settings(String node, Map<String, String> addresses, Map<String, String> backAddresses) {
+    private String settings(String node, Map<String, String> addresses, Map<String, String> peerAddresses) {
         StringBuilder text = new StringBuilder("""
                 node_name = "%s"
                 site = "elsewhere"
                 serve_on = "%s"
                 back = "%s"
-                """.formatted(node, addresses.get(node), backAddresses.get(node)));
+                """.formatted(node, addresses.get(node), peerAddresses.get(node)));
         for (String other : addresses.keySet()) {
             if (!other.equals(node)) {
                 text.append("[[others]]\nnode_name = \"%s\"\nsite = \"elsewhere\"\naddr = \"%s\"\n"
-                        .formatted(other, backAddresses.get(other)));
+                        .formatted(other, peerAddresses.get(other)));
             }
         }
         return text.append("""
@@ -142,7 +121,11 @@
                 rps = 5.0
                 list_lag_s = 1.0
                 """.formatted(
-                        cloud.address(), store.address(), CloudStandIn.ZONE, REPORT_MILLIS / 1e3, LEASE_MILLIS / 1e3))
+                                cloud.address(),
+                                store.address(),
+                                CloudStandIn.ZONE,
+                                HEARTBEAT_MILLIS / 1e3,
+                                LEASE_MILLIS / 1e3))
                 .toString();
     }
 
@@ -165,6 +148,13 @@
         }
     }
 
+    /** Fails if a controller that was started has ended without being told to, for example for want of its port. */
+    void checkControllersRun() {
+        for (ControllerProcess controller : controllers) {
+            controller.checkRuns();
+        }
+    }
+
     void startWorkers() {
         workers.forEach(WorkerStandIn::start);
     }
--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -34,12 +34,13 @@
         boolean holds() throws InterruptedException;
     }
 
-    private static void await(String what, Condition condition) throws InterruptedException {
+    private static void await(Cluster cluster, String what, Condition condition) throws InterruptedException {
         long end = System.nanoTime() + GIVE_UP_MILLIS * 1_000_000;
         while (!condition.holds()) {
             if (System.nanoTime() - end > 0) {
                 fail("gave up waiting: " + what);
             }
+            cluster.checkControllersRun();
             Thread.sleep(50);
         }
     }
@@ -65,9 +66,10 @@
         for (String job : batchJobs()) {
             cluster.submit(new Cluster.Job(job, false, BATCH_TASKS, 2, BATCH_MILLIS));
         }
-        await("all services run", () -> cluster.history.running(cluster::isService) == SERVICES * REPLICAS);
+        await(cluster, "all services run", () -> cluster.history.running(cluster::isService) == SERVICES * REPLICAS);
         int third = BATCH_JOBS * BATCH_TASKS / 3;
         await(
+                cluster,
                 "a third of the batch work is done",
                 () -> cluster.history.completed(job -> !cluster.isService(job)) > third);
     }
@@ -81,7 +83,7 @@
     }
 
     private static void awaitRecovered(Cluster cluster) throws InterruptedException {
-        await("one controller leads and has recovered", () -> {
+        await(cluster, "one controller leads and has recovered", () -> {
             int leading = 0;
             for (ControllerProcess controller : cluster.controllers) {
                 var status = controller.recovery().body();
@@ -92,13 +94,16 @@
     }
 
     private static void awaitAllWorkDone(Cluster cluster) throws InterruptedException {
-        await("all services run again", () -> cluster.history.running(cluster::isService) == SERVICES * REPLICAS);
+        await(
+                cluster,
+                "all services run again",
+                () -> cluster.history.running(cluster::isService) == SERVICES * REPLICAS);
         for (String job : batchJobs()) {
-            await(job + " is done", () -> cluster.isDone(job));
+            await(cluster, job + " is done", () -> cluster.isDone(job));
         }
     }
 
-    /** The first orders to resume services come before the first order to start batch work. */
+    /** The first commands to resume services come before the first command to start batch work. */
     private static void assertServicesFirst(Cluster cluster, List<Event> events) {
         Set<String> lost = new HashSet<>();
         List<String> ordered = new ArrayList<>();
@@ -149,6 +154,7 @@
             Thread.sleep(1_000);
             cluster.store.setAway(false);
             await(
+                    cluster,
                     "an order of the new leader",
                     () -> cluster.history.since(restart).stream().anyMatch(event -> event.kind() == Kind.ORDERED));
             cluster.killControllers();
--- a/src/test/java/org/granitepath/loopback/ControllerProcess.java
+++ b/src/test/java/org/granitepath/loopback/ControllerProcess.java
@@ -1,5 +1,7 @@
 package org.granitepath.loopback;
 
+import static org.junit.jupiter.api.Assertions.fail;
+
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -15,22 +17,23 @@
 /** A controller in a process of its own, from the packaged jar. */
 final class ControllerProcess implements AutoCloseable {
     private static final Path JAR = Path.of("target", "granitepath.jar");
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(6);
 
     /** An answer of a controller; status 0: none came. */
     record Reply(int status, Map<String, Object> body) {}
 
     private final String address;
-    private final String backAddress;
+    private final String peerAddress;
     private final HttpClient client;
     private final Path config;
     private final Path tuning;
     private final Path log;
     private Process process;
+    private boolean killed;
 
-    ControllerProcess(String address, String backAddress, HttpClient client, Path config, Path tuning, Path log) {
+    ControllerProcess(String address, String peerAddress, HttpClient client, Path config, Path tuning, Path log) {
         this.address = address;
-        this.backAddress = backAddress;
+        this.peerAddress = peerAddress;
         this.client = client;
         this.config = config;
         this.tuning = tuning;
@@ -57,14 +60,32 @@
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
+        killed = false;
     }
 
     /** Ends it without a warning, and waits until it is gone. */
     void kill() throws InterruptedException {
+        killed = true;
         process.destroyForcibly();
         process.waitFor();
     }
 
+    /** Fails if it has ended by itself; its log says why. */
+    void checkRuns() {
+        if (process != null && !killed && !process.isAlive()) {
+            fail(log.getFileName() + ": ended by itself with status " + process.exitValue() + ": " + lastLine());
+        }
+    }
+
+    private String lastLine() {
+        try {
+            List<String> lines = Files.readAllLines(log);
+            return lines.isEmpty() ? "" : lines.get(lines.size() - 1);
+        } catch (IOException e) {
+            return "its log can't be read: " + e.getMessage();
+        }
+    }
+
     @Override
     public void close() {
         if (process != null) {
@@ -83,14 +104,14 @@
     }
 
     Reply recovery() throws InterruptedException {
-        return ask(HttpRequest.newBuilder(URI.create("http://" + backAddress + "/recovery"))
+        return ask(HttpRequest.newBuilder(URI.create("http://" + peerAddress + "/recovery"))
                 .GET());
     }
 
     private Reply ask(HttpRequest.Builder request) throws InterruptedException {
         try {
             HttpResponse<String> response =
-                    client.send(request.timeout(PATIENCE).build(), HttpResponse.BodyHandlers.ofString());
+                    client.send(request.timeout(CALL_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
             return new Reply(response.statusCode(), Json.object(response.body()));
         } catch (IOException e) {
             return new Reply(0, Map.of());
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -16,7 +16,7 @@
 import org.granitepath.storage.Fields;
 
 /**
- * A stand-in for a machine's worker over real sockets: reports, agent epochs, leases, fencing tokens and commands
+ * A stand-in for a machine's worker over real sockets: heartbeats, agent epochs, leases, fencing tokens and commands
  * as the protocol has them. Images are there at once, and nothing is saved.
  */
 final class WorkerStandIn extends HttpStandIn {
@@ -37,18 +37,18 @@
     }
 
     private static final long LEAST_SPACING_MILLIS = 500;
-    /** How often it looks whether a task has ended. */
-    private static final long LOOK_MILLIS = 100;
+    /** How often it checks whether a task has ended. */
+    private static final long CHECK_MILLIS = 100;
 
-    private static final long NEXT_NODE_MILLIS = 1_000;
-    private static final Duration PATIENCE = Duration.ofSeconds(4);
+    private static final long NEXT_CONTROLLER_MILLIS = 1_000;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
 
     private final String id;
     private final Deployment deployment;
     private final RunTimes runTimes;
     private final History history;
     private final HttpClient client;
-    private final Thread reporter;
+    private final Thread heartbeats;
     private final Map<Key, Run> runs = new LinkedHashMap<>();
     private long agentEpoch = 1;
     private long sequence;
@@ -70,13 +70,13 @@
         this.deployment = deployment;
         this.runTimes = runTimes;
         this.history = history;
-        this.reporter = new Thread(this::report, "worker " + id);
+        this.heartbeats = new Thread(this::sendHeartbeats, "worker " + id);
         listen();
     }
 
     void start() {
-        reporter.setDaemon(true);
-        reporter.start();
+        heartbeats.setDaemon(true);
+        heartbeats.start();
     }
 
     String id() {
@@ -89,7 +89,7 @@
             closed = true;
             killAll();
         }
-        reporter.interrupt();
+        heartbeats.interrupt();
         super.close();
     }
 
@@ -109,21 +109,21 @@
         });
     }
 
-    // ---- reports -----------------------------------------------------------------------------------------------
+    // ---- heartbeats --------------------------------------------------------------------------------------------
 
-    private void report() {
+    private void sendHeartbeats() {
         List<String> names = List.copyOf(deployment.controllers().keySet());
         int at = Math.floorMod(id.hashCode(), names.size());
         try {
             while (true) {
-                String named = reportTo(names.get(at));
+                String named = sendHeartbeatTo(names.get(at));
                 if (named != null && names.get(at).equals(named)) {
                     await();
                 } else if (named != null && names.contains(named)) {
                     at = names.indexOf(named);
                 } else {
                     at = (at + 1) % names.size();
-                    Thread.sleep(NEXT_NODE_MILLIS);
+                    Thread.sleep(NEXT_CONTROLLER_MILLIS);
                 }
             }
         } catch (InterruptedException e) {
@@ -137,13 +137,13 @@
         long earliest = now + LEAST_SPACING_MILLIS * 1_000_000;
         long due = now + deployment.heartbeatMillis() * 1_000_000;
         while (System.nanoTime() - (changed ? earliest : due) < 0) {
-            wait(LOOK_MILLIS);
+            wait(CHECK_MILLIS);
             advance();
         }
     }
 
-    /** The controller to report to next: this one, one it names, or null when it had no answer for us. */
-    private String reportTo(String node) throws InterruptedException {
+    /** The controller to send the next heartbeat to: this one, one it names, or null when it had no answer for us. */
+    private String sendHeartbeatTo(String node) throws InterruptedException {
         long sent = System.nanoTime();
         long ofAgentEpoch;
         String body;
@@ -155,7 +155,7 @@
         }
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://" + deployment.controllers().get(node) + "/agent/beat"))
-                .timeout(PATIENCE)
+                .timeout(CALL_TIMEOUT)
                 .POST(HttpRequest.BodyPublishers.ofString(body))
                 .build();
         try {
@@ -199,17 +199,17 @@
             }
             tasks.add(task);
         });
-        Map<String, Object> report = new LinkedHashMap<>();
-        report.put("host", id);
-        report.put("address", address());
-        report.put("model", CloudStandIn.TYPE);
-        report.put("site", CloudStandIn.ZONE);
-        report.put("loaner", false);
-        report.put("shift", agentEpoch);
-        report.put("tally", ++sequence);
-        report.put("baton", fencingToken);
-        report.put("pieces", tasks);
-        return report;
+        Map<String, Object> heartbeat = new LinkedHashMap<>();
+        heartbeat.put("host", id);
+        heartbeat.put("address", address());
+        heartbeat.put("model", CloudStandIn.TYPE);
+        heartbeat.put("site", CloudStandIn.ZONE);
+        heartbeat.put("loaner", false);
+        heartbeat.put("shift", agentEpoch);
+        heartbeat.put("tally", ++sequence);
+        heartbeat.put("baton", fencingToken);
+        heartbeat.put("pieces", tasks);
+        return heartbeat;
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
@@ -293,7 +293,10 @@
     @Override
     synchronized Answer answer(String method, String path, Map<String, String> query, Map<String, Object> body) {
         advance();
-        if (closed || !path.equals("/orders")) {
+        if (!path.equals("/orders")) {
+            return Answer.error(404, "a worker takes commands only");
+        }
+        if (closed) {
             return Answer.ok(heartbeat());
         }
         long token = Fields.longOf(body, "baton", 0);
