--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -11,6 +11,7 @@
 import org.granitepath.storage.LeaderRecord;
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,6 +46,9 @@
     /** What a won campaign brings: the fencing token, and the guard for all later writes. */
     public record Term(long fencingToken, long leaderRevision) {}
 
+    /** The term that this controller holds, and the lease that its leader key is attached to. */
+    private record HeldTerm(Term term, LeaderLease lease) {}
+
     /** Told when this controller begins and ceases to lead. */
     public interface Listener {
         /** This controller leads, and its replica is as new as the write that made it so. */
@@ -61,10 +65,10 @@
     private final Listener listener;
     private final BooleanSupplier peersDisconnected;
     private Phase phase = Phase.FOLLOWING;
-    /** The present term; null while this controller does not lead. */
-    private Term term;
-    /** The lease of the latest term, released when the term ended; null before the first. */
-    private LeaderLease lease;
+    /** Null while this controller does not lead. */
+    private @Nullable HeldTerm held;
+    /** When the last term that is over was last confirmed; 0 before the first term is over. */
+    private long formerConfirmedMicros;
 
     private long campaignBackoffUntilMicros;
 
@@ -91,12 +95,12 @@
 
     /** Whether a campaign was won and the term is not known to be over. */
     public boolean leads() {
-        return term != null;
+        return held != null;
     }
 
     /** The fencing token of our term, or 0. */
     public long fencingToken() {
-        return term == null ? 0 : term.fencingToken();
+        return held == null ? 0 : held.term().fencingToken();
     }
 
     /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
@@ -122,11 +126,11 @@
 
     /** When the last request was sent that the store answered with our being the leader; 0 before the first term. */
     public long lastConfirmedMicros() {
-        return lease == null ? 0 : lease.lastConfirmedMicros();
+        return held == null ? formerConfirmedMicros : held.lease().lastConfirmedMicros();
     }
 
     /** The leader on record, or null. */
-    public String leaderNode() {
+    public @Nullable String leaderNode() {
         LeaderRecord leader = replica.leader();
         return leader == null ? null : leader.node();
     }
@@ -134,8 +138,9 @@
     /** The leader record changed. */
     public void leaderChanged() {
         LeaderRecord leader = replica.leader();
-        if (term != null) {
-            if (!isOurs(leader) && replica.revision(Keys.LEADER) != term.leaderRevision()) {
+        if (held != null) {
+            Term term = held.term();
+            if (!isOurs(leader, term) && replica.revision(Keys.LEADER) != term.leaderRevision()) {
                 loseLeadership(leader == null ? "our lease ran out" : "taken over by " + leader.node());
             }
         } else if (leader == null) {
@@ -143,7 +148,7 @@
         }
     }
 
-    private boolean isOurs(LeaderRecord leader) {
+    private boolean isOurs(@Nullable LeaderRecord leader, Term term) {
         return leader != null
                 && config.identity().incarnation().equals(leader.incarnation())
                 && leader.fencingToken() == term.fencingToken();
@@ -151,11 +156,11 @@
 
     /** Hands the machines over: another can do better. */
     public void stepDown(String why) {
-        if (term == null) {
+        if (held == null) {
             return;
         }
-        Transaction removal = new Transaction(
-                List.of(new Precondition(Keys.LEADER, term.leaderRevision())), List.of(Change.remove(Keys.LEADER)));
+        Precondition stillOurs = new Precondition(Keys.LEADER, held.term().leaderRevision());
+        Transaction removal = new Transaction(List.of(stillOurs), List.of(Change.remove(Keys.LEADER)));
         store.commit(removal, answer -> {}); // should this be lost, the lease runs out by itself
         campaignBackoffUntilMicros = timers.nowMicros() + BACKOFF_AFTER_STEPPING_DOWN_MICROS;
         loseLeadership(why);
@@ -163,11 +168,11 @@
 
     private void tick() {
         timers.after(CHECK_MICROS, this::tick);
-        if (term == null) {
+        if (held == null) {
             considerCampaign();
             return;
         }
-        lease.renewIfDue(timers.nowMicros());
+        held.lease().renewIfDue(timers.nowMicros());
         refreshPhase();
     }
 
@@ -222,14 +227,15 @@
 
     /** {@code CAMPAIGNING -> LEADING}. */
     private void beginTerm(Campaign.Victory victory) {
-        term = victory.term();
-        lease = newLease(victory);
+        Term term = victory.term();
+        HeldTerm begun = new HeldTerm(term, newLease(victory));
+        held = begun;
         // Only now: the change of the leader record is judged by the term.
         for (Change change : victory.changes()) {
             replica.applied(change.key(), change.record(), term.leaderRevision());
         }
         transition(Phase.LEADING, "fencing token " + term.fencingToken());
-        takeOver(term);
+        takeOver(begun);
     }
 
     private LeaderLease newLease(Campaign.Victory victory) {
@@ -258,15 +264,15 @@
      * have gone in just before ours, and a machine inventory begun by it must not be overlooked. After ours none of
      * its writes can.
      */
-    private void takeOver(Term ours) {
+    private void takeOver(HeldTerm begun) {
         replica.barrier(fresh -> {
-            if (!ours.equals(term)) {
+            if (!begun.equals(held)) {
                 return;
             }
             if (fresh) {
-                listener.elected(ours);
+                listener.elected(begun.term());
             } else {
-                timers.after(CHECK_MICROS, () -> takeOver(ours));
+                timers.after(CHECK_MICROS, () -> takeOver(begun));
             }
         });
     }
@@ -277,10 +283,10 @@
      * its pause, while a successor may hold the machines: so the phase is looked at again before it is relied on.
      */
     private void refreshPhase() {
-        if (term == null) {
+        if (held == null) {
             return;
         }
-        long sinceContactMicros = timers.nowMicros() - lastContactMicros();
+        long sinceContactMicros = timers.nowMicros() - lastContactMicros(held.lease());
         long maxDisconnectedMicros = config.workers().maxDisconnectedMicros();
         if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), maxDisconnectedMicros)) {
             transition(Phase.LEADING, "the state service answers");
@@ -296,17 +302,18 @@
      * the records alone, and renewals may get through while reads don't; when an outage ends the first renewal comes
      * before the first read.
      */
-    private long lastContactMicros() {
+    private long lastContactMicros(LeaderLease lease) {
         return Math.min(lease.lastConfirmedMicros(), replica.lastContactMicros());
     }
 
     /** From any phase of a term to {@code FOLLOWING}. */
     private void loseLeadership(String why) {
-        if (term == null) {
+        if (held == null) {
             return;
         }
-        term = null;
-        lease.release();
+        held.lease().release();
+        formerConfirmedMicros = held.lease().lastConfirmedMicros();
+        held = null;
         transition(Phase.FOLLOWING, why);
         listener.leadershipLost(why);
         considerCampaign();
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -10,6 +10,7 @@
 import org.granitepath.coordination.ports.PeerPort.PeerStatus;
 import org.granitepath.storage.OneShot;
 import org.granitepath.storage.Timers;
+import org.jspecify.annotations.Nullable;
 
 /**
  * How the other controllers are. An outage of the store and a cut of our own path to it look alike from here;
@@ -104,7 +105,7 @@
      *
      * @param leader the leader on record, or null
      */
-    public void announceCancellation(PeerPort.CancellationNotice notice, String leader, Runnable then) {
+    public void announceCancellation(PeerPort.CancellationNotice notice, @Nullable String leader, Runnable then) {
         boolean leaderIsPeer = config.topology().peers().contains(leader);
         OneShot effective = new OneShot();
         for (String peer : config.topology().peers()) {
--- a/src/main/java/org/granitepath/storage/FencingTokenRecord.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecord.java
@@ -1,5 +1,7 @@
 package org.granitepath.storage;
 
+import org.jspecify.annotations.Nullable;
+
 /**
  * The shared counter of fencing tokens: all machines of the inventory belong to {@code leader} under the token
  * {@code term}, but for those whose row names a higher one. It outlives the leader's lease, so no machine is ever
@@ -7,4 +9,4 @@
  *
  * @param last the highest token drawn so far
  */
-public record FencingTokenRecord(String leader, long term, long last) implements StoredRecord {}
+public record FencingTokenRecord(@Nullable String leader, long term, long last) implements StoredRecord {}
--- a/src/main/java/org/granitepath/storage/Fields.java
+++ b/src/main/java/org/granitepath/storage/Fields.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Typed access to a decoded JSON object. The {@code ...Of} methods read fields that may be missing, the
@@ -31,12 +32,17 @@
     }
 
     /** A text, or null when the field is missing or no text. */
-    public static String textOf(Map<String, Object> map, String name) {
+    public static @Nullable String textOf(Map<String, Object> map, String name) {
         return map.get(name) instanceof String text ? text : null;
     }
 
+    /** A text, or {@code otherwise} when the field is missing or no text. */
+    public static String textOf(Map<String, Object> map, String name, String otherwise) {
+        return map.get(name) instanceof String text ? text : otherwise;
+    }
+
     /** An object, or null when the field is missing or no object. */
-    public static Map<String, Object> mapOf(Map<String, Object> map, String name) {
+    public static @Nullable Map<String, Object> mapOf(Map<String, Object> map, String name) {
         return objectOrNull(map.get(name));
     }
 
@@ -57,7 +63,7 @@
 
     /** A decoded JSON value as an object, or null when it is none. */
     @SuppressWarnings("unchecked") // the names of the fields of a decoded JSON object are texts
-    public static Map<String, Object> objectOrNull(Object value) {
+    public static @Nullable Map<String, Object> objectOrNull(@Nullable Object value) {
         return value instanceof Map<?, ?> map ? (Map<String, Object>) map : null;
     }
 
@@ -66,7 +72,7 @@
      *
      * @throws MalformedFieldException when it is none
      */
-    public static Map<String, Object> requiredObject(Object element, String listName) {
+    public static Map<String, Object> requiredObject(@Nullable Object element, String listName) {
         Map<String, Object> object = objectOrNull(element);
         if (object == null) {
             throw new MalformedFieldException(listName, "an object", element);
@@ -98,7 +104,7 @@
     }
 
     /** @throws MalformedFieldException when the value, that of the field {@code name} or within it, is no list */
-    static List<?> requiredList(Object value, String name) {
+    static List<?> requiredList(@Nullable Object value, String name) {
         if (value instanceof List<?> list) {
             return list;
         }
@@ -106,7 +112,7 @@
     }
 
     /** @throws MalformedFieldException when the value, that of the field {@code name} or within it, is no number */
-    static Number requiredNumber(Object value, String name) {
+    static Number requiredNumber(@Nullable Object value, String name) {
         if (value instanceof Number number) {
             return number;
         }
--- a/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.storage.InventoryRecord.Host;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Inventory records as JSON objects. A machine is a row without field names, as thousands stand in the store: id,
@@ -52,18 +53,21 @@
             throw new MalformedFieldException(HOSTS, "a list of rows of " + COLUMNS + " values", row);
         }
         return new Host(
-                textOrNull(row.get(0)),
-                textOrNull(row.get(1)),
-                textOrNull(row.get(2)),
-                textOrNull(row.get(3)),
+                textOf(row.get(0)),
+                textOf(row.get(1)),
+                textOf(row.get(2)),
+                textOf(row.get(3)),
                 Fields.requiredNumber(row.get(4), HOSTS).intValue() == SPOT,
                 Fields.requiredNumber(row.get(5), HOSTS).longValue());
     }
 
-    /** A null is let pass, as it always was; anything else must be a text. */
-    private static String textOrNull(Object value) {
-        if (value == null || value instanceof String) {
-            return (String) value;
+    /** A null, which no version writes, is let pass as an empty text; anything else must be a text. */
+    private static String textOf(@Nullable Object value) {
+        if (value == null) {
+            return "";
+        }
+        if (value instanceof String text) {
+            return text;
         }
         throw new MalformedFieldException(HOSTS, "a list of rows with texts", value);
     }
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -1,6 +1,7 @@
 package org.granitepath.storage;
 
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What a user asked for. Amounts are whole thousandths (of a CPU, a GPU, a gigabyte), rounded up, so that sums are
@@ -25,8 +26,8 @@
         long memoryMillis,
         String image,
         double imageGb,
-        List<String> types,
-        String zone,
+        @Nullable List<String> types,
+        @Nullable String zone,
         boolean oneZone,
         boolean spread,
         boolean spot,
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -3,6 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Descriptions of jobs as JSON objects, within stored records. The names of the fields and their order are fixed.
@@ -79,7 +80,7 @@
      * @throws MalformedFieldException when the id, the class or the team is missing or no text
      */
     public static JobSpec decode(Map<String, Object> fields) {
-        List<String> types = fields.get(TYPES) instanceof List<?> list ? Fields.texts(list) : null;
+        @Nullable List<String> types = fields.get(TYPES) instanceof List<?> list ? Fields.texts(list) : null;
         return new JobSpec(
                 Fields.requiredText(fields, ID),
                 Fields.requiredText(fields, CLASS),
@@ -90,7 +91,7 @@
                 Fields.longOf(fields, CPU, 0),
                 Fields.longOf(fields, GPU, 0),
                 Fields.longOf(fields, MEMORY, 0),
-                Fields.textOf(fields, IMAGE),
+                Fields.textOf(fields, IMAGE, ""),
                 Fields.doubleOf(fields, IMAGE_GB, 0),
                 types,
                 Fields.textOf(fields, ZONE),
--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 
 /** The store as the decision code sees it. Every call answers exactly once, later, on the event loop. */
 public interface KeyValueStore {
@@ -29,7 +30,7 @@
     record Precondition(String key, long revision) {}
 
     /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
-    record Change(String key, StoredRecord record, long lease) {
+    record Change(String key, @Nullable StoredRecord record, long lease) {
         /** A write of a record that belongs to no lease. */
         public static Change write(String key, StoredRecord record) {
             return new Change(key, record, 0);
@@ -48,7 +49,7 @@
     record Committed(Outcome outcome, long storeRevision, List<String> failed) {}
 
     /** One key as read or followed; {@code value} null: removed. */
-    record Item(String key, Map<String, Object> value, long revision) {}
+    record Item(String key, @Nullable Map<String, Object> value, long revision) {}
 
     /** Records as listed or followed, as of the revision {@code storeRevision}. */
     record Page(Outcome outcome, List<Item> items, boolean more, long storeRevision) {}
--- a/src/main/java/org/granitepath/storage/MachineTypeCodec.java
+++ b/src/main/java/org/granitepath/storage/MachineTypeCodec.java
@@ -35,7 +35,7 @@
     /** Reads the type. */
     public static MachineType decode(Map<String, Object> fields) {
         return new MachineType(
-                Fields.textOf(fields, NAME),
+                Fields.textOf(fields, NAME, ""),
                 Fields.longOf(fields, CPU, 0),
                 Fields.longOf(fields, GPU, 0),
                 Fields.longOf(fields, MEMORY, 0),
--- a/src/main/java/org/granitepath/storage/MalformedFieldException.java
+++ b/src/main/java/org/granitepath/storage/MalformedFieldException.java
@@ -1,12 +1,14 @@
 package org.granitepath.storage;
 
+import org.jspecify.annotations.Nullable;
+
 /** A field of a decoded JSON object that is missing or of another type than every version writes. */
 public final class MalformedFieldException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     private final String field;
 
-    MalformedFieldException(String field, String expected, Object found) {
+    MalformedFieldException(String field, String expected, @Nullable Object found) {
         super("field " + field + " must be " + expected + ", but is "
                 + (found == null ? "missing" : "of " + found.getClass().getSimpleName()));
         this.field = field;
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -8,12 +8,14 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 
 /**
  * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
  * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
  */
-public record ProgressRecord(String leader, int claimed, RangeSet<Integer> done, int running) implements StoredRecord {
+public record ProgressRecord(@Nullable String leader, int claimed, RangeSet<Integer> done, int running)
+        implements StoredRecord {
     /** Keeps a copy of the finished tasks: the leader goes on adding to its own. */
     public ProgressRecord {
         done = ImmutableRangeSet.copyOf(done);
--- a/src/main/java/org/granitepath/storage/RecordLoader.java
+++ b/src/main/java/org/granitepath/storage/RecordLoader.java
@@ -25,9 +25,6 @@
     private final Timers timers;
     private final ReplicaRecords records;
     private final Completion completion;
-    private Set<String> listed;
-    /** That of the first page; 0 until it has come. */
-    private long loadRevision;
 
     RecordLoader(KeyValueStore store, Timers timers, ReplicaRecords records, Completion completion) {
         this.store = store;
@@ -36,39 +33,44 @@
         this.completion = completion;
     }
 
+    /** Begins to read all records. The one before must be complete. */
     void load() {
-        listed = new HashSet<>();
-        loadRevision = 0;
-        requestPage("");
+        new Load().requestPage("");
     }
 
-    private void requestPage(String from) {
-        long sentMicros = timers.nowMicros();
-        store.list(Keys.ALL, from, PAGE, page -> {
-            if (page.outcome() == Outcome.OK) {
-                takePage(page, from, sentMicros);
-            } else {
-                timers.after(RETRY_MICROS, () -> requestPage(from));
-            }
-        });
-    }
+    /** One reading of all records: what was listed so far, and as of when. */
+    private final class Load {
+        private final Set<String> listed = new HashSet<>();
+        /** That of the first page; 0 until it has come. */
+        private long loadRevision;
 
-    private void takePage(Page page, String from, long sentMicros) {
-        if (loadRevision == 0) {
-            loadRevision = page.storeRevision();
+        private void requestPage(String from) {
+            long sentMicros = timers.nowMicros();
+            store.list(Keys.ALL, from, PAGE, page -> {
+                if (page.outcome() == Outcome.OK) {
+                    takePage(page, from, sentMicros);
+                } else {
+                    timers.after(RETRY_MICROS, () -> requestPage(from));
+                }
+            });
         }
-        String last = from;
-        for (Item item : page.items()) {
-            listed.add(item.key());
-            records.apply(item);
-            last = item.key();
-        }
-        if (page.more()) {
-            requestPage(last);
-            return;
+
+        private void takePage(Page page, String from, long sentMicros) {
+            if (loadRevision == 0) {
+                loadRevision = page.storeRevision();
+            }
+            String last = from;
+            for (Item item : page.items()) {
+                listed.add(item.key());
+                records.apply(item);
+                last = item.key();
+            }
+            if (page.more()) {
+                requestPage(last);
+                return;
+            }
+            records.removeAllBut(listed, loadRevision);
+            completion.loaded(loadRevision, sentMicros);
         }
-        records.removeAllBut(listed, loadRevision);
-        listed = null;
-        completion.loaded(loadRevision, sentMicros);
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -1,6 +1,7 @@
 package org.granitepath.storage;
 
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 
 /**
  * A copy of our records, kept by following the store: all are read once by {@link RecordLoader}, then their changes by
@@ -11,7 +12,7 @@
     /** Told of every change of a record, in order; {@code record} null: removed. */
     public interface Listener {
         /** A record was written, or removed when {@code record} is null. */
-        void changed(String key, StoredRecord record, long revision);
+        void changed(String key, @Nullable StoredRecord record, long revision);
 
         /** All records have been read for the first time. */
         void loaded();
@@ -66,12 +67,12 @@
     }
 
     /** The leader on record, or null. */
-    public LeaderRecord leader() {
+    public @Nullable LeaderRecord leader() {
         return records.record(Keys.LEADER, LeaderRecord.class);
     }
 
     /** The counter of fencing tokens, or null when none was drawn yet. */
-    public FencingTokenRecord fencingToken() {
+    public @Nullable FencingTokenRecord fencingToken() {
         return records.record(Keys.FENCING_TOKEN, FencingTokenRecord.class);
     }
 
@@ -85,7 +86,7 @@
     }
 
     /** A part of the machine inventory, or null when it has fewer or this one can't be read. */
-    public InventoryRecord inventory(int part) {
+    public @Nullable InventoryRecord inventory(int part) {
         return records.record(Keys.inventory(part), InventoryRecord.class);
     }
 
@@ -100,7 +101,7 @@
     }
 
     /** Records our own committed write at once, before the follow brings it. */
-    public void applied(String key, StoredRecord record, long revision) {
+    public void applied(String key, @Nullable StoredRecord record, long revision) {
         records.apply(key, record, revision);
     }
 
--- a/src/main/java/org/granitepath/storage/ReplicaRecords.java
+++ b/src/main/java/org/granitepath/storage/ReplicaRecords.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.granitepath.storage.KeyValueStore.Item;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -13,7 +14,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaRecords.class);
 
     /** {@code record} null: removed at this revision. */
-    private record Entry(StoredRecord record, long revision) {}
+    private record Entry(@Nullable StoredRecord record, long revision) {}
 
     private final RecordReplica.Listener listener;
     private final Map<String, Entry> entries = new HashMap<>();
@@ -29,7 +30,7 @@
     }
 
     /** The record, or null when there is none or it is of another type. */
-    <T extends StoredRecord> T record(String key, Class<T> type) {
+    <T extends StoredRecord> @Nullable T record(String key, Class<T> type) {
         Entry entry = entries.get(key);
         return entry != null && type.isInstance(entry.record()) ? type.cast(entry.record()) : null;
     }
@@ -57,7 +58,7 @@
     }
 
     /** Takes in a change, {@code record} null for a removal, unless a later one is known. */
-    void apply(String key, StoredRecord record, long revision) {
+    void apply(String key, @Nullable StoredRecord record, long revision) {
         if (isNewer(key, revision)) {
             entries.put(key, new Entry(record, revision));
             listener.changed(key, record, revision);
@@ -80,16 +81,17 @@
         return known == null || known.revision() < revision;
     }
 
-    private StoredRecord decode(Item item) {
-        if (item.value() == null) {
+    private @Nullable StoredRecord decode(Item item) {
+        Map<String, Object> fields = item.value();
+        if (fields == null) {
             return null;
         }
         try {
-            return StoredRecordCodec.decode(item.key(), item.value());
+            return StoredRecordCodec.decode(item.key(), fields);
         } catch (MalformedRecordException e) {
             malformed++;
             LOG.error("{} ({} so far)", e.getMessage(), malformed);
-            return new UnknownRecord(item.value());
+            return new UnknownRecord(fields);
         }
     }
 }
