--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -14,6 +14,7 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 import org.granitepath.storage.ProgressRecord;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -57,7 +58,7 @@
 
     private double finishedMicros;
     private int finishedTasks;
-    private GangAttempt gangAttempt;
+    private @Nullable GangAttempt gangAttempt;
     private final SchedulingState scheduling = new SchedulingState();
 
     /** A job as its records tell; every claimed task that is not done is unconfirmed. */
@@ -222,7 +223,7 @@
     }
 
     /** Where this task is placed, or null. */
-    public Placement placement(int task) {
+    public @Nullable Placement placement(int task) {
         return placements.get(task);
     }
 
@@ -330,14 +331,15 @@
     // ---- gangs -------------------------------------------------------------------------------------------------
 
     /** The attempt of a gang that is on machines; null: none, or another shape. */
-    public GangAttempt gangAttempt() {
+    public @Nullable GangAttempt gangAttempt() {
         return gangAttempt;
     }
 
     /** An attempt with this number is the present one from now on. */
     public GangAttempt beginGangAttempt(long number) {
-        gangAttempt = new GangAttempt(spec.id(), number);
-        return gangAttempt;
+        GangAttempt attempt = new GangAttempt(spec.id(), number);
+        gangAttempt = attempt;
+        return attempt;
     }
 
     /** No task of the attempt is on a machine any more. */
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.granitepath.storage.Timers;
+import org.jspecify.annotations.Nullable;
 
 /** The jobs of one term of leadership that are not over, or whose tasks are still to be stopped. */
 public final class ActiveJobs {
@@ -26,7 +27,7 @@
     }
 
     /** The job of this name, or null. */
-    public ActiveJob get(String id) {
+    public @Nullable ActiveJob get(String id) {
         return jobs.get(id);
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -9,6 +9,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.Timers;
+import org.jspecify.annotations.Nullable;
 
 /** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
 public final class Fleet {
@@ -49,7 +50,7 @@
     }
 
     /** The machine of this name, or null. */
-    public Machine machine(String id) {
+    public @Nullable Machine machine(String id) {
         return machines.get(id);
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -12,6 +12,7 @@
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -57,7 +58,7 @@
     private boolean awaitingFirstHeartbeat;
     private long unconfirmedSinceMicros;
     private boolean keptAsHeadroom;
-    private ActiveJob reservedFor;
+    private @Nullable ActiveJob reservedFor;
     private long idleSinceMicros;
     private long launchedMicros;
 
@@ -112,12 +113,12 @@
     }
 
     /** Its type, or null while the cloud has not told of it. */
-    public MachineType type() {
+    public @Nullable MachineType type() {
         return capacity.type();
     }
 
     /** The cloud's word on its type has come, or changed; null: there is none. */
-    void typeKnown(MachineType known) {
+    void typeKnown(@Nullable MachineType known) {
         capacity.typeKnown(known);
     }
 
@@ -292,7 +293,7 @@
     }
 
     /** The gang for which its free capacity is held, or null. Live services may use it all the same. */
-    public ActiveJob reservedFor() {
+    public @Nullable ActiveJob reservedFor() {
         return reservedFor;
     }
 
@@ -336,7 +337,7 @@
     }
 
     /** The attempt of this task that is placed here, or null. */
-    public Placement placement(TaskId task) {
+    public @Nullable Placement placement(TaskId task) {
         return placements.get(task);
     }
 
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -1,8 +1,10 @@
 package org.granitepath.coordination.model;
 
 import java.util.LinkedHashSet;
+import java.util.Objects;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /** What of a machine's resources is used and what is free, and which images it has. */
 public final class MachineCapacity {
@@ -11,7 +13,7 @@
     /** The image seen last comes last, so the first one is the first to be forgotten. */
     private final LinkedHashSet<String> images = new LinkedHashSet<>();
 
-    private MachineType type;
+    private @Nullable MachineType type;
     private long cpuUsedMillis;
     private long gpuUsedMillis;
     private long memoryUsedMillis;
@@ -19,11 +21,12 @@
     private long servicesCpuMillis;
 
     /** The machine's type, or null while the cloud has not told of it. */
+    @Nullable
     MachineType type() {
         return type;
     }
 
-    void typeKnown(MachineType known) {
+    void typeKnown(@Nullable MachineType known) {
         type = known;
     }
 
@@ -81,7 +84,9 @@
 
     /** Whether this much is free. The type must be known. */
     public boolean hasFree(long cpuMillis, long memoryMillis) {
-        return type.cpuMillis() - cpuUsedMillis >= cpuMillis && type.memoryMillis() - memoryUsedMillis >= memoryMillis;
+        MachineType known = Objects.requireNonNull(type, "the machine type is not known");
+        return known.cpuMillis() - cpuUsedMillis >= cpuMillis
+                && known.memoryMillis() - memoryUsedMillis >= memoryMillis;
     }
 
     /** Whether one more such task fits. */
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -37,15 +37,19 @@
     /** Whether the job's team has a limit at all. */
     public boolean limits(JobSpec spec) {
         Team team = teams.get(spec.team());
-        return team != null && (team.cpuLimit() > 0 || team.gpuLimit() > 0);
+        return team != null && hasLimit(team);
+    }
+
+    private static boolean hasLimit(Team team) {
+        return team.cpuLimit() > 0 || team.gpuLimit() > 0;
     }
 
     /** Whether so many more such tasks are within the limit. */
     public boolean allows(JobSpec spec, int tasks) {
-        if (!limits(spec)) {
+        Team team = teams.get(spec.team());
+        if (team == null || !hasLimit(team)) {
             return true;
         }
-        Team team = teams.get(spec.team());
         return (team.cpuLimit() == 0
                         || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
                 && (team.gpuLimit() == 0
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -1,6 +1,7 @@
 package org.granitepath.recovery;
 
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 import org.pcollections.OrderedPSet;
 import org.pcollections.PSet;
 
@@ -16,11 +17,11 @@
 public record RecoveryStatus(
         String node,
         Role role,
-        String leader,
+        @Nullable String leader,
         String reason,
         long recordsAgeMicros,
         long unreadableRecords,
-        Term term) {
+        @Nullable Term term) {
 
     /** Whether the controller can tell at all. */
     public enum Role {
@@ -49,7 +50,7 @@
             Machines machines,
             Map<Verdict, Integer> tasks,
             long comparisons,
-            Hold hold) {}
+            @Nullable Hold hold) {}
 
     /**
      * The machines that the term began with.
@@ -72,12 +73,17 @@
 
     /** Of a controller that does not lead. */
     public static RecoveryStatus withoutTerm(
-            String node, Role role, String leader, String reason, long recordsAgeMicros, long unreadableRecords) {
+            String node,
+            Role role,
+            @Nullable String leader,
+            String reason,
+            long recordsAgeMicros,
+            long unreadableRecords) {
         return new RecoveryStatus(node, role, leader, reason, recordsAgeMicros, unreadableRecords, null);
     }
 
     /** How far the recovery has come; null when this controller does not lead. */
-    public RecoveryPhase phase() {
+    public @Nullable RecoveryPhase phase() {
         return term == null ? null : term.phase();
     }
 
