--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -29,6 +29,7 @@
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.Timers;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -54,7 +55,7 @@
     private final MachineTypeCatalog machineTypes;
     private final RedirectedMachines redirectedMachines = new RedirectedMachines();
     /** The present term of this controller; null while it does not lead. */
-    private LeaderTerm leaderTerm;
+    private @Nullable LeaderTerm leaderTerm;
 
     /** Makes a controller that does nothing before {@link #start}. */
     public Controller(
@@ -216,7 +217,7 @@
     }
 
     /** Of a job that is over only the final state is kept; a day's descriptions would fill a small machine. */
-    private void forgetEnded(String key, StoredRecord record) {
+    private void forgetEnded(String key, @Nullable StoredRecord record) {
         for (String prefix : List.of(Keys.FINAL, Keys.JOB, Keys.PROGRESS)) {
             if (record != null && key.startsWith(prefix)) {
                 String id = key.substring(prefix.length());
@@ -231,7 +232,7 @@
     /** Passes each changed record to the part that it concerns. */
     private final class ReplicaListener implements RecordReplica.Listener {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {
+        public void changed(String key, @Nullable StoredRecord record, long revision) {
             if (key.equals(Keys.LEADER)) {
                 leadership.leaderChanged();
             } else if (record instanceof MachineTypesRecord recorded) {
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -12,6 +12,7 @@
 import org.granitepath.storage.ProgressRecord;
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.UnknownRecord;
+import org.jspecify.annotations.Nullable;
 
 /** All jobs as the store has them; every controller keeps this and answers users from it. */
 public final class JobIndex {
@@ -27,6 +28,18 @@
         void ended(String id, FinalRecord.Outcome outcome);
     }
 
+    /** Stands for a listener while there is none. */
+    private static final Listener NOBODY = new Listener() {
+        @Override
+        public void accepted(JobRecord job) {}
+
+        @Override
+        public void progressed(String id, ProgressRecord progress) {}
+
+        @Override
+        public void ended(String id, FinalRecord.Outcome outcome) {}
+    };
+
     /** What can't be read of a job; each value includes those before it. */
     private enum Unreadable {
         /** How far it has come: users are told what else is known, but no leader decides about the job. */
@@ -41,25 +54,30 @@
     /** Jobs of which some record can't be read, and what is not known of them for that reason. */
     private final Map<String, Unreadable> unreadableJobs = new HashMap<>();
 
-    private Listener listener;
+    private Listener listener = NOBODY;
 
-    /** Sets the one listener; null: none. */
+    /** Tells this one from now on, and no other. */
     public void listen(Listener next) {
         listener = next;
     }
 
+    /** Tells nobody from now on. */
+    public void stopListening() {
+        listener = NOBODY;
+    }
+
     /** All accepted jobs that are not over. */
     public Collection<JobRecord> openJobs() {
         return openJobs.values();
     }
 
     /** The accepted job of this name if it is not over, or null. */
-    public JobRecord openJob(String id) {
+    public @Nullable JobRecord openJob(String id) {
         return openJobs.get(id);
     }
 
     /** How the job ended, or null if it has not. */
-    public FinalRecord.Outcome finalOf(String id) {
+    public FinalRecord.@Nullable Outcome finalOf(String id) {
         return outcomes.get(id);
     }
 
@@ -98,7 +116,7 @@
     }
 
     /** Takes a changed record in. Removals don't occur among jobs. */
-    public void changed(String key, StoredRecord record) {
+    public void changed(String key, @Nullable StoredRecord record) {
         if (record instanceof JobRecord job) {
             jobChanged(key.substring(Keys.JOB.length()), job);
         } else if (record instanceof ProgressRecord jobProgress) {
@@ -128,9 +146,7 @@
             return;
         }
         openJobs.put(id, record);
-        if (listener != null) {
-            listener.accepted(record);
-        }
+        listener.accepted(record);
     }
 
     private void progressChanged(String id, ProgressRecord record) {
@@ -138,17 +154,13 @@
             return;
         }
         progressByJob.put(id, record);
-        if (listener != null) {
-            listener.progressed(id, record);
-        }
+        listener.progressed(id, record);
     }
 
     private void ended(String id, FinalRecord.Outcome outcome) {
         outcomes.put(id, outcome);
         openJobs.remove(id);
         progressByJob.remove(id);
-        if (listener != null) {
-            listener.ended(id, outcome);
-        }
+        listener.ended(id, outcome);
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -1,6 +1,7 @@
 package org.granitepath.coordination.jobs;
 
 import org.granitepath.coordination.model.ActiveJob;
+import org.jspecify.annotations.Nullable;
 
 /** How fast live services arrive, as an average that fades within about a minute. */
 public final class ArrivalRate {
@@ -8,7 +9,7 @@
 
     private double cpuPerMicroThen;
     private long lastArrivalMicros;
-    private ActiveJob newest;
+    private @Nullable ActiveJob newest;
 
     /** A job was accepted; only live services count. */
     void accepted(ActiveJob job, long nowMicros) {
@@ -26,7 +27,7 @@
     }
 
     /** An example of what arrives; null when nothing has. */
-    public ActiveJob newest() {
+    public @Nullable ActiveJob newest() {
         return newest;
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -60,7 +60,7 @@
 
     /** The term is over: records are followed no more. */
     public void end() {
-        jobIndex.listen(null);
+        jobIndex.stopListening();
     }
 
     private void open(JobRecord record) {
