--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -4,6 +4,7 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,9 +18,9 @@
         private long totalMillis;
         private long usedMillis;
 
-        void add(Machine machine) {
-            totalMillis += machine.type().cpuMillis();
-            usedMillis += machine.type().cpuMillis() - machine.capacity().cpuFree();
+        void add(Machine machine, MachineType type) {
+            totalMillis += type.cpuMillis();
+            usedMillis += type.cpuMillis() - machine.capacity().cpuFree();
         }
 
         @Override
@@ -52,8 +53,9 @@
         CpuUse spot = new CpuUse();
         int idle = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.type() != null) {
-                (machine.spot() ? spot : fullPrice).add(machine);
+            MachineType type = machine.type();
+            if (type != null) {
+                (machine.spot() ? spot : fullPrice).add(machine, type);
                 idle += machine.isEmpty() ? 1 : 0;
             }
         }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
@@ -9,6 +9,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.granitepath.coordination.model.Machine;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Which part of the machine inventory holds the row of which machine. A part is one value of the store; parts are
@@ -178,6 +179,7 @@
     }
 
     /** The parts of the next split, the one that was too large first; null when none is pending. */
+    @Nullable
     List<Integer> nextSplit() {
         return pendingSplits.peek();
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.granitepath.coordination.config.Config;
@@ -16,6 +17,7 @@
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -55,7 +57,7 @@
     /** Parts that are not on record as they are now, apart from those in the transaction under way. */
     private final Set<Integer> dirtyParts = new HashSet<>();
     /** Null while none is under way. */
-    private InventoryTransaction underWay;
+    private @Nullable InventoryTransaction underWay;
     /** Before this the next write would take more than the inventory's share of the budget. */
     private long nextWriteMicros;
 
@@ -90,7 +92,7 @@
         this.partBytes = Math.min(config.limits().store().valueBytes(), MOST_PART_BYTES);
         // One change is left for the counter of fencing tokens.
         this.partsAtOnce = Math.max(1, Math.min(transactionChanges - 1, MOST_TRANSACTION_BYTES / partBytes));
-        this.layout = new InventoryLayout(partBytes, transactionChanges, fleet::machine);
+        this.layout = new InventoryLayout(partBytes, transactionChanges, this::ownMachine);
     }
 
     // ---- taking over -------------------------------------------------------------------------------------------
@@ -148,8 +150,8 @@
                     "{} values of the machine inventory are split: they exceed {} bytes",
                     layout.pendingSplitCount(),
                     partBytes);
-            writeSoon(layout.nextSplit().get(0));
         }
+        writeNextSplitSoon();
     }
 
     // ---- what is to be written ---------------------------------------------------------------------------------
@@ -210,21 +212,24 @@
         if (underWay != null) {
             dirtyParts.addAll(underWay.parts()); // the transaction before this one failed
         }
-        underWay = layout.mayWriteNextSplit() ? splitTransaction() : dirtyPartsTransaction();
-        List<Change> changes = underWay.changes();
-        if (!underWay.machinesWithNewToken().isEmpty()) {
+        List<Integer> split = layout.nextSplit();
+        InventoryTransaction transaction =
+                split != null && layout.mayWriteNextSplit() ? splitTransaction(split) : dirtyPartsTransaction();
+        underWay = transaction;
+        List<Change> changes = transaction.changes();
+        if (!transaction.machinesWithNewToken().isEmpty()) {
             changes.add(Change.write(
                     Keys.FENCING_TOKEN,
-                    new FencingTokenRecord(config.node(), term.fencingToken(), underWay.newToken())));
+                    new FencingTokenRecord(config.node(), term.fencingToken(), transaction.newToken())));
         }
         nextWriteMicros =
                 timers.nowMicros() + (long) (changes.size() * 1e6 / (writeQueue.writesPerSecond() * WRITE_SHARE));
         return changes;
     }
 
-    private InventoryTransaction splitTransaction() {
-        InventoryTransaction transaction = InventoryTransaction.ofSplit(fleet::machine);
-        for (int part : layout.nextSplit()) {
+    private InventoryTransaction splitTransaction(List<Integer> parts) {
+        InventoryTransaction transaction = InventoryTransaction.ofSplit(this::ownMachine);
+        for (int part : parts) {
             transaction.write(part, layout.machineIds(part), cleanupTokensDue);
         }
         dirtyParts.removeAll(transaction.parts());
@@ -238,11 +243,15 @@
 
     private boolean needsNewToken(int part) {
         return layout.machineIds(part).stream()
-                .anyMatch(id -> fleet.machine(id).inventory().needsNewToken());
+                .anyMatch(id -> ownMachine(id).inventory().needsNewToken());
+    }
+
+    private Machine ownMachine(String id) {
+        return Objects.requireNonNull(fleet.machine(id), "a machine of the inventory is in the fleet");
     }
 
     private InventoryTransaction dirtyPartsTransaction() {
-        InventoryTransaction transaction = InventoryTransaction.drawing(fleet::machine, nextToken());
+        InventoryTransaction transaction = InventoryTransaction.drawing(this::ownMachine, nextToken());
         for (int part = 0; part < layout.partCount() && transaction.parts().size() < partsAtOnce; part++) {
             boolean toBeSplit = layout.isInPendingSplit(part);
             if (toBeSplit && !layout.isOnRecord(part)) {
@@ -263,7 +272,7 @@
     }
 
     private void transactionRecorded() {
-        InventoryTransaction recorded = underWay;
+        InventoryTransaction recorded = Objects.requireNonNull(underWay, "a write was begun before it is recorded");
         underWay = null;
         if (recorded.isSplit()) {
             layout.nextSplitRecorded();
@@ -284,9 +293,16 @@
 
     private void writeRest() {
         if (layout.pendingSplitCount() > 0) {
-            writeSoon(layout.nextSplit().get(0));
+            writeNextSplitSoon();
         } else if (!dirtyParts.isEmpty()) {
             writeSoon(dirtyParts.iterator().next());
         }
     }
+
+    private void writeNextSplitSoon() {
+        List<Integer> split = layout.nextSplit();
+        if (split != null) {
+            writeSoon(split.get(0));
+        }
+    }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -17,6 +17,7 @@
 import org.granitepath.recovery.StartEvidence;
 import org.granitepath.recovery.Verdict;
 import org.granitepath.recovery.VerdictTable;
+import org.jspecify.annotations.Nullable;
 
 /** Gathers what records, placements and heartbeats say of a task, and asks the verdict table. */
 final class TaskEvidence {
@@ -52,7 +53,7 @@
                 origin == MessageOrigin.HEARTBEAT));
     }
 
-    private RecordedTask recordedTask(ActiveJob job, TaskId task) {
+    private RecordedTask recordedTask(@Nullable ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.OVER) {
             return jobIndex.recorded(task.job());
         }
@@ -68,7 +69,7 @@
         return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
     }
 
-    private static KnownPlacement knownPlacement(ActiveJob job, Machine machine, TaskStatus status) {
+    private static KnownPlacement knownPlacement(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
         Placement here = machine.placement(status.task());
         if (here != null) {
             return here.attempt() == status.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
@@ -79,7 +80,7 @@
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ReportedTask reportedTask(ActiveJob job, TaskStatus status) {
+    private static ReportedTask reportedTask(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
             return ReportedTask.LIVE;
         }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -2,6 +2,7 @@
 
 import java.util.HashSet;
 import java.util.List;
+import java.util.Objects;
 import java.util.Set;
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.jobs.TaskLifecycle;
@@ -85,7 +86,8 @@
     }
 
     private void confirmed(Machine machine, TaskStatus status, boolean underPresentToken, long nowMicros) {
-        Placement placement = machine.placement(status.task());
+        Placement placement =
+                Objects.requireNonNull(machine.placement(status.task()), "a confirmed task is placed on its machine");
         if (!placement.seen()) {
             plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
@@ -94,15 +96,18 @@
     }
 
     private void adopted(Machine machine, TaskStatus status, boolean underPresentToken, long nowMicros) {
-        ActiveJob job = activeJobs.get(status.task().job());
-        Placement placement = tasks.adopt(job, machine, status, underPresentToken, nowMicros);
+        Placement placement = tasks.adopt(activeJob(status.task()), machine, status, underPresentToken, nowMicros);
         plan.countVerdicts(Verdict.ADOPTED, 1);
         statusUpdater.update(machine, placement, status, nowMicros);
     }
 
     private void finishedMeanwhile(TaskId task) {
         plan.countVerdicts(Verdict.FINISHED_MEANWHILE, 1);
-        statusUpdater.completedElsewhere(activeJobs.get(task.job()), task.index());
+        statusUpdater.completedElsewhere(activeJob(task), task.index());
+    }
+
+    private ActiveJob activeJob(TaskId task) {
+        return Objects.requireNonNull(activeJobs.get(task.job()), "only a task of an active job is adopted or done");
     }
 
     private void freeMissing(
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -11,6 +11,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -56,19 +57,22 @@
     private void waiting(Machine machine, Placement placement, long nowMicros) {
         machine.capacity().imageSeen(placement.job().spec().image());
         placement.waiting();
-        if (isOfPresentAttempt(placement)) {
-            placement.job().gangAttempt().waiting(nowMicros);
+        GangAttempt attempt = presentGangAttempt(placement);
+        if (attempt != null) {
+            attempt.waiting(nowMicros);
         }
     }
 
-    private static boolean isOfPresentAttempt(Placement placement) {
+    /** The gang attempt that the placement belongs to; null when there is none, or its gang has another one by now. */
+    private static @Nullable GangAttempt presentGangAttempt(Placement placement) {
         GangAttempt attempt = placement.job().gangAttempt();
-        return attempt != null && attempt.number() == placement.attempt();
+        return attempt != null && attempt.number() == placement.attempt() ? attempt : null;
     }
 
     private void running(Machine machine, Placement placement, long nowMicros) {
-        if (isOfPresentAttempt(placement)) {
-            placement.job().gangAttempt().running();
+        GangAttempt attempt = presentGangAttempt(placement);
+        if (attempt != null) {
+            attempt.running();
         }
         if (!placement.hasRun()) {
             machine.capacity().imageSeen(placement.job().spec().image());
@@ -82,7 +86,8 @@
     /** A gang saves its progress only when all its tasks are told to: a former leader may not have come to that. */
     private void saving(Placement placement) {
         placement.saving();
-        if (isOfPresentAttempt(placement) && placement.job().gangAttempt().phase() == GangAttempt.Phase.RUNNING) {
+        GangAttempt attempt = presentGangAttempt(placement);
+        if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
             tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang saves");
         }
     }
@@ -121,9 +126,8 @@
 
     private static boolean endsGangAttempt(Placement placement, TaskStatus status) {
         boolean attemptIsOver = status.cause() == Cause.PEER_GONE || status.cause() == Cause.INCOMPLETE;
-        return attemptIsOver
-                && isOfPresentAttempt(placement)
-                && !placement.job().gangAttempt().isEnding();
+        GangAttempt attempt = presentGangAttempt(placement);
+        return attemptIsOver && attempt != null && !attempt.isEnding();
     }
 
     private void completed(Placement placement, long nowMicros) {
@@ -147,8 +151,9 @@
             return;
         }
         job.markAllDone();
-        if (job.gangAttempt() != null) {
-            job.gangAttempt().completed();
+        GangAttempt attempt = job.gangAttempt();
+        if (attempt != null) {
+            attempt.completed();
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -6,6 +6,7 @@
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.storage.Timers;
@@ -92,8 +93,9 @@
     }
 
     private void takeReply(Machine machine, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
-        machine.contact().callAnswered(reply.heartbeat() != null);
-        if (reply.heartbeat() == null) {
+        Heartbeat heartbeat = reply.heartbeat();
+        machine.contact().callAnswered(heartbeat != null);
+        if (heartbeat == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start has no answer");
             }
@@ -102,16 +104,14 @@
         for (Placement placement : starts) {
             placement.directStartAnswered(fencingToken);
         }
-        reconciler.reconcile(machine, reply.heartbeat(), MessageOrigin.COMMAND_RESPONSE);
-        if (refusedOlderToken(machine, reply)) {
+        reconciler.reconcile(machine, heartbeat, MessageOrigin.COMMAND_RESPONSE);
+        if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
             showToken(machine);
         }
     }
 
-    /** The worker refused the call, though the token that it knows does not outrank ours: it may take the next one. */
-    private static boolean refusedOlderToken(Machine machine, WorkerPort.Reply reply) {
-        return !reply.executed()
-                && machine.phase() == Machine.Phase.UNCONFIRMED
-                && reply.heartbeat().fencingToken() <= machine.fencingToken();
+    /** The worker refused the call, but knows no fencing token that outranks the present one: it may take that. */
+    private static boolean mayTakePresentToken(Machine machine, Heartbeat heartbeat) {
+        return machine.phase() == Machine.Phase.UNCONFIRMED && heartbeat.fencingToken() <= machine.fencingToken();
     }
 }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /** The cloud as the decision code sees it. Every call answers once, later, on the event loop. */
 public interface CloudPort {
@@ -35,7 +36,7 @@
     record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
 
     /** Null when the types could not be had. */
-    void types(Consumer<List<MachineType>> then);
+    void types(Consumer<@Nullable List<MachineType>> then);
 
     /** Rents machines. */
     void launch(LaunchRequest request, Consumer<LaunchResult> then);
--- a/src/main/java/org/granitepath/coordination/ports/HeartbeatResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/HeartbeatResponse.java
@@ -1,6 +1,7 @@
 package org.granitepath.coordination.ports;
 
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 
 /** What a worker is told: commands, another controller to report to, or to try elsewhere. */
 public sealed interface HeartbeatResponse {
@@ -8,7 +9,7 @@
     record Accepted(long fencingToken, List<WorkerCommand> commands) implements HeartbeatResponse {}
 
     /** {@code node} null: not here, and the leader is not known. */
-    record Redirect(String node) implements HeartbeatResponse {}
+    record Redirect(@Nullable String node) implements HeartbeatResponse {}
 
     /** The worker tries the next controller. */
     record Unavailable() implements HeartbeatResponse {}
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -1,6 +1,7 @@
 package org.granitepath.coordination.ports;
 
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 
 /** What controllers tell one another. Every call answers once, later, on the event loop. */
 public interface PeerPort {
@@ -19,5 +20,5 @@
     void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then);
 
     /** Tells a peer how we are; answered with how it is, or null. */
-    void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then);
+    void exchangeStatus(String peer, PeerStatus ours, Consumer<@Nullable PeerStatus> then);
 }
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -11,6 +11,7 @@
 import org.granitepath.recovery.RecoveryStatus.Role;
 import org.granitepath.recovery.Verdict;
 import org.granitepath.storage.RecordReplica;
+import org.jspecify.annotations.Nullable;
 
 /** Puts together what a controller can tell of a recovery, and says so when it can't. */
 public final class RecoveryStatusFactory {
@@ -25,7 +26,11 @@
      * @param leaderTerm null while this controller does not lead, or still reads the records of its term
      */
     public static RecoveryStatus of(
-            Config config, Leadership leadership, RecordReplica replica, LeaderTerm leaderTerm, long nowMicros) {
+            Config config,
+            Leadership leadership,
+            RecordReplica replica,
+            @Nullable LeaderTerm leaderTerm,
+            long nowMicros) {
         long recordsAgeMicros = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
         if (!leadership.leads()) {
             return withoutTerm(config, leadership, replica, recordsAgeMicros);
