--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 
 /** Plans machines for gangs: for a whole one, or none. */
@@ -27,25 +28,31 @@
     void plan(ActiveJob job) {
         JobSpec spec = job.spec();
         if (!spec.oneZone() || spec.zone() != null) {
-            planWhole(job, null);
+            planWhole(job, ZoneFilter.ANY_ZONE);
             return;
         }
         List<String> zones = new ArrayList<>(demand.config().topology().zones());
         zones.removeIf(zone -> market.isCutOff(zone) || !job.zoneAllows(zone));
-        zones.sort(Comparator.comparingInt(zone -> -(freeSlots(spec, zone) + pendingSlots(spec, zone))));
+        zones.sort(Comparator.comparingInt((String zone) -> slots(spec, ZoneFilter.only(zone)))
+                .reversed());
         for (String zone : zones) {
-            if (planWhole(job, zone)) {
+            if (planWhole(job, ZoneFilter.only(zone))) {
                 return;
             }
         }
     }
 
-    private int freeSlots(JobSpec spec, String zone) {
+    /** How many such tasks fit on what is free or on its way there. */
+    private int slots(JobSpec spec, ZoneFilter zones) {
+        return freeSlots(spec, zones) + pendingSlots(spec, zones);
+    }
+
+    private int freeSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
         for (Machine machine : demand.fleet().machines()) {
             boolean usable = machine.takesTasks()
                     && machine.allowedFor(spec)
-                    && (zone == null || machine.zone().equals(zone))
+                    && zones.includes(machine.zone())
                     && (machine.reservedFor() == null
                             || machine.reservedFor().spec().equals(spec));
             slots += usable ? machine.capacity().slots(spec, 0, 0, 0) : 0;
@@ -53,28 +60,28 @@
         return slots;
     }
 
-    private int pendingSlots(JobSpec spec, String zone) {
+    private int pendingSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
         for (PlannedMachine machine : planned.machines()) {
-            slots += machine.isIn(zone) ? machine.slots(spec) : 0;
+            slots += zones.includes(machine.zone()) ? machine.slots(spec) : 0;
         }
         return slots;
     }
 
-    /** Plans what this gang lacks in the zone (null: in any); false when so much is not to be had there. */
-    private boolean planWhole(ActiveJob job, String zone) {
+    /** Plans what this gang lacks in these zones; false when so much is not to be had there. */
+    private boolean planWhole(ActiveJob job, ZoneFilter zones) {
         JobSpec spec = job.spec();
-        int left = job.waitingTasks() - freeSlots(spec, zone);
+        int left = job.waitingTasks() - freeSlots(spec, zones);
         List<PlannedMachine> used = new ArrayList<>();
         for (PlannedMachine machine : planned.machines()) {
-            while (left > 0 && machine.isIn(zone) && machine.take(spec)) {
+            while (left > 0 && zones.includes(machine.zone()) && machine.take(spec)) {
                 used.add(machine);
                 left--;
             }
         }
         List<Offer> launches = new ArrayList<>();
         while (left > 0 && planned.mayConsiderMore(launches.size())) {
-            Offer offer = market.cheapest(OfferRequest.atAnyPrice(job, left, zone));
+            Offer offer = market.cheapest(OfferRequest.atAnyPrice(job, left, zones));
             if (offer == null) {
                 used.forEach(machine -> machine.undoTake(spec));
                 return false;
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.MachineType;
 
 /**
@@ -42,7 +43,7 @@
         }
         countFleet(newest);
         countPlanned();
-        Offer offer = market.cheapest(OfferRequest.atAnyPrice(newest, Integer.MAX_VALUE, null));
+        Offer offer = market.cheapest(OfferRequest.atAnyPrice(newest, Integer.MAX_VALUE, ZoneFilter.ANY_ZONE));
         if (offer == null) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -4,6 +4,7 @@
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /** What the cloud offers at present, as far as is known, and the cheapest of it for a job. */
 final class OfferMarket {
@@ -43,6 +44,7 @@
     }
 
     /** The offer with the lowest cost for each task, from launch to the task's end; null: there is none. */
+    @Nullable
     Offer cheapest(OfferRequest request) {
         Search search = new Search(request, costFor(request.job()));
         for (MachineType type : demand.fleet().types().values()) {
@@ -65,7 +67,7 @@
     private final class Search {
         private final OfferRequest request;
         private final OfferCost costModel;
-        private Offer best;
+        private @Nullable Offer best;
         private double bestCost = Double.POSITIVE_INFINITY;
 
         Search(OfferRequest request, OfferCost costModel) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
@@ -1,11 +1,11 @@
 package org.granitepath.coordination.autoscaling;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /** The machines that are on their way and those that the plan adds, with the launches that bring the latter. */
 final class PlannedCapacity {
@@ -13,8 +13,9 @@
     private static final int MAX_NEW_MACHINES = 400;
 
     private final List<PlannedMachine> machines = new ArrayList<>();
-    private final Map<String, Integer> launchCounts = new LinkedHashMap<>();
-    private final Map<String, Offer> offers = new HashMap<>();
+    /** The launches so far by the key of their offer, in the order in which they were first planned. */
+    private final Map<String, PlannedLaunch> launches = new LinkedHashMap<>();
+
     private double batchCpuMillis;
     private int newMachines;
 
@@ -43,13 +44,13 @@
 
     /** Adds a launch whose machines are not at hand for the rest of the plan. */
     void addLaunch(Offer offer, int count) {
-        offers.putIfAbsent(offer.key(), offer);
-        launchCounts.merge(offer.key(), count, Integer::sum);
+        launches.merge(offer.key(), new PlannedLaunch(offer, count), (launch, more) -> launch.plus(more.count()));
     }
 
     /** How many machines of this offer the plan launches so far. */
     int launchCount(Offer offer) {
-        return launchCounts.getOrDefault(offer.key(), 0);
+        PlannedLaunch launch = launches.get(offer.key());
+        return launch == null ? 0 : launch.count();
     }
 
     /** Whether one more new machine may be considered beside so many that are not counted yet. */
@@ -63,10 +64,10 @@
     }
 
     /** What to launch first: for live services before other work, then most of a kind. Null: nothing. */
+    @Nullable
     PlannedLaunch first() {
         PlannedLaunch best = null;
-        for (var entry : launchCounts.entrySet()) {
-            PlannedLaunch launch = new PlannedLaunch(offers.get(entry.getKey()), entry.getValue());
+        for (PlannedLaunch launch : launches.values()) {
             if (best == null || launch.goesBefore(best)) {
                 best = launch;
             }
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -37,11 +37,6 @@
         return zone;
     }
 
-    /** Whether it stands in this zone; null: in any. */
-    boolean isIn(String wantedZone) {
-        return wantedZone == null || zone.equals(wantedZone);
-    }
-
     /** Whether it is a spot instance. */
     boolean spot() {
         return spot;
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -9,6 +9,7 @@
 import org.granitepath.coordination.jobs.TermRecovery;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -96,7 +97,8 @@
     }
 
     /** Why the machine is to be terminated; null: it is not. */
-    private TerminationReason reason(Machine machine, boolean heartbeatsTrusted, boolean notNeeded, long nowMicros) {
+    private @Nullable TerminationReason reason(
+            Machine machine, boolean heartbeatsTrusted, boolean notNeeded, long nowMicros) {
         long sinceHeartbeatMicros = nowMicros - machine.contact().lastHeartbeatMicros();
         boolean conclusive = (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -15,8 +15,10 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.placement.BatchPlanner;
+import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /** What is to be launched for the work that waits, given what is on its way. Made anew before each launch. */
 public final class ScaleOutPlan {
@@ -25,7 +27,12 @@
 
     /** Live services that need the same are launched for as a class: they share machines. */
     private record EquivalenceClass(
-            long cpuMillis, long gpuMillis, long memoryMillis, List<String> types, String zone, boolean spot) {
+            long cpuMillis,
+            long gpuMillis,
+            long memoryMillis,
+            @Nullable List<String> types,
+            @Nullable String zone,
+            boolean spot) {
         static EquivalenceClass of(JobSpec spec) {
             return new EquivalenceClass(
                     spec.cpuMillis(), spec.gpuMillis(), spec.memoryMillis(), spec.types(), spec.zone(), spec.spot());
@@ -101,6 +108,7 @@
     }
 
     /** What to launch first: for live services before other work, then most of a kind. Null: nothing. */
+    @Nullable
     PlannedLaunch first() {
         return planned.first();
     }
@@ -150,7 +158,8 @@
         int left = tasks;
         while (left > 0 && planned.mayConsiderMore(0)) {
             planned.countConsidered();
-            Offer offer = market.cheapest(new OfferRequest(job, !isDeferrable(job), left + others, tasksByZone, null));
+            Offer offer = market.cheapest(
+                    new OfferRequest(job, !isDeferrable(job), left + others, tasksByZone, ZoneFilter.ANY_ZONE));
             if (offer == null) {
                 return;
             }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -8,6 +8,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.placement.MachinePreference;
 import org.granitepath.coordination.placement.PlacementRules;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -62,7 +63,8 @@
     }
 
     /** The best machine on which this task was not tried under the same attempt: a worker ignores a second start. */
-    private Machine replacementMachine(ActiveJob job, int index, List<Machine> machinesWithCapacity, long nowMicros) {
+    private @Nullable Machine replacementMachine(
+            ActiveJob job, int index, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!rules.mayStartAnother(job)) {
             return null;
         }
--- a/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
@@ -9,7 +9,9 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.placement.MachinePreference;
 import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
+import org.jspecify.annotations.Nullable;
 
 /** Finds machines for all tasks of a gang together. */
 final class GangPlacementFinder {
@@ -26,10 +28,11 @@
     /**
      * The placement with the fewest image fetches among the zones that may be tried, or null if the gang fits in none.
      */
+    @Nullable
     GangPlacement find(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
         GangPlacement best = null;
-        for (String zone : constraints.zonesToTry(job.spec())) {
-            GangPlacement placement = findIn(zone, job, machinesWithCapacity, nowMicros);
+        for (ZoneFilter zones : constraints.zonesToTry(job.spec())) {
+            GangPlacement placement = findIn(zones, job, machinesWithCapacity, nowMicros);
             if (placement != null && (best == null || placement.imageFetches() < best.imageFetches())) {
                 best = placement;
             }
@@ -37,12 +40,13 @@
         return best;
     }
 
-    private GangPlacement findIn(String zone, ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
+    private @Nullable GangPlacement findIn(
+            ZoneFilter zones, ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
         JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
         int slots = 0;
         for (Machine machine : machinesWithCapacity) {
-            if (GangConstraints.isIn(machine, zone)
+            if (zones.includes(machine.zone())
                     && rules.respectsReservation(machine, job)
                     && rules.satisfiesConstraints(machine, job, nowMicros)) {
                 candidates.add(machine);
@@ -58,7 +62,7 @@
     }
 
     /** Fills one machine after the other, up to what the job may place in each zone. */
-    private GangPlacement fill(List<Machine> candidates, JobSpec spec) {
+    private @Nullable GangPlacement fill(List<Machine> candidates, JobSpec spec) {
         List<Machine> chosen = new ArrayList<>();
         Map<String, Integer> tasksByZone = new HashMap<>();
         int imageFetches = 0;
--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -8,6 +8,7 @@
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 import org.slf4j.Logger;
@@ -101,8 +102,8 @@
     private Reservation best(ActiveJob job, long nowMicros) {
         int reservableMachines = reservableMachines(job);
         Reservation best = NONE;
-        for (String zone : constraints.zonesToTry(job.spec())) {
-            Reservation candidate = candidateIn(zone, job, nowMicros);
+        for (ZoneFilter zones : constraints.zonesToTry(job.spec())) {
+            Reservation candidate = candidateIn(zones, job, nowMicros);
             if (candidate.machines().size() <= reservableMachines && candidate.isBetterThan(best)) {
                 best = candidate;
             }
@@ -123,11 +124,11 @@
      * The machines of a zone that will hold the gang or, while others are launched, a part of it; those that it has
      * reserved already first, then those with the most capacity.
      */
-    private Reservation candidateIn(String zone, ActiveJob job, long nowMicros) {
+    private Reservation candidateIn(ZoneFilter zones, ActiveJob job, long nowMicros) {
         JobSpec spec = job.spec();
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (GangConstraints.isIn(machine, zone)
+            if (zones.includes(machine.zone())
                     && rules.respectsReservation(machine, job)
                     && rules.isEligible(machine, job, nowMicros)) {
                 candidates.add(machine);
--- a/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
@@ -1,7 +1,5 @@
 package org.granitepath.coordination.scheduling;
 
-import java.util.EnumMap;
-import java.util.Map;
 import org.apache.commons.numbers.gamma.LogGamma;
 import org.granitepath.coordination.config.PriorityWeights;
 import org.granitepath.storage.Priority;
@@ -21,19 +19,21 @@
  * <p>The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
  */
 public final class FairShare {
-    private final Map<Priority, Double> weightOf = new EnumMap<>(Priority.class);
+    private final PriorityWeights weights;
 
     /** Takes the weights of the priorities from the operators' settings. */
     public FairShare(PriorityWeights weights) {
-        weightOf.put(Priority.CRITICAL, weights.critical());
-        weightOf.put(Priority.HIGH, weights.high());
-        weightOf.put(Priority.STANDARD, weights.standard());
-        weightOf.put(Priority.BEST_EFFORT, weights.bestEffort());
+        this.weights = weights;
     }
 
     /** P, the weight of a priority. */
     public double weight(Priority priority) {
-        return weightOf.get(priority);
+        return switch (priority) {
+            case CRITICAL -> weights.critical();
+            case HIGH -> weights.high();
+            case STANDARD -> weights.standard();
+            case BEST_EFFORT -> weights.bestEffort();
+        };
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -11,6 +11,7 @@
 import org.granitepath.coordination.placement.MachinePreference;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.storage.JobSpec;
+import org.jspecify.annotations.Nullable;
 
 /** Chooses the machine for a task among those that have free capacity in this scheduling cycle. */
 final class MachineSelector {
@@ -57,6 +58,7 @@
     }
 
     /** The best machine for the next task of this job, or null if none has capacity that the job may use. */
+    @Nullable
     Machine best(ActiveJob job, long nowMicros) {
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
@@ -7,6 +7,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.placement.Resources;
 import org.granitepath.storage.JobSpec;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What to stop on one machine so that at least one more task fits there.
@@ -23,7 +24,7 @@
      * @param freed what is being freed on the machine anyway; the victims are added to it
      * @return null if the task does not even fit once all candidates are stopped
      */
-    static Preemption cheapest(
+    static @Nullable Preemption cheapest(
             JobSpec spec, Machine machine, List<Placement> candidates, Resources freed, long nowMicros) {
         candidates.sort(Comparator.comparingDouble(placement -> PreemptionCost.ofStopping(placement, nowMicros)));
         List<Placement> victims = new ArrayList<>();
--- a/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
@@ -5,6 +5,7 @@
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What a task needs, in thousandths of a CPU, a GPU and a gigabyte, and where it may run. When one request finds no
@@ -19,8 +20,8 @@
         long cpuMillis,
         long gpuMillis,
         long memoryMillis,
-        List<String> types,
-        String zone,
+        @Nullable List<String> types,
+        @Nullable String zone,
         List<String> closedZones,
         boolean spot,
         boolean deferrable,
--- a/src/test/java/org/granitepath/coordination/autoscaling/PlannedMachineTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/PlannedMachineTest.java
@@ -32,11 +32,4 @@
         assertEquals(0, new PlannedMachine(Examples.TYPE, "a", false).slots(demanding));
         assertEquals(4, new PlannedMachine(Examples.TYPE, "b", false).slots(demanding));
     }
-
-    @Test
-    void noZoneMeansAny() {
-        PlannedMachine machine = new PlannedMachine(Examples.TYPE, "a", false);
-        assertTrue(machine.isIn(null) && machine.isIn("a"));
-        assertFalse(machine.isIn("b"));
-    }
 }
