--- a/src/main/java/org/granitepath/cli/Command.java
+++ b/src/main/java/org/granitepath/cli/Command.java
@@ -4,6 +4,8 @@
 import com.beust.jcommander.converters.PathConverter;
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 
 /** A subcommand. Its options are the annotated fields. */
 abstract class Command {
@@ -31,12 +33,14 @@
                 required = true,
                 converter = PathConverter.class,
                 description = "FILE: the platform's settings (TOML)")
+        @Nullable
         Path config;
 
         @Parameter(
                 names = "--tuning",
                 converter = PathConverter.class,
                 description = "FILE: operators' own settings (YAML)")
+        @Nullable
         Path tuning;
 
         @Parameter(
@@ -47,7 +51,7 @@
 
         /** Reads the settings that the options name. */
         Settings settings() throws InvalidSettingException {
-            return Settings.read(config, tuning, liveFirst);
+            return Settings.read(Objects.requireNonNull(config, "--config"), tuning, liveFirst);
         }
     }
 }
--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -15,6 +15,14 @@
 
 /** Makes the decision code's configuration from the platform's settings. The first field that is wrong is reported. */
 final class ConfigReader {
+    /** The limits of the store that hold now, and those that it will have later. */
+    private static final String STORE = "facts.state.";
+
+    private static final String NEXT_STORE = "facts.state.next.";
+    private static final String WRITES_PER_SECOND = "write_rps";
+    private static final String VALUE_KB = "value_kb";
+    private static final String TRANSACTION_CHANGES = "txn_ops";
+
     private static final int DEFAULT_CONNECTIONS = 1_000;
     /** Fewer leave no capacity for the store, the cloud, the other controllers and a few machines and users. */
     private static final int MIN_CONNECTIONS = 64;
@@ -25,7 +33,7 @@
     private static final long DEFAULT_GANG_PEER_MICROS = 5_000_000;
     private static final double MIN_STORE_REQUESTS = 0.1;
     private static final double MIN_CLOUD_REQUESTS = 0.01;
-    private static final double MIN_WRITES = 0.1;
+    private static final double MIN_WRITES_PER_SECOND = 0.1;
     private static final double MIN_VALUE_KB = 0.5;
     private static final double MIN_TRANSACTION_CHANGES = 4;
     private static final int BYTES_PER_KB = 1024;
@@ -111,38 +119,40 @@
                 fields.number("facts.state.rps", MIN_STORE_REQUESTS),
                 storeLimits(),
                 fields.number("facts.cloud.rps", MIN_CLOUD_REQUESTS),
-                fields.has("facts.resources.max_connections")
-                        ? (int) fields.number("facts.resources.max_connections", MIN_CONNECTIONS)
-                        : DEFAULT_CONNECTIONS);
+                (int) fields.numberIfPresent("facts.resources.max_connections", MIN_CONNECTIONS, DEFAULT_CONNECTIONS));
     }
 
     /** Limits that the store will have later are kept from the beginning. */
     private StoreLimits storeLimits() throws InvalidSettingException {
-        StoreLimits present = storeLimits("facts.state.", null);
+        StoreLimits present = presentStoreLimits();
         if (!fields.has("facts.state.next")) {
             return present;
         }
         if (!fields.isTable("facts.state.next")) {
             throw new InvalidSettingException("facts.state.next must be a table of limits");
         }
-        return present.within(storeLimits("facts.state.next.", present));
+        return present.within(nextStoreLimits(present));
+    }
+
+    private StoreLimits presentStoreLimits() throws InvalidSettingException {
+        return storeLimits(
+                fields.number(STORE + WRITES_PER_SECOND, MIN_WRITES_PER_SECOND),
+                fields.number(STORE + VALUE_KB, MIN_VALUE_KB),
+                fields.number(STORE + TRANSACTION_CHANGES, MIN_TRANSACTION_CHANGES));
     }
 
-    /** @param otherwise what holds where a limit is missing; null: none may be missing */
-    private StoreLimits storeLimits(String table, StoreLimits otherwise) throws InvalidSettingException {
-        double writes = limit(table + "write_rps", MIN_WRITES, otherwise == null ? null : otherwise.writesPerSecond());
-        double valueKb = limit(
-                table + "value_kb",
-                MIN_VALUE_KB,
-                otherwise == null ? null : (double) otherwise.valueBytes() / BYTES_PER_KB);
-        double changes = limit(
-                table + "txn_ops",
-                MIN_TRANSACTION_CHANGES,
-                otherwise == null ? null : (double) otherwise.transactionChanges());
-        return new StoreLimits(writes, (int) (valueKb * BYTES_PER_KB), (int) changes);
+    /** A limit that is not named stays as it is at present. */
+    private StoreLimits nextStoreLimits(StoreLimits present) throws InvalidSettingException {
+        double presentValueKb = (double) present.valueBytes() / BYTES_PER_KB;
+        return storeLimits(
+                fields.numberIfPresent(
+                        NEXT_STORE + WRITES_PER_SECOND, MIN_WRITES_PER_SECOND, present.writesPerSecond()),
+                fields.numberIfPresent(NEXT_STORE + VALUE_KB, MIN_VALUE_KB, presentValueKb),
+                fields.numberIfPresent(
+                        NEXT_STORE + TRANSACTION_CHANGES, MIN_TRANSACTION_CHANGES, present.transactionChanges()));
     }
 
-    private double limit(String path, double least, Double otherwise) throws InvalidSettingException {
-        return otherwise != null && !fields.has(path) ? otherwise : fields.number(path, least);
+    private static StoreLimits storeLimits(double writesPerSecond, double valueKb, double transactionChanges) {
+        return new StoreLimits(writesPerSecond, (int) (valueKb * BYTES_PER_KB), (int) transactionChanges);
     }
 }
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -6,6 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 
 /** The granitepath program. Each operation is a subcommand of its own. */
 public final class Main {
@@ -56,7 +58,7 @@
             return args.length == 0 ? Command.BAD_USE : Command.OK;
         }
         parser.parse(args);
-        Command command = commands.get(parser.getParsedCommand());
+        Command command = Objects.requireNonNull(commands.get(parser.getParsedCommand()), "no subcommand");
         if (command.help) {
             parser.getUsageFormatter().usage(parser.getParsedCommand());
             return Command.OK;
@@ -66,13 +68,12 @@
 
     /** The parser takes an option that it does not know for an argument. */
     private static String inOurWords(ParameterException exception) {
-        return exception
-                .getMessage()
+        return String.valueOf(exception.getMessage())
                 .replaceFirst("Was passed main parameter ('.*?') but.*", "unknown option or argument $1");
     }
 
     /** Before the first logger is made. */
-    private static void configureLogging(String level) {
+    private static void configureLogging(@Nullable String level) {
         String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
         System.setProperty(
                 "org.slf4j.simpleLogger.defaultLogLevel", wanted.matches("error|warn|info|debug") ? wanted : "info");
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -4,6 +4,7 @@
 import com.beust.jcommander.Parameters;
 import io.opentelemetry.api.GlobalOpenTelemetry;
 import java.io.IOException;
+import java.util.Objects;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import org.granitepath.coordination.Controller;
@@ -51,7 +52,8 @@
         try {
             started.join();
         } catch (CompletionException e) {
-            throw new IOException(e.getCause().getMessage(), e.getCause());
+            Throwable cause = Objects.requireNonNullElse(e.getCause(), e);
+            throw new IOException(cause.getMessage(), cause);
         }
     }
 
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.granitepath.coordination.config.Config;
+import org.jspecify.annotations.Nullable;
 
 /**
  * The platform's settings file, checked. Fields that we don't know are left alone.
@@ -32,7 +33,7 @@
      *     unless the operators' file names one
      * @throws InvalidSettingException when a setting can't be used
      */
-    static Settings read(Path file, Path tuningFile, boolean liveFirst) throws InvalidSettingException {
+    static Settings read(Path file, @Nullable Path tuningFile, boolean liveFirst) throws InvalidSettingException {
         TomlFields fields = TomlFields.parse(file);
         Map<String, String> peerAddresses = new LinkedHashMap<>();
         Map<String, String> peerZones = new LinkedHashMap<>();
--- a/src/main/java/org/granitepath/cli/TomlFields.java
+++ b/src/main/java/org/granitepath/cli/TomlFields.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Typed fields of a TOML table. A field is named by its path from the table, with dots; a field that is missing or of
@@ -74,6 +75,7 @@
     }
 
     /** A text; null if it is missing. */
+    @Nullable
     String textOrNull(String path) {
         return table.get(path);
     }
@@ -120,6 +122,11 @@
         return number.doubleValue();
     }
 
+    /** A number that is not less than the least; {@code otherwise} if it is missing. */
+    double numberIfPresent(String path, double least, double otherwise) throws InvalidSettingException {
+        return has(path) ? number(path, least) : otherwise;
+    }
+
     /** A number; {@code otherwise} if it is missing or no number. */
     double numberOr(String path, double otherwise) {
         return table.get(path) instanceof Number number ? number.doubleValue() : otherwise;
--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -8,6 +8,7 @@
 import org.granitepath.coordination.config.PriorityWeights;
 import org.granitepath.coordination.config.ScalingPolicy;
 import org.granitepath.coordination.config.Tuning;
+import org.jspecify.annotations.Nullable;
 import org.snakeyaml.engine.v2.api.Load;
 import org.snakeyaml.engine.v2.api.LoadSettings;
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
@@ -45,7 +46,7 @@
      * @param defaultHoldMicros how long a recovery holds other work unless the file says so
      * @throws InvalidSettingException when a setting is unknown or can't be used
      */
-    static Tuning read(Path file, long defaultHoldMicros) throws InvalidSettingException {
+    static Tuning read(@Nullable Path file, long defaultHoldMicros) throws InvalidSettingException {
         Tuning defaults = Tuning.defaults().withRecoveryHold(defaultHoldMicros);
         if (file == null) {
             return defaults;
@@ -63,7 +64,7 @@
         return tuning;
     }
 
-    private static Object parse(Path file) throws InvalidSettingException {
+    private static @Nullable Object parse(Path file) throws InvalidSettingException {
         try {
             return new Load(LoadSettings.builder().build()).loadFromString(Files.readString(file));
         } catch (IOException e) {
--- a/src/main/java/org/granitepath/protocol/Json.java
+++ b/src/main/java/org/granitepath/protocol/Json.java
@@ -7,6 +7,7 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 
 /** JSON objects as maps. A field named twice is an error. */
 public final class Json {
@@ -19,7 +20,7 @@
     private Json() {}
 
     /** Reads an object; null when the text is not exactly one JSON object. */
-    public static Map<String, Object> object(String text) {
+    public static @Nullable Map<String, Object> object(String text) {
         try (JsonParser parser = JSON_MAPPER.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 return null;
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import org.granitepath.coordination.ports.PeerPort.CancellationNotice;
 import org.granitepath.coordination.ports.PeerPort.PeerStatus;
+import org.jspecify.annotations.Nullable;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -49,7 +50,7 @@
     }
 
     /** Reads a notice of a cancellation; null when it is none that we understand. */
-    public static CancellationNotice decodeCancelled(byte[] bytes) {
+    public static @Nullable CancellationNotice decodeCancelled(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < CANCELLATION_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
@@ -62,7 +63,7 @@
     }
 
     /** Reads a status message; null when it is none that we understand. */
-    public static PeerStatus decode(byte[] bytes) {
+    public static @Nullable PeerStatus decode(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < STATUS_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -8,6 +8,7 @@
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What users send and are told.
@@ -102,7 +103,7 @@
         };
     }
 
-    private static List<String> machineTypes(Object value) throws Malformed {
+    private static @Nullable List<String> machineTypes(@Nullable Object value) throws Malformed {
         if (value == null) {
             return null;
         }
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -12,6 +12,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.Fields;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -41,7 +42,7 @@
     private WorkerCodec() {}
 
     /** Reads a heartbeat; null when it is none. */
-    public static Heartbeat decodeHeartbeat(String body) {
+    public static @Nullable Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> fields = Json.object(body);
         if (fields == null || !hasRequiredFields(fields)) {
             return null;
@@ -74,7 +75,7 @@
     }
 
     /** Null when one of them can't be read. */
-    private static List<TaskStatus> decodeTasks(List<?> elements) {
+    private static @Nullable List<TaskStatus> decodeTasks(List<?> elements) {
         List<TaskStatus> tasks = new ArrayList<>();
         for (Object element : elements) {
             Map<String, Object> fields = Fields.objectOrNull(element);
@@ -88,7 +89,7 @@
     }
 
     /** Null when it can't be read. */
-    private static TaskStatus decodeTask(Map<String, Object> fields) {
+    private static @Nullable TaskStatus decodeTask(Map<String, Object> fields) {
         String piece = Fields.textOf(fields, PIECE);
         String status = Fields.textOf(fields, "status");
         TaskId task = piece == null ? null : decodeTaskId(piece);
@@ -104,7 +105,7 @@
     }
 
     /** Null when it is no job id and number with a slash between. */
-    private static TaskId decodeTaskId(String piece) {
+    private static @Nullable TaskId decodeTaskId(String piece) {
         int slash = piece.lastIndexOf('/');
         if (slash < 0) {
             return null;
@@ -131,7 +132,7 @@
         };
     }
 
-    private static Cause cause(TaskId task, String word) {
+    private static Cause cause(TaskId task, @Nullable String word) {
         if (word == null) {
             return Cause.NONE;
         }
--- a/src/main/java/org/granitepath/transport/Connector.java
+++ b/src/main/java/org/granitepath/transport/Connector.java
@@ -2,6 +2,7 @@
 
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
+import org.jspecify.annotations.Nullable;
 import org.xnio.ChannelListener;
 import org.xnio.IoFuture;
 import org.xnio.OptionMap;
@@ -16,14 +17,15 @@
  */
 final class Connector extends XnioIoThread {
     private final XnioIoThread thread;
-    private IoFuture<StreamConnection> latest;
+    private @Nullable IoFuture<StreamConnection> latest;
 
     Connector(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
         this.thread = thread;
     }
 
-    /** The attempt that was begun last. */
+    /** The attempt that was begun last; null: none was. */
+    @Nullable
     IoFuture<StreamConnection> latest() {
         return latest;
     }
@@ -31,8 +33,9 @@
     @Override
     public IoFuture<StreamConnection> openStreamConnection(
             SocketAddress destination, ChannelListener<? super StreamConnection> listener, OptionMap options) {
-        latest = thread.openStreamConnection(destination, listener, options);
-        return latest;
+        IoFuture<StreamConnection> attempt = thread.openStreamConnection(destination, listener, options);
+        latest = attempt;
+        return attempt;
     }
 
     @Override
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.granitepath.protocol.HttpStatus;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoFuture;
@@ -41,13 +42,13 @@
     /** Takes the end of a call with a text for its body. */
     public interface Reply {
         /** The call has ended; status {@link HttpStatus#NO_ANSWER}: without an answer, and the body is null. */
-        void done(int status, String body);
+        void done(int status, @Nullable String body);
     }
 
     /** Takes the end of a call with a body that is no text. */
     interface BytesReply {
         /** The call has ended; status {@link HttpStatus#NO_ANSWER}: without an answer, and the body is null. */
-        void done(int status, byte[] body);
+        void done(int status, byte @Nullable [] body);
     }
 
     private final EventLoop loop;
@@ -69,7 +70,7 @@
             String address,
             HttpString method,
             String path,
-            String body,
+            @Nullable String body,
             long timeoutMicros,
             AfterCall afterCall,
             Reply reply) {
@@ -89,7 +90,7 @@
             String address,
             HttpString method,
             String path,
-            byte[] body,
+            byte @Nullable [] body,
             String type,
             long timeoutMicros,
             AfterCall afterCall,
@@ -97,8 +98,8 @@
         new Call(address, method, path, body, type, afterCall, reply).begin(timeoutMicros);
     }
 
-    /** A connection to this address that is kept and still open, or null. */
-    private ClientConnection takeIdle(String address) {
+    /** A connection to this address that is kept and still open; null: there is none. */
+    private @Nullable ClientConnection takeIdle(String address) {
         ArrayDeque<ClientConnection> kept = idle.get(address);
         while (kept != null && !kept.isEmpty()) {
             ClientConnection connection = kept.pop();
@@ -123,20 +124,20 @@
         private final String address;
         private final HttpString method;
         private final String path;
-        private final byte[] body;
+        private final byte @Nullable [] body;
         private final String type;
         private final AfterCall afterCall;
         private final BytesReply reply;
-        private IoFuture<StreamConnection> connecting;
-        private ClientConnection connection;
-        private XnioExecutor.Key timer;
+        private @Nullable IoFuture<StreamConnection> connecting;
+        private @Nullable ClientConnection connection;
+        private XnioExecutor.@Nullable Key deadline;
         private boolean over;
 
         Call(
                 String address,
                 HttpString method,
                 String path,
-                byte[] body,
+                byte @Nullable [] body,
                 String type,
                 AfterCall afterCall,
                 BytesReply reply) {
@@ -150,7 +151,7 @@
         }
 
         void begin(long timeoutMicros) {
-            timer = loop.thread()
+            deadline = loop.thread()
                     .executeAfter(
                             EventLoop.guarded(() -> fail("timed out")),
                             timeoutMicros / MICROS_PER_MILLI,
@@ -224,10 +225,9 @@
             if (over) {
                 return;
             }
-            over = true;
-            timer.remove();
+            end();
             ClientConnection used = connection;
-            if (afterCall == AfterCall.KEEP && used.isOpen()) {
+            if (afterCall == AfterCall.KEEP && used != null && used.isOpen()) {
                 // Only after the exchange has been closed by the client may the connection take the next request.
                 loop.run(() -> keepIdle(address, used));
             } else {
@@ -236,6 +236,13 @@
             EventLoop.guarded(() -> reply.done(status, bytes)).run();
         }
 
+        private void end() {
+            over = true;
+            if (deadline != null) {
+                deadline.remove();
+            }
+        }
+
         private void fail(IOException cause) {
             fail(String.valueOf(cause.getMessage()));
         }
@@ -244,8 +251,7 @@
             if (over) {
                 return;
             }
-            over = true;
-            timer.remove();
+            end();
             LOG.debug("{} {}{}: {}", method, address, path, why);
             IoUtils.safeClose(connection);
             if (connecting != null) {
--- a/src/main/java/org/granitepath/transport/JsonClient.java
+++ b/src/main/java/org/granitepath/transport/JsonClient.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.Json;
+import org.jspecify.annotations.Nullable;
 
 /** Calls to one service that takes and answers JSON objects. */
 final class JsonClient {
@@ -23,7 +24,7 @@
     }
 
     /** How a call ended; its body is decoded on request only. */
-    record Answer(int status, String text) {
+    record Answer(int status, @Nullable String text) {
         boolean isOk() {
             return status == HttpStatus.OK;
         }
@@ -33,13 +34,15 @@
         }
 
         /** The body, or null when there was no answer or its body is no JSON object. */
+        @Nullable
         Map<String, Object> body() {
-            return isMissing() ? null : Json.object(text);
+            return isMissing() || text == null ? null : Json.object(text);
         }
 
         /** The body, or null when the status is another than OK or the body is no JSON object. */
+        @Nullable
         Map<String, Object> bodyIfOk() {
-            return isOk() ? Json.object(text) : null;
+            return isOk() && text != null ? Json.object(text) : null;
         }
     }
 
@@ -59,7 +62,8 @@
         call(Methods.POST, path, body, callTimeoutMicros, then);
     }
 
-    private void call(HttpString method, String path, String body, long callTimeoutMicros, Consumer<Answer> then) {
+    private void call(
+            HttpString method, String path, @Nullable String body, long callTimeoutMicros, Consumer<Answer> then) {
         http.call(
                 address,
                 method,
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -7,6 +7,7 @@
 import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.KeyValueStoreCodec;
 import org.granitepath.storage.KeyValueStore;
+import org.jspecify.annotations.Nullable;
 
 /** The store over HTTP. */
 public final class KeyValueStoreClient implements KeyValueStore {
@@ -78,7 +79,7 @@
     }
 
     /** @param body null when there was none or it is no JSON object: then nothing is known of a success */
-    private static Outcome outcome(int status, Map<String, Object> body) {
+    private static Outcome outcome(int status, @Nullable Map<String, Object> body) {
         return switch (status) {
             case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -2,6 +2,7 @@
 
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.Meter;
+import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.Tags;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
@@ -13,6 +14,7 @@
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.Verdict;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,14 +25,21 @@
     private static final int SIGNIFICANT_DIGITS = 2;
     private static final double[] PERCENTILES = {50, 90, 99, 100};
 
+    private final Connections connections;
+    private final Supplier<RecoveryStatus> recovery;
     private final Map<String, Histogram> latencies = new TreeMap<>();
     /** Counts by kind of request and status, with a space between. */
     private final Object2LongOpenHashMap<String> answers = new Object2LongOpenHashMap<>();
 
     private long unreadableHeartbeats;
-    private Connections connections;
-    private Supplier<RecoveryStatus> recovery;
-    private SimpleMeterRegistry registry;
+    /** Null until the metrics are first asked for. */
+    private @Nullable SimpleMeterRegistry registry;
+
+    /** Shows these connections and this state of the recovery beside what it is told. */
+    Metrics(Connections connections, Supplier<RecoveryStatus> recovery) {
+        this.connections = connections;
+        this.recovery = recovery;
+    }
 
     /** A heartbeat that can't be read came from this address. Such heartbeats may come without end: few are logged. */
     void unreadableHeartbeat(String address) {
@@ -40,16 +49,6 @@
         }
     }
 
-    /** These connections are to be counted. */
-    void watch(Connections held) {
-        connections = held;
-    }
-
-    /** This state of the recovery is to be shown. */
-    void watch(Supplier<RecoveryStatus> recoveryStatus) {
-        recovery = recoveryStatus;
-    }
-
     /** Counts a request of this kind that was answered. */
     void served(String request, int status, long micros) {
         latencies
@@ -59,47 +58,43 @@
     }
 
     /** The phase is a set of gauges of which the present one is 1; all are 0 while this controller has no term. */
-    private void registerRecovery() {
+    private void registerRecovery(MeterRegistry meters) {
         for (RecoveryPhase phase : RecoveryPhase.values()) {
             Gauge.builder(
                             "granitepath.recovery.phase",
                             recovery,
                             status -> status.get().phase() == phase ? 1 : 0)
                     .tags("phase", RecoveryLabels.of(phase))
-                    .register(registry);
+                    .register(meters);
         }
         Gauge.builder(
                         "granitepath.recovery.machines.missing",
                         recovery,
                         status -> status.get().machinesMissing())
-                .register(registry);
+                .register(meters);
         Gauge.builder(
                         "granitepath.recovery.records.unreadable",
                         recovery,
                         status -> status.get().unreadableRecords())
-                .register(registry);
+                .register(meters);
         for (Verdict verdict : Verdict.values()) {
             Gauge.builder(
                             "granitepath.recovery.tasks",
                             recovery,
                             status -> status.get().tasks().getOrDefault(verdict, 0))
                     .tags("verdict", RecoveryLabels.of(verdict))
-                    .register(registry);
+                    .register(meters);
         }
     }
 
     /** One line a meter: name, tags, value. */
     String text() {
-        if (registry == null) {
-            registry = new SimpleMeterRegistry();
-            registerRecovery();
-            registerConnections();
-        }
+        MeterRegistry meters = registry();
         // Requests of a kind may have come for the first time since: what is registered already stays as it is.
-        registerLatencies();
-        registerAnswers();
+        registerLatencies(meters);
+        registerAnswers(meters);
         StringBuilder text = new StringBuilder();
-        for (Meter meter : registry.getMeters()) {
+        for (Meter meter : meters.getMeters()) {
             text.append(meter.getId().getName()).append(meter.getId().getTags()).append(' ');
             meter.measure().forEach(measurement -> text.append(measurement.getValue()));
             text.append('\n');
@@ -107,18 +102,27 @@
         return text.toString();
     }
 
-    private void registerConnections() {
+    private MeterRegistry registry() {
+        if (registry == null) {
+            registry = new SimpleMeterRegistry();
+            registerRecovery(registry);
+            registerConnections(registry);
+        }
+        return registry;
+    }
+
+    private void registerConnections(MeterRegistry meters) {
         Gauge.builder("granitepath.reports.unreadable", this, metrics -> metrics.unreadableHeartbeats)
-                .register(registry);
+                .register(meters);
         Gauge.builder("granitepath.connections", connections, Connections::machines)
                 .tags("of", "machines")
-                .register(registry);
+                .register(meters);
         Gauge.builder("granitepath.connections", connections, Connections::others)
                 .tags("of", "others")
-                .register(registry);
+                .register(meters);
     }
 
-    private void registerLatencies() {
+    private void registerLatencies(MeterRegistry meters) {
         for (Map.Entry<String, Histogram> latency : latencies.entrySet()) {
             for (double percentile : PERCENTILES) {
                 Gauge.builder(
@@ -126,17 +130,17 @@
                                 latency.getValue(),
                                 histogram -> histogram.getValueAtPercentile(percentile))
                         .tags("request", latency.getKey(), "percentile", String.valueOf(percentile))
-                        .register(registry);
+                        .register(meters);
             }
         }
     }
 
-    private void registerAnswers() {
+    private void registerAnswers(MeterRegistry meters) {
         for (String key : answers.keySet()) {
             int space = key.lastIndexOf(' ');
             Gauge.builder("granitepath.request.answers", answers, counts -> counts.getLong(key))
                     .tags(Tags.of("request", key.substring(0, space), "status", key.substring(space + 1)))
-                    .register(registry);
+                    .register(meters);
         }
     }
 }
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -2,6 +2,7 @@
 
 import io.undertow.util.Methods;
 import java.util.Map;
+import java.util.Objects;
 import java.util.function.Consumer;
 import org.granitepath.coordination.ports.PeerPort;
 import org.granitepath.protocol.HttpStatus;
@@ -26,20 +27,25 @@
     @Override
     public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
         http.exchange(
-                addresses.get(peer),
+                address(peer),
                 Methods.POST,
                 STATUS_PATH,
                 PeerCodec.encode(ours),
                 CONTENT_TYPE,
                 TIMEOUT_MICROS,
                 HttpCalls.AfterCall.KEEP,
-                (status, body) -> then.accept(status == HttpStatus.OK ? PeerCodec.decode(body) : null));
+                (status, body) -> then.accept(status == HttpStatus.OK && body != null ? PeerCodec.decode(body) : null));
+    }
+
+    /** Peers are those of the settings, which have an address for each. */
+    private String address(String peer) {
+        return Objects.requireNonNull(addresses.get(peer), () -> "no address of peer " + peer);
     }
 
     @Override
     public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
         http.exchange(
-                addresses.get(peer),
+                address(peer),
                 Methods.POST,
                 CANCELLATION_PATH,
                 PeerCodec.encode(notice),
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -59,11 +59,9 @@
             int port,
             String peerHost,
             int peerPort) {
-        Metrics metrics = new Metrics();
         Connections connections = new Connections(
                 config.limits().machineConnections(), config.limits().heldConnections());
-        metrics.watch(connections);
-        metrics.watch(controller::recoveryStatus);
+        Metrics metrics = new Metrics(connections, controller::recoveryStatus);
         ServiceServer service = new ServiceServer(controller, metrics, loop, connections);
         new PeerServer(controller, metrics)
                 .listen(loop, peerHost, peerPort, config.limits().backlog());
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -7,6 +7,7 @@
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.WorkerCodec;
+import org.jspecify.annotations.Nullable;
 
 /** Direct calls to workers over HTTP. */
 public final class WorkerClient implements WorkerPort {
@@ -33,9 +34,9 @@
     }
 
     /** A worker that refuses, as it has another fencing token or agent epoch, tells its state all the same. */
-    private static Reply reply(int status, String body) {
+    private static Reply reply(int status, @Nullable String body) {
         boolean accepted = status == HttpStatus.OK;
         boolean hasHeartbeat = accepted || status == HttpStatus.CONFLICT;
-        return new Reply(accepted, hasHeartbeat ? WorkerCodec.decodeHeartbeat(body) : null);
+        return new Reply(accepted, hasHeartbeat && body != null ? WorkerCodec.decodeHeartbeat(body) : null);
     }
 }
