--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -28,9 +28,19 @@
     /** The machines that a launch brought. */
     record LaunchResult(Outcome outcome, List<String> hosts) {}
 
-    /** A machine as the cloud lists it. */
+    /**
+     * A machine as the cloud lists it.
+     *
+     * @param address where its worker answers; null while it boots
+     */
     record ListedHost(
-            String id, String address, String type, String zone, boolean spot, HostState state, long ageMicros) {}
+            String id,
+            @Nullable String address,
+            String type,
+            String zone,
+            boolean spot,
+            HostState state,
+            long ageMicros) {}
 
     /** A page of the list of machines; it may be out of date. */
     record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
@@ -38,10 +48,10 @@
     /** Null when the types could not be had. */
     void types(Consumer<@Nullable List<MachineType>> then);
 
-    /** Rents machines. */
+    /** Launches machines. */
     void launch(LaunchRequest request, Consumer<LaunchResult> then);
 
-    /** Returns machines; answered with whether they are gone. */
+    /** Terminates machines; answered with whether they are gone. */
     void terminate(List<String> hosts, Consumer<Boolean> then);
 
     /** Lists machines by name, beginning after {@code from}. */
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -25,6 +25,9 @@
     /** So that what is a whole number but for the error of binary fractions is not rounded down. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
+    /** A type or zone that a row of the list does not name: machines of no known type are passed over. */
+    private static final String UNKNOWN = "";
+
     private CloudCodec() {}
 
     /** Reads the machine types that the cloud launches. */
@@ -33,7 +36,7 @@
         for (Object element : Fields.listOf(body, "models")) {
             Map<String, Object> fields = Fields.requiredObject(element, "models");
             types.add(new MachineType(
-                    Fields.textOf(fields, "sku"),
+                    Fields.requiredText(fields, "sku"),
                     millis(fields, "cpus"),
                     millis(fields, "cards"),
                     millis(fields, "mem_gb"),
@@ -78,10 +81,10 @@
         for (Object element : Fields.listOf(body, HOSTS)) {
             Map<String, Object> fields = Fields.requiredObject(element, HOSTS);
             hosts.add(new ListedHost(
-                    Fields.textOf(fields, "uid"),
+                    Fields.requiredText(fields, "uid"),
                     Fields.textOf(fields, "address"),
-                    Fields.textOf(fields, "model"),
-                    Fields.textOf(fields, "site"),
+                    Fields.textOf(fields, "model", UNKNOWN),
+                    Fields.textOf(fields, "site", UNKNOWN),
                     Fields.boolOf(fields, "loaner"),
                     hostState(String.valueOf(fields.get("status"))),
                     Math.round(Fields.doubleOf(fields, "held_s", 0) * MICROS_PER_SECOND)));
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -72,8 +72,8 @@
         List<Item> items = new ArrayList<>();
         for (Object element : Fields.listOf(body, "items")) {
             Map<String, Object> fields = Fields.requiredObject(element, "items");
-            items.add(
-                    new Item(Fields.textOf(fields, KEY), Fields.mapOf(fields, VALUE), Fields.longOf(fields, STAMP, 0)));
+            items.add(new Item(
+                    Fields.requiredText(fields, KEY), Fields.mapOf(fields, VALUE), Fields.longOf(fields, STAMP, 0)));
         }
         return new Page(Outcome.OK, items, Fields.boolOf(body, "has_next"), Fields.longOf(body, EPOCH, 0));
     }
@@ -85,7 +85,7 @@
             Map<String, Object> fields = Fields.requiredObject(element, "events");
             String written = Fields.textOf(fields, WRITE);
             items.add(new Item(
-                    written != null ? written : Fields.textOf(fields, REMOVE),
+                    written != null ? written : Fields.requiredText(fields, REMOVE),
                     written != null ? Fields.mapOf(fields, VALUE) : null,
                     Fields.longOf(fields, STAMP, 0)));
         }
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -44,19 +44,23 @@
     /** Reads a heartbeat; null when it is none. */
     public static @Nullable Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> fields = Json.object(body);
-        if (fields == null || !hasRequiredFields(fields)) {
+        if (fields == null || !Fields.isNumber(fields, SHIFT) || !Fields.isNumber(fields, TALLY)) {
             return null;
         }
+        String host = Fields.textOf(fields, HOST);
+        String address = Fields.textOf(fields, ADDRESS);
+        String type = Fields.textOf(fields, MODEL);
+        String zone = Fields.textOf(fields, SITE);
         List<TaskStatus> tasks = decodeTasks(Fields.listOf(fields, "pieces"));
-        if (tasks == null) {
+        if (host == null || address == null || type == null || zone == null || tasks == null) {
             return null;
         }
         double noticeSeconds = Fields.doubleOf(fields, "warning_s", -1);
         return new Heartbeat(
-                Fields.textOf(fields, HOST),
-                Fields.textOf(fields, ADDRESS),
-                Fields.textOf(fields, MODEL),
-                Fields.textOf(fields, SITE),
+                host,
+                address,
+                type,
+                zone,
                 Fields.boolOf(fields, "loaner"),
                 Fields.longOf(fields, SHIFT, 0),
                 Fields.longOf(fields, TALLY, 0),
@@ -65,15 +69,6 @@
                 tasks);
     }
 
-    private static boolean hasRequiredFields(Map<String, Object> fields) {
-        return Fields.textOf(fields, HOST) != null
-                && Fields.textOf(fields, ADDRESS) != null
-                && Fields.textOf(fields, MODEL) != null
-                && Fields.textOf(fields, SITE) != null
-                && Fields.isNumber(fields, SHIFT)
-                && Fields.isNumber(fields, TALLY);
-    }
-
     /** Null when one of them can't be read. */
     private static @Nullable List<TaskStatus> decodeTasks(List<?> elements) {
         List<TaskStatus> tasks = new ArrayList<>();
--- a/src/main/java/org/granitepath/storage/Fields.java
+++ b/src/main/java/org/granitepath/storage/Fields.java
@@ -85,8 +85,12 @@
         return requiredObject(map.get(name), name);
     }
 
-    /** @throws MalformedFieldException when the field is missing or no text */
-    static String requiredText(Map<String, Object> map, String name) {
+    /**
+     * A text that must be there.
+     *
+     * @throws MalformedFieldException when the field is missing or no text
+     */
+    public static String requiredText(Map<String, Object> map, String name) {
         if (map.get(name) instanceof String text) {
             return text;
         }
