--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -14,7 +14,7 @@
 /** Each cell of the tables that docs/recovery.md prints is what the code decides. */
 class VerdictTableTest {
     private static final String REPORTED = "| records |";
-    private static final String MISSING = "| report of a later session |";
+    private static final String MISSING = "| message of a later agent epoch |";
     private static final List<KnownPlacement> HELD =
             List.of(KnownPlacement.NONE, KnownPlacement.OTHER_ATTEMPT_HERE, KnownPlacement.OTHER_MACHINE);
     private static final int FLAGS = 7;
