--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.RangeSet;
@@ -19,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
-import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
-class ActiveJobTest {
+class ActiveJobTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
             from    OPEN  ENDING  OVER
             OPEN    =     yes     yes
@@ -47,39 +46,31 @@
         return RuleTable.steps(Phase.class, STEPS);
     }
 
-    @ParameterizedTest(name = "{0} -> {1}: {2}")
-    @MethodSource("steps")
-    void onlyTheseStepsAreAllowed(Phase from, Phase next, boolean allowed) {
-        assertEquals(allowed, from.allows(next));
-    }
-
     static Stream<Arguments> events() {
         return RuleTable.cells(Phase.class, EVENTS);
     }
 
-    @ParameterizedTest(name = "{0}, {1} -> {2}")
-    @MethodSource("events")
-    void eachEventInEachPhase(Phase from, String event, String expected) {
-        bringTo(from);
-        if (RuleTable.REFUSED.equals(expected)) {
-            assertThrows(IllegalStateException.class, () -> apply(event));
-            assertEquals(from, job.phase());
-        } else {
-            apply(event);
-            assertEquals(Phase.valueOf(expected), job.phase());
-        }
+    @Override
+    Phase phase() {
+        return job.phase();
     }
 
-    private void bringTo(Phase phase) {
+    @Override
+    boolean allows(Phase from, Phase next) {
+        return from.allows(next);
+    }
+
+    @Override
+    void bringTo(Phase phase) {
         switch (phase) {
             case OPEN -> {}
             case ENDING -> job.allTasksDone();
             case OVER -> job.finalStateRecorded("test");
         }
-        assertEquals(phase, job.phase());
     }
 
-    private void apply(String event) {
+    @Override
+    void apply(String event) {
         switch (event) {
             case "allTasksDone" -> job.allTasksDone();
             case "finalStateRecorded" -> job.finalStateRecorded("test");
@@ -237,20 +228,11 @@
         assertFalse(spread.zoneAllows("north"));
     }
 
-    @Test
-    void servicesOfHighPriorityAreLive() {
-        assertTrue(Fixtures.job(
-                        Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.CRITICAL), 0, ProgressRecord.none())
-                .isLive());
-        assertTrue(Fixtures.job(
-                        Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.HIGH), 0, ProgressRecord.none())
-                .isLive());
-        assertFalse(Fixtures.job(
-                        Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.STANDARD), 0, ProgressRecord.none())
-                .isLive());
-        assertFalse(Fixtures.job(
-                        Fixtures.spec(JobSpec.Shape.BATCH, false, false, Priority.CRITICAL), 0, ProgressRecord.none())
-                .isLive());
+    @ParameterizedTest(name = "{0} of priority {1}: {2}")
+    @CsvSource({"SERVICE, CRITICAL, true", "SERVICE, HIGH, true", "SERVICE, STANDARD, false", "BATCH, CRITICAL, false"})
+    void servicesOfHighPriorityAreLive(JobSpec.Shape shape, Priority priority, boolean live) {
+        JobSpec spec = Fixtures.spec(shape, false, false, priority);
+        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLive());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -32,7 +32,7 @@
         return RuleTable.cells(Phase.class, EVENTS);
     }
 
-    /** An older report never takes an attempt back: none is refused, what comes too late changes nothing. */
+    /** An older heartbeat never takes an attempt back: none is refused, what comes too late changes nothing. */
     @ParameterizedTest(name = "{0}, {1} -> {2}")
     @MethodSource("events")
     void eachEventInEachPhase(Phase from, String event, String expected) {
@@ -106,7 +106,7 @@
         assertFalse(attempt.mayBeCompleted());
         attempt.running();
         attempt.waiting(2 * SECOND);
-        assertEquals(Phase.STOPPING, attempt.phase(), "an older report changes nothing");
+        assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat changes nothing");
         assertTrue(attempt.isEnding());
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -16,12 +15,10 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.ProgressRecord;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
-import org.junit.jupiter.params.provider.MethodSource;
 
 /** The life cycle of a machine of the inventory, and what its events change beside the phase. */
-class MachineTest {
+class MachineTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
             from         UNCONFIRMED  READY  DRAINING  TERMINATING  GONE
             UNCONFIRMED  =            yes    -         yes          yes
@@ -46,30 +43,22 @@
         return RuleTable.steps(Phase.class, STEPS);
     }
 
-    @ParameterizedTest(name = "{0} -> {1}: {2}")
-    @MethodSource("steps")
-    void onlyTheseStepsAreAllowed(Phase from, Phase next, boolean allowed) {
-        assertEquals(allowed, from.allows(next));
-    }
-
     static Stream<Arguments> events() {
         return RuleTable.cells(Phase.class, EVENTS);
     }
 
-    @ParameterizedTest(name = "{0}, {1} -> {2}")
-    @MethodSource("events")
-    void eachEventInEachPhase(Phase from, String event, String expected) {
-        bringTo(from);
-        if (RuleTable.REFUSED.equals(expected)) {
-            assertThrows(IllegalStateException.class, () -> apply(event));
-            assertEquals(from, machine.phase());
-        } else {
-            apply(event);
-            assertEquals(Phase.valueOf(expected), machine.phase());
-        }
+    @Override
+    Phase phase() {
+        return machine.phase();
+    }
+
+    @Override
+    boolean allows(Phase from, Phase next) {
+        return from.allows(next);
     }
 
-    private void bringTo(Phase phase) {
+    @Override
+    void bringTo(Phase phase) {
         switch (phase) {
             case UNCONFIRMED -> {}
             case READY -> machine.tasksConfirmed();
@@ -80,10 +69,10 @@
             case TERMINATING -> machine.terminationDecided("test");
             case GONE -> machine.provedGone("test");
         }
-        assertEquals(phase, machine.phase());
     }
 
-    private void apply(String event) {
+    @Override
+    void apply(String event) {
         switch (event) {
             case "tasksConfirmed" -> machine.tasksConfirmed();
             case "confirmationLost" -> machine.confirmationLost(9 * SECOND, "test");
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -3,19 +3,16 @@
 import static org.granitepath.coordination.model.Fixtures.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.stream.Stream;
 import org.granitepath.coordination.model.Placement.Phase;
 import org.granitepath.coordination.ports.TaskId;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
-import org.junit.jupiter.params.provider.MethodSource;
 
 /** The life cycle of one attempt of a task on a machine. */
-class PlacementTest {
+class PlacementTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
             from      ASSIGNED  SENT  FETCHING  WAITING  RUNNING  STOPPING  FREED
             ASSIGNED  =         yes   yes       yes      yes      yes       yes
@@ -46,30 +43,22 @@
         return RuleTable.steps(Phase.class, STEPS);
     }
 
-    @ParameterizedTest(name = "{0} -> {1}: {2}")
-    @MethodSource("steps")
-    void onlyTheseStepsAreAllowed(Phase from, Phase next, boolean allowed) {
-        assertEquals(allowed, from.allows(next));
-    }
-
     static Stream<Arguments> events() {
         return RuleTable.cells(Phase.class, EVENTS);
     }
 
-    @ParameterizedTest(name = "{0}, {1} -> {2}")
-    @MethodSource("events")
-    void eachEventInEachPhase(Phase from, String event, String expected) {
-        bringTo(from);
-        if (RuleTable.REFUSED.equals(expected)) {
-            assertThrows(IllegalStateException.class, () -> apply(event));
-            assertEquals(from, placement.phase());
-        } else {
-            apply(event);
-            assertEquals(Phase.valueOf(expected), placement.phase());
-        }
+    @Override
+    Phase phase() {
+        return placement.phase();
+    }
+
+    @Override
+    boolean allows(Phase from, Phase next) {
+        return from.allows(next);
     }
 
-    private void bringTo(Phase phase) {
+    @Override
+    void bringTo(Phase phase) {
         switch (phase) {
             case ASSIGNED -> {}
             case SENT -> placement.sentDirectly();
@@ -79,10 +68,10 @@
             case STOPPING -> placement.stop(0, "test");
             case FREED -> placement.freed("test");
         }
-        assertEquals(phase, placement.phase());
     }
 
-    private void apply(String event) {
+    @Override
+    void apply(String event) {
         switch (event) {
             case "sentInAnswer" -> placement.sentInAnswer();
             case "sentDirectly" -> placement.sentDirectly();
@@ -167,7 +156,7 @@
     }
 
     @Test
-    void theFirstReportTellsSinceWhenItRuns() {
+    void theFirstHeartbeatThatListsItAsRunningTellsSinceWhen() {
         assertEquals(0, placement.ranMicros(5 * SECOND));
         placement.running(5 * SECOND);
         placement.running(6 * SECOND);
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void leaseExpiryOfAWorkerNeverHeardLeavesEpochZeroBehind() {
+    void leaseExpiryOfAWorkerWithoutAMessageLeavesEpochZeroBehind() {
         contact.leaseExpired();
         assertEquals(1, contact.agentEpoch());
     }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aPauseOfThisProcessIsNoSilenceButNeverLiesAhead() {
+    void aPauseOfThisProcessIsExcusedButNeverLiesAhead() {
         contact.heartbeatReceived(10 * SECOND);
         contact.excusePause(4 * SECOND, 20 * SECOND);
         assertEquals(14 * SECOND, contact.lastHeartbeatMicros());
