--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -1,11 +1,7 @@
 package org.granitepath.coordination.model;
 
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Collections;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.recovery.MachineProfile;
@@ -53,21 +49,16 @@
     private final WorkerContact contact;
     private final InventoryEntry inventory = new InventoryEntry();
     private final MachineCapacity capacity = new MachineCapacity();
+    private final CapacityHold capacityHold = new CapacityHold();
+    private final MachinePlacements placements = new MachinePlacements(capacity);
+    private final MessageFindings findings = new MessageFindings();
     private Phase phase = Phase.UNCONFIRMED;
 
     private boolean awaitingFirstHeartbeat;
     private long unconfirmedSinceMicros;
-    private boolean keptAsHeadroom;
-    private @Nullable ActiveJob reservedFor;
     private long idleSinceMicros;
     private long launchedMicros;
 
-    private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
-    private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
-
-    private final List<WorkerCommand> cleanupCommands = new ArrayList<>();
-    private int unconfirmedTasks;
-
     /** A machine from which no heartbeat has come yet. */
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
         this.id = id;
@@ -206,7 +197,7 @@
         return awaitingFirstHeartbeat;
     }
 
-    /** It reports for the first time and is to be commanded under this fencing token. */
+    /** Its first heartbeat has come, and it is to be commanded under this fencing token. */
     void joinedFleet(long token, long nowMicros) {
         inventory.joinedFleet(token);
         launchedMicros = nowMicros;
@@ -234,7 +225,7 @@
     // ---- what its worker says ----------------------------------------------------------------------------------
 
     /**
-     * The worker has reported by itself.
+     * A heartbeat that the worker sent by itself has come.
      *
      * @param wasUnresponsive whether heartbeats were overdue for long: it could show nothing and get no work
      */
@@ -254,66 +245,65 @@
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
     public void leaseExpired() {
         contact.leaseExpired();
-        cleanupCommands.clear();
+        findings.discardCleanup();
     }
 
     // ---- findings of the latest message ------------------------------------------------------------------------
 
     /** Commands that the latest message calls for: stops of orphaned tasks, and the clearing of exited ones. */
     public List<WorkerCommand> cleanupCommands() {
-        return Collections.unmodifiableList(cleanupCommands);
+        return findings.cleanupCommands();
     }
 
     /** The latest message calls for this command. */
     public void addCleanup(WorkerCommand command) {
-        cleanupCommands.add(command);
+        findings.addCleanup(command);
     }
 
     /** A message is about to be compared with the records: what the one before called for is void. */
     public void clearFindings() {
-        cleanupCommands.clear();
-        unconfirmedTasks = 0;
+        findings.clear();
     }
 
     /** The message lists a task of which nothing can be decided: it may not be cut short. */
     public void taskUnconfirmed() {
-        unconfirmedTasks++;
+        findings.taskUnconfirmed();
     }
 
     // ---- capacity held back ------------------------------------------------------------------------------------
 
     /** Whether it is idle, but kept as headroom for live services: other work may use it meanwhile. */
     public boolean keptAsHeadroom() {
-        return keptAsHeadroom;
+        return capacityHold.isHeadroom();
     }
 
     /** Whether it is kept though it is idle. */
     public void keepAsHeadroom(boolean keep) {
-        keptAsHeadroom = keep;
+        capacityHold.keepAsHeadroom(keep);
     }
 
     /** The gang for which its free capacity is held, or null. Live services may use it all the same. */
     public @Nullable ActiveJob reservedFor() {
-        return reservedFor;
+        return capacityHold.reservedFor();
     }
 
     /** Holds its free capacity for this gang. */
     public void reserveFor(ActiveJob gang) {
-        reservedFor = gang;
+        capacityHold.reserveFor(gang);
     }
 
     /** Ends the reservation, whoever it is for. */
     public void endReservation() {
-        reservedFor = null;
+        capacityHold.endReservation();
     }
 
     /** Ends the reservation if it is for this gang. */
     public void endReservationFor(ActiveJob gang) {
-        if (reservedFor == gang) {
-            reservedFor = null;
-        }
+        capacityHold.endReservationFor(gang);
     }
 
+    // ---- idle and charged times --------------------------------------------------------------------------------
+
     /** Since when it has had no placement, or could have had none. */
     public long idleSinceMicros() {
         return idleSinceMicros;
@@ -333,12 +323,12 @@
 
     /** The attempts placed here, in the order in which they came. */
     public Collection<Placement> placements() {
-        return placementsView;
+        return placements.all();
     }
 
     /** The attempt of this task that is placed here, or null. */
     public @Nullable Placement placement(TaskId task) {
-        return placements.get(task);
+        return placements.of(task);
     }
 
     /** Whether any attempt is placed here. */
@@ -348,49 +338,29 @@
 
     /** Whether nothing is on it that must not be cut short. */
     public boolean isEmpty() {
-        return placements.isEmpty() && unconfirmedTasks == 0;
+        return placements.isEmpty() && !findings.hasUnconfirmedTasks();
     }
 
     /** An attempt is placed here. */
     public void add(Placement placement) {
-        placements.put(placement.task(), placement);
-        capacity.take(placement.job().spec());
+        placements.add(placement);
     }
 
     /** An attempt is proved gone. */
     public void remove(Placement placement, long nowMicros) {
-        if (placements.remove(placement.task(), placement)) {
-            capacity.release(placement.job().spec());
-            if (placements.isEmpty()) {
-                idleSinceMicros = nowMicros;
-            }
+        if (placements.remove(placement) && placements.isEmpty()) {
+            idleSinceMicros = nowMicros;
         }
     }
 
     /** Whether a task here waits for this image, so that one more need not fetch it anew. */
     public boolean fetches(String image) {
-        for (Placement placement : placements.values()) {
-            if (!placement.hasRun() && placement.job().spec().image().equals(image)) {
-                return true;
-            }
-        }
-        return false;
+        return placements.fetches(image);
     }
 
     /** How many tasks of this shape fit once all but the services here has ended. */
     public int slotsBesideServices(JobSpec spec) {
-        long cpuMillis = 0;
-        long gpuMillis = 0;
-        long memoryMillis = 0;
-        for (Placement placement : placements.values()) {
-            JobSpec other = placement.job().spec();
-            if (!other.service()) {
-                cpuMillis += other.cpuMillis();
-                gpuMillis += other.gpuMillis();
-                memoryMillis += other.memoryMillis();
-            }
-        }
-        return capacity.slots(spec, cpuMillis, gpuMillis, memoryMillis);
+        return placements.slotsBesideServices(spec);
     }
 
     /** Whether a job may use this machine at all, capacity and other tasks aside. */
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/CapacityHoldTest.java
@@ -0,0 +1,60 @@
+package org.granitepath.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** For whom capacity is held back, and what ends that. */
+class CapacityHoldTest {
+    private final ActiveJob gang = Fixtures.job();
+    private final ActiveJob other = Fixtures.job();
+    private final CapacityHold hold = new CapacityHold();
+
+    @Test
+    void nothingIsHeldAtFirst() {
+        assertFalse(hold.isHeadroom());
+        assertNull(hold.reservedFor());
+    }
+
+    @Test
+    void headroomIsKeptUntilItIsReleased() {
+        hold.keepAsHeadroom(true);
+        assertTrue(hold.isHeadroom());
+        hold.keepAsHeadroom(false);
+        assertFalse(hold.isHeadroom());
+    }
+
+    @Test
+    void aLaterGangTakesTheReservationOver() {
+        hold.reserveFor(gang);
+        hold.reserveFor(other);
+        assertSame(other, hold.reservedFor());
+    }
+
+    @Test
+    void aReservationEndsForItsOwnGangOnly() {
+        hold.reserveFor(gang);
+        hold.endReservationFor(other);
+        assertSame(gang, hold.reservedFor());
+        hold.endReservationFor(gang);
+        assertNull(hold.reservedFor());
+    }
+
+    @Test
+    void aReservationCanBeEndedWhoeverItIsFor() {
+        hold.reserveFor(gang);
+        hold.endReservation();
+        assertNull(hold.reservedFor());
+    }
+
+    @Test
+    void headroomAndReservationAreIndependent() {
+        hold.keepAsHeadroom(true);
+        hold.reserveFor(gang);
+        hold.endReservation();
+        assertTrue(hold.isHeadroom());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -0,0 +1,85 @@
+package org.granitepath.coordination.model;
+
+import static org.granitepath.coordination.model.Fixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.ProgressRecord;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The attempts placed on a machine of 4 CPUs, by tasks of 1 CPU. */
+class MachinePlacementsTest {
+    private final Machine machine = Fixtures.machine("i-1", "north");
+    private final ActiveJob job = Fixtures.job();
+    private final MachineCapacity capacity = new MachineCapacity();
+    private final MachinePlacements placements = new MachinePlacements(capacity);
+
+    @BeforeEach
+    void typeIsKnown() {
+        capacity.typeKnown(Fixtures.TYPE);
+    }
+
+    @Test
+    void attemptsKeepTheOrderInWhichTheyCame() {
+        Placement first = Fixtures.placement(job, 5, machine, 1);
+        Placement second = Fixtures.placement(job, 2, machine, 2);
+        placements.add(first);
+        placements.add(second);
+        assertEquals(List.of(first, second), List.copyOf(placements.all()));
+        assertSame(second, placements.of(second.task()));
+    }
+
+    @Test
+    void anAttemptTakesCapacityUntilItIsRemoved() {
+        Placement placement = Fixtures.placement(job, 0, machine, 1);
+        placements.add(placement);
+        assertEquals(3_000, capacity.cpuFree());
+        assertTrue(placements.remove(placement));
+        assertEquals(4_000, capacity.cpuFree());
+        assertTrue(placements.isEmpty());
+        assertNull(placements.of(placement.task()));
+    }
+
+    @Test
+    void whatIsRemovedTwiceReleasesItsCapacityOnce() {
+        Placement placement = Fixtures.placement(job, 0, machine, 1);
+        placements.add(placement);
+        placements.remove(placement);
+        assertFalse(placements.remove(placement));
+        assertEquals(4_000, capacity.cpuFree());
+    }
+
+    @Test
+    void anEarlierAttemptDoesNotRemoveALaterOne() {
+        Placement later = Fixtures.placement(job, 0, machine, 2);
+        placements.add(later);
+        assertFalse(placements.remove(Fixtures.placement(job, 0, machine, 1)));
+        assertSame(later, placements.of(later.task()));
+        assertEquals(3_000, capacity.cpuFree());
+    }
+
+    @Test
+    void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
+        Placement placement = Fixtures.placement(job, 0, machine, 1);
+        placements.add(placement);
+        assertTrue(placements.fetches("image"));
+        assertFalse(placements.fetches("other"));
+        placement.running(3 * SECOND);
+        assertFalse(placements.fetches("image"));
+    }
+
+    @Test
+    void onlyServicesTakeFromWhatIsLeftBesideServices() {
+        JobSpec service = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
+        placements.add(Fixtures.placement(job, 0, machine, 1));
+        placements.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
+        assertEquals(3, placements.slotsBesideServices(service));
+        assertEquals(2_000, capacity.cpuFree(), "nothing is released by asking");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/MessageFindingsTest.java
@@ -0,0 +1,58 @@
+package org.granitepath.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.junit.jupiter.api.Test;
+
+/** What the latest message of a worker calls for, and until when. */
+class MessageFindingsTest {
+    private static final WorkerCommand STOP = WorkerCommand.stop(new TaskId("run-1", 0), 3, 0);
+    private static final WorkerCommand CLEAR = WorkerCommand.clear(new TaskId("run-1", 1), 4);
+
+    private final MessageFindings findings = new MessageFindings();
+
+    @Test
+    void nothingIsFoundAtFirst() {
+        assertEquals(List.of(), findings.cleanupCommands());
+        assertFalse(findings.hasUnconfirmedTasks());
+    }
+
+    @Test
+    void commandsKeepTheOrderInWhichTheyWereFound() {
+        findings.addCleanup(STOP);
+        findings.addCleanup(CLEAR);
+        assertEquals(List.of(STOP, CLEAR), findings.cleanupCommands());
+    }
+
+    @Test
+    void commandsChangeThroughTheNamedMethodsAlone() {
+        assertThrows(
+                UnsupportedOperationException.class,
+                () -> findings.cleanupCommands().add(STOP));
+    }
+
+    @Test
+    void discardingTheCleanupLeavesUnconfirmedTasks() {
+        findings.addCleanup(STOP);
+        findings.taskUnconfirmed();
+        findings.discardCleanup();
+        assertEquals(List.of(), findings.cleanupCommands());
+        assertTrue(findings.hasUnconfirmedTasks());
+    }
+
+    @Test
+    void theNextMessageVoidsAllFindings() {
+        findings.addCleanup(STOP);
+        findings.taskUnconfirmed();
+        findings.taskUnconfirmed();
+        findings.clear();
+        assertEquals(List.of(), findings.cleanupCommands());
+        assertFalse(findings.hasUnconfirmedTasks());
+    }
+}
