--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -11,7 +11,6 @@
 public final class Placement {
     private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
     private static final long NEVER = -1;
-    private static final long NO_TOKEN = 0;
 
     /**
      * {@code ASSIGNED}: decided, not sent. {@code SENT}: a start is under way or was answered. {@code WAITING}: a task
@@ -26,7 +25,7 @@
         STOPPING,
         FREED;
 
-        /** Whether a placement may go from this phase to the next one; reports may skip what they did not show. */
+        /** Whether a placement may go from this phase to the next one; heartbeats may skip what they did not show. */
         boolean allows(Phase next) {
             return switch (this) {
                 case ASSIGNED -> next != ASSIGNED;
@@ -43,23 +42,33 @@
     private final long attempt;
     private final long agentEpoch;
     private final long placedMicros;
+    private final StartDelivery delivery;
+    private final boolean wasAdopted;
     private Phase phase = Phase.ASSIGNED;
-    private long unansweredToken = NO_TOKEN;
-    private boolean sentInAnswer;
-    private boolean seen;
-    private boolean onlyHere = true;
-    private boolean wasAdopted;
     private long runningSinceMicros = NEVER;
     private long graceMicros;
 
     /** An attempt that this leader has decided on, for the worker's present agent epoch. */
     public Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long nowMicros) {
+        this(task, job, machine, attempt, nowMicros, StartDelivery.notSent(), false);
+    }
+
+    private Placement(
+            TaskId task,
+            ActiveJob job,
+            Machine machine,
+            long attempt,
+            long nowMicros,
+            StartDelivery delivery,
+            boolean wasAdopted) {
         this.task = task;
         this.job = job;
         this.machine = machine;
         this.attempt = attempt;
         this.agentEpoch = machine.contact().agentEpoch();
         this.placedMicros = nowMicros;
+        this.delivery = delivery;
+        this.wasAdopted = wasAdopted;
     }
 
     /**
@@ -69,10 +78,8 @@
      */
     public static Placement adopted(
             TaskId task, ActiveJob job, Machine machine, long attempt, boolean onlyHere, long nowMicros) {
-        Placement placement = new Placement(task, job, machine, attempt, nowMicros);
-        placement.seen = true;
-        placement.onlyHere = onlyHere;
-        placement.wasAdopted = true;
+        Placement placement =
+                new Placement(task, job, machine, attempt, nowMicros, StartDelivery.adopted(onlyHere), true);
         placement.transition(Phase.SENT, "taken over");
         return placement;
     }
@@ -133,51 +140,46 @@
 
     /** The start goes out in the answer to a heartbeat: only a later heartbeat tells whether it was taken. */
     public void sentInAnswer() {
-        sentInAnswer = true;
+        delivery.sentInAnswer();
         transition(Phase.SENT, "in an answer");
     }
 
     /** The start goes out in a direct call under the machine's present fencing token. */
     public void sentDirectly() {
-        sentInAnswer = false;
-        unansweredToken = machine.fencingToken();
+        delivery.sentDirectly(machine.fencingToken());
         transition(Phase.SENT, "direct");
     }
 
     /** The direct call under this fencing token was answered. */
     public void directStartAnswered(long token) {
-        if (unansweredToken == token) {
-            unansweredToken = NO_TOKEN;
-        }
+        delivery.answered(token);
     }
 
     /** Whether the start went out in the answer to a heartbeat and not in a direct call. */
     public boolean wentOutInAnswer() {
-        return sentInAnswer;
+        return delivery.wentOutInAnswer();
     }
 
     /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
     public boolean mayStillBeStarted(long token) {
-        return unansweredToken != NO_TOKEN && unansweredToken >= token;
+        return delivery.mayStillBeStarted(token);
     }
 
-    // ---- what the worker reports -------------------------------------------------------------------------------
+    // ---- what heartbeats list ----------------------------------------------------------------------------------
 
     /** A message of the worker lists it. */
     public void listed(boolean underPresentToken) {
-        seen = true;
-        onlyHere |= underPresentToken;
-        unansweredToken = NO_TOKEN;
+        delivery.listed(underPresentToken);
     }
 
     /** Whether a message of the worker has listed it. */
     public boolean seen() {
-        return seen;
+        return delivery.seen();
     }
 
     /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
     public boolean onlyHere() {
-        return onlyHere;
+        return delivery.onlyHere();
     }
 
     /** Whether it was found on the machine: then it is not known when it began. */
@@ -185,21 +187,21 @@
         return wasAdopted;
     }
 
-    /** It is reported to wait for its image. */
+    /** A heartbeat lists it as waiting for its image. */
     public void fetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
             transition(Phase.FETCHING, "listed in a heartbeat");
         }
     }
 
-    /** It is reported to wait for the others of its gang. */
+    /** A heartbeat lists it as waiting for the others of its gang. */
     public void waiting() {
         if (phase != Phase.STOPPING) {
             transition(Phase.WAITING, "listed in a heartbeat");
         }
     }
 
-    /** It is reported to run; the first such report tells since when, at the latest. */
+    /** A heartbeat lists it as running; the first one that does tells since when, at the latest. */
     public void running(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
@@ -209,7 +211,7 @@
         }
     }
 
-    /** It is reported to save, so it was told to stop. */
+    /** A heartbeat lists it as saving, so it was told to stop. */
     public void saving() {
         transition(Phase.STOPPING, "saving");
     }
