--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -1,12 +1,8 @@
 package org.granitepath.coordination.model;
 
 import com.google.common.collect.RangeSet;
-import com.google.common.collect.TreeRangeSet;
 import it.unimi.dsi.fastutil.ints.Int2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectMap;
-import it.unimi.dsi.fastutil.ints.IntAVLTreeSet;
-import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.Map;
@@ -40,42 +36,24 @@
     private final JobSpec spec;
     private final long acceptedMicros;
     private final long sinceMicros;
-    private final RangeSet<Integer> done;
+    private final TaskNumbers numbers;
     private final Int2ObjectMap<Placement> placements = new Int2ObjectLinkedOpenHashMap<>();
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
-    private final Object2IntOpenHashMap<String> zoneCounts = new Object2IntOpenHashMap<>();
-    /** Claimed, not done, not placed, and proved to be on no machine. */
-    private final IntAVLTreeSet freedTasks = new IntAVLTreeSet();
-    /** Claimed by a predecessor; may be running on a machine still awaited. */
-    private final IntOpenHashSet unconfirmed = new IntOpenHashSet();
+    private final TasksByZone tasksByZone;
+    private final SchedulingState scheduling = new SchedulingState();
 
     private Phase phase = Phase.OPEN;
-    private int doneCount;
-    private int claimed;
-    private int requestedClaim;
-    /** Tasks at or above this were never handed out. */
-    private int firstNeverStarted;
-
     private double finishedMicros;
     private int finishedTasks;
     private @Nullable GangAttempt gangAttempt;
-    private final SchedulingState scheduling = new SchedulingState();
 
     /** A job as its records tell; every claimed task that is not done is unconfirmed. */
     public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
         this.sinceMicros = nowMicros;
-        this.done = TreeRangeSet.create(progress.done());
-        this.doneCount = ProgressRecord.count(done);
-        this.claimed = Math.max(record.claimed(), progress.claimed());
-        this.requestedClaim = claimed;
-        this.firstNeverStarted = claimed;
-        for (int task = 0; task < claimed; task++) {
-            if (!done.contains(task)) {
-                unconfirmed.add(task);
-            }
-        }
+        this.numbers = new TaskNumbers(Math.max(record.claimed(), progress.claimed()), progress.done());
+        this.tasksByZone = new TasksByZone(spec);
     }
 
     /** What its user asked for. */
@@ -140,12 +118,12 @@
 
     /** Handed out and not known to be over: placed, or unconfirmed. */
     public int running() {
-        return placements.size() + unconfirmed.size();
+        return placements.size() + numbers.unconfirmedCount();
     }
 
     /** How many of its tasks are not done. */
     public int unfinishedTasks() {
-        return spec.tasks() - doneCount;
+        return spec.tasks() - numbers.doneCount();
     }
 
     /** Tasks that could start now if there were capacity, claimed or not. */
@@ -155,66 +133,61 @@
 
     /** The finished tasks, as ranges of their numbers. */
     public RangeSet<Integer> done() {
-        return done;
+        return numbers.done();
     }
 
     /** Whether this task is done. */
     public boolean isDone(int task) {
-        return done.contains(task);
+        return numbers.isDone(task);
     }
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
     /** Tasks below this are ours by record. */
     public int claimed() {
-        return claimed;
+        return numbers.claimed();
     }
 
     /** A larger claim is on record. */
     public void claimRecorded(int tasks) {
-        claimed = tasks;
+        numbers.claimRecorded(tasks);
     }
 
     /** The claim that was asked for last, on record or not. */
     public int requestedClaim() {
-        return requestedClaim;
+        return numbers.requestedClaim();
     }
 
     /** A claim of this many tasks is to be recorded. */
     public void claimRequested(int tasks) {
-        requestedClaim = tasks;
+        numbers.claimRequested(tasks);
     }
 
     /** Tasks at or above this were never handed out. */
     public int firstNeverStarted() {
-        return firstNeverStarted;
+        return numbers.firstNeverStarted();
     }
 
     /** Whether a task could be started without a further claim. */
     public boolean hasClaimedTask() {
-        return !freedTasks.isEmpty() || firstNeverStarted < claimed;
+        return numbers.hasClaimed();
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
 
     /** Takes the next task number to start. */
     public int takeTask() {
-        if (!freedTasks.isEmpty()) {
-            int task = freedTasks.firstInt();
-            freedTasks.remove(task);
-            return task;
-        }
-        return firstNeverStarted++;
+        return numbers.take();
     }
 
     /** Takes this task number, which is free, to start. */
     public void takeTask(int task) {
-        freedTasks.remove(task);
+        numbers.take(task);
     }
 
     /** The lowest task number that was started before and is free again. */
     public int firstFreed() {
-        return freedTasks.firstInt();
+        return numbers.firstFreed();
     }
 
     /** The attempts of its tasks that are on machines, or may be. */
@@ -236,9 +209,8 @@
     public void place(Placement placement) {
         int task = placement.task().index();
         placements.put(task, placement);
-        zoneCounts.addTo(placement.machine().zone(), 1);
-        unconfirmed.remove(task);
-        freedTasks.remove(task);
+        tasksByZone.add(placement.machine().zone());
+        numbers.placed(task);
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
@@ -247,67 +219,44 @@
         if (!placements.remove(task, placement)) {
             return;
         }
-        zoneCounts.addTo(placement.machine().zone(), -1);
-        if (!done.contains(task) && phase != Phase.OVER) {
-            if (elsewhere) {
-                unconfirmed.add(task);
-            } else {
-                freedTasks.add(task);
-            }
+        tasksByZone.remove(placement.machine().zone());
+        if (phase != Phase.OVER) {
+            numbers.unplaced(task, elsewhere);
         }
     }
 
     /** This task is done. */
     public void markDone(int task) {
-        if (!done.contains(task)) {
-            ProgressRecord.addTask(done, task);
-            doneCount++;
-        }
-        freedTasks.remove(task);
-        unconfirmed.remove(task);
+        numbers.markDone(task);
     }
 
     /** A task of a gang has completed: all have. */
     public void markAllDone() {
-        ProgressRecord.addTasks(done, spec.tasks());
-        doneCount = spec.tasks();
-        freedTasks.clear();
-        unconfirmed.clear();
+        numbers.markAllDone(spec.tasks());
     }
 
     // ---- unconfirmed tasks -------------------------------------------------------------------------------------
 
     /** How many claimed tasks may run on machines still awaited. */
     public int unconfirmedTasks() {
-        return unconfirmed.size();
+        return numbers.unconfirmedCount();
     }
 
     /** Every machine that could have held a task of ours has sent a heartbeat or is proved gone. */
     public void resolveUnconfirmed() {
-        freedTasks.addAll(unconfirmed);
-        unconfirmed.clear();
+        numbers.resolveUnconfirmed();
     }
 
     // ---- zones -------------------------------------------------------------------------------------------------
 
     /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
     public boolean zoneAllows(String zone) {
-        if (spec.oneZone()) {
-            if (!unconfirmed.isEmpty()) {
-                return false;
-            }
-            for (var entry : zoneCounts.object2IntEntrySet()) {
-                if (entry.getIntValue() > 0 && !entry.getKey().equals(zone)) {
-                    return false;
-                }
-            }
-        }
-        return !spec.spread() || zoneCounts.getInt(zone) + unconfirmed.size() + 1 <= spec.zoneCap();
+        return tasksByZone.allows(zone, numbers.unconfirmedCount());
     }
 
     /** How many of its tasks are placed in each zone. */
     public Map<String, Integer> tasksByZone() {
-        return Collections.unmodifiableMap(zoneCounts);
+        return tasksByZone.asMap();
     }
 
     // ---- run times ---------------------------------------------------------------------------------------------
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
@@ -0,0 +1,75 @@
+package org.granitepath.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import org.granitepath.storage.JobSpec;
+import org.junit.jupiter.api.Test;
+
+/** Where tasks of a job stand, and where one more may. */
+class TasksByZoneTest {
+    private static final JobSpec ONE_ZONE = Fixtures.spec(JobSpec.Shape.GANG, true, false);
+    private static final JobSpec SPREAD = Fixtures.spec(JobSpec.Shape.SERVICE, false, true);
+
+    private static TasksByZone tasksByZone(JobSpec spec, String... zones) {
+        TasksByZone tasks = new TasksByZone(spec);
+        for (String zone : zones) {
+            tasks.add(zone);
+        }
+        return tasks;
+    }
+
+    @Test
+    void tasksAreCountedByZone() {
+        TasksByZone tasks = tasksByZone(SPREAD, "north", "south", "north");
+        tasks.remove("south");
+        assertEquals(Map.of("north", 2, "south", 0), tasks.asMap());
+    }
+
+    @Test
+    void countsChangeThroughTheNamedMethodsAlone() {
+        Map<String, Integer> view = tasksByZone(SPREAD).asMap();
+        assertThrows(UnsupportedOperationException.class, () -> view.put("north", 1));
+    }
+
+    @Test
+    void aJobWithoutZoneRulesMayStandAnywhere() {
+        TasksByZone tasks = tasksByZone(Fixtures.spec(JobSpec.Shape.BATCH, false, false), "south");
+        assertTrue(tasks.allows("north", 1_000));
+    }
+
+    @Test
+    void oneZoneStandsWhileATaskIsThere() {
+        TasksByZone tasks = tasksByZone(ONE_ZONE, "south");
+        assertTrue(tasks.allows("south", 0));
+        assertFalse(tasks.allows("north", 0));
+        tasks.remove("south");
+        assertTrue(tasks.allows("north", 0));
+    }
+
+    @Test
+    void oneZoneIsNotKnownWhileAnyTaskIsUnconfirmed() {
+        assertTrue(tasksByZone(ONE_ZONE).allows("north", 0));
+        assertFalse(tasksByZone(ONE_ZONE).allows("north", 1));
+    }
+
+    @Test
+    void aSpreadJobMayStandInAZoneUpToItsCap() {
+        TasksByZone tasks = tasksByZone(SPREAD);
+        for (int placed = 0; placed < SPREAD.zoneCap(); placed++) {
+            assertTrue(tasks.allows("north", 0), placed + " placed");
+            tasks.add("north");
+        }
+        assertFalse(tasks.allows("north", 0));
+        assertTrue(tasks.allows("south", 0));
+    }
+
+    @Test
+    void unconfirmedTasksCountInEachZone() {
+        assertTrue(tasksByZone(SPREAD).allows("north", SPREAD.zoneCap() - 1));
+        assertFalse(tasksByZone(SPREAD).allows("north", SPREAD.zoneCap()));
+    }
+}
