--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -19,15 +19,15 @@
     private static final double OVERDUE_HEARTBEATS = 1.5;
     /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
     private static final double CUT_OFF_SHARE = 0.6;
-    /** A peer that hears fewer of them proves little, however small the fleet is. */
-    private static final int FEWEST_HEARD_BY_PEER = 2;
+    /** A peer that redirects fewer of them proves little, however small the fleet is. */
+    private static final int FEWEST_REDIRECTED_BY_PEER = 2;
 
     private final Config config;
     private final Timers timers;
     private final long startedMicros;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, MachineType> types = new LinkedHashMap<>();
-    /** Machines that are gone, each with the last agent epoch heard: late copies of their heartbeats still arrive. */
+    /** Machines that are gone, each with its last known agent epoch: late copies of their heartbeats still arrive. */
     private final Map<String, Long> departed = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /** A machine that reports for the first time, and is not in the fleet yet. */
+    /** The machine of a first heartbeat, which is not in the fleet yet. */
     public Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
                 heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
@@ -111,7 +111,7 @@
         return heartbeat.agentEpoch() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
 
-    /** Whether the machine has been silent for so long that a command would hardly arrive. */
+    /** Whether heartbeats of the machine are missing for so long that a command would hardly arrive. */
     public boolean unresponsive(Machine machine, long nowMicros) {
         return machine.contact().unresponsive(nowMicros, config.workers().heartbeatIntervalMicros());
     }
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Whether most machines have become unresponsive to us while a peer hears them: then it had better lead, before
-     * their leases run out.
+     * Whether most machines have become unresponsive to us while a peer gets their heartbeats: then it had better lead,
+     * before their leases run out.
      */
     public boolean cutFromWorkers(int redirectedByPeer) {
         long nowMicros = timers.nowMicros();
@@ -145,11 +145,11 @@
             unresponsive += unresponsive(machine, nowMicros) ? 1 : 0;
         }
         return unresponsive >= CUT_OFF_SHARE * machines.size()
-                && redirectedByPeer >= Math.max(FEWEST_HEARD_BY_PEER, unresponsive / 2)
+                && redirectedByPeer >= Math.max(FEWEST_REDIRECTED_BY_PEER, unresponsive / 2)
                 && nowMicros - startedMicros > config.workers().leaseMicros();
     }
 
-    /** This process stood still: no machine was silent for that time. */
+    /** This process stood still: no heartbeat counts as missing in that time. */
     public void excusePause(long pauseMicros, long nowMicros) {
         for (Machine machine : machines.values()) {
             machine.contact().excusePause(pauseMicros, nowMicros);
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -9,8 +9,8 @@
 
 /**
  * One attempt of a gang. Its tasks share the attempt's number, by which they find each other; they start together when
- * the last one has its image, and they complete together. What a task does is reported by its machine, the others may
- * know better: a gang may be running, or broken, before we hear of it.
+ * the last one has its image, and they complete together. What a task does is told by heartbeats of its machine, and
+ * the others may know better: a gang may be running, or broken, before a heartbeat says so.
  */
 public final class GangAttempt {
     private static final Logger LOG = LoggerFactory.getLogger(GangAttempt.class);
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * The worker has reported by itself. Answers to direct calls don't count here: without reports the worker's lease
-     * runs out all the same.
+     * The worker has sent a heartbeat by itself. Answers to direct calls don't count here: without heartbeats the
+     * worker's lease expires all the same.
      */
     void heartbeatReceived(long nowMicros) {
         lastHeartbeatMicros = nowMicros;
@@ -74,12 +74,12 @@
         fenced = false;
     }
 
-    /** When its worker last reported by itself. */
+    /** When its worker last sent a heartbeat by itself. */
     public long lastHeartbeatMicros() {
         return lastHeartbeatMicros;
     }
 
-    /** This process stood still for so long: the machine was not silent for that time. */
+    /** This process stood still for so long: no heartbeat counts as missing in that time. */
     void excusePause(long pauseMicros, long nowMicros) {
         lastHeartbeatMicros = Math.min(nowMicros, lastHeartbeatMicros + pauseMicros);
     }
