--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -35,7 +35,7 @@
     Verdict ofReported(Machine machine, TaskStatus status) {
         plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
-        return VerdictTable.ofReported(
+        return VerdictTable.ofListed(
                 recordedTask(job, status.task()), knownPlacement(job, machine, status), reportedTask(job, status));
     }
 
--- a/src/main/java/org/granitepath/recovery/RecordedTask.java
+++ b/src/main/java/org/granitepath/recovery/RecordedTask.java
@@ -1,6 +1,6 @@
 package org.granitepath.recovery;
 
-/** What the records say of a task that a machine reports. */
+/** What the records say of a task that a heartbeat lists. */
 public enum RecordedTask {
     /** Claimed by this or a former leader, not finished. */
     CLAIMED,
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -4,7 +4,7 @@
 public enum RecoveryPhase {
     /** The term is won; the records are being read up to its beginning. Nothing is commanded. */
     READING,
-    /** Reports are compared with the records; live work starts as its proofs come in. */
+    /** Heartbeats are compared with the records; live work starts as its proofs come in. */
     RECONCILING,
     /** No task of live work is unconfirmed any more; those that have or get capacity are being started. */
     RESUMING_LIVE,
@@ -17,4 +17,9 @@
     public boolean startsBatchWork() {
         return compareTo(RESUMING_BATCH) >= 0;
     }
+
+    /** Whether batch work is held for live work, which may start. */
+    public boolean holdsBatchWork() {
+        return this == RECONCILING || this == RESUMING_LIVE;
+    }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -1,6 +1,5 @@
 package org.granitepath.recovery;
 
-import java.util.EnumMap;
 import java.util.Map;
 import org.granitepath.storage.JobSpec;
 import org.pcollections.PSet;
@@ -8,29 +7,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery of one term of leadership: which machines are still awaited, what has been found so far, and which
- * work may start. Live work starts by the proof of each task; batch work, which is all other, is held until live work
- * is placed, but never beyond a bound.
+ * The recovery of one term of leadership: how far it has come, and so which work may start. Live work starts by the
+ * proof of each task; batch work, which is all other, is held until live work is placed, but never beyond a bound.
  */
 public final class RecoveryPlan {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryPlan.class);
 
     private final long fencingToken;
-    private final long batchHoldMicros;
     private final RecoveryTracer tracer;
     private final AwaitedMachines awaited = new AwaitedMachines();
-    private final Map<Verdict, Integer> verdicts = new EnumMap<>(Verdict.class);
+    private final VerdictCounts counts = new VerdictCounts();
+    private final BatchHold batchHold;
     private RecoveryPhase phase = RecoveryPhase.READING;
-    private LiveWorkBacklog liveWorkBacklog = LiveWorkBacklog.NONE;
     private long revision;
     private int machinesTakenOver;
-    private long holdEndsMicros;
-    private long comparisons;
 
     /** @param batchHoldMicros how long batch work is held for live work, at most; 0: not at all */
     public RecoveryPlan(long fencingToken, long batchHoldMicros, RecoveryTracer tracer) {
         this.fencingToken = fencingToken;
-        this.batchHoldMicros = batchHoldMicros;
+        this.batchHold = new BatchHold(batchHoldMicros);
         this.tracer = tracer;
         tracer.termBegan(fencingToken);
         tracer.phaseEntered(phase, "term won");
@@ -51,7 +46,7 @@
     /** The records are read, as of this revision: from now on heartbeats are taken. */
     public void recordsRead(long revisionRead, long nowMicros) {
         revision = revisionRead;
-        holdEndsMicros = nowMicros + batchHoldMicros;
+        batchHold.begin(nowMicros);
         if (awaited.isEmpty()) {
             enter(RecoveryPhase.RECOVERED, "no machine to take over");
         } else {
@@ -71,18 +66,18 @@
     }
 
     /** The verdict on a claimed task that no heartbeat has listed so far. */
-    public Verdict verdictOnUnreported(JobSpec spec) {
-        return VerdictTable.ofUnreported(awaited.mayHold(spec));
+    public Verdict verdictOnUnlisted(JobSpec spec) {
+        return VerdictTable.ofUnlisted(awaited.mayHold(spec));
     }
 
     /** Counts a verdict on one task. */
     public void countVerdicts(Verdict verdict, int tasks) {
-        verdicts.merge(verdict, tasks, Integer::sum);
+        counts.add(verdict, tasks);
     }
 
     /** Counts the comparisons of an attempt with the records. */
     public void countComparisons(int attempts) {
-        comparisons += attempts;
+        counts.addComparisons(attempts);
     }
 
     /** Whether tasks of this job may start, as far as the recovery is concerned. */
@@ -92,14 +87,14 @@
 
     /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
     public void endHoldIfDue(long nowMicros) {
-        if (holdsBatchWork() && nowMicros >= holdEndsMicros) {
-            resumeBatch(batchHoldMicros == 0 ? "no hold is set" : "the longest hold is over, with " + waitingFor());
+        if (holdsBatchWork() && batchHold.isDue(nowMicros)) {
+            resumeBatch(batchHold.reasonToEnd());
         }
     }
 
     /** A scheduling cycle has ended and left this of the live work. */
     public void cycleEnded(LiveWorkBacklog backlog) {
-        liveWorkBacklog = backlog;
+        batchHold.waitsFor(backlog);
         if (phase == RecoveryPhase.RECONCILING && backlog.unconfirmedTasks() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
         }
@@ -132,12 +127,12 @@
 
     /** Whether batch work is held for live work. */
     public boolean holdsBatchWork() {
-        return phase == RecoveryPhase.RECONCILING || phase == RecoveryPhase.RESUMING_LIVE;
+        return phase.holdsBatchWork();
     }
 
     /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
     public String waitingFor() {
-        return holdsBatchWork() ? liveWorkBacklog.summary() : "nothing";
+        return holdsBatchWork() ? batchHold.waitingFor() : "nothing";
     }
 
     /** Whether every machine taken over has sent a heartbeat or is proved gone. */
@@ -177,16 +172,16 @@
 
     /** When the hold ends at the latest. */
     public long holdEndsMicros() {
-        return holdEndsMicros;
+        return batchHold.endsMicros();
     }
 
     /** How many attempts were compared with the records so far. */
     public long comparisons() {
-        return comparisons;
+        return counts.comparisons();
     }
 
     /** How many tasks got each verdict so far. */
     public Map<Verdict, Integer> verdicts() {
-        return verdicts.isEmpty() ? Map.of() : new EnumMap<>(verdicts);
+        return counts.tasks();
     }
 }
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -2,13 +2,13 @@
 
 /**
  * The one table by which records and heartbeats are compared. It holds for the whole term, not only for its
- * beginning: a report that was held up may arrive at any time. {@code docs/recovery.md} prints it.
+ * beginning: a heartbeat that was held up may arrive at any time. {@code docs/recovery.md} prints it.
  */
 public final class VerdictTable {
     private VerdictTable() {}
 
     /** The verdict on an attempt that a heartbeat lists. */
-    public static Verdict ofReported(RecordedTask recorded, KnownPlacement placement, ReportedTask reported) {
+    public static Verdict ofListed(RecordedTask recorded, KnownPlacement placement, ReportedTask reported) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
         }
@@ -53,7 +53,7 @@
     }
 
     /** The verdict on a task that is claimed on record and that no heartbeat so far has listed. */
-    public static Verdict ofUnreported(boolean mayRunOnAwaitedMachine) {
+    public static Verdict ofUnlisted(boolean mayRunOnAwaitedMachine) {
         return mayRunOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
     }
 }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -1,5 +1,8 @@
 package org.granitepath.recovery;
 
+import static org.granitepath.recovery.RecoveryFixtures.NORTH;
+import static org.granitepath.recovery.RecoveryFixtures.SECOND;
+import static org.granitepath.recovery.RecoveryFixtures.SOUTH_SPOT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,42 +14,18 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Which work may start in each phase of a recovery, and what ends the phase. */
 class RecoveryPlanTest {
-    private static final long SECOND = 1_000_000;
     private static final long HOLD = 5 * SECOND;
-    private static final MachineProfile NORTH = new MachineProfile("small", "north", false);
-    private static final MachineProfile SOUTH_SPOT = new MachineProfile("small", "south", true);
     private static final LiveWorkBacklog DOUBT = new LiveWorkBacklog(1, 0, 0, 0);
     private static final LiveWorkBacklog UNSEEN = new LiveWorkBacklog(0, 0, 1, 0);
 
-    private static JobSpec job(JobSpec.Shape shape, Priority priority, String zone, boolean spot) {
-        return new JobSpec(
-                "run-1",
-                "c",
-                "t",
-                shape,
-                priority,
-                3,
-                1_000,
-                0,
-                1_000,
-                "img",
-                1,
-                null,
-                zone,
-                false,
-                false,
-                spot,
-                SECOND,
-                0,
-                0,
-                JobSpec.NO_DEADLINE);
-    }
-
-    private static final JobSpec SERVICE = job(JobSpec.Shape.SERVICE, Priority.CRITICAL, null, false);
-    private static final JobSpec BATCH = job(JobSpec.Shape.BATCH, Priority.STANDARD, null, true);
+    private static final JobSpec SERVICE =
+            RecoveryFixtures.job(JobSpec.Shape.SERVICE, Priority.CRITICAL, null, null, false);
+    private static final JobSpec BATCH = RecoveryFixtures.batch(null, null, true);
 
     private static RecoveryPlan plan(long hold) {
         RecoveryPlan plan = new RecoveryPlan(7, hold, RecoveryTracer.NONE);
@@ -84,18 +63,20 @@
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
     }
 
-    @Test
-    void theHoldEndsInTime() {
-        for (LiveWorkBacklog left :
-                List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1))) {
-            RecoveryPlan plan = plan(HOLD);
-            plan.recordsRead(42, 100);
-            plan.endHoldIfDue(100 + HOLD - 1);
-            plan.cycleEnded(left);
-            assertFalse(plan.mayStart(BATCH), left.toString());
-            plan.endHoldIfDue(100 + HOLD);
-            assertTrue(plan.mayStart(BATCH), left.toString());
-        }
+    static List<LiveWorkBacklog> anythingLeft() {
+        return List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1));
+    }
+
+    @ParameterizedTest
+    @MethodSource("anythingLeft")
+    void theHoldEndsInTimeWhateverIsLeft(LiveWorkBacklog left) {
+        RecoveryPlan plan = plan(HOLD);
+        plan.recordsRead(42, 100);
+        plan.endHoldIfDue(100 + HOLD - 1);
+        plan.cycleEnded(left);
+        assertFalse(plan.mayStart(BATCH));
+        plan.endHoldIfDue(100 + HOLD);
+        assertTrue(plan.mayStart(BATCH));
     }
 
     @Test
@@ -114,19 +95,18 @@
         assertTrue(plan.mayStart(BATCH));
     }
 
-    /** A task is lost once no machine is left that its job may use, whatever others are silent. */
+    /** A task is lost once no machine is left that its job may use, whatever others are still awaited. */
     @Test
     void onlyMachinesThatTheJobMayUseAreWaitedFor() {
         RecoveryPlan plan = plan(HOLD);
         plan.recordsRead(42, 0);
-        JobSpec inTheSouth = job(JobSpec.Shape.BATCH, Priority.STANDARD, "south", true);
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(SERVICE));
+        JobSpec inTheSouth = RecoveryFixtures.batch(null, "south", true);
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
         assertTrue(plan.resolved("a", NORTH, "heard"));
-        assertEquals(Verdict.LOST, plan.verdictOnUnreported(SERVICE));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(BATCH));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(inTheSouth));
-        assertEquals(
-                Verdict.LOST, plan.verdictOnUnreported(job(JobSpec.Shape.BATCH, Priority.STANDARD, "north", true)));
+        assertEquals(Verdict.LOST, plan.verdictOnUnlisted(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(BATCH));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(inTheSouth));
+        assertEquals(Verdict.LOST, plan.verdictOnUnlisted(RecoveryFixtures.batch(null, "north", true)));
     }
 
     /** Any machine may be in a part of the inventory that can't be read. */
@@ -138,7 +118,7 @@
         plan.resolved("a", NORTH, "heard");
         plan.resolved("b", SOUTH_SPOT, "heard");
         assertFalse(plan.noMachineAwaited());
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnreported(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
         plan.endHoldIfDue(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -62,7 +62,7 @@
     private static void assertCell(String cell, RecordedTask recorded, KnownPlacement held, ReportedTask reported) {
         assertEquals(
                 Verdict.valueOf(cell),
-                VerdictTable.ofReported(recorded, held, reported),
+                VerdictTable.ofListed(recorded, held, reported),
                 recorded + ", " + held + ", " + reported);
     }
 
@@ -94,8 +94,8 @@
     }
 
     @Test
-    void whatNobodyReportsIsLostOnlyWhenNoMachineIsLeft() {
-        assertEquals(Verdict.UNCONFIRMED, VerdictTable.ofUnreported(true));
-        assertEquals(Verdict.LOST, VerdictTable.ofUnreported(false));
+    void whatNoHeartbeatListsIsLostOnlyWhenNoMachineIsLeft() {
+        assertEquals(Verdict.UNCONFIRMED, VerdictTable.ofUnlisted(true));
+        assertEquals(Verdict.LOST, VerdictTable.ofUnlisted(false));
     }
 }
