--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -13,9 +13,6 @@
 
 /** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
 public final class Fleet {
-    /** Two whole fleets of 6,000 machines: many come and go while a late copy of a heartbeat is on its way. */
-    private static final int DEPARTED_REMEMBERED = 12_000;
-
     private static final double OVERDUE_HEARTBEATS = 1.5;
     /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
     private static final double CUT_OFF_SHARE = 0.6;
@@ -27,15 +24,7 @@
     private final long startedMicros;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, MachineType> types = new LinkedHashMap<>();
-    /** Machines that are gone, each with its last known agent epoch: late copies of their heartbeats still arrive. */
-    private final Map<String, Long> departed = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > DEPARTED_REMEMBERED;
-        }
-    };
+    private final DepartedMachines departed = new DepartedMachines();
 
     /** A fleet without machines, as of now. */
     public Fleet(Config config, Timers timers) {
@@ -98,17 +87,17 @@
     /** The machine is gone; late messages of its worker are known as such. */
     public void remove(Machine machine) {
         machines.remove(machine.id());
-        departed.put(machine.id(), machine.contact().agentEpoch());
+        departed.left(machine.id(), machine.contact().agentEpoch());
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
     public void terminatedForGood(String id) {
-        departed.put(id, Long.MAX_VALUE);
+        departed.leftForGood(id);
     }
 
     /** Whether a heartbeat is a late copy from a machine that is gone. */
     public boolean isLateCopy(Heartbeat heartbeat) {
-        return heartbeat.agentEpoch() <= departed.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
+        return departed.isLateCopy(heartbeat);
     }
 
     /** Whether heartbeats of the machine are missing for so long that a command would hardly arrive. */
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
@@ -0,0 +1,47 @@
+package org.granitepath.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.granitepath.coordination.ports.Heartbeat;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Which heartbeats are late copies from machines that left the fleet. */
+class DepartedMachinesTest {
+    private final DepartedMachines departed = new DepartedMachines();
+
+    private static Heartbeat heartbeat(String machine, long agentEpoch) {
+        return Fixtures.heartbeat(Fixtures.machine(machine, "north"), agentEpoch, 12);
+    }
+
+    @Test
+    void aHeartbeatOfAMachineThatNeverLeftIsNoLateCopy() {
+        departed.left("i-1", 4);
+        assertFalse(departed.isLateCopy(heartbeat("i-2", 0)));
+    }
+
+    @ParameterizedTest(name = "left in epoch 4, heartbeat of epoch {0}: {1}")
+    @CsvSource({"3, true", "4, true", "5, false"})
+    void onlyAWorkerOfALaterAgentEpochMayJoinAgain(long agentEpoch, boolean lateCopy) {
+        departed.left("i-1", 4);
+        assertEquals(lateCopy, departed.isLateCopy(heartbeat("i-1", agentEpoch)));
+    }
+
+    @Test
+    void noWorkerJoinsUnderTheNameOfAMachineThatTheCloudTookBack() {
+        departed.leftForGood("i-1");
+        assertTrue(departed.isLateCopy(heartbeat("i-1", Long.MAX_VALUE)));
+    }
+
+    @Test
+    void theMachineThatLeftFirstIsForgottenFirst() {
+        for (int i = 0; i <= DepartedMachines.MOST_REMEMBERED; i++) {
+            departed.left("i-" + i, 4);
+        }
+        assertFalse(departed.isLateCopy(heartbeat("i-0", 4)));
+        assertTrue(departed.isLateCopy(heartbeat("i-1", 4)));
+    }
+}
