--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -20,8 +20,6 @@
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
-    private static final double RESERVED_FROM_PROGRESS = 0.3;
-    private static final int BEHIND_SECONDS = 3;
 
     /** What goes first when the budget is short: what keeps work safe, what lets it start, what merely tells of it. */
     public enum Urgency {
@@ -39,13 +37,12 @@
     private final Supplier<List<Precondition>> fence;
     private final BooleanSupplier open;
     private final PendingWrites pending;
-    private final TokenBucket budget;
+    private final WritePace pace;
     private final RetryPolicy retryPolicy;
     /** Whether a transaction is under way, or a failed one is waited out. */
     private boolean busy;
 
     private boolean behind;
-    private boolean timerSet;
 
     /**
      * @param transactionChanges the most changes that the store takes in a transaction
@@ -69,13 +66,14 @@
         this.fence = fence;
         this.open = open;
         this.pending = new PendingWrites(transactionChanges);
-        this.budget = new TokenBucket(writesPerSecond, rateControl, timers.nowMicros());
+        TokenBucket budget = new TokenBucket(writesPerSecond, rateControl, timers.nowMicros());
+        this.pace = new WritePace(timers, budget, this::sendIfDue);
         this.retryPolicy = new RetryPolicy(transactionChanges, rateControl);
     }
 
     /** The share of the write budget that this queue keeps to. */
     public double writesPerSecond() {
-        return budget.sharePerSecond();
+        return pace.sharePerSecond();
     }
 
     /** Whether more waits, mere progress aside, than can be written in a few seconds. */
@@ -99,48 +97,44 @@
             return;
         }
         long nowMicros = timers.nowMicros();
-        budget.refill(nowMicros);
-        long waitMicros = waitMicros(nowMicros);
+        long waitMicros = pace.microsUntilAllowed(pending.microsUntilDue(nowMicros));
         if (waitMicros > 0) {
-            wakeAfter(waitMicros);
+            pace.wakeAfter(waitMicros);
             return;
         }
         WriteBatch batch = gather(nowMicros);
         if (batch.size() == 0) {
-            wakeAfter(RetryPolicy.RETRY_MICROS); // all withdrawn, or only progress, for which the budget is too short
+            // All withdrawn, or only progress, for which the budget is too short.
+            pace.wakeAfter(RetryPolicy.RETRY_MICROS);
             return;
         }
         send(batch);
     }
 
-    /** How long until something is due and the budget allows a change; 0 or less: now. */
-    private long waitMicros(long nowMicros) {
-        long untilDueMicros = pending.microsUntilDue(nowMicros);
-        return untilDueMicros <= 0 && !budget.allowsOne() ? budget.microsUntilOne() : untilDueMicros;
-    }
-
     private WriteBatch gather(long nowMicros) {
-        double tokens = budget.tokens();
-        int most = Math.min(retryPolicy.largestTransaction(), Math.max(1, (int) tokens));
-        // Progress leaves part of the budget free, so that what is urgent need not wait for it.
-        int mostForProgress = Math.min(most, (int) (tokens - budget.sharePerSecond() * RESERVED_FROM_PROGRESS));
-        return pending.gather(nowMicros, most, mostForProgress);
+        int most = pace.mostChanges(retryPolicy.largestTransaction());
+        return pending.gather(nowMicros, most, pace.mostProgressChanges(most));
     }
 
     private void send(WriteBatch batch) {
+        Transaction transaction = guarded(batch);
+        busy = true;
+        pace.sent(batch.size());
+        pending.remove(batch.writes());
+        behind = pace.isBehind(pending.countWithoutProgress());
+        store.commit(transaction, answer -> answered(batch, answer));
+    }
+
+    private Transaction guarded(WriteBatch batch) {
         List<Precondition> preconditions = new ArrayList<>(fence.get());
         for (Change change : batch.changes()) {
             preconditions.add(new Precondition(change.key(), replica.revision(change.key())));
         }
-        busy = true;
-        budget.take(batch.size());
-        pending.remove(batch.writes());
-        behind = pending.countWithoutProgress() > BEHIND_SECONDS * budget.sharePerSecond();
-        store.commit(new Transaction(preconditions, batch.changes()), answer -> answered(batch, answer));
+        return new Transaction(preconditions, batch.changes());
     }
 
     private void answered(WriteBatch batch, Committed answer) {
-        budget.adapt(answer.outcome());
+        pace.answered(answer.outcome());
         if (answer.outcome() == Outcome.OK) {
             committed(batch, answer.storeRevision());
         } else {
@@ -214,14 +208,4 @@
                     }
                 }));
     }
-
-    private void wakeAfter(long delayMicros) {
-        if (!timerSet) {
-            timerSet = true;
-            timers.after(Math.min(delayMicros, RetryPolicy.RETRY_MICROS), () -> {
-                timerSet = false;
-                sendIfDue();
-            });
-        }
-    }
 }
