--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -24,24 +24,6 @@
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final long CHECK_MICROS = 250_000;
-    private static final long BACKOFF_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
-
-    /** Where this controller stands. The last three are the phases of a term, by the age of the store's last word. */
-    enum Phase {
-        /** Another controller leads, or none. */
-        FOLLOWING,
-        /** This controller stands for leader. */
-        CAMPAIGNING,
-        /** This controller leads, as the store confirmed lately. */
-        LEADING,
-        /**
-         * Lately no word from the store, or only about our lease and not about the records. Workers are still
-         * answered, since an outage looks the same.
-         */
-        DISCONNECTED,
-        /** Disconnected for so long that a cancellation might be missed: workers are left to their leases. */
-        FENCED_OFF
-    }
 
     /** What a won campaign brings: the fencing token, and the guard for all later writes. */
     public record Term(long fencingToken, long leaderRevision) {}
@@ -64,14 +46,13 @@
     private final Timers timers;
     private final Listener listener;
     private final BooleanSupplier peersDisconnected;
-    private Phase phase = Phase.FOLLOWING;
+    private final CampaignEligibility eligibility;
+    private LeadershipPhase phase = LeadershipPhase.FOLLOWING;
     /** Null while this controller does not lead. */
     private @Nullable HeldTerm held;
     /** When the last term that is over was last confirmed; 0 before the first term is over. */
     private long formerConfirmedMicros;
 
-    private long campaignBackoffUntilMicros;
-
     /** @param peersDisconnected whether every other controller lately told that the store doesn't answer it */
     public Leadership(
             Config config,
@@ -86,6 +67,7 @@
         this.timers = timers;
         this.peersDisconnected = peersDisconnected;
         this.listener = listener;
+        this.eligibility = new CampaignEligibility(config, replica, timers);
     }
 
     /** Begins to campaign whenever there is no leader. */
@@ -106,13 +88,13 @@
     /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
     public boolean answersWorkers() {
         refreshPhase();
-        return phase == Phase.LEADING || phase == Phase.DISCONNECTED;
+        return phase == LeadershipPhase.LEADING || phase == LeadershipPhase.DISCONNECTED;
     }
 
     /** Whether the store confirmed lately that we lead. */
     public boolean leaseConfirmed() {
         refreshPhase();
-        return phase == Phase.LEADING;
+        return phase == LeadershipPhase.LEADING;
     }
 
     /**
@@ -121,7 +103,7 @@
      * none of them can have confirmed one.
      */
     public boolean mayStart() {
-        return leaseConfirmed() || (phase == Phase.DISCONNECTED && peersDisconnected.getAsBoolean());
+        return leaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
     /** When the last request was sent that the store answered with our being the leader; 0 before the first term. */
@@ -162,7 +144,7 @@
         Precondition stillOurs = new Precondition(Keys.LEADER, held.term().leaderRevision());
         Transaction removal = new Transaction(List.of(stillOurs), List.of(Change.remove(Keys.LEADER)));
         store.commit(removal, answer -> {}); // should this be lost, the lease runs out by itself
-        campaignBackoffUntilMicros = timers.nowMicros() + BACKOFF_AFTER_STEPPING_DOWN_MICROS;
+        eligibility.steppedDown();
         loseLeadership(why);
     }
 
@@ -177,34 +159,26 @@
     }
 
     private void considerCampaign() {
-        if (phase != Phase.FOLLOWING || !replica.loaded() || timers.nowMicros() < campaignBackoffUntilMicros) {
-            return;
-        }
-        LeaderRecord leader = replica.leader();
-        if (leader == null) {
-            startCampaign(Campaign.Reason.NO_LEADER);
-        } else if (isFormerSelf(leader)) {
-            startCampaign(Campaign.Reason.RESTARTED);
+        if (phase == LeadershipPhase.FOLLOWING) {
+            eligibility.reason().ifPresent(this::startCampaign);
         }
     }
 
-    /** A leader of our own name and another incarnation is our former process, and that has ended. */
-    private boolean isFormerSelf(LeaderRecord leader) {
-        return config.node().equals(leader.node())
-                && !config.identity().incarnation().equals(leader.incarnation());
-    }
-
     /** The only place where the phase changes. */
-    private void transition(Phase next, String why) {
-        if (phase != next) {
-            LOG.info("leadership {} -> {} ({})", phase, next, why);
-            phase = next;
+    private void transition(LeadershipPhase next, String why) {
+        if (phase == next) {
+            return;
+        }
+        if (!phase.allows(next)) {
+            throw new IllegalStateException("leadership can't go from " + phase + " to " + next);
         }
+        LOG.info("leadership {} -> {} ({})", phase, next, why);
+        phase = next;
     }
 
     /** {@code FOLLOWING -> CAMPAIGNING}. */
     private void startCampaign(Campaign.Reason reason) {
-        transition(Phase.CAMPAIGNING, reason.text());
+        transition(LeadershipPhase.CAMPAIGNING, reason.text());
         Campaign.Listener campaignListener = new Campaign.Listener() {
             @Override
             public void won(Campaign.Victory victory) {
@@ -221,8 +195,8 @@
 
     /** {@code CAMPAIGNING -> FOLLOWING}. */
     private void abandonCampaign(String why) {
-        campaignBackoffUntilMicros = timers.nowMicros() + config.tuning().leaderLeaseMicros() / 10;
-        transition(Phase.FOLLOWING, why);
+        eligibility.campaignAbandoned();
+        transition(LeadershipPhase.FOLLOWING, why);
     }
 
     /** {@code CAMPAIGNING -> LEADING}. */
@@ -234,7 +208,7 @@
         for (Change change : victory.changes()) {
             replica.applied(change.key(), change.record(), term.leaderRevision());
         }
-        transition(Phase.LEADING, "fencing token " + term.fencingToken());
+        transition(LeadershipPhase.LEADING, "fencing token " + term.fencingToken());
         takeOver(begun);
     }
 
@@ -289,11 +263,11 @@
         long sinceContactMicros = timers.nowMicros() - lastContactMicros(held.lease());
         long maxDisconnectedMicros = config.workers().maxDisconnectedMicros();
         if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), maxDisconnectedMicros)) {
-            transition(Phase.LEADING, "the state service answers");
+            transition(LeadershipPhase.LEADING, "the state service answers");
         } else if (sinceContactMicros <= maxDisconnectedMicros) {
-            transition(Phase.DISCONNECTED, "no answer from the state service");
+            transition(LeadershipPhase.DISCONNECTED, "no answer from the state service");
         } else {
-            transition(Phase.FENCED_OFF, "a cancellation could have been missed for too long");
+            transition(LeadershipPhase.FENCED_OFF, "a cancellation could have been missed for too long");
         }
     }
 
@@ -314,7 +288,7 @@
         held.lease().release();
         formerConfirmedMicros = held.lease().lastConfirmedMicros();
         held = null;
-        transition(Phase.FOLLOWING, why);
+        transition(LeadershipPhase.FOLLOWING, why);
         listener.leadershipLost(why);
         considerCampaign();
     }
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -21,7 +21,7 @@
  * A controller that is cut off with machines of its zone keeps their leases alive for the leader, so that work goes
  * on there. It starts nothing: it answers under the fencing token on record, which the worker must have seen, and
  * stops what it knows to be over. It does so for as long as a leader out of contact may, and only for machines of its
- * own zone; the leader counts on that before it takes a silent machine's tasks for gone.
+ * own zone; the leader counts on that before it takes an unresponsive machine's tasks for gone.
  */
 public final class ZoneLeaseKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(ZoneLeaseKeeper.class);
