--- a/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
@@ -1,10 +1,8 @@
 package org.granitepath.coordination.fleet;
 
-import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
@@ -16,16 +14,10 @@
  * numbered from 0, and those on record have no gap. Decides only: what is written, and when, is decided elsewhere.
  */
 final class InventoryLayout {
-    /** A part without machines, with the space around its rows. */
-    static final int EMPTY_PART_BYTES = 64;
-
     private final int partBytes;
     private final int mostPartsOfSplit;
     private final Function<String, Machine> machineById;
-    /** The ids of the machines of each part, in the order of their rows. */
-    private final List<Set<String>> machineIds = new ArrayList<>();
-    /** The bytes of each part, at most. */
-    private final IntArrayList usedBytes = new IntArrayList();
+    private final List<InventoryPart> parts = new ArrayList<>();
     /**
      * Parts on record that are larger than may be written, each with those that take over some of its machines. Each
      * group is written whole, so that no machine is ever on record twice or not at all, and in order, so that there is
@@ -54,46 +46,45 @@
 
     /** The next part on record holds these machines. */
     void partFound(List<Machine> machines) {
-        Set<String> ids = new LinkedHashSet<>();
-        int bytes = EMPTY_PART_BYTES;
-        for (Machine machine : machines) {
-            ids.add(machine.id());
-            bytes += rowBytes(machine);
-        }
-        machineIds.add(ids);
-        usedBytes.add(bytes);
-        partsOnRecord = machineIds.size();
+        InventoryPart part = new InventoryPart();
+        machines.forEach(part::add);
+        parts.add(part);
+        partsOnRecord = parts.size();
     }
 
     /** The next part on record can't be read: it counts as full and without machines, so nothing is written there. */
     void unreadablePartFound() {
-        machineIds.add(new LinkedHashSet<>());
-        usedBytes.add(partBytes);
-        partsOnRecord = machineIds.size();
+        parts.add(InventoryPart.unreadable(partBytes));
+        partsOnRecord = parts.size();
     }
 
-    /** A controller that knew of larger limits may have left parts that may no longer be written: they are split. */
+    /**
+     * A controller that knew of larger limits may have left parts that may no longer be written: they are split.
+     *
+     * @param machines all machines on record, which are not part of the fleet yet
+     */
     void splitLargeParts(List<Machine> machines) {
         int partsFound = partCount();
         for (int part = 0; part < partsFound; part++) {
-            if (usedBytes.getInt(part) > partBytes) {
-                int large = part;
-                split(
-                        part,
-                        machines.stream()
-                                .filter(machine -> machine.inventory().part() == large)
-                                .toList());
+            if (parts.get(part).usedBytes() > partBytes) {
+                split(part, machinesIn(part, machines));
             }
         }
     }
 
+    private static List<Machine> machinesIn(int part, List<Machine> machines) {
+        return machines.stream()
+                .filter(machine -> machine.inventory().part() == part)
+                .toList();
+    }
+
     // ---- machines that come and go -----------------------------------------------------------------------------
 
     /** Puts the machine into the first part with space for its row, and tells which. */
     int add(Machine machine) {
-        int part = firstPartWithSpace(rowBytes(machine));
+        int part = firstPartWithSpace(InventoryPart.rowBytes(machine));
         if (part == partCount()) {
-            addEmptyPart();
+            parts.add(new InventoryPart());
         }
         put(machine, part);
         return part;
@@ -101,7 +92,7 @@
 
     private int firstPartWithSpace(int bytes) {
         int part = 0;
-        while (part < partCount() && usedBytes.getInt(part) + bytes > partBytes) {
+        while (part < partCount() && parts.get(part).usedBytes() + bytes > partBytes) {
             part++;
         }
         return part;
@@ -110,30 +101,18 @@
     /** Takes the machine out of its part, and tells which that was. A large part may become small enough to split. */
     int remove(Machine machine) {
         int part = machine.inventory().part();
-        if (machineIds.get(part).remove(machine.id())) {
-            usedBytes.set(part, usedBytes.getInt(part) - rowBytes(machine));
-        }
+        parts.get(part).remove(machine);
         if (isUnsplittable(part)) {
-            split(part, machineIds.get(part).stream().map(machineById).toList());
+            split(part, machines(part));
         }
         return part;
     }
 
-    private void addEmptyPart() {
-        machineIds.add(new LinkedHashSet<>());
-        usedBytes.add(EMPTY_PART_BYTES);
-    }
-
     private void put(Machine machine, int part) {
-        machineIds.get(part).add(machine.id());
-        usedBytes.set(part, usedBytes.getInt(part) + rowBytes(machine));
+        parts.get(part).add(machine);
         machine.inventory().putInPart(part);
     }
 
-    private static int rowBytes(Machine machine) {
-        return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
-    }
-
     // ---- splits ------------------------------------------------------------------------------------------------
 
     private void split(int part, List<Machine> machines) {
@@ -143,18 +122,19 @@
             return;
         }
         unsplittableParts.remove(part);
-        List<Integer> parts = new ArrayList<>();
+        parts.get(part).clear();
+        List<Integer> partsOfSplit = new ArrayList<>();
         for (List<Machine> group : groups) {
-            int target = parts.isEmpty() ? part : partCount();
-            if (!parts.isEmpty()) {
-                addEmptyPart();
-            }
-            machineIds.get(target).clear();
-            usedBytes.set(target, EMPTY_PART_BYTES);
+            int target = partsOfSplit.isEmpty() ? part : addEmptyPart();
             group.forEach(machine -> put(machine, target));
-            parts.add(target);
+            partsOfSplit.add(target);
         }
-        pendingSplits.add(parts);
+        pendingSplits.add(partsOfSplit);
+    }
+
+    private int addEmptyPart() {
+        parts.add(new InventoryPart());
+        return parts.size() - 1;
     }
 
     /** These machines in order, each group as large as one part can hold. */
@@ -162,10 +142,10 @@
         List<List<Machine>> groups = new ArrayList<>();
         int freeBytes = 0;
         for (Machine machine : machines) {
-            int bytes = rowBytes(machine);
+            int bytes = InventoryPart.rowBytes(machine);
             if (groups.isEmpty() || bytes > freeBytes) {
                 groups.add(new ArrayList<>());
-                freeBytes = partBytes - EMPTY_PART_BYTES;
+                freeBytes = partBytes - InventoryPart.EMPTY_BYTES;
             }
             groups.get(groups.size() - 1).add(machine);
             freeBytes -= bytes;
@@ -186,8 +166,8 @@
 
     /** Whether a split is pending, and the parts that it adds would follow those on record without a gap. */
     boolean mayWriteNextSplit() {
-        List<Integer> parts = pendingSplits.peek();
-        return parts != null && (parts.size() == 1 || parts.get(1) <= partsOnRecord);
+        List<Integer> split = pendingSplits.peek();
+        return split != null && (split.size() == 1 || split.get(1) <= partsOnRecord);
     }
 
     /** The next split is on record. */
@@ -197,7 +177,7 @@
 
     /** Whether this part may only be written with its split. */
     boolean isInPendingSplit(int part) {
-        return pendingSplits.stream().anyMatch(parts -> parts.contains(part));
+        return pendingSplits.stream().anyMatch(split -> split.contains(part));
     }
 
     /** Whether this part is too large to be written, and can't be split either. */
@@ -214,12 +194,17 @@
 
     /** How many parts there are, on record or not. */
     int partCount() {
-        return machineIds.size();
+        return parts.size();
     }
 
     /** The ids of the machines of a part, in the order of their rows. */
     Set<String> machineIds(int part) {
-        return machineIds.get(part);
+        return parts.get(part).machineIds();
+    }
+
+    /** The machines of a part, in the order of their rows. */
+    List<Machine> machines(int part) {
+        return machineIds(part).stream().map(machineById).toList();
     }
 
     /** Whether the part is on record, though perhaps not with its present machines. */
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -2,8 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Set;
-import java.util.function.Function;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.KeyValueStore.Change;
@@ -11,7 +9,6 @@
 
 /** What the present write of the machine inventory holds: which parts, which new machines, which new tokens. */
 final class InventoryTransaction {
-    private final Function<String, Machine> machineById;
     private final List<Change> changes = new ArrayList<>();
     private final List<Integer> parts = new ArrayList<>();
     private final List<Machine> machinesAdded = new ArrayList<>();
@@ -19,34 +16,33 @@
     private final boolean isSplit;
     private final long newToken;
 
-    private InventoryTransaction(Function<String, Machine> machineById, boolean isSplit, long newToken) {
-        this.machineById = machineById;
+    private InventoryTransaction(boolean isSplit, long newToken) {
         this.isSplit = isSplit;
         this.newToken = newToken;
     }
 
     /** Writes parts of which machines may be given this new token. */
-    static InventoryTransaction drawing(Function<String, Machine> machineById, long newToken) {
-        return new InventoryTransaction(machineById, false, newToken);
+    static InventoryTransaction drawing(long newToken) {
+        return new InventoryTransaction(false, newToken);
     }
 
     /**
      * Writes one split. No token is drawn: the counter of fencing tokens might not fit into the same transaction as all
      * parts of the split.
      */
-    static InventoryTransaction ofSplit(Function<String, Machine> machineById) {
-        return new InventoryTransaction(machineById, true, 0);
+    static InventoryTransaction ofSplit() {
+        return new InventoryTransaction(true, 0);
     }
 
     /**
      * Writes this part too, as it is now.
      *
+     * @param machines the machines of the part, in the order of their rows
      * @param cleanupTokensDue whether machines that need a token only to clear attempts get it now
      */
-    void write(int part, Set<String> machineIds, boolean cleanupTokensDue) {
+    void write(int part, List<Machine> machines, boolean cleanupTokensDue) {
         List<InventoryRecord.Host> rows = new ArrayList<>();
-        for (String id : machineIds) {
-            Machine machine = machineById.apply(id);
+        for (Machine machine : machines) {
             if (cleanupTokensDue) {
                 machine.inventory().cleanupTokenDue();
             }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -46,13 +46,16 @@
 import org.granitepath.storage.WriteQueue;
 
 /**
- * Puts the parts of one term together. Parts that call each other in a circle are joined by the private methods here:
- * the scheduling loop calls scheduler and sender, and the inventory tells of raised tokens.
+ * Puts the parts of one term together, in the order of their packages from the lowest one up: each part is given only
+ * what stands above it here. Where a lower part calls a higher one, it is given a method of this factory, which the
+ * higher part answers once it is made: the scheduling loop calls scheduler and sender, and the inventory tells of
+ * raised tokens.
  */
 public final class LeaderTermFactory {
     /** The leader's share of the budget for changes; request handlers of all controllers share what is left. */
     private static final double WRITE_SHARE = 0.65;
 
+    // What this controller has beyond the term.
     private final Config config;
     private final Leadership leadership;
     private final Leadership.Term term;
@@ -62,24 +65,33 @@
     private final Timers timers;
 
     private final TermEnd termEnd = new TermEnd();
+    private final WriteQueue writeQueue;
+
+    // model: the state of the term
+    private final ActiveJobs activeJobs;
+    private final Fleet fleet;
+    private final TeamLimits teamLimits;
+
+    // jobs: the life of jobs and tasks
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final FaultTracker faults = new FaultTracker();
     private final ArrivalRate arrivalRate = new ArrivalRate();
-    private final ActiveJobs activeJobs;
-    private final Fleet fleet;
     private final SchedulingLoop loop;
     private final CommandQueue commands;
-    private final WriteQueue writeQueue;
     private final TermRecovery recovery;
-    private final MachineInventory inventory;
     private final TaskLifecycle tasks;
     private final JobLifecycle jobs;
+
+    // fleet: the life of machines
+    private final MachineInventory inventory;
     private final MachineLifecycle machines;
     private final TokenRaiseHandler tokenRaiseHandler;
     private final HeartbeatReconciler reconciler;
     private final MachineCommands machineCommands;
     private final WorkerCalls calls;
     private final CommandSender sender;
+
+    // placement, gang, scheduling: the decisions
     private final PlacementRules rules;
     private final BatchPlanner batchPlanner;
     private final GangHeadroom gangHeadroom;
@@ -102,30 +114,34 @@
         this.replica = replica;
         this.jobIndex = jobIndex;
         this.timers = timers;
-        TeamLimits teamLimits = new TeamLimits(config.teams());
+        this.writeQueue = newWriteQueue();
+
         this.activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
-        this.loop =
-                new SchedulingLoop(timers, termEnd::ended, leadership::mayStart, this::runCycle, this::sendCommands);
+        this.teamLimits = new TeamLimits(config.teams());
+
+        this.loop = newSchedulingLoop();
         this.commands = new CommandQueue(loop::requestSend);
-        this.writeQueue = newWriteQueue();
         this.recovery = new TermRecovery(newRecoveryPlan(recoveryTracer), activeJobs, timers, loop);
-        this.inventory = new MachineInventory(
-                config, term, replica, writeQueue, timers, fleet, this::tokenRaised, loop::requestCycle);
         this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
         this.jobs = newJobLifecycle();
+
+        this.inventory = newInventory();
         this.machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, commands, timers, loop);
         this.tokenRaiseHandler = new TokenRaiseHandler(config, fleet, timers);
         this.reconciler = newReconciler();
         this.machineCommands = new MachineCommands(leadership, commands);
         this.calls = new WorkerCalls(config, ports.workers(), inventory, reconciler, timers, loop, termEnd::ended);
         this.sender = new CommandSender(config, leadership, fleet, machineCommands, commands, calls, timers);
+
         this.rules = new PlacementRules(fleet, recovery, activeJobs, teamLimits, faults, runtimeEstimator);
         this.batchPlanner = new BatchPlanner(config, fleet, activeJobs, runtimeEstimator);
         this.gangHeadroom = new GangHeadroom(fleet, batchPlanner);
         this.scheduler = newScheduler();
     }
 
+    // ---- storage -----------------------------------------------------------------------------------------------
+
     private WriteQueue newWriteQueue() {
         return new WriteQueue(
                 ports.store(),
@@ -138,6 +154,20 @@
                 () -> !termEnd.ended());
     }
 
+    // ---- jobs --------------------------------------------------------------------------------------------------
+
+    private SchedulingLoop newSchedulingLoop() {
+        return new SchedulingLoop(timers, termEnd::ended, leadership::mayStart, this::runCycle, this::sendCommands);
+    }
+
+    private void runCycle() {
+        scheduler.runCycle();
+    }
+
+    private void sendCommands() {
+        sender.sendDue();
+    }
+
     private RecoveryPlan newRecoveryPlan(RecoveryTracer recoveryTracer) {
         return new RecoveryPlan(term.fencingToken(), config.tuning().recoveryHoldMicros(), recoveryTracer);
     }
@@ -147,6 +177,24 @@
         return new JobLifecycle(jobIndex, recorder, recovery, activeJobs, tasks, arrivalRate, timers, loop);
     }
 
+    // ---- fleet -------------------------------------------------------------------------------------------------
+
+    private MachineInventory newInventory() {
+        MachineInventory.Listener listener = new MachineInventory.Listener() {
+            @Override
+            public void tokenRaised(Machine machine) {
+                tokenRaiseHandler.tokenRaised(machine);
+                sender.showRaisedToken(machine);
+            }
+
+            @Override
+            public void recorded() {
+                loop.requestCycle();
+            }
+        };
+        return new MachineInventory(config, term, replica, writeQueue, timers, fleet, listener);
+    }
+
     private HeartbeatReconciler newReconciler() {
         TaskStatusUpdater statusUpdater = new TaskStatusUpdater(jobs, tasks, machines, faults, runtimeEstimator, loop);
         CleanupCommands cleanup = new CleanupCommands(jobIndex, recovery.plan(), inventory, commands, loop);
@@ -155,24 +203,29 @@
         return new HeartbeatReconciler(config, fleet, inventory, machines, taskReconciler, recovery, timers, loop);
     }
 
+    // ---- scheduling --------------------------------------------------------------------------------------------
+
     private Scheduler newScheduler() {
         Preemptor preemptor = new Preemptor(fleet, rules, tasks);
         Scheduler.Policies policies = new Scheduler.Policies(rules, batchPlanner, preemptor, gangHeadroom);
         return new Scheduler(config, fleet, activeJobs, recovery, tasks, jobs, policies, timers);
     }
 
-    private void runCycle() {
-        scheduler.runCycle();
-    }
+    // ---- autoscaling -------------------------------------------------------------------------------------------
 
-    private void sendCommands() {
-        sender.sendDue();
+    private Autoscaler newAutoscaler() {
+        return new Autoscaler(
+                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
+                new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::ended),
+                rules,
+                gangHeadroom,
+                machines,
+                ports.peers(),
+                ports.cloud(),
+                timers);
     }
 
-    private void tokenRaised(Machine machine) {
-        tokenRaiseHandler.tokenRaised(machine);
-        sender.showRaisedToken(machine);
-    }
+    // ---- term --------------------------------------------------------------------------------------------------
 
     /** The term, which is made once. */
     public LeaderTerm create() {
@@ -192,16 +245,4 @@
         Consolidator consolidator = new Consolidator(fleet, activeJobs, machines, tasks);
         return new PeriodicChecks(termEnd, leadership, fleet, machineChecks, recovery, consolidator, timers, loop);
     }
-
-    private Autoscaler newAutoscaler() {
-        return new Autoscaler(
-                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
-                new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::ended),
-                rules,
-                gangHeadroom,
-                machines,
-                ports.peers(),
-                ports.cloud(),
-                timers);
-    }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
@@ -18,7 +18,7 @@
     private static final int ROWS_PER_PART = 3;
     private static final int MOST_PARTS_OF_SPLIT = 2;
     private static final int ROW_BYTES = rowBytes(machine("m00"));
-    private static final int PART_BYTES = InventoryLayout.EMPTY_PART_BYTES + ROWS_PER_PART * ROW_BYTES;
+    private static final int PART_BYTES = InventoryPart.EMPTY_BYTES + ROWS_PER_PART * ROW_BYTES;
 
     private final Map<String, Machine> fleet = new HashMap<>();
     private final InventoryLayout layout = new InventoryLayout(PART_BYTES, MOST_PARTS_OF_SPLIT, fleet::get);
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
@@ -5,8 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.InventoryRecord;
 import org.granitepath.storage.Keys;
@@ -18,10 +16,9 @@
     private static final long NEW_TOKEN = 9;
 
     private final Machine machine = new Machine("m00", "10.0.0.1:80", "standard", "zone-a", false);
-    private final Map<String, Machine> fleet = Map.of(machine.id(), machine);
 
     private InventoryTransaction write(InventoryTransaction transaction, boolean cleanupTokensDue) {
-        transaction.write(3, Set.of(machine.id()), cleanupTokensDue);
+        transaction.write(3, List.of(machine), cleanupTokensDue);
         return transaction;
     }
 
@@ -33,7 +30,7 @@
     @Test
     void aPartIsWrittenWithTheTokensThatHold() {
         machine.inventory().foundOnRecord(3, TERM_TOKEN);
-        InventoryTransaction transaction = write(InventoryTransaction.drawing(fleet::get, NEW_TOKEN), false);
+        InventoryTransaction transaction = write(InventoryTransaction.drawing(NEW_TOKEN), false);
         assertEquals(List.of(3), transaction.parts());
         assertEquals(Keys.INVENTORY + 3, transaction.changes().get(0).key());
         assertEquals(TERM_TOKEN, tokenWritten(transaction));
@@ -45,7 +42,7 @@
     void aMachineThatNeedsANewTokenGetsIt() {
         machine.inventory().foundOnRecord(3, TERM_TOKEN);
         machine.inventory().requireNewToken();
-        InventoryTransaction transaction = write(InventoryTransaction.drawing(fleet::get, NEW_TOKEN), false);
+        InventoryTransaction transaction = write(InventoryTransaction.drawing(NEW_TOKEN), false);
         assertEquals(NEW_TOKEN, tokenWritten(transaction));
         assertEquals(List.of(machine), transaction.machinesWithNewToken());
         assertEquals(TERM_TOKEN, machine.fencingToken(), "not raised before it is on record");
@@ -55,15 +52,15 @@
     void aTokenThatIsNeededOnlyForCleanupIsDrawnOnceThatIsDue() {
         machine.inventory().foundOnRecord(3, TERM_TOKEN);
         machine.inventory().requireTokenForCleanup();
-        assertEquals(TERM_TOKEN, tokenWritten(write(InventoryTransaction.drawing(fleet::get, NEW_TOKEN), false)));
-        assertEquals(NEW_TOKEN, tokenWritten(write(InventoryTransaction.drawing(fleet::get, NEW_TOKEN), true)));
+        assertEquals(TERM_TOKEN, tokenWritten(write(InventoryTransaction.drawing(NEW_TOKEN), false)));
+        assertEquals(NEW_TOKEN, tokenWritten(write(InventoryTransaction.drawing(NEW_TOKEN), true)));
     }
 
     @Test
     void aSplitDrawsNoToken() {
         machine.inventory().foundOnRecord(3, TERM_TOKEN);
         machine.inventory().requireNewToken();
-        InventoryTransaction transaction = write(InventoryTransaction.ofSplit(fleet::get), false);
+        InventoryTransaction transaction = write(InventoryTransaction.ofSplit(), false);
         assertTrue(transaction.isSplit());
         assertEquals(TERM_TOKEN, tokenWritten(transaction));
         assertEquals(List.of(), transaction.machinesWithNewToken());
@@ -71,7 +68,7 @@
 
     @Test
     void aMachineThatIsNotOnRecordIsAdded() {
-        InventoryTransaction transaction = write(InventoryTransaction.drawing(fleet::get, NEW_TOKEN), false);
+        InventoryTransaction transaction = write(InventoryTransaction.drawing(NEW_TOKEN), false);
         assertFalse(transaction.isSplit());
         assertEquals(List.of(machine), transaction.machinesAdded());
     }
