--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Commands for what a machine reports and nobody needs: stops of orphaned tasks, and the clearing of exited ones. */
+/** Commands for what a machine lists and nobody needs: stops of orphaned tasks, and the clearing of exited ones. */
 public final class CleanupCommands {
     private static final Logger LOG = LoggerFactory.getLogger(CleanupCommands.class);
     /** With more exited attempts than this that may not be cleared yet, a machine gets a new token for their sake. */
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -88,14 +88,14 @@
         }
     }
 
-    /** Shows the token to a machine that reports, but not under its present token, as long as calls are left. */
+    /** Shows the token to a machine whose heartbeats come, but under a former token, as long as calls are left. */
     public void showTokenIfNotAdopted(Machine machine, long nowMicros) {
         if (hasNotAdoptedToken(machine, nowMicros)) {
             calls.showToken(machine);
         }
     }
 
-    /** The machine reports, and its token is on record, but its heartbeats have not shown it yet. */
+    /** Its heartbeats come and its token is on record, but they have not shown it yet. */
     private boolean hasNotAdoptedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -123,7 +123,7 @@
 
     /**
      * How old the last heartbeat of a machine that does not answer calls may become before the machine is given up.
-     * Where many of its zone are overdue it is one heartbeat more: when the last one to report before a cut is overdue,
+     * Where many of its zone are overdue it is one heartbeat more: when the last one to send before a cut is overdue,
      * the heartbeat of the first one is older by that much, and without the wait the first ones were terminated with
      * all their work.
      */
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -42,7 +42,7 @@
     /**
      * Writes the line unless it was written lately.
      *
-     * @param booting how many machines were launched and have not reported yet
+     * @param booting how many machines were launched and have sent no heartbeat yet
      */
     public void logIfDue(int booting, long nowMicros) {
         if (nowMicros < dueMicros) {
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -9,7 +9,7 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Brings what is known of a machine in line with what its worker reports: contact, lease and fencing token here, tasks
+ * Brings what is known of a machine in line with its worker's messages: contact, lease and fencing token here, tasks
  * by the {@link TaskReconciler}.
  */
 public final class HeartbeatReconciler {
@@ -22,7 +22,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
 
-    /** Compares what workers report with the state of this term. */
+    /** Compares the messages of workers with the state of this term. */
     public HeartbeatReconciler(
             Config config,
             Fleet fleet,
@@ -92,6 +92,7 @@
             machine.tasksConfirmed();
             loop.wantCycle();
         }
+        // An attribute of a span that operators filter by: its words stay.
         recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -45,7 +45,7 @@
         this.loop = loop;
     }
 
-    /** A machine that is not in the fleet reports: it joins and is put on record. */
+    /** A machine that is not in the fleet sends a heartbeat: it joins and is put on record. */
     public void join(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}) sends its first heartbeat",
@@ -76,8 +76,9 @@
     }
 
     /**
-     * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when it reports
-     * again, in a later agent epoch, it must show that it receives our commands before it is given work.
+     * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when its
+     * heartbeats come again, in a later agent epoch, it must show that it receives our commands before it is given
+     * work.
      */
     public void leaseExpired(Machine machine) {
         LOG.info(
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -33,11 +33,11 @@
     }
 
     /** The verdict on an attempt that the machine's message lists. */
-    Verdict ofReported(Machine machine, TaskStatus status) {
+    Verdict ofListed(Machine machine, TaskStatus status) {
         plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
         return VerdictTable.ofReported(
-                recordedTask(job, status.task()), knownPlacement(job, machine, status), reportedTask(job, status));
+                recordedTask(job, status.task()), knownPlacement(job, machine, status), listedTask(job, status));
     }
 
     /** The verdict on a placement that the machine's message does not list. */
@@ -80,7 +80,7 @@
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ReportedTask reportedTask(@Nullable ActiveJob job, TaskStatus status) {
+    private static ReportedTask listedTask(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
             return ReportedTask.LIVE;
         }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -18,8 +18,8 @@
 import org.granitepath.recovery.Verdict;
 
 /**
- * Compares the tasks that a worker reports with those placed on its machine, and carries the verdicts out. A task is
- * taken for gone only when a message proves it; what is reported and was not placed by this leader is adopted or
+ * Compares the tasks that a worker's message lists with those placed on its machine, and carries the verdicts out. A
+ * task is taken for gone only when a message proves it; what is listed and was not placed by this leader is adopted or
  * stopped.
  */
 public final class TaskReconciler {
@@ -31,7 +31,7 @@
     private final TaskStatusUpdater statusUpdater;
     private final CleanupCommands cleanup;
 
-    /** Compares what workers report with the jobs and placements of this term. */
+    /** Compares the messages of workers with the jobs and placements of this term. */
     public TaskReconciler(
             JobIndex jobIndex,
             ActiveJobs activeJobs,
@@ -56,19 +56,19 @@
      */
     void reconcile(
             Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken, long nowMicros) {
-        Set<TaskId> matched = reconcileReported(machine, heartbeat, underPresentToken, nowMicros);
+        Set<TaskId> matched = reconcileListed(machine, heartbeat, underPresentToken, nowMicros);
         freeMissing(machine, heartbeat, origin, underPresentToken, matched);
         cleanup.requestTokenIfManyUncleared(machine, heartbeat);
     }
 
     /** Goes through what the message lists, and returns the tasks of it that are placed here from now on. */
-    private Set<TaskId> reconcileReported(
+    private Set<TaskId> reconcileListed(
             Machine machine, Heartbeat heartbeat, boolean underPresentToken, long nowMicros) {
         Set<WorkerCommand> repeated = Set.copyOf(machine.cleanupCommands());
         machine.clearFindings();
         Set<TaskId> matched = new HashSet<>();
         for (TaskStatus status : heartbeat.tasks()) {
-            Verdict verdict = evidence.ofReported(machine, status);
+            Verdict verdict = evidence.ofListed(machine, status);
             switch (verdict) {
                 case CONFIRMED -> confirmed(machine, status, underPresentToken, nowMicros);
                 case ADOPTED -> adopted(machine, status, underPresentToken, nowMicros);
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the reported status of a placed task means for the task, its gang, its job and its machine. */
+/** What the status of a placed task means for the task, its gang, its job and its machine. */
 public final class TaskStatusUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusUpdater.class);
     private static final long REFUSED_START_DELAY_MICROS = 1_000_000;
@@ -43,7 +43,7 @@
         this.loop = loop;
     }
 
-    /** The machine reports this status of the attempt that is placed there. */
+    /** The machine's latest message lists the attempt that is placed there with this status. */
     void update(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
         switch (status.state()) {
             case FETCHING -> placement.fetching();
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -35,13 +35,13 @@
     /** A page of the list of machines; it may be out of date. */
     record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
 
-    /** Null when the types could not be had. */
+    /** Asks for the machine types; answered with null when they could not be had. */
     void types(Consumer<@Nullable List<MachineType>> then);
 
-    /** Rents machines. */
+    /** Launches machines. */
     void launch(LaunchRequest request, Consumer<LaunchResult> then);
 
-    /** Returns machines; answered with whether they are gone. */
+    /** Terminates machines; answered with whether they are gone. */
     void terminate(List<String> hosts, Consumer<Boolean> then);
 
     /** Lists machines by name, beginning after {@code from}. */
--- a/src/main/java/org/granitepath/coordination/ports/HeartbeatResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/HeartbeatResponse.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** What a worker is told: commands, another controller to report to, or to try elsewhere. */
+/** What a worker is told: commands, another controller to send heartbeats to, or to try elsewhere. */
 public sealed interface HeartbeatResponse {
     /** The worker stays here, and its lease is renewed. */
     record Accepted(long fencingToken, List<WorkerCommand> commands) implements HeartbeatResponse {}
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -9,7 +9,8 @@
      * How a controller is.
      *
      * @param contactAgeMicros how long ago the store last brought this controller up to date; negative: never
-     * @param redirectedMachines how many machines lately reported to this controller although it does not own them
+     * @param redirectedMachines how many machines lately sent heartbeats to this controller although it does not own
+     *     them
      */
     record PeerStatus(String node, long contactAgeMicros, boolean leader, int redirectedMachines) {}
 
