--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -0,0 +1,318 @@
+package org.granitepath.coordination.fleet;
+
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.function.Consumer;
+import org.granitepath.coordination.ManualTimers;
+import org.granitepath.coordination.TestConfigs;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.jobs.ArrivalRate;
+import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.JobLifecycle;
+import org.granitepath.coordination.jobs.JobRecorder;
+import org.granitepath.coordination.jobs.RuntimeEstimator;
+import org.granitepath.coordination.jobs.SchedulingLoop;
+import org.granitepath.coordination.jobs.TaskLifecycle;
+import org.granitepath.coordination.jobs.TermRecovery;
+import org.granitepath.coordination.leadership.Leadership;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.ActiveJobs;
+import org.granitepath.coordination.model.Fixtures;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.model.TeamLimits;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.coordination.ports.WorkerPort;
+import org.granitepath.recovery.RecoveryPlan;
+import org.granitepath.recovery.RecoveryTracer;
+import org.granitepath.storage.InventoryRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.RateControl;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StoredRecord;
+import org.granitepath.storage.WriteQueue;
+
+/**
+ * The machines and jobs of one term, out of the real classes. The store commits whatever is written to it; calls to
+ * workers are kept for the test, which answers them.
+ */
+public final class FleetFixture {
+    public static final long SECOND = 1_000_000;
+    public static final long FORMER_TOKEN = 6;
+    public static final long TERM_TOKEN = 7;
+    /** The agent epoch of a machine that has sent its first heartbeat. */
+    public static final long EPOCH = 3;
+
+    private static final long STORE_ANSWER = 1_000;
+    private static final String ZONE = Fixtures.TYPE.zones().get(0);
+
+    /** A direct call to a worker that was not answered yet. */
+    record Call(
+            String address,
+            long fencingToken,
+            long agentEpoch,
+            List<WorkerCommand> commands,
+            Consumer<WorkerPort.Reply> then) {
+        void answer(Heartbeat heartbeat) {
+            then.accept(new WorkerPort.Reply(true, heartbeat));
+        }
+
+        void refuse(Heartbeat heartbeat) {
+            then.accept(new WorkerPort.Reply(false, heartbeat));
+        }
+
+        void timeOut() {
+            then.accept(new WorkerPort.Reply(false, null));
+        }
+    }
+
+    public final Leadership.Term term = new Leadership.Term(TERM_TOKEN, 1);
+    public final ManualTimers timers = new ManualTimers();
+    public final Config config = TestConfigs.of("c1", "c1-1", "c2");
+    public final Fleet fleet = new Fleet(config, timers);
+    public final RecordReplica replica;
+    public final MachineLifecycle machines;
+    public final HeartbeatReconciler reconciler;
+    public final MachineCommands machineCommands;
+    public final SchedulingLoop loop;
+
+    /** Direct calls, in the order in which they were made. */
+    final List<Call> calls = new ArrayList<>();
+    /** The ids of the machines whose new fencing token went on record, in order. */
+    final List<String> tokensRaised = new ArrayList<>();
+
+    final ActiveJobs activeJobs;
+    final FaultTracker faults = new FaultTracker();
+    final RecoveryPlan plan = new RecoveryPlan(TERM_TOKEN, 0, RecoveryTracer.NONE);
+    final TaskLifecycle tasks;
+    final MachineInventory inventory;
+    final TaskStatusUpdater statusUpdater;
+    final WorkerCalls workerCalls;
+    /** Whether the term is over. */
+    boolean ended;
+    /** How the store answers what is written to it. */
+    KeyValueStore.Outcome commitOutcome = KeyValueStore.Outcome.OK;
+
+    private final JobIndex jobIndex = new JobIndex();
+    private final TermRecovery recovery;
+    private long storeRevision = 1;
+    private int storeReads;
+
+    public FleetFixture() {
+        KeyValueStore store = store();
+        replica = new RecordReplica(store, timers, SECOND / 10, replicaListener());
+        replica.start();
+        timers.advance(STORE_ANSWER);
+        WriteQueue writeQueue =
+                new WriteQueue(store, replica, timers, 20, 50, RateControl.FIXED, List::of, () -> !ended);
+        activeJobs = new ActiveJobs(0, timers, faults::forget);
+        loop = new SchedulingLoop(timers, () -> ended, () -> true, () -> {}, () -> {});
+        CommandQueue commands = new CommandQueue(loop::requestSend);
+        recovery = new TermRecovery(plan, activeJobs, timers, loop);
+        TeamLimits teamLimits = new TeamLimits(config.teams());
+        tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
+        JobRecorder recorder = new JobRecorder(config, term, replica, writeQueue, loop);
+        JobLifecycle jobs =
+                new JobLifecycle(jobIndex, recorder, recovery, activeJobs, tasks, new ArrivalRate(), timers, loop);
+        inventory = new MachineInventory(config, term, replica, writeQueue, timers, fleet, inventoryListener());
+        machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, commands, timers, loop);
+        statusUpdater = new TaskStatusUpdater(jobs, tasks, machines, faults, new RuntimeEstimator(), loop);
+        reconciler = new HeartbeatReconciler(
+                config,
+                fleet,
+                inventory,
+                machines,
+                new TaskReconciler(
+                        jobIndex,
+                        activeJobs,
+                        tasks,
+                        inventory,
+                        plan,
+                        statusUpdater,
+                        new CleanupCommands(jobIndex, plan, inventory, commands, loop)),
+                recovery,
+                timers,
+                loop);
+        Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
+        machineCommands = new MachineCommands(leadership, commands);
+        workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> ended);
+        fleet.typesChanged(List.of(Fixtures.TYPE));
+        jobs.start();
+    }
+
+    /** An empty store that commits everything unless told otherwise; those who follow it get no answer. */
+    @SuppressWarnings("unchecked")
+    private KeyValueStore store() {
+        return (KeyValueStore) Proxy.newProxyInstance(
+                KeyValueStore.class.getClassLoader(),
+                new Class<?>[] {KeyValueStore.class},
+                (proxy, method, arguments) -> {
+                    switch (method.getName()) {
+                        case "commit" -> answer((Consumer<KeyValueStore.Committed>) arguments[1], committed());
+                        case "list" -> answer((Consumer<KeyValueStore.Page>) arguments[3], emptyPage());
+                        default -> storeReads++;
+                    }
+                    return null;
+                });
+    }
+
+    private <T> void answer(Consumer<T> then, T answer) {
+        timers.after(STORE_ANSWER, () -> then.accept(answer));
+    }
+
+    private static KeyValueStore.Page emptyPage() {
+        return new KeyValueStore.Page(KeyValueStore.Outcome.OK, List.of(), false, 1);
+    }
+
+    private KeyValueStore.Committed committed() {
+        storeRevision++;
+        return new KeyValueStore.Committed(commitOutcome, storeRevision, List.of());
+    }
+
+    private static RecordReplica.Listener replicaListener() {
+        return new RecordReplica.Listener() {
+            @Override
+            public void changed(String key, StoredRecord record, long revision) {}
+
+            @Override
+            public void loaded() {}
+        };
+    }
+
+    private MachineInventory.Listener inventoryListener() {
+        return new MachineInventory.Listener() {
+            @Override
+            public void tokenRaised(Machine machine) {
+                tokensRaised.add(machine.id());
+            }
+
+            @Override
+            public void recorded() {}
+        };
+    }
+
+    private static Leadership.Listener leadershipListener() {
+        return new Leadership.Listener() {
+            @Override
+            public void elected(Leadership.Term elected) {}
+
+            @Override
+            public void leadershipLost(String why) {}
+        };
+    }
+
+    private void send(
+            String address,
+            long fencingToken,
+            long agentEpoch,
+            List<WorkerCommand> commands,
+            Consumer<WorkerPort.Reply> then) {
+        calls.add(new Call(address, fencingToken, agentEpoch, commands, then));
+    }
+
+    /** How many times changes of the store were asked for. */
+    public int storeReads() {
+        return storeReads;
+    }
+
+    // ---- machines ----------------------------------------------------------------------------------------------
+
+    /** Machines that a former leader left on record, and that have sent nothing since. */
+    List<Machine> takeOver(String... ids) {
+        List<InventoryRecord.Host> rows = Arrays.stream(ids)
+                .map(id -> new InventoryRecord.Host(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, FORMER_TOKEN))
+                .toList();
+        replica.applied(Keys.inventory(0), new InventoryRecord(rows), 1);
+        return takeOverRecords();
+    }
+
+    /** The machines on record, taken over as at the beginning of the term. */
+    List<Machine> takeOverRecords() {
+        List<Machine> takenOver = inventory.takeOver();
+        fleet.inherit(takenOver);
+        fleet.typesChanged(List.of(Fixtures.TYPE));
+        recovery.start(takenOver, inventory.unreadableParts(), 1);
+        return takenOver;
+    }
+
+    /** A machine that has joined, is on record, and has shown the term's fencing token. */
+    public Machine readyMachine(String id) {
+        return readyMachine(id, ZONE);
+    }
+
+    Machine readyMachine(String id, String zone) {
+        Heartbeat first =
+                new Heartbeat(id, id + ":1", Fixtures.TYPE.name(), zone, false, EPOCH, 0, TERM_TOKEN, -1, List.of());
+        Machine machine = fleet.newMachine(first, TERM_TOKEN);
+        machines.join(machine);
+        timers.advance(SECOND);
+        reconciler.reconcile(machine, first, MessageOrigin.HEARTBEAT);
+        return machine;
+    }
+
+    /** The machine's next heartbeat in its agent epoch, or in the first one, under its present fencing token. */
+    public static Heartbeat nextHeartbeat(Machine machine, TaskStatus... tasks) {
+        return heartbeat(machine, Math.max(1, machine.contact().agentEpoch()), machine.fencingToken(), tasks);
+    }
+
+    /** A heartbeat that is newer than the machine's last one, if it is of the same agent epoch. */
+    public static Heartbeat heartbeat(Machine machine, long agentEpoch, long fencingToken, TaskStatus... tasks) {
+        return new Heartbeat(
+                machine.id(),
+                machine.contact().address(),
+                machine.typeName(),
+                machine.zone(),
+                machine.spot(),
+                agentEpoch,
+                machine.contact().sequence() + 1,
+                fencingToken,
+                -1,
+                List.of(tasks));
+    }
+
+    // ---- jobs and tasks ----------------------------------------------------------------------------------------
+
+    /** A job of {@link Fixtures#TASKS} tasks, of which the first so many are claimed for the leader of this term. */
+    ActiveJob job(JobSpec.Shape shape, int claimed, long claimedByToken) {
+        JobSpec spec = Fixtures.spec(shape, false, false);
+        jobIndex.changed(Keys.JOB + spec.id(), new JobRecord(spec, 0, claimed, claimedByToken));
+        return activeJobs.get(spec.id());
+    }
+
+    /** A job of which all tasks are claimed in this term, so that no former leader can have started one. */
+    ActiveJob job(JobSpec.Shape shape) {
+        return job(shape, Fixtures.TASKS, TERM_TOKEN);
+    }
+
+    /** A task of the job whose start went out in a direct call. */
+    Placement started(ActiveJob job, Machine machine) {
+        Placement placement = tasks.start(job, machine, timers.nowMicros());
+        placement.sentDirectly();
+        return placement;
+    }
+
+    static TaskStatus status(Placement placement, TaskState state) {
+        return new TaskStatus(placement.task(), placement.attempt(), state, Cause.NONE, false);
+    }
+
+    static TaskStatus exited(Placement placement, Cause cause) {
+        return new TaskStatus(placement.task(), placement.attempt(), TaskState.EXITED, cause, false);
+    }
+
+    static TaskStatus status(TaskId task, long attempt, TaskState state, Cause cause) {
+        return new TaskStatus(task, attempt, state, cause, false);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -0,0 +1,106 @@
+package org.granitepath.coordination.fleet;
+
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.storage.InventoryRecord;
+import org.granitepath.storage.KeyValueStore;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.UnknownRecord;
+import org.junit.jupiter.api.Test;
+
+/** What of the fleet is put on record, and the fencing tokens that single machines are given. */
+class MachineInventoryTest {
+    private static final long CLEANUP_DELAY = 15 * SECOND;
+
+    private final FleetFixture fixture = new FleetFixture();
+
+    private List<String> idsOnRecord() {
+        return fixture.replica.inventory(0).hosts().stream()
+                .map(InventoryRecord.Host::id)
+                .toList();
+    }
+
+    @Test
+    void machinesThatComeAndGoAreOnRecord() {
+        fixture.readyMachine("m1");
+        fixture.readyMachine("m2");
+        assertEquals(List.of("m1", "m2"), idsOnRecord());
+        fixture.machines.terminated("m1");
+        fixture.timers.advance(SECOND);
+        assertEquals(List.of("m2"), idsOnRecord());
+    }
+
+    @Test
+    void machinesTakenOverAreOursUnderTheTokenOfTheTerm() {
+        Machine machine = fixture.takeOver("m").get(0);
+        assertTrue(machine.inventory().recorded());
+        assertEquals(TERM_TOKEN, machine.fencingToken());
+        assertEquals(0, fixture.inventory.unreadableParts());
+    }
+
+    @Test
+    void aPartThatCannotBeReadIsCountedAndLeftAlone() {
+        fixture.replica.applied(Keys.inventory(0), new UnknownRecord(Map.of()), 1);
+        assertEquals(List.of(), fixture.takeOverRecords());
+        assertEquals(1, fixture.inventory.unreadableParts());
+        assertEquals(1, fixture.readyMachine("m").inventory().part());
+    }
+
+    @Test
+    void machinesThatNeedANewTokenAtOnceShareTheNextOne() {
+        Machine first = fixture.readyMachine("m1");
+        Machine second = fixture.readyMachine("m2");
+        Machine third = fixture.readyMachine("m3");
+        fixture.inventory.requestToken(first, "test");
+        fixture.inventory.requestToken(second, "test");
+        assertFalse(first.takesTasks(), "not before the token is on record");
+        fixture.timers.advance(SECOND);
+        assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
+        assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
+        assertEquals(List.of("m1", "m2"), fixture.tokensRaised);
+    }
+
+    @Test
+    void everyNewTokenIsHigherThanTheLastOneDrawn() {
+        Machine first = fixture.readyMachine("m1");
+        Machine second = fixture.readyMachine("m2");
+        fixture.inventory.requestToken(first, "test");
+        fixture.timers.advance(SECOND);
+        fixture.inventory.requestToken(second, "test");
+        fixture.timers.advance(SECOND);
+        assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 2), tokens(first, second));
+    }
+
+    private static List<Long> tokens(Machine... machines) {
+        return List.of(machines).stream().map(Machine::fencingToken).toList();
+    }
+
+    @Test
+    void aTokenThatIsNeededOnlyForCleanupWaitsWhileTheMachineTakesTasks() {
+        Machine machine = fixture.readyMachine("m");
+        fixture.inventory.requestTokenForCleanup(machine);
+        fixture.timers.advance(CLEANUP_DELAY - 1);
+        assertTrue(machine.takesTasks());
+        assertEquals(TERM_TOKEN, machine.fencingToken());
+        fixture.timers.advance(SECOND);
+        assertEquals(TERM_TOKEN + 1, machine.fencingToken());
+    }
+
+    @Test
+    void whatARefusedWriteHeldIsWrittenLater() {
+        fixture.commitOutcome = KeyValueStore.Outcome.REFUSED;
+        Machine machine = fixture.readyMachine("m");
+        assertFalse(machine.inventory().recorded());
+        fixture.commitOutcome = KeyValueStore.Outcome.OK;
+        fixture.timers.advance(5 * SECOND);
+        assertTrue(machine.inventory().recorded());
+        assertEquals(List.of("m"), idsOnRecord());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -0,0 +1,203 @@
+package org.granitepath.coordination.fleet;
+
+import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.exited;
+import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
+import static org.granitepath.coordination.fleet.FleetFixture.status;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.GangAttempt;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** What the status of a placed task changes: the task, its gang, its job and its machine. */
+class TaskStatusUpdaterTest {
+    private final FleetFixture fixture = new FleetFixture();
+    private final Machine machine = fixture.readyMachine("m");
+
+    private void update(Placement placement, TaskStatus status) {
+        fixture.statusUpdater.update(placement.machine(), placement, status, fixture.timers.nowMicros());
+    }
+
+    private void update(Placement placement, TaskState state) {
+        update(placement, status(placement, state));
+    }
+
+    /** The placements of two tasks of a gang, whose starts went out. */
+    private List<Placement> startedGang(ActiveJob gang) {
+        fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
+        List<Placement> placements = List.copyOf(gang.placements());
+        placements.forEach(Placement::sentDirectly);
+        return placements;
+    }
+
+    // ---- exits -------------------------------------------------------------------------------------------------
+
+    @Test
+    void aCompletedTaskIsDone() {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
+        Placement placement = fixture.started(job, machine);
+        update(placement, exited(placement, Cause.DONE));
+        assertTrue(job.isDone(placement.task().index()));
+        assertFalse(placement.live());
+    }
+
+    @Test
+    void theTaskOfAServiceIsNeverDone() {
+        ActiveJob service = fixture.job(JobSpec.Shape.SERVICE);
+        Placement placement = fixture.started(service, machine);
+        update(placement, exited(placement, Cause.DONE));
+        assertFalse(service.isDone(placement.task().index()));
+        assertFalse(placement.live(), "it is to start again");
+    }
+
+    @Test
+    void aFailedTaskMakesItsMachineASuspect() {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
+        Placement placement = fixture.started(job, machine);
+        update(placement, exited(placement, Cause.FAILED));
+        assertTrue(fixture.faults.suspects(machine));
+        assertEquals(placement.task().index(), job.firstFreed());
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"UNKNOWN_JOB", "INSUFFICIENT_CAPACITY"})
+    void aRefusedStartIsRepeatedAfterASecond(Cause cause) {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
+        Placement placement = fixture.started(job, machine);
+        update(placement, exited(placement, cause));
+        assertEquals(fixture.timers.nowMicros() + SECOND, job.scheduling().notBeforeMicros());
+        assertFalse(fixture.faults.suspects(machine));
+    }
+
+    @Test
+    void theJobEndsWithItsLastTask() {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
+        for (int task = 1; task < job.spec().tasks(); task++) {
+            job.markDone(task);
+        }
+        Placement last = fixture.started(job, machine);
+        update(last, exited(last, Cause.DONE));
+        assertEquals(ActiveJob.Phase.ENDING, job.phase());
+    }
+
+    // ---- running -----------------------------------------------------------------------------------------------
+
+    @Test
+    void aTaskThatHasRunForLongProvesItsJobSound() {
+        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        update(placement, TaskState.RUNNING);
+        fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
+        update(placement, TaskState.RUNNING);
+        assertTrue(fixture.faults.wantsProof(placement));
+        fixture.timers.advance(1);
+        update(placement, TaskState.RUNNING);
+        assertFalse(fixture.faults.wantsProof(placement));
+    }
+
+    @Test
+    void theRunTimeOfATaskSeenFromItsStartIsLearnt() {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
+        Placement placement = fixture.started(job, machine);
+        update(placement, TaskState.RUNNING);
+        fixture.timers.advance(3 * SECOND);
+        update(placement, exited(placement, Cause.DONE));
+        assertEquals(3.0 * SECOND, job.finishedMicros());
+    }
+
+    @Test
+    void theRunTimeOfAnAdoptedTaskIsNot() {
+        Machine takenOver = fixture.takeOver("m9").get(0);
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, FORMER_TOKEN);
+        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, Cause.NONE);
+        fixture.reconciler.reconcile(takenOver, nextHeartbeat(takenOver, running), MessageOrigin.HEARTBEAT);
+        Placement adopted = job.placement(0);
+        update(adopted, exited(adopted, Cause.DONE));
+        assertTrue(job.isDone(0));
+        assertEquals(0, job.finishedTasks());
+    }
+
+    // ---- gangs -------------------------------------------------------------------------------------------------
+
+    @Test
+    void oneCompletedTaskOfAGangTellsOfAll() {
+        ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
+        Placement first = startedGang(gang).get(0);
+        update(first, exited(first, Cause.DONE));
+        assertEquals(0, gang.unfinishedTasks());
+        assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"WAITING, WAITING", "RUNNING, RUNNING"})
+    void theAttemptOfAGangFollowsItsTasks(TaskState state, GangAttempt.Phase phase) {
+        ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
+        update(startedGang(gang).get(0), state);
+        assertEquals(phase, gang.gangAttempt().phase());
+    }
+
+    @Test
+    void anOlderAttemptSaysNothingOfThePresentOne() {
+        ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
+        Placement older = startedGang(gang).get(0);
+        gang.beginGangAttempt(older.attempt() + 1);
+        update(older, TaskState.RUNNING);
+        assertEquals(GangAttempt.Phase.FORMING, gang.gangAttempt().phase());
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"PEER_GONE", "INCOMPLETE"})
+    void aGangWhoseAttemptIsOverIsStopped(Cause cause) {
+        ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
+        List<Placement> placements = startedGang(gang);
+        update(placements.get(0), exited(placements.get(0), cause));
+        assertEquals(Placement.Phase.STOPPING, placements.get(1).phase());
+        assertEquals(GangAttempt.Phase.STOPPING, gang.gangAttempt().phase());
+    }
+
+    @Test
+    void whenOneTaskOfAGangSavesAllAreToldTo() {
+        ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
+        List<Placement> placements = startedGang(gang);
+        placements.forEach(placement -> update(placement, TaskState.RUNNING));
+        update(placements.get(0), TaskState.SAVING);
+        assertEquals(Placement.Phase.STOPPING, placements.get(1).phase());
+        assertEquals(gang.spec().saveMicros(), placements.get(1).graceMicros());
+    }
+
+    // ---- completed by an attempt that is not placed --------------------------------------------------------------
+
+    @Test
+    void anotherAttemptOfATaskThatIsDoneIsStopped() {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
+        Placement placement = fixture.started(job, machine);
+        fixture.statusUpdater.completedElsewhere(job, placement.task().index());
+        assertTrue(job.isDone(placement.task().index()));
+        assertEquals(Placement.Phase.STOPPING, placement.phase());
+        assertEquals(0, placement.graceMicros());
+    }
+
+    @Test
+    void aGangThatCompletedElsewhereEndsWithoutStops() {
+        ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
+        List<Placement> placements = startedGang(gang);
+        fixture.statusUpdater.completedElsewhere(gang, 0);
+        assertEquals(ActiveJob.Phase.ENDING, gang.phase());
+        assertEquals(Placement.Phase.SENT, placements.get(0).phase(), "its tasks exit by themselves");
+    }
+}
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -4,57 +4,22 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import java.util.Map;
+import org.granitepath.coordination.ManualTimers;
+import org.granitepath.coordination.TestConfigs;
 import org.granitepath.coordination.config.Config;
-import org.granitepath.coordination.config.ControllerIdentity;
-import org.granitepath.coordination.config.PlatformLimits;
-import org.granitepath.coordination.config.StoreLimits;
-import org.granitepath.coordination.config.Topology;
-import org.granitepath.coordination.config.Tuning;
-import org.granitepath.coordination.config.WorkerTiming;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.storage.Timers;
 import org.junit.jupiter.api.Test;
 
-/** What a raised fencing token means for a machine that reports, and for one that does not. */
+/** What a raised fencing token means for a machine whose heartbeats come, and for an unresponsive one. */
 class TokenRaiseHandlerTest {
     private static final long SECOND = 1_000_000;
-    private static final long HEARTBEAT = SECOND / 2;
     private static final long LEASE = 10 * SECOND;
-    private static final String OWN_ZONE = "zone-a";
-    private static final String PEER_ZONE = "zone-b";
-
-    private static final class ManualTimers implements Timers {
-        private long nowMicros = 100 * SECOND;
-
-        @Override
-        public long nowMicros() {
-            return nowMicros;
-        }
-
-        @Override
-        public long timeOfDayMicros() {
-            return nowMicros;
-        }
-
-        @Override
-        public void after(long delayMicros, Runnable action) {
-            throw new UnsupportedOperationException();
-        }
-    }
+    private static final String OWN_ZONE = "zone-c1";
+    private static final String PEER_ZONE = "zone-c2";
 
     private final ManualTimers timers = new ManualTimers();
-    private final Config config = new Config(
-            new ControllerIdentity("c1", "c1-1", OWN_ZONE),
-            new Topology(List.of(OWN_ZONE, PEER_ZONE), Map.of("c2", PEER_ZONE)),
-            Map.of(),
-            Map.of(),
-            new WorkerTiming(HEARTBEAT, LEASE, 30 * SECOND, SECOND, SECOND),
-            new PlatformLimits(100, new StoreLimits(10, 8192, 8), 5, 100),
-            0,
-            Tuning.defaults());
+    private final Config config = TestConfigs.of("c1", "c1-1", "c2");
     private final Fleet fleet = new Fleet(config, timers);
     private final TokenRaiseHandler handler = new TokenRaiseHandler(config, fleet, timers);
 
@@ -68,7 +33,7 @@
     }
 
     @Test
-    void aMachineThatReportsMustShowTheToken() {
+    void aMachineWhoseHeartbeatsComeMustShowTheToken() {
         Machine machine = machineIn(PEER_ZONE);
         handler.tokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
@@ -80,7 +45,7 @@
     void anUnresponsiveMachineIsFenced() {
         Machine machine = machineIn(OWN_ZONE);
         long leaseExpiryMicros = machine.contact().leaseExpiryMicros();
-        timers.nowMicros += 5 * SECOND;
+        timers.advance(5 * SECOND);
         handler.tokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
         assertTrue(machine.contact().fenced());
@@ -90,7 +55,7 @@
     @Test
     void theLeaseOfAnUnresponsiveMachineNearAPeerMayGoOnForAWhile() {
         Machine machine = machineIn(PEER_ZONE);
-        timers.nowMicros += 5 * SECOND;
+        timers.advance(5 * SECOND);
         handler.tokenRaised(machine);
         assertTrue(machine.contact().fenced());
         assertEquals(
@@ -104,7 +69,7 @@
     void aLeaseThatIsOverIsNotExtended() {
         Machine machine = machineIn(PEER_ZONE);
         machine.leaseExpired();
-        timers.nowMicros += 5 * SECOND;
+        timers.advance(5 * SECOND);
         handler.tokenRaised(machine);
         assertEquals(0, machine.contact().leaseExpiryMicros());
     }
