--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -45,7 +45,7 @@
     /** A page of the list of machines; it may be out of date. */
     record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
 
-    /** Null when the types could not be had. */
+    /** Asks for the machine types; answered with null when they could not be had. */
     void types(Consumer<@Nullable List<MachineType>> then);
 
     /** Launches machines. */
