--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -4,7 +4,6 @@
 import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.ActiveJobs;
-import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.model.TeamLimits;
@@ -15,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The life of tasks on machines: from the decision to start one to the proof that it is gone. */
+/**
+ * The life of tasks on machines: from the decision to start one to the proof that it is gone. Tasks begin and end here
+ * alone; which tasks of a gang belong together is up to {@link GangMembership}.
+ */
 public final class TaskLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
     private static final long ATTEMPTS_PER_TERM = 1L << 24;
@@ -27,6 +29,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
     private final CommandQueue commands;
+    private final GangMembership gangs = new GangMembership();
     private long attemptsNumbered;
 
     /** Places and frees tasks under the fencing token of this term. */
@@ -84,11 +87,7 @@
     /** Decides that a task of a gang is to join the others of its attempt. */
     public void startInGang(ActiveJob job, int index, Machine machine, long nowMicros) {
         job.takeTask(index);
-        start(job, index, machine, job.gangAttempt().number(), nowMicros);
-        job.gangAttempt().placed(index, machine.id());
-        if (job.waitingTasks() == 0) {
-            job.gangAttempt().allTasksPlaced();
-        }
+        gangs.started(start(job, index, machine, gangs.presentNumber(job), nowMicros));
     }
 
     /**
@@ -101,28 +100,11 @@
         Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), onlyHere, nowMicros);
         place(placement);
         if (job.spec().gang()) {
-            joinGangAttempt(placement);
-        }
-        return placement;
-    }
-
-    /** Attempts only grow, and a newer one begins when the older ones are proved gone: what is older is a leftover. */
-    private void joinGangAttempt(Placement placement) {
-        ActiveJob job = placement.job();
-        if (job.gangAttempt() == null || placement.attempt() > job.gangAttempt().number()) {
-            job.beginGangAttempt(placement.attempt());
-            for (Placement older : List.copyOf(job.placements())) {
-                if (older.attempt() < placement.attempt()) {
-                    stopOne(older, 0, "of an older attempt of its gang");
-                }
+            for (Placement leftover : gangs.adopted(placement)) {
+                stopOne(leftover, 0, "of an older attempt of its gang");
             }
         }
-        if (placement.attempt() == job.gangAttempt().number()) {
-            job.gangAttempt()
-                    .placed(placement.task().index(), placement.machine().id());
-        } else {
-            stopOne(placement, 0, "of an older attempt of its gang");
-        }
+        return placement;
     }
 
     private void place(Placement placement) {
@@ -132,17 +114,11 @@
     }
 
     /**
-     * Tells the machine to end the task; one that was never sent is freed at once. A task of a gang is of no use
-     * without the others, and saves its progress only together with them: all are stopped at once.
+     * Tells the machine to end the task; one that was never sent is freed at once. All tasks of a gang are stopped
+     * together.
      */
     public void stop(Placement placement, long graceMicros, String why) {
-        ActiveJob job = placement.job();
-        if (job.gangAttempt() == null) {
-            stopOne(placement, graceMicros, why);
-            return;
-        }
-        job.gangAttempt().stopping(why);
-        for (Placement each : List.copyOf(job.placements())) {
+        for (Placement each : gangs.stopping(placement, why)) {
             stopOne(each, graceMicros, why);
         }
     }
@@ -179,31 +155,14 @@
         // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
         boolean maybeElsewhere = !placement.onlyHere() && recovery.mayRunOnAwaitedMachine(placement.job());
         placement.job().unplace(placement, maybeElsewhere);
-        if (placement.job().gangAttempt() != null) {
-            leftGangAttempt(placement, maybeElsewhere);
+        if (gangs.left(placement, maybeElsewhere, timers.nowMicros())) {
+            // The others would notice by themselves; their places are free sooner this way.
+            stop(placement, 0, "a task of its gang is gone");
         }
+        gangs.forgetIfGone(placement.job());
         jobs.removeIfOver(placement.job());
     }
 
-    /**
-     * An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back.
-     */
-    private void leftGangAttempt(Placement placement, boolean maybeElsewhere) {
-        ActiveJob job = placement.job();
-        GangAttempt attempt = job.gangAttempt();
-        if (placement.attempt() == attempt.number() && !maybeElsewhere) {
-            boolean ran = attempt.phase() == GangAttempt.Phase.RUNNING;
-            attempt.taskGone(timers.nowMicros());
-            if (ran) {
-                // The others would notice by themselves; their places are free sooner this way.
-                stop(placement, 0, "a task of its gang is gone");
-            }
-        }
-        if (!job.hasPlacements()) {
-            job.forgetGangAttempt();
-        }
-    }
-
     /** There is proof that no task is on the machine. */
     public void freeAll(Machine machine, String why) {
         for (Placement placement : List.copyOf(machine.placements())) {
