--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination;
 
-import java.util.List;
+import java.util.Collection;
 import java.util.function.Consumer;
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.admission.JobRequestHandler;
@@ -36,7 +36,6 @@
 /** One controller: serves users always, and machines while it owns them. All calls come on the event loop. */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final long TICK_MICROS = 1_000_000;
     /** Share of the store's requests that all controllers together may spend on reading the latest changes. */
     private static final double READ_SHARE = 0.6;
 
@@ -47,15 +46,19 @@
     private final Timers timers;
     private final RecoveryTracer recoveryTracer;
     private final RecordReplica replica;
+    private final StoreContact storeContact;
     private final JobIndex jobIndex = new JobIndex();
+    private final EndedJobEviction endedJobEviction;
+    private final CurrentTerm currentTerm;
     private final Leadership leadership;
     private final JobRequestHandler requestHandler;
     private final Peers peers;
     private final ZoneLeaseKeeper zoneLeaseKeeper;
     private final MachineTypeCatalog machineTypes;
     private final RedirectedMachines redirectedMachines = new RedirectedMachines();
-    /** The present term of this controller; null while it does not lead. */
-    private @Nullable LeaderTerm leaderTerm;
+    private final ControllerHealth health;
+    private final HeartbeatRouter heartbeatRouter;
+    private final ControllerChecks checks;
 
     /** Makes a controller that does nothing before {@link #start}. */
     public Controller(
@@ -73,6 +76,9 @@
         this.timers = timers;
         this.recoveryTracer = recoveryTracer;
         this.replica = new RecordReplica(store, timers, readSpacingMicros(config), new ReplicaListener());
+        this.storeContact = new StoreContact(replica, timers);
+        this.endedJobEviction = new EndedJobEviction(replica, jobIndex);
+        this.currentTerm = new CurrentTerm(this::newTerm, this::knownMachineTypes);
         this.peers = new Peers(config, peerPort, timers, this::status);
         this.leadership = new Leadership(
                 config,
@@ -80,9 +86,9 @@
                 replica,
                 timers,
                 () -> peers.allDisconnected(Config.CONTACT_TIMEOUT_MICROS),
-                new LeadershipListener());
+                currentTerm);
         this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex::hasEnded, peers, timers);
-        this.machineTypes = new MachineTypeCatalog(cloud, timers, new MachineTypeListener());
+        this.machineTypes = new MachineTypeCatalog(cloud, timers, currentTerm);
         this.requestHandler = new JobRequestHandler(
                 config,
                 store,
@@ -91,6 +97,32 @@
                 timers,
                 machineTypes::all,
                 (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
+        this.health = new ControllerHealth(replica, machineTypes, storeContact, peers);
+        this.heartbeatRouter = newHeartbeatRouter();
+        this.checks =
+                new ControllerChecks(replica, redirectedMachines, currentTerm, leadership, peers, machineTypes, timers);
+    }
+
+    private HeartbeatRouter newHeartbeatRouter() {
+        return new HeartbeatRouter(
+                config.node(),
+                currentTerm,
+                leadership,
+                zoneLeaseKeeper,
+                redirectedMachines,
+                storeContact,
+                peers,
+                timers);
+    }
+
+    private LeaderTerm newTerm(Leadership.Term term) {
+        TermPorts ports = new TermPorts(store, cloud, workers, peers);
+        return new LeaderTermFactory(config, leadership, term, ports, replica, jobIndex, timers, recoveryTracer)
+                .create();
+    }
+
+    private Collection<MachineType> knownMachineTypes() {
+        return machineTypes.all();
     }
 
     /** Least time between two reads, from this controller's part of the share for reading. */
@@ -105,33 +137,19 @@
         replica.start();
         leadership.start();
         peers.start();
-        tick();
+        checks.run();
     }
 
-    /**
-     * Whether users may be sent here. In an outage no controller can do better, so all stay; a controller that alone
-     * has lost the store sends users to the others.
-     */
+    /** Whether users may be sent here. */
     public boolean healthy() {
-        if (!replica.loaded() || machineTypes.isEmpty()) {
-            return false;
-        }
-        return inContact() || !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
-    }
-
-    private boolean inContact() {
-        return contactAgeMicros() < Config.CONTACT_TIMEOUT_MICROS;
-    }
-
-    private long contactAgeMicros() {
-        return timers.nowMicros() - replica.lastContactMicros();
+        return health.healthy();
     }
 
     private PeerPort.PeerStatus status() {
         return new PeerPort.PeerStatus(
                 config.node(),
-                replica.loaded() ? contactAgeMicros() : -1,
-                leaderTerm != null,
+                replica.loaded() ? storeContact.ageMicros() : -1,
+                currentTerm.isPresent(),
                 redirectedMachines.count());
     }
 
@@ -148,7 +166,7 @@
 
     /** Whether this controller leads. */
     public boolean leader() {
-        return leaderTerm != null;
+        return currentTerm.isPresent();
     }
 
     /** The fencing token of the present term of this controller; 0 while it does not lead. */
@@ -158,7 +176,7 @@
 
     /** How far the recovery of the present term has come, or why this controller can't tell. */
     public RecoveryStatus recoveryStatus() {
-        return RecoveryStatusFactory.of(config, leadership, replica, leaderTerm, timers.nowMicros());
+        return RecoveryStatusFactory.of(config, leadership, replica, currentTerm.get(), timers.nowMicros());
     }
 
     /** Takes a submission; answered once it is on record. */
@@ -178,55 +196,7 @@
 
     /** Takes a worker's heartbeat. */
     public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
-        if (leaderTerm != null) {
-            return leadership.answersWorkers() ? leaderTerm.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
-        }
-        if (zoneLeaseKeeper.mayRenew(heartbeat)) {
-            return zoneLeaseKeeper.answer(heartbeat);
-        }
-        redirectedMachines.add(heartbeat.host(), timers.nowMicros());
-        return redirectToLeader();
-    }
-
-    /**
-     * A leader that is cut from us is cut from the machines around us as well: going there would cost them time.
-     */
-    private HeartbeatResponse redirectToLeader() {
-        String leader = leadership.leaderNode();
-        boolean leaderIsReachable = inContact() || peers.hasRecentStatusOfLeader();
-        return leaderIsReachable && leader != null && !leader.equals(config.node())
-                ? new HeartbeatResponse.Redirect(leader)
-                : new HeartbeatResponse.Unavailable();
-    }
-
-    private void tick() {
-        timers.after(TICK_MICROS, this::tick);
-        if (replica.loaded()) {
-            replica.barrier(fresh -> {});
-        }
-        long nowMicros = timers.nowMicros();
-        redirectedMachines.forgetOld(nowMicros);
-        if (leaderTerm != null && leaderTerm.cutFromWorkers(peers.mostRedirectedMachines())) {
-            leadership.stepDown("the machines reach the others, but not us");
-        }
-        if (leaderTerm != null) {
-            machineTypes.refreshIfDue(nowMicros);
-        } else {
-            machineTypes.fetchIfUnknown();
-        }
-    }
-
-    /** Of a job that is over only the final state is kept; a day's descriptions would fill a small machine. */
-    private void forgetEnded(String key, @Nullable StoredRecord record) {
-        for (String prefix : List.of(Keys.FINAL, Keys.JOB, Keys.PROGRESS)) {
-            if (record != null && key.startsWith(prefix)) {
-                String id = key.substring(prefix.length());
-                if (jobIndex.hasEnded(id)) {
-                    replica.forget(Keys.job(id));
-                    replica.forget(Keys.progress(id));
-                }
-            }
-        }
+        return heartbeatRouter.answer(heartbeat);
     }
 
     /** Passes each changed record to the part that it concerns. */
@@ -239,7 +209,9 @@
                 machineTypes.recordRead(recorded.types());
             } else {
                 jobIndex.changed(key, record);
-                forgetEnded(key, record);
+                if (record != null) {
+                    endedJobEviction.recordWritten(key);
+                }
             }
         }
 
@@ -249,48 +221,4 @@
                     "records read: {} open jobs, leader {}", jobIndex.openJobs().size(), leadership.leaderNode());
         }
     }
-
-    /** Begins and ends the terms of this controller. */
-    private final class LeadershipListener implements Leadership.Listener {
-        @Override
-        public void elected(Leadership.Term term) {
-            TermPorts ports = new TermPorts(store, cloud, workers, peers);
-            leaderTerm = new LeaderTermFactory(
-                            config, leadership, term, ports, replica, jobIndex, timers, recoveryTracer)
-                    .create();
-            leaderTerm.start();
-            if (!machineTypes.isEmpty()) {
-                List<MachineType> types = List.copyOf(machineTypes.all());
-                leaderTerm.typesChanged(types);
-                leaderTerm.recordTypes(types);
-            }
-            leaderTerm.startAutoscaling();
-        }
-
-        @Override
-        public void leadershipLost(String why) {
-            if (leaderTerm != null) {
-                leaderTerm.end();
-                leaderTerm = null;
-            }
-        }
-    }
-
-    /** Passes new machine types to the present term, if this controller leads. */
-    private final class MachineTypeListener implements MachineTypeCatalog.Listener {
-        @Override
-        public void fetched(List<MachineType> types) {
-            if (leaderTerm != null) {
-                leaderTerm.typesChanged(types);
-                leaderTerm.recordTypes(types);
-            }
-        }
-
-        @Override
-        public void readFromRecord(List<MachineType> types) {
-            if (leaderTerm != null) {
-                leaderTerm.typesChanged(types);
-            }
-        }
-    }
 }
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -3,7 +3,6 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import org.granitepath.recovery.RecordedTask;
 import org.granitepath.storage.FinalRecord;
@@ -117,24 +116,24 @@
 
     /** Takes a changed record in. Removals don't occur among jobs. */
     public void changed(String key, @Nullable StoredRecord record) {
+        Keys.jobKey(key).ifPresent(jobKey -> changed(jobKey, record));
+    }
+
+    private void changed(Keys.JobKey key, @Nullable StoredRecord record) {
         if (record instanceof JobRecord job) {
-            jobChanged(key.substring(Keys.JOB.length()), job);
+            jobChanged(key.jobId(), job);
         } else if (record instanceof ProgressRecord jobProgress) {
-            progressChanged(key.substring(Keys.PROGRESS.length()), jobProgress);
+            progressChanged(key.jobId(), jobProgress);
         } else if (record instanceof FinalRecord end) {
-            ended(key.substring(Keys.FINAL.length()), end.outcome());
+            ended(key.jobId(), end.outcome());
         } else if (record instanceof UnknownRecord) {
             cannotRead(key);
         }
     }
 
-    private void cannotRead(String key) {
-        for (String prefix : List.of(Keys.JOB, Keys.PROGRESS, Keys.FINAL)) {
-            if (key.startsWith(prefix)) {
-                String id = key.substring(prefix.length());
-                markUnreadable(id, prefix.equals(Keys.PROGRESS) ? Unreadable.PROGRESS : Unreadable.STATUS);
-            }
-        }
+    private void cannotRead(Keys.JobKey key) {
+        markUnreadable(
+                key.jobId(), key.kind() == Keys.JobRecordKind.PROGRESS ? Unreadable.PROGRESS : Unreadable.STATUS);
     }
 
     private void markUnreadable(String id, Unreadable part) {
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -1,5 +1,7 @@
 package org.granitepath.storage;
 
+import java.util.Optional;
+
 /** Keys of the records in the store. They are fixed: running controllers of other versions use them. */
 public final class Keys {
     /** Prefix of all our records. */
@@ -19,8 +21,37 @@
     /** The machine types that the cloud launches. */
     public static final String TYPES = "g/types";
 
+    /** The records that are kept of a job. */
+    public enum JobRecordKind {
+        /** Its description: a {@link JobRecord}. */
+        JOB(Keys.JOB),
+        /** How far it has come: a {@link ProgressRecord}. */
+        PROGRESS(Keys.PROGRESS),
+        /** How it ended: a {@link FinalRecord}. */
+        FINAL(Keys.FINAL);
+
+        private final String prefix;
+
+        JobRecordKind(String prefix) {
+            this.prefix = prefix;
+        }
+    }
+
+    /** What a key says of a job's record: which one it is, and of which job. */
+    public record JobKey(JobRecordKind kind, String jobId) {}
+
     private Keys() {}
 
+    /** Takes the key of a job's record apart; empty for a key of another kind. */
+    public static Optional<JobKey> jobKey(String key) {
+        for (JobRecordKind kind : JobRecordKind.values()) {
+            if (key.startsWith(kind.prefix)) {
+                return Optional.of(new JobKey(kind, key.substring(kind.prefix.length())));
+            }
+        }
+        return Optional.empty();
+    }
+
     /** The key of an accepted job. */
     public static String job(String jobId) {
         return JOB + jobId;
