--- a/src/test/java/org/granitepath/coordination/TestConfigs.java
+++ b/src/test/java/org/granitepath/coordination/TestConfigs.java
@@ -4,10 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Collectors;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.config.ControllerIdentity;
 import org.granitepath.coordination.config.PlatformLimits;
 import org.granitepath.coordination.config.StoreLimits;
+import org.granitepath.coordination.config.Team;
 import org.granitepath.coordination.config.Topology;
 import org.granitepath.coordination.config.Tuning;
 import org.granitepath.coordination.config.WorkerTiming;
@@ -32,4 +34,18 @@
                 SECOND / 4,
                 Tuning.defaults());
     }
+
+    /** The same settings with these teams. */
+    public static Config withTeams(Config config, Team... teams) {
+        Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
+        return new Config(
+                config.identity(),
+                config.topology(),
+                byName,
+                config.objectives(),
+                config.workers(),
+                config.limits(),
+                config.skewMicros(),
+                config.tuning());
+    }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -11,7 +11,7 @@
 import org.granitepath.storage.Timers;
 
 /** A store in memory that answers after a millisecond, or not while it is silent. */
-final class MemoryStore implements KeyValueStore {
+public final class MemoryStore implements KeyValueStore {
     private static final long ANSWER_MICROS = 1_000;
     private static final long TIMEOUT_MICROS = 500_000;
 
@@ -25,12 +25,13 @@
     /** While set, reads are not answered; all else is. */
     boolean readsSilent;
 
-    MemoryStore(Timers timers) {
+    /** An empty store. */
+    public MemoryStore(Timers timers) {
         this.timers = timers;
     }
 
     /** Writes as another client would; null removes. */
-    void put(String key, StoredRecord record, long lease) {
+    public void put(String key, StoredRecord record, long lease) {
         storeRevision++;
         items.put(key, new Item(key, record == null ? null : StoredRecordCodec.encode(record), storeRevision));
         leaseOfKey.put(key, lease);
