--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -0,0 +1,66 @@
+package org.granitepath.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.stream.Stream;
+import org.granitepath.coordination.admission.JobIndex;
+import org.granitepath.coordination.leadership.MemoryStore;
+import org.granitepath.coordination.model.Fixtures;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.RecordReplica;
+import org.granitepath.storage.StoredRecord;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Of a job that is over the replica keeps the end alone, in whatever order its records come. */
+class EndedJobEvictionTest {
+    private static final String JOB = "run-1";
+    private static final List<String> KEYS = List.of(Keys.job(JOB), Keys.progress(JOB), Keys.finalOf(JOB));
+
+    private final ManualTimers timers = new ManualTimers();
+    private final JobIndex jobIndex = new JobIndex();
+    private final RecordReplica replica =
+            new RecordReplica(new MemoryStore(timers), timers, 100_000, new RecordReplica.Listener() {
+                @Override
+                public void changed(String key, StoredRecord record, long revision) {
+                    jobIndex.changed(key, record);
+                }
+
+                @Override
+                public void loaded() {}
+            });
+    private final EndedJobEviction eviction = new EndedJobEviction(replica, jobIndex);
+
+    private void written(String key) {
+        StoredRecord record = switch (Keys.jobKey(key).orElseThrow().kind()) {
+            case JOB -> new JobRecord(Fixtures.spec(JobSpec.Shape.BATCH, false, false), 0, 0, 0);
+            case PROGRESS -> ProgressRecord.none();
+            case FINAL -> new FinalRecord(FinalRecord.Outcome.DONE);
+        };
+        replica.applied(key, record, 1);
+        eviction.recordWritten(key);
+    }
+
+    private List<String> kept() {
+        return KEYS.stream().filter(replica::has).toList();
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"g/j/run-1 g/p/run-1 g/f/run-1", "g/f/run-1 g/p/run-1 g/j/run-1"})
+    void theEndAloneIsKept(String order) {
+        Stream.of(order.split(" ")).forEach(this::written);
+        assertEquals(List.of(Keys.finalOf(JOB)), kept());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"g/j/run-1 g/p/run-1", "g/p/run-1 g/j/run-1"})
+    void ofAnOpenJobAllIsKept(String order) {
+        Stream.of(order.split(" ")).forEach(this::written);
+        assertEquals(List.of(Keys.job(JOB), Keys.progress(JOB)), kept());
+    }
+}
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void unreadableProgressLeavesTheStatusKnown() {
-        jobIndex.changed(Keys.PROGRESS + "a", UNREADABLE);
+        jobIndex.changed(Keys.progress("a"), UNREADABLE);
         assertTrue(jobIndex.unreadable("a"));
         assertFalse(jobIndex.statusUnknown("a"));
         assertEquals(RecordedTask.UNREADABLE, jobIndex.recorded("a"));
@@ -27,15 +27,15 @@
 
     @Test
     void withAnUnreadableDescriptionTheStatusStaysUnknownWhateverElseCantBeRead() {
-        jobIndex.changed(Keys.JOB + "a", UNREADABLE);
-        jobIndex.changed(Keys.PROGRESS + "a", UNREADABLE);
+        jobIndex.changed(Keys.job("a"), UNREADABLE);
+        jobIndex.changed(Keys.progress("a"), UNREADABLE);
         assertTrue(jobIndex.statusUnknown("a"));
     }
 
     @Test
     void theEndOfAJobIsKnownWithoutItsDescription() {
-        jobIndex.changed(Keys.JOB + "a", UNREADABLE);
-        jobIndex.changed(Keys.FINAL + "a", new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        jobIndex.changed(Keys.job("a"), UNREADABLE);
+        jobIndex.changed(Keys.finalOf("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         assertFalse(jobIndex.statusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
         assertEquals(RecordedTask.JOB_CANCELLED, jobIndex.recorded("a"));
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -0,0 +1,139 @@
+package org.granitepath.coordination.jobs;
+
+import static org.granitepath.coordination.jobs.JobsFixture.BATCH;
+import static org.granitepath.coordination.jobs.JobsFixture.LIVE_SERVICE;
+import static org.granitepath.coordination.jobs.JobsFixture.SECOND;
+import static org.granitepath.coordination.jobs.JobsFixture.TOKEN;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import com.google.common.collect.TreeRangeSet;
+import java.util.Map;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.storage.FinalRecord;
+import org.granitepath.storage.JobRecord;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.Keys;
+import org.granitepath.storage.ProgressRecord;
+import org.granitepath.storage.UnknownRecord;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** How a term opens the jobs on record, follows their records and puts their end on record. */
+class JobLifecycleTest {
+    private static final String JOB = BATCH.id();
+
+    private final JobsFixture fixture = new JobsFixture();
+    private final JobLifecycle lifecycle = fixture.lifecycle;
+
+    private void accepted(JobSpec spec, int claimed, long term) {
+        fixture.jobIndex.changed(Keys.job(spec.id()), new JobRecord(spec, 0, claimed, term));
+    }
+
+    private void progressed(int claimed, int doneTasks) {
+        var done = TreeRangeSet.<Integer>create();
+        ProgressRecord.addTasks(done, doneTasks);
+        fixture.jobIndex.changed(Keys.progress(JOB), new ProgressRecord("c1", claimed, done, 0));
+    }
+
+    private void ended(FinalRecord.Outcome outcome) {
+        fixture.jobIndex.changed(Keys.finalOf(JOB), new FinalRecord(outcome));
+    }
+
+    private ActiveJob job() {
+        return fixture.jobs.get(JOB);
+    }
+
+    /** The term of the fixture has fencing token 3. */
+    @ParameterizedTest
+    @CsvSource({
+        "2, true, 4",
+        "2, false, 0", // no machine is left that may hold them
+        "3, true, 0", // claimed for this term: no predecessor can have started them
+    })
+    void tasksThatAFormerTermClaimedAreUnconfirmedWhileAMachineIsAwaited(long term, boolean awaited, int unconfirmed) {
+        if (awaited) {
+            fixture.awaitAMachine();
+        }
+        accepted(BATCH, 4, term);
+        lifecycle.start();
+        assertEquals(unconfirmed, job().unconfirmedTasks());
+    }
+
+    @Test
+    void aJobThatASuccessorHasClaimedIsLeftAlone() {
+        accepted(BATCH, 4, TOKEN + 1);
+        lifecycle.start();
+        assertNull(job());
+    }
+
+    @Test
+    void aJobOfWhichARecordCannotBeReadIsLeftAlone() {
+        accepted(BATCH, 4, TOKEN);
+        fixture.jobIndex.changed(Keys.progress(JOB), new UnknownRecord(Map.of()));
+        lifecycle.start();
+        assertNull(job());
+    }
+
+    @Test
+    void aJobThatIsAcceptedDuringTheTermIsOpenedAndCountsAsArrived() {
+        lifecycle.start();
+        accepted(LIVE_SERVICE, 4, TOKEN);
+        assertNotNull(job());
+        assertSame(job(), fixture.arrivalRate.newest());
+    }
+
+    @Test
+    void aJobThatWasOnRecordBeforeDoesNotCountAsArrived() {
+        accepted(LIVE_SERVICE, 4, TOKEN);
+        lifecycle.start();
+        assertNull(fixture.arrivalRate.newest());
+    }
+
+    @Test
+    void theEndOfAJobWhoseTasksAreAllDoneGoesOnRecord() {
+        fixture.replica.start();
+        fixture.timers.advance(SECOND);
+        accepted(BATCH, 4, TOKEN);
+        progressed(BATCH.tasks(), BATCH.tasks());
+        lifecycle.start();
+        assertEquals(ActiveJob.Phase.ENDING, job().phase());
+        fixture.timers.advance(SECOND);
+        assertEquals(FinalRecord.Outcome.DONE, fixture.jobIndex.finalOf(JOB));
+        assertNull(job(), "nothing of it is on any machine");
+    }
+
+    @Test
+    void aCancelledJobIsKeptUntilItsTasksAreGone() {
+        accepted(BATCH, 4, TOKEN);
+        lifecycle.start();
+        Placement placement = fixture.sent(job(), fixture.machine("i-1"));
+        ended(FinalRecord.Outcome.CANCELLED);
+        assertEquals(Placement.Phase.STOPPING, placement.phase());
+        assertFalse(job().isOpen());
+        fixture.tasks.free(placement, "test");
+        assertNull(job());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"6, 6", "2, 4"})
+    void aClaimOnRecordOnlyGrows(int recorded, int expected) {
+        accepted(BATCH, 4, TOKEN);
+        lifecycle.start();
+        progressed(recorded, 0);
+        assertEquals(expected, job().claimed());
+    }
+
+    @Test
+    void afterTheTermRecordsAreFollowedNoMore() {
+        lifecycle.start();
+        lifecycle.end();
+        accepted(BATCH, 4, TOKEN);
+        assertNull(job());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -0,0 +1,182 @@
+package org.granitepath.coordination.jobs;
+
+import static org.granitepath.coordination.jobs.JobsFixture.BATCH;
+import static org.granitepath.coordination.jobs.JobsFixture.GANG;
+import static org.granitepath.coordination.jobs.JobsFixture.SECOND;
+import static org.granitepath.coordination.jobs.JobsFixture.TOKEN;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import org.granitepath.coordination.model.ActiveJob;
+import org.granitepath.coordination.model.Fixtures;
+import org.granitepath.coordination.model.Machine;
+import org.granitepath.coordination.model.Placement;
+import org.granitepath.storage.JobSpec;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Where tasks begin and end. */
+class TaskLifecycleTest {
+    private final JobsFixture fixture = new JobsFixture();
+    private final TaskLifecycle tasks = fixture.tasks;
+    private final Machine machine = fixture.machine("i-1");
+
+    @Test
+    void aStartedTaskTakesItsPlaceAndWaitsToBeSent() {
+        ActiveJob job = fixture.openJob(BATCH);
+        Placement placement = tasks.start(job, machine, fixture.timers.nowMicros());
+        assertEquals(Placement.Phase.ASSIGNED, placement.phase());
+        assertTrue(machine.placements().contains(placement) && job.placements().contains(placement));
+        assertEquals(List.of(machine), fixture.commands.machines());
+        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpu(BATCH.team()));
+    }
+
+    @Test
+    void laterAttemptsHaveLargerNumbersAlsoAcrossTerms() {
+        ActiveJob job = fixture.openJob(BATCH);
+        long first = tasks.start(job, machine, 0).attempt();
+        long second = tasks.start(job, machine, 0).attempt();
+        long ofNextTerm = fixture.tasksOfTerm(TOKEN + 1).start(job, machine, 0).attempt();
+        assertTrue(first < second && second < ofNextTerm, first + " " + second + " " + ofNextTerm);
+    }
+
+    @Test
+    void aStopFreesATaskThatWasNeverSent() {
+        ActiveJob job = fixture.openJob(BATCH);
+        Placement placement = tasks.start(job, machine, 0);
+        tasks.stop(placement, 10 * SECOND, "test");
+        assertFalse(placement.live());
+        assertEquals(placement.task().index(), job.takeTask(), "it is the next to start again");
+        assertEquals(0, fixture.teamLimits.borrowedCpu(BATCH.team()));
+    }
+
+    @Test
+    void aTaskThatWasSentIsToldToStopAndKeepsItsPlace() {
+        Placement placement = fixture.sent(fixture.openJob(BATCH), machine);
+        fixture.commands.remove(machine);
+        tasks.stop(placement, 10 * SECOND, "test");
+        assertEquals(Placement.Phase.STOPPING, placement.phase());
+        assertEquals(List.of(machine), fixture.commands.machines());
+        assertTrue(machine.hasPlacements());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"5, 5", "20, 10"})
+    void aSecondStopOnlyShortensTheGracePeriod(long secondGraceSeconds, long expectedSeconds) {
+        Placement placement = fixture.sent(fixture.openJob(BATCH), machine);
+        tasks.stop(placement, 10 * SECOND, "test");
+        tasks.stop(placement, secondGraceSeconds * SECOND, "test");
+        assertEquals(expectedSeconds * SECOND, placement.graceMicros());
+    }
+
+    @Test
+    void aTaskIsFreedOnce() {
+        ActiveJob job = fixture.openJob(BATCH);
+        fixture.sent(job, machine);
+        Placement placement = fixture.sent(job, machine);
+        tasks.free(placement, "test");
+        tasks.free(placement, "test");
+        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpu(BATCH.team()), "the other one runs");
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "false, true, 1", // an old heartbeat: a machine that is awaited may have the task
+        "false, false, 0",
+        "true, true, 0",
+    })
+    void aTaskFoundInAnOldHeartbeatMayBeOnAMachineStillAwaited(boolean onlyHere, boolean awaited, int unconfirmed) {
+        if (awaited) {
+            fixture.awaitAMachine();
+        }
+        ActiveJob job = fixture.openJob(BATCH);
+        Placement placement = fixture.adopted(job, 0, machine, 1, onlyHere);
+        tasks.free(placement, "test");
+        assertEquals(unconfirmed, job.unconfirmedTasks());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "BATCH, 50, RUNNING", // of its 60 s 10 are left, which is less than half of the notice
+        "BATCH, 40, STOPPING",
+        "SERVICE, 50, STOPPING",
+    })
+    void fromAMachineThatIsTakenBackWorkMovesThatWontFinish(
+            JobSpec.Shape shape, long ranSeconds, Placement.Phase then) {
+        Placement placement = fixture.sent(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
+        placement.running(fixture.timers.nowMicros());
+        fixture.timers.advance(ranSeconds * SECOND);
+        tasks.evacuate(machine, 30 * SECOND);
+        assertEquals(then, placement.phase());
+    }
+
+    // ---- gangs -------------------------------------------------------------------------------------------------
+
+    private List<Placement> startedGang() {
+        ActiveJob job = fixture.openJob(GANG);
+        List<Machine> machines = IntStream.range(0, GANG.tasks())
+                .mapToObj(index -> fixture.machine("g-" + index))
+                .toList();
+        tasks.startGang(job, machines, fixture.timers.nowMicros());
+        return List.copyOf(job.placements());
+    }
+
+    private static List<Placement.Phase> phases(List<Placement> placements) {
+        return placements.stream().map(Placement::phase).distinct().toList();
+    }
+
+    @Test
+    void theTasksOfAGangShareOneAttempt() {
+        List<Placement> gang = startedGang();
+        assertEquals(GANG.tasks(), gang.size());
+        assertEquals(1, gang.stream().mapToLong(Placement::attempt).distinct().count());
+    }
+
+    @Test
+    void theTasksOfAGangAreStoppedTogether() {
+        List<Placement> gang = startedGang();
+        gang.forEach(Placement::sentDirectly);
+        tasks.stop(gang.get(0), 0, "test");
+        assertEquals(List.of(Placement.Phase.STOPPING), phases(gang));
+    }
+
+    @Test
+    void aGangOfWhichNothingWasSentIsForgottenWhenItIsStopped() {
+        List<Placement> gang = startedGang();
+        tasks.stop(gang.get(0), 0, "test");
+        assertEquals(List.of(Placement.Phase.FREED), phases(gang));
+        assertEquals(GANG.tasks(), gang.get(0).job().waitingTasks());
+        assertNull(gang.get(0).job().gangAttempt());
+    }
+
+    @Test
+    void whenATaskOfARunningGangIsGoneTheOthersAreStopped() {
+        List<Placement> gang = startedGang();
+        gang.forEach(Placement::sentDirectly);
+        gang.get(0).job().gangAttempt().running();
+        tasks.free(gang.get(0), "test");
+        assertEquals(List.of(Placement.Phase.STOPPING), phases(gang.subList(1, gang.size())));
+    }
+
+    @Test
+    void whenATaskOfAFormingGangIsGoneTheOthersStay() {
+        List<Placement> gang = startedGang();
+        gang.forEach(Placement::sentDirectly);
+        tasks.free(gang.get(0), "test");
+        assertEquals(List.of(Placement.Phase.SENT), phases(gang.subList(1, gang.size())));
+    }
+
+    @Test
+    void aNewerAttemptOfAGangThatIsFoundStopsTheOlderOne() {
+        ActiveJob job = fixture.openJob(GANG);
+        Placement older = fixture.adopted(job, 0, fixture.machine("g-0"), 1, true);
+        Placement newer = fixture.adopted(job, 1, fixture.machine("g-1"), 2, true);
+        assertEquals(Placement.Phase.STOPPING, older.phase());
+        assertEquals(Placement.Phase.SENT, newer.phase());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/storage/JobKeyTest.java
@@ -0,0 +1,29 @@
+package org.granitepath.storage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Keys of the records of jobs are put together and taken apart. */
+class JobKeyTest {
+    @Test
+    void aKeyTellsWhichRecordOfWhichJobItNames() {
+        assertEquals(Optional.of(new Keys.JobKey(Keys.JobRecordKind.JOB, "a/b")), Keys.jobKey(Keys.job("a/b")));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"g/j/a, JOB", "g/p/a, PROGRESS", "g/f/a, FINAL"})
+    void eachKindHasAPrefixOfItsOwn(String key, Keys.JobRecordKind kind) {
+        assertEquals(Optional.of(new Keys.JobKey(kind, "a")), Keys.jobKey(key));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {Keys.LEADER, Keys.FENCING_TOKEN, Keys.TYPES, Keys.INVENTORY + "0"})
+    void otherRecordsAreOfNoJob(String key) {
+        assertEquals(Optional.empty(), Keys.jobKey(key));
+    }
+}
