--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -64,11 +64,18 @@
                 new CloudRequestBudget(config.limits().cloudRequestsPerSecond(), timers.nowMicros());
         SpareHeadroom spareHeadroom = new SpareHeadroom();
         this.launcher = new Launcher(cloud, timers, term.fencingToken(), booting, ended);
-        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines, ended);
+        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::terminated, ended);
         this.lister =
                 new MachineLister(fleet, booting, terminator::terminatedLately, cloud, requestBudget, timers, ended);
         this.scaleOut = new ScaleOut(
-                demand, rules, leadership, failureDetector, booting, requestBudget, launcher, spareHeadroom);
+                demand,
+                rules,
+                leadership::leaseConfirmed,
+                failureDetector,
+                booting,
+                requestBudget,
+                launcher,
+                spareHeadroom);
         this.scaleIn =
                 new ScaleIn(config, fleet, booting, failureDetector, spareHeadroom, gangHeadroom, term.recovery());
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -17,8 +17,8 @@
     private final PlannedCapacity planned;
     private final OfferMarket market;
     private final long nowMicros;
-    private final Map<String, Double> cpuMillisByZone = new HashMap<>();
-    private double cpuMillis;
+    private final Map<String, Double> availableCpuMillisByZone = new HashMap<>();
+    private double availableCpuMillis;
     private double servicesCpuMillis;
     private double spareCpuMillis = Double.MAX_VALUE;
 
@@ -51,9 +51,9 @@
         double wantedCpuMillis = Math.min(
                 demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros(),
                 demand.config().tuning().scaling().headroomShare() * servicesCpuMillis);
-        spareCpuMillis = cpuMillis - wantedCpuMillis;
-        if (cpuMillis < wantedCpuMillis) {
-            int count = (int) Math.ceil((wantedCpuMillis - cpuMillis) / type.cpuMillis());
+        spareCpuMillis = availableCpuMillis - wantedCpuMillis;
+        if (availableCpuMillis < wantedCpuMillis) {
+            int count = (int) Math.ceil((wantedCpuMillis - availableCpuMillis) / type.cpuMillis());
             planned.addLaunch(inEmptiestZone(offer), count);
         }
     }
@@ -66,7 +66,7 @@
                     && machine.type().fits(newest.spec())) {
                 long usedCpuMillis = machine.capacity().cpuUsedByServices();
                 servicesCpuMillis += usedCpuMillis;
-                add(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
+                countAvailable(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
             }
         }
     }
@@ -74,21 +74,21 @@
     private void countPlanned() {
         for (PlannedMachine machine : planned.machines()) {
             if (!machine.spot()) {
-                add(machine.zone(), machine.freeCpuMillis());
+                countAvailable(machine.zone(), machine.freeCpuMillis());
             }
         }
     }
 
-    private void add(String zone, long freeCpuMillis) {
-        cpuMillis += freeCpuMillis;
-        cpuMillisByZone.merge(zone, (double) freeCpuMillis, Double::sum);
+    private void countAvailable(String zone, long freeCpuMillis) {
+        availableCpuMillis += freeCpuMillis;
+        availableCpuMillisByZone.merge(zone, (double) freeCpuMillis, Double::sum);
     }
 
     /** The offer at full price in the zone with the least such capacity; where it is if no zone has it. */
     private Offer inEmptiestZone(Offer offer) {
         String emptiest = offer.type().zones().stream()
                 .filter(zone -> market.has(new Offer(offer.type(), zone, false, offer.job())))
-                .min(Comparator.comparingDouble(zone -> cpuMillisByZone.getOrDefault(zone, 0.0)))
+                .min(Comparator.comparingDouble(zone -> availableCpuMillisByZone.getOrDefault(zone, 0.0)))
                 .orElse(offer.zone());
         return new Offer(offer.type(), emptiest, false, offer.job());
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.granitepath.coordination.config.Config;
-import org.granitepath.coordination.config.ScalingPolicy;
 import org.granitepath.coordination.fleet.FailureDetector;
 import org.granitepath.coordination.gang.GangHeadroom;
 import org.granitepath.coordination.jobs.TermRecovery;
@@ -13,20 +12,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides which machines to terminate: those that failed, that nothing needs, or that were to be vacated. */
+/** Decides which machines to terminate: those that failed, that nothing needs, or that were drained. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** How long a machine may be idle whose type, and so its time to boot, is not known. */
-    private static final long UNKNOWN_TYPE_IDLE_MICROS = 30_000_000;
 
-    private final Config config;
     private final Fleet fleet;
     private final BootingMachines booting;
-    private final FailureDetector failureDetector;
-    private final SpareHeadroom spareHeadroom;
-    private final GangHeadroom gangHeadroom;
-    private final TermRecovery recovery;
+    private final MachineFailures failures;
+    private final IdleMachines idleMachines;
 
     /** Decides over the machines of this fleet and those that boot. */
     ScaleIn(
@@ -37,34 +31,23 @@
             SpareHeadroom spareHeadroom,
             GangHeadroom gangHeadroom,
             TermRecovery recovery) {
-        this.config = config;
         this.fleet = fleet;
         this.booting = booting;
-        this.failureDetector = failureDetector;
-        this.spareHeadroom = spareHeadroom;
-        this.gangHeadroom = gangHeadroom;
-        this.recovery = recovery;
+        this.failures = new MachineFailures(config.workers(), failureDetector);
+        this.idleMachines = new IdleMachines(config.tuning().scaling(), spareHeadroom, gangHeadroom, recovery);
     }
 
     /** The machines to terminate now, by name, as many as one request may name. */
     List<String> choose(long nowMicros) {
         List<String> ids = new ArrayList<>();
         chooseFailedToBoot(ids, nowMicros);
-        boolean heartbeatsTrusted = failureDetector.canJudgeMachines();
-        boolean keepsIdle = recovery.keepsIdleMachines();
-        gangHeadroom.survey();
+        failures.survey();
+        idleMachines.survey();
         for (Machine machine : List.copyOf(fleet.machines())) {
             if (ids.size() >= Terminator.MAX_MACHINES_PER_REQUEST) {
                 break;
             }
-            boolean idle = !keepsIdle && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
-            boolean notNeeded = !keptAsHeadroom(machine, idle) && idle;
-            TerminationReason reason = reason(machine, heartbeatsTrusted, notNeeded, nowMicros);
-            boolean terminating = machine.phase() == Machine.Phase.TERMINATING;
-            if (reason != null && !terminating) {
-                machine.terminationDecided(reason.text());
-            }
-            if (reason != null || terminating) {
+            if (isToBeTerminated(machine, nowMicros)) {
                 ids.add(machine.id());
             }
         }
@@ -81,82 +64,30 @@
         }
     }
 
-    /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
-    private boolean keptAsHeadroom(Machine machine, boolean idle) {
-        boolean idleAtFullPrice = idle && !machine.spot();
-        long freeCpuMillis = machine.capacity().cpuFree();
-        machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
-        if (machine.keptAsHeadroom()) {
+    /** Whether the cloud is to be asked for it, for the first time or again. */
+    private boolean isToBeTerminated(Machine machine, long nowMicros) {
+        TerminationReason reason = reason(machine, nowMicros);
+        if (machine.phase() == Machine.Phase.TERMINATING) {
             return true;
         }
-        if (idleAtFullPrice) {
-            spareHeadroom.release(freeCpuMillis);
-            gangHeadroom.terminated(machine);
+        if (reason != null) {
+            machine.terminationDecided(reason.text());
         }
-        return false;
+        return reason != null;
     }
 
     /** Why the machine is to be terminated; null: it is not. */
-    private @Nullable TerminationReason reason(
-            Machine machine, boolean heartbeatsTrusted, boolean notNeeded, long nowMicros) {
-        long sinceHeartbeatMicros = nowMicros - machine.contact().lastHeartbeatMicros();
-        boolean conclusive = (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
-                || sinceHeartbeatMicros > partitionTimeoutMicros();
-        if (conclusive && sinceHeartbeatMicros > failureTimeoutMicros(machine)) {
-            return TerminationReason.UNRESPONSIVE;
-        }
-        if (conclusive && isUnreachable(machine, nowMicros)) {
-            return TerminationReason.UNREACHABLE;
+    private @Nullable TerminationReason reason(Machine machine, long nowMicros) {
+        // Asked for every machine, since it also settles which idle ones are kept as headroom.
+        boolean released = idleMachines.releases(machine, nowMicros);
+        TerminationReason failure = failures.reason(machine, nowMicros);
+        if (failure != null) {
+            return failure;
         }
-        if (notNeeded) {
+        if (released) {
             return TerminationReason.IDLE;
         }
         boolean drained = machine.phase() == Machine.Phase.DRAINING && machine.isEmpty();
         return drained ? TerminationReason.DRAINED : null;
     }
-
-    /** Whether its heartbeats arrive, but our answers and commands have not reached it for a lease. */
-    private boolean isUnreachable(Machine machine, long nowMicros) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
-                && nowMicros - machine.unconfirmedSinceMicros()
-                        > config.workers().leaseMicros();
-    }
-
-    private boolean isIdle(Machine machine, long nowMicros) {
-        return machine.phase() == Machine.Phase.READY
-                && machine.isEmpty()
-                && machine.reservedFor() == null
-                && nowMicros - machine.idleSinceMicros() > idleTimeoutMicros(machine)
-                && nowMicros - machine.launchedMicros() > Machine.MINIMUM_CHARGE_MICROS;
-    }
-
-    /**
-     * How long a machine may be idle: as long as a new one would take to boot, so that keeping it never costs much more
-     * than terminating it; longer on spot instances, which cost little and may not be had again.
-     */
-    private long idleTimeoutMicros(Machine machine) {
-        if (machine.type() == null) {
-            return UNKNOWN_TYPE_IDLE_MICROS;
-        }
-        ScalingPolicy policy = config.tuning().scaling();
-        double share = machine.spot() ? policy.idleShareSpot() : policy.idleShare();
-        return (long) (share * machine.type().bootMicros());
-    }
-
-    /** How long machines that may only be partitioned are waited for: by then all on them is over in any case. */
-    private long partitionTimeoutMicros() {
-        return config.workers().cancelMicros() + config.workers().leaseMicros();
-    }
-
-    /**
-     * How long a machine may send no heartbeat before it is given up. One that answers direct calls lives: after a
-     * failover its heartbeats may still be on their way to the former leader.
-     */
-    private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed()
-                ? failureDetector.unresponsiveTimeoutMicros(machine)
-                : config.workers().leaseMicros();
-    }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -1,12 +1,13 @@
 package org.granitepath.coordination.autoscaling;
 
 import java.util.List;
+import java.util.function.BooleanSupplier;
 import org.granitepath.coordination.fleet.FailureDetector;
-import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.placement.PlacementRules;
+import org.granitepath.storage.MachineType;
 
 /** Plans anew whenever the last launch is over, and launches what the plan puts first. */
 final class ScaleOut {
@@ -14,18 +15,22 @@
 
     private final ScaleOutPlan.Demand demand;
     private final PlacementRules rules;
-    private final Leadership leadership;
+    private final BooleanSupplier leaseConfirmed;
     private final FailureDetector failureDetector;
     private final BootingMachines booting;
     private final CloudRequestBudget requestBudget;
     private final Launcher launcher;
     private final SpareHeadroom spareHeadroom;
 
-    /** Launches nothing before it is told to. */
+    /**
+     * Launches nothing before it is told to.
+     *
+     * @param leaseConfirmed whether the store confirmed lately that this controller leads
+     */
     ScaleOut(
             ScaleOutPlan.Demand demand,
             PlacementRules rules,
-            Leadership leadership,
+            BooleanSupplier leaseConfirmed,
             FailureDetector failureDetector,
             BootingMachines booting,
             CloudRequestBudget requestBudget,
@@ -33,7 +38,7 @@
             SpareHeadroom spareHeadroom) {
         this.demand = demand;
         this.rules = rules;
-        this.leadership = leadership;
+        this.leaseConfirmed = leaseConfirmed;
         this.failureDetector = failureDetector;
         this.booting = booting;
         this.requestBudget = requestBudget;
@@ -43,7 +48,7 @@
 
     /** Launches machines for the work that waits, one kind after the other as long as any is lacking. */
     void launch(long nowMicros) {
-        if (launcher.underWay() || !leadership.leaseConfirmed()) {
+        if (launcher.underWay() || !leaseConfirmed.getAsBoolean()) {
             return;
         }
         demand.batchPlanner().update(nowMicros);
@@ -69,18 +74,16 @@
         }
         Fleet fleet = demand.fleet();
         for (Machine machine : fleet.machines()) {
-            if (justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
-                plan.pending(machine.type(), machine.zone(), machine.spot());
+            MachineType type = machine.type();
+            if (type != null && justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
+                plan.pending(type, machine.zone(), machine.spot());
             }
         }
     }
 
     /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
     private static boolean justJoined(Machine machine) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED
-                && machine.type() != null
-                && machine.isEmpty()
-                && !machine.awaitingFirstHeartbeat();
+        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
     }
 
     private boolean launchesFor(ActiveJob job, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -1,6 +1,5 @@
 package org.granitepath.coordination.autoscaling;
 
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -25,20 +24,6 @@
     /** Tasks of one job that are planned for at a time: as many as 6,000 machines with a task each. */
     private static final int MAX_PLANNED_TASKS = 6_000;
 
-    /** Live services that need the same are launched for as a class: they share machines. */
-    private record EquivalenceClass(
-            long cpuMillis,
-            long gpuMillis,
-            long memoryMillis,
-            @Nullable List<String> types,
-            @Nullable String zone,
-            boolean spot) {
-        static EquivalenceClass of(JobSpec spec) {
-            return new EquivalenceClass(
-                    spec.cpuMillis(), spec.gpuMillis(), spec.memoryMillis(), spec.types(), spec.zone(), spec.spot());
-        }
-    }
-
     /**
      * What a plan is made from.
      *
@@ -62,7 +47,7 @@
     private final OfferMarket market;
     private final HeadroomPlan headroom;
     private final GangPlan gangs;
-    private final Object2IntOpenHashMap<EquivalenceClass> waitingByClass = new Object2IntOpenHashMap<>();
+    private final WaitingLiveTasks waitingLiveTasks = new WaitingLiveTasks();
 
     /**
      * An empty plan.
@@ -88,21 +73,17 @@
         List<ActiveJob> waiting = new ArrayList<>(wanting);
         waiting.sort(Comparator.comparing((ActiveJob job) -> job.spec().priority())
                 .thenComparing(job -> job.acceptedMicros()));
+        waiting.stream().filter(ActiveJob::isLive).forEach(waitingLiveTasks::add);
+        boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
-            if (job.isLive()) {
-                waitingByClass.addTo(EquivalenceClass.of(job.spec()), job.waitingTasks());
-            }
-        }
-        boolean liveDone = false;
-        for (ActiveJob job : waiting) {
-            if (!liveDone && !job.isLive()) {
+            if (!headroomPlanned && !job.isLive()) {
                 // What is on its way is headroom once the live services at hand have theirs, whatever else wants it.
                 headroom.make();
-                liveDone = true;
+                headroomPlanned = true;
             }
             plan(job);
         }
-        if (!liveDone) {
+        if (!headroomPlanned) {
             headroom.make();
         }
     }
@@ -129,12 +110,10 @@
             return;
         }
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
-        // From here on the class lacks what the jobs after this one want.
-        int others = job.isLive()
-                ? waitingByClass.addTo(EquivalenceClass.of(job.spec()), -job.waitingTasks()) - job.waitingTasks()
-                : 0;
-        int left = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
-        planNew(job, usePending(job, left, tasksByZone), others, tasksByZone);
+        int others = job.isLive() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
+        int wanted = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
+        int lacking = usePending(job, wanted, tasksByZone);
+        planNew(job, lacking, others, tasksByZone);
     }
 
     /** Sets capacity aside on machines that are on their way, and returns how many tasks are left. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/SpareHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/SpareHeadroom.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.autoscaling;
 
-/** Capacity that live services could take beyond the headroom wanted for them; machines up to it may be returned. */
+/** Capacity that live services could take beyond the headroom wanted for them; machines up to it may be terminated. */
 final class SpareHeadroom {
     /** CPUs in thousandths; unlimited before the first plan, when no headroom is wanted. */
     private double cpuMillis = Double.MAX_VALUE;
--- a/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
@@ -8,7 +8,7 @@
     UNREACHABLE("our answers do not reach it"),
     /** Nothing has needed it for longer than it pays to keep it. */
     IDLE("idle"),
-    /** It was to be vacated, and is empty. */
+    /** It was drained, and is empty. */
     DRAINED("drained");
 
     private final String text;
--- a/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import org.granitepath.coordination.fleet.MachineLifecycle;
+import java.util.function.Consumer;
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.storage.Timers;
 
@@ -20,7 +20,7 @@
     private final CloudRequestBudget requestBudget;
     private final Timers timers;
     private final BootingMachines booting;
-    private final MachineLifecycle machines;
+    private final Consumer<String> terminationListener;
     private final BooleanSupplier ended;
     /** When each machine was terminated, by its name. */
     private final Map<String, Long> terminatedMicros = new HashMap<>();
@@ -30,6 +30,7 @@
     /**
      * Terminates nothing before it is told to.
      *
+     * @param terminationListener told of each machine that is gone, by its name
      * @param ended whether the term of leadership is over: then answers change nothing
      */
     Terminator(
@@ -37,13 +38,13 @@
             CloudRequestBudget requestBudget,
             Timers timers,
             BootingMachines booting,
-            MachineLifecycle machines,
+            Consumer<String> terminationListener,
             BooleanSupplier ended) {
         this.cloud = cloud;
         this.requestBudget = requestBudget;
         this.timers = timers;
         this.booting = booting;
-        this.machines = machines;
+        this.terminationListener = terminationListener;
         this.ended = ended;
     }
 
@@ -71,7 +72,7 @@
             for (String id : ids) {
                 terminatedMicros.put(id, timers.nowMicros());
                 booting.remove(id);
-                machines.terminated(id);
+                terminationListener.accept(id);
             }
         });
     }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -31,12 +31,11 @@
     }
 
     /** Starts lost tasks anew, as far as there is capacity; stops the gang once the rest would come too late. */
-    void completeOrStop(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
-        GangAttempt attempt = job.gangAttempt();
+    void completeOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
             return;
         }
-        replaceLostTasks(job, machinesWithCapacity, nowMicros);
+        replaceLostTasks(job, attempt, machinesWithCapacity, nowMicros);
         long longestWaitMicros = config.workers().gangWaitMicros()
                 - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
         if (job.waitingTasks() > 0
@@ -45,10 +44,11 @@
         }
     }
 
-    private void replaceLostTasks(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
+    private void replaceLostTasks(
+            ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         while (job.waitingTasks() > 0) {
             int index = job.firstFreed();
-            Machine machine = replacementMachine(job, index, machinesWithCapacity, nowMicros);
+            Machine machine = replacementMachine(job, attempt, index, machinesWithCapacity, nowMicros);
             if (machine == null) {
                 return;
             }
@@ -56,7 +56,7 @@
                     "task {}/{} attempt {} starts anew on machine {}: the others of its gang wait",
                     job.spec().id(),
                     index,
-                    job.gangAttempt().number(),
+                    attempt.number(),
                     machine.id());
             tasks.startInGang(job, index, machine, nowMicros);
         }
@@ -64,22 +64,13 @@
 
     /** The best machine on which this task was not tried under the same attempt: a worker ignores a second start. */
     private @Nullable Machine replacementMachine(
-            ActiveJob job, int index, List<Machine> machinesWithCapacity, long nowMicros) {
+            ActiveJob job, GangAttempt attempt, int index, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!rules.mayStartAnother(job)) {
             return null;
         }
-        Machine best = null;
-        for (Machine machine : machinesWithCapacity) {
-            boolean usable = machine.capacity().fits(job.spec())
-                    && machine.takesTasks()
-                    && rules.respectsReservation(machine, job)
-                    && rules.satisfiesConstraints(machine, job, nowMicros)
-                    && !job.gangAttempt().wasTriedOn(index, machine.id());
-            if (usable
-                    && (best == null || preference.score(machine, job.spec()) > preference.score(best, job.spec()))) {
-                best = machine;
-            }
-        }
-        return best;
+        return preference.best(
+                machinesWithCapacity,
+                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.wasTriedOn(index, machine.id()),
+                job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -5,6 +5,7 @@
 import org.granitepath.coordination.jobs.TaskLifecycle;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.placement.MachinePreference;
 import org.granitepath.coordination.placement.PlacementRules;
@@ -18,6 +19,7 @@
  */
 public final class GangScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
+    private static final long MICROS_PER_MILLISECOND = 1_000;
 
     private final PlacementRules rules;
     private final TaskLifecycle tasks;
@@ -32,7 +34,7 @@
         this.tasks = tasks;
         GangConstraints constraints = new GangConstraints(config.topology().zones(), rules);
         this.placementFinder = new GangPlacementFinder(constraints, rules, preference);
-        this.reservations = new GangReservations(config, fleet, rules, constraints);
+        this.reservations = new GangReservations(config, fleet, new ReservationFinder(fleet, rules, constraints));
         this.completion = new GangCompletion(config, rules, tasks, preference);
     }
 
@@ -47,8 +49,9 @@
      * @param machinesWithCapacity the machines that take tasks and had some capacity when the cycle began
      */
     public void schedule(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
-        if (job.gangAttempt() != null) {
-            completion.completeOrStop(job, machinesWithCapacity, nowMicros);
+        GangAttempt attempt = job.gangAttempt();
+        if (attempt != null) {
+            completion.completeOrStop(job, attempt, machinesWithCapacity, nowMicros);
         } else if (job.running() == 0 && job.claimed() >= job.spec().tasks()) {
             startOrReserve(job, machinesWithCapacity, nowMicros);
         }
@@ -72,7 +75,7 @@
                 job.spec().id(),
                 job.spec().jobClass(),
                 job.spec().tasks(),
-                (nowMicros - job.scheduling().waitingSinceMicros()) / 1_000,
+                (nowMicros - job.scheduling().waitingSinceMicros()) / MICROS_PER_MILLISECOND,
                 placement.imageFetches());
         job.scheduling().reservationEnds();
         tasks.startGang(job, placement.machines(), nowMicros);
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -14,6 +14,9 @@
     /** The share of the capacity left by what packing leaves unused and what runs on machines to be emptied. */
     private static final double USABLE_CAPACITY_SHARE = 0.9;
 
+    /** The last wave of a job's tasks leaves capacity unused for this share of a task, on the average. */
+    private static final double LAST_WAVE_TASK_SHARE = 0.5;
+
     /**
      * A job that is to be complete in time.
      *
@@ -109,11 +112,8 @@
         for (DueJob due : jobs) {
             selected.add(due);
             sum += due.work();
-            // The last wave of tasks does not fill the capacity to its end.
-            double usable = capacity
-                    * USABLE_CAPACITY_SHARE
-                    * (due.timeLeftMicros() - runtimeEstimator.taskMicros(due.job()) / 2.0);
-            while (sum > usable && !selected.isEmpty() && capacity > 0) {
+            double usableWork = capacity * USABLE_CAPACITY_SHARE * usableMicros(due);
+            while (sum > usableWork && !selected.isEmpty() && capacity > 0) {
                 DueJob largest = selected.poll();
                 sum -= largest.work();
                 leftOut.add(largest);
@@ -124,4 +124,8 @@
         }
         return sum;
     }
+
+    private double usableMicros(DueJob due) {
+        return due.timeLeftMicros() - LAST_WAVE_TASK_SHARE * runtimeEstimator.taskMicros(due.job());
+    }
 }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -46,6 +46,17 @@
                 && !fleet.unresponsive(machine, nowMicros);
     }
 
+    /**
+     * Whether a task of the job can be placed on this machine now: the machine takes tasks, has free capacity that is
+     * not reserved for another job, and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
+     */
+    public boolean canPlace(ActiveJob job, Machine machine, long nowMicros) {
+        return machine.capacity().fits(job.spec())
+                && machine.takesTasks()
+                && respectsReservation(machine, job)
+                && satisfiesConstraints(machine, job, nowMicros);
+    }
+
     /**
      * Whether the machine's type, zone and kind fit the job, and no task of the job failed there; whatever the state of
      * the machine. Work that can wait leaves full-price machines alone that no service needs, so that they can be
--- a/src/main/java/org/granitepath/coordination/scheduling/BorrowedCpu.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/BorrowedCpu.java
@@ -6,8 +6,8 @@
 import org.granitepath.coordination.placement.PlacementRules;
 
 /**
- * What each team can still be made to give back in one round of preemption, in thousandths of a CPU: what it uses
- * beyond its guaranteed quota. A team's amount is looked up when the team is first asked for.
+ * What can still be reclaimed of each team in one round of preemption, in thousandths of a CPU: what it uses beyond
+ * its guaranteed quota. A team's amount is looked up when the team is first asked for.
  */
 final class BorrowedCpu {
     private final PlacementRules rules;
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Counts these tasks as given back, or none of them if the team of one has nothing left to give back. Their teams
+     * Counts these tasks as reclaimed, or none of them if nothing is left to reclaim of the team of one. Their teams
      * were asked for before.
      */
     boolean reclaim(List<Placement> placements) {
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -60,18 +60,7 @@
     /** The best machine for the next task of this job, or null if none has capacity that the job may use. */
     @Nullable
     Machine best(ActiveJob job, long nowMicros) {
-        Machine best = null;
-        double bestScore = Double.NEGATIVE_INFINITY;
-        for (Machine machine : machinesWithCapacity) {
-            if (isUsable(machine, job, nowMicros)) {
-                double score = preference.score(machine, job.spec());
-                if (score > bestScore) {
-                    bestScore = score;
-                    best = machine;
-                }
-            }
-        }
-        return best;
+        return preference.best(machinesWithCapacity, machine -> isUsable(machine, job, nowMicros), job.spec());
     }
 
     /** Notes that a task was placed there. */
@@ -80,10 +69,6 @@
     }
 
     private boolean isUsable(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.capacity().fits(job.spec())
-                && machine.takesTasks()
-                && rules.respectsReservation(machine, job)
-                && gangHeadroom.leavesHeadroom(machine, job, nowMicros)
-                && rules.satisfiesConstraints(machine, job, nowMicros);
+        return rules.canPlace(job, machine, nowMicros) && gangHeadroom.leavesHeadroom(machine, job, nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -14,8 +14,8 @@
     private static final long MIN_RUNTIME_MICROS = 10_000_000;
     /**
      * So long guaranteed work waits after its last start for capacity that becomes free by itself, before borrowed
-     * work is stopped for it. Without this each freed place went back and forth: what was stopped started
-     * elsewhere, and was stopped there for the next.
+     * work is stopped for it. Without this wait freed capacity goes back and forth: what is stopped starts
+     * elsewhere, and is stopped there for the next.
      */
     private static final long RECLAIM_DELAY_MICROS = 2_000_000;
 
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -57,7 +57,7 @@
         Machine machine = machines.best(job, nowMicros);
         if (machine == null) {
             unplaceable.add(request);
-            return preemptForAllAlike(job, request, nowMicros);
+            return preemptForEqualRequests(job, request, nowMicros);
         }
         if (waitsForImage(job, machine, nowMicros) && preemptor.preemptFor(job, 1, true, nowMicros) > 0) {
             return 1;
@@ -73,7 +73,7 @@
     }
 
     /** Preempts for all waiting tasks with this request at once. */
-    private int preemptForAllAlike(ActiveJob job, ResourceRequest request, long nowMicros) {
+    private int preemptForEqualRequests(ActiveJob job, ResourceRequest request, long nowMicros) {
         int wanted = job.waitingTasks() + waitingWithSameRequest(request);
         int pending = preemptor.preemptFor(job, wanted, false, nowMicros);
         return LiveWorkBacklog.includes(job.spec()) ? pending : 0;
