--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -1,15 +1,17 @@
 package org.granitepath.cli;
 
 import com.beust.jcommander.Parameters;
-import io.undertow.util.Methods;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import org.granitepath.transport.AfterCall;
 import org.granitepath.transport.EventLoop;
 import org.granitepath.transport.HttpCalls;
+import org.granitepath.transport.OutgoingRequest;
 
 /**
  * The training run for class data sharing: starts a controller on loopback with nothing to talk to, sends it one
@@ -59,7 +61,6 @@
 
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
     private static final int MAX_WAIT_SECONDS = 5;
-    private static final int REQUESTS = 4;
 
     @Override
     int run() throws IOException, InterruptedException {
@@ -82,33 +83,15 @@
     /** Sends a request of each kind and waits until all are answered or too much time has passed. */
     private static void callEach(String address) throws IOException, InterruptedException {
         HttpCalls http = new HttpCalls(new EventLoop());
-        CountDownLatch answered = new CountDownLatch(REQUESTS);
-        HttpCalls.Reply count = (status, body) -> answered.countDown();
-        http.call(address, Methods.GET, "/up", null, REQUEST_TIMEOUT_MICROS, HttpCalls.AfterCall.CLOSE, count);
-        http.call(
-                address,
-                Methods.POST,
-                "/submissions",
-                SUBMISSION,
-                REQUEST_TIMEOUT_MICROS,
-                HttpCalls.AfterCall.KEEP,
-                count);
-        http.call(
-                address,
-                Methods.POST,
-                "/agent/beat",
-                HEARTBEAT,
-                REQUEST_TIMEOUT_MICROS,
-                HttpCalls.AfterCall.KEEP,
-                count);
-        http.call(
-                address,
-                Methods.GET,
-                "/submissions/run-1",
-                null,
-                REQUEST_TIMEOUT_MICROS,
-                HttpCalls.AfterCall.KEEP,
-                count);
+        List<OutgoingRequest> requests = List.of(
+                OutgoingRequest.get(address, "/up", AfterCall.CLOSE),
+                OutgoingRequest.postJson(address, "/submissions", SUBMISSION, AfterCall.KEEP),
+                OutgoingRequest.postJson(address, "/agent/beat", HEARTBEAT, AfterCall.KEEP),
+                OutgoingRequest.get(address, "/submissions/run-1", AfterCall.KEEP));
+        CountDownLatch answered = new CountDownLatch(requests.size());
+        for (OutgoingRequest request : requests) {
+            http.call(request, REQUEST_TIMEOUT_MICROS, answer -> answered.countDown());
+        }
         answered.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -12,10 +12,10 @@
 import org.granitepath.transport.CloudClient;
 import org.granitepath.transport.EventLoop;
 import org.granitepath.transport.HttpCalls;
+import org.granitepath.transport.HttpServers;
 import org.granitepath.transport.KeyValueStoreClient;
 import org.granitepath.transport.OpenTelemetryRecoveryTracer;
 import org.granitepath.transport.PeerClient;
-import org.granitepath.transport.ServiceServer;
 import org.granitepath.transport.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -69,14 +69,7 @@
                 new PeerClient(http, settings.peerAddresses()),
                 loop,
                 traceRecovery ? new OpenTelemetryRecoveryTracer(GlobalOpenTelemetry.get()) : RecoveryTracer.NONE);
-        ServiceServer.listen(
-                controller,
-                settings.config(),
-                loop,
-                settings.listen().host(),
-                settings.listen().port(),
-                settings.peerListen().host(),
-                settings.peerListen().port());
+        HttpServers.listen(controller, settings.config().limits(), loop, settings.listen(), settings.peerListen());
         controller.start();
         log.info(
                 "{} serves on {}:{}",
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.granitepath.coordination.config.Config;
+import org.granitepath.transport.Address;
 import org.jspecify.annotations.Nullable;
 
 /**
--- a/src/main/java/org/granitepath/cli/TomlFields.java
+++ b/src/main/java/org/granitepath/cli/TomlFields.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import org.granitepath.transport.Address;
 import org.jspecify.annotations.Nullable;
 
 /**
--- /dev/null
+++ b/src/main/java/org/granitepath/transport/Address.java
@@ -0,0 +1,4 @@
+package org.granitepath.transport;
+
+/** An address to listen on or to call. */
+public record Address(String host, int port) {}
--- a/src/main/java/org/granitepath/transport/BytesReader.java
+++ b/src/main/java/org/granitepath/transport/BytesReader.java
@@ -12,20 +12,25 @@
 
 /** Reads a response body to its end, up to a bound. */
 final class BytesReader implements ChannelListener<StreamSourceChannel> {
-    private static final int MOST_BYTES = 16 << 20;
+    /** A controller has a heap of 64 MiB: an answer without end must not fill it. */
+    static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
+
+    private static final int END_OF_BODY = -1;
 
     private final ByteBufferPool pool;
     private final Consumer<byte[]> done;
     private final Consumer<IOException> failed;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
+    /** Tells the whole body, or why it can't be had; either closes the channel first. */
     BytesReader(ByteBufferPool pool, Consumer<byte[]> done, Consumer<IOException> failed) {
         this.pool = pool;
         this.done = done;
         this.failed = failed;
     }
 
-    void setup(StreamSourceChannel channel) {
+    /** Reads what is there, and the rest as it comes. */
+    void begin(StreamSourceChannel channel) {
         channel.getReadSetter().set(this);
         handleEvent(channel);
     }
@@ -33,30 +38,37 @@
     @Override
     public void handleEvent(StreamSourceChannel channel) {
         try (PooledByteBuffer pooled = pool.allocate()) {
-            ByteBuffer buffer = pooled.getBuffer();
-            while (true) {
-                buffer.clear();
-                int bytesRead = channel.read(buffer);
-                if (bytesRead == 0) {
-                    channel.resumeReads();
-                    return;
-                }
-                if (bytesRead < 0) {
-                    IoUtils.safeClose(channel);
-                    done.accept(body.toByteArray());
-                    return;
-                }
-                buffer.flip();
-                while (buffer.hasRemaining()) {
-                    body.write(buffer.get());
-                }
-                if (body.size() > MOST_BYTES) {
-                    throw new IOException("response too long");
-                }
+            if (readAvailable(channel, pooled.getBuffer()) == END_OF_BODY) {
+                IoUtils.safeClose(channel);
+                done.accept(body.toByteArray());
+            } else {
+                channel.resumeReads();
             }
         } catch (IOException e) {
             IoUtils.safeClose(channel);
             failed.accept(e);
         }
     }
+
+    /** Reads until nothing is there; returns the channel's last word, 0 or {@link #END_OF_BODY}. */
+    private int readAvailable(StreamSourceChannel channel, ByteBuffer buffer) throws IOException {
+        while (true) {
+            buffer.clear();
+            int bytesRead = channel.read(buffer);
+            if (bytesRead <= 0) {
+                return bytesRead;
+            }
+            buffer.flip();
+            append(buffer);
+        }
+    }
+
+    private void append(ByteBuffer buffer) throws IOException {
+        while (buffer.hasRemaining()) {
+            body.write(buffer.get());
+        }
+        if (body.size() > MAX_BODY_BYTES) {
+            throw new IOException("response too long");
+        }
+    }
 }
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -16,13 +16,13 @@
 
     /** Calls the cloud at this address. */
     public CloudClient(HttpCalls http, String address) {
-        this.cloud = new JsonClient(http, address, HttpCalls.AfterCall.CLOSE, TIMEOUT_MICROS);
+        this.cloud = new JsonClient(http, address, AfterCall.CLOSE, TIMEOUT_MICROS);
     }
 
     @Override
     public void types(Consumer<List<MachineType>> then) {
         cloud.get("/flavors", answer -> {
-            Map<String, Object> body = answer.bodyIfOk();
+            Map<String, Object> body = answer.jsonIfOk();
             then.accept(body == null ? null : CloudCodec.decodeTypes(body));
         });
     }
@@ -32,8 +32,8 @@
         cloud.post("/rentals", CloudCodec.encodeLaunch(request), answer -> then.accept(launchResult(answer)));
     }
 
-    private static LaunchResult launchResult(JsonClient.Answer answer) {
-        Map<String, Object> body = answer.body();
+    private static LaunchResult launchResult(HttpAnswer answer) {
+        Map<String, Object> body = answer.json();
         if (answer.isOk() && body != null) {
             return new LaunchResult(Outcome.OK, CloudCodec.decodeHosts(body));
         }
@@ -52,7 +52,7 @@
     public void list(String from, int limit, Consumer<Listing> then) {
         String path = "/rentals?most=" + limit + (from.isEmpty() ? "" : "&from=" + from);
         cloud.get(path, answer -> {
-            Map<String, Object> body = answer.bodyIfOk();
+            Map<String, Object> body = answer.jsonIfOk();
             then.accept(
                     body == null
                             ? new Listing(Outcome.UNKNOWN, List.of(), false)
--- a/src/main/java/org/granitepath/transport/Connections.java
+++ b/src/main/java/org/granitepath/transport/Connections.java
@@ -1,6 +1,7 @@
 package org.granitepath.transport;
 
 import io.undertow.server.HttpServerExchange;
+import io.undertow.server.ServerConnection;
 import io.undertow.util.AttachmentKey;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -12,21 +13,25 @@
 final class Connections {
     private static final Logger LOG = LoggerFactory.getLogger(Connections.class);
 
+    /** What is known of a connection. */
     private static final class Held {
+        /** Whether its last request was a heartbeat. */
         boolean machine;
     }
 
     private static final AttachmentKey<Held> HELD = AttachmentKey.create(Held.class);
 
-    private final int mostMachines;
-    private final int most;
+    private final int maxMachines;
+    private final int maxInAll;
     private int machines;
     private int others;
+    /** As of the last request, so that only a change is logged. */
     private boolean full;
 
-    Connections(int mostMachines, int most) {
-        this.mostMachines = mostMachines;
-        this.most = most;
+    /** Holds at most so many connections of machines open, and so many in all. */
+    Connections(int maxMachines, int maxInAll) {
+        this.maxMachines = maxMachines;
+        this.maxInAll = maxInAll;
     }
 
     int machines() {
@@ -39,32 +44,46 @@
 
     /** Counts the connection of this request, and lets it close after the answer when too many are held open. */
     void requested(HttpServerExchange exchange, boolean machine) {
-        Held held = exchange.getConnection().getAttachment(HELD);
-        if (held == null) {
-            Held opened = new Held();
-            held = opened;
-            exchange.getConnection().putAttachment(HELD, opened);
-            count(opened, 1);
-            exchange.getConnection().addCloseListener(c -> count(opened, -1));
+        markAs(machine, held(exchange.getConnection()));
+        boolean over = (machine && machines > maxMachines) || machines + others > maxInAll;
+        if (over) {
+            exchange.setPersistent(false);
+        }
+        logChange(over);
+    }
+
+    /** What is known of this connection, which counts as one of a user until it has brought a heartbeat. */
+    private Held held(ServerConnection connection) {
+        Held known = connection.getAttachment(HELD);
+        if (known != null) {
+            return known;
         }
+        Held opened = new Held();
+        connection.putAttachment(HELD, opened);
+        count(opened, 1);
+        connection.addCloseListener(closed -> count(opened, -1));
+        return opened;
+    }
+
+    private void markAs(boolean machine, Held held) {
         if (machine != held.machine) {
             count(held, -1);
             held.machine = machine;
             count(held, 1);
         }
-        boolean over = (machine && machines > mostMachines) || machines + others > most;
-        if (over) {
-            exchange.setPersistent(false);
-        }
-        if (over != full) {
-            LOG.debug(
-                    "connections of machines {} (kept {}), of others {} (kept in all {})",
-                    machines,
-                    mostMachines,
-                    others,
-                    most);
-            full = over;
+    }
+
+    private void logChange(boolean over) {
+        if (over == full) {
+            return;
         }
+        full = over;
+        LOG.debug(
+                "connections of machines {} (kept {}), of others {} (kept in all {})",
+                machines,
+                maxMachines,
+                others,
+                maxInAll);
     }
 
     private void count(Held held, int by) {
--- a/src/main/java/org/granitepath/transport/EventLoop.java
+++ b/src/main/java/org/granitepath/transport/EventLoop.java
@@ -13,11 +13,19 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The one thread that owns all state. */
+/**
+ * The one thread that owns all state: all I/O, timers and decisions run on it one after the other, so that none of them
+ * needs a lock. It must never wait.
+ */
 public final class EventLoop implements Timers {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+    /** Buffers are outside the heap, for which deploy/service.toml sets a bound of its own. */
     private static final int BUFFER_BYTES = 8 * 1024;
-    private static final int POOLED_BUFFERS = 256;
+
+    private static final int MAX_POOLED_BUFFERS = 256;
+    private static final int BUFFERS_CACHED_BY_THREAD = 4;
+    private static final long NANOS_PER_MICRO = 1000;
+    private static final long MICROS_PER_MILLI = 1000;
 
     private final XnioWorker worker;
     private final XnioIoThread thread;
@@ -33,7 +41,7 @@
                         .set(Options.THREAD_DAEMON, false)
                         .getMap());
         thread = worker.getIoThread();
-        buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 4);
+        buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_CACHED_BY_THREAD);
     }
 
     /** The XNIO worker whose only I/O thread is the loop. */
@@ -51,19 +59,19 @@
         return buffers;
     }
 
-    /** Runs on the event loop, soon. */
+    /** Runs on the event loop, soon, after what was handed over before. May be called on any thread. */
     public void run(Runnable action) {
         thread.execute(guarded(action));
     }
 
     @Override
     public long nowMicros() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
     @Override
     public long timeOfDayMicros() {
-        return System.currentTimeMillis() * 1000;
+        return System.currentTimeMillis() * MICROS_PER_MILLI;
     }
 
     @Override
@@ -71,10 +79,11 @@
         if (delayMicros <= 0) {
             run(action);
         } else {
-            thread.executeAfter(guarded(action), Math.max(1, delayMicros / 1000), TimeUnit.MILLISECONDS);
+            thread.executeAfter(guarded(action), Math.max(1, delayMicros / MICROS_PER_MILLI), TimeUnit.MILLISECONDS);
         }
     }
 
+    /** The action, of which a failure is logged and goes no further: one bad event must not end the loop. */
     static Runnable guarded(Runnable action) {
         return () -> {
             try {
--- /dev/null
+++ b/src/main/java/org/granitepath/transport/HttpListener.java
@@ -0,0 +1,41 @@
+package org.granitepath.transport;
+
+import io.undertow.Undertow;
+import io.undertow.UndertowOptions;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.SameThreadExecutor;
+import java.util.function.Consumer;
+import org.xnio.Options;
+
+/** Opens the listening sockets of a controller, with the bounds that hold for all who call it. */
+final class HttpListener {
+    private static final long MAX_BODY_BYTES = 64 * 1024;
+    private static final int PARSE_TIMEOUT_MILLIS = 10_000;
+    /** A machine that is gone closes nothing: what is silent for longer than any lease or poll is closed from here. */
+    private static final int IDLE_TIMEOUT_MILLIS = 40_000;
+
+    private HttpListener() {}
+
+    /**
+     * Begins to listen; requests are handled on the event loop, and a failure of one is logged and ends nothing else.
+     *
+     * @param backlog how many connections may wait to be accepted
+     */
+    static Undertow listen(EventLoop loop, Address address, int backlog, Consumer<HttpServerExchange> handler) {
+        Undertow server = Undertow.builder()
+                .setWorker(loop.worker())
+                .setByteBufferPool(loop.buffers())
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MILLIS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
+                .setSocketOption(Options.BACKLOG, backlog)
+                .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
+                .setServerOption(UndertowOptions.ENABLE_STATISTICS, false)
+                .addHttpListener(address.port(), address.host())
+                .setHandler(exchange -> exchange.dispatch(
+                        SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> handler.accept(exchange))))
+                .build();
+        server.start();
+        return server;
+    }
+}
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -22,13 +22,13 @@
 
     /** Calls the store at this address. */
     public KeyValueStoreClient(HttpCalls http, String address) {
-        this.store = new JsonClient(http, address, HttpCalls.AfterCall.KEEP, TIMEOUT_MICROS);
+        this.store = new JsonClient(http, address, AfterCall.KEEP, TIMEOUT_MICROS);
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<Committed> then) {
         store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), answer -> {
-            Map<String, Object> body = answer.body();
+            Map<String, Object> body = answer.json();
             Outcome outcome = outcome(answer.status(), body);
             then.accept(
                     body == null
@@ -55,7 +55,7 @@
     @Override
     public void openLease(long lifeMicros, Consumer<Leased> then) {
         store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
-            Map<String, Object> body = answer.body();
+            Map<String, Object> body = answer.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
             then.accept(new Leased(outcome(answer.status(), body), lease));
         });
@@ -71,8 +71,8 @@
                 answer -> then.accept(outcome(answer.status(), Map.of())));
     }
 
-    private static Page page(JsonClient.Answer answer, Function<Map<String, Object>, Page> decoder) {
-        Map<String, Object> body = answer.body();
+    private static Page page(HttpAnswer answer, Function<Map<String, Object>, Page> decoder) {
+        Map<String, Object> body = answer.json();
         return answer.isOk() && body != null
                 ? decoder.apply(body)
                 : new Page(outcome(answer.status(), body), List.of(), false, 0);
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -1,12 +1,11 @@
 package org.granitepath.transport;
 
-import io.undertow.util.Methods;
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
 import org.granitepath.coordination.ports.PeerPort;
-import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.PeerCodec;
+import org.jspecify.annotations.Nullable;
 
 /** The other controllers over HTTP, each at its peer address. */
 public final class PeerClient implements PeerPort {
@@ -26,32 +25,22 @@
 
     @Override
     public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-        http.exchange(
-                address(peer),
-                Methods.POST,
-                STATUS_PATH,
-                PeerCodec.encode(ours),
-                CONTENT_TYPE,
-                TIMEOUT_MICROS,
-                HttpCalls.AfterCall.KEEP,
-                (status, body) -> then.accept(status == HttpStatus.OK && body != null ? PeerCodec.decode(body) : null));
+        post(peer, STATUS_PATH, PeerCodec.encode(ours), answer -> then.accept(status(answer)));
     }
 
-    /** Peers are those of the settings, which have an address for each. */
-    private String address(String peer) {
-        return Objects.requireNonNull(addresses.get(peer), () -> "no address of peer " + peer);
+    private static @Nullable PeerStatus status(HttpAnswer answer) {
+        byte[] body = answer.body();
+        return answer.isOk() && body != null ? PeerCodec.decode(body) : null;
     }
 
     @Override
     public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
-        http.exchange(
-                address(peer),
-                Methods.POST,
-                CANCELLATION_PATH,
-                PeerCodec.encode(notice),
-                CONTENT_TYPE,
-                TIMEOUT_MICROS,
-                HttpCalls.AfterCall.KEEP,
-                (status, body) -> then.accept(status == HttpStatus.OK));
+        post(peer, CANCELLATION_PATH, PeerCodec.encode(notice), answer -> then.accept(answer.isOk()));
+    }
+
+    private void post(String peer, String path, byte[] message, Consumer<HttpAnswer> then) {
+        // Peers are those of the settings, which have an address for each.
+        String address = Objects.requireNonNull(addresses.get(peer), () -> "no address of peer " + peer);
+        http.call(OutgoingRequest.post(address, path, CONTENT_TYPE, message, AfterCall.KEEP), TIMEOUT_MICROS, then);
     }
 }
--- a/src/main/java/org/granitepath/transport/PeerServer.java
+++ b/src/main/java/org/granitepath/transport/PeerServer.java
@@ -1,9 +1,7 @@
 package org.granitepath.transport;
 
-import io.undertow.Undertow;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
-import io.undertow.util.SameThreadExecutor;
 import java.nio.ByteBuffer;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.PeerPort;
@@ -12,7 +10,7 @@
 import org.granitepath.protocol.RecoveryStatusCodec;
 
 /** The peer interface: what the other controllers and the operators talk to. */
-public final class PeerServer {
+final class PeerServer {
     private static final String METRICS_PATH = "/metrics";
     private static final String RECOVERY_PATH = "/recovery";
     private static final String TEXT = "text/plain";
@@ -26,16 +24,8 @@
         this.metrics = metrics;
     }
 
-    Undertow listen(EventLoop loop, String host, int port, int backlog) {
-        Undertow server = ServiceServer.builder(loop, host, port, backlog)
-                .setHandler(exchange ->
-                        exchange.dispatch(SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> route(exchange))))
-                .build();
-        server.start();
-        return server;
-    }
-
-    private void route(HttpServerExchange exchange) {
+    /** Answers a request; runs on the event loop. */
+    void route(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
             case METRICS_PATH -> send(exchange, TEXT, metrics.text());
             case RECOVERY_PATH -> send(exchange, JSON, RecoveryStatusCodec.encode(controller.recoveryStatus()));
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -1,35 +1,26 @@
 package org.granitepath.transport;
 
-import io.undertow.Undertow;
-import io.undertow.UndertowOptions;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
-import io.undertow.util.SameThreadExecutor;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 import org.granitepath.coordination.Controller;
-import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
-import org.xnio.Options;
 
 /** What users, workers and health checks talk to. */
-public final class ServiceServer {
-    private static final int MOST_BODY_BYTES = 64 * 1024;
-    private static final int PARSE_TIMEOUT_MILLIS = 10_000;
-    /** A machine that is gone closes nothing: what is silent for longer than any lease or poll is closed from here. */
-    private static final int IDLE_TIMEOUT_MILLIS = 40_000;
-
+final class ServiceServer {
     private static final String HEARTBEAT_PATH = "/agent/beat";
-    private static final String JOBS = "/submissions";
-    private static final String JOB_PREFIX = JOBS + "/";
-    private static final String CANCEL = "/cancel";
-    private static final String HEALTH = "/up";
+    private static final String JOBS_PATH = "/submissions";
+    private static final String JOB_PREFIX = JOBS_PATH + "/";
+    private static final String CANCEL_SUFFIX = "/cancel";
+    private static final String HEALTH_PATH = "/up";
+    private static final String JSON_TYPE = "application/json";
 
     private static final String EMPTY_OBJECT = "{}";
     private static final String NOT_HEALTHY = "{\"error\":\"starting, or cut from the state service\"}";
@@ -43,59 +34,24 @@
     private final EventLoop loop;
     private final Connections connections;
 
-    private ServiceServer(Controller controller, Metrics metrics, EventLoop loop, Connections connections) {
+    ServiceServer(Controller controller, Metrics metrics, EventLoop loop, Connections connections) {
         this.controller = controller;
         this.metrics = metrics;
         this.loop = loop;
         this.connections = connections;
     }
 
-    /** Begins to listen; requests are handled on the event loop. */
-    public static void listen(
-            Controller controller,
-            Config config,
-            EventLoop loop,
-            String host,
-            int port,
-            String peerHost,
-            int peerPort) {
-        Connections connections = new Connections(
-                config.limits().machineConnections(), config.limits().heldConnections());
-        Metrics metrics = new Metrics(connections, controller::recoveryStatus);
-        ServiceServer service = new ServiceServer(controller, metrics, loop, connections);
-        new PeerServer(controller, metrics)
-                .listen(loop, peerHost, peerPort, config.limits().backlog());
-        builder(loop, host, port, config.limits().backlog())
-                .setHandler(exchange -> exchange.dispatch(
-                        SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> service.route(exchange))))
-                .build()
-                .start();
-    }
-
-    static Undertow.Builder builder(EventLoop loop, String host, int port, int backlog) {
-        return Undertow.builder()
-                .setWorker(loop.worker())
-                .setByteBufferPool(loop.buffers())
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MOST_BODY_BYTES)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MILLIS)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
-                .setSocketOption(Options.BACKLOG, backlog)
-                .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-                .setServerOption(UndertowOptions.ENABLE_STATISTICS, false)
-                .addHttpListener(port, host);
-    }
-
-    private void route(HttpServerExchange exchange) {
+    /** Answers a request; runs on the event loop. */
+    void route(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
         connections.requested(exchange, path.equals(HEARTBEAT_PATH));
         if (path.equals(HEARTBEAT_PATH) && post) {
             readBody(exchange, text -> heartbeat(exchange, text));
-        } else if (path.equals(HEALTH) && get) {
-            boolean up = controller.healthy();
-            reply(exchange, up ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, up ? EMPTY_OBJECT : NOT_HEALTHY);
-        } else if (path.equals(JOBS) && post) {
+        } else if (path.equals(HEALTH_PATH) && get) {
+            tellHealth(exchange);
+        } else if (path.equals(JOBS_PATH) && post) {
             measure(exchange, "submit");
             readBody(exchange, text -> submit(exchange, text));
         } else if (path.startsWith(JOB_PREFIX)) {
@@ -107,8 +63,8 @@
 
     /** @param rest the path after the prefix of jobs: the id, and perhaps what is to be done with the job */
     private void routeJob(HttpServerExchange exchange, String rest, boolean post, boolean get) {
-        boolean cancel = rest.endsWith(CANCEL);
-        String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
+        boolean cancel = rest.endsWith(CANCEL_SUFFIX);
+        String id = cancel ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
         boolean methodAllowed = cancel ? post : get;
         if (!methodAllowed) {
             reply(exchange, HttpStatus.METHOD_NOT_ALLOWED, METHOD_NOT_ALLOWED);
@@ -123,6 +79,14 @@
         }
     }
 
+    private void tellHealth(HttpServerExchange exchange) {
+        if (controller.healthy()) {
+            reply(exchange, HttpStatus.OK, EMPTY_OBJECT);
+        } else {
+            reply(exchange, HttpStatus.SERVICE_UNAVAILABLE, NOT_HEALTHY);
+        }
+    }
+
     /** Has the latency and the status counted once the exchange is complete. */
     private void measure(HttpServerExchange exchange, String request) {
         long beganMicros = loop.nowMicros();
@@ -154,6 +118,7 @@
         reply(exchange, WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
     }
 
+    /** The body may come later than its request, in an event of its own, which is guarded anew. */
     private static void readBody(HttpServerExchange exchange, Consumer<String> then) {
         exchange.getRequestReceiver()
                 .receiveFullBytes(
@@ -175,7 +140,7 @@
             return;
         }
         exchange.setStatusCode(status);
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, JSON_TYPE);
         exchange.getResponseSender().send(text, StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/org/granitepath/cli/TomlFieldsTest.java
+++ b/src/test/java/org/granitepath/cli/TomlFieldsTest.java
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import org.granitepath.transport.Address;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.undertow.util.Methods;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -39,19 +38,13 @@
             long before = descriptors();
             CountDownLatch ended = new CountDownLatch(CALLS);
             List<Integer> statuses = new ArrayList<>();
+            OutgoingRequest request = OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", AfterCall.CLOSE);
             loop.run(() -> {
                 for (int i = 0; i < CALLS; i++) {
-                    http.call(
-                            "127.0.0.1:" + full.getLocalPort(),
-                            Methods.GET,
-                            "/",
-                            null,
-                            300_000,
-                            HttpCalls.AfterCall.CLOSE,
-                            (status, body) -> {
-                                statuses.add(status);
-                                ended.countDown();
-                            });
+                    http.call(request, 300_000, answer -> {
+                        statuses.add(answer.status());
+                        ended.countDown();
+                    });
                 }
             });
             assertTrue(ended.await(10, TimeUnit.SECONDS));
