--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -19,54 +19,23 @@
  */
 @Parameters(hidden = true, commandDescription = "runs a short start for the build's class archive")
 final class ClassArchiveTrainingCommand extends Command {
-    private static final String SUBMISSION = "{\"uid\":\"run-1\",\"lane\":\"a\",\"owner\":\"t\",\"shape\":\"batch\","
-            + "\"rank\":\"high\",\"pieces\":1,\"cpus\":1.0,\"cards\":0.0,\"mem_gb\":1.0,\"bundle\":\"b\","
-            + "\"size_gb\":1.0,\"same_place\":false,\"scatter\":false,\"loaner\":false,\"expect_s\":1.0,"
-            + "\"snapshot_s\":0.0,\"flush_s\":0.0}";
-    private static final String HEARTBEAT =
-            "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\",\"site\":\"z\","
-                    + "\"loaner\":false,\"shift\":1,\"tally\":1,\"baton\":0,\"pieces\":[]}";
-    /** Settings with the ports of: users and workers, other controllers, a peer, the cloud, the store. */
-    private static final String SETTINGS = """
-            node_name = "n0"
-            site = "z"
-            serve_on = "127.0.0.1:%d"
-            back = "127.0.0.1:%d"
-            [[others]]
-            node_name = "n1"
-            site = "z"
-            addr = "127.0.0.1:%d"
-            [services]
-            cloud = "127.0.0.1:%d"
-            state = "127.0.0.1:%d"
-            [facts]
-            zones = ["z"]
-            skew_ms = 1.0
-            [[facts.teams]]
-            name = "t"
-            cpus = 0.0
-            [facts.workers]
-            report_s = 1.0
-            lease_s = 10.0
-            cancel_s = 30.0
-            [facts.state]
-            rps = 10.0
-            write_rps = 10.0
-            value_kb = 8.0
-            txn_ops = 8
-            [facts.cloud]
-            rps = 1.0
-            list_lag_s = 1.0
-            """;
+    private static final String SUBMISSION = """
+            {"uid":"run-1","lane":"a","owner":"t","shape":"batch","rank":"high","pieces":1,\
+            "cpus":1.0,"cards":0.0,"mem_gb":1.0,"bundle":"b","size_gb":1.0,\
+            "same_place":false,"scatter":false,"loaner":false,"expect_s":1.0,"snapshot_s":0.0,"flush_s":0.0}""";
+    private static final String HEARTBEAT = """
+            {"host":"i-1","address":"127.0.0.1:1","model":"m","site":"z","loaner":false,\
+            "shift":1,"tally":1,"baton":0,"pieces":[]}""";
 
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
-    private static final int MAX_WAIT_SECONDS = 5;
+    private static final int ANSWERS_TIMEOUT_SECONDS = 5;
 
     @Override
     int run() throws IOException, InterruptedException {
         int port = freePort();
         startController(port);
         callEach("127.0.0.1:" + port);
+        // The controller would keep the process alive.
         System.exit(OK);
         return OK;
     }
@@ -75,7 +44,7 @@
         int peerPort = freePort();
         int closedPort = freePort();
         Path file = Files.createTempFile("granitepath", ".toml");
-        Files.writeString(file, SETTINGS.formatted(port, peerPort, peerPort, closedPort, closedPort));
+        Files.writeString(file, LoopbackSettings.withItselfAsPeer(port, peerPort, closedPort));
         Main.execute("serve", "--config", file.toString());
         Files.delete(file);
     }
@@ -92,7 +61,7 @@
         for (OutgoingRequest request : requests) {
             http.call(request, REQUEST_TIMEOUT_MICROS, answer -> answered.countDown());
         }
-        answered.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+        answered.await(ANSWERS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static int freePort() throws IOException {
--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -129,7 +129,7 @@
             return present;
         }
         if (!fields.isTable("facts.state.next")) {
-            throw new InvalidSettingException("facts.state.next must be a table of limits");
+            throw InvalidSettingException.wrong("facts.state.next", "must be a table of limits");
         }
         return present.within(nextStoreLimits(present));
     }
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -41,14 +41,23 @@
         }
     }
 
-    private static int run(String... args) throws InvalidSettingException, IOException, InterruptedException {
+    private static Map<String, Command> commands() {
         Map<String, Command> commands = new LinkedHashMap<>();
         commands.put("serve", new ServeCommand());
         commands.put("check-config", new CheckConfigCommand());
         commands.put("rehearse", new ClassArchiveTrainingCommand());
+        return commands;
+    }
+
+    private static JCommander parser(Map<String, Command> commands) {
         JCommander.Builder builder = JCommander.newBuilder().programName("granitepath");
         commands.forEach(builder::addCommand);
-        JCommander parser = builder.build();
+        return builder.build();
+    }
+
+    private static int run(String... args) throws InvalidSettingException, IOException, InterruptedException {
+        Map<String, Command> commands = commands();
+        JCommander parser = parser(commands);
         if (args.length == 1 && args[0].equals("--version")) {
             System.out.println(VERSION);
             return Command.OK;
--- a/src/main/java/org/granitepath/cli/TomlFields.java
+++ b/src/main/java/org/granitepath/cli/TomlFields.java
@@ -8,6 +8,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import org.granitepath.protocol.Units;
 import org.granitepath.transport.Address;
 import org.jspecify.annotations.Nullable;
 
@@ -16,9 +18,8 @@
  * another kind is reported by that path.
  */
 final class TomlFields {
-    private static final double MICROS_PER_SECOND = 1e6;
     private static final double MIN_POSITIVE_SECONDS = 0.001;
-    private static final int THOUSANDTHS = 1000;
+    private static final int THOUSANDTHS_PER_UNIT = 1000;
     private static final int MAX_PORT = 65_535;
 
     private final UnmodifiableConfig table;
@@ -32,9 +33,9 @@
         try {
             return new TomlFields(new TomlParser().parse(Files.readString(file)));
         } catch (IOException e) {
-            throw new InvalidSettingException("can't read " + file + ": " + e.getMessage());
+            throw InvalidSettingException.unreadable(file, e);
         } catch (ParsingException e) {
-            throw new InvalidSettingException(file + " is not valid TOML: " + e.getMessage());
+            throw InvalidSettingException.malformed(file, "TOML", e);
         }
     }
 
@@ -55,12 +56,12 @@
             return List.of();
         }
         if (!(value instanceof List<?> list)) {
-            throw new InvalidSettingException(path + " must be a list of tables");
+            throw InvalidSettingException.wrong(path, "must be a list of tables");
         }
         List<TomlFields> tables = new ArrayList<>();
         for (Object element : list) {
             if (!(element instanceof UnmodifiableConfig elementTable)) {
-                throw new InvalidSettingException(path + " must be a list of tables");
+                throw InvalidSettingException.wrong(path, "must be a list of tables");
             }
             tables.add(new TomlFields(elementTable));
         }
@@ -70,7 +71,7 @@
     /** A text that is not empty. */
     String text(String path) throws InvalidSettingException {
         if (!(table.get(path) instanceof String text) || text.isEmpty()) {
-            throw new InvalidSettingException(path + " is missing or not a text");
+            throw InvalidSettingException.wrong(path, "is missing or not a text");
         }
         return text;
     }
@@ -97,16 +98,24 @@
     /** A HOST:PORT. */
     Address address(String path) throws InvalidSettingException {
         String text = text(path);
+        return hostAndPort(text)
+                .orElseThrow(() -> InvalidSettingException.wrong(path, "must be HOST:PORT, not " + text));
+    }
+
+    private static Optional<Address> hostAndPort(String text) {
         int colon = text.lastIndexOf(':');
+        int port = portOrZero(text.substring(colon + 1));
+        boolean usable = colon > 0 && port > 0 && port <= MAX_PORT;
+        return usable ? Optional.of(new Address(text.substring(0, colon), port)) : Optional.empty();
+    }
+
+    /** 0, which is no port to call or to listen on, when it is no number. */
+    private static int portOrZero(String text) {
         try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port > 0 && port <= MAX_PORT) {
-                return new Address(text.substring(0, colon), port);
-            }
+            return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            // reported below
+            return 0;
         }
-        throw new InvalidSettingException(path + " must be HOST:PORT, not " + text);
     }
 
     /** A HOST:PORT as it is written. */
@@ -118,7 +127,7 @@
     /** A number that is not less than the least. */
     double number(String path, double least) throws InvalidSettingException {
         if (!(table.get(path) instanceof Number number) || !(number.doubleValue() >= least)) {
-            throw new InvalidSettingException(path + " must be a number of at least " + least);
+            throw InvalidSettingException.wrong(path, "must be a number of at least " + least);
         }
         return number.doubleValue();
     }
@@ -135,12 +144,12 @@
 
     /** A time in seconds, which may be zero. */
     long micros(String path) throws InvalidSettingException {
-        return Math.round(number(path, 0) * MICROS_PER_SECOND);
+        return Units.micros(number(path, 0));
     }
 
     /** A time in seconds, which is more than zero. */
     long positiveMicros(String path) throws InvalidSettingException {
-        return Math.round(number(path, MIN_POSITIVE_SECONDS) * MICROS_PER_SECOND);
+        return Units.micros(number(path, MIN_POSITIVE_SECONDS));
     }
 
     /** A time in seconds, which is more than zero; {@code otherwise} if it is missing. */
@@ -150,6 +159,6 @@
 
     /** An amount in thousandths; 0 if it is missing or no number. */
     long thousandthsOrZero(String path) {
-        return Math.round(numberOr(path, 0) * THOUSANDTHS);
+        return Math.round(numberOr(path, 0) * THOUSANDTHS_PER_UNIT);
     }
 }
--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -8,6 +8,7 @@
 import org.granitepath.coordination.config.PriorityWeights;
 import org.granitepath.coordination.config.ScalingPolicy;
 import org.granitepath.coordination.config.Tuning;
+import org.granitepath.protocol.Units;
 import org.jspecify.annotations.Nullable;
 import org.snakeyaml.engine.v2.api.Load;
 import org.snakeyaml.engine.v2.api.LoadSettings;
@@ -28,7 +29,6 @@
     private static final double MAX_IDLE_SHARE = 100;
     private static final double MAX_HEADROOM_SHARE = 10;
     private static final double MAX_WEIGHT = 1e6;
-    private static final double MICROS_PER_SECOND = 1e6;
 
     private final Path file;
     /** What the file holds and was not read yet; in the end, what is unknown. */
@@ -64,13 +64,14 @@
         return tuning;
     }
 
+    /** What the file holds; null: nothing. */
     private static @Nullable Object parse(Path file) throws InvalidSettingException {
         try {
             return new Load(LoadSettings.builder().build()).loadFromString(Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidSettingException("can't read " + file + ": " + e.getMessage());
+            throw InvalidSettingException.unreadable(file, e);
         } catch (YamlEngineException e) {
-            throw new InvalidSettingException(file + " is not valid YAML: " + e.getMessage());
+            throw InvalidSettingException.malformed(file, "YAML", e);
         }
     }
 
@@ -107,14 +108,13 @@
         }
         String unknown = unread.keySet().iterator().next();
         String renamed = RENAMED.get(unknown);
-        throw new InvalidSettingException(file + ": unknown setting " + unknown
-                + (renamed == null ? "" : ", which is called " + renamed + " now"));
+        String hint = renamed == null ? "" : ", which is called " + renamed + " now";
+        throw new InvalidSettingException(file + ": unknown setting " + unknown + hint);
     }
 
     private long micros(String name, long otherwiseMicros, double leastSeconds, double mostSeconds)
             throws InvalidSettingException {
-        double seconds = number(name, otherwiseMicros / MICROS_PER_SECOND, leastSeconds, mostSeconds);
-        return Math.round(seconds * MICROS_PER_SECOND);
+        return Units.micros(number(name, Units.seconds(otherwiseMicros), leastSeconds, mostSeconds));
     }
 
     private double number(String name, double otherwise, double least, double most) throws InvalidSettingException {
@@ -123,7 +123,7 @@
             return otherwise;
         }
         if (!(value instanceof Number number) || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
-            throw new InvalidSettingException(name + " must be a number from " + least + " to " + most);
+            throw InvalidSettingException.wrong(name, "must be a number from " + least + " to " + most);
         }
         return number.doubleValue();
     }
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -19,11 +19,9 @@
  */
 public final class CloudCodec {
     private static final String HOSTS = "hosts";
-    private static final double LEAST_FETCH_GB_PER_SECOND = 0.001;
-    private static final double MILLIS_PER_UNIT = 1000;
-    private static final double MICROS_PER_SECOND = 1e6;
-    /** So that what is a whole number but for the error of binary fractions is not rounded down. */
-    private static final double ROUNDING_TOLERANCE = 1e-6;
+    private static final double MIN_FETCH_GB_PER_SECOND = 0.001;
+    private static final double DEFAULT_FETCH_GB_PER_SECOND = 0.1;
+    private static final double DEFAULT_BOOT_SECONDS = 60;
 
     private CloudCodec() {}
 
@@ -34,21 +32,23 @@
             Map<String, Object> fields = Fields.requiredObject(element, "models");
             types.add(new MachineType(
                     Fields.textOf(fields, "sku"),
-                    millis(fields, "cpus"),
-                    millis(fields, "cards"),
-                    millis(fields, "mem_gb"),
-                    Math.max(LEAST_FETCH_GB_PER_SECOND, Fields.doubleOf(fields, "fetch_gb_per_s", 0.1)),
+                    thousandths(fields, "cpus"),
+                    thousandths(fields, "cards"),
+                    thousandths(fields, "mem_gb"),
+                    Math.max(
+                            MIN_FETCH_GB_PER_SECOND,
+                            Fields.doubleOf(fields, "fetch_gb_per_s", DEFAULT_FETCH_GB_PER_SECOND)),
                     Fields.doubleOf(fields, "rate", 0),
                     Fields.doubleOf(fields, "market_price", 0),
-                    Math.round(Fields.doubleOf(fields, "ready_s", 60) * MICROS_PER_SECOND),
+                    Units.micros(Fields.doubleOf(fields, "ready_s", DEFAULT_BOOT_SECONDS)),
                     Fields.textsOf(fields, "sites")));
         }
         return types;
     }
 
-    /** In whole thousandths, rounded down: a machine is not taken for larger than it is. */
-    private static long millis(Map<String, Object> fields, String name) {
-        return (long) Math.floor(Fields.doubleOf(fields, name, 0) * MILLIS_PER_UNIT + ROUNDING_TOLERANCE);
+    /** In thousandths: a machine is not taken for larger than it is. */
+    private static long thousandths(Map<String, Object> fields, String name) {
+        return Units.thousandthsOffered(Fields.doubleOf(fields, name, 0));
     }
 
     /** The request for a launch. */
@@ -84,7 +84,7 @@
                     Fields.textOf(fields, "site"),
                     Fields.boolOf(fields, "loaner"),
                     hostState(String.valueOf(fields.get("status"))),
-                    Math.round(Fields.doubleOf(fields, "held_s", 0) * MICROS_PER_SECOND)));
+                    Units.micros(Fields.doubleOf(fields, "held_s", 0))));
         }
         return hosts;
     }
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -7,9 +7,7 @@
 /** The state of a recovery as JSON, for operators and their scripts. */
 public final class RecoveryStatusCodec {
     /** A whole fleet may be missing: a few names are enough to begin with. */
-    private static final int MOST_NAMES = 20;
-
-    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int MAX_NAMES = 20;
 
     private RecoveryStatusCodec() {}
 
@@ -23,7 +21,7 @@
         }
         fields.put("reason", status.reason());
         if (status.recordsAgeMicros() >= 0) {
-            fields.put("records_age_s", status.recordsAgeMicros() / MICROS_PER_SECOND);
+            fields.put("records_age_s", Units.seconds(status.recordsAgeMicros()));
         }
         fields.put("unreadable_records", status.unreadableRecords());
         if (status.term() != null) {
@@ -46,7 +44,7 @@
         if (hold != null) {
             fields.put("held_for", hold.waitsFor());
             if (hold.remainingMicros() >= 0) {
-                fields.put("held_at_most_s", hold.remainingMicros() / MICROS_PER_SECOND);
+                fields.put("held_at_most_s", Units.seconds(hold.remainingMicros()));
             }
         }
     }
@@ -57,8 +55,7 @@
         fields.put("taken_over", machines.takenOver());
         fields.put("heard_or_gone", machines.takenOver() - missing);
         fields.put("missing", missing);
-        fields.put(
-                "missing_names", machines.awaited().stream().limit(MOST_NAMES).toList());
+        fields.put("missing_names", machines.awaited().stream().limit(MAX_NAMES).toList());
         fields.put("unreadable_inventory_parts", machines.unreadableInventoryParts());
         return fields;
     }
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -21,13 +21,9 @@
  */
 public final class SubmissionCodec {
     private static final Pattern JOB_ID = Pattern.compile("run-[0-9]{1,18}");
-    private static final int MOST_TASKS = 100_000;
-    private static final double MOST_AMOUNT = 1e9;
-    private static final int LONGEST_NAME = 200;
-    private static final double MILLIS_PER_UNIT = 1000;
-    private static final double MICROS_PER_SECOND = 1e6;
-    /** So that what is a whole number but for the error of binary fractions is not rounded up. */
-    private static final double ROUNDING_TOLERANCE = 1e-6;
+    private static final int MAX_TASKS = 100_000;
+    private static final double MAX_AMOUNT = 1e9;
+    private static final int MAX_NAME_LENGTH = 200;
 
     private static final String ERROR = "error";
 
@@ -57,8 +53,8 @@
         if (!isJobId(id)) {
             throw new Malformed("uid: not a job id");
         }
-        if (!(fields.get("pieces") instanceof Integer pieces) || pieces < 1 || pieces > MOST_TASKS) {
-            throw new Malformed("pieces: must be a whole number from 1 to " + MOST_TASKS);
+        if (!(fields.get("pieces") instanceof Integer pieces) || pieces < 1 || pieces > MAX_TASKS) {
+            throw new Malformed("pieces: must be a whole number from 1 to " + MAX_TASKS);
         }
         Object due = fields.get("due_s");
         return new JobSpec(
@@ -68,9 +64,9 @@
                 shape(text(fields, "shape")),
                 priority(text(fields, "rank")),
                 pieces,
-                millis(fields, "cpus"),
-                millis(fields, "cards"),
-                millis(fields, "mem_gb"),
+                thousandths(fields, "cpus"),
+                thousandths(fields, "cards"),
+                thousandths(fields, "mem_gb"),
                 text(fields, "bundle"),
                 amount(fields, "size_gb"),
                 machineTypes(fields.get("models")),
@@ -103,6 +99,7 @@
         };
     }
 
+    /** Null: any. */
     private static @Nullable List<String> machineTypes(@Nullable Object value) throws Malformed {
         if (value == null) {
             return null;
@@ -121,8 +118,8 @@
     }
 
     private static String text(Map<String, Object> fields, String name) throws Malformed {
-        if (!(fields.get(name) instanceof String text) || text.isEmpty() || text.length() > LONGEST_NAME) {
-            throw new Malformed(name + ": must be a text of 1 to " + LONGEST_NAME + " characters");
+        if (!(fields.get(name) instanceof String text) || text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
+            throw new Malformed(name + ": must be a text of 1 to " + MAX_NAME_LENGTH + " characters");
         }
         return text;
     }
@@ -139,19 +136,19 @@
             throw new Malformed(name + ": must be a number");
         }
         double amount = number.doubleValue();
-        if (!(amount >= 0 && amount <= MOST_AMOUNT)) {
-            throw new Malformed(name + ": must be from 0 to " + (long) MOST_AMOUNT);
+        if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
+            throw new Malformed(name + ": must be from 0 to " + (long) MAX_AMOUNT);
         }
         return amount;
     }
 
-    /** In whole thousandths, rounded up: a task gets no less than was asked for. */
-    private static long millis(Map<String, Object> fields, String name) throws Malformed {
-        return (long) Math.ceil(amount(fields, name) * MILLIS_PER_UNIT - ROUNDING_TOLERANCE);
+    /** In thousandths: a task gets no less than was asked for. */
+    private static long thousandths(Map<String, Object> fields, String name) throws Malformed {
+        return Units.thousandthsRequested(amount(fields, name));
     }
 
     private static long micros(Map<String, Object> fields, String name) throws Malformed {
-        return Math.round(amount(fields, name) * MICROS_PER_SECOND);
+        return Units.micros(amount(fields, name));
     }
 
     /** The status that tells the user how the request ended. */
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -37,41 +37,47 @@
     private static final String BATON = "baton";
     private static final String PIECE = "piece";
     private static final String TRY = "try";
-    private static final double MICROS_PER_SECOND = 1e6;
+    /** The cloud has not said that it takes the machine back. */
+    private static final long NO_NOTICE = -1;
+    /** In the place of an agent epoch: the message names none. */
+    private static final long NO_AGENT_EPOCH = -1;
 
     private WorkerCodec() {}
 
     /** Reads a heartbeat; null when it is none. */
     public static @Nullable Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> fields = Json.object(body);
-        if (fields == null || !hasRequiredFields(fields)) {
+        return fields == null ? null : decodeHeartbeat(fields);
+    }
+
+    private static @Nullable Heartbeat decodeHeartbeat(Map<String, Object> fields) {
+        String machine = Fields.textOf(fields, HOST);
+        String address = Fields.textOf(fields, ADDRESS);
+        String type = Fields.textOf(fields, MODEL);
+        String zone = Fields.textOf(fields, SITE);
+        boolean ordered = Fields.isNumber(fields, SHIFT) && Fields.isNumber(fields, TALLY);
+        if (machine == null || address == null || type == null || zone == null || !ordered) {
             return null;
         }
         List<TaskStatus> tasks = decodeTasks(Fields.listOf(fields, "pieces"));
         if (tasks == null) {
             return null;
         }
-        double noticeSeconds = Fields.doubleOf(fields, "warning_s", -1);
         return new Heartbeat(
-                Fields.textOf(fields, HOST),
-                Fields.textOf(fields, ADDRESS),
-                Fields.textOf(fields, MODEL),
-                Fields.textOf(fields, SITE),
+                machine,
+                address,
+                type,
+                zone,
                 Fields.boolOf(fields, "loaner"),
                 Fields.longOf(fields, SHIFT, 0),
                 Fields.longOf(fields, TALLY, 0),
                 Fields.longOf(fields, BATON, 0),
-                noticeSeconds < 0 ? -1 : Math.round(noticeSeconds * MICROS_PER_SECOND),
+                noticeMicros(Fields.doubleOf(fields, "warning_s", NO_NOTICE)),
                 tasks);
     }
 
-    private static boolean hasRequiredFields(Map<String, Object> fields) {
-        return Fields.textOf(fields, HOST) != null
-                && Fields.textOf(fields, ADDRESS) != null
-                && Fields.textOf(fields, MODEL) != null
-                && Fields.textOf(fields, SITE) != null
-                && Fields.isNumber(fields, SHIFT)
-                && Fields.isNumber(fields, TALLY);
+    private static long noticeMicros(double seconds) {
+        return seconds < 0 ? NO_NOTICE : Units.micros(seconds);
     }
 
     /** Null when one of them can't be read. */
@@ -165,7 +171,7 @@
     /** The body of the answer to a heartbeat. */
     public static String encode(HeartbeatResponse answer) {
         if (answer instanceof HeartbeatResponse.Accepted accepted) {
-            return encodeCommands(accepted.fencingToken(), -1, accepted.commands());
+            return encodeCommands(accepted.fencingToken(), NO_AGENT_EPOCH, accepted.commands());
         }
         if (answer instanceof HeartbeatResponse.Redirect redirect && redirect.node() != null) {
             return Json.text(Map.of("supervisor", redirect.node()));
@@ -194,7 +200,7 @@
         fields.put(PIECE, command.task().toString());
         fields.put(TRY, command.attempt());
         if (command.verb() == WorkerCommand.Verb.STOP) {
-            fields.put("leeway_s", command.graceMicros() / MICROS_PER_SECOND);
+            fields.put("leeway_s", Units.seconds(command.graceMicros()));
         }
         return fields;
     }
