--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -37,27 +37,34 @@
     private static final String BATON = "baton";
     private static final String PIECE = "piece";
     private static final String TRY = "try";
-    private static final double MICROS_PER_SECOND = 1e6;
+    /** The cloud has not said that it takes the machine back. */
+    private static final long NO_NOTICE = -1;
+    /** In the place of an agent epoch: the message names none. */
+    private static final long NO_AGENT_EPOCH = -1;
 
     private WorkerCodec() {}
 
     /** Reads a heartbeat; null when it is none. */
     public static @Nullable Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> fields = Json.object(body);
-        if (fields == null || !Fields.isNumber(fields, SHIFT) || !Fields.isNumber(fields, TALLY)) {
-            return null;
-        }
-        String host = Fields.textOf(fields, HOST);
+        return fields == null ? null : decodeHeartbeat(fields);
+    }
+
+    private static @Nullable Heartbeat decodeHeartbeat(Map<String, Object> fields) {
+        String machine = Fields.textOf(fields, HOST);
         String address = Fields.textOf(fields, ADDRESS);
         String type = Fields.textOf(fields, MODEL);
         String zone = Fields.textOf(fields, SITE);
+        boolean ordered = Fields.isNumber(fields, SHIFT) && Fields.isNumber(fields, TALLY);
+        if (machine == null || address == null || type == null || zone == null || !ordered) {
+            return null;
+        }
         List<TaskStatus> tasks = decodeTasks(Fields.listOf(fields, "pieces"));
-        if (host == null || address == null || type == null || zone == null || tasks == null) {
+        if (tasks == null) {
             return null;
         }
-        double noticeSeconds = Fields.doubleOf(fields, "warning_s", -1);
         return new Heartbeat(
-                host,
+                machine,
                 address,
                 type,
                 zone,
@@ -65,10 +72,14 @@
                 Fields.longOf(fields, SHIFT, 0),
                 Fields.longOf(fields, TALLY, 0),
                 Fields.longOf(fields, BATON, 0),
-                noticeSeconds < 0 ? -1 : Math.round(noticeSeconds * MICROS_PER_SECOND),
+                noticeMicros(Fields.doubleOf(fields, "warning_s", NO_NOTICE)),
                 tasks);
     }
 
+    private static long noticeMicros(double seconds) {
+        return seconds < 0 ? NO_NOTICE : Units.micros(seconds);
+    }
+
     /** Null when one of them can't be read. */
     private static @Nullable List<TaskStatus> decodeTasks(List<?> elements) {
         List<TaskStatus> tasks = new ArrayList<>();
@@ -160,7 +171,7 @@
     /** The body of the answer to a heartbeat. */
     public static String encode(HeartbeatResponse answer) {
         if (answer instanceof HeartbeatResponse.Accepted accepted) {
-            return encodeCommands(accepted.fencingToken(), -1, accepted.commands());
+            return encodeCommands(accepted.fencingToken(), NO_AGENT_EPOCH, accepted.commands());
         }
         if (answer instanceof HeartbeatResponse.Redirect redirect && redirect.node() != null) {
             return Json.text(Map.of("supervisor", redirect.node()));
@@ -189,7 +200,7 @@
         fields.put(PIECE, command.task().toString());
         fields.put(TRY, command.attempt());
         if (command.verb() == WorkerCommand.Verb.STOP) {
-            fields.put("leeway_s", command.graceMicros() / MICROS_PER_SECOND);
+            fields.put("leeway_s", Units.seconds(command.graceMicros()));
         }
         return fields;
     }
