--- a/src/test/java/org/granitepath/loopback/CloudStandIn.java
+++ b/src/test/java/org/granitepath/loopback/CloudStandIn.java
@@ -31,12 +31,7 @@
         if (path.equals("/flavors")) {
             return Answer.ok(Map.of("models", List.of(type())));
         } else if (path.equals("/rentals/return")) {
-            for (Object id : Fields.listOf(body, "hosts")) {
-                WorkerStandIn worker = machines.remove(String.valueOf(id));
-                if (worker != null) {
-                    worker.close();
-                }
-            }
+            terminate(Fields.listOf(body, "hosts"));
             return Answer.ok(Map.of());
         } else if (method.equals("POST")) {
             return Answer.error(503, "no capacity");
@@ -44,6 +39,15 @@
         return Answer.ok(Map.of("hosts", rows(query.getOrDefault("from", "")), "has_next", false));
     }
 
+    private void terminate(List<?> ids) {
+        for (Object id : ids) {
+            WorkerStandIn worker = machines.remove(String.valueOf(id));
+            if (worker != null) {
+                worker.close();
+            }
+        }
+    }
+
     private static Map<String, Object> type() {
         Map<String, Object> type = new LinkedHashMap<>();
         type.put("sku", TYPE);
@@ -62,23 +66,21 @@
         List<Object> rows = new ArrayList<>();
         for (WorkerStandIn worker : machines.values()) {
             if (worker.id().compareTo(from) > 0) {
-                rows.add(Map.of(
-                        "uid",
-                        worker.id(),
-                        "address",
-                        worker.address(),
-                        "model",
-                        TYPE,
-                        "site",
-                        ZONE,
-                        "loaner",
-                        false,
-                        "status",
-                        "running",
-                        "held_s",
-                        1.0));
+                rows.add(row(worker));
             }
         }
         return rows;
     }
+
+    private static Map<String, Object> row(WorkerStandIn worker) {
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("uid", worker.id());
+        row.put("address", worker.address());
+        row.put("model", TYPE);
+        row.put("site", ZONE);
+        row.put("loaner", false);
+        row.put("status", "running");
+        row.put("held_s", 1.0);
+        return row;
+    }
 }
--- a/src/test/java/org/granitepath/loopback/History.java
+++ b/src/test/java/org/granitepath/loopback/History.java
@@ -25,12 +25,14 @@
         }
     }
 
-    private record Order(String host, long agentEpoch, String task, long attempt) {}
+    private record ReceivedStart(String host, long agentEpoch, String task, long attempt) {}
 
     private final List<Event> events = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
-    private final Set<Order> orders = new HashSet<>();
-    private final Map<String, String> on = new HashMap<>();
+    private final Set<ReceivedStart> receivedStarts = new HashSet<>();
+    /** The machine on which each task runs. */
+    private final Map<String, String> hostsOfTasks = new HashMap<>();
+
     private final Set<String> completed = new HashSet<>();
 
     /** The job of a task, by the task's name. */
@@ -40,22 +42,24 @@
 
     /** A worker takes a start in: at most once for each attempt in an agent epoch. */
     synchronized void ordered(String host, long agentEpoch, String task, long attempt) {
-        if (!orders.add(new Order(host, agentEpoch, task, attempt))) {
+        if (!receivedStarts.add(new ReceivedStart(host, agentEpoch, task, attempt))) {
             violations.add("ordered twice: " + task + " attempt " + attempt + " on " + host);
         }
         add(new Event(Kind.ORDERED, host, task, attempt));
     }
 
+    /** A task runs on a machine now: on no other at the same time. */
     synchronized void begun(String host, String task, long attempt) {
-        String other = on.put(task, host);
+        String other = hostsOfTasks.put(task, host);
         if (other != null) {
             violations.add("runs twice: " + task + " on " + other + " and " + host);
         }
         add(new Event(Kind.BEGUN, host, task, attempt));
     }
 
+    /** A task no longer runs on a machine. */
     synchronized void left(String host, String task, long attempt, boolean done) {
-        on.remove(task, host);
+        hostsOfTasks.remove(task, host);
         if (done) {
             completed.add(task);
         }
@@ -67,11 +71,12 @@
         notifyAll();
     }
 
-    /** Where the history stands. */
+    /** How many events there have been; see {@link #since}. */
     synchronized int position() {
         return events.size();
     }
 
+    /** The events from a position on, in order. */
     synchronized List<Event> since(int position) {
         return List.copyOf(events.subList(position, events.size()));
     }
@@ -85,7 +90,9 @@
     }
 
     synchronized long running(Predicate<String> jobs) {
-        return on.keySet().stream().filter(task -> jobs.test(jobOf(task))).count();
+        return hostsOfTasks.keySet().stream()
+                .filter(task -> jobs.test(jobOf(task)))
+                .count();
     }
 
     synchronized long completed(Predicate<String> jobs) {
--- a/src/test/java/org/granitepath/loopback/HttpStandIn.java
+++ b/src/test/java/org/granitepath/loopback/HttpStandIn.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import org.granitepath.protocol.Json;
+import org.jspecify.annotations.Nullable;
 
 /** A small server on loopback, on a port of the system's choice, that answers with JSON. */
 abstract class HttpStandIn implements AutoCloseable {
@@ -65,7 +66,7 @@
         }
     }
 
-    private static Map<String, String> query(String text) {
+    private static Map<String, String> query(@Nullable String text) {
         Map<String, String> query = new HashMap<>();
         if (text != null) {
             for (String pair : Splitter.on('&').split(text)) {
@@ -76,5 +77,6 @@
         return query;
     }
 
+    /** Answers one request; called on a thread of the executor. */
     abstract Answer answer(String method, String path, Map<String, String> query, Map<String, Object> body);
 }
--- a/src/test/java/org/granitepath/loopback/StoreStandIn.java
+++ b/src/test/java/org/granitepath/loopback/StoreStandIn.java
@@ -8,12 +8,14 @@
 import java.util.TreeMap;
 import java.util.concurrent.Executor;
 import org.granitepath.storage.Fields;
+import org.jspecify.annotations.Nullable;
 
-/** A stand-in for the store: guarded transactions, leases that run out, long polls. Limits are not played. */
+/** A stand-in for the store: transactions on preconditions, leases that expire, long polls. It has no limits. */
 final class StoreStandIn extends HttpStandIn {
     private record Stored(Object value, long revision, long lease) {}
 
-    private record Change(String key, Object value, long revision) {}
+    /** @param value the new value; null when the key was removed */
+    private record Change(String key, @Nullable Object value, long revision) {}
 
     private static final class Lease {
         final long lifeNanos;
@@ -92,7 +94,8 @@
         }
     }
 
-    private void apply(String key, Object value, long lease, long revision) {
+    /** @param value null: the key is removed */
+    private void apply(String key, @Nullable Object value, long lease, long revision) {
         if (value == null) {
             keys.remove(key);
         } else {
@@ -128,14 +131,12 @@
         if (!failed.isEmpty()) {
             return new Answer(409, Map.of("failed", failed, "epoch", storeRevision));
         }
-        return applyAll(Fields.listOf(body, "apply"));
+        return applyAll(objectsOf(body, "apply"));
     }
 
-    @SuppressWarnings("unchecked")
     private List<String> failedPreconditions(Map<String, Object> body) {
         List<String> failed = new ArrayList<>();
-        for (Object each : Fields.listOf(body, "guards")) {
-            Map<String, Object> precondition = (Map<String, Object>) each;
+        for (Map<String, Object> precondition : objectsOf(body, "guards")) {
             Stored stored = keys.get(Fields.textOf(precondition, "key"));
             if ((stored == null ? 0 : stored.revision()) != Fields.longOf(precondition, "stamp", 0)) {
                 failed.add(Fields.textOf(precondition, "key"));
@@ -145,16 +146,19 @@
     }
 
     @SuppressWarnings("unchecked")
-    private Answer applyAll(List<?> apply) {
-        for (Object each : apply) {
-            long lease = Fields.longOf((Map<String, Object>) each, "permit", 0);
+    private static List<Map<String, Object>> objectsOf(Map<String, Object> body, String field) {
+        return (List<Map<String, Object>>) (List<?>) Fields.listOf(body, field);
+    }
+
+    private Answer applyAll(List<Map<String, Object>> transaction) {
+        for (Map<String, Object> change : transaction) {
+            long lease = Fields.longOf(change, "permit", 0);
             if (lease != 0 && !leases.containsKey(lease)) {
                 return Answer.error(400, "no such lease");
             }
         }
-        storeRevision += apply.isEmpty() ? 0 : 1;
-        for (Object each : apply) {
-            Map<String, Object> change = (Map<String, Object>) each;
+        storeRevision += transaction.isEmpty() ? 0 : 1;
+        for (Map<String, Object> change : transaction) {
             String written = Fields.textOf(change, "write");
             if (written != null) {
                 apply(written, change.get("v"), Fields.longOf(change, "permit", 0), storeRevision);
@@ -187,12 +191,15 @@
         List<Object> events = new ArrayList<>();
         for (Change change : changes) {
             if (change.revision() > from && change.key().startsWith(prefix)) {
-                events.add(
-                        change.value() == null
-                                ? Map.of("remove", change.key(), "stamp", change.revision())
-                                : Map.of("write", change.key(), "v", change.value(), "stamp", change.revision()));
+                events.add(event(change));
             }
         }
         return events;
     }
+
+    private static Map<String, Object> event(Change change) {
+        return change.value() == null
+                ? Map.of("remove", change.key(), "stamp", change.revision())
+                : Map.of("write", change.key(), "v", change.value(), "stamp", change.revision());
+    }
 }
