--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -7,8 +7,10 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /** A stand-in for the cloud. */
 final class SimCloud {
@@ -16,12 +18,21 @@
     private static final long TIMEOUT = 5_000_000;
 
     private static final class Host {
-        String id;
-        MachineType type;
-        String zone;
-        boolean spot;
-        long launched;
-        SimWorker worker;
+        private final String id;
+        private final MachineType type;
+        private final String zone;
+        private final boolean spot;
+        private final long launched;
+        /** What runs there; null until the machine is up. */
+        private @Nullable SimWorker worker;
+
+        Host(String id, MachineType type, CloudPort.LaunchRequest request, long launched) {
+            this.id = id;
+            this.type = type;
+            this.zone = request.zone();
+            this.spot = request.spot();
+            this.launched = launched;
+        }
     }
 
     private final World world;
@@ -103,15 +114,11 @@
 
     /** One of thirty never comes up, the others earlier or later than their type promises. */
     private Host launchOne(CloudPort.LaunchRequest request) {
-        Host host = new Host();
-        host.id = String.format("i-%06d", ++created);
-        host.type = types.stream()
-                .filter(type -> type.name().equals(request.type()))
+        MachineType type = types.stream()
+                .filter(each -> each.name().equals(request.type()))
                 .findFirst()
                 .orElseThrow();
-        host.zone = request.zone();
-        host.spot = request.spot();
-        host.launched = world.now();
+        Host host = new Host(String.format("i-%06d", ++created), type, request, world.now());
         boolean never = world.random.nextInt(30) == 0 || neverUp-- > 0;
         hosts.put(host.id, host);
         if (!never) {
@@ -139,6 +146,24 @@
         }
     }
 
+    private boolean terminate(List<String> ids) {
+        if (!outage) {
+            ids.forEach(this::remove);
+        }
+        return !outage;
+    }
+
+    /** What the cloud tells is some seconds old, at times twice as old. */
+    private CloudPort.Listing listAfter(String from) {
+        long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
+        var seen = snapshots.floorEntry(at);
+        List<CloudPort.ListedHost> hosts = seen == null ? List.of() : seen.getValue();
+        return new CloudPort.Listing(
+                outage ? CloudPort.Outcome.REFUSED : CloudPort.Outcome.OK,
+                hosts.stream().filter(host -> host.id().compareTo(from) > 0).toList(),
+                false);
+    }
+
     /** The cloud as one node reaches it. */
     CloudPort portFor(String node) {
         return new Port(node);
@@ -153,57 +178,29 @@
 
         @Override
         public void types(Consumer<List<MachineType>> then) {
-            world.call(
-                    node,
-                    NAME,
-                    TIMEOUT,
-                    () -> outage ? List.<MachineType>of() : types,
-                    answer -> then.accept(answer == null || answer.isEmpty() ? null : answer));
+            call(() -> outage ? null : types, null, then);
         }
 
         @Override
         public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
-            world.call(
-                    node,
-                    NAME,
-                    TIMEOUT,
+            call(
                     () -> outage ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
-                    answer -> then.accept(answer == null ? new LaunchResult(Outcome.UNKNOWN, List.of()) : answer));
+                    new LaunchResult(Outcome.UNKNOWN, List.of()),
+                    then);
         }
 
         @Override
         public void terminate(List<String> ids, Consumer<Boolean> then) {
-            world.call(
-                    node,
-                    NAME,
-                    TIMEOUT,
-                    () -> {
-                        if (!outage) {
-                            ids.forEach(SimCloud.this::remove);
-                        }
-                        return !outage;
-                    },
-                    done -> then.accept(done != null && done));
+            call(() -> SimCloud.this.terminate(ids), false, then);
         }
 
         @Override
         public void list(String from, int limit, Consumer<Listing> then) {
-            world.call(
-                    node,
-                    NAME,
-                    TIMEOUT,
-                    () -> {
-                        long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
-                        var seen = snapshots.floorEntry(at);
-                        List<ListedHost> all = seen == null ? List.of() : seen.getValue();
-                        return new Listing(
-                                outage ? Outcome.REFUSED : Outcome.OK,
-                                all.stream()
-                                        .filter(host -> host.id().compareTo(from) > 0)
-                                        .toList(),
-                                false);
-                    },
-                    answer -> then.accept(answer == null ? new Listing(Outcome.UNKNOWN, List.of(), false) : answer));
+            call(() -> listAfter(from), new Listing(Outcome.UNKNOWN, List.of(), false), then);
+        }
+
+        private <T> void call(Supplier<T> serve, @Nullable T unanswered, Consumer<T> then) {
+            world.call(node, NAME, TIMEOUT, serve, answer -> then.accept(answer == null ? unanswered : answer));
         }
     }
 }
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -0,0 +1,137 @@
+package org.granitepath.simulation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.granitepath.protocol.Json;
+import org.granitepath.storage.KeyValueStore;
+import org.jspecify.annotations.Nullable;
+
+/** The keys of the simulated store and its latest changes. Values are kept as JSON text, as they go over the wire. */
+final class SimStoreKeys {
+    private static final int CHANGES_KEPT = 400;
+    private static final int MOST_LISTED = 20;
+
+    private record Stored(String json, long revision, long lease) {}
+
+    /** @param json the new value; null when the key was removed */
+    private record Logged(String key, @Nullable String json, long revision) {}
+
+    private final TreeMap<String, Stored> keys = new TreeMap<>();
+    private final List<Logged> log = new ArrayList<>();
+    private final Map<String, Integer> writesByKey = new HashMap<>();
+    private long revision;
+
+    /** The revision of the whole store. */
+    long revision() {
+        return revision;
+    }
+
+    /** The revision of the key's last change; zero when it does not exist. */
+    long revisionOf(String key) {
+        Stored stored = keys.get(key);
+        return stored == null ? 0 : stored.revision();
+    }
+
+    /** How often transactions have changed this key. */
+    int writesOf(String key) {
+        return writesByKey.getOrDefault(key, 0);
+    }
+
+    /** The size of the largest value, in characters. */
+    int largestValue() {
+        return keys.values().stream()
+                .mapToInt(stored -> stored.json().length())
+                .max()
+                .orElse(0);
+    }
+
+    boolean holds(String key, String json) {
+        return keys.containsKey(key) && keys.get(key).json().equals(json);
+    }
+
+    /** Someone else writes this value. */
+    void plant(String key, String json) {
+        revision++;
+        write(key, json, 0);
+    }
+
+    /** The changes of one transaction, under one revision. */
+    void apply(List<KeyValueStore.Change> changes) {
+        revision++;
+        for (KeyValueStore.Change change : changes) {
+            writesByKey.merge(change.key(), 1, Integer::sum);
+            if (change.record() == null) {
+                remove(change.key());
+            } else {
+                write(change.key(), TransactionLimits.json(change), change.lease());
+            }
+        }
+    }
+
+    /** A lease is over: its keys go away, each under a revision of its own. */
+    void removeAllOf(long lease) {
+        List<String> gone = keys.entrySet().stream()
+                .filter(entry -> entry.getValue().lease() == lease)
+                .map(Map.Entry::getKey)
+                .toList();
+        for (String key : gone) {
+            revision++;
+            remove(key);
+        }
+    }
+
+    private void write(String key, String json, long lease) {
+        keys.put(key, new Stored(json, revision, lease));
+        log.add(new Logged(key, json, revision));
+    }
+
+    private void remove(String key) {
+        keys.remove(key);
+        log.add(new Logged(key, null, revision));
+    }
+
+    /** The keys with this prefix, in their order, after {@code from}, or from the first one when that is empty. */
+    KeyValueStore.Page list(String prefix, String from, int limit) {
+        List<KeyValueStore.Item> items = new ArrayList<>();
+        boolean first = from.isEmpty();
+        for (var entry : keys.tailMap(first ? prefix : from, first).entrySet()) {
+            if (!entry.getKey().startsWith(prefix)) {
+                break;
+            }
+            if (items.size() == Math.min(limit, MOST_LISTED)) {
+                return page(items, true);
+            }
+            items.add(item(
+                    entry.getKey(), entry.getValue().json(), entry.getValue().revision()));
+        }
+        return page(items, false);
+    }
+
+    /** The changes of keys with this prefix after a revision; {@code GONE} when not all of them are kept any more. */
+    KeyValueStore.Page changes(String prefix, long from) {
+        if (log.size() > CHANGES_KEPT) {
+            log.subList(0, log.size() - CHANGES_KEPT).clear();
+        }
+        if (from < revision && !log.isEmpty() && log.get(0).revision() > from + 1) {
+            return new KeyValueStore.Page(KeyValueStore.Outcome.GONE, List.of(), false, revision);
+        }
+        List<KeyValueStore.Item> items = new ArrayList<>();
+        for (Logged logged : log) {
+            if (logged.revision() > from && logged.key().startsWith(prefix)) {
+                items.add(item(logged.key(), logged.json(), logged.revision()));
+            }
+        }
+        return page(items, false);
+    }
+
+    private static KeyValueStore.Item item(String key, @Nullable String json, long revision) {
+        return new KeyValueStore.Item(key, json == null ? null : Json.object(json), revision);
+    }
+
+    private KeyValueStore.Page page(List<KeyValueStore.Item> items, boolean more) {
+        return new KeyValueStore.Page(KeyValueStore.Outcome.OK, items, more, revision);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -0,0 +1,59 @@
+package org.granitepath.simulation;
+
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.granitepath.storage.KeyValueStore;
+
+/** The simulated store as one controller reaches it: over links that delay, lose and cut. */
+final class SimStorePort implements KeyValueStore {
+    private static final long TIMEOUT = 2_000_000;
+    private static final Committed NO_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
+    private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
+    private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
+
+    private final World world;
+    private final SimStore store;
+    private final String node;
+
+    SimStorePort(World world, SimStore store, String node) {
+        this.world = world;
+        this.store = store;
+        this.node = node;
+    }
+
+    @Override
+    public void commit(Transaction transaction, Consumer<Committed> then) {
+        callLater(TIMEOUT, answer -> store.commit(node, transaction, answer), NO_COMMIT, then);
+    }
+
+    @Override
+    public void list(String prefix, String from, int limit, Consumer<Page> then) {
+        call(TIMEOUT, () -> store.list(node, prefix, from, limit), NO_PAGE, then);
+    }
+
+    @Override
+    public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
+        store.countRead();
+        callLater(TIMEOUT + waitMicros, answer -> store.follow(node, prefix, from, waitMicros, answer), NO_PAGE, then);
+    }
+
+    @Override
+    public void openLease(long lifeMicros, Consumer<Leased> then) {
+        call(TIMEOUT, () -> store.openLease(node, lifeMicros), NO_LEASE, then);
+    }
+
+    @Override
+    public void renewLease(long lease, Consumer<Outcome> then) {
+        call(TIMEOUT / 2, () -> store.renewLease(node, lease), Outcome.UNKNOWN, then);
+    }
+
+    private <T> void call(long timeoutMicros, Supplier<T> serve, T unanswered, Consumer<T> then) {
+        callLater(timeoutMicros, answer -> answer.accept(serve.get()), unanswered, then);
+    }
+
+    private <T> void callLater(long timeoutMicros, Consumer<Consumer<T>> serve, T unanswered, Consumer<T> then) {
+        world.<T>callLater(
+                node, SimStore.NAME, timeoutMicros, serve, answer -> then.accept(answer == null ? unanswered : answer));
+    }
+}
--- a/src/test/java/org/granitepath/simulation/World.java
+++ b/src/test/java/org/granitepath/simulation/World.java
@@ -11,6 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.jspecify.annotations.Nullable;
 
 /** Simulated time and network. Everything that happens follows from the seed. */
 final class World {
@@ -162,25 +163,36 @@
 
     /** The same, where the other side answers when it likes. */
     <T> void callLater(String from, String to, long timeout, Consumer<Consumer<T>> serve, Consumer<T> then) {
-        boolean[] over = new boolean[1];
-        int life = ended.getOrDefault(from, 0);
-        Runnable request = () -> serve.accept(value -> send(to, from, () -> {
-            if (!over[0] && life == ended.getOrDefault(from, 0)) {
-                over[0] = true;
-                then.accept(value);
-            }
-        }));
-        send(from, to, request);
+        PendingCall<T> call = new PendingCall<>(from, then);
+        send(from, to, () -> serve.accept(answer -> send(to, from, () -> call.finish(answer))));
         if (lateCopies > 0 && random.nextDouble() < lateCopies) {
             after(100_000 + random.nextInt(60_000_000), () -> serve.accept(ignored -> {}));
         }
-        after(
-                timeout,
-                () -> fire(from, () -> {
-                    if (!over[0] && life == ended.getOrDefault(from, 0)) {
-                        over[0] = true;
-                        then.accept(null);
-                    }
-                }));
+        after(timeout, () -> fire(from, () -> call.finish(null)));
+    }
+
+    /** A request of one process: its answer or its timeout counts, whichever is first, unless the process has ended. */
+    private final class PendingCall<T> {
+        private final String from;
+        private final int process;
+        private final Consumer<T> then;
+        private boolean finished;
+
+        PendingCall(String from, Consumer<T> then) {
+            this.from = from;
+            this.process = endedProcesses(from);
+            this.then = then;
+        }
+
+        void finish(@Nullable T answer) {
+            if (!finished && process == endedProcesses(from)) {
+                finished = true;
+                then.accept(answer);
+            }
+        }
+    }
+
+    private int endedProcesses(String host) {
+        return ended.getOrDefault(host, 0);
     }
 }
