--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -0,0 +1,92 @@
+package org.granitepath.simulation;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+
+/** What users are told: an accepted job stays known, is done only when all its tasks are, and has one final state. */
+final class AnswerRules {
+    private static final long UNANSWERED_MICROS = 75_000_000;
+
+    private final World world;
+    private final Breaches breaches;
+    private final JobHistory jobs;
+    private final CancellationRules cancellations;
+    private final Set<String> unschedulable = new HashSet<>();
+    private final Map<String, Long> answeredAt = new HashMap<>();
+
+    AnswerRules(World world, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
+        this.world = world;
+        this.breaches = breaches;
+        this.jobs = jobs;
+        this.cancellations = cancellations;
+    }
+
+    /** A job that fits nowhere: nobody may accept it. */
+    void submittingUnschedulable(String job) {
+        unschedulable.add(job);
+    }
+
+    /** An answer that a user got. */
+    void told(String job, JobResponse answer) {
+        if (answer instanceof JobResponse.NotFound && jobs.wasAccepted(job)) {
+            breaches.add("forgotten", job + " is not found");
+        } else if (answer instanceof JobResponse.Unschedulable && jobs.wasAccepted(job)) {
+            breaches.add("forgotten", job + " is called impossible");
+        } else if (answer instanceof JobResponse.Status status) {
+            toldStatus(job, status.state());
+        }
+    }
+
+    private void toldStatus(String job, JobState state) {
+        if (unschedulable.contains(job)) {
+            breaches.add("accepted_impossible", job + " can never run");
+            return;
+        }
+        if (!jobs.wasSubmitted(job)) {
+            breaches.add("invented", job);
+        }
+        jobs.accepted(job);
+        answeredAt.put(job, world.now());
+        JobState earlier = jobs.finalTold(job);
+        if (earlier != null && earlier != state) {
+            breaches.add("went_back", job + " was " + earlier + ", is " + state);
+        }
+        if (state == JobState.DONE) {
+            toldDone(job);
+        } else if (state == JobState.CANCELLED) {
+            toldCancelled(job);
+        }
+    }
+
+    private void toldDone(String job) {
+        int done = jobs.completedTasks(job);
+        int tasks = jobs.spec(job).tasks();
+        if (done < tasks) {
+            breaches.add("not_done", job + ": " + done + " of " + tasks);
+        }
+        jobs.finalTold(job, JobState.DONE);
+    }
+
+    private void toldCancelled(String job) {
+        if (!jobs.wasCancellationAsked(job)) {
+            breaches.add("went_back", job + " is cancelled unasked");
+        }
+        if (jobs.finalTold(job, JobState.CANCELLED) == null) {
+            cancellations.confirmed(job);
+        }
+    }
+
+    /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
+    void checkKnown(long troublesOver) {
+        for (String job : jobs.acceptedJobs()) {
+            long since = world.now() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
+            if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
+                breaches.add("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -0,0 +1,58 @@
+package org.granitepath.simulation;
+
+import static org.granitepath.simulation.RulesFixture.ANYWHERE;
+import static org.granitepath.simulation.RulesFixture.SPREAD;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.junit.jupiter.api.Test;
+
+/** Planted wrong answers to users, and answers that do not come, are noticed. */
+class AnswerRulesTest {
+    private final RulesFixture fixture = new RulesFixture();
+
+    @Test
+    void noAnswerForLong() {
+        fixture.tell(ANYWHERE, JobState.PENDING);
+        fixture.tell(SPREAD, JobState.PENDING);
+        fixture.runUntil(70_000_000);
+        fixture.tell(SPREAD, JobState.PENDING);
+        fixture.rules().checkKnown(0);
+        fixture.assertNoneBroken();
+        fixture.runUntil(76_000_000);
+        fixture.rules().checkKnown(5_000_000);
+        assertTrue(fixture.rules().broken.isEmpty(), "troubles were over only 71 s ago");
+
+        fixture.rules().checkKnown(0);
+
+        fixture.assertBroken("forgotten");
+    }
+
+    @Test
+    void unschedulableJobIsAccepted() {
+        fixture.rules().submittingUnschedulable("run-9");
+        fixture.rules().told("run-9", new JobResponse.Unschedulable("too large"));
+        fixture.assertNoneBroken();
+
+        fixture.tell("run-9", JobState.PENDING);
+
+        fixture.assertBroken("accepted_impossible");
+    }
+
+    /** An accepted job is not found; then it is called done before it is; then it is called running again. */
+    @Test
+    void wrongAnswers() {
+        fixture.tell(ANYWHERE, JobState.PENDING);
+        fixture.rules().told(ANYWHERE, new JobResponse.NotFound());
+        fixture.assertBroken("forgotten");
+
+        fixture.rules().broken.clear();
+        fixture.tell(ANYWHERE, JobState.DONE);
+        fixture.assertBroken("not_done");
+
+        fixture.rules().broken.clear();
+        fixture.tell(ANYWHERE, JobState.RUNNING);
+        fixture.assertBroken("went_back");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/Breaches.java
@@ -0,0 +1,12 @@
+package org.granitepath.simulation;
+
+/** Takes what a rule finds. */
+interface Breaches {
+    /**
+     * A rule is broken.
+     *
+     * @param rule its short name
+     * @param what how it was broken
+     */
+    void add(String rule, String what);
+}
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.granitepath.protocol.Json;
 import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.ProgressRecord;
@@ -24,12 +25,13 @@
 import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of wishes, or of questions, on a small budget. */
+/** Hundreds of writes, or of reads, when the store allows few. */
 class BudgetTest {
+    private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
     private final World world = new World(1);
-    private final SimStore state = new SimStore(world, 8, 2048, 1000, 200);
+    private final SimStore store = new SimStore(world, MOST_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
@@ -48,7 +50,7 @@
     };
 
     private RecordReplica replica() {
-        RecordReplica replica = replicaOf(state, "n");
+        RecordReplica replica = replicaOf(store, "n");
         world.run(1_000_000, () -> {});
         return replica;
     }
@@ -65,15 +67,20 @@
         return replica;
     }
 
+    private WriteQueue writeQueue(
+            SimStore of, String node, RecordReplica replica, double writesPerSecond, RateControl control) {
+        return new WriteQueue(
+                of.portFor(node), replica, timers, MOST_CHANGES, writesPerSecond, control, List::of, () -> true);
+    }
+
     /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
     @Test
     void manyQuestionsShareFewReads() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue =
-                new WriteQueue(state.portFor("n"), replica, timers, 8, 20, RateControl.FIXED, List::of, () -> true);
-        int[] answered = new int[1];
+        WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
+        AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered[0] += fresh ? 1 : 0));
+            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
@@ -82,19 +89,19 @@
                     () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
-        int before = state.reads;
+        int before = store.reads;
         world.run(14_000_000, () -> {});
-        assertEquals(2_000, answered[0]);
-        assertTrue(state.reads - before <= 10_000_000 / 50_000 * 1.1, state.reads - before + " reads in 10 s");
+
+        assertEquals(2_000, answered.get());
+        assertTrue(store.reads - before <= 10_000_000 / 50_000 * 1.1, store.reads - before + " reads in 10 s");
     }
 
     @Test
-    void urgentWishesOvertakeAndWaitingOnesCostNothing() {
+    void urgentWritesOvertakeAndWaitingOnesCostNothing() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue =
-                new WriteQueue(state.portFor("n"), replica, timers, 8, 10, RateControl.FIXED, List::of, () -> true);
+        WriteQueue writeQueue = writeQueue(store, "n", replica, 10, RateControl.FIXED);
         List<String> written = new ArrayList<>();
-        int[] made = new int[1];
+        AtomicInteger made = new AtomicInteger();
         for (int i = 0; i < 300; i++) {
             String key = "g/n/" + i;
             writeQueue.enqueue(
@@ -102,7 +109,7 @@
                     Urgency.PROGRESS_ONLY,
                     0,
                     () -> {
-                        made[0]++;
+                        made.incrementAndGet();
                         return List.of(Change.write(key, SOME_RECORD));
                     },
                     storeRevision -> written.add(key));
@@ -115,31 +122,29 @@
                 () -> List.of(Change.write("g/safe", SOME_RECORD)),
                 storeRevision -> written.add("g/safe"));
         world.run(3_300_000, () -> {});
-        assertTrue(written.contains("g/safe"), "an urgent wish waits behind news");
+
+        assertTrue(written.contains("g/safe"), "an urgent write waits behind progress");
         world.run(61_000_000, () -> {});
+
         assertEquals(301, written.size());
-        assertTrue(made[0] <= 310, "contents were made " + made[0] + " times");
+        assertTrue(made.get() <= 310, "contents were made " + made + " times");
     }
 
     /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
     void requestHandlersYieldToTheLeader() {
-        SimStore tight = new SimStore(world, 8, 2048, 1000, 18);
-        int[] leaders = new int[1];
-        for (int n = 0; n < 6; n++) {
-            int node = n;
-            RecordReplica replica = replicaOf(tight, "n" + n);
-            WriteQueue writeQueue = new WriteQueue(
-                    tight.portFor("n" + n),
-                    replica,
-                    timers,
-                    8,
-                    n == 0 ? 11.7 : 9,
-                    n > 0 ? RateControl.ADAPTIVE : RateControl.FIXED,
-                    List::of,
-                    () -> true);
+        SimStore tight = new SimStore(world, MOST_CHANGES, 2048, 1000, 18);
+        AtomicInteger writesOfLeader = new AtomicInteger();
+        for (int number = 0; number < 6; number++) {
+            String node = "n" + number;
+            String prefix = "g/" + number + "/";
+            boolean leads = number == 0;
+            RecordReplica replica = replicaOf(tight, node);
+            double writesPerSecond = leads ? 11.7 : 9;
+            RateControl control = leads ? RateControl.FIXED : RateControl.ADAPTIVE;
+            WriteQueue writeQueue = writeQueue(tight, node, replica, writesPerSecond, control);
             for (int i = 0; i < 900; i++) {
-                String key = "g/" + node + "/" + i;
+                String key = prefix + i;
                 world.after(
                         1_000_000 + i * 60_000L,
                         () -> writeQueue.enqueue(
@@ -147,21 +152,21 @@
                                 Urgency.WORK,
                                 0,
                                 () -> List.of(Change.write(key, SOME_RECORD)),
-                                storeRevision -> leaders[0] += node == 0 ? 1 : 0));
+                                storeRevision -> writesOfLeader.addAndGet(leads ? 1 : 0)));
             }
         }
         world.run(61_000_000, () -> {});
-        assertTrue(leaders[0] > 60 * 7, leaders[0] + " writes of the leader in a minute");
+
+        assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
 
     /** What the store will never take is given up, once, and all else is written. */
     @Test
     void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
         RecordReplica replica = replica();
-        WriteQueue writeQueue =
-                new WriteQueue(state.portFor("n"), replica, timers, 8, 20, RateControl.FIXED, List::of, () -> true);
+        WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         List<String> written = new ArrayList<>();
-        int[] made = new int[1];
+        AtomicInteger made = new AtomicInteger();
         StoredRecord large = new UnknownRecord(Map.of("x", "y".repeat(3_000)));
         for (int i = 0; i < 12; i++) {
             String key = "g/n/" + i;
@@ -171,14 +176,15 @@
                     Urgency.WORK,
                     0,
                     () -> {
-                        made[0] += tooLarge ? 1 : 0;
+                        made.addAndGet(tooLarge ? 1 : 0);
                         return List.of(Change.write(key, tooLarge ? large : SOME_RECORD));
                     },
                     storeRevision -> written.add(key));
         }
         world.run(20_000_000, () -> {});
+
         assertEquals(11, written.size());
-        assertTrue(made[0] <= 8, "sent " + made[0] + " times");
+        assertTrue(made.get() <= 8, "sent " + made + " times");
     }
 
     /** A job of which finished and open tasks alternate: its progress still fits, with the longest ranges. */
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -7,9 +7,9 @@
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.others;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.SimulationTest.assertRules;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
-import static org.granitepath.simulation.SimulationTest.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.SimulationAssertions.assertRules;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -38,6 +38,97 @@
         assertRulesAndAllDone(simulation);
     }
 
+    /**
+     * The store refuses the leader alone, another controller confirms cancellations, and a second or two
+     * later it is out for everybody for longer than cancel_s, while workers go on sending heartbeats to the leader.
+     * With some seeds nobody tells it of the cancellations: only the bound on the time for which anyone may keep a
+     * lease alive can end the tasks.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    void cancelledTasksEndWhenTheLeaderIsRefusedBeforeAnOutage(long seed) {
+        Simulation simulation = simulation(seed);
+        simulation.peersSendNoCancellations = seed > 2;
+        List<JobSpec> jobs = longWork(simulation, 6, 8, 300 * SECOND);
+
+        Observation<Integer> running = new Observation<>();
+        Observation<Integer> confirmed = new Observation<>();
+        Observation<Integer> answeredBefore = new Observation<>();
+        Observation<Integer> answeredAfter = new Observation<>();
+        simulation.after(70 * SECOND, () -> {
+            String leader = simulation.leader();
+            running.set(simulation.rules.running().size());
+            simulation.store.refuse(leader, 14 * SECOND);
+            jobs.forEach(job -> simulation.users.cancelAt(
+                    others(simulation, leader).get(simulation.world.random.nextInt(4)), job.id()));
+            simulation.after((1 + seed % 2) * SECOND, () -> {
+                simulation.store.outage(simulation.shape.cancel() + 15 * SECOND);
+                answeredBefore.set(simulation.heartbeatsAccepted(leader));
+            });
+            simulation.after(9 * SECOND, () -> {
+                confirmed.set(simulation.rules.cancellationsTold());
+                answeredAfter.set(simulation.heartbeatsAccepted(leader));
+            });
+        });
+        simulation.run(70 * SECOND + simulation.shape.cancel() + 20 * SECOND, 400 * SECOND);
+
+        assertTrue(
+                running.get() >= 10 && confirmed.get() >= 10,
+                running.get() + " jobs ran, " + confirmed.get() + " cancellations confirmed");
+        int answered = answeredAfter.get() - answeredBefore.get();
+        assertTrue(answered > 5, "the leader answered " + answered + " heartbeats in the outage");
+        assertRules(simulation);
+    }
+
+    /** The store answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void cancellationsHoldWhileTheStoreIsSlowThenRefusesThenIsAway(long seed) {
+        Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
+        longWork(simulation, 6, 6, 100 * SECOND);
+
+        simulation.after(45 * SECOND, () -> simulation.world.heldUp = 0.05);
+        simulation.after(60 * SECOND, () -> simulation.world.heldUp = 0);
+        Observation<Integer> toldBefore = new Observation<>();
+        Observation<Integer> toldAfter = new Observation<>();
+        simulation.after(60 * SECOND, () -> {
+            simulation.store.refuse(simulation.leader(), 12 * SECOND);
+            toldBefore.set(simulation.rules.cancellationsTold());
+            simulation.users.cancelRunning(4, 0);
+        });
+        simulation.after(66 * SECOND, () -> {
+            simulation.store.outage(simulation.shape.cancel() + 6 * SECOND);
+            simulation.users.cancelRunning(3, 0);
+            toldAfter.set(simulation.rules.cancellationsTold());
+        });
+        simulation.run(70 * SECOND + simulation.shape.cancel() + 6 * SECOND, 600 * SECOND);
+
+        assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
+        assertRulesAndAllDone(simulation);
+    }
+
+    /** A zone with workers and a controller is cut off for longer than a lease, and jobs are cancelled meanwhile. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    void cancelledTasksEndInAZoneCutOffForLongerThanALease(long seed) {
+        Simulation simulation = simulation(seed);
+        longWork(simulation, 6, 8, 70 * SECOND);
+
+        simulation.after(
+                50 * SECOND,
+                () -> simulation.faults.cutZone(
+                        seed % 3 == 0 ? simulation.zoneOf(simulation.leader()) : "south",
+                        cutOf(seed),
+                        simulation.shape.lease() + 12 * SECOND));
+        simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
+        Observation<Integer> told =
+                simulation.observe(50 * SECOND + simulation.shape.lease(), simulation.rules::cancellationsTold);
+        simulation.run(65 * SECOND + simulation.shape.lease(), 500 * SECOND);
+
+        assertTrue(told.get() > 0, "nothing was cancelled in the cut");
+        assertRulesAndAllDone(simulation);
+    }
+
     /**
      * The same, when the leader's stops had not reached the zone's machines before: a zone lease keeper knows of the
      * cancellations as of its last read, so for it the bound is no help, and it has to stop the tasks itself.
@@ -48,7 +139,7 @@
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 200 * SECOND);
 
-        int[] told = new int[1];
+        Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
             simulation.cloud.workers().stream()
@@ -57,13 +148,13 @@
                             simulation.faults.cut(simulation.leader(), worker.id, World.Cut.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
-                told[0] = simulation.rules.cancellationsTold();
+                told.set(simulation.rules.cancellationsTold());
                 simulation.faults.cutZone(zone, World.Cut.DROP, 50 * SECOND);
             });
         });
         simulation.run(125 * SECOND, 900 * SECOND);
 
-        assertEquals(10, told[0], "cancellations confirmed before the cut");
+        assertEquals(10, told.get(), "cancellations confirmed before the cut");
         assertRulesAndAllDone(simulation);
     }
 
@@ -77,7 +168,7 @@
         Simulation simulation = simulation(seed);
         List<JobSpec> jobs = longWork(simulation, 6, 8, 200 * SECOND);
 
-        int[] told = new int[1];
+        Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
             simulation.faults.cutFromPeersAndStore(former, cutOf(seed), 70 * SECOND);
@@ -89,11 +180,11 @@
                         .forEach(node -> simulation.faults.cutFromWorkers(node, World.Cut.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
-            simulation.after(12 * SECOND, () -> told[0] = simulation.rules.cancellationsTold());
+            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancellationsTold()));
         });
         simulation.run(135 * SECOND, 900 * SECOND);
 
-        assertEquals(9, told[0], "cancellations confirmed by the new leader");
+        assertEquals(9, told.get(), "cancellations confirmed by the new leader");
         assertRulesAndAllDone(simulation);
     }
 
@@ -129,17 +220,15 @@
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 200 * SECOND);
 
-        int[] hung = new int[1];
+        Observation<Integer> hung = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            hung[0] = simulation
-                    .users
-                    .cancelRunning(8, seed < 3 ? 8 * SECOND : simulation.shape.lease() + 6 * SECOND)
-                    .size();
+            long hangMicros = seed < 3 ? 8 * SECOND : simulation.shape.lease() + 6 * SECOND;
+            hung.set(simulation.users.cancelRunning(8, hangMicros).size());
             leaderEnds(simulation, SECOND, 300_000);
         });
         simulation.run(75 * SECOND + simulation.shape.lease(), 800 * SECOND);
 
-        assertTrue(hung[0] > 4);
+        assertTrue(hung.get() > 4);
         assertRulesAndAllDone(simulation);
     }
 
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -0,0 +1,66 @@
+package org.granitepath.simulation;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.coordination.ports.TaskId;
+
+/** After a confirmed cancellation no start is sent, and what runs ends within the time that the settings allow. */
+final class CancellationRules {
+    /** For so long after its time is over, each step looks for tasks of a cancelled job. */
+    private static final long WATCHED_MICROS = 120_000_000;
+
+    private final World world;
+    private final Breaches breaches;
+    private final JobHistory jobs;
+    private final TaskPlacementRules placements;
+    private final long cancelMicros;
+    private final Map<String, Long> confirmedAt = new TreeMap<>();
+
+    /** @param cancelMicros for how long tasks may go on once their cancellation is confirmed */
+    CancellationRules(
+            World world, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
+        this.world = world;
+        this.breaches = breaches;
+        this.jobs = jobs;
+        this.placements = placements;
+        this.cancelMicros = cancelMicros;
+    }
+
+    /** A user was told for the first time that the job is cancelled. */
+    void confirmed(String job) {
+        confirmedAt.put(job, world.now());
+    }
+
+    /** A controller sends the command to start this task. */
+    void startSent(TaskId task) {
+        if (jobs.finalTold(task.job()) == JobState.CANCELLED) {
+            breaches.add("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
+        }
+    }
+
+    /** A task is on a machine now. */
+    void started(TaskId task) {
+        if (isOverdue(task)) {
+            breaches.add("ran_cancelled", task + " starts");
+        }
+    }
+
+    /** Nothing of a cancelled job may be left when its time is over. */
+    void check() {
+        if (confirmedAt.isEmpty()) {
+            return;
+        }
+        for (TaskId task : placements.tasks()) {
+            if (isOverdue(task)) {
+                breaches.add("ran_cancelled", task + " is still on " + placements.hostOf(task));
+            }
+        }
+        confirmedAt.values().removeIf(confirmed -> world.now() > confirmed + cancelMicros + WATCHED_MICROS);
+    }
+
+    private boolean isOverdue(TaskId task) {
+        Long confirmed = confirmedAt.get(task.job());
+        return confirmed != null && world.now() > confirmed + cancelMicros;
+    }
+}
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -2,8 +2,8 @@
 
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
-import static org.granitepath.simulation.SimulationTest.assertRules;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
+import static org.granitepath.simulation.SimulationAssertions.assertRules;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -21,8 +21,8 @@
 
     /**
      * More machines than one transaction could name: the takeover once rewrote every machine inventory, and beyond
-     * some machines nobody could own them any more. Owners crash, also in the middle of a takeover, and the state
-     * service goes away.
+     * some machines nobody could own them any more. Owners crash, also in the middle of a takeover, and the store
+     * goes away.
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
@@ -31,30 +31,24 @@
         for (int i = 0; i < 12; i++) {
             simulation.after(
                     2 * SECOND + 5L * i * SECOND,
-                    () -> simulation.users.submit(simulation.jobs.job(
-                            false,
-                            120,
-                            Priority.STANDARD,
-                            "free",
-                            simulation.world.random.nextBoolean(),
-                            false,
-                            false,
-                            25 * SECOND,
-                            0)));
+                    () -> simulation.users.submit(simulation
+                            .jobs
+                            .work(120, 25 * SECOND)
+                            .onSpot(simulation.world.random.nextBoolean())
+                            .create()));
             simulation.after(
                     2 * SECOND + 5L * i * SECOND,
                     () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
-        int[] most = new int[1];
-        simulation.after(45 * SECOND, () -> {
-            most[0] = simulation.cloud.workers().size();
-            simulation.faults.crash(simulation.leader(), 4 * SECOND);
-        });
+        Observation<Integer> machines =
+                simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
+        leaderEnds(simulation, 45 * SECOND, 4 * SECOND);
         leaderEnds(simulation, 49 * SECOND, 300_000);
         simulation.after(70 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.after(75 * SECOND, () -> simulation.store.outage(10 * SECOND));
         simulation.run(100 * SECOND, 300 * SECOND);
-        assertTrue(most[0] > 150, "only " + most[0] + " machines");
+
+        assertTrue(machines.get() > 150, "only " + machines.get() + " machines");
         assertRulesAndAllDone(simulation);
         simulation.rules.checkServed();
         assertRules(simulation);
@@ -68,39 +62,40 @@
     void overloadStarvesNobody(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 60; i++) {
-            int node = i;
-            simulation.after(
-                    2 * SECOND + 5L * i * SECOND,
-                    () -> simulation.users.submit(simulation.jobs.job(
-                            false,
-                            node % 10 == 3 ? 60 : 16,
-                            Priority.STANDARD,
-                            node % 7 == 0 ? "tight" : "free",
-                            true,
-                            false,
-                            false,
-                            15 * SECOND,
-                            0)));
-            simulation.after(2 * SECOND + 5L * i * SECOND, () -> {
-                if (node % 4 == 0) {
-                    simulation.users.submit(simulation.jobs.job(
-                            false,
-                            node % 8 == 0 ? 40 : 6,
-                            Priority.BEST_EFFORT,
-                            "free",
-                            true,
-                            false,
-                            false,
-                            12 * SECOND,
-                            3 * SECOND));
+            int number = i;
+            long at = 2 * SECOND + 5L * i * SECOND;
+            simulation.after(at, () -> simulation.users.submit(standardJob(simulation, number)));
+            simulation.after(at, () -> {
+                if (number % 4 == 0) {
+                    simulation.users.submit(bestEffortJob(simulation, number));
                 }
             });
         }
         simulation.run(310 * SECOND, 900 * SECOND);
+
         simulation.rules.checkServed();
         assertRules(simulation);
     }
 
+    private static JobSpec standardJob(Simulation simulation, int number) {
+        return simulation
+                .jobs
+                .work(number % 10 == 3 ? 60 : 16, 15 * SECOND)
+                .team(number % 7 == 0 ? "tight" : "free")
+                .onSpot()
+                .create();
+    }
+
+    private static JobSpec bestEffortJob(Simulation simulation, int number) {
+        return simulation
+                .jobs
+                .work(number % 8 == 0 ? 40 : 6, 12 * SECOND)
+                .priority(Priority.BEST_EFFORT)
+                .onSpot()
+                .checkpointEvery(3 * SECOND)
+                .create();
+    }
+
     /** Services keep arriving: for most of them there is capacity already when they come. */
     @Test
     void headroomForServicesToCome() {
@@ -114,6 +109,7 @@
             }
         }
         simulation.run(200 * SECOND);
+
         assertRules(simulation);
         long prompt = late.stream()
                 .filter(job -> simulation.rules.begunAfter(job.id()) < 5 * SECOND)
@@ -128,7 +124,7 @@
     @Test
     void cleanupOfMachinesWithManyTasksIsRare() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.job(true, 31, Priority.CRITICAL, "free", false, false, false, 0, 0);
+        JobSpec like = simulation.jobs.replicas(31).create();
         for (int i = 0; i < 4; i++) {
             simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
         }
@@ -138,6 +134,7 @@
                     (20 + 3 * i) * SECOND, () -> simulation.users.submit(simulation.jobs.withCpu(batch, 60, 250)));
         }
         simulation.run(150 * SECOND);
+
         assertRulesAndAllDone(simulation);
         int drawn = simulation.store.writesOf(Keys.FENCING_TOKEN);
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
@@ -149,6 +146,7 @@
         Simulation simulation = new Simulation(76, 3, 20);
         submitServices(simulation, 40, 4);
         simulation.run(30 * SECOND);
+
         assertRules(simulation);
         long large = simulation.cloud.workers().stream()
                 .filter(worker -> worker.type.name().equals("large"))
@@ -165,6 +163,7 @@
         JobSpec job = simulation.jobs.service(4);
         simulation.users.submit(job);
         simulation.run(90 * SECOND);
+
         assertRules(simulation);
         assertTrue(
                 simulation.rules.begunAfter(job.id()) < 45 * SECOND,
@@ -184,6 +183,7 @@
             simulation.after(30 * SECOND + 6L * i * SECOND, () -> simulation.users.submit(job));
         }
         simulation.run(700 * SECOND);
+
         assertRulesAndAllDone(simulation);
         long inTime = jobs.stream()
                 .filter(job -> simulation.rules.finishedAfter(job.id()) <= job.deadlineMicros())
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -5,17 +5,18 @@
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
-import static org.granitepath.simulation.SimulationTest.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.storage.Keys;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reports, commands and transactions that arrive late, twice, or after newer ones. */
+/** Heartbeats, commands and transactions that arrive late, twice, or after newer ones. */
 class DelayedMessagesTest {
     /** Transactions without an answer are carried out late, after newer ones of the same controller. */
     @ParameterizedTest
@@ -47,32 +48,33 @@
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 40 * SECOND);
 
-        int[] muted = new int[1];
+        AtomicInteger muted = new AtomicInteger();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream()
                         .filter(worker -> worker.runs().busy())
                         .limit(6)
                         .forEach(worker -> {
-                            muted[0]++;
+                            muted.incrementAndGet();
                             simulation.faults.mute(worker, simulation.shape.lease() + 10 * SECOND);
                         }));
         leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
         simulation.run(60 * SECOND + simulation.shape.lease(), 400 * SECOND);
 
-        assertTrue(muted[0] > 2, muted[0] + " machines at work fell mute");
+        assertTrue(muted.get() > 2, muted + " machines at work fell mute");
         assertRulesAndAllDone(simulation);
     }
 
-    /** Reports are held back until a new leader has acted, and then arrive there and at the former one. */
+    /** Heartbeats are held back until a new leader has acted, and then arrive there and at the former one. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfBeforeProveNothingToTheNewLeader(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 20 * SECOND);
 
-        int[] met = new int[2];
+        Observation<Integer> heldBack = new Observation<>();
+        Observation<Integer> tokensDrawn = new Observation<>();
         simulation.after(45 * SECOND, () -> {
             int fencingTokens = simulation.store.writesOf(Keys.FENCING_TOKEN);
             String former = simulation.leader();
@@ -80,8 +82,8 @@
                     simulation.cloud.workers().stream().map(SimWorker::latest).toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
-                met[0] = held.size();
-                met[1] = simulation.store.writesOf(Keys.FENCING_TOKEN) - fencingTokens;
+                heldBack.set(held.size());
+                tokensDrawn.set(simulation.store.writesOf(Keys.FENCING_TOKEN) - fencingTokens);
                 held.forEach(heartbeat -> simulation.names.forEach(node -> simulation.faults.deliver(node, heartbeat)));
             });
             simulation.after(3 * simulation.shape.lease(), () -> held.forEach(simulation.faults::deliver));
@@ -89,18 +91,19 @@
         simulation.run(50 * SECOND + 3 * simulation.shape.lease(), 400 * SECOND);
 
         assertTrue(
-                met[0] > 2 && met[1] > 0, met[0] + " reports held back, " + met[1] + " fencing tokens drawn meanwhile");
+                heldBack.get() > 2 && tokensDrawn.get() > 0,
+                heldBack.get() + " heartbeats held back, " + tokensDrawn.get() + " fencing tokens drawn meanwhile");
         assertRulesAndAllDone(simulation);
     }
 
-    /** Old reports arrive after newer ones, also of earlier agent epochs and attempts. */
+    /** Old heartbeats arrive after newer ones, also of earlier agent epochs and attempts. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfEarlierAgentEpochsAndAttemptsProveNothing(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 10, 15 * SECOND);
 
-        int[] delivered = new int[1];
+        AtomicInteger delivered = new AtomicInteger();
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
                 SimWorker worker = simulation.anyWorker();
@@ -109,9 +112,9 @@
                     return;
                 }
                 worker.hangFor(simulation.shape.lease() + 3 * SECOND);
-                for (int k = 1; k < 5; k++) {
-                    simulation.after(k * simulation.shape.lease() / 2, () -> {
-                        delivered[0]++;
+                for (int halfLeases = 1; halfLeases < 5; halfLeases++) {
+                    simulation.after(halfLeases * simulation.shape.lease() / 2, () -> {
+                        delivered.incrementAndGet();
                         simulation.faults.deliver(old);
                     });
                 }
@@ -120,7 +123,7 @@
         leaderEnds(simulation, 60 * SECOND, 300_000);
         simulation.run(80 * SECOND + 2 * simulation.shape.lease(), 500 * SECOND);
 
-        assertTrue(delivered[0] > 10, delivered[0] + " old reports");
+        assertTrue(delivered.get() > 10, delivered + " old heartbeats");
         assertRulesAndAllDone(simulation);
     }
 
@@ -155,22 +158,21 @@
         Simulation simulation = crowded(seed);
         longWork(simulation, 2, 16, 25 * SECOND);
 
-        int[] told = new int[1];
+        Observation<Integer> toldBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
             simulation.heldStarts = 7 * SECOND;
-            told[0] = simulation.rules.cancellationsTold();
+            toldBefore.set(simulation.rules.cancellationsTold());
         });
         for (int i = 0; i < 12; i++) {
             simulation.after((41 + i) * SECOND, () -> simulation.users.cancelRunning(1, 0));
         }
-        simulation.after(55 * SECOND, () -> {
-            simulation.heldStarts = 0;
-            told[0] = simulation.rules.cancellationsTold() - told[0];
-        });
+        simulation.after(55 * SECOND, () -> simulation.heldStarts = 0);
+        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancellationsTold);
         simulation.run(65 * SECOND, 500 * SECOND);
 
-        assertTrue(told[0] > 3, told[0] + " cancellations");
+        int told = toldAfter.get() - toldBefore.get();
+        assertTrue(told > 3, told + " cancellations");
         assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -12,7 +12,6 @@
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.PeerPort;
-import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.CloudCodec;
 import org.granitepath.protocol.Json;
@@ -22,6 +21,7 @@
 import org.granitepath.protocol.WorkerCodec;
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
@@ -40,7 +40,7 @@
     }
 
     /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
-    static EdgeTrace of(World world) {
+    static @Nullable EdgeTrace of(World world) {
         List<EdgeTrace> collector = COLLECTOR.get();
         if (collector == null) {
             return null;
@@ -176,17 +176,9 @@
     }
 
     WorkerPort tracing(String node, WorkerPort port) {
-        return new WorkerPort() {
-            @Override
-            public void send(
-                    String address,
-                    long fencingToken,
-                    long agentEpoch,
-                    List<WorkerCommand> commands,
-                    Consumer<Reply> then) {
-                add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands));
-                port.send(address, fencingToken, agentEpoch, commands, then);
-            }
+        return (address, fencingToken, agentEpoch, commands, then) -> {
+            add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands));
+            port.send(address, fencingToken, agentEpoch, commands, then);
         };
     }
 
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -12,7 +12,7 @@
     static final Shape LONG = Shape.small()
             .withControllers(5)
             .withPerOffer(4)
-            .withReport(3 * SECOND)
+            .withHeartbeatInterval(3 * SECOND)
             .withLease(27 * SECOND)
             .withCancel(52 * SECOND)
             .withRequestsPerSecond(150)
@@ -23,7 +23,7 @@
     static final Shape SHORT = Shape.small()
             .withControllers(5)
             .withPerOffer(4)
-            .withReport(2 * SECOND)
+            .withHeartbeatInterval(2 * SECOND)
             .withLease(13 * SECOND)
             .withCancel(33 * SECOND)
             .withRequestsPerSecond(300)
@@ -51,6 +51,25 @@
         return seed % 2 == 0 ? World.Cut.HOLD : World.Cut.DROP;
     }
 
+    /** A small deployment, to which users submit this many random jobs until this time. */
+    static Simulation withJobs(long seed, int jobs, long untilMicros) {
+        return withJobs(new Simulation(seed), jobs, untilMicros);
+    }
+
+    /** The same in this deployment. Services are cancelled after a minute, other work at times. */
+    static Simulation withJobs(Simulation simulation, int jobs, long untilMicros) {
+        for (int i = 0; i < jobs; i++) {
+            simulation.after(2 * SECOND + (long) (simulation.world.random.nextDouble() * untilMicros), () -> {
+                JobSpec spec = simulation.jobs.randomJob();
+                simulation.users.submit(
+                        spec,
+                        spec.service() ? 60 * SECOND : simulation.world.random.nextInt(6) == 0 ? 12 * SECOND : -1);
+                simulation.users.pollUnknownJob();
+            });
+        }
+        return simulation;
+    }
+
     static void submitServices(Simulation simulation, int count, int replicas) {
         for (int i = 0; i < count; i++) {
             simulation.users.submit(simulation.jobs.service(replicas));
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.SimulationTest.assertRules;
+import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -37,15 +37,17 @@
         simulation.after(38 * SECOND, () -> {
             faulty.addAll(
                     simulation.cloud.workers().stream().limit(FAULTY_MACHINES).toList());
-            faulty.forEach(worker -> worker.faulty = true);
+            faulty.forEach(SimWorker::becomeFaulty);
         });
         simulation.run(220 * SECOND);
+
         assertRules(simulation);
-        int failures = faulty.stream().mapToInt(worker -> worker.failures).sum();
+        int failures = faulty.stream().mapToInt(SimWorker::failures).sum();
         assertTrue(failures >= FAULTY_MACHINES / 2, failures + " failures");
         for (SimWorker worker : faulty) {
             assertTrue(
-                    worker.failures <= MOST_FAILURES_OF_A_MACHINE, worker.failures + " tasks failed on " + worker.id);
+                    worker.failures() <= MOST_FAILURES_OF_A_MACHINE,
+                    worker.failures() + " tasks failed on " + worker.id);
         }
         for (JobSpec job : jobs) {
             assertTrue(
@@ -72,9 +74,10 @@
             }
         });
         simulation.run(180 * SECOND);
+
         assertRules(simulation);
         int failures = simulation.cloud.workers().stream()
-                .mapToInt(worker -> worker.failures)
+                .mapToInt(SimWorker::failures)
                 .sum();
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
         long left = before.stream().filter(worker -> !worker.alive()).count();
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -15,7 +15,7 @@
 class FleetTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Many machines, reports every five seconds, few writes. */
+    /** Many machines, a heartbeat every five seconds, few writes. */
     @Test
     void aThousandAndSevenHundredMachines() {
         day(
@@ -23,7 +23,7 @@
                         1,
                         FaultScenarios.LONG
                                 .withPerOffer(213)
-                                .withReport(5 * SECOND)
+                                .withHeartbeatInterval(5 * SECOND)
                                 .withConnections(1_519)),
                 1_500);
     }
@@ -41,32 +41,33 @@
     @Test
     void fourThousandMachinesAfterAColdRestart() {
         Simulation simulation = RecoveryLoad.fleet(3, RecoveryLoad.Size.LARGE);
-        int[] running = new int[1];
-        int[] refusals = new int[1];
+        Observation<Long> running = new Observation<>();
+        Observation<Integer> refusalsBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
-            running[0] = (int) simulation.rules.tasksUp();
-            refusals[0] = simulation.store.refusals;
+            running.set(simulation.rules.tasksUp());
+            refusalsBefore.set(simulation.store.refusals);
             simulation.faults.crashAll(SECOND);
         });
         simulation.run(RecoveryLoad.RESTART + 30 * SECOND);
+
         RecoveryStatus status = simulation.recovery();
         assertEquals(RecoveryPhase.RECOVERED, status.phase());
         assertTrue(
                 status.term().machines().takenOver() >= 4_000,
                 status.term().machines().takenOver() + " machines");
-        assertTrue(running[0] >= 10_000, running[0] + " tasks");
-        // Some eight reports of each machine in that time, each listing what runs there.
-        assertTrue(
-                status.term().comparisons() < 12L * running[0],
-                status.term().comparisons() + " comparisons of " + running[0] + " tasks");
+        assertTrue(running.get() >= 10_000, running.get() + " tasks");
+        // Some eight heartbeats of each machine in that time, each listing what runs there.
         assertTrue(
-                simulation.store.refusals - refusals[0] < 150,
-                (simulation.store.refusals - refusals[0]) + " requests came too fast");
+                status.term().comparisons() < 12L * running.get(),
+                status.term().comparisons() + " comparisons of " + running.get() + " tasks");
+        int refusals = simulation.store.refusals - refusalsBefore.get();
+        assertTrue(refusals < 150, refusals + " requests came too fast");
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
         assertEquals(0, simulation.store.oversized, "a transaction or a value over its limit");
         simulation.run(RecoveryLoad.RESTART + 90 * SECOND);
+
         assertEquals(
                 List.of(), simulation.rules.broken.stream().distinct().limit(5).toList());
     }
@@ -83,11 +84,9 @@
                     3 * SECOND + 3L * i * SECOND / 2,
                     () -> simulation.users.submit(simulation.jobs.batch(machines / 4, 60 * SECOND)));
         }
-        int[] most = new int[1];
-        simulation.after(70 * SECOND, () -> {
-            most[0] = simulation.cloud.workers().size();
-            simulation.faults.freeze(simulation.leader(), 33 * SECOND);
-        });
+        Observation<Integer> machinesUp =
+                simulation.observe(70 * SECOND, () -> simulation.cloud.workers().size());
+        simulation.after(70 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 33 * SECOND));
         simulation.after(112 * SECOND, () -> simulation.faults.cutZone("south", World.Cut.HOLD, 30 * SECOND));
         leaderEnds(simulation, 118 * SECOND, 300_000);
         simulation.after(
@@ -95,9 +94,10 @@
                 () -> simulation.names.forEach(
                         node -> simulation.faults.crash(node, 300_000 + simulation.world.random.nextInt(4_000_000))));
         simulation.run(170 * SECOND, 400 * SECOND);
+
         assertEquals(
                 List.of(), simulation.rules.broken.stream().distinct().limit(5).toList());
-        assertTrue(most[0] >= machines, "only " + most[0] + " machines");
+        assertTrue(machinesUp.get() >= machines, "only " + machinesUp.get() + " machines");
         assertEquals(List.of(), simulation.users.unfinishedBatches());
         simulation.rules.checkServed();
         assertEquals(List.of(), simulation.rules.broken);
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -1,9 +1,13 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.SimulationTest.assertRules;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
+import static org.granitepath.simulation.SimulationAssertions.assertRules;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicLong;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,7 +21,7 @@
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
         return simulation.jobs.withoutDeadline(
-                simulation.jobs.job(false, tasks, Priority.STANDARD, team, true, false, false, runMicros, 0));
+                simulation.jobs.work(tasks, runMicros).team(team).onSpot().create());
     }
 
     /**
@@ -31,9 +35,9 @@
         for (int i = 0; i < 2; i++) {
             simulation.users.submit(wide(simulation, "free", 35, 150 * SECOND));
         }
-        long[] used = new long[3];
+        Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            used[0] = simulation.rules.usedBy("free");
+            usedBefore.set(simulation.rules.usedBy("free"));
             if (seed % 2 == 1) {
                 simulation.faults.crash(simulation.leader(), 300_000);
             }
@@ -42,16 +46,21 @@
             simulation.after(SECOND, () -> simulation.users.submit(wide(simulation, "granted", 5, 30 * SECOND)));
         });
         long within = seed % 2 == 1 ? 16 : 10;
+        AtomicLong mostGranted = new AtomicLong();
+        Observation<Long> usedAfter = new Observation<>();
         for (long i = 1; i <= within; i++) {
             simulation.after((60 + i) * SECOND, () -> {
-                used[1] = Math.max(used[1], simulation.rules.usedBy("granted"));
-                used[2] = simulation.rules.usedBy("free");
+                mostGranted.accumulateAndGet(simulation.rules.usedBy("granted"), Math::max);
+                usedAfter.set(simulation.rules.usedBy("free"));
             });
         }
         simulation.run(80 * SECOND, 900 * SECOND);
-        assertTrue(used[0] > 20_000, "the others use only " + used[0]);
-        assertTrue(used[1] >= 16_000, "the guaranteed team uses " + used[1]);
-        assertTrue(used[2] >= used[0] - 20_000, "the others were left " + used[2] + " of " + used[0]);
+
+        assertTrue(usedBefore.get() > 20_000, "the others use only " + usedBefore.get());
+        assertTrue(mostGranted.get() >= 16_000, "the guaranteed team uses " + mostGranted);
+        assertTrue(
+                usedAfter.get() >= usedBefore.get() - 20_000,
+                "the others were left " + usedAfter.get() + " of " + usedBefore.get());
         assertRulesAndAllDone(simulation);
     }
 
@@ -63,24 +72,34 @@
         simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
         // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
         // once.
-        simulation.users.submit(simulation.jobs.withoutDeadline(
-                simulation.jobs.job(false, 10, Priority.BEST_EFFORT, "lender", true, false, false, 300 * SECOND, 0)));
-        long[] lent = {0, Long.MAX_VALUE, 0};
+        simulation.users.submit(simulation.jobs.withoutDeadline(simulation
+                .jobs
+                .work(10, 300 * SECOND)
+                .priority(Priority.BEST_EFFORT)
+                .team("lender")
+                .onSpot()
+                .create()));
+        Observation<Long> usedByLender = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            lent[0] = simulation.rules.usedBy("lender");
+            usedByLender.set(simulation.rules.usedBy("lender"));
             simulation.users.submit(wide(simulation, "free", 40, 300 * SECOND));
         });
         simulation.after(75 * SECOND, () -> simulation.users.submit(wide(simulation, "granted", 8, 60 * SECOND)));
+        AtomicLong leastLeft = new AtomicLong(Long.MAX_VALUE);
+        AtomicLong mostGranted = new AtomicLong();
         for (long i = 1; i <= 12; i++) {
             simulation.after((75 + i) * SECOND, () -> {
-                lent[1] = Math.min(lent[1], simulation.rules.usedBy("lender"));
-                lent[2] = Math.max(lent[2], simulation.rules.usedBy("granted"));
+                leastLeft.accumulateAndGet(simulation.rules.usedBy("lender"), Math::min);
+                mostGranted.accumulateAndGet(simulation.rules.usedBy("granted"), Math::max);
             });
         }
         simulation.run(90 * SECOND);
+
         assertRules(simulation);
-        assertTrue(lent[0] == 20_000 && lent[2] >= 16_000, "the lender used " + lent[0] + ", the other got " + lent[2]);
-        assertTrue(lent[1] >= 16_000, "the lender was left " + lent[1]);
+        assertTrue(
+                usedByLender.get() == 20_000 && mostGranted.get() >= 16_000,
+                "the lender used " + usedByLender.get() + ", the other got " + mostGranted);
+        assertTrue(leastLeft.get() >= 16_000, "the lender was left " + leastLeft);
     }
 
     /** A team with many jobs at once: guaranteed work of another does not wait behind the swarm. */
@@ -91,13 +110,14 @@
         for (int i = 0; i < 40; i++) {
             simulation.users.submit(wide(simulation, "free", 5, 12 * SECOND));
         }
-        JobSpec[] granted = new JobSpec[6];
-        for (int i = 0; i < granted.length; i++) {
-            granted[i] = wide(simulation, "granted", 3, 10 * SECOND);
-            JobSpec job = granted[i];
+        List<JobSpec> granted = new ArrayList<>();
+        for (int i = 0; i < 6; i++) {
+            JobSpec job = wide(simulation, "granted", 3, 10 * SECOND);
+            granted.add(job);
             simulation.after((30 + 12 * i) * SECOND, () -> simulation.users.submit(job));
         }
         simulation.run(300 * SECOND);
+
         assertRules(simulation);
         for (JobSpec job : granted) {
             assertTrue(
@@ -115,23 +135,29 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
-        JobSpec like = simulation.jobs.job(false, 1, Priority.STANDARD, "free", false, false, false, 600 * SECOND, 0);
+        JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         simulation.users.submit(
                 wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
         boolean guaranteed = seed % 2 == 1;
-        JobSpec job = simulation.jobs.job(
-                false, 2, Priority.STANDARD, guaranteed ? "granted" : "free", true, false, false, 300 * SECOND, 0);
+        JobSpec job = simulation
+                .jobs
+                .work(2, 300 * SECOND)
+                .team(guaranteed ? "granted" : "free")
+                .onSpot()
+                .create();
         JobSpec urgent = guaranteed ? job : simulation.jobs.ofClass(job, Simulation.PROMPT);
-        long[] used = new long[2];
+        Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            used[0] = simulation.rules.usedBy("free");
+            usedBefore.set(simulation.rules.usedBy("free"));
             simulation.users.submit(urgent);
         });
-        simulation.after(80 * SECOND, () -> used[1] = simulation.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
+        Observation<Long> usedAfter =
+                simulation.observe(80 * SECOND, () -> simulation.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
         simulation.run(90 * SECOND);
+
         assertRules(simulation);
-        assertTrue(used[1] == used[0], "the others use " + used[1] + " after " + used[0]);
+        assertEquals(usedBefore.get(), usedAfter.get(), "what the others use");
         assertTrue(
                 simulation.rules.begunAfter(urgent.id()) < 6 * SECOND,
                 "begun after " + simulation.rules.begunAfter(urgent.id()) / 1e6 + " s");
@@ -153,6 +179,7 @@
             simulation.after(30 * SECOND + 700_000L * i, () -> simulation.users.submit(granted));
         }
         simulation.run(200 * SECOND);
+
         assertRules(simulation);
         int most = simulation.rules.mostStartsOfATask();
         assertTrue(most > 1 && most <= MOST_STARTS, "one task was started " + most + " times");
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -0,0 +1,154 @@
+package org.granitepath.simulation;
+
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
+import org.jspecify.annotations.Nullable;
+
+/** What users sent and were told of each job, and what machines did for it. Each rule compares parts of it. */
+final class JobHistory {
+    /** Stands for the time of what has not happened: later than any run ends, and safe to subtract from. */
+    private static final long NEVER = Long.MAX_VALUE / 2;
+
+    private final World world;
+    private final Map<String, JobSpec> submitted = new HashMap<>();
+    private final Map<String, Long> submittedAt = new LinkedHashMap<>();
+    private final Set<String> accepted = new HashSet<>();
+    private final Set<String> cancellationAsked = new HashSet<>();
+    private final Map<String, JobState> finalTold = new HashMap<>();
+    private final Map<String, Set<Integer>> completed = new HashMap<>();
+    private final Map<String, Long> begunAt = new HashMap<>();
+    private final Map<String, Long> completedAt = new HashMap<>();
+    private final Map<TaskId, Integer> startsSent = new HashMap<>();
+    private final Map<String, Long> startSentAt = new HashMap<>();
+
+    JobHistory(World world) {
+        this.world = world;
+    }
+
+    // ---- users -------------------------------------------------------------------------------------------------
+
+    void submitted(JobSpec spec) {
+        submitted.putIfAbsent(spec.id(), spec);
+        submittedAt.putIfAbsent(spec.id(), world.now());
+    }
+
+    boolean wasSubmitted(String job) {
+        return submitted.containsKey(job);
+    }
+
+    JobSpec spec(String job) {
+        return submitted.get(job);
+    }
+
+    /** All submitted jobs, in the order of their submission. */
+    Set<String> submittedJobs() {
+        return Collections.unmodifiableSet(submittedAt.keySet());
+    }
+
+    long submittedAt(String job) {
+        return submittedAt.get(job);
+    }
+
+    void accepted(String job) {
+        accepted.add(job);
+    }
+
+    boolean wasAccepted(String job) {
+        return accepted.contains(job);
+    }
+
+    Set<String> acceptedJobs() {
+        return Collections.unmodifiableSet(accepted);
+    }
+
+    void cancellationAsked(String job) {
+        cancellationAsked.add(job);
+    }
+
+    boolean wasCancellationAsked(String job) {
+        return cancellationAsked.contains(job);
+    }
+
+    /** A user was told this final state; returns what was told before. */
+    @Nullable
+    JobState finalTold(String job, JobState state) {
+        return finalTold.put(job, state);
+    }
+
+    /** The final state that users were told last; null while they were told none. */
+    @Nullable
+    JobState finalTold(String job) {
+        return finalTold.get(job);
+    }
+
+    /** How many jobs users believe to be cancelled. */
+    int cancellationsTold() {
+        return (int) finalTold.values().stream()
+                .filter(state -> state == JobState.CANCELLED)
+                .count();
+    }
+
+    // ---- controllers -------------------------------------------------------------------------------------------
+
+    /** A controller sends the command to start this task. */
+    void startSent(TaskId task) {
+        startsSent.merge(task, 1, Integer::sum);
+        startSentAt.put(task.job(), world.now());
+    }
+
+    /** When the last start of the job was sent; zero when none was. */
+    long lastStartSentAt(String job) {
+        return startSentAt.getOrDefault(job, 0L);
+    }
+
+    /** How often the start of the task that was started most often was sent. */
+    int mostStartsOfATask() {
+        return startsSent.values().stream().max(Integer::compare).orElse(0);
+    }
+
+    // ---- machines ----------------------------------------------------------------------------------------------
+
+    /** A task of the job is on a machine. */
+    void begun(String job) {
+        begunAt.putIfAbsent(job, world.now());
+    }
+
+    boolean hasBegun(String job) {
+        return begunAt.containsKey(job);
+    }
+
+    /** From submission to the first start on a machine, or until now. */
+    long waitedForBegin(String job) {
+        return begunAt.getOrDefault(job, world.now()) - submittedAt.get(job);
+    }
+
+    /** From submission to the first start on a machine; beyond all bounds when there was none. */
+    long begunAfter(String job) {
+        return begunAt.getOrDefault(job, NEVER) - submittedAt.get(job);
+    }
+
+    /** A task has its result. Returns whether it is the last one that its job lacked. */
+    boolean completed(TaskId task) {
+        completedAt.put(task.job(), world.now());
+        Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
+        return done.add(task.index())
+                && done.size() == submitted.get(task.job()).tasks();
+    }
+
+    /** How many tasks of the job have their result. */
+    int completedTasks(String job) {
+        return completed.getOrDefault(job, Set.of()).size();
+    }
+
+    /** From submission to the last result so far; beyond all bounds when there is none. */
+    long finishedAfter(String job) {
+        return completedAt.getOrDefault(job, NEVER) - submittedAt.get(job);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -0,0 +1,117 @@
+package org.granitepath.simulation;
+
+import static org.granitepath.simulation.FaultScenarios.submitBatches;
+import static org.granitepath.simulation.SimulationAssertions.assertRules;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Machines that neither hear nor are heard, or no longer exist: they are not filled again and again. */
+class MachineIsolationTest {
+    private static final long SECOND = Simulation.SECOND;
+    private static final long TASK_CPU_MILLIS = 2_000;
+
+    /** A machine that is about to be isolated, and how many starts were sent to it before. */
+    private record FilledMachine(SimWorker worker, int startsBefore) {
+        static FilledMachine now(Simulation simulation, SimWorker worker) {
+            return new FilledMachine(worker, simulation.commands.startsOf(worker.id));
+        }
+
+        void assertFilledAtMostTwice(Simulation simulation) {
+            int slots = (int) (worker.type.cpuMillis() / TASK_CPU_MILLIS);
+            int filled = simulation.commands.startsOf(worker.id) - startsBefore;
+            assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
+        }
+    }
+
+    /**
+     * One direction only: heartbeats arrive, but answers and commands don't, or the other way round. Such a machine is
+     * not filled again and again, but given back, while work waits all the time that would fit on it.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {11, 12, 13, 14})
+    void machineCutInOneDirectionIsGivenBack(long seed) {
+        Simulation simulation = new Simulation(seed, 3, 2);
+
+        for (int i = 0; i < 12; i++) {
+            simulation.after(
+                    2 * SECOND + 8L * i * SECOND, () -> simulation.users.submit(simulation.jobs.batch(40, 8 * SECOND)));
+        }
+        Observation<FilledMachine> observed = new Observation<>();
+        simulation.after(40 * SECOND, () -> {
+            SimWorker worker = simulation.anyWorker();
+            observed.set(FilledMachine.now(simulation, worker));
+            if (seed % 2 == 0) {
+                simulation.faults.deafen(worker, 150 * SECOND);
+            } else {
+                simulation.faults.mute(worker, 150 * SECOND);
+            }
+        });
+        simulation.run(200 * SECOND, 700 * SECOND);
+
+        assertRulesAndAllDone(simulation);
+        assertFalse(observed.get().worker().alive(), "it is to be returned");
+        observed.get().assertFilledAtMostTwice(simulation);
+    }
+
+    /**
+     * So many machines stop hearing at once that their missing heartbeats are not trusted: they are not filled again
+     * and again either.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {16, 17})
+    void machinesThatStopHearingAreNotFilledAgain(long seed) {
+        Simulation simulation = new Simulation(seed, 3, 1);
+        submitBatches(simulation, 8, 200, 8 * SECOND);
+
+        List<FilledMachine> deaf = new ArrayList<>();
+        simulation.after(
+                45 * SECOND,
+                () -> simulation.cloud.workers().stream().limit(5).forEach(worker -> {
+                    deaf.add(FilledMachine.now(simulation, worker));
+                    simulation.faults.deafen(worker, 80 * SECOND);
+                }));
+        simulation.run(125 * SECOND);
+
+        deaf.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
+
+        simulation.run(130 * SECOND, 700 * SECOND);
+
+        assertRulesAndAllDone(simulation);
+    }
+
+    /** A heartbeat of a machine that is gone arrives once more, much later: nothing is placed there. */
+    @Test
+    void lateHeartbeatOfAMachineThatIsGoneBringsItNoWork() {
+        Simulation simulation = new Simulation(15, 3, 1);
+
+        simulation.after(2 * SECOND, () -> simulation.users.submit(simulation.jobs.batch(900, 8 * SECOND)));
+        Observation<SimWorker> gone = new Observation<>();
+        Observation<Integer> startsBefore = new Observation<>();
+        simulation.after(40 * SECOND, () -> {
+            SimWorker worker = simulation.anyWorker();
+            gone.set(worker);
+            Heartbeat late = worker.latest();
+            worker.die();
+            simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startsOf(worker.id)));
+            for (int i = 31; i < 60; i += 7) {
+                simulation.after(i * SECOND, () -> simulation.faults.deliver(late));
+            }
+        });
+        simulation.run(110 * SECOND);
+
+        assertRules(simulation);
+        assertEquals(
+                startsBefore.get(),
+                simulation.commands.startsOf(gone.get().id),
+                "work was placed on a machine that is gone");
+    }
+}
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -3,14 +3,13 @@
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
-import static org.granitepath.simulation.SimulationTest.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
-import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -35,16 +34,12 @@
         for (int i = 0; i < 10; i++) {
             simulation.after(
                     (5 + 14 * i) * SECOND,
-                    () -> simulation.users.submit(simulation.jobs.job(
-                            false,
-                            1 + simulation.world.random.nextInt(8),
-                            Priority.STANDARD,
-                            simulation.world.random.nextBoolean() ? "granted" : "lender",
-                            true,
-                            false,
-                            false,
-                            15 * SECOND,
-                            0)));
+                    () -> simulation.users.submit(simulation
+                            .jobs
+                            .work(1 + simulation.world.random.nextInt(8), 15 * SECOND)
+                            .team(simulation.world.random.nextBoolean() ? "granted" : "lender")
+                            .onSpot()
+                            .create()));
         }
         List<Consumer<Simulation>> troubles = troubles();
         for (int i = 0; i < 3; i++) {
@@ -55,6 +50,7 @@
             simulation.after(at + simulation.world.random.nextInt(6_000_000), () -> other.accept(simulation));
         }
         simulation.run(250 * SECOND, 650 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -35,7 +35,7 @@
                 seed,
                 FaultScenarios.LONG
                         .withPerOffer(size.machines / OFFERS + size.machines / 100)
-                        .withReport(5 * SECOND)
+                        .withHeartbeatInterval(5 * SECOND)
                         .withConnections(Math.max(1_000, size.machines)));
         for (int i = 0; i < size.services; i++) {
             simulation.users.submit(simulation.jobs.service(SERVICE_REPLICAS));
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.concurrent.atomic.AtomicLong;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.recovery.RecoveryStatus;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -67,10 +68,11 @@
     private static Figures measure(long seed, RecoveryLoad.Size size, boolean machinesDie, long hold) {
         Simulation simulation = RecoveryLoad.fleet(seed, size);
         simulation.recoveryHold = hold;
-        int[] before = new int[2];
+        Observation<Integer> requestsBefore = new Observation<>();
+        Observation<Integer> writesBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
-            before[0] = simulation.store.requests;
-            before[1] = simulation.store.writes;
+            requestsBefore.set(simulation.store.requests);
+            writesBefore.set(simulation.store.writes);
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
@@ -80,17 +82,17 @@
                 workers.get(i).die();
             }
         });
-        long[] lastVerdict = {-1};
+        AtomicLong lastVerdict = new AtomicLong(-1);
         simulation.run(RecoveryLoad.RESTART);
         simulation.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
             RecoveryStatus status =
-                    simulation.world.now() % 20 == 0 && lastVerdict[0] < 0 ? simulation.recovery() : null;
+                    simulation.world.now() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
             if (status != null && status.term().fencingToken() > 1 && status.machinesMissing() == 0) {
-                lastVerdict[0] = simulation.world.now();
+                lastVerdict.set(simulation.world.now());
             }
         });
-        int requests = simulation.store.requests - before[0];
-        int writes = simulation.store.writes - before[1];
+        int requests = simulation.store.requests - requestsBefore.get();
+        int writes = simulation.store.writes - writesBefore.get();
         simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
         List<Long> live = times(simulation, starts, true);
@@ -99,7 +101,7 @@
                 seconds(live.isEmpty() ? -1 : live.get(0)),
                 seconds(live.isEmpty() ? -1 : live.get(live.size() - 1)),
                 seconds(batch.isEmpty() ? -1 : batch.get(0)),
-                seconds(lastVerdict[0]),
+                seconds(lastVerdict.get()),
                 requests,
                 writes);
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -1,14 +1,17 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.SimulationTest.assertRules;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
+import static org.granitepath.simulation.RecoveryScenarios.HOLD;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART;
+import static org.granitepath.simulation.RecoveryScenarios.busy;
+import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.SimulationAssertions.assertRules;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.List;
-import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryStatus;
@@ -23,8 +26,6 @@
 /** All controllers end and come back while records can't be read, other troubles strike, or they end once more. */
 class RecoveryTroublesTest {
     private static final long SECOND = Simulation.SECOND;
-    private static final long RESTART = RecoveryTest.RESTART;
-    private static final long HOLD = RecoveryTest.HOLD;
 
     // ---- records ----------------------------------------------------------------------------------------------
 
@@ -32,20 +33,21 @@
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB, Keys.PROGRESS, Keys.FINAL})
     void recordsThatCannotBeRead(String prefix) {
-        Simulation simulation = RecoveryTest.busy(1);
+        Simulation simulation = busy(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
         simulation.users.submit(job);
         String key = prefix + job.id();
         String garbage = "{\"spec\":7,\"done\":\"x\",\"how\":[],\"claimed\":6}";
-        long[] before = new long[1];
+        Observation<Long> before = new Observation<>();
         simulation.after(RESTART, () -> {
-            RecoveryTest.restart(simulation, false);
+            restart(simulation, false);
             simulation.store.plant(key, garbage);
-            before[0] = running(simulation, job);
+            before.set(running(simulation, job));
         });
         simulation.run(RESTART + 100 * SECOND);
-        assertTrue(before[0] > 0, "the job does not run");
-        assertEquals(before[0], running(simulation, job), "tasks of a job that can't be judged were stopped");
+
+        assertTrue(before.get() > 0, "the job does not run");
+        assertEquals(before.get(), running(simulation, job), "tasks of a job that can't be judged were stopped");
         assertTrue(
                 simulation.commands.startsSince(RESTART).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
@@ -53,6 +55,7 @@
         assertTrue(simulation.store.holds(key, garbage), "it was written over");
         assertTrue(simulation.recovery().unreadableRecords() > 0);
         simulation.run(400 * SECOND);
+
         assertRules(simulation);
         assertEquals(
                 List.of(),
@@ -71,18 +74,20 @@
     /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
     @Test
     void aPartOfTheInventoryThatCannotBeRead() {
-        Simulation simulation = RecoveryTest.busy(2);
+        Simulation simulation = busy(2);
         String key = Keys.INVENTORY + "0";
         simulation.after(RESTART, () -> {
-            RecoveryTest.restart(simulation, false);
+            restart(simulation, false);
             simulation.store.plant(key, "{\"hosts\":[7]}");
         });
         simulation.run(RESTART + 60 * SECOND);
+
         RecoveryStatus status = simulation.recovery();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
         assertTrue(simulation.store.holds(key, "{\"hosts\":[7]}"), "it was written over");
         simulation.run(300 * SECOND);
+
         assertRules(simulation);
     }
 
@@ -90,24 +95,28 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledAndSubmittedJustBefore(long seed) {
-        Simulation simulation = RecoveryTest.busy(seed);
+        Simulation simulation = busy(seed);
         simulation.cancelledAtEnd = 0.3;
-        List<JobSpec> short_ = new ArrayList<>();
+        List<JobSpec> shortJobs = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             long at = RESTART - SECOND + i * 50_000L;
-            JobSpec spec =
-                    simulation.jobs.job(i % 4 == 0, 4, Priority.STANDARD, "free", true, false, false, 5 * SECOND, 0);
-            short_.add(spec);
+            JobSpec spec = new JobBuilder(simulation.jobs, i % 4 == 0, 4)
+                    .estimate(5 * SECOND)
+                    .priority(Priority.STANDARD)
+                    .onSpot()
+                    .create();
+            shortJobs.add(spec);
             simulation.after(at, () -> simulation.users.submit(spec, spec.service() ? 20 * SECOND : -1));
         }
         simulation.after(
                 RESTART - 100_000 - simulation.world.random.nextInt(400_000),
                 () -> simulation.users.cancelRunning(4, 0));
-        simulation.after(RESTART, () -> RecoveryTest.restart(simulation, seed % 2 == 0));
+        simulation.after(RESTART, () -> restart(simulation, seed % 2 == 0));
         simulation.run(RESTART + 100 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
         assertTrue(simulation.rules.cancellationsTold() > 0);
-        assertTrue(short_.stream().allMatch(spec -> simulation.rules.acceptedJob(spec.id())));
+        assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.acceptedJob(spec.id())));
     }
 
     // ---- troubles meanwhile ------------------------------------------------------------------------------------
@@ -116,9 +125,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void theStateServiceIsAwayOrSlow(long seed) {
-        Simulation simulation = RecoveryTest.busy(seed);
+        Simulation simulation = busy(seed);
         simulation.after(RESTART, () -> {
-            RecoveryTest.restart(simulation, false);
+            restart(simulation, false);
             switch ((int) seed % 3) {
                 case 0 -> simulation.store.outage(8 * SECOND);
                 case 1 ->
@@ -129,54 +138,82 @@
             simulation.after(20 * SECOND, () -> simulation.store.lateWrites = 0);
         });
         simulation.run(RESTART + 30 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
+    /** What strikes in the middle of a recovery. */
+    private enum Trouble {
+        ALL_END(17),
+        LEADER_ENDS(18),
+        LEADER_STANDS_STILL(19);
+
+        private final long seed;
+
+        Trouble(long seed) {
+            this.seed = seed;
+        }
+    }
+
     /** In each phase of a recovery everybody ends once more, or the leader alone, or it stands still. */
     @ParameterizedTest
     @EnumSource(RecoveryPhase.class)
     void endedAgainInEachPhase(RecoveryPhase phase) {
-        for (int how = 0; how < 3; how++) {
-            Simulation simulation = RecoveryTest.busy(17 + how);
-            int blow = how;
+        for (Trouble trouble : Trouble.values()) {
+            Simulation simulation = busy(trouble.seed);
             simulation.recoveryHold = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
-            simulation.after(RESTART, () -> {
-                RecoveryTest.restart(simulation, false);
-                int silent = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
-                simulation.cloud.workers().stream()
-                        .limit(silent)
-                        .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 20 * SECOND));
-                simulation.cloud.workers().forEach(worker -> worker.endTasks(spec -> spec.service(), Cause.STOPPED));
-            });
-            Map<RecoveryPhase, Integer> ended = new EnumMap<>(RecoveryPhase.class);
-            simulation.world.run(RESTART + 60 * SECOND, () -> {
-                simulation.rules.check();
-                RecoveryStatus status = simulation.world.now() > RESTART ? simulation.recovery(phase) : null;
-                if (status != null && ended.getOrDefault(phase, 0) < 2) {
-                    ended.merge(phase, 1, Integer::sum);
-                    simulation
-                            .cloud
-                            .workers()
-                            .forEach(worker -> worker.endTasks(spec -> spec.service(), Cause.STOPPED));
-                    switch (blow) {
-                        case 0 -> simulation.faults.crashAll(SECOND);
-                        case 1 -> simulation.faults.crash(status.node(), 100_000);
-                        default -> simulation.faults.freeze(status.node(), 6 * SECOND);
-                    }
-                }
-            });
+            simulation.after(RESTART, () -> restartAndLoseReplicas(simulation, phase));
+
+            int met = strikeTwice(simulation, phase, trouble);
+
             // Where no machine has capacity for what goes first, its phase is over within one step.
             int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
-            assertTrue(ended.getOrDefault(phase, 0) >= least, "recoveries that were met in " + phase + ", " + how);
+            assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
             simulation.run(RESTART + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
     }
 
+    private static void restartAndLoseReplicas(Simulation simulation, RecoveryPhase phase) {
+        restart(simulation, false);
+        int unreachable = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
+        simulation.cloud.workers().stream()
+                .limit(unreachable)
+                .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 20 * SECOND));
+        endReplicas(simulation);
+    }
+
+    private static void endReplicas(Simulation simulation) {
+        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, Cause.STOPPED));
+    }
+
+    /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
+    private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
+        AtomicInteger met = new AtomicInteger();
+        simulation.world.run(RESTART + 60 * SECOND, () -> {
+            simulation.rules.check();
+            RecoveryStatus status = simulation.world.now() > RESTART ? simulation.recovery(phase) : null;
+            if (status != null && met.get() < 2) {
+                met.incrementAndGet();
+                endReplicas(simulation);
+                strike(simulation, status.node(), trouble);
+            }
+        });
+        return met.get();
+    }
+
+    private static void strike(Simulation simulation, String leader, Trouble trouble) {
+        switch (trouble) {
+            case ALL_END -> simulation.faults.crashAll(SECOND);
+            case LEADER_ENDS -> simulation.faults.crash(leader, 100_000);
+            case LEADER_STANDS_STILL -> simulation.faults.freeze(leader, 6 * SECOND);
+        }
+    }
+
     /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
     @Test
     void controllersThatCannotTellSaySo() {
-        Simulation simulation = RecoveryTest.busy(3);
+        Simulation simulation = busy(3);
         simulation.run(RESTART);
         String leader = simulation.leader();
         assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryAt(leader).role());
@@ -189,6 +226,7 @@
         simulation.faults.cut(leader, SimStore.NAME, World.Cut.DROP, 60 * SECOND);
         simulation.faults.cut(other, SimStore.NAME, World.Cut.DROP, 60 * SECOND);
         simulation.run(RESTART + 6 * SECOND);
+
         assertEquals(
                 RecoveryStatus.Role.LEADING_UNCONFIRMED,
                 simulation.recoveryAt(leader).role());
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -0,0 +1,139 @@
+package org.granitepath.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.coordination.ports.Heartbeat;
+import org.granitepath.coordination.ports.HeartbeatResponse;
+import org.granitepath.coordination.ports.JobResponse;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
+import org.granitepath.storage.MachineType;
+import org.granitepath.storage.Priority;
+
+/**
+ * The rules of one team of three CPUs, whose cancelled tasks may go on for ten seconds. Three jobs of two tasks are
+ * submitted: one that may run anywhere, one that is spread over zones, and one that stays in a zone.
+ */
+final class RulesFixture {
+    static final String ANYWHERE = "run-1";
+    static final String SPREAD = "run-2";
+    static final String ONE_ZONE = "run-3";
+    static final String TEAM = "t";
+
+    private static final int TASKS = 2;
+    private static final long RUN_MICROS = 1_000_000;
+    private static final long LONG_RUN_MICROS = 300_000_000;
+
+    private final World world = new World(1);
+    private final Rules rules = new Rules(world, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
+
+    RulesFixture() {
+        rules.submitting(spec(ANYWHERE, TASKS, false, false, RUN_MICROS));
+        rules.submitting(spec(SPREAD, TASKS, true, false, RUN_MICROS));
+        rules.submitting(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
+    }
+
+    World world() {
+        return world;
+    }
+
+    Rules rules() {
+        return rules;
+    }
+
+    private static JobSpec spec(String id, int tasks, boolean spread, boolean oneZone, long runMicros) {
+        return new JobSpec(
+                id,
+                "c",
+                TEAM,
+                JobSpec.Shape.BATCH,
+                Priority.HIGH,
+                tasks,
+                1_000,
+                0,
+                1_000,
+                "i",
+                1,
+                null,
+                null,
+                oneZone,
+                spread,
+                false,
+                runMicros,
+                0,
+                0,
+                JobSpec.NO_DEADLINE);
+    }
+
+    /** One more job is submitted now, that may run anywhere. */
+    void submit(String id, int tasks) {
+        rules.submitting(spec(id, tasks, false, false, RUN_MICROS));
+    }
+
+    /** A task is on a full-price machine now. */
+    void start(String job, int index, String host, String zone) {
+        rules.started(new TaskId(job, index), host, "m", zone, false);
+    }
+
+    /** A user is told this of the job. */
+    void tell(String job, JobState state) {
+        rules.told(job, new JobResponse.Status(false, job, state, 0, 0));
+    }
+
+    /** Time passes until then, without a check. */
+    void runUntil(long micros) {
+        world.run(micros, () -> {});
+    }
+
+    /** The same with the rules checked after each event. */
+    void runCheckedUntil(long micros) {
+        world.run(micros, rules::check);
+    }
+
+    /** One rule is broken, and its breach begins so. */
+    void assertBroken(String beginning) {
+        assertEquals(1, rules.broken.size(), rules.broken.toString());
+        assertTrue(rules.broken.get(0).startsWith(beginning), rules.broken.toString());
+    }
+
+    void assertNoneBroken() {
+        assertTrue(rules.broken.isEmpty(), rules.broken.toString());
+    }
+
+    /** A machine of four CPUs whose heartbeats are accepted, and on which tasks run for minutes. */
+    SimWorker worker() {
+        return new SimWorker(
+                world,
+                rules,
+                new AcceptingController(),
+                job -> spec(job, TASKS, false, false, LONG_RUN_MICROS),
+                new HashSet<>(),
+                new SimGangs(world, rules, new HashSet<>()),
+                new SimWorker.Facts(
+                        "i-1", new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")), "z", false),
+                new SimWorker.Timing(1_000_000, 20_000_000));
+    }
+
+    private static final class AcceptingController implements SimControllers {
+        @Override
+        public List<String> names() {
+            return List.of("n");
+        }
+
+        @Override
+        public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
+            return new HeartbeatResponse.Accepted(1, List.of());
+        }
+
+        @Override
+        public boolean fails(String job) {
+            return false;
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -0,0 +1,78 @@
+package org.granitepath.simulation;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.granitepath.storage.JobSpec;
+
+/** At least half of each class, of each team and of a class's largest jobs is served, and the largest begin in time. */
+final class ServedRules {
+    private static final long BEGIN_MICROS = 240_000_000;
+
+    private final Breaches breaches;
+    private final JobHistory jobs;
+
+    ServedRules(Breaches breaches, JobHistory jobs) {
+        this.breaches = breaches;
+        this.jobs = jobs;
+    }
+
+    /** At the end of a run. */
+    void check() {
+        Map<String, List<JobSpec>> groups = new TreeMap<>();
+        for (String job : jobs.submittedJobs()) {
+            JobSpec spec = jobs.spec(job);
+            if (isToBeServed(spec)) {
+                groups.computeIfAbsent("class " + spec.jobClass(), unknown -> new ArrayList<>())
+                        .add(spec);
+                groups.computeIfAbsent("team " + spec.team(), unknown -> new ArrayList<>())
+                        .add(spec);
+            }
+        }
+        for (String name : List.copyOf(groups.keySet())) {
+            if (name.startsWith("class ")) {
+                groups.put("largest of " + name, largestQuarter(groups.get(name)));
+            }
+        }
+        groups.forEach((name, group) -> {
+            checkHalfServed(name, group);
+            if (name.startsWith("largest")) {
+                checkBegun(name, group);
+            }
+        });
+    }
+
+    private boolean isToBeServed(JobSpec spec) {
+        return (jobs.wasAccepted(spec.id()) && !jobs.wasCancellationAsked(spec.id()))
+                || (spec.service() && jobs.hasBegun(spec.id()));
+    }
+
+    private static List<JobSpec> largestQuarter(List<JobSpec> group) {
+        List<JobSpec> largest = new ArrayList<>(group);
+        largest.sort(Comparator.comparingInt(JobSpec::tasks).reversed());
+        return largest.subList(0, (largest.size() + 3) / 4);
+    }
+
+    private void checkHalfServed(String name, List<JobSpec> group) {
+        long served = group.stream().filter(this::isServed).count();
+        if (served * 2 < group.size()) {
+            breaches.add("unserved", name + ": " + served + " of " + group.size());
+        }
+    }
+
+    /** A service is served when a task of it has run; other work when it is done. */
+    private boolean isServed(JobSpec spec) {
+        return spec.service() ? jobs.hasBegun(spec.id()) : jobs.completedTasks(spec.id()) == spec.tasks();
+    }
+
+    private void checkBegun(String name, List<JobSpec> group) {
+        for (JobSpec spec : group) {
+            long waited = jobs.waitedForBegin(spec.id());
+            if (waited > BEGIN_MICROS) {
+                breaches.add("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
+            }
+        }
+    }
+}
--- a/src/test/java/org/granitepath/simulation/Shape.java
+++ b/src/test/java/org/granitepath/simulation/Shape.java
@@ -8,13 +8,13 @@
 record Shape(int controllers, int perOffer, Times times, Limits limits) {
     private static final long SECOND = Simulation.SECOND;
 
-    /** How often machines report, how long their leases are, and how long cancelled tasks may go on. */
-    record Times(long report, long lease, long cancel) {}
+    /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
+    record Times(long heartbeatInterval, long lease, long cancel) {}
 
     /** What the store takes, and how many connections a controller may hold. */
     record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
 
-    /** Three controllers, a few machines that report every second, and a store with room to spare. */
+    /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
     static Shape small() {
         return new Shape(3, 5, new Times(SECOND, Simulation.LEASE, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
     }
@@ -27,16 +27,16 @@
         return new Shape(controllers, machines, times, limits);
     }
 
-    Shape withReport(long micros) {
+    Shape withHeartbeatInterval(long micros) {
         return withTimes(new Times(micros, times.lease, times.cancel));
     }
 
     Shape withLease(long micros) {
-        return withTimes(new Times(times.report, micros, times.cancel));
+        return withTimes(new Times(times.heartbeatInterval, micros, times.cancel));
     }
 
     Shape withCancel(long micros) {
-        return withTimes(new Times(times.report, times.lease, micros));
+        return withTimes(new Times(times.heartbeatInterval, times.lease, micros));
     }
 
     Shape withRequestsPerSecond(double requests) {
@@ -71,8 +71,8 @@
         return new Shape(controllers, perOffer, times, changed);
     }
 
-    long report() {
-        return times.report;
+    long heartbeatInterval() {
+        return times.heartbeatInterval;
     }
 
     long lease() {
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -14,7 +14,7 @@
     /** A start that was sent, arrived or not. */
     record Start(long at, String node, String host, TaskId task) {}
 
-    private record Heard(long term, String host) {}
+    private record HeartbeatOfTerm(long term, String host) {}
 
     private record Sent(String host, TaskId task, long attempt) {}
 
@@ -23,7 +23,7 @@
     private final List<Start> starts = new ArrayList<>();
     private final Set<Sent> sent = new HashSet<>();
     private final Map<String, Integer> startsByHost = new HashMap<>();
-    private final Set<Heard> heard = new HashSet<>();
+    private final Set<HeartbeatOfTerm> heartbeats = new HashSet<>();
 
     SimCommands(World world, Rules rules) {
         this.world = world;
@@ -31,14 +31,14 @@
     }
 
     /** The leader of this term knows what is on the machine. */
-    void heard(long term, String host) {
-        heard.add(new Heard(term, host));
+    void heartbeatReceived(long term, String host) {
+        heartbeats.add(new HeartbeatOfTerm(term, host));
     }
 
     /** @param term the fencing token of the term in which the controller commands */
     void sent(long term, String node, String host, List<WorkerCommand> commands) {
-        if (!commands.isEmpty() && !heard.contains(new Heard(term, host))) {
-            rules.breach("commanded_unheard", node + " commands " + host + ", not heard in term " + term);
+        if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatOfTerm(term, host))) {
+            rules.breach("commanded_unheard", node + " commands " + host + ", no heartbeat of it in term " + term);
         }
         for (WorkerCommand command : commands) {
             if (command.verb() == WorkerCommand.Verb.START) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** How many starts this machine was ever told, heard or not. */
+    /** How many starts this machine was ever sent, arrived or not. */
     int startsOf(String host) {
         return startsByHost.getOrDefault(host, 0);
     }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -15,8 +15,8 @@
 
     /** A controller that is up ends and comes back after a while. */
     void crash(String node, long forMicros) {
-        Simulation.Node crashed = simulation.nodes.get(node);
-        if (crashed.controller != null) {
+        SimNode crashed = simulation.nodes.get(node);
+        if (crashed.controller() != null) {
             crashed.crash();
             simulation.world.after(forMicros, crashed::boot);
         }
@@ -74,7 +74,7 @@
 
     /** The same at one controller. */
     void deliver(String node, Heartbeat late) {
-        Controller controller = simulation.nodes.get(node).controller;
+        Controller controller = simulation.controllerAt(node);
         if (controller != null) {
             controller.heartbeat(late);
         }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -118,7 +118,8 @@
 
         private void forming() {
             boolean whole = members.size() == spec.tasks()
-                    && members.values().stream().noneMatch(m -> m.hangs.getAsBoolean() || m.cause != null);
+                    && members.values().stream()
+                            .noneMatch(member -> member.hangs.getAsBoolean() || member.cause != null);
             if (whole) {
                 phase = Phase.RUNNING;
                 started++;
@@ -150,7 +151,7 @@
         private boolean hasLostATask() {
             return noticedAt != Long.MAX_VALUE
                     || members.size() < spec.tasks()
-                    || members.values().stream().anyMatch(m -> m.hangs.getAsBoolean());
+                    || members.values().stream().anyMatch(member -> member.hangs.getAsBoolean());
         }
 
         /** The save fails, or the others exit a while after one is gone; what was made since the checkpoint is lost. */
@@ -170,7 +171,7 @@
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(m -> m.saves() && world.now() - m.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member -> member.saves() && world.now() - member.toldToSaveMicros >= spec.saveMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -179,7 +180,8 @@
                 savedInOrder++;
                 end(Cause.STOPPED, true);
             } else if (world.now() - firstHaltAt > PEER
-                    && members.values().stream().anyMatch(m -> !m.saves() || m.toldToSaveMicros - firstHaltAt > PEER)) {
+                    && members.values().stream()
+                            .anyMatch(member -> !member.saves() || member.toldToSaveMicros - firstHaltAt > PEER)) {
                 noticeLoss();
             }
         }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -15,70 +15,53 @@
         this.perOffer = perOffer;
     }
 
+    /** Work whose tasks are expected to run for so long; for the team without limits, on full-price machines. */
+    JobBuilder work(int tasks, long runMicros) {
+        return new JobBuilder(this, false, tasks).estimate(runMicros);
+    }
+
+    /** A critical service; for the team without limits, on full-price machines. */
+    JobBuilder replicas(int count) {
+        return new JobBuilder(this, true, count);
+    }
+
     /** Work that may use spot machines and do without checkpoints, of a team without limits. */
     JobSpec batch(int tasks, long runMicros) {
-        return job(false, tasks, Priority.STANDARD, "free", true, false, false, runMicros, 0);
+        return work(tasks, runMicros).onSpot().create();
     }
 
     /** The same, all in one zone. */
     JobSpec oneZoneBatch(int tasks, long runMicros) {
-        return job(false, tasks, Priority.STANDARD, "free", true, false, true, runMicros, 0);
+        return work(tasks, runMicros).onSpot().inOneZone().create();
     }
 
     /** The same as {@link #batch}, of the team that has a limit. */
     JobSpec limitedBatch(int tasks, long runMicros) {
-        return job(false, tasks, Priority.STANDARD, "tight", true, false, false, runMicros, 0);
+        return work(tasks, runMicros).onSpot().team("tight").create();
     }
 
     /** A service whose replicas are spread over the zones, on full-price machines. */
     JobSpec service(int replicas) {
-        return job(true, replicas, Priority.CRITICAL, "free", false, true, false, 0, 0);
+        return replicas(replicas).spread(true).create();
     }
 
-    JobSpec job(
-            boolean service,
-            int tasks,
-            Priority priority,
-            String team,
-            boolean spot,
-            boolean spread,
-            boolean oneZone,
-            long runMicros,
-            long checkpointMicros) {
-        String id = String.format("run-%06d", ++submissions);
-        return new JobSpec(
-                id,
-                service ? "svc" : "bat",
-                team,
-                service ? JobSpec.Shape.SERVICE : isGang(tasks, oneZone) ? JobSpec.Shape.GANG : JobSpec.Shape.BATCH,
-                priority,
-                tasks,
-                service ? 1_000 : 2_000,
-                0,
-                3_000,
-                "img-" + world.random.nextInt(3),
-                1.0,
-                null,
-                null,
-                oneZone,
-                spread,
-                spot,
-                runMicros,
-                checkpointMicros,
-                checkpointMicros > 0 ? Simulation.SECOND : 0,
-                service ? JobSpec.NO_DEADLINE : 2 * runMicros + 30 * Simulation.SECOND);
+    String nextId() {
+        return String.format("run-%06d", ++submissions);
+    }
+
+    /** One of three images, at random. */
+    String drawImage() {
+        return "img-" + world.random.nextInt(3);
     }
 
-    /** Some sizes are gangs, unless a zone of this deployment, services beside them, could never hold one whole. */
-    private boolean isGang(int tasks, boolean oneZone) {
-        long fullPriceCpu = perOffer * (4_000L + 16_000);
-        return tasks % 5 == 4 && (!oneZone || tasks * 2_000L <= fullPriceCpu / 2);
+    /** What all full-price machines of a zone have. */
+    long fullPriceCpuMillisOfAZone() {
+        return perOffer * (4_000L + 16_000);
     }
 
     /** Another job like this one, of so many tasks that take so little. */
     JobSpec withCpu(JobSpec like, int tasks, long cpuMillis) {
-        String id = String.format("run-%06d", ++submissions);
-        return like(like, id, like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
+        return like(like, nextId(), like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
     }
 
     /** The same job, without a deadline. */
@@ -130,18 +113,20 @@
                 deadlineMicros);
     }
 
-    /** A service or other work, of drawn size, place and length. */
+    /** A service or other work, of drawn size, place and length. The order of the draws is part of every scenario. */
     JobSpec randomJob() {
         boolean service = world.random.nextInt(3) == 0;
-        return job(
-                service,
-                1 + world.random.nextInt(service ? 5 : 12),
-                service ? Priority.CRITICAL : world.random.nextBoolean() ? Priority.STANDARD : Priority.BEST_EFFORT,
-                world.random.nextInt(3) == 0 ? "tight" : "free",
-                !service && world.random.nextBoolean(),
-                service && world.random.nextBoolean(),
-                !service && world.random.nextInt(4) == 0,
-                (2 + world.random.nextInt(15)) * Simulation.SECOND,
-                world.random.nextInt(2) * 3L * Simulation.SECOND);
+        return new JobBuilder(this, service, 1 + world.random.nextInt(service ? 5 : 12))
+                .priority(
+                        service
+                                ? Priority.CRITICAL
+                                : world.random.nextBoolean() ? Priority.STANDARD : Priority.BEST_EFFORT)
+                .team(world.random.nextInt(3) == 0 ? "tight" : "free")
+                .onSpot(!service && world.random.nextBoolean())
+                .spread(service && world.random.nextBoolean())
+                .inOneZone(!service && world.random.nextInt(4) == 0)
+                .estimate((2 + world.random.nextInt(15)) * Simulation.SECOND)
+                .checkpointEvery(world.random.nextInt(2) * 3L * Simulation.SECOND)
+                .create();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -1,6 +1,7 @@
 package org.granitepath.simulation;
 
 import java.util.List;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.granitepath.coordination.Controller;
@@ -18,38 +19,7 @@
 
     /** How this controller reaches the others. */
     PeerPort peerPort(String node) {
-        return new PeerPort() {
-            @Override
-            public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-                simulation.world.<PeerStatus>callLater(
-                        node,
-                        peer,
-                        Simulation.SECOND,
-                        answer -> {
-                            Controller controller = simulation.nodes.get(peer).controller;
-                            if (controller != null) {
-                                answer.accept(controller.statusReceived(ours));
-                            }
-                        },
-                        then);
-            }
-
-            @Override
-            public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
-                simulation.world.<Boolean>callLater(
-                        node,
-                        peer,
-                        Simulation.SECOND,
-                        answer -> {
-                            Controller controller = simulation.nodes.get(peer).controller;
-                            if (controller != null && !simulation.peersSendNoCancellations) {
-                                controller.cancellationReceived(notice);
-                                answer.accept(true);
-                            }
-                        },
-                        taken -> then.accept(taken != null));
-            }
-        };
+        return new PeerCalls(node);
     }
 
     /** How this controller calls machines. */
@@ -57,6 +27,48 @@
         return new DirectCalls(node);
     }
 
+    /** Calls of one controller to others. */
+    private final class PeerCalls implements PeerPort {
+        private final String node;
+
+        PeerCalls(String node) {
+            this.node = node;
+        }
+
+        @Override
+        public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
+            call(peer, (controller, answer) -> answer.accept(controller.statusReceived(ours)), then);
+        }
+
+        @Override
+        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
+            this.<Boolean>call(
+                    peer,
+                    (controller, answer) -> {
+                        if (!simulation.peersSendNoCancellations) {
+                            controller.cancellationReceived(notice);
+                            answer.accept(true);
+                        }
+                    },
+                    taken -> then.accept(taken != null));
+        }
+
+        /** A peer that is down does not answer. */
+        private <T> void call(String peer, BiConsumer<Controller, Consumer<T>> serve, Consumer<T> then) {
+            simulation.world.<T>callLater(
+                    node,
+                    peer,
+                    Simulation.SECOND,
+                    answer -> {
+                        Controller controller = simulation.controllerAt(peer);
+                        if (controller != null) {
+                            serve.accept(controller, answer);
+                        }
+                    },
+                    then);
+        }
+    }
+
     /** Calls of one controller to machines. */
     private final class DirectCalls implements WorkerPort {
         private final String node;
@@ -73,7 +85,7 @@
                 long agentEpoch,
                 List<WorkerCommand> commands,
                 Consumer<Reply> then) {
-            long term = simulation.nodes.get(node).controller.fencingToken();
+            long term = simulation.controllerAt(node).fencingToken();
             simulation.commands.sent(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
             simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
@@ -93,7 +105,7 @@
                     reply -> {
                         calls--;
                         if (reply != null) {
-                            simulation.commands.heard(term, address);
+                            simulation.commands.heartbeatReceived(term, address);
                         }
                         then.accept(reply == null ? new Reply(false, null) : reply);
                     });
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -0,0 +1,238 @@
+package org.granitepath.simulation;
+
+import java.util.HashSet;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.function.Predicate;
+import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.TaskState;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.coordination.ports.WorkerCommand;
+import org.granitepath.simulation.SimRuns.Run;
+import org.granitepath.storage.JobSpec;
+
+/** Runs the tasks of one simulated machine: fetches images, starts, saves and ends tasks, and tells the rules. */
+final class SimTaskRunner {
+    /** A task on a faulty machine, or of a broken job, fails after so long. */
+    private static final long FAILS_AFTER = 200_000;
+
+    private final World world;
+    private final Rules rules;
+    private final SimWorker worker;
+    private final Function<String, JobSpec> jobs;
+    private final Predicate<String> failsEverywhere;
+    private final Set<TaskId> results;
+    private final SimGangs gangs;
+    private final SimRuns runs;
+    private final Set<String> images = new HashSet<>();
+    private boolean changed;
+    private boolean faulty;
+    private int failures;
+
+    /**
+     * @param results tasks that have their result, on whichever machine
+     * @param failsEverywhere whether every task of a job fails
+     */
+    SimTaskRunner(
+            World world,
+            Rules rules,
+            SimWorker worker,
+            Function<String, JobSpec> jobs,
+            Predicate<String> failsEverywhere,
+            Set<TaskId> results,
+            SimGangs gangs) {
+        this.world = world;
+        this.rules = rules;
+        this.worker = worker;
+        this.jobs = jobs;
+        this.failsEverywhere = failsEverywhere;
+        this.results = results;
+        this.gangs = gangs;
+        this.runs = new SimRuns(worker.type, jobs);
+    }
+
+    /** What is on the machine, exited attempts included. */
+    SimRuns runs() {
+        return runs;
+    }
+
+    /** From now on every task fails here. */
+    void becomeFaulty() {
+        faulty = true;
+    }
+
+    boolean faulty() {
+        return faulty;
+    }
+
+    /** How many tasks have failed here. */
+    int failures() {
+        return failures;
+    }
+
+    /** Whether a task has changed its state since {@link #resetChanged}. */
+    boolean changed() {
+        return changed;
+    }
+
+    void resetChanged() {
+        changed = false;
+    }
+
+    /** Each task does what is due now. */
+    void advance() {
+        for (Run run : runs.all()) {
+            if (run.member != null) {
+                advanceInGang(run);
+            } else if (run.state != TaskState.EXITED && world.now() >= run.until) {
+                advance(run);
+            }
+        }
+    }
+
+    private void advance(Run run) {
+        changed = true;
+        if (run.state == TaskState.FETCHING) {
+            begin(run);
+            return;
+        }
+        boolean saving = run.state == TaskState.SAVING;
+        end(run, saving ? Cause.STOPPED : fails(run) ? Cause.FAILED : Cause.DONE);
+        run.saved = saving;
+    }
+
+    /** The image is here: the task runs, or waits for the others of its gang. */
+    private void begin(Run run) {
+        JobSpec spec = jobs.apply(run.task.job());
+        images.add(spec.image());
+        rules.started(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
+        if (spec.gang() && !results.contains(run.task) && !fails(run)) {
+            run.state = TaskState.WAITING;
+            run.until = Long.MAX_VALUE;
+            run.member = gangs.join(spec, run.task, run.attempt, worker::hangs);
+            return;
+        }
+        run.state = TaskState.RUNNING;
+        long runMicros = runMicros(run, spec);
+        run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
+        if (fails(run)) {
+            failures++;
+            run.until = world.now() + FAILS_AFTER;
+        }
+    }
+
+    /** Half of what was estimated to half as much again; nothing is left to do where the result is there already. */
+    private long runMicros(Run run, JobSpec spec) {
+        return results.contains(run.task)
+                ? 0
+                : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
+    }
+
+    private boolean fails(Run run) {
+        return faulty || failsEverywhere.test(run.task.job());
+    }
+
+    private void advanceInGang(Run run) {
+        Cause cause = run.member.exit();
+        if (cause != null) {
+            run.saved = run.member.kept();
+            end(run, cause);
+            return;
+        }
+        TaskState state =
+                run.member.saves() ? TaskState.SAVING : run.member.running() ? TaskState.RUNNING : TaskState.WAITING;
+        changed |= state != run.state;
+        run.state = state;
+    }
+
+    /** All tasks whose jobs fit are over, each for this reason. */
+    void end(Predicate<JobSpec> which, Cause cause) {
+        runs.live().stream()
+                .filter(run -> which.test(jobs.apply(run.task.job())))
+                .forEach(run -> end(run, cause));
+    }
+
+    private void end(Run run, Cause cause) {
+        leave(run);
+        if (cause == Cause.DONE) {
+            results.add(run.task);
+            rules.completed(run.task);
+        }
+        run.state = TaskState.EXITED;
+        run.cause = cause;
+        changed = true;
+    }
+
+    /** All tasks are gone without a word. */
+    void killAll() {
+        runs.all().forEach(this::leave);
+        runs.clear();
+    }
+
+    /** A task that is on the machine is so no longer. */
+    private void leave(Run run) {
+        if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
+            rules.left(run.task, worker.id);
+        }
+        if (run.member != null) {
+            run.member.leave();
+            run.member = null;
+        }
+    }
+
+    void execute(WorkerCommand command) {
+        Run run = runs.get(command.task(), command.attempt());
+        switch (command.verb()) {
+            case START -> {
+                if (run == null) {
+                    start(command);
+                }
+            }
+            case STOP -> {
+                if (run != null && run.state != TaskState.EXITED) {
+                    stop(run, command.graceMicros());
+                }
+            }
+            case CLEAR -> {
+                if (run != null && run.state == TaskState.EXITED) {
+                    runs.remove(run);
+                }
+            }
+        }
+    }
+
+    private void start(WorkerCommand command) {
+        changed = true;
+        Run run = new Run(command.task(), command.attempt());
+        JobSpec spec = jobs.apply(command.task().job());
+        runs.add(run);
+        Cause refusal = runs.refusal(spec, run);
+        if (refusal != Cause.NONE) {
+            run.state = TaskState.EXITED;
+            run.cause = refusal;
+            return;
+        }
+        run.until = world.now() + fetchMicros(spec);
+    }
+
+    private long fetchMicros(JobSpec spec) {
+        return images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
+    }
+
+    private void stop(Run run, long graceMicros) {
+        JobSpec spec = jobs.apply(run.task.job());
+        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
+        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
+            run.member.halt();
+            changed = true;
+            return;
+        }
+        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
+            run.state = TaskState.SAVING;
+            run.until = world.now() + spec.saveMicros();
+            changed = true;
+        } else if (run.state != TaskState.SAVING || graceMicros == 0) {
+            end(run, Cause.STOPPED);
+        }
+    }
+}
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -1,22 +1,31 @@
 package org.granitepath.simulation;
 
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.granitepath.storage.JobSpec;
-import org.granitepath.storage.Priority;
+import org.jspecify.annotations.Nullable;
 
 /** Users who submit jobs, ask for them until they are over, and call some off. */
 final class SimUsers {
     private static final long TIMEOUT = 5 * Simulation.SECOND;
 
+    /** What a user asks of a controller, and where the answer goes. */
+    private interface Question {
+        void ask(Controller controller, Consumer<JobResponse> then);
+    }
+
     private final Simulation simulation;
     private final Map<String, JobSpec> described = new LinkedHashMap<>();
+    /** Jobs for which a question is under way. */
+    private final Set<String> asking = new HashSet<>();
     /** Jobs that can never run, and were told so. */
     int unschedulableRefused;
 
@@ -27,6 +36,7 @@
     }
 
     /** The description of this job, or null when nobody has made one known. */
+    @Nullable
     JobSpec describedAs(String job) {
         return described.get(job);
     }
@@ -50,30 +60,37 @@
     void oddRequests(long forMicros) {
         for (long at = 0; at < forMicros; at += 700_000) {
             simulation.world.after(at, () -> {
-                List<String> known = List.copyOf(described.keySet());
-                if (!known.isEmpty()) {
-                    JobSpec spec = described.get(known.get(simulation.world.random.nextInt(known.size())));
-                    if (simulation.rules.acceptedJob(spec.id())) {
-                        ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
-                    }
-                    if (simulation.rules.finalTold(spec.id()) == JobState.DONE) {
-                        cancel(spec.id());
-                    }
-                }
-                JobSpec odd = simulation.jobs.withCpu(
-                        simulation.jobs.job(
-                                false, 3, Priority.STANDARD, "free", true, false, false, Simulation.SECOND, 0),
-                        3,
-                        90_000);
-                simulation.rules.submittingUnschedulable(odd.id());
-                ask(
-                        odd.id(),
-                        (controller, then) -> controller.submit(odd, then),
-                        answer -> unschedulableRefused += answer instanceof JobResponse.Unschedulable ? 1 : 0);
+                repeatARequest();
+                submitUnschedulable();
             });
         }
     }
 
+    private void repeatARequest() {
+        List<String> known = List.copyOf(described.keySet());
+        if (known.isEmpty()) {
+            return;
+        }
+        JobSpec spec = described.get(known.get(simulation.world.random.nextInt(known.size())));
+        if (simulation.rules.acceptedJob(spec.id())) {
+            ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
+        }
+        if (simulation.rules.finalTold(spec.id()) == JobState.DONE) {
+            cancel(spec.id());
+        }
+    }
+
+    /** Each task takes more than the largest machine has. */
+    private void submitUnschedulable() {
+        JobSpec like = simulation.jobs.batch(3, Simulation.SECOND);
+        JobSpec spec = simulation.jobs.withCpu(like, 3, 90_000);
+        simulation.rules.submittingUnschedulable(spec.id());
+        ask(
+                spec.id(),
+                (controller, then) -> controller.submit(spec, then),
+                answer -> unschedulableRefused += answer instanceof JobResponse.Unschedulable ? 1 : 0);
+    }
+
     /** Workers find the description of this job, although no user has submitted it to a controller. */
     void describe(JobSpec spec) {
         described.put(spec.id(), spec);
@@ -139,12 +156,6 @@
         });
     }
 
-    private interface Question {
-        void ask(Controller controller, Consumer<JobResponse> then);
-    }
-
-    private final Map<String, Integer> asking = new LinkedHashMap<>();
-
     private void ask(String id, Question question, Consumer<JobResponse> then) {
         askAt(simulation.anyNode(), id, question, then);
     }
@@ -152,23 +163,23 @@
     private void askAt(String node, String id, Question question, Consumer<JobResponse> then) {
         String user = "user-" + id;
         // Answers are compared only when the question was put after the earlier answer: so one question at a time.
-        if (asking.getOrDefault(id, 0) > 0) {
+        if (asking.contains(id)) {
             simulation.world.after(200_000, () -> askAt(node, id, question, then));
             return;
         }
-        asking.put(id, 1);
+        asking.add(id);
         simulation.world.<JobResponse>callLater(
                 user,
                 node,
                 TIMEOUT,
                 answer -> {
-                    Controller controller = simulation.nodes.get(node).controller;
+                    Controller controller = simulation.controllerAt(node);
                     if (controller != null && !simulation.unreachable.contains(node)) {
                         question.ask(controller, simulation.traced(node, user, answer));
                     }
                 },
                 answer -> {
-                    asking.put(id, 0);
+                    asking.remove(id);
                     if (answer != null) {
                         simulation.rules.told(id, answer);
                     }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -1,66 +1,58 @@
 package org.granitepath.simulation;
 
-import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Predicate;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
-import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.protocol.WorkerCodec;
-import org.granitepath.simulation.SimRuns.Run;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
+import org.jspecify.annotations.Nullable;
 
-/** A stand-in for a machine's worker, as the protocol describes it. */
+/** A stand-in for a machine's worker, as the protocol describes it: heartbeats, leases and agent epochs. */
 final class SimWorker {
     /** What the cloud has said of the machine. */
     record Facts(String id, MachineType type, String zone, boolean spot) {}
 
-    /** How often it reports, and how long its tasks outlive the last answer. */
+    /** How often it sends a heartbeat, and how long its tasks outlive the last answer. */
     record Timing(long heartbeatIntervalMicros, long leaseMicros) {}
 
     /** A worker looks at its tasks this many times between two heartbeats. */
     private static final int TICKS = 10;
 
-    private static final long PATIENCE = 4_000_000;
+    private static final long ANSWER_TIMEOUT = 4_000_000;
 
     private final World world;
-    private final Rules rules;
     private final SimControllers controllers;
-    private final Function<String, JobSpec> jobs;
-    private final Set<TaskId> results;
-    private final SimGangs gangs;
     final String id;
     final MachineType type;
     final String zone;
     final boolean spot;
     private final long heartbeatIntervalMicros;
     private final long leaseMicros;
-    private final SimRuns runs;
-    private final Set<String> images = new HashSet<>();
+    private final SimTaskRunner tasks;
     private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
     private long leaseFrom;
     private long nextHeartbeat;
-    private int at;
-    private boolean reporting;
+    /** The controller to which heartbeats go, by its place in the list of their names. */
+    private int controller;
+
+    private boolean awaitsAnswer;
+    /** Something beside the tasks has changed since the last heartbeat. */
     private boolean changed;
+
     private boolean dead;
     private boolean hanging;
     private boolean muted;
-    private Heartbeat latest;
-    /** A machine on which every task fails. */
-    boolean faulty;
-    /** How many tasks have failed here. */
-    int failures;
-
+    private @Nullable Heartbeat latest;
     private long noticeEnd = -1;
 
     SimWorker(
@@ -73,64 +65,79 @@
             Facts facts,
             Timing timing) {
         this.world = world;
-        this.rules = rules;
         this.controllers = controllers;
-        this.jobs = jobs;
-        this.results = results;
-        this.gangs = gangs;
-        this.runs = new SimRuns(facts.type, jobs);
         this.id = facts.id;
         this.type = facts.type;
         this.zone = facts.zone;
         this.spot = facts.spot;
         this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
         this.leaseMicros = timing.leaseMicros;
+        this.tasks = new SimTaskRunner(world, rules, this, jobs, controllers::fails, results, gangs);
         this.leaseFrom = world.now();
-        this.at = world.random.nextInt(controllers.names().size());
+        this.controller = world.random.nextInt(controllers.names().size());
         tick();
     }
 
-    /** Its reports are lost on the way; it is reached all the same. */
-    void mute(boolean now) {
-        muted = now;
-    }
+    // ---- what is asked of it by scenarios and rules ------------------------------------------------------------
 
-    /** What it reported last; null before the first report. */
+    /** The heartbeat that it sent last; null before the first one. */
+    @Nullable
     Heartbeat latest() {
         return latest;
     }
 
     /** What is on the machine, exited attempts included. */
     SimRuns runs() {
-        return runs;
+        return tasks.runs();
+    }
+
+    /** How many tasks have failed here. */
+    int failures() {
+        return tasks.failures();
+    }
+
+    boolean alive() {
+        return !dead;
+    }
+
+    boolean hangs() {
+        return hanging;
     }
 
     /** How many such tasks fit here now, and could start. */
     int slots(JobSpec spec) {
-        return wouldTake(spec) ? runs.slots(spec) : 0;
+        return wouldTake(spec) ? runs().slots(spec) : 0;
     }
 
     /** Whether one more such task fits here now, and could start. */
     boolean wouldTake(JobSpec spec) {
         return !dead
                 && !hanging
-                && !faulty
+                && !tasks.faulty()
                 && noticeEnd < 0
-                && runs.hasCapacityFor(spec, null)
+                && runs().hasCapacityFor(spec, null)
                 && spec.allowsType(type.name())
                 && spec.allowsZone(zone)
                 && (spec.spot() || !spot);
     }
 
-    boolean alive() {
-        return !dead;
+    // ---- troubles ----------------------------------------------------------------------------------------------
+
+    /** Its heartbeats are lost on the way; it is reached all the same. */
+    void mute(boolean now) {
+        muted = now;
+    }
+
+    /** From now on every task fails here. */
+    void becomeFaulty() {
+        tasks.becomeFaulty();
     }
 
     /** It is gone for good, with all that runs on it. */
     void die() {
         if (!dead) {
             dead = true;
-            killAll();
+            tasks.killAll();
             world.setDown(id, true);
         }
     }
@@ -156,37 +163,10 @@
 
     /** All tasks here that fit are over, each for this reason. */
     void endTasks(Predicate<JobSpec> which, Cause cause) {
-        runs.live().stream()
-                .filter(run -> which.test(jobs.apply(run.task.job())))
-                .forEach(run -> end(run, cause));
-    }
-
-    private void killAll() {
-        for (Run run : runs.all()) {
-            leave(run);
-        }
-        runs.clear();
+        tasks.end(which, cause);
     }
 
-    /** A task that is on the machine is so no longer. */
-    private void leave(Run run) {
-        if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
-            rules.left(run.task, id);
-        }
-        if (run.member != null) {
-            run.member.leave();
-            run.member = null;
-        }
-    }
-
-    private void expireIfDue() {
-        if (world.now() - leaseFrom > leaseMicros) {
-            killAll();
-            agentEpoch++;
-            leaseFrom = world.now();
-            changed = true;
-        }
-    }
+    // ---- time passes -------------------------------------------------------------------------------------------
 
     private void tick() {
         if (dead) {
@@ -198,75 +178,28 @@
         if (hanging) {
             return;
         }
-        for (Run run : runs.all()) {
-            if (run.member != null) {
-                advanceInGang(run);
-            } else if (run.state != TaskState.EXITED && world.now() >= run.until) {
-                advance(run);
-            }
+        tasks.advance();
+        if (!awaitsAnswer && heartbeatIsDue()) {
+            sendHeartbeat();
         }
-        if (!reporting
-                && (world.now() >= nextHeartbeat
-                        || (changed && world.now() >= nextHeartbeat - heartbeatIntervalMicros / 2))) {
-            report();
-        }
-    }
-
-    private boolean fails(Run run) {
-        return faulty || controllers.fails(run.task.job());
     }
 
-    private void advance(Run run) {
-        changed = true;
-        JobSpec spec = jobs.apply(run.task.job());
-        if (run.state == TaskState.FETCHING) {
-            images.add(spec.image());
-            rules.started(run.task, id, type.name(), zone, spot);
-            if (spec.gang() && !results.contains(run.task) && !fails(run)) {
-                run.state = TaskState.WAITING;
-                run.until = Long.MAX_VALUE;
-                run.member = gangs.join(spec, run.task, run.attempt, this::hangs);
-                return;
-            }
-            run.state = TaskState.RUNNING;
-            long runMicros = results.contains(run.task)
-                    ? 0
-                    : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
-            run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
-            if (fails(run)) {
-                failures++;
-                run.until = world.now() + 200_000;
-            }
-        } else {
-            boolean saving = run.state == TaskState.SAVING;
-            end(run, saving ? Cause.STOPPED : fails(run) ? Cause.FAILED : Cause.DONE);
-            run.saved = saving;
+    private void expireIfDue() {
+        if (world.now() - leaseFrom > leaseMicros) {
+            tasks.killAll();
+            agentEpoch++;
+            leaseFrom = world.now();
+            changed = true;
         }
     }
 
-    private void advanceInGang(Run run) {
-        Cause cause = run.member.exit();
-        if (cause != null) {
-            run.saved = run.member.kept();
-            end(run, cause);
-            return;
-        }
-        TaskState state =
-                run.member.saves() ? TaskState.SAVING : run.member.running() ? TaskState.RUNNING : TaskState.WAITING;
-        changed |= state != run.state;
-        run.state = state;
+    /** After a change a heartbeat goes out earlier. */
+    private boolean heartbeatIsDue() {
+        boolean early = changed || tasks.changed();
+        return world.now() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
-    private void end(Run run, Cause cause) {
-        leave(run);
-        if (cause == Cause.DONE) {
-            results.add(run.task);
-            rules.completed(run.task);
-        }
-        run.state = TaskState.EXITED;
-        run.cause = cause;
-        changed = true;
-    }
+    // ---- heartbeats --------------------------------------------------------------------------------------------
 
     private Heartbeat heartbeat() {
         return new Heartbeat(
@@ -279,120 +212,86 @@
                 ++sequence,
                 fencingToken,
                 noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
-                runs.statuses());
+                runs().statuses());
     }
 
-    private void report() {
-        reporting = true;
+    private void sendHeartbeat() {
+        awaitsAnswer = true;
         changed = false;
+        tasks.resetChanged();
         long sent = world.now();
-        long ofAgentEpoch = agentEpoch;
-        String node = controllers.names().get(at);
+        long sentInEpoch = agentEpoch;
+        String node = controllers.names().get(controller);
         Heartbeat heartbeat = heartbeat();
         nextHeartbeat =
                 sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
         latest = heartbeat;
-        String way = muted ? "nowhere" : node;
-        world.call(id, way, PATIENCE, () -> muted ? null : controllers.heartbeat(node, heartbeat), answer -> {
-            reporting = false;
-            if (dead) {
-                return;
-            }
-            // A hanging machine reads its answers when it goes on, and drops those that are too old.
-            if (hanging) {
-                answer = null;
-            }
-            if (answer instanceof HeartbeatResponse.Accepted accepted) {
-                if (ofAgentEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
-                    changed |= accepted.fencingToken() > fencingToken;
-                    fencingToken = accepted.fencingToken();
-                    leaseFrom = Math.max(leaseFrom, sent);
-                    execute(accepted.commands());
-                }
-            } else {
-                String to = answer instanceof HeartbeatResponse.Redirect redirect ? redirect.node() : null;
-                int named = to == null ? -1 : controllers.names().indexOf(to);
-                if (named >= 0 && named != at) {
-                    at = named;
-                    nextHeartbeat = world.now() + world.random.nextInt(500_000);
-                } else {
-                    at = (at + 1) % controllers.names().size();
-                    nextHeartbeat = world.now() + 1_000_000;
-                }
+        world.call(
+                id,
+                muted ? "nowhere" : node,
+                ANSWER_TIMEOUT,
+                () -> muted ? null : controllers.heartbeat(node, heartbeat),
+                answer -> heartbeatAnswered(answer, sent, sentInEpoch));
+    }
+
+    /** A hanging machine reads its answers when it goes on, and drops those that are too old. */
+    private void heartbeatAnswered(@Nullable HeartbeatResponse answer, long sent, long sentInEpoch) {
+        awaitsAnswer = false;
+        if (dead) {
+            return;
+        }
+        if (!hanging && answer instanceof HeartbeatResponse.Accepted accepted) {
+            if (sentInEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
+                takeFencingToken(accepted.fencingToken());
+                leaseFrom = Math.max(leaseFrom, sent);
+                execute(accepted.commands());
             }
-        });
+        } else if (!hanging && answer instanceof HeartbeatResponse.Redirect redirect) {
+            turnTo(redirect.node());
+        } else {
+            turnToNext();
+        }
     }
 
-    /** A direct command. Null: hanging, no answer. */
+    /** To the controller that was named, if there is one and it is another. */
+    private void turnTo(@Nullable String named) {
+        int next = named == null ? -1 : controllers.names().indexOf(named);
+        if (next < 0 || next == controller) {
+            turnToNext();
+            return;
+        }
+        controller = next;
+        nextHeartbeat = world.now() + world.random.nextInt(500_000);
+    }
+
+    private void turnToNext() {
+        controller = (controller + 1) % controllers.names().size();
+        nextHeartbeat = world.now() + 1_000_000;
+    }
+
+    // ---- commands ----------------------------------------------------------------------------------------------
+
+    /** Commands of a direct call; they are carried out only under a present fencing token and agent epoch. */
     WorkerPort.Reply commands(long withToken, long withAgentEpoch, List<WorkerCommand> commands) {
         expireIfDue();
-        boolean ok = withToken >= fencingToken && withAgentEpoch == agentEpoch;
-        if (ok) {
-            changed |= withToken > fencingToken;
-            fencingToken = withToken;
+        boolean accepted = withToken >= fencingToken && withAgentEpoch == agentEpoch;
+        if (accepted) {
+            takeFencingToken(withToken);
             execute(commands);
         }
-        return new WorkerPort.Reply(ok, heartbeat());
+        return new WorkerPort.Reply(accepted, heartbeat());
     }
 
-    boolean hangs() {
-        return hanging;
+    private void takeFencingToken(long token) {
+        changed |= token > fencingToken;
+        fencingToken = token;
     }
 
     private void execute(List<WorkerCommand> commands) {
         for (WorkerCommand command : commands) {
             // Through the wire's words and back, as between real processes.
             assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(command)) != null;
-            Run run = runs.get(command.task(), command.attempt());
-            switch (command.verb()) {
-                case START -> {
-                    if (run == null) {
-                        start(command);
-                    }
-                }
-                case STOP -> {
-                    if (run != null && run.state != TaskState.EXITED) {
-                        stop(run, command.graceMicros());
-                    }
-                }
-                case CLEAR -> {
-                    if (run != null && run.state == TaskState.EXITED) {
-                        runs.remove(run);
-                    }
-                }
-            }
-        }
-    }
-
-    private void start(WorkerCommand command) {
-        changed = true;
-        Run run = new Run(command.task(), command.attempt());
-        JobSpec spec = jobs.apply(command.task().job());
-        runs.add(run);
-        Cause refusal = runs.refusal(spec, run);
-        if (refusal != Cause.NONE) {
-            run.state = TaskState.EXITED;
-            run.cause = refusal;
-            return;
-        }
-        run.until = world.now()
-                + (images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / type.fetchGbPerSecond() * 1e6));
-    }
-
-    private void stop(Run run, long grace) {
-        JobSpec spec = jobs.apply(run.task.job());
-        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
-        if (savesInGang && grace > 0 && grace >= spec.saveMicros()) {
-            run.member.halt();
-            changed = true;
-            return;
-        }
-        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && grace >= spec.saveMicros()) {
-            run.state = TaskState.SAVING;
-            run.until = world.now() + spec.saveMicros();
-            changed = true;
-        } else if (run.state != TaskState.SAVING || grace == 0) {
-            end(run, Cause.STOPPED);
+            tasks.execute(command);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
@@ -30,7 +31,7 @@
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.recovery.RecoveryTracer;
 import org.granitepath.storage.MachineType;
-import org.granitepath.storage.Timers;
+import org.jspecify.annotations.Nullable;
 
 /** Controllers with stand-ins for all around them, users included, in simulated time from a seed. */
 final class Simulation {
@@ -45,102 +46,6 @@
             "granted", new Team("granted", 16_000, 24_000, 0, 0),
             "lender", new Team("lender", 16_000, 0, 0, 0));
 
-    final class Node implements Timers {
-        final String name;
-        final double drift;
-        final long skew;
-        int life;
-        Controller controller;
-
-        Node(String name) {
-            this.name = name;
-            this.drift = 1 + world.random.nextDouble() * 0.0005;
-            this.skew = world.random.nextInt(500_000) - 250_000L;
-        }
-
-        void boot() {
-            life++;
-            world.setDown(name, false);
-            int ours = life;
-            controller = new Controller(
-                    config(),
-                    traced(store.portFor(name), port -> trace.tracing(name, port)),
-                    traced(cloud.portFor(name), port -> trace.tracing(name, port)),
-                    traced(ports.workerPort(name), port -> trace.tracing(name, port)),
-                    traced(ports.peerPort(name), port -> trace.tracing(name, port)),
-                    timersOf(ours),
-                    RecoveryTracer.NONE);
-            controller.start();
-        }
-
-        private Config config() {
-            return new Config(
-                    new ControllerIdentity(name, name + "-" + life, zoneOf(name)),
-                    new Topology(
-                            ZONES,
-                            names.stream()
-                                    .filter(node -> !node.equals(name))
-                                    .collect(Collectors.toMap(node -> node, Simulation.this::zoneOf))),
-                    TEAMS,
-                    Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
-                    new WorkerTiming(shape.report(), shape.lease(), shape.cancel(), SimGangs.WAIT, SimGangs.PEER),
-                    new PlatformLimits(
-                            shape.limits().requests(),
-                            upgraded.contains(name) ? limits.within(nextLimits) : limits,
-                            5,
-                            shape.connections()),
-                    250_000,
-                    Tuning.defaults().withRecoveryHold(recoveryHold));
-        }
-
-        /** The clocks and timers of one process: what it has asked for ends with it. */
-        private Timers timersOf(int process) {
-            return new Timers() {
-                @Override
-                public long nowMicros() {
-                    return Node.this.nowMicros();
-                }
-
-                @Override
-                public long timeOfDayMicros() {
-                    return Node.this.timeOfDayMicros();
-                }
-
-                @Override
-                public void after(long delayMicros, Runnable action) {
-                    world.after(
-                            (long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
-                            () -> world.fire(name, () -> {
-                                if (life == process && controller != null) {
-                                    action.run();
-                                }
-                            }));
-                }
-            };
-        }
-
-        void crash() {
-            life++;
-            controller = null;
-            world.setDown(name, true);
-        }
-
-        @Override
-        public long nowMicros() {
-            return (long) (world.now() * drift) + 77;
-        }
-
-        @Override
-        public long timeOfDayMicros() {
-            return world.now() + skew;
-        }
-
-        @Override
-        public void after(long delayMicros, Runnable action) {
-            throw new UnsupportedOperationException();
-        }
-    }
-
     static final long LEASE = 11 * SECOND;
 
     final Shape shape;
@@ -148,6 +53,7 @@
     /** What the settings say of the limits of the store. */
     private final StoreLimits limits;
     /** What controllers keep to once they are upgraded; null: nothing changes. */
+    @Nullable
     StoreLimits nextLimits;
 
     final Set<String> upgraded = new HashSet<>();
@@ -155,7 +61,7 @@
     final List<String> names;
     final World world;
     /** What leaves the controllers; null when nobody wants to know. */
-    private final EdgeTrace trace;
+    private final @Nullable EdgeTrace trace;
 
     final Rules rules;
     final SimCommands commands;
@@ -165,7 +71,7 @@
     final SimUsers users = new SimUsers(this);
     final SimFaults faults = new SimFaults(this);
     private final SimPorts ports = new SimPorts(this);
-    final Map<String, Node> nodes = new LinkedHashMap<>();
+    final Map<String, SimNode> nodes = new LinkedHashMap<>();
     private final Set<TaskId> results = new HashSet<>();
     private final Map<String, Integer> heartbeatsAccepted = new HashMap<>();
     /** Controllers that users don't get to. */
@@ -216,9 +122,42 @@
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
         cloud = new SimCloud(world, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
         for (String node : names) {
-            nodes.put(node, new Node(node));
+            nodes.put(node, new SimNode(world, node, this::newController));
         }
-        nodes.values().forEach(Node::boot);
+        nodes.values().forEach(SimNode::boot);
+    }
+
+    private Controller newController(SimNode node) {
+        String name = node.name();
+        return new Controller(
+                configOf(node),
+                traced(store.portFor(name), port -> trace.tracing(name, port)),
+                traced(cloud.portFor(name), port -> trace.tracing(name, port)),
+                traced(ports.workerPort(name), port -> trace.tracing(name, port)),
+                traced(ports.peerPort(name), port -> trace.tracing(name, port)),
+                node.timers(),
+                RecoveryTracer.NONE);
+    }
+
+    private Config configOf(SimNode node) {
+        String name = node.name();
+        Map<String, String> zonesOfPeers = names.stream()
+                .filter(other -> !other.equals(name))
+                .collect(Collectors.toMap(other -> other, this::zoneOf));
+        return new Config(
+                new ControllerIdentity(name, node.incarnation(), zoneOf(name)),
+                new Topology(ZONES, zonesOfPeers),
+                TEAMS,
+                Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
+                new WorkerTiming(
+                        shape.heartbeatInterval(), shape.lease(), shape.cancel(), SimGangs.WAIT, SimGangs.PEER),
+                new PlatformLimits(
+                        shape.limits().requests(),
+                        upgraded.contains(name) ? limits.within(nextLimits) : limits,
+                        5,
+                        shape.connections()),
+                250_000,
+                Tuning.defaults().withRecoveryHold(recoveryHold));
     }
 
     private <P> P traced(P port, UnaryOperator<P> tracing) {
@@ -243,7 +182,7 @@
                 results,
                 gangs,
                 new SimWorker.Facts(id, type, host.zone(), host.spot()),
-                new SimWorker.Timing(shape.report(), shape.lease()));
+                new SimWorker.Timing(shape.heartbeatInterval(), shape.lease()));
     }
 
     /** The controllers as machines see them. */
@@ -255,7 +194,7 @@
 
         @Override
         public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
-            Controller controller = nodes.get(node).controller;
+            Controller controller = controllerAt(node);
             HeartbeatResponse answer =
                     controller == null ? new HeartbeatResponse.Unavailable() : controller.heartbeat(heartbeat);
             if (trace != null) {
@@ -264,7 +203,7 @@
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
                 if (controller.leader()) {
-                    commands.heard(controller.fencingToken(), heartbeat.host());
+                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.host());
                     commands.sent(controller.fencingToken(), node, heartbeat.host(), accepted.commands());
                 }
             }
@@ -298,11 +237,8 @@
         return leadersOtherThan(former).findFirst().orElse(former);
     }
 
-    private Stream<String> leadersOtherThan(String one) {
-        return nodes.values().stream()
-                .filter(node -> node.controller != null && node.controller.leader())
-                .map(node -> node.name)
-                .filter(node -> !node.equals(one));
+    private Stream<String> leadersOtherThan(@Nullable String one) {
+        return nodes.values().stream().filter(SimNode::leads).map(SimNode::name).filter(node -> !node.equals(one));
     }
 
     /** How many heartbeats this controller answered so far as one that may. */
@@ -310,25 +246,35 @@
         return heartbeatsAccepted.getOrDefault(node, 0);
     }
 
+    /** The controller that runs here now; null while it is down. */
+    @Nullable
+    Controller controllerAt(String node) {
+        return nodes.get(node).controller();
+    }
+
     /** What the leader tells of its recovery; null while nobody leads. */
+    @Nullable
     RecoveryStatus recovery() {
-        Node leader = nodes.get(leader());
-        return leader.controller != null && leader.controller.leader() ? leader.controller.recoveryStatus() : null;
+        SimNode leader = nodes.get(leader());
+        return leader.leads() ? recoveryAt(leader.name()) : null;
     }
 
     /** What a controller tells whose recovery is in this phase; null when there is none. */
+    @Nullable
     RecoveryStatus recovery(RecoveryPhase phase) {
         return nodes.values().stream()
-                .filter(node -> node.controller != null && node.controller.fencingToken() > 0)
-                .map(node -> node.controller.recoveryStatus())
+                .map(SimNode::controller)
+                .filter(controller -> controller != null && controller.fencingToken() > 0)
+                .map(Controller::recoveryStatus)
                 .filter(status -> status.phase() == phase)
                 .findFirst()
                 .orElse(null);
     }
 
     /** What this controller tells of recoveries; null while it is down. */
+    @Nullable
     RecoveryStatus recoveryAt(String node) {
-        Controller controller = nodes.get(node).controller;
+        Controller controller = controllerAt(node);
         return controller == null ? null : controller.recoveryStatus();
     }
 
@@ -338,11 +284,19 @@
     }
 
     /** A machine drawn at random; null while there is none. */
+    @Nullable
     SimWorker anyWorker() {
         List<SimWorker> all = cloud.workers();
         return all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
     }
 
+    /** Takes a value so much later than now. */
+    <T> Observation<T> observe(long delayMicros, Supplier<T> value) {
+        Observation<T> observation = new Observation<>();
+        after(delayMicros, () -> observation.set(value.get()));
+        return observation;
+    }
+
     /** Does this so much later than now: before the run, at this time of it. */
     void after(long delayMicros, Runnable action) {
         world.after(delayMicros, action);
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -1,6 +1,7 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
+import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -13,11 +14,18 @@
 class TakeoverTest {
     private static final long SECOND = Simulation.SECOND;
 
+    private static void submitWork(Simulation simulation, int tasksOfABatch) {
+        for (int i = 0; i < 8; i++) {
+            simulation.users.submit(simulation.jobs.batch(tasksOfABatch, 30 * SECOND));
+            simulation.users.submit(simulation.jobs.service(6));
+        }
+    }
+
     /** Repeated crashes of whoever owns the machines, in the middle of each takeover. */
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
     void leadersCrashDuringTakeover(long seed) {
-        Simulation simulation = SimulationTest.withJobs(seed, 30, 120 * SECOND);
+        Simulation simulation = withJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
             simulation.after(
                     (20 + 6 * i) * SECOND + simulation.world.random.nextInt(4_000_000),
@@ -25,6 +33,7 @@
                             simulation.leader(), 500_000 + simulation.world.random.nextInt(3_000_000)));
         }
         simulation.run(300 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -33,35 +42,31 @@
     @ValueSource(longs = {41, 42, 43})
     void leaderCutFromItsWorkersStepsDown(long seed) {
         Simulation simulation = new Simulation(seed, 5, 12);
-        for (int i = 0; i < 8; i++) {
-            simulation.users.submit(simulation.jobs.batch(100, 30 * SECOND));
-            simulation.users.submit(simulation.jobs.service(6));
-        }
-        String[] cut = new String[1];
+        submitWork(simulation, 100);
+        Observation<String> cut = new Observation<>();
         simulation.after(50 * SECOND, () -> {
-            cut[0] = simulation.leader();
-            simulation.faults.cutFromWorkers(cut[0], World.Cut.DROP, 60 * SECOND);
+            cut.set(simulation.leader());
+            simulation.faults.cutFromWorkers(cut.get(), World.Cut.DROP, 60 * SECOND);
         });
         simulation.run(50 * SECOND + Simulation.LEASE);
-        assertNotEquals(cut[0], simulation.leader(), "the leader that reaches no machine is still the leader");
-        // They fall silent one after the other; the first are not to be given up before the rest tell what it is.
+
+        assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
+        // Their heartbeats end one after the other; the first are not to be given up before the rest tell what it is.
         assertEquals(List.of(), simulation.cloud.terminatedBusy, "returned with tasks on them");
         simulation.run(120 * SECOND, 300 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
     /**
      * A leader cut from the store goes on answering its workers, and some machines can't be reached at all: the
-     * successor must not take those for dead that it has not yet asked, or that still report to the former leader.
+     * successor must not take those for dead that it has not yet asked, or that still reach the former leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93})
     void takeoverTerminatesNoHealthyMachine(long seed) {
         Simulation simulation = new Simulation(seed, 5, 20);
-        for (int i = 0; i < 8; i++) {
-            simulation.users.submit(simulation.jobs.batch(150, 30 * SECOND));
-            simulation.users.submit(simulation.jobs.service(6));
-        }
+        submitWork(simulation, 150);
         List<String> cut = new ArrayList<>();
         simulation.after(45 * SECOND, () -> {
             simulation.faults.cutFromPeersAndStore(simulation.leader(), World.Cut.DROP, 40 * SECOND);
@@ -72,10 +77,12 @@
             }
         });
         simulation.run(100 * SECOND);
+
         List<String> healthy = new ArrayList<>(simulation.cloud.terminatedBusy);
         healthy.removeAll(cut);
         assertEquals(List.of(), healthy, "returned with tasks on them");
         simulation.run(100 * SECOND, 500 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 
@@ -83,7 +90,7 @@
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void backWithinAFractionOfASecond(long seed) {
-        Simulation simulation = SimulationTest.withJobs(seed, 30, 100 * SECOND);
+        Simulation simulation = withJobs(seed, 30, 100 * SECOND);
         simulation.world.lateCopies = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean leader = i % 3 > 0;
@@ -100,6 +107,7 @@
             });
         }
         simulation.run(110 * SECOND, 330 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 }
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -0,0 +1,149 @@
+package org.granitepath.simulation;
+
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.coordination.ports.TaskId;
+import org.granitepath.storage.JobSpec;
+
+/** No task runs twice, each runs where its job may, and no team uses more than its limit. */
+final class TaskPlacementRules {
+    private record Place(String host, String zone) {}
+
+    private final Breaches breaches;
+    private final JobHistory jobs;
+    private final Map<String, Team> teams;
+    private final Map<TaskId, Place> placed = new HashMap<>();
+    private int starts;
+
+    TaskPlacementRules(Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
+        this.breaches = breaches;
+        this.jobs = jobs;
+        this.teams = teams;
+    }
+
+    /** A task is on a machine now. */
+    void started(TaskId task, String host, String type, String zone, boolean spot) {
+        starts++;
+        JobSpec spec = jobs.spec(task.job());
+        checkNotElsewhere(task, host);
+        placed.put(task, new Place(host, zone));
+        checkMachine(task, spec, type, zone, spot);
+        checkZonesOfJob(task, spec, zone);
+        checkQuota(spec.team());
+    }
+
+    private void checkNotElsewhere(TaskId task, String host) {
+        Place other = placed.get(task);
+        if (other != null) {
+            breaches.add("ran_twice", task + " starts on " + host + " while on " + other.host());
+        }
+    }
+
+    private void checkMachine(TaskId task, JobSpec spec, String type, String zone, boolean spot) {
+        if (!spec.allowsType(type) || !spec.allowsZone(zone) || (spot && !spec.spot())) {
+            breaches.add("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
+        }
+    }
+
+    private void checkZonesOfJob(TaskId task, JobSpec spec, String zone) {
+        if (!spec.spread() && !spec.oneZone()) {
+            return;
+        }
+        int here = 0;
+        int elsewhere = 0;
+        for (var entry : placed.entrySet()) {
+            if (entry.getKey().job().equals(task.job())) {
+                boolean sameZone = entry.getValue().zone().equals(zone);
+                here += sameZone ? 1 : 0;
+                elsewhere += sameZone ? 0 : 1;
+            }
+        }
+        if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere > 0)) {
+            breaches.add("wrong_place", task + ": " + here + " of its job in " + zone);
+        }
+    }
+
+    private void checkQuota(String name) {
+        Team team = teams.get(name);
+        if (team.cpuLimit() <= 0 && team.gpuLimit() <= 0) {
+            return;
+        }
+        long cpu = 0;
+        long gpu = 0;
+        for (TaskId task : placed.keySet()) {
+            JobSpec running = jobs.spec(task.job());
+            if (running.team().equals(name)) {
+                cpu += running.cpuMillis();
+                gpu += running.gpuMillis();
+            }
+        }
+        if ((team.cpuLimit() > 0 && cpu > team.cpuLimit()) || (team.gpuLimit() > 0 && gpu > team.gpuLimit())) {
+            breaches.add("quota", "team " + name + " uses " + cpu + " and " + gpu);
+        }
+    }
+
+    /** A task is no longer on the machine. */
+    void left(TaskId task, String host) {
+        Place place = placed.get(task);
+        if (place != null && place.host().equals(host)) {
+            placed.remove(task);
+        }
+    }
+
+    /** How many tasks began on machines so far, each attempt counted. */
+    int starts() {
+        return starts;
+    }
+
+    /** The tasks that are on a machine. */
+    Set<TaskId> tasks() {
+        return Collections.unmodifiableSet(placed.keySet());
+    }
+
+    /** The machine of a task that is on one. */
+    String hostOf(TaskId task) {
+        return placed.get(task).host();
+    }
+
+    /** Jobs with a task on a machine, that nobody has asked to cancel. */
+    List<String> running() {
+        return placed.keySet().stream()
+                .map(TaskId::job)
+                .filter(job -> !jobs.wasCancellationAsked(job))
+                .distinct()
+                .sorted()
+                .toList();
+    }
+
+    /** Thousandths of CPUs that a team's tasks use. */
+    long usedBy(String team) {
+        return placed.keySet().stream()
+                .map(task -> jobs.spec(task.job()))
+                .filter(job -> job.team().equals(team))
+                .mapToLong(JobSpec::cpuMillis)
+                .sum();
+    }
+
+    /** The machines that hold tasks of a job. */
+    Set<String> hostsOf(String job) {
+        Set<String> hosts = new TreeSet<>();
+        placed.forEach((task, place) -> {
+            if (task.job().equals(job)) {
+                hosts.add(place.host());
+            }
+        });
+        return hosts;
+    }
+
+    /** How many tasks of services are on a machine. */
+    long replicas() {
+        return placed.keySet().stream()
+                .filter(task -> jobs.spec(task.job()).service())
+                .count();
+    }
+}
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -63,7 +63,7 @@
                 new Scenario("overload over slow links", combined::overloadOverSlowLinksLeavesNobodyUnserved, 1),
                 new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneStayThereWhenTheyLoseMachines, 1, 2),
                 new Scenario(
-                        "zone cut off for long", combined::cancelledTasksEndInAZoneCutOffForLongerThanALease, 1, 2),
+                        "zone cut off for long", cancellation::cancelledTasksEndInAZoneCutOffForLongerThanALease, 1, 2),
                 new Scenario("team at its limit", combined::aTeamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
                 new Scenario("writes carried out late", delayed::lateTransactionsDoNotOverwriteNewerOnes, 1, 2),
                 new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeProveNothingToTheNewLeader, 1, 2),
@@ -103,7 +103,7 @@
                 new Scenario("leaders crash during takeover", takeover::leadersCrashDuringTakeover, 5, 6),
                 new Scenario("leader cut from workers", takeover::leaderCutFromItsWorkersStepsDown, 41, 42),
                 new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
-                new Scenario("cold restart", recovery::servicesResumeBeforeBatchWork, 1, 2),
+                new Scenario("cold restart", new RecoveryOrderTest()::servicesResumeBeforeBatchWork, 1, 2),
                 new Scenario("cold restart, forbidden work", recovery::whatMayNotRunIsStoppedAndCleared, 1),
                 new Scenario("cold restart, gangs", recovery::gangsOfWhichAPartReportsEndAndStartWhole, 1),
                 new Scenario("cold restart, store away", troubles::theStateServiceIsAwayOrSlow, 1, 2),
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -2,8 +2,8 @@
 
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
-import static org.granitepath.simulation.SimulationTest.assertRulesAndAllDone;
-import static org.granitepath.simulation.SimulationTest.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -45,8 +45,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void bothVersionsServeAndTheLimitsChange(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION);
-        int[] largest = new int[1];
-        simulation.after(39 * SECOND, () -> largest[0] = simulation.store.largestValue());
+        Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValue);
         for (int i = 0; i < simulation.names.size(); i++) {
             String node = simulation.names.get((int) (seed + i) % simulation.names.size());
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
@@ -59,7 +58,8 @@
         simulation.after(
                 130 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
         simulation.run(140 * SECOND, 400 * SECOND);
-        assertTrue(largest[0] > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
+
+        assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(simulation);
         assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
     }
@@ -75,6 +75,7 @@
         });
         leaderEnds(simulation, 46 * SECOND, SECOND);
         simulation.run(60 * SECOND, 300 * SECOND);
+
         assertRulesAndAllDone(simulation);
         assertEquals(List.of(), simulation.rules.broken);
         assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
@@ -92,6 +93,7 @@
         leaderEnds(simulation, 60 * SECOND, SECOND);
         simulation.after(80 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.run(90 * SECOND, 400 * SECOND);
+
         assertRulesAndAllDone(simulation);
     }
 }
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -0,0 +1,118 @@
+package org.granitepath.simulation;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import org.granitepath.coordination.config.Team;
+import org.granitepath.storage.JobSpec;
+
+/** No job is left waiting while a machine would take one of its tasks and its team is under its limit. */
+final class WaitingRules {
+    private static final long NEGLECTED_MICROS = 90_000_000;
+
+    private final World world;
+    private final Breaches breaches;
+    private final JobHistory jobs;
+    private final Map<String, Team> teams;
+    private final Map<String, Long> couldRunSince = new HashMap<>();
+
+    WaitingRules(World world, Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
+        this.world = world;
+        this.breaches = breaches;
+        this.jobs = jobs;
+        this.teams = teams;
+    }
+
+    /** Called again and again; a job of which a start is sent begins to wait anew. */
+    void check(Collection<SimWorker> machines) {
+        HeldTasks held = heldBy(machines);
+        for (String job : jobs.acceptedJobs()) {
+            JobSpec spec = jobs.spec(job);
+            int left = spec.tasks() - jobs.completedTasks(job) - held.tasksOf(job);
+            if (left <= 0 || !couldRun(spec, left, held, machines)) {
+                couldRunSince.remove(job);
+                continue;
+            }
+            long since =
+                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> world.now()), jobs.lastStartSentAt(job));
+            if (world.now() - since > NEGLECTED_MICROS) {
+                breaches.add(
+                        "neglected",
+                        job + " of team " + spec.team() + " waits with " + left
+                                + " tasks while a machine has capacity");
+            }
+        }
+    }
+
+    private boolean couldRun(JobSpec spec, int left, HeldTasks held, Collection<SimWorker> machines) {
+        return !jobs.wasCancellationAsked(spec.id())
+                && jobs.finalTold(spec.id()) == null
+                && withinLimit(spec, held)
+                && (!spec.gang() || wholeGangFits(spec, left, held, machines))
+                && machines.stream().anyMatch(machine -> couldRunOn(machine, spec, held));
+    }
+
+    private boolean withinLimit(JobSpec spec, HeldTasks held) {
+        long limit = teams.get(spec.team()).cpuLimit();
+        // What starting more of the job takes of the limit, at least.
+        long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
+        return limit == 0 || held.cpuOf(spec.team()) + needed <= limit;
+    }
+
+    private static boolean couldRunOn(SimWorker machine, JobSpec spec, HeldTasks held) {
+        return machine.wouldTake(spec)
+                && (!spec.oneZone() || Set.of(machine.zone).containsAll(held.zonesOf(spec.id())))
+                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
+    }
+
+    /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
+    private static boolean wholeGangFits(JobSpec spec, int left, HeldTasks held, Collection<SimWorker> machines) {
+        Map<String, Integer> slots = new HashMap<>();
+        machines.forEach(
+                machine -> slots.merge(spec.oneZone() ? machine.zone : "any", machine.slots(spec), Integer::sum));
+        return held.tasksOf(spec.id()) == 0 && slots.values().stream().anyMatch(count -> count >= left);
+    }
+
+    private HeldTasks heldBy(Collection<SimWorker> machines) {
+        HeldTasks held = new HeldTasks();
+        for (SimWorker machine : machines) {
+            machine.runs().held().forEach((job, count) -> held.add(jobs.spec(job), machine.zone, count));
+        }
+        return held;
+    }
+
+    /** What machines hold: tasks of each job, a job's zones, its tasks in each of them, and the CPUs of each team. */
+    private static final class HeldTasks {
+        private record JobInZone(String job, String zone) {}
+
+        private final Map<String, Integer> tasks = new HashMap<>();
+        private final Map<String, Set<String>> zones = new HashMap<>();
+        private final Map<JobInZone, Integer> tasksInZone = new HashMap<>();
+        private final Map<String, Long> teamCpu = new HashMap<>();
+
+        void add(JobSpec spec, String zone, int count) {
+            tasks.merge(spec.id(), count, Integer::sum);
+            zones.computeIfAbsent(spec.id(), unknown -> new HashSet<>()).add(zone);
+            tasksInZone.merge(new JobInZone(spec.id(), zone), count, Integer::sum);
+            teamCpu.merge(spec.team(), count * spec.cpuMillis(), Long::sum);
+        }
+
+        int tasksOf(String job) {
+            return tasks.getOrDefault(job, 0);
+        }
+
+        Set<String> zonesOf(String job) {
+            return zones.getOrDefault(job, Set.of());
+        }
+
+        int tasksIn(String job, String zone) {
+            return tasksInZone.getOrDefault(new JobInZone(job, zone), 0);
+        }
+
+        long cpuOf(String team) {
+            return teamCpu.getOrDefault(team, 0L);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -0,0 +1,35 @@
+package org.granitepath.simulation;
+
+import static org.granitepath.simulation.RulesFixture.ANYWHERE;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.granitepath.coordination.ports.JobResponse.JobState;
+import org.junit.jupiter.api.Test;
+
+/** A job that waits beside free capacity is noticed. */
+class WaitingRulesTest {
+    private final RulesFixture fixture = new RulesFixture();
+
+    @Test
+    void jobIsLeftWaiting() {
+        SimWorker worker = fixture.worker();
+        fixture.tell(ANYWHERE, JobState.PENDING);
+        checkEachSecond(0, 89, worker);
+        fixture.assertNoneBroken();
+        fixture.runUntil(91_000_000);
+        fixture.rules().checkWaiting(List.of());
+        assertTrue(fixture.rules().broken.isEmpty(), "no machine is there");
+
+        checkEachSecond(92, 183, worker);
+
+        fixture.assertBroken("neglected");
+    }
+
+    private void checkEachSecond(long from, long to, SimWorker worker) {
+        for (long at = from; at <= to; at++) {
+            fixture.runUntil(at * 1_000_000);
+            fixture.rules().checkWaiting(List.of(worker));
+        }
+    }
+}
