--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -109,6 +109,7 @@
     @CsvSource({"false, 6, 2", "false, 8, 1", "true, 6, 1"})
     void aWorkerThatRefusedIsCalledAgainUnlessItKnowsAHigherToken(boolean executed, long knownToken, int callsMade) {
         Machine machine = fixture.takeOver("m").get(0);
+        fixture.reconciler.reconcile(machine, heartbeat(machine, EPOCH, FORMER_TOKEN), MessageOrigin.HEARTBEAT);
         calls.callWithoutCommands(machine, () -> {});
         if (executed) {
             onlyCall().answer(heartbeat(machine, EPOCH, knownToken));
