--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -21,7 +21,7 @@
     private long storeRevision = 1;
     private long leasesOpened;
     /** While set, no request is carried out or answered. */
-    boolean silent;
+    public boolean silent;
     /** While set, reads are not answered; all else is. */
     boolean readsSilent;
 
