--- a/src/test/java/org/granitepath/coordination/ManualTimers.java
+++ b/src/test/java/org/granitepath/coordination/ManualTimers.java
@@ -10,9 +10,18 @@
 
     private final PriorityQueue<Timer> pending =
             new PriorityQueue<>(Comparator.comparingLong(Timer::dueMicros).thenComparingLong(Timer::number));
-    private long nowMicros = 1_000_000_000;
+    private long nowMicros;
     private long timersSet;
 
+    public ManualTimers() {
+        this(1_000_000_000);
+    }
+
+    /** A clock that shows this time at first. */
+    public ManualTimers(long nowMicros) {
+        this.nowMicros = nowMicros;
+    }
+
     @Override
     public long nowMicros() {
         return nowMicros;
@@ -28,6 +37,11 @@
         pending.add(new Timer(nowMicros + delayMicros, timersSet++, action));
     }
 
+    /** Whether nothing is to happen later. */
+    public boolean nonePending() {
+        return pending.isEmpty();
+    }
+
     /** Lets so much time pass and runs what becomes due. */
     public void advance(long micros) {
         long untilMicros = nowMicros + micros;
--- a/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
@@ -7,81 +7,22 @@
 import com.google.common.collect.ImmutableRangeSet;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Consumer;
 import java.util.stream.IntStream;
+import org.granitepath.coordination.ManualTimers;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.storage.JobRecord;
-import org.granitepath.storage.MachineType;
 import org.granitepath.storage.ProgressRecord;
-import org.granitepath.storage.Timers;
 import org.junit.jupiter.api.Test;
 
 /** One launch after the other, whatever the cloud answers. */
 class LauncherTest {
     private static final long TOKEN = 7;
 
-    /** Keeps requests to launch, for the test to answer. */
-    private static final class KeptRequests implements CloudPort {
-        private final List<LaunchRequest> requests = new ArrayList<>();
-        private Consumer<LaunchResult> unanswered;
-
-        @Override
-        public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
-            requests.add(request);
-            unanswered = then;
-        }
-
-        void answer(Outcome outcome, String... ids) {
-            unanswered.accept(new LaunchResult(outcome, List.of(ids)));
-        }
-
-        @Override
-        public void types(Consumer<List<MachineType>> then) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void terminate(List<String> hosts, Consumer<Boolean> then) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void list(String from, int limit, Consumer<Listing> then) {
-            throw new UnsupportedOperationException();
-        }
-    }
-
-    /** A clock that the test sets; what was to happen later happens when the test says so. */
-    private static final class ManualTimers implements Timers {
-        private final List<Runnable> later = new ArrayList<>();
-        private long nowMicros;
-
-        @Override
-        public long nowMicros() {
-            return nowMicros;
-        }
-
-        @Override
-        public long timeOfDayMicros() {
-            return nowMicros;
-        }
-
-        @Override
-        public void after(long delayMicros, Runnable action) {
-            later.add(action);
-        }
-
-        void runLater() {
-            List<Runnable> due = List.copyOf(later);
-            later.clear();
-            due.forEach(Runnable::run);
-        }
-    }
-
     private final KeptRequests cloud = new KeptRequests();
     private final ManualTimers timers = new ManualTimers();
     private final BootingMachines booting = new BootingMachines();
+    private final long startMicros = timers.nowMicros();
     private final List<Long> answeredMicros = new ArrayList<>();
     private final Offer offer = new Offer(Examples.TYPE, "a", true, job());
     private boolean ended;
@@ -100,22 +41,22 @@
     void launchedMachinesBoot() {
         launch(2);
         assertTrue(launcher.underWay());
-        cloud.answer(CloudPort.Outcome.OK, "i-1", "i-2");
+        cloud.answerLaunch(CloudPort.Outcome.OK, "i-1", "i-2");
         assertFalse(launcher.underWay());
         assertTrue(booting.contains("i-1") && booting.contains("i-2"));
         assertFalse(launcher.refusedLately(offer.key()));
-        assertEquals(List.of(0L), answeredMicros);
+        assertEquals(List.of(startMicros), answeredMicros);
     }
 
     @Test
     void aRequestBringsABoundedNumberUnderAKeyOfItsOwn() {
         launch(1_000);
-        cloud.answer(CloudPort.Outcome.NO_CAPACITY);
+        cloud.answerLaunch(CloudPort.Outcome.NO_CAPACITY);
         launch(1);
-        assertEquals(50, cloud.requests.get(0).count());
+        assertEquals(50, cloud.launches.get(0).count());
         assertEquals(
                 List.of("b7-1", "b7-2"),
-                cloud.requests.stream()
+                cloud.launches.stream()
                         .map(CloudPort.LaunchRequest::idempotencyKey)
                         .toList());
     }
@@ -123,11 +64,11 @@
     @Test
     void offersWithoutCapacityAreAvoidedForAWhile() {
         launch(2);
-        cloud.answer(CloudPort.Outcome.OK, "i-1");
+        cloud.answerLaunch(CloudPort.Outcome.OK, "i-1");
         assertTrue(launcher.refusedLately(offer.key()), "it brought fewer than asked for");
-        launcher.forgetOldRefusals(15 * Examples.SECOND_MICROS);
+        launcher.forgetOldRefusals(startMicros + 15 * Examples.SECOND_MICROS);
         assertTrue(launcher.refusedLately(offer.key()));
-        launcher.forgetOldRefusals(15 * Examples.SECOND_MICROS + 1);
+        launcher.forgetOldRefusals(startMicros + 15 * Examples.SECOND_MICROS + 1);
         assertFalse(launcher.refusedLately(offer.key()));
     }
 
@@ -135,15 +76,15 @@
     void withoutADefiniteAnswerTheSameRequestIsRepeated() {
         launch(2);
         IntStream.range(0, 20).forEach(repeat -> {
-            cloud.answer(CloudPort.Outcome.UNKNOWN);
-            timers.runLater();
+            cloud.answerLaunch(CloudPort.Outcome.UNKNOWN);
+            timers.advance(Examples.SECOND_MICROS);
         });
         assertTrue(launcher.underWay());
-        cloud.answer(CloudPort.Outcome.REFUSED);
+        cloud.answerLaunch(CloudPort.Outcome.REFUSED);
         assertFalse(launcher.underWay(), "given up after 20 repeats");
-        assertTrue(timers.later.isEmpty());
-        assertEquals(21, cloud.requests.size());
-        assertEquals(1, cloud.requests.stream().distinct().count());
+        assertTrue(timers.nonePending());
+        assertEquals(21, cloud.launches.size());
+        assertEquals(1, cloud.launches.stream().distinct().count());
         assertEquals(List.of(), answeredMicros);
     }
 
@@ -151,7 +92,7 @@
     void afterTheTermAnswersChangeNothing() {
         launch(1);
         ended = true;
-        cloud.answer(CloudPort.Outcome.OK, "i-1");
+        cloud.answerLaunch(CloudPort.Outcome.OK, "i-1");
         assertEquals(0, booting.size());
         assertEquals(List.of(), answeredMicros);
     }
--- /dev/null
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -0,0 +1,114 @@
+package org.granitepath.coordination.autoscaling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import org.granitepath.coordination.ManualTimers;
+import org.granitepath.coordination.TestConfigs;
+import org.granitepath.coordination.config.Config;
+import org.granitepath.coordination.fleet.FailureDetector;
+import org.granitepath.coordination.leadership.Peers;
+import org.granitepath.coordination.model.Fleet;
+import org.granitepath.coordination.model.Machine;
+import org.junit.jupiter.api.Test;
+
+/** When a machine counts as failed. */
+class MachineFailuresTest {
+    private static final String OWN_ZONE = "zone-c1";
+    private static final String PEER_ZONE = "zone-c2";
+
+    private final ManualTimers timers = new ManualTimers();
+    private final long startMicros = timers.nowMicros();
+    private final Config config = TestConfigs.of("c1", "c1-1", "c2");
+    private final long leaseMicros = config.workers().leaseMicros();
+    private final long partitionMicros = leaseMicros + config.workers().cancelMicros();
+    private final Fleet fleet = new Fleet(config, timers);
+    private final FailureDetector failureDetector =
+            new FailureDetector(config, fleet, new Peers(config, null, timers, () -> null));
+    private final MachineFailures failures = new MachineFailures(config.workers(), failureDetector);
+
+    private Machine machine(String id, String zone) {
+        Machine machine = new Machine(id, id + ":1", "type", zone, false);
+        machine.inventory().onRecord();
+        machine.heartbeatReceived(false, startMicros);
+        machine.tasksConfirmed();
+        fleet.add(machine);
+        return machine;
+    }
+
+    private void machines(String zone, int count) {
+        for (int number = 0; number < count; number++) {
+            machine(zone + number, zone);
+        }
+    }
+
+    /** Why the machine counts as failed so long after the start. */
+    private TerminationReason reasonAfter(Machine machine, long micros) {
+        failureDetector.update(startMicros + micros);
+        failures.survey();
+        return failures.reason(machine, startMicros + micros);
+    }
+
+    @Test
+    void withoutHeartbeatsForMoreThanALease() {
+        Machine machine = machine("m", OWN_ZONE);
+        assertNull(reasonAfter(machine, leaseMicros));
+        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, leaseMicros + 1));
+    }
+
+    @Test
+    void soonerWhenItDoesNotAnswerCallsEither() {
+        Machine machine = machine("m", OWN_ZONE);
+        machine.contact().callBegan(startMicros + 1);
+        machine.contact().callEnded();
+        machine.contact().callAnswered(false);
+        long timeoutMicros = failureDetector.unresponsiveTimeoutMicros(machine);
+
+        assertNull(reasonAfter(machine, timeoutMicros));
+        // One of a zone of its own is suspected once it is overdue: it is waited for one heartbeat longer.
+        assertNull(reasonAfter(machine, timeoutMicros + 1));
+        assertEquals(
+                TerminationReason.UNRESPONSIVE,
+                reasonAfter(machine, failureDetector.unresponsiveTimeoutMicros(machine) + 1));
+    }
+
+    @Test
+    void whereMostAreOverdueOnlyAfterTheLongestPartition() {
+        machines(OWN_ZONE, 4);
+        Machine machine = fleet.machines().iterator().next();
+        assertNull(reasonAfter(machine, leaseMicros + 1));
+        assertNull(reasonAfter(machine, partitionMicros));
+        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, partitionMicros + 1));
+    }
+
+    @Test
+    void inAZoneCutOffWithAPeerOnlyAfterTheLongestPartition() {
+        machines(PEER_ZONE, 4);
+        Machine machine = fleet.machines().iterator().next();
+        machines(OWN_ZONE, 20);
+        fleet.machines().stream()
+                .filter(other -> other.zone().equals(OWN_ZONE))
+                .forEach(other -> other.heartbeatReceived(false, startMicros + partitionMicros));
+
+        assertNull(reasonAfter(machine, leaseMicros + 1));
+        assertNull(reasonAfter(machine, partitionMicros));
+        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, partitionMicros + 1));
+    }
+
+    @Test
+    void whenOurAnswersHaveNotReachedItForALease() {
+        Machine machine = machine("m", OWN_ZONE);
+        machine.confirmationLost(startMicros, "test");
+        machine.heartbeatReceived(false, startMicros + leaseMicros);
+        assertNull(reasonAfter(machine, leaseMicros));
+        assertEquals(TerminationReason.UNREACHABLE, reasonAfter(machine, leaseMicros + 1));
+    }
+
+    @Test
+    void notWhileItIsToBePutOnRecord() {
+        Machine machine = new Machine("m", "m:1", "type", OWN_ZONE, false);
+        fleet.add(machine);
+        machine.heartbeatReceived(false, startMicros + leaseMicros);
+        assertNull(reasonAfter(machine, leaseMicros + 1));
+    }
+}
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
+import org.granitepath.coordination.ManualTimers;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.config.ControllerIdentity;
 import org.granitepath.coordination.config.Objective;
@@ -34,7 +35,6 @@
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.Priority;
 import org.granitepath.storage.ProgressRecord;
-import org.granitepath.storage.Timers;
 
 /** A small fleet and its jobs, out of the real classes, at one moment. */
 public final class PlacementFixture {
@@ -48,25 +48,12 @@
     private static final MachineType TYPE =
             new MachineType("small", 4 * CPU, 0, 16_000, 1, 1, 0.3, 20 * SECOND, List.of("a", "b"));
 
-    private static final Timers TIMERS = new Timers() {
-        @Override
-        public long nowMicros() {
-            return NOW;
-        }
-
-        @Override
-        public long timeOfDayMicros() {
-            return NOW;
-        }
-
-        @Override
-        public void after(long delayMicros, Runnable action) {
-            // what is to happen later is not part of these tests
-        }
-    };
+    /** Stands at {@link #NOW} until a test moves it. */
+    public final ManualTimers timers = new ManualTimers(NOW);
 
     public final Config config;
     public final Fleet fleet;
+    public final TermRecovery recovery;
     public final PlacementRules rules;
     public final TaskLifecycle tasks;
     public final ActiveJobs jobs;
@@ -76,15 +63,15 @@
     public PlacementFixture(Team... teams) {
         Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
         config = config(byName);
-        fleet = new Fleet(config, TIMERS);
+        fleet = new Fleet(config, timers);
         fleet.typesChanged(List.of(TYPE));
-        jobs = new ActiveJobs(0, TIMERS, faults::forget);
-        SchedulingLoop loop = new SchedulingLoop(TIMERS, () -> false, () -> true, () -> {}, () -> {});
-        TermRecovery recovery = new TermRecovery(new RecoveryPlan(1, 0, RecoveryTracer.NONE), jobs, TIMERS, loop);
+        jobs = new ActiveJobs(0, timers, faults::forget);
+        SchedulingLoop loop = new SchedulingLoop(timers, () -> false, () -> true, () -> {}, () -> {});
+        recovery = new TermRecovery(new RecoveryPlan(1, 0, RecoveryTracer.NONE), jobs, timers, loop);
         TeamLimits teamLimits = new TeamLimits(byName);
         rules = new PlacementRules(fleet, recovery, jobs, teamLimits, faults, runtimeEstimator);
         tasks = new TaskLifecycle(
-                new Leadership.Term(1, 1), recovery, jobs, teamLimits, TIMERS, loop, new CommandQueue(() -> {}));
+                new Leadership.Term(1, 1), recovery, jobs, teamLimits, timers, loop, new CommandQueue(() -> {}));
     }
 
     private static Config config(Map<String, Team> teams) {
@@ -139,6 +126,7 @@
         private String team = "t";
         private int tasks = 10;
         private long cpuMillis = CPU;
+        private double imageGb = 1;
         private long checkpointMicros;
         private long deadlineMicros = JobSpec.NO_DEADLINE;
         private long acceptedMicros;
@@ -169,6 +157,11 @@
             return this;
         }
 
+        public JobBuilder imageGb(double size) {
+            imageGb = size;
+            return this;
+        }
+
         public JobBuilder checkpointMicros(long interval) {
             checkpointMicros = interval;
             return this;
@@ -196,7 +189,7 @@
                     0,
                     1,
                     "image-of-" + id,
-                    1,
+                    imageGb,
                     null,
                     null,
                     false,
