--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -48,9 +48,7 @@
             return;
         }
         MachineType type = offer.type();
-        double wantedCpuMillis = Math.min(
-                demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros(),
-                demand.config().tuning().scaling().headroomShare() * servicesCpuMillis);
+        double wantedCpuMillis = wantedCpuMillis(type);
         spareCpuMillis = availableCpuMillis - wantedCpuMillis;
         if (availableCpuMillis < wantedCpuMillis) {
             int count = (int) Math.ceil((wantedCpuMillis - availableCpuMillis) / type.cpuMillis());
@@ -58,6 +56,13 @@
         }
     }
 
+    /** What arrives while a machine of this type boots, up to a share of what the present services use. */
+    private double wantedCpuMillis(MachineType type) {
+        double arrivingCpuMillis = demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
+        double mostCpuMillis = demand.config().tuning().scaling().headroomShare() * servicesCpuMillis;
+        return Math.min(arrivingCpuMillis, mostCpuMillis);
+    }
+
     private void countFleet(ActiveJob newest) {
         for (Machine machine : demand.fleet().machines()) {
             if (!machine.spot()
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -16,6 +16,7 @@
  */
 final class Launcher {
     private static final Logger LOG = LoggerFactory.getLogger(Launcher.class);
+    private static final String KEY_PREFIX = "b";
     private static final int MAX_MACHINES_PER_REQUEST = 50;
     private static final int MAX_REPEATS = 20;
     private static final long REPEAT_MICROS = 1_000_000;
@@ -72,8 +73,7 @@
         underWay = true;
         Offer offer = launch.offer();
         int count = Math.min(launch.count(), MAX_MACHINES_PER_REQUEST);
-        // The fencing token is unique to this term of leadership, so no key is ever used for two requests.
-        String idempotencyKey = "b" + fencingToken + "-" + ++requestCount;
+        String idempotencyKey = nextIdempotencyKey();
         ActiveJob job = offer.job();
         LOG.info(
                 "launch {} of {} {} in {}{}, first for job {} ({}, {} tasks wait; batch drains in {} s)",
@@ -91,6 +91,12 @@
         send(request, offer, 0, whenAnswered);
     }
 
+    /** The fencing token is unique to this term of leadership, so no key is ever used for two requests. */
+    private String nextIdempotencyKey() {
+        requestCount++;
+        return KEY_PREFIX + fencingToken + "-" + requestCount;
+    }
+
     private void send(CloudPort.LaunchRequest request, Offer offer, int repeats, LongConsumer whenAnswered) {
         cloud.launch(request, answer -> {
             if (ended.getAsBoolean()) {
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -32,15 +32,9 @@
 
     /** Looks at the fleet anew. */
     public void survey() {
-        Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
-        for (Machine machine : fleet.machines()) {
-            if (!machine.spot() && machine.takesTasks()) {
-                freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
-            }
-        }
         zone = NO_ZONE;
         long mostCpuMillis = -1;
-        for (var entry : freeCpuMillis.object2LongEntrySet()) {
+        for (var entry : freeCpuMillisByZone().object2LongEntrySet()) {
             if (entry.getLongValue() > mostCpuMillis) {
                 zone = entry.getKey();
                 mostCpuMillis = entry.getLongValue();
@@ -49,6 +43,16 @@
         spareCpuMillis = mostCpuMillis - batchPlanner.largestPromptGangCpuMillis();
     }
 
+    private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
+        Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
+        for (Machine machine : fleet.machines()) {
+            if (!machine.spot() && machine.takesTasks()) {
+                freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
+            }
+        }
+        return freeCpuMillis;
+    }
+
     /** Whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
         return batchPlanner.largestPromptGangCpuMillis() > 0
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -50,7 +50,9 @@
             job.scheduling().classify(fixedClass);
             if (fixedClass == SchedulingClass.ANY && isToBeInTime(job)) {
                 DueJob due = dueJob(job, nowMicros);
-                (runtimeEstimator.taskMicros(job) <= due.timeLeftMicros() ? possiblyInTime : late).add(due);
+                boolean possible = runtimeEstimator.taskMicros(job) <= due.timeLeftMicros();
+                List<DueJob> jobs = possible ? possiblyInTime : late;
+                jobs.add(due);
             }
         }
         double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.IN_TIME, 0);
@@ -74,9 +76,8 @@
 
     private DueJob dueJob(ActiveJob job, long nowMicros) {
         long objectiveMicros = objectives.finishInsteadOfDeadlineMicros(job);
-        long timeLeftMicros =
-                (objectiveMicros > 0 ? objectiveMicros : job.spec().deadlineMicros())
-                        - activeJobs.ageMicros(job, nowMicros);
+        long allowedMicros = objectiveMicros > 0 ? objectiveMicros : job.spec().deadlineMicros();
+        long timeLeftMicros = allowedMicros - activeJobs.ageMicros(job, nowMicros);
         return new DueJob(job, survey.remainingWork(job), timeLeftMicros);
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/Deferral.java
+++ b/src/main/java/org/granitepath/coordination/placement/Deferral.java
@@ -52,14 +52,18 @@
 
     private boolean leavesTimeForObjective(
             ActiveJob job, Objective objective, double pendingCpuMillis, long nowMicros) {
-        double latestStartMicros = Math.min(
-                objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros(),
-                objective.finishMicros() == 0
-                        ? Double.MAX_VALUE
-                        : objective.finishMicros() - runtimeEstimator.taskMicros(job));
         long waitedMicros =
-                !job.scheduling().isWaiting() ? 0 : nowMicros - job.scheduling().waitingSinceMicros();
+                job.scheduling().isWaiting() ? nowMicros - job.scheduling().waitingSinceMicros() : 0;
         return waitedMicros + survey.drainOnCheapCapacityMicros(pendingCpuMillis)
-                <= latestStartMicros * tuning.deferralShare();
+                <= latestStartMicros(job, objective) * tuning.deferralShare();
+    }
+
+    /** How long the job's tasks may wait for their start and still do what is expected of them. */
+    private double latestStartMicros(ActiveJob job, Objective objective) {
+        double byWait = objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros();
+        double byFinish = objective.finishMicros() == 0
+                ? Double.MAX_VALUE
+                : objective.finishMicros() - runtimeEstimator.taskMicros(job);
+        return Math.min(byWait, byFinish);
     }
 }
