--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -86,7 +86,7 @@
     @Test
     void inAnOutageItDisconnectsThenIsFencedOffAndLeadsAgainAfterwards() {
         start();
-        store.silent = true;
+        store.unreachable = true;
         timers.advance(5 * SECOND);
         assertTrue(leadership.answersWorkers() && !leadership.leaseConfirmed(), "disconnected");
         assertFalse(leadership.mayStart(), "a peer may have confirmed a cancellation");
@@ -95,7 +95,7 @@
         timers.advance(15 * SECOND);
         assertFalse(leadership.answersWorkers() || leadership.mayStart(), "fenced off");
         assertTrue(leadership.leads(), "the term is not known to be over");
-        store.silent = false;
+        store.unreachable = false;
         timers.advance(3 * SECOND);
         assertTrue(leadership.leaseConfirmed());
         assertEquals(List.of("elected 1"), events, "still the same term");
@@ -104,10 +104,10 @@
     @Test
     void aLeaseThatExpiredInAnOutageEndsTheTerm() {
         start();
-        store.silent = true;
+        store.unreachable = true;
         timers.advance(5 * SECOND);
         store.expireLeaseOf(Keys.LEADER);
-        store.silent = false;
+        store.unreachable = false;
         timers.advance(3 * SECOND);
         assertEquals(List.of("elected 1", "lost: our lease ran out", "elected 2"), events);
     }
@@ -115,7 +115,7 @@
     @Test
     void renewalsAloneKeepTheTermButDoNotConfirmIt() {
         start();
-        store.readsSilent = true;
+        store.readsWithheld = true;
         timers.advance(5 * SECOND);
         assertTrue(leadership.leads() && !leadership.leaseConfirmed(), "a cancellation shows in the records alone");
         store.expireLeaseOf(Keys.LEADER);
@@ -132,4 +132,31 @@
         timers.advance(2 * SECOND);
         assertEquals("elected 2", events.get(2));
     }
+
+    @Test
+    void aRenewalOfAnEarlierTermThatIsAnsweredLateDoesNotEndThePresentOne() {
+        start();
+        store.renewalsWithheld = true;
+        timers.advance(3 * SECOND);
+        leadership.stepDown("the machines don't reach us");
+        store.renewalsWithheld = false;
+        timers.advance(16 * SECOND);
+        List<String> before = List.of("elected 1", "lost: the machines don't reach us", "elected 2");
+        assertEquals(before, events);
+        assertEquals(1, store.answerWithheldRenewals());
+        timers.advance(SECOND);
+        assertEquals(before, events);
+        assertTrue(leadership.leaseConfirmed());
+    }
+
+    @Test
+    void theTimeOfTheLastConfirmationOutlivesTheTerm() {
+        start();
+        assertTrue(leadership.lastConfirmedMicros() > 0);
+        timers.advance(3 * SECOND);
+        long confirmedMicros = leadership.lastConfirmedMicros();
+        leadership.stepDown("the machines don't reach us");
+        timers.advance(10 * SECOND);
+        assertEquals(confirmedMicros, leadership.lastConfirmedMicros());
+    }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -1,5 +1,6 @@
 package org.granitepath.coordination.leadership;
 
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,9 +11,11 @@
 import org.granitepath.storage.StoredRecordCodec;
 import org.granitepath.storage.Timers;
 
-/** A store in memory that answers after a millisecond, or not while it is silent. */
+/** A store in memory that answers after a millisecond, or not while it is unreachable. */
 final class MemoryStore implements KeyValueStore {
-    private static final long ANSWER_MICROS = 1_000;
+    /** How long an answer takes. */
+    static final long ANSWER_MICROS = 1_000;
+
     private static final long TIMEOUT_MICROS = 500_000;
 
     private final Timers timers;
@@ -21,9 +24,13 @@
     private long storeRevision = 1;
     private long leasesOpened;
     /** While set, no request is carried out or answered. */
-    boolean silent;
+    boolean unreachable;
     /** While set, reads are not answered; all else is. */
-    boolean readsSilent;
+    boolean readsWithheld;
+    /** While set, renewals are not answered before {@link #answerWithheldRenewals}. */
+    boolean renewalsWithheld;
+
+    private final List<Runnable> withheldRenewals = new ArrayList<>();
 
     MemoryStore(Timers timers) {
         this.timers = timers;
@@ -47,7 +54,7 @@
     }
 
     private void answer(Runnable served, Runnable timedOut) {
-        answer(silent, served, timedOut);
+        answer(unreachable, served, timedOut);
     }
 
     private void answer(boolean withheld, Runnable served, Runnable timedOut) {
@@ -94,7 +101,7 @@
 
     private void read(long from, Consumer<Page> then) {
         answer(
-                silent || readsSilent,
+                unreachable || readsWithheld,
                 () -> then.accept(new Page(
                         Outcome.OK,
                         items.values().stream()
@@ -114,8 +121,19 @@
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> then) {
-        answer(
-                () -> then.accept(leaseOfKey.containsValue(lease) ? Outcome.OK : Outcome.NOT_FOUND),
-                () -> then.accept(Outcome.UNKNOWN));
+        Runnable served = () -> then.accept(leaseOfKey.containsValue(lease) ? Outcome.OK : Outcome.NOT_FOUND);
+        if (renewalsWithheld) {
+            withheldRenewals.add(served);
+        } else {
+            answer(served, () -> then.accept(Outcome.UNKNOWN));
+        }
+    }
+
+    /** Answers the renewals that were withheld, by the leases there are now; tells how many they were. */
+    int answerWithheldRenewals() {
+        int count = withheldRenewals.size();
+        withheldRenewals.forEach(Runnable::run);
+        withheldRenewals.clear();
+        return count;
     }
 }
