--- /dev/null
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -0,0 +1,242 @@
+package org.granitepath.storage;
+
+import static org.granitepath.storage.ReplicaFixture.SPACING;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.granitepath.coordination.ManualTimers;
+import org.granitepath.storage.KeyValueStore.Change;
+import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.Outcome;
+import org.granitepath.storage.KeyValueStore.Page;
+import org.granitepath.storage.KeyValueStore.Precondition;
+import org.granitepath.storage.KeyValueStore.Transaction;
+import org.granitepath.storage.WriteQueue.Urgency;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** What is sent to the store, one transaction at a time, and what follows its answer. */
+class WriteQueueTest {
+    private static final long SECOND = 1_000_000;
+    private static final double WRITES_PER_SECOND = 10;
+    private static final int TRANSACTION_CHANGES = 4;
+    private static final Precondition FENCE = new Precondition(Keys.LEADER, 3);
+    private static final StoredRecord RECORD = new UnknownRecord(Map.of("x", 1));
+
+    private final ManualTimers timers = new ManualTimers();
+    private final ScriptedStore store = new ScriptedStore();
+    private final RecordReplica replica = new RecordReplica(store, timers, SPACING, new RecordReplica.Listener() {
+        @Override
+        public void changed(String key, StoredRecord record, long revision) {}
+
+        @Override
+        public void loaded() {}
+    });
+    private final List<String> committed = new ArrayList<>();
+    private boolean open = true;
+    private final WriteQueue queue = new WriteQueue(
+            store,
+            replica,
+            timers,
+            TRANSACTION_CHANGES,
+            WRITES_PER_SECOND,
+            RateControl.FIXED,
+            () -> List.of(FENCE),
+            () -> open);
+
+    /** The replica has read all records: one, of revision 5. */
+    @BeforeEach
+    void load() {
+        replica.start();
+        store.listings
+                .remove()
+                .answer()
+                .accept(new Page(
+                        Outcome.OK, List.of(new KeyValueStore.Item("g/test/known", Map.of("x", 0), 5)), false, 7));
+        store.follows.remove(); // the long poll, which is not answered
+    }
+
+    private void write(String name) {
+        write(name, Urgency.WORK, 0);
+    }
+
+    private void write(String name, Urgency urgency, long delayMicros) {
+        queue.enqueue(
+                name,
+                urgency,
+                delayMicros,
+                () -> List.of(Change.write("g/test/" + name, RECORD)),
+                revision -> committed.add(name + "@" + revision));
+    }
+
+    private void answer(Outcome outcome, long revision) {
+        store.commits.remove().answer().accept(new Committed(outcome, revision, List.of()));
+    }
+
+    /** The names of the writes of the transaction that is under way. */
+    private List<String> underWay() {
+        return store.commits.element().transaction().changes().stream()
+                .map(change -> change.key().substring("g/test/".length()))
+                .toList();
+    }
+
+    @Test
+    void eachChangeIsGuardedByTheFenceAndByTheRevisionOfItsKey() {
+        write("known");
+        assertEquals(
+                new Transaction(
+                        List.of(FENCE, new Precondition("g/test/known", 5)),
+                        List.of(Change.write("g/test/known", RECORD))),
+                store.commits.element().transaction());
+    }
+
+    @Test
+    void whatDoesNotExistIsGuardedSo() {
+        write("new");
+        assertEquals(
+                List.of(FENCE, new Precondition("g/test/new", 0)),
+                store.commits.element().transaction().preconditions());
+    }
+
+    @Test
+    void aCommittedWriteIsToldAndIsInTheReplicaAtOnce() {
+        write("a");
+        answer(Outcome.OK, 8);
+        assertEquals(List.of("a@8"), committed);
+        assertEquals(8, replica.revision("g/test/a"));
+    }
+
+    @Test
+    void oneTransactionIsUnderWayAtATime() {
+        write("a");
+        write("b");
+        write("c");
+        timers.advance(SECOND);
+        assertEquals(1, store.commits.size());
+        answer(Outcome.OK, 8);
+        assertEquals(List.of("b", "c"), underWay());
+    }
+
+    @Test
+    void whatIsNotDueYetWaits() {
+        write("a", Urgency.WORK, SECOND);
+        timers.advance(SECOND - 1);
+        assertTrue(store.commits.isEmpty());
+        timers.advance(1);
+        assertEquals(List.of("a"), underWay());
+    }
+
+    @Test
+    void aClosedQueueSendsNothing() {
+        open = false;
+        write("a");
+        timers.advance(SECOND);
+        assertTrue(store.commits.isEmpty());
+    }
+
+    @Test
+    void withoutBudgetAWriteWaitsUntilThereIsSome() {
+        for (int sent = 0; sent < WRITES_PER_SECOND; sent++) {
+            write("a");
+            answer(Outcome.OK, 8 + sent);
+        }
+        write("b");
+        timers.advance(SECOND / 10);
+        assertTrue(store.commits.isEmpty());
+        timers.advance(SECOND / 100);
+        assertEquals(List.of("b"), underWay());
+    }
+
+    @Test
+    void progressLeavesPartOfTheBudgetToOtherWrites() {
+        for (int sent = 0; sent < 7; sent++) {
+            write("a");
+            answer(Outcome.OK, 8 + sent);
+        }
+        write("progress", Urgency.PROGRESS_ONLY, 0);
+        assertTrue(store.commits.isEmpty());
+        write("work");
+        assertEquals(List.of("work"), underWay());
+    }
+
+    @Test
+    void aRefusedTransactionIsSentAgain() {
+        write("a");
+        answer(Outcome.REFUSED, 0);
+        assertTrue(store.commits.isEmpty());
+        timers.advance(SECOND);
+        assertEquals(List.of("a"), underWay());
+        assertEquals(List.of(), committed);
+    }
+
+    @Test
+    void aRejectedWriteIsAbandonedAndTheNextGoesOn() {
+        write("a");
+        answer(Outcome.REJECTED, 0);
+        timers.advance(SECOND);
+        assertTrue(store.commits.isEmpty());
+        write("b");
+        assertEquals(List.of("b"), underWay());
+        assertEquals(List.of(), committed);
+    }
+
+    @ParameterizedTest
+    @EnumSource(
+            value = Outcome.class,
+            names = {"CONFLICT", "UNKNOWN"})
+    void whatMayHaveBeenWrittenIsGuardedByTheRevisionThatIsReadBack(Outcome outcome) {
+        write("known");
+        answer(outcome, 0);
+        timers.advance(SECOND);
+        assertTrue(store.commits.isEmpty(), "nothing is sent before the records are read");
+        store.follows
+                .remove()
+                .answer()
+                .accept(new Page(
+                        Outcome.OK, List.of(new KeyValueStore.Item("g/test/known", Map.of("x", 2), 9)), false, 9));
+        assertEquals(
+                List.of(FENCE, new Precondition("g/test/known", 9)),
+                store.commits.element().transaction().preconditions());
+    }
+
+    @Test
+    void readingBackIsRepeatedUntilItSucceeds() {
+        write("a");
+        answer(Outcome.CONFLICT, 0);
+        timers.advance(0);
+        store.follows.remove().answer().accept(new Page(Outcome.UNKNOWN, List.of(), false, 0));
+        assertTrue(store.commits.isEmpty());
+        timers.advance(SECOND);
+        store.follows.remove().answer().accept(new Page(Outcome.OK, List.of(), false, 9));
+        assertEquals(List.of("a"), underWay());
+    }
+
+    @Test
+    void aQueueThatWasClosedMeanwhileSendsNothingAgain() {
+        write("a");
+        answer(Outcome.CONFLICT, 0);
+        timers.advance(0);
+        open = false;
+        store.follows.remove().answer().accept(new Page(Outcome.OK, List.of(), false, 9));
+        timers.advance(SECOND);
+        assertTrue(store.commits.isEmpty());
+    }
+
+    @ParameterizedTest
+    @EnumSource
+    void itIsBehindWhenMoreThanMereProgressWaitsForSeconds(Urgency urgency) {
+        write("first");
+        for (int i = 0; i < 3 * WRITES_PER_SECOND + TRANSACTION_CHANGES + 1; i++) {
+            write("waits" + i, urgency, 0);
+        }
+        assertFalse(queue.behind(), "judged when a transaction goes out");
+        answer(Outcome.OK, 8);
+        assertEquals(urgency != Urgency.PROGRESS_ONLY, queue.behind());
+    }
+}
