--- a/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -13,9 +13,17 @@
  */
 final class InventoryRecordCodec {
     private static final String HOSTS = "hosts";
+
+    private static final int ID = 0;
+    private static final int ADDRESS = 1;
+    private static final int TYPE = 2;
+    private static final int ZONE = 3;
+    private static final int SPOT = 4;
+    private static final int FENCING_TOKEN = 5;
     private static final int COLUMNS = 6;
-    private static final int SPOT = 1;
-    private static final int NOT_SPOT = 0;
+
+    private static final int CODE_FULL_PRICE = 0;
+    private static final int CODE_SPOT = 1;
 
     private InventoryRecordCodec() {}
 
@@ -35,7 +43,7 @@
                 host.address(),
                 host.type(),
                 host.zone(),
-                host.spot() ? SPOT : NOT_SPOT,
+                host.spot() ? CODE_SPOT : CODE_FULL_PRICE,
                 host.fencingToken());
     }
 
@@ -53,12 +61,12 @@
             throw new MalformedFieldException(HOSTS, "a list of rows of " + COLUMNS + " values", row);
         }
         return new Host(
-                textOf(row.get(0)),
-                textOf(row.get(1)),
-                textOf(row.get(2)),
-                textOf(row.get(3)),
-                Fields.requiredNumber(row.get(4), HOSTS).intValue() == SPOT,
-                Fields.requiredNumber(row.get(5), HOSTS).longValue());
+                textOf(row.get(ID)),
+                textOf(row.get(ADDRESS)),
+                textOf(row.get(TYPE)),
+                textOf(row.get(ZONE)),
+                Fields.requiredNumber(row.get(SPOT), HOSTS).intValue() == CODE_SPOT,
+                Fields.requiredNumber(row.get(FENCING_TOKEN), HOSTS).longValue());
     }
 
     /** A null, which no version writes, is let pass as an empty text; anything else must be a text. */
