--- a/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
+++ b/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
@@ -7,7 +7,7 @@
 /** Machines that left the fleet, each with its last agent epoch: late copies of their heartbeats still arrive. */
 final class DepartedMachines {
     /** Two whole fleets of 6,000 machines: many come and go while a late copy of a heartbeat is on its way. */
-    static final int MOST_REMEMBERED = 12_000;
+    static final int MAX_REMEMBERED = 12_000;
 
     /** The one that left first comes first, so it is the first to be forgotten. */
     private final Map<String, Long> lastAgentEpochs = new LinkedHashMap<>() {
@@ -15,7 +15,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_REMEMBERED;
         }
     };
 
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -101,7 +101,7 @@
     void withoutTheStoreItIsHealthyIfNoPeerCanDoBetter(long contactAgeOfPeer, boolean healthy) {
         recordsRead();
         typesKnown();
-        store.silent = true;
+        store.unreachable = true;
         timers.advance(5 * SECOND);
         peers.statusReceived(status("c2", contactAgeOfPeer));
         assertEquals(healthy, health.healthy());
--- a/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
@@ -38,7 +38,7 @@
 
     @Test
     void theMachineThatLeftFirstIsForgottenFirst() {
-        for (int i = 0; i <= DepartedMachines.MOST_REMEMBERED; i++) {
+        for (int i = 0; i <= DepartedMachines.MAX_REMEMBERED; i++) {
             departed.left("i-" + i, 4);
         }
         assertFalse(departed.isLateCopy(heartbeat("i-0", 4)));
