--- a/src/test/java/org/granitepath/cli/SettingsFixture.java
+++ b/src/test/java/org/granitepath/cli/SettingsFixture.java
@@ -1,5 +1,7 @@
 package org.granitepath.cli;
 
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 /** Settings that the tests start from, each changing what it is about. */
 final class SettingsFixture {
     /** Valid settings of a controller without peers; nothing listens where it calls. */
@@ -22,19 +24,13 @@
             kind = "deadline"
             class = "c"
             times = 1.5
-            [facts.workers]
-            report_s = 1.0
-            lease_s = 10.0
-            cancel_s = 30.0
-            [facts.state]
-            rps = 10.0
-            write_rps = 10.0
-            value_kb = 8.0
-            txn_ops = 8
-            [facts.cloud]
-            rps = 1.0
-            list_lag_s = 1.0
-            """;
+            """ + LoopbackSettings.PLATFORM_FACTS;
 
     private SettingsFixture() {}
+
+    /** The valid settings with another text in the place of one that they must have. */
+    static String goodWith(String present, String instead) {
+        assertTrue(GOOD.contains(present), () -> "the settings have no " + present);
+        return GOOD.replace(present, instead);
+    }
 }
--- /dev/null
+++ b/src/test/java/org/granitepath/transport/EventLoopTest.java
@@ -0,0 +1,128 @@
+package org.granitepath.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The order of events, which the decision code relies on in place of locks. */
+class EventLoopTest {
+    /** Only a loop that never comes to an end is stopped by it. */
+    private static final int TIMEOUT_SECONDS = 30;
+
+    private EventLoop loop;
+    /** Touched on the loop only, until the event that ends the test. */
+    private final List<String> events = new ArrayList<>();
+
+    @BeforeEach
+    void start() throws Exception {
+        loop = new EventLoop();
+    }
+
+    @AfterEach
+    void stop() {
+        loop.worker().shutdown();
+    }
+
+    /** Runs the set-up on the loop and returns the events up to the one that completes the future. */
+    private List<String> eventsOf(Consumer<CompletableFuture<Void>> setUp) throws Exception {
+        CompletableFuture<Void> ended = new CompletableFuture<>();
+        loop.run(() -> setUp.accept(ended));
+        ended.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        return events;
+    }
+
+    private Runnable event(String name) {
+        return () -> events.add(name);
+    }
+
+    private static Runnable end(CompletableFuture<Void> ended) {
+        return () -> ended.complete(null);
+    }
+
+    @Test
+    void actionsRunInTheOrderInWhichTheyWereHandedOver() throws Exception {
+        List<String> ran = eventsOf(ended -> {
+            loop.run(event("first"));
+            loop.run(event("second"));
+            loop.run(end(ended));
+        });
+        assertEquals(List.of("first", "second"), ran);
+    }
+
+    @Test
+    void anActionEndsBeforeTheOnesThatItHandsOver() throws Exception {
+        List<String> ran = eventsOf(ended -> {
+            loop.run(event("handed over"));
+            events.add("end of the action");
+            loop.run(end(ended));
+        });
+        assertEquals(List.of("end of the action", "handed over"), ran);
+    }
+
+    @Test
+    void aTimerWithoutADelayTakesItsTurn() throws Exception {
+        List<String> ran = eventsOf(ended -> {
+            loop.run(event("before"));
+            loop.after(0, event("timer"));
+            loop.after(-1, event("late timer"));
+            loop.run(event("after"));
+            loop.run(end(ended));
+        });
+        assertEquals(List.of("before", "timer", "late timer", "after"), ran);
+    }
+
+    @Test
+    void timersRunByTheirTimeNotByTheirOrder() throws Exception {
+        List<String> ran = eventsOf(ended -> {
+            loop.after(60_000, end(ended));
+            loop.after(40_000, event("later"));
+            loop.after(20_000, event("sooner"));
+        });
+        assertEquals(List.of("sooner", "later"), ran);
+    }
+
+    @Test
+    void aTimerIsNotEarlierThanItsDelayInWholeMillis() throws Exception {
+        CompletableFuture<Long> waitedMicros = new CompletableFuture<>();
+        long beganMicros = loop.nowMicros();
+        loop.after(20_000, () -> waitedMicros.complete(loop.nowMicros() - beganMicros));
+        long waited = waitedMicros.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(waited >= 20_000, waited + " us");
+    }
+
+    @Test
+    void aFailureEndsItsActionOnly() throws Exception {
+        List<String> ran = eventsOf(ended -> {
+            loop.run(() -> {
+                events.add("began");
+                throw new IllegalStateException("on purpose");
+            });
+            loop.run(event("next"));
+            loop.after(1_000, () -> {
+                throw new IllegalStateException("on purpose");
+            });
+            loop.after(20_000, event("next timer"));
+            loop.after(40_000, end(ended));
+        });
+        assertEquals(List.of("began", "next", "next timer"), ran);
+    }
+
+    @Test
+    void allActionsAndTimersRunOnOneThread() throws Exception {
+        CompletableFuture<Thread> ofAction = new CompletableFuture<>();
+        CompletableFuture<Thread> ofTimer = new CompletableFuture<>();
+        loop.run(() -> ofAction.complete(Thread.currentThread()));
+        loop.after(1_000, () -> ofTimer.complete(Thread.currentThread()));
+        assertSame(loop.thread(), ofAction.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertSame(loop.thread(), ofTimer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
@@ -0,0 +1,155 @@
+package org.granitepath.transport;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.undertow.Undertow;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.Headers;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Calls that go over a socket on 127.0.0.1, with the listener that the controller's servers use. */
+class HttpCallsToAListenerTest {
+    private static final long CALL_TIMEOUT_MICROS = 30_000_000;
+    private static final long SHORT_TIMEOUT_MICROS = 50_000;
+    /** Only a call that never ends is stopped by it. */
+    private static final int TIMEOUT_SECONDS = 60;
+
+    private static final int BACKLOG = 16;
+
+    private EventLoop loop;
+    private HttpCalls http;
+    private Undertow listener;
+    private String address;
+
+    @BeforeEach
+    void listen() throws Exception {
+        loop = new EventLoop();
+        http = new HttpCalls(loop);
+        listener = HttpListener.listen(loop, new Address("127.0.0.1", 0), BACKLOG, this::route);
+        InetSocketAddress bound =
+                (InetSocketAddress) listener.getListenerInfo().get(0).getAddress();
+        address = "127.0.0.1:" + bound.getPort();
+    }
+
+    @AfterEach
+    void stop() {
+        listener.stop();
+        loop.worker().shutdown();
+    }
+
+    private void route(HttpServerExchange exchange) {
+        switch (exchange.getRequestPath()) {
+            case "/echo" ->
+                exchange.getRequestReceiver()
+                        .receiveFullBytes((received, bytes) ->
+                                received.getResponseSender().send(ByteBuffer.wrap(bytes)));
+            case "/type" -> exchange.getResponseSender().send(contentHeaders(exchange.getRequestHeaders()));
+            case "/caller" ->
+                exchange.getResponseSender()
+                        .send(Integer.toString(exchange.getSourceAddress().getPort()));
+            case "/refused" -> exchange.setStatusCode(409).getResponseSender().send("why");
+            case "/failing" -> throw new IllegalStateException("on purpose");
+            default -> {
+                // Never answered: the exchange stays open until its connection is closed.
+            }
+        }
+    }
+
+    private static String contentHeaders(HeaderMap headers) {
+        return headers.getFirst(Headers.CONTENT_TYPE) + " " + headers.getFirst(Headers.CONTENT_LENGTH);
+    }
+
+    private HttpAnswer call(OutgoingRequest request, long timeoutMicros) throws Exception {
+        CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+        loop.run(() -> http.call(request, timeoutMicros, answer::complete));
+        return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    }
+
+    private HttpAnswer get(String path, AfterCall afterCall) throws Exception {
+        return call(OutgoingRequest.get(address, path, afterCall), CALL_TIMEOUT_MICROS);
+    }
+
+    @Test
+    void theStatusAndTheBodyAreTold() throws Exception {
+        HttpAnswer answer = get("/refused", AfterCall.KEEP);
+        assertEquals(409, answer.status());
+        assertEquals("why", answer.text());
+    }
+
+    @Test
+    void aBodyGoesOverWhole() throws Exception {
+        byte[] body = "ä".repeat(20_000).getBytes(StandardCharsets.UTF_8);
+        OutgoingRequest request = OutgoingRequest.post(address, "/echo", "text/plain", body, AfterCall.CLOSE);
+        assertArrayEquals(body, call(request, CALL_TIMEOUT_MICROS).body());
+    }
+
+    @Test
+    void aBodyHasItsTypeAndItsLengthInBytes() throws Exception {
+        OutgoingRequest json = OutgoingRequest.postJson(address, "/type", "ä", AfterCall.KEEP);
+        assertEquals("application/json 2", call(json, CALL_TIMEOUT_MICROS).text());
+    }
+
+    @Test
+    void aBodyThatIsNoJsonHasATypeOfItsOwn() throws Exception {
+        OutgoingRequest bytes =
+                OutgoingRequest.post(address, "/type", "application/msgpack", new byte[3], AfterCall.KEEP);
+        assertEquals("application/msgpack 3", call(bytes, CALL_TIMEOUT_MICROS).text());
+    }
+
+    @Test
+    void aRequestWithoutABodyHasNeither() throws Exception {
+        assertEquals("null null", get("/type", AfterCall.KEEP).text());
+    }
+
+    @Test
+    void aConnectionThatIsKeptTakesTheNextCall() throws Exception {
+        String first = get("/caller", AfterCall.KEEP).text();
+        assertEquals(first, get("/caller", AfterCall.KEEP).text());
+    }
+
+    @Test
+    void aConnectionThatIsClosedTakesNoOther() throws Exception {
+        String kept = get("/caller", AfterCall.KEEP).text();
+        String closed = get("/caller", AfterCall.CLOSE).text();
+        assertNotEquals(kept, closed);
+        assertEquals(kept, get("/caller", AfterCall.KEEP).text());
+    }
+
+    @Test
+    void aCallThatIsNotAnsweredEndsInTime() throws Exception {
+        long beganMicros = loop.nowMicros();
+        HttpAnswer answer = call(OutgoingRequest.get(address, "/silent", AfterCall.KEEP), SHORT_TIMEOUT_MICROS);
+        assertTrue(answer.isMissing());
+        assertTrue(loop.nowMicros() - beganMicros >= SHORT_TIMEOUT_MICROS);
+    }
+
+    @Test
+    void aConnectionOfACallThatTimedOutIsNotUsedAgain() throws Exception {
+        String kept = get("/caller", AfterCall.KEEP).text();
+        call(OutgoingRequest.get(address, "/silent", AfterCall.KEEP), SHORT_TIMEOUT_MICROS);
+        assertNotEquals(kept, get("/caller", AfterCall.KEEP).text());
+    }
+
+    @Test
+    void aCallToAnAddressWhereNobodyListensEndsWithoutAnAnswer() throws Exception {
+        listener.stop();
+        assertTrue(get("/echo", AfterCall.KEEP).isMissing());
+    }
+
+    @Test
+    void aRequestThatCannotBeHandledEndsNothingElse() throws Exception {
+        call(OutgoingRequest.get(address, "/failing", AfterCall.CLOSE), SHORT_TIMEOUT_MICROS);
+        assertEquals(409, get("/refused", AfterCall.CLOSE).status());
+    }
+}
