--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -33,9 +33,32 @@
 
     /** A machine on which tasks failed since it last proved to be sound. */
     private static final class Suspect {
-        final Set<ActiveJob> failedJobs = new HashSet<>();
-        long failedMicros;
-        boolean faulty;
+        private final Set<ActiveJob> failedJobs = new HashSet<>();
+        private long failedMicros;
+        private boolean faulty;
+
+        /** A task of this job failed there; true when that makes the machine faulty. */
+        boolean taskFailed(ActiveJob job, long nowMicros) {
+            failedMicros = nowMicros;
+            failedJobs.add(job);
+            if (faulty || failedJobs.size() < JOBS_OF_A_FAULTY_MACHINE) {
+                return false;
+            }
+            faulty = true;
+            return true;
+        }
+
+        /** Whether a task of this job may be started there: one at a time, and of no job that failed there. */
+        boolean mayTry(Machine machine, ActiveJob job) {
+            return !faulty
+                    && !failedJobs.contains(job)
+                    && machine.placements().stream().noneMatch(placement -> placement.placedMicros() > failedMicros);
+        }
+
+        /** Whether a task that ran there shows that the machine is sound, since it began after the last failure. */
+        boolean isClearedBy(Placement placement) {
+            return !faulty && !placement.wasAdopted() && placement.runningSinceMicros() > failedMicros;
+        }
     }
 
     private final Map<Machine, Suspect> suspects = new HashMap<>();
@@ -64,8 +87,8 @@
     public List<Machine> proved(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         Suspect suspect = suspects.get(placement.machine());
-        if (suspect != null && !placement.wasAdopted() && placement.runningSinceMicros() > suspect.failedMicros) {
-            clear(placement.machine(), suspect);
+        if (suspect != null && suspect.isClearedBy(placement)) {
+            suspects.remove(placement.machine());
         }
         if (!provenJobs.add(job)) {
             return List.of();
@@ -96,13 +119,7 @@
      */
     public boolean mayTry(Machine machine, ActiveJob job) {
         Suspect suspect = suspects.get(machine);
-        if (suspect == null) {
-            return true;
-        }
-        return !suspect.faulty
-                && !suspect.failedJobs.contains(job)
-                && machine.placements().stream()
-                        .noneMatch(placement -> placement.placedMicros() > suspect.failedMicros);
+        return suspect == null || suspect.mayTry(machine, job);
     }
 
     /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
@@ -127,12 +144,9 @@
     /** Notes that the machine failed a task; true when that makes it faulty. */
     private boolean blame(Machine machine, ActiveJob job, long nowMicros) {
         Suspect suspect = suspects.computeIfAbsent(machine, unknown -> new Suspect());
-        suspect.failedMicros = nowMicros;
-        suspect.failedJobs.add(job);
-        if (suspect.faulty || suspect.failedJobs.size() < JOBS_OF_A_FAULTY_MACHINE) {
+        if (!suspect.taskFailed(job, nowMicros)) {
             return false;
         }
-        suspect.faulty = true;
         // What failed there is not the jobs' own fault: they need not wait any longer.
         for (ActiveJob failedJob : suspect.failedJobs) {
             Set<Machine> machines = failedOn.get(failedJob);
@@ -143,12 +157,6 @@
         return true;
     }
 
-    private void clear(Machine machine, Suspect suspect) {
-        if (!suspect.faulty) {
-            suspects.remove(machine);
-        }
-    }
-
     private static long backoffMicros(int machines) {
         return Math.min(LONGEST_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << Math.min(machines, MOST_DOUBLINGS));
     }
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -25,9 +25,31 @@
 
     /** What the finished tasks of one job class were expected to take, and took. */
     private static final class ClassHistory {
-        double expectedMicros;
-        double actualMicros;
-        double finishedTasks;
+        private double expectedMicros;
+        private double actualMicros;
+        private double finishedTasks;
+
+        /** Takes in a finished task; what is long ago counts less and less. */
+        void add(long estimateMicros, long ranMicros) {
+            if (finishedTasks >= MEMORY_TASKS) {
+                expectedMicros /= 2;
+                actualMicros /= 2;
+                finishedTasks /= 2;
+            }
+            expectedMicros += estimateMicros;
+            actualMicros += ranMicros;
+            finishedTasks++;
+        }
+
+        /** By what factor estimates of this class are to be corrected; 1 while nothing is known. */
+        double correction() {
+            if (expectedMicros <= 0) {
+                return 1;
+            }
+            double measured = actualMicros / expectedMicros;
+            double ratio = (measured * finishedTasks + CLASS_PRIOR) / (finishedTasks + CLASS_PRIOR);
+            return Math.max(LEAST_CORRECTION, Math.min(LARGEST_CORRECTION, ratio));
+        }
     }
 
     private final Map<String, ClassHistory> historyByClass = new Object2ObjectOpenHashMap<>();
@@ -36,24 +58,15 @@
     public void finished(ActiveJob job, long ranMicros) {
         job.taskFinished(ranMicros);
         ClassHistory history = historyByClass.computeIfAbsent(job.spec().jobClass(), unused -> new ClassHistory());
-        if (history.finishedTasks >= MEMORY_TASKS) {
-            history.expectedMicros /= 2;
-            history.actualMicros /= 2;
-            history.finishedTasks /= 2;
-        }
-        history.expectedMicros += job.spec().estimateMicros();
-        history.actualMicros += ranMicros;
-        history.finishedTasks++;
+        history.add(job.spec().estimateMicros(), ranMicros);
     }
 
     /** The run time to expect of one task of this job. */
     public long taskMicros(ActiveJob job) {
         double estimateMicros = Math.max(LEAST_ESTIMATE_MICROS, job.spec().estimateMicros());
         ClassHistory history = historyByClass.get(job.spec().jobClass());
-        if (history != null && history.expectedMicros > 0) {
-            double measured = history.actualMicros / history.expectedMicros;
-            double ratio = (measured * history.finishedTasks + CLASS_PRIOR) / (history.finishedTasks + CLASS_PRIOR);
-            estimateMicros *= Math.max(LEAST_CORRECTION, Math.min(LARGEST_CORRECTION, ratio));
+        if (history != null) {
+            estimateMicros *= history.correction();
         }
         return (long) ((job.finishedMicros() + JOB_PRIOR * estimateMicros) / (job.finishedTasks() + JOB_PRIOR));
     }
--- a/src/main/java/org/granitepath/transport/Connections.java
+++ b/src/main/java/org/granitepath/transport/Connections.java
@@ -16,7 +16,7 @@
     /** What is known of a connection. */
     private static final class Held {
         /** Whether its last request was a heartbeat. */
-        boolean machine;
+        private boolean machine;
     }
 
     private static final AttachmentKey<Held> HELD = AttachmentKey.create(Held.class);
