--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -51,16 +51,19 @@
 
     /** Sends a request of each kind and waits until all are answered or too much time has passed. */
     private static void callEach(String address) throws IOException, InterruptedException {
-        HttpCalls http = new HttpCalls(new EventLoop());
         List<OutgoingRequest> requests = List.of(
                 OutgoingRequest.get(address, "/up", AfterCall.CLOSE),
                 OutgoingRequest.postJson(address, "/submissions", SUBMISSION, AfterCall.KEEP),
                 OutgoingRequest.postJson(address, "/agent/beat", HEARTBEAT, AfterCall.KEEP),
                 OutgoingRequest.get(address, "/submissions/run-1", AfterCall.KEEP));
         CountDownLatch answered = new CountDownLatch(requests.size());
-        for (OutgoingRequest request : requests) {
-            http.call(request, REQUEST_TIMEOUT_MICROS, answer -> answered.countDown());
-        }
+        EventLoop loop = new EventLoop();
+        HttpCalls http = new HttpCalls(loop);
+        loop.run(() -> {
+            for (OutgoingRequest request : requests) {
+                http.call(request, REQUEST_TIMEOUT_MICROS, answer -> answered.countDown());
+            }
+        });
         answered.await(ANSWERS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
--- a/src/main/java/org/granitepath/cli/LoopbackSettings.java
+++ b/src/main/java/org/granitepath/cli/LoopbackSettings.java
@@ -1,6 +1,6 @@
 package org.granitepath.cli;
 
-/** Settings of a controller that runs on one machine by itself, for the training run and for tests. */
+/** Settings of a controller that runs by itself on one machine, with neither store nor cloud. */
 final class LoopbackSettings {
     /** What the platform says of workers, store and cloud: small values that pass every check. */
     static final String PLATFORM_FACTS = """
--- a/src/main/java/org/granitepath/transport/package-info.java
+++ b/src/main/java/org/granitepath/transport/package-info.java
@@ -1,2 +1,8 @@
-/** Servers, clients and timers on one XNIO I/O thread, which is the event loop. */
+/**
+ * Servers, clients and timers on one XNIO I/O thread, which is the {@code EventLoop}.
+ *
+ * <p>In: {@code HttpServers} starts {@code ServiceServer} and {@code PeerServer}, each behind an {@code HttpListener}.
+ * Out: a client of each other program turns calls of the decision code into an {@code OutgoingRequest}, which
+ * {@code HttpCalls} answers with an {@code HttpAnswer}.
+ */
 package org.granitepath.transport;
