--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -21,11 +21,13 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** The real server on loopback, with neither store nor cloud to be reached: it must answer all the same. */
 class ServeHttpTest {
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
-    private static final int MOST = 64;
+    private static final int MAX_CONNECTIONS = 64;
     private static int port;
     private static int peerPort;
 
@@ -38,7 +40,7 @@
                 SettingsFixture.GOOD
                                 .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"")
                                 .replace("127.0.0.1:2\"", "127.0.0.1:" + peerPort + "\"")
-                        + "[facts.resources]\nmax_connections = " + MOST + "\n");
+                        + "[facts.resources]\nmax_connections = " + MAX_CONNECTIONS + "\n");
         ServeCommand.start(Settings.read(file, null, false), false);
     }
 
@@ -76,7 +78,7 @@
     }
 
     @Test
-    void unreadableReportsAreCounted() throws Exception {
+    void unreadableHeartbeatsAreCounted() throws Exception {
         ask("POST", "/agent/beat", "{\"host\":7}");
         String metrics = ask(peerPort, "GET", "/metrics", "").body();
         assertTrue(
@@ -93,17 +95,24 @@
         assertEquals(503, ask("POST", "/submissions/run-000001/cancel", "").statusCode());
     }
 
+    @ParameterizedTest
+    @CsvSource(
+            quoteCharacter = '`',
+            value = {
+                "400,POST,/submissions,{",
+                "400,POST,/agent/beat,[]",
+                "404,GET,/submissions/nonsense,``",
+                "404,GET,/nowhere,``",
+                "405,POST,/submissions/run-000001,``"
+            })
+    void malformedRequestsAreNotToBeRetried(int status, String method, String path, String body) throws Exception {
+        assertEquals(status, ask(method, path, body).statusCode());
+    }
+
     @Test
-    void malformedRequestsAreNotToBeRetried() throws Exception {
-        assertEquals(400, ask("POST", "/submissions", "{").statusCode());
-        assertEquals(
-                400,
-                ask("POST", "/submissions", "{\"uid\":\"" + "x".repeat(70_000) + "\"}")
-                        .statusCode());
-        assertEquals(400, ask("POST", "/agent/beat", "[]").statusCode());
-        assertEquals(404, ask("GET", "/submissions/nonsense", "").statusCode());
-        assertEquals(404, ask("GET", "/nowhere", "").statusCode());
-        assertEquals(405, ask("POST", "/submissions/run-000001", "").statusCode());
+    void aBodyBeyondTheBoundIsRefused() throws Exception {
+        String body = "{\"uid\":\"" + "x".repeat(70_000) + "\"}";
+        assertEquals(400, ask("POST", "/submissions", body).statusCode());
     }
 
     /** Beyond a bound connections close after the answer, so that whoever comes next finds a socket. */
@@ -111,35 +120,35 @@
     void idleConnectionsLeaveSocketsFree() throws Exception {
         List<Socket> open = new ArrayList<>();
         int kept = 0;
-        for (int i = 0; i < 2 * MOST; i++) {
+        for (int i = 0; i < 2 * MAX_CONNECTIONS; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             open.add(socket);
-            socket.setSoTimeout(5_000);
-            socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-            boolean closes = false;
-            for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-                closes |= line.equalsIgnoreCase("Connection: close");
-            }
-            kept += closes ? 0 : 1;
+            kept += keepsOpen(socket) ? 1 : 0;
         }
-        assertTrue(kept > MOST / 2 && kept < MOST * 0.9, kept + " connections kept");
+        assertTrue(kept > MAX_CONNECTIONS / 2 && kept < MAX_CONNECTIONS * 0.9, kept + " connections kept");
         for (Socket socket : open) {
             socket.close();
         }
     }
 
+    /** Asks for the health, and reads in the head of the answer whether another request may follow. */
+    private static boolean keepsOpen(Socket socket) throws IOException {
+        socket.setSoTimeout(5_000);
+        socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        boolean closes = false;
+        for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+            closes |= line.equalsIgnoreCase("Connection: close");
+        }
+        return !closes;
+    }
+
     @Test
     void workersAreSentElsewhereWhileNoLeaderIsKnown() throws Exception {
-        assertEquals(
-                503,
-                ask(
-                                "POST",
-                                "/agent/beat",
-                                "{\"host\":\"i-1\",\"address\":\"127.0.0.1:1\",\"model\":\"m\","
-                                        + "\"site\":\"z\",\"loaner\":false,\"shift\":1,\"tally\":1,"
-                                        + "\"baton\":0,\"pieces\":[]}")
-                        .statusCode());
+        String heartbeat = """
+                {"host":"i-1","address":"127.0.0.1:1","model":"m","site":"z","loaner":false,\
+                "shift":1,"tally":1,"baton":0,"pieces":[]}""";
+        assertEquals(503, ask("POST", "/agent/beat", heartbeat).statusCode());
     }
 }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,12 +31,12 @@
 
     @Test
     void submissionIsRead() throws SubmissionCodec.Malformed {
-        JobSpec s = SubmissionCodec.decode(GOOD);
-        assertEquals(8_000, s.cpuMillis());
-        assertEquals(900_000_000, s.deadlineMicros());
-        assertEquals(List.of("g8"), s.types());
-        assertFalse(s.service());
-        assertEquals(s, JobSpecCodec.decode(Json.object(Json.text(JobSpecCodec.encode(s)))));
+        JobSpec spec = SubmissionCodec.decode(GOOD);
+        assertEquals(8_000, spec.cpuMillis());
+        assertEquals(900_000_000, spec.deadlineMicros());
+        assertEquals(List.of("g8"), spec.types());
+        assertFalse(spec.service());
+        assertEquals(spec, JobSpecCodec.decode(Json.object(Json.text(JobSpecCodec.encode(spec)))));
     }
 
     @ParameterizedTest
@@ -61,30 +62,64 @@
             })
     void malformedSubmissionsAreRefused(String change) {
         int at = change.indexOf('>');
+        assertTrue(GOOD.contains(change.substring(0, at)), change);
         String body = GOOD.replace(change.substring(0, at), change.substring(at + 1));
         assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
     }
 
     @Test
     void heartbeatIsRead() {
-        Heartbeat b = WorkerCodec.decodeHeartbeat(
+        Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(
                 "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\","
                         + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
                         + "{\"piece\":\"run-000398/0\",\"try\":7,\"status\":\"ended\",\"cause\":\"done\"}]}");
-        assertEquals(new TaskId("run-000398", 0), b.tasks().get(0).task());
-        assertEquals(Heartbeat.Cause.DONE, b.tasks().get(0).cause());
-        assertEquals(-1, b.noticeMicros());
-        assertNull(WorkerCodec.decodeHeartbeat("{\"host\":\"i-1\"}"));
-        assertNull(WorkerCodec.decodeHeartbeat("nonsense"));
+        assertEquals(new TaskId("run-000398", 0), heartbeat.tasks().get(0).task());
+        assertEquals(Heartbeat.Cause.DONE, heartbeat.tasks().get(0).cause());
+        assertEquals(-1, heartbeat.noticeMicros());
+    }
+
+    private static final String HEARTBEAT = "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\","
+            + "\"site\":\"a\",\"shift\":2,\"tally\":88,\"pieces\":[{\"piece\":\"run-1/0\",\"try\":7,"
+            + "\"status\":\"running\"}]}";
+
+    @Test
+    void theLeastHeartbeatIsRead() {
+        assertNotNull(WorkerCodec.decodeHeartbeat(HEARTBEAT));
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "\"host\":\"i-1\">\"host\":7",
+                "\"address\":\"10.1.0.2:9000\",>",
+                "\"model\":\"g8\",>",
+                "\"site\":\"a\",>",
+                "\"shift\":2>\"shift\":\"2\"",
+                "\"tally\":88,>",
+                "run-1/0>run-1",
+                "run-1/0>run-1/x",
+                "\"status\":\"running\">\"status\":3",
+                "[{>[3,{"
+            })
+    void aHeartbeatThatCannotBeReadIsNone(String change) {
+        int at = change.indexOf('>');
+        assertTrue(HEARTBEAT.contains(change.substring(0, at)), change);
+        assertNull(WorkerCodec.decodeHeartbeat(HEARTBEAT.replace(change.substring(0, at), change.substring(at + 1))));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"{\"host\":\"i-1\"}", "nonsense"})
+    void whatIsNoHeartbeatIsNone(String body) {
+        assertNull(WorkerCodec.decodeHeartbeat(body));
     }
 
     @Test
     void commandsAreEncoded() {
-        Map<String, Object> m = Json.object(WorkerCodec.encode(
+        Map<String, Object> answer = Json.object(WorkerCodec.encode(
                 new HeartbeatResponse.Accepted(41, List.of(WorkerCommand.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
         assertEquals(
                 Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
-                ((List<?>) m.get("orders")).get(0));
+                ((List<?>) answer.get("orders")).get(0));
     }
 
     @Test
