--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -22,7 +22,7 @@
         fixture.assertNoneBroken();
         fixture.runUntil(76_000_000);
         fixture.rules().checkKnown(5_000_000);
-        assertTrue(fixture.rules().broken.isEmpty(), "troubles were over only 71 s ago");
+        assertTrue(fixture.rules().broken().isEmpty(), "troubles were over only 71 s ago");
 
         fixture.rules().checkKnown(0);
 
@@ -47,11 +47,11 @@
         fixture.rules().told(ANYWHERE, new JobResponse.NotFound());
         fixture.assertBroken("forgotten");
 
-        fixture.rules().broken.clear();
+        fixture.rules().forgetBroken();
         fixture.tell(ANYWHERE, JobState.DONE);
         fixture.assertBroken("not_done");
 
-        fixture.rules().broken.clear();
+        fixture.rules().forgetBroken();
         fixture.tell(ANYWHERE, JobState.RUNNING);
         fixture.assertBroken("went_back");
     }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -89,11 +89,11 @@
                     () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
-        int before = store.reads;
+        int before = store.reads();
         world.run(14_000_000, () -> {});
 
         assertEquals(2_000, answered.get());
-        assertTrue(store.reads - before <= 10_000_000 / 50_000 * 1.1, store.reads - before + " reads in 10 s");
+        assertTrue(store.reads() - before <= 10_000_000 / 50_000 * 1.1, store.reads() - before + " reads in 10 s");
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -31,10 +31,10 @@
 
         simulation.run(100 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.users.doneTold > 2 && simulation.rules.cancellationsTold() > 2);
+        assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancellationsTold() > 2);
         assertTrue(
-                simulation.users.unschedulableRefused > 20,
-                simulation.users.unschedulableRefused + " jobs that can't run were refused");
+                simulation.users.unschedulableRefused() > 20,
+                simulation.users.unschedulableRefused() + " jobs that can't run were refused");
         assertRulesAndAllDone(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -21,8 +21,8 @@
 
     /**
      * More machines than one transaction could name: the takeover once rewrote every machine inventory, and beyond
-     * some machines nobody could own them any more. Owners crash, also in the middle of a takeover, and the store
-     * goes away.
+     * some machines nobody could take them over any more. Leaders crash, also in the middle of a takeover, and the
+     * store goes away.
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -17,6 +17,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,6 +29,15 @@
  * and then that the rules held after each step.
  */
 class CombinedFaultsTest {
+    /** The machines that are up and hold tasks of these jobs. */
+    private static List<SimWorker> machinesOf(Simulation simulation, Stream<String> jobs) {
+        Set<String> hosts =
+                jobs.flatMap(job -> simulation.rules.hostsOf(job).stream()).collect(Collectors.toSet());
+        return simulation.cloud.workers().stream()
+                .filter(worker -> hosts.contains(worker.id))
+                .toList();
+    }
+
     /** More work than capacity, urgent and not, over links on which packets are held up. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -113,12 +124,10 @@
 
         Observation<Integer> cut = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            Set<String> hosts = new HashSet<>();
-            simulation.rules.running().stream().limit(3).forEach(job -> hosts.addAll(simulation.rules.hostsOf(job)));
-            cut.set(hosts.size());
-            simulation.cloud.workers().stream()
-                    .filter(worker -> hosts.contains(worker.id))
-                    .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 10 * SECOND));
+            List<SimWorker> machines =
+                    machinesOf(simulation, simulation.rules.running().stream().limit(3));
+            cut.set(machines.size());
+            machines.forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 10 * SECOND));
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
         });
         simulation.run(60 * SECOND, 700 * SECOND);
@@ -190,12 +199,9 @@
 
         Observation<Boolean> atLimit = new Observation<>();
         simulation.after(55 * SECOND, () -> {
-            List<String> running = simulation.rules.running();
-            Set<String> hosts = new HashSet<>();
-            running.forEach(job -> hosts.addAll(simulation.rules.hostsOf(job)));
-            atLimit.set(simulation.rules.usedBy("tight") == 12_000 && !hosts.isEmpty());
-            simulation.cloud.workers().stream()
-                    .filter(worker -> hosts.contains(worker.id))
+            List<SimWorker> machines = machinesOf(simulation, simulation.rules.running().stream());
+            atLimit.set(simulation.rules.usedBy("tight") == 12_000 && !machines.isEmpty());
+            machines.stream()
                     .limit(2)
                     .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 20 * SECOND));
             simulation.faults.crash(simulation.leader(), 10 * SECOND);
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -26,7 +26,8 @@
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
  * and peers, and answers to workers and users, each with its simulated time and encoded as it goes over the wire. Log
- * text takes no part. Two versions of the program with the same hash behave alike in that simulation.
+ * text takes no part; the names of the kinds of calls do, and so stay as they are. Two versions of the program with the
+ * same hash behave alike in that simulation.
  */
 final class EdgeTrace {
     private static final ThreadLocal<List<EdgeTrace>> COLLECTOR = new ThreadLocal<>();
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -36,7 +36,7 @@
         return new Simulation(seed, shapeOf(seed));
     }
 
-    /** The times and limits that a seed is played with. */
+    /** The times and limits that go with a seed. */
     static Shape shapeOf(long seed) {
         return seed % 2 == 0 ? LONG : SHORT;
     }
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -45,7 +45,7 @@
         Observation<Integer> refusalsBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
             running.set(simulation.rules.tasksUp());
-            refusalsBefore.set(simulation.store.refusals);
+            refusalsBefore.set(simulation.store.refusals());
             simulation.faults.crashAll(SECOND);
         });
         simulation.run(RecoveryLoad.RESTART + 30 * SECOND);
@@ -60,16 +60,17 @@
         assertTrue(
                 status.term().comparisons() < 12L * running.get(),
                 status.term().comparisons() + " comparisons of " + running.get() + " tasks");
-        int refusals = simulation.store.refusals - refusalsBefore.get();
+        int refusals = simulation.store.refusals() - refusalsBefore.get();
         assertTrue(refusals < 150, refusals + " requests came too fast");
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
-        assertEquals(0, simulation.store.oversized, "a transaction or a value over its limit");
+        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
         simulation.run(RecoveryLoad.RESTART + 90 * SECOND);
 
         assertEquals(
-                List.of(), simulation.rules.broken.stream().distinct().limit(5).toList());
+                List.of(),
+                simulation.rules.broken().stream().distinct().limit(5).toList());
     }
 
     /** A leader that stands still, a zone cut off with a crash in it, and all controllers down at once. */
@@ -96,19 +97,20 @@
         simulation.run(170 * SECOND, 400 * SECOND);
 
         assertEquals(
-                List.of(), simulation.rules.broken.stream().distinct().limit(5).toList());
+                List.of(),
+                simulation.rules.broken().stream().distinct().limit(5).toList());
         assertTrue(machinesUp.get() >= machines, "only " + machinesUp.get() + " machines");
         assertEquals(List.of(), simulation.users.unfinishedBatches());
         simulation.rules.checkServed();
-        assertEquals(List.of(), simulation.rules.broken);
-        assertEquals(0, simulation.store.oversized, "a transaction or a value over its limit");
+        assertEquals(List.of(), simulation.rules.broken());
+        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
         assertTrue(
-                simulation.store.refusals < simulation.store.requests / 20,
-                simulation.store.refusals + " of " + simulation.store.requests + " requests came too fast");
+                simulation.store.refusals() < simulation.store.requests() / 20,
+                simulation.store.refusals() + " of " + simulation.store.requests() + " requests came too fast");
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
-        int busy = simulation.cloud.terminatedBusy.size();
+        int busy = simulation.cloud.terminatedBusy().size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -30,8 +30,8 @@
         simulation.run(200 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(12, simulation.gangs.started, "each gang starts once");
-        assertEquals(0, simulation.gangs.incomplete, "tasks that waited in vain");
+        assertEquals(12, simulation.gangs.started(), "each gang starts once");
+        assertEquals(0, simulation.gangs.incomplete(), "tasks that waited in vain");
     }
 
     /** Its machine dies while it fetches its image: the others wait, and another task joins them. */
@@ -92,7 +92,7 @@
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(1, simulation.gangs.savedInOrder, "its progress was not saved");
+        assertEquals(1, simulation.gangs.savedInOrder(), "its progress was not saved");
     }
 
     /** Whatever the gang does when the leader ends, the next leader carries the same attempt on. */
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines that neither hear nor are heard, or no longer exist: they are not filled again and again. */
+/** Machines that can't be reached or can't reach anybody, or no longer exist: they are not filled again and again. */
 class MachineIsolationTest {
     private static final long SECOND = Simulation.SECOND;
     private static final long TASK_CPU_MILLIS = 2_000;
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -71,8 +71,8 @@
         Observation<Integer> requestsBefore = new Observation<>();
         Observation<Integer> writesBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
-            requestsBefore.set(simulation.store.requests);
-            writesBefore.set(simulation.store.writes);
+            requestsBefore.set(simulation.store.requests());
+            writesBefore.set(simulation.store.writes());
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
@@ -91,8 +91,8 @@
                 lastVerdict.set(simulation.world.now());
             }
         });
-        int requests = simulation.store.requests - requestsBefore.get();
-        int writes = simulation.store.writes - writesBefore.get();
+        int requests = simulation.store.requests() - requestsBefore.get();
+        int writes = simulation.store.writes() - writesBefore.get();
         simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
         List<Long> live = times(simulation, starts, true);
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -17,7 +18,7 @@
 final class Rules {
     private final World world;
     private final Consumer<String> lastTaskDone;
-    final List<String> broken = new ArrayList<>();
+    private final List<String> broken = new ArrayList<>();
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
     private final CancellationRules cancellations;
@@ -46,6 +47,16 @@
         broken.add(rule + " at " + world.now() / 1e6 + " s: " + what);
     }
 
+    /** The breaches so far, in order. */
+    List<String> broken() {
+        return Collections.unmodifiableList(broken);
+    }
+
+    /** Starts anew, for tests that plant one breach after the other. */
+    void forgetBroken() {
+        broken.clear();
+    }
+
     // ---- what happens ------------------------------------------------------------------------------------------
 
     /** A user submits the job, maybe once more. */
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -1,6 +1,7 @@
 package org.granitepath.simulation;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -43,8 +44,7 @@
     private final Map<String, List<String>> launchCount = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final TreeMap<Long, List<CloudPort.ListedHost>> snapshots = new TreeMap<>();
-    /** Machines that were given back with tasks running on them. */
-    final List<String> terminatedBusy = new ArrayList<>();
+    private final List<String> terminatedBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
     int neverUp;
 
@@ -79,6 +79,18 @@
                 .toList();
     }
 
+    /** The machine with this id; null when it is not up. */
+    @Nullable
+    SimWorker worker(String id) {
+        Host host = hosts.get(id);
+        return host == null || host.worker == null || !host.worker.alive() ? null : host.worker;
+    }
+
+    /** The machines that were terminated with tasks running on them, in order. */
+    List<String> terminatedBusy() {
+        return Collections.unmodifiableList(terminatedBusy);
+    }
+
     private void snapshot() {
         List<CloudPort.ListedHost> list = hosts.values().stream()
                 .map(host -> listed(
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -19,14 +19,18 @@
         List<WorkerCommand> start = List.of(WorkerCommand.start(new TaskId(RulesFixture.ANYWHERE, 0), 5));
 
         commands.sent(1, "n0", "a", List.of());
-        assertEquals(List.of(), rules.broken);
+        assertEquals(List.of(), rules.broken());
 
         commands.sent(1, "n0", "a", start);
-        assertTrue(rules.broken.get(0).startsWith("commanded_unheard"), rules.broken.toString());
+        assertTrue(
+                rules.broken().get(0).startsWith("commanded_unheard"),
+                rules.broken().toString());
 
         commands.heartbeatReceived(2, "a");
         commands.sent(2, "n0", "a", start);
-        assertTrue(rules.broken.get(1).startsWith("start_repeated"), rules.broken.toString());
-        assertEquals(2, rules.broken.size());
+        assertTrue(
+                rules.broken().get(1).startsWith("start_repeated"),
+                rules.broken().toString());
+        assertEquals(2, rules.broken().size());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Its reports arrive, but neither answers nor commands reach it. */
+    /** Its heartbeats arrive, but neither answers nor commands reach it. */
     void deafen(SimWorker worker, long forMicros) {
         for (String name : simulation.names) {
             simulation.world.block(name, worker.id);
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -11,9 +11,9 @@
 /** What the tasks of gangs know of each other, and how far each gang's work has come. Checkpoints outlive machines. */
 final class SimGangs {
     /** How long a task waits for the others. */
-    static final long WAIT = 12_000_000;
+    static final long START_TIMEOUT = 12_000_000;
     /** Within this time the tasks notice that one of them is gone. */
-    static final long PEER = 3_000_000;
+    static final long PEER_LOSS_NOTICED = 3_000_000;
 
     private final World world;
     private final Rules rules;
@@ -23,12 +23,10 @@
     private final Map<String, Long> saved = new HashMap<>();
     /** How long each job runs in all. */
     private final Map<String, Long> totals = new HashMap<>();
-    /** Attempts that have started, and those whose progress was saved by an orderly stop. */
-    int started;
 
-    int savedInOrder;
-    /** Tasks that waited for the others in vain. */
-    int incomplete;
+    private int started;
+    private int savedInOrder;
+    private int incomplete;
 
     SimGangs(World world, Rules rules, Set<TaskId> results) {
         this.world = world;
@@ -36,6 +34,21 @@
         this.results = results;
     }
 
+    /** How many attempts have started. */
+    int started() {
+        return started;
+    }
+
+    /** How many attempts ended by a stop for which all tasks saved their progress. */
+    int savedInOrder() {
+        return savedInOrder;
+    }
+
+    /** How many tasks waited for the others in vain. */
+    int incomplete() {
+        return incomplete;
+    }
+
     /** A task of a gang that has its image, on its machine. */
     final class Member {
         private final Attempt attempt;
@@ -72,8 +85,8 @@
         }
 
         /** It is told to stop with enough time to save. */
-        void halt() {
-            attempt.halt(this);
+        void stop() {
+            attempt.stop(this);
         }
 
         /** It is on its machine no longer. */
@@ -95,7 +108,7 @@
         Phase phase = Phase.FORMING;
         long startedAt;
         long progressAtStart;
-        long firstHaltAt = -1;
+        long firstStopAt = -1;
         long frozenProgress = -1;
         long noticedAt = Long.MAX_VALUE;
 
@@ -128,7 +141,7 @@
                 return;
             }
             for (Member member : members.values()) {
-                if (member.cause == null && world.now() - member.since > WAIT) {
+                if (member.cause == null && world.now() - member.since > START_TIMEOUT) {
                     member.cause = Cause.INCOMPLETE;
                     incomplete++;
                 }
@@ -162,7 +175,7 @@
                     keep(progress() / interval * interval);
                 }
                 frozenProgress = progress();
-                noticedAt = world.now() + world.random.nextInt((int) PEER);
+                noticedAt = world.now() + world.random.nextInt((int) PEER_LOSS_NOTICED);
             }
             if (world.now() >= noticedAt) {
                 end(Cause.PEER_GONE, false);
@@ -179,9 +192,10 @@
                 keep(progress());
                 savedInOrder++;
                 end(Cause.STOPPED, true);
-            } else if (world.now() - firstHaltAt > PEER
+            } else if (world.now() - firstStopAt > PEER_LOSS_NOTICED
                     && members.values().stream()
-                            .anyMatch(member -> !member.saves() || member.toldToSaveMicros - firstHaltAt > PEER)) {
+                            .anyMatch(member ->
+                                    !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_NOTICED)) {
                 noticeLoss();
             }
         }
@@ -198,10 +212,10 @@
             }
         }
 
-        void halt(Member member) {
+        void stop(Member member) {
             if (phase == Phase.RUNNING) {
                 phase = Phase.STOPPING;
-                firstHaltAt = world.now();
+                firstStopAt = world.now();
                 frozenProgress = progress();
             }
             if (phase == Phase.STOPPING && !member.saves()) {
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -113,14 +113,14 @@
 
         /** A hanging machine carries commands out when it goes on. */
         private void serveWhenAwake(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
-            for (SimWorker worker : simulation.cloud.workers()) {
-                if (worker.id.equals(address)) {
-                    if (worker.hangs()) {
-                        simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
-                    } else {
-                        answer.accept(serve.apply(worker));
-                    }
-                }
+            SimWorker worker = simulation.cloud.worker(address);
+            if (worker == null) {
+                return;
+            }
+            if (worker.hangs()) {
+                simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
+            } else {
+                answer.accept(serve.apply(worker));
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -31,20 +31,14 @@
 
     /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
     double lateWrites;
-    /** Transactions that changed something although they were carried out late. */
-    int lateSuccesses;
-    /** Transactions over a limit. */
-    int oversized;
-    /** Acceptances that would hold whoever the leader is by then. */
-    int unfenced;
-    /** Requests to read, long polls included. */
-    int reads;
-    /** All requests. */
-    int requests;
-    /** Requests that were refused because they came too fast. */
-    int refusals;
-    /** Changes made so far. */
-    int writes;
+
+    private int lateSuccesses;
+    private int oversized;
+    private int unfenced;
+    private int reads;
+    private int requests;
+    private int refusals;
+    private int writes;
 
     SimStore(World world, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
         this.world = world;
@@ -126,6 +120,41 @@
         return keys.largestValue();
     }
 
+    /** Transactions that changed something although they were carried out late. */
+    int lateSuccesses() {
+        return lateSuccesses;
+    }
+
+    /** Transactions over a limit. */
+    int oversized() {
+        return oversized;
+    }
+
+    /** Acceptances that would hold whoever the leader is by then. */
+    int unfenced() {
+        return unfenced;
+    }
+
+    /** Requests to follow changes, long polls included, whether they arrived or not. */
+    int reads() {
+        return reads;
+    }
+
+    /** All requests that arrived. */
+    int requests() {
+        return requests;
+    }
+
+    /** Requests that were refused because they came too fast. */
+    int refusals() {
+        return refusals;
+    }
+
+    /** Changes made so far. */
+    int writes() {
+        return writes;
+    }
+
     // ---- requests of nodes -------------------------------------------------------------------------------------
 
     /** A request to read is sent, whether it arrives or not. */
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -223,7 +223,7 @@
         JobSpec spec = jobs.apply(run.task.job());
         boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
-            run.member.halt();
+            run.member.stop();
             changed = true;
             return;
         }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -26,10 +26,9 @@
     private final Map<String, JobSpec> described = new LinkedHashMap<>();
     /** Jobs for which a question is under way. */
     private final Set<String> asking = new HashSet<>();
-    /** Jobs that can never run, and were told so. */
-    int unschedulableRefused;
 
-    int doneTold;
+    private int unschedulableRefused;
+    private int doneTold;
 
     SimUsers(Simulation simulation) {
         this.simulation = simulation;
@@ -41,7 +40,17 @@
         return described.get(job);
     }
 
-    /** Users call off so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
+    /** How often a job that can never run was refused as such. */
+    int unschedulableRefused() {
+        return unschedulableRefused;
+    }
+
+    /** How often users were told that a job is done. */
+    int doneTold() {
+        return doneTold;
+    }
+
+    /** Users cancel so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
     List<String> cancelRunning(int count, long hangMicros) {
         List<String> chosen = simulation.rules.running().stream().limit(count).toList();
         List<String> hosts = chosen.stream()
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -82,7 +82,7 @@
     long recoveryHold;
     /** Peers never pass cancellations on: what is safe must be safe without. */
     boolean peersSendNoCancellations;
-    /** Share of jobs that are called off at the very moment at which their last task ends. */
+    /** Share of jobs that are cancelled at the very moment at which their last task ends. */
     double cancelledAtEnd;
     /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
     final Set<String> brokenJobs = new HashSet<>();
@@ -150,7 +150,11 @@
                 TEAMS,
                 Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
                 new WorkerTiming(
-                        shape.heartbeatInterval(), shape.lease(), shape.cancel(), SimGangs.WAIT, SimGangs.PEER),
+                        shape.heartbeatInterval(),
+                        shape.lease(),
+                        shape.cancel(),
+                        SimGangs.START_TIMEOUT,
+                        SimGangs.PEER_LOSS_NOTICED),
                 new PlatformLimits(
                         shape.limits().requests(),
                         upgraded.contains(name) ? limits.within(nextLimits) : limits,
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -15,8 +15,8 @@
     static void assertRules(Simulation simulation) {
         assertNoneBroken(simulation);
         assertTrue(simulation.rules.starts() > 0, "nothing ran");
-        assertEquals(0, simulation.store.oversized, "a transaction or a value over its limit");
-        assertEquals(0, simulation.store.unfenced, "a claim that is not tied to a leader's term");
+        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
+        assertEquals(0, simulation.store.unfenced(), "a claim that is not tied to a leader's term");
     }
 
     /** The same, and all accepted work that can end has ended: it must go on once the troubles are over. */
@@ -29,6 +29,6 @@
     static void assertNoneBroken(Simulation simulation) {
         assertEquals(
                 List.of(),
-                simulation.rules.broken.stream().distinct().limit(MOST_SHOWN).toList());
+                simulation.rules.broken().stream().distinct().limit(MOST_SHOWN).toList());
     }
 }
