--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -19,7 +19,7 @@
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** This share of all machines, or two of them, may be overdue without a doubt in our own connection. */
+    /** This share of all machines, or two of them, may be overdue before our own connection is suspected. */
     private static final double FEW_SHARE = 0.2;
 
     private static final int FEW_MACHINES = 2;
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -11,9 +11,9 @@
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
+import org.granitepath.recovery.ListedTask;
 import org.granitepath.recovery.RecordedTask;
 import org.granitepath.recovery.RecoveryPlan;
-import org.granitepath.recovery.ReportedTask;
 import org.granitepath.recovery.StartEvidence;
 import org.granitepath.recovery.Verdict;
 import org.granitepath.recovery.VerdictTable;
@@ -80,12 +80,12 @@
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ReportedTask listedTask(@Nullable ActiveJob job, TaskStatus status) {
+    private static ListedTask listedTask(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
-            return ReportedTask.LIVE;
+            return ListedTask.LIVE;
         }
         boolean completes =
                 status.cause() == Cause.DONE && (job == null || !job.spec().service());
-        return completes ? ReportedTask.COMPLETED : ReportedTask.EXITED;
+        return completes ? ListedTask.COMPLETED : ListedTask.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -8,14 +8,14 @@
     private VerdictTable() {}
 
     /** The verdict on an attempt that a heartbeat lists. */
-    public static Verdict ofListed(RecordedTask recorded, KnownPlacement placement, ReportedTask reported) {
+    public static Verdict ofListed(RecordedTask recorded, KnownPlacement placement, ListedTask listed) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
         }
         if (recorded == RecordedTask.UNREADABLE) {
             return Verdict.UNCONFIRMED;
         }
-        return switch (reported) {
+        return switch (listed) {
             case LIVE -> ofLive(recorded, placement);
             case COMPLETED -> ofCompleted(recorded);
             case EXITED -> Verdict.EXITED;
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -7,7 +7,6 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -18,6 +17,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import org.granitepath.loopback.LoopbackPorts;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -33,8 +33,9 @@
 
     @BeforeAll
     static void serve(@TempDir Path dir) throws Exception {
-        port = freePort();
-        peerPort = freePort();
+        LoopbackPorts ports = new LoopbackPorts();
+        port = ports.reserve();
+        peerPort = ports.reserve();
         Path file = Files.writeString(
                 dir.resolve("n.toml"),
                 SettingsFixture.GOOD
@@ -44,12 +45,6 @@
         ServeCommand.start(Settings.read(file, null, false), false);
     }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0)) {
-            return socket.getLocalPort();
-        }
-    }
-
     private static HttpResponse<String> ask(String method, String path, String body) throws Exception {
         return ask(port, method, path, body);
     }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -13,7 +13,7 @@
 
 /** Each cell of the tables that docs/recovery.md prints is what the code decides. */
 class VerdictTableTest {
-    private static final String REPORTED = "| records |";
+    private static final String LISTED = "| records |";
     private static final String MISSING = "| message of a later agent epoch |";
     private static final List<KnownPlacement> HELD =
             List.of(KnownPlacement.NONE, KnownPlacement.OTHER_ATTEMPT_HERE, KnownPlacement.OTHER_MACHINE);
@@ -44,26 +44,26 @@
 
     @Test
     void whatHeartbeatsListIsAsPrinted() {
-        List<List<String>> rows = rows(REPORTED);
+        List<List<String>> rows = rows(LISTED);
         assertEquals(RecordedTask.values().length, rows.size(), "rows");
         for (List<String> row : rows) {
             RecordedTask recorded = RecordedTask.valueOf(row.get(0));
             for (int held = 0; held < HELD.size(); held++) {
-                assertCell(row.get(1 + held), recorded, HELD.get(held), ReportedTask.LIVE);
-                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ReportedTask.COMPLETED);
-                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ReportedTask.EXITED);
+                assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTask.LIVE);
+                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTask.COMPLETED);
+                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ListedTask.EXITED);
             }
-            for (ReportedTask reported : ReportedTask.values()) {
-                assertCell("CONFIRMED", recorded, KnownPlacement.THIS_ATTEMPT, reported);
+            for (ListedTask listed : ListedTask.values()) {
+                assertCell("CONFIRMED", recorded, KnownPlacement.THIS_ATTEMPT, listed);
             }
         }
     }
 
-    private static void assertCell(String cell, RecordedTask recorded, KnownPlacement held, ReportedTask reported) {
+    private static void assertCell(String cell, RecordedTask recorded, KnownPlacement held, ListedTask listed) {
         assertEquals(
                 Verdict.valueOf(cell),
-                VerdictTable.ofListed(recorded, held, reported),
-                recorded + ", " + held + ", " + reported);
+                VerdictTable.ofListed(recorded, held, listed),
+                recorded + ", " + held + ", " + listed);
     }
 
     @Test
