--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -10,6 +10,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.coordination.placement.Resources;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,39 +48,51 @@
         int pending = 0;
         List<Preemption> preemptions = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (rules.isEligible(machine, job, nowMicros)
-                    && (!withImageOnly || machine.capacity().hasImage(job.spec().image()))) {
-                pending += pendingSlotsOrPreemption(machine, job, policy, preemptions, nowMicros);
+            if (!isConsidered(machine, job, withImageOnly, nowMicros)) {
+                continue;
+            }
+            Resources stopping = usedByStoppingTasks(machine);
+            int pendingSlots = stopping.slotsOnceFreed(machine.capacity(), job.spec());
+            pending += pendingSlots;
+            Preemption cheapest =
+                    pendingSlots > 0 ? null : cheapestPreemption(machine, job, policy, stopping, nowMicros);
+            if (cheapest != null) {
+                preemptions.add(cheapest);
             }
         }
         preemptions.sort(Comparator.comparingDouble(Preemption::cost));
         return stopCheapest(preemptions, job, policy, pending, wanted);
     }
 
+    private boolean isConsidered(Machine machine, ActiveJob job, boolean withImageOnly, long nowMicros) {
+        return rules.isEligible(machine, job, nowMicros)
+                && (!withImageOnly || machine.capacity().hasImage(job.spec().image()));
+    }
+
+    private static Resources usedByStoppingTasks(Machine machine) {
+        Resources used = new Resources();
+        for (Placement placement : machine.placements()) {
+            if (placement.phase() == Placement.Phase.STOPPING) {
+                used.add(placement.job().spec());
+            }
+        }
+        return used;
+    }
+
     /**
-     * Returns how many tasks fit on a machine once what is stopping there is gone. If none does, the cheapest
-     * preemption that changes this is added to the list.
+     * The cheapest way to make capacity for one task on a machine, or null if there is none.
+     *
+     * @param stopping what is being freed there anyway
      */
-    private static int pendingSlotsOrPreemption(
-            Machine machine, ActiveJob job, PreemptionPolicy policy, List<Preemption> preemptions, long nowMicros) {
-        Resources freed = new Resources();
+    private static @Nullable Preemption cheapestPreemption(
+            Machine machine, ActiveJob job, PreemptionPolicy policy, Resources stopping, long nowMicros) {
         List<Placement> candidates = new ArrayList<>();
         for (Placement placement : machine.placements()) {
-            if (placement.phase() == Placement.Phase.STOPPING) {
-                freed.add(placement.job().spec());
-            } else if (policy.mayPreempt(placement)) {
+            if (placement.phase() != Placement.Phase.STOPPING && policy.mayPreempt(placement)) {
                 candidates.add(placement);
             }
         }
-        int pending = freed.slotsOnceFreed(machine.capacity(), job.spec());
-        if (pending > 0 || candidates.isEmpty()) {
-            return pending;
-        }
-        Preemption cheapest = Preemption.cheapest(job.spec(), machine, candidates, freed, nowMicros);
-        if (cheapest != null) {
-            preemptions.add(cheapest);
-        }
-        return pending;
+        return Preemption.cheapest(job.spec(), machine, candidates, stopping, nowMicros);
     }
 
     /** Returns how many tasks will fit, what is stopping already included. */
