--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -228,6 +228,17 @@
         assertTrue(store.commits.isEmpty());
     }
 
+    @Test
+    void aQueueThatWasClosedMeanwhileStopsReadingBack() {
+        write("a");
+        answer(Outcome.CONFLICT, 0);
+        timers.advance(0);
+        open = false;
+        store.follows.remove().answer().accept(new Page(Outcome.UNKNOWN, List.of(), false, 0));
+        timers.advance(SECOND);
+        assertTrue(store.follows.isEmpty());
+    }
+
     @ParameterizedTest
     @EnumSource
     void itIsBehindWhenMoreThanMereProgressWaitsForSeconds(Urgency urgency) {
