--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import org.granitepath.protocol.HttpStatus;
 import org.junit.jupiter.api.Test;
 
 class HttpCallsTest {
@@ -48,14 +49,18 @@
                 }
             });
             assertTrue(ended.await(10, TimeUnit.SECONDS));
-            CountDownLatch unresponsive = new CountDownLatch(1);
-            loop.after(300_000, unresponsive::countDown);
-            unresponsive.await();
-            assertEquals(CALLS, statuses.stream().filter(s -> s == 0).count());
+            CountDownLatch settled = new CountDownLatch(1);
+            loop.after(300_000, settled::countDown);
+            settled.await();
+            assertEquals(
+                    CALLS,
+                    statuses.stream()
+                            .filter(status -> status == HttpStatus.NO_ANSWER)
+                            .count());
             long held = descriptors() - before;
             assertTrue(held < CALLS / 4, held + " sockets held");
-            for (Socket s : filling) {
-                s.close();
+            for (Socket socket : filling) {
+                socket.close();
             }
         } finally {
             loop.worker().shutdown();
--- /dev/null
+++ b/src/test/java/org/granitepath/transport/MetricsTest.java
@@ -0,0 +1,98 @@
+package org.granitepath.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.granitepath.recovery.RecoveryStatus;
+import org.granitepath.recovery.RecoveryStatus.Role;
+import org.junit.jupiter.api.Test;
+
+/** The lines of GET /metrics, which operators' dashboards read. */
+class MetricsTest {
+    private static final int LATENCY_MICROS = 1_000;
+
+    private final Metrics metrics = new Metrics(
+            new Connections(8, 16), () -> RecoveryStatus.withoutTerm("n0", Role.FOLLOWING, "n1", "follows", 0, 3));
+
+    private List<String> linesOf(String name) {
+        return metrics.text()
+                .lines()
+                .filter(line -> line.startsWith(name))
+                .sorted()
+                .toList();
+    }
+
+    @Test
+    void answersAreCountedByRequestAndStatus() {
+        metrics.served("submit", 201, LATENCY_MICROS);
+        metrics.served("submit", 201, LATENCY_MICROS);
+        metrics.served("poll", 503, LATENCY_MICROS);
+        assertEquals(
+                List.of(
+                        "granitepath.request.answers[tag(request=poll), tag(status=503)] 1.0",
+                        "granitepath.request.answers[tag(request=submit), tag(status=201)] 2.0"),
+                linesOf("granitepath.request.answers"));
+    }
+
+    @Test
+    void latenciesAreTheSamePercentilesForEachRequest() {
+        metrics.served("poll", 200, 100);
+        assertEquals(
+                List.of(
+                        "granitepath.request.micros[tag(percentile=100.0), tag(request=poll)] 100.0",
+                        "granitepath.request.micros[tag(percentile=50.0), tag(request=poll)] 100.0",
+                        "granitepath.request.micros[tag(percentile=90.0), tag(request=poll)] 100.0",
+                        "granitepath.request.micros[tag(percentile=99.0), tag(request=poll)] 100.0"),
+                linesOf("granitepath.request.micros"));
+    }
+
+    /** The histogram holds up to a minute: what is out of its range counts at its edge and is no failure. */
+    @Test
+    void latenciesOutOfRangeAreCountedToo() {
+        metrics.served("poll", 200, -1);
+        metrics.served("poll", 200, Long.MAX_VALUE);
+        assertEquals(4, linesOf("granitepath.request.micros").size());
+    }
+
+    @Test
+    void requestsThatCameSinceTheLastLookAreShown() {
+        metrics.served("poll", 200, LATENCY_MICROS);
+        assertEquals(1, linesOf("granitepath.request.answers").size());
+        metrics.served("poll", 200, LATENCY_MICROS);
+        metrics.served("cancel", 200, LATENCY_MICROS);
+        assertEquals(
+                List.of(
+                        "granitepath.request.answers[tag(request=cancel), tag(status=200)] 1.0",
+                        "granitepath.request.answers[tag(request=poll), tag(status=200)] 2.0"),
+                linesOf("granitepath.request.answers"));
+    }
+
+    @Test
+    void unreadableHeartbeatsAreCounted() {
+        metrics.unreadableHeartbeat("10.1.0.2:9000");
+        metrics.unreadableHeartbeat("10.1.0.3:9000");
+        assertEquals(List.of("granitepath.reports.unreadable[] 2.0"), linesOf("granitepath.reports.unreadable"));
+    }
+
+    @Test
+    void connectionsAreShownByWhoHoldsThem() {
+        assertEquals(
+                List.of("granitepath.connections[tag(of=machines)] 0.0", "granitepath.connections[tag(of=others)] 0.0"),
+                linesOf("granitepath.connections"));
+    }
+
+    @Test
+    void aControllerWithoutATermIsInNoPhaseOfARecovery() {
+        List<String> phases = linesOf("granitepath.recovery.phase");
+        assertEquals(5, phases.size());
+        assertTrue(phases.stream().allMatch(line -> line.endsWith(" 0.0")), phases.toString());
+    }
+
+    @Test
+    void unreadableRecordsAreShown() {
+        assertEquals(
+                List.of("granitepath.recovery.records.unreadable[] 3.0"),
+                linesOf("granitepath.recovery.records.unreadable"));
+    }
+}
