--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -29,16 +29,13 @@
     void fiveControllersAndHundredsOfMachines(long seed) {
         Simulation simulation = new Simulation(seed, 5, 30);
         for (int i = 0; i < 12; i++) {
-            simulation.after(
-                    2 * SECOND + 5L * i * SECOND,
-                    () -> simulation.users.submit(simulation
-                            .jobs
-                            .work(120, 25 * SECOND)
-                            .onSpot(simulation.world.random.nextBoolean())
-                            .create()));
-            simulation.after(
-                    2 * SECOND + 5L * i * SECOND,
-                    () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
+            long at = 2 * SECOND + 5L * i * SECOND;
+            simulation.after(at, () -> {
+                boolean spot = simulation.world.random.nextBoolean();
+                simulation.users.submit(
+                        simulation.jobs.work(120, 25 * SECOND).onSpot(spot).create());
+            });
+            simulation.after(at, () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
         Observation<Integer> machines =
                 simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
@@ -78,18 +75,16 @@
     }
 
     private static JobSpec standardJob(Simulation simulation, int number) {
-        return simulation
-                .jobs
-                .work(number % 10 == 3 ? 60 : 16, 15 * SECOND)
+        SimJobs jobs = simulation.jobs;
+        return jobs.work(number % 10 == 3 ? 60 : 16, 15 * SECOND)
                 .team(number % 7 == 0 ? "tight" : "free")
                 .onSpot()
                 .create();
     }
 
     private static JobSpec bestEffortJob(Simulation simulation, int number) {
-        return simulation
-                .jobs
-                .work(number % 8 == 0 ? 40 : 6, 12 * SECOND)
+        SimJobs jobs = simulation.jobs;
+        return jobs.work(number % 8 == 0 ? 40 : 6, 12 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .checkpointEvery(3 * SECOND)
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -282,12 +282,12 @@
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
-        JobSpec late = simulation.jobs.withoutDeadline(simulation
-                .jobs
-                .work(2, 20 * SECOND)
+        SimJobs jobs = simulation.jobs;
+        JobSpec late = jobs.work(2, 20 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
-                .create());
+                .withoutDeadline()
+                .create();
 
         simulation.after(60 * SECOND, () -> simulation.users.submit(late));
         simulation.run(20 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -8,8 +8,8 @@
 final class FaultScenarios {
     static final long SECOND = Simulation.SECOND;
 
-    /** Long leases and little time beside them; then short ones, and heartbeats that come often. */
-    static final Shape LONG = Shape.small()
+    /** Long leases, little time beside them for what a cancellation takes, and few writes. */
+    static final Shape LONG_LEASES = Shape.small()
             .withControllers(5)
             .withPerOffer(4)
             .withHeartbeatInterval(3 * SECOND)
@@ -20,7 +20,8 @@
             .withValueBytes(8 * 1024)
             .withConnections(1_500);
 
-    static final Shape SHORT = Shape.small()
+    /** Short leases, and heartbeats that come often. */
+    static final Shape SHORT_LEASES = Shape.small()
             .withControllers(5)
             .withPerOffer(4)
             .withHeartbeatInterval(2 * SECOND)
@@ -38,7 +39,7 @@
 
     /** The times and limits that go with a seed. */
     static Shape shapeOf(long seed) {
-        return seed % 2 == 0 ? LONG : SHORT;
+        return seed % 2 == 0 ? LONG_LEASES : SHORT_LEASES;
     }
 
     /** Five controllers and a few machines, too few for much work. */
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -21,7 +21,7 @@
         day(
                 new Simulation(
                         1,
-                        FaultScenarios.LONG
+                        FaultScenarios.LONG_LEASES
                                 .withPerOffer(213)
                                 .withHeartbeatInterval(5 * SECOND)
                                 .withConnections(1_519)),
@@ -31,7 +31,7 @@
     /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
     void sevenHundredMachinesWithFrequentHeartbeats() {
-        day(new Simulation(2, FaultScenarios.SHORT.withPerOffer(97).withConnections(2_257)), 700);
+        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withPerOffer(97).withConnections(2_257)), 700);
     }
 
     /**
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -20,9 +20,8 @@
 
     /** A gang of work for the team without limits. */
     static JobSpec gang(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
-        return simulation
-                .jobs
-                .work(tasks, runMicros)
+        SimJobs jobs = simulation.jobs;
+        return jobs.work(tasks, runMicros)
                 .onSpot(spot)
                 .inOneZone()
                 .checkpointEvery(checkpointMicros)
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -20,8 +20,8 @@
     private static final int MOST_STARTS = 8;
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
-        return simulation.jobs.withoutDeadline(
-                simulation.jobs.work(tasks, runMicros).team(team).onSpot().create());
+        SimJobs jobs = simulation.jobs;
+        return jobs.work(tasks, runMicros).team(team).onSpot().withoutDeadline().create();
     }
 
     /**
@@ -72,13 +72,13 @@
         simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
         // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
         // once.
-        simulation.users.submit(simulation.jobs.withoutDeadline(simulation
-                .jobs
-                .work(10, 300 * SECOND)
+        SimJobs jobs = simulation.jobs;
+        simulation.users.submit(jobs.work(10, 300 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .team("lender")
                 .onSpot()
-                .create()));
+                .withoutDeadline()
+                .create());
         Observation<Long> usedByLender = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             usedByLender.set(simulation.rules.usedBy("lender"));
@@ -140,9 +140,8 @@
         simulation.users.submit(
                 wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
         boolean guaranteed = seed % 2 == 1;
-        JobSpec job = simulation
-                .jobs
-                .work(2, 300 * SECOND)
+        SimJobs jobs = simulation.jobs;
+        JobSpec job = jobs.work(2, 300 * SECOND)
                 .team(guaranteed ? "granted" : "free")
                 .onSpot()
                 .create();
--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -22,11 +22,13 @@
     private boolean oneZone;
     private long estimateMicros;
     private long checkpointMicros;
+    private boolean deadline;
 
     JobBuilder(SimJobs jobs, boolean service, int tasks) {
         this.jobs = jobs;
         this.service = service;
         this.tasks = tasks;
+        this.deadline = !service;
         this.priority = service ? Priority.CRITICAL : Priority.STANDARD;
     }
 
@@ -78,6 +80,11 @@
         return this;
     }
 
+    JobBuilder withoutDeadline() {
+        deadline = false;
+        return this;
+    }
+
     /** The description, under an id of its own and with an image that is drawn now. */
     JobSpec create() {
         String id = jobs.nextId();
@@ -101,7 +108,7 @@
                 estimateMicros,
                 checkpointMicros,
                 checkpointMicros > 0 ? Simulation.SECOND : 0,
-                service ? JobSpec.NO_DEADLINE : 2 * estimateMicros + 30 * Simulation.SECOND);
+                deadline ? 2 * estimateMicros + 30 * Simulation.SECOND : JobSpec.NO_DEADLINE);
     }
 
     /** Some sizes are gangs, unless a zone of this deployment, services beside them, could never hold one whole. */
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -32,14 +32,16 @@
         longWork(simulation, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
-            simulation.after(
-                    (5 + 14 * i) * SECOND,
-                    () -> simulation.users.submit(simulation
-                            .jobs
-                            .work(1 + simulation.world.random.nextInt(8), 15 * SECOND)
-                            .team(simulation.world.random.nextBoolean() ? "granted" : "lender")
-                            .onSpot()
-                            .create()));
+            simulation.after((5 + 14 * i) * SECOND, () -> {
+                int tasks = 1 + simulation.world.random.nextInt(8);
+                String team = simulation.world.random.nextBoolean() ? "granted" : "lender";
+                simulation.users.submit(simulation
+                        .jobs
+                        .work(tasks, 15 * SECOND)
+                        .team(team)
+                        .onSpot()
+                        .create());
+            });
         }
         List<Consumer<Simulation>> troubles = troubles();
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -33,7 +33,7 @@
     static Simulation fleet(long seed, Size size) {
         Simulation simulation = new Simulation(
                 seed,
-                FaultScenarios.LONG
+                FaultScenarios.LONG_LEASES
                         .withPerOffer(size.machines / OFFERS + size.machines / 100)
                         .withHeartbeatInterval(5 * SECOND)
                         .withConnections(Math.max(1_000, size.machines)));
