--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -106,20 +106,20 @@
     /** The first commands to resume services come before the first command to start batch work. */
     private static void assertServicesFirst(Cluster cluster, List<Event> events) {
         Set<String> lost = new HashSet<>();
-        List<String> ordered = new ArrayList<>();
+        List<String> commanded = new ArrayList<>();
         int firstBatch = -1;
         for (Event event : events) {
             if (event.kind() == Kind.LEFT && cluster.isService(event.job())) {
                 lost.add(event.task());
-            } else if (event.kind() == Kind.ORDERED && cluster.isService(event.job())) {
-                ordered.add(event.task());
-            } else if (event.kind() == Kind.ORDERED && firstBatch < 0) {
-                firstBatch = ordered.size();
+            } else if (event.kind() == Kind.START_COMMANDED && cluster.isService(event.job())) {
+                commanded.add(event.task());
+            } else if (event.kind() == Kind.START_COMMANDED && firstBatch < 0) {
+                firstBatch = commanded.size();
             }
         }
         assertTrue(lost.size() > 0, "no replica was lost");
         assertTrue(firstBatch >= 0, "no batch work was left to start");
-        assertEquals(lost, new HashSet<>(ordered.subList(0, firstBatch)), "replicas ordered before any batch task");
+        assertEquals(lost, new HashSet<>(commanded.subList(0, firstBatch)), "replicas commanded before any batch task");
     }
 
     @Test
@@ -155,8 +155,9 @@
             cluster.store.setAway(false);
             await(
                     cluster,
-                    "an order of the new leader",
-                    () -> cluster.history.since(restart).stream().anyMatch(event -> event.kind() == Kind.ORDERED));
+                    "a start command of the new leader",
+                    () -> cluster.history.since(restart).stream()
+                            .anyMatch(event -> event.kind() == Kind.START_COMMANDED));
             cluster.killControllers();
             cluster.startControllers();
             awaitAllWorkDone(cluster);
--- a/src/test/java/org/granitepath/loopback/History.java
+++ b/src/test/java/org/granitepath/loopback/History.java
@@ -12,7 +12,7 @@
 final class History {
     /** What happened to a task. */
     enum Kind {
-        ORDERED,
+        START_COMMANDED,
         BEGUN,
         COMPLETED,
         LEFT
@@ -41,11 +41,11 @@
     }
 
     /** A worker takes a start in: at most once for each attempt in an agent epoch. */
-    synchronized void ordered(String host, long agentEpoch, String task, long attempt) {
+    synchronized void startCommanded(String host, long agentEpoch, String task, long attempt) {
         if (!receivedStarts.add(new ReceivedStart(host, agentEpoch, task, attempt))) {
-            violations.add("ordered twice: " + task + " attempt " + attempt + " on " + host);
+            violations.add("commanded to start twice: " + task + " attempt " + attempt + " on " + host);
         }
-        add(new Event(Kind.ORDERED, host, task, attempt));
+        add(new Event(Kind.START_COMMANDED, host, task, attempt));
     }
 
     /** A task runs on a machine now: on no other at the same time. */
--- a/src/test/java/org/granitepath/loopback/HistoryTest.java
+++ b/src/test/java/org/granitepath/loopback/HistoryTest.java
@@ -21,11 +21,11 @@
 
     @Test
     void aStartOrderedTwiceInAnAgentEpochIsAViolation() {
-        history.ordered("a", 1, "run-1/0", 1);
-        history.ordered("a", 2, "run-1/0", 1);
-        history.ordered("a", 1, "run-1/0", 2);
+        history.startCommanded("a", 1, "run-1/0", 1);
+        history.startCommanded("a", 2, "run-1/0", 1);
+        history.startCommanded("a", 1, "run-1/0", 2);
         assertEquals(List.of(), history.violations());
-        history.ordered("a", 1, "run-1/0", 1);
-        assertEquals(List.of("ordered twice: run-1/0 attempt 1 on a"), history.violations());
+        history.startCommanded("a", 1, "run-1/0", 1);
+        assertEquals(List.of("commanded to start twice: run-1/0 attempt 1 on a"), history.violations());
     }
 }
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -269,7 +269,7 @@
     }
 
     private void start(Key key, Run known) {
-        history.ordered(id, agentEpoch, key.task(), key.attempt());
+        history.startCommanded(id, agentEpoch, key.task(), key.attempt());
         if (known != null) {
             return;
         }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -115,7 +115,7 @@
     /** A machine can't be reached while the leader changes: no other attempt starts beside what may run there. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aTakeoverWithASilentMachine(long seed) {
+    void aTakeoverWithAnUnresponsiveMachine(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
         gang.runUntilHeld();
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -88,7 +88,7 @@
     /** Machines that stay unresponsive keep other work back no longer than the hold, and live work not at all. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void silentMachinesHoldNobodyBeyondTheBound(long seed) {
+    void unresponsiveMachinesHoldNobodyBeyondTheBound(long seed) {
         Simulation simulation = busy(seed);
 
         simulation.after(RESTART, () -> {
@@ -120,7 +120,7 @@
     /** A replica lost on a machine that responds does not wait for unresponsive machines that it may not use. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void servicesDoNotWaitForSilentSpotMachines(long seed) {
+    void servicesDoNotWaitForUnresponsiveSpotMachines(long seed) {
         Simulation simulation = busy(seed);
 
         simulation.after(RESTART, () -> {
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -126,7 +126,7 @@
     /** A gang of which one machine is gone, or one zone cut off, ends as a whole and starts as a whole. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void gangsOfWhichAPartReportsEndAndStartWhole(long seed) {
+    void gangsWithAPartUnresponsiveEndAndStartWhole(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
         simulation.recoveryHold = HOLD;
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -124,7 +124,7 @@
     /** The store is away, refuses one controller, or answers late while all restart. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
-    void theStateServiceIsAwayOrSlow(long seed) {
+    void theStoreIsAwayOrSlow(long seed) {
         Simulation simulation = busy(seed);
         simulation.after(RESTART, () -> {
             restart(simulation, false);
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -38,7 +38,8 @@
     /** @param term the fencing token of the term in which the controller commands */
     void sent(long term, String node, String host, List<WorkerCommand> commands) {
         if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatOfTerm(term, host))) {
-            rules.breach("commanded_unheard", node + " commands " + host + ", no heartbeat of it in term " + term);
+            rules.breach(
+                    "commanded_without_heartbeat", node + " commands " + host + ", no heartbeat of it in term " + term);
         }
         for (WorkerCommand command : commands) {
             if (command.verb() == WorkerCommand.Verb.START) {
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -23,7 +23,7 @@
 
         commands.sent(1, "n0", "a", start);
         assertTrue(
-                rules.broken().get(0).startsWith("commanded_unheard"),
+                rules.broken().get(0).startsWith("commanded_without_heartbeat"),
                 rules.broken().toString());
 
         commands.heartbeatReceived(2, "a");
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -86,7 +86,7 @@
                 new Scenario("gang task lost early", gangs::aTaskLostBeforeTheStartIsReplacedInTheSameAttempt, 1),
                 new Scenario("gang task lost late", gangs::aTaskLostWhileRunningEndsTheAttempt, 1),
                 new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsTakenBack, 1),
-                new Scenario("gang across a failover", gangs::aTakeoverWithASilentMachine, 1, 2),
+                new Scenario("gang across a failover", gangs::aTakeoverWithAnUnresponsiveMachine, 1, 2),
                 new Scenario("gang beside small work", gangs::aGangIsNotStarvedBySmallWork, 1),
                 new Scenario("borrowed capacity", guarantees::borrowedCapacityIsReclaimed, 1, 2),
                 new Scenario("borrowed capacity, bounded", guarantees::nobodyGivesBackMoreThanItBorrowed, 1),
@@ -105,8 +105,8 @@
                 new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
                 new Scenario("cold restart", new RecoveryOrderTest()::servicesResumeBeforeBatchWork, 1, 2),
                 new Scenario("cold restart, forbidden work", recovery::whatMayNotRunIsStoppedAndCleared, 1),
-                new Scenario("cold restart, gangs", recovery::gangsOfWhichAPartReportsEndAndStartWhole, 1),
-                new Scenario("cold restart, store away", troubles::theStateServiceIsAwayOrSlow, 1, 2),
+                new Scenario("cold restart, gangs", recovery::gangsWithAPartUnresponsiveEndAndStartWhole, 1),
+                new Scenario("cold restart, store away", troubles::theStoreIsAwayOrSlow, 1, 2),
                 new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
                 new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
     }
