--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -103,7 +103,7 @@
             return;
         }
         LOG.info("machine {} ({} {}) is listed as {}", listed.id(), listed.type(), listed.zone(), listed.state());
-        boolean failed = listed.state() == CloudPort.HostState.FAILED;
+        boolean failed = listed.state() == CloudPort.MachineState.FAILED;
         long ageMicros = failed ? FAILED_MACHINE_AGE_MICROS : listed.ageMicros();
         booting.add(new BootingMachine(listed.id(), type, listed.zone(), listed.spot(), nowMicros - ageMicros));
     }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -16,7 +16,7 @@
     }
 
     /** The state of a machine as the cloud lists it. */
-    enum HostState {
+    enum MachineState {
         BOOTING,
         RUNNING,
         FAILED
@@ -39,7 +39,7 @@
             String type,
             String zone,
             boolean spot,
-            HostState state,
+            MachineState state,
             long ageMicros) {}
 
     /** A page of the list of machines; it may be out of date. */
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.coordination.ports.CloudPort.HostState;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
 import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.MachineType;
 
@@ -93,11 +93,11 @@
     }
 
     /** A state that we don't know counts as booting: the machine is there, but not yet of use. */
-    private static HostState hostState(String word) {
+    private static MachineState hostState(String word) {
         return switch (word) {
-            case "running" -> HostState.RUNNING;
-            case "failed" -> HostState.FAILED;
-            default -> HostState.BOOTING;
+            case "running" -> MachineState.RUNNING;
+            case "failed" -> MachineState.FAILED;
+            default -> MachineState.BOOTING;
         };
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
@@ -11,8 +11,8 @@
 import org.granitepath.coordination.TestConfigs;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.ports.CloudPort.HostState;
 import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.coordination.ports.CloudPort.Outcome;
 import org.junit.jupiter.api.Test;
 
@@ -33,12 +33,12 @@
         fleet.typesChanged(List.of(Examples.TYPE));
     }
 
-    private static ListedHost listed(String id, HostState state, long ageMicros) {
+    private static ListedHost listed(String id, MachineState state, long ageMicros) {
         return new ListedHost(id, id + ":1", Examples.TYPE.name(), "a", true, state, ageMicros);
     }
 
     private static ListedHost listed(String id) {
-        return listed(id, HostState.BOOTING, 0);
+        return listed(id, MachineState.BOOTING, 0);
     }
 
     private void list() {
@@ -48,7 +48,7 @@
     @Test
     void aListedMachineBootsSinceItsLaunch() {
         list();
-        cloud.answerList(Outcome.OK, false, listed("i-1", HostState.BOOTING, 7 * SECOND_MICROS));
+        cloud.answerList(Outcome.OK, false, listed("i-1", MachineState.BOOTING, 7 * SECOND_MICROS));
         assertEquals(
                 List.of(new BootingMachine("i-1", Examples.TYPE, "a", true, timers.nowMicros() - 7 * SECOND_MICROS)),
                 List.copyOf(booting.all()));
@@ -57,7 +57,7 @@
     @Test
     void aMachineThatFailedIsToBeTerminatedAtOnce() {
         list();
-        cloud.answerList(Outcome.OK, false, listed("i-1", HostState.FAILED, 0));
+        cloud.answerList(Outcome.OK, false, listed("i-1", MachineState.FAILED, 0));
         BootingMachine machine = booting.all().iterator().next();
         assertTrue(machine.failedToBoot(timers.nowMicros()));
     }
@@ -80,7 +80,7 @@
     @Test
     void aMachineOfAnUnknownTypeIsLeftOut() {
         list();
-        ListedHost unknown = new ListedHost("i-1", "i-1:1", "unknown", "a", true, HostState.BOOTING, 0);
+        ListedHost unknown = new ListedHost("i-1", "i-1:1", "unknown", "a", true, MachineState.BOOTING, 0);
         cloud.answerList(Outcome.OK, false, unknown);
         assertEquals(0, booting.size());
     }
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -8,9 +8,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.coordination.ports.CloudPort.HostState;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
 import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
@@ -159,7 +159,7 @@
 
     @ParameterizedTest
     @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
-    void machinesAsTheCloudListsThem(String word, HostState state) {
+    void machinesAsTheCloudListsThem(String word, MachineState state) {
         assertEquals(
                 List.of(new ListedHost("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
                 CloudCodec.decodeListing(Json.object("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -95,7 +95,7 @@
         List<CloudPort.ListedHost> list = hosts.values().stream()
                 .map(host -> listed(
                         host,
-                        host.worker == null ? CloudPort.HostState.BOOTING : CloudPort.HostState.RUNNING,
+                        host.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
                         world.now() - host.launched))
                 .toList();
         snapshots.put(world.now(), list);
@@ -137,14 +137,14 @@
             long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * world.random.nextDouble()));
             world.after(bootMicros, () -> {
                 if (hosts.containsKey(host.id)) {
-                    host.worker = boot.apply(host.id, listed(host, CloudPort.HostState.RUNNING, 0));
+                    host.worker = boot.apply(host.id, listed(host, CloudPort.MachineState.RUNNING, 0));
                 }
             });
         }
         return host;
     }
 
-    private static CloudPort.ListedHost listed(Host host, CloudPort.HostState state, long ageMicros) {
+    private static CloudPort.ListedHost listed(Host host, CloudPort.MachineState state, long ageMicros) {
         return new CloudPort.ListedHost(host.id, host.id, host.type.name(), host.zone, host.spot, state, ageMicros);
     }
 
