--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -80,7 +80,7 @@
                 return;
             }
             String last = lastSeen;
-            for (CloudPort.ListedHost listed : page.hosts()) {
+            for (CloudPort.ListedMachine listed : page.hosts()) {
                 last = listed.id();
                 addIfBooting(listed, nowMicros);
             }
@@ -94,7 +94,7 @@
         });
     }
 
-    private void addIfBooting(CloudPort.ListedHost listed, long nowMicros) {
+    private void addIfBooting(CloudPort.ListedMachine listed, long nowMicros) {
         MachineType type = fleet.types().get(listed.type());
         if (type == null
                 || terminatedLately.test(listed.id())
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
-import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.ListedMachine;
 import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.MachineType;
@@ -76,11 +76,11 @@
     }
 
     /** Reads a page of the list of machines. */
-    public static List<ListedHost> decodeListing(Map<String, Object> body) {
-        List<ListedHost> hosts = new ArrayList<>();
+    public static List<ListedMachine> decodeListing(Map<String, Object> body) {
+        List<ListedMachine> hosts = new ArrayList<>();
         for (Object element : Fields.listOf(body, HOSTS)) {
             Map<String, Object> fields = Fields.requiredObject(element, HOSTS);
-            hosts.add(new ListedHost(
+            hosts.add(new ListedMachine(
                     Fields.requiredText(fields, "uid"),
                     Fields.textOf(fields, "address"),
                     Fields.textOf(fields, "model", UNKNOWN),
--- a/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
@@ -49,7 +49,7 @@
         unansweredTermination.accept(done);
     }
 
-    void answerList(Outcome outcome, boolean more, ListedHost... hosts) {
+    void answerList(Outcome outcome, boolean more, ListedMachine... hosts) {
         unansweredList.accept(new Listing(outcome, List.of(hosts), more));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.TestConfigs;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.ListedMachine;
 import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.coordination.ports.CloudPort.Outcome;
 import org.junit.jupiter.api.Test;
@@ -33,11 +33,11 @@
         fleet.typesChanged(List.of(Examples.TYPE));
     }
 
-    private static ListedHost listed(String id, MachineState state, long ageMicros) {
-        return new ListedHost(id, id + ":1", Examples.TYPE.name(), "a", true, state, ageMicros);
+    private static ListedMachine listed(String id, MachineState state, long ageMicros) {
+        return new ListedMachine(id, id + ":1", Examples.TYPE.name(), "a", true, state, ageMicros);
     }
 
-    private static ListedHost listed(String id) {
+    private static ListedMachine listed(String id) {
         return listed(id, MachineState.BOOTING, 0);
     }
 
@@ -80,7 +80,7 @@
     @Test
     void aMachineOfAnUnknownTypeIsLeftOut() {
         list();
-        ListedHost unknown = new ListedHost("i-1", "i-1:1", "unknown", "a", true, MachineState.BOOTING, 0);
+        ListedMachine unknown = new ListedMachine("i-1", "i-1:1", "unknown", "a", true, MachineState.BOOTING, 0);
         cloud.answerList(Outcome.OK, false, unknown);
         assertEquals(0, booting.size());
     }
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
-import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.ListedMachine;
 import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.Heartbeat.Cause;
@@ -161,7 +161,7 @@
     @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
     void machinesAsTheCloudListsThem(String word, MachineState state) {
         assertEquals(
-                List.of(new ListedHost("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
+                List.of(new ListedMachine("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
                 CloudCodec.decodeListing(Json.object("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
                         + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + word
                         + "\",\"held_s\":61.5}],\"has_next\":false}")));
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -40,10 +40,10 @@
     private final List<MachineType> types;
     private final int perOffer;
     private final long listLag;
-    private final BiFunction<String, CloudPort.ListedHost, SimWorker> boot;
+    private final BiFunction<String, CloudPort.ListedMachine, SimWorker> boot;
     private final Map<String, List<String>> launchCount = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
-    private final TreeMap<Long, List<CloudPort.ListedHost>> snapshots = new TreeMap<>();
+    private final TreeMap<Long, List<CloudPort.ListedMachine>> snapshots = new TreeMap<>();
     private final List<String> terminatedBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
     int neverUp;
@@ -56,7 +56,7 @@
             List<MachineType> types,
             int perOffer,
             long listLag,
-            BiFunction<String, CloudPort.ListedHost, SimWorker> boot) {
+            BiFunction<String, CloudPort.ListedMachine, SimWorker> boot) {
         this.world = world;
         this.types = types;
         this.perOffer = perOffer;
@@ -92,7 +92,7 @@
     }
 
     private void snapshot() {
-        List<CloudPort.ListedHost> list = hosts.values().stream()
+        List<CloudPort.ListedMachine> list = hosts.values().stream()
                 .map(host -> listed(
                         host,
                         host.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
@@ -144,8 +144,8 @@
         return host;
     }
 
-    private static CloudPort.ListedHost listed(Host host, CloudPort.MachineState state, long ageMicros) {
-        return new CloudPort.ListedHost(host.id, host.id, host.type.name(), host.zone, host.spot, state, ageMicros);
+    private static CloudPort.ListedMachine listed(Host host, CloudPort.MachineState state, long ageMicros) {
+        return new CloudPort.ListedMachine(host.id, host.id, host.type.name(), host.zone, host.spot, state, ageMicros);
     }
 
     private void remove(String id) {
@@ -169,7 +169,7 @@
     private CloudPort.Listing listAfter(String from) {
         long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
         var seen = snapshots.floorEntry(at);
-        List<CloudPort.ListedHost> hosts = seen == null ? List.of() : seen.getValue();
+        List<CloudPort.ListedMachine> hosts = seen == null ? List.of() : seen.getValue();
         return new CloudPort.Listing(
                 outage ? CloudPort.Outcome.REFUSED : CloudPort.Outcome.OK,
                 hosts.stream().filter(host -> host.id().compareTo(from) > 0).toList(),
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -173,7 +173,7 @@
         return trace == null ? then : trace.userAnswers(node, user, then);
     }
 
-    private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedHost host) {
+    private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(host.type()))
                 .findFirst()
