--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -80,7 +80,7 @@
                 return;
             }
             String last = lastSeen;
-            for (CloudPort.ListedMachine listed : page.hosts()) {
+            for (CloudPort.ListedMachine listed : page.machines()) {
                 last = listed.id();
                 addIfBooting(listed, nowMicros);
             }
