--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -84,7 +84,7 @@
                 last = listed.id();
                 addIfBooting(listed, nowMicros);
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 listPageAfter(last);
                 return;
             }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -43,7 +43,7 @@
             long ageMicros) {}
 
     /** A page of the list of machines; it may be out of date. */
-    record Listing(Outcome outcome, List<ListedMachine> machines, boolean more) {}
+    record Listing(Outcome outcome, List<ListedMachine> machines, boolean hasMore) {}
 
     /** Asks for the machine types; answered with null when they could not be had. */
     void types(Consumer<@Nullable List<MachineType>> then);
