--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -121,10 +121,10 @@
     }
 
     private void launched(CloudPort.LaunchRequest request, Offer offer, CloudPort.LaunchResult answer, long nowMicros) {
-        for (String id : answer.hosts()) {
+        for (String id : answer.machineIds()) {
             booting.add(new BootingMachine(id, offer.type(), offer.zone(), offer.spot(), nowMicros));
         }
-        int brought = answer.hosts().size();
+        int brought = answer.machineIds().size();
         if (brought < request.count()) {
             refusedUntilMicros.put(offer.key(), nowMicros + REFUSED_MICROS);
         }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -26,7 +26,7 @@
     record LaunchRequest(String idempotencyKey, String type, String zone, boolean spot, int count) {}
 
     /** The machines that a launch brought. */
-    record LaunchResult(Outcome outcome, List<String> hosts) {}
+    record LaunchResult(Outcome outcome, List<String> machineIds) {}
 
     /**
      * A machine as the cloud lists it.
