--- a/src/main/java/org/granitepath/coordination/MachineTypeCatalog.java
+++ b/src/main/java/org/granitepath/coordination/MachineTypeCatalog.java
@@ -72,7 +72,7 @@
 
     private void fetch() {
         fetching = true;
-        cloud.types(list -> {
+        cloud.fetchMachineTypes(list -> {
             fetching = false;
             refreshDueMicros = timers.nowMicros() + (list == null ? RETRY_MICROS : REFRESH_MICROS);
             if (list != null) {
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -46,7 +46,7 @@
     record Listing(Outcome outcome, List<ListedMachine> machines, boolean hasMore) {}
 
     /** Asks for the machine types; answered with null when they could not be had. */
-    void types(Consumer<@Nullable List<MachineType>> then);
+    void fetchMachineTypes(Consumer<@Nullable List<MachineType>> then);
 
     /** Launches machines. */
     void launch(LaunchRequest request, Consumer<LaunchResult> then);
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void types(Consumer<List<MachineType>> then) {
+    public void fetchMachineTypes(Consumer<List<MachineType>> then) {
         cloud.get("/flavors", answer -> {
             Map<String, Object> body = answer.jsonIfOk();
             then.accept(body == null ? null : CloudCodec.decodeTypes(body));
--- a/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
@@ -19,7 +19,7 @@
     private Consumer<Listing> unansweredList;
 
     @Override
-    public void types(Consumer<List<MachineType>> then) {
+    public void fetchMachineTypes(Consumer<List<MachineType>> then) {
         throw new UnsupportedOperationException();
     }
 
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -151,9 +151,9 @@
     CloudPort tracing(String node, CloudPort port) {
         return new CloudPort() {
             @Override
-            public void types(Consumer<List<MachineType>> then) {
+            public void fetchMachineTypes(Consumer<List<MachineType>> then) {
                 add(node, "machine types", "");
-                port.types(then);
+                port.fetchMachineTypes(then);
             }
 
             @Override
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -189,7 +189,7 @@
         }
 
         @Override
-        public void types(Consumer<List<MachineType>> then) {
+        public void fetchMachineTypes(Consumer<List<MachineType>> then) {
             call(() -> outage ? null : types, null, then);
         }
 
