--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -69,7 +69,7 @@
     }
 
     private void listPageAfter(String lastSeen) {
-        cloud.list(lastSeen, PAGE_SIZE, page -> {
+        cloud.listMachines(lastSeen, PAGE_SIZE, page -> {
             if (ended.getAsBoolean()) {
                 return;
             }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -55,5 +55,5 @@
     void terminate(List<String> hosts, Consumer<Boolean> then);
 
     /** Lists machines by name, beginning after {@code from}. */
-    void list(String from, int limit, Consumer<Listing> then);
+    void listMachines(String from, int limit, Consumer<Listing> then);
 }
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void list(String from, int limit, Consumer<Listing> then) {
+    public void listMachines(String from, int limit, Consumer<Listing> then) {
         String path = "/rentals?most=" + limit + (from.isEmpty() ? "" : "&from=" + from);
         cloud.get(path, answer -> {
             Map<String, Object> body = answer.jsonIfOk();
--- a/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void list(String from, int limit, Consumer<Listing> then) {
+    public void listMachines(String from, int limit, Consumer<Listing> then) {
         listedAfter.add(from);
         unansweredList = then;
     }
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -169,9 +169,9 @@
             }
 
             @Override
-            public void list(String from, int limit, Consumer<Listing> then) {
+            public void listMachines(String from, int limit, Consumer<Listing> then) {
                 add(node, "list machines", from + " " + limit);
-                port.list(from, limit, then);
+                port.listMachines(from, limit, then);
             }
         };
     }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -207,7 +207,7 @@
         }
 
         @Override
-        public void list(String from, int limit, Consumer<Listing> then) {
+        public void listMachines(String from, int limit, Consumer<Listing> then) {
             call(() -> listAfter(from), new Listing(Outcome.UNKNOWN, List.of(), false), then);
         }
 
