--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -53,7 +53,7 @@
         if (zoneLeaseKeeper.mayRenew(heartbeat)) {
             return zoneLeaseKeeper.answer(heartbeat);
         }
-        redirectedMachines.add(heartbeat.host(), timers.nowMicros());
+        redirectedMachines.add(heartbeat.machineId(), timers.nowMicros());
         return redirectToLeader();
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -53,7 +53,7 @@
             return false;
         }
         readTokensOncePerContact();
-        return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.host()) == heartbeat.fencingToken();
+        return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.machineId()) == heartbeat.fencingToken();
     }
 
     /** Whether the store and the leader are out of reach, and have been for no longer than a leader may go on so. */
--- a/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
+++ b/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
@@ -31,6 +31,6 @@
 
     /** Whether a heartbeat is a late copy from a machine that left. */
     boolean isLateCopy(Heartbeat heartbeat) {
-        return heartbeat.agentEpoch() <= lastAgentEpochs.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
+        return heartbeat.agentEpoch() <= lastAgentEpochs.getOrDefault(heartbeat.machineId(), Long.MIN_VALUE);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -73,7 +73,7 @@
     /** The machine of a first heartbeat, which is not in the fleet yet. */
     public Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
-                heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+                heartbeat.machineId(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         machine.typeKnown(types.get(machine.typeName()));
         machine.joinedFleet(fencingToken, timers.nowMicros());
         return machine;
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -4,7 +4,7 @@
 
 /** A worker's heartbeat. {@code noticeMicros} is negative when the cloud has announced nothing. */
 public record Heartbeat(
-        String host,
+        String machineId,
         String address,
         String type,
         String zone,
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -46,7 +46,7 @@
 
     /** A worker's heartbeat, answered with what it is to do. */
     HeartbeatResponse answer(Heartbeat heartbeat) {
-        Machine machine = fleet.machine(heartbeat.host());
+        Machine machine = fleet.machine(heartbeat.machineId());
         if (machine == null) {
             if (!mayJoin(heartbeat)) {
                 return new HeartbeatResponse.Unavailable();
@@ -65,7 +65,7 @@
 
     private boolean mayJoin(Heartbeat heartbeat) {
         if (fleet.isLateCopy(heartbeat)) {
-            LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.host());
+            LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.machineId());
             return false;
         }
         return heartbeat.fencingToken() <= term.fencingToken();
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -202,13 +202,13 @@
             HeartbeatResponse answer =
                     controller == null ? new HeartbeatResponse.Unavailable() : controller.heartbeat(heartbeat);
             if (trace != null) {
-                trace.heartbeatAnswered(node, heartbeat.host(), answer);
+                trace.heartbeatAnswered(node, heartbeat.machineId(), answer);
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
                 if (controller.leader()) {
-                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.host());
-                    commands.sent(controller.fencingToken(), node, heartbeat.host(), accepted.commands());
+                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.machineId());
+                    commands.sent(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
             }
             return answer;
