--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -58,8 +58,8 @@
         if (underPresentToken) {
             confirm(machine);
         }
-        if (heartbeat.noticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
-            machines.drainBeforePreemption(machine, heartbeat.noticeMicros());
+        if (heartbeat.terminationNoticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
+            machines.drainBeforePreemption(machine, heartbeat.terminationNoticeMicros());
         }
         return true;
     }
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -12,7 +12,7 @@
         long agentEpoch,
         long sequence,
         long fencingToken,
-        long noticeMicros,
+        long terminationNoticeMicros,
         List<TaskStatus> tasks) {
 
     /** What a task on a machine does. {@code WAITING}: a task of a gang waits for the others. */
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -75,7 +75,7 @@
                         + "{\"piece\":\"run-000398/0\",\"try\":7,\"status\":\"ended\",\"cause\":\"done\"}]}");
         assertEquals(new TaskId("run-000398", 0), heartbeat.tasks().get(0).task());
         assertEquals(Heartbeat.Cause.DONE, heartbeat.tasks().get(0).cause());
-        assertEquals(-1, heartbeat.noticeMicros());
+        assertEquals(-1, heartbeat.terminationNoticeMicros());
     }
 
     private static final String HEARTBEAT = "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\","
