--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -82,7 +82,7 @@
     }
 
     private boolean isOutcomeDurable(TaskStatus status) {
-        if (status.cause() != Cause.DONE || jobIndex.openJob(status.task().job()) == null) {
+        if (status.cause() != ExitCause.DONE || jobIndex.openJob(status.task().job()) == null) {
             return true;
         }
         return jobIndex.progressOf(status.task().job())
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -85,7 +85,7 @@
             return ListedTask.LIVE;
         }
         boolean completes =
-                status.cause() == Cause.DONE && (job == null || !job.spec().service());
+                status.cause() == ExitCause.DONE && (job == null || !job.spec().service());
         return completes ? ListedTask.COMPLETED : ListedTask.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
@@ -96,7 +96,7 @@
         ActiveJob job = placement.job();
         if (hasCompleted(job, status)) {
             completed(placement, nowMicros);
-        } else if (status.cause() == Cause.FAILED) {
+        } else if (status.cause() == ExitCause.FAILED) {
             LOG.info(
                     "a task of job {} failed on machine {}: task {} attempt {}",
                     job.spec().id(),
@@ -117,15 +117,15 @@
 
     /** A service's task never completes its job, however it exits. */
     private static boolean hasCompleted(ActiveJob job, TaskStatus status) {
-        return status.cause() == Cause.DONE && !job.spec().service();
+        return status.cause() == ExitCause.DONE && !job.spec().service();
     }
 
     private static boolean startWasRefused(TaskStatus status) {
-        return status.cause() == Cause.UNKNOWN_JOB || status.cause() == Cause.INSUFFICIENT_CAPACITY;
+        return status.cause() == ExitCause.UNKNOWN_JOB || status.cause() == ExitCause.INSUFFICIENT_CAPACITY;
     }
 
     private static boolean endsGangAttempt(Placement placement, TaskStatus status) {
-        boolean attemptIsOver = status.cause() == Cause.PEER_GONE || status.cause() == Cause.INCOMPLETE;
+        boolean attemptIsOver = status.cause() == ExitCause.PEER_GONE || status.cause() == ExitCause.INCOMPLETE;
         GangAttempt attempt = presentGangAttempt(placement);
         return attemptIsOver && attempt != null && !attempt.isEnding();
     }
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -28,7 +28,7 @@
      * Why a task has exited. {@code PEER_GONE}: another task of its gang is gone. {@code INCOMPLETE}: its gang was not
      * complete in time.
      */
-    public enum Cause {
+    public enum ExitCause {
         NONE,
         DONE,
         STOPPED,
@@ -41,7 +41,7 @@
     }
 
     /** One task on the machine; {@code saved} when its progress was kept. */
-    public record TaskStatus(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean saved) {}
 
     /** Whether this heartbeat was made later than one with the given agent epoch and sequence. */
     public boolean newerThan(long otherAgentEpoch, long otherSequence) {
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -138,22 +138,22 @@
         };
     }
 
-    private static Cause cause(TaskId task, @Nullable String word) {
+    private static ExitCause cause(TaskId task, @Nullable String word) {
         if (word == null) {
-            return Cause.NONE;
+            return ExitCause.NONE;
         }
         return switch (word) {
-            case "done" -> Cause.DONE;
-            case "stopped" -> Cause.STOPPED;
-            case "error" -> Cause.FAILED;
-            case "full" -> Cause.INSUFFICIENT_CAPACITY;
-            case "in_use" -> Cause.BUSY;
-            case "no_such" -> Cause.UNKNOWN_JOB;
-            case "mates_gone" -> Cause.PEER_GONE;
-            case "alone" -> Cause.INCOMPLETE;
+            case "done" -> ExitCause.DONE;
+            case "stopped" -> ExitCause.STOPPED;
+            case "error" -> ExitCause.FAILED;
+            case "full" -> ExitCause.INSUFFICIENT_CAPACITY;
+            case "in_use" -> ExitCause.BUSY;
+            case "no_such" -> ExitCause.UNKNOWN_JOB;
+            case "mates_gone" -> ExitCause.PEER_GONE;
+            case "alone" -> ExitCause.INCOMPLETE;
             default -> {
                 LOG.warn("task {} has exited for the unknown reason {}", task, word);
-                yield Cause.STOPPED;
+                yield ExitCause.STOPPED;
             }
         };
     }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -27,7 +27,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.model.TeamLimits;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -305,14 +305,14 @@
     }
 
     static TaskStatus status(Placement placement, TaskState state) {
-        return new TaskStatus(placement.task(), placement.attempt(), state, Cause.NONE, false);
+        return new TaskStatus(placement.task(), placement.attempt(), state, ExitCause.NONE, false);
     }
 
-    static TaskStatus exited(Placement placement, Cause cause) {
+    static TaskStatus exited(Placement placement, ExitCause cause) {
         return new TaskStatus(placement.task(), placement.attempt(), TaskState.EXITED, cause, false);
     }
 
-    static TaskStatus status(TaskId task, long attempt, TaskState state, Cause cause) {
+    static TaskStatus status(TaskId task, long attempt, TaskState state, ExitCause cause) {
         return new TaskStatus(task, attempt, state, cause, false);
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -18,7 +18,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -63,7 +63,7 @@
     void aTaskThatAFormerLeaderStartedIsAdopted() {
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE)));
+        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE)));
         Placement placement = machine.placement(task);
         assertNotNull(placement);
         assertEquals(FORMER_ATTEMPT, placement.attempt());
@@ -75,7 +75,7 @@
     void aTaskListedUnderAFormerTokenMayBeElsewhere() {
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
-        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
+        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE);
         receive(machine, heartbeat(machine, EPOCH, FORMER_TOKEN, running));
         assertFalse(machine.placement(task).onlyHere());
     }
@@ -84,7 +84,7 @@
     void aTaskThatFinishedMeanwhileIsDone() {
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, Cause.DONE)));
+        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, ExitCause.DONE)));
         assertTrue(jobOf(task).isDone(0));
         assertNull(machine.placement(task));
         assertEquals(Map.of(Verdict.FINISHED_MEANWHILE, 1), fixture.plan.verdicts());
@@ -94,7 +94,7 @@
     void anOrphanIsStoppedUntilItIsGoneAndCountedOnce() {
         Machine machine = fixture.readyMachine("m");
         TaskId task = new TaskId("nobody's", 0);
-        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
+        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE);
         List<WorkerCommand> stop = List.of(WorkerCommand.stop(task, FORMER_ATTEMPT, 0));
         receive(machine, nextHeartbeat(machine, running));
         assertEquals(stop, machine.cleanupCommands());
@@ -109,7 +109,7 @@
     void anExitedAttemptThatNobodyNeedsIsCleared() {
         Machine machine = fixture.readyMachine("m");
         TaskId task = new TaskId("nobody's", 0);
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, Cause.STOPPED)));
+        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, ExitCause.STOPPED)));
         assertEquals(List.of(WorkerCommand.clear(task, FORMER_ATTEMPT)), machine.cleanupCommands());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -15,7 +15,7 @@
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -52,7 +52,7 @@
     void aCompletedTaskIsDone() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertTrue(job.isDone(placement.task().index()));
         assertFalse(placement.live());
     }
@@ -61,7 +61,7 @@
     void theTaskOfAServiceIsNeverDone() {
         ActiveJob service = fixture.job(JobSpec.Shape.SERVICE);
         Placement placement = fixture.started(service, machine);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertFalse(service.isDone(placement.task().index()));
         assertFalse(placement.live(), "it is to start again");
     }
@@ -70,14 +70,14 @@
     void aFailedTaskMakesItsMachineASuspect() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
-        update(placement, exited(placement, Cause.FAILED));
+        update(placement, exited(placement, ExitCause.FAILED));
         assertTrue(fixture.faults.suspects(machine));
         assertEquals(placement.task().index(), job.firstFreed());
     }
 
     @ParameterizedTest
     @EnumSource(names = {"UNKNOWN_JOB", "INSUFFICIENT_CAPACITY"})
-    void aRefusedStartIsRepeatedAfterASecond(Cause cause) {
+    void aRefusedStartIsRepeatedAfterASecond(ExitCause cause) {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, cause));
@@ -92,7 +92,7 @@
             job.markDone(task);
         }
         Placement last = fixture.started(job, machine);
-        update(last, exited(last, Cause.DONE));
+        update(last, exited(last, ExitCause.DONE));
         assertEquals(ActiveJob.Phase.ENDING, job.phase());
     }
 
@@ -116,7 +116,7 @@
         Placement placement = fixture.started(job, machine);
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(3 * SECOND);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertEquals(3.0 * SECOND, job.finishedMicros());
     }
 
@@ -124,10 +124,10 @@
     void theRunTimeOfAnAdoptedTaskIsNot() {
         Machine takenOver = fixture.takeOver("m9").get(0);
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, FORMER_TOKEN);
-        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, Cause.NONE);
+        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, ExitCause.NONE);
         fixture.reconciler.reconcile(takenOver, nextHeartbeat(takenOver, running), MessageOrigin.HEARTBEAT);
         Placement adopted = job.placement(0);
-        update(adopted, exited(adopted, Cause.DONE));
+        update(adopted, exited(adopted, ExitCause.DONE));
         assertTrue(job.isDone(0));
         assertEquals(0, job.finishedTasks());
     }
@@ -138,7 +138,7 @@
     void oneCompletedTaskOfAGangTellsOfAll() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         Placement first = startedGang(gang).get(0);
-        update(first, exited(first, Cause.DONE));
+        update(first, exited(first, ExitCause.DONE));
         assertEquals(0, gang.unfinishedTasks());
         assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
     }
@@ -162,7 +162,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"PEER_GONE", "INCOMPLETE"})
-    void aGangWhoseAttemptIsOverIsStopped(Cause cause) {
+    void aGangWhoseAttemptIsOverIsStopped(ExitCause cause) {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startedGang(gang);
         update(placements.get(0), exited(placements.get(0), cause));
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -105,7 +105,11 @@
     /** A task of a former leader that a heartbeat lists, and that may be elsewhere if the heartbeat is old. */
     Placement adopted(ActiveJob job, int index, Machine machine, long attempt, boolean onlyHere) {
         Heartbeat.TaskStatus status = new Heartbeat.TaskStatus(
-                new TaskId(job.spec().id(), index), attempt, Heartbeat.TaskState.RUNNING, Heartbeat.Cause.NONE, false);
+                new TaskId(job.spec().id(), index),
+                attempt,
+                Heartbeat.TaskState.RUNNING,
+                Heartbeat.ExitCause.NONE,
+                false);
         return tasks.adopt(job, machine, status, onlyHere, timers.nowMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.TestConfigs;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -170,15 +170,15 @@
                 "m1",
                 ZONE,
                 TERM_TOKEN,
-                new TaskStatus(ENDED, 2, TaskState.RUNNING, Cause.NONE, false),
-                new TaskStatus(OPEN, 3, TaskState.RUNNING, Cause.NONE, false)));
+                new TaskStatus(ENDED, 2, TaskState.RUNNING, ExitCause.NONE, false),
+                new TaskStatus(OPEN, 3, TaskState.RUNNING, ExitCause.NONE, false)));
         assertEquals(new HeartbeatResponse.Accepted(TERM_TOKEN, List.of(WorkerCommand.stop(ENDED, 2, 0))), response);
     }
 
     @Test
     void whatHasExitedIsNotStoppedAgain() {
         HeartbeatResponse response = keeper.answer(
-                heartbeat("m1", ZONE, TERM_TOKEN, new TaskStatus(ENDED, 2, TaskState.EXITED, Cause.DONE, false)));
+                heartbeat("m1", ZONE, TERM_TOKEN, new TaskStatus(ENDED, 2, TaskState.EXITED, ExitCause.DONE, false)));
         assertEquals(new HeartbeatResponse.Accepted(TERM_TOKEN, List.of()), response);
     }
 }
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -14,7 +14,7 @@
 import org.granitepath.coordination.model.Fixtures;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -45,7 +45,7 @@
     }
 
     private static TaskStatus orphan() {
-        return new TaskStatus(ORPHAN, 5, TaskState.RUNNING, Cause.NONE, false);
+        return new TaskStatus(ORPHAN, 5, TaskState.RUNNING, ExitCause.NONE, false);
     }
 
     // ---- machines that are not in the fleet ----------------------------------------------------------------------
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -74,7 +74,7 @@
                         + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
                         + "{\"piece\":\"run-000398/0\",\"try\":7,\"status\":\"ended\",\"cause\":\"done\"}]}");
         assertEquals(new TaskId("run-000398", 0), heartbeat.tasks().get(0).task());
-        assertEquals(Heartbeat.Cause.DONE, heartbeat.tasks().get(0).cause());
+        assertEquals(Heartbeat.ExitCause.DONE, heartbeat.tasks().get(0).cause());
         assertEquals(-1, heartbeat.terminationNoticeMicros());
     }
 
@@ -154,11 +154,11 @@
                 tasks.stream().map(Heartbeat.TaskStatus::state).toList());
         assertEquals(
                 List.of(
-                        Heartbeat.Cause.NONE,
-                        Heartbeat.Cause.PEER_GONE,
-                        Heartbeat.Cause.INCOMPLETE,
-                        Heartbeat.Cause.NONE,
-                        Heartbeat.Cause.STOPPED),
+                        Heartbeat.ExitCause.NONE,
+                        Heartbeat.ExitCause.PEER_GONE,
+                        Heartbeat.ExitCause.INCOMPLETE,
+                        Heartbeat.ExitCause.NONE,
+                        Heartbeat.ExitCause.STOPPED),
                 tasks.stream().map(Heartbeat.TaskStatus::cause).toList());
     }
 
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -12,7 +12,7 @@
 import org.granitepath.coordination.ports.CloudPort.ListedMachine;
 import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.JobResponse;
@@ -100,7 +100,7 @@
                         88,
                         41,
                         12_500_000,
-                        List.of(new Heartbeat.TaskStatus(TASK, 7, TaskState.EXITED, Cause.STOPPED, true))),
+                        List.of(new Heartbeat.TaskStatus(TASK, 7, TaskState.EXITED, ExitCause.STOPPED, true))),
                 heartbeat);
     }
 
@@ -121,7 +121,7 @@
         "mates_gone,PEER_GONE",
         "alone,INCOMPLETE"
     })
-    void causesOfExits(String word, Cause cause) {
+    void causesOfExits(String word, ExitCause cause) {
         assertEquals(
                 cause,
                 reported("\"status\":\"ended\",\"cause\":\"" + word + "\"").cause());
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLong;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.recovery.RecoveryStatus;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -76,7 +76,7 @@
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
-                workers.get(i).endTasks(spec -> true, Cause.STOPPED);
+                workers.get(i).endTasks(spec -> true, ExitCause.STOPPED);
             }
             for (int i = 5; machinesDie && i < workers.size(); i += 100) {
                 workers.get(i).die();
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
@@ -54,7 +54,7 @@
                 simulation.users.submit(simulation.jobs.batch(40, 20 * SECOND));
             }
         });
-        simulation.cloud.workers().forEach(worker -> worker.endTasks(spec -> true, Cause.STOPPED));
+        simulation.cloud.workers().forEach(worker -> worker.endTasks(spec -> true, ExitCause.STOPPED));
         simulation.cloud.workers().stream()
                 .filter(worker -> !worker.spot)
                 .limit(1)
@@ -100,7 +100,7 @@
                                     simulation.users.describedAs(run.task.job()).service()))
                     .limit(2)
                     .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.DROP, 90 * SECOND));
-            all.forEach(worker -> worker.endTasks(spec -> !spec.service(), Cause.STOPPED));
+            all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
         });
         simulation.run(RESTART + 30 * SECOND);
 
@@ -130,7 +130,7 @@
                     .toList();
             assertFalse(spot.isEmpty());
             spot.forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 60 * SECOND));
-            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, Cause.STOPPED));
+            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
         });
         simulation.run(RESTART + Simulation.LEASE);
 
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.recovery.RecoveryPhase;
 import org.granitepath.recovery.RecoveryStatus;
 import org.granitepath.storage.JobSpec;
@@ -184,7 +184,7 @@
     }
 
     private static void endReplicas(Simulation simulation) {
-        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, Cause.STOPPED));
+        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
     }
 
     /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.storage.JobSpec;
 
@@ -56,7 +56,7 @@
         private final BooleanSupplier hangs;
         private final long since = world.now();
         private long toldToSaveMicros = -1;
-        private Cause cause;
+        private ExitCause cause;
         private boolean kept;
 
         private Member(Attempt attempt, TaskId task, BooleanSupplier hangs) {
@@ -74,7 +74,7 @@
         }
 
         /** Why it is to exit, or null. */
-        Cause exit() {
+        ExitCause exit() {
             attempt.update();
             return cause;
         }
@@ -142,7 +142,7 @@
             }
             for (Member member : members.values()) {
                 if (member.cause == null && world.now() - member.since > START_TIMEOUT) {
-                    member.cause = Cause.INCOMPLETE;
+                    member.cause = ExitCause.INCOMPLETE;
                     incomplete++;
                 }
             }
@@ -156,7 +156,7 @@
                     results.add(new TaskId(spec.id(), i));
                     rules.completed(new TaskId(spec.id(), i));
                 }
-                end(Cause.DONE, false);
+                end(ExitCause.DONE, false);
             }
         }
 
@@ -178,7 +178,7 @@
                 noticedAt = world.now() + world.random.nextInt((int) PEER_LOSS_NOTICED);
             }
             if (world.now() >= noticedAt) {
-                end(Cause.PEER_GONE, false);
+                end(ExitCause.PEER_GONE, false);
             }
         }
 
@@ -191,7 +191,7 @@
             } else if (saves == spec.tasks()) {
                 keep(progress());
                 savedInOrder++;
-                end(Cause.STOPPED, true);
+                end(ExitCause.STOPPED, true);
             } else if (world.now() - firstStopAt > PEER_LOSS_NOTICED
                     && members.values().stream()
                             .anyMatch(member ->
@@ -204,7 +204,7 @@
             saved.merge(spec.id(), progress, Math::max);
         }
 
-        private void end(Cause cause, boolean kept) {
+        private void end(ExitCause cause, boolean kept) {
             phase = Phase.OVER;
             for (Member member : members.values()) {
                 member.cause = cause;
@@ -239,7 +239,7 @@
         Attempt attempt = attempts.computeIfAbsent(spec.id() + "#" + number, unknown -> new Attempt(spec));
         Member member = new Member(attempt, task, hangs);
         if (attempt.phase != Phase.FORMING) {
-            member.cause = Cause.PEER_GONE;
+            member.cause = ExitCause.PEER_GONE;
         }
         attempt.members.put(task.index(), member);
         return member;
--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimRuns.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -20,7 +20,7 @@
         final TaskId task;
         final long attempt;
         TaskState state = TaskState.FETCHING;
-        Cause cause = Cause.NONE;
+        ExitCause cause = ExitCause.NONE;
         boolean saved;
         long until;
         /** Of a gang, once it has its image. */
@@ -99,11 +99,13 @@
     }
 
     /** Why a start is refused; {@code NONE}: it is not. */
-    Cause refusal(JobSpec spec, Run run) {
+    ExitCause refusal(JobSpec spec, Run run) {
         if (spec == null || run.task.index() >= spec.tasks()) {
-            return Cause.UNKNOWN_JOB;
+            return ExitCause.UNKNOWN_JOB;
         }
-        return holdsOther(run) ? Cause.BUSY : hasCapacityFor(spec, run) ? Cause.NONE : Cause.INSUFFICIENT_CAPACITY;
+        return holdsOther(run)
+                ? ExitCause.BUSY
+                : hasCapacityFor(spec, run) ? ExitCause.NONE : ExitCause.INSUFFICIENT_CAPACITY;
     }
 
     /** Tasks that are here or on their way, by job. */
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -97,7 +97,7 @@
             return;
         }
         boolean saving = run.state == TaskState.SAVING;
-        end(run, saving ? Cause.STOPPED : fails(run) ? Cause.FAILED : Cause.DONE);
+        end(run, saving ? ExitCause.STOPPED : fails(run) ? ExitCause.FAILED : ExitCause.DONE);
         run.saved = saving;
     }
 
@@ -133,7 +133,7 @@
     }
 
     private void advanceInGang(Run run) {
-        Cause cause = run.member.exit();
+        ExitCause cause = run.member.exit();
         if (cause != null) {
             run.saved = run.member.kept();
             end(run, cause);
@@ -146,15 +146,15 @@
     }
 
     /** All tasks whose jobs fit are over, each for this reason. */
-    void end(Predicate<JobSpec> which, Cause cause) {
+    void end(Predicate<JobSpec> which, ExitCause cause) {
         runs.live().stream()
                 .filter(run -> which.test(jobs.apply(run.task.job())))
                 .forEach(run -> end(run, cause));
     }
 
-    private void end(Run run, Cause cause) {
+    private void end(Run run, ExitCause cause) {
         leave(run);
-        if (cause == Cause.DONE) {
+        if (cause == ExitCause.DONE) {
             results.add(run.task);
             rules.completed(run.task);
         }
@@ -206,8 +206,8 @@
         Run run = new Run(command.task(), command.attempt());
         JobSpec spec = jobs.apply(command.task().job());
         runs.add(run);
-        Cause refusal = runs.refusal(spec, run);
-        if (refusal != Cause.NONE) {
+        ExitCause refusal = runs.refusal(spec, run);
+        if (refusal != ExitCause.NONE) {
             run.state = TaskState.EXITED;
             run.cause = refusal;
             return;
@@ -232,7 +232,7 @@
             run.until = world.now() + spec.saveMicros();
             changed = true;
         } else if (run.state != TaskState.SAVING || graceMicros == 0) {
-            end(run, Cause.STOPPED);
+            end(run, ExitCause.STOPPED);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -162,7 +162,7 @@
     }
 
     /** All tasks here that fit are over, each for this reason. */
-    void endTasks(Predicate<JobSpec> which, Cause cause) {
+    void endTasks(Predicate<JobSpec> which, ExitCause cause) {
         tasks.end(which, cause);
     }
 
