--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -66,7 +66,7 @@
 
     private static boolean tellsNews(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
-                && heartbeat.newerThan(
+                && heartbeat.isNewerThan(
                         machine.contact().agentEpoch(), machine.contact().sequence())
                 && heartbeat.fencingToken() <= machine.fencingToken();
     }
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -44,7 +44,7 @@
     public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean saved) {}
 
     /** Whether this heartbeat was made later than one with the given agent epoch and sequence. */
-    public boolean newerThan(long otherAgentEpoch, long otherSequence) {
+    public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
         return agentEpoch > otherAgentEpoch || (agentEpoch == otherAgentEpoch && sequence > otherSequence);
     }
 }
