--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -95,7 +95,7 @@
     }
 
     private static boolean isConnected(PeerStatus status, long ageMicros) {
-        return status.contactAgeMicros() >= 0 && status.contactAgeMicros() <= ageMicros;
+        return status.storeContactAgeMicros() >= 0 && status.storeContactAgeMicros() <= ageMicros;
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -8,11 +8,11 @@
     /**
      * How a controller is.
      *
-     * @param contactAgeMicros how long ago the store last brought this controller up to date; negative: never
+     * @param storeContactAgeMicros how long ago the store last brought this controller up to date; negative: never
      * @param redirectedMachines how many machines lately sent heartbeats to this controller although it does not own
      *     them
      */
-    record PeerStatus(String node, long contactAgeMicros, boolean leader, int redirectedMachines) {}
+    record PeerStatus(String node, long storeContactAgeMicros, boolean leader, int redirectedMachines) {}
 
     /** A cancellation that is on record, with the revision of its record. */
     record CancellationNotice(String job, long revision) {}
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -27,7 +27,7 @@
             packer.packArrayHeader(STATUS_FIELDS)
                     .packInt(VERSION)
                     .packString(status.node())
-                    .packLong(status.contactAgeMicros())
+                    .packLong(status.storeContactAgeMicros())
                     .packBoolean(status.leader())
                     .packInt(status.redirectedMachines());
             return packer.toByteArray();
