--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -71,7 +71,7 @@
 
     /** Whether a peer lately told that it is the leader. */
     public boolean hasRecentStatusOfLeader() {
-        return recentStatuses().anyMatch(PeerStatus::leader);
+        return recentStatuses().anyMatch(PeerStatus::isLeader);
     }
 
     /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -12,7 +12,7 @@
      * @param redirectedMachines how many machines lately sent heartbeats to this controller although it does not own
      *     them
      */
-    record PeerStatus(String node, long storeContactAgeMicros, boolean leader, int redirectedMachines) {}
+    record PeerStatus(String node, long storeContactAgeMicros, boolean isLeader, int redirectedMachines) {}
 
     /** A cancellation that is on record, with the revision of its record. */
     record CancellationNotice(String job, long revision) {}
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -28,7 +28,7 @@
                     .packInt(VERSION)
                     .packString(status.node())
                     .packLong(status.storeContactAgeMicros())
-                    .packBoolean(status.leader())
+                    .packBoolean(status.isLeader())
                     .packInt(status.redirectedMachines());
             return packer.toByteArray();
         } catch (IOException e) {
