--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -105,7 +105,7 @@
             placement.directStartAnswered(fencingToken);
         }
         reconciler.reconcile(machine, heartbeat, MessageOrigin.COMMAND_RESPONSE);
-        if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
+        if (!reply.accepted() && mayTakePresentToken(machine, heartbeat)) {
             showToken(machine);
         }
     }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -9,10 +9,10 @@
     /**
      * How a call ended.
      *
-     * @param executed whether the worker has taken the commands; otherwise it refused them, or did not answer
+     * @param accepted whether the worker has taken the commands; otherwise it refused them, or did not answer
      * @param heartbeat the worker's status with its answer; null when none came
      */
-    record Reply(boolean executed, @Nullable Heartbeat heartbeat) {}
+    record Reply(boolean accepted, @Nullable Heartbeat heartbeat) {}
 
     /** Sends commands under a fencing token, for one agent epoch of the worker. */
     void send(String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then);
