--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -81,7 +81,7 @@
         long fencingToken = machine.fencingToken();
         // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
         long agentEpoch = Math.max(1, machine.contact().agentEpoch());
-        workers.send(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
+        workers.sendCommands(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
             callsUnderWay--;
             machine.contact().callEnded();
             if (!ended.getAsBoolean() && !machine.isGone()) {
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -15,5 +15,6 @@
     record Reply(boolean accepted, @Nullable Heartbeat heartbeat) {}
 
     /** Sends commands under a fencing token, for one agent epoch of the worker. */
-    void send(String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then);
+    void sendCommands(
+            String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then);
 }
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void send(
+    public void sendCommands(
             String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then) {
         OutgoingRequest request = OutgoingRequest.postJson(
                 address,
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -148,7 +148,7 @@
                 loop);
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
         machineCommands = new MachineCommands(leadership, commands);
-        workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> ended);
+        workerCalls = new WorkerCalls(config, this::sendCommands, inventory, reconciler, timers, loop, () -> ended);
         fleet.typesChanged(List.of(Fixtures.TYPE));
         jobs.start();
     }
@@ -214,7 +214,7 @@
         };
     }
 
-    private void send(
+    private void sendCommands(
             String address,
             long fencingToken,
             long agentEpoch,
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -179,7 +179,7 @@
     WorkerPort tracing(String node, WorkerPort port) {
         return (address, fencingToken, agentEpoch, commands, then) -> {
             add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands));
-            port.send(address, fencingToken, agentEpoch, commands, then);
+            port.sendCommands(address, fencingToken, agentEpoch, commands, then);
         };
     }
 
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void send(
+        public void sendCommands(
                 String address,
                 long fencingToken,
                 long agentEpoch,
