--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -167,7 +167,7 @@
         if (answer instanceof JobResponse.Status status) {
             fields.put("uid", status.job());
             fields.put("status", word(status.state()));
-            fields.put("done", status.done());
+            fields.put("done", status.finishedTasks());
             fields.put("running", status.running());
         } else if (answer instanceof JobResponse.Unschedulable unschedulable) {
             fields.put(ERROR, unschedulable.reason());
