--- a/src/main/java/org/granitepath/coordination/ports/JobResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/JobResponse.java
@@ -11,7 +11,8 @@
     }
 
     /** The job is known; {@code created} when this very request made it so. */
-    record Status(boolean created, String job, JobState state, int finishedTasks, int running) implements JobResponse {}
+    record Status(boolean created, String job, JobState state, int finishedTasks, int runningTasks)
+            implements JobResponse {}
 
     /** No such job was ever accepted. */
     record NotFound() implements JobResponse {}
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -168,7 +168,7 @@
             fields.put("uid", status.job());
             fields.put("status", word(status.state()));
             fields.put("done", status.finishedTasks());
-            fields.put("running", status.running());
+            fields.put("running", status.runningTasks());
         } else if (answer instanceof JobResponse.Unschedulable unschedulable) {
             fields.put(ERROR, unschedulable.reason());
         } else if (answer instanceof JobResponse.RetryLater later) {
