--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -141,7 +141,7 @@
     }
 
     /** Whether users may be sent here. */
-    public boolean healthy() {
+    public boolean isHealthy() {
         return health.healthy();
     }
 
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -80,7 +80,7 @@
     }
 
     private void tellHealth(HttpServerExchange exchange) {
-        if (controller.healthy()) {
+        if (controller.isHealthy()) {
             reply(exchange, HttpStatus.OK, EMPTY_OBJECT);
         } else {
             reply(exchange, HttpStatus.SERVICE_UNAVAILABLE, NOT_HEALTHY);
