--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -165,7 +165,7 @@
     }
 
     /** Whether this controller leads. */
-    public boolean leader() {
+    public boolean isLeader() {
         return currentTerm.isPresent();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -43,7 +43,7 @@
 
     /** Whether the node is up and takes itself for the leader. */
     boolean leads() {
-        return controller != null && controller.leader();
+        return controller != null && controller.isLeader();
     }
 
     void boot() {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -206,7 +206,7 @@
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
-                if (controller.leader()) {
+                if (controller.isLeader()) {
                     commands.heartbeatReceived(controller.fencingToken(), heartbeat.machineId());
                     commands.sent(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
