--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -154,7 +154,7 @@
     }
 
     /** A peer tells how it is, and is told the same. */
-    public PeerPort.PeerStatus statusReceived(PeerPort.PeerStatus peerStatus) {
+    public PeerPort.PeerStatus handlePeerStatus(PeerPort.PeerStatus peerStatus) {
         peers.statusReceived(peerStatus);
         return status();
     }
--- a/src/main/java/org/granitepath/transport/PeerServer.java
+++ b/src/main/java/org/granitepath/transport/PeerServer.java
@@ -47,7 +47,7 @@
             exchange.setStatusCode(HttpStatus.BAD_REQUEST).endExchange();
             return;
         }
-        byte[] ours = PeerCodec.encode(controller.statusReceived(theirs));
+        byte[] ours = PeerCodec.encode(controller.handlePeerStatus(theirs));
         exchange.getResponseSender().send(ByteBuffer.wrap(ours));
     }
 
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -37,7 +37,7 @@
 
         @Override
         public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-            call(peer, (controller, answer) -> answer.accept(controller.statusReceived(ours)), then);
+            call(peer, (controller, answer) -> answer.accept(controller.handlePeerStatus(ours)), then);
         }
 
         @Override
