--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -160,7 +160,7 @@
     }
 
     /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
-    public void cancellationReceived(PeerPort.CancellationNotice notice) {
+    public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
         replica.applied(Keys.finalOf(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
--- a/src/main/java/org/granitepath/transport/PeerServer.java
+++ b/src/main/java/org/granitepath/transport/PeerServer.java
@@ -56,7 +56,7 @@
         if (notice == null) {
             exchange.setStatusCode(HttpStatus.BAD_REQUEST);
         } else {
-            controller.cancellationReceived(notice);
+            controller.handleCancellationNotice(notice);
         }
         exchange.endExchange();
     }
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -46,7 +46,7 @@
                     peer,
                     (controller, answer) -> {
                         if (!simulation.peersSendNoCancellations) {
-                            controller.cancellationReceived(notice);
+                            controller.handleCancellationNotice(notice);
                             answer.accept(true);
                         }
                     },
