--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -195,7 +195,7 @@
     }
 
     /** Takes a worker's heartbeat. */
-    public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
+    public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
         return heartbeatRouter.answer(heartbeat);
     }
 
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -111,7 +111,7 @@
             reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
-        HeartbeatResponse answer = controller.heartbeat(heartbeat);
+        HeartbeatResponse answer = controller.handleHeartbeat(heartbeat);
         if (!(answer instanceof HeartbeatResponse.Accepted)) {
             exchange.setPersistent(false); // it goes elsewhere
         }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -76,7 +76,7 @@
     void deliver(String node, Heartbeat late) {
         Controller controller = simulation.controllerAt(node);
         if (controller != null) {
-            controller.heartbeat(late);
+            controller.handleHeartbeat(late);
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -200,7 +200,7 @@
         public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
             Controller controller = controllerAt(node);
             HeartbeatResponse answer =
-                    controller == null ? new HeartbeatResponse.Unavailable() : controller.heartbeat(heartbeat);
+                    controller == null ? new HeartbeatResponse.Unavailable() : controller.handleHeartbeat(heartbeat);
             if (trace != null) {
                 trace.heartbeatAnswered(node, heartbeat.machineId(), answer);
             }
