--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -76,7 +76,7 @@
     }
 
     /** Whether a campaign was won and the term is not known to be over. */
-    public boolean leads() {
+    public boolean isLeader() {
         return held != null;
     }
 
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -32,7 +32,7 @@
             @Nullable LeaderTerm leaderTerm,
             long nowMicros) {
         long recordsAgeMicros = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
-        if (!leadership.leads()) {
+        if (!leadership.isLeader()) {
             return withoutTerm(config, leadership, replica, recordsAgeMicros);
         }
         Role role = leadership.leaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -69,7 +69,7 @@
         store.put(Keys.LEADER, new LeaderRecord("c2", "c2-1", 7), 99);
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", 7, 7), 0);
         start();
-        assertFalse(leadership.leads());
+        assertFalse(leadership.isLeader());
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
         assertEquals(List.of("elected 8"), events, "under the next fencing token");
@@ -94,7 +94,7 @@
         assertTrue(leadership.mayStart(), "no peer can have confirmed one");
         timers.advance(15 * SECOND);
         assertFalse(leadership.answersWorkers() || leadership.mayStart(), "fenced off");
-        assertTrue(leadership.leads(), "the term is not known to be over");
+        assertTrue(leadership.isLeader(), "the term is not known to be over");
         store.unreachable = false;
         timers.advance(3 * SECOND);
         assertTrue(leadership.leaseConfirmed());
@@ -117,7 +117,7 @@
         start();
         store.readsWithheld = true;
         timers.advance(5 * SECOND);
-        assertTrue(leadership.leads() && !leadership.leaseConfirmed(), "a cancellation shows in the records alone");
+        assertTrue(leadership.isLeader() && !leadership.leaseConfirmed(), "a cancellation shows in the records alone");
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
         assertEquals(List.of("elected 1", "lost: our lease ran out"), events, "the renewal tells");
