--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -48,7 +48,9 @@
     HeartbeatResponse answer(Heartbeat heartbeat) {
         LeaderTerm leaderTerm = currentTerm.get();
         if (leaderTerm != null) {
-            return leadership.answersWorkers() ? leaderTerm.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
+            return leadership.canAnswerWorkers()
+                    ? leaderTerm.heartbeat(heartbeat)
+                    : new HeartbeatResponse.Unavailable();
         }
         if (zoneLeaseKeeper.mayRenew(heartbeat)) {
             return zoneLeaseKeeper.answer(heartbeat);
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -46,7 +46,7 @@
      * should one send a heartbeat after all, its answer holds them.
      */
     public void sendDue() {
-        if (!leadership.answersWorkers()) {
+        if (!leadership.canAnswerWorkers()) {
             return; // we may long have a successor that we don't know of
         }
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -86,7 +86,7 @@
     }
 
     /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
-    public boolean answersWorkers() {
+    public boolean canAnswerWorkers() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING || phase == LeadershipPhase.DISCONNECTED;
     }
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -88,12 +88,12 @@
         start();
         store.unreachable = true;
         timers.advance(5 * SECOND);
-        assertTrue(leadership.answersWorkers() && !leadership.leaseConfirmed(), "disconnected");
+        assertTrue(leadership.canAnswerWorkers() && !leadership.leaseConfirmed(), "disconnected");
         assertFalse(leadership.mayStart(), "a peer may have confirmed a cancellation");
         peersDisconnected = true;
         assertTrue(leadership.mayStart(), "no peer can have confirmed one");
         timers.advance(15 * SECOND);
-        assertFalse(leadership.answersWorkers() || leadership.mayStart(), "fenced off");
+        assertFalse(leadership.canAnswerWorkers() || leadership.mayStart(), "fenced off");
         assertTrue(leadership.isLeader(), "the term is not known to be over");
         store.unreachable = false;
         timers.advance(3 * SECOND);
