--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -70,7 +70,7 @@
         this.scaleOut = new ScaleOut(
                 demand,
                 rules,
-                leadership::leaseConfirmed,
+                leadership::isLeaseConfirmed,
                 failureDetector,
                 booting,
                 requestBudget,
@@ -90,7 +90,7 @@
             return;
         }
         timers.after(TICK_MICROS, this::tick);
-        if (!leadership.leaseConfirmed() || fleet.types().isEmpty()) {
+        if (!leadership.isLeaseConfirmed() || fleet.types().isEmpty()) {
             return;
         }
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -92,7 +92,7 @@
     }
 
     /** Whether the store confirmed lately that we lead. */
-    public boolean leaseConfirmed() {
+    public boolean isLeaseConfirmed() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING;
     }
@@ -103,7 +103,7 @@
      * none of them can have confirmed one.
      */
     public boolean mayStart() {
-        return leaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
+        return isLeaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
     /** When the last request was sent that the store answered with our being the leader; 0 before the first term. */
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -65,7 +65,7 @@
         for (Machine machine : List.copyOf(fleet.machines())) {
             machineChecks.check(machine, nowMicros);
         }
-        if (recovery.noMachineAwaited() && leadership.leaseConfirmed()) {
+        if (recovery.noMachineAwaited() && leadership.isLeaseConfirmed()) {
             consolidator.tick(nowMicros);
         }
         loop.requestCycle();
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -35,7 +35,7 @@
         if (!leadership.isLeader()) {
             return withoutTerm(config, leadership, replica, recordsAgeMicros);
         }
-        Role role = leadership.leaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
+        Role role = leadership.isLeaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
         String reason = role == Role.LEADING
                 ? "the state service confirmed lately that this controller leads"
                 : "no recent answer from the state service: another controller may lead by now";
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -60,7 +60,7 @@
     void withoutALeaderOnRecordItCampaignsAndLeads() {
         start();
         assertEquals(List.of("elected 1"), events);
-        assertTrue(leadership.leaseConfirmed() && leadership.mayStart());
+        assertTrue(leadership.isLeaseConfirmed() && leadership.mayStart());
         assertEquals(NODE, leadership.leaderNode());
     }
 
@@ -88,7 +88,7 @@
         start();
         store.unreachable = true;
         timers.advance(5 * SECOND);
-        assertTrue(leadership.canAnswerWorkers() && !leadership.leaseConfirmed(), "disconnected");
+        assertTrue(leadership.canAnswerWorkers() && !leadership.isLeaseConfirmed(), "disconnected");
         assertFalse(leadership.mayStart(), "a peer may have confirmed a cancellation");
         peersDisconnected = true;
         assertTrue(leadership.mayStart(), "no peer can have confirmed one");
@@ -97,7 +97,7 @@
         assertTrue(leadership.isLeader(), "the term is not known to be over");
         store.unreachable = false;
         timers.advance(3 * SECOND);
-        assertTrue(leadership.leaseConfirmed());
+        assertTrue(leadership.isLeaseConfirmed());
         assertEquals(List.of("elected 1"), events, "still the same term");
     }
 
@@ -117,7 +117,8 @@
         start();
         store.readsWithheld = true;
         timers.advance(5 * SECOND);
-        assertTrue(leadership.isLeader() && !leadership.leaseConfirmed(), "a cancellation shows in the records alone");
+        assertTrue(
+                leadership.isLeader() && !leadership.isLeaseConfirmed(), "a cancellation shows in the records alone");
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
         assertEquals(List.of("elected 1", "lost: our lease ran out"), events, "the renewal tells");
@@ -146,7 +147,7 @@
         assertEquals(1, store.answerWithheldRenewals());
         timers.advance(SECOND);
         assertEquals(before, events);
-        assertTrue(leadership.leaseConfirmed());
+        assertTrue(leadership.isLeaseConfirmed());
     }
 
     @Test
