--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -102,7 +102,7 @@
      * of contact we can't tell that from an outage, unless all others say that they are out of contact as well: then
      * none of them can have confirmed one.
      */
-    public boolean mayStart() {
+    public boolean canStartTasks() {
         return isLeaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -157,7 +157,8 @@
     // ---- jobs --------------------------------------------------------------------------------------------------
 
     private SchedulingLoop newSchedulingLoop() {
-        return new SchedulingLoop(timers, termEnd::ended, leadership::mayStart, this::runCycle, this::sendCommands);
+        return new SchedulingLoop(
+                timers, termEnd::ended, leadership::canStartTasks, this::runCycle, this::sendCommands);
     }
 
     private void runCycle() {
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -60,7 +60,7 @@
     void withoutALeaderOnRecordItCampaignsAndLeads() {
         start();
         assertEquals(List.of("elected 1"), events);
-        assertTrue(leadership.isLeaseConfirmed() && leadership.mayStart());
+        assertTrue(leadership.isLeaseConfirmed() && leadership.canStartTasks());
         assertEquals(NODE, leadership.leaderNode());
     }
 
@@ -89,11 +89,11 @@
         store.unreachable = true;
         timers.advance(5 * SECOND);
         assertTrue(leadership.canAnswerWorkers() && !leadership.isLeaseConfirmed(), "disconnected");
-        assertFalse(leadership.mayStart(), "a peer may have confirmed a cancellation");
+        assertFalse(leadership.canStartTasks(), "a peer may have confirmed a cancellation");
         peersDisconnected = true;
-        assertTrue(leadership.mayStart(), "no peer can have confirmed one");
+        assertTrue(leadership.canStartTasks(), "no peer can have confirmed one");
         timers.advance(15 * SECOND);
-        assertFalse(leadership.canAnswerWorkers() || leadership.mayStart(), "fenced off");
+        assertFalse(leadership.canAnswerWorkers() || leadership.canStartTasks(), "fenced off");
         assertTrue(leadership.isLeader(), "the term is not known to be over");
         store.unreachable = false;
         timers.advance(3 * SECOND);
