--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -204,7 +204,7 @@
         @Override
         public void changed(String key, @Nullable StoredRecord record, long revision) {
             if (key.equals(Keys.LEADER)) {
-                leadership.leaderChanged();
+                leadership.onLeaderRecordChanged();
             } else if (record instanceof MachineTypesRecord recorded) {
                 machineTypes.recordRead(recorded.types());
             } else {
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -118,7 +118,7 @@
     }
 
     /** The leader record changed. */
-    public void leaderChanged() {
+    public void onLeaderRecordChanged() {
         LeaderRecord leader = replica.leader();
         if (held != null) {
             Term term = held.term();
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -33,7 +33,7 @@
             @Override
             public void changed(String key, StoredRecord record, long revision) {
                 if (key.equals(Keys.LEADER)) {
-                    leadership.leaderChanged();
+                    leadership.onLeaderRecordChanged();
                 }
             }
 
