--- a/src/main/java/org/granitepath/coordination/CurrentTerm.java
+++ b/src/main/java/org/granitepath/coordination/CurrentTerm.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void elected(Leadership.Term term) {
+    public void onElected(Leadership.Term term) {
         LeaderTerm elected = newTerm.apply(term);
         leaderTerm = elected;
         elected.start();
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -34,7 +34,7 @@
     /** Told when this controller begins and ceases to lead. */
     public interface Listener {
         /** This controller leads, and its replica is as new as the write that made it so. */
-        void elected(Term term);
+        void onElected(Term term);
 
         /** This controller leads no more. */
         void leadershipLost(String why);
@@ -244,7 +244,7 @@
                 return;
             }
             if (fresh) {
-                listener.elected(begun.term());
+                listener.onElected(begun.term());
             } else {
                 timers.after(CHECK_MICROS, () -> takeOver(begun));
             }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -207,7 +207,7 @@
     private static Leadership.Listener leadershipListener() {
         return new Leadership.Listener() {
             @Override
-            public void elected(Leadership.Term elected) {}
+            public void onElected(Leadership.Term elected) {}
 
             @Override
             public void leadershipLost(String why) {}
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -42,7 +42,7 @@
         });
         leadership = new Leadership(config, store, replica, timers, () -> peersDisconnected, new Leadership.Listener() {
             @Override
-            public void elected(Leadership.Term term) {
+            public void onElected(Leadership.Term term) {
                 events.add("elected " + term.fencingToken());
             }
 
