--- a/src/main/java/org/granitepath/coordination/CurrentTerm.java
+++ b/src/main/java/org/granitepath/coordination/CurrentTerm.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void leadershipLost(String why) {
+    public void onLeadershipLost(String why) {
         if (leaderTerm != null) {
             leaderTerm.end();
             leaderTerm = null;
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -37,7 +37,7 @@
         void onElected(Term term);
 
         /** This controller leads no more. */
-        void leadershipLost(String why);
+        void onLeadershipLost(String why);
     }
 
     private final Config config;
@@ -289,7 +289,7 @@
         formerConfirmedMicros = held.lease().lastConfirmedMicros();
         held = null;
         transition(LeadershipPhase.FOLLOWING, why);
-        listener.leadershipLost(why);
+        listener.onLeadershipLost(why);
         considerCampaign();
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -210,7 +210,7 @@
             public void onElected(Leadership.Term elected) {}
 
             @Override
-            public void leadershipLost(String why) {}
+            public void onLeadershipLost(String why) {}
         };
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -47,7 +47,7 @@
             }
 
             @Override
-            public void leadershipLost(String why) {
+            public void onLeadershipLost(String why) {
                 events.add("lost: " + why);
             }
         });
