--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -155,7 +155,7 @@
 
     /** A peer tells how it is, and is told the same. */
     public PeerPort.PeerStatus handlePeerStatus(PeerPort.PeerStatus peerStatus) {
-        peers.statusReceived(peerStatus);
+        peers.handleStatus(peerStatus);
         return status();
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -53,14 +53,14 @@
         for (String peer : config.topology().peers()) {
             port.exchangeStatus(peer, ownStatus.get(), answer -> {
                 if (answer != null) {
-                    statusReceived(answer);
+                    handleStatus(answer);
                 }
             });
         }
     }
 
     /** A peer has told how it is. */
-    public void statusReceived(PeerStatus status) {
+    public void handleStatus(PeerStatus status) {
         lastStatusByPeer.put(status.node(), new LastStatus(status, timers.nowMicros()));
     }
 
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -88,7 +88,7 @@
     void itIsHealthyWhileTheStoreAnswers() {
         recordsRead();
         typesKnown();
-        peers.statusReceived(status("c2", 0));
+        peers.handleStatus(status("c2", 0));
         assertTrue(health.healthy());
     }
 
@@ -103,7 +103,7 @@
         typesKnown();
         store.unreachable = true;
         timers.advance(5 * SECOND);
-        peers.statusReceived(status("c2", contactAgeOfPeer));
+        peers.handleStatus(status("c2", contactAgeOfPeer));
         assertEquals(healthy, health.healthy());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -118,7 +118,7 @@
     void machinesAreJudgedUnlessWeMayBeTheOnesCutOff(int overdue, int redirectedByPeer, boolean canJudge) {
         machines(OWN_ZONE, 20, overdue);
         if (redirectedByPeer != NO_STATUS) {
-            peers.statusReceived(new PeerStatus("c2", 0, false, redirectedByPeer));
+            peers.handleStatus(new PeerStatus("c2", 0, false, redirectedByPeer));
         }
         assertEquals(canJudge, detector.canJudgeMachines());
     }
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -32,7 +32,7 @@
     private int effective;
 
     private void receive(String peer, long contactAgeMicros, int redirected) {
-        peers.statusReceived(new PeerPort.PeerStatus(peer, contactAgeMicros, peer.equals("c2"), redirected));
+        peers.handleStatus(new PeerPort.PeerStatus(peer, contactAgeMicros, peer.equals("c2"), redirected));
     }
 
     private void announce(String leader) {
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -87,7 +87,7 @@
     }
 
     private void receive(long contactAgeMicros, boolean leader) {
-        peers.statusReceived(new PeerPort.PeerStatus("c2", contactAgeMicros, leader, 0));
+        peers.handleStatus(new PeerPort.PeerStatus("c2", contactAgeMicros, leader, 0));
     }
 
     @Test
