--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -139,7 +139,7 @@
      */
     public boolean canJudgeMachines() {
         int machines = fleet.machines().size();
-        int redirectedByPeer = peers.mostRedirectedMachines();
+        int redirectedByPeer = peers.maxRedirectedMachines();
         boolean few = overdueMachines <= Math.max(FEW_MACHINES, machines * FEW_SHARE);
         boolean peersMissThemToo = redirectedByPeer >= 0 && redirectedByPeer < overdueMachines / 4;
         return few || (overdueMachines <= machines / 2 && peersMissThemToo);
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -65,7 +65,7 @@
     }
 
     /** The most machines that one peer lately turned away; negative without a recent status of any peer. */
-    public int mostRedirectedMachines() {
+    public int maxRedirectedMachines() {
         return recentStatuses().mapToInt(PeerStatus::redirectedMachines).max().orElse(-1);
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -41,14 +41,14 @@
 
     @Test
     void onlyRecentStatusesCount() {
-        assertEquals(-1, peers.mostRedirectedMachines(), "nothing is known");
+        assertEquals(-1, peers.maxRedirectedMachines(), "nothing is known");
         receive("c2", 0, 4);
         timers.advance(2 * SECOND);
         receive("c3", 0, 1);
-        assertEquals(4, peers.mostRedirectedMachines());
+        assertEquals(4, peers.maxRedirectedMachines());
         assertTrue(peers.hasRecentStatusOfLeader());
         timers.advance(2 * SECOND);
-        assertEquals(1, peers.mostRedirectedMachines());
+        assertEquals(1, peers.maxRedirectedMachines());
         assertFalse(peers.hasRecentStatusOfLeader());
     }
 
