--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -64,7 +64,7 @@
      */
     private HeartbeatResponse redirectToLeader() {
         String leader = leadership.leaderNode();
-        boolean leaderIsReachable = storeContact.isRecent() || peers.hasRecentStatusOfLeader();
+        boolean leaderIsReachable = storeContact.isRecent() || peers.hasRecentLeaderStatus();
         return leaderIsReachable && leader != null && !leader.equals(node)
                 ? new HeartbeatResponse.Redirect(leader)
                 : new HeartbeatResponse.Unavailable();
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -70,7 +70,7 @@
     }
 
     /** Whether a peer lately told that it is the leader. */
-    public boolean hasRecentStatusOfLeader() {
+    public boolean hasRecentLeaderStatus() {
         return recentStatuses().anyMatch(PeerStatus::isLeader);
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -61,7 +61,7 @@
         long contactAgeMicros = timers.nowMicros() - replica.lastContactMicros();
         return contactAgeMicros >= Config.CONTACT_TIMEOUT_MICROS
                 && contactAgeMicros <= config.workers().maxDisconnectedMicros()
-                && !peers.hasRecentStatusOfLeader()
+                && !peers.hasRecentLeaderStatus()
                 && !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -46,10 +46,10 @@
         timers.advance(2 * SECOND);
         receive("c3", 0, 1);
         assertEquals(4, peers.maxRedirectedMachines());
-        assertTrue(peers.hasRecentStatusOfLeader());
+        assertTrue(peers.hasRecentLeaderStatus());
         timers.advance(2 * SECOND);
         assertEquals(1, peers.maxRedirectedMachines());
-        assertFalse(peers.hasRecentStatusOfLeader());
+        assertFalse(peers.hasRecentLeaderStatus());
     }
 
     @Test
