--- a/src/main/java/org/granitepath/coordination/ControllerHealth.java
+++ b/src/main/java/org/granitepath/coordination/ControllerHealth.java
@@ -26,6 +26,6 @@
         if (!replica.loaded() || machineTypes.isEmpty()) {
             return false;
         }
-        return storeContact.isRecent() || !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
+        return storeContact.isRecent() || !peers.isAnyPeerConnected(Config.CONTACT_TIMEOUT_MICROS);
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -75,7 +75,7 @@
     }
 
     /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
-    public boolean anyConnected(long ageMicros) {
+    public boolean isAnyPeerConnected(long ageMicros) {
         return recentStatuses().anyMatch(status -> isConnected(status, ageMicros));
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -62,7 +62,7 @@
         return contactAgeMicros >= Config.CONTACT_TIMEOUT_MICROS
                 && contactAgeMicros <= config.workers().maxDisconnectedMicros()
                 && !peers.hasRecentLeaderStatus()
-                && !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
+                && !peers.isAnyPeerConnected(Config.CONTACT_TIMEOUT_MICROS);
     }
 
     /** The records don't change without contact, and the inventory is too long to be searched for each heartbeat. */
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -58,10 +58,10 @@
         assertFalse(peers.allDisconnected(CONTACT), "nothing is known of c3");
         receive("c3", CONTACT, 0);
         assertFalse(peers.allDisconnected(CONTACT));
-        assertTrue(peers.anyConnected(CONTACT));
+        assertTrue(peers.isAnyPeerConnected(CONTACT));
         receive("c3", -1, 0);
         assertTrue(peers.allDisconnected(CONTACT), "never in contact");
-        assertFalse(peers.anyConnected(CONTACT));
+        assertFalse(peers.isAnyPeerConnected(CONTACT));
     }
 
     @Test
