--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -85,7 +85,7 @@
                 store,
                 replica,
                 timers,
-                () -> peers.allDisconnected(Config.CONTACT_TIMEOUT_MICROS),
+                () -> peers.isEveryPeerDisconnected(Config.CONTACT_TIMEOUT_MICROS),
                 currentTerm);
         this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex::hasEnded, peers, timers);
         this.machineTypes = new MachineTypeCatalog(cloud, timers, currentTerm);
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -80,7 +80,7 @@
     }
 
     /** Whether every peer lately told that the store had not answered it for so long, or never. */
-    public boolean allDisconnected(long ageMicros) {
+    public boolean isEveryPeerDisconnected(long ageMicros) {
         long nowMicros = timers.nowMicros();
         return config.topology().peers().stream()
                 .map(lastStatusByPeer::get)
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -55,12 +55,12 @@
     @Test
     void allAreDisconnectedOnlyIfEachOneSaysSo() {
         receive("c2", CONTACT + 1, 0);
-        assertFalse(peers.allDisconnected(CONTACT), "nothing is known of c3");
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT), "nothing is known of c3");
         receive("c3", CONTACT, 0);
-        assertFalse(peers.allDisconnected(CONTACT));
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT));
         assertTrue(peers.isAnyPeerConnected(CONTACT));
         receive("c3", -1, 0);
-        assertTrue(peers.allDisconnected(CONTACT), "never in contact");
+        assertTrue(peers.isEveryPeerDisconnected(CONTACT), "never in contact");
         assertFalse(peers.isAnyPeerConnected(CONTACT));
     }
 
