--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -52,7 +52,7 @@
                     ? leaderTerm.heartbeat(heartbeat)
                     : new HeartbeatResponse.Unavailable();
         }
-        if (zoneLeaseKeeper.mayRenew(heartbeat)) {
+        if (zoneLeaseKeeper.canRenew(heartbeat)) {
             return zoneLeaseKeeper.answer(heartbeat);
         }
         redirectedMachines.add(heartbeat.machineId(), timers.nowMicros());
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -48,7 +48,7 @@
     }
 
     /** Whether this controller may answer the worker in the place of the leader. */
-    public boolean mayRenew(Heartbeat heartbeat) {
+    public boolean canRenew(Heartbeat heartbeat) {
         if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
             return false;
         }
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -83,7 +83,7 @@
     }
 
     private boolean mayRenewFirstMachine() {
-        return keeper.mayRenew(heartbeat("m1", ZONE, TERM_TOKEN));
+        return keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN));
     }
 
     private void receive(long contactAgeMicros, boolean leader) {
@@ -113,7 +113,7 @@
     @Test
     void machinesOfOtherZonesAreNotAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.mayRenew(heartbeat("m1", "zone-c2", TERM_TOKEN)));
+        assertFalse(keeper.canRenew(heartbeat("m1", "zone-c2", TERM_TOKEN)));
     }
 
     @Test
@@ -140,16 +140,16 @@
     @Test
     void theWorkerMustHaveSeenTheHigherOfTheTokensOnRecord() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.mayRenew(heartbeat("m1", ZONE, TERM_TOKEN - 1)), "the row has an older one");
-        assertFalse(keeper.mayRenew(heartbeat("m2", ZONE, TERM_TOKEN)), "the machine has its own");
-        assertTrue(keeper.mayRenew(heartbeat("m2", ZONE, OWN_TOKEN)));
+        assertFalse(keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN - 1)), "the row has an older one");
+        assertFalse(keeper.canRenew(heartbeat("m2", ZONE, TERM_TOKEN)), "the machine has its own");
+        assertTrue(keeper.canRenew(heartbeat("m2", ZONE, OWN_TOKEN)));
     }
 
     @Test
     void machinesThatAreNotOnRecordAreNotAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.mayRenew(heartbeat("unknown", ZONE, 0)));
-        assertFalse(keeper.mayRenew(heartbeat("unknown", ZONE, TERM_TOKEN)));
+        assertFalse(keeper.canRenew(heartbeat("unknown", ZONE, 0)));
+        assertFalse(keeper.canRenew(heartbeat("unknown", ZONE, TERM_TOKEN)));
     }
 
     @Test
@@ -161,7 +161,7 @@
         timers.advance(SECOND);
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         assertFalse(mayRenewFirstMachine());
-        assertTrue(keeper.mayRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
+        assertTrue(keeper.canRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
     }
 
     @Test
