--- a/src/main/java/org/granitepath/coordination/CurrentTerm.java
+++ b/src/main/java/org/granitepath/coordination/CurrentTerm.java
@@ -45,7 +45,7 @@
         elected.start();
         List<MachineType> types = List.copyOf(machineTypes.get());
         if (!types.isEmpty()) {
-            elected.typesChanged(types);
+            elected.onMachineTypesChanged(types);
             elected.recordTypes(types);
         }
         elected.startAutoscaling();
@@ -62,7 +62,7 @@
     @Override
     public void fetched(List<MachineType> types) {
         if (leaderTerm != null) {
-            leaderTerm.typesChanged(types);
+            leaderTerm.onMachineTypesChanged(types);
             leaderTerm.recordTypes(types);
         }
     }
@@ -70,7 +70,7 @@
     @Override
     public void readFromRecord(List<MachineType> types) {
         if (leaderTerm != null) {
-            leaderTerm.typesChanged(types);
+            leaderTerm.onMachineTypesChanged(types);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -63,7 +63,7 @@
     }
 
     /** The cloud has told of its machine types. */
-    public void typesChanged(List<MachineType> types) {
+    public void onMachineTypesChanged(List<MachineType> types) {
         machineTypes.changed(types);
     }
 
