--- a/src/main/java/org/granitepath/coordination/CurrentTerm.java
+++ b/src/main/java/org/granitepath/coordination/CurrentTerm.java
@@ -46,7 +46,7 @@
         List<MachineType> types = List.copyOf(machineTypes.get());
         if (!types.isEmpty()) {
             elected.onMachineTypesChanged(types);
-            elected.recordTypes(types);
+            elected.recordMachineTypes(types);
         }
         elected.startAutoscaling();
     }
@@ -63,7 +63,7 @@
     public void fetched(List<MachineType> types) {
         if (leaderTerm != null) {
             leaderTerm.onMachineTypesChanged(types);
-            leaderTerm.recordTypes(types);
+            leaderTerm.recordMachineTypes(types);
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -68,7 +68,7 @@
     }
 
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
-    public void recordTypes(List<MachineType> types) {
+    public void recordMachineTypes(List<MachineType> types) {
         machineTypes.putOnRecord(types);
     }
 
