--- a/src/main/java/org/granitepath/coordination/ControllerChecks.java
+++ b/src/main/java/org/granitepath/coordination/ControllerChecks.java
@@ -54,7 +54,7 @@
 
     private void stepDownIfCutFromWorkers() {
         LeaderTerm leaderTerm = currentTerm.get();
-        if (leaderTerm != null && leaderTerm.cutFromWorkers(peers.maxRedirectedMachines())) {
+        if (leaderTerm != null && leaderTerm.isCutOffFromWorkers(peers.maxRedirectedMachines())) {
             leadership.stepDown("the machines reach the others, but not us");
         }
     }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -78,7 +78,7 @@
     }
 
     /** Whether most machines have become unresponsive to us while a peer receives their heartbeats. */
-    public boolean cutFromWorkers(int redirectedByPeer) {
+    public boolean isCutOffFromWorkers(int redirectedByPeer) {
         return fleet.cutFromWorkers(redirectedByPeer);
     }
 
