--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -49,7 +49,7 @@
         LeaderTerm leaderTerm = currentTerm.get();
         if (leaderTerm != null) {
             return leadership.canAnswerWorkers()
-                    ? leaderTerm.heartbeat(heartbeat)
+                    ? leaderTerm.handleHeartbeat(heartbeat)
                     : new HeartbeatResponse.Unavailable();
         }
         if (zoneLeaseKeeper.canRenew(heartbeat)) {
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -83,7 +83,7 @@
     }
 
     /** A worker's heartbeat, answered with what it is to do. */
-    public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
+    public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
         return heartbeatHandler.answer(heartbeat);
     }
 }
