--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import org.granitepath.recovery.RecordedTask;
+import org.granitepath.recovery.RecordedTaskState;
 import org.granitepath.storage.FinalRecord;
 import org.granitepath.storage.JobRecord;
 import org.granitepath.storage.Keys;
@@ -106,12 +106,14 @@
     }
 
     /** What the records say of a task of a job that no leader here has open. */
-    public RecordedTask recorded(String id) {
+    public RecordedTaskState recorded(String id) {
         FinalRecord.Outcome outcome = outcomes.get(id);
         if (outcome != null) {
-            return outcome == FinalRecord.Outcome.DONE ? RecordedTask.JOB_DONE : RecordedTask.JOB_CANCELLED;
+            return outcome == FinalRecord.Outcome.DONE ? RecordedTaskState.JOB_DONE : RecordedTaskState.JOB_CANCELLED;
         }
-        return unreadable(id) || openJobs.containsKey(id) ? RecordedTask.UNREADABLE : RecordedTask.UNKNOWN_JOB;
+        return unreadable(id) || openJobs.containsKey(id)
+                ? RecordedTaskState.UNREADABLE
+                : RecordedTaskState.UNKNOWN_JOB;
     }
 
     /** Takes a changed record in. Removals don't occur among jobs. */
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -12,7 +12,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
 import org.granitepath.recovery.ListedTask;
-import org.granitepath.recovery.RecordedTask;
+import org.granitepath.recovery.RecordedTaskState;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.StartEvidence;
 import org.granitepath.recovery.Verdict;
@@ -53,20 +53,20 @@
                 origin == MessageOrigin.HEARTBEAT));
     }
 
-    private RecordedTask recordedTask(@Nullable ActiveJob job, TaskId task) {
+    private RecordedTaskState recordedTask(@Nullable ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.OVER) {
             return jobIndex.recorded(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
-            return RecordedTask.NOT_IN_JOB;
+            return RecordedTaskState.NOT_IN_JOB;
         }
         if (job.phase() == ActiveJob.Phase.ENDING) {
-            return RecordedTask.JOB_DONE;
+            return RecordedTaskState.JOB_DONE;
         }
         if (job.isDone(task.index())) {
-            return RecordedTask.TASK_DONE;
+            return RecordedTaskState.TASK_DONE;
         }
-        return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
+        return task.index() < job.claimed() ? RecordedTaskState.CLAIMED : RecordedTaskState.UNCLAIMED;
     }
 
     private static KnownPlacement knownPlacement(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
--- a/src/main/java/org/granitepath/recovery/RecordedTask.java
+++ b/src/main/java/org/granitepath/recovery/RecordedTaskState.java
@@ -1,7 +1,7 @@
 package org.granitepath.recovery;
 
 /** What the records say of a task that a heartbeat lists. */
-public enum RecordedTask {
+public enum RecordedTaskState {
     /** Claimed by this or a former leader, not finished. */
     CLAIMED,
     /** Its number was never claimed: no leader may have started it. */
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -8,11 +8,11 @@
     private VerdictTable() {}
 
     /** The verdict on an attempt that a heartbeat lists. */
-    public static Verdict ofListed(RecordedTask recorded, KnownPlacement placement, ListedTask listed) {
+    public static Verdict ofListed(RecordedTaskState recorded, KnownPlacement placement, ListedTask listed) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
         }
-        if (recorded == RecordedTask.UNREADABLE) {
+        if (recorded == RecordedTaskState.UNREADABLE) {
             return Verdict.UNCONFIRMED;
         }
         return switch (listed) {
@@ -22,7 +22,7 @@
         };
     }
 
-    private static Verdict ofLive(RecordedTask recorded, KnownPlacement placement) {
+    private static Verdict ofLive(RecordedTaskState recorded, KnownPlacement placement) {
         return switch (recorded) {
             case CLAIMED -> placement == KnownPlacement.NONE ? Verdict.ADOPTED : Verdict.STALE;
             case UNCLAIMED, TASK_DONE, JOB_DONE, JOB_CANCELLED -> Verdict.STALE;
@@ -32,7 +32,7 @@
     }
 
     /** A result counts whoever started the attempt, as long as the records lack it. */
-    private static Verdict ofCompleted(RecordedTask recorded) {
+    private static Verdict ofCompleted(RecordedTaskState recorded) {
         return switch (recorded) {
             case CLAIMED, UNCLAIMED -> Verdict.FINISHED_MEANWHILE;
             case TASK_DONE, JOB_DONE, JOB_CANCELLED, NOT_IN_JOB, UNKNOWN_JOB -> Verdict.EXITED;
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Map;
-import org.granitepath.recovery.RecordedTask;
+import org.granitepath.recovery.RecordedTaskState;
 import org.granitepath.storage.FinalRecord;
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.UnknownRecord;
@@ -22,7 +22,7 @@
         jobIndex.changed(Keys.progress("a"), UNREADABLE);
         assertTrue(jobIndex.unreadable("a"));
         assertFalse(jobIndex.statusUnknown("a"));
-        assertEquals(RecordedTask.UNREADABLE, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recorded("a"));
     }
 
     @Test
@@ -38,12 +38,12 @@
         jobIndex.changed(Keys.finalOf("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         assertFalse(jobIndex.statusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
-        assertEquals(RecordedTask.JOB_CANCELLED, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recorded("a"));
     }
 
     @Test
     void aJobOfWhichNothingIsOnRecordIsNotKnown() {
         assertFalse(jobIndex.isKnown("a") || jobIndex.unreadable("a") || jobIndex.statusUnknown("a"));
-        assertEquals(RecordedTask.UNKNOWN_JOB, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recorded("a"));
     }
 }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -45,9 +45,9 @@
     @Test
     void whatHeartbeatsListIsAsPrinted() {
         List<List<String>> rows = rows(LISTED);
-        assertEquals(RecordedTask.values().length, rows.size(), "rows");
+        assertEquals(RecordedTaskState.values().length, rows.size(), "rows");
         for (List<String> row : rows) {
-            RecordedTask recorded = RecordedTask.valueOf(row.get(0));
+            RecordedTaskState recorded = RecordedTaskState.valueOf(row.get(0));
             for (int held = 0; held < HELD.size(); held++) {
                 assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTask.LIVE);
                 assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTask.COMPLETED);
@@ -59,7 +59,7 @@
         }
     }
 
-    private static void assertCell(String cell, RecordedTask recorded, KnownPlacement held, ListedTask listed) {
+    private static void assertCell(String cell, RecordedTaskState recorded, KnownPlacement held, ListedTask listed) {
         assertEquals(
                 Verdict.valueOf(cell),
                 VerdictTable.ofListed(recorded, held, listed),
