--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
-import org.granitepath.recovery.ListedTask;
+import org.granitepath.recovery.ListedTaskState;
 import org.granitepath.recovery.RecordedTaskState;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.StartEvidence;
@@ -80,12 +80,12 @@
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ListedTask listedTask(@Nullable ActiveJob job, TaskStatus status) {
+    private static ListedTaskState listedTask(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
-            return ListedTask.LIVE;
+            return ListedTaskState.LIVE;
         }
         boolean completes =
                 status.cause() == ExitCause.DONE && (job == null || !job.spec().service());
-        return completes ? ListedTask.COMPLETED : ListedTask.EXITED;
+        return completes ? ListedTaskState.COMPLETED : ListedTaskState.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/recovery/ListedTask.java
+++ b/src/main/java/org/granitepath/recovery/ListedTaskState.java
@@ -1,7 +1,7 @@
 package org.granitepath.recovery;
 
 /** What a heartbeat says of an attempt. */
-public enum ListedTask {
+public enum ListedTaskState {
     /** Fetches its image, waits, runs or saves. */
     LIVE,
     /** Has exited with a result that completes the task. */
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -8,7 +8,7 @@
     private VerdictTable() {}
 
     /** The verdict on an attempt that a heartbeat lists. */
-    public static Verdict ofListed(RecordedTaskState recorded, KnownPlacement placement, ListedTask listed) {
+    public static Verdict ofListed(RecordedTaskState recorded, KnownPlacement placement, ListedTaskState listed) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
         }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -49,17 +49,18 @@
         for (List<String> row : rows) {
             RecordedTaskState recorded = RecordedTaskState.valueOf(row.get(0));
             for (int held = 0; held < HELD.size(); held++) {
-                assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTask.LIVE);
-                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTask.COMPLETED);
-                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ListedTask.EXITED);
+                assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTaskState.LIVE);
+                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTaskState.COMPLETED);
+                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ListedTaskState.EXITED);
             }
-            for (ListedTask listed : ListedTask.values()) {
+            for (ListedTaskState listed : ListedTaskState.values()) {
                 assertCell("CONFIRMED", recorded, KnownPlacement.THIS_ATTEMPT, listed);
             }
         }
     }
 
-    private static void assertCell(String cell, RecordedTaskState recorded, KnownPlacement held, ListedTask listed) {
+    private static void assertCell(
+            String cell, RecordedTaskState recorded, KnownPlacement held, ListedTaskState listed) {
         assertEquals(
                 Verdict.valueOf(cell),
                 VerdictTable.ofListed(recorded, held, listed),
