--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -4,7 +4,7 @@
  * What is known of an attempt that this leader holds on a machine and that the machine's heartbeat does not list.
  *
  * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start was meant for
- * @param currentToken the heartbeat was made under the machine's present fencing token
+ * @param underCurrentToken the heartbeat was made under the machine's present fencing token
  * @param sent the start has gone out
  * @param unanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
  * @param seen an earlier heartbeat listed the attempt
@@ -13,7 +13,7 @@
  */
 public record StartEvidence(
         boolean laterAgentEpoch,
-        boolean currentToken,
+        boolean underCurrentToken,
         boolean sent,
         boolean unanswered,
         boolean seen,
