--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -5,7 +5,7 @@
  *
  * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start was meant for
  * @param underCurrentToken the heartbeat was made under the machine's present fencing token
- * @param sent the start has gone out
+ * @param startSent the start has gone out
  * @param unanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
  * @param seen an earlier heartbeat listed the attempt
  * @param inAnswer the start went out in the answer to a heartbeat
@@ -14,7 +14,7 @@
 public record StartEvidence(
         boolean laterAgentEpoch,
         boolean underCurrentToken,
-        boolean sent,
+        boolean startSent,
         boolean unanswered,
         boolean seen,
         boolean inAnswer,
