--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -6,7 +6,7 @@
  * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start was meant for
  * @param underCurrentToken the heartbeat was made under the machine's present fencing token
  * @param startSent the start has gone out
- * @param unanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
+ * @param startUnanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
  * @param seen an earlier heartbeat listed the attempt
  * @param inAnswer the start went out in the answer to a heartbeat
  * @param sentByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
@@ -15,7 +15,7 @@
         boolean laterAgentEpoch,
         boolean underCurrentToken,
         boolean startSent,
-        boolean unanswered,
+        boolean startUnanswered,
         boolean seen,
         boolean inAnswer,
         boolean sentByWorker) {}
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -45,7 +45,7 @@
         if (start.laterAgentEpoch()) {
             return Verdict.LOST;
         }
-        if (!start.underCurrentToken() || !start.startSent() || start.unanswered()) {
+        if (!start.underCurrentToken() || !start.startSent() || start.startUnanswered()) {
             return Verdict.UNCONFIRMED;
         }
         boolean answerWasTaken = start.seen() || start.sentByWorker() || !start.inAnswer();
