--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -7,7 +7,7 @@
  * @param underCurrentToken the heartbeat was made under the machine's present fencing token
  * @param startSent the start has gone out
  * @param startUnanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
- * @param seen an earlier heartbeat listed the attempt
+ * @param listedBefore an earlier heartbeat listed the attempt
  * @param inAnswer the start went out in the answer to a heartbeat
  * @param sentByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
  */
@@ -16,6 +16,6 @@
         boolean underCurrentToken,
         boolean startSent,
         boolean startUnanswered,
-        boolean seen,
+        boolean listedBefore,
         boolean inAnswer,
         boolean sentByWorker) {}
