--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -8,7 +8,7 @@
  * @param startSent the start has gone out
  * @param startUnanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
  * @param listedBefore an earlier heartbeat listed the attempt
- * @param inAnswer the start went out in the answer to a heartbeat
+ * @param sentInHeartbeatResponse the start went out in the answer to a heartbeat
  * @param sentByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
  */
 public record StartEvidence(
@@ -17,5 +17,5 @@
         boolean startSent,
         boolean startUnanswered,
         boolean listedBefore,
-        boolean inAnswer,
+        boolean sentInHeartbeatResponse,
         boolean sentByWorker) {}
