--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -9,7 +9,7 @@
  * @param startUnanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
  * @param listedBefore an earlier heartbeat listed the attempt
  * @param sentInHeartbeatResponse the start went out in the answer to a heartbeat
- * @param sentByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
+ * @param initiatedByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
  */
 public record StartEvidence(
         boolean laterAgentEpoch,
@@ -18,4 +18,4 @@
         boolean startUnanswered,
         boolean listedBefore,
         boolean sentInHeartbeatResponse,
-        boolean sentByWorker) {}
+        boolean initiatedByWorker) {}
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -48,7 +48,7 @@
         if (!start.underCurrentToken() || !start.startSent() || start.startUnanswered()) {
             return Verdict.UNCONFIRMED;
         }
-        boolean answerWasTaken = start.listedBefore() || start.sentByWorker() || !start.sentInHeartbeatResponse();
+        boolean answerWasTaken = start.listedBefore() || start.initiatedByWorker() || !start.sentInHeartbeatResponse();
         return answerWasTaken ? Verdict.LOST : Verdict.UNCONFIRMED;
     }
 
