--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -36,7 +36,7 @@
     Verdict ofListed(Machine machine, TaskStatus status) {
         plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
-        return VerdictTable.ofListed(
+        return VerdictTable.forListedAttempt(
                 recordedTask(job, status.task()), knownPlacement(job, machine, status), listedTask(job, status));
     }
 
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -8,7 +8,8 @@
     private VerdictTable() {}
 
     /** The verdict on an attempt that a heartbeat lists. */
-    public static Verdict ofListed(RecordedTaskState recorded, KnownPlacement placement, ListedTaskState listed) {
+    public static Verdict forListedAttempt(
+            RecordedTaskState recorded, KnownPlacement placement, ListedTaskState listed) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
         }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -63,7 +63,7 @@
             String cell, RecordedTaskState recorded, KnownPlacement held, ListedTaskState listed) {
         assertEquals(
                 Verdict.valueOf(cell),
-                VerdictTable.ofListed(recorded, held, listed),
+                VerdictTable.forListedAttempt(recorded, held, listed),
                 recorded + ", " + held + ", " + listed);
     }
 
