--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -43,7 +43,7 @@
     /** The verdict on a placement that the machine's message does not list. */
     Verdict ofMissing(Placement placement, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken) {
         plan.countComparisons(1);
-        return VerdictTable.ofMissing(new StartEvidence(
+        return VerdictTable.forMissingAttempt(new StartEvidence(
                 placement.agentEpoch() < heartbeat.agentEpoch(),
                 underPresentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -42,7 +42,7 @@
     }
 
     /** The verdict on an attempt of this leader that the machine's heartbeat does not list. */
-    public static Verdict ofMissing(StartEvidence start) {
+    public static Verdict forMissingAttempt(StartEvidence start) {
         if (start.laterAgentEpoch()) {
             return Verdict.LOST;
         }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -77,7 +77,7 @@
             }
             StartEvidence evidence =
                     new StartEvidence(flags[0], flags[1], flags[2], flags[3], flags[4], flags[5], flags[6]);
-            assertEquals(firstMatch(rows, flags), VerdictTable.ofMissing(evidence), evidence.toString());
+            assertEquals(firstMatch(rows, flags), VerdictTable.forMissingAttempt(evidence), evidence.toString());
         }
     }
 
