--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -67,7 +67,7 @@
 
     /** The verdict on a claimed task that no heartbeat has listed so far. */
     public Verdict verdictOnUnlisted(JobSpec spec) {
-        return VerdictTable.ofUnlisted(awaited.mayHold(spec));
+        return VerdictTable.forUnlistedTask(awaited.mayHold(spec));
     }
 
     /** Counts a verdict on one task. */
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -54,7 +54,7 @@
     }
 
     /** The verdict on a task that is claimed on record and that no heartbeat so far has listed. */
-    public static Verdict ofUnlisted(boolean mayRunOnAwaitedMachine) {
+    public static Verdict forUnlistedTask(boolean mayRunOnAwaitedMachine) {
         return mayRunOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
     }
 }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -96,7 +96,7 @@
 
     @Test
     void whatNoHeartbeatListsIsLostOnlyWhenNoMachineIsLeft() {
-        assertEquals(Verdict.UNCONFIRMED, VerdictTable.ofUnlisted(true));
-        assertEquals(Verdict.LOST, VerdictTable.ofUnlisted(false));
+        assertEquals(Verdict.UNCONFIRMED, VerdictTable.forUnlistedTask(true));
+        assertEquals(Verdict.LOST, VerdictTable.forUnlistedTask(false));
     }
 }
