--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -112,7 +112,7 @@
         int jobsAwaitingClaim = 0;
         int unacknowledgedTasks = 0;
         for (ActiveJob job : jobs.all()) {
-            if (!job.isOpen() || !LiveWorkBacklog.includes(job.spec())) {
+            if (!job.isOpen() || !LiveWorkBacklog.isLiveWork(job.spec())) {
                 continue;
             }
             unconfirmedTasks += job.unconfirmedTasks();
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -76,7 +76,7 @@
     private int preemptForEqualRequests(ActiveJob job, ResourceRequest request, long nowMicros) {
         int wanted = job.waitingTasks() + waitingWithSameRequest(request);
         int pending = preemptor.preemptFor(job, wanted, false, nowMicros);
-        return LiveWorkBacklog.includes(job.spec()) ? pending : 0;
+        return LiveWorkBacklog.isLiveWork(job.spec()) ? pending : 0;
     }
 
     private int waitingWithSameRequest(ResourceRequest request) {
--- a/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
+++ b/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
@@ -18,7 +18,7 @@
     public static final LiveWorkBacklog NONE = new LiveWorkBacklog(0, 0, 0, 0);
 
     /** Whether this job is live work. */
-    public static boolean includes(JobSpec spec) {
+    public static boolean isLiveWork(JobSpec spec) {
         return spec.service() || spec.priority() == Priority.CRITICAL;
     }
 
