--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -365,6 +365,6 @@
 
     /** Whether a job may use this machine at all, capacity and other tasks aside. */
     public boolean allowedFor(JobSpec spec) {
-        return profile.allows(spec);
+        return profile.canRun(spec);
     }
 }
--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -39,7 +39,7 @@
 
     /** Whether a task of this job may be on one of them. */
     boolean mayHold(JobSpec spec) {
-        return unreadableParts > 0 || byProfile.keySet().stream().anyMatch(profile -> profile.allows(spec));
+        return unreadableParts > 0 || byProfile.keySet().stream().anyMatch(profile -> profile.canRun(spec));
     }
 
     boolean isEmpty() {
--- a/src/main/java/org/granitepath/recovery/MachineProfile.java
+++ b/src/main/java/org/granitepath/recovery/MachineProfile.java
@@ -6,7 +6,7 @@
 public record MachineProfile(String type, String zone, boolean spot) {
 
     /** Whether a task of this job can be on such a machine. */
-    public boolean allows(JobSpec spec) {
+    public boolean canRun(JobSpec spec) {
         return spec.allowsType(type) && spec.allowsZone(zone) && (spec.spot() || !spot);
     }
 }
