--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -14,7 +14,7 @@
     RECOVERED;
 
     /** Whether batch work, which comes after live work, may start. */
-    public boolean startsBatchWork() {
+    public boolean canStartBatchWork() {
         return compareTo(RESUMING_BATCH) >= 0;
     }
 
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -82,7 +82,7 @@
 
     /** Whether tasks of this job may start, as far as the recovery is concerned. */
     public boolean mayStart(JobSpec spec) {
-        return phase.startsBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.isLiveWork(spec));
+        return phase.canStartBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.isLiveWork(spec));
     }
 
     /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
--- a/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
@@ -17,6 +17,6 @@
     })
     void batchWorkIsHeldBetweenTheRecordsAndItsStart(RecoveryPhase phase, boolean held, boolean starts) {
         assertEquals(held, phase.holdsBatchWork());
-        assertEquals(starts, phase.startsBatchWork());
+        assertEquals(starts, phase.canStartBatchWork());
     }
 }
