--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -19,7 +19,7 @@
     }
 
     /** Whether batch work is held for live work, which may start. */
-    public boolean holdsBatchWork() {
+    public boolean isHoldingBatchWork() {
         return this == RECONCILING || this == RESUMING_LIVE;
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -127,7 +127,7 @@
 
     /** Whether batch work is held for live work. */
     public boolean holdsBatchWork() {
-        return phase.holdsBatchWork();
+        return phase.isHoldingBatchWork();
     }
 
     /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
--- a/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
@@ -16,7 +16,7 @@
         "RECOVERED, false, true"
     })
     void batchWorkIsHeldBetweenTheRecordsAndItsStart(RecoveryPhase phase, boolean held, boolean starts) {
-        assertEquals(held, phase.holdsBatchWork());
+        assertEquals(held, phase.isHoldingBatchWork());
         assertEquals(starts, phase.canStartBatchWork());
     }
 }
