--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -32,7 +32,7 @@
     }
 
     /** Takes a machine of the inventory over, before the records count as read. */
-    public void takeOver(String machine, MachineProfile profile) {
+    public void takeOverMachine(String machine, MachineProfile profile) {
         awaited.add(machine, profile);
         machinesTakenOver++;
         tracer.machineAwaited(machine);
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -148,7 +148,7 @@
     @Test
     void notWhileARecoveryHoldsBatchWork() {
         Machine machine = paidMachine("m", false);
-        recoveryPlan.takeOver("awaited", machine.profile());
+        recoveryPlan.takeOverMachine("awaited", machine.profile());
         recoveryPlan.recordsRead(1, NOW);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -29,8 +29,8 @@
 
     private static RecoveryPlan plan(long hold) {
         RecoveryPlan plan = new RecoveryPlan(7, hold, RecoveryTracer.NONE);
-        plan.takeOver("a", NORTH);
-        plan.takeOver("b", SOUTH_SPOT);
+        plan.takeOverMachine("a", NORTH);
+        plan.takeOverMachine("b", SOUTH_SPOT);
         return plan;
     }
 
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -30,8 +30,8 @@
 
     private RecoveryPlan plan() {
         RecoveryPlan plan = new RecoveryPlan(7, 1_000_000, tracer);
-        plan.takeOver("a", PROFILE);
-        plan.takeOver("b", PROFILE);
+        plan.takeOverMachine("a", PROFILE);
+        plan.takeOverMachine("b", PROFILE);
         plan.recordsRead(42, 0);
         return plan;
     }
