--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -33,7 +33,7 @@
     /** Begins with the machines and the records as of this revision. */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
         takenOver.forEach(machine -> plan.takeOverMachine(machine.id(), machine.profile()));
-        plan.takeOverUnreadable(unreadableParts);
+        plan.takeOverUnreadableParts(unreadableParts);
         plan.recordsRead(revision, timers.nowMicros());
     }
 
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -39,7 +39,7 @@
     }
 
     /** Parts of the inventory that can't be read: no task is proved lost as long as this term lasts. */
-    public void takeOverUnreadable(int parts) {
+    public void takeOverUnreadableParts(int parts) {
         awaited.addUnreadableParts(parts);
     }
 
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -113,7 +113,7 @@
     @Test
     void anUnreadablePartOfTheInventoryLeavesAllUnconfirmed() {
         RecoveryPlan plan = plan(HOLD);
-        plan.takeOverUnreadable(1);
+        plan.takeOverUnreadableParts(1);
         plan.recordsRead(42, 0);
         plan.resolved("a", NORTH, "heard");
         plan.resolved("b", SOUTH_SPOT, "heard");
