--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -34,7 +34,7 @@
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
         takenOver.forEach(machine -> plan.takeOverMachine(machine.id(), machine.profile()));
         plan.takeOverUnreadableParts(unreadableParts);
-        plan.recordsRead(revision, timers.nowMicros());
+        plan.onRecordsRead(revision, timers.nowMicros());
     }
 
     /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -44,7 +44,7 @@
     }
 
     /** The records are read, as of this revision: from now on heartbeats are taken. */
-    public void recordsRead(long revisionRead, long nowMicros) {
+    public void onRecordsRead(long revisionRead, long nowMicros) {
         revision = revisionRead;
         batchHold.begin(nowMicros);
         if (awaited.isEmpty()) {
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -149,7 +149,7 @@
     void notWhileARecoveryHoldsBatchWork() {
         Machine machine = paidMachine("m", false);
         recoveryPlan.takeOverMachine("awaited", machine.profile());
-        recoveryPlan.recordsRead(1, NOW);
+        recoveryPlan.onRecordsRead(1, NOW);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -45,7 +45,7 @@
     @Test
     void servicesFirstThenTheRestThenRecovered() {
         RecoveryPlan plan = plan(HOLD);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
         assertTrue(plan.mayStart(SERVICE));
         assertFalse(plan.mayStart(BATCH));
@@ -71,7 +71,7 @@
     @MethodSource("anythingLeft")
     void theHoldEndsInTimeWhateverIsLeft(LiveWorkBacklog left) {
         RecoveryPlan plan = plan(HOLD);
-        plan.recordsRead(42, 100);
+        plan.onRecordsRead(42, 100);
         plan.endHoldIfDue(100 + HOLD - 1);
         plan.cycleEnded(left);
         assertFalse(plan.mayStart(BATCH));
@@ -82,7 +82,7 @@
     @Test
     void withoutAHoldNothingWaits() {
         RecoveryPlan plan = plan(0);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         assertTrue(plan.mayStart(BATCH));
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
@@ -90,7 +90,7 @@
     @Test
     void withoutMachinesThereIsNothingToRecover() {
         RecoveryPlan plan = new RecoveryPlan(7, HOLD, RecoveryTracer.NONE);
-        plan.recordsRead(1, 0);
+        plan.onRecordsRead(1, 0);
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
         assertTrue(plan.mayStart(BATCH));
     }
@@ -99,7 +99,7 @@
     @Test
     void onlyMachinesThatTheJobMayUseAreWaitedFor() {
         RecoveryPlan plan = plan(HOLD);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         JobSpec inTheSouth = RecoveryFixtures.batch(null, "south", true);
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
         assertTrue(plan.resolved("a", NORTH, "heard"));
@@ -114,7 +114,7 @@
     void anUnreadablePartOfTheInventoryLeavesAllUnconfirmed() {
         RecoveryPlan plan = plan(HOLD);
         plan.takeOverUnreadableParts(1);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         plan.resolved("a", NORTH, "heard");
         plan.resolved("b", SOUTH_SPOT, "heard");
         assertFalse(plan.noMachineAwaited());
@@ -131,7 +131,7 @@
         for (int run = 0; run < 200; run++) {
             List<RecoveryPhase> phases = new ArrayList<>();
             RecoveryPlan plan = plan(HOLD);
-            plan.recordsRead(1, 0);
+            plan.onRecordsRead(1, 0);
             List<Runnable> machines = new ArrayList<>(
                     List.of(() -> plan.resolved("a", NORTH, "heard"), () -> plan.resolved("b", SOUTH_SPOT, "heard")));
             long now = 0;
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -32,7 +32,7 @@
         RecoveryPlan plan = new RecoveryPlan(7, 1_000_000, tracer);
         plan.takeOverMachine("a", PROFILE);
         plan.takeOverMachine("b", PROFILE);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         return plan;
     }
 
