--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -53,7 +53,7 @@
             return;
         }
         machine.takeoverResolved();
-        if (plan.resolved(machine.id(), machine.profile(), proof)) {
+        if (plan.resolveMachine(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
         }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -57,9 +57,9 @@
         plan.cycleEnded(LiveWorkBacklog.NONE);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
         assertTrue(plan.mayStart(BATCH));
-        plan.resolved("a", NORTH, "heard");
+        plan.resolveMachine("a", NORTH, "heard");
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
-        plan.resolved("b", SOUTH_SPOT, "lease over");
+        plan.resolveMachine("b", SOUTH_SPOT, "lease over");
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
     }
 
@@ -102,7 +102,7 @@
         plan.onRecordsRead(42, 0);
         JobSpec inTheSouth = RecoveryFixtures.batch(null, "south", true);
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
-        assertTrue(plan.resolved("a", NORTH, "heard"));
+        assertTrue(plan.resolveMachine("a", NORTH, "heard"));
         assertEquals(Verdict.LOST, plan.verdictOnUnlisted(SERVICE));
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(BATCH));
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(inTheSouth));
@@ -115,8 +115,8 @@
         RecoveryPlan plan = plan(HOLD);
         plan.takeOverUnreadableParts(1);
         plan.onRecordsRead(42, 0);
-        plan.resolved("a", NORTH, "heard");
-        plan.resolved("b", SOUTH_SPOT, "heard");
+        plan.resolveMachine("a", NORTH, "heard");
+        plan.resolveMachine("b", SOUTH_SPOT, "heard");
         assertFalse(plan.noMachineAwaited());
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
         plan.endHoldIfDue(HOLD);
@@ -132,8 +132,9 @@
             List<RecoveryPhase> phases = new ArrayList<>();
             RecoveryPlan plan = plan(HOLD);
             plan.onRecordsRead(1, 0);
-            List<Runnable> machines = new ArrayList<>(
-                    List.of(() -> plan.resolved("a", NORTH, "heard"), () -> plan.resolved("b", SOUTH_SPOT, "heard")));
+            List<Runnable> machines = new ArrayList<>(List.of(
+                    () -> plan.resolveMachine("a", NORTH, "heard"),
+                    () -> plan.resolveMachine("b", SOUTH_SPOT, "heard")));
             long now = 0;
             for (int step = 0; step < 40; step++) {
                 now += random.nextInt((int) SECOND / 2);
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -39,9 +39,9 @@
     @Test
     void oneSpanForTheTermEachPhaseAndEachMachineInDoubt() {
         RecoveryPlan plan = plan();
-        plan.resolved("a", PROFILE, "heard");
+        plan.resolveMachine("a", PROFILE, "heard");
         plan.cycleEnded(LiveWorkBacklog.NONE);
-        plan.resolved("b", PROFILE, "its lease is over");
+        plan.resolveMachine("b", PROFILE, "its lease is over");
         assertEquals(
                 List.of(
                         "reading",
