--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -44,7 +44,7 @@
 
     /** Whether a task of this job may be on a machine that is still awaited. */
     boolean mayRunOnAwaitedMachine(ActiveJob job) {
-        return plan.verdictOnUnlisted(job.spec()) == Verdict.UNCONFIRMED;
+        return plan.verdictOnUnlistedTask(job.spec()) == Verdict.UNCONFIRMED;
     }
 
     /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -66,7 +66,7 @@
     }
 
     /** The verdict on a claimed task that no heartbeat has listed so far. */
-    public Verdict verdictOnUnlisted(JobSpec spec) {
+    public Verdict verdictOnUnlistedTask(JobSpec spec) {
         return VerdictTable.forUnlistedTask(awaited.mayHold(spec));
     }
 
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -101,12 +101,12 @@
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 0);
         JobSpec inTheSouth = RecoveryFixtures.batch(null, "south", true);
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
         assertTrue(plan.resolveMachine("a", NORTH, "heard"));
-        assertEquals(Verdict.LOST, plan.verdictOnUnlisted(SERVICE));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(BATCH));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(inTheSouth));
-        assertEquals(Verdict.LOST, plan.verdictOnUnlisted(RecoveryFixtures.batch(null, "north", true)));
+        assertEquals(Verdict.LOST, plan.verdictOnUnlistedTask(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(BATCH));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(inTheSouth));
+        assertEquals(Verdict.LOST, plan.verdictOnUnlistedTask(RecoveryFixtures.batch(null, "north", true)));
     }
 
     /** Any machine may be in a part of the inventory that can't be read. */
@@ -118,7 +118,7 @@
         plan.resolveMachine("a", NORTH, "heard");
         plan.resolveMachine("b", SOUTH_SPOT, "heard");
         assertFalse(plan.noMachineAwaited());
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
         plan.endHoldIfDue(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
