--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -69,7 +69,7 @@
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
     public boolean mayStart(ActiveJob job) {
-        return plan.mayStart(job.spec());
+        return plan.canStart(job.spec());
     }
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -81,7 +81,7 @@
     }
 
     /** Whether tasks of this job may start, as far as the recovery is concerned. */
-    public boolean mayStart(JobSpec spec) {
+    public boolean canStart(JobSpec spec) {
         return phase.canStartBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.isLiveWork(spec));
     }
 
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -38,8 +38,8 @@
     void nothingStartsWhileTheRecordsAreRead() {
         RecoveryPlan plan = plan(HOLD);
         assertEquals(RecoveryPhase.READING, plan.phase());
-        assertFalse(plan.mayStart(SERVICE));
-        assertFalse(plan.mayStart(BATCH));
+        assertFalse(plan.canStart(SERVICE));
+        assertFalse(plan.canStart(BATCH));
     }
 
     @Test
@@ -47,16 +47,16 @@
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 0);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
-        assertTrue(plan.mayStart(SERVICE));
-        assertFalse(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(SERVICE));
+        assertFalse(plan.canStart(BATCH));
         plan.cycleEnded(DOUBT);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
         plan.cycleEnded(UNSEEN);
         assertEquals(RecoveryPhase.RESUMING_LIVE, plan.phase());
-        assertFalse(plan.mayStart(BATCH));
+        assertFalse(plan.canStart(BATCH));
         plan.cycleEnded(LiveWorkBacklog.NONE);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
-        assertTrue(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(BATCH));
         plan.resolveMachine("a", NORTH, "heard");
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
         plan.resolveMachine("b", SOUTH_SPOT, "lease over");
@@ -74,16 +74,16 @@
         plan.onRecordsRead(42, 100);
         plan.endHoldIfDue(100 + HOLD - 1);
         plan.cycleEnded(left);
-        assertFalse(plan.mayStart(BATCH));
+        assertFalse(plan.canStart(BATCH));
         plan.endHoldIfDue(100 + HOLD);
-        assertTrue(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(BATCH));
     }
 
     @Test
     void withoutAHoldNothingWaits() {
         RecoveryPlan plan = plan(0);
         plan.onRecordsRead(42, 0);
-        assertTrue(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(BATCH));
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
 
@@ -92,7 +92,7 @@
         RecoveryPlan plan = new RecoveryPlan(7, HOLD, RecoveryTracer.NONE);
         plan.onRecordsRead(1, 0);
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
-        assertTrue(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(BATCH));
     }
 
     /** A task is lost once no machine is left that its job may use, whatever others are still awaited. */
@@ -146,8 +146,8 @@
                     machines.remove(random.nextInt(machines.size())).run();
                 }
                 phases.add(plan.phase());
-                assertTrue(now < HOLD || plan.mayStart(BATCH), "held beyond the bound");
-                assertEquals(plan.noMachineAwaited() && plan.mayStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
+                assertTrue(now < HOLD || plan.canStart(BATCH), "held beyond the bound");
+                assertEquals(plan.noMachineAwaited() && plan.canStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
             }
             List<RecoveryPhase> sorted = phases.stream().sorted().toList();
             assertEquals(sorted, phases);
