--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -87,7 +87,7 @@
         if (!plan.holdsBatchWork()) {
             return;
         }
-        plan.cycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
+        plan.onCycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
         if (!plan.holdsBatchWork()) {
             loop.requestCycle();
         }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -93,7 +93,7 @@
     }
 
     /** A scheduling cycle has ended and left this of the live work. */
-    public void cycleEnded(LiveWorkBacklog backlog) {
+    public void onCycleEnded(LiveWorkBacklog backlog) {
         batchHold.waitsFor(backlog);
         if (phase == RecoveryPhase.RECONCILING && backlog.unconfirmedTasks() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
--- a/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
+++ b/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
@@ -19,7 +19,7 @@
         assertEquals("nothing", plan.waitingFor());
         plan.takeOverMachine("a", new MachineProfile("small", "north", false));
         plan.onRecordsRead(9, 0);
-        plan.cycleEnded(new LiveWorkBacklog(2, 0, 1, 0));
+        plan.onCycleEnded(new LiveWorkBacklog(2, 0, 1, 0));
         assertEquals("2 tasks in doubt, 0 to be claimed, 1 sent and not seen yet, 0 getting room", plan.waitingFor());
     }
 }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -49,12 +49,12 @@
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
         assertTrue(plan.canStart(SERVICE));
         assertFalse(plan.canStart(BATCH));
-        plan.cycleEnded(DOUBT);
+        plan.onCycleEnded(DOUBT);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
-        plan.cycleEnded(UNSEEN);
+        plan.onCycleEnded(UNSEEN);
         assertEquals(RecoveryPhase.RESUMING_LIVE, plan.phase());
         assertFalse(plan.canStart(BATCH));
-        plan.cycleEnded(LiveWorkBacklog.NONE);
+        plan.onCycleEnded(LiveWorkBacklog.NONE);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
         assertTrue(plan.canStart(BATCH));
         plan.resolveMachine("a", NORTH, "heard");
@@ -73,7 +73,7 @@
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 100);
         plan.endHoldIfDue(100 + HOLD - 1);
-        plan.cycleEnded(left);
+        plan.onCycleEnded(left);
         assertFalse(plan.canStart(BATCH));
         plan.endHoldIfDue(100 + HOLD);
         assertTrue(plan.canStart(BATCH));
@@ -141,7 +141,7 @@
                 plan.endHoldIfDue(now);
                 LiveWorkBacklog left =
                         new LiveWorkBacklog(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
-                plan.cycleEnded(left);
+                plan.onCycleEnded(left);
                 if (!machines.isEmpty() && random.nextInt(10) == 0) {
                     machines.remove(random.nextInt(machines.size())).run();
                 }
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -40,7 +40,7 @@
     void oneSpanForTheTermEachPhaseAndEachMachineInDoubt() {
         RecoveryPlan plan = plan();
         plan.resolveMachine("a", PROFILE, "heard");
-        plan.cycleEnded(LiveWorkBacklog.NONE);
+        plan.onCycleEnded(LiveWorkBacklog.NONE);
         plan.resolveMachine("b", PROFILE, "its lease is over");
         assertEquals(
                 List.of(
