--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -39,7 +39,7 @@
 
     /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
     public boolean noMachineAwaited() {
-        return plan.noMachineAwaited();
+        return plan.isEveryMachineResolved();
     }
 
     /** Whether a task of this job may be on a machine that is still awaited. */
@@ -99,7 +99,7 @@
      */
     public boolean keepsIdleMachines() {
         return plan.holdsBatchWork()
-                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
+                || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
     /** How many claimed tasks may be on machines still awaited. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -136,7 +136,7 @@
     }
 
     /** Whether every machine taken over has sent a heartbeat or is proved gone. */
-    public boolean noMachineAwaited() {
+    public boolean isEveryMachineResolved() {
         return awaited.isEmpty();
     }
 
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -117,7 +117,7 @@
         plan.onRecordsRead(42, 0);
         plan.resolveMachine("a", NORTH, "heard");
         plan.resolveMachine("b", SOUTH_SPOT, "heard");
-        assertFalse(plan.noMachineAwaited());
+        assertFalse(plan.isEveryMachineResolved());
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
         plan.endHoldIfDue(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
@@ -147,7 +147,8 @@
                 }
                 phases.add(plan.phase());
                 assertTrue(now < HOLD || plan.canStart(BATCH), "held beyond the bound");
-                assertEquals(plan.noMachineAwaited() && plan.canStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
+                assertEquals(
+                        plan.isEveryMachineResolved() && plan.canStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
             }
             List<RecoveryPhase> sorted = phases.stream().sorted().toList();
             assertEquals(sorted, phases);
