--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -84,11 +84,11 @@
      *     for them
      */
     public void cycleEnded(int tasksAwaitingPreemption) {
-        if (!plan.holdsBatchWork()) {
+        if (!plan.isBatchWorkHeld()) {
             return;
         }
         plan.onCycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
-        if (!plan.holdsBatchWork()) {
+        if (!plan.isBatchWorkHeld()) {
             loop.requestCycle();
         }
     }
@@ -98,7 +98,7 @@
      * known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
-        return plan.holdsBatchWork()
+        return plan.isBatchWorkHeld()
                 || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -90,7 +90,7 @@
                         plan.machinesTakenOver(), plan.machinesAwaited(), plan.unreadableInventoryParts()),
                 tasks,
                 plan.comparisons(),
-                plan.holdsBatchWork() ? hold(plan, nowMicros) : null);
+                plan.isBatchWorkHeld() ? hold(plan, nowMicros) : null);
     }
 
     private static RecoveryStatus.Hold hold(RecoveryPlan plan, long nowMicros) {
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -87,7 +87,7 @@
 
     /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
     public void endHoldIfDue(long nowMicros) {
-        if (holdsBatchWork() && batchHold.isDue(nowMicros)) {
+        if (isBatchWorkHeld() && batchHold.isDue(nowMicros)) {
             resumeBatch(batchHold.reasonToEnd());
         }
     }
@@ -126,13 +126,13 @@
     }
 
     /** Whether batch work is held for live work. */
-    public boolean holdsBatchWork() {
+    public boolean isBatchWorkHeld() {
         return phase.isHoldingBatchWork();
     }
 
     /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
     public String waitingFor() {
-        return holdsBatchWork() ? batchHold.waitingFor() : "nothing";
+        return isBatchWorkHeld() ? batchHold.waitingFor() : "nothing";
     }
 
     /** Whether every machine taken over has sent a heartbeat or is proved gone. */
