--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -131,7 +131,7 @@
     }
 
     /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
-    public String waitingFor() {
+    public String awaitedLiveWork() {
         return isBatchWorkHeld() ? batchHold.waitingFor() : "nothing";
     }
 
--- a/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
+++ b/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
@@ -16,10 +16,11 @@
     @Test
     void thePlanTellsItWhileItHoldsBatchWork() {
         RecoveryPlan plan = new RecoveryPlan(7, 5_000_000, RecoveryTracer.NONE);
-        assertEquals("nothing", plan.waitingFor());
+        assertEquals("nothing", plan.awaitedLiveWork());
         plan.takeOverMachine("a", new MachineProfile("small", "north", false));
         plan.onRecordsRead(9, 0);
         plan.onCycleEnded(new LiveWorkBacklog(2, 0, 1, 0));
-        assertEquals("2 tasks in doubt, 0 to be claimed, 1 sent and not seen yet, 0 getting room", plan.waitingFor());
+        assertEquals(
+                "2 tasks in doubt, 0 to be claimed, 1 sent and not seen yet, 0 getting room", plan.awaitedLiveWork());
     }
 }
