--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -85,7 +85,7 @@
         return new RecoveryStatus.Term(
                 plan.phase(),
                 plan.fencingToken(),
-                plan.revision(),
+                plan.recordsRevision(),
                 new RecoveryStatus.Machines(
                         plan.machinesTakenOver(), plan.machinesAwaited(), plan.unreadableInventoryParts()),
                 tasks,
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -151,7 +151,7 @@
     }
 
     /** The revision of the records that the recovery began with. */
-    public long revision() {
+    public long recordsRevision() {
         return revision;
     }
 
