--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -156,7 +156,7 @@
     }
 
     /** How many machines the inventory had when the term began. */
-    public int machinesTakenOver() {
+    public int takenOverMachineCount() {
         return machinesTakenOver;
     }
 
