--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -87,7 +87,7 @@
                 plan.fencingToken(),
                 plan.recordsRevision(),
                 new RecoveryStatus.Machines(
-                        plan.takenOverMachineCount(), plan.machinesAwaited(), plan.unreadableInventoryParts()),
+                        plan.takenOverMachineCount(), plan.awaitedMachines(), plan.unreadableInventoryParts()),
                 tasks,
                 plan.comparisons(),
                 plan.isBatchWorkHeld() ? hold(plan, nowMicros) : null);
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -161,7 +161,7 @@
     }
 
     /** The machines still awaited, as of now. */
-    public PSet<String> machinesAwaited() {
+    public PSet<String> awaitedMachines() {
         return awaited.names();
     }
 
