--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -94,6 +94,6 @@
     }
 
     private static RecoveryStatus.Hold hold(RecoveryPlan plan, long nowMicros) {
-        return new RecoveryStatus.Hold(plan.awaitedLiveWork(), Math.max(0, plan.holdEndsMicros() - nowMicros));
+        return new RecoveryStatus.Hold(plan.awaitedLiveWork(), Math.max(0, plan.holdEndMicros() - nowMicros));
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -171,7 +171,7 @@
     }
 
     /** When the hold ends at the latest. */
-    public long holdEndsMicros() {
+    public long holdEndMicros() {
         return batchHold.endsMicros();
     }
 
