--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -89,7 +89,7 @@
                 new RecoveryStatus.Machines(
                         plan.takenOverMachineCount(), plan.awaitedMachines(), plan.unreadableInventoryParts()),
                 tasks,
-                plan.comparisons(),
+                plan.comparisonCount(),
                 plan.isBatchWorkHeld() ? hold(plan, nowMicros) : null);
     }
 
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -176,7 +176,7 @@
     }
 
     /** How many attempts were compared with the records so far. */
-    public long comparisons() {
+    public long comparisonCount() {
         return counts.comparisons();
     }
 
