--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -80,7 +80,7 @@
     private static RecoveryStatus.Term during(TermRecovery recovery, long nowMicros) {
         RecoveryPlan plan = recovery.plan();
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
-        tasks.putAll(plan.verdicts());
+        tasks.putAll(plan.taskCountsByVerdict());
         tasks.put(Verdict.UNCONFIRMED, recovery.unconfirmedTasks());
         return new RecoveryStatus.Term(
                 plan.phase(),
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -181,7 +181,7 @@
     }
 
     /** How many tasks got each verdict so far. */
-    public Map<Verdict, Integer> verdicts() {
+    public Map<Verdict, Integer> taskCountsByVerdict() {
         return counts.tasks();
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -56,7 +56,7 @@
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.FETCHING)));
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         assertEquals(Placement.Phase.RUNNING, placement.phase());
-        assertEquals(Map.of(Verdict.CONFIRMED, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.CONFIRMED, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
@@ -68,7 +68,7 @@
         assertNotNull(placement);
         assertEquals(FORMER_ATTEMPT, placement.attempt());
         assertTrue(placement.onlyHere(), "listed under the present token");
-        assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
@@ -87,7 +87,7 @@
         receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, ExitCause.DONE)));
         assertTrue(jobOf(task).isDone(0));
         assertNull(machine.placement(task));
-        assertEquals(Map.of(Verdict.FINISHED_MEANWHILE, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.FINISHED_MEANWHILE, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
@@ -102,7 +102,7 @@
         assertEquals(stop, machine.cleanupCommands(), "repeated");
         receive(machine, nextHeartbeat(machine));
         assertEquals(List.of(), machine.cleanupCommands());
-        assertEquals(Map.of(Verdict.UNKNOWN_JOB, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.UNKNOWN_JOB, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
@@ -122,7 +122,7 @@
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
         assertFalse(placement.live());
-        assertEquals(Map.of(Verdict.CONFIRMED, 1, Verdict.LOST, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.CONFIRMED, 1, Verdict.LOST, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
