--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -36,7 +36,7 @@
         fields.put("revision", term.revision());
         fields.put("machines", machines(term.machines()));
         Map<String, Object> tasks = new LinkedHashMap<>();
-        term.tasks().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
+        term.taskCountsByVerdict().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
         fields.put("tasks", tasks);
         fields.put("attempts_compared", term.comparisons());
         RecoveryStatus.Hold hold = term.hold();
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -39,7 +39,7 @@
      * The recovery of one term of leadership.
      *
      * @param revision the revision of the records that it began with; 0 while they are read
-     * @param tasks how many tasks got each verdict so far
+     * @param taskCountsByVerdict how many tasks got each verdict so far
      * @param comparisons how many attempts were compared with the records so far
      * @param hold what holds batch work back; null when it may start
      */
@@ -48,7 +48,7 @@
             long fencingToken,
             long revision,
             Machines machines,
-            Map<Verdict, Integer> tasks,
+            Map<Verdict, Integer> taskCountsByVerdict,
             long comparisons,
             @Nullable Hold hold) {}
 
@@ -94,6 +94,6 @@
 
     /** How many tasks got each verdict so far; empty when this controller does not lead. */
     public Map<Verdict, Integer> tasks() {
-        return term == null ? Map.of() : term.tasks();
+        return term == null ? Map.of() : term.taskCountsByVerdict();
     }
 }
