--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -38,7 +38,7 @@
         Map<String, Object> tasks = new LinkedHashMap<>();
         term.taskCountsByVerdict().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
         fields.put("tasks", tasks);
-        fields.put("attempts_compared", term.comparisons());
+        fields.put("attempts_compared", term.comparisonCount());
         RecoveryStatus.Hold hold = term.hold();
         fields.put("other_work_held", hold != null);
         if (hold != null) {
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -40,7 +40,7 @@
      *
      * @param revision the revision of the records that it began with; 0 while they are read
      * @param taskCountsByVerdict how many tasks got each verdict so far
-     * @param comparisons how many attempts were compared with the records so far
+     * @param comparisonCount how many attempts were compared with the records so far
      * @param hold what holds batch work back; null when it may start
      */
     public record Term(
@@ -49,7 +49,7 @@
             long revision,
             Machines machines,
             Map<Verdict, Integer> taskCountsByVerdict,
-            long comparisons,
+            long comparisonCount,
             @Nullable Hold hold) {}
 
     /**
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -58,8 +58,8 @@
         assertTrue(running.get() >= 10_000, running.get() + " tasks");
         // Some eight heartbeats of each machine in that time, each listing what runs there.
         assertTrue(
-                status.term().comparisons() < 12L * running.get(),
-                status.term().comparisons() + " comparisons of " + running.get() + " tasks");
+                status.term().comparisonCount() < 12L * running.get(),
+                status.term().comparisonCount() + " comparisons of " + running.get() + " tasks");
         int refusals = simulation.store.refusals() - refusalsBefore.get();
         assertTrue(refusals < 150, refusals + " requests came too fast");
         assertTrue(
