--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -33,7 +33,7 @@
     private static void putTerm(Map<String, Object> fields, RecoveryStatus.Term term) {
         fields.put("phase", RecoveryLabels.of(term.phase()));
         fields.put("fencing_token", term.fencingToken());
-        fields.put("revision", term.revision());
+        fields.put("revision", term.recordsRevision());
         fields.put("machines", machines(term.machines()));
         Map<String, Object> tasks = new LinkedHashMap<>();
         term.taskCountsByVerdict().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -38,7 +38,7 @@
     /**
      * The recovery of one term of leadership.
      *
-     * @param revision the revision of the records that it began with; 0 while they are read
+     * @param recordsRevision the revision of the records that it began with; 0 while they are read
      * @param taskCountsByVerdict how many tasks got each verdict so far
      * @param comparisonCount how many attempts were compared with the records so far
      * @param hold what holds batch work back; null when it may start
@@ -46,7 +46,7 @@
     public record Term(
             RecoveryPhase phase,
             long fencingToken,
-            long revision,
+            long recordsRevision,
             Machines machines,
             Map<Verdict, Integer> taskCountsByVerdict,
             long comparisonCount,
