--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -93,7 +93,7 @@
     }
 
     /** How many tasks got each verdict so far; empty when this controller does not lead. */
-    public Map<Verdict, Integer> tasks() {
+    public Map<Verdict, Integer> taskCountsByVerdict() {
         return term == null ? Map.of() : term.taskCountsByVerdict();
     }
 }
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -81,7 +81,7 @@
             Gauge.builder(
                             "granitepath.recovery.tasks",
                             recovery,
-                            status -> status.get().tasks().getOrDefault(verdict, 0))
+                            status -> status.get().taskCountsByVerdict().getOrDefault(verdict, 0))
                     .tags("verdict", RecoveryLabels.of(verdict))
                     .register(meters);
         }
