--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -88,7 +88,7 @@
     }
 
     /** How many machines are still awaited; 0 when this controller does not lead. */
-    public int machinesMissing() {
+    public int awaitedMachineCount() {
         return term == null ? 0 : term.machines().awaited().size();
     }
 
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -70,7 +70,7 @@
         Gauge.builder(
                         "granitepath.recovery.machines.missing",
                         recovery,
-                        status -> status.get().machinesMissing())
+                        status -> status.get().awaitedMachineCount())
                 .register(meters);
         Gauge.builder(
                         "granitepath.recovery.records.unreadable",
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -87,7 +87,7 @@
         simulation.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
             RecoveryStatus status =
                     simulation.world.now() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
-            if (status != null && status.term().fencingToken() > 1 && status.machinesMissing() == 0) {
+            if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
                 lastVerdict.set(simulation.world.now());
             }
         });
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -136,7 +136,7 @@
 
         RecoveryStatus status = simulation.recovery();
         assertNotNull(status);
-        assertTrue(status.machinesMissing() > 0, "no machine is unresponsive");
+        assertTrue(status.awaitedMachineCount() > 0, "no machine is unresponsive");
         long replicas = simulation.commands.startsSince(RESTART).stream()
                 .filter(start -> isService(simulation, start))
                 .map(SimCommands.Start::task)
