--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -27,7 +27,7 @@
         this.fencingToken = fencingToken;
         this.batchHold = new BatchHold(batchHoldMicros);
         this.tracer = tracer;
-        tracer.termBegan(fencingToken);
+        tracer.onTermBegan(fencingToken);
         tracer.phaseEntered(phase, "term won");
     }
 
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -8,7 +8,7 @@
     /** Tells nobody. */
     RecoveryTracer NONE = new RecoveryTracer() {
         @Override
-        public void termBegan(long fencingToken) {}
+        public void onTermBegan(long fencingToken) {}
 
         @Override
         public void phaseEntered(RecoveryPhase phase, String reason) {}
@@ -24,7 +24,7 @@
     };
 
     /** A term of leadership has begun. */
-    void termBegan(long fencingToken);
+    void onTermBegan(long fencingToken);
 
     /** The recovery has reached a phase. */
     void phaseEntered(RecoveryPhase phase, String reason);
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void termBegan(long fencingToken) {
+    public void onTermBegan(long fencingToken) {
         end();
         term = tracer.spanBuilder("recovery")
                 .setNoParent()
