--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -28,7 +28,7 @@
         this.batchHold = new BatchHold(batchHoldMicros);
         this.tracer = tracer;
         tracer.onTermBegan(fencingToken);
-        tracer.phaseEntered(phase, "term won");
+        tracer.onPhaseEntered(phase, "term won");
     }
 
     /** Takes a machine of the inventory over, before the records count as read. */
@@ -122,7 +122,7 @@
     private void enter(RecoveryPhase next, String reason) {
         LOG.info("recovery under fencing token {}: {} -> {} ({})", fencingToken, phase, next, reason);
         phase = next;
-        tracer.phaseEntered(next, reason);
+        tracer.onPhaseEntered(next, reason);
     }
 
     /** Whether batch work is held for live work. */
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -11,7 +11,7 @@
         public void onTermBegan(long fencingToken) {}
 
         @Override
-        public void phaseEntered(RecoveryPhase phase, String reason) {}
+        public void onPhaseEntered(RecoveryPhase phase, String reason) {}
 
         @Override
         public void machineAwaited(String machine) {}
@@ -27,7 +27,7 @@
     void onTermBegan(long fencingToken);
 
     /** The recovery has reached a phase. */
-    void phaseEntered(RecoveryPhase phase, String reason);
+    void onPhaseEntered(RecoveryPhase phase, String reason);
 
     /** A machine was taken over; what is on it is unconfirmed. */
     void machineAwaited(String machine);
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void phaseEntered(RecoveryPhase next, String reason) {
+    public void onPhaseEntered(RecoveryPhase next, String reason) {
         phase.end();
         if (next == RecoveryPhase.RECOVERED) {
             end();
