--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -35,7 +35,7 @@
     public void takeOverMachine(String machine, MachineProfile profile) {
         awaited.add(machine, profile);
         machinesTakenOver++;
-        tracer.machineAwaited(machine);
+        tracer.onMachineAwaited(machine);
     }
 
     /** Parts of the inventory that can't be read: no task is proved lost as long as this term lasts. */
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -14,7 +14,7 @@
         public void onPhaseEntered(RecoveryPhase phase, String reason) {}
 
         @Override
-        public void machineAwaited(String machine) {}
+        public void onMachineAwaited(String machine) {}
 
         @Override
         public void machineResolved(String machine, String proof) {}
@@ -30,7 +30,7 @@
     void onPhaseEntered(RecoveryPhase phase, String reason);
 
     /** A machine was taken over; what is on it is unconfirmed. */
-    void machineAwaited(String machine);
+    void onMachineAwaited(String machine);
 
     /** What is on the machine is known, or it is gone. */
     void machineResolved(String machine, String proof);
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void machineAwaited(String machine) {
+    public void onMachineAwaited(String machine) {
         Span span = child("machine in doubt");
         span.setAttribute(MACHINE, machine);
         machines.put(machine, span);
