--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -58,7 +58,7 @@
     /** A machine taken over has sent a heartbeat or is proved gone; true when that may tell of unconfirmed tasks. */
     public boolean resolveMachine(String machine, MachineProfile profile, String proof) {
         boolean lastOfItsProfile = awaited.remove(machine, profile);
-        tracer.machineResolved(machine, proof);
+        tracer.onMachineResolved(machine, proof);
         if (awaited.isEmpty() && phase == RecoveryPhase.RESUMING_BATCH) {
             recovered();
         }
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -17,7 +17,7 @@
         public void onMachineAwaited(String machine) {}
 
         @Override
-        public void machineResolved(String machine, String proof) {}
+        public void onMachineResolved(String machine, String proof) {}
 
         @Override
         public void termEnded() {}
@@ -33,7 +33,7 @@
     void onMachineAwaited(String machine);
 
     /** What is on the machine is known, or it is gone. */
-    void machineResolved(String machine, String proof);
+    void onMachineResolved(String machine, String proof);
 
     /** The term is over, whatever the recovery has reached. */
     void termEnded();
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void machineResolved(String machine, String proof) {
+    public void onMachineResolved(String machine, String proof) {
         Span span = machines.remove(machine);
         if (span != null) {
             span.setAttribute(PROOF, proof);
