--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -116,7 +116,7 @@
 
     /** The term is over. */
     public void end() {
-        tracer.termEnded();
+        tracer.onTermEnded();
     }
 
     private void enter(RecoveryPhase next, String reason) {
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -20,7 +20,7 @@
         public void onMachineResolved(String machine, String proof) {}
 
         @Override
-        public void termEnded() {}
+        public void onTermEnded() {}
     };
 
     /** A term of leadership has begun. */
@@ -36,5 +36,5 @@
     void onMachineResolved(String machine, String proof);
 
     /** The term is over, whatever the recovery has reached. */
-    void termEnded();
+    void onTermEnded();
 }
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void termEnded() {
+    public void onTermEnded() {
         end();
     }
 
