--- a/src/test/java/org/granitepath/coordination/ManualTimers.java
+++ b/src/test/java/org/granitepath/coordination/ManualTimers.java
@@ -38,7 +38,7 @@
     }
 
     /** Whether nothing is to happen later. */
-    public boolean nonePending() {
+    public boolean isIdle() {
         return pending.isEmpty();
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
@@ -82,7 +82,7 @@
         assertTrue(launcher.underWay());
         cloud.answerLaunch(CloudPort.Outcome.REFUSED);
         assertFalse(launcher.underWay(), "given up after 20 repeats");
-        assertTrue(timers.nonePending());
+        assertTrue(timers.isIdle());
         assertEquals(21, cloud.launches.size());
         assertEquals(1, cloud.launches.stream().distinct().count());
         assertEquals(List.of(), answeredMicros);
