--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -48,12 +48,14 @@
     HeartbeatResponse answer(Heartbeat heartbeat) {
         LeaderTerm leaderTerm = currentTerm.get();
         if (leaderTerm != null) {
-            return leadership.answersWorkers() ? leaderTerm.heartbeat(heartbeat) : new HeartbeatResponse.Unavailable();
+            return leadership.canAnswerWorkers()
+                    ? leaderTerm.handleHeartbeat(heartbeat)
+                    : new HeartbeatResponse.Unavailable();
         }
-        if (zoneLeaseKeeper.mayRenew(heartbeat)) {
+        if (zoneLeaseKeeper.canRenew(heartbeat)) {
             return zoneLeaseKeeper.answer(heartbeat);
         }
-        redirectedMachines.add(heartbeat.host(), timers.nowMicros());
+        redirectedMachines.add(heartbeat.machineId(), timers.nowMicros());
         return redirectToLeader();
     }
 
@@ -62,7 +64,7 @@
      */
     private HeartbeatResponse redirectToLeader() {
         String leader = leadership.leaderNode();
-        boolean leaderIsReachable = storeContact.isRecent() || peers.hasRecentStatusOfLeader();
+        boolean leaderIsReachable = storeContact.isRecent() || peers.hasRecentLeaderStatus();
         return leaderIsReachable && leader != null && !leader.equals(node)
                 ? new HeartbeatResponse.Redirect(leader)
                 : new HeartbeatResponse.Unavailable();
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -32,19 +32,19 @@
 
     /** Begins with the machines and the records as of this revision. */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
-        takenOver.forEach(machine -> plan.takeOver(machine.id(), machine.profile()));
-        plan.takeOverUnreadable(unreadableParts);
-        plan.recordsRead(revision, timers.nowMicros());
+        takenOver.forEach(machine -> plan.takeOverMachine(machine.id(), machine.profile()));
+        plan.takeOverUnreadableParts(unreadableParts);
+        plan.onRecordsRead(revision, timers.nowMicros());
     }
 
     /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
     public boolean noMachineAwaited() {
-        return plan.noMachineAwaited();
+        return plan.isEveryMachineResolved();
     }
 
     /** Whether a task of this job may be on a machine that is still awaited. */
     boolean mayRunOnAwaitedMachine(ActiveJob job) {
-        return plan.verdictOnUnlisted(job.spec()) == Verdict.UNCONFIRMED;
+        return plan.verdictOnUnlistedTask(job.spec()) == Verdict.UNCONFIRMED;
     }
 
     /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
@@ -53,7 +53,7 @@
             return;
         }
         machine.takeoverResolved();
-        if (plan.resolved(machine.id(), machine.profile(), proof)) {
+        if (plan.resolveMachine(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
         }
@@ -69,7 +69,7 @@
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
     public boolean mayStart(ActiveJob job) {
-        return plan.mayStart(job.spec());
+        return plan.canStart(job.spec());
     }
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
@@ -84,11 +84,11 @@
      *     for them
      */
     public void cycleEnded(int tasksAwaitingPreemption) {
-        if (!plan.holdsBatchWork()) {
+        if (!plan.isBatchWorkHeld()) {
             return;
         }
-        plan.cycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
-        if (!plan.holdsBatchWork()) {
+        plan.onCycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
+        if (!plan.isBatchWorkHeld()) {
             loop.requestCycle();
         }
     }
@@ -98,8 +98,8 @@
      * known what of that work is lost.
      */
     public boolean keepsIdleMachines() {
-        return plan.holdsBatchWork()
-                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
+        return plan.isBatchWorkHeld()
+                || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
     /** How many claimed tasks may be on machines still awaited. */
@@ -112,7 +112,7 @@
         int jobsAwaitingClaim = 0;
         int unacknowledgedTasks = 0;
         for (ActiveJob job : jobs.all()) {
-            if (!job.isOpen() || !LiveWorkBacklog.includes(job.spec())) {
+            if (!job.isOpen() || !LiveWorkBacklog.isLiveWork(job.spec())) {
                 continue;
             }
             unconfirmedTasks += job.unconfirmedTasks();
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -48,12 +48,12 @@
     }
 
     /** Whether this controller may answer the worker in the place of the leader. */
-    public boolean mayRenew(Heartbeat heartbeat) {
+    public boolean canRenew(Heartbeat heartbeat) {
         if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
             return false;
         }
         readTokensOncePerContact();
-        return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.host()) == heartbeat.fencingToken();
+        return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.machineId()) == heartbeat.fencingToken();
     }
 
     /** Whether the store and the leader are out of reach, and have been for no longer than a leader may go on so. */
@@ -61,8 +61,8 @@
         long contactAgeMicros = timers.nowMicros() - replica.lastContactMicros();
         return contactAgeMicros >= Config.CONTACT_TIMEOUT_MICROS
                 && contactAgeMicros <= config.workers().maxDisconnectedMicros()
-                && !peers.hasRecentStatusOfLeader()
-                && !peers.anyConnected(Config.CONTACT_TIMEOUT_MICROS);
+                && !peers.hasRecentLeaderStatus()
+                && !peers.isAnyPeerConnected(Config.CONTACT_TIMEOUT_MICROS);
     }
 
     /** The records don't change without contact, and the inventory is too long to be searched for each heartbeat. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -14,12 +14,12 @@
     RECOVERED;
 
     /** Whether batch work, which comes after live work, may start. */
-    public boolean startsBatchWork() {
+    public boolean canStartBatchWork() {
         return compareTo(RESUMING_BATCH) >= 0;
     }
 
     /** Whether batch work is held for live work, which may start. */
-    public boolean holdsBatchWork() {
+    public boolean isHoldingBatchWork() {
         return this == RECONCILING || this == RESUMING_LIVE;
     }
 }
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -8,11 +8,12 @@
     private VerdictTable() {}
 
     /** The verdict on an attempt that a heartbeat lists. */
-    public static Verdict ofListed(RecordedTask recorded, KnownPlacement placement, ListedTask listed) {
+    public static Verdict forListedAttempt(
+            RecordedTaskState recorded, KnownPlacement placement, ListedTaskState listed) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
             return Verdict.CONFIRMED;
         }
-        if (recorded == RecordedTask.UNREADABLE) {
+        if (recorded == RecordedTaskState.UNREADABLE) {
             return Verdict.UNCONFIRMED;
         }
         return switch (listed) {
@@ -22,7 +23,7 @@
         };
     }
 
-    private static Verdict ofLive(RecordedTask recorded, KnownPlacement placement) {
+    private static Verdict ofLive(RecordedTaskState recorded, KnownPlacement placement) {
         return switch (recorded) {
             case CLAIMED -> placement == KnownPlacement.NONE ? Verdict.ADOPTED : Verdict.STALE;
             case UNCLAIMED, TASK_DONE, JOB_DONE, JOB_CANCELLED -> Verdict.STALE;
@@ -32,7 +33,7 @@
     }
 
     /** A result counts whoever started the attempt, as long as the records lack it. */
-    private static Verdict ofCompleted(RecordedTask recorded) {
+    private static Verdict ofCompleted(RecordedTaskState recorded) {
         return switch (recorded) {
             case CLAIMED, UNCLAIMED -> Verdict.FINISHED_MEANWHILE;
             case TASK_DONE, JOB_DONE, JOB_CANCELLED, NOT_IN_JOB, UNKNOWN_JOB -> Verdict.EXITED;
@@ -41,19 +42,19 @@
     }
 
     /** The verdict on an attempt of this leader that the machine's heartbeat does not list. */
-    public static Verdict ofMissing(StartEvidence start) {
+    public static Verdict forMissingAttempt(StartEvidence start) {
         if (start.laterAgentEpoch()) {
             return Verdict.LOST;
         }
-        if (!start.currentToken() || !start.sent() || start.unanswered()) {
+        if (!start.underCurrentToken() || !start.startSent() || start.startUnanswered()) {
             return Verdict.UNCONFIRMED;
         }
-        boolean answerWasTaken = start.seen() || start.sentByWorker() || !start.inAnswer();
+        boolean answerWasTaken = start.listedBefore() || start.initiatedByWorker() || !start.sentInHeartbeatResponse();
         return answerWasTaken ? Verdict.LOST : Verdict.UNCONFIRMED;
     }
 
     /** The verdict on a task that is claimed on record and that no heartbeat so far has listed. */
-    public static Verdict ofUnlisted(boolean mayRunOnAwaitedMachine) {
+    public static Verdict forUnlistedTask(boolean mayRunOnAwaitedMachine) {
         return mayRunOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -148,8 +148,8 @@
     @Test
     void notWhileARecoveryHoldsBatchWork() {
         Machine machine = paidMachine("m", false);
-        recoveryPlan.takeOver("awaited", machine.profile());
-        recoveryPlan.recordsRead(1, NOW);
+        recoveryPlan.takeOverMachine("awaited", machine.profile());
+        recoveryPlan.onRecordsRead(1, NOW);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -33,7 +33,7 @@
             @Override
             public void changed(String key, StoredRecord record, long revision) {
                 if (key.equals(Keys.LEADER)) {
-                    leadership.leaderChanged();
+                    leadership.onLeaderRecordChanged();
                 }
             }
 
@@ -42,12 +42,12 @@
         });
         leadership = new Leadership(config, store, replica, timers, () -> peersDisconnected, new Leadership.Listener() {
             @Override
-            public void elected(Leadership.Term term) {
+            public void onElected(Leadership.Term term) {
                 events.add("elected " + term.fencingToken());
             }
 
             @Override
-            public void leadershipLost(String why) {
+            public void onLeadershipLost(String why) {
                 events.add("lost: " + why);
             }
         });
@@ -60,7 +60,7 @@
     void withoutALeaderOnRecordItCampaignsAndLeads() {
         start();
         assertEquals(List.of("elected 1"), events);
-        assertTrue(leadership.leaseConfirmed() && leadership.mayStart());
+        assertTrue(leadership.isLeaseConfirmed() && leadership.canStartTasks());
         assertEquals(NODE, leadership.leaderNode());
     }
 
@@ -69,7 +69,7 @@
         store.put(Keys.LEADER, new LeaderRecord("c2", "c2-1", 7), 99);
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", 7, 7), 0);
         start();
-        assertFalse(leadership.leads());
+        assertFalse(leadership.isLeader());
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
         assertEquals(List.of("elected 8"), events, "under the next fencing token");
@@ -88,16 +88,16 @@
         start();
         store.unreachable = true;
         timers.advance(5 * SECOND);
-        assertTrue(leadership.answersWorkers() && !leadership.leaseConfirmed(), "disconnected");
-        assertFalse(leadership.mayStart(), "a peer may have confirmed a cancellation");
+        assertTrue(leadership.canAnswerWorkers() && !leadership.isLeaseConfirmed(), "disconnected");
+        assertFalse(leadership.canStartTasks(), "a peer may have confirmed a cancellation");
         peersDisconnected = true;
-        assertTrue(leadership.mayStart(), "no peer can have confirmed one");
+        assertTrue(leadership.canStartTasks(), "no peer can have confirmed one");
         timers.advance(15 * SECOND);
-        assertFalse(leadership.answersWorkers() || leadership.mayStart(), "fenced off");
-        assertTrue(leadership.leads(), "the term is not known to be over");
+        assertFalse(leadership.canAnswerWorkers() || leadership.canStartTasks(), "fenced off");
+        assertTrue(leadership.isLeader(), "the term is not known to be over");
         store.unreachable = false;
         timers.advance(3 * SECOND);
-        assertTrue(leadership.leaseConfirmed());
+        assertTrue(leadership.isLeaseConfirmed());
         assertEquals(List.of("elected 1"), events, "still the same term");
     }
 
@@ -117,7 +117,8 @@
         start();
         store.readsWithheld = true;
         timers.advance(5 * SECOND);
-        assertTrue(leadership.leads() && !leadership.leaseConfirmed(), "a cancellation shows in the records alone");
+        assertTrue(
+                leadership.isLeader() && !leadership.isLeaseConfirmed(), "a cancellation shows in the records alone");
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
         assertEquals(List.of("elected 1", "lost: our lease ran out"), events, "the renewal tells");
@@ -146,7 +147,7 @@
         assertEquals(1, store.answerWithheldRenewals());
         timers.advance(SECOND);
         assertEquals(before, events);
-        assertTrue(leadership.leaseConfirmed());
+        assertTrue(leadership.isLeaseConfirmed());
     }
 
     @Test
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -45,24 +45,25 @@
     @Test
     void whatHeartbeatsListIsAsPrinted() {
         List<List<String>> rows = rows(LISTED);
-        assertEquals(RecordedTask.values().length, rows.size(), "rows");
+        assertEquals(RecordedTaskState.values().length, rows.size(), "rows");
         for (List<String> row : rows) {
-            RecordedTask recorded = RecordedTask.valueOf(row.get(0));
+            RecordedTaskState recorded = RecordedTaskState.valueOf(row.get(0));
             for (int held = 0; held < HELD.size(); held++) {
-                assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTask.LIVE);
-                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTask.COMPLETED);
-                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ListedTask.EXITED);
+                assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTaskState.LIVE);
+                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTaskState.COMPLETED);
+                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ListedTaskState.EXITED);
             }
-            for (ListedTask listed : ListedTask.values()) {
+            for (ListedTaskState listed : ListedTaskState.values()) {
                 assertCell("CONFIRMED", recorded, KnownPlacement.THIS_ATTEMPT, listed);
             }
         }
     }
 
-    private static void assertCell(String cell, RecordedTask recorded, KnownPlacement held, ListedTask listed) {
+    private static void assertCell(
+            String cell, RecordedTaskState recorded, KnownPlacement held, ListedTaskState listed) {
         assertEquals(
                 Verdict.valueOf(cell),
-                VerdictTable.ofListed(recorded, held, listed),
+                VerdictTable.forListedAttempt(recorded, held, listed),
                 recorded + ", " + held + ", " + listed);
     }
 
@@ -76,7 +77,7 @@
             }
             StartEvidence evidence =
                     new StartEvidence(flags[0], flags[1], flags[2], flags[3], flags[4], flags[5], flags[6]);
-            assertEquals(firstMatch(rows, flags), VerdictTable.ofMissing(evidence), evidence.toString());
+            assertEquals(firstMatch(rows, flags), VerdictTable.forMissingAttempt(evidence), evidence.toString());
         }
     }
 
@@ -95,7 +96,7 @@
 
     @Test
     void whatNoHeartbeatListsIsLostOnlyWhenNoMachineIsLeft() {
-        assertEquals(Verdict.UNCONFIRMED, VerdictTable.ofUnlisted(true));
-        assertEquals(Verdict.LOST, VerdictTable.ofUnlisted(false));
+        assertEquals(Verdict.UNCONFIRMED, VerdictTable.forUnlistedTask(true));
+        assertEquals(Verdict.LOST, VerdictTable.forUnlistedTask(false));
     }
 }
--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -30,18 +30,18 @@
 
     private RecoveryPlan plan() {
         RecoveryPlan plan = new RecoveryPlan(7, 1_000_000, tracer);
-        plan.takeOver("a", PROFILE);
-        plan.takeOver("b", PROFILE);
-        plan.recordsRead(42, 0);
+        plan.takeOverMachine("a", PROFILE);
+        plan.takeOverMachine("b", PROFILE);
+        plan.onRecordsRead(42, 0);
         return plan;
     }
 
     @Test
     void oneSpanForTheTermEachPhaseAndEachMachineInDoubt() {
         RecoveryPlan plan = plan();
-        plan.resolved("a", PROFILE, "heard");
-        plan.cycleEnded(LiveWorkBacklog.NONE);
-        plan.resolved("b", PROFILE, "its lease is over");
+        plan.resolveMachine("a", PROFILE, "heard");
+        plan.onCycleEnded(LiveWorkBacklog.NONE);
+        plan.resolveMachine("b", PROFILE, "its lease is over");
         assertEquals(
                 List.of(
                         "reading",
