--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -87,7 +87,7 @@
     /** Records the end of the job when all its tasks are done. */
     public void endIfDone(ActiveJob job) {
         if (job.isOpen() && job.unfinishedTasks() == 0) {
-            job.allTasksDone();
+            job.markCompleting();
             recorder.recordDone(job);
         }
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -105,7 +105,7 @@
     }
 
     /** All its tasks are done, which is still to be recorded. */
-    public void allTasksDone() {
+    public void markCompleting() {
         transition(Phase.ENDING, "all tasks done");
     }
 
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -30,7 +30,7 @@
             """;
 
     private static final String EVENTS = """
-            in      allTasksDone  finalStateRecorded
+            in      markCompleting  finalStateRecorded
             OPEN    ENDING        OVER
             ENDING  ENDING        OVER
             OVER    refused       OVER
@@ -64,7 +64,7 @@
     void bringTo(Phase phase) {
         switch (phase) {
             case OPEN -> {}
-            case ENDING -> job.allTasksDone();
+            case ENDING -> job.markCompleting();
             case OVER -> job.finalStateRecorded("test");
         }
     }
@@ -72,7 +72,7 @@
     @Override
     void apply(String event) {
         switch (event) {
-            case "allTasksDone" -> job.allTasksDone();
+            case "markCompleting" -> job.markCompleting();
             case "finalStateRecorded" -> job.finalStateRecorded("test");
             default -> throw new IllegalArgumentException(event);
         }
