--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -120,7 +120,7 @@
         if (job == null) {
             return;
         }
-        job.finalStateRecorded(outcome.toString());
+        job.markEnded(outcome.toString());
         if (outcome == FinalRecord.Outcome.DONE) {
             logDone(job);
         }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -110,7 +110,7 @@
     }
 
     /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
-    public void finalStateRecorded(String outcome) {
+    public void markEnded(String outcome) {
         transition(Phase.OVER, outcome);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -30,7 +30,7 @@
             """;
 
     private static final String EVENTS = """
-            in      markCompleting  finalStateRecorded
+            in      markCompleting  markEnded
             OPEN    ENDING        OVER
             ENDING  ENDING        OVER
             OVER    refused       OVER
@@ -65,7 +65,7 @@
         switch (phase) {
             case OPEN -> {}
             case ENDING -> job.markCompleting();
-            case OVER -> job.finalStateRecorded("test");
+            case OVER -> job.markEnded("test");
         }
     }
 
@@ -73,7 +73,7 @@
     void apply(String event) {
         switch (event) {
             case "markCompleting" -> job.markCompleting();
-            case "finalStateRecorded" -> job.finalStateRecorded("test");
+            case "markEnded" -> job.markEnded("test");
             default -> throw new IllegalArgumentException(event);
         }
     }
@@ -178,7 +178,7 @@
     void nothingOfAJobThatIsOverWaitsOrIsFreed() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
         job.place(placement);
-        job.finalStateRecorded("cancelled");
+        job.markEnded("cancelled");
         assertEquals(0, job.waitingTasks());
         job.unplace(placement, false);
         assertFalse(job.hasClaimedTask());
