--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -60,7 +60,7 @@
         if (task.index() >= job.spec().tasks()) {
             return RecordedTask.NOT_IN_JOB;
         }
-        if (job.phase() == ActiveJob.Phase.ENDING) {
+        if (job.phase() == ActiveJob.Phase.COMPLETING) {
             return RecordedTask.JOB_DONE;
         }
         if (job.isDone(task.index())) {
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -24,7 +24,7 @@
     /** {@code ENDING}: all tasks done, to be recorded. {@code OVER}: its final state is on record. */
     public enum Phase {
         OPEN,
-        ENDING,
+        COMPLETING,
         OVER;
 
         /** Whether a job may go from this phase to the next one. */
@@ -106,7 +106,7 @@
 
     /** All its tasks are done, which is still to be recorded. */
     public void markCompleting() {
-        transition(Phase.ENDING, "all tasks done");
+        transition(Phase.COMPLETING, "all tasks done");
     }
 
     /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -93,7 +93,7 @@
         }
         Placement last = fixture.started(job, machine);
         update(last, exited(last, Cause.DONE));
-        assertEquals(ActiveJob.Phase.ENDING, job.phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, job.phase());
     }
 
     // ---- running -----------------------------------------------------------------------------------------------
@@ -197,7 +197,7 @@
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startedGang(gang);
         fixture.statusUpdater.completedElsewhere(gang, 0);
-        assertEquals(ActiveJob.Phase.ENDING, gang.phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, gang.phase());
         assertEquals(Placement.Phase.SENT, placements.get(0).phase(), "its tasks exit by themselves");
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -102,7 +102,7 @@
         accepted(BATCH, 4, TOKEN);
         progressed(BATCH.tasks(), BATCH.tasks());
         lifecycle.start();
-        assertEquals(ActiveJob.Phase.ENDING, job().phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, job().phase());
         fixture.timers.advance(SECOND);
         assertEquals(FinalRecord.Outcome.DONE, fixture.jobIndex.finalOf(JOB));
         assertNull(job(), "nothing of it is on any machine");
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -23,16 +23,16 @@
 /** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
 class ActiveJobTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
-            from    OPEN  ENDING  OVER
+            from    OPEN  COMPLETING  OVER
             OPEN    =     yes     yes
-            ENDING  -     =       yes
+            COMPLETING  -     =       yes
             OVER    -     -       =
             """;
 
     private static final String EVENTS = """
             in      markCompleting  markEnded
-            OPEN    ENDING        OVER
-            ENDING  ENDING        OVER
+            OPEN    COMPLETING        OVER
+            COMPLETING  COMPLETING        OVER
             OVER    refused       OVER
             """;
 
@@ -64,7 +64,7 @@
     void bringTo(Phase phase) {
         switch (phase) {
             case OPEN -> {}
-            case ENDING -> job.markCompleting();
+            case COMPLETING -> job.markCompleting();
             case OVER -> job.markEnded("test");
         }
     }
