--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -54,7 +54,7 @@
     }
 
     private RecordedTask recordedTask(@Nullable ActiveJob job, TaskId task) {
-        if (job == null || job.phase() == ActiveJob.Phase.OVER) {
+        if (job == null || job.phase() == ActiveJob.Phase.ENDED) {
             return jobIndex.recorded(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -74,7 +74,7 @@
     }
 
     private List<Change> progressChange(String key, ActiveJob job) {
-        if (job.phase() == ActiveJob.Phase.OVER) {
+        if (job.phase() == ActiveJob.Phase.ENDED) {
             return List.of();
         }
         ProgressRecord progress = new ProgressRecord(config.node(), job.requestedClaim(), job.done(), job.running());
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -25,7 +25,7 @@
     public enum Phase {
         OPEN,
         COMPLETING,
-        OVER;
+        ENDED;
 
         /** Whether a job may go from this phase to the next one. */
         boolean allows(Phase next) {
@@ -111,7 +111,7 @@
 
     /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
     public void markEnded(String outcome) {
-        transition(Phase.OVER, outcome);
+        transition(Phase.ENDED, outcome);
     }
 
     // ---- counts ------------------------------------------------------------------------------------------------
@@ -220,7 +220,7 @@
             return;
         }
         tasksByZone.remove(placement.machine().zone());
-        if (phase != Phase.OVER) {
+        if (phase != Phase.ENDED) {
             numbers.unplaced(task, elsewhere);
         }
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -23,17 +23,17 @@
 /** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
 class ActiveJobTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
-            from    OPEN  COMPLETING  OVER
+            from    OPEN  COMPLETING  ENDED
             OPEN    =     yes     yes
             COMPLETING  -     =       yes
-            OVER    -     -       =
+            ENDED    -     -       =
             """;
 
     private static final String EVENTS = """
             in      markCompleting  markEnded
-            OPEN    COMPLETING        OVER
-            COMPLETING  COMPLETING        OVER
-            OVER    refused       OVER
+            OPEN    COMPLETING        ENDED
+            COMPLETING  COMPLETING        ENDED
+            ENDED    refused       ENDED
             """;
 
     private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
@@ -65,7 +65,7 @@
         switch (phase) {
             case OPEN -> {}
             case COMPLETING -> job.markCompleting();
-            case OVER -> job.markEnded("test");
+            case ENDED -> job.markEnded("test");
         }
     }
 
