--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
@@ -9,8 +9,8 @@
 
     /** Whether it goes before another: live services before other work, then most of a kind. */
     boolean goesBefore(PlannedLaunch other) {
-        boolean live = offer.job().isLive();
-        boolean otherLive = other.offer.job().isLive();
+        boolean live = offer.job().isLiveService();
+        boolean otherLive = other.offer.job().isLiveService();
         return live == otherLive ? count > other.count : live;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -73,10 +73,10 @@
         List<ActiveJob> waiting = new ArrayList<>(wanting);
         waiting.sort(Comparator.comparing((ActiveJob job) -> job.spec().priority())
                 .thenComparing(job -> job.acceptedMicros()));
-        waiting.stream().filter(ActiveJob::isLive).forEach(waitingLiveTasks::add);
+        waiting.stream().filter(ActiveJob::isLiveService).forEach(waitingLiveTasks::add);
         boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
-            if (!headroomPlanned && !job.isLive()) {
+            if (!headroomPlanned && !job.isLiveService()) {
                 // What is on its way is headroom once the live services at hand have theirs, whatever else wants it.
                 headroom.make();
                 headroomPlanned = true;
@@ -110,7 +110,7 @@
             return;
         }
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
-        int others = job.isLive() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
+        int others = job.isLiveService() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
         int wanted = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
         int lacking = usePending(job, wanted, tasksByZone);
         planNew(job, lacking, others, tasksByZone);
--- a/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -13,7 +13,7 @@
 
     /** A job was accepted; only live services count. */
     void accepted(ActiveJob job, long nowMicros) {
-        if (job.isLive()) {
+        if (job.isLiveService()) {
             double arrivedCpu = job.spec().tasks() * (double) job.spec().cpuMillis();
             cpuPerMicroThen = cpuPerMicro(nowMicros) + arrivedCpu / MEMORY_MICROS;
             lastArrivalMicros = nowMicros;
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -72,7 +72,7 @@
     }
 
     /** Whether it is a service whose start its users wait for: it goes before all other work. */
-    public boolean isLive() {
+    public boolean isLiveService() {
         return spec.service() && !Priority.HIGH.above(spec.priority());
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -40,7 +40,7 @@
             }
             cpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().cpuMillis());
             gpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().gpuMillis());
-            if (!job.isLive()
+            if (!job.isLiveService()
                     && cpuMillis.getLong(team.name()) <= team.cpuGuarantee()
                     && gpuMillis.getLong(team.name()) <= team.gpuGuarantee()) {
                 job.scheduling().classify(SchedulingClass.GUARANTEED);
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -71,7 +71,7 @@
 
     /** Whether the machine is not reserved for a gang, unless the job is this gang or goes before all gangs. */
     public boolean respectsReservation(Machine machine, ActiveJob job) {
-        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
+        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLiveService();
     }
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -98,7 +98,7 @@
     private Candidate candidate(ActiveJob job) {
         return new Candidate(
                 job,
-                job.isLive() ? SchedulingClass.LIVE : job.scheduling().schedulingClass(),
+                job.isLiveService() ? SchedulingClass.LIVE : job.scheduling().schedulingClass(),
                 fairShare.share(
                         job.spec().priority(),
                         job.spec().hasDeadline(),
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -34,7 +34,7 @@
 
     /** Whether anything at all may be stopped for the job. */
     boolean mayPreempt() {
-        return job.isLive() || job.spec().hasDeadline() || reclaimsBorrowed;
+        return job.isLiveService() || job.spec().hasDeadline() || reclaimsBorrowed;
     }
 
     /** Whether this task may be stopped for the job. */
@@ -51,7 +51,7 @@
 
     /** How long the task may go on to save its progress. A live replica's capacity is needed at once. */
     long graceMicros(Placement victim) {
-        return job.isLive() ? 0 : victim.job().spec().saveMicros();
+        return job.isLiveService() ? 0 : victim.job().spec().saveMicros();
     }
 
     /** By priority alone. Live replicas are never stopped. */
@@ -60,10 +60,10 @@
         if (!job.spec().priority().above(victim.priority()) || victim.service()) {
             return false;
         }
-        if (!job.isLive() && victim.gang()) {
+        if (!job.isLiveService() && victim.gang()) {
             return false; // it saves only when all its tasks are reached in time
         }
-        return job.isLive()
+        return job.isLiveService()
                 || (victim.checkpointMicros() > 0
                         && placement.hasRun()
                         && placement.ranMicros(nowMicros) > MIN_RUNTIME_MICROS);
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -89,7 +89,7 @@
 
     /** A short wait gets a live replica onto a machine that already has its image. */
     private static boolean waitsForImage(ActiveJob job, Machine machine, long nowMicros) {
-        return job.isLive()
+        return job.isLiveService()
                 && !machine.capacity().hasImage(job.spec().image())
                 && nowMicros - job.scheduling().waitingSinceMicros() < IMAGE_WAIT_MICROS;
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -232,7 +232,7 @@
     @CsvSource({"SERVICE, CRITICAL, true", "SERVICE, HIGH, true", "SERVICE, STANDARD, false", "BATCH, CRITICAL, false"})
     void servicesOfHighPriorityAreLive(JobSpec.Shape shape, Priority priority, boolean live) {
         JobSpec spec = Fixtures.spec(shape, false, false, priority);
-        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLive());
+        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLiveService());
     }
 
     @Test
