--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -63,7 +63,7 @@
         int running = 0;
         for (ActiveJob job : jobs.all()) {
             waiting += Math.max(0, job.waitingTasks());
-            running += job.running();
+            running += job.runningTasks();
         }
         LOG.info(
                 "fleet: {} machines ({} idle, {} on their way), CPUs used {} and spot {}; tasks {} running, {} "
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -77,7 +77,8 @@
         if (job.phase() == ActiveJob.Phase.ENDED) {
             return List.of();
         }
-        ProgressRecord progress = new ProgressRecord(config.node(), job.requestedClaim(), job.done(), job.running());
+        ProgressRecord progress =
+                new ProgressRecord(config.node(), job.requestedClaim(), job.done(), job.runningTasks());
         return List.of(Change.write(key, progress.atMost(config.limits().store().valueBytes())));
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -71,7 +71,7 @@
                 task,
                 attempt,
                 machine.id(),
-                job.running(),
+                job.runningTasks(),
                 job.unfinishedTasks());
         return placement;
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -117,7 +117,7 @@
     // ---- counts ------------------------------------------------------------------------------------------------
 
     /** Handed out and not known to be over: placed, or unconfirmed. */
-    public int running() {
+    public int runningTasks() {
         return placements.size() + numbers.unconfirmedCount();
     }
 
@@ -128,7 +128,7 @@
 
     /** Tasks that could start now if there were capacity, claimed or not. */
     public int waitingTasks() {
-        return phase == Phase.OPEN ? unfinishedTasks() - running() : 0;
+        return phase == Phase.OPEN ? unfinishedTasks() - runningTasks() : 0;
     }
 
     /** The finished tasks, as ranges of their numbers. */
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -69,7 +69,7 @@
 
     /** The CPU time that the job still needs. */
     double remainingWork(ActiveJob job) {
-        return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.running())
+        return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.runningTasks())
                 * job.spec().cpuMillis()
                 * runtimeEstimator.taskMicros(job);
     }
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -43,7 +43,7 @@
         List<DueJob> possiblyInTime = new ArrayList<>();
         List<DueJob> late = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
-            if (job.running() > 0) {
+            if (job.runningTasks() > 0) {
                 job.scheduling().seenRunning(nowMicros);
             }
             SchedulingClass fixedClass = classWhateverTheDeadline(job, nowMicros);
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -104,6 +104,6 @@
                         job.spec().hasDeadline(),
                         job.spec().tasks(),
                         job.unfinishedTasks(),
-                        job.running()));
+                        job.runningTasks()));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -92,7 +92,7 @@
         assertEquals(5, inherited.requestedClaim());
         assertEquals(5, inherited.firstNeverStarted());
         assertEquals(4, inherited.unconfirmedTasks());
-        assertEquals(4, inherited.running());
+        assertEquals(4, inherited.runningTasks());
         assertEquals(9, inherited.unfinishedTasks());
         assertEquals(5, inherited.waitingTasks());
         assertFalse(inherited.hasClaimedTask(), "none is proved to be on no machine");
@@ -131,7 +131,7 @@
         Placement found = Fixtures.placement(inherited, 2, north, 1);
         inherited.place(found);
         assertEquals(3, inherited.unconfirmedTasks());
-        assertEquals(4, inherited.running());
+        assertEquals(4, inherited.runningTasks());
         assertSame(found, inherited.placement(2));
         assertEquals(1, inherited.tasksByZone().get("north"));
     }
