--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -78,7 +78,7 @@
             return List.of();
         }
         ProgressRecord progress =
-                new ProgressRecord(config.node(), job.requestedClaim(), job.done(), job.runningTasks());
+                new ProgressRecord(config.node(), job.requestedClaim(), job.doneTasks(), job.runningTasks());
         return List.of(Change.write(key, progress.atMost(config.limits().store().valueBytes())));
     }
 
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -132,7 +132,7 @@
     }
 
     /** The finished tasks, as ranges of their numbers. */
-    public RangeSet<Integer> done() {
+    public RangeSet<Integer> doneTasks() {
         return numbers.done();
     }
 
