--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -66,7 +66,7 @@
         if (job.isDone(task.index())) {
             return RecordedTask.TASK_DONE;
         }
-        return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
+        return task.index() < job.claimedTasks() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
     }
 
     private static KnownPlacement knownPlacement(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -52,7 +52,7 @@
         GangAttempt attempt = job.gangAttempt();
         if (attempt != null) {
             completion.completeOrStop(job, attempt, machinesWithCapacity, nowMicros);
-        } else if (job.runningTasks() == 0 && job.claimed() >= job.spec().tasks()) {
+        } else if (job.runningTasks() == 0 && job.claimedTasks() >= job.spec().tasks()) {
             startOrReserve(job, machinesWithCapacity, nowMicros);
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -108,7 +108,7 @@
     @Override
     public void progressed(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
-        if (job != null && progress.claimed() > job.claimed()) {
+        if (job != null && progress.claimed() > job.claimedTasks()) {
             job.claimRecorded(progress.claimed());
             loop.requestCycle();
         }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -144,7 +144,7 @@
     // ---- claims ------------------------------------------------------------------------------------------------
 
     /** Tasks below this are ours by record. */
-    public int claimed() {
+    public int claimedTasks() {
         return numbers.claimed();
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -126,7 +126,7 @@
         accepted(BATCH, 4, TOKEN);
         lifecycle.start();
         progressed(recorded, 0);
-        assertEquals(expected, job().claimed());
+        assertEquals(expected, job().claimedTasks());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -88,7 +88,7 @@
     @Test
     void whatAFormerLeaderClaimedAndIsNotDoneIsUnconfirmed() {
         ActiveJob inherited = inherited(BATCH);
-        assertEquals(5, inherited.claimed(), "the larger claim of its two records");
+        assertEquals(5, inherited.claimedTasks(), "the larger claim of its two records");
         assertEquals(5, inherited.requestedClaim());
         assertEquals(5, inherited.firstNeverStarted());
         assertEquals(4, inherited.unconfirmedTasks());
