--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -109,7 +109,7 @@
     public void progressed(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
         if (job != null && progress.claimed() > job.claimedTasks()) {
-            job.claimRecorded(progress.claimed());
+            job.confirmClaim(progress.claimed());
             loop.requestCycle();
         }
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -149,7 +149,7 @@
     }
 
     /** A larger claim is on record. */
-    public void claimRecorded(int tasks) {
+    public void confirmClaim(int tasks) {
         numbers.claimRecorded(tasks);
     }
 
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -30,7 +30,7 @@
         for (String id : List.of("m1", "m2", "m3")) {
             machines.add(fixture.machine(id, false));
         }
-        gang.claimRecorded(2);
+        gang.confirmClaim(2);
     }
 
     private void fillMachines() {
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -110,7 +110,7 @@
         inherited.takeTask(3);
         assertEquals(4, inherited.takeTask());
         assertFalse(inherited.hasClaimedTask());
-        inherited.claimRecorded(6);
+        inherited.confirmClaim(6);
         assertTrue(inherited.hasClaimedTask());
         assertEquals(5, inherited.takeTask());
         assertEquals(6, inherited.firstNeverStarted());
@@ -121,7 +121,7 @@
         job.claimRequested(4);
         assertEquals(4, job.requestedClaim());
         assertFalse(job.hasClaimedTask());
-        job.claimRecorded(4);
+        job.confirmClaim(4);
         assertTrue(job.hasClaimedTask());
     }
 
