--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -57,7 +57,7 @@
         int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstNeverStarted() + block);
         boolean soonUsedUp = job.requestedClaim() - job.firstNeverStarted() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || soonUsedUp)) {
-            job.claimRequested(target);
+            job.requestClaim(target);
             recordProgress(job, WriteQueue.Urgency.WORK, 0);
         }
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -159,7 +159,7 @@
     }
 
     /** A claim of this many tasks is to be recorded. */
-    public void claimRequested(int tasks) {
+    public void requestClaim(int tasks) {
         numbers.claimRequested(tasks);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -118,7 +118,7 @@
 
     @Test
     void aClaimCountsOnceItIsOnRecord() {
-        job.claimRequested(4);
+        job.requestClaim(4);
         assertEquals(4, job.requestedClaim());
         assertFalse(job.hasClaimedTask());
         job.confirmClaim(4);
