--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -54,8 +54,8 @@
         int tasks = job.spec().tasks();
         // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
         int block = writeQueue.behind() ? tasks : config.tuning().nextBlock(job.spec());
-        int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstNeverStarted() + block);
-        boolean soonUsedUp = job.requestedClaim() - job.firstNeverStarted() <= block / 2;
+        int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
+        boolean soonUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || soonUsedUp)) {
             job.requestClaim(target);
             recordProgress(job, WriteQueue.Urgency.WORK, 0);
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -164,7 +164,7 @@
     }
 
     /** Tasks at or above this were never handed out. */
-    public int firstNeverStarted() {
+    public int firstUnstartedTask() {
         return numbers.firstNeverStarted();
     }
 
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -90,7 +90,7 @@
         ActiveJob inherited = inherited(BATCH);
         assertEquals(5, inherited.claimedTasks(), "the larger claim of its two records");
         assertEquals(5, inherited.requestedClaim());
-        assertEquals(5, inherited.firstNeverStarted());
+        assertEquals(5, inherited.firstUnstartedTask());
         assertEquals(4, inherited.unconfirmedTasks());
         assertEquals(4, inherited.runningTasks());
         assertEquals(9, inherited.unfinishedTasks());
@@ -113,7 +113,7 @@
         inherited.confirmClaim(6);
         assertTrue(inherited.hasClaimedTask());
         assertEquals(5, inherited.takeTask());
-        assertEquals(6, inherited.firstNeverStarted());
+        assertEquals(6, inherited.firstUnstartedTask());
     }
 
     @Test
