--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -116,7 +116,7 @@
                 continue;
             }
             unconfirmedTasks += job.unconfirmedTasks();
-            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasClaimedTask() ? 1 : 0;
+            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasStartableTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
                 unacknowledgedTasks += placement.seen() ? 0 : 1;
             }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -169,7 +169,7 @@
     }
 
     /** Whether a task could be started without a further claim. */
-    public boolean hasClaimedTask() {
+    public boolean hasStartableTask() {
         return numbers.hasClaimed();
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -55,7 +55,7 @@
             }
             jobs.claim(job);
             job.scheduling().tasksWaiting(nowMicros);
-            if (job.hasClaimedTask() && recovery.mayStart(job)) {
+            if (job.hasStartableTask() && recovery.mayStart(job)) {
                 add(job, nowMicros);
             }
         }
@@ -64,7 +64,7 @@
     /** Queues a job again, by its present share, if it has a further claimed task. */
     void addAgain(ActiveJob job, long nowMicros) {
         jobs.claim(job);
-        if (job.waitingTasks() > 0 && job.hasClaimedTask()) {
+        if (job.waitingTasks() > 0 && job.hasStartableTask()) {
             add(job, nowMicros);
         }
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -95,7 +95,7 @@
         assertEquals(4, inherited.runningTasks());
         assertEquals(9, inherited.unfinishedTasks());
         assertEquals(5, inherited.waitingTasks());
-        assertFalse(inherited.hasClaimedTask(), "none is proved to be on no machine");
+        assertFalse(inherited.hasStartableTask(), "none is proved to be on no machine");
     }
 
     @Test
@@ -109,9 +109,9 @@
         assertEquals(2, inherited.takeTask());
         inherited.takeTask(3);
         assertEquals(4, inherited.takeTask());
-        assertFalse(inherited.hasClaimedTask());
+        assertFalse(inherited.hasStartableTask());
         inherited.confirmClaim(6);
-        assertTrue(inherited.hasClaimedTask());
+        assertTrue(inherited.hasStartableTask());
         assertEquals(5, inherited.takeTask());
         assertEquals(6, inherited.firstUnstartedTask());
     }
@@ -120,9 +120,9 @@
     void aClaimCountsOnceItIsOnRecord() {
         job.requestClaim(4);
         assertEquals(4, job.requestedClaim());
-        assertFalse(job.hasClaimedTask());
+        assertFalse(job.hasStartableTask());
         job.confirmClaim(4);
-        assertTrue(job.hasClaimedTask());
+        assertTrue(job.hasStartableTask());
     }
 
     @Test
@@ -143,7 +143,7 @@
         inherited.place(here);
         inherited.unplace(here, true);
         assertEquals(4, inherited.unconfirmedTasks());
-        assertFalse(inherited.hasClaimedTask());
+        assertFalse(inherited.hasStartableTask());
         inherited.place(here);
         inherited.unplace(here, false);
         assertEquals(3, inherited.unconfirmedTasks());
@@ -159,7 +159,7 @@
         job.place(later);
         job.unplace(earlier, false);
         assertSame(later, job.placement(2));
-        assertFalse(job.hasClaimedTask());
+        assertFalse(job.hasStartableTask());
     }
 
     @Test
@@ -170,7 +170,7 @@
         job.markDone(0);
         assertEquals(TASKS - 1, job.unfinishedTasks(), "counted once");
         job.unplace(placement, false);
-        assertFalse(job.hasClaimedTask());
+        assertFalse(job.hasStartableTask());
         assertTrue(job.isDone(0));
     }
 
@@ -181,7 +181,7 @@
         job.markEnded("cancelled");
         assertEquals(0, job.waitingTasks());
         job.unplace(placement, false);
-        assertFalse(job.hasClaimedTask());
+        assertFalse(job.hasStartableTask());
         assertFalse(job.hasPlacements());
     }
 
