--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -47,7 +47,7 @@
     private void replaceLostTasks(
             ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         while (job.waitingTasks() > 0) {
-            int index = job.firstFreed();
+            int index = job.firstFreedTask();
             Machine machine = replacementMachine(job, attempt, index, machinesWithCapacity, nowMicros);
             if (machine == null) {
                 return;
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -186,7 +186,7 @@
     }
 
     /** The lowest task number that was started before and is free again. */
-    public int firstFreed() {
+    public int firstFreedTask() {
         return numbers.firstFreed();
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -72,7 +72,7 @@
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, Cause.FAILED));
         assertTrue(fixture.faults.suspects(machine));
-        assertEquals(placement.task().index(), job.firstFreed());
+        assertEquals(placement.task().index(), job.firstFreedTask());
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -104,7 +104,7 @@
         inherited.resolveUnconfirmed();
         assertEquals(0, inherited.unconfirmedTasks());
         assertEquals(9, inherited.waitingTasks());
-        assertEquals(0, inherited.firstFreed());
+        assertEquals(0, inherited.firstFreedTask());
         assertEquals(0, inherited.takeTask());
         assertEquals(2, inherited.takeTask());
         inherited.takeTask(3);
@@ -147,7 +147,7 @@
         inherited.place(here);
         inherited.unplace(here, false);
         assertEquals(3, inherited.unconfirmedTasks());
-        assertEquals(2, inherited.firstFreed());
+        assertEquals(2, inherited.firstFreedTask());
         assertNull(inherited.placement(2));
         assertEquals(0, inherited.tasksByZone().get("north"));
     }
