--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -109,7 +109,7 @@
 
     private void place(Placement placement) {
         placement.machine().add(placement);
-        placement.job().place(placement);
+        placement.job().addPlacement(placement);
         teamLimits.placed(placement.job().spec());
     }
 
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -206,7 +206,7 @@
     }
 
     /** A task of it is placed. */
-    public void place(Placement placement) {
+    public void addPlacement(Placement placement) {
         int task = placement.task().index();
         placements.put(task, placement);
         tasksByZone.add(placement.machine().zone());
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -56,7 +56,7 @@
         faults.failed(third, job, FAILED);
         assertFalse(faults.suspects(third), "it makes no further machine a suspect");
         assertTrue(faults.mayStartAnother(job), "nothing of it is placed");
-        job.place(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
+        job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
         assertFalse(faults.mayStartAnother(job));
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
@@ -27,7 +27,7 @@
 
     private Placement placed(ActiveJob ofJob, int task, long number) {
         Placement placement = Fixtures.placement(ofJob, task, fixture.machine("i-" + task), number);
-        ofJob.place(placement);
+        ofJob.addPlacement(placement);
         return placement;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -129,7 +129,7 @@
     void aTaskThatIsFoundIsUnconfirmedNoMore() {
         ActiveJob inherited = inherited(BATCH);
         Placement found = Fixtures.placement(inherited, 2, north, 1);
-        inherited.place(found);
+        inherited.addPlacement(found);
         assertEquals(3, inherited.unconfirmedTasks());
         assertEquals(4, inherited.runningTasks());
         assertSame(found, inherited.placement(2));
@@ -140,11 +140,11 @@
     void aTaskProvedGoneIsFreeUnlessItMayBeElsewhere() {
         ActiveJob inherited = inherited(BATCH);
         Placement here = Fixtures.placement(inherited, 2, north, 1);
-        inherited.place(here);
+        inherited.addPlacement(here);
         inherited.unplace(here, true);
         assertEquals(4, inherited.unconfirmedTasks());
         assertFalse(inherited.hasStartableTask());
-        inherited.place(here);
+        inherited.addPlacement(here);
         inherited.unplace(here, false);
         assertEquals(3, inherited.unconfirmedTasks());
         assertEquals(2, inherited.firstFreedTask());
@@ -156,7 +156,7 @@
     void anEarlierAttemptDoesNotDisplaceALaterOne() {
         Placement earlier = Fixtures.placement(job, 2, north, 1);
         Placement later = Fixtures.placement(job, 2, south, 2);
-        job.place(later);
+        job.addPlacement(later);
         job.unplace(earlier, false);
         assertSame(later, job.placement(2));
         assertFalse(job.hasStartableTask());
@@ -165,7 +165,7 @@
     @Test
     void aTaskThatIsDoneNeverStartsAgain() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
-        job.place(placement);
+        job.addPlacement(placement);
         job.markDone(0);
         job.markDone(0);
         assertEquals(TASKS - 1, job.unfinishedTasks(), "counted once");
@@ -177,7 +177,7 @@
     @Test
     void nothingOfAJobThatIsOverWaitsOrIsFreed() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
-        job.place(placement);
+        job.addPlacement(placement);
         job.markEnded("cancelled");
         assertEquals(0, job.waitingTasks());
         job.unplace(placement, false);
@@ -209,7 +209,7 @@
         ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
         assertTrue(oneZone.zoneAllows("north"));
         Placement placement = Fixtures.placement(oneZone, 0, south, 1);
-        oneZone.place(placement);
+        oneZone.addPlacement(placement);
         assertFalse(oneZone.zoneAllows("north"));
         assertTrue(oneZone.zoneAllows("south"));
         oneZone.unplace(placement, false);
@@ -223,7 +223,8 @@
         int cap = spread.spec().zoneCap();
         assertEquals(4 + 1 <= cap, spread.zoneAllows("north"));
         while (spread.tasksByZone().getOrDefault("north", 0) + spread.unconfirmedTasks() < cap) {
-            spread.place(Fixtures.placement(spread, 5 + spread.placements().size(), north, 1));
+            spread.addPlacement(
+                    Fixtures.placement(spread, 5 + spread.placements().size(), north, 1));
         }
         assertFalse(spread.zoneAllows("north"));
     }
