--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -214,7 +214,7 @@
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
-    public void unplace(Placement placement, boolean elsewhere) {
+    public void removePlacement(Placement placement, boolean elsewhere) {
         int task = placement.task().index();
         if (!placements.remove(task, placement)) {
             return;
--- a/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
@@ -95,7 +95,7 @@
         Placement only = placed(job, 0, PRESENT);
         gangs.forgetIfGone(job);
         assertSame(attempt, job.gangAttempt());
-        job.unplace(only, false);
+        job.removePlacement(only, false);
         gangs.forgetIfGone(job);
         assertNull(job.gangAttempt());
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -141,11 +141,11 @@
         ActiveJob inherited = inherited(BATCH);
         Placement here = Fixtures.placement(inherited, 2, north, 1);
         inherited.addPlacement(here);
-        inherited.unplace(here, true);
+        inherited.removePlacement(here, true);
         assertEquals(4, inherited.unconfirmedTasks());
         assertFalse(inherited.hasStartableTask());
         inherited.addPlacement(here);
-        inherited.unplace(here, false);
+        inherited.removePlacement(here, false);
         assertEquals(3, inherited.unconfirmedTasks());
         assertEquals(2, inherited.firstFreedTask());
         assertNull(inherited.placement(2));
@@ -157,7 +157,7 @@
         Placement earlier = Fixtures.placement(job, 2, north, 1);
         Placement later = Fixtures.placement(job, 2, south, 2);
         job.addPlacement(later);
-        job.unplace(earlier, false);
+        job.removePlacement(earlier, false);
         assertSame(later, job.placement(2));
         assertFalse(job.hasStartableTask());
     }
@@ -169,7 +169,7 @@
         job.markDone(0);
         job.markDone(0);
         assertEquals(TASKS - 1, job.unfinishedTasks(), "counted once");
-        job.unplace(placement, false);
+        job.removePlacement(placement, false);
         assertFalse(job.hasStartableTask());
         assertTrue(job.isDone(0));
     }
@@ -180,7 +180,7 @@
         job.addPlacement(placement);
         job.markEnded("cancelled");
         assertEquals(0, job.waitingTasks());
-        job.unplace(placement, false);
+        job.removePlacement(placement, false);
         assertFalse(job.hasStartableTask());
         assertFalse(job.hasPlacements());
     }
@@ -212,7 +212,7 @@
         oneZone.addPlacement(placement);
         assertFalse(oneZone.zoneAllows("north"));
         assertTrue(oneZone.zoneAllows("south"));
-        oneZone.unplace(placement, false);
+        oneZone.removePlacement(placement, false);
         assertTrue(oneZone.zoneAllows("north"));
     }
 
