--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -32,7 +32,7 @@
             return;
         }
         List<String> zones = new ArrayList<>(demand.config().topology().zones());
-        zones.removeIf(zone -> market.isCutOff(zone) || !job.zoneAllows(zone));
+        zones.removeIf(zone -> market.isCutOff(zone) || !job.canPlaceInZone(zone));
         zones.sort(Comparator.comparingInt((String zone) -> slots(spec, ZoneFilter.only(zone)))
                 .reversed());
         for (String zone : zones) {
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -250,7 +250,7 @@
     // ---- zones -------------------------------------------------------------------------------------------------
 
     /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
-    public boolean zoneAllows(String zone) {
+    public boolean canPlaceInZone(String zone) {
         return tasksByZone.allows(zone, numbers.unconfirmedCount());
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -64,7 +64,7 @@
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
         return machine.allowedFor(job.spec())
-                && job.zoneAllows(machine.zone())
+                && job.canPlaceInZone(machine.zone())
                 && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, nowMicros))
                 && faults.mayTry(machine, job);
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
@@ -31,7 +31,7 @@
     static ResourceRequest of(ActiveJob job, List<String> zones) {
         JobSpec spec = job.spec();
         List<String> closedZones = spec.spread() || spec.oneZone()
-                ? zones.stream().filter(zone -> !job.zoneAllows(zone)).toList()
+                ? zones.stream().filter(zone -> !job.canPlaceInZone(zone)).toList()
                 : List.of();
         return new ResourceRequest(
                 spec.cpuMillis(),
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -207,26 +207,26 @@
     @Test
     void oneZoneStandsOnceAnythingIsPlaced() {
         ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
-        assertTrue(oneZone.zoneAllows("north"));
+        assertTrue(oneZone.canPlaceInZone("north"));
         Placement placement = Fixtures.placement(oneZone, 0, south, 1);
         oneZone.addPlacement(placement);
-        assertFalse(oneZone.zoneAllows("north"));
-        assertTrue(oneZone.zoneAllows("south"));
+        assertFalse(oneZone.canPlaceInZone("north"));
+        assertTrue(oneZone.canPlaceInZone("south"));
         oneZone.removePlacement(placement, false);
-        assertTrue(oneZone.zoneAllows("north"));
+        assertTrue(oneZone.canPlaceInZone("north"));
     }
 
     @Test
     void anUnconfirmedTaskMayStandInAnyZone() {
-        assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).zoneAllows("north"));
+        assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).canPlaceInZone("north"));
         ActiveJob spread = inherited(Fixtures.spec(JobSpec.Shape.SERVICE, false, true));
         int cap = spread.spec().zoneCap();
-        assertEquals(4 + 1 <= cap, spread.zoneAllows("north"));
+        assertEquals(4 + 1 <= cap, spread.canPlaceInZone("north"));
         while (spread.tasksByZone().getOrDefault("north", 0) + spread.unconfirmedTasks() < cap) {
             spread.addPlacement(
                     Fixtures.placement(spread, 5 + spread.placements().size(), north, 1));
         }
-        assertFalse(spread.zoneAllows("north"));
+        assertFalse(spread.canPlaceInZone("north"));
     }
 
     @ParameterizedTest(name = "{0} of priority {1}: {2}")
