--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -56,7 +56,7 @@
 
     /** A task of the job ran to its end. */
     public void finished(ActiveJob job, long ranMicros) {
-        job.taskFinished(ranMicros);
+        job.addRunTime(ranMicros);
         ClassHistory history = historyByClass.computeIfAbsent(job.spec().jobClass(), unused -> new ClassHistory());
         history.add(job.spec().estimateMicros(), ranMicros);
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -262,7 +262,7 @@
     // ---- run times ---------------------------------------------------------------------------------------------
 
     /** A task that this term has seen from its start on has run to its end. */
-    public void taskFinished(long runMicros) {
+    public void addRunTime(long runMicros) {
         finishedMicros += runMicros;
         finishedTasks++;
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -238,8 +238,8 @@
 
     @Test
     void runTimesAddUp() {
-        job.taskFinished(3 * SECOND);
-        job.taskFinished(5 * SECOND);
+        job.addRunTime(3 * SECOND);
+        job.addRunTime(5 * SECOND);
         assertEquals(2, job.finishedTasks());
         assertEquals(8.0 * SECOND, job.finishedMicros());
     }
