--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -268,7 +268,7 @@
     }
 
     /** Run time of those of its tasks that finished in this term, together. */
-    public double finishedMicros() {
+    public double totalRunMicros() {
         return finishedMicros;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -117,7 +117,7 @@
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(3 * SECOND);
         update(placement, exited(placement, Cause.DONE));
-        assertEquals(3.0 * SECOND, job.finishedMicros());
+        assertEquals(3.0 * SECOND, job.totalRunMicros());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -241,6 +241,6 @@
         job.addRunTime(3 * SECOND);
         job.addRunTime(5 * SECOND);
         assertEquals(2, job.finishedTasks());
-        assertEquals(8.0 * SECOND, job.finishedMicros());
+        assertEquals(8.0 * SECOND, job.totalRunMicros());
     }
 }
