--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -68,6 +68,6 @@
         if (history != null) {
             estimateMicros *= history.correction();
         }
-        return (long) ((job.totalRunMicros() + JOB_PRIOR * estimateMicros) / (job.finishedTasks() + JOB_PRIOR));
+        return (long) ((job.totalRunMicros() + JOB_PRIOR * estimateMicros) / (job.measuredTasks() + JOB_PRIOR));
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -273,7 +273,7 @@
     }
 
     /** How many of its tasks finished in this term, run time known. */
-    public int finishedTasks() {
+    public int measuredTasks() {
         return finishedTasks;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -129,7 +129,7 @@
         Placement adopted = job.placement(0);
         update(adopted, exited(adopted, Cause.DONE));
         assertTrue(job.isDone(0));
-        assertEquals(0, job.finishedTasks());
+        assertEquals(0, job.measuredTasks());
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
