--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -86,7 +86,7 @@
      */
     void forgetIfGone(ActiveJob job) {
         if (!job.hasPlacements()) {
-            job.forgetGangAttempt();
+            job.clearGangAttempt();
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -292,7 +292,7 @@
     }
 
     /** No task of the attempt is on a machine any more. */
-    public void forgetGangAttempt() {
+    public void clearGangAttempt() {
         gangAttempt = null;
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -200,7 +200,7 @@
         GangAttempt attempt = job.beginGangAttempt(5);
         assertSame(attempt, job.gangAttempt());
         assertEquals(5, attempt.number());
-        job.forgetGangAttempt();
+        job.clearGangAttempt();
         assertNull(job.gangAttempt());
     }
 
