--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -127,7 +127,7 @@
         for (Placement placement : List.copyOf(job.placements())) {
             tasks.stop(placement, 0, "job " + outcome);
         }
-        jobs.removeIfOver(job);
+        jobs.removeIfEnded(job);
         loop.requestCycle();
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -160,7 +160,7 @@
             stop(placement, 0, "a task of its gang is gone");
         }
         gangs.forgetIfGone(placement.job());
-        jobs.removeIfOver(placement.job());
+        jobs.removeIfEnded(placement.job());
     }
 
     /** There is proof that no task is on the machine. */
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -37,7 +37,7 @@
     }
 
     /** Forgets a job that is over once nothing of it is on any machine. */
-    public void removeIfOver(ActiveJob job) {
+    public void removeIfEnded(ActiveJob job) {
         if (job.phase() == ActiveJob.Phase.ENDED && !job.hasPlacements()) {
             jobs.remove(job.spec().id());
             removalListener.accept(job);
