--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -49,7 +49,7 @@
     }
 
     /** The cloud has told of its machine types. */
-    public void typesChanged(List<MachineType> list) {
+    public void updateTypes(List<MachineType> list) {
         for (MachineType type : list) {
             types.put(type.name(), type);
         }
--- a/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
+++ b/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
@@ -33,7 +33,7 @@
 
     /** The cloud has told of its machine types. */
     void changed(List<MachineType> types) {
-        fleet.typesChanged(types);
+        fleet.updateTypes(types);
         loop.requestCycle();
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
@@ -30,7 +30,7 @@
             new MachineLister(fleet, booting, Set.of("terminated")::contains, cloud, budget, timers, () -> ended);
 
     MachineListerTest() {
-        fleet.typesChanged(List.of(Examples.TYPE));
+        fleet.updateTypes(List.of(Examples.TYPE));
     }
 
     private static ListedHost listed(String id, HostState state, long ageMicros) {
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -149,7 +149,7 @@
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
         machineCommands = new MachineCommands(leadership, commands);
         workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> ended);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         jobs.start();
     }
 
@@ -243,7 +243,7 @@
     List<Machine> takeOverRecords() {
         List<Machine> takenOver = inventory.takeOver();
         fleet.inherit(takenOver);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         recovery.start(takenOver, inventory.unreadableParts(), 1);
         return takenOver;
     }
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -64,7 +64,7 @@
         Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
         config = config(byName);
         fleet = new Fleet(config, timers);
-        fleet.typesChanged(List.of(TYPE));
+        fleet.updateTypes(List.of(TYPE));
         jobs = new ActiveJobs(0, timers, faults::forget);
         SchedulingLoop loop = new SchedulingLoop(timers, () -> false, () -> true, () -> {}, () -> {});
         recovery = new TermRecovery(new RecoveryPlan(1, 0, RecoveryTracer.NONE), jobs, timers, loop);
