--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -59,7 +59,7 @@
     }
 
     /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
-    public void inherit(List<Machine> takenOver) {
+    public void takeOver(List<Machine> takenOver) {
         // The former leader may go on answering them for a while, if it is out of contact.
         long leaseExpiryMicros = startedMicros
                 + config.workers().maxDisconnectedMicros()
--- a/src/main/java/org/granitepath/coordination/term/TermRecords.java
+++ b/src/main/java/org/granitepath/coordination/term/TermRecords.java
@@ -41,7 +41,7 @@
     /** Takes over what is on record. The machines come first: jobs are judged by which of them are still awaited. */
     void takeOver() {
         List<Machine> takenOver = inventory.takeOver();
-        fleet.inherit(takenOver);
+        fleet.takeOver(takenOver);
         recovery.start(takenOver, inventory.unreadableParts(), replica.storeRevision());
         jobs.start();
         LOG.info(
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -242,7 +242,7 @@
     /** The machines on record, taken over as at the beginning of the term. */
     List<Machine> takeOverRecords() {
         List<Machine> takenOver = inventory.takeOver();
-        fleet.inherit(takenOver);
+        fleet.takeOver(takenOver);
         fleet.updateTypes(List.of(Fixtures.TYPE));
         recovery.start(takenOver, inventory.unreadableParts(), 1);
         return takenOver;
