--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -102,7 +102,7 @@
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
         }
-        fleet.terminatedForGood(id);
+        fleet.markTerminated(id);
     }
 
     /** Nothing that we or anyone started can be on this machine any more. */
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -91,7 +91,7 @@
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
-    public void terminatedForGood(String id) {
+    public void markTerminated(String id) {
         departed.leftForGood(id);
     }
 
