--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -96,7 +96,7 @@
     }
 
     /** Whether a heartbeat is a late copy from a machine that is gone. */
-    public boolean isLateCopy(Heartbeat heartbeat) {
+    public boolean isFromDepartedMachine(Heartbeat heartbeat) {
         return departed.isLateCopy(heartbeat);
     }
 
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -64,7 +64,7 @@
     }
 
     private boolean mayJoin(Heartbeat heartbeat) {
-        if (fleet.isLateCopy(heartbeat)) {
+        if (fleet.isFromDepartedMachine(heartbeat)) {
             LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.host());
             return false;
         }
