--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -63,7 +63,7 @@
     private boolean canReceiveCommands(Machine machine, long nowMicros) {
         return !machine.contact().callInFlight()
                 && machine.contact().agentEpoch() >= 0
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     private void sendDirectly(Machine machine) {
@@ -83,7 +83,7 @@
 
     /** Shows the machine its new fencing token at once, unless a call to it would only time out. */
     public void showRaisedToken(Machine machine) {
-        if (!fleet.unresponsive(machine, timers.nowMicros())) {
+        if (!fleet.isUnresponsive(machine, timers.nowMicros())) {
             calls.showToken(machine);
         }
     }
@@ -101,7 +101,7 @@
                 && !machine.awaitingFirstHeartbeat()
                 && machine.inventory().recorded()
                 && !machine.inventory().needsNewToken()
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     /** Calls a machine whose heartbeat is overdue: whether it can be reached at all is soon known. */
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -21,7 +21,7 @@
     /** The machine's new fencing token is on record: it must show it before it is given work again. */
     public void tokenRaised(Machine machine) {
         long nowMicros = timers.nowMicros();
-        if (fleet.unresponsive(machine, nowMicros)) {
+        if (fleet.isUnresponsive(machine, nowMicros)) {
             machine.contact().fence();
             extendLeaseInPeerZone(machine, nowMicros);
         }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -101,7 +101,7 @@
     }
 
     /** Whether heartbeats of the machine are missing for so long that a command would hardly arrive. */
-    public boolean unresponsive(Machine machine, long nowMicros) {
+    public boolean isUnresponsive(Machine machine, long nowMicros) {
         return machine.contact().unresponsive(nowMicros, config.workers().heartbeatIntervalMicros());
     }
 
@@ -131,7 +131,7 @@
         long nowMicros = timers.nowMicros();
         int unresponsive = 0;
         for (Machine machine : machines.values()) {
-            unresponsive += unresponsive(machine, nowMicros) ? 1 : 0;
+            unresponsive += isUnresponsive(machine, nowMicros) ? 1 : 0;
         }
         return unresponsive >= CUT_OFF_SHARE * machines.size()
                 && redirectedByPeer >= Math.max(FEWEST_REDIRECTED_BY_PEER, unresponsive / 2)
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -43,7 +43,7 @@
     public boolean isEligible(Machine machine, ActiveJob job, long nowMicros) {
         return machine.takesTasks()
                 && satisfiesConstraints(machine, job, nowMicros)
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -37,7 +37,7 @@
         for (Machine machine : fleet.machines()) {
             if (machine.takesTasks()
                     && machine.capacity().hasFree(cpuMillis, memoryMillis)
-                    && !fleet.unresponsive(machine, nowMicros)) {
+                    && !fleet.isUnresponsive(machine, nowMicros)) {
                 machinesWithCapacity.add(machine);
             }
         }
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -68,7 +68,7 @@
     }
 
     private void checkPlacements(Machine machine, long nowMicros) {
-        boolean unresponsive = fleet.unresponsive(machine, nowMicros);
+        boolean unresponsive = fleet.isUnresponsive(machine, nowMicros);
         for (Placement placement : List.copyOf(machine.placements())) {
             if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
                 tasks.free(placement, "never sent: the machine is unresponsive");
