--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -75,7 +75,7 @@
         Fleet fleet = demand.fleet();
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
-            if (type != null && justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
+            if (type != null && justJoined(machine) && !fleet.isHeartbeatOverdue(machine, nowMicros)) {
                 plan.pending(type, machine.zone(), machine.spot());
             }
         }
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -112,7 +112,7 @@
     }
 
     private boolean isProbeDue(Machine machine, long nowMicros) {
-        return fleet.overdue(machine, nowMicros)
+        return fleet.isHeartbeatOverdue(machine, nowMicros)
                 && !machine.contact().fenced()
                 && !machine.awaitingFirstHeartbeat()
                 && !machine.contact().callInFlight()
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -61,7 +61,7 @@
         overdueMachines = 0;
         for (Machine machine : fleet.machines()) {
             machinesByZone.addTo(machine.zone(), 1);
-            if (fleet.overdue(machine, nowMicros)) {
+            if (fleet.isHeartbeatOverdue(machine, nowMicros)) {
                 overdueByZone.addTo(machine.zone(), 1);
                 overdueMachines++;
             }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -106,7 +106,7 @@
     }
 
     /** Whether a heartbeat is late by so much that it is worth asking for one. */
-    public boolean overdue(Machine machine, long nowMicros) {
+    public boolean isHeartbeatOverdue(Machine machine, long nowMicros) {
         return nowMicros - machine.contact().lastHeartbeatMicros()
                 > OVERDUE_HEARTBEATS * config.workers().heartbeatIntervalMicros();
     }
