--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -112,7 +112,7 @@
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
-    public boolean noOrphanedTasks() {
+    public boolean hasNoOrphanedTasks() {
         for (Machine machine : machines.values()) {
             for (WorkerCommand command : machine.cleanupCommands()) {
                 if (command.verb() == WorkerCommand.Verb.STOP) {
