--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -127,7 +127,7 @@
      * Whether most machines have become unresponsive to us while a peer gets their heartbeats: then it had better lead,
      * before their leases run out.
      */
-    public boolean cutFromWorkers(int redirectedByPeer) {
+    public boolean isPartitionedFromWorkers(int redirectedByPeer) {
         long nowMicros = timers.nowMicros();
         int unresponsive = 0;
         for (Machine machine : machines.values()) {
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -79,7 +79,7 @@
 
     /** Whether most machines have become unresponsive to us while a peer receives their heartbeats. */
     public boolean cutFromWorkers(int redirectedByPeer) {
-        return fleet.cutFromWorkers(redirectedByPeer);
+        return fleet.isPartitionedFromWorkers(redirectedByPeer);
     }
 
     /** A worker's heartbeat, answered with what it is to do. */
