--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -139,7 +139,7 @@
     }
 
     /** This process stood still: no heartbeat counts as missing in that time. */
-    public void excusePause(long pauseMicros, long nowMicros) {
+    public void compensateForPause(long pauseMicros, long nowMicros) {
         for (Machine machine : machines.values()) {
             machine.contact().excusePause(pauseMicros, nowMicros);
         }
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -77,7 +77,7 @@
         lastRunMicros = nowMicros;
         if (pauseMicros > PAUSE_MICROS) {
             LOG.info("we stood still for {} s: no machine counts as unresponsive for that", pauseMicros / 1_000_000);
-            fleet.excusePause(pauseMicros, nowMicros);
+            fleet.compensateForPause(pauseMicros, nowMicros);
         }
     }
 }
