--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -47,7 +47,7 @@
     }
 
     private static void join(GangAttempt attempt, Placement placement) {
-        attempt.placed(placement.task().index(), placement.machine().id());
+        attempt.recordPlacement(placement.task().index(), placement.machine().id());
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -62,7 +62,7 @@
     }
 
     /** A task was placed on a machine, or found there. */
-    public void placed(int task, String machine) {
+    public void recordPlacement(int task, String machine) {
         machinesTried.computeIfAbsent(task, unknown -> new HashSet<>()).add(machine);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -112,7 +112,7 @@
 
     @Test
     void aTaskIsNotSentWhereItsStartWouldBeIgnored() {
-        attempt.placed(3, "i-1");
+        attempt.recordPlacement(3, "i-1");
         assertTrue(attempt.wasTriedOn(3, "i-1"));
         assertFalse(attempt.wasTriedOn(3, "i-2"));
         assertFalse(attempt.wasTriedOn(2, "i-1"));
