--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -70,7 +70,7 @@
         }
         return preference.best(
                 machinesWithCapacity,
-                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.wasTriedOn(index, machine.id()),
+                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.hasBeenTriedOn(index, machine.id()),
                 job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether a start of this task would be ignored there. */
-    public boolean wasTriedOn(int task, String machine) {
+    public boolean hasBeenTriedOn(int task, String machine) {
         return machinesTried.getOrDefault(task, Set.of()).contains(machine);
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
@@ -34,14 +34,14 @@
     @Test
     void aTaskThatWasStartedInTheAttemptIsNotStartedAgainOnItsMachine() {
         gangs.started(placed(job, 0, PRESENT));
-        assertTrue(attempt.wasTriedOn(0, "i-0"));
+        assertTrue(attempt.hasBeenTriedOn(0, "i-0"));
     }
 
     @Test
     void aTaskOfThePresentAttemptThatIsFoundJoinsIt() {
         Placement found = placed(job, 0, PRESENT);
         assertEquals(List.of(), gangs.adopted(found));
-        assertTrue(attempt.wasTriedOn(0, "i-0"));
+        assertTrue(attempt.hasBeenTriedOn(0, "i-0"));
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -113,8 +113,8 @@
     @Test
     void aTaskIsNotSentWhereItsStartWouldBeIgnored() {
         attempt.recordPlacement(3, "i-1");
-        assertTrue(attempt.wasTriedOn(3, "i-1"));
-        assertFalse(attempt.wasTriedOn(3, "i-2"));
-        assertFalse(attempt.wasTriedOn(2, "i-1"));
+        assertTrue(attempt.hasBeenTriedOn(3, "i-1"));
+        assertFalse(attempt.hasBeenTriedOn(3, "i-2"));
+        assertFalse(attempt.hasBeenTriedOn(2, "i-1"));
     }
 }
