--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -16,7 +16,7 @@
         GangAttempt attempt = presentAttempt(placement.job());
         join(attempt, placement);
         if (placement.job().waitingTasks() == 0) {
-            attempt.allTasksPlaced();
+            attempt.markAllTasksPlaced();
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -72,7 +72,7 @@
     }
 
     /** All tasks are placed, so none is missing any more. */
-    public void allTasksPlaced() {
+    public void markAllTasksPlaced() {
         incompleteSinceMicros = NEVER;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -87,7 +87,7 @@
         assertTrue(attempt.mayBeCompleted());
         assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
         assertTrue(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
-        attempt.allTasksPlaced();
+        attempt.markAllTasksPlaced();
         assertFalse(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT));
     }
 
