--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -59,7 +59,7 @@
         placement.waiting();
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null) {
-            attempt.waiting(nowMicros);
+            attempt.markWaiting(nowMicros);
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -77,7 +77,7 @@
     }
 
     /** A task waits for the others. */
-    public void waiting(long nowMicros) {
+    public void markWaiting(long nowMicros) {
         if (phase == Phase.FORMING) {
             waitingSinceMicros = nowMicros;
             transition(Phase.WAITING, "a task waits for the others");
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,7 +18,7 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        waiting   running   stopping  completed  taskGone
+            in        markWaiting   running   stopping  completed  taskGone
             FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
             WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
             RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
@@ -46,7 +46,7 @@
     private void bringTo(Phase phase) {
         switch (phase) {
             case FORMING -> {}
-            case WAITING -> attempt.waiting(SECOND);
+            case WAITING -> attempt.markWaiting(SECOND);
             case RUNNING -> attempt.running();
             case STOPPING -> attempt.stopping("test");
             case ENDING -> attempt.completed();
@@ -56,7 +56,7 @@
 
     private void apply(String event) {
         switch (event) {
-            case "waiting" -> attempt.waiting(2 * SECOND);
+            case "markWaiting" -> attempt.markWaiting(2 * SECOND);
             case "running" -> attempt.running();
             case "stopping" -> attempt.stopping("test");
             case "completed" -> attempt.completed();
@@ -68,7 +68,7 @@
     @Test
     void itFormsWaitsRunsAndEnds() {
         assertEquals(Phase.FORMING, attempt.phase());
-        attempt.waiting(SECOND);
+        attempt.markWaiting(SECOND);
         assertEquals(Phase.WAITING, attempt.phase());
         attempt.running();
         assertEquals(Phase.RUNNING, attempt.phase());
@@ -82,7 +82,7 @@
 
     @Test
     void aTaskLostBeforeTheStartMayBeReplacedForAWhile() {
-        attempt.waiting(SECOND);
+        attempt.markWaiting(SECOND);
         attempt.taskGone(2 * SECOND);
         assertTrue(attempt.mayBeCompleted());
         assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
@@ -93,7 +93,7 @@
 
     @Test
     void aReplacementThatComesTooLateIsHopeless() {
-        attempt.waiting(SECOND);
+        attempt.markWaiting(SECOND);
         attempt.taskGone(20 * SECOND);
         assertTrue(attempt.shouldBeAbandoned(22 * SECOND, PATIENCE, LAST_MOMENT));
     }
@@ -105,7 +105,7 @@
         assertEquals(Phase.STOPPING, attempt.phase());
         assertFalse(attempt.mayBeCompleted());
         attempt.running();
-        attempt.waiting(2 * SECOND);
+        attempt.markWaiting(2 * SECOND);
         assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat changes nothing");
         assertTrue(attempt.isEnding());
     }
