--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -72,7 +72,7 @@
     private void running(Machine machine, Placement placement, long nowMicros) {
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null) {
-            attempt.running();
+            attempt.markRunning();
         }
         if (!placement.hasRun()) {
             machine.capacity().imageSeen(placement.job().spec().image());
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -85,7 +85,7 @@
     }
 
     /** A task runs, so all do, or did. */
-    public void running() {
+    public void markRunning() {
         if (phase == Phase.FORMING || phase == Phase.WAITING) {
             transition(Phase.RUNNING, "its tasks run");
         }
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -147,7 +147,7 @@
 
     @Test
     void nothingIsLaunchedForAGangThatRan() {
-        waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).running();
+        waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).markRunning();
         assertLaunches(0);
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
@@ -85,7 +85,7 @@
             long number, boolean running, boolean maybeElsewhere, boolean stopsOthers) {
         Placement gone = placed(job, 0, number);
         if (running) {
-            attempt.running();
+            attempt.markRunning();
         }
         assertEquals(stopsOthers, gangs.left(gone, maybeElsewhere, fixture.timers.nowMicros()));
     }
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -158,7 +158,7 @@
     void whenATaskOfARunningGangIsGoneTheOthersAreStopped() {
         List<Placement> gang = startedGang();
         gang.forEach(Placement::sentDirectly);
-        gang.get(0).job().gangAttempt().running();
+        gang.get(0).job().gangAttempt().markRunning();
         tasks.free(gang.get(0), "test");
         assertEquals(List.of(Placement.Phase.STOPPING), phases(gang.subList(1, gang.size())));
     }
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,7 +18,7 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        markWaiting   running   stopping  completed  taskGone
+            in        markWaiting   markRunning   stopping  completed  taskGone
             FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
             WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
             RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
@@ -47,7 +47,7 @@
         switch (phase) {
             case FORMING -> {}
             case WAITING -> attempt.markWaiting(SECOND);
-            case RUNNING -> attempt.running();
+            case RUNNING -> attempt.markRunning();
             case STOPPING -> attempt.stopping("test");
             case ENDING -> attempt.completed();
         }
@@ -57,7 +57,7 @@
     private void apply(String event) {
         switch (event) {
             case "markWaiting" -> attempt.markWaiting(2 * SECOND);
-            case "running" -> attempt.running();
+            case "markRunning" -> attempt.markRunning();
             case "stopping" -> attempt.stopping("test");
             case "completed" -> attempt.completed();
             case "taskGone" -> attempt.taskGone(2 * SECOND);
@@ -70,13 +70,13 @@
         assertEquals(Phase.FORMING, attempt.phase());
         attempt.markWaiting(SECOND);
         assertEquals(Phase.WAITING, attempt.phase());
-        attempt.running();
+        attempt.markRunning();
         assertEquals(Phase.RUNNING, attempt.phase());
         attempt.completed();
         assertEquals(Phase.ENDING, attempt.phase());
         attempt.stopping("its job is over");
         attempt.taskGone(2 * SECOND);
-        attempt.running();
+        attempt.markRunning();
         assertEquals(Phase.ENDING, attempt.phase(), "what is complete stays so");
     }
 
@@ -100,11 +100,11 @@
 
     @Test
     void aTaskLostWhileRunningEndsTheAttempt() {
-        attempt.running();
+        attempt.markRunning();
         attempt.taskGone(SECOND);
         assertEquals(Phase.STOPPING, attempt.phase());
         assertFalse(attempt.mayBeCompleted());
-        attempt.running();
+        attempt.markRunning();
         attempt.markWaiting(2 * SECOND);
         assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat changes nothing");
         assertTrue(attempt.isEnding());
