--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -61,7 +61,7 @@
         if (attempt == null) {
             return List.of(placement);
         }
-        attempt.stopping(why);
+        attempt.markStopping(why);
         return List.copyOf(placement.job().placements());
     }
 
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -92,7 +92,7 @@
     }
 
     /** All tasks are told to stop, or were told by a former leader. */
-    public void stopping(String why) {
+    public void markStopping(String why) {
         if (phase != Phase.ENDING) {
             transition(Phase.STOPPING, why);
         }
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,7 +18,7 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        markWaiting   markRunning   stopping  completed  taskGone
+            in        markWaiting   markRunning   markStopping  completed  taskGone
             FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
             WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
             RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
@@ -48,7 +48,7 @@
             case FORMING -> {}
             case WAITING -> attempt.markWaiting(SECOND);
             case RUNNING -> attempt.markRunning();
-            case STOPPING -> attempt.stopping("test");
+            case STOPPING -> attempt.markStopping("test");
             case ENDING -> attempt.completed();
         }
         assertEquals(phase, attempt.phase());
@@ -58,7 +58,7 @@
         switch (event) {
             case "markWaiting" -> attempt.markWaiting(2 * SECOND);
             case "markRunning" -> attempt.markRunning();
-            case "stopping" -> attempt.stopping("test");
+            case "markStopping" -> attempt.markStopping("test");
             case "completed" -> attempt.completed();
             case "taskGone" -> attempt.taskGone(2 * SECOND);
             default -> throw new IllegalArgumentException(event);
@@ -74,7 +74,7 @@
         assertEquals(Phase.RUNNING, attempt.phase());
         attempt.completed();
         assertEquals(Phase.ENDING, attempt.phase());
-        attempt.stopping("its job is over");
+        attempt.markStopping("its job is over");
         attempt.taskGone(2 * SECOND);
         attempt.markRunning();
         assertEquals(Phase.ENDING, attempt.phase(), "what is complete stays so");
