--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -153,7 +153,7 @@
         job.markAllDone();
         GangAttempt attempt = job.gangAttempt();
         if (attempt != null) {
-            attempt.completed();
+            attempt.markCompleted();
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -99,7 +99,7 @@
     }
 
     /** A task has completed. */
-    public void completed() {
+    public void markCompleted() {
         transition(Phase.ENDING, "a task has completed");
     }
 
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,7 +18,7 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        markWaiting   markRunning   markStopping  completed  taskGone
+            in        markWaiting   markRunning   markStopping  markCompleted  taskGone
             FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
             WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
             RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
@@ -49,7 +49,7 @@
             case WAITING -> attempt.markWaiting(SECOND);
             case RUNNING -> attempt.markRunning();
             case STOPPING -> attempt.markStopping("test");
-            case ENDING -> attempt.completed();
+            case ENDING -> attempt.markCompleted();
         }
         assertEquals(phase, attempt.phase());
     }
@@ -59,7 +59,7 @@
             case "markWaiting" -> attempt.markWaiting(2 * SECOND);
             case "markRunning" -> attempt.markRunning();
             case "markStopping" -> attempt.markStopping("test");
-            case "completed" -> attempt.completed();
+            case "markCompleted" -> attempt.markCompleted();
             case "taskGone" -> attempt.taskGone(2 * SECOND);
             default -> throw new IllegalArgumentException(event);
         }
@@ -72,7 +72,7 @@
         assertEquals(Phase.WAITING, attempt.phase());
         attempt.markRunning();
         assertEquals(Phase.RUNNING, attempt.phase());
-        attempt.completed();
+        attempt.markCompleted();
         assertEquals(Phase.ENDING, attempt.phase());
         attempt.markStopping("its job is over");
         attempt.taskGone(2 * SECOND);
