--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -77,7 +77,7 @@
             return false;
         }
         boolean ran = attempt.phase() == GangAttempt.Phase.RUNNING;
-        attempt.taskGone(nowMicros);
+        attempt.markTaskGone(nowMicros);
         return ran;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -104,7 +104,7 @@
     }
 
     /** A task is proved gone. Before the gang has started another may take its place; otherwise the attempt is over. */
-    public void taskGone(long nowMicros) {
+    public void markTaskGone(long nowMicros) {
         if (phase == Phase.RUNNING) {
             transition(Phase.STOPPING, "a task is gone");
         } else if (incompleteSinceMicros < 0) {
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,7 +18,7 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        markWaiting   markRunning   markStopping  markCompleted  taskGone
+            in        markWaiting   markRunning   markStopping  markCompleted  markTaskGone
             FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
             WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
             RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
@@ -60,7 +60,7 @@
             case "markRunning" -> attempt.markRunning();
             case "markStopping" -> attempt.markStopping("test");
             case "markCompleted" -> attempt.markCompleted();
-            case "taskGone" -> attempt.taskGone(2 * SECOND);
+            case "markTaskGone" -> attempt.markTaskGone(2 * SECOND);
             default -> throw new IllegalArgumentException(event);
         }
     }
@@ -75,7 +75,7 @@
         attempt.markCompleted();
         assertEquals(Phase.ENDING, attempt.phase());
         attempt.markStopping("its job is over");
-        attempt.taskGone(2 * SECOND);
+        attempt.markTaskGone(2 * SECOND);
         attempt.markRunning();
         assertEquals(Phase.ENDING, attempt.phase(), "what is complete stays so");
     }
@@ -83,7 +83,7 @@
     @Test
     void aTaskLostBeforeTheStartMayBeReplacedForAWhile() {
         attempt.markWaiting(SECOND);
-        attempt.taskGone(2 * SECOND);
+        attempt.markTaskGone(2 * SECOND);
         assertTrue(attempt.mayBeCompleted());
         assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
         assertTrue(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
@@ -94,14 +94,14 @@
     @Test
     void aReplacementThatComesTooLateIsHopeless() {
         attempt.markWaiting(SECOND);
-        attempt.taskGone(20 * SECOND);
+        attempt.markTaskGone(20 * SECOND);
         assertTrue(attempt.shouldBeAbandoned(22 * SECOND, PATIENCE, LAST_MOMENT));
     }
 
     @Test
     void aTaskLostWhileRunningEndsTheAttempt() {
         attempt.markRunning();
-        attempt.taskGone(SECOND);
+        attempt.markTaskGone(SECOND);
         assertEquals(Phase.STOPPING, attempt.phase());
         assertFalse(attempt.mayBeCompleted());
         attempt.markRunning();
