--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -90,7 +90,7 @@
         return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
-                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && (job.gangAttempt() == null || job.gangAttempt().canAddTasks())
                 && rules.isWithinTeamLimit(job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -32,7 +32,7 @@
 
     /** Starts lost tasks anew, as far as there is capacity; stops the gang once the rest would come too late. */
     void completeOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
-        if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
+        if (!attempt.canAddTasks() || job.unconfirmedTasks() > 0) {
             return;
         }
         replaceLostTasks(job, attempt, machinesWithCapacity, nowMicros);
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -118,7 +118,7 @@
     }
 
     /** Whether tasks that are missing may still join. */
-    public boolean mayBeCompleted() {
+    public boolean canAddTasks() {
         return phase == Phase.FORMING || phase == Phase.WAITING;
     }
 
@@ -130,7 +130,7 @@
      * @param longestWaitMicros for how long a task may have waited when a start is still worth sending
      */
     public boolean shouldBeAbandoned(long nowMicros, long longestIncompleteMicros, long longestWaitMicros) {
-        return mayBeCompleted()
+        return canAddTasks()
                 && incompleteSinceMicros >= 0
                 && (nowMicros - incompleteSinceMicros > longestIncompleteMicros
                         || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > longestWaitMicros));
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -39,7 +39,7 @@
         bringTo(from);
         apply(event);
         assertEquals(Phase.valueOf(expected), attempt.phase());
-        assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.mayBeCompleted());
+        assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.canAddTasks());
         assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.ENDING, attempt.isEnding());
     }
 
@@ -84,7 +84,7 @@
     void aTaskLostBeforeTheStartMayBeReplacedForAWhile() {
         attempt.markWaiting(SECOND);
         attempt.markTaskGone(2 * SECOND);
-        assertTrue(attempt.mayBeCompleted());
+        assertTrue(attempt.canAddTasks());
         assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
         assertTrue(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
         attempt.markAllTasksPlaced();
@@ -103,7 +103,7 @@
         attempt.markRunning();
         attempt.markTaskGone(SECOND);
         assertEquals(Phase.STOPPING, attempt.phase());
-        assertFalse(attempt.mayBeCompleted());
+        assertFalse(attempt.canAddTasks());
         attempt.markRunning();
         attempt.markWaiting(2 * SECOND);
         assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat changes nothing");
