--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -27,7 +27,7 @@
         WAITING,
         RUNNING,
         STOPPING,
-        ENDING
+        COMPLETING
     }
 
     private final String job;
@@ -93,14 +93,14 @@
 
     /** All tasks are told to stop, or were told by a former leader. */
     public void markStopping(String why) {
-        if (phase != Phase.ENDING) {
+        if (phase != Phase.COMPLETING) {
             transition(Phase.STOPPING, why);
         }
     }
 
     /** A task has completed. */
     public void markCompleted() {
-        transition(Phase.ENDING, "a task has completed");
+        transition(Phase.COMPLETING, "a task has completed");
     }
 
     /** A task is proved gone. Before the gang has started another may take its place; otherwise the attempt is over. */
@@ -114,7 +114,7 @@
 
     /** Whether the tasks that are left exit by themselves or were told to. */
     public boolean isEnding() {
-        return phase == Phase.STOPPING || phase == Phase.ENDING;
+        return phase == Phase.STOPPING || phase == Phase.COMPLETING;
     }
 
     /** Whether tasks that are missing may still join. */
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -140,7 +140,7 @@
         Placement first = startedGang(gang).get(0);
         update(first, exited(first, Cause.DONE));
         assertEquals(0, gang.unfinishedTasks());
-        assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
+        assertEquals(GangAttempt.Phase.COMPLETING, gang.gangAttempt().phase());
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -19,11 +19,11 @@
 
     private static final String EVENTS = """
             in        markWaiting   markRunning   markStopping  markCompleted  markTaskGone
-            FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
-            WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
-            RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
-            STOPPING  STOPPING  STOPPING  STOPPING  ENDING     STOPPING
-            ENDING    ENDING    ENDING    ENDING    ENDING     ENDING
+            FORMING   WAITING   RUNNING   STOPPING  COMPLETING     FORMING
+            WAITING   WAITING   RUNNING   STOPPING  COMPLETING     WAITING
+            RUNNING   RUNNING   RUNNING   STOPPING  COMPLETING     STOPPING
+            STOPPING  STOPPING  STOPPING  STOPPING  COMPLETING     STOPPING
+            COMPLETING    COMPLETING    COMPLETING    COMPLETING    COMPLETING     COMPLETING
             """;
 
     private final GangAttempt attempt = new GangAttempt("run-1", 7);
@@ -40,7 +40,7 @@
         apply(event);
         assertEquals(Phase.valueOf(expected), attempt.phase());
         assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.canAddTasks());
-        assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.ENDING, attempt.isEnding());
+        assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.COMPLETING, attempt.isEnding());
     }
 
     private void bringTo(Phase phase) {
@@ -49,7 +49,7 @@
             case WAITING -> attempt.markWaiting(SECOND);
             case RUNNING -> attempt.markRunning();
             case STOPPING -> attempt.markStopping("test");
-            case ENDING -> attempt.markCompleted();
+            case COMPLETING -> attempt.markCompleted();
         }
         assertEquals(phase, attempt.phase());
     }
@@ -73,11 +73,11 @@
         attempt.markRunning();
         assertEquals(Phase.RUNNING, attempt.phase());
         attempt.markCompleted();
-        assertEquals(Phase.ENDING, attempt.phase());
+        assertEquals(Phase.COMPLETING, attempt.phase());
         attempt.markStopping("its job is over");
         attempt.markTaskGone(2 * SECOND);
         attempt.markRunning();
-        assertEquals(Phase.ENDING, attempt.phase(), "what is complete stays so");
+        assertEquals(Phase.COMPLETING, attempt.phase(), "what is complete stays so");
     }
 
     @Test
