--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -45,7 +45,7 @@
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && machine.inventory().isRecorded()
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -99,7 +99,7 @@
     private boolean hasNotAdoptedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && machine.inventory().isRecorded()
                 && !machine.inventory().needsNewToken()
                 && !fleet.isUnresponsive(machine, nowMicros);
     }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -53,7 +53,7 @@
     }
 
     private long tokenToWrite(Machine machine) {
-        if (!machine.inventory().recorded()) {
+        if (!machine.inventory().isRecorded()) {
             machinesAdded.add(machine);
         }
         if (isSplit || !machine.inventory().needsNewToken()) {
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -38,7 +38,7 @@
     }
 
     /** Whether the store has it in our inventory under its fencing token. Nothing starts before. */
-    public boolean recorded() {
+    public boolean isRecorded() {
         return recorded;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -174,7 +174,7 @@
 
     /** Whether tasks may be placed on it, free capacity aside. */
     public boolean takesTasks() {
-        return phase == Phase.READY && inventory.recorded() && !inventory.needsNewToken() && capacity.type() != null;
+        return phase == Phase.READY && inventory.isRecorded() && !inventory.needsNewToken() && capacity.type() != null;
     }
 
     // ---- taking over and joining -------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -40,7 +40,7 @@
     @Test
     void machinesTakenOverAreOursUnderTheTokenOfTheTerm() {
         Machine machine = fixture.takeOver("m").get(0);
-        assertTrue(machine.inventory().recorded());
+        assertTrue(machine.inventory().isRecorded());
         assertEquals(TERM_TOKEN, machine.fencingToken());
         assertEquals(0, fixture.inventory.unreadableParts());
     }
@@ -97,10 +97,10 @@
     void whatARefusedWriteHeldIsWrittenLater() {
         fixture.commitOutcome = KeyValueStore.Outcome.REFUSED;
         Machine machine = fixture.readyMachine("m");
-        assertFalse(machine.inventory().recorded());
+        assertFalse(machine.inventory().isRecorded());
         fixture.commitOutcome = KeyValueStore.Outcome.OK;
         fixture.timers.advance(5 * SECOND);
-        assertTrue(machine.inventory().recorded());
+        assertTrue(machine.inventory().isRecorded());
         assertEquals(List.of("m"), idsOnRecord());
     }
 }
