--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -168,7 +168,7 @@
         dirtyParts.removeAll(layout.unsplittableParts());
         cleanupTokensDue &= !dirtyParts.isEmpty();
         for (Machine machine : recorded.machinesAdded()) {
-            machine.inventory().onRecord();
+            machine.inventory().markRecorded();
         }
         for (Machine machine : recorded.machinesWithNewToken()) {
             machine.inventory().tokenRaised(recorded.newToken());
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -43,7 +43,7 @@
     }
 
     /** The row is on record. */
-    public void onRecord() {
+    public void markRecorded() {
         recorded = true;
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -29,7 +29,7 @@
 
     private Machine machine(String id, String zone) {
         Machine machine = new Machine(id, id + ":1", "type", zone, false);
-        machine.inventory().onRecord();
+        machine.inventory().markRecorded();
         machine.heartbeatReceived(false, startMicros);
         machine.tasksConfirmed();
         fleet.add(machine);
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -107,7 +107,7 @@
         assertFalse(machine.takesTasks());
         machine.tasksConfirmed();
         assertFalse(machine.takesTasks(), "its row is not on record");
-        machine.inventory().onRecord();
+        machine.inventory().markRecorded();
         assertTrue(machine.takesTasks());
         machine.inventory().requireNewToken();
         assertFalse(machine.takesTasks(), "waits for a higher fencing token");
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -90,7 +90,7 @@
     public Machine machine(String id, boolean spot) {
         Machine machine =
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
-        machine.inventory().onRecord();
+        machine.inventory().markRecorded();
         machine.heartbeatReceived(false, NOW);
         machine.tasksConfirmed();
         fleet.add(machine);
