--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -46,7 +46,7 @@
         List<Machine> machines = new ArrayList<>();
         for (InventoryRecord.Host host : recorded.hosts()) {
             Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
-            machine.inventory().foundOnRecord(part, term.fencingToken());
+            machine.inventory().restoreFromRecord(part, term.fencingToken());
             machines.add(machine);
         }
         return machines;
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -21,7 +21,7 @@
     }
 
     /** It was found on record, in this part of the inventory, and belongs to the leader with this fencing token. */
-    public void foundOnRecord(int part, long token) {
+    public void restoreFromRecord(int part, long token) {
         this.part = part;
         recorded = true;
         fencingToken = token;
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
@@ -36,7 +36,7 @@
         List<Machine> machines = new ArrayList<>();
         for (int number = first; number < first + count; number++) {
             Machine machine = machine(String.format("m%02d", number));
-            machine.inventory().foundOnRecord(part, 1);
+            machine.inventory().restoreFromRecord(part, 1);
             fleet.put(machine.id(), machine);
             machines.add(machine);
         }
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void aPartIsWrittenWithTheTokensThatHold() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         InventoryTransaction transaction = write(InventoryTransaction.drawing(NEW_TOKEN), false);
         assertEquals(List.of(3), transaction.parts());
         assertEquals(Keys.INVENTORY + 3, transaction.changes().get(0).key());
@@ -40,7 +40,7 @@
 
     @Test
     void aMachineThatNeedsANewTokenGetsIt() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         machine.inventory().requireNewToken();
         InventoryTransaction transaction = write(InventoryTransaction.drawing(NEW_TOKEN), false);
         assertEquals(NEW_TOKEN, tokenWritten(transaction));
@@ -50,7 +50,7 @@
 
     @Test
     void aTokenThatIsNeededOnlyForCleanupIsDrawnOnceThatIsDue() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         machine.inventory().requireTokenForCleanup();
         assertEquals(TERM_TOKEN, tokenWritten(write(InventoryTransaction.drawing(NEW_TOKEN), false)));
         assertEquals(NEW_TOKEN, tokenWritten(write(InventoryTransaction.drawing(NEW_TOKEN), true)));
@@ -58,7 +58,7 @@
 
     @Test
     void aSplitDrawsNoToken() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         machine.inventory().requireNewToken();
         InventoryTransaction transaction = write(InventoryTransaction.ofSplit(), false);
         assertTrue(transaction.isSplit());
