--- a/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
@@ -110,7 +110,7 @@
 
     private void put(Machine machine, int part) {
         parts.get(part).add(machine);
-        machine.inventory().putInPart(part);
+        machine.inventory().assignPart(part);
     }
 
     // ---- splits ------------------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -33,7 +33,7 @@
     }
 
     /** The row is to be written in this part. */
-    public void putInPart(int part) {
+    public void assignPart(int part) {
         this.part = part;
     }
 
