--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -44,7 +44,7 @@
         List<InventoryRecord.Host> rows = new ArrayList<>();
         for (Machine machine : machines) {
             if (cleanupTokensDue) {
-                machine.inventory().cleanupTokenDue();
+                machine.inventory().requireCleanupTokenNow();
             }
             rows.add(machine.inventoryRow(tokenToWrite(machine)));
         }
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -68,7 +68,7 @@
     }
 
     /** The time has come to draw the fencing tokens that could wait. */
-    public void cleanupTokenDue() {
+    public void requireCleanupTokenNow() {
         needsNewToken |= needsTokenForCleanup;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -124,7 +124,7 @@
     void aTokenForCleanupWaitsUntilItIsDue() {
         machine.inventory().requireTokenForCleanup();
         assertFalse(machine.inventory().needsNewToken());
-        machine.inventory().cleanupTokenDue();
+        machine.inventory().requireCleanupTokenNow();
         assertTrue(machine.inventory().needsNewToken());
         machine.inventory().tokenRaised(8);
         assertFalse(machine.inventory().needsNewToken());
