--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -171,7 +171,7 @@
             machine.inventory().markRecorded();
         }
         for (Machine machine : recorded.machinesWithNewToken()) {
-            machine.inventory().tokenRaised(recorded.newToken());
+            machine.inventory().applyRaisedToken(recorded.newToken());
             listener.tokenRaised(machine);
         }
         writeRest();
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -73,7 +73,7 @@
     }
 
     /** A higher fencing token is on record for it. */
-    public void tokenRaised(long token) {
+    public void applyRaisedToken(long token) {
         needsNewToken = false;
         needsTokenForCleanup = false;
         fencingToken = token;
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -111,7 +111,7 @@
         assertTrue(machine.takesTasks());
         machine.inventory().requireNewToken();
         assertFalse(machine.takesTasks(), "waits for a higher fencing token");
-        machine.inventory().tokenRaised(8);
+        machine.inventory().applyRaisedToken(8);
         assertTrue(machine.takesTasks());
         machine.typeKnown(null);
         assertFalse(machine.takesTasks(), "its capacity is not known");
@@ -126,7 +126,7 @@
         assertFalse(machine.inventory().needsNewToken());
         machine.inventory().requireCleanupTokenNow();
         assertTrue(machine.inventory().needsNewToken());
-        machine.inventory().tokenRaised(8);
+        machine.inventory().applyRaisedToken(8);
         assertFalse(machine.inventory().needsNewToken());
         assertFalse(machine.inventory().needsTokenForCleanup());
         assertEquals(8, machine.fencingToken());
