--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -65,7 +65,7 @@
 
     private void countFleet(ActiveJob newest) {
         for (Machine machine : demand.fleet().machines()) {
-            if (!machine.spot()
+            if (!machine.isSpot()
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && machine.type().fits(newest.spec())) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -39,7 +39,7 @@
 
     /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
     private boolean keptAsHeadroom(Machine machine, boolean idle) {
-        boolean idleAtFullPrice = idle && !machine.spot();
+        boolean idleAtFullPrice = idle && !machine.isSpot();
         long freeCpuMillis = machine.capacity().cpuFree();
         machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
         if (machine.keptAsHeadroom()) {
@@ -69,7 +69,7 @@
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.spot() ? policy.idleShareSpot() : policy.idleShare();
+        double share = machine.isSpot() ? policy.idleShareSpot() : policy.idleShare();
         return (long) (share * type.bootMicros());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -76,7 +76,7 @@
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
             if (type != null && justJoined(machine) && !fleet.isHeartbeatOverdue(machine, nowMicros)) {
-                plan.pending(type, machine.zone(), machine.spot());
+                plan.pending(type, machine.zone(), machine.isSpot());
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -55,7 +55,7 @@
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
             if (type != null) {
-                (machine.spot() ? spot : fullPrice).add(machine, type);
+                (machine.isSpot() ? spot : fullPrice).add(machine, type);
                 idle += machine.isEmpty() ? 1 : 0;
             }
         }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -52,7 +52,7 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "");
+                machine.isSpot() ? " spot" : "");
         fleet.add(machine);
         inventory.add(machine);
     }
@@ -86,7 +86,7 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "",
+                machine.isSpot() ? " spot" : "",
                 machine.placements().size());
         machine.leaseExpired();
         tasks.freeAll(machine, "its worker's lease is over");
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -46,7 +46,7 @@
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
         Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (!machine.spot() && machine.takesTasks()) {
+            if (!machine.isSpot() && machine.takesTasks()) {
                 freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
             }
         }
@@ -56,7 +56,7 @@
     /** Whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
         return batchPlanner.largestPromptGangCpuMillis() > 0
-                && !machine.spot()
+                && !machine.isSpot()
                 && machine.zone().equals(zone);
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -84,7 +84,7 @@
     }
 
     /** Whether the cloud may take it back at any time. */
-    public boolean spot() {
+    public boolean isSpot() {
         return profile.spot();
     }
 
@@ -128,7 +128,14 @@
             throw new IllegalStateException("machine " + id + " can't go from " + phase + " to " + next);
         }
         LOG.info(
-                "machine {} ({} {}{}): {} -> {} ({})", id, typeName(), zone(), spot() ? " spot" : "", phase, next, why);
+                "machine {} ({} {}{}): {} -> {} ({})",
+                id,
+                typeName(),
+                zone(),
+                isSpot() ? " spot" : "",
+                phase,
+                next,
+                why);
         phase = next;
     }
 
@@ -219,7 +226,7 @@
 
     /** Its row in the inventory, with this fencing token. */
     public InventoryRecord.Host inventoryRow(long withToken) {
-        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), spot(), withToken);
+        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), isSpot(), withToken);
     }
 
     // ---- what its worker says ----------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -60,7 +60,7 @@
         if (spec.service()) {
             return score + (hostsService ? SERVICE_WITH_SERVICES_BONUS : 0);
         }
-        return score + (machine.spot() ? BATCH_ON_SPOT_BONUS : 0) - (hostsService ? BATCH_WITH_SERVICES_PENALTY : 0);
+        return score + (machine.isSpot() ? BATCH_ON_SPOT_BONUS : 0) - (hostsService ? BATCH_WITH_SERVICES_PENALTY : 0);
     }
 
     private static double imageScore(Machine machine, MachineType type, JobSpec spec) {
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -75,7 +75,7 @@
     }
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.spot()
+        return machine.isSpot()
                 || machine.capacity().hostsService()
                 || machine.keptAsHeadroom()
                 || nowMicros + runtimeEstimator.taskMicros(job)
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -275,7 +275,7 @@
                 machine.contact().address(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot(),
+                machine.isSpot(),
                 agentEpoch,
                 machine.contact().sequence() + 1,
                 fencingToken,
