--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -89,7 +89,7 @@
     /** The worker has shown the present fencing token: what is on the machine is known. */
     private void confirm(Machine machine) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED) {
-            machine.tasksConfirmed();
+            machine.confirmTasks();
             loop.wantCycle();
         }
         // An attribute of a span that operators filter by: its words stay.
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -143,7 +143,7 @@
      * A heartbeat under the present fencing token has come, so its tasks are known. Changes nothing on a machine that
      * drains or is being terminated: it gets no tasks again.
      */
-    public void tasksConfirmed() {
+    public void confirmTasks() {
         if (phase == Phase.UNCONFIRMED) {
             transition(Phase.READY, "heartbeat under fencing token " + fencingToken());
         }
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -67,7 +67,7 @@
     @Test
     void afterAFixedTimeWhereTheBootTimeIsUnknown() {
         Machine machine = new Machine("m", "m:1", "unknown", "a", false);
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         machine.heartbeatReceived(true, NOW);
         machine.launchedAt(LONG_AGO);
         assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE);
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -31,7 +31,7 @@
         Machine machine = new Machine(id, id + ":1", "type", zone, false);
         machine.inventory().markRecorded();
         machine.heartbeatReceived(false, startMicros);
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         fleet.add(machine);
         return machine;
     }
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -28,7 +28,7 @@
         fleet.add(machine);
         machine.heartbeatReceived(false, timers.nowMicros());
         machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE, true);
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         return machine;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -29,7 +29,7 @@
             """;
 
     private static final String EVENTS = """
-            in           tasksConfirmed  confirmationLost  drain        terminationDecided  provedGone
+            in           confirmTasks  confirmationLost  drain        terminationDecided  provedGone
             UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
             READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
             DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
@@ -61,9 +61,9 @@
     void bringTo(Phase phase) {
         switch (phase) {
             case UNCONFIRMED -> {}
-            case READY -> machine.tasksConfirmed();
+            case READY -> machine.confirmTasks();
             case DRAINING -> {
-                machine.tasksConfirmed();
+                machine.confirmTasks();
                 machine.drain("test");
             }
             case TERMINATING -> machine.terminationDecided("test");
@@ -74,7 +74,7 @@
     @Override
     void apply(String event) {
         switch (event) {
-            case "tasksConfirmed" -> machine.tasksConfirmed();
+            case "confirmTasks" -> machine.confirmTasks();
             case "confirmationLost" -> machine.confirmationLost(9 * SECOND, "test");
             case "drain" -> machine.drain("test");
             case "terminationDecided" -> machine.terminationDecided("test");
@@ -85,7 +85,7 @@
 
     @Test
     void confirmationCanBeLostOnlyOnce() {
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         machine.confirmationLost(3 * SECOND, "fencing token raised");
         machine.confirmationLost(4 * SECOND, "fencing token raised");
         assertEquals(3 * SECOND, machine.unconfirmedSinceMicros());
@@ -94,7 +94,7 @@
     @Test
     void aMachineThatDrainsIsNotSaidToBeUnconfirmedSinceLater() {
         machine.joinedFleet(7, SECOND);
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         machine.drain("test");
         machine.confirmationLost(4 * SECOND, "test");
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
@@ -105,7 +105,7 @@
         machine.joinedFleet(7, SECOND);
         assertEquals(7, machine.fencingToken());
         assertFalse(machine.takesTasks());
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         assertFalse(machine.takesTasks(), "its row is not on record");
         machine.inventory().markRecorded();
         assertTrue(machine.takesTasks());
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -92,7 +92,7 @@
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
         machine.inventory().markRecorded();
         machine.heartbeatReceived(false, NOW);
-        machine.tasksConfirmed();
+        machine.confirmTasks();
         fleet.add(machine);
         return machine;
     }
