--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -90,7 +90,7 @@
                 machine.placements().size());
         machine.leaseExpired();
         tasks.freeAll(machine, "its worker's lease is over");
-        machine.confirmationLost(timers.nowMicros(), "its lease is over");
+        machine.markUnconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
         recovery.resolved(machine, "its lease is over");
         loop.requestCycle();
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -25,7 +25,7 @@
             machine.contact().fence();
             extendLeaseInPeerZone(machine, nowMicros);
         }
-        machine.confirmationLost(nowMicros, "fencing token raised to " + machine.fencingToken());
+        machine.markUnconfirmed(nowMicros, "fencing token raised to " + machine.fencingToken());
     }
 
     /** A controller cut off together with the machine may not know yet, and go on under the former token. */
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -150,7 +150,7 @@
     }
 
     /** What is on it is not known for certain any more: nothing is placed there until it is confirmed anew. */
-    public void confirmationLost(long nowMicros, String why) {
+    public void markUnconfirmed(long nowMicros, String why) {
         if (phase == Phase.READY) {
             transition(Phase.UNCONFIRMED, why);
             unconfirmedSinceMicros = nowMicros;
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -95,7 +95,7 @@
     @Test
     void notWhileItsTasksAreUnconfirmed() {
         Machine machine = paidMachine("m", false);
-        machine.confirmationLost(NOW, "test");
+        machine.markUnconfirmed(NOW, "test");
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -98,7 +98,7 @@
     @Test
     void whenOurAnswersHaveNotReachedItForALease() {
         Machine machine = machine("m", OWN_ZONE);
-        machine.confirmationLost(startMicros, "test");
+        machine.markUnconfirmed(startMicros, "test");
         machine.heartbeatReceived(false, startMicros + leaseMicros);
         assertNull(reasonAfter(machine, leaseMicros));
         assertEquals(TerminationReason.UNREACHABLE, reasonAfter(machine, leaseMicros + 1));
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -29,7 +29,7 @@
             """;
 
     private static final String EVENTS = """
-            in           confirmTasks  confirmationLost  drain        terminationDecided  provedGone
+            in           confirmTasks  markUnconfirmed  drain        terminationDecided  provedGone
             UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
             READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
             DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
@@ -75,7 +75,7 @@
     void apply(String event) {
         switch (event) {
             case "confirmTasks" -> machine.confirmTasks();
-            case "confirmationLost" -> machine.confirmationLost(9 * SECOND, "test");
+            case "markUnconfirmed" -> machine.markUnconfirmed(9 * SECOND, "test");
             case "drain" -> machine.drain("test");
             case "terminationDecided" -> machine.terminationDecided("test");
             case "provedGone" -> machine.provedGone("test");
@@ -86,8 +86,8 @@
     @Test
     void confirmationCanBeLostOnlyOnce() {
         machine.confirmTasks();
-        machine.confirmationLost(3 * SECOND, "fencing token raised");
-        machine.confirmationLost(4 * SECOND, "fencing token raised");
+        machine.markUnconfirmed(3 * SECOND, "fencing token raised");
+        machine.markUnconfirmed(4 * SECOND, "fencing token raised");
         assertEquals(3 * SECOND, machine.unconfirmedSinceMicros());
     }
 
@@ -96,7 +96,7 @@
         machine.joinedFleet(7, SECOND);
         machine.confirmTasks();
         machine.drain("test");
-        machine.confirmationLost(4 * SECOND, "test");
+        machine.markUnconfirmed(4 * SECOND, "test");
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
     }
 
