--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -71,7 +71,7 @@
             return true;
         }
         if (reason != null) {
-            machine.terminationDecided(reason.text());
+            machine.markTerminating(reason.text());
         }
         return reason != null;
     }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -165,7 +165,7 @@
     }
 
     /** The cloud is about to be asked to take it. */
-    public void terminationDecided(String why) {
+    public void markTerminating(String why) {
         transition(Phase.TERMINATING, why);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -29,7 +29,7 @@
             """;
 
     private static final String EVENTS = """
-            in           confirmTasks  markUnconfirmed  drain        terminationDecided  provedGone
+            in           confirmTasks  markUnconfirmed  drain        markTerminating  provedGone
             UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
             READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
             DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
@@ -66,7 +66,7 @@
                 machine.confirmTasks();
                 machine.drain("test");
             }
-            case TERMINATING -> machine.terminationDecided("test");
+            case TERMINATING -> machine.markTerminating("test");
             case GONE -> machine.provedGone("test");
         }
     }
@@ -77,7 +77,7 @@
             case "confirmTasks" -> machine.confirmTasks();
             case "markUnconfirmed" -> machine.markUnconfirmed(9 * SECOND, "test");
             case "drain" -> machine.drain("test");
-            case "terminationDecided" -> machine.terminationDecided("test");
+            case "markTerminating" -> machine.markTerminating("test");
             case "provedGone" -> machine.provedGone("test");
             default -> throw new IllegalArgumentException(event);
         }
