--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -110,7 +110,7 @@
         if (machine.isGone()) {
             return;
         }
-        machine.provedGone(why);
+        machine.markGone(why);
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -170,7 +170,7 @@
     }
 
     /** Nothing can be on it any more, and nothing will be. */
-    public void provedGone(String why) {
+    public void markGone(String why) {
         transition(Phase.GONE, why);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -29,7 +29,7 @@
             """;
 
     private static final String EVENTS = """
-            in           confirmTasks  markUnconfirmed  drain        markTerminating  provedGone
+            in           confirmTasks  markUnconfirmed  drain        markTerminating  markGone
             UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
             READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
             DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
@@ -67,7 +67,7 @@
                 machine.drain("test");
             }
             case TERMINATING -> machine.markTerminating("test");
-            case GONE -> machine.provedGone("test");
+            case GONE -> machine.markGone("test");
         }
     }
 
@@ -78,7 +78,7 @@
             case "markUnconfirmed" -> machine.markUnconfirmed(9 * SECOND, "test");
             case "drain" -> machine.drain("test");
             case "markTerminating" -> machine.markTerminating("test");
-            case "provedGone" -> machine.provedGone("test");
+            case "markGone" -> machine.markGone("test");
             default -> throw new IllegalArgumentException(event);
         }
     }
