--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -50,7 +50,7 @@
     private int freeSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
         for (Machine machine : demand.fleet().machines()) {
-            boolean usable = machine.takesTasks()
+            boolean usable = machine.isSchedulable()
                     && machine.allowedFor(spec)
                     && zones.includes(machine.zone())
                     && (machine.reservedFor() == null
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -35,7 +35,7 @@
 
     /** The placements whose starts may go out now. */
     List<Placement> startable(Machine machine) {
-        if (!machine.takesTasks() || !leadership.mayStart()) {
+        if (!machine.isSchedulable() || !leadership.mayStart()) {
             return List.of();
         }
         return machine.placements().stream()
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -46,7 +46,7 @@
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
         Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (!machine.isSpot() && machine.takesTasks()) {
+            if (!machine.isSpot() && machine.isSchedulable()) {
                 freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
             }
         }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -180,7 +180,7 @@
     }
 
     /** Whether tasks may be placed on it, free capacity aside. */
-    public boolean takesTasks() {
+    public boolean isSchedulable() {
         return phase == Phase.READY && inventory.isRecorded() && !inventory.needsNewToken() && capacity.type() != null;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -41,7 +41,7 @@
      * and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
      */
     public boolean isEligible(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.takesTasks()
+        return machine.isSchedulable()
                 && satisfiesConstraints(machine, job, nowMicros)
                 && !fleet.isUnresponsive(machine, nowMicros);
     }
@@ -52,7 +52,7 @@
      */
     public boolean canPlace(ActiveJob job, Machine machine, long nowMicros) {
         return machine.capacity().fits(job.spec())
-                && machine.takesTasks()
+                && machine.isSchedulable()
                 && respectsReservation(machine, job)
                 && satisfiesConstraints(machine, job, nowMicros);
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -103,7 +103,7 @@
     }
 
     private static boolean mayEmpty(Machine machine, long nowMicros) {
-        if (!machine.takesTasks()
+        if (!machine.isSchedulable()
                 || !machine.hasPlacements()
                 || machine.capacity().cpuUsedShare() > MAX_CPU_USED_SHARE_TO_EMPTY) {
             return false;
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -35,7 +35,7 @@
         long memoryMillis = smallest(candidates, JobSpec::memoryMillis);
         machinesWithCapacity.clear();
         for (Machine machine : fleet.machines()) {
-            if (machine.takesTasks()
+            if (machine.isSchedulable()
                     && machine.capacity().hasFree(cpuMillis, memoryMillis)
                     && !fleet.isUnresponsive(machine, nowMicros)) {
                 machinesWithCapacity.add(machine);
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -56,7 +56,7 @@
 
     private static boolean mayMoveTo(Machine machine, Machine source, JobSpec spec) {
         return machine != source
-                && machine.takesTasks()
+                && machine.isSchedulable()
                 && machine.allowedFor(spec)
                 && (machine.zone().equals(source.zone()) || !spec.spread())
                 && ImageFetch.secondsOn(machine, spec) < MAX_FETCH_SECONDS
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -60,7 +60,7 @@
         Machine third = fixture.readyMachine("m3");
         fixture.inventory.requestToken(first, "test");
         fixture.inventory.requestToken(second, "test");
-        assertFalse(first.takesTasks(), "not before the token is on record");
+        assertFalse(first.isSchedulable(), "not before the token is on record");
         fixture.timers.advance(SECOND);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
         assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
@@ -87,7 +87,7 @@
         Machine machine = fixture.readyMachine("m");
         fixture.inventory.requestTokenForCleanup(machine);
         fixture.timers.advance(CLEANUP_DELAY - 1);
-        assertTrue(machine.takesTasks());
+        assertTrue(machine.isSchedulable());
         assertEquals(TERM_TOKEN, machine.fencingToken());
         fixture.timers.advance(SECOND);
         assertEquals(TERM_TOKEN + 1, machine.fencingToken());
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -104,20 +104,20 @@
     void itTakesTasksOnceItIsConfirmedAndOnRecord() {
         machine.joinedFleet(7, SECOND);
         assertEquals(7, machine.fencingToken());
-        assertFalse(machine.takesTasks());
+        assertFalse(machine.isSchedulable());
         machine.confirmTasks();
-        assertFalse(machine.takesTasks(), "its row is not on record");
+        assertFalse(machine.isSchedulable(), "its row is not on record");
         machine.inventory().markRecorded();
-        assertTrue(machine.takesTasks());
+        assertTrue(machine.isSchedulable());
         machine.inventory().requireNewToken();
-        assertFalse(machine.takesTasks(), "waits for a higher fencing token");
+        assertFalse(machine.isSchedulable(), "waits for a higher fencing token");
         machine.inventory().applyRaisedToken(8);
-        assertTrue(machine.takesTasks());
+        assertTrue(machine.isSchedulable());
         machine.typeKnown(null);
-        assertFalse(machine.takesTasks(), "its capacity is not known");
+        assertFalse(machine.isSchedulable(), "its capacity is not known");
         machine.typeKnown(Fixtures.TYPE);
         machine.drain("test");
-        assertFalse(machine.takesTasks());
+        assertFalse(machine.isSchedulable());
     }
 
     @Test
