--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -52,7 +52,7 @@
         if (!machine.awaitingFirstHeartbeat()) {
             return;
         }
-        machine.takeoverResolved();
+        machine.resolveTakeover();
         if (plan.resolved(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -195,7 +195,7 @@
     }
 
     /** What a former leader left on it is known, or it is gone. */
-    public void takeoverResolved() {
+    public void resolveTakeover() {
         awaitingFirstHeartbeat = false;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -140,7 +140,7 @@
         assertEquals(SECOND, machine.contact().lastHeartbeatMicros());
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
         assertEquals(SECOND, machine.idleSinceMicros());
-        machine.takeoverResolved();
+        machine.resolveTakeover();
         assertFalse(machine.awaitingFirstHeartbeat());
     }
 
