--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -44,7 +44,7 @@
     /** Whether its heartbeats arrive, but our answers and commands have not reached it for a lease. */
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
+                && !machine.isAwaitingFirstHeartbeat()
                 && machine.inventory().isRecorded()
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -83,7 +83,7 @@
 
     /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
     private static boolean justJoined(Machine machine) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
+        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.isAwaitingFirstHeartbeat();
     }
 
     private boolean launchesFor(ActiveJob job, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -98,7 +98,7 @@
     /** Its heartbeats come and its token is on record, but they have not shown it yet. */
     private boolean hasNotAdoptedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
+                && !machine.isAwaitingFirstHeartbeat()
                 && machine.inventory().isRecorded()
                 && !machine.inventory().needsNewToken()
                 && !fleet.isUnresponsive(machine, nowMicros);
@@ -114,7 +114,7 @@
     private boolean isProbeDue(Machine machine, long nowMicros) {
         return fleet.isHeartbeatOverdue(machine, nowMicros)
                 && !machine.contact().fenced()
-                && !machine.awaitingFirstHeartbeat()
+                && !machine.isAwaitingFirstHeartbeat()
                 && !machine.contact().callInFlight()
                 && nowMicros - machine.contact().lastCallMicros()
                         > config.workers().heartbeatIntervalMicros();
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -63,7 +63,7 @@
     }
 
     private static boolean needsCall(Machine machine) {
-        return machine.awaitingFirstHeartbeat()
+        return machine.isAwaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.contact().fenced();
     }
@@ -72,7 +72,7 @@
         callsUnderWay++;
         calls.callWithoutCommands(machine, () -> {
             callsUnderWay--;
-            if (machine.awaitingFirstHeartbeat()) {
+            if (machine.isAwaitingFirstHeartbeat()) {
                 callAgainLater(machine);
             }
             callNext();
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -49,7 +49,7 @@
 
     /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
     public void resolved(Machine machine, String proof) {
-        if (!machine.awaitingFirstHeartbeat()) {
+        if (!machine.isAwaitingFirstHeartbeat()) {
             return;
         }
         machine.resolveTakeover();
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -200,7 +200,7 @@
     }
 
     /** Whether it was taken over and is still awaited. */
-    public boolean awaitingFirstHeartbeat() {
+    public boolean isAwaitingFirstHeartbeat() {
         return awaitingFirstHeartbeat;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -102,7 +102,7 @@
         calls.callWithoutCommands(machine, () -> {});
         onlyCall().answer(nextHeartbeat(machine));
         assertEquals(Machine.Phase.READY, machine.phase());
-        assertFalse(machine.awaitingFirstHeartbeat());
+        assertFalse(machine.isAwaitingFirstHeartbeat());
     }
 
     @ParameterizedTest(name = "executed: {0}, worker knows token {1}")
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -135,13 +135,13 @@
     @Test
     void aMachineTakenOverIsAwaitedUntilWhatIsOnItIsKnown() {
         machine.takenOverFromFormerLeader(SECOND, 30 * SECOND);
-        assertTrue(machine.awaitingFirstHeartbeat());
+        assertTrue(machine.isAwaitingFirstHeartbeat());
         assertEquals(30 * SECOND, machine.contact().leaseExpiryMicros());
         assertEquals(SECOND, machine.contact().lastHeartbeatMicros());
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
         assertEquals(SECOND, machine.idleSinceMicros());
         machine.resolveTakeover();
-        assertFalse(machine.awaitingFirstHeartbeat());
+        assertFalse(machine.isAwaitingFirstHeartbeat());
     }
 
     @Test
