--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -80,7 +80,7 @@
             Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken, long nowMicros) {
         machine.contact().messageReceived(heartbeat);
         if (origin == MessageOrigin.HEARTBEAT) {
-            machine.heartbeatReceived(fleet.isUnresponsive(machine, nowMicros), nowMicros);
+            machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
         long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
         machine.contact().leaseRunsUntil(leaseExpiryMicros, underPresentToken);
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -236,7 +236,7 @@
      *
      * @param wasUnresponsive whether heartbeats were overdue for long: it could show nothing and get no work
      */
-    public void heartbeatReceived(boolean wasUnresponsive, long nowMicros) {
+    public void recordHeartbeat(boolean wasUnresponsive, long nowMicros) {
         if (wasUnresponsive) {
             unconfirmedSinceMicros = nowMicros;
             idleSinceMicros = nowMicros;
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -68,7 +68,7 @@
     void afterAFixedTimeWhereTheBootTimeIsUnknown() {
         Machine machine = new Machine("m", "m:1", "unknown", "a", false);
         machine.confirmTasks();
-        machine.heartbeatReceived(true, NOW);
+        machine.recordHeartbeat(true, NOW);
         machine.launchedAt(LONG_AGO);
         assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE);
     }
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -30,7 +30,7 @@
     private Machine machine(String id, String zone) {
         Machine machine = new Machine(id, id + ":1", "type", zone, false);
         machine.inventory().markRecorded();
-        machine.heartbeatReceived(false, startMicros);
+        machine.recordHeartbeat(false, startMicros);
         machine.confirmTasks();
         fleet.add(machine);
         return machine;
@@ -88,7 +88,7 @@
         machines(OWN_ZONE, 20);
         fleet.machines().stream()
                 .filter(other -> other.zone().equals(OWN_ZONE))
-                .forEach(other -> other.heartbeatReceived(false, startMicros + partitionMicros));
+                .forEach(other -> other.recordHeartbeat(false, startMicros + partitionMicros));
 
         assertNull(reasonAfter(machine, leaseMicros + 1));
         assertNull(reasonAfter(machine, partitionMicros));
@@ -99,7 +99,7 @@
     void whenOurAnswersHaveNotReachedItForALease() {
         Machine machine = machine("m", OWN_ZONE);
         machine.markUnconfirmed(startMicros, "test");
-        machine.heartbeatReceived(false, startMicros + leaseMicros);
+        machine.recordHeartbeat(false, startMicros + leaseMicros);
         assertNull(reasonAfter(machine, leaseMicros));
         assertEquals(TerminationReason.UNREACHABLE, reasonAfter(machine, leaseMicros + 1));
     }
@@ -108,7 +108,7 @@
     void notWhileItIsToBePutOnRecord() {
         Machine machine = new Machine("m", "m:1", "type", OWN_ZONE, false);
         fleet.add(machine);
-        machine.heartbeatReceived(false, startMicros + leaseMicros);
+        machine.recordHeartbeat(false, startMicros + leaseMicros);
         assertNull(reasonAfter(machine, leaseMicros + 1));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
@@ -60,7 +60,7 @@
     void aMachineThatNothingNeedsIsChosen() {
         Machine machine = fixture.machine("idle", false);
         long laterMicros = NOW + Machine.MINIMUM_CHARGE_MICROS + 1;
-        machine.heartbeatReceived(false, laterMicros);
+        machine.recordHeartbeat(false, laterMicros);
         assertEquals(List.of("idle"), scaleIn.choose(laterMicros));
         assertEquals(Machine.Phase.TERMINATING, machine.phase());
     }
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -38,14 +38,14 @@
     private void machines(String zone, int count, int overdue) {
         for (int number = 0; number < count; number++) {
             Machine machine = Fixtures.machine(zone + "-" + number, zone);
-            machine.heartbeatReceived(false, timers.nowMicros() - (number < overdue ? OVERDUE : 0));
+            machine.recordHeartbeat(false, timers.nowMicros() - (number < overdue ? OVERDUE : 0));
             fleet.add(machine);
         }
         detector.update(timers.nowMicros());
     }
 
     private void allHeartbeatsCome() {
-        fleet.machines().forEach(machine -> machine.heartbeatReceived(false, timers.nowMicros()));
+        fleet.machines().forEach(machine -> machine.recordHeartbeat(false, timers.nowMicros()));
         detector.update(timers.nowMicros());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -26,7 +26,7 @@
     private Machine machineIn(String zone) {
         Machine machine = new Machine("m00", "10.0.0.1:80", "standard", zone, false);
         fleet.add(machine);
-        machine.heartbeatReceived(false, timers.nowMicros());
+        machine.recordHeartbeat(false, timers.nowMicros());
         machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE, true);
         machine.confirmTasks();
         return machine;
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -147,10 +147,10 @@
     @Test
     void aMachineThatWasUnresponsiveCountsAsIdleAndUnconfirmedAnew() {
         machine.joinedFleet(7, SECOND);
-        machine.heartbeatReceived(false, 5 * SECOND);
+        machine.recordHeartbeat(false, 5 * SECOND);
         assertEquals(SECOND, machine.idleSinceMicros());
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
-        machine.heartbeatReceived(true, 50 * SECOND);
+        machine.recordHeartbeat(true, 50 * SECOND);
         assertEquals(50 * SECOND, machine.idleSinceMicros());
         assertEquals(50 * SECOND, machine.unconfirmedSinceMicros());
         assertEquals(50 * SECOND, machine.contact().lastHeartbeatMicros());
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -91,7 +91,7 @@
         Machine machine =
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
         machine.inventory().markRecorded();
-        machine.heartbeatReceived(false, NOW);
+        machine.recordHeartbeat(false, NOW);
         machine.confirmTasks();
         fleet.add(machine);
         return machine;
