--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -88,7 +88,7 @@
                 machine.zone(),
                 machine.isSpot() ? " spot" : "",
                 machine.placements().size());
-        machine.leaseExpired();
+        machine.expireLease();
         tasks.freeAll(machine, "its worker's lease is over");
         machine.markUnconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -250,7 +250,7 @@
     }
 
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
-    public void leaseExpired() {
+    public void expireLease() {
         contact.leaseExpired();
         findings.discardCleanup();
     }
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -68,7 +68,7 @@
     @Test
     void aLeaseThatIsOverIsNotExtended() {
         Machine machine = machineIn(PEER_ZONE);
-        machine.leaseExpired();
+        machine.expireLease();
         timers.advance(5 * SECOND);
         handler.tokenRaised(machine);
         assertEquals(0, machine.contact().leaseExpiryMicros());
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -171,7 +171,7 @@
     void leaseExpiryVoidsTheCleanup() {
         machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
         machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
-        machine.leaseExpired();
+        machine.expireLease();
         assertEquals(List.of(), machine.cleanupCommands());
         assertEquals(5, machine.contact().agentEpoch());
     }
