--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -48,7 +48,7 @@
      */
     void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> repeated) {
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
-        machine.addCleanup(stop);
+        machine.addCleanupCommand(stop);
         commands.due(machine);
         loop.wantCycle();
         if (!repeated.contains(stop)) {
@@ -65,7 +65,7 @@
     /** The machine need not list this attempt any more if it has exited and nothing can start it again. */
     void clearIfExited(Machine machine, TaskStatus status, Verdict verdict) {
         if (status.state() == TaskState.EXITED && verdict != Verdict.UNCONFIRMED && mayClear(machine, status)) {
-            machine.addCleanup(WorkerCommand.clear(status.task(), status.attempt()));
+            machine.addCleanupCommand(WorkerCommand.clear(status.task(), status.attempt()));
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -263,7 +263,7 @@
     }
 
     /** The latest message calls for this command. */
-    public void addCleanup(WorkerCommand command) {
+    public void addCleanupCommand(WorkerCommand command) {
         findings.addCleanup(command);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -158,7 +158,7 @@
 
     @Test
     void findingsHoldUntilTheNextMessage() {
-        machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
+        machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
         machine.taskUnconfirmed();
         assertEquals(1, machine.cleanupCommands().size());
         assertFalse(machine.isEmpty(), "a task that nothing is known of may not be cut short");
@@ -170,7 +170,7 @@
     @Test
     void leaseExpiryVoidsTheCleanup() {
         machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
-        machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
+        machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
         machine.expireLease();
         assertEquals(List.of(), machine.cleanupCommands());
         assertEquals(5, machine.contact().agentEpoch());
