--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -74,7 +74,7 @@
                 case ADOPTED -> adopted(machine, status, underPresentToken, nowMicros);
                 case FINISHED_MEANWHILE -> finishedMeanwhile(status.task());
                 case STALE, UNKNOWN_JOB -> cleanup.stopOrphan(machine, status, verdict, repeated);
-                case UNCONFIRMED -> machine.taskUnconfirmed();
+                case UNCONFIRMED -> machine.addUnconfirmedTask();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -273,7 +273,7 @@
     }
 
     /** The message lists a task of which nothing can be decided: it may not be cut short. */
-    public void taskUnconfirmed() {
+    public void addUnconfirmedTask() {
         findings.taskUnconfirmed();
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -159,7 +159,7 @@
     @Test
     void findingsHoldUntilTheNextMessage() {
         machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
-        machine.taskUnconfirmed();
+        machine.addUnconfirmedTask();
         assertEquals(1, machine.cleanupCommands().size());
         assertFalse(machine.isEmpty(), "a task that nothing is known of may not be cut short");
         machine.clearFindings();
