--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -42,7 +42,7 @@
         boolean idleAtFullPrice = idle && !machine.isSpot();
         long freeCpuMillis = machine.capacity().cpuFree();
         machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
-        if (machine.keptAsHeadroom()) {
+        if (machine.isHeadroom()) {
             return true;
         }
         if (idleAtFullPrice) {
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -280,7 +280,7 @@
     // ---- capacity held back ------------------------------------------------------------------------------------
 
     /** Whether it is idle, but kept as headroom for live services: other work may use it meanwhile. */
-    public boolean keptAsHeadroom() {
+    public boolean isHeadroom() {
         return capacityHold.isHeadroom();
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -106,10 +106,10 @@
         Machine second = paidMachine("m2", false);
 
         assertTrue(releasedAfter(first, IDLE + 1));
-        assertFalse(first.keptAsHeadroom());
+        assertFalse(first.isHeadroom());
 
         assertFalse(releasedAfter(second, IDLE + 1));
-        assertTrue(second.keptAsHeadroom());
+        assertTrue(second.isHeadroom());
     }
 
     @Test
@@ -117,7 +117,7 @@
         spareHeadroom.update(0);
         Machine machine = paidMachine("m", true);
         assertTrue(releasedAfter(machine, IDLE_SPOT + 1));
-        assertFalse(machine.keptAsHeadroom());
+        assertFalse(machine.isHeadroom());
     }
 
     @Test
@@ -125,12 +125,12 @@
         spareHeadroom.update(0);
         Machine machine = paidMachine("m", false);
         releasedAfter(machine, IDLE + 1);
-        assertTrue(machine.keptAsHeadroom());
+        assertTrue(machine.isHeadroom());
 
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         releasedAfter(machine, IDLE + 1);
 
-        assertFalse(machine.keptAsHeadroom());
+        assertFalse(machine.isHeadroom());
     }
 
     @Test
