--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -41,7 +41,7 @@
     private boolean keptAsHeadroom(Machine machine, boolean idle) {
         boolean idleAtFullPrice = idle && !machine.isSpot();
         long freeCpuMillis = machine.capacity().cpuFree();
-        machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
+        machine.setHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
         if (machine.isHeadroom()) {
             return true;
         }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -285,7 +285,7 @@
     }
 
     /** Whether it is kept though it is idle. */
-    public void keepAsHeadroom(boolean keep) {
+    public void setHeadroom(boolean keep) {
         capacityHold.keepAsHeadroom(keep);
     }
 
