--- a/src/main/java/org/granitepath/coordination/autoscaling/BootingMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/BootingMachines.java
@@ -40,7 +40,7 @@
         byId.values().removeIf(booting -> {
             Machine machine = fleet.machine(booting.id());
             if (machine != null) {
-                machine.launchedAt(booting.launchedMicros());
+                machine.setLaunchedMicros(booting.launchedMicros());
             }
             return machine != null;
         });
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -322,7 +322,7 @@
     }
 
     /** The cloud has told since when it is charged. */
-    public void launchedAt(long chargedSinceMicros) {
+    public void setLaunchedMicros(long chargedSinceMicros) {
         launchedMicros = chargedSinceMicros;
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -40,7 +40,7 @@
 
     private Machine paidMachine(String id, boolean spot) {
         Machine machine = fixture.machine(id, spot);
-        machine.launchedAt(LONG_AGO);
+        machine.setLaunchedMicros(LONG_AGO);
         return machine;
     }
 
@@ -69,7 +69,7 @@
         Machine machine = new Machine("m", "m:1", "unknown", "a", false);
         machine.confirmTasks();
         machine.recordHeartbeat(true, NOW);
-        machine.launchedAt(LONG_AGO);
+        machine.setLaunchedMicros(LONG_AGO);
         assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE);
     }
 
