--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -361,7 +361,7 @@
     }
 
     /** Whether a task here waits for this image, so that one more need not fetch it anew. */
-    public boolean fetches(String image) {
+    public boolean isFetching(String image) {
         return placements.fetches(image);
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -67,6 +67,6 @@
         if (machine.capacity().hasImage(spec.image())) {
             return HAS_IMAGE_BONUS;
         }
-        return machine.fetches(spec.image()) ? FETCHES_IMAGE_BONUS : type.fetchGbPerSecond();
+        return machine.isFetching(spec.image()) ? FETCHES_IMAGE_BONUS : type.fetchGbPerSecond();
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -227,9 +227,9 @@
     void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
         Placement placement = Fixtures.placement(Fixtures.job(), 0, machine, 1);
         machine.add(placement);
-        assertTrue(machine.fetches("image"));
-        assertFalse(machine.fetches("other"));
+        assertTrue(machine.isFetching("image"));
+        assertFalse(machine.isFetching("other"));
         placement.running(3 * SECOND);
-        assertFalse(machine.fetches("image"));
+        assertFalse(machine.isFetching("image"));
     }
 }
