--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -51,7 +51,7 @@
         int slots = 0;
         for (Machine machine : demand.fleet().machines()) {
             boolean usable = machine.isSchedulable()
-                    && machine.allowedFor(spec)
+                    && machine.isAllowedFor(spec)
                     && zones.includes(machine.zone())
                     && (machine.reservedFor() == null
                             || machine.reservedFor().spec().equals(spec));
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -371,7 +371,7 @@
     }
 
     /** Whether a job may use this machine at all, capacity and other tasks aside. */
-    public boolean allowedFor(JobSpec spec) {
+    public boolean isAllowedFor(JobSpec spec) {
         return profile.allows(spec);
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -63,7 +63,7 @@
      * terminated, unless it is over before a termination could save anything.
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.allowedFor(job.spec())
+        return machine.isAllowedFor(job.spec())
                 && job.canPlaceInZone(machine.zone())
                 && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, nowMicros))
                 && faults.mayTry(machine, job);
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -57,7 +57,7 @@
     private static boolean mayMoveTo(Machine machine, Machine source, JobSpec spec) {
         return machine != source
                 && machine.isSchedulable()
-                && machine.allowedFor(spec)
+                && machine.isAllowedFor(spec)
                 && (machine.zone().equals(source.zone()) || !spec.spread())
                 && ImageFetch.secondsOn(machine, spec) < MAX_FETCH_SECONDS
                 && machine.capacity().cpuUsedShare() > source.capacity().cpuUsedShare();
