--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -55,7 +55,7 @@
     }
 
     private void waiting(Machine machine, Placement placement, long nowMicros) {
-        machine.capacity().imageSeen(placement.job().spec().image());
+        machine.capacity().addImage(placement.job().spec().image());
         placement.waiting();
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null) {
@@ -75,7 +75,7 @@
             attempt.markRunning();
         }
         if (!placement.hasRun()) {
-            machine.capacity().imageSeen(placement.job().spec().image());
+            machine.capacity().addImage(placement.job().spec().image());
         }
         placement.running(nowMicros);
         if (placement.ranMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -49,7 +49,7 @@
     }
 
     /** A task that needs this image runs here, so the machine has it. */
-    public void imageSeen(String image) {
+    public void addImage(String image) {
         images.remove(image);
         images.add(image);
         if (images.size() > IMAGES_REMEMBERED) {
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void machinesWithTheImageAreFilledFirst() {
-        second.capacity().imageSeen(gang.spec().image());
+        second.capacity().addImage(gang.spec().image());
         GangPlacement placement = finder.find(gang, List.of(first, second), NOW);
         assertEquals(List.of(second, second, first), placement.machines());
         assertEquals(1, placement.imageFetches());
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -60,10 +60,10 @@
     @Test
     void theSixteenImagesSeenLastAreRemembered() {
         for (int i = 0; i < 16; i++) {
-            capacity.imageSeen("image-" + i);
+            capacity.addImage("image-" + i);
         }
-        capacity.imageSeen("image-0");
-        capacity.imageSeen("image-16");
+        capacity.addImage("image-0");
+        capacity.addImage("image-16");
         assertTrue(capacity.hasImage("image-0"), "seen again lately");
         assertFalse(capacity.hasImage("image-1"));
         assertTrue(capacity.hasImage("image-2"));
--- a/src/test/java/org/granitepath/coordination/placement/ImageFetchTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/ImageFetchTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void anImageThatIsThereIsNotFetched() {
-        machine.capacity().imageSeen(spec.image());
+        machine.capacity().addImage(spec.image());
         assertEquals(0, ImageFetch.secondsOn(machine, spec));
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
@@ -29,7 +29,7 @@
         Machine withImage = fixture.machine("with-image", false);
         Machine fetching = fixture.machine("fetching", false);
         Machine without = fixture.machine("without", false);
-        withImage.capacity().imageSeen(batch.spec().image());
+        withImage.capacity().addImage(batch.spec().image());
         fixture.tasks.start(batch, fetching, NOW);
         assertPreferred(withImage, fetching, batch);
         assertPreferred(fetching, without, batch);
@@ -63,7 +63,7 @@
     void suspectMachineComesLast() {
         Machine suspect = fixture.machine("suspect", true);
         Machine sound = fixture.machine("sound", false);
-        suspect.capacity().imageSeen(batch.spec().image());
+        suspect.capacity().addImage(batch.spec().image());
         fixture.faults.failed(suspect, otherService, NOW);
         assertPreferred(sound, suspect, batch);
     }
