--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -63,7 +63,7 @@
     }
 
     /** Whether a task of a service is placed there. */
-    public boolean hostsService() {
+    public boolean hasService() {
         return services > 0;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -62,7 +62,7 @@
                 long batchCpuMillis =
                         machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
                 cpuMillis += batchCpuMillis;
-                cheapCpuMillis += machine.isSpot() || machine.capacity().hostsService() ? batchCpuMillis : 0;
+                cheapCpuMillis += machine.isSpot() || machine.capacity().hasService() ? batchCpuMillis : 0;
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -56,7 +56,7 @@
         double score = imageScore(machine, type, spec);
         score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().cpuFree() - spec.cpuMillis()) / type.cpuMillis();
         score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
-        boolean hostsService = machine.capacity().hostsService();
+        boolean hostsService = machine.capacity().hasService();
         if (spec.service()) {
             return score + (hostsService ? SERVICE_WITH_SERVICES_BONUS : 0);
         }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -76,7 +76,7 @@
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
         return machine.isSpot()
-                || machine.capacity().hostsService()
+                || machine.capacity().hasService()
                 || machine.isHeadroom()
                 || nowMicros + runtimeEstimator.taskMicros(job)
                         < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -48,12 +48,12 @@
     @Test
     void servicesAreCountedApart() {
         capacity.take(BATCH);
-        assertFalse(capacity.hostsService());
+        assertFalse(capacity.hasService());
         capacity.take(SERVICE);
-        assertTrue(capacity.hostsService());
+        assertTrue(capacity.hasService());
         assertEquals(1_000, capacity.cpuUsedByServices());
         capacity.release(SERVICE);
-        assertFalse(capacity.hostsService());
+        assertFalse(capacity.hasService());
         assertEquals(0, capacity.cpuUsedByServices());
     }
 
