--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -69,7 +69,7 @@
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && machine.type().fits(newest.spec())) {
-                long usedCpuMillis = machine.capacity().cpuUsedByServices();
+                long usedCpuMillis = machine.capacity().serviceCpuMillis();
                 servicesCpuMillis += usedCpuMillis;
                 countAvailable(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
             }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -68,7 +68,7 @@
     }
 
     /** Thousandths of a CPU that services use. */
-    public long cpuUsedByServices() {
+    public long serviceCpuMillis() {
         return servicesCpuMillis;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -60,7 +60,7 @@
                     && !machine.contact()
                             .unresponsive(nowMicros, config.workers().heartbeatIntervalMicros())) {
                 long batchCpuMillis =
-                        machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
+                        machine.type().cpuMillis() - machine.capacity().serviceCpuMillis();
                 cpuMillis += batchCpuMillis;
                 cheapCpuMillis += machine.isSpot() || machine.capacity().hasService() ? batchCpuMillis : 0;
             }
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -51,10 +51,10 @@
         assertFalse(capacity.hasService());
         capacity.take(SERVICE);
         assertTrue(capacity.hasService());
-        assertEquals(1_000, capacity.cpuUsedByServices());
+        assertEquals(1_000, capacity.serviceCpuMillis());
         capacity.release(SERVICE);
         assertFalse(capacity.hasService());
-        assertEquals(0, capacity.cpuUsedByServices());
+        assertEquals(0, capacity.serviceCpuMillis());
     }
 
     @Test
