--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -73,7 +73,7 @@
     }
 
     /** The share of the CPUs that is used; 0 while the type is not known. */
-    public double cpuUsedShare() {
+    public double usedCpuShare() {
         return type == null ? 0 : (double) cpuUsedMillis / type.cpuMillis();
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -68,7 +68,7 @@
                 machines.add(machine);
             }
         }
-        machines.sort(Comparator.comparingDouble(machine -> machine.capacity().cpuUsedShare()));
+        machines.sort(Comparator.comparingDouble(machine -> machine.capacity().usedCpuShare()));
         return machines;
     }
 
@@ -105,7 +105,7 @@
     private static boolean mayEmpty(Machine machine, long nowMicros) {
         if (!machine.isSchedulable()
                 || !machine.hasPlacements()
-                || machine.capacity().cpuUsedShare() > MAX_CPU_USED_SHARE_TO_EMPTY) {
+                || machine.capacity().usedCpuShare() > MAX_CPU_USED_SHARE_TO_EMPTY) {
             return false;
         }
         for (Placement placement : machine.placements()) {
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -60,6 +60,6 @@
                 && machine.isAllowedFor(spec)
                 && (machine.zone().equals(source.zone()) || !spec.spread())
                 && ImageFetch.secondsOn(machine, spec) < MAX_FETCH_SECONDS
-                && machine.capacity().cpuUsedShare() > source.capacity().cpuUsedShare();
+                && machine.capacity().usedCpuShare() > source.capacity().usedCpuShare();
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -18,7 +18,7 @@
     void nothingFitsWhileTheTypeIsNotKnown() {
         assertFalse(capacity.fits(BATCH));
         assertEquals(0, capacity.cpuFree());
-        assertEquals(0, capacity.cpuUsedShare());
+        assertEquals(0, capacity.usedCpuShare());
         assertEquals(0, capacity.slots(BATCH, 1_000_000, 0, 1_000_000));
     }
 
@@ -28,7 +28,7 @@
         assertEquals(4, capacity.slots(BATCH, 0, 0, 0));
         capacity.take(BATCH);
         assertEquals(3, capacity.slots(BATCH, 0, 0, 0));
-        assertEquals(0.25, capacity.cpuUsedShare());
+        assertEquals(0.25, capacity.usedCpuShare());
         assertTrue(capacity.hasFree(3_000, 6_000));
         assertFalse(capacity.hasFree(3_001, 6_000));
         assertFalse(capacity.hasFree(3_000, 6_001));
