--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -40,7 +40,7 @@
     /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
     private boolean keptAsHeadroom(Machine machine, boolean idle) {
         boolean idleAtFullPrice = idle && !machine.isSpot();
-        long freeCpuMillis = machine.capacity().cpuFree();
+        long freeCpuMillis = machine.capacity().freeCpuMillis();
         machine.setHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
         if (machine.isHeadroom()) {
             return true;
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -20,7 +20,7 @@
 
         void add(Machine machine, MachineType type) {
             totalMillis += type.cpuMillis();
-            usedMillis += type.cpuMillis() - machine.capacity().cpuFree();
+            usedMillis += type.cpuMillis() - machine.capacity().freeCpuMillis();
         }
 
         @Override
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -47,7 +47,7 @@
         Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
             if (!machine.isSpot() && machine.isSchedulable()) {
-                freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
+                freeCpuMillis.addTo(machine.zone(), machine.capacity().freeCpuMillis());
             }
         }
         return freeCpuMillis;
@@ -79,13 +79,13 @@
 
     /** Whether this idle machine is to be kept: without it too little would be free. */
     public boolean keeps(Machine machine) {
-        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().cpuFree();
+        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().freeCpuMillis();
     }
 
     /** Notes that a machine is terminated. */
     public void terminated(Machine machine) {
         if (isPartOfHeadroom(machine)) {
-            spareCpuMillis -= machine.capacity().cpuFree();
+            spareCpuMillis -= machine.capacity().freeCpuMillis();
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -78,7 +78,7 @@
     }
 
     /** Thousandths of a CPU that are free; 0 while the type is not known. */
-    public long cpuFree() {
+    public long freeCpuMillis() {
         return type == null ? 0 : type.cpuMillis() - cpuUsedMillis;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -54,7 +54,7 @@
     public double score(Machine machine, JobSpec spec) {
         MachineType type = ImageFetch.knownType(machine);
         double score = imageScore(machine, type, spec);
-        score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().cpuFree() - spec.cpuMillis()) / type.cpuMillis();
+        score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().freeCpuMillis() - spec.cpuMillis()) / type.cpuMillis();
         score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
         boolean hostsService = machine.capacity().hasService();
         if (spec.service()) {
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -17,7 +17,7 @@
     @Test
     void nothingFitsWhileTheTypeIsNotKnown() {
         assertFalse(capacity.fits(BATCH));
-        assertEquals(0, capacity.cpuFree());
+        assertEquals(0, capacity.freeCpuMillis());
         assertEquals(0, capacity.usedCpuShare());
         assertEquals(0, capacity.slots(BATCH, 1_000_000, 0, 1_000_000));
     }
@@ -33,7 +33,7 @@
         assertFalse(capacity.hasFree(3_001, 6_000));
         assertFalse(capacity.hasFree(3_000, 6_001));
         capacity.release(BATCH);
-        assertEquals(4_000, capacity.cpuFree());
+        assertEquals(4_000, capacity.freeCpuMillis());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -39,9 +39,9 @@
     void anAttemptTakesCapacityUntilItIsRemoved() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
-        assertEquals(3_000, capacity.cpuFree());
+        assertEquals(3_000, capacity.freeCpuMillis());
         assertTrue(placements.remove(placement));
-        assertEquals(4_000, capacity.cpuFree());
+        assertEquals(4_000, capacity.freeCpuMillis());
         assertTrue(placements.isEmpty());
         assertNull(placements.of(placement.task()));
     }
@@ -52,7 +52,7 @@
         placements.add(placement);
         placements.remove(placement);
         assertFalse(placements.remove(placement));
-        assertEquals(4_000, capacity.cpuFree());
+        assertEquals(4_000, capacity.freeCpuMillis());
     }
 
     @Test
@@ -61,7 +61,7 @@
         placements.add(later);
         assertFalse(placements.remove(Fixtures.placement(job, 0, machine, 1)));
         assertSame(later, placements.of(later.task()));
-        assertEquals(3_000, capacity.cpuFree());
+        assertEquals(3_000, capacity.freeCpuMillis());
     }
 
     @Test
@@ -80,6 +80,6 @@
         placements.add(Fixtures.placement(job, 0, machine, 1));
         placements.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
         assertEquals(3, placements.slotsBesideServices(service));
-        assertEquals(2_000, capacity.cpuFree(), "nothing is released by asking");
+        assertEquals(2_000, capacity.freeCpuMillis(), "nothing is released by asking");
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -184,13 +184,13 @@
         machine.add(first);
         machine.add(second);
         assertEquals(List.of(first, second), List.copyOf(machine.placements()));
-        assertEquals(2_000, machine.capacity().cpuFree());
+        assertEquals(2_000, machine.capacity().freeCpuMillis());
         machine.remove(first, 3 * SECOND);
         assertEquals(0, machine.idleSinceMicros());
         machine.remove(second, 4 * SECOND);
         machine.remove(second, 5 * SECOND);
         assertEquals(4 * SECOND, machine.idleSinceMicros());
-        assertEquals(4_000, machine.capacity().cpuFree(), "released once");
+        assertEquals(4_000, machine.capacity().freeCpuMillis(), "released once");
     }
 
     @Test
