--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -129,7 +129,7 @@
         } else if (placement.phase() == Placement.Phase.STOPPING && graceMicros < placement.graceMicros()) {
             placement.shortenGrace(graceMicros);
             commands.due(placement.machine());
-        } else if (placement.live() && placement.phase() != Placement.Phase.STOPPING) {
+        } else if (placement.isActive() && placement.phase() != Placement.Phase.STOPPING) {
             placement.stop(graceMicros, why);
             commands.due(placement.machine());
         }
@@ -142,7 +142,7 @@
 
     /** There is proof that the task is not on the machine. */
     public void free(Placement placement, String why) {
-        if (placement.live()) {
+        if (placement.isActive()) {
             release(placement, why);
             loop.wantCycle();
         }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -120,7 +120,7 @@
     }
 
     /** Whether it may be on the machine. */
-    public boolean live() {
+    public boolean isActive() {
         return phase != Phase.FREED;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -121,7 +121,7 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertEquals(Map.of(Verdict.CONFIRMED, 1, Verdict.LOST, 1), fixture.plan.verdicts());
     }
 
@@ -131,7 +131,7 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, heartbeat(machine, EPOCH, TERM_TOKEN - 1));
-        assertTrue(placement.live());
+        assertTrue(placement.isActive());
     }
 
     @Test
@@ -139,7 +139,7 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine));
-        assertTrue(placement.live());
+        assertTrue(placement.isActive());
     }
 
     @Test
@@ -149,7 +149,7 @@
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
         placement.sentInAnswer();
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertTrue(machine.inventory().needsNewToken());
     }
 
@@ -161,7 +161,7 @@
         placement.sentInAnswer();
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertFalse(machine.inventory().needsNewToken());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -54,7 +54,7 @@
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, Cause.DONE));
         assertTrue(job.isDone(placement.task().index()));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
     }
 
     @Test
@@ -63,7 +63,7 @@
         Placement placement = fixture.started(service, machine);
         update(placement, exited(placement, Cause.DONE));
         assertFalse(service.isDone(placement.task().index()));
-        assertFalse(placement.live(), "it is to start again");
+        assertFalse(placement.isActive(), "it is to start again");
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -93,7 +93,7 @@
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().answer(nextHeartbeat(machine));
         assertFalse(placement.mayStillBeStarted(TERM_TOKEN));
-        assertFalse(placement.live(), "the answer does not list it, so it was not started");
+        assertFalse(placement.isActive(), "the answer does not list it, so it was not started");
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -50,7 +50,7 @@
         ActiveJob job = fixture.openJob(BATCH);
         Placement placement = tasks.start(job, machine, 0);
         tasks.stop(placement, 10 * SECOND, "test");
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertEquals(placement.task().index(), job.takeTask(), "it is the next to start again");
         assertEquals(0, fixture.teamLimits.borrowedCpu(BATCH.team()));
     }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -185,8 +185,8 @@
     @Test
     void itMayBeOnTheMachineUntilItIsFreed() {
         placement.stop(0, "test");
-        assertTrue(placement.live());
+        assertTrue(placement.isActive());
         placement.freed("test");
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
     }
 }
