--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -49,7 +49,7 @@
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
             answer.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            placement.sentInAnswer();
+            placement.markSentInResponse();
         }
         return answer;
     }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -139,7 +139,7 @@
     // ---- starting ----------------------------------------------------------------------------------------------
 
     /** The start goes out in the answer to a heartbeat: only a later heartbeat tells whether it was taken. */
-    public void sentInAnswer() {
+    public void markSentInResponse() {
         delivery.sentInAnswer();
         transition(Phase.SENT, "in an answer");
     }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -147,7 +147,7 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         receive(machine, nextHeartbeat(machine));
         assertFalse(placement.isActive());
         assertTrue(machine.inventory().needsNewToken());
@@ -158,7 +158,7 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
         assertFalse(placement.isActive());
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        sentInAnswer  sentDirectly  fetching  waiting   running   saving    stop      freed
+            in        markSentInResponse  sentDirectly  fetching  waiting   running   saving    stop      freed
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -73,7 +73,7 @@
     @Override
     void apply(String event) {
         switch (event) {
-            case "sentInAnswer" -> placement.sentInAnswer();
+            case "markSentInResponse" -> placement.markSentInResponse();
             case "sentDirectly" -> placement.sentDirectly();
             case "fetching" -> placement.fetching();
             case "waiting" -> placement.waiting();
@@ -114,7 +114,7 @@
     @Test
     void aStartInAnAnswerIsNoDirectOne() {
         machine.joinedFleet(7, SECOND);
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         assertTrue(placement.wentOutInAnswer());
         assertFalse(placement.mayStillBeStarted(7));
         placement.sentDirectly();
