--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -74,7 +74,7 @@
         for (Placement placement : starts) {
             toSend.add(WorkerCommand.start(placement.task(), placement.attempt()));
             machine.contact().startedDirectly(placement.attempt(), machine.fencingToken());
-            placement.sentDirectly();
+            placement.markSentDirectly();
         }
         if (!toSend.isEmpty()) {
             calls.call(machine, toSend, starts, () -> {});
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -145,7 +145,7 @@
     }
 
     /** The start goes out in a direct call under the machine's present fencing token. */
-    public void sentDirectly() {
+    public void markSentDirectly() {
         delivery.sentDirectly(machine.fencingToken());
         transition(Phase.SENT, "direct");
     }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -300,7 +300,7 @@
     /** A task of the job whose start went out in a direct call. */
     Placement started(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
-        placement.sentDirectly();
+        placement.markSentDirectly();
         return placement;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -42,7 +42,7 @@
     private List<Placement> startedGang(ActiveJob gang) {
         fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
         List<Placement> placements = List.copyOf(gang.placements());
-        placements.forEach(Placement::sentDirectly);
+        placements.forEach(Placement::markSentDirectly);
         return placements;
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -98,7 +98,7 @@
     /** A task that was started there just now, and whose start has gone out. */
     Placement sent(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
-        placement.sentDirectly();
+        placement.markSentDirectly();
         return placement;
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -140,7 +140,7 @@
     @Test
     void theTasksOfAGangAreStoppedTogether() {
         List<Placement> gang = startedGang();
-        gang.forEach(Placement::sentDirectly);
+        gang.forEach(Placement::markSentDirectly);
         tasks.stop(gang.get(0), 0, "test");
         assertEquals(List.of(Placement.Phase.STOPPING), phases(gang));
     }
@@ -157,7 +157,7 @@
     @Test
     void whenATaskOfARunningGangIsGoneTheOthersAreStopped() {
         List<Placement> gang = startedGang();
-        gang.forEach(Placement::sentDirectly);
+        gang.forEach(Placement::markSentDirectly);
         gang.get(0).job().gangAttempt().markRunning();
         tasks.free(gang.get(0), "test");
         assertEquals(List.of(Placement.Phase.STOPPING), phases(gang.subList(1, gang.size())));
@@ -166,7 +166,7 @@
     @Test
     void whenATaskOfAFormingGangIsGoneTheOthersStay() {
         List<Placement> gang = startedGang();
-        gang.forEach(Placement::sentDirectly);
+        gang.forEach(Placement::markSentDirectly);
         tasks.free(gang.get(0), "test");
         assertEquals(List.of(Placement.Phase.SENT), phases(gang.subList(1, gang.size())));
     }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  sentDirectly  fetching  waiting   running   saving    stop      freed
+            in        markSentInResponse  markSentDirectly  fetching  waiting   running   saving    stop      freed
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -61,7 +61,7 @@
     void bringTo(Phase phase) {
         switch (phase) {
             case ASSIGNED -> {}
-            case SENT -> placement.sentDirectly();
+            case SENT -> placement.markSentDirectly();
             case FETCHING -> placement.fetching();
             case WAITING -> placement.waiting();
             case RUNNING -> placement.running(SECOND);
@@ -74,7 +74,7 @@
     void apply(String event) {
         switch (event) {
             case "markSentInResponse" -> placement.markSentInResponse();
-            case "sentDirectly" -> placement.sentDirectly();
+            case "markSentDirectly" -> placement.markSentDirectly();
             case "fetching" -> placement.fetching();
             case "waiting" -> placement.waiting();
             case "running" -> placement.running(9 * SECOND);
@@ -94,7 +94,7 @@
     @Test
     void aDirectStartWithoutAnAnswerMayStillBeCarriedOutUnderItsTokenOrAnOlderOne() {
         machine.joinedFleet(7, SECOND);
-        placement.sentDirectly();
+        placement.markSentDirectly();
         assertFalse(placement.wentOutInAnswer());
         assertTrue(placement.mayStillBeStarted(6));
         assertTrue(placement.mayStillBeStarted(7));
@@ -104,7 +104,7 @@
     @Test
     void onlyTheAnswerToTheLatestCallCounts() {
         machine.joinedFleet(7, SECOND);
-        placement.sentDirectly();
+        placement.markSentDirectly();
         placement.directStartAnswered(6);
         assertTrue(placement.mayStillBeStarted(7));
         placement.directStartAnswered(7);
@@ -117,7 +117,7 @@
         placement.markSentInResponse();
         assertTrue(placement.wentOutInAnswer());
         assertFalse(placement.mayStillBeStarted(7));
-        placement.sentDirectly();
+        placement.markSentDirectly();
         assertFalse(placement.wentOutInAnswer());
         assertTrue(placement.mayStillBeStarted(7));
     }
@@ -125,7 +125,7 @@
     @Test
     void whatIsListedHasArrived() {
         machine.joinedFleet(7, SECOND);
-        placement.sentDirectly();
+        placement.markSentDirectly();
         assertFalse(placement.seen());
         placement.listed(false);
         assertTrue(placement.seen());
