--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -102,7 +102,7 @@
             return;
         }
         for (Placement placement : starts) {
-            placement.directStartAnswered(fencingToken);
+            placement.acknowledgeDirectStart(fencingToken);
         }
         reconciler.reconcile(machine, heartbeat, MessageOrigin.COMMAND_RESPONSE);
         if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -151,7 +151,7 @@
     }
 
     /** The direct call under this fencing token was answered. */
-    public void directStartAnswered(long token) {
+    public void acknowledgeDirectStart(long token) {
         delivery.answered(token);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -105,9 +105,9 @@
     void onlyTheAnswerToTheLatestCallCounts() {
         machine.joinedFleet(7, SECOND);
         placement.markSentDirectly();
-        placement.directStartAnswered(6);
+        placement.acknowledgeDirectStart(6);
         assertTrue(placement.mayStillBeStarted(7));
-        placement.directStartAnswered(7);
+        placement.acknowledgeDirectStart(7);
         assertFalse(placement.mayStillBeStarted(7));
     }
 
