--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -49,7 +49,7 @@
                 placement.phase() != Placement.Phase.ASSIGNED,
                 placement.mayStillBeStarted(heartbeat.fencingToken()),
                 placement.seen(),
-                placement.wentOutInAnswer(),
+                placement.isSentInResponse(),
                 origin == MessageOrigin.HEARTBEAT));
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -137,6 +137,6 @@
 
     /** The worker is the one that was answered, and never showed what the answer told it to start. */
     private static boolean startWasLostInAnswer(Placement placement, Heartbeat heartbeat) {
-        return !placement.seen() && placement.wentOutInAnswer() && placement.agentEpoch() == heartbeat.agentEpoch();
+        return !placement.seen() && placement.isSentInResponse() && placement.agentEpoch() == heartbeat.agentEpoch();
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -156,7 +156,7 @@
     }
 
     /** Whether the start went out in the answer to a heartbeat and not in a direct call. */
-    public boolean wentOutInAnswer() {
+    public boolean isSentInResponse() {
         return delivery.wentOutInAnswer();
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -95,7 +95,7 @@
     void aDirectStartWithoutAnAnswerMayStillBeCarriedOutUnderItsTokenOrAnOlderOne() {
         machine.joinedFleet(7, SECOND);
         placement.markSentDirectly();
-        assertFalse(placement.wentOutInAnswer());
+        assertFalse(placement.isSentInResponse());
         assertTrue(placement.mayStillBeStarted(6));
         assertTrue(placement.mayStillBeStarted(7));
         assertFalse(placement.mayStillBeStarted(8));
@@ -115,10 +115,10 @@
     void aStartInAnAnswerIsNoDirectOne() {
         machine.joinedFleet(7, SECOND);
         placement.markSentInResponse();
-        assertTrue(placement.wentOutInAnswer());
+        assertTrue(placement.isSentInResponse());
         assertFalse(placement.mayStillBeStarted(7));
         placement.markSentDirectly();
-        assertFalse(placement.wentOutInAnswer());
+        assertFalse(placement.isSentInResponse());
         assertTrue(placement.mayStillBeStarted(7));
     }
 
