--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -47,7 +47,7 @@
                 placement.agentEpoch() < heartbeat.agentEpoch(),
                 underPresentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
-                placement.mayStillBeStarted(heartbeat.fencingToken()),
+                placement.hasUnacknowledgedStart(heartbeat.fencingToken()),
                 placement.seen(),
                 placement.isSentInResponse(),
                 origin == MessageOrigin.HEARTBEAT));
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -161,7 +161,7 @@
     }
 
     /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
-    public boolean mayStillBeStarted(long token) {
+    public boolean hasUnacknowledgedStart(long token) {
         return delivery.mayStillBeStarted(token);
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -74,7 +74,7 @@
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().timeOut();
         assertTrue(machine.inventory().needsNewToken());
-        assertTrue(placement.mayStillBeStarted(TERM_TOKEN));
+        assertTrue(placement.hasUnacknowledgedStart(TERM_TOKEN));
     }
 
     @Test
@@ -92,7 +92,7 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().answer(nextHeartbeat(machine));
-        assertFalse(placement.mayStillBeStarted(TERM_TOKEN));
+        assertFalse(placement.hasUnacknowledgedStart(TERM_TOKEN));
         assertFalse(placement.isActive(), "the answer does not list it, so it was not started");
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -96,9 +96,9 @@
         machine.joinedFleet(7, SECOND);
         placement.markSentDirectly();
         assertFalse(placement.isSentInResponse());
-        assertTrue(placement.mayStillBeStarted(6));
-        assertTrue(placement.mayStillBeStarted(7));
-        assertFalse(placement.mayStillBeStarted(8));
+        assertTrue(placement.hasUnacknowledgedStart(6));
+        assertTrue(placement.hasUnacknowledgedStart(7));
+        assertFalse(placement.hasUnacknowledgedStart(8));
     }
 
     @Test
@@ -106,9 +106,9 @@
         machine.joinedFleet(7, SECOND);
         placement.markSentDirectly();
         placement.acknowledgeDirectStart(6);
-        assertTrue(placement.mayStillBeStarted(7));
+        assertTrue(placement.hasUnacknowledgedStart(7));
         placement.acknowledgeDirectStart(7);
-        assertFalse(placement.mayStillBeStarted(7));
+        assertFalse(placement.hasUnacknowledgedStart(7));
     }
 
     @Test
@@ -116,10 +116,10 @@
         machine.joinedFleet(7, SECOND);
         placement.markSentInResponse();
         assertTrue(placement.isSentInResponse());
-        assertFalse(placement.mayStillBeStarted(7));
+        assertFalse(placement.hasUnacknowledgedStart(7));
         placement.markSentDirectly();
         assertFalse(placement.isSentInResponse());
-        assertTrue(placement.mayStillBeStarted(7));
+        assertTrue(placement.hasUnacknowledgedStart(7));
     }
 
     @Test
@@ -129,7 +129,7 @@
         assertFalse(placement.seen());
         placement.listed(false);
         assertTrue(placement.seen());
-        assertFalse(placement.mayStillBeStarted(7));
+        assertFalse(placement.hasUnacknowledgedStart(7));
     }
 
     @Test
