--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -91,7 +91,7 @@
         if (!placement.seen()) {
             plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
-        placement.listed(underPresentToken);
+        placement.markListed(underPresentToken);
         statusUpdater.update(machine, placement, status, nowMicros);
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -168,7 +168,7 @@
     // ---- what heartbeats list ----------------------------------------------------------------------------------
 
     /** A message of the worker lists it. */
-    public void listed(boolean underPresentToken) {
+    public void markListed(boolean underPresentToken) {
         delivery.listed(underPresentToken);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -127,7 +127,7 @@
         machine.joinedFleet(7, SECOND);
         placement.markSentDirectly();
         assertFalse(placement.seen());
-        placement.listed(false);
+        placement.markListed(false);
         assertTrue(placement.seen());
         assertFalse(placement.hasUnacknowledgedStart(7));
     }
@@ -136,7 +136,7 @@
     void anAttemptOfOurOwnCanBeNowhereElse() {
         assertTrue(placement.onlyHere());
         assertFalse(placement.wasAdopted());
-        placement.listed(false);
+        placement.markListed(false);
         assertTrue(placement.onlyHere());
     }
 
@@ -147,11 +147,11 @@
         assertTrue(adopted.seen());
         assertTrue(adopted.wasAdopted());
         assertFalse(adopted.onlyHere());
-        adopted.listed(false);
+        adopted.markListed(false);
         assertFalse(adopted.onlyHere());
-        adopted.listed(true);
+        adopted.markListed(true);
         assertTrue(adopted.onlyHere());
-        adopted.listed(false);
+        adopted.markListed(false);
         assertTrue(adopted.onlyHere(), "what was proved once stays so");
     }
 
