--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -48,7 +48,7 @@
                 underPresentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
                 placement.hasUnacknowledgedStart(heartbeat.fencingToken()),
-                placement.seen(),
+                placement.hasBeenListed(),
                 placement.isSentInResponse(),
                 origin == MessageOrigin.HEARTBEAT));
     }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -88,7 +88,7 @@
     private void confirmed(Machine machine, TaskStatus status, boolean underPresentToken, long nowMicros) {
         Placement placement =
                 Objects.requireNonNull(machine.placement(status.task()), "a confirmed task is placed on its machine");
-        if (!placement.seen()) {
+        if (!placement.hasBeenListed()) {
             plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
         placement.markListed(underPresentToken);
@@ -137,6 +137,8 @@
 
     /** The worker is the one that was answered, and never showed what the answer told it to start. */
     private static boolean startWasLostInAnswer(Placement placement, Heartbeat heartbeat) {
-        return !placement.seen() && placement.isSentInResponse() && placement.agentEpoch() == heartbeat.agentEpoch();
+        return !placement.hasBeenListed()
+                && placement.isSentInResponse()
+                && placement.agentEpoch() == heartbeat.agentEpoch();
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -118,7 +118,7 @@
             unconfirmedTasks += job.unconfirmedTasks();
             jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasStartableTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
-                unacknowledgedTasks += placement.seen() ? 0 : 1;
+                unacknowledgedTasks += placement.hasBeenListed() ? 0 : 1;
             }
         }
         return new LiveWorkBacklog(unconfirmedTasks, jobsAwaitingClaim, unacknowledgedTasks, tasksAwaitingPreemption);
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -173,7 +173,7 @@
     }
 
     /** Whether a message of the worker has listed it. */
-    public boolean seen() {
+    public boolean hasBeenListed() {
         return delivery.seen();
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -126,9 +126,9 @@
     void whatIsListedHasArrived() {
         machine.joinedFleet(7, SECOND);
         placement.markSentDirectly();
-        assertFalse(placement.seen());
+        assertFalse(placement.hasBeenListed());
         placement.markListed(false);
-        assertTrue(placement.seen());
+        assertTrue(placement.hasBeenListed());
         assertFalse(placement.hasUnacknowledgedStart(7));
     }
 
@@ -144,7 +144,7 @@
     void anAdoptedAttemptIsOnlyHereOnceItIsListedUnderThePresentToken() {
         Placement adopted = Placement.adopted(new TaskId("run-1", 4), job, machine, 12, false, SECOND);
         assertEquals(Phase.SENT, adopted.phase());
-        assertTrue(adopted.seen());
+        assertTrue(adopted.hasBeenListed());
         assertTrue(adopted.wasAdopted());
         assertFalse(adopted.onlyHere());
         adopted.markListed(false);
