--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -153,7 +153,7 @@
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.freed(placement.job().spec());
         // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
-        boolean maybeElsewhere = !placement.onlyHere() && recovery.mayRunOnAwaitedMachine(placement.job());
+        boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.mayRunOnAwaitedMachine(placement.job());
         placement.job().removePlacement(placement, maybeElsewhere);
         if (gangs.left(placement, maybeElsewhere, timers.nowMicros())) {
             // The others would notice by themselves; their places are free sooner this way.
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -178,7 +178,7 @@
     }
 
     /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
-    public boolean onlyHere() {
+    public boolean isOnlyOnThisMachine() {
         return delivery.onlyHere();
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -67,7 +67,7 @@
         Placement placement = machine.placement(task);
         assertNotNull(placement);
         assertEquals(FORMER_ATTEMPT, placement.attempt());
-        assertTrue(placement.onlyHere(), "listed under the present token");
+        assertTrue(placement.isOnlyOnThisMachine(), "listed under the present token");
         assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.verdicts());
     }
 
@@ -77,7 +77,7 @@
         TaskId task = claimedByFormerLeader();
         TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
         receive(machine, heartbeat(machine, EPOCH, FORMER_TOKEN, running));
-        assertFalse(machine.placement(task).onlyHere());
+        assertFalse(machine.placement(task).isOnlyOnThisMachine());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -134,10 +134,10 @@
 
     @Test
     void anAttemptOfOurOwnCanBeNowhereElse() {
-        assertTrue(placement.onlyHere());
+        assertTrue(placement.isOnlyOnThisMachine());
         assertFalse(placement.wasAdopted());
         placement.markListed(false);
-        assertTrue(placement.onlyHere());
+        assertTrue(placement.isOnlyOnThisMachine());
     }
 
     @Test
@@ -146,13 +146,13 @@
         assertEquals(Phase.SENT, adopted.phase());
         assertTrue(adopted.hasBeenListed());
         assertTrue(adopted.wasAdopted());
-        assertFalse(adopted.onlyHere());
+        assertFalse(adopted.isOnlyOnThisMachine());
         adopted.markListed(false);
-        assertFalse(adopted.onlyHere());
+        assertFalse(adopted.isOnlyOnThisMachine());
         adopted.markListed(true);
-        assertTrue(adopted.onlyHere());
+        assertTrue(adopted.isOnlyOnThisMachine());
         adopted.markListed(false);
-        assertTrue(adopted.onlyHere(), "what was proved once stays so");
+        assertTrue(adopted.isOnlyOnThisMachine(), "what was proved once stays so");
     }
 
     @Test
