--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -141,7 +141,7 @@
     }
 
     private static boolean showsWholeRuntime(Placement placement) {
-        return placement.hasRun() && placement.isOnlyOnThisMachine() && !placement.wasAdopted();
+        return placement.hasRun() && placement.isOnlyOnThisMachine() && !placement.isAdopted();
     }
 
     /** The tasks of a gang complete together: one tells of all. */
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -57,7 +57,7 @@
 
         /** Whether a task that ran there shows that the machine is sound, since it began after the last failure. */
         boolean isClearedBy(Placement placement) {
-            return !faulty && !placement.wasAdopted() && placement.runningSinceMicros() > failedMicros;
+            return !faulty && !placement.isAdopted() && placement.runningSinceMicros() > failedMicros;
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -183,7 +183,7 @@
     }
 
     /** Whether it was found on the machine: then it is not known when it began. */
-    public boolean wasAdopted() {
+    public boolean isAdopted() {
         return wasAdopted;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -135,7 +135,7 @@
     @Test
     void anAttemptOfOurOwnCanBeNowhereElse() {
         assertTrue(placement.isOnlyOnThisMachine());
-        assertFalse(placement.wasAdopted());
+        assertFalse(placement.isAdopted());
         placement.markListed(false);
         assertTrue(placement.isOnlyOnThisMachine());
     }
@@ -145,7 +145,7 @@
         Placement adopted = Placement.adopted(new TaskId("run-1", 4), job, machine, 12, false, SECOND);
         assertEquals(Phase.SENT, adopted.phase());
         assertTrue(adopted.hasBeenListed());
-        assertTrue(adopted.wasAdopted());
+        assertTrue(adopted.isAdopted());
         assertFalse(adopted.isOnlyOnThisMachine());
         adopted.markListed(false);
         assertFalse(adopted.isOnlyOnThisMachine());
