--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -46,7 +46,7 @@
     /** The machine's latest message lists the attempt that is placed there with this status. */
     void update(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
         switch (status.state()) {
-            case FETCHING -> placement.fetching();
+            case FETCHING -> placement.markFetching();
             case WAITING -> waiting(machine, placement, nowMicros);
             case RUNNING -> running(machine, placement, nowMicros);
             case SAVING -> saving(placement);
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -188,7 +188,7 @@
     }
 
     /** A heartbeat lists it as waiting for its image. */
-    public void fetching() {
+    public void markFetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
             transition(Phase.FETCHING, "listed in a heartbeat");
         }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  markSentDirectly  fetching  waiting   running   saving    stop      freed
+            in        markSentInResponse  markSentDirectly  markFetching  waiting   running   saving    stop      freed
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -62,7 +62,7 @@
         switch (phase) {
             case ASSIGNED -> {}
             case SENT -> placement.markSentDirectly();
-            case FETCHING -> placement.fetching();
+            case FETCHING -> placement.markFetching();
             case WAITING -> placement.waiting();
             case RUNNING -> placement.running(SECOND);
             case STOPPING -> placement.stop(0, "test");
@@ -75,7 +75,7 @@
         switch (event) {
             case "markSentInResponse" -> placement.markSentInResponse();
             case "markSentDirectly" -> placement.markSentDirectly();
-            case "fetching" -> placement.fetching();
+            case "markFetching" -> placement.markFetching();
             case "waiting" -> placement.waiting();
             case "running" -> placement.running(9 * SECOND);
             case "saving" -> placement.saving();
