--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -56,7 +56,7 @@
 
     private void waiting(Machine machine, Placement placement, long nowMicros) {
         machine.capacity().addImage(placement.job().spec().image());
-        placement.waiting();
+        placement.markWaiting();
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null) {
             attempt.markWaiting(nowMicros);
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -195,7 +195,7 @@
     }
 
     /** A heartbeat lists it as waiting for the others of its gang. */
-    public void waiting() {
+    public void markWaiting() {
         if (phase != Phase.STOPPING) {
             transition(Phase.WAITING, "listed in a heartbeat");
         }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  markSentDirectly  markFetching  waiting   running   saving    stop      freed
+            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   running   saving    stop      freed
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -63,7 +63,7 @@
             case ASSIGNED -> {}
             case SENT -> placement.markSentDirectly();
             case FETCHING -> placement.markFetching();
-            case WAITING -> placement.waiting();
+            case WAITING -> placement.markWaiting();
             case RUNNING -> placement.running(SECOND);
             case STOPPING -> placement.stop(0, "test");
             case FREED -> placement.freed("test");
@@ -76,7 +76,7 @@
             case "markSentInResponse" -> placement.markSentInResponse();
             case "markSentDirectly" -> placement.markSentDirectly();
             case "markFetching" -> placement.markFetching();
-            case "waiting" -> placement.waiting();
+            case "markWaiting" -> placement.markWaiting();
             case "running" -> placement.running(9 * SECOND);
             case "saving" -> placement.saving();
             case "stop" -> placement.stop(0, "test");
