--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -77,7 +77,7 @@
         if (!placement.hasRun()) {
             machine.capacity().addImage(placement.job().spec().image());
         }
-        placement.running(nowMicros);
+        placement.markRunning(nowMicros);
         if (placement.ranMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
             machines.drainFaulty(faults.proved(placement, nowMicros));
         }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -202,7 +202,7 @@
     }
 
     /** A heartbeat lists it as running; the first one that does tells since when, at the latest. */
-    public void running(long nowMicros) {
+    public void markRunning(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
         }
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -113,7 +113,7 @@
 
     private static Placement started(ActiveJob job, Machine machine, long startedMicros) {
         Placement placement = Fixtures.placement(job, 0, machine, 1, startedMicros);
-        placement.running(startedMicros);
+        placement.markRunning(startedMicros);
         return placement;
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -109,7 +109,7 @@
     void fromAMachineThatIsTakenBackWorkMovesThatWontFinish(
             JobSpec.Shape shape, long ranSeconds, Placement.Phase then) {
         Placement placement = fixture.sent(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
-        placement.running(fixture.timers.nowMicros());
+        placement.markRunning(fixture.timers.nowMicros());
         fixture.timers.advance(ranSeconds * SECOND);
         tasks.evacuate(machine, 30 * SECOND);
         assertEquals(then, placement.phase());
--- a/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -70,7 +70,7 @@
         placements.add(placement);
         assertTrue(placements.fetches("image"));
         assertFalse(placements.fetches("other"));
-        placement.running(3 * SECOND);
+        placement.markRunning(3 * SECOND);
         assertFalse(placements.fetches("image"));
     }
 
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -229,7 +229,7 @@
         machine.add(placement);
         assertTrue(machine.isFetching("image"));
         assertFalse(machine.isFetching("other"));
-        placement.running(3 * SECOND);
+        placement.markRunning(3 * SECOND);
         assertFalse(machine.isFetching("image"));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   running   saving    stop      freed
+            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   saving    stop      freed
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -64,7 +64,7 @@
             case SENT -> placement.markSentDirectly();
             case FETCHING -> placement.markFetching();
             case WAITING -> placement.markWaiting();
-            case RUNNING -> placement.running(SECOND);
+            case RUNNING -> placement.markRunning(SECOND);
             case STOPPING -> placement.stop(0, "test");
             case FREED -> placement.freed("test");
         }
@@ -77,7 +77,7 @@
             case "markSentDirectly" -> placement.markSentDirectly();
             case "markFetching" -> placement.markFetching();
             case "markWaiting" -> placement.markWaiting();
-            case "running" -> placement.running(9 * SECOND);
+            case "markRunning" -> placement.markRunning(9 * SECOND);
             case "saving" -> placement.saving();
             case "stop" -> placement.stop(0, "test");
             case "freed" -> placement.freed("test");
@@ -158,8 +158,8 @@
     @Test
     void theFirstHeartbeatThatListsItAsRunningTellsSinceWhen() {
         assertEquals(0, placement.ranMicros(5 * SECOND));
-        placement.running(5 * SECOND);
-        placement.running(6 * SECOND);
+        placement.markRunning(5 * SECOND);
+        placement.markRunning(6 * SECOND);
         assertTrue(placement.hasRun());
         assertEquals(5 * SECOND, placement.runningSinceMicros());
         assertEquals(3 * SECOND, placement.ranMicros(8 * SECOND));
@@ -168,7 +168,7 @@
     @Test
     void aTaskThatIsStoppedBeforeItWasSeenToRunStillTellsItsStart() {
         placement.stop(0, "test");
-        placement.running(5 * SECOND);
+        placement.markRunning(5 * SECOND);
         assertEquals(Phase.STOPPING, placement.phase());
         assertEquals(5 * SECOND, placement.runningSinceMicros());
     }
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -101,7 +101,7 @@
     public Placement running(ActiveJob job, Machine machine, long ranMicros) {
         Placement placement = tasks.start(job, machine, NOW - ranMicros);
         placement.markSentDirectly();
-        placement.running(NOW - ranMicros);
+        placement.markRunning(NOW - ranMicros);
         return placement;
     }
 
