--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -85,7 +85,7 @@
 
     /** A gang saves its progress only when all its tasks are told to: a former leader may not have come to that. */
     private void saving(Placement placement) {
-        placement.saving();
+        placement.markSaving();
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
             tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang saves");
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -212,7 +212,7 @@
     }
 
     /** A heartbeat lists it as saving, so it was told to stop. */
-    public void saving() {
+    public void markSaving() {
         transition(Phase.STOPPING, "saving");
     }
 
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   saving    stop      freed
+            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   markSaving    stop      freed
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -78,7 +78,7 @@
             case "markFetching" -> placement.markFetching();
             case "markWaiting" -> placement.markWaiting();
             case "markRunning" -> placement.markRunning(9 * SECOND);
-            case "saving" -> placement.saving();
+            case "markSaving" -> placement.markSaving();
             case "stop" -> placement.stop(0, "test");
             case "freed" -> placement.freed("test");
             default -> throw new IllegalArgumentException(event);
