--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -78,7 +78,7 @@
             machine.capacity().addImage(placement.job().spec().image());
         }
         placement.markRunning(nowMicros);
-        if (placement.ranMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
+        if (placement.runTimeMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
             machines.drainFaulty(faults.proved(placement, nowMicros));
         }
     }
@@ -135,7 +135,7 @@
         markDone(job, placement.task().index());
         machines.drainFaulty(faults.proved(placement, nowMicros));
         if (showsWholeRuntime(placement)) {
-            runtimeEstimator.finished(job, placement.ranMicros(nowMicros));
+            runtimeEstimator.finished(job, placement.runTimeMicros(nowMicros));
         }
         jobs.recordTaskDone(job);
     }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -227,7 +227,7 @@
     }
 
     /** For how long it has been seen to run; 0 when it was not. */
-    public long ranMicros(long nowMicros) {
+    public long runTimeMicros(long nowMicros) {
         return hasRun() ? nowMicros - runningSinceMicros : 0;
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -66,7 +66,7 @@
         return job.isLiveService()
                 || (victim.checkpointMicros() > 0
                         && placement.hasRun()
-                        && placement.ranMicros(nowMicros) > MIN_RUNTIME_MICROS);
+                        && placement.runTimeMicros(nowMicros) > MIN_RUNTIME_MICROS);
     }
 
     /** Whether another team runs this task beyond its own guaranteed quota. Live replicas are never stopped. */
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -157,12 +157,12 @@
 
     @Test
     void theFirstHeartbeatThatListsItAsRunningTellsSinceWhen() {
-        assertEquals(0, placement.ranMicros(5 * SECOND));
+        assertEquals(0, placement.runTimeMicros(5 * SECOND));
         placement.markRunning(5 * SECOND);
         placement.markRunning(6 * SECOND);
         assertTrue(placement.hasRun());
         assertEquals(5 * SECOND, placement.runningSinceMicros());
-        assertEquals(3 * SECOND, placement.ranMicros(8 * SECOND));
+        assertEquals(3 * SECOND, placement.runTimeMicros(8 * SECOND));
     }
 
     @Test
