--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -149,7 +149,7 @@
     }
 
     private void release(Placement placement, String why) {
-        placement.freed(why);
+        placement.free(why);
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.freed(placement.job().spec());
         // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -250,7 +250,7 @@
     }
 
     /** There is proof that it is not on the machine. */
-    public void freed(String why) {
+    public void free(String why) {
         transition(Phase.FREED, why);
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   markSaving    stop      freed
+            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   markSaving    stop      free
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -66,7 +66,7 @@
             case WAITING -> placement.markWaiting();
             case RUNNING -> placement.markRunning(SECOND);
             case STOPPING -> placement.stop(0, "test");
-            case FREED -> placement.freed("test");
+            case FREED -> placement.free("test");
         }
     }
 
@@ -80,7 +80,7 @@
             case "markRunning" -> placement.markRunning(9 * SECOND);
             case "markSaving" -> placement.markSaving();
             case "stop" -> placement.stop(0, "test");
-            case "freed" -> placement.freed("test");
+            case "free" -> placement.free("test");
             default -> throw new IllegalArgumentException(event);
         }
     }
@@ -186,7 +186,7 @@
     void itMayBeOnTheMachineUntilItIsFreed() {
         placement.stop(0, "test");
         assertTrue(placement.isActive());
-        placement.freed("test");
+        placement.free("test");
         assertFalse(placement.isActive());
     }
 }
