--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -7,7 +7,7 @@
  */
 public enum SchedulingClass {
     /** A service whose start its users wait for. */
-    LIVE,
+    LIVE_SERVICE,
     /** Within the guaranteed quota of its team. */
     GUARANTEED,
     /** Makes its deadline together with all others that do. */
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -63,7 +63,7 @@
     /** The class of a job that needs no deadline to be in it; {@code ANY} for all others. */
     private SchedulingClass classWhateverTheDeadline(ActiveJob job, long nowMicros) {
         if (job.isLiveService()) {
-            return SchedulingClass.LIVE;
+            return SchedulingClass.LIVE_SERVICE;
         }
         return objectives.isStarved(job, nowMicros) || objectives.isGangWithObjective(job)
                 ? SchedulingClass.IN_TIME
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -98,7 +98,9 @@
     private Candidate candidate(ActiveJob job) {
         return new Candidate(
                 job,
-                job.isLiveService() ? SchedulingClass.LIVE : job.scheduling().schedulingClass(),
+                job.isLiveService()
+                        ? SchedulingClass.LIVE_SERVICE
+                        : job.scheduling().schedulingClass(),
                 fairShare.share(
                         job.spec().priority(),
                         job.spec().hasDeadline(),
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -54,7 +54,7 @@
         ActiveJob fresh =
                 fixture.batch("fresh", Priority.BEST_EFFORT).acceptedMicros(NOW).build();
         planner.update(NOW);
-        assertEquals(SchedulingClass.LIVE, classOf(live));
+        assertEquals(SchedulingClass.LIVE_SERVICE, classOf(live));
         assertEquals(SchedulingClass.IN_TIME, classOf(starved));
         assertEquals(SchedulingClass.ANY, classOf(fresh));
     }
--- a/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
@@ -24,7 +24,7 @@
     @Test
     void classThenShareThenPriorityThenAge() {
         List<Candidate> expected = List.of(
-                new Candidate(job("live", Priority.HIGH, 9), SchedulingClass.LIVE, 0.9),
+                new Candidate(job("live", Priority.HIGH, 9), SchedulingClass.LIVE_SERVICE, 0.9),
                 new Candidate(job("guaranteed", Priority.BEST_EFFORT, 9), SchedulingClass.GUARANTEED, 0.8),
                 new Candidate(job("lower-share", Priority.BEST_EFFORT, 9), SchedulingClass.IN_TIME, 0.1),
                 new Candidate(job("higher-priority", Priority.STANDARD, 9), SchedulingClass.IN_TIME, 0.2),
