--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -11,7 +11,7 @@
     /** Within the guaranteed quota of its team. */
     GUARANTEED,
     /** Makes its deadline together with all others that do. */
-    IN_TIME,
+    MEETS_DEADLINE,
     /** Makes the longest multiple of its deadline that the objectives name. */
     NEARLY,
     /** Late all the same, or without a deadline. */
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -55,7 +55,7 @@
                 jobs.add(due);
             }
         }
-        double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.IN_TIME, 0);
+        double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.MEETS_DEADLINE, 0);
         List<DueJob> possiblyNearlyInTime = withExtendedDeadlines(late);
         selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.NEARLY, workInTime);
     }
@@ -66,7 +66,7 @@
             return SchedulingClass.LIVE_SERVICE;
         }
         return objectives.isStarved(job, nowMicros) || objectives.isGangWithObjective(job)
-                ? SchedulingClass.IN_TIME
+                ? SchedulingClass.MEETS_DEADLINE
                 : SchedulingClass.ANY;
     }
 
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -39,9 +39,9 @@
         ActiveJob alsoSmall = due("also-small", 4, 240 * SECOND);
         ActiveJob hopeless = due("hopeless", 1, 30 * SECOND);
         planner.update(NOW);
-        assertEquals(SchedulingClass.IN_TIME, classOf(small));
+        assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(small));
         assertEquals(SchedulingClass.ANY, classOf(large));
-        assertEquals(SchedulingClass.IN_TIME, classOf(alsoSmall));
+        assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(alsoSmall));
         assertEquals(SchedulingClass.ANY, classOf(hopeless));
     }
 
@@ -55,7 +55,7 @@
                 fixture.batch("fresh", Priority.BEST_EFFORT).acceptedMicros(NOW).build();
         planner.update(NOW);
         assertEquals(SchedulingClass.LIVE_SERVICE, classOf(live));
-        assertEquals(SchedulingClass.IN_TIME, classOf(starved));
+        assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(starved));
         assertEquals(SchedulingClass.ANY, classOf(fresh));
     }
 
--- a/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
@@ -26,10 +26,10 @@
         List<Candidate> expected = List.of(
                 new Candidate(job("live", Priority.HIGH, 9), SchedulingClass.LIVE_SERVICE, 0.9),
                 new Candidate(job("guaranteed", Priority.BEST_EFFORT, 9), SchedulingClass.GUARANTEED, 0.8),
-                new Candidate(job("lower-share", Priority.BEST_EFFORT, 9), SchedulingClass.IN_TIME, 0.1),
-                new Candidate(job("higher-priority", Priority.STANDARD, 9), SchedulingClass.IN_TIME, 0.2),
-                new Candidate(job("older", Priority.BEST_EFFORT, 1), SchedulingClass.IN_TIME, 0.2),
-                new Candidate(job("younger", Priority.BEST_EFFORT, 2), SchedulingClass.IN_TIME, 0.2),
+                new Candidate(job("lower-share", Priority.BEST_EFFORT, 9), SchedulingClass.MEETS_DEADLINE, 0.1),
+                new Candidate(job("higher-priority", Priority.STANDARD, 9), SchedulingClass.MEETS_DEADLINE, 0.2),
+                new Candidate(job("older", Priority.BEST_EFFORT, 1), SchedulingClass.MEETS_DEADLINE, 0.2),
+                new Candidate(job("younger", Priority.BEST_EFFORT, 2), SchedulingClass.MEETS_DEADLINE, 0.2),
                 new Candidate(job("nearly", Priority.HIGH, 1), SchedulingClass.NEARLY, 0),
                 new Candidate(job("any", Priority.CRITICAL, 1), SchedulingClass.ANY, 0));
         List<Candidate> sorted = new ArrayList<>(expected);
