--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -13,7 +13,7 @@
     /** Makes its deadline together with all others that do. */
     MEETS_DEADLINE,
     /** Makes the longest multiple of its deadline that the objectives name. */
-    NEARLY,
+    MEETS_EXTENDED_DEADLINE,
     /** Late all the same, or without a deadline. */
     ANY
 }
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -57,7 +57,7 @@
         }
         double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.MEETS_DEADLINE, 0);
         List<DueJob> possiblyNearlyInTime = withExtendedDeadlines(late);
-        selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.NEARLY, workInTime);
+        selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.MEETS_EXTENDED_DEADLINE, workInTime);
     }
 
     /** The class of a job that needs no deadline to be in it; {@code ANY} for all others. */
