--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -15,5 +15,5 @@
     /** Makes the longest multiple of its deadline that the objectives name. */
     MEETS_EXTENDED_DEADLINE,
     /** Late all the same, or without a deadline. */
-    ANY
+    OTHER
 }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -8,7 +8,7 @@
     private long reservedSinceMicros = NEVER;
     private long noReservationUntilMicros = NEVER;
     private long lastRunningMicros = NEVER;
-    private SchedulingClass schedulingClass = SchedulingClass.ANY;
+    private SchedulingClass schedulingClass = SchedulingClass.OTHER;
     private boolean deferrable;
     private long lastStartMicros = NEVER;
     private long waitingSinceMicros = NEVER;
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -48,7 +48,7 @@
             }
             SchedulingClass fixedClass = classWhateverTheDeadline(job, nowMicros);
             job.scheduling().classify(fixedClass);
-            if (fixedClass == SchedulingClass.ANY && isToBeInTime(job)) {
+            if (fixedClass == SchedulingClass.OTHER && isToBeInTime(job)) {
                 DueJob due = dueJob(job, nowMicros);
                 boolean possible = runtimeEstimator.taskMicros(job) <= due.timeLeftMicros();
                 List<DueJob> jobs = possible ? possiblyInTime : late;
@@ -67,7 +67,7 @@
         }
         return objectives.isStarved(job, nowMicros) || objectives.isGangWithObjective(job)
                 ? SchedulingClass.MEETS_DEADLINE
-                : SchedulingClass.ANY;
+                : SchedulingClass.OTHER;
     }
 
     private boolean isToBeInTime(ActiveJob job) {
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void nothingIsNotedAtFirst() {
-        assertEquals(SchedulingClass.ANY, scheduling.schedulingClass());
+        assertEquals(SchedulingClass.OTHER, scheduling.schedulingClass());
         assertEquals(0, scheduling.notBeforeMicros());
         assertFalse(scheduling.isWaiting());
         assertFalse(scheduling.holdsReservation());
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -40,9 +40,9 @@
         ActiveJob hopeless = due("hopeless", 1, 30 * SECOND);
         planner.update(NOW);
         assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(small));
-        assertEquals(SchedulingClass.ANY, classOf(large));
+        assertEquals(SchedulingClass.OTHER, classOf(large));
         assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(alsoSmall));
-        assertEquals(SchedulingClass.ANY, classOf(hopeless));
+        assertEquals(SchedulingClass.OTHER, classOf(hopeless));
     }
 
     @Test
@@ -56,7 +56,7 @@
         planner.update(NOW);
         assertEquals(SchedulingClass.LIVE_SERVICE, classOf(live));
         assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(starved));
-        assertEquals(SchedulingClass.ANY, classOf(fresh));
+        assertEquals(SchedulingClass.OTHER, classOf(fresh));
     }
 
     @Test
@@ -77,8 +77,8 @@
                 .build();
         planner.update(NOW);
         assertEquals(SchedulingClass.GUARANTEED, classOf(older));
-        assertEquals(SchedulingClass.ANY, classOf(younger));
-        assertEquals(SchedulingClass.ANY, classOf(ofOthers));
+        assertEquals(SchedulingClass.OTHER, classOf(younger));
+        assertEquals(SchedulingClass.OTHER, classOf(ofOthers));
         assertTrue(planner.needsImmediateStart(older));
         assertFalse(planner.needsImmediateStart(younger));
     }
--- a/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
@@ -31,7 +31,7 @@
                 new Candidate(job("older", Priority.BEST_EFFORT, 1), SchedulingClass.MEETS_DEADLINE, 0.2),
                 new Candidate(job("younger", Priority.BEST_EFFORT, 2), SchedulingClass.MEETS_DEADLINE, 0.2),
                 new Candidate(job("nearly", Priority.HIGH, 1), SchedulingClass.MEETS_EXTENDED_DEADLINE, 0),
-                new Candidate(job("any", Priority.CRITICAL, 1), SchedulingClass.ANY, 0));
+                new Candidate(job("any", Priority.CRITICAL, 1), SchedulingClass.OTHER, 0));
         List<Candidate> sorted = new ArrayList<>(expected);
         Collections.shuffle(sorted, new Random(1));
         sorted.sort(Candidate.FIRST_SERVED);
