--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -19,7 +19,7 @@
     }
 
     /** It belongs to this class until it is classified again. */
-    public void classify(SchedulingClass next) {
+    public void setSchedulingClass(SchedulingClass next) {
         schedulingClass = next;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -47,7 +47,7 @@
                 job.scheduling().seenRunning(nowMicros);
             }
             SchedulingClass fixedClass = classWhateverTheDeadline(job, nowMicros);
-            job.scheduling().classify(fixedClass);
+            job.scheduling().setSchedulingClass(fixedClass);
             if (fixedClass == SchedulingClass.OTHER && isToBeInTime(job)) {
                 DueJob due = dueJob(job, nowMicros);
                 boolean possible = runtimeEstimator.taskMicros(job) <= due.timeLeftMicros();
@@ -121,7 +121,7 @@
             }
         }
         for (DueJob due : selected) {
-            due.job().scheduling().classify(schedulingClass);
+            due.job().scheduling().setSchedulingClass(schedulingClass);
         }
         return sum;
     }
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -43,7 +43,7 @@
             if (!job.isLiveService()
                     && cpuMillis.getLong(team.name()) <= team.cpuGuarantee()
                     && gpuMillis.getLong(team.name()) <= team.gpuGuarantee()) {
-                job.scheduling().classify(SchedulingClass.GUARANTEED);
+                job.scheduling().setSchedulingClass(SchedulingClass.GUARANTEED);
             }
         }
     }
--- a/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
@@ -121,7 +121,7 @@
                 .team("lends")
                 .cpuMillis(4 * CPU)
                 .build();
-        lender.scheduling().classify(SchedulingClass.GUARANTEED);
+        lender.scheduling().setSchedulingClass(SchedulingClass.GUARANTEED);
         ActiveJob borrower = fixture.batch("borrower", Priority.STANDARD)
                 .team("guaranteed")
                 .cpuMillis(4 * CPU)
