--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -24,7 +24,7 @@
     }
 
     /** Whether it can wait for cheap capacity. */
-    public boolean deferrable() {
+    public boolean isDeferrable() {
         return deferrable;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -65,7 +65,7 @@
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
         return machine.isAllowedFor(job.spec())
                 && job.canPlaceInZone(machine.zone())
-                && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, nowMicros))
+                && (!job.scheduling().isDeferrable() || isPaidForAnyway(machine, job, nowMicros))
                 && faults.mayTry(machine, job);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
@@ -41,7 +41,7 @@
                 spec.zone(),
                 closedZones,
                 spec.spot(),
-                job.scheduling().deferrable(),
+                job.scheduling().isDeferrable(),
                 spec.priority());
     }
 
