--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -105,7 +105,7 @@
                     status.attempt());
             machines.drainFaulty(faults.failed(machine, job, nowMicros));
         } else if (startWasRefused(status)) {
-            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_DELAY_MICROS);
+            job.scheduling().delayStartsUntil(nowMicros + REFUSED_START_DELAY_MICROS);
         }
         if (endsGangAttempt(placement, status)) {
             tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -76,7 +76,7 @@
         machines.add(machine);
         boolean jobInQuestion = machines.size() >= MACHINES_OF_A_FAULTY_JOB;
         boolean turnedFaulty = !jobInQuestion && blame(machine, job, nowMicros);
-        job.scheduling().startNothingBefore(nowMicros + backoffMicros(machines.size()));
+        job.scheduling().delayStartsUntil(nowMicros + backoffMicros(machines.size()));
         return turnedFaulty ? List.of(machine) : List.of();
     }
 
@@ -97,7 +97,7 @@
         if (machines == null) {
             return List.of();
         }
-        job.scheduling().startNothingBefore(nowMicros);
+        job.scheduling().delayStartsUntil(nowMicros);
         return machines.stream()
                 .filter(machine -> !machine.isGone() && blame(machine, job, nowMicros))
                 .toList();
@@ -151,7 +151,7 @@
         for (ActiveJob failedJob : suspect.failedJobs) {
             Set<Machine> machines = failedOn.get(failedJob);
             if (machines != null && machines.remove(machine) && machines.isEmpty()) {
-                failedJob.scheduling().startNothingBefore(nowMicros);
+                failedJob.scheduling().delayStartsUntil(nowMicros);
             }
         }
         return true;
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -39,7 +39,7 @@
     }
 
     /** No task of it is started before then. */
-    public void startNothingBefore(long earliestStartMicros) {
+    public void delayStartsUntil(long earliestStartMicros) {
         notBeforeMicros = earliestStartMicros;
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -129,7 +129,7 @@
 
     @Test
     void nothingIsLaunchedForAJobThatMayNotStartYet() {
-        waitingJob().scheduling().startNothingBefore(NOW + SECOND);
+        waitingJob().scheduling().delayStartsUntil(NOW + SECOND);
         assertLaunches(0);
     }
 
