--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -54,7 +54,7 @@
     }
 
     /** It is seen to have tasks that wait; the first sight of that counts until none does. */
-    public void tasksWaiting(long nowMicros) {
+    public void markWaiting(long nowMicros) {
         if (!isWaiting()) {
             waitingSinceMicros = nowMicros;
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -54,7 +54,7 @@
                 continue;
             }
             jobs.claim(job);
-            job.scheduling().tasksWaiting(nowMicros);
+            job.scheduling().markWaiting(nowMicros);
             if (job.hasStartableTask() && recovery.mayStart(job)) {
                 add(job, nowMicros);
             }
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -47,7 +47,7 @@
 
     private ActiveJob waitingJob(PlacementFixture.JobBuilder builder) {
         ActiveJob job = builder.tasks(4).build();
-        job.scheduling().tasksWaiting(NOW);
+        job.scheduling().markWaiting(NOW);
         return job;
     }
 
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -26,7 +26,7 @@
 
     GangHeadroomTest() {
         fixture.machine("m2", false);
-        batch.scheduling().tasksWaiting(NOW);
+        batch.scheduling().markWaiting(NOW);
     }
 
     private void promptGang() {
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -23,12 +23,12 @@
 
     @Test
     void aJobWaitsSinceItWasFirstSeenTo() {
-        scheduling.tasksWaiting(SECOND);
-        scheduling.tasksWaiting(2 * SECOND);
+        scheduling.markWaiting(SECOND);
+        scheduling.markWaiting(2 * SECOND);
         assertEquals(SECOND, scheduling.waitingSinceMicros());
         scheduling.noTaskWaiting();
         assertFalse(scheduling.isWaiting());
-        scheduling.tasksWaiting(3 * SECOND);
+        scheduling.markWaiting(3 * SECOND);
         assertEquals(3 * SECOND, scheduling.waitingSinceMicros());
     }
 
