--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -61,7 +61,7 @@
     }
 
     /** No task of it waits. */
-    public void noTaskWaiting() {
+    public void clearWaiting() {
         waitingSinceMicros = NEVER;
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -47,7 +47,7 @@
         queue.clear();
         for (ActiveJob job : activeJobs.all()) {
             if (job.waitingTasks() <= 0) {
-                job.scheduling().noTaskWaiting();
+                job.scheduling().clearWaiting();
                 continue;
             }
             if (job.scheduling().notBeforeMicros() > nowMicros) {
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -26,7 +26,7 @@
         scheduling.markWaiting(SECOND);
         scheduling.markWaiting(2 * SECOND);
         assertEquals(SECOND, scheduling.waitingSinceMicros());
-        scheduling.noTaskWaiting();
+        scheduling.clearWaiting();
         assertFalse(scheduling.isWaiting());
         scheduling.markWaiting(3 * SECOND);
         assertEquals(3 * SECOND, scheduling.waitingSinceMicros());
