--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -62,7 +62,7 @@
 
     private Placement start(ActiveJob job, int index, Machine machine, long attempt, long nowMicros) {
         TaskId task = new TaskId(job.spec().id(), index);
-        job.scheduling().taskStarted(nowMicros);
+        job.scheduling().recordStart(nowMicros);
         Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         place(placement);
         commands.due(machine);
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -71,7 +71,7 @@
     }
 
     /** A task of it was placed. */
-    public void taskStarted(long nowMicros) {
+    public void recordStart(long nowMicros) {
         lastStartMicros = nowMicros;
     }
 
