--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -81,7 +81,7 @@
     }
 
     /** It has a task on a machine. */
-    public void seenRunning(long nowMicros) {
+    public void recordRunning(long nowMicros) {
         lastRunningMicros = nowMicros;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -44,7 +44,7 @@
         List<DueJob> late = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
             if (job.runningTasks() > 0) {
-                job.scheduling().seenRunning(nowMicros);
+                job.scheduling().recordRunning(nowMicros);
             }
             SchedulingClass fixedClass = classWhateverTheDeadline(job, nowMicros);
             job.scheduling().setSchedulingClass(fixedClass);
