--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -34,7 +34,7 @@
     }
 
     private boolean hasEnded(ActiveJob job, long nowMicros) {
-        return !job.scheduling().holdsReservation()
+        return !job.scheduling().hasReservation()
                 || nowMicros - job.scheduling().reservedSinceMicros() > maxDurationMicros(job);
     }
 
@@ -56,7 +56,7 @@
         if (nowMicros < job.scheduling().noReservationUntilMicros()) {
             return;
         }
-        if (!job.scheduling().holdsReservation()) {
+        if (!job.scheduling().hasReservation()) {
             job.scheduling().reservationBegins(nowMicros);
         } else if (hasEnded(job, nowMicros)) {
             end(job, nowMicros);
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -93,7 +93,7 @@
     }
 
     /** Whether machines are reserved for it. */
-    public boolean holdsReservation() {
+    public boolean hasReservation() {
         return reservedSinceMicros != NEVER;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -16,7 +16,7 @@
         assertEquals(SchedulingClass.OTHER, scheduling.schedulingClass());
         assertEquals(0, scheduling.notBeforeMicros());
         assertFalse(scheduling.isWaiting());
-        assertFalse(scheduling.holdsReservation());
+        assertFalse(scheduling.hasReservation());
         assertTrue(scheduling.lastStartMicros() < 0);
         assertTrue(scheduling.lastRunningMicros() < 0);
     }
@@ -35,11 +35,11 @@
     @Test
     void aReservationEndsAndIsBarredForAWhile() {
         scheduling.reservationBegins(SECOND);
-        assertTrue(scheduling.holdsReservation());
+        assertTrue(scheduling.hasReservation());
         assertEquals(SECOND, scheduling.reservedSinceMicros());
         scheduling.reservationEnds();
         scheduling.reserveNothingUntil(9 * SECOND);
-        assertFalse(scheduling.holdsReservation());
+        assertFalse(scheduling.hasReservation());
         assertEquals(9 * SECOND, scheduling.noReservationUntilMicros());
     }
 }
