--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -57,7 +57,7 @@
             return;
         }
         if (!job.scheduling().hasReservation()) {
-            job.scheduling().reservationBegins(nowMicros);
+            job.scheduling().beginReservation(nowMicros);
         } else if (hasEnded(job, nowMicros)) {
             end(job, nowMicros);
             return;
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -98,7 +98,7 @@
     }
 
     /** Machines are reserved for it from now on. */
-    public void reservationBegins(long nowMicros) {
+    public void beginReservation(long nowMicros) {
         reservedSinceMicros = nowMicros;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void aReservationEndsAndIsBarredForAWhile() {
-        scheduling.reservationBegins(SECOND);
+        scheduling.beginReservation(SECOND);
         assertTrue(scheduling.hasReservation());
         assertEquals(SECOND, scheduling.reservedSinceMicros());
         scheduling.reservationEnds();
