--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -71,7 +71,7 @@
         LOG.debug(
                 "job {}: its reservation ends, the gang does not fit",
                 job.spec().id());
-        job.scheduling().reservationEnds();
+        job.scheduling().endReservation();
         job.scheduling().reserveNothingUntil(nowMicros + config.tuning().gangHoldMicros());
         fleet.machines().forEach(machine -> machine.endReservationFor(job));
     }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -77,7 +77,7 @@
                 job.spec().tasks(),
                 (nowMicros - job.scheduling().waitingSinceMicros()) / MICROS_PER_MILLISECOND,
                 placement.imageFetches());
-        job.scheduling().reservationEnds();
+        job.scheduling().endReservation();
         tasks.startGang(job, placement.machines(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -103,7 +103,7 @@
     }
 
     /** No machine is reserved for it any more. */
-    public void reservationEnds() {
+    public void endReservation() {
         reservedSinceMicros = NEVER;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -37,7 +37,7 @@
         scheduling.beginReservation(SECOND);
         assertTrue(scheduling.hasReservation());
         assertEquals(SECOND, scheduling.reservedSinceMicros());
-        scheduling.reservationEnds();
+        scheduling.endReservation();
         scheduling.reserveNothingUntil(9 * SECOND);
         assertFalse(scheduling.hasReservation());
         assertEquals(9 * SECOND, scheduling.noReservationUntilMicros());
