--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -53,7 +53,7 @@
      * over, none is reserved for it for a while, so that other work has its turn.
      */
     void reserve(ActiveJob job, long nowMicros) {
-        if (nowMicros < job.scheduling().noReservationUntilMicros()) {
+        if (nowMicros < job.scheduling().reservationBlockedUntilMicros()) {
             return;
         }
         if (!job.scheduling().hasReservation()) {
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -108,7 +108,7 @@
     }
 
     /** No machine is reserved for this gang again before then. */
-    public long noReservationUntilMicros() {
+    public long reservationBlockedUntilMicros() {
         return noReservationUntilMicros;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -40,6 +40,6 @@
         scheduling.endReservation();
         scheduling.reserveNothingUntil(9 * SECOND);
         assertFalse(scheduling.hasReservation());
-        assertEquals(9 * SECOND, scheduling.noReservationUntilMicros());
+        assertEquals(9 * SECOND, scheduling.reservationBlockedUntilMicros());
     }
 }
