--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -72,7 +72,7 @@
                 "job {}: its reservation ends, the gang does not fit",
                 job.spec().id());
         job.scheduling().endReservation();
-        job.scheduling().reserveNothingUntil(nowMicros + config.tuning().gangHoldMicros());
+        job.scheduling().blockReservationUntil(nowMicros + config.tuning().gangHoldMicros());
         fleet.machines().forEach(machine -> machine.endReservationFor(job));
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -113,7 +113,7 @@
     }
 
     /** Other work has its turn until then. */
-    public void reserveNothingUntil(long earliestReservationMicros) {
+    public void blockReservationUntil(long earliestReservationMicros) {
         noReservationUntilMicros = earliestReservationMicros;
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -38,7 +38,7 @@
         assertTrue(scheduling.hasReservation());
         assertEquals(SECOND, scheduling.reservedSinceMicros());
         scheduling.endReservation();
-        scheduling.reserveNothingUntil(9 * SECOND);
+        scheduling.blockReservationUntil(9 * SECOND);
         assertFalse(scheduling.hasReservation());
         assertEquals(9 * SECOND, scheduling.reservationBlockedUntilMicros());
     }
