--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -110,7 +110,7 @@
     private void place(Placement placement) {
         placement.machine().add(placement);
         placement.job().addPlacement(placement);
-        teamLimits.placed(placement.job().spec());
+        teamLimits.addTask(placement.job().spec());
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -17,7 +17,7 @@
     }
 
     /** A task of this kind is placed. */
-    public void placed(JobSpec spec) {
+    public void addTask(JobSpec spec) {
         cpuMillisUsed.addTo(spec.team(), spec.cpuMillis());
         gpuMillisUsed.addTo(spec.team(), spec.gpuMillis());
     }
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -22,7 +22,7 @@
         TeamLimits limits = new TeamLimits(Map.of());
         assertFalse(limits.limits(SPEC));
         assertTrue(limits.allows(SPEC, 1_000_000));
-        limits.placed(SPEC);
+        limits.addTask(SPEC);
         assertEquals(1_000, limits.borrowedCpu(SPEC.team()));
     }
 
@@ -32,7 +32,7 @@
         assertTrue(limits.limits(SPEC));
         assertTrue(limits.allows(SPEC, 3));
         assertFalse(limits.allows(SPEC, 4));
-        limits.placed(SPEC);
+        limits.addTask(SPEC);
         assertFalse(limits.allows(SPEC, 3));
         limits.freed(SPEC);
         assertTrue(limits.allows(SPEC, 3));
@@ -43,8 +43,8 @@
         TeamLimits limits = limits(1_500, 0);
         assertFalse(limits.limits(SPEC));
         assertEquals(-1_500, limits.borrowedCpu(SPEC.team()));
-        limits.placed(SPEC);
-        limits.placed(SPEC);
+        limits.addTask(SPEC);
+        limits.addTask(SPEC);
         assertEquals(500, limits.borrowedCpu(SPEC.team()));
     }
 }
