--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -151,7 +151,7 @@
     private void release(Placement placement, String why) {
         placement.free(why);
         placement.machine().remove(placement, timers.nowMicros());
-        teamLimits.freed(placement.job().spec());
+        teamLimits.removeTask(placement.job().spec());
         // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
         boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.mayRunOnAwaitedMachine(placement.job());
         placement.job().removePlacement(placement, maybeElsewhere);
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -23,7 +23,7 @@
     }
 
     /** A task of this kind is proved gone. */
-    public void freed(JobSpec spec) {
+    public void removeTask(JobSpec spec) {
         cpuMillisUsed.addTo(spec.team(), -spec.cpuMillis());
         gpuMillisUsed.addTo(spec.team(), -spec.gpuMillis());
     }
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -34,7 +34,7 @@
         assertFalse(limits.allows(SPEC, 4));
         limits.addTask(SPEC);
         assertFalse(limits.allows(SPEC, 3));
-        limits.freed(SPEC);
+        limits.removeTask(SPEC);
         assertTrue(limits.allows(SPEC, 3));
     }
 
