--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -29,7 +29,7 @@
     }
 
     /** Thousandths of a CPU that a team uses beyond its guarantee: these are borrowed. Negative: it has some left. */
-    public long borrowedCpu(String teamName) {
+    public long borrowedCpuMillis(String teamName) {
         Team team = teams.get(teamName);
         return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuarantee());
     }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -120,6 +120,6 @@
                 }
             }
         }
-        return teamLimits.borrowedCpu(team) - stoppingCpuMillis;
+        return teamLimits.borrowedCpuMillis(team) - stoppingCpuMillis;
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -33,7 +33,7 @@
         assertEquals(Placement.Phase.ASSIGNED, placement.phase());
         assertTrue(machine.placements().contains(placement) && job.placements().contains(placement));
         assertEquals(List.of(machine), fixture.commands.machines());
-        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpu(BATCH.team()));
+        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()));
     }
 
     @Test
@@ -52,7 +52,7 @@
         tasks.stop(placement, 10 * SECOND, "test");
         assertFalse(placement.isActive());
         assertEquals(placement.task().index(), job.takeTask(), "it is the next to start again");
-        assertEquals(0, fixture.teamLimits.borrowedCpu(BATCH.team()));
+        assertEquals(0, fixture.teamLimits.borrowedCpuMillis(BATCH.team()));
     }
 
     @Test
@@ -81,7 +81,7 @@
         Placement placement = fixture.sent(job, machine);
         tasks.free(placement, "test");
         tasks.free(placement, "test");
-        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpu(BATCH.team()), "the other one runs");
+        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()), "the other one runs");
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -23,7 +23,7 @@
         assertFalse(limits.limits(SPEC));
         assertTrue(limits.allows(SPEC, 1_000_000));
         limits.addTask(SPEC);
-        assertEquals(1_000, limits.borrowedCpu(SPEC.team()));
+        assertEquals(1_000, limits.borrowedCpuMillis(SPEC.team()));
     }
 
     @Test
@@ -42,9 +42,9 @@
     void whatIsWithinTheGuaranteeIsNotBorrowed() {
         TeamLimits limits = limits(1_500, 0);
         assertFalse(limits.limits(SPEC));
-        assertEquals(-1_500, limits.borrowedCpu(SPEC.team()));
+        assertEquals(-1_500, limits.borrowedCpuMillis(SPEC.team()));
         limits.addTask(SPEC);
         limits.addTask(SPEC);
-        assertEquals(500, limits.borrowedCpu(SPEC.team()));
+        assertEquals(500, limits.borrowedCpuMillis(SPEC.team()));
     }
 }
