--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -35,7 +35,7 @@
     }
 
     /** Whether the job's team has a limit at all. */
-    public boolean limits(JobSpec spec) {
+    public boolean hasLimit(JobSpec spec) {
         Team team = teams.get(spec.team());
         return team != null && hasLimit(team);
     }
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -20,7 +20,7 @@
     @Test
     void aTeamThatIsNotListedHasNoLimit() {
         TeamLimits limits = new TeamLimits(Map.of());
-        assertFalse(limits.limits(SPEC));
+        assertFalse(limits.hasLimit(SPEC));
         assertTrue(limits.allows(SPEC, 1_000_000));
         limits.addTask(SPEC);
         assertEquals(1_000, limits.borrowedCpuMillis(SPEC.team()));
@@ -29,7 +29,7 @@
     @Test
     void tasksAreAllowedUpToTheLimit() {
         TeamLimits limits = limits(0, 3_000);
-        assertTrue(limits.limits(SPEC));
+        assertTrue(limits.hasLimit(SPEC));
         assertTrue(limits.allows(SPEC, 3));
         assertFalse(limits.allows(SPEC, 4));
         limits.addTask(SPEC);
@@ -41,7 +41,7 @@
     @Test
     void whatIsWithinTheGuaranteeIsNotBorrowed() {
         TeamLimits limits = limits(1_500, 0);
-        assertFalse(limits.limits(SPEC));
+        assertFalse(limits.hasLimit(SPEC));
         assertEquals(-1_500, limits.borrowedCpuMillis(SPEC.team()));
         limits.addTask(SPEC);
         limits.addTask(SPEC);
