--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -78,7 +78,7 @@
 
     private void noteContact(
             Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken, long nowMicros) {
-        machine.contact().messageReceived(heartbeat);
+        machine.contact().recordMessage(heartbeat);
         if (origin == MessageOrigin.HEARTBEAT) {
             machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -58,7 +58,7 @@
     }
 
     /** A newer message of the worker has come, by itself or as the answer to a direct call. */
-    public void messageReceived(Heartbeat message) {
+    public void recordMessage(Heartbeat message) {
         agentEpoch = message.agentEpoch();
         sequence = message.sequence();
         address = message.address();
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -169,7 +169,7 @@
 
     @Test
     void leaseExpiryVoidsTheCleanup() {
-        machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        machine.contact().recordMessage(Fixtures.heartbeat(machine, 4, 12));
         machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
         machine.expireLease();
         assertEquals(List.of(), machine.cleanupCommands());
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -87,7 +87,7 @@
 
     @Test
     void itIsMeantForTheAgentEpochThatIsKnown() {
-        machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        machine.contact().recordMessage(Fixtures.heartbeat(machine, 4, 12));
         assertEquals(4, Fixtures.placement(job, 3, machine, 12).agentEpoch());
     }
 
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void aMessageTellsEpochAndSequence() {
-        contact.messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         assertEquals(4, contact.agentEpoch());
         assertEquals(12, contact.sequence());
     }
@@ -85,7 +85,7 @@
 
     @Test
     void leaseExpiryMovesTheAgentEpochOnAndForgetsDirectStarts() {
-        contact.messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         contact.leaseRunsUntil(30 * SECOND, true);
         contact.startedDirectly(9, 7);
         contact.leaseExpired();
