--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -102,7 +102,7 @@
 
     /** Whether heartbeats of the machine are missing for so long that a command would hardly arrive. */
     public boolean isUnresponsive(Machine machine, long nowMicros) {
-        return machine.contact().unresponsive(nowMicros, config.workers().heartbeatIntervalMicros());
+        return machine.contact().isUnresponsive(nowMicros, config.workers().heartbeatIntervalMicros());
     }
 
     /** Whether a heartbeat is late by so much that it is worth asking for one. */
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -85,7 +85,7 @@
     }
 
     /** Whether a heartbeat is overdue by so much that a command would hardly arrive. */
-    public boolean unresponsive(long nowMicros, long heartbeatIntervalMicros) {
+    public boolean isUnresponsive(long nowMicros, long heartbeatIntervalMicros) {
         return nowMicros - lastHeartbeatMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -58,7 +58,7 @@
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && !machine.contact()
-                            .unresponsive(nowMicros, config.workers().heartbeatIntervalMicros())) {
+                            .isUnresponsive(nowMicros, config.workers().heartbeatIntervalMicros())) {
                 long batchCpuMillis =
                         machine.type().cpuMillis() - machine.capacity().serviceCpuMillis();
                 cpuMillis += batchCpuMillis;
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -115,8 +115,8 @@
     @Test
     void itIsUnresponsiveAfterTwoHeartbeatsAndAMargin() {
         contact.heartbeatReceived(10 * SECOND);
-        assertFalse(contact.unresponsive(21 * SECOND, 5 * SECOND));
-        assertTrue(contact.unresponsive(21 * SECOND + 1, 5 * SECOND));
+        assertFalse(contact.isUnresponsive(21 * SECOND, 5 * SECOND));
+        assertTrue(contact.isUnresponsive(21 * SECOND + 1, 5 * SECOND));
     }
 
     @Test
