--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -83,7 +83,7 @@
             machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
         long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
-        machine.contact().leaseRunsUntil(leaseExpiryMicros, underPresentToken);
+        machine.contact().setLeaseExpiry(leaseExpiryMicros, underPresentToken);
     }
 
     /** The worker has shown the present fencing token: what is on the machine is known. */
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -34,7 +34,7 @@
             long longestMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
                     + config.workers().longestLeaseMicros();
-            machine.contact().leaseRunsUntil(longestMicros, false);
+            machine.contact().setLeaseExpiry(longestMicros, false);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -100,7 +100,7 @@
     }
 
     /** The worker may go on until then; only a message under the present fencing token can shorten that. */
-    public void leaseRunsUntil(long expiryMicros, boolean underPresentToken) {
+    public void setLeaseExpiry(long expiryMicros, boolean underPresentToken) {
         leaseExpiryMicros = underPresentToken ? expiryMicros : Math.max(leaseExpiryMicros, expiryMicros);
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -27,7 +27,7 @@
         Machine machine = new Machine("m00", "10.0.0.1:80", "standard", zone, false);
         fleet.add(machine);
         machine.recordHeartbeat(false, timers.nowMicros());
-        machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE, true);
+        machine.contact().setLeaseExpiry(timers.nowMicros() + LEASE, true);
         machine.confirmTasks();
         return machine;
     }
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -74,19 +74,19 @@
 
     @Test
     void onlyAMessageUnderThePresentTokenShortensTheLease() {
-        contact.leaseRunsUntil(30 * SECOND, true);
-        contact.leaseRunsUntil(20 * SECOND, false);
+        contact.setLeaseExpiry(30 * SECOND, true);
+        contact.setLeaseExpiry(20 * SECOND, false);
         assertEquals(30 * SECOND, contact.leaseExpiryMicros());
-        contact.leaseRunsUntil(40 * SECOND, false);
+        contact.setLeaseExpiry(40 * SECOND, false);
         assertEquals(40 * SECOND, contact.leaseExpiryMicros());
-        contact.leaseRunsUntil(20 * SECOND, true);
+        contact.setLeaseExpiry(20 * SECOND, true);
         assertEquals(20 * SECOND, contact.leaseExpiryMicros());
     }
 
     @Test
     void leaseExpiryMovesTheAgentEpochOnAndForgetsDirectStarts() {
         contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
-        contact.leaseRunsUntil(30 * SECOND, true);
+        contact.setLeaseExpiry(30 * SECOND, true);
         contact.startedDirectly(9, 7);
         contact.leaseExpired();
         assertEquals(5, contact.agentEpoch());
