--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -251,7 +251,7 @@
 
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
     public void expireLease() {
-        contact.leaseExpired();
+        contact.expireLease();
         findings.discardCleanup();
     }
 
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -105,7 +105,7 @@
     }
 
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
-    public void leaseExpired() {
+    public void expireLease() {
         leaseExpiryMicros = NO_LEASE;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
         sequence = NO_SEQUENCE;
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -88,7 +88,7 @@
         contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         contact.setLeaseExpiry(30 * SECOND, true);
         contact.startedDirectly(9, 7);
-        contact.leaseExpired();
+        contact.expireLease();
         assertEquals(5, contact.agentEpoch());
         assertTrue(contact.sequence() < 0, "any message of the later epoch is newer");
         assertEquals(0, contact.leaseExpiryMicros());
@@ -97,7 +97,7 @@
 
     @Test
     void leaseExpiryOfAWorkerWithoutAMessageLeavesEpochZeroBehind() {
-        contact.leaseExpired();
+        contact.expireLease();
         assertEquals(1, contact.agentEpoch());
     }
 
