--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -113,7 +113,7 @@
 
     private boolean isProbeDue(Machine machine, long nowMicros) {
         return fleet.isHeartbeatOverdue(machine, nowMicros)
-                && !machine.contact().fenced()
+                && !machine.contact().isFenced()
                 && !machine.isAwaitingFirstHeartbeat()
                 && !machine.contact().callInFlight()
                 && nowMicros - machine.contact().lastCallMicros()
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -65,7 +65,7 @@
     private static boolean needsCall(Machine machine) {
         return machine.isAwaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.contact().fenced();
+                && !machine.contact().isFenced();
     }
 
     private void call(Machine machine) {
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -117,7 +117,7 @@
      * controller in contact with the store lets the worker go on under the one it has. While this holds, it is not
      * called.
      */
-    public boolean fenced() {
+    public boolean isFenced() {
         return fenced;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -37,7 +37,7 @@
         Machine machine = machineIn(PEER_ZONE);
         handler.tokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
-        assertFalse(machine.contact().fenced());
+        assertFalse(machine.contact().isFenced());
         assertEquals(timers.nowMicros() + LEASE, machine.contact().leaseExpiryMicros());
     }
 
@@ -48,7 +48,7 @@
         timers.advance(5 * SECOND);
         handler.tokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
-        assertTrue(machine.contact().fenced());
+        assertTrue(machine.contact().isFenced());
         assertEquals(leaseExpiryMicros, machine.contact().leaseExpiryMicros(), "nobody can have kept it alive");
     }
 
@@ -57,7 +57,7 @@
         Machine machine = machineIn(PEER_ZONE);
         timers.advance(5 * SECOND);
         handler.tokenRaised(machine);
-        assertTrue(machine.contact().fenced());
+        assertTrue(machine.contact().isFenced());
         assertEquals(
                 timers.nowMicros()
                         + config.workers().maxDisconnectedMicros()
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -16,7 +16,7 @@
     void nothingIsKnownAtFirst() {
         assertTrue(contact.agentEpoch() < 0);
         assertTrue(contact.sequence() < 0);
-        assertFalse(contact.fenced());
+        assertFalse(contact.isFenced());
         assertFalse(contact.callInFlight());
         assertFalse(contact.probeFailed());
     }
@@ -35,10 +35,10 @@
         contact.callAnswered(false);
         contact.fence();
         assertTrue(contact.probeFailed());
-        assertTrue(contact.fenced());
+        assertTrue(contact.isFenced());
         contact.heartbeatReceived(3 * SECOND);
         assertFalse(contact.probeFailed());
-        assertFalse(contact.fenced());
+        assertFalse(contact.isFenced());
         assertEquals(3 * SECOND, contact.lastHeartbeatMicros());
     }
 
@@ -46,7 +46,7 @@
     void aCallLiftsTheFenceSinceItShowsTheToken() {
         contact.fence();
         contact.callBegan(2 * SECOND);
-        assertFalse(contact.fenced());
+        assertFalse(contact.isFenced());
         assertTrue(contact.callInFlight());
         assertEquals(2 * SECOND, contact.lastCallMicros());
         contact.callEnded();
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -99,7 +99,7 @@
         handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN, orphan()));
         machine.contact().fence();
         assertEquals(accepted(STOP_ORPHAN), handler.answer(overtaken));
-        assertFalse(machine.contact().fenced(), "the answer shows the token");
+        assertFalse(machine.contact().isFenced(), "the answer shows the token");
     }
 
     @Test
