--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -127,7 +127,7 @@
     }
 
     /** The worker may have seen the fencing token on record. */
-    public void liftFence() {
+    public void clearFence() {
         fenced = false;
     }
 
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -90,7 +90,7 @@
 
     /** Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be. */
     private static HeartbeatResponse overtaken(Machine machine, Heartbeat heartbeat) {
-        machine.contact().liftFence();
+        machine.contact().clearFence();
         boolean ofPresentAgentEpoch =
                 heartbeat.agentEpoch() == machine.contact().agentEpoch();
         return !machine.isGone() && ofPresentAgentEpoch
