--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -61,7 +61,7 @@
     }
 
     private boolean canReceiveCommands(Machine machine, long nowMicros) {
-        return !machine.contact().callInFlight()
+        return !machine.contact().hasCallInFlight()
                 && machine.contact().agentEpoch() >= 0
                 && !fleet.isUnresponsive(machine, nowMicros);
     }
@@ -115,7 +115,7 @@
         return fleet.isHeartbeatOverdue(machine, nowMicros)
                 && !machine.contact().isFenced()
                 && !machine.isAwaitingFirstHeartbeat()
-                && !machine.contact().callInFlight()
+                && !machine.contact().hasCallInFlight()
                 && nowMicros - machine.contact().lastCallMicros()
                         > config.workers().heartbeatIntervalMicros();
     }
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -49,7 +49,7 @@
             if (!needsCall(machine)) {
                 continue;
             }
-            if (machine.contact().callInFlight()) {
+            if (machine.contact().hasCallInFlight()) {
                 callAgainLater(machine);
             } else {
                 call(machine);
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -59,7 +59,7 @@
      * does.
      */
     void showToken(Machine machine) {
-        if (!machine.contact().callInFlight() && machine.contact().agentEpoch() >= 0 && mayCall()) {
+        if (!machine.contact().hasCallInFlight() && machine.contact().agentEpoch() >= 0 && mayCall()) {
             callWithoutCommands(machine, () -> {});
         }
     }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -134,7 +134,7 @@
     // ---- direct calls ------------------------------------------------------------------------------------------
 
     /** Whether a direct call has not ended yet. */
-    public boolean callInFlight() {
+    public boolean hasCallInFlight() {
         return callInFlight;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -17,7 +17,7 @@
         assertTrue(contact.agentEpoch() < 0);
         assertTrue(contact.sequence() < 0);
         assertFalse(contact.isFenced());
-        assertFalse(contact.callInFlight());
+        assertFalse(contact.hasCallInFlight());
         assertFalse(contact.probeFailed());
     }
 
@@ -47,10 +47,10 @@
         contact.fence();
         contact.callBegan(2 * SECOND);
         assertFalse(contact.isFenced());
-        assertTrue(contact.callInFlight());
+        assertTrue(contact.hasCallInFlight());
         assertEquals(2 * SECOND, contact.lastCallMicros());
         contact.callEnded();
-        assertFalse(contact.callInFlight());
+        assertFalse(contact.hasCallInFlight());
     }
 
     @Test
