--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -76,7 +76,7 @@
      * @param answered runs once the call has ended, with a response or without
      */
     void call(Machine machine, List<WorkerCommand> commands, List<Placement> starts, Runnable answered) {
-        machine.contact().callBegan(timers.nowMicros());
+        machine.contact().beginCall(timers.nowMicros());
         callsUnderWay++;
         long fencingToken = machine.fencingToken();
         // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -139,7 +139,7 @@
     }
 
     /** A direct call begins. The worker may see the token, and a lease keeper that knows it may go on under it. */
-    public void callBegan(long nowMicros) {
+    public void beginCall(long nowMicros) {
         callInFlight = true;
         fenced = false;
         lastCallMicros = nowMicros;
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -59,7 +59,7 @@
     @Test
     void soonerWhenItDoesNotAnswerCallsEither() {
         Machine machine = machine("m", OWN_ZONE);
-        machine.contact().callBegan(startMicros + 1);
+        machine.contact().beginCall(startMicros + 1);
         machine.contact().callEnded();
         machine.contact().callAnswered(false);
         long timeoutMicros = failureDetector.unresponsiveTimeoutMicros(machine);
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void aHeartbeatClearsAFailedProbeAndTheFence() {
-        contact.callBegan(2 * SECOND);
+        contact.beginCall(2 * SECOND);
         contact.callEnded();
         contact.callAnswered(false);
         contact.fence();
@@ -45,7 +45,7 @@
     @Test
     void aCallLiftsTheFenceSinceItShowsTheToken() {
         contact.fence();
-        contact.callBegan(2 * SECOND);
+        contact.beginCall(2 * SECOND);
         assertFalse(contact.isFenced());
         assertTrue(contact.hasCallInFlight());
         assertEquals(2 * SECOND, contact.lastCallMicros());
@@ -55,7 +55,7 @@
 
     @Test
     void aCallThatAHeartbeatOvertookHasNotFailed() {
-        contact.callBegan(2 * SECOND);
+        contact.beginCall(2 * SECOND);
         contact.heartbeatReceived(3 * SECOND);
         contact.callEnded();
         contact.callAnswered(false);
@@ -65,7 +65,7 @@
     @Test
     void anAnswerIsNoHeartbeat() {
         contact.heartbeatReceived(SECOND);
-        contact.callBegan(2 * SECOND);
+        contact.beginCall(2 * SECOND);
         contact.callEnded();
         contact.callAnswered(true);
         assertFalse(contact.probeFailed());
