--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -83,7 +83,7 @@
         long agentEpoch = Math.max(1, machine.contact().agentEpoch());
         workers.send(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
             callsUnderWay--;
-            machine.contact().callEnded();
+            machine.contact().endCall();
             if (!ended.getAsBoolean() && !machine.isGone()) {
                 takeReply(machine, fencingToken, starts, reply);
                 loop.requestSend();
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -146,7 +146,7 @@
     }
 
     /** The direct call was answered or given up. */
-    public void callEnded() {
+    public void endCall() {
         callInFlight = false;
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -60,7 +60,7 @@
     void soonerWhenItDoesNotAnswerCallsEither() {
         Machine machine = machine("m", OWN_ZONE);
         machine.contact().beginCall(startMicros + 1);
-        machine.contact().callEnded();
+        machine.contact().endCall();
         machine.contact().callAnswered(false);
         long timeoutMicros = failureDetector.unresponsiveTimeoutMicros(machine);
 
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -31,7 +31,7 @@
     @Test
     void aHeartbeatClearsAFailedProbeAndTheFence() {
         contact.beginCall(2 * SECOND);
-        contact.callEnded();
+        contact.endCall();
         contact.callAnswered(false);
         contact.fence();
         assertTrue(contact.probeFailed());
@@ -49,7 +49,7 @@
         assertFalse(contact.isFenced());
         assertTrue(contact.hasCallInFlight());
         assertEquals(2 * SECOND, contact.lastCallMicros());
-        contact.callEnded();
+        contact.endCall();
         assertFalse(contact.hasCallInFlight());
     }
 
@@ -57,7 +57,7 @@
     void aCallThatAHeartbeatOvertookHasNotFailed() {
         contact.beginCall(2 * SECOND);
         contact.heartbeatReceived(3 * SECOND);
-        contact.callEnded();
+        contact.endCall();
         contact.callAnswered(false);
         assertFalse(contact.probeFailed());
     }
@@ -66,7 +66,7 @@
     void anAnswerIsNoHeartbeat() {
         contact.heartbeatReceived(SECOND);
         contact.beginCall(2 * SECOND);
-        contact.callEnded();
+        contact.endCall();
         contact.callAnswered(true);
         assertFalse(contact.probeFailed());
         assertEquals(SECOND, contact.lastHeartbeatMicros());
