--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -94,7 +94,7 @@
 
     private void takeReply(Machine machine, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
         Heartbeat heartbeat = reply.heartbeat();
-        machine.contact().callAnswered(heartbeat != null);
+        machine.contact().recordCallResult(heartbeat != null);
         if (heartbeat == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start has no answer");
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -151,7 +151,7 @@
     }
 
     /** Whether the call that has ended brought a message of the worker. */
-    public void callAnswered(boolean answered) {
+    public void recordCallResult(boolean answered) {
         probeFailed = !answered && lastHeartbeatMicros < lastCallMicros;
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -61,7 +61,7 @@
         Machine machine = machine("m", OWN_ZONE);
         machine.contact().beginCall(startMicros + 1);
         machine.contact().endCall();
-        machine.contact().callAnswered(false);
+        machine.contact().recordCallResult(false);
         long timeoutMicros = failureDetector.unresponsiveTimeoutMicros(machine);
 
         assertNull(reasonAfter(machine, timeoutMicros));
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -32,7 +32,7 @@
     void aHeartbeatClearsAFailedProbeAndTheFence() {
         contact.beginCall(2 * SECOND);
         contact.endCall();
-        contact.callAnswered(false);
+        contact.recordCallResult(false);
         contact.fence();
         assertTrue(contact.probeFailed());
         assertTrue(contact.isFenced());
@@ -58,7 +58,7 @@
         contact.beginCall(2 * SECOND);
         contact.heartbeatReceived(3 * SECOND);
         contact.endCall();
-        contact.callAnswered(false);
+        contact.recordCallResult(false);
         assertFalse(contact.probeFailed());
     }
 
@@ -67,7 +67,7 @@
         contact.heartbeatReceived(SECOND);
         contact.beginCall(2 * SECOND);
         contact.endCall();
-        contact.callAnswered(true);
+        contact.recordCallResult(true);
         assertFalse(contact.probeFailed());
         assertEquals(SECOND, contact.lastHeartbeatMicros());
     }
