--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -59,7 +59,7 @@
      * failover its heartbeats may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed()
+        return machine.contact().hasProbeFailed()
                 ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : workers.leaseMicros();
     }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -161,7 +161,7 @@
     }
 
     /** Whether it was called since its latest heartbeat, and there was no answer. */
-    public boolean probeFailed() {
+    public boolean hasProbeFailed() {
         return probeFailed;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -18,7 +18,7 @@
         assertTrue(contact.sequence() < 0);
         assertFalse(contact.isFenced());
         assertFalse(contact.hasCallInFlight());
-        assertFalse(contact.probeFailed());
+        assertFalse(contact.hasProbeFailed());
     }
 
     @Test
@@ -34,10 +34,10 @@
         contact.endCall();
         contact.recordCallResult(false);
         contact.fence();
-        assertTrue(contact.probeFailed());
+        assertTrue(contact.hasProbeFailed());
         assertTrue(contact.isFenced());
         contact.heartbeatReceived(3 * SECOND);
-        assertFalse(contact.probeFailed());
+        assertFalse(contact.hasProbeFailed());
         assertFalse(contact.isFenced());
         assertEquals(3 * SECOND, contact.lastHeartbeatMicros());
     }
@@ -59,7 +59,7 @@
         contact.heartbeatReceived(3 * SECOND);
         contact.endCall();
         contact.recordCallResult(false);
-        assertFalse(contact.probeFailed());
+        assertFalse(contact.hasProbeFailed());
     }
 
     @Test
@@ -68,7 +68,7 @@
         contact.beginCall(2 * SECOND);
         contact.endCall();
         contact.recordCallResult(true);
-        assertFalse(contact.probeFailed());
+        assertFalse(contact.hasProbeFailed());
         assertEquals(SECOND, contact.lastHeartbeatMicros());
     }
 
