--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -73,7 +73,7 @@
         List<Placement> starts = machineCommands.startable(machine);
         for (Placement placement : starts) {
             toSend.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            machine.contact().startedDirectly(placement.attempt(), machine.fencingToken());
+            machine.contact().recordDirectStart(placement.attempt(), machine.fencingToken());
             placement.markSentDirectly();
         }
         if (!toSend.isEmpty()) {
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -166,7 +166,7 @@
     }
 
     /** An attempt is started by a direct command under this fencing token; a late copy may come any time. */
-    public void startedDirectly(long attempt, long fencingToken) {
+    public void recordDirectStart(long attempt, long fencingToken) {
         directAttempts.put(attempt, fencingToken);
     }
 
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -87,7 +87,7 @@
     void leaseExpiryMovesTheAgentEpochOnAndForgetsDirectStarts() {
         contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         contact.setLeaseExpiry(30 * SECOND, true);
-        contact.startedDirectly(9, 7);
+        contact.recordDirectStart(9, 7);
         contact.expireLease();
         assertEquals(5, contact.agentEpoch());
         assertTrue(contact.sequence() < 0, "any message of the later epoch is newer");
@@ -103,7 +103,7 @@
 
     @Test
     void aLateCopyOfADirectStartIsCarriedOutUnderItsTokenOrAnOlderOne() {
-        contact.startedDirectly(9, 7);
+        contact.recordDirectStart(9, 7);
         assertTrue(contact.mayBeStartedAgain(9, 6));
         assertTrue(contact.mayBeStartedAgain(9, 7));
         assertFalse(contact.mayBeStartedAgain(9, 8));
