--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -74,7 +74,7 @@
      * been raised: a late copy of that command would start it once more.
      */
     private boolean mayClear(Machine machine, TaskStatus status) {
-        if (machine.contact().mayBeStartedAgain(status.attempt(), machine.fencingToken())) {
+        if (machine.contact().canBeStartedAgain(status.attempt(), machine.fencingToken())) {
             return false;
         }
         machine.contact().forgetDirectStart(status.attempt());
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -171,7 +171,7 @@
     }
 
     /** Whether a late copy of the direct command that started the attempt would be carried out under this token. */
-    public boolean mayBeStartedAgain(long attempt, long fencingToken) {
+    public boolean canBeStartedAgain(long attempt, long fencingToken) {
         return directAttempts.get(attempt) >= fencingToken;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -92,7 +92,7 @@
         assertEquals(5, contact.agentEpoch());
         assertTrue(contact.sequence() < 0, "any message of the later epoch is newer");
         assertEquals(0, contact.leaseExpiryMicros());
-        assertFalse(contact.mayBeStartedAgain(9, 7));
+        assertFalse(contact.canBeStartedAgain(9, 7));
     }
 
     @Test
@@ -104,12 +104,12 @@
     @Test
     void aLateCopyOfADirectStartIsCarriedOutUnderItsTokenOrAnOlderOne() {
         contact.recordDirectStart(9, 7);
-        assertTrue(contact.mayBeStartedAgain(9, 6));
-        assertTrue(contact.mayBeStartedAgain(9, 7));
-        assertFalse(contact.mayBeStartedAgain(9, 8));
-        assertFalse(contact.mayBeStartedAgain(10, 7));
+        assertTrue(contact.canBeStartedAgain(9, 6));
+        assertTrue(contact.canBeStartedAgain(9, 7));
+        assertFalse(contact.canBeStartedAgain(9, 8));
+        assertFalse(contact.canBeStartedAgain(10, 7));
         contact.forgetDirectStart(9);
-        assertFalse(contact.mayBeStartedAgain(9, 7));
+        assertFalse(contact.canBeStartedAgain(9, 7));
     }
 
     @Test
