--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -58,7 +58,7 @@
 
     /** What arrives while a machine of this type boots, up to a share of what the present services use. */
     private double wantedCpuMillis(MachineType type) {
-        double arrivingCpuMillis = demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
+        double arrivingCpuMillis = demand.arrivalRate().cpuMillisPerMicro(nowMicros) * type.bootMicros();
         double mostCpuMillis = demand.config().tuning().scaling().headroomShare() * servicesCpuMillis;
         return Math.min(arrivingCpuMillis, mostCpuMillis);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -15,14 +15,14 @@
     void accepted(ActiveJob job, long nowMicros) {
         if (job.isLiveService()) {
             double arrivedCpu = job.spec().tasks() * (double) job.spec().cpuMillis();
-            cpuPerMicroThen = cpuPerMicro(nowMicros) + arrivedCpu / MEMORY_MICROS;
+            cpuPerMicroThen = cpuMillisPerMicro(nowMicros) + arrivedCpu / MEMORY_MICROS;
             lastArrivalMicros = nowMicros;
             newest = job;
         }
     }
 
     /** Thousandths of a CPU that arrive in a microsecond. */
-    public double cpuPerMicro(long nowMicros) {
+    public double cpuMillisPerMicro(long nowMicros) {
         return cpuPerMicroThen * Math.exp((lastArrivalMicros - nowMicros) / MEMORY_MICROS);
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
@@ -25,17 +25,17 @@
     void onlyLiveServicesCount() {
         arrivalRate.accepted(Fixtures.job(), SECOND);
         assertNull(arrivalRate.newest());
-        assertEquals(0, arrivalRate.cpuPerMicro(SECOND));
+        assertEquals(0, arrivalRate.cpuMillisPerMicro(SECOND));
         arrivalRate.accepted(service, SECOND);
         assertSame(service, arrivalRate.newest());
-        assertEquals(ONE_ARRIVAL, arrivalRate.cpuPerMicro(SECOND), 1e-15);
+        assertEquals(ONE_ARRIVAL, arrivalRate.cpuMillisPerMicro(SECOND), 1e-15);
     }
 
     @Test
     void arrivalsAddUpAndFade() {
         arrivalRate.accepted(service, SECOND);
-        assertEquals(ONE_ARRIVAL / Math.E, arrivalRate.cpuPerMicro(61 * SECOND), 1e-15);
+        assertEquals(ONE_ARRIVAL / Math.E, arrivalRate.cpuMillisPerMicro(61 * SECOND), 1e-15);
         arrivalRate.accepted(service, 61 * SECOND);
-        assertEquals(ONE_ARRIVAL * (1 + 1 / Math.E), arrivalRate.cpuPerMicro(61 * SECOND), 1e-15);
+        assertEquals(ONE_ARRIVAL * (1 + 1 / Math.E), arrivalRate.cpuMillisPerMicro(61 * SECOND), 1e-15);
     }
 }
