--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -37,7 +37,7 @@
 
     /** Adds launches for the headroom that is lacking. */
     void make() {
-        ActiveJob newest = demand.arrivalRate().newest();
+        ActiveJob newest = demand.arrivalRate().newestJob();
         if (newest == null) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -27,7 +27,7 @@
     }
 
     /** An example of what arrives; null when nothing has. */
-    public @Nullable ActiveJob newest() {
+    public @Nullable ActiveJob newestJob() {
         return newest;
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
@@ -24,10 +24,10 @@
     @Test
     void onlyLiveServicesCount() {
         arrivalRate.accepted(Fixtures.job(), SECOND);
-        assertNull(arrivalRate.newest());
+        assertNull(arrivalRate.newestJob());
         assertEquals(0, arrivalRate.cpuMillisPerMicro(SECOND));
         arrivalRate.accepted(service, SECOND);
-        assertSame(service, arrivalRate.newest());
+        assertSame(service, arrivalRate.newestJob());
         assertEquals(ONE_ARRIVAL, arrivalRate.cpuMillisPerMicro(SECOND), 1e-15);
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -85,14 +85,14 @@
         lifecycle.start();
         accepted(LIVE_SERVICE, 4, TOKEN);
         assertNotNull(job());
-        assertSame(job(), fixture.arrivalRate.newest());
+        assertSame(job(), fixture.arrivalRate.newestJob());
     }
 
     @Test
     void aJobThatWasOnRecordBeforeDoesNotCountAsArrived() {
         accepted(LIVE_SERVICE, 4, TOKEN);
         lifecycle.start();
-        assertNull(fixture.arrivalRate.newest());
+        assertNull(fixture.arrivalRate.newestJob());
     }
 
     @Test
