--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -49,7 +49,7 @@
     void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> repeated) {
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
         machine.addCleanupCommand(stop);
-        commands.due(machine);
+        commands.enqueue(machine);
         loop.wantCycle();
         if (!repeated.contains(stop)) {
             plan.countVerdicts(verdict, 1);
--- a/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
+++ b/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
@@ -16,7 +16,7 @@
     }
 
     /** There is something to tell this machine. */
-    public void due(Machine machine) {
+    public void enqueue(Machine machine) {
         machines.add(machine);
         requestSend.run();
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -65,7 +65,7 @@
         job.scheduling().recordStart(nowMicros);
         Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         place(placement);
-        commands.due(machine);
+        commands.enqueue(machine);
         LOG.debug(
                 "task {} attempt {} goes to machine {} ({} running, {} unfinished)",
                 task,
@@ -128,16 +128,16 @@
             free(placement, why);
         } else if (placement.phase() == Placement.Phase.STOPPING && graceMicros < placement.graceMicros()) {
             placement.shortenGrace(graceMicros);
-            commands.due(placement.machine());
+            commands.enqueue(placement.machine());
         } else if (placement.isActive() && placement.phase() != Placement.Phase.STOPPING) {
             placement.stop(graceMicros, why);
-            commands.due(placement.machine());
+            commands.enqueue(placement.machine());
         }
     }
 
     /** Repeats a stop that is not seen to have worked yet. */
     public void stopAgain(Placement placement) {
-        commands.due(placement.machine());
+        commands.enqueue(placement.machine());
     }
 
     /** There is proof that the task is not on the machine. */
--- a/src/test/java/org/granitepath/coordination/jobs/CommandQueueTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/CommandQueueTest.java
@@ -16,9 +16,9 @@
 
     @Test
     void machinesComeOnceAndInTheOrderInWhichTheyCame() {
-        commands.due(second);
-        commands.due(first);
-        commands.due(second);
+        commands.enqueue(second);
+        commands.enqueue(first);
+        commands.enqueue(second);
         assertEquals(List.of(second, first), commands.machines());
         assertEquals(3, requests, "each asks for the commands to be sent");
         commands.remove(second);
@@ -27,8 +27,8 @@
 
     @Test
     void theListMayBeWalkedWhileCommandsComeAndGo() {
-        commands.due(first);
-        commands.due(second);
+        commands.enqueue(first);
+        commands.enqueue(second);
         for (Machine machine : commands.machines()) {
             commands.remove(machine);
         }
