--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -103,7 +103,7 @@
                     machine.id(),
                     status.task(),
                     status.attempt());
-            machines.drainFaulty(faults.failed(machine, job, nowMicros));
+            machines.drainFaulty(faults.recordFailure(machine, job, nowMicros));
         } else if (startWasRefused(status)) {
             job.scheduling().delayStartsUntil(nowMicros + REFUSED_START_DELAY_MICROS);
         }
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -68,7 +68,7 @@
     private final Set<ActiveJob> provenJobs = new HashSet<>();
 
     /** A task of the job failed there. Returns the machines that have turned out to be faulty. */
-    public List<Machine> failed(Machine machine, ActiveJob job, long nowMicros) {
+    public List<Machine> recordFailure(Machine machine, ActiveJob job, long nowMicros) {
         if (provenJobs.contains(job)) {
             return blame(machine, job, nowMicros) ? List.of(machine) : List.of();
         }
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -47,7 +47,8 @@
 
     @Test
     void onASuspectMachineOneTaskIsTried() {
-        fixture.faults.failed(first, fixture.batch("failed", Priority.STANDARD).build(), NOW);
+        fixture.faults.recordFailure(
+                first, fixture.batch("failed", Priority.STANDARD).build(), NOW);
         GangPlacement placement = finder.find(gang, List.of(first, second), NOW);
         assertEquals(List.of(second, second, first), placement.machines());
     }
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -26,7 +26,7 @@
     @Test
     void aFailureMakesTheMachineASuspect() {
         assertTrue(faults.mayTry(first, job));
-        assertEquals(List.of(), faults.failed(first, job, FAILED));
+        assertEquals(List.of(), faults.recordFailure(first, job, FAILED));
         assertTrue(faults.suspects(first));
         assertFalse(faults.mayTry(first, job), "no job is tried again where it failed");
         assertTrue(faults.mayTry(first, other));
@@ -35,25 +35,25 @@
 
     @Test
     void aSuspectIsOfferedOneTaskAtATime() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         first.add(started(other, first, FAILED + SECOND));
         assertFalse(faults.mayTry(first, other));
     }
 
     @Test
     void aSecondJobThatFailsThereMakesItFaulty() {
-        faults.failed(first, job, FAILED);
-        assertEquals(List.of(first), faults.failed(first, other, FAILED + SECOND));
+        faults.recordFailure(first, job, FAILED);
+        assertEquals(List.of(first), faults.recordFailure(first, other, FAILED + SECOND));
         assertFalse(faults.mayTry(first, Fixtures.job()));
-        assertEquals(List.of(), faults.failed(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
+        assertEquals(List.of(), faults.recordFailure(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
     }
 
     @Test
     void aJobThatFailsOnThreeMachinesIsItselfInQuestion() {
-        faults.failed(first, job, FAILED);
-        faults.failed(second, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
+        faults.recordFailure(second, job, FAILED);
         assertTrue(faults.mayStartAnother(job));
-        faults.failed(third, job, FAILED);
+        faults.recordFailure(third, job, FAILED);
         assertFalse(faults.suspects(third), "it makes no further machine a suspect");
         assertTrue(faults.mayStartAnother(job), "nothing of it is placed");
         job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
@@ -62,15 +62,15 @@
 
     @Test
     void aJobWithoutProofIsRetriedLessAndLessOften() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         assertEquals(FAILED + SECOND / 2, job.scheduling().notBeforeMicros());
-        faults.failed(second, job, FAILED);
+        faults.recordFailure(second, job, FAILED);
         assertEquals(FAILED + SECOND, job.scheduling().notBeforeMicros());
     }
 
     @Test
     void aTaskThatStartedAfterTheFailureClearsTheMachine() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         Placement before = started(other, first, FAILED - SECOND);
         faults.proved(before, FAILED + SECOND);
         assertTrue(faults.suspects(first), "it started before the failure");
@@ -83,18 +83,18 @@
 
     @Test
     void nothingClearsAFaultyMachine() {
-        faults.failed(first, job, FAILED);
-        faults.failed(first, other, FAILED);
+        faults.recordFailure(first, job, FAILED);
+        faults.recordFailure(first, other, FAILED);
         faults.proved(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
         assertTrue(faults.suspects(first));
     }
 
     @Test
     void proofOfAJobPutsItsFailuresOnTheMachines() {
-        faults.failed(first, job, FAILED);
-        faults.failed(second, job, FAILED);
-        faults.failed(third, job, FAILED);
-        faults.failed(third, other, FAILED);
+        faults.recordFailure(first, job, FAILED);
+        faults.recordFailure(second, job, FAILED);
+        faults.recordFailure(third, job, FAILED);
+        faults.recordFailure(third, other, FAILED);
         List<Machine> faulty =
                 faults.proved(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
         assertEquals(List.of(third), faulty, "where another job failed too");
@@ -104,7 +104,7 @@
 
     @Test
     void whatIsForgottenCountsNoMore() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         faults.forget(job);
         assertTrue(faults.mayTry(first, job));
         faults.forget(first);
--- a/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
@@ -64,7 +64,7 @@
         Machine suspect = fixture.machine("suspect", true);
         Machine sound = fixture.machine("sound", false);
         suspect.capacity().addImage(batch.spec().image());
-        fixture.faults.failed(suspect, otherService, NOW);
+        fixture.faults.recordFailure(suspect, otherService, NOW);
         assertPreferred(sound, suspect, batch);
     }
 }
