--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -79,7 +79,7 @@
         }
         placement.markRunning(nowMicros);
         if (placement.runTimeMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
-            machines.drainFaulty(faults.proved(placement, nowMicros));
+            machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         }
     }
 
@@ -133,7 +133,7 @@
     private void completed(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         markDone(job, placement.task().index());
-        machines.drainFaulty(faults.proved(placement, nowMicros));
+        machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         if (showsWholeRuntime(placement)) {
             runtimeEstimator.finished(job, placement.runTimeMicros(nowMicros));
         }
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -84,7 +84,7 @@
      * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty:
      * those on which the job failed before, which is now known not to be the job's own fault.
      */
-    public List<Machine> proved(Placement placement, long nowMicros) {
+    public List<Machine> recordSuccess(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         Suspect suspect = suspects.get(placement.machine());
         if (suspect != null && suspect.isClearedBy(placement)) {
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -72,11 +72,11 @@
     void aTaskThatStartedAfterTheFailureClearsTheMachine() {
         faults.recordFailure(first, job, FAILED);
         Placement before = started(other, first, FAILED - SECOND);
-        faults.proved(before, FAILED + SECOND);
+        faults.recordSuccess(before, FAILED + SECOND);
         assertTrue(faults.suspects(first), "it started before the failure");
         Placement after = started(other, first, FAILED + SECOND);
         assertTrue(faults.wantsProof(after));
-        faults.proved(after, FAILED + 6 * SECOND);
+        faults.recordSuccess(after, FAILED + 6 * SECOND);
         assertFalse(faults.suspects(first));
         assertFalse(faults.wantsProof(after));
     }
@@ -85,7 +85,7 @@
     void nothingClearsAFaultyMachine() {
         faults.recordFailure(first, job, FAILED);
         faults.recordFailure(first, other, FAILED);
-        faults.proved(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
+        faults.recordSuccess(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
         assertTrue(faults.suspects(first));
     }
 
@@ -96,7 +96,7 @@
         faults.recordFailure(third, job, FAILED);
         faults.recordFailure(third, other, FAILED);
         List<Machine> faulty =
-                faults.proved(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
+                faults.recordSuccess(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
         assertEquals(List.of(third), faulty, "where another job failed too");
         assertEquals(FAILED + 6 * SECOND, job.scheduling().notBeforeMicros(), "it need not wait any longer");
         assertTrue(faults.mayStartAnother(job));
