--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -104,7 +104,7 @@
     }
 
     /** Whether a task's further running could prove anything that is not known yet. */
-    public boolean wantsProof(Placement placement) {
+    public boolean isUnderObservation(Placement placement) {
         return suspects.containsKey(placement.machine()) || !provenJobs.contains(placement.job());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -104,10 +104,10 @@
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
         update(placement, TaskState.RUNNING);
-        assertTrue(fixture.faults.wantsProof(placement));
+        assertTrue(fixture.faults.isUnderObservation(placement));
         fixture.timers.advance(1);
         update(placement, TaskState.RUNNING);
-        assertFalse(fixture.faults.wantsProof(placement));
+        assertFalse(fixture.faults.isUnderObservation(placement));
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -75,10 +75,10 @@
         faults.recordSuccess(before, FAILED + SECOND);
         assertTrue(faults.suspects(first), "it started before the failure");
         Placement after = started(other, first, FAILED + SECOND);
-        assertTrue(faults.wantsProof(after));
+        assertTrue(faults.isUnderObservation(after));
         faults.recordSuccess(after, FAILED + 6 * SECOND);
         assertFalse(faults.suspects(first));
-        assertFalse(faults.wantsProof(after));
+        assertFalse(faults.isUnderObservation(after));
     }
 
     @Test
