--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -109,7 +109,7 @@
     }
 
     /** Whether tasks failed on this machine since it last proved to be sound. */
-    public boolean suspects(Machine machine) {
+    public boolean isSuspect(Machine machine) {
         return suspects.containsKey(machine);
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -84,7 +84,7 @@
 
     /** Whether tasks failed there lately, so that any other machine is better. */
     public boolean isSuspect(Machine machine) {
-        return faults.suspects(machine);
+        return faults.isSuspect(machine);
     }
 
     /** Whether a further task of this job may be started at all, capacity aside. */
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -71,7 +71,7 @@
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, Cause.FAILED));
-        assertTrue(fixture.faults.suspects(machine));
+        assertTrue(fixture.faults.isSuspect(machine));
         assertEquals(placement.task().index(), job.firstFreedTask());
     }
 
@@ -82,7 +82,7 @@
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, cause));
         assertEquals(fixture.timers.nowMicros() + SECOND, job.scheduling().notBeforeMicros());
-        assertFalse(fixture.faults.suspects(machine));
+        assertFalse(fixture.faults.isSuspect(machine));
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -27,7 +27,7 @@
     void aFailureMakesTheMachineASuspect() {
         assertTrue(faults.mayTry(first, job));
         assertEquals(List.of(), faults.recordFailure(first, job, FAILED));
-        assertTrue(faults.suspects(first));
+        assertTrue(faults.isSuspect(first));
         assertFalse(faults.mayTry(first, job), "no job is tried again where it failed");
         assertTrue(faults.mayTry(first, other));
         assertTrue(faults.mayTry(second, job));
@@ -54,7 +54,7 @@
         faults.recordFailure(second, job, FAILED);
         assertTrue(faults.mayStartAnother(job));
         faults.recordFailure(third, job, FAILED);
-        assertFalse(faults.suspects(third), "it makes no further machine a suspect");
+        assertFalse(faults.isSuspect(third), "it makes no further machine a suspect");
         assertTrue(faults.mayStartAnother(job), "nothing of it is placed");
         job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
         assertFalse(faults.mayStartAnother(job));
@@ -73,11 +73,11 @@
         faults.recordFailure(first, job, FAILED);
         Placement before = started(other, first, FAILED - SECOND);
         faults.recordSuccess(before, FAILED + SECOND);
-        assertTrue(faults.suspects(first), "it started before the failure");
+        assertTrue(faults.isSuspect(first), "it started before the failure");
         Placement after = started(other, first, FAILED + SECOND);
         assertTrue(faults.isUnderObservation(after));
         faults.recordSuccess(after, FAILED + 6 * SECOND);
-        assertFalse(faults.suspects(first));
+        assertFalse(faults.isSuspect(first));
         assertFalse(faults.isUnderObservation(after));
     }
 
@@ -86,7 +86,7 @@
         faults.recordFailure(first, job, FAILED);
         faults.recordFailure(first, other, FAILED);
         faults.recordSuccess(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
-        assertTrue(faults.suspects(first));
+        assertTrue(faults.isSuspect(first));
     }
 
     @Test
@@ -108,7 +108,7 @@
         faults.forget(job);
         assertTrue(faults.mayTry(first, job));
         faults.forget(first);
-        assertFalse(faults.suspects(first));
+        assertFalse(faults.isSuspect(first));
     }
 
     private static Placement started(ActiveJob job, Machine machine, long startedMicros) {
