--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -117,7 +117,7 @@
      * Whether a task of this job may be started there: on a suspect only one at a time, and of no job that failed
      * there.
      */
-    public boolean mayTry(Machine machine, ActiveJob job) {
+    public boolean canTry(Machine machine, ActiveJob job) {
         Suspect suspect = suspects.get(machine);
         return suspect == null || suspect.mayTry(machine, job);
     }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -66,7 +66,7 @@
         return machine.isAllowedFor(job.spec())
                 && job.canPlaceInZone(machine.zone())
                 && (!job.scheduling().isDeferrable() || isPaidForAnyway(machine, job, nowMicros))
-                && faults.mayTry(machine, job);
+                && faults.canTry(machine, job);
     }
 
     /** Whether the machine is not reserved for a gang, unless the job is this gang or goes before all gangs. */
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -25,26 +25,26 @@
 
     @Test
     void aFailureMakesTheMachineASuspect() {
-        assertTrue(faults.mayTry(first, job));
+        assertTrue(faults.canTry(first, job));
         assertEquals(List.of(), faults.recordFailure(first, job, FAILED));
         assertTrue(faults.isSuspect(first));
-        assertFalse(faults.mayTry(first, job), "no job is tried again where it failed");
-        assertTrue(faults.mayTry(first, other));
-        assertTrue(faults.mayTry(second, job));
+        assertFalse(faults.canTry(first, job), "no job is tried again where it failed");
+        assertTrue(faults.canTry(first, other));
+        assertTrue(faults.canTry(second, job));
     }
 
     @Test
     void aSuspectIsOfferedOneTaskAtATime() {
         faults.recordFailure(first, job, FAILED);
         first.add(started(other, first, FAILED + SECOND));
-        assertFalse(faults.mayTry(first, other));
+        assertFalse(faults.canTry(first, other));
     }
 
     @Test
     void aSecondJobThatFailsThereMakesItFaulty() {
         faults.recordFailure(first, job, FAILED);
         assertEquals(List.of(first), faults.recordFailure(first, other, FAILED + SECOND));
-        assertFalse(faults.mayTry(first, Fixtures.job()));
+        assertFalse(faults.canTry(first, Fixtures.job()));
         assertEquals(List.of(), faults.recordFailure(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
     }
 
@@ -106,7 +106,7 @@
     void whatIsForgottenCountsNoMore() {
         faults.recordFailure(first, job, FAILED);
         faults.forget(job);
-        assertTrue(faults.mayTry(first, job));
+        assertTrue(faults.canTry(first, job));
         faults.forget(first);
         assertFalse(faults.isSuspect(first));
     }
