--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -123,7 +123,7 @@
     }
 
     /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
-    public boolean mayStartAnother(ActiveJob job) {
+    public boolean canStartAnother(ActiveJob job) {
         Set<Machine> machines = failedOn.get(job);
         return machines == null || machines.size() < MACHINES_OF_A_FAULTY_JOB || !job.hasPlacements();
     }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -89,7 +89,7 @@
 
     /** Whether a further task of this job may be started at all, capacity aside. */
     public boolean mayStartAnother(ActiveJob job) {
-        return isWithinTeamLimit(job.spec()) && faults.mayStartAnother(job);
+        return isWithinTeamLimit(job.spec()) && faults.canStartAnother(job);
     }
 
     /**
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -52,12 +52,12 @@
     void aJobThatFailsOnThreeMachinesIsItselfInQuestion() {
         faults.recordFailure(first, job, FAILED);
         faults.recordFailure(second, job, FAILED);
-        assertTrue(faults.mayStartAnother(job));
+        assertTrue(faults.canStartAnother(job));
         faults.recordFailure(third, job, FAILED);
         assertFalse(faults.isSuspect(third), "it makes no further machine a suspect");
-        assertTrue(faults.mayStartAnother(job), "nothing of it is placed");
+        assertTrue(faults.canStartAnother(job), "nothing of it is placed");
         job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
-        assertFalse(faults.mayStartAnother(job));
+        assertFalse(faults.canStartAnother(job));
     }
 
     @Test
@@ -99,7 +99,7 @@
                 faults.recordSuccess(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
         assertEquals(List.of(third), faulty, "where another job failed too");
         assertEquals(FAILED + 6 * SECOND, job.scheduling().notBeforeMicros(), "it need not wait any longer");
-        assertTrue(faults.mayStartAnother(job));
+        assertTrue(faults.canStartAnother(job));
     }
 
     @Test
