--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -78,7 +78,8 @@
             machine.capacity().addImage(placement.job().spec().image());
         }
         placement.markRunning(nowMicros);
-        if (placement.runTimeMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.isUnderObservation(placement)) {
+        if (placement.runTimeMicros(nowMicros) >= FaultTracker.HEALTHY_RUN_MICROS
+                && faults.isUnderObservation(placement)) {
             machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -14,14 +14,14 @@
  * Decides whether a failed task is the fault of its machine or of its job.
  *
  * <p>A failure makes the machine a suspect. A suspect is offered one task at a time, of a job that has not failed
- * there, and is cleared by a task that started after the failure and ran to its end or for {@link #PROOF_MICROS}. A
+ * there, and is cleared by a task that started after the failure and ran to its end or for {@link #HEALTHY_RUN_MICROS}. A
  * second job that fails there makes it faulty. A job is cleared by any task of its own that ran that long. Until then
  * its failures on several machines, none of which is known to be faulty, count against the job: it is retried less
  * and less often, one task at a time, and it makes no further machine a suspect.
  */
 public final class FaultTracker {
     /** A task that has run for this long is sound, and so is the machine on which it started. */
-    public static final long PROOF_MICROS = 5_000_000;
+    public static final long HEALTHY_RUN_MICROS = 5_000_000;
     /** A job without proof that failed on this many machines is itself in question. */
     private static final int MACHINES_OF_A_FAULTY_JOB = 3;
     /** A machine on which this many jobs failed, with no success in between, is faulty. */
@@ -81,7 +81,7 @@
     }
 
     /**
-     * A task ran to its end, or for {@link #PROOF_MICROS}. Returns the machines that have turned out to be faulty:
+     * A task ran to its end, or for {@link #HEALTHY_RUN_MICROS}. Returns the machines that have turned out to be faulty:
      * those on which the job failed before, which is now known not to be the job's own fault.
      */
     public List<Machine> recordSuccess(Placement placement, long nowMicros) {
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -102,7 +102,7 @@
     void aTaskThatHasRunForLongProvesItsJobSound() {
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         update(placement, TaskState.RUNNING);
-        fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
+        fixture.timers.advance(FaultTracker.HEALTHY_RUN_MICROS - 1);
         update(placement, TaskState.RUNNING);
         assertTrue(fixture.faults.isUnderObservation(placement));
         fixture.timers.advance(1);
