--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -112,7 +112,7 @@
             tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
         }
         tasks.free(placement, "exited: " + status.cause());
-        jobs.endIfDone(job);
+        jobs.completeIfDone(job);
         loop.wantCycle();
     }
 
@@ -166,7 +166,7 @@
         if (placement != null && !job.spec().gang()) {
             tasks.stop(placement, 0, "done elsewhere");
         } else {
-            jobs.endIfDone(job);
+            jobs.completeIfDone(job);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -81,11 +81,11 @@
         } else {
             recovery.resolveTasks(job);
         }
-        endIfDone(job);
+        completeIfDone(job);
     }
 
     /** Records the end of the job when all its tasks are done. */
-    public void endIfDone(ActiveJob job) {
+    public void completeIfDone(ActiveJob job) {
         if (job.isOpen() && job.unfinishedTasks() == 0) {
             job.markCompleting();
             recorder.recordDone(job);
