--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -148,7 +148,7 @@
     }
 
     /** Claims the next block of task numbers in good time, before the present one is used up. */
-    public void claim(ActiveJob job) {
+    public void claimNextBlock(ActiveJob job) {
         recorder.claimNextBlock(job);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -53,7 +53,7 @@
             if (job.scheduling().notBeforeMicros() > nowMicros) {
                 continue;
             }
-            jobs.claim(job);
+            jobs.claimNextBlock(job);
             job.scheduling().markWaiting(nowMicros);
             if (job.hasStartableTask() && recovery.mayStart(job)) {
                 add(job, nowMicros);
@@ -63,7 +63,7 @@
 
     /** Queues a job again, by its present share, if it has a further claimed task. */
     void addAgain(ActiveJob job, long nowMicros) {
-        jobs.claim(job);
+        jobs.claimNextBlock(job);
         if (job.waitingTasks() > 0 && job.hasStartableTask()) {
             add(job, nowMicros);
         }
