--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -136,7 +136,7 @@
         markDone(job, placement.task().index());
         machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         if (showsWholeRuntime(placement)) {
-            runtimeEstimator.finished(job, placement.runTimeMicros(nowMicros));
+            runtimeEstimator.recordFinishedTask(job, placement.runTimeMicros(nowMicros));
         }
         jobs.recordTaskDone(job);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -55,7 +55,7 @@
     private final Map<String, ClassHistory> historyByClass = new Object2ObjectOpenHashMap<>();
 
     /** A task of the job ran to its end. */
-    public void finished(ActiveJob job, long ranMicros) {
+    public void recordFinishedTask(ActiveJob job, long ranMicros) {
         job.addRunTime(ranMicros);
         ClassHistory history = historyByClass.computeIfAbsent(job.spec().jobClass(), unused -> new ClassHistory());
         history.add(job.spec().estimateMicros(), ranMicros);
--- a/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void oneFinishedTaskCountsForItsJobMoreThanForItsClass() {
-        estimator.finished(job, 30 * SECOND);
+        estimator.recordFinishedTask(job, 30 * SECOND);
         double classMicros = 60.0 * SECOND * (0.5 + 10) / 11;
         assertEquals(classMicros, (double) estimator.taskMicros(sameClass), 1);
         assertEquals((30.0 * SECOND + 2 * classMicros) / 3, (double) estimator.taskMicros(job), 1);
@@ -29,7 +29,7 @@
     @Test
     void aClassChangesAnEstimateFivefoldAtMost() {
         for (int i = 0; i < 300; i++) {
-            estimator.finished(job, 6_000 * SECOND);
+            estimator.recordFinishedTask(job, 6_000 * SECOND);
         }
         assertEquals(300 * SECOND, estimator.taskMicros(sameClass));
     }
@@ -37,7 +37,7 @@
     @Test
     void aClassReducesAnEstimateToAFifthAtMost() {
         for (int i = 0; i < 300; i++) {
-            estimator.finished(job, 1);
+            estimator.recordFinishedTask(job, 1);
         }
         assertEquals(12 * SECOND, estimator.taskMicros(sameClass));
     }
