--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -60,7 +60,7 @@
         long ageMicros = spec.hasDeadline() ? demand.jobs().ageMicros(job, nowMicros) : 0;
         return spec.service()
                 ? OfferCost.ofService(spec, ageMicros)
-                : OfferCost.of(spec, demand.runtimeEstimator().taskMicros(job), ageMicros);
+                : OfferCost.of(spec, demand.runtimeEstimator().expectedTaskMicros(job), ageMicros);
     }
 
     /** One search for the cheapest offer; the first among equals wins. */
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -62,7 +62,7 @@
     }
 
     /** The run time to expect of one task of this job. */
-    public long taskMicros(ActiveJob job) {
+    public long expectedTaskMicros(ActiveJob job) {
         double estimateMicros = Math.max(LEAST_ESTIMATE_MICROS, job.spec().estimateMicros());
         ClassHistory history = historyByClass.get(job.spec().jobClass());
         if (history != null) {
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -71,7 +71,7 @@
     double remainingWork(ActiveJob job) {
         return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.runningTasks())
                 * job.spec().cpuMillis()
-                * runtimeEstimator.taskMicros(job);
+                * runtimeEstimator.expectedTaskMicros(job);
     }
 
     /** Thousandths of a CPU that batch work has or can have. */
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -50,7 +50,7 @@
             job.scheduling().setSchedulingClass(fixedClass);
             if (fixedClass == SchedulingClass.OTHER && isToBeInTime(job)) {
                 DueJob due = dueJob(job, nowMicros);
-                boolean possible = runtimeEstimator.taskMicros(job) <= due.timeLeftMicros();
+                boolean possible = runtimeEstimator.expectedTaskMicros(job) <= due.timeLeftMicros();
                 List<DueJob> jobs = possible ? possiblyInTime : late;
                 jobs.add(due);
             }
@@ -88,7 +88,7 @@
             double times = objectives.of(due.job()).deadlineTimes();
             double timeLeftMicros =
                     due.timeLeftMicros() + (times - 1) * due.job().spec().deadlineMicros();
-            if (times > 1 && runtimeEstimator.taskMicros(due.job()) <= timeLeftMicros) {
+            if (times > 1 && runtimeEstimator.expectedTaskMicros(due.job()) <= timeLeftMicros) {
                 extended.add(new DueJob(due.job(), due.work(), timeLeftMicros));
             }
         }
@@ -127,6 +127,6 @@
     }
 
     private double usableMicros(DueJob due) {
-        return due.timeLeftMicros() - LAST_WAVE_TASK_SHARE * runtimeEstimator.taskMicros(due.job());
+        return due.timeLeftMicros() - LAST_WAVE_TASK_SHARE * runtimeEstimator.expectedTaskMicros(due.job());
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/Deferral.java
+++ b/src/main/java/org/granitepath/coordination/placement/Deferral.java
@@ -46,7 +46,7 @@
     private boolean leavesTimeForDeadline(ActiveJob job, double pendingCpuMillis, long nowMicros) {
         double waitMicros =
                 survey.drainDeadlineWorkOnCheapCapacityMicros(pendingCpuMillis) + objectives.shortestBootMicros();
-        return activeJobs.ageMicros(job, nowMicros) + waitMicros + runtimeEstimator.taskMicros(job)
+        return activeJobs.ageMicros(job, nowMicros) + waitMicros + runtimeEstimator.expectedTaskMicros(job)
                 <= job.spec().deadlineMicros();
     }
 
@@ -63,7 +63,7 @@
         double byWait = objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros();
         double byFinish = objective.finishMicros() == 0
                 ? Double.MAX_VALUE
-                : objective.finishMicros() - runtimeEstimator.taskMicros(job);
+                : objective.finishMicros() - runtimeEstimator.expectedTaskMicros(job);
         return Math.min(byWait, byFinish);
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -78,7 +78,7 @@
         return machine.isSpot()
                 || machine.capacity().hasService()
                 || machine.isHeadroom()
-                || nowMicros + runtimeEstimator.taskMicros(job)
+                || nowMicros + runtimeEstimator.expectedTaskMicros(job)
                         < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
@@ -15,15 +15,15 @@
 
     @Test
     void withoutExperienceTheEstimateHolds() {
-        assertEquals(60 * SECOND, estimator.taskMicros(job));
+        assertEquals(60 * SECOND, estimator.expectedTaskMicros(job));
     }
 
     @Test
     void oneFinishedTaskCountsForItsJobMoreThanForItsClass() {
         estimator.recordFinishedTask(job, 30 * SECOND);
         double classMicros = 60.0 * SECOND * (0.5 + 10) / 11;
-        assertEquals(classMicros, (double) estimator.taskMicros(sameClass), 1);
-        assertEquals((30.0 * SECOND + 2 * classMicros) / 3, (double) estimator.taskMicros(job), 1);
+        assertEquals(classMicros, (double) estimator.expectedTaskMicros(sameClass), 1);
+        assertEquals((30.0 * SECOND + 2 * classMicros) / 3, (double) estimator.expectedTaskMicros(job), 1);
     }
 
     @Test
@@ -31,7 +31,7 @@
         for (int i = 0; i < 300; i++) {
             estimator.recordFinishedTask(job, 6_000 * SECOND);
         }
-        assertEquals(300 * SECOND, estimator.taskMicros(sameClass));
+        assertEquals(300 * SECOND, estimator.expectedTaskMicros(sameClass));
     }
 
     @Test
@@ -39,6 +39,6 @@
         for (int i = 0; i < 300; i++) {
             estimator.recordFinishedTask(job, 1);
         }
-        assertEquals(12 * SECOND, estimator.taskMicros(sameClass));
+        assertEquals(12 * SECOND, estimator.expectedTaskMicros(sameClass));
     }
 }
