--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -50,7 +50,7 @@
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
         machine.addCleanupCommand(stop);
         commands.enqueue(machine);
-        loop.wantCycle();
+        loop.markCycleNeeded();
         if (!repeated.contains(stop)) {
             plan.countVerdicts(verdict, 1);
             LOG.info(
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -90,7 +90,7 @@
     private void confirm(Machine machine) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED) {
             machine.confirmTasks();
-            loop.wantCycle();
+            loop.markCycleNeeded();
         }
         // An attribute of a span that operators filter by: its words stay.
         recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -113,7 +113,7 @@
         }
         tasks.free(placement, "exited: " + status.cause());
         jobs.completeIfDone(job);
-        loop.wantCycle();
+        loop.markCycleNeeded();
     }
 
     /** A service's task never completes its job, however it exits. */
--- a/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
@@ -46,7 +46,7 @@
     }
 
     /** Notes that a cycle is worth making, whenever the loop runs next. */
-    public void wantCycle() {
+    public void markCycleNeeded() {
         cycleRequested = true;
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -144,7 +144,7 @@
     public void free(Placement placement, String why) {
         if (placement.isActive()) {
             release(placement, why);
-            loop.wantCycle();
+            loop.markCycleNeeded();
         }
     }
 
