--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -136,7 +136,7 @@
     }
 
     /** Repeats a stop that is not seen to have worked yet. */
-    public void stopAgain(Placement placement) {
+    public void resendStop(Placement placement) {
         commands.enqueue(placement.machine());
     }
 
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -73,7 +73,7 @@
             if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
                 tasks.free(placement, "never sent: the machine is unresponsive");
             } else if (placement.phase() == Placement.Phase.STOPPING) {
-                tasks.stopAgain(placement);
+                tasks.resendStop(placement);
             }
         }
     }
