--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -38,7 +38,7 @@
     }
 
     /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
-    public boolean noMachineAwaited() {
+    public boolean hasResolvedAllMachines() {
         return plan.noMachineAwaited();
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -103,7 +103,7 @@
     /** Whether so many more such tasks together are within their team's limit. */
     public boolean isWithinTeamLimit(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
-                && (!teamLimits.hasLimit(spec) || (recovery.noMachineAwaited() && fleet.hasNoOrphanedTasks()));
+                && (!teamLimits.hasLimit(spec) || (recovery.hasResolvedAllMachines() && fleet.hasNoOrphanedTasks()));
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -65,7 +65,7 @@
         for (Machine machine : List.copyOf(fleet.machines())) {
             machineChecks.check(machine, nowMicros);
         }
-        if (recovery.noMachineAwaited() && leadership.leaseConfirmed()) {
+        if (recovery.hasResolvedAllMachines() && leadership.leaseConfirmed()) {
             consolidator.tick(nowMicros);
         }
         loop.requestCycle();
