--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -93,6 +93,6 @@
             loop.markCycleNeeded();
         }
         // An attribute of a span that operators filter by: its words stay.
-        recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
+        recovery.resolve(machine, "heard under fencing token " + machine.fencingToken());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -92,7 +92,7 @@
         tasks.freeAll(machine, "its worker's lease is over");
         machine.markUnconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
-        recovery.resolved(machine, "its lease is over");
+        recovery.resolve(machine, "its lease is over");
         loop.requestCycle();
     }
 
@@ -116,7 +116,7 @@
         faults.forget(machine);
         commands.remove(machine);
         inventory.remove(machine);
-        recovery.resolved(machine, why);
+        recovery.resolve(machine, why);
         loop.requestCycle();
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -48,7 +48,7 @@
     }
 
     /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
-    public void resolved(Machine machine, String proof) {
+    public void resolve(Machine machine, String proof) {
         if (!machine.isAwaitingFirstHeartbeat()) {
             return;
         }
