--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -68,7 +68,7 @@
     }
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
-    public boolean mayStart(ActiveJob job) {
+    public boolean canStart(ActiveJob job) {
         return plan.mayStart(job.spec());
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -55,7 +55,7 @@
             }
             jobs.claimNextBlock(job);
             job.scheduling().markWaiting(nowMicros);
-            if (job.hasStartableTask() && recovery.mayStart(job)) {
+            if (job.hasStartableTask() && recovery.canStart(job)) {
                 add(job, nowMicros);
             }
         }
