--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -73,7 +73,7 @@
     }
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
-    public void cycleBegins(long nowMicros) {
+    public void onCycleStart(long nowMicros) {
         plan.endHoldIfDue(nowMicros);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -58,7 +58,7 @@
     /** One cycle, until nothing more fits. */
     public void runCycle() {
         long nowMicros = timers.nowMicros();
-        recovery.cycleBegins(nowMicros);
+        recovery.onCycleStart(nowMicros);
         recovery.cycleEnded(scheduleAll(nowMicros));
     }
 
