--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -83,7 +83,7 @@
      * @param tasksAwaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
      *     for them
      */
-    public void cycleEnded(int tasksAwaitingPreemption) {
+    public void onCycleEnd(int tasksAwaitingPreemption) {
         if (!plan.holdsBatchWork()) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -59,7 +59,7 @@
     public void runCycle() {
         long nowMicros = timers.nowMicros();
         recovery.onCycleStart(nowMicros);
-        recovery.cycleEnded(scheduleAll(nowMicros));
+        recovery.onCycleEnd(scheduleAll(nowMicros));
     }
 
     /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
