--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -27,7 +27,7 @@
 
     /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
     void survey() {
-        keepsAll = recovery.keepsIdleMachines();
+        keepsAll = recovery.isKeepingIdleMachines();
         gangHeadroom.survey();
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -97,7 +97,7 @@
      * Whether capacity that is free may be wanted shortly by live work: machines that look idle are kept until it is
      * known what of that work is lost.
      */
-    public boolean keepsIdleMachines() {
+    public boolean isKeepingIdleMachines() {
         return plan.holdsBatchWork()
                 || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
