--- a/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
+++ b/src/main/java/org/granitepath/coordination/jobs/ArrivalRate.java
@@ -5,29 +5,29 @@
 
 /** How fast live services arrive, as an average that fades within about a minute. */
 public final class ArrivalRate {
-    private static final double MEMORY_MICROS = 60e6;
+    private static final double DECAY_MICROS = 60e6;
 
-    private double cpuPerMicroThen;
+    private double cpuMillisPerMicroAtLastArrival;
     private long lastArrivalMicros;
-    private @Nullable ActiveJob newest;
+    private @Nullable ActiveJob newestJob;
 
     /** A job was accepted; only live services count. */
-    void accepted(ActiveJob job, long nowMicros) {
+    void recordArrival(ActiveJob job, long nowMicros) {
         if (job.isLiveService()) {
             double arrivedCpu = job.spec().tasks() * (double) job.spec().cpuMillis();
-            cpuPerMicroThen = cpuMillisPerMicro(nowMicros) + arrivedCpu / MEMORY_MICROS;
+            cpuMillisPerMicroAtLastArrival = cpuMillisPerMicro(nowMicros) + arrivedCpu / DECAY_MICROS;
             lastArrivalMicros = nowMicros;
-            newest = job;
+            newestJob = job;
         }
     }
 
     /** Thousandths of a CPU that arrive in a microsecond. */
     public double cpuMillisPerMicro(long nowMicros) {
-        return cpuPerMicroThen * Math.exp((lastArrivalMicros - nowMicros) / MEMORY_MICROS);
+        return cpuMillisPerMicroAtLastArrival * Math.exp((lastArrivalMicros - nowMicros) / DECAY_MICROS);
     }
 
     /** An example of what arrives; null when nothing has. */
     public @Nullable ActiveJob newestJob() {
-        return newest;
+        return newestJob;
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -23,13 +23,13 @@
     /** A task that has run for this long is sound, and so is the machine on which it started. */
     public static final long HEALTHY_RUN_MICROS = 5_000_000;
     /** A job without proof that failed on this many machines is itself in question. */
-    private static final int MACHINES_OF_A_FAULTY_JOB = 3;
+    private static final int MIN_MACHINES_OF_SUSPECT_JOB = 3;
     /** A machine on which this many jobs failed, with no success in between, is faulty. */
-    private static final int JOBS_OF_A_FAULTY_MACHINE = 2;
+    private static final int MIN_JOBS_OF_FAULTY_MACHINE = 2;
 
-    private static final long FIRST_BACKOFF_MICROS = 250_000;
-    private static final long LONGEST_BACKOFF_MICROS = 60_000_000;
-    private static final int MOST_DOUBLINGS = 8;
+    private static final long BASE_BACKOFF_MICROS = 250_000;
+    private static final long MAX_BACKOFF_MICROS = 60_000_000;
+    private static final int MAX_DOUBLINGS = 8;
 
     /** A machine on which tasks failed since it last proved to be sound. */
     private static final class Suspect {
@@ -38,10 +38,10 @@
         private boolean faulty;
 
         /** A task of this job failed there; true when that makes the machine faulty. */
-        boolean taskFailed(ActiveJob job, long nowMicros) {
+        boolean recordFailure(ActiveJob job, long nowMicros) {
             failedMicros = nowMicros;
             failedJobs.add(job);
-            if (faulty || failedJobs.size() < JOBS_OF_A_FAULTY_MACHINE) {
+            if (faulty || failedJobs.size() < MIN_JOBS_OF_FAULTY_MACHINE) {
                 return false;
             }
             faulty = true;
@@ -49,7 +49,7 @@
         }
 
         /** Whether a task of this job may be started there: one at a time, and of no job that failed there. */
-        boolean mayTry(Machine machine, ActiveJob job) {
+        boolean canTry(Machine machine, ActiveJob job) {
             return !faulty
                     && !failedJobs.contains(job)
                     && machine.placements().stream().noneMatch(placement -> placement.placedMicros() > failedMicros);
@@ -63,19 +63,19 @@
 
     private final Map<Machine, Suspect> suspects = new HashMap<>();
     /** For each job without proof, the machines on which it failed and that are not known to be faulty. */
-    private final Map<ActiveJob, Set<Machine>> failedOn = new HashMap<>();
+    private final Map<ActiveJob, Set<Machine>> failedMachines = new HashMap<>();
 
-    private final Set<ActiveJob> provenJobs = new HashSet<>();
+    private final Set<ActiveJob> healthyJobs = new HashSet<>();
 
     /** A task of the job failed there. Returns the machines that have turned out to be faulty. */
     public List<Machine> recordFailure(Machine machine, ActiveJob job, long nowMicros) {
-        if (provenJobs.contains(job)) {
-            return blame(machine, job, nowMicros) ? List.of(machine) : List.of();
+        if (healthyJobs.contains(job)) {
+            return recordMachineFailure(machine, job, nowMicros) ? List.of(machine) : List.of();
         }
-        Set<Machine> machines = failedOn.computeIfAbsent(job, unknown -> new LinkedHashSet<>());
+        Set<Machine> machines = failedMachines.computeIfAbsent(job, unknown -> new LinkedHashSet<>());
         machines.add(machine);
-        boolean jobInQuestion = machines.size() >= MACHINES_OF_A_FAULTY_JOB;
-        boolean turnedFaulty = !jobInQuestion && blame(machine, job, nowMicros);
+        boolean jobInQuestion = machines.size() >= MIN_MACHINES_OF_SUSPECT_JOB;
+        boolean turnedFaulty = !jobInQuestion && recordMachineFailure(machine, job, nowMicros);
         job.scheduling().delayStartsUntil(nowMicros + backoffMicros(machines.size()));
         return turnedFaulty ? List.of(machine) : List.of();
     }
@@ -90,22 +90,22 @@
         if (suspect != null && suspect.isClearedBy(placement)) {
             suspects.remove(placement.machine());
         }
-        if (!provenJobs.add(job)) {
+        if (!healthyJobs.add(job)) {
             return List.of();
         }
-        Set<Machine> machines = failedOn.remove(job);
+        Set<Machine> machines = failedMachines.remove(job);
         if (machines == null) {
             return List.of();
         }
         job.scheduling().delayStartsUntil(nowMicros);
         return machines.stream()
-                .filter(machine -> !machine.isGone() && blame(machine, job, nowMicros))
+                .filter(machine -> !machine.isGone() && recordMachineFailure(machine, job, nowMicros))
                 .toList();
     }
 
     /** Whether a task's further running could prove anything that is not known yet. */
     public boolean isUnderObservation(Placement placement) {
-        return suspects.containsKey(placement.machine()) || !provenJobs.contains(placement.job());
+        return suspects.containsKey(placement.machine()) || !healthyJobs.contains(placement.job());
     }
 
     /** Whether tasks failed on this machine since it last proved to be sound. */
@@ -119,37 +119,37 @@
      */
     public boolean canTry(Machine machine, ActiveJob job) {
         Suspect suspect = suspects.get(machine);
-        return suspect == null || suspect.mayTry(machine, job);
+        return suspect == null || suspect.canTry(machine, job);
     }
 
     /** Whether a further task of this job may be started anywhere: of a job in question only one at a time. */
     public boolean canStartAnother(ActiveJob job) {
-        Set<Machine> machines = failedOn.get(job);
-        return machines == null || machines.size() < MACHINES_OF_A_FAULTY_JOB || !job.hasPlacements();
+        Set<Machine> machines = failedMachines.get(job);
+        return machines == null || machines.size() < MIN_MACHINES_OF_SUSPECT_JOB || !job.hasPlacements();
     }
 
     /** Forgets a machine that is gone. */
     public void forget(Machine machine) {
         suspects.remove(machine);
-        failedOn.values().forEach(machines -> machines.remove(machine));
+        failedMachines.values().forEach(machines -> machines.remove(machine));
     }
 
     /** Forgets a job that is over. */
     public void forget(ActiveJob job) {
-        provenJobs.remove(job);
-        failedOn.remove(job);
+        healthyJobs.remove(job);
+        failedMachines.remove(job);
         suspects.values().forEach(suspect -> suspect.failedJobs.remove(job));
     }
 
     /** Notes that the machine failed a task; true when that makes it faulty. */
-    private boolean blame(Machine machine, ActiveJob job, long nowMicros) {
+    private boolean recordMachineFailure(Machine machine, ActiveJob job, long nowMicros) {
         Suspect suspect = suspects.computeIfAbsent(machine, unknown -> new Suspect());
-        if (!suspect.taskFailed(job, nowMicros)) {
+        if (!suspect.recordFailure(job, nowMicros)) {
             return false;
         }
         // What failed there is not the jobs' own fault: they need not wait any longer.
         for (ActiveJob failedJob : suspect.failedJobs) {
-            Set<Machine> machines = failedOn.get(failedJob);
+            Set<Machine> machines = failedMachines.get(failedJob);
             if (machines != null && machines.remove(machine) && machines.isEmpty()) {
                 failedJob.scheduling().delayStartsUntil(nowMicros);
             }
@@ -158,6 +158,6 @@
     }
 
     private static long backoffMicros(int machines) {
-        return Math.min(LONGEST_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << Math.min(machines, MOST_DOUBLINGS));
+        return Math.min(MAX_BACKOFF_MICROS, BASE_BACKOFF_MICROS << Math.min(machines, MAX_DOUBLINGS));
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -12,8 +12,8 @@
  */
 final class GangMembership {
     /** A task that was started in the present attempt is a member of it. */
-    void started(Placement placement) {
-        GangAttempt attempt = presentAttempt(placement.job());
+    void addStarted(Placement placement) {
+        GangAttempt attempt = currentAttempt(placement.job());
         join(attempt, placement);
         if (placement.job().waitingTasks() == 0) {
             attempt.markAllTasksPlaced();
@@ -26,7 +26,7 @@
      *
      * @return the leftovers, which are to be stopped
      */
-    List<Placement> adopted(Placement placement) {
+    List<Placement> addAdopted(Placement placement) {
         ActiveJob job = placement.job();
         GangAttempt attempt = job.gangAttempt();
         if (attempt == null || placement.attempt() > attempt.number()) {
@@ -56,7 +56,7 @@
      *
      * @return all that are to be stopped; of a job that is no gang the task alone
      */
-    List<Placement> stopping(Placement placement, String why) {
+    List<Placement> markStopping(Placement placement, String why) {
         GangAttempt attempt = placement.job().gangAttempt();
         if (attempt == null) {
             return List.of(placement);
@@ -71,7 +71,7 @@
      * @param maybeElsewhere whether it may run on another machine
      * @return whether the others can't go on without it
      */
-    boolean left(Placement placement, boolean maybeElsewhere, long nowMicros) {
+    boolean removeTask(Placement placement, boolean maybeElsewhere, long nowMicros) {
         GangAttempt attempt = placement.job().gangAttempt();
         if (attempt == null || placement.attempt() != attempt.number() || maybeElsewhere) {
             return false;
@@ -84,18 +84,18 @@
     /**
      * An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back.
      */
-    void forgetIfGone(ActiveJob job) {
+    void clearAttemptIfGone(ActiveJob job) {
         if (!job.hasPlacements()) {
             job.clearGangAttempt();
         }
     }
 
     /** The number by which the tasks of the present attempt find each other. */
-    long presentNumber(ActiveJob job) {
-        return presentAttempt(job).number();
+    long currentAttemptNumber(ActiveJob job) {
+        return currentAttempt(job).number();
     }
 
-    private static GangAttempt presentAttempt(ActiveJob job) {
+    private static GangAttempt currentAttempt(ActiveJob job) {
         return Objects.requireNonNull(job.gangAttempt(), "a task of a gang starts in an attempt only");
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -64,7 +64,7 @@
     }
 
     private void open(JobRecord record) {
-        if (recorder.isOfSuccessor(record)) {
+        if (recorder.isClaimedBySuccessor(record)) {
             return;
         }
         if (jobIndex.unreadable(record.spec().id())) {
@@ -75,7 +75,7 @@
         }
         ActiveJob job = new ActiveJob(record, jobIndex.progressOf(record.spec().id()), timers.nowMicros());
         jobs.add(job);
-        if (recorder.isOfThisTerm(record)) {
+        if (recorder.isClaimedByThisTerm(record)) {
             // What was claimed for us from the first can't have been started by a predecessor.
             job.resolveUnconfirmed();
         } else {
@@ -100,7 +100,7 @@
         open(record);
         ActiveJob job = jobs.get(record.spec().id());
         if (job != null) {
-            arrivalRate.accepted(job, timers.nowMicros());
+            arrivalRate.recordArrival(job, timers.nowMicros());
         }
         loop.requestCycle();
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -40,12 +40,12 @@
     }
 
     /** Whether the job was claimed for a successor of ours that this controller does not know of yet. */
-    boolean isOfSuccessor(JobRecord record) {
+    boolean isClaimedBySuccessor(JobRecord record) {
         return record.term() > term.fencingToken();
     }
 
     /** Whether the job was claimed for this term from the first, so that no predecessor can have started it. */
-    boolean isOfThisTerm(JobRecord record) {
+    boolean isClaimedByThisTerm(JobRecord record) {
         return record.term() == term.fencingToken();
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -10,18 +10,18 @@
  */
 public final class RuntimeEstimator {
     /** How many finished tasks of a class weigh as much as its owners' estimates. */
-    private static final double CLASS_PRIOR = 10;
+    private static final double CLASS_PRIOR_TASKS = 10;
 
     /** The same for the finished tasks of one job. */
-    private static final double JOB_PRIOR = 2;
+    private static final double JOB_PRIOR_TASKS = 2;
     /** Older experience fades. */
-    private static final double MEMORY_TASKS = 200;
+    private static final double MAX_HISTORY_TASKS = 200;
 
-    private static final long LEAST_ESTIMATE_MICROS = 1_000_000;
+    private static final long MIN_ESTIMATE_MICROS = 1_000_000;
     /** Experience with a class changes an estimate by these factors at most. */
-    private static final double LARGEST_CORRECTION = 5;
+    private static final double MAX_CORRECTION = 5;
 
-    private static final double LEAST_CORRECTION = 0.2;
+    private static final double MIN_CORRECTION = 0.2;
 
     /** What the finished tasks of one job class were expected to take, and took. */
     private static final class ClassHistory {
@@ -31,7 +31,7 @@
 
         /** Takes in a finished task; what is long ago counts less and less. */
         void add(long estimateMicros, long ranMicros) {
-            if (finishedTasks >= MEMORY_TASKS) {
+            if (finishedTasks >= MAX_HISTORY_TASKS) {
                 expectedMicros /= 2;
                 actualMicros /= 2;
                 finishedTasks /= 2;
@@ -42,13 +42,13 @@
         }
 
         /** By what factor estimates of this class are to be corrected; 1 while nothing is known. */
-        double correction() {
+        double correctionFactor() {
             if (expectedMicros <= 0) {
                 return 1;
             }
             double measured = actualMicros / expectedMicros;
-            double ratio = (measured * finishedTasks + CLASS_PRIOR) / (finishedTasks + CLASS_PRIOR);
-            return Math.max(LEAST_CORRECTION, Math.min(LARGEST_CORRECTION, ratio));
+            double ratio = (measured * finishedTasks + CLASS_PRIOR_TASKS) / (finishedTasks + CLASS_PRIOR_TASKS);
+            return Math.max(MIN_CORRECTION, Math.min(MAX_CORRECTION, ratio));
         }
     }
 
@@ -63,11 +63,12 @@
 
     /** The run time to expect of one task of this job. */
     public long expectedTaskMicros(ActiveJob job) {
-        double estimateMicros = Math.max(LEAST_ESTIMATE_MICROS, job.spec().estimateMicros());
+        double estimateMicros = Math.max(MIN_ESTIMATE_MICROS, job.spec().estimateMicros());
         ClassHistory history = historyByClass.get(job.spec().jobClass());
         if (history != null) {
-            estimateMicros *= history.correction();
+            estimateMicros *= history.correctionFactor();
         }
-        return (long) ((job.totalRunMicros() + JOB_PRIOR * estimateMicros) / (job.measuredTasks() + JOB_PRIOR));
+        return (long)
+                ((job.totalRunMicros() + JOB_PRIOR_TASKS * estimateMicros) / (job.measuredTasks() + JOB_PRIOR_TASKS));
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
@@ -8,20 +8,20 @@
  * waits for several times as long, for the sake of the heartbeats that come meanwhile.
  */
 public final class SchedulingLoop {
-    private static final long DELAY_MICROS = 2_000;
+    private static final long BATCHING_DELAY_MICROS = 2_000;
     /** The next cycle comes no sooner than this many times as long as the last one took. */
-    private static final int CYCLE_SPACING = 4;
+    private static final int CYCLE_SPACING_FACTOR = 4;
 
-    private static final long LONGEST_CYCLE_SPACING_MICROS = 250_000;
+    private static final long MAX_CYCLE_SPACING_MICROS = 250_000;
 
     private final Timers timers;
-    private final BooleanSupplier ended;
-    private final BooleanSupplier mayStart;
+    private final BooleanSupplier termEnded;
+    private final BooleanSupplier canStartTasks;
     private final Runnable runCycle;
-    private final Runnable send;
+    private final Runnable sendCommands;
     private long nextCycleMicros;
     private boolean cycleRequested;
-    private boolean timerSet;
+    private boolean timerScheduled;
 
     /**
      * Nothing runs before it is asked for.
@@ -33,10 +33,10 @@
     public SchedulingLoop(
             Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable runCycle, Runnable send) {
         this.timers = timers;
-        this.ended = ended;
-        this.mayStart = mayStart;
+        this.termEnded = ended;
+        this.canStartTasks = mayStart;
         this.runCycle = runCycle;
-        this.send = send;
+        this.sendCommands = send;
     }
 
     /** Asks for a cycle over the waiting jobs and for commands to go out, shortly and together. */
@@ -52,15 +52,15 @@
 
     /** Asks for commands to go out shortly. */
     public void requestSend() {
-        if (timerSet) {
+        if (timerScheduled) {
             return;
         }
-        timerSet = true;
-        timers.after(Math.max(DELAY_MICROS, nextCycleMicros - timers.nowMicros()), () -> {
-            timerSet = false;
-            if (!ended.getAsBoolean()) {
+        timerScheduled = true;
+        timers.after(Math.max(BATCHING_DELAY_MICROS, nextCycleMicros - timers.nowMicros()), () -> {
+            timerScheduled = false;
+            if (!termEnded.getAsBoolean()) {
                 runCycleIfRequested();
-                send.run();
+                sendCommands.run();
             }
         });
     }
@@ -79,14 +79,14 @@
 
     private void runCycleIfRequested() {
         // What a cycle would stop to make capacity could not be followed by a start while none is allowed.
-        if (!cycleRequested || !mayStart.getAsBoolean()) {
+        if (!cycleRequested || !canStartTasks.getAsBoolean()) {
             return;
         }
         long beganMicros = timers.nowMicros();
         cycleRequested = false;
         runCycle.run();
         long finishedMicros = timers.nowMicros();
-        nextCycleMicros =
-                finishedMicros + Math.min(LONGEST_CYCLE_SPACING_MICROS, CYCLE_SPACING * (finishedMicros - beganMicros));
+        nextCycleMicros = finishedMicros
+                + Math.min(MAX_CYCLE_SPACING_MICROS, CYCLE_SPACING_FACTOR * (finishedMicros - beganMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -20,7 +20,7 @@
  */
 public final class TaskLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
-    private static final long ATTEMPTS_PER_TERM = 1L << 24;
+    private static final long MAX_ATTEMPTS_PER_TERM = 1L << 24;
 
     private final Leadership.Term term;
     private final TermRecovery recovery;
@@ -30,7 +30,7 @@
     private final SchedulingLoop loop;
     private final CommandQueue commands;
     private final GangMembership gangs = new GangMembership();
-    private long attemptsNumbered;
+    private long lastAttemptInTerm;
 
     /** Places and frees tasks under the fencing token of this term. */
     public TaskLifecycle(
@@ -56,8 +56,8 @@
     }
 
     private long nextAttempt() {
-        attemptsNumbered++;
-        return term.fencingToken() * ATTEMPTS_PER_TERM + attemptsNumbered;
+        lastAttemptInTerm++;
+        return term.fencingToken() * MAX_ATTEMPTS_PER_TERM + lastAttemptInTerm;
     }
 
     private Placement start(ActiveJob job, int index, Machine machine, long attempt, long nowMicros) {
@@ -87,7 +87,7 @@
     /** Decides that a task of a gang is to join the others of its attempt. */
     public void startInGang(ActiveJob job, int index, Machine machine, long nowMicros) {
         job.takeTask(index);
-        gangs.started(start(job, index, machine, gangs.presentNumber(job), nowMicros));
+        gangs.addStarted(start(job, index, machine, gangs.currentAttemptNumber(job), nowMicros));
     }
 
     /**
@@ -100,7 +100,7 @@
         Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), onlyHere, nowMicros);
         place(placement);
         if (job.spec().gang()) {
-            for (Placement leftover : gangs.adopted(placement)) {
+            for (Placement leftover : gangs.addAdopted(placement)) {
                 stopOne(leftover, 0, "of an older attempt of its gang");
             }
         }
@@ -118,7 +118,7 @@
      * together.
      */
     public void stop(Placement placement, long graceMicros, String why) {
-        for (Placement each : gangs.stopping(placement, why)) {
+        for (Placement each : gangs.markStopping(placement, why)) {
             stopOne(each, graceMicros, why);
         }
     }
@@ -153,13 +153,13 @@
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.removeTask(placement.job().spec());
         // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
-        boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.mayRunOnAwaitedMachine(placement.job());
+        boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.canRunOnAwaitedMachine(placement.job());
         placement.job().removePlacement(placement, maybeElsewhere);
-        if (gangs.left(placement, maybeElsewhere, timers.nowMicros())) {
+        if (gangs.removeTask(placement, maybeElsewhere, timers.nowMicros())) {
             // The others would notice by themselves; their places are free sooner this way.
             stop(placement, 0, "a task of its gang is gone");
         }
-        gangs.forgetIfGone(placement.job());
+        gangs.clearAttemptIfGone(placement.job());
         jobs.removeIfEnded(placement.job());
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -43,7 +43,7 @@
     }
 
     /** Whether a task of this job may be on a machine that is still awaited. */
-    boolean mayRunOnAwaitedMachine(ActiveJob job) {
+    boolean canRunOnAwaitedMachine(ActiveJob job) {
         return plan.verdictOnUnlisted(job.spec()) == Verdict.UNCONFIRMED;
     }
 
@@ -61,7 +61,7 @@
 
     /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
-        if (job.unconfirmedTasks() > 0 && !mayRunOnAwaitedMachine(job)) {
+        if (job.unconfirmedTasks() > 0 && !canRunOnAwaitedMachine(job)) {
             plan.countVerdicts(Verdict.LOST, job.unconfirmedTasks());
             job.resolveUnconfirmed();
         }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -28,14 +28,14 @@
         ENDED;
 
         /** Whether a job may go from this phase to the next one. */
-        boolean allows(Phase next) {
+        boolean canTransitionTo(Phase next) {
             return compareTo(next) < 0;
         }
     }
 
     private final JobSpec spec;
     private final long acceptedMicros;
-    private final long sinceMicros;
+    private final long firstSeenMicros;
     private final TaskNumbers numbers;
     private final Int2ObjectMap<Placement> placements = new Int2ObjectLinkedOpenHashMap<>();
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
@@ -43,15 +43,15 @@
     private final SchedulingState scheduling = new SchedulingState();
 
     private Phase phase = Phase.OPEN;
-    private double finishedMicros;
-    private int finishedTasks;
+    private double totalRunMicros;
+    private int measuredTasks;
     private @Nullable GangAttempt gangAttempt;
 
     /** A job as its records tell; every claimed task that is not done is unconfirmed. */
     public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
-        this.sinceMicros = nowMicros;
+        this.firstSeenMicros = nowMicros;
         this.numbers = new TaskNumbers(Math.max(record.claimed(), progress.claimed()), progress.done());
         this.tasksByZone = new TasksByZone(spec);
     }
@@ -67,8 +67,8 @@
     }
 
     /** When this leader learnt of it, on the steady clock. */
-    long sinceMicros() {
-        return sinceMicros;
+    long firstSeenMicros() {
+        return firstSeenMicros;
     }
 
     /** Whether it is a service whose start its users wait for: it goes before all other work. */
@@ -97,7 +97,7 @@
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
+        if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException("job " + spec.id() + " can't go from " + phase + " to " + next);
         }
         LOG.info("job {}: {} -> {} ({})", spec.id(), phase, next, why);
@@ -133,7 +133,7 @@
 
     /** The finished tasks, as ranges of their numbers. */
     public RangeSet<Integer> doneTasks() {
-        return numbers.done();
+        return numbers.doneTasks();
     }
 
     /** Whether this task is done. */
@@ -145,12 +145,12 @@
 
     /** Tasks below this are ours by record. */
     public int claimedTasks() {
-        return numbers.claimed();
+        return numbers.claimedTasks();
     }
 
     /** A larger claim is on record. */
     public void confirmClaim(int tasks) {
-        numbers.claimRecorded(tasks);
+        numbers.confirmClaim(tasks);
     }
 
     /** The claim that was asked for last, on record or not. */
@@ -160,17 +160,17 @@
 
     /** A claim of this many tasks is to be recorded. */
     public void requestClaim(int tasks) {
-        numbers.claimRequested(tasks);
+        numbers.requestClaim(tasks);
     }
 
     /** Tasks at or above this were never handed out. */
     public int firstUnstartedTask() {
-        return numbers.firstNeverStarted();
+        return numbers.firstUnstartedTask();
     }
 
     /** Whether a task could be started without a further claim. */
     public boolean hasStartableTask() {
-        return numbers.hasClaimed();
+        return numbers.hasStartableTask();
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
@@ -187,7 +187,7 @@
 
     /** The lowest task number that was started before and is free again. */
     public int firstFreedTask() {
-        return numbers.firstFreed();
+        return numbers.firstFreedTask();
     }
 
     /** The attempts of its tasks that are on machines, or may be. */
@@ -210,7 +210,7 @@
         int task = placement.task().index();
         placements.put(task, placement);
         tasksByZone.add(placement.machine().zone());
-        numbers.placed(task);
+        numbers.markPlaced(task);
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
@@ -221,7 +221,7 @@
         }
         tasksByZone.remove(placement.machine().zone());
         if (phase != Phase.ENDED) {
-            numbers.unplaced(task, elsewhere);
+            numbers.markRemoved(task, elsewhere);
         }
     }
 
@@ -251,7 +251,7 @@
 
     /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
     public boolean canPlaceInZone(String zone) {
-        return tasksByZone.allows(zone, numbers.unconfirmedCount());
+        return tasksByZone.canPlaceInZone(zone, numbers.unconfirmedCount());
     }
 
     /** How many of its tasks are placed in each zone. */
@@ -263,18 +263,18 @@
 
     /** A task that this term has seen from its start on has run to its end. */
     public void addRunTime(long runMicros) {
-        finishedMicros += runMicros;
-        finishedTasks++;
+        totalRunMicros += runMicros;
+        measuredTasks++;
     }
 
     /** Run time of those of its tasks that finished in this term, together. */
     public double totalRunMicros() {
-        return finishedMicros;
+        return totalRunMicros;
     }
 
     /** How many of its tasks finished in this term, run time known. */
     public int measuredTasks() {
-        return finishedTasks;
+        return measuredTasks;
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -46,6 +46,7 @@
 
     /** Time since the job was accepted, as far as the clocks agree. */
     public long ageMicros(ActiveJob job, long nowMicros) {
-        return Math.max(nowMicros - job.sinceMicros(), timers.timeOfDayMicros() - job.acceptedMicros() - skewMicros);
+        return Math.max(
+                nowMicros - job.firstSeenMicros(), timers.timeOfDayMicros() - job.acceptedMicros() - skewMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/CapacityHold.java
+++ b/src/main/java/org/granitepath/coordination/model/CapacityHold.java
@@ -13,7 +13,7 @@
     }
 
     /** Whether the machine is kept as headroom from now on. */
-    void keepAsHeadroom(boolean keep) {
+    void setHeadroom(boolean keep) {
         headroom = keep;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
+++ b/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
@@ -20,17 +20,17 @@
     };
 
     /** The machine left; only a worker of a later agent epoch than this one may join under its name. */
-    void left(String machine, long lastAgentEpoch) {
+    void add(String machine, long lastAgentEpoch) {
         lastAgentEpochs.put(machine, lastAgentEpoch);
     }
 
     /** The cloud took the machine back: no worker will ever join under its name. */
-    void leftForGood(String machine) {
+    void addPermanently(String machine) {
         lastAgentEpochs.put(machine, Long.MAX_VALUE);
     }
 
     /** Whether a heartbeat is a late copy from a machine that left. */
-    boolean isLateCopy(Heartbeat heartbeat) {
+    boolean isFromDepartedMachine(Heartbeat heartbeat) {
         return heartbeat.agentEpoch() <= lastAgentEpochs.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -13,11 +13,11 @@
 
 /** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
 public final class Fleet {
-    private static final double OVERDUE_HEARTBEATS = 1.5;
+    private static final double OVERDUE_HEARTBEAT_INTERVALS = 1.5;
     /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
-    private static final double CUT_OFF_SHARE = 0.6;
+    private static final double MIN_UNRESPONSIVE_SHARE = 0.6;
     /** A peer that redirects fewer of them proves little, however small the fleet is. */
-    private static final int FEWEST_REDIRECTED_BY_PEER = 2;
+    private static final int MIN_REDIRECTED_BY_PEER = 2;
 
     private final Config config;
     private final Timers timers;
@@ -54,7 +54,7 @@
             types.put(type.name(), type);
         }
         for (Machine machine : machines.values()) {
-            machine.typeKnown(types.get(machine.typeName()));
+            machine.setType(types.get(machine.typeName()));
         }
     }
 
@@ -65,7 +65,7 @@
                 + config.workers().maxDisconnectedMicros()
                 + config.workers().longestLeaseMicros();
         for (Machine machine : takenOver) {
-            machine.takenOverFromFormerLeader(startedMicros, leaseExpiryMicros);
+            machine.takeOver(startedMicros, leaseExpiryMicros);
             machines.put(machine.id(), machine);
         }
     }
@@ -74,8 +74,8 @@
     public Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
                 heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-        machine.typeKnown(types.get(machine.typeName()));
-        machine.joinedFleet(fencingToken, timers.nowMicros());
+        machine.setType(types.get(machine.typeName()));
+        machine.joinFleet(fencingToken, timers.nowMicros());
         return machine;
     }
 
@@ -87,17 +87,17 @@
     /** The machine is gone; late messages of its worker are known as such. */
     public void remove(Machine machine) {
         machines.remove(machine.id());
-        departed.left(machine.id(), machine.contact().agentEpoch());
+        departed.add(machine.id(), machine.contact().agentEpoch());
     }
 
     /** The cloud took this machine back: whatever still arrives of it is late. */
     public void markTerminated(String id) {
-        departed.leftForGood(id);
+        departed.addPermanently(id);
     }
 
     /** Whether a heartbeat is a late copy from a machine that is gone. */
     public boolean isFromDepartedMachine(Heartbeat heartbeat) {
-        return departed.isLateCopy(heartbeat);
+        return departed.isFromDepartedMachine(heartbeat);
     }
 
     /** Whether heartbeats of the machine are missing for so long that a command would hardly arrive. */
@@ -108,7 +108,7 @@
     /** Whether a heartbeat is late by so much that it is worth asking for one. */
     public boolean isHeartbeatOverdue(Machine machine, long nowMicros) {
         return nowMicros - machine.contact().lastHeartbeatMicros()
-                > OVERDUE_HEARTBEATS * config.workers().heartbeatIntervalMicros();
+                > OVERDUE_HEARTBEAT_INTERVALS * config.workers().heartbeatIntervalMicros();
     }
 
     /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
@@ -133,15 +133,15 @@
         for (Machine machine : machines.values()) {
             unresponsive += isUnresponsive(machine, nowMicros) ? 1 : 0;
         }
-        return unresponsive >= CUT_OFF_SHARE * machines.size()
-                && redirectedByPeer >= Math.max(FEWEST_REDIRECTED_BY_PEER, unresponsive / 2)
+        return unresponsive >= MIN_UNRESPONSIVE_SHARE * machines.size()
+                && redirectedByPeer >= Math.max(MIN_REDIRECTED_BY_PEER, unresponsive / 2)
                 && nowMicros - startedMicros > config.workers().leaseMicros();
     }
 
     /** This process stood still: no heartbeat counts as missing in that time. */
     public void compensateForPause(long pauseMicros, long nowMicros) {
         for (Machine machine : machines.values()) {
-            machine.contact().excusePause(pauseMicros, nowMicros);
+            machine.contact().compensateForPause(pauseMicros, nowMicros);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -11,7 +11,7 @@
     private boolean needsTokenForCleanup;
 
     /** The machine joins the fleet and is to be commanded under this fencing token. */
-    void joinedFleet(long token) {
+    void joinFleet(long token) {
         fencingToken = token;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -33,7 +33,7 @@
         GONE;
 
         /** Whether a machine may go from this phase to the next one. */
-        boolean allows(Phase next) {
+        boolean canTransitionTo(Phase next) {
             return switch (this) {
                 case UNCONFIRMED -> next == READY || next == TERMINATING || next == GONE;
                 case READY -> next == UNCONFIRMED || next == DRAINING || next == TERMINATING || next == GONE;
@@ -109,8 +109,8 @@
     }
 
     /** The cloud's word on its type has come, or changed; null: there is none. */
-    void typeKnown(@Nullable MachineType known) {
-        capacity.typeKnown(known);
+    void setType(@Nullable MachineType known) {
+        capacity.setType(known);
     }
 
     // ---- life cycle --------------------------------------------------------------------------------------------
@@ -124,7 +124,7 @@
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
+        if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException("machine " + id + " can't go from " + phase + " to " + next);
         }
         LOG.info(
@@ -187,9 +187,9 @@
     // ---- taking over and joining -------------------------------------------------------------------------------
 
     /** It was on record when the term began: its tasks are unknown until its first heartbeat. */
-    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
+    void takeOver(long nowMicros, long formerLeaseExpiryMicros) {
         awaitingFirstHeartbeat = true;
-        contact.takenOverFromFormerLeader(nowMicros, formerLeaseExpiryMicros);
+        contact.takeOver(nowMicros, formerLeaseExpiryMicros);
         idleSinceMicros = nowMicros;
         unconfirmedSinceMicros = nowMicros;
     }
@@ -205,8 +205,8 @@
     }
 
     /** Its first heartbeat has come, and it is to be commanded under this fencing token. */
-    void joinedFleet(long token, long nowMicros) {
-        inventory.joinedFleet(token);
+    void joinFleet(long token, long nowMicros) {
+        inventory.joinFleet(token);
         launchedMicros = nowMicros;
         unconfirmedSinceMicros = nowMicros;
         idleSinceMicros = nowMicros;
@@ -241,7 +241,7 @@
             unconfirmedSinceMicros = nowMicros;
             idleSinceMicros = nowMicros;
         }
-        contact.heartbeatReceived(nowMicros);
+        contact.recordHeartbeat(nowMicros);
     }
 
     /** Since when a heartbeat under its present fencing token is awaited. */
@@ -252,7 +252,7 @@
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
     public void expireLease() {
         contact.expireLease();
-        findings.discardCleanup();
+        findings.clearCleanupCommands();
     }
 
     // ---- findings of the latest message ------------------------------------------------------------------------
@@ -264,7 +264,7 @@
 
     /** The latest message calls for this command. */
     public void addCleanupCommand(WorkerCommand command) {
-        findings.addCleanup(command);
+        findings.addCleanupCommand(command);
     }
 
     /** A message is about to be compared with the records: what the one before called for is void. */
@@ -274,7 +274,7 @@
 
     /** The message lists a task of which nothing can be decided: it may not be cut short. */
     public void addUnconfirmedTask() {
-        findings.taskUnconfirmed();
+        findings.addUnconfirmedTask();
     }
 
     // ---- capacity held back ------------------------------------------------------------------------------------
@@ -286,7 +286,7 @@
 
     /** Whether it is kept though it is idle. */
     public void setHeadroom(boolean keep) {
-        capacityHold.keepAsHeadroom(keep);
+        capacityHold.setHeadroom(keep);
     }
 
     /** The gang for which its free capacity is held, or null. Live services may use it all the same. */
@@ -335,7 +335,7 @@
 
     /** The attempt of this task that is placed here, or null. */
     public @Nullable Placement placement(TaskId task) {
-        return placements.of(task);
+        return placements.get(task);
     }
 
     /** Whether any attempt is placed here. */
@@ -362,7 +362,7 @@
 
     /** Whether a task here waits for this image, so that one more need not fetch it anew. */
     public boolean isFetching(String image) {
-        return placements.fetches(image);
+        return placements.isFetching(image);
     }
 
     /** How many tasks of this shape fit once all but the services here has ended. */
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -8,7 +8,7 @@
 
 /** What of a machine's resources is used and what is free, and which images it has. */
 public final class MachineCapacity {
-    private static final int IMAGES_REMEMBERED = 16;
+    private static final int MAX_IMAGES = 16;
 
     /** The image seen last comes last, so the first one is the first to be forgotten. */
     private final LinkedHashSet<String> images = new LinkedHashSet<>();
@@ -26,19 +26,19 @@
         return type;
     }
 
-    void typeKnown(@Nullable MachineType known) {
+    void setType(@Nullable MachineType known) {
         type = known;
     }
 
-    void take(JobSpec spec) {
-        count(spec, 1);
+    void allocate(JobSpec spec) {
+        adjust(spec, 1);
     }
 
     void release(JobSpec spec) {
-        count(spec, -1);
+        adjust(spec, -1);
     }
 
-    private void count(JobSpec spec, int sign) {
+    private void adjust(JobSpec spec, int sign) {
         cpuUsedMillis += sign * spec.cpuMillis();
         gpuUsedMillis += sign * spec.gpuMillis();
         memoryUsedMillis += sign * spec.memoryMillis();
@@ -52,7 +52,7 @@
     public void addImage(String image) {
         images.remove(image);
         images.add(image);
-        if (images.size() > IMAGES_REMEMBERED) {
+        if (images.size() > MAX_IMAGES) {
             images.remove(images.iterator().next());
         }
     }
--- a/src/main/java/org/granitepath/coordination/model/MachinePlacements.java
+++ b/src/main/java/org/granitepath/coordination/model/MachinePlacements.java
@@ -26,7 +26,7 @@
 
     /** The attempt of this task, or null. */
     @Nullable
-    Placement of(TaskId task) {
+    Placement get(TaskId task) {
         return byTask.get(task);
     }
 
@@ -36,7 +36,7 @@
 
     void add(Placement placement) {
         byTask.put(placement.task(), placement);
-        capacity.take(placement.job().spec());
+        capacity.allocate(placement.job().spec());
     }
 
     /** Whether this very attempt was placed here until now; another attempt of its task stays. */
@@ -49,7 +49,7 @@
     }
 
     /** Whether a task that was not seen to run yet waits for this image. */
-    boolean fetches(String image) {
+    boolean isFetching(String image) {
         for (Placement placement : byTask.values()) {
             if (!placement.hasRun() && placement.job().spec().image().equals(image)) {
                 return true;
--- a/src/main/java/org/granitepath/coordination/model/MessageFindings.java
+++ b/src/main/java/org/granitepath/coordination/model/MessageFindings.java
@@ -20,17 +20,17 @@
     }
 
     /** The message calls for this command. */
-    void addCleanup(WorkerCommand command) {
+    void addCleanupCommand(WorkerCommand command) {
         cleanupCommands.add(command);
     }
 
     /** The worker's lease is over, so that it has ended its tasks: the commands are void. */
-    void discardCleanup() {
+    void clearCleanupCommands() {
         cleanupCommands.clear();
     }
 
     /** The message lists a task of which nothing can be decided: it may not be cut short. */
-    void taskUnconfirmed() {
+    void addUnconfirmedTask() {
         unconfirmedTasks++;
     }
 
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -26,7 +26,7 @@
         FREED;
 
         /** Whether a placement may go from this phase to the next one; heartbeats may skip what they did not show. */
-        boolean allows(Phase next) {
+        boolean canTransitionTo(Phase next) {
             return switch (this) {
                 case ASSIGNED -> next != ASSIGNED;
                 case SENT, FETCHING, WAITING, RUNNING -> next != ASSIGNED && next != SENT;
@@ -43,7 +43,7 @@
     private final long agentEpoch;
     private final long placedMicros;
     private final StartDelivery delivery;
-    private final boolean wasAdopted;
+    private final boolean adopted;
     private Phase phase = Phase.ASSIGNED;
     private long runningSinceMicros = NEVER;
     private long graceMicros;
@@ -68,7 +68,7 @@
         this.agentEpoch = machine.contact().agentEpoch();
         this.placedMicros = nowMicros;
         this.delivery = delivery;
-        this.wasAdopted = wasAdopted;
+        this.adopted = wasAdopted;
     }
 
     /**
@@ -128,7 +128,7 @@
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
+        if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException(
                     "task " + task + " attempt " + attempt + " can't go from " + phase + " to " + next);
         }
@@ -140,51 +140,51 @@
 
     /** The start goes out in the answer to a heartbeat: only a later heartbeat tells whether it was taken. */
     public void markSentInResponse() {
-        delivery.sentInAnswer();
+        delivery.markSentInResponse();
         transition(Phase.SENT, "in an answer");
     }
 
     /** The start goes out in a direct call under the machine's present fencing token. */
     public void markSentDirectly() {
-        delivery.sentDirectly(machine.fencingToken());
+        delivery.markSentDirectly(machine.fencingToken());
         transition(Phase.SENT, "direct");
     }
 
     /** The direct call under this fencing token was answered. */
     public void acknowledgeDirectStart(long token) {
-        delivery.answered(token);
+        delivery.acknowledge(token);
     }
 
     /** Whether the start went out in the answer to a heartbeat and not in a direct call. */
     public boolean isSentInResponse() {
-        return delivery.wentOutInAnswer();
+        return delivery.isSentInResponse();
     }
 
     /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
     public boolean hasUnacknowledgedStart(long token) {
-        return delivery.mayStillBeStarted(token);
+        return delivery.hasUnacknowledgedStart(token);
     }
 
     // ---- what heartbeats list ----------------------------------------------------------------------------------
 
     /** A message of the worker lists it. */
     public void markListed(boolean underPresentToken) {
-        delivery.listed(underPresentToken);
+        delivery.markListed(underPresentToken);
     }
 
     /** Whether a message of the worker has listed it. */
     public boolean hasBeenListed() {
-        return delivery.seen();
+        return delivery.hasBeenListed();
     }
 
     /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
     public boolean isOnlyOnThisMachine() {
-        return delivery.onlyHere();
+        return delivery.isOnlyOnThisMachine();
     }
 
     /** Whether it was found on the machine: then it is not known when it began. */
     public boolean isAdopted() {
-        return wasAdopted;
+        return adopted;
     }
 
     /** A heartbeat lists it as waiting for its image. */
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -6,7 +6,7 @@
 
     private long notBeforeMicros;
     private long reservedSinceMicros = NEVER;
-    private long noReservationUntilMicros = NEVER;
+    private long reservationBlockedUntilMicros = NEVER;
     private long lastRunningMicros = NEVER;
     private SchedulingClass schedulingClass = SchedulingClass.OTHER;
     private boolean deferrable;
@@ -109,11 +109,11 @@
 
     /** No machine is reserved for this gang again before then. */
     public long reservationBlockedUntilMicros() {
-        return noReservationUntilMicros;
+        return reservationBlockedUntilMicros;
     }
 
     /** Other work has its turn until then. */
     public void blockReservationUntil(long earliestReservationMicros) {
-        noReservationUntilMicros = earliestReservationMicros;
+        reservationBlockedUntilMicros = earliestReservationMicros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/StartDelivery.java
+++ b/src/main/java/org/granitepath/coordination/model/StartDelivery.java
@@ -7,14 +7,14 @@
 final class StartDelivery {
     private static final long NO_TOKEN = 0;
 
-    private long unansweredToken = NO_TOKEN;
-    private boolean sentInAnswer;
-    private boolean seen;
-    private boolean onlyHere;
+    private long unacknowledgedToken = NO_TOKEN;
+    private boolean sentInResponse;
+    private boolean listed;
+    private boolean onlyOnThisMachine;
 
     private StartDelivery(boolean seen, boolean onlyHere) {
-        this.seen = seen;
-        this.onlyHere = onlyHere;
+        this.listed = seen;
+        this.onlyOnThisMachine = onlyHere;
     }
 
     /** Of an attempt that this leader has decided on: it is nowhere else, and nothing has been sent yet. */
@@ -32,47 +32,47 @@
     }
 
     /** The start goes out in the answer to a heartbeat; an earlier direct call may still be carried out. */
-    void sentInAnswer() {
-        sentInAnswer = true;
+    void markSentInResponse() {
+        sentInResponse = true;
     }
 
     /** The start goes out in a direct call under this fencing token, which takes the place of earlier calls. */
-    void sentDirectly(long token) {
-        sentInAnswer = false;
-        unansweredToken = token;
+    void markSentDirectly(long token) {
+        sentInResponse = false;
+        unacknowledgedToken = token;
     }
 
     /** The direct call under this fencing token was answered; the answer to an earlier one changes nothing. */
-    void answered(long token) {
-        if (unansweredToken == token) {
-            unansweredToken = NO_TOKEN;
+    void acknowledge(long token) {
+        if (unacknowledgedToken == token) {
+            unacknowledgedToken = NO_TOKEN;
         }
     }
 
     /** A message of the worker lists the attempt, so the start has arrived. What was proved once stays so. */
-    void listed(boolean underPresentToken) {
-        seen = true;
-        onlyHere |= underPresentToken;
-        unansweredToken = NO_TOKEN;
+    void markListed(boolean underPresentToken) {
+        listed = true;
+        onlyOnThisMachine |= underPresentToken;
+        unacknowledgedToken = NO_TOKEN;
     }
 
     /** Whether the latest start went out in the answer to a heartbeat. */
-    boolean wentOutInAnswer() {
-        return sentInAnswer;
+    boolean isSentInResponse() {
+        return sentInResponse;
     }
 
     /** Whether a direct start under this fencing token or a later one has no answer yet. */
-    boolean mayStillBeStarted(long token) {
-        return unansweredToken != NO_TOKEN && unansweredToken >= token;
+    boolean hasUnacknowledgedStart(long token) {
+        return unacknowledgedToken != NO_TOKEN && unacknowledgedToken >= token;
     }
 
     /** Whether a message of the worker has listed the attempt. */
-    boolean seen() {
-        return seen;
+    boolean hasBeenListed() {
+        return listed;
     }
 
     /** Whether the task can be on no other machine. */
-    boolean onlyHere() {
-        return onlyHere;
+    boolean isOnlyOnThisMachine() {
+        return onlyOnThisMachine;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
+++ b/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
@@ -11,26 +11,26 @@
  * claimed, not done, not placed, and proved to be on no machine. Where tasks are placed is not known here.
  */
 final class TaskNumbers {
-    private final RangeSet<Integer> done;
+    private final RangeSet<Integer> doneTasks;
     /** Started before, and free again. */
     private final IntAVLTreeSet freed = new IntAVLTreeSet();
     /** Claimed by a predecessor; may be running on a machine still awaited. */
     private final IntOpenHashSet unconfirmed = new IntOpenHashSet();
 
     private int doneCount;
-    private int claimed;
+    private int claimedTasks;
     private int requestedClaim;
-    private int firstNeverStarted;
+    private int firstUnstartedTask;
 
     /** The numbers as the records tell; every claimed one that is not done is unconfirmed. */
     TaskNumbers(int claimed, RangeSet<Integer> doneOnRecord) {
-        this.done = TreeRangeSet.create(doneOnRecord);
-        this.doneCount = ProgressRecord.count(done);
-        this.claimed = claimed;
+        this.doneTasks = TreeRangeSet.create(doneOnRecord);
+        this.doneCount = ProgressRecord.count(doneTasks);
+        this.claimedTasks = claimed;
         this.requestedClaim = claimed;
-        this.firstNeverStarted = claimed;
+        this.firstUnstartedTask = claimed;
         for (int task = 0; task < claimed; task++) {
-            if (!done.contains(task)) {
+            if (!doneTasks.contains(task)) {
                 unconfirmed.add(task);
             }
         }
@@ -39,8 +39,8 @@
     // ---- done --------------------------------------------------------------------------------------------------
 
     /** The done ones, as ranges. */
-    RangeSet<Integer> done() {
-        return done;
+    RangeSet<Integer> doneTasks() {
+        return doneTasks;
     }
 
     int doneCount() {
@@ -48,13 +48,13 @@
     }
 
     boolean isDone(int task) {
-        return done.contains(task);
+        return doneTasks.contains(task);
     }
 
     /** This one is done, so it never starts again. */
     void markDone(int task) {
-        if (!done.contains(task)) {
-            ProgressRecord.addTask(done, task);
+        if (!doneTasks.contains(task)) {
+            ProgressRecord.addTask(doneTasks, task);
             doneCount++;
         }
         freed.remove(task);
@@ -63,7 +63,7 @@
 
     /** All numbers below this are done, and there are no others. */
     void markAllDone(int tasks) {
-        ProgressRecord.addTasks(done, tasks);
+        ProgressRecord.addTasks(doneTasks, tasks);
         doneCount = tasks;
         freed.clear();
         unconfirmed.clear();
@@ -72,13 +72,13 @@
     // ---- claims ------------------------------------------------------------------------------------------------
 
     /** Numbers below this are claimed on record. */
-    int claimed() {
-        return claimed;
+    int claimedTasks() {
+        return claimedTasks;
     }
 
     /** A larger claim is on record. */
-    void claimRecorded(int tasks) {
-        claimed = tasks;
+    void confirmClaim(int tasks) {
+        claimedTasks = tasks;
     }
 
     /** The claim that was asked for last, on record or not. */
@@ -87,20 +87,20 @@
     }
 
     /** A claim of this many numbers is to be recorded. */
-    void claimRequested(int tasks) {
+    void requestClaim(int tasks) {
         requestedClaim = tasks;
     }
 
     // ---- starting ----------------------------------------------------------------------------------------------
 
     /** Numbers at or above this were never handed out. */
-    int firstNeverStarted() {
-        return firstNeverStarted;
+    int firstUnstartedTask() {
+        return firstUnstartedTask;
     }
 
     /** Whether any could start without a further claim. */
-    boolean hasClaimed() {
-        return !freed.isEmpty() || firstNeverStarted < claimed;
+    boolean hasStartableTask() {
+        return !freed.isEmpty() || firstUnstartedTask < claimedTasks;
     }
 
     /** Takes the next one to start: the lowest that is free again, or else the first that was never started. */
@@ -110,7 +110,7 @@
             freed.remove(task);
             return task;
         }
-        return firstNeverStarted++;
+        return firstUnstartedTask++;
     }
 
     /** Takes this one, which is free again. */
@@ -119,19 +119,19 @@
     }
 
     /** The lowest one that is free again; there must be one. */
-    int firstFreed() {
+    int firstFreedTask() {
         return freed.firstInt();
     }
 
     /** This one is placed, so it is known where it is. */
-    void placed(int task) {
+    void markPlaced(int task) {
         unconfirmed.remove(task);
         freed.remove(task);
     }
 
     /** The placement of this one is proved gone; {@code elsewhere}: but it may be on another machine. */
-    void unplaced(int task, boolean elsewhere) {
-        if (done.contains(task)) {
+    void markRemoved(int task, boolean elsewhere) {
+        if (doneTasks.contains(task)) {
             return;
         }
         if (elsewhere) {
--- a/src/main/java/org/granitepath/coordination/model/TasksByZone.java
+++ b/src/main/java/org/granitepath/coordination/model/TasksByZone.java
@@ -35,14 +35,14 @@
      *
      * @param unconfirmedTasks tasks that may stand in any zone
      */
-    boolean allows(String zone, int unconfirmedTasks) {
-        if (spec.oneZone() && (unconfirmedTasks > 0 || anyOutside(zone))) {
+    boolean canPlaceInZone(String zone, int unconfirmedTasks) {
+        if (spec.oneZone() && (unconfirmedTasks > 0 || hasTaskOutside(zone))) {
             return false;
         }
         return !spec.spread() || counts.getInt(zone) + unconfirmedTasks + 1 <= spec.zoneCap();
     }
 
-    private boolean anyOutside(String zone) {
+    private boolean hasTaskOutside(String zone) {
         for (var entry : counts.object2IntEntrySet()) {
             if (entry.getIntValue() > 0 && !entry.getKey().equals(zone)) {
                 return true;
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -15,7 +15,7 @@
     /** A lease that is over, or was never given. */
     private static final long NO_LEASE = 0;
 
-    private static final int MISSED_HEARTBEATS = 2;
+    private static final int MAX_MISSED_HEARTBEATS = 2;
     private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
     private String address;
@@ -28,7 +28,7 @@
     private long lastCallMicros;
     private boolean callInFlight;
     /** Attempts started by a direct command, each with the fencing token of the command. */
-    private final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
+    private final Long2LongOpenHashMap tokensOfDirectStarts = new Long2LongOpenHashMap();
 
     WorkerContact(String address) {
         this.address = address;
@@ -40,7 +40,7 @@
     }
 
     /** The machine was on record when the term began: the former leader may have kept its lease alive until then. */
-    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
+    void takeOver(long nowMicros, long formerLeaseExpiryMicros) {
         lastHeartbeatMicros = nowMicros;
         leaseExpiryMicros = formerLeaseExpiryMicros;
     }
@@ -68,7 +68,7 @@
      * The worker has sent a heartbeat by itself. Answers to direct calls don't count here: without heartbeats the
      * worker's lease expires all the same.
      */
-    void heartbeatReceived(long nowMicros) {
+    void recordHeartbeat(long nowMicros) {
         lastHeartbeatMicros = nowMicros;
         probeFailed = false;
         fenced = false;
@@ -80,13 +80,13 @@
     }
 
     /** This process stood still for so long: no heartbeat counts as missing in that time. */
-    void excusePause(long pauseMicros, long nowMicros) {
+    void compensateForPause(long pauseMicros, long nowMicros) {
         lastHeartbeatMicros = Math.min(nowMicros, lastHeartbeatMicros + pauseMicros);
     }
 
     /** Whether a heartbeat is overdue by so much that a command would hardly arrive. */
     public boolean isUnresponsive(long nowMicros, long heartbeatIntervalMicros) {
-        return nowMicros - lastHeartbeatMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
+        return nowMicros - lastHeartbeatMicros > MAX_MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
 
     // ---- lease -------------------------------------------------------------------------------------------------
@@ -109,7 +109,7 @@
         leaseExpiryMicros = NO_LEASE;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
         sequence = NO_SEQUENCE;
-        directAttempts.clear();
+        tokensOfDirectStarts.clear();
     }
 
     /**
@@ -167,16 +167,16 @@
 
     /** An attempt is started by a direct command under this fencing token; a late copy may come any time. */
     public void recordDirectStart(long attempt, long fencingToken) {
-        directAttempts.put(attempt, fencingToken);
+        tokensOfDirectStarts.put(attempt, fencingToken);
     }
 
     /** Whether a late copy of the direct command that started the attempt would be carried out under this token. */
     public boolean canBeStartedAgain(long attempt, long fencingToken) {
-        return directAttempts.get(attempt) >= fencingToken;
+        return tokensOfDirectStarts.get(attempt) >= fencingToken;
     }
 
     /** The attempt is cleared away. */
     public void forgetDirectStart(long attempt) {
-        directAttempts.remove(attempt);
+        tokensOfDirectStarts.remove(attempt);
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
@@ -23,19 +23,19 @@
 
     @Test
     void onlyLiveServicesCount() {
-        arrivalRate.accepted(Fixtures.job(), SECOND);
+        arrivalRate.recordArrival(Fixtures.job(), SECOND);
         assertNull(arrivalRate.newestJob());
         assertEquals(0, arrivalRate.cpuMillisPerMicro(SECOND));
-        arrivalRate.accepted(service, SECOND);
+        arrivalRate.recordArrival(service, SECOND);
         assertSame(service, arrivalRate.newestJob());
         assertEquals(ONE_ARRIVAL, arrivalRate.cpuMillisPerMicro(SECOND), 1e-15);
     }
 
     @Test
     void arrivalsAddUpAndFade() {
-        arrivalRate.accepted(service, SECOND);
+        arrivalRate.recordArrival(service, SECOND);
         assertEquals(ONE_ARRIVAL / Math.E, arrivalRate.cpuMillisPerMicro(61 * SECOND), 1e-15);
-        arrivalRate.accepted(service, 61 * SECOND);
+        arrivalRate.recordArrival(service, 61 * SECOND);
         assertEquals(ONE_ARRIVAL * (1 + 1 / Math.E), arrivalRate.cpuMillisPerMicro(61 * SECOND), 1e-15);
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
@@ -33,21 +33,21 @@
 
     @Test
     void aTaskThatWasStartedInTheAttemptIsNotStartedAgainOnItsMachine() {
-        gangs.started(placed(job, 0, PRESENT));
+        gangs.addStarted(placed(job, 0, PRESENT));
         assertTrue(attempt.hasBeenTriedOn(0, "i-0"));
     }
 
     @Test
     void aTaskOfThePresentAttemptThatIsFoundJoinsIt() {
         Placement found = placed(job, 0, PRESENT);
-        assertEquals(List.of(), gangs.adopted(found));
+        assertEquals(List.of(), gangs.addAdopted(found));
         assertTrue(attempt.hasBeenTriedOn(0, "i-0"));
     }
 
     @Test
     void aTaskOfAnOlderAttemptThatIsFoundIsALeftover() {
         Placement found = placed(job, 0, PRESENT - 1);
-        assertEquals(List.of(found), gangs.adopted(found));
+        assertEquals(List.of(found), gangs.addAdopted(found));
         assertSame(attempt, job.gangAttempt());
     }
 
@@ -55,14 +55,14 @@
     void aTaskOfANewerAttemptThatIsFoundMakesTheOthersLeftovers() {
         Placement former = placed(job, 0, PRESENT);
         Placement found = placed(job, 1, PRESENT + 1);
-        assertEquals(List.of(former), gangs.adopted(found));
-        assertEquals(PRESENT + 1, gangs.presentNumber(job));
+        assertEquals(List.of(former), gangs.addAdopted(found));
+        assertEquals(PRESENT + 1, gangs.currentAttemptNumber(job));
     }
 
     @Test
     void aGangIsStoppedAsAWhole() {
         List<Placement> all = List.of(placed(job, 0, PRESENT), placed(job, 1, PRESENT));
-        assertEquals(all, gangs.stopping(all.get(1), "test"));
+        assertEquals(all, gangs.markStopping(all.get(1), "test"));
         assertEquals(GangAttempt.Phase.STOPPING, attempt.phase());
     }
 
@@ -71,7 +71,7 @@
         ActiveJob batch = fixture.openJob(BATCH);
         placed(batch, 0, 1);
         Placement second = placed(batch, 1, 2);
-        assertEquals(List.of(second), gangs.stopping(second, "test"));
+        assertEquals(List.of(second), gangs.markStopping(second, "test"));
     }
 
     @ParameterizedTest
@@ -87,16 +87,16 @@
         if (running) {
             attempt.markRunning();
         }
-        assertEquals(stopsOthers, gangs.left(gone, maybeElsewhere, fixture.timers.nowMicros()));
+        assertEquals(stopsOthers, gangs.removeTask(gone, maybeElsewhere, fixture.timers.nowMicros()));
     }
 
     @Test
     void anAttemptIsForgottenWithItsLastPlacement() {
         Placement only = placed(job, 0, PRESENT);
-        gangs.forgetIfGone(job);
+        gangs.clearAttemptIfGone(job);
         assertSame(attempt, job.gangAttempt());
         job.removePlacement(only, false);
-        gangs.forgetIfGone(job);
+        gangs.clearAttemptIfGone(job);
         assertNull(job.gangAttempt());
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -58,7 +58,7 @@
     })
     void tasksThatAFormerTermClaimedAreUnconfirmedWhileAMachineIsAwaited(long term, boolean awaited, int unconfirmed) {
         if (awaited) {
-            fixture.awaitAMachine();
+            fixture.addAwaitedMachine();
         }
         accepted(BATCH, 4, term);
         lifecycle.start();
@@ -112,7 +112,7 @@
     void aCancelledJobIsKeptUntilItsTasksAreGone() {
         accepted(BATCH, 4, TOKEN);
         lifecycle.start();
-        Placement placement = fixture.sent(job(), fixture.machine("i-1"));
+        Placement placement = fixture.startAndSend(job(), fixture.machine("i-1"));
         ended(FinalRecord.Outcome.CANCELLED);
         assertEquals(Placement.Phase.STOPPING, placement.phase());
         assertFalse(job().isOpen());
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -48,7 +48,7 @@
     final SchedulingLoop loop = new SchedulingLoop(timers, () -> false, () -> true, () -> {}, () -> {});
     final CommandQueue commands = new CommandQueue(() -> {});
     final TermRecovery recovery = new TermRecovery(new RecoveryPlan(TOKEN, 0, RecoveryTracer.NONE), jobs, timers, loop);
-    final TaskLifecycle tasks = tasksOfTerm(TOKEN);
+    final TaskLifecycle tasks = tasksForTerm(TOKEN);
     final ArrivalRate arrivalRate = new ArrivalRate();
     final JobLifecycle lifecycle =
             new JobLifecycle(jobIndex, newRecorder(), recovery, jobs, tasks, arrivalRate, timers, loop);
@@ -72,13 +72,13 @@
     }
 
     /** Starts and ends tasks under this fencing token. */
-    TaskLifecycle tasksOfTerm(long fencingToken) {
+    TaskLifecycle tasksForTerm(long fencingToken) {
         return new TaskLifecycle(
                 new Leadership.Term(fencingToken, 1), recovery, jobs, teamLimits, timers, loop, commands);
     }
 
     /** A former leader has left a machine of which nothing was heard yet: it may hold any task. */
-    void awaitAMachine() {
+    void addAwaitedMachine() {
         recovery.start(List.of(machine("awaited")), 0, 1);
     }
 
@@ -96,14 +96,14 @@
     }
 
     /** A task that was started there just now, and whose start has gone out. */
-    Placement sent(ActiveJob job, Machine machine) {
+    Placement startAndSend(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
         placement.markSentDirectly();
         return placement;
     }
 
     /** A task of a former leader that a heartbeat lists, and that may be elsewhere if the heartbeat is old. */
-    Placement adopted(ActiveJob job, int index, Machine machine, long attempt, boolean onlyHere) {
+    Placement adopt(ActiveJob job, int index, Machine machine, long attempt, boolean onlyHere) {
         Heartbeat.TaskStatus status = new Heartbeat.TaskStatus(
                 new TaskId(job.spec().id(), index), attempt, Heartbeat.TaskState.RUNNING, Heartbeat.Cause.NONE, false);
         return tasks.adopt(job, machine, status, onlyHere, timers.nowMicros());
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -41,7 +41,7 @@
         ActiveJob job = fixture.openJob(BATCH);
         long first = tasks.start(job, machine, 0).attempt();
         long second = tasks.start(job, machine, 0).attempt();
-        long ofNextTerm = fixture.tasksOfTerm(TOKEN + 1).start(job, machine, 0).attempt();
+        long ofNextTerm = fixture.tasksForTerm(TOKEN + 1).start(job, machine, 0).attempt();
         assertTrue(first < second && second < ofNextTerm, first + " " + second + " " + ofNextTerm);
     }
 
@@ -57,7 +57,7 @@
 
     @Test
     void aTaskThatWasSentIsToldToStopAndKeepsItsPlace() {
-        Placement placement = fixture.sent(fixture.openJob(BATCH), machine);
+        Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
         fixture.commands.remove(machine);
         tasks.stop(placement, 10 * SECOND, "test");
         assertEquals(Placement.Phase.STOPPING, placement.phase());
@@ -68,7 +68,7 @@
     @ParameterizedTest
     @CsvSource({"5, 5", "20, 10"})
     void aSecondStopOnlyShortensTheGracePeriod(long secondGraceSeconds, long expectedSeconds) {
-        Placement placement = fixture.sent(fixture.openJob(BATCH), machine);
+        Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
         tasks.stop(placement, 10 * SECOND, "test");
         tasks.stop(placement, secondGraceSeconds * SECOND, "test");
         assertEquals(expectedSeconds * SECOND, placement.graceMicros());
@@ -77,8 +77,8 @@
     @Test
     void aTaskIsFreedOnce() {
         ActiveJob job = fixture.openJob(BATCH);
-        fixture.sent(job, machine);
-        Placement placement = fixture.sent(job, machine);
+        fixture.startAndSend(job, machine);
+        Placement placement = fixture.startAndSend(job, machine);
         tasks.free(placement, "test");
         tasks.free(placement, "test");
         assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()), "the other one runs");
@@ -92,10 +92,10 @@
     })
     void aTaskFoundInAnOldHeartbeatMayBeOnAMachineStillAwaited(boolean onlyHere, boolean awaited, int unconfirmed) {
         if (awaited) {
-            fixture.awaitAMachine();
+            fixture.addAwaitedMachine();
         }
         ActiveJob job = fixture.openJob(BATCH);
-        Placement placement = fixture.adopted(job, 0, machine, 1, onlyHere);
+        Placement placement = fixture.adopt(job, 0, machine, 1, onlyHere);
         tasks.free(placement, "test");
         assertEquals(unconfirmed, job.unconfirmedTasks());
     }
@@ -108,7 +108,7 @@
     })
     void fromAMachineThatIsTakenBackWorkMovesThatWontFinish(
             JobSpec.Shape shape, long ranSeconds, Placement.Phase then) {
-        Placement placement = fixture.sent(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
+        Placement placement = fixture.startAndSend(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
         placement.markRunning(fixture.timers.nowMicros());
         fixture.timers.advance(ranSeconds * SECOND);
         tasks.evacuate(machine, 30 * SECOND);
@@ -174,8 +174,8 @@
     @Test
     void aNewerAttemptOfAGangThatIsFoundStopsTheOlderOne() {
         ActiveJob job = fixture.openJob(GANG);
-        Placement older = fixture.adopted(job, 0, fixture.machine("g-0"), 1, true);
-        Placement newer = fixture.adopted(job, 1, fixture.machine("g-1"), 2, true);
+        Placement older = fixture.adopt(job, 0, fixture.machine("g-0"), 1, true);
+        Placement newer = fixture.adopt(job, 1, fixture.machine("g-1"), 2, true);
         assertEquals(Placement.Phase.STOPPING, older.phase());
         assertEquals(Placement.Phase.SENT, newer.phase());
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -56,12 +56,12 @@
     }
 
     @Override
-    boolean allows(Phase from, Phase next) {
-        return from.allows(next);
+    boolean canTransition(Phase from, Phase next) {
+        return from.canTransitionTo(next);
     }
 
     @Override
-    void bringTo(Phase phase) {
+    void moveTo(Phase phase) {
         switch (phase) {
             case OPEN -> {}
             case COMPLETING -> job.markCompleting();
--- a/src/test/java/org/granitepath/coordination/model/CapacityHoldTest.java
+++ b/src/test/java/org/granitepath/coordination/model/CapacityHoldTest.java
@@ -21,9 +21,9 @@
 
     @Test
     void headroomIsKeptUntilItIsReleased() {
-        hold.keepAsHeadroom(true);
+        hold.setHeadroom(true);
         assertTrue(hold.isHeadroom());
-        hold.keepAsHeadroom(false);
+        hold.setHeadroom(false);
         assertFalse(hold.isHeadroom());
     }
 
@@ -52,7 +52,7 @@
 
     @Test
     void headroomAndReservationAreIndependent() {
-        hold.keepAsHeadroom(true);
+        hold.setHeadroom(true);
         hold.reserveFor(gang);
         hold.endReservation();
         assertTrue(hold.isHeadroom());
--- a/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
@@ -19,29 +19,29 @@
 
     @Test
     void aHeartbeatOfAMachineThatNeverLeftIsNoLateCopy() {
-        departed.left("i-1", 4);
-        assertFalse(departed.isLateCopy(heartbeat("i-2", 0)));
+        departed.add("i-1", 4);
+        assertFalse(departed.isFromDepartedMachine(heartbeat("i-2", 0)));
     }
 
     @ParameterizedTest(name = "left in epoch 4, heartbeat of epoch {0}: {1}")
     @CsvSource({"3, true", "4, true", "5, false"})
     void onlyAWorkerOfALaterAgentEpochMayJoinAgain(long agentEpoch, boolean lateCopy) {
-        departed.left("i-1", 4);
-        assertEquals(lateCopy, departed.isLateCopy(heartbeat("i-1", agentEpoch)));
+        departed.add("i-1", 4);
+        assertEquals(lateCopy, departed.isFromDepartedMachine(heartbeat("i-1", agentEpoch)));
     }
 
     @Test
     void noWorkerJoinsUnderTheNameOfAMachineThatTheCloudTookBack() {
-        departed.leftForGood("i-1");
-        assertTrue(departed.isLateCopy(heartbeat("i-1", Long.MAX_VALUE)));
+        departed.addPermanently("i-1");
+        assertTrue(departed.isFromDepartedMachine(heartbeat("i-1", Long.MAX_VALUE)));
     }
 
     @Test
     void theMachineThatLeftFirstIsForgottenFirst() {
         for (int i = 0; i <= DepartedMachines.MAX_REMEMBERED; i++) {
-            departed.left("i-" + i, 4);
+            departed.add("i-" + i, 4);
         }
-        assertFalse(departed.isLateCopy(heartbeat("i-0", 4)));
-        assertTrue(departed.isLateCopy(heartbeat("i-1", 4)));
+        assertFalse(departed.isFromDepartedMachine(heartbeat("i-0", 4)));
+        assertTrue(departed.isFromDepartedMachine(heartbeat("i-1", 4)));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/Fixtures.java
+++ b/src/test/java/org/granitepath/coordination/model/Fixtures.java
@@ -21,7 +21,7 @@
     /** A machine whose type is known and of which nothing else is. */
     public static Machine machine(String id, String zone) {
         Machine machine = new Machine(id, id + ":1", TYPE.name(), zone, false);
-        machine.typeKnown(TYPE);
+        machine.setType(TYPE);
         return machine;
     }
 
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -36,14 +36,14 @@
     @ParameterizedTest(name = "{0}, {1} -> {2}")
     @MethodSource("events")
     void eachEventInEachPhase(Phase from, String event, String expected) {
-        bringTo(from);
+        moveTo(from);
         apply(event);
         assertEquals(Phase.valueOf(expected), attempt.phase());
         assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.canAddTasks());
         assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.COMPLETING, attempt.isEnding());
     }
 
-    private void bringTo(Phase phase) {
+    private void moveTo(Phase phase) {
         switch (phase) {
             case FORMING -> {}
             case WAITING -> attempt.markWaiting(SECOND);
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -24,9 +24,9 @@
 
     @Test
     void whatIsTakenIsNotFree() {
-        capacity.typeKnown(Fixtures.TYPE);
+        capacity.setType(Fixtures.TYPE);
         assertEquals(4, capacity.slots(BATCH, 0, 0, 0));
-        capacity.take(BATCH);
+        capacity.allocate(BATCH);
         assertEquals(3, capacity.slots(BATCH, 0, 0, 0));
         assertEquals(0.25, capacity.usedCpuShare());
         assertTrue(capacity.hasFree(3_000, 6_000));
@@ -38,7 +38,7 @@
 
     @Test
     void theScarcestResourceDecides() {
-        capacity.typeKnown(Fixtures.TYPE);
+        capacity.setType(Fixtures.TYPE);
         assertEquals(4, capacity.slots(BATCH, 10_000, 0, 0), "memory for four");
         assertEquals(4, capacity.slots(BATCH, 0, 0, 10_000), "CPUs for four");
         assertEquals(6, capacity.slots(BATCH, 2_000, 0, 4_000));
@@ -47,9 +47,9 @@
 
     @Test
     void servicesAreCountedApart() {
-        capacity.take(BATCH);
+        capacity.allocate(BATCH);
         assertFalse(capacity.hasService());
-        capacity.take(SERVICE);
+        capacity.allocate(SERVICE);
         assertTrue(capacity.hasService());
         assertEquals(1_000, capacity.serviceCpuMillis());
         capacity.release(SERVICE);
--- a/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -22,7 +22,7 @@
 
     @BeforeEach
     void typeIsKnown() {
-        capacity.typeKnown(Fixtures.TYPE);
+        capacity.setType(Fixtures.TYPE);
     }
 
     @Test
@@ -32,7 +32,7 @@
         placements.add(first);
         placements.add(second);
         assertEquals(List.of(first, second), List.copyOf(placements.all()));
-        assertSame(second, placements.of(second.task()));
+        assertSame(second, placements.get(second.task()));
     }
 
     @Test
@@ -43,7 +43,7 @@
         assertTrue(placements.remove(placement));
         assertEquals(4_000, capacity.freeCpuMillis());
         assertTrue(placements.isEmpty());
-        assertNull(placements.of(placement.task()));
+        assertNull(placements.get(placement.task()));
     }
 
     @Test
@@ -60,7 +60,7 @@
         Placement later = Fixtures.placement(job, 0, machine, 2);
         placements.add(later);
         assertFalse(placements.remove(Fixtures.placement(job, 0, machine, 1)));
-        assertSame(later, placements.of(later.task()));
+        assertSame(later, placements.get(later.task()));
         assertEquals(3_000, capacity.freeCpuMillis());
     }
 
@@ -68,10 +68,10 @@
     void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
-        assertTrue(placements.fetches("image"));
-        assertFalse(placements.fetches("other"));
+        assertTrue(placements.isFetching("image"));
+        assertFalse(placements.isFetching("other"));
         placement.markRunning(3 * SECOND);
-        assertFalse(placements.fetches("image"));
+        assertFalse(placements.isFetching("image"));
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -53,12 +53,12 @@
     }
 
     @Override
-    boolean allows(Phase from, Phase next) {
-        return from.allows(next);
+    boolean canTransition(Phase from, Phase next) {
+        return from.canTransitionTo(next);
     }
 
     @Override
-    void bringTo(Phase phase) {
+    void moveTo(Phase phase) {
         switch (phase) {
             case UNCONFIRMED -> {}
             case READY -> machine.confirmTasks();
@@ -93,7 +93,7 @@
 
     @Test
     void aMachineThatDrainsIsNotSaidToBeUnconfirmedSinceLater() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         machine.confirmTasks();
         machine.drain("test");
         machine.markUnconfirmed(4 * SECOND, "test");
@@ -102,7 +102,7 @@
 
     @Test
     void itTakesTasksOnceItIsConfirmedAndOnRecord() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         assertEquals(7, machine.fencingToken());
         assertFalse(machine.isSchedulable());
         machine.confirmTasks();
@@ -113,9 +113,9 @@
         assertFalse(machine.isSchedulable(), "waits for a higher fencing token");
         machine.inventory().applyRaisedToken(8);
         assertTrue(machine.isSchedulable());
-        machine.typeKnown(null);
+        machine.setType(null);
         assertFalse(machine.isSchedulable(), "its capacity is not known");
-        machine.typeKnown(Fixtures.TYPE);
+        machine.setType(Fixtures.TYPE);
         machine.drain("test");
         assertFalse(machine.isSchedulable());
     }
@@ -134,7 +134,7 @@
 
     @Test
     void aMachineTakenOverIsAwaitedUntilWhatIsOnItIsKnown() {
-        machine.takenOverFromFormerLeader(SECOND, 30 * SECOND);
+        machine.takeOver(SECOND, 30 * SECOND);
         assertTrue(machine.isAwaitingFirstHeartbeat());
         assertEquals(30 * SECOND, machine.contact().leaseExpiryMicros());
         assertEquals(SECOND, machine.contact().lastHeartbeatMicros());
@@ -146,7 +146,7 @@
 
     @Test
     void aMachineThatWasUnresponsiveCountsAsIdleAndUnconfirmedAnew() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         machine.recordHeartbeat(false, 5 * SECOND);
         assertEquals(SECOND, machine.idleSinceMicros());
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
--- a/src/test/java/org/granitepath/coordination/model/MessageFindingsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MessageFindingsTest.java
@@ -25,8 +25,8 @@
 
     @Test
     void commandsKeepTheOrderInWhichTheyWereFound() {
-        findings.addCleanup(STOP);
-        findings.addCleanup(CLEAR);
+        findings.addCleanupCommand(STOP);
+        findings.addCleanupCommand(CLEAR);
         assertEquals(List.of(STOP, CLEAR), findings.cleanupCommands());
     }
 
@@ -39,18 +39,18 @@
 
     @Test
     void discardingTheCleanupLeavesUnconfirmedTasks() {
-        findings.addCleanup(STOP);
-        findings.taskUnconfirmed();
-        findings.discardCleanup();
+        findings.addCleanupCommand(STOP);
+        findings.addUnconfirmedTask();
+        findings.clearCleanupCommands();
         assertEquals(List.of(), findings.cleanupCommands());
         assertTrue(findings.hasUnconfirmedTasks());
     }
 
     @Test
     void theNextMessageVoidsAllFindings() {
-        findings.addCleanup(STOP);
-        findings.taskUnconfirmed();
-        findings.taskUnconfirmed();
+        findings.addCleanupCommand(STOP);
+        findings.addUnconfirmedTask();
+        findings.addUnconfirmedTask();
         findings.clear();
         assertEquals(List.of(), findings.cleanupCommands());
         assertFalse(findings.hasUnconfirmedTasks());
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -53,12 +53,12 @@
     }
 
     @Override
-    boolean allows(Phase from, Phase next) {
-        return from.allows(next);
+    boolean canTransition(Phase from, Phase next) {
+        return from.canTransitionTo(next);
     }
 
     @Override
-    void bringTo(Phase phase) {
+    void moveTo(Phase phase) {
         switch (phase) {
             case ASSIGNED -> {}
             case SENT -> placement.markSentDirectly();
@@ -93,7 +93,7 @@
 
     @Test
     void aDirectStartWithoutAnAnswerMayStillBeCarriedOutUnderItsTokenOrAnOlderOne() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         placement.markSentDirectly();
         assertFalse(placement.isSentInResponse());
         assertTrue(placement.hasUnacknowledgedStart(6));
@@ -103,7 +103,7 @@
 
     @Test
     void onlyTheAnswerToTheLatestCallCounts() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         placement.markSentDirectly();
         placement.acknowledgeDirectStart(6);
         assertTrue(placement.hasUnacknowledgedStart(7));
@@ -113,7 +113,7 @@
 
     @Test
     void aStartInAnAnswerIsNoDirectOne() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         placement.markSentInResponse();
         assertTrue(placement.isSentInResponse());
         assertFalse(placement.hasUnacknowledgedStart(7));
@@ -124,7 +124,7 @@
 
     @Test
     void whatIsListedHasArrived() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         placement.markSentDirectly();
         assertFalse(placement.hasBeenListed());
         placement.markListed(false);
--- a/src/test/java/org/granitepath/coordination/model/StartDeliveryTest.java
+++ b/src/test/java/org/granitepath/coordination/model/StartDeliveryTest.java
@@ -14,66 +14,66 @@
 
     @Test
     void whatWasNotSentIsNeitherSeenNorAnywhereElse() {
-        assertFalse(delivery.seen());
-        assertTrue(delivery.onlyHere());
-        assertFalse(delivery.wentOutInAnswer());
-        assertFalse(delivery.mayStillBeStarted(0));
+        assertFalse(delivery.hasBeenListed());
+        assertTrue(delivery.isOnlyOnThisMachine());
+        assertFalse(delivery.isSentInResponse());
+        assertFalse(delivery.hasUnacknowledgedStart(0));
     }
 
     @ParameterizedTest(name = "started under token 7, asked for token {0}: {1}")
     @CsvSource({"6, true", "7, true", "8, false"})
     void aDirectStartWithoutAnAnswerMayBeCarriedOutUnderItsTokenOrAnOlderOne(long token, boolean expected) {
-        delivery.sentDirectly(7);
-        assertEquals(expected, delivery.mayStillBeStarted(token));
+        delivery.markSentDirectly(7);
+        assertEquals(expected, delivery.hasUnacknowledgedStart(token));
     }
 
     @ParameterizedTest(name = "started under token 7, answered under token {0}: {1}")
     @CsvSource({"6, true", "7, false", "8, true"})
     void onlyTheAnswerToTheLatestCallCounts(long answered, boolean mayStillBeStarted) {
-        delivery.sentDirectly(7);
-        delivery.answered(answered);
-        assertEquals(mayStillBeStarted, delivery.mayStillBeStarted(7));
+        delivery.markSentDirectly(7);
+        delivery.acknowledge(answered);
+        assertEquals(mayStillBeStarted, delivery.hasUnacknowledgedStart(7));
     }
 
     @Test
     void aStartInAnAnswerLeavesAnEarlierDirectOneUnanswered() {
-        delivery.sentDirectly(7);
-        delivery.sentInAnswer();
-        assertTrue(delivery.wentOutInAnswer());
-        assertTrue(delivery.mayStillBeStarted(7));
+        delivery.markSentDirectly(7);
+        delivery.markSentInResponse();
+        assertTrue(delivery.isSentInResponse());
+        assertTrue(delivery.hasUnacknowledgedStart(7));
     }
 
     @Test
     void aDirectStartTakesThePlaceOfOneInAnAnswer() {
-        delivery.sentInAnswer();
-        delivery.sentDirectly(7);
-        assertFalse(delivery.wentOutInAnswer());
+        delivery.markSentInResponse();
+        delivery.markSentDirectly(7);
+        assertFalse(delivery.isSentInResponse());
     }
 
     @Test
     void whatIsListedHasArrived() {
-        delivery.sentDirectly(7);
-        delivery.listed(false);
-        assertTrue(delivery.seen());
-        assertFalse(delivery.mayStillBeStarted(7));
+        delivery.markSentDirectly(7);
+        delivery.markListed(false);
+        assertTrue(delivery.hasBeenListed());
+        assertFalse(delivery.hasUnacknowledgedStart(7));
     }
 
     @ParameterizedTest(name = "adopted under the present token: {0}")
     @CsvSource({"true", "false"})
     void anAdoptedAttemptWasSeen(boolean underPresentToken) {
         StartDelivery adopted = StartDelivery.adopted(underPresentToken);
-        assertTrue(adopted.seen());
-        assertEquals(underPresentToken, adopted.onlyHere());
+        assertTrue(adopted.hasBeenListed());
+        assertEquals(underPresentToken, adopted.isOnlyOnThisMachine());
     }
 
     @Test
     void anAdoptedAttemptIsOnlyHereOnceItIsListedUnderThePresentToken() {
         StartDelivery adopted = StartDelivery.adopted(false);
-        adopted.listed(false);
-        assertFalse(adopted.onlyHere());
-        adopted.listed(true);
-        assertTrue(adopted.onlyHere());
-        adopted.listed(false);
-        assertTrue(adopted.onlyHere(), "what was proved once stays so");
+        adopted.markListed(false);
+        assertFalse(adopted.isOnlyOnThisMachine());
+        adopted.markListed(true);
+        assertTrue(adopted.isOnlyOnThisMachine());
+        adopted.markListed(false);
+        assertTrue(adopted.isOnlyOnThisMachine(), "what was proved once stays so");
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/StateMachineRules.java
+++ b/src/test/java/org/granitepath/coordination/model/StateMachineRules.java
@@ -17,10 +17,10 @@
     abstract P phase();
 
     /** Whether the state machine lets an object go from one phase to another. */
-    abstract boolean allows(P from, P next);
+    abstract boolean canTransition(P from, P next);
 
     /** Brings the new object under test to this phase, by its own events. */
-    abstract void bringTo(P phase);
+    abstract void moveTo(P phase);
 
     /** Lets the event of this column of the table happen to the object under test. */
     abstract void apply(String event);
@@ -28,13 +28,13 @@
     @ParameterizedTest(name = "{0} -> {1}: {2}")
     @MethodSource("steps")
     void onlyTheseStepsAreAllowed(P from, P next, boolean allowed) {
-        assertEquals(allowed, allows(from, next));
+        assertEquals(allowed, canTransition(from, next));
     }
 
     @ParameterizedTest(name = "{0}, {1} -> {2}")
     @MethodSource("events")
     void eachEventInEachPhase(P from, String event, String expected) {
-        bringTo(from);
+        moveTo(from);
         assertEquals(from, phase());
         if (RuleTable.REFUSED.equals(expected)) {
             assertThrows(IllegalStateException.class, () -> apply(event));
--- a/src/test/java/org/granitepath/coordination/model/TaskNumbersTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TaskNumbersTest.java
@@ -26,14 +26,14 @@
         assertEquals(4, numbers.unconfirmedCount());
         assertEquals(1, numbers.doneCount());
         assertTrue(numbers.isDone(1));
-        assertFalse(numbers.hasClaimed(), "none is proved to be on no machine");
+        assertFalse(numbers.hasStartableTask(), "none is proved to be on no machine");
     }
 
     @Test
     void allThatIsClaimedCountsAsStarted() {
-        assertEquals(5, numbers.claimed());
+        assertEquals(5, numbers.claimedTasks());
         assertEquals(5, numbers.requestedClaim());
-        assertEquals(5, numbers.firstNeverStarted());
+        assertEquals(5, numbers.firstUnstartedTask());
     }
 
     @Test
@@ -45,66 +45,66 @@
     @Test
     void theLowestNumberThatIsFreeAgainGoesFirst() {
         numbers.resolveUnconfirmed();
-        numbers.claimRecorded(6);
-        assertEquals(0, numbers.firstFreed());
+        numbers.confirmClaim(6);
+        assertEquals(0, numbers.firstFreedTask());
         assertEquals(0, numbers.take());
         assertEquals(2, numbers.take());
         numbers.take(3);
         assertEquals(4, numbers.take());
         assertEquals(5, numbers.take(), "never started before");
-        assertFalse(numbers.hasClaimed());
+        assertFalse(numbers.hasStartableTask());
     }
 
     @Test
     void noneIsFreeAgainWhileAllAreUnconfirmed() {
-        assertThrows(NoSuchElementException.class, numbers::firstFreed);
+        assertThrows(NoSuchElementException.class, numbers::firstFreedTask);
     }
 
     @Test
     void aRequestedClaimStartsNothing() {
-        numbers.claimRequested(8);
+        numbers.requestClaim(8);
         assertEquals(8, numbers.requestedClaim());
-        assertEquals(5, numbers.claimed());
-        assertFalse(numbers.hasClaimed());
-        numbers.claimRecorded(8);
-        assertTrue(numbers.hasClaimed());
+        assertEquals(5, numbers.claimedTasks());
+        assertFalse(numbers.hasStartableTask());
+        numbers.confirmClaim(8);
+        assertTrue(numbers.hasStartableTask());
     }
 
     @Test
     void whatIsPlacedIsNeitherUnconfirmedNorFree() {
-        numbers.placed(0);
+        numbers.markPlaced(0);
         assertEquals(3, numbers.unconfirmedCount());
         numbers.resolveUnconfirmed();
-        assertEquals(2, numbers.firstFreed());
-        numbers.placed(2);
-        assertEquals(3, numbers.firstFreed());
+        assertEquals(2, numbers.firstFreedTask());
+        numbers.markPlaced(2);
+        assertEquals(3, numbers.firstFreedTask());
     }
 
     @Test
     void whatMayBeElsewhereIsUnconfirmedAgain() {
-        numbers.placed(0);
-        numbers.unplaced(0, true);
+        numbers.markPlaced(0);
+        numbers.markRemoved(0, true);
         assertEquals(4, numbers.unconfirmedCount());
-        assertFalse(numbers.hasClaimed());
+        assertFalse(numbers.hasStartableTask());
     }
 
     @Test
     void whatIsNowhereIsFreeAgain() {
-        numbers.placed(0);
-        numbers.unplaced(0, false);
+        numbers.markPlaced(0);
+        numbers.markRemoved(0, false);
         assertEquals(3, numbers.unconfirmedCount());
-        assertEquals(0, numbers.firstFreed());
+        assertEquals(0, numbers.firstFreedTask());
     }
 
     @Test
     void whatIsDoneIsCountedOnceAndNeverFreeAgain() {
-        numbers.placed(0);
+        numbers.markPlaced(0);
         numbers.markDone(0);
         numbers.markDone(0);
         assertEquals(2, numbers.doneCount());
-        numbers.unplaced(0, false);
-        assertFalse(numbers.hasClaimed());
-        numbers.unplaced(0, true);
+        numbers.markRemoved(0, false);
+        assertFalse(numbers.hasStartableTask());
+        numbers.markRemoved(0, true);
         assertEquals(3, numbers.unconfirmedCount());
     }
 
@@ -116,12 +116,12 @@
 
     @Test
     void allAreDoneTogether() {
-        numbers.placed(0);
-        numbers.unplaced(0, false);
+        numbers.markPlaced(0);
+        numbers.markRemoved(0, false);
         numbers.markAllDone(10);
         assertEquals(10, numbers.doneCount());
         assertTrue(numbers.isDone(9));
         assertEquals(0, numbers.unconfirmedCount());
-        assertFalse(numbers.hasClaimed());
+        assertFalse(numbers.hasStartableTask());
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
@@ -38,38 +38,38 @@
     @Test
     void aJobWithoutZoneRulesMayStandAnywhere() {
         TasksByZone tasks = tasksByZone(Fixtures.spec(JobSpec.Shape.BATCH, false, false), "south");
-        assertTrue(tasks.allows("north", 1_000));
+        assertTrue(tasks.canPlaceInZone("north", 1_000));
     }
 
     @Test
     void oneZoneStandsWhileATaskIsThere() {
         TasksByZone tasks = tasksByZone(ONE_ZONE, "south");
-        assertTrue(tasks.allows("south", 0));
-        assertFalse(tasks.allows("north", 0));
+        assertTrue(tasks.canPlaceInZone("south", 0));
+        assertFalse(tasks.canPlaceInZone("north", 0));
         tasks.remove("south");
-        assertTrue(tasks.allows("north", 0));
+        assertTrue(tasks.canPlaceInZone("north", 0));
     }
 
     @Test
     void oneZoneIsNotKnownWhileAnyTaskIsUnconfirmed() {
-        assertTrue(tasksByZone(ONE_ZONE).allows("north", 0));
-        assertFalse(tasksByZone(ONE_ZONE).allows("north", 1));
+        assertTrue(tasksByZone(ONE_ZONE).canPlaceInZone("north", 0));
+        assertFalse(tasksByZone(ONE_ZONE).canPlaceInZone("north", 1));
     }
 
     @Test
     void aSpreadJobMayStandInAZoneUpToItsCap() {
         TasksByZone tasks = tasksByZone(SPREAD);
         for (int placed = 0; placed < SPREAD.zoneCap(); placed++) {
-            assertTrue(tasks.allows("north", 0), placed + " placed");
+            assertTrue(tasks.canPlaceInZone("north", 0), placed + " placed");
             tasks.add("north");
         }
-        assertFalse(tasks.allows("north", 0));
-        assertTrue(tasks.allows("south", 0));
+        assertFalse(tasks.canPlaceInZone("north", 0));
+        assertTrue(tasks.canPlaceInZone("south", 0));
     }
 
     @Test
     void unconfirmedTasksCountInEachZone() {
-        assertTrue(tasksByZone(SPREAD).allows("north", SPREAD.zoneCap() - 1));
-        assertFalse(tasksByZone(SPREAD).allows("north", SPREAD.zoneCap()));
+        assertTrue(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.zoneCap() - 1));
+        assertFalse(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.zoneCap()));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -36,7 +36,7 @@
         contact.fence();
         assertTrue(contact.hasProbeFailed());
         assertTrue(contact.isFenced());
-        contact.heartbeatReceived(3 * SECOND);
+        contact.recordHeartbeat(3 * SECOND);
         assertFalse(contact.hasProbeFailed());
         assertFalse(contact.isFenced());
         assertEquals(3 * SECOND, contact.lastHeartbeatMicros());
@@ -56,7 +56,7 @@
     @Test
     void aCallThatAHeartbeatOvertookHasNotFailed() {
         contact.beginCall(2 * SECOND);
-        contact.heartbeatReceived(3 * SECOND);
+        contact.recordHeartbeat(3 * SECOND);
         contact.endCall();
         contact.recordCallResult(false);
         assertFalse(contact.hasProbeFailed());
@@ -64,7 +64,7 @@
 
     @Test
     void anAnswerIsNoHeartbeat() {
-        contact.heartbeatReceived(SECOND);
+        contact.recordHeartbeat(SECOND);
         contact.beginCall(2 * SECOND);
         contact.endCall();
         contact.recordCallResult(true);
@@ -114,17 +114,17 @@
 
     @Test
     void itIsUnresponsiveAfterTwoHeartbeatsAndAMargin() {
-        contact.heartbeatReceived(10 * SECOND);
+        contact.recordHeartbeat(10 * SECOND);
         assertFalse(contact.isUnresponsive(21 * SECOND, 5 * SECOND));
         assertTrue(contact.isUnresponsive(21 * SECOND + 1, 5 * SECOND));
     }
 
     @Test
     void aPauseOfThisProcessIsExcusedButNeverLiesAhead() {
-        contact.heartbeatReceived(10 * SECOND);
-        contact.excusePause(4 * SECOND, 20 * SECOND);
+        contact.recordHeartbeat(10 * SECOND);
+        contact.compensateForPause(4 * SECOND, 20 * SECOND);
         assertEquals(14 * SECOND, contact.lastHeartbeatMicros());
-        contact.excusePause(60 * SECOND, 20 * SECOND);
+        contact.compensateForPause(60 * SECOND, 20 * SECOND);
         assertEquals(20 * SECOND, contact.lastHeartbeatMicros());
     }
 }
