--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -32,7 +32,7 @@
             return;
         }
         List<String> zones = new ArrayList<>(demand.config().topology().zones());
-        zones.removeIf(zone -> market.isCutOff(zone) || !job.zoneAllows(zone));
+        zones.removeIf(zone -> market.isCutOff(zone) || !job.canPlaceInZone(zone));
         zones.sort(Comparator.comparingInt((String zone) -> slots(spec, ZoneFilter.only(zone)))
                 .reversed());
         for (String zone : zones) {
@@ -50,8 +50,8 @@
     private int freeSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
         for (Machine machine : demand.fleet().machines()) {
-            boolean usable = machine.takesTasks()
-                    && machine.allowedFor(spec)
+            boolean usable = machine.isSchedulable()
+                    && machine.isAllowedFor(spec)
                     && zones.includes(machine.zone())
                     && (machine.reservedFor() == null
                             || machine.reservedFor().spec().equals(spec));
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -37,7 +37,7 @@
 
     /** Adds launches for the headroom that is lacking. */
     void make() {
-        ActiveJob newest = demand.arrivalRate().newest();
+        ActiveJob newest = demand.arrivalRate().newestJob();
         if (newest == null) {
             return;
         }
@@ -58,18 +58,18 @@
 
     /** What arrives while a machine of this type boots, up to a share of what the present services use. */
     private double wantedCpuMillis(MachineType type) {
-        double arrivingCpuMillis = demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
+        double arrivingCpuMillis = demand.arrivalRate().cpuMillisPerMicro(nowMicros) * type.bootMicros();
         double mostCpuMillis = demand.config().tuning().scaling().headroomShare() * servicesCpuMillis;
         return Math.min(arrivingCpuMillis, mostCpuMillis);
     }
 
     private void countFleet(ActiveJob newest) {
         for (Machine machine : demand.fleet().machines()) {
-            if (!machine.spot()
+            if (!machine.isSpot()
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && machine.type().fits(newest.spec())) {
-                long usedCpuMillis = machine.capacity().cpuUsedByServices();
+                long usedCpuMillis = machine.capacity().serviceCpuMillis();
                 servicesCpuMillis += usedCpuMillis;
                 countAvailable(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
             }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -44,8 +44,8 @@
     /** Whether its heartbeats arrive, but our answers and commands have not reached it for a lease. */
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && !machine.isAwaitingFirstHeartbeat()
+                && machine.inventory().isRecorded()
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
 
@@ -59,7 +59,7 @@
      * failover its heartbeats may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed()
+        return machine.contact().hasProbeFailed()
                 ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : workers.leaseMicros();
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -75,22 +75,22 @@
         Fleet fleet = demand.fleet();
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
-            if (type != null && justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
-                plan.pending(type, machine.zone(), machine.spot());
+            if (type != null && justJoined(machine) && !fleet.isHeartbeatOverdue(machine, nowMicros)) {
+                plan.pending(type, machine.zone(), machine.isSpot());
             }
         }
     }
 
     /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
     private static boolean justJoined(Machine machine) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
+        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.isAwaitingFirstHeartbeat();
     }
 
     private boolean launchesFor(ActiveJob job, long nowMicros) {
         return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
-                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && (job.gangAttempt() == null || job.gangAttempt().canAddTasks())
                 && rules.isWithinTeamLimit(job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -44,7 +44,7 @@
         List<InventoryRecord.Host> rows = new ArrayList<>();
         for (Machine machine : machines) {
             if (cleanupTokensDue) {
-                machine.inventory().cleanupTokenDue();
+                machine.inventory().requireCleanupTokenNow();
             }
             rows.add(machine.inventoryRow(tokenToWrite(machine)));
         }
@@ -53,7 +53,7 @@
     }
 
     private long tokenToWrite(Machine machine) {
-        if (!machine.inventory().recorded()) {
+        if (!machine.inventory().isRecorded()) {
             machinesAdded.add(machine);
         }
         if (isSplit || !machine.inventory().needsNewToken()) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -35,7 +35,7 @@
 
     /** The placements whose starts may go out now. */
     List<Placement> startable(Machine machine) {
-        if (!machine.takesTasks() || !leadership.canStartTasks()) {
+        if (!machine.isSchedulable() || !leadership.canStartTasks()) {
             return List.of();
         }
         return machine.placements().stream()
@@ -49,7 +49,7 @@
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
             answer.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            placement.sentInAnswer();
+            placement.markSentInResponse();
         }
         return answer;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -52,7 +52,7 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "");
+                machine.isSpot() ? " spot" : "");
         fleet.add(machine);
         inventory.add(machine);
     }
@@ -86,13 +86,13 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "",
+                machine.isSpot() ? " spot" : "",
                 machine.placements().size());
-        machine.leaseExpired();
+        machine.expireLease();
         tasks.freeAll(machine, "its worker's lease is over");
-        machine.confirmationLost(timers.nowMicros(), "its lease is over");
+        machine.markUnconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
-        recovery.resolved(machine, "its lease is over");
+        recovery.resolve(machine, "its lease is over");
         loop.requestCycle();
     }
 
@@ -102,7 +102,7 @@
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
         }
-        fleet.terminatedForGood(id);
+        fleet.markTerminated(id);
     }
 
     /** Nothing that we or anyone started can be on this machine any more. */
@@ -110,13 +110,13 @@
         if (machine.isGone()) {
             return;
         }
-        machine.provedGone(why);
+        machine.markGone(why);
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
         commands.remove(machine);
         inventory.remove(machine);
-        recovery.resolved(machine, why);
+        recovery.resolve(machine, why);
         loop.requestCycle();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -49,7 +49,7 @@
             if (!needsCall(machine)) {
                 continue;
             }
-            if (machine.contact().callInFlight()) {
+            if (machine.contact().hasCallInFlight()) {
                 callAgainLater(machine);
             } else {
                 call(machine);
@@ -63,16 +63,16 @@
     }
 
     private static boolean needsCall(Machine machine) {
-        return machine.awaitingFirstHeartbeat()
+        return machine.isAwaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.contact().fenced();
+                && !machine.contact().isFenced();
     }
 
     private void call(Machine machine) {
         callsUnderWay++;
         calls.callWithoutCommands(machine, () -> {
             callsUnderWay--;
-            if (machine.awaitingFirstHeartbeat()) {
+            if (machine.isAwaitingFirstHeartbeat()) {
                 callAgainLater(machine);
             }
             callNext();
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -47,26 +47,26 @@
                 placement.agentEpoch() < heartbeat.agentEpoch(),
                 underPresentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
-                placement.mayStillBeStarted(heartbeat.fencingToken()),
-                placement.seen(),
-                placement.wentOutInAnswer(),
+                placement.hasUnacknowledgedStart(heartbeat.fencingToken()),
+                placement.hasBeenListed(),
+                placement.isSentInResponse(),
                 origin == MessageOrigin.HEARTBEAT));
     }
 
     private RecordedTaskState recordedTask(@Nullable ActiveJob job, TaskId task) {
-        if (job == null || job.phase() == ActiveJob.Phase.OVER) {
+        if (job == null || job.phase() == ActiveJob.Phase.ENDED) {
             return jobIndex.recorded(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
             return RecordedTaskState.NOT_IN_JOB;
         }
-        if (job.phase() == ActiveJob.Phase.ENDING) {
+        if (job.phase() == ActiveJob.Phase.COMPLETING) {
             return RecordedTaskState.JOB_DONE;
         }
         if (job.isDone(task.index())) {
             return RecordedTaskState.TASK_DONE;
         }
-        return task.index() < job.claimed() ? RecordedTaskState.CLAIMED : RecordedTaskState.UNCLAIMED;
+        return task.index() < job.claimedTasks() ? RecordedTaskState.CLAIMED : RecordedTaskState.UNCLAIMED;
     }
 
     private static KnownPlacement knownPlacement(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -46,7 +46,7 @@
     /** The machine's latest message lists the attempt that is placed there with this status. */
     void update(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
         switch (status.state()) {
-            case FETCHING -> placement.fetching();
+            case FETCHING -> placement.markFetching();
             case WAITING -> waiting(machine, placement, nowMicros);
             case RUNNING -> running(machine, placement, nowMicros);
             case SAVING -> saving(placement);
@@ -55,11 +55,11 @@
     }
 
     private void waiting(Machine machine, Placement placement, long nowMicros) {
-        machine.capacity().imageSeen(placement.job().spec().image());
-        placement.waiting();
+        machine.capacity().addImage(placement.job().spec().image());
+        placement.markWaiting();
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null) {
-            attempt.waiting(nowMicros);
+            attempt.markWaiting(nowMicros);
         }
     }
 
@@ -72,20 +72,21 @@
     private void running(Machine machine, Placement placement, long nowMicros) {
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null) {
-            attempt.running();
+            attempt.markRunning();
         }
         if (!placement.hasRun()) {
-            machine.capacity().imageSeen(placement.job().spec().image());
+            machine.capacity().addImage(placement.job().spec().image());
         }
-        placement.running(nowMicros);
-        if (placement.ranMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
-            machines.drainFaulty(faults.proved(placement, nowMicros));
+        placement.markRunning(nowMicros);
+        if (placement.runTimeMicros(nowMicros) >= FaultTracker.HEALTHY_RUN_MICROS
+                && faults.isUnderObservation(placement)) {
+            machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         }
     }
 
     /** A gang saves its progress only when all its tasks are told to: a former leader may not have come to that. */
     private void saving(Placement placement) {
-        placement.saving();
+        placement.markSaving();
         GangAttempt attempt = presentGangAttempt(placement);
         if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
             tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang saves");
@@ -103,16 +104,16 @@
                     machine.id(),
                     status.task(),
                     status.attempt());
-            machines.drainFaulty(faults.failed(machine, job, nowMicros));
+            machines.drainFaulty(faults.recordFailure(machine, job, nowMicros));
         } else if (startWasRefused(status)) {
-            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_DELAY_MICROS);
+            job.scheduling().delayStartsUntil(nowMicros + REFUSED_START_DELAY_MICROS);
         }
         if (endsGangAttempt(placement, status)) {
             tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
         }
         tasks.free(placement, "exited: " + status.cause());
-        jobs.endIfDone(job);
-        loop.wantCycle();
+        jobs.completeIfDone(job);
+        loop.markCycleNeeded();
     }
 
     /** A service's task never completes its job, however it exits. */
@@ -133,15 +134,15 @@
     private void completed(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         markDone(job, placement.task().index());
-        machines.drainFaulty(faults.proved(placement, nowMicros));
+        machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         if (showsWholeRuntime(placement)) {
-            runtimeEstimator.finished(job, placement.ranMicros(nowMicros));
+            runtimeEstimator.recordFinishedTask(job, placement.runTimeMicros(nowMicros));
         }
         jobs.recordTaskDone(job);
     }
 
     private static boolean showsWholeRuntime(Placement placement) {
-        return placement.hasRun() && placement.onlyHere() && !placement.wasAdopted();
+        return placement.hasRun() && placement.isOnlyOnThisMachine() && !placement.isAdopted();
     }
 
     /** The tasks of a gang complete together: one tells of all. */
@@ -153,7 +154,7 @@
         job.markAllDone();
         GangAttempt attempt = job.gangAttempt();
         if (attempt != null) {
-            attempt.completed();
+            attempt.markCompleted();
         }
     }
 
@@ -165,7 +166,7 @@
         if (placement != null && !job.spec().gang()) {
             tasks.stop(placement, 0, "done elsewhere");
         } else {
-            jobs.endIfDone(job);
+            jobs.completeIfDone(job);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -21,11 +21,11 @@
     /** The machine's new fencing token is on record: it must show it before it is given work again. */
     public void tokenRaised(Machine machine) {
         long nowMicros = timers.nowMicros();
-        if (fleet.unresponsive(machine, nowMicros)) {
+        if (fleet.isUnresponsive(machine, nowMicros)) {
             machine.contact().fence();
             extendLeaseInPeerZone(machine, nowMicros);
         }
-        machine.confirmationLost(nowMicros, "fencing token raised to " + machine.fencingToken());
+        machine.markUnconfirmed(nowMicros, "fencing token raised to " + machine.fencingToken());
     }
 
     /** A controller cut off together with the machine may not know yet, and go on under the former token. */
@@ -34,7 +34,7 @@
             long longestMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
                     + config.workers().longestLeaseMicros();
-            machine.contact().leaseRunsUntil(longestMicros, false);
+            machine.contact().setLeaseExpiry(longestMicros, false);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -32,7 +32,7 @@
 
     /** Starts lost tasks anew, as far as there is capacity; stops the gang once the rest would come too late. */
     void completeOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
-        if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
+        if (!attempt.canAddTasks() || job.unconfirmedTasks() > 0) {
             return;
         }
         replaceLostTasks(job, attempt, machinesWithCapacity, nowMicros);
@@ -47,7 +47,7 @@
     private void replaceLostTasks(
             ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         while (job.waitingTasks() > 0) {
-            int index = job.firstFreed();
+            int index = job.firstFreedTask();
             Machine machine = replacementMachine(job, attempt, index, machinesWithCapacity, nowMicros);
             if (machine == null) {
                 return;
@@ -70,7 +70,7 @@
         }
         return preference.best(
                 machinesWithCapacity,
-                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.wasTriedOn(index, machine.id()),
+                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.hasBeenTriedOn(index, machine.id()),
                 job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -46,8 +46,8 @@
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
         Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (!machine.spot() && machine.takesTasks()) {
-                freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
+            if (!machine.isSpot() && machine.isSchedulable()) {
+                freeCpuMillis.addTo(machine.zone(), machine.capacity().freeCpuMillis());
             }
         }
         return freeCpuMillis;
@@ -56,7 +56,7 @@
     /** Whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
         return batchPlanner.largestPromptGangCpuMillis() > 0
-                && !machine.spot()
+                && !machine.isSpot()
                 && machine.zone().equals(zone);
     }
 
@@ -79,13 +79,13 @@
 
     /** Whether this idle machine is to be kept: without it too little would be free. */
     public boolean keeps(Machine machine) {
-        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().cpuFree();
+        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().freeCpuMillis();
     }
 
     /** Notes that a machine is terminated. */
     public void terminated(Machine machine) {
         if (isPartOfHeadroom(machine)) {
-            spareCpuMillis -= machine.capacity().cpuFree();
+            spareCpuMillis -= machine.capacity().freeCpuMillis();
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -34,7 +34,7 @@
     }
 
     private boolean hasEnded(ActiveJob job, long nowMicros) {
-        return !job.scheduling().holdsReservation()
+        return !job.scheduling().hasReservation()
                 || nowMicros - job.scheduling().reservedSinceMicros() > maxDurationMicros(job);
     }
 
@@ -53,11 +53,11 @@
      * over, none is reserved for it for a while, so that other work has its turn.
      */
     void reserve(ActiveJob job, long nowMicros) {
-        if (nowMicros < job.scheduling().noReservationUntilMicros()) {
+        if (nowMicros < job.scheduling().reservationBlockedUntilMicros()) {
             return;
         }
-        if (!job.scheduling().holdsReservation()) {
-            job.scheduling().reservationBegins(nowMicros);
+        if (!job.scheduling().hasReservation()) {
+            job.scheduling().beginReservation(nowMicros);
         } else if (hasEnded(job, nowMicros)) {
             end(job, nowMicros);
             return;
@@ -71,8 +71,8 @@
         LOG.debug(
                 "job {}: its reservation ends, the gang does not fit",
                 job.spec().id());
-        job.scheduling().reservationEnds();
-        job.scheduling().reserveNothingUntil(nowMicros + config.tuning().gangHoldMicros());
+        job.scheduling().endReservation();
+        job.scheduling().blockReservationUntil(nowMicros + config.tuning().gangHoldMicros());
         fleet.machines().forEach(machine -> machine.endReservationFor(job));
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -52,7 +52,7 @@
         GangAttempt attempt = job.gangAttempt();
         if (attempt != null) {
             completion.completeOrStop(job, attempt, machinesWithCapacity, nowMicros);
-        } else if (job.running() == 0 && job.claimed() >= job.spec().tasks()) {
+        } else if (job.runningTasks() == 0 && job.claimedTasks() >= job.spec().tasks()) {
             startOrReserve(job, machinesWithCapacity, nowMicros);
         }
     }
@@ -77,7 +77,7 @@
                 job.spec().tasks(),
                 (nowMicros - job.scheduling().waitingSinceMicros()) / MICROS_PER_MILLISECOND,
                 placement.imageFetches());
-        job.scheduling().reservationEnds();
+        job.scheduling().endReservation();
         tasks.startGang(job, placement.machines(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -38,21 +38,21 @@
     }
 
     /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
-    public boolean noMachineAwaited() {
+    public boolean hasResolvedAllMachines() {
         return plan.isEveryMachineResolved();
     }
 
     /** Whether a task of this job may be on a machine that is still awaited. */
-    boolean mayRunOnAwaitedMachine(ActiveJob job) {
+    boolean canRunOnAwaitedMachine(ActiveJob job) {
         return plan.verdictOnUnlistedTask(job.spec()) == Verdict.UNCONFIRMED;
     }
 
     /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
-    public void resolved(Machine machine, String proof) {
-        if (!machine.awaitingFirstHeartbeat()) {
+    public void resolve(Machine machine, String proof) {
+        if (!machine.isAwaitingFirstHeartbeat()) {
             return;
         }
-        machine.takeoverResolved();
+        machine.resolveTakeover();
         if (plan.resolveMachine(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
@@ -61,19 +61,19 @@
 
     /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
-        if (job.unconfirmedTasks() > 0 && !mayRunOnAwaitedMachine(job)) {
+        if (job.unconfirmedTasks() > 0 && !canRunOnAwaitedMachine(job)) {
             plan.countVerdicts(Verdict.LOST, job.unconfirmedTasks());
             job.resolveUnconfirmed();
         }
     }
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
-    public boolean mayStart(ActiveJob job) {
+    public boolean canStart(ActiveJob job) {
         return plan.canStart(job.spec());
     }
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
-    public void cycleBegins(long nowMicros) {
+    public void onCycleStart(long nowMicros) {
         plan.endHoldIfDue(nowMicros);
     }
 
@@ -83,7 +83,7 @@
      * @param tasksAwaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
      *     for them
      */
-    public void cycleEnded(int tasksAwaitingPreemption) {
+    public void onCycleEnd(int tasksAwaitingPreemption) {
         if (!plan.isBatchWorkHeld()) {
             return;
         }
@@ -97,7 +97,7 @@
      * Whether capacity that is free may be wanted shortly by live work: machines that look idle are kept until it is
      * known what of that work is lost.
      */
-    public boolean keepsIdleMachines() {
+    public boolean isKeepingIdleMachines() {
         return plan.isBatchWorkHeld()
                 || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
@@ -116,9 +116,9 @@
                 continue;
             }
             unconfirmedTasks += job.unconfirmedTasks();
-            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasClaimedTask() ? 1 : 0;
+            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasStartableTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
-                unacknowledgedTasks += placement.seen() ? 0 : 1;
+                unacknowledgedTasks += placement.hasBeenListed() ? 0 : 1;
             }
         }
         return new LiveWorkBacklog(unconfirmedTasks, jobsAwaitingClaim, unacknowledgedTasks, tasksAwaitingPreemption);
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -43,31 +43,31 @@
         List<DueJob> possiblyInTime = new ArrayList<>();
         List<DueJob> late = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
-            if (job.running() > 0) {
-                job.scheduling().seenRunning(nowMicros);
+            if (job.runningTasks() > 0) {
+                job.scheduling().recordRunning(nowMicros);
             }
             SchedulingClass fixedClass = classWhateverTheDeadline(job, nowMicros);
-            job.scheduling().classify(fixedClass);
-            if (fixedClass == SchedulingClass.ANY && isToBeInTime(job)) {
+            job.scheduling().setSchedulingClass(fixedClass);
+            if (fixedClass == SchedulingClass.OTHER && isToBeInTime(job)) {
                 DueJob due = dueJob(job, nowMicros);
-                boolean possible = runtimeEstimator.taskMicros(job) <= due.timeLeftMicros();
+                boolean possible = runtimeEstimator.expectedTaskMicros(job) <= due.timeLeftMicros();
                 List<DueJob> jobs = possible ? possiblyInTime : late;
                 jobs.add(due);
             }
         }
-        double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.IN_TIME, 0);
+        double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.MEETS_DEADLINE, 0);
         List<DueJob> possiblyNearlyInTime = withExtendedDeadlines(late);
-        selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.NEARLY, workInTime);
+        selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.MEETS_EXTENDED_DEADLINE, workInTime);
     }
 
     /** The class of a job that needs no deadline to be in it; {@code ANY} for all others. */
     private SchedulingClass classWhateverTheDeadline(ActiveJob job, long nowMicros) {
-        if (job.isLive()) {
-            return SchedulingClass.LIVE;
+        if (job.isLiveService()) {
+            return SchedulingClass.LIVE_SERVICE;
         }
         return objectives.isStarved(job, nowMicros) || objectives.isGangWithObjective(job)
-                ? SchedulingClass.IN_TIME
-                : SchedulingClass.ANY;
+                ? SchedulingClass.MEETS_DEADLINE
+                : SchedulingClass.OTHER;
     }
 
     private boolean isToBeInTime(ActiveJob job) {
@@ -88,7 +88,7 @@
             double times = objectives.of(due.job()).deadlineTimes();
             double timeLeftMicros =
                     due.timeLeftMicros() + (times - 1) * due.job().spec().deadlineMicros();
-            if (times > 1 && runtimeEstimator.taskMicros(due.job()) <= timeLeftMicros) {
+            if (times > 1 && runtimeEstimator.expectedTaskMicros(due.job()) <= timeLeftMicros) {
                 extended.add(new DueJob(due.job(), due.work(), timeLeftMicros));
             }
         }
@@ -121,12 +121,12 @@
             }
         }
         for (DueJob due : selected) {
-            due.job().scheduling().classify(schedulingClass);
+            due.job().scheduling().setSchedulingClass(schedulingClass);
         }
         return sum;
     }
 
     private double usableMicros(DueJob due) {
-        return due.timeLeftMicros() - LAST_WAVE_TASK_SHARE * runtimeEstimator.taskMicros(due.job());
+        return due.timeLeftMicros() - LAST_WAVE_TASK_SHARE * runtimeEstimator.expectedTaskMicros(due.job());
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -54,19 +54,19 @@
     public double score(Machine machine, JobSpec spec) {
         MachineType type = ImageFetch.knownType(machine);
         double score = imageScore(machine, type, spec);
-        score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().cpuFree() - spec.cpuMillis()) / type.cpuMillis();
+        score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().freeCpuMillis() - spec.cpuMillis()) / type.cpuMillis();
         score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
-        boolean hostsService = machine.capacity().hostsService();
+        boolean hostsService = machine.capacity().hasService();
         if (spec.service()) {
             return score + (hostsService ? SERVICE_WITH_SERVICES_BONUS : 0);
         }
-        return score + (machine.spot() ? BATCH_ON_SPOT_BONUS : 0) - (hostsService ? BATCH_WITH_SERVICES_PENALTY : 0);
+        return score + (machine.isSpot() ? BATCH_ON_SPOT_BONUS : 0) - (hostsService ? BATCH_WITH_SERVICES_PENALTY : 0);
     }
 
     private static double imageScore(Machine machine, MachineType type, JobSpec spec) {
         if (machine.capacity().hasImage(spec.image())) {
             return HAS_IMAGE_BONUS;
         }
-        return machine.fetches(spec.image()) ? FETCHES_IMAGE_BONUS : type.fetchGbPerSecond();
+        return machine.isFetching(spec.image()) ? FETCHES_IMAGE_BONUS : type.fetchGbPerSecond();
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -41,9 +41,9 @@
      * and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
      */
     public boolean isEligible(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.takesTasks()
+        return machine.isSchedulable()
                 && satisfiesConstraints(machine, job, nowMicros)
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     /**
@@ -52,7 +52,7 @@
      */
     public boolean canPlace(ActiveJob job, Machine machine, long nowMicros) {
         return machine.capacity().fits(job.spec())
-                && machine.takesTasks()
+                && machine.isSchedulable()
                 && respectsReservation(machine, job)
                 && satisfiesConstraints(machine, job, nowMicros);
     }
@@ -63,33 +63,33 @@
      * terminated, unless it is over before a termination could save anything.
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.allowedFor(job.spec())
-                && job.zoneAllows(machine.zone())
-                && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, nowMicros))
-                && faults.mayTry(machine, job);
+        return machine.isAllowedFor(job.spec())
+                && job.canPlaceInZone(machine.zone())
+                && (!job.scheduling().isDeferrable() || isPaidForAnyway(machine, job, nowMicros))
+                && faults.canTry(machine, job);
     }
 
     /** Whether the machine is not reserved for a gang, unless the job is this gang or goes before all gangs. */
     public boolean respectsReservation(Machine machine, ActiveJob job) {
-        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
+        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLiveService();
     }
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.spot()
-                || machine.capacity().hostsService()
-                || machine.keptAsHeadroom()
-                || nowMicros + runtimeEstimator.taskMicros(job)
+        return machine.isSpot()
+                || machine.capacity().hasService()
+                || machine.isHeadroom()
+                || nowMicros + runtimeEstimator.expectedTaskMicros(job)
                         < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /** Whether tasks failed there lately, so that any other machine is better. */
     public boolean isSuspect(Machine machine) {
-        return faults.suspects(machine);
+        return faults.isSuspect(machine);
     }
 
     /** Whether a further task of this job may be started at all, capacity aside. */
     public boolean mayStartAnother(ActiveJob job) {
-        return isWithinTeamLimit(job.spec()) && faults.mayStartAnother(job);
+        return isWithinTeamLimit(job.spec()) && faults.canStartAnother(job);
     }
 
     /**
@@ -103,7 +103,7 @@
     /** Whether so many more such tasks together are within their team's limit. */
     public boolean isWithinTeamLimit(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
-                && (!teamLimits.limits(spec) || (recovery.noMachineAwaited() && fleet.noOrphanedTasks()));
+                && (!teamLimits.hasLimit(spec) || (recovery.hasResolvedAllMachines() && fleet.hasNoOrphanedTasks()));
     }
 
     /**
@@ -120,6 +120,6 @@
                 }
             }
         }
-        return teamLimits.borrowedCpu(team) - stoppingCpuMillis;
+        return teamLimits.borrowedCpuMillis(team) - stoppingCpuMillis;
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -58,8 +58,8 @@
     /** One cycle, until nothing more fits. */
     public void runCycle() {
         long nowMicros = timers.nowMicros();
-        recovery.cycleBegins(nowMicros);
-        recovery.cycleEnded(scheduleAll(nowMicros));
+        recovery.onCycleStart(nowMicros);
+        recovery.onCycleEnd(scheduleAll(nowMicros));
     }
 
     /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -29,9 +29,9 @@
 
     private Machine machine(String id, String zone) {
         Machine machine = new Machine(id, id + ":1", "type", zone, false);
-        machine.inventory().onRecord();
-        machine.heartbeatReceived(false, startMicros);
-        machine.tasksConfirmed();
+        machine.inventory().markRecorded();
+        machine.recordHeartbeat(false, startMicros);
+        machine.confirmTasks();
         fleet.add(machine);
         return machine;
     }
@@ -59,9 +59,9 @@
     @Test
     void soonerWhenItDoesNotAnswerCallsEither() {
         Machine machine = machine("m", OWN_ZONE);
-        machine.contact().callBegan(startMicros + 1);
-        machine.contact().callEnded();
-        machine.contact().callAnswered(false);
+        machine.contact().beginCall(startMicros + 1);
+        machine.contact().endCall();
+        machine.contact().recordCallResult(false);
         long timeoutMicros = failureDetector.unresponsiveTimeoutMicros(machine);
 
         assertNull(reasonAfter(machine, timeoutMicros));
@@ -88,7 +88,7 @@
         machines(OWN_ZONE, 20);
         fleet.machines().stream()
                 .filter(other -> other.zone().equals(OWN_ZONE))
-                .forEach(other -> other.heartbeatReceived(false, startMicros + partitionMicros));
+                .forEach(other -> other.recordHeartbeat(false, startMicros + partitionMicros));
 
         assertNull(reasonAfter(machine, leaseMicros + 1));
         assertNull(reasonAfter(machine, partitionMicros));
@@ -98,8 +98,8 @@
     @Test
     void whenOurAnswersHaveNotReachedItForALease() {
         Machine machine = machine("m", OWN_ZONE);
-        machine.confirmationLost(startMicros, "test");
-        machine.heartbeatReceived(false, startMicros + leaseMicros);
+        machine.markUnconfirmed(startMicros, "test");
+        machine.recordHeartbeat(false, startMicros + leaseMicros);
         assertNull(reasonAfter(machine, leaseMicros));
         assertEquals(TerminationReason.UNREACHABLE, reasonAfter(machine, leaseMicros + 1));
     }
@@ -108,7 +108,7 @@
     void notWhileItIsToBePutOnRecord() {
         Machine machine = new Machine("m", "m:1", "type", OWN_ZONE, false);
         fleet.add(machine);
-        machine.heartbeatReceived(false, startMicros + leaseMicros);
+        machine.recordHeartbeat(false, startMicros + leaseMicros);
         assertNull(reasonAfter(machine, leaseMicros + 1));
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -149,7 +149,7 @@
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
         machineCommands = new MachineCommands(leadership, commands);
         workerCalls = new WorkerCalls(config, this::sendCommands, inventory, reconciler, timers, loop, () -> ended);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         jobs.start();
     }
 
@@ -242,8 +242,8 @@
     /** The machines on record, taken over as at the beginning of the term. */
     List<Machine> takeOverRecords() {
         List<Machine> takenOver = inventory.takeOver();
-        fleet.inherit(takenOver);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        fleet.takeOver(takenOver);
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         recovery.start(takenOver, inventory.unreadableParts(), 1);
         return takenOver;
     }
@@ -275,7 +275,7 @@
                 machine.contact().address(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot(),
+                machine.isSpot(),
                 agentEpoch,
                 machine.contact().sequence() + 1,
                 fencingToken,
@@ -300,7 +300,7 @@
     /** A task of the job whose start went out in a direct call. */
     Placement started(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
-        placement.sentDirectly();
+        placement.markSentDirectly();
         return placement;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -42,7 +42,7 @@
     private List<Placement> startedGang(ActiveJob gang) {
         fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
         List<Placement> placements = List.copyOf(gang.placements());
-        placements.forEach(Placement::sentDirectly);
+        placements.forEach(Placement::markSentDirectly);
         return placements;
     }
 
@@ -54,7 +54,7 @@
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, ExitCause.DONE));
         assertTrue(job.isDone(placement.task().index()));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
     }
 
     @Test
@@ -63,7 +63,7 @@
         Placement placement = fixture.started(service, machine);
         update(placement, exited(placement, ExitCause.DONE));
         assertFalse(service.isDone(placement.task().index()));
-        assertFalse(placement.live(), "it is to start again");
+        assertFalse(placement.isActive(), "it is to start again");
     }
 
     @Test
@@ -71,8 +71,8 @@
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, ExitCause.FAILED));
-        assertTrue(fixture.faults.suspects(machine));
-        assertEquals(placement.task().index(), job.firstFreed());
+        assertTrue(fixture.faults.isSuspect(machine));
+        assertEquals(placement.task().index(), job.firstFreedTask());
     }
 
     @ParameterizedTest
@@ -82,7 +82,7 @@
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, cause));
         assertEquals(fixture.timers.nowMicros() + SECOND, job.scheduling().notBeforeMicros());
-        assertFalse(fixture.faults.suspects(machine));
+        assertFalse(fixture.faults.isSuspect(machine));
     }
 
     @Test
@@ -93,7 +93,7 @@
         }
         Placement last = fixture.started(job, machine);
         update(last, exited(last, ExitCause.DONE));
-        assertEquals(ActiveJob.Phase.ENDING, job.phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, job.phase());
     }
 
     // ---- running -----------------------------------------------------------------------------------------------
@@ -102,12 +102,12 @@
     void aTaskThatHasRunForLongProvesItsJobSound() {
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         update(placement, TaskState.RUNNING);
-        fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
+        fixture.timers.advance(FaultTracker.HEALTHY_RUN_MICROS - 1);
         update(placement, TaskState.RUNNING);
-        assertTrue(fixture.faults.wantsProof(placement));
+        assertTrue(fixture.faults.isUnderObservation(placement));
         fixture.timers.advance(1);
         update(placement, TaskState.RUNNING);
-        assertFalse(fixture.faults.wantsProof(placement));
+        assertFalse(fixture.faults.isUnderObservation(placement));
     }
 
     @Test
@@ -117,7 +117,7 @@
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(3 * SECOND);
         update(placement, exited(placement, ExitCause.DONE));
-        assertEquals(3.0 * SECOND, job.finishedMicros());
+        assertEquals(3.0 * SECOND, job.totalRunMicros());
     }
 
     @Test
@@ -129,7 +129,7 @@
         Placement adopted = job.placement(0);
         update(adopted, exited(adopted, ExitCause.DONE));
         assertTrue(job.isDone(0));
-        assertEquals(0, job.finishedTasks());
+        assertEquals(0, job.measuredTasks());
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
@@ -140,7 +140,7 @@
         Placement first = startedGang(gang).get(0);
         update(first, exited(first, ExitCause.DONE));
         assertEquals(0, gang.unfinishedTasks());
-        assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
+        assertEquals(GangAttempt.Phase.COMPLETING, gang.gangAttempt().phase());
     }
 
     @ParameterizedTest
@@ -197,7 +197,7 @@
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startedGang(gang);
         fixture.statusUpdater.completedElsewhere(gang, 0);
-        assertEquals(ActiveJob.Phase.ENDING, gang.phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, gang.phase());
         assertEquals(Placement.Phase.SENT, placements.get(0).phase(), "its tasks exit by themselves");
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -74,7 +74,7 @@
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().timeOut();
         assertTrue(machine.inventory().needsNewToken());
-        assertTrue(placement.mayStillBeStarted(TERM_TOKEN));
+        assertTrue(placement.hasUnacknowledgedStart(TERM_TOKEN));
     }
 
     @Test
@@ -92,8 +92,8 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().answer(nextHeartbeat(machine));
-        assertFalse(placement.mayStillBeStarted(TERM_TOKEN));
-        assertFalse(placement.live(), "the answer does not list it, so it was not started");
+        assertFalse(placement.hasUnacknowledgedStart(TERM_TOKEN));
+        assertFalse(placement.isActive(), "the answer does not list it, so it was not started");
     }
 
     @Test
@@ -102,7 +102,7 @@
         calls.callWithoutCommands(machine, () -> {});
         onlyCall().answer(nextHeartbeat(machine));
         assertEquals(Machine.Phase.READY, machine.phase());
-        assertFalse(machine.awaitingFirstHeartbeat());
+        assertFalse(machine.isAwaitingFirstHeartbeat());
     }
 
     @ParameterizedTest(name = "executed: {0}, worker knows token {1}")
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -23,17 +23,17 @@
 /** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
 class ActiveJobTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
-            from    OPEN  ENDING  OVER
+            from    OPEN  COMPLETING  ENDED
             OPEN    =     yes     yes
-            ENDING  -     =       yes
-            OVER    -     -       =
+            COMPLETING  -     =       yes
+            ENDED    -     -       =
             """;
 
     private static final String EVENTS = """
-            in      allTasksDone  finalStateRecorded
-            OPEN    ENDING        OVER
-            ENDING  ENDING        OVER
-            OVER    refused       OVER
+            in      markCompleting  markEnded
+            OPEN    COMPLETING        ENDED
+            COMPLETING  COMPLETING        ENDED
+            ENDED    refused       ENDED
             """;
 
     private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
@@ -56,24 +56,24 @@
     }
 
     @Override
-    boolean allows(Phase from, Phase next) {
-        return from.allows(next);
+    boolean canTransition(Phase from, Phase next) {
+        return from.canTransitionTo(next);
     }
 
     @Override
-    void bringTo(Phase phase) {
+    void moveTo(Phase phase) {
         switch (phase) {
             case OPEN -> {}
-            case ENDING -> job.allTasksDone();
-            case OVER -> job.finalStateRecorded("test");
+            case COMPLETING -> job.markCompleting();
+            case ENDED -> job.markEnded("test");
         }
     }
 
     @Override
     void apply(String event) {
         switch (event) {
-            case "allTasksDone" -> job.allTasksDone();
-            case "finalStateRecorded" -> job.finalStateRecorded("test");
+            case "markCompleting" -> job.markCompleting();
+            case "markEnded" -> job.markEnded("test");
             default -> throw new IllegalArgumentException(event);
         }
     }
@@ -88,14 +88,14 @@
     @Test
     void whatAFormerLeaderClaimedAndIsNotDoneIsUnconfirmed() {
         ActiveJob inherited = inherited(BATCH);
-        assertEquals(5, inherited.claimed(), "the larger claim of its two records");
+        assertEquals(5, inherited.claimedTasks(), "the larger claim of its two records");
         assertEquals(5, inherited.requestedClaim());
-        assertEquals(5, inherited.firstNeverStarted());
+        assertEquals(5, inherited.firstUnstartedTask());
         assertEquals(4, inherited.unconfirmedTasks());
-        assertEquals(4, inherited.running());
+        assertEquals(4, inherited.runningTasks());
         assertEquals(9, inherited.unfinishedTasks());
         assertEquals(5, inherited.waitingTasks());
-        assertFalse(inherited.hasClaimedTask(), "none is proved to be on no machine");
+        assertFalse(inherited.hasStartableTask(), "none is proved to be on no machine");
     }
 
     @Test
@@ -104,34 +104,34 @@
         inherited.resolveUnconfirmed();
         assertEquals(0, inherited.unconfirmedTasks());
         assertEquals(9, inherited.waitingTasks());
-        assertEquals(0, inherited.firstFreed());
+        assertEquals(0, inherited.firstFreedTask());
         assertEquals(0, inherited.takeTask());
         assertEquals(2, inherited.takeTask());
         inherited.takeTask(3);
         assertEquals(4, inherited.takeTask());
-        assertFalse(inherited.hasClaimedTask());
-        inherited.claimRecorded(6);
-        assertTrue(inherited.hasClaimedTask());
+        assertFalse(inherited.hasStartableTask());
+        inherited.confirmClaim(6);
+        assertTrue(inherited.hasStartableTask());
         assertEquals(5, inherited.takeTask());
-        assertEquals(6, inherited.firstNeverStarted());
+        assertEquals(6, inherited.firstUnstartedTask());
     }
 
     @Test
     void aClaimCountsOnceItIsOnRecord() {
-        job.claimRequested(4);
+        job.requestClaim(4);
         assertEquals(4, job.requestedClaim());
-        assertFalse(job.hasClaimedTask());
-        job.claimRecorded(4);
-        assertTrue(job.hasClaimedTask());
+        assertFalse(job.hasStartableTask());
+        job.confirmClaim(4);
+        assertTrue(job.hasStartableTask());
     }
 
     @Test
     void aTaskThatIsFoundIsUnconfirmedNoMore() {
         ActiveJob inherited = inherited(BATCH);
         Placement found = Fixtures.placement(inherited, 2, north, 1);
-        inherited.place(found);
+        inherited.addPlacement(found);
         assertEquals(3, inherited.unconfirmedTasks());
-        assertEquals(4, inherited.running());
+        assertEquals(4, inherited.runningTasks());
         assertSame(found, inherited.placement(2));
         assertEquals(1, inherited.tasksByZone().get("north"));
     }
@@ -140,14 +140,14 @@
     void aTaskProvedGoneIsFreeUnlessItMayBeElsewhere() {
         ActiveJob inherited = inherited(BATCH);
         Placement here = Fixtures.placement(inherited, 2, north, 1);
-        inherited.place(here);
-        inherited.unplace(here, true);
+        inherited.addPlacement(here);
+        inherited.removePlacement(here, true);
         assertEquals(4, inherited.unconfirmedTasks());
-        assertFalse(inherited.hasClaimedTask());
-        inherited.place(here);
-        inherited.unplace(here, false);
+        assertFalse(inherited.hasStartableTask());
+        inherited.addPlacement(here);
+        inherited.removePlacement(here, false);
         assertEquals(3, inherited.unconfirmedTasks());
-        assertEquals(2, inherited.firstFreed());
+        assertEquals(2, inherited.firstFreedTask());
         assertNull(inherited.placement(2));
         assertEquals(0, inherited.tasksByZone().get("north"));
     }
@@ -156,32 +156,32 @@
     void anEarlierAttemptDoesNotDisplaceALaterOne() {
         Placement earlier = Fixtures.placement(job, 2, north, 1);
         Placement later = Fixtures.placement(job, 2, south, 2);
-        job.place(later);
-        job.unplace(earlier, false);
+        job.addPlacement(later);
+        job.removePlacement(earlier, false);
         assertSame(later, job.placement(2));
-        assertFalse(job.hasClaimedTask());
+        assertFalse(job.hasStartableTask());
     }
 
     @Test
     void aTaskThatIsDoneNeverStartsAgain() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
-        job.place(placement);
+        job.addPlacement(placement);
         job.markDone(0);
         job.markDone(0);
         assertEquals(TASKS - 1, job.unfinishedTasks(), "counted once");
-        job.unplace(placement, false);
-        assertFalse(job.hasClaimedTask());
+        job.removePlacement(placement, false);
+        assertFalse(job.hasStartableTask());
         assertTrue(job.isDone(0));
     }
 
     @Test
     void nothingOfAJobThatIsOverWaitsOrIsFreed() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
-        job.place(placement);
-        job.finalStateRecorded("cancelled");
+        job.addPlacement(placement);
+        job.markEnded("cancelled");
         assertEquals(0, job.waitingTasks());
-        job.unplace(placement, false);
-        assertFalse(job.hasClaimedTask());
+        job.removePlacement(placement, false);
+        assertFalse(job.hasStartableTask());
         assertFalse(job.hasPlacements());
     }
 
@@ -200,46 +200,47 @@
         GangAttempt attempt = job.beginGangAttempt(5);
         assertSame(attempt, job.gangAttempt());
         assertEquals(5, attempt.number());
-        job.forgetGangAttempt();
+        job.clearGangAttempt();
         assertNull(job.gangAttempt());
     }
 
     @Test
     void oneZoneStandsOnceAnythingIsPlaced() {
         ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
-        assertTrue(oneZone.zoneAllows("north"));
+        assertTrue(oneZone.canPlaceInZone("north"));
         Placement placement = Fixtures.placement(oneZone, 0, south, 1);
-        oneZone.place(placement);
-        assertFalse(oneZone.zoneAllows("north"));
-        assertTrue(oneZone.zoneAllows("south"));
-        oneZone.unplace(placement, false);
-        assertTrue(oneZone.zoneAllows("north"));
+        oneZone.addPlacement(placement);
+        assertFalse(oneZone.canPlaceInZone("north"));
+        assertTrue(oneZone.canPlaceInZone("south"));
+        oneZone.removePlacement(placement, false);
+        assertTrue(oneZone.canPlaceInZone("north"));
     }
 
     @Test
     void anUnconfirmedTaskMayStandInAnyZone() {
-        assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).zoneAllows("north"));
+        assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).canPlaceInZone("north"));
         ActiveJob spread = inherited(Fixtures.spec(JobSpec.Shape.SERVICE, false, true));
         int cap = spread.spec().zoneCap();
-        assertEquals(4 + 1 <= cap, spread.zoneAllows("north"));
+        assertEquals(4 + 1 <= cap, spread.canPlaceInZone("north"));
         while (spread.tasksByZone().getOrDefault("north", 0) + spread.unconfirmedTasks() < cap) {
-            spread.place(Fixtures.placement(spread, 5 + spread.placements().size(), north, 1));
+            spread.addPlacement(
+                    Fixtures.placement(spread, 5 + spread.placements().size(), north, 1));
         }
-        assertFalse(spread.zoneAllows("north"));
+        assertFalse(spread.canPlaceInZone("north"));
     }
 
     @ParameterizedTest(name = "{0} of priority {1}: {2}")
     @CsvSource({"SERVICE, CRITICAL, true", "SERVICE, HIGH, true", "SERVICE, STANDARD, false", "BATCH, CRITICAL, false"})
     void servicesOfHighPriorityAreLive(JobSpec.Shape shape, Priority priority, boolean live) {
         JobSpec spec = Fixtures.spec(shape, false, false, priority);
-        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLive());
+        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLiveService());
     }
 
     @Test
     void runTimesAddUp() {
-        job.taskFinished(3 * SECOND);
-        job.taskFinished(5 * SECOND);
-        assertEquals(2, job.finishedTasks());
-        assertEquals(8.0 * SECOND, job.finishedMicros());
+        job.addRunTime(3 * SECOND);
+        job.addRunTime(5 * SECOND);
+        assertEquals(2, job.measuredTasks());
+        assertEquals(8.0 * SECOND, job.totalRunMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -22,7 +22,7 @@
 
     @BeforeEach
     void typeIsKnown() {
-        capacity.typeKnown(Fixtures.TYPE);
+        capacity.setType(Fixtures.TYPE);
     }
 
     @Test
@@ -32,18 +32,18 @@
         placements.add(first);
         placements.add(second);
         assertEquals(List.of(first, second), List.copyOf(placements.all()));
-        assertSame(second, placements.of(second.task()));
+        assertSame(second, placements.get(second.task()));
     }
 
     @Test
     void anAttemptTakesCapacityUntilItIsRemoved() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
-        assertEquals(3_000, capacity.cpuFree());
+        assertEquals(3_000, capacity.freeCpuMillis());
         assertTrue(placements.remove(placement));
-        assertEquals(4_000, capacity.cpuFree());
+        assertEquals(4_000, capacity.freeCpuMillis());
         assertTrue(placements.isEmpty());
-        assertNull(placements.of(placement.task()));
+        assertNull(placements.get(placement.task()));
     }
 
     @Test
@@ -52,7 +52,7 @@
         placements.add(placement);
         placements.remove(placement);
         assertFalse(placements.remove(placement));
-        assertEquals(4_000, capacity.cpuFree());
+        assertEquals(4_000, capacity.freeCpuMillis());
     }
 
     @Test
@@ -60,18 +60,18 @@
         Placement later = Fixtures.placement(job, 0, machine, 2);
         placements.add(later);
         assertFalse(placements.remove(Fixtures.placement(job, 0, machine, 1)));
-        assertSame(later, placements.of(later.task()));
-        assertEquals(3_000, capacity.cpuFree());
+        assertSame(later, placements.get(later.task()));
+        assertEquals(3_000, capacity.freeCpuMillis());
     }
 
     @Test
     void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
-        assertTrue(placements.fetches("image"));
-        assertFalse(placements.fetches("other"));
-        placement.running(3 * SECOND);
-        assertFalse(placements.fetches("image"));
+        assertTrue(placements.isFetching("image"));
+        assertFalse(placements.isFetching("other"));
+        placement.markRunning(3 * SECOND);
+        assertFalse(placements.isFetching("image"));
     }
 
     @Test
@@ -80,6 +80,6 @@
         placements.add(Fixtures.placement(job, 0, machine, 1));
         placements.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
         assertEquals(3, placements.slotsBesideServices(service));
-        assertEquals(2_000, capacity.cpuFree(), "nothing is released by asking");
+        assertEquals(2_000, capacity.freeCpuMillis(), "nothing is released by asking");
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -39,10 +39,10 @@
         ActiveJob alsoSmall = due("also-small", 4, 240 * SECOND);
         ActiveJob hopeless = due("hopeless", 1, 30 * SECOND);
         planner.update(NOW);
-        assertEquals(SchedulingClass.IN_TIME, classOf(small));
-        assertEquals(SchedulingClass.ANY, classOf(large));
-        assertEquals(SchedulingClass.IN_TIME, classOf(alsoSmall));
-        assertEquals(SchedulingClass.ANY, classOf(hopeless));
+        assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(small));
+        assertEquals(SchedulingClass.OTHER, classOf(large));
+        assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(alsoSmall));
+        assertEquals(SchedulingClass.OTHER, classOf(hopeless));
     }
 
     @Test
@@ -54,9 +54,9 @@
         ActiveJob fresh =
                 fixture.batch("fresh", Priority.BEST_EFFORT).acceptedMicros(NOW).build();
         planner.update(NOW);
-        assertEquals(SchedulingClass.LIVE, classOf(live));
-        assertEquals(SchedulingClass.IN_TIME, classOf(starved));
-        assertEquals(SchedulingClass.ANY, classOf(fresh));
+        assertEquals(SchedulingClass.LIVE_SERVICE, classOf(live));
+        assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(starved));
+        assertEquals(SchedulingClass.OTHER, classOf(fresh));
     }
 
     @Test
@@ -77,8 +77,8 @@
                 .build();
         planner.update(NOW);
         assertEquals(SchedulingClass.GUARANTEED, classOf(older));
-        assertEquals(SchedulingClass.ANY, classOf(younger));
-        assertEquals(SchedulingClass.ANY, classOf(ofOthers));
+        assertEquals(SchedulingClass.OTHER, classOf(younger));
+        assertEquals(SchedulingClass.OTHER, classOf(ofOthers));
         assertTrue(planner.needsImmediateStart(older));
         assertFalse(planner.needsImmediateStart(younger));
     }
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -64,7 +64,7 @@
         Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
         config = config(byName);
         fleet = new Fleet(config, timers);
-        fleet.typesChanged(List.of(TYPE));
+        fleet.updateTypes(List.of(TYPE));
         jobs = new ActiveJobs(0, timers, faults::forget);
         SchedulingLoop loop = new SchedulingLoop(timers, () -> false, () -> true, () -> {}, () -> {});
         recovery = new TermRecovery(new RecoveryPlan(1, 0, RecoveryTracer.NONE), jobs, timers, loop);
@@ -90,9 +90,9 @@
     public Machine machine(String id, boolean spot) {
         Machine machine =
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
-        machine.inventory().onRecord();
-        machine.heartbeatReceived(false, NOW);
-        machine.tasksConfirmed();
+        machine.inventory().markRecorded();
+        machine.recordHeartbeat(false, NOW);
+        machine.confirmTasks();
         fleet.add(machine);
         return machine;
     }
@@ -100,8 +100,8 @@
     /** A task of the job that has run there for so long. */
     public Placement running(ActiveJob job, Machine machine, long ranMicros) {
         Placement placement = tasks.start(job, machine, NOW - ranMicros);
-        placement.sentDirectly();
-        placement.running(NOW - ranMicros);
+        placement.markSentDirectly();
+        placement.markRunning(NOW - ranMicros);
         return placement;
     }
 
