--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -38,7 +38,7 @@
     }
 
     /** Empties a few machines, unless it did so lately or work waits. */
-    public void tick(long nowMicros) {
+    public void consolidateIfDue(long nowMicros) {
         if (nowMicros < nextRoundMicros) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -66,7 +66,7 @@
             machineChecks.check(machine, nowMicros);
         }
         if (recovery.noMachineAwaited() && leadership.leaseConfirmed()) {
-            consolidator.tick(nowMicros);
+            consolidator.consolidateIfDue(nowMicros);
         }
         loop.requestCycle();
     }
--- a/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
@@ -43,7 +43,7 @@
     @Test
     void theReplicasOfTheEmptiestMachineMove() {
         Placement onEmptier = replicas(LONG_ENOUGH);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
         assertEquals(Placement.Phase.STOPPING, onEmptier.phase());
         assertEquals(Machine.Phase.READY, fuller.phase());
@@ -53,7 +53,7 @@
     void nothingMovesWhileWorkWaits() {
         replicas(LONG_ENOUGH);
         service("waiting", 1);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
@@ -65,24 +65,24 @@
                 .cpuMillis(CPU / 2)
                 .build();
         fixture.running(batch, emptier, LONG_ENOUGH);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
     void aReplicaRunsForAWhileBeforeItMoves() {
         replicas(LONG_ENOUGH - 1);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
     void machinesAreLookedAtEveryFourSeconds() {
         replicas(LONG_ENOUGH - 1);
-        consolidator.tick(NOW);
-        consolidator.tick(NOW + INTERVAL - 1);
+        consolidator.consolidateIfDue(NOW);
+        consolidator.consolidateIfDue(NOW + INTERVAL - 1);
         assertEquals(Machine.Phase.READY, emptier.phase());
-        consolidator.tick(NOW + INTERVAL);
+        consolidator.consolidateIfDue(NOW + INTERVAL);
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
     }
 
@@ -95,7 +95,7 @@
         fixture.running(service, emptier, LONG_ENOUGH);
         fixture.running(service, fuller, LONG_ENOUGH);
         fixture.running(service("small", 1), fuller, LONG_ENOUGH);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
@@ -105,8 +105,8 @@
         Machine third = fixture.machine("third", false);
         fixture.running(service("other", 1), third, LONG_ENOUGH);
 
-        consolidator.tick(NOW);
-        consolidator.tick(NOW + INTERVAL);
+        consolidator.consolidateIfDue(NOW);
+        consolidator.consolidateIfDue(NOW + INTERVAL);
 
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
         assertEquals(Machine.Phase.READY, third.phase(), "what moves has not found its place yet");
