--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -34,7 +34,7 @@
     }
 
     /** Looks at all jobs and machines anew, unless it did so lately. */
-    public void update(long nowMicros) {
+    public void updateIfDue(long nowMicros) {
         if (nowMicros < nextUpdateMicros) {
             return;
         }
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -136,7 +136,7 @@
     @Test
     void notBelowTheHeadroomForGangs() {
         fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         Machine first = paidMachine("m1", false);
         Machine second = paidMachine("m2", false);
         idleMachines.survey();
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -34,7 +34,7 @@
     }
 
     private void survey() {
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         headroom.survey();
     }
 
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -38,7 +38,7 @@
         ActiveJob large = due("large", 8, 180 * SECOND);
         ActiveJob alsoSmall = due("also-small", 4, 240 * SECOND);
         ActiveJob hopeless = due("hopeless", 1, 30 * SECOND);
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(SchedulingClass.IN_TIME, classOf(small));
         assertEquals(SchedulingClass.ANY, classOf(large));
         assertEquals(SchedulingClass.IN_TIME, classOf(alsoSmall));
@@ -53,7 +53,7 @@
                 .build();
         ActiveJob fresh =
                 fixture.batch("fresh", Priority.BEST_EFFORT).acceptedMicros(NOW).build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(SchedulingClass.LIVE, classOf(live));
         assertEquals(SchedulingClass.IN_TIME, classOf(starved));
         assertEquals(SchedulingClass.ANY, classOf(fresh));
@@ -75,7 +75,7 @@
                 .tasks(1)
                 .acceptedMicros(NOW)
                 .build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(SchedulingClass.GUARANTEED, classOf(older));
         assertEquals(SchedulingClass.ANY, classOf(younger));
         assertEquals(SchedulingClass.ANY, classOf(ofOthers));
@@ -89,7 +89,7 @@
         ActiveJob relaxed = due("relaxed", 4, 300 * SECOND);
         ActiveJob urgent = due("urgent", 4, 100 * SECOND);
         ActiveJob service = fixture.service("service", Priority.STANDARD).build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertTrue(planner.deferrable(relaxed, 0, NOW));
         assertFalse(planner.deferrable(urgent, 0, NOW));
         assertFalse(planner.deferrable(service, 0, NOW));
@@ -99,7 +99,7 @@
     void workTakesLessTimeWithMoreCapacity() {
         fixture.machine("m1", false);
         fixture.batch("batch", Priority.STANDARD).tasks(8).build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(120.0 * SECOND, planner.drainMicros(0));
         assertEquals(60.0 * SECOND, planner.drainMicros(4.0 * CPU));
     }
