--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -40,7 +40,7 @@
                 mostCpuMillis = entry.getLongValue();
             }
         }
-        spareCpuMillis = mostCpuMillis - batchPlanner.largestPromptGangCpuMillis();
+        spareCpuMillis = mostCpuMillis - batchPlanner.largestUrgentGangCpuMillis();
     }
 
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
@@ -55,7 +55,7 @@
 
     /** Whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
-        return batchPlanner.largestPromptGangCpuMillis() > 0
+        return batchPlanner.largestUrgentGangCpuMillis() > 0
                 && !machine.spot()
                 && machine.zone().equals(zone);
     }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -21,7 +21,7 @@
     private final DeadlineClassifier deadlineClassifier;
     private final GuaranteeClassifier guaranteeClassifier;
     private long nextUpdateMicros;
-    private long largestPromptGangCpuMillis;
+    private long largestUrgentGangCpuMillis;
 
     /** Knows nothing before the first update. */
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
@@ -42,7 +42,7 @@
         survey.update(nowMicros);
         deadlineClassifier.classify(nowMicros);
         guaranteeClassifier.classify();
-        largestPromptGangCpuMillis = activeJobs.all().stream()
+        largestUrgentGangCpuMillis = activeJobs.all().stream()
                 .filter(job -> job.spec().gang() && needsImmediateStart(job))
                 .mapToLong(job -> job.spec().cpuMillis() * job.spec().tasks())
                 .max()
@@ -53,8 +53,8 @@
      * Thousandths of a CPU that all tasks of the largest gang take of those at hand that {@linkplain
      * #needsImmediateStart need an immediate start}; 0: there is none.
      */
-    public long largestPromptGangCpuMillis() {
-        return largestPromptGangCpuMillis;
+    public long largestUrgentGangCpuMillis() {
+        return largestUrgentGangCpuMillis;
     }
 
     /** How many microseconds the batch work at hand takes, with so much more capacity, in thousandths of a CPU. */
