--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -51,7 +51,7 @@
         if (launcher.underWay() || !leaseConfirmed.getAsBoolean()) {
             return;
         }
-        demand.batchPlanner().update(nowMicros);
+        demand.batchPlanner().updateIfDue(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
                 demand, launcher::refusedLately, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
         addPending(plan, nowMicros);
