--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -58,7 +58,7 @@
     }
 
     /** How many microseconds the batch work at hand takes, with so much more capacity, in thousandths of a CPU. */
-    public double drainMicros(double moreCpuMillis) {
+    public double batchCompletionMicros(double moreCpuMillis) {
         return survey.drainMicros(moreCpuMillis);
     }
 
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -100,7 +100,7 @@
         fixture.machine("m1", false);
         fixture.batch("batch", Priority.STANDARD).tasks(8).build();
         planner.updateIfDue(NOW);
-        assertEquals(120.0 * SECOND, planner.drainMicros(0));
-        assertEquals(60.0 * SECOND, planner.drainMicros(4.0 * CPU));
+        assertEquals(120.0 * SECOND, planner.batchCompletionMicros(0));
+        assertEquals(60.0 * SECOND, planner.batchCompletionMicros(4.0 * CPU));
     }
 }
