--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -68,7 +68,7 @@
      *
      * @param pendingCpuMillis capacity that is on its way, in thousandths of a CPU
      */
-    public boolean deferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
+    public boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
         return deferral.canWait(job, pendingCpuMillis, nowMicros);
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/Deferral.java
+++ b/src/main/java/org/granitepath/coordination/placement/Deferral.java
@@ -27,7 +27,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** See {@link BatchPlanner#deferrable}. */
+    /** See {@link BatchPlanner#isDeferrable}. */
     boolean canWait(ActiveJob job, double pendingCpuMillis, long nowMicros) {
         if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
             return false;
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -90,9 +90,9 @@
         ActiveJob urgent = due("urgent", 4, 100 * SECOND);
         ActiveJob service = fixture.service("service", Priority.STANDARD).build();
         planner.updateIfDue(NOW);
-        assertTrue(planner.deferrable(relaxed, 0, NOW));
-        assertFalse(planner.deferrable(urgent, 0, NOW));
-        assertFalse(planner.deferrable(service, 0, NOW));
+        assertTrue(planner.isDeferrable(relaxed, 0, NOW));
+        assertFalse(planner.isDeferrable(urgent, 0, NOW));
+        assertFalse(planner.isDeferrable(service, 0, NOW));
     }
 
     @Test
