--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.autoscaling;
 
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.ImageFetch;
+import org.granitepath.coordination.placement.ImageFetchTime;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
@@ -45,7 +45,7 @@
 
     /** How long a machine of this type takes from its launch to the start of a task: it boots and fetches the image. */
     long readyMicros(MachineType type) {
-        return type.bootMicros() + (long) (ImageFetch.seconds(spec, type) * MICROS_PER_SECOND);
+        return type.bootMicros() + (long) (ImageFetchTime.seconds(spec, type) * MICROS_PER_SECOND);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/placement/ImageFetch.java
+++ b/src/main/java/org/granitepath/coordination/placement/ImageFetchTime.java
@@ -6,8 +6,8 @@
 import org.granitepath.storage.MachineType;
 
 /** How long a task waits for its image before it can run. */
-public final class ImageFetch {
-    private ImageFetch() {}
+public final class ImageFetchTime {
+    private ImageFetchTime() {}
 
     /** Seconds in which a machine of this type that lacks the job's image fetches it. */
     public static double seconds(JobSpec spec, MachineType type) {
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
@@ -52,7 +52,7 @@
      * machines can be terminated.
      */
     public double score(Machine machine, JobSpec spec) {
-        MachineType type = ImageFetch.knownType(machine);
+        MachineType type = ImageFetchTime.knownType(machine);
         double score = imageScore(machine, type, spec);
         score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().cpuFree() - spec.cpuMillis()) / type.cpuMillis();
         score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -2,7 +2,7 @@
 
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.placement.ImageFetch;
+import org.granitepath.coordination.placement.ImageFetchTime;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 
@@ -33,7 +33,7 @@
 
     /** What it costs that the new task has to fetch its image there. */
     static double ofFetchingImage(Machine machine, JobSpec spec) {
-        return ImageFetch.secondsOn(machine, spec) * PER_FETCH_SECOND;
+        return ImageFetchTime.secondsOn(machine, spec) * PER_FETCH_SECOND;
     }
 
     private static double ofOneTask(Placement placement, long restartMicros, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -5,7 +5,7 @@
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.placement.ImageFetch;
+import org.granitepath.coordination.placement.ImageFetchTime;
 import org.granitepath.coordination.placement.Resources;
 import org.granitepath.storage.JobSpec;
 
@@ -59,7 +59,7 @@
                 && machine.takesTasks()
                 && machine.allowedFor(spec)
                 && (machine.zone().equals(source.zone()) || !spec.spread())
-                && ImageFetch.secondsOn(machine, spec) < MAX_FETCH_SECONDS
+                && ImageFetchTime.secondsOn(machine, spec) < MAX_FETCH_SECONDS
                 && machine.capacity().cpuUsedShare() > source.capacity().cpuUsedShare();
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/ImageFetchTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How long a task waits for an image of 3 GB on a machine that fetches 1 GB/s. */
-class ImageFetchTest {
+class ImageFetchTimeTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final Machine machine = fixture.machine("m", false);
     private final JobSpec spec =
@@ -16,12 +16,12 @@
 
     @Test
     void anImageIsFetchedAtTheSpeedOfTheMachineType() {
-        assertEquals(3, ImageFetch.secondsOn(machine, spec));
+        assertEquals(3, ImageFetchTime.secondsOn(machine, spec));
     }
 
     @Test
     void anImageThatIsThereIsNotFetched() {
         machine.capacity().imageSeen(spec.image());
-        assertEquals(0, ImageFetch.secondsOn(machine, spec));
+        assertEquals(0, ImageFetchTime.secondsOn(machine, spec));
     }
 }
