--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
@@ -21,13 +21,13 @@
     private final Config config;
     private final PlacementRules rules;
     private final TaskLifecycle tasks;
-    private final MachinePreference preference;
+    private final MachineScorer machineScorer;
 
-    GangCompletion(Config config, PlacementRules rules, TaskLifecycle tasks, MachinePreference preference) {
+    GangCompletion(Config config, PlacementRules rules, TaskLifecycle tasks, MachineScorer machineScorer) {
         this.config = config;
         this.rules = rules;
         this.tasks = tasks;
-        this.preference = preference;
+        this.machineScorer = machineScorer;
     }
 
     /** Starts lost tasks anew, as far as there is capacity; stops the gang once the rest would come too late. */
@@ -68,7 +68,7 @@
         if (!rules.mayStartAnother(job)) {
             return null;
         }
-        return preference.best(
+        return machineScorer.best(
                 machinesWithCapacity,
                 machine -> rules.canPlace(job, machine, nowMicros) && !attempt.wasTriedOn(index, machine.id()),
                 job.spec());
--- a/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
@@ -17,12 +17,12 @@
 final class GangPlacementFinder {
     private final GangConstraints constraints;
     private final PlacementRules rules;
-    private final MachinePreference preference;
+    private final MachineScorer machineScorer;
 
-    GangPlacementFinder(GangConstraints constraints, PlacementRules rules, MachinePreference preference) {
+    GangPlacementFinder(GangConstraints constraints, PlacementRules rules, MachineScorer machineScorer) {
         this.constraints = constraints;
         this.rules = rules;
-        this.preference = preference;
+        this.machineScorer = machineScorer;
     }
 
     /**
@@ -56,7 +56,7 @@
         if (slots < spec.tasks()) {
             return null;
         }
-        candidates.sort(Comparator.comparingDouble((Machine machine) -> preference.score(machine, spec))
+        candidates.sort(Comparator.comparingDouble((Machine machine) -> machineScorer.score(machine, spec))
                 .reversed());
         return fill(candidates, spec);
     }
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,13 +29,13 @@
 
     /** Starts gangs on the machines of this fleet. */
     public GangScheduler(
-            Config config, Fleet fleet, PlacementRules rules, TaskLifecycle tasks, MachinePreference preference) {
+            Config config, Fleet fleet, PlacementRules rules, TaskLifecycle tasks, MachineScorer machineScorer) {
         this.rules = rules;
         this.tasks = tasks;
         GangConstraints constraints = new GangConstraints(config.topology().zones(), rules);
-        this.placementFinder = new GangPlacementFinder(constraints, rules, preference);
+        this.placementFinder = new GangPlacementFinder(constraints, rules, machineScorer);
         this.reservations = new GangReservations(config, fleet, new ReservationFinder(fleet, rules, constraints));
-        this.completion = new GangCompletion(config, rules, tasks, preference);
+        this.completion = new GangCompletion(config, rules, tasks, machineScorer);
     }
 
     /** Releases the machines reserved for gangs that no longer wait for them. Called before each cycle. */
--- a/src/main/java/org/granitepath/coordination/placement/MachinePreference.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Which of the machines that a job may use is best for one of its tasks. */
-public final class MachinePreference {
+public final class MachineScorer {
     private static final double HAS_IMAGE_BONUS = 20;
     /**
      * Another task there fetches the image already. Otherwise the fetch speed counts, in GB/s: it is lower than this.
@@ -26,7 +26,7 @@
     private final PlacementRules rules;
 
     /** Prefers by these rules. */
-    public MachinePreference(PlacementRules rules) {
+    public MachineScorer(PlacementRules rules) {
         this.rules = rules;
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
@@ -17,15 +17,15 @@
 final class MachineSelector {
     private final Fleet fleet;
     private final PlacementRules rules;
-    private final MachinePreference preference;
+    private final MachineScorer machineScorer;
     private final GangHeadroom gangHeadroom;
     private final List<Machine> machinesWithCapacity = new ArrayList<>();
     private final List<Machine> machinesWithCapacityView = Collections.unmodifiableList(machinesWithCapacity);
 
-    MachineSelector(Fleet fleet, PlacementRules rules, MachinePreference preference, GangHeadroom gangHeadroom) {
+    MachineSelector(Fleet fleet, PlacementRules rules, MachineScorer machineScorer, GangHeadroom gangHeadroom) {
         this.fleet = fleet;
         this.rules = rules;
-        this.preference = preference;
+        this.machineScorer = machineScorer;
         this.gangHeadroom = gangHeadroom;
     }
 
@@ -60,7 +60,7 @@
     /** The best machine for the next task of this job, or null if none has capacity that the job may use. */
     @Nullable
     Machine best(ActiveJob job, long nowMicros) {
-        return preference.best(machinesWithCapacity, machine -> isUsable(machine, job, nowMicros), job.spec());
+        return machineScorer.best(machinesWithCapacity, machine -> isUsable(machine, job, nowMicros), job.spec());
     }
 
     /** Notes that a task was placed there. */
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -10,7 +10,7 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.placement.BatchPlanner;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.storage.Timers;
 
@@ -39,7 +39,7 @@
             Policies policies,
             Timers timers) {
         PlacementRules rules = policies.rules();
-        MachinePreference preference = new MachinePreference(rules);
+        MachineScorer machineScorer = new MachineScorer(rules);
         this.recovery = recovery;
         this.timers = timers;
         this.batchPlanner = policies.batchPlanner();
@@ -49,10 +49,10 @@
                 jobs,
                 batchPlanner,
                 new FairShare(config.tuning().weights()));
-        this.machines = new MachineSelector(fleet, rules, preference, policies.gangHeadroom());
+        this.machines = new MachineSelector(fleet, rules, machineScorer, policies.gangHeadroom());
         this.taskScheduler =
                 new TaskScheduler(config.topology().zones(), candidates, machines, rules, policies.preemptor(), tasks);
-        this.gangScheduler = new GangScheduler(config, fleet, rules, tasks, preference);
+        this.gangScheduler = new GangScheduler(config, fleet, rules, tasks, machineScorer);
     }
 
     /** One cycle, until nothing more fits. */
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementFixture;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
 class GangPlacementFinderTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangPlacementFinder finder = new GangPlacementFinder(
-            new GangConstraints(List.of("a", "b"), fixture.rules), fixture.rules, new MachinePreference(fixture.rules));
+            new GangConstraints(List.of("a", "b"), fixture.rules), fixture.rules, new MachineScorer(fixture.rules));
     private final Machine first = fixture.machine("m1", false);
     private final Machine second = fixture.machine("m2", false);
     private final ActiveJob gang =
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementFixture;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
@@ -21,7 +21,7 @@
 
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangScheduler scheduler = new GangScheduler(
-            fixture.config, fixture.fleet, fixture.rules, fixture.tasks, new MachinePreference(fixture.rules));
+            fixture.config, fixture.fleet, fixture.rules, fixture.tasks, new MachineScorer(fixture.rules));
     private final List<Machine> machines = new ArrayList<>();
     private final ActiveJob gang =
             fixture.gang("gang", Priority.STANDARD).tasks(2).cpuMillis(2 * CPU).build();
--- a/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The order in which machines are preferred. */
-class MachinePreferenceTest {
+class MachineScorerTest {
     private final PlacementFixture fixture = new PlacementFixture();
-    private final MachinePreference preference = new MachinePreference(fixture.rules);
+    private final MachineScorer machineScorer = new MachineScorer(fixture.rules);
     private final ActiveJob batch = fixture.batch("batch", Priority.STANDARD).build();
     private final ActiveJob service =
             fixture.service("service", Priority.STANDARD).build();
@@ -21,7 +21,7 @@
             fixture.service("other-service", Priority.STANDARD).build();
 
     private void assertPreferred(Machine better, Machine worse, ActiveJob job) {
-        assertTrue(preference.score(better, job.spec()) > preference.score(worse, job.spec()));
+        assertTrue(machineScorer.score(better, job.spec()) > machineScorer.score(worse, job.spec()));
     }
 
     @Test
