--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -101,7 +101,7 @@
 
     /** How long the batch work at hand takes on what there is and what is on its way. */
     double drainMicros() {
-        return batchPlanner.drainMicros(planned.batchCpuMillis());
+        return batchPlanner.batchCompletionMicros(planned.batchCpuMillis());
     }
 
     private void plan(ActiveJob job) {
@@ -163,6 +163,6 @@
     }
 
     private boolean isDeferrable(ActiveJob job) {
-        return batchPlanner.deferrable(job, planned.batchCpuMillis(), nowMicros);
+        return batchPlanner.isDeferrable(job, planned.batchCpuMillis(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -92,7 +92,7 @@
     private boolean isDeferrable(ActiveJob job, long nowMicros) {
         return StartDelay.micros(job, nowMicros) < StartDelay.MAX_BESIDE_FREE_CAPACITY_MICROS
                 && !batchPlanner.needsImmediateStart(job)
-                && batchPlanner.deferrable(job, 0, nowMicros);
+                && batchPlanner.isDeferrable(job, 0, nowMicros);
     }
 
     private Candidate candidate(ActiveJob job) {
