--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -65,7 +65,7 @@
     /** The best machine on which this task was not tried under the same attempt: a worker ignores a second start. */
     private @Nullable Machine replacementMachine(
             ActiveJob job, GangAttempt attempt, int index, List<Machine> machinesWithCapacity, long nowMicros) {
-        if (!rules.mayStartAnother(job)) {
+        if (!rules.canStartAnotherTask(job)) {
             return null;
         }
         return machineScorer.best(
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -88,7 +88,7 @@
     }
 
     /** Whether a further task of this job may be started at all, capacity aside. */
-    public boolean mayStartAnother(ActiveJob job) {
+    public boolean canStartAnotherTask(ActiveJob job) {
         return isWithinTeamLimit(job.spec()) && faults.mayStartAnother(job);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -51,7 +51,7 @@
      */
     int schedule(ActiveJob job, long nowMicros) {
         ResourceRequest request = ResourceRequest.of(job, zones);
-        if (isUnplaceable(request) || !rules.mayStartAnother(job)) {
+        if (isUnplaceable(request) || !rules.canStartAnotherTask(job)) {
             return 0;
         }
         Machine machine = machines.best(job, nowMicros);
