--- a/src/main/java/org/granitepath/coordination/placement/Resources.java
+++ b/src/main/java/org/granitepath/coordination/placement/ResourceUsage.java
@@ -7,7 +7,7 @@
  * A sum of what tasks use: thousandths of a CPU, of a GPU and of a gigabyte of memory. It is mutable, because one is
  * summed up for each machine in loops over the whole fleet.
  */
-public final class Resources {
+public final class ResourceUsage {
     private long cpuMillis;
     private long gpuMillis;
     private long memoryMillis;
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.placement.Resources;
+import org.granitepath.coordination.placement.ResourceUsage;
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
@@ -25,7 +25,7 @@
      * @return null if the task does not even fit once all candidates are stopped
      */
     static @Nullable Preemption cheapest(
-            JobSpec spec, Machine machine, List<Placement> candidates, Resources freed, long nowMicros) {
+            JobSpec spec, Machine machine, List<Placement> candidates, ResourceUsage freed, long nowMicros) {
         candidates.sort(Comparator.comparingDouble(placement -> PreemptionCost.ofStopping(placement, nowMicros)));
         List<Placement> victims = new ArrayList<>();
         double cost = PreemptionCost.ofFetchingImage(machine, spec);
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.placement.PlacementRules;
-import org.granitepath.coordination.placement.Resources;
+import org.granitepath.coordination.placement.ResourceUsage;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -51,7 +51,7 @@
             if (!isConsidered(machine, job, withImageOnly, nowMicros)) {
                 continue;
             }
-            Resources stopping = usedByStoppingTasks(machine);
+            ResourceUsage stopping = usedByStoppingTasks(machine);
             int pendingSlots = stopping.slotsOnceFreed(machine.capacity(), job.spec());
             pending += pendingSlots;
             Preemption cheapest =
@@ -69,8 +69,8 @@
                 && (!withImageOnly || machine.capacity().hasImage(job.spec().image()));
     }
 
-    private static Resources usedByStoppingTasks(Machine machine) {
-        Resources used = new Resources();
+    private static ResourceUsage usedByStoppingTasks(Machine machine) {
+        ResourceUsage used = new ResourceUsage();
         for (Placement placement : machine.placements()) {
             if (placement.phase() == Placement.Phase.STOPPING) {
                 used.add(placement.job().spec());
@@ -85,7 +85,7 @@
      * @param stopping what is being freed there anyway
      */
     private static @Nullable Preemption cheapestPreemption(
-            Machine machine, ActiveJob job, PreemptionPolicy policy, Resources stopping, long nowMicros) {
+            Machine machine, ActiveJob job, PreemptionPolicy policy, ResourceUsage stopping, long nowMicros) {
         List<Placement> candidates = new ArrayList<>();
         for (Placement placement : machine.placements()) {
             if (placement.phase() != Placement.Phase.STOPPING && policy.mayPreempt(placement)) {
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.placement.ImageFetchTime;
-import org.granitepath.coordination.placement.Resources;
+import org.granitepath.coordination.placement.ResourceUsage;
 import org.granitepath.storage.JobSpec;
 
 /** Finds capacity on fuller machines for the replicas that move in one round of consolidation. */
@@ -16,7 +16,7 @@
 
     private final Fleet fleet;
     /** What replicas that move will use on other machines; nothing yet on those that were looked at. */
-    private final Map<Machine, Resources> promised = new LinkedHashMap<>();
+    private final Map<Machine, ResourceUsage> promised = new LinkedHashMap<>();
 
     /** Nothing moves at first. */
     RelocationPlan(Fleet fleet) {
@@ -45,7 +45,7 @@
             if (!mayMoveTo(machine, source, spec)) {
                 continue;
             }
-            Resources taken = promised.computeIfAbsent(machine, unknown -> new Resources());
+            ResourceUsage taken = promised.computeIfAbsent(machine, unknown -> new ResourceUsage());
             if (taken.slotsOnceUsed(machine.capacity(), spec) > 0) {
                 taken.add(spec);
                 return true;
