--- a/src/main/java/org/granitepath/coordination/placement/ResourceUsage.java
+++ b/src/main/java/org/granitepath/coordination/placement/ResourceUsage.java
@@ -20,7 +20,7 @@
     }
 
     /** How many tasks of this job fit on a machine once this much is free beyond what is free there now. */
-    public int slotsOnceFreed(MachineCapacity capacity, JobSpec spec) {
+    public int slotsIfFreed(MachineCapacity capacity, JobSpec spec) {
         return capacity.slots(spec, cpuMillis, gpuMillis, memoryMillis);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
@@ -33,7 +33,7 @@
             victims.add(placement);
             cost += PreemptionCost.ofStopping(placement, nowMicros);
             freed.add(placement.job().spec());
-            int slots = freed.slotsOnceFreed(machine.capacity(), spec);
+            int slots = freed.slotsIfFreed(machine.capacity(), spec);
             if (slots > 0) {
                 return new Preemption(machine, victims, cost, slots);
             }
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -52,7 +52,7 @@
                 continue;
             }
             ResourceUsage stopping = usedByStoppingTasks(machine);
-            int pendingSlots = stopping.slotsOnceFreed(machine.capacity(), job.spec());
+            int pendingSlots = stopping.slotsIfFreed(machine.capacity(), job.spec());
             pending += pendingSlots;
             Preemption cheapest =
                     pendingSlots > 0 ? null : cheapestPreemption(machine, job, policy, stopping, nowMicros);
