--- a/src/main/java/org/granitepath/coordination/placement/ResourceUsage.java
+++ b/src/main/java/org/granitepath/coordination/placement/ResourceUsage.java
@@ -25,7 +25,7 @@
     }
 
     /** How many tasks of this job fit on a machine once this much of what is free there now is used. */
-    public int slotsOnceUsed(MachineCapacity capacity, JobSpec spec) {
+    public int slotsIfUsed(MachineCapacity capacity, JobSpec spec) {
         return capacity.slots(spec, -cpuMillis, -gpuMillis, -memoryMillis);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -46,7 +46,7 @@
                 continue;
             }
             ResourceUsage taken = promised.computeIfAbsent(machine, unknown -> new ResourceUsage());
-            if (taken.slotsOnceUsed(machine.capacity(), spec) > 0) {
+            if (taken.slotsIfUsed(machine.capacity(), spec) > 0) {
                 taken.add(spec);
                 return true;
             }
