--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -67,7 +67,7 @@
             return true;
         }
         return spareCpuMillis >= spec.cpuMillis()
-                || StartDelay.micros(job, nowMicros) > StartDelay.MAX_BESIDE_FREE_CAPACITY_MICROS;
+                || StartDelay.micros(job, nowMicros) > StartDelay.MAX_WITH_FREE_CAPACITY_MICROS;
     }
 
     /** Notes that a task was placed there. */
--- a/src/main/java/org/granitepath/coordination/placement/StartDelay.java
+++ b/src/main/java/org/granitepath/coordination/placement/StartDelay.java
@@ -8,7 +8,7 @@
      * How long a job may be kept from capacity that is free, whether to save costs or for gangs. The users allow 90 s
      * beside a machine with capacity.
      */
-    public static final long MAX_BESIDE_FREE_CAPACITY_MICROS = 75_000_000;
+    public static final long MAX_WITH_FREE_CAPACITY_MICROS = 75_000_000;
 
     private StartDelay() {}
 
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -90,7 +90,7 @@
 
     /** However well a job could wait, it is not left without a start for long while capacity is free. */
     private boolean isDeferrable(ActiveJob job, long nowMicros) {
-        return StartDelay.micros(job, nowMicros) < StartDelay.MAX_BESIDE_FREE_CAPACITY_MICROS
+        return StartDelay.micros(job, nowMicros) < StartDelay.MAX_WITH_FREE_CAPACITY_MICROS
                 && !batchPlanner.needsImmediateStart(job)
                 && batchPlanner.isDeferrable(job, 0, nowMicros);
     }
