--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -28,7 +28,7 @@
     /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
     void survey() {
         keepsAll = recovery.keepsIdleMachines();
-        gangHeadroom.survey();
+        gangHeadroom.update();
     }
 
     /** Whether nothing needs the machine. It counts as given up then, and the headroom is smaller by it. */
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -31,7 +31,7 @@
     }
 
     /** Looks at the fleet anew. */
-    public void survey() {
+    public void update() {
         zone = NO_ZONE;
         long mostCpuMillis = -1;
         for (var entry : freeCpuMillisByZone().object2LongEntrySet()) {
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -41,7 +41,7 @@
                 machinesWithCapacity.add(machine);
             }
         }
-        gangHeadroom.survey();
+        gangHeadroom.update();
     }
 
     private static long smallest(CandidateQueue candidates, ToLongFunction<JobSpec> amount) {
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -35,7 +35,7 @@
 
     private void survey() {
         planner.updateIfDue(NOW);
-        headroom.survey();
+        headroom.update();
     }
 
     @Test
