--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -61,7 +61,7 @@
     }
 
     /** Whether the job may have a task there, as far as gangs are concerned. */
-    public boolean leavesHeadroom(Machine machine, ActiveJob job, long nowMicros) {
+    public boolean canPlace(Machine machine, ActiveJob job, long nowMicros) {
         JobSpec spec = job.spec();
         if (!isPartOfHeadroom(machine) || spec.service() || spec.gang() || !spec.spot()) {
             return true;
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -69,6 +69,6 @@
     }
 
     private boolean isUsable(Machine machine, ActiveJob job, long nowMicros) {
-        return rules.canPlace(job, machine, nowMicros) && gangHeadroom.leavesHeadroom(machine, job, nowMicros);
+        return rules.canPlace(job, machine, nowMicros) && gangHeadroom.canPlace(machine, job, nowMicros);
     }
 }
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -43,7 +43,7 @@
         survey();
         headroom.taskPlaced(first, batch.spec());
         headroom.taskPlaced(first, batch.spec());
-        assertTrue(headroom.leavesHeadroom(first, batch, NOW));
+        assertTrue(headroom.canPlace(first, batch, NOW));
         assertFalse(headroom.keeps(first));
     }
 
@@ -51,10 +51,10 @@
     void batchWorkLeavesWhatTheGangTakes() {
         promptGang();
         survey();
-        assertTrue(headroom.leavesHeadroom(first, batch, NOW));
+        assertTrue(headroom.canPlace(first, batch, NOW));
         headroom.taskPlaced(first, batch.spec());
-        assertFalse(headroom.leavesHeadroom(first, batch, NOW));
-        assertTrue(headroom.leavesHeadroom(fixture.machine("spot", true), batch, NOW));
+        assertFalse(headroom.canPlace(first, batch, NOW));
+        assertTrue(headroom.canPlace(fixture.machine("spot", true), batch, NOW));
     }
 
     @Test
@@ -62,7 +62,7 @@
         promptGang();
         survey();
         headroom.taskPlaced(first, batch.spec());
-        assertTrue(headroom.leavesHeadroom(first, batch, NOW + 76 * SECOND));
+        assertTrue(headroom.canPlace(first, batch, NOW + 76 * SECOND));
     }
 
     @Test
