--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -71,7 +71,7 @@
     }
 
     /** Notes that a task was placed there. */
-    public void taskPlaced(Machine machine, JobSpec spec) {
+    public void onTaskPlaced(Machine machine, JobSpec spec) {
         if (isPartOfHeadroom(machine)) {
             spareCpuMillis -= spec.cpuMillis();
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -65,7 +65,7 @@
 
     /** Notes that a task was placed there. */
     void placed(Machine machine, JobSpec spec) {
-        gangHeadroom.taskPlaced(machine, spec);
+        gangHeadroom.onTaskPlaced(machine, spec);
     }
 
     private boolean isUsable(Machine machine, ActiveJob job, long nowMicros) {
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -41,8 +41,8 @@
     @Test
     void nothingIsKeptWithoutAPromptGang() {
         survey();
-        headroom.taskPlaced(first, batch.spec());
-        headroom.taskPlaced(first, batch.spec());
+        headroom.onTaskPlaced(first, batch.spec());
+        headroom.onTaskPlaced(first, batch.spec());
         assertTrue(headroom.canPlace(first, batch, NOW));
         assertFalse(headroom.keeps(first));
     }
@@ -52,7 +52,7 @@
         promptGang();
         survey();
         assertTrue(headroom.canPlace(first, batch, NOW));
-        headroom.taskPlaced(first, batch.spec());
+        headroom.onTaskPlaced(first, batch.spec());
         assertFalse(headroom.canPlace(first, batch, NOW));
         assertTrue(headroom.canPlace(fixture.machine("spot", true), batch, NOW));
     }
@@ -61,7 +61,7 @@
     void batchWorkThatHasWaitedLongTakesWhatThereIs() {
         promptGang();
         survey();
-        headroom.taskPlaced(first, batch.spec());
+        headroom.onTaskPlaced(first, batch.spec());
         assertTrue(headroom.canPlace(first, batch, NOW + 76 * SECOND));
     }
 
