--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -33,7 +33,7 @@
 
     /** Whether nothing needs the machine. It counts as given up then, and the headroom is smaller by it. */
     boolean releases(Machine machine, long nowMicros) {
-        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
+        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.isNeeded(machine);
         return !keptAsHeadroom(machine, idle) && idle;
     }
 
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -78,7 +78,7 @@
     }
 
     /** Whether this idle machine is to be kept: without it too little would be free. */
-    public boolean keeps(Machine machine) {
+    public boolean isNeeded(Machine machine) {
         return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().cpuFree();
     }
 
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -44,7 +44,7 @@
         headroom.onTaskPlaced(first, batch.spec());
         headroom.onTaskPlaced(first, batch.spec());
         assertTrue(headroom.canPlace(first, batch, NOW));
-        assertFalse(headroom.keeps(first));
+        assertFalse(headroom.isNeeded(first));
     }
 
     @Test
@@ -69,8 +69,8 @@
     void oneIdleMachineOfTwoIsKept() {
         promptGang();
         survey();
-        assertFalse(headroom.keeps(first));
+        assertFalse(headroom.isNeeded(first));
         headroom.terminated(first);
-        assertTrue(headroom.keeps(first));
+        assertTrue(headroom.isNeeded(first));
     }
 }
