--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -47,7 +47,7 @@
         }
         if (idleAtFullPrice) {
             spareHeadroom.release(freeCpuMillis);
-            gangHeadroom.terminated(machine);
+            gangHeadroom.onMachineTerminated(machine);
         }
         return false;
     }
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -83,7 +83,7 @@
     }
 
     /** Notes that a machine is terminated. */
-    public void terminated(Machine machine) {
+    public void onMachineTerminated(Machine machine) {
         if (isPartOfHeadroom(machine)) {
             spareCpuMillis -= machine.capacity().cpuFree();
         }
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -70,7 +70,7 @@
         promptGang();
         survey();
         assertFalse(headroom.isNeeded(first));
-        headroom.terminated(first);
+        headroom.onMachineTerminated(first);
         assertTrue(headroom.isNeeded(first));
     }
 }
