--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -39,7 +39,7 @@
     }
 
     /** Releases the machines reserved for gangs that no longer wait for them. Called before each cycle. */
-    public void releaseReservations(long nowMicros) {
+    public void releaseEndedReservations(long nowMicros) {
         reservations.releaseEnded(nowMicros);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -65,7 +65,7 @@
     /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
     private int scheduleAll(long nowMicros) {
         batchPlanner.updateIfDue(nowMicros);
-        gangScheduler.releaseReservations(nowMicros);
+        gangScheduler.releaseEndedReservations(nowMicros);
         candidates.refill(nowMicros);
         if (candidates.isEmpty()) {
             return 0;
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -64,9 +64,9 @@
     void aReservationEndsAfterTheHoldAndTheLongestBoot() {
         fillMachines();
         scheduler.schedule(gang, machines, NOW);
-        scheduler.releaseReservations(NOW + GANG_HOLD_AND_BOOT);
+        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT);
         assertEquals(1, reserved());
-        scheduler.releaseReservations(NOW + GANG_HOLD_AND_BOOT + 1);
+        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT + 1);
         assertEquals(0, reserved());
     }
 }
