--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.coordination.placement.PlacementFixture.CPU;
 import static org.granitepath.coordination.placement.PlacementFixture.NOW;
-import static org.granitepath.coordination.placement.PlacementFixture.PROMPT_CLASS;
+import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -135,7 +135,7 @@
 
     @Test
     void notBelowTheHeadroomForGangs() {
-        fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
+        fixture.gang("gang", Priority.STANDARD).jobClass(URGENT_CLASS).tasks(4).build();
         planner.updateIfDue(NOW);
         Machine first = paidMachine("m1", false);
         Machine second = paidMachine("m2", false);
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.coordination.placement.PlacementFixture.CPU;
 import static org.granitepath.coordination.placement.PlacementFixture.NOW;
-import static org.granitepath.coordination.placement.PlacementFixture.PROMPT_CLASS;
+import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,7 +30,7 @@
     }
 
     private void promptGang() {
-        fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
+        fixture.gang("gang", Priority.STANDARD).jobClass(URGENT_CLASS).tasks(4).build();
     }
 
     private void survey() {
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -42,7 +42,7 @@
     public static final long NOW = 1_000 * SECOND;
     public static final long CPU = 1_000;
     /** Its tasks are expected to start sooner than a machine boots. */
-    public static final String PROMPT_CLASS = "prompt";
+    public static final String URGENT_CLASS = "prompt";
 
     /** Each machine has four CPUs and fetches images at 1 GB/s. */
     private static final MachineType TYPE =
@@ -79,7 +79,7 @@
                 new ControllerIdentity("c1", "c1-1", "a"),
                 new Topology(List.of("a", "b"), Map.of()),
                 teams,
-                Map.of(PROMPT_CLASS, new Objective(4 * SECOND, 0, 0)),
+                Map.of(URGENT_CLASS, new Objective(4 * SECOND, 0, 0)),
                 new WorkerTiming(SECOND, 10 * SECOND, 10 * SECOND, 30 * SECOND, 5 * SECOND),
                 new PlatformLimits(10, new StoreLimits(10, 10_000, 10), 5, 100),
                 0,
