--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -39,7 +39,7 @@
             new TermRecovery(recoveryPlan, fixture.jobs, null, null));
 
     private Machine paidMachine(String id, boolean spot) {
-        Machine machine = fixture.machine(id, spot);
+        Machine machine = fixture.addMachine(id, spot);
         machine.launchedAt(LONG_AGO);
         return machine;
     }
@@ -75,7 +75,7 @@
 
     @Test
     void notBeforeTheMinimumChargeIsUsedUp() {
-        assertReleasedAfter(fixture.machine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
+        assertReleasedAfter(fixture.addMachine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
@@ -38,14 +38,14 @@
     }
 
     private Machine drained(String id) {
-        Machine machine = fixture.machine(id, false);
+        Machine machine = fixture.addMachine(id, false);
         machine.drain("test");
         return machine;
     }
 
     @Test
     void aMachineInUseIsKept() {
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), fixture.machine("m", false), SECOND);
+        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), fixture.addMachine("m", false), SECOND);
         assertEquals(List.of(), scaleIn.choose(NOW));
     }
 
@@ -58,7 +58,7 @@
 
     @Test
     void aMachineThatNothingNeedsIsChosen() {
-        Machine machine = fixture.machine("idle", false);
+        Machine machine = fixture.addMachine("idle", false);
         long laterMicros = NOW + Machine.MINIMUM_CHARGE_MICROS + 1;
         machine.heartbeatReceived(false, laterMicros);
         assertEquals(List.of("idle"), scaleIn.choose(laterMicros));
@@ -67,7 +67,7 @@
 
     @Test
     void anUnresponsiveMachineIsChosenWhateverRunsThere() {
-        Machine machine = fixture.machine("m", false);
+        Machine machine = fixture.addMachine("m", false);
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         long leaseMicros = fixture.config.workers().leaseMicros();
         assertEquals(List.of("m"), scaleIn.choose(NOW + leaseMicros + 1));
@@ -76,7 +76,7 @@
 
     @Test
     void aDrainedMachineIsChosenOnceItIsEmpty() {
-        Machine busy = fixture.machine("busy", false);
+        Machine busy = fixture.addMachine("busy", false);
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), busy, SECOND);
         busy.drain("test");
         drained("empty");
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -20,12 +20,12 @@
     private final BatchPlanner planner =
             new BatchPlanner(fixture.config, fixture.fleet, fixture.jobs, fixture.runtimeEstimator);
     private final GangHeadroom headroom = new GangHeadroom(fixture.fleet, planner);
-    private final Machine first = fixture.machine("m1", false);
+    private final Machine first = fixture.addMachine("m1", false);
     private final ActiveJob batch =
             fixture.batch("batch", Priority.STANDARD).cpuMillis(3 * CPU).build();
 
     GangHeadroomTest() {
-        fixture.machine("m2", false);
+        fixture.addMachine("m2", false);
         batch.scheduling().tasksWaiting(NOW);
     }
 
@@ -54,7 +54,7 @@
         assertTrue(headroom.canPlace(first, batch, NOW));
         headroom.onTaskPlaced(first, batch.spec());
         assertFalse(headroom.canPlace(first, batch, NOW));
-        assertTrue(headroom.canPlace(fixture.machine("spot", true), batch, NOW));
+        assertTrue(headroom.canPlace(fixture.addMachine("spot", true), batch, NOW));
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -19,8 +19,8 @@
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangPlacementFinder finder = new GangPlacementFinder(
             new GangConstraints(List.of("a", "b"), fixture.rules), fixture.rules, new MachineScorer(fixture.rules));
-    private final Machine first = fixture.machine("m1", false);
-    private final Machine second = fixture.machine("m2", false);
+    private final Machine first = fixture.addMachine("m1", false);
+    private final Machine second = fixture.addMachine("m2", false);
     private final ActiveJob gang =
             fixture.gang("gang", Priority.STANDARD).tasks(3).cpuMillis(2 * CPU).build();
 
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -28,7 +28,7 @@
 
     GangSchedulerTest() {
         for (String id : List.of("m1", "m2", "m3")) {
-            machines.add(fixture.machine(id, false));
+            machines.add(fixture.addMachine(id, false));
         }
         gang.claimRecorded(2);
     }
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -33,7 +33,7 @@
 
     @Test
     void theMostJobsThatCanBeInTimeTogether() {
-        fixture.machine("m1", true);
+        fixture.addMachine("m1", true);
         ActiveJob small = due("small", 4, 120 * SECOND);
         ActiveJob large = due("large", 8, 180 * SECOND);
         ActiveJob alsoSmall = due("also-small", 4, 240 * SECOND);
@@ -85,7 +85,7 @@
 
     @Test
     void aJobWaitsForCheapCapacityWhileItsDeadlineAllows() {
-        fixture.machine("m1", true);
+        fixture.addMachine("m1", true);
         ActiveJob relaxed = due("relaxed", 4, 300 * SECOND);
         ActiveJob urgent = due("urgent", 4, 100 * SECOND);
         ActiveJob service = fixture.service("service", Priority.STANDARD).build();
@@ -97,7 +97,7 @@
 
     @Test
     void workTakesLessTimeWithMoreCapacity() {
-        fixture.machine("m1", false);
+        fixture.addMachine("m1", false);
         fixture.batch("batch", Priority.STANDARD).tasks(8).build();
         planner.updateIfDue(NOW);
         assertEquals(120.0 * SECOND, planner.batchCompletionMicros(0));
--- a/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
@@ -10,7 +10,7 @@
 /** How long a task waits for an image of 3 GB on a machine that fetches 1 GB/s. */
 class ImageFetchTimeTest {
     private final PlacementFixture fixture = new PlacementFixture();
-    private final Machine machine = fixture.machine("m", false);
+    private final Machine machine = fixture.addMachine("m", false);
     private final JobSpec spec =
             fixture.batch("batch", Priority.STANDARD).imageGb(3).build().spec();
 
--- a/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void imageThenFetchUnderWayThenNeither() {
-        Machine withImage = fixture.machine("with-image", false);
-        Machine fetching = fixture.machine("fetching", false);
-        Machine without = fixture.machine("without", false);
+        Machine withImage = fixture.addMachine("with-image", false);
+        Machine fetching = fixture.addMachine("fetching", false);
+        Machine without = fixture.addMachine("without", false);
         withImage.capacity().imageSeen(batch.spec().image());
         fixture.tasks.start(batch, fetching, NOW);
         assertPreferred(withImage, fetching, batch);
@@ -37,8 +37,8 @@
 
     @Test
     void tighterFit() {
-        Machine empty = fixture.machine("empty", false);
-        Machine fuller = fixture.machine("fuller", false);
+        Machine empty = fixture.addMachine("empty", false);
+        Machine fuller = fixture.addMachine("fuller", false);
         ActiveJob large =
                 fixture.batch("large", Priority.STANDARD).cpuMillis(3 * CPU).build();
         fixture.running(large, fuller, SECOND);
@@ -47,8 +47,8 @@
 
     @Test
     void servicesGatherAndBatchWorkAvoidsThem() {
-        Machine empty = fixture.machine("empty", false);
-        Machine withService = fixture.machine("with-service", false);
+        Machine empty = fixture.addMachine("empty", false);
+        Machine withService = fixture.addMachine("with-service", false);
         fixture.running(otherService, withService, SECOND);
         assertPreferred(withService, empty, service);
         assertPreferred(empty, withService, batch);
@@ -56,13 +56,13 @@
 
     @Test
     void batchWorkPrefersSpot() {
-        assertPreferred(fixture.machine("spot", true), fixture.machine("full-price", false), batch);
+        assertPreferred(fixture.addMachine("spot", true), fixture.addMachine("full-price", false), batch);
     }
 
     @Test
     void suspectMachineComesLast() {
-        Machine suspect = fixture.machine("suspect", true);
-        Machine sound = fixture.machine("sound", false);
+        Machine suspect = fixture.addMachine("suspect", true);
+        Machine sound = fixture.addMachine("sound", false);
         suspect.capacity().imageSeen(batch.spec().image());
         fixture.faults.failed(suspect, otherService, NOW);
         assertPreferred(sound, suspect, batch);
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -87,7 +87,7 @@
     }
 
     /** An empty machine that takes tasks. */
-    public Machine machine(String id, boolean spot) {
+    public Machine addMachine(String id, boolean spot) {
         Machine machine =
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
         machine.inventory().onRecord();
--- a/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
@@ -18,7 +18,7 @@
 class PlacementRulesTest {
     private final PlacementFixture fixture =
             new PlacementFixture(new Team("t", 2 * CPU, 3 * CPU, 0, 0), new Team("u", 0, 0, 0, 0));
-    private final Machine machine = fixture.machine("m1", false);
+    private final Machine machine = fixture.addMachine("m1", false);
     private final ActiveJob batch = fixture.batch("batch", Priority.STANDARD).build();
 
     @Test
@@ -50,7 +50,7 @@
         batch.scheduling().setDeferrable(true);
         long minimumChargeOver = NOW + Machine.MINIMUM_CHARGE_MICROS;
         assertFalse(fixture.rules.satisfiesConstraints(machine, batch, minimumChargeOver));
-        assertTrue(fixture.rules.satisfiesConstraints(fixture.machine("spot", true), batch, minimumChargeOver));
+        assertTrue(fixture.rules.satisfiesConstraints(fixture.addMachine("spot", true), batch, minimumChargeOver));
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
@@ -25,8 +25,8 @@
             new MachineLifecycle(
                     fixture.fleet, null, fixture.tasks, fixture.recovery, fixture.faults, null, null, null),
             fixture.tasks);
-    private final Machine emptier = fixture.machine("emptier", false);
-    private final Machine fuller = fixture.machine("fuller", false);
+    private final Machine emptier = fixture.addMachine("emptier", false);
+    private final Machine fuller = fixture.addMachine("fuller", false);
 
     private ActiveJob service(String id, int tasks) {
         return fixture.service(id, Priority.STANDARD).tasks(tasks).build();
@@ -102,7 +102,7 @@
     @Test
     void aSmallFleetEmptiesOneMachineAtATime() {
         replicas(LONG_ENOUGH);
-        Machine third = fixture.machine("third", false);
+        Machine third = fixture.addMachine("third", false);
         fixture.running(service("other", 1), third, LONG_ENOUGH);
 
         consolidator.consolidateIfDue(NOW);
--- a/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
@@ -19,8 +19,8 @@
 class PreemptorTest {
     private final PlacementFixture fixture = new PlacementFixture(new Team("guaranteed", 4 * CPU, 0, 0, 0));
     private final Preemptor preemptor = new Preemptor(fixture.fleet, fixture.rules, fixture.tasks);
-    private final Machine first = fixture.machine("m1", false);
-    private final Machine second = fixture.machine("m2", false);
+    private final Machine first = fixture.addMachine("m1", false);
+    private final Machine second = fixture.addMachine("m2", false);
     private final ActiveJob live =
             fixture.service("live", Priority.CRITICAL).cpuMillis(4 * CPU).build();
 
--- a/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
@@ -22,7 +22,7 @@
     }
 
     private Machine machineWith(String id, PlacementFixture.JobBuilder service) {
-        Machine machine = fixture.machine(id, false);
+        Machine machine = fixture.addMachine(id, false);
         fixture.running(service.build(), machine, SECOND);
         return machine;
     }
