--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -81,7 +81,7 @@
     @Test
     void notWithATask() {
         Machine machine = paidMachine("m", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 
@@ -127,7 +127,7 @@
         releasedAfter(machine, IDLE + 1);
         assertTrue(machine.keptAsHeadroom());
 
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         releasedAfter(machine, IDLE + 1);
 
         assertFalse(machine.keptAsHeadroom());
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
@@ -45,7 +45,7 @@
 
     @Test
     void aMachineInUseIsKept() {
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), fixture.addMachine("m", false), SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), fixture.addMachine("m", false), SECOND);
         assertEquals(List.of(), scaleIn.choose(NOW));
     }
 
@@ -68,7 +68,7 @@
     @Test
     void anUnresponsiveMachineIsChosenWhateverRunsThere() {
         Machine machine = fixture.addMachine("m", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         long leaseMicros = fixture.config.workers().leaseMicros();
         assertEquals(List.of("m"), scaleIn.choose(NOW + leaseMicros + 1));
         assertEquals(Machine.Phase.TERMINATING, machine.phase());
@@ -77,7 +77,7 @@
     @Test
     void aDrainedMachineIsChosenOnceItIsEmpty() {
         Machine busy = fixture.addMachine("busy", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), busy, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), busy, SECOND);
         busy.drain("test");
         drained("empty");
         assertEquals(List.of("empty"), scaleIn.choose(NOW));
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -34,8 +34,8 @@
 
     @Test
     void noPartOfAGangIsPlaced() {
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), first, SECOND);
-        fixture.running(fixture.batch("other", Priority.STANDARD).build(), second, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), first, SECOND);
+        fixture.addRunningTask(fixture.batch("other", Priority.STANDARD).build(), second, SECOND);
         assertNull(finder.find(gang, List.of(first, second), NOW));
     }
 
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -36,7 +36,7 @@
     private void fillMachines() {
         ActiveJob batch =
                 fixture.batch("batch", Priority.STANDARD).cpuMillis(3 * CPU).build();
-        machines.forEach(machine -> fixture.running(batch, machine, SECOND));
+        machines.forEach(machine -> fixture.addRunningTask(batch, machine, SECOND));
     }
 
     private long reserved() {
--- a/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
@@ -41,7 +41,7 @@
         Machine fuller = fixture.addMachine("fuller", false);
         ActiveJob large =
                 fixture.batch("large", Priority.STANDARD).cpuMillis(3 * CPU).build();
-        fixture.running(large, fuller, SECOND);
+        fixture.addRunningTask(large, fuller, SECOND);
         assertPreferred(fuller, empty, batch);
     }
 
@@ -49,7 +49,7 @@
     void servicesGatherAndBatchWorkAvoidsThem() {
         Machine empty = fixture.addMachine("empty", false);
         Machine withService = fixture.addMachine("with-service", false);
-        fixture.running(otherService, withService, SECOND);
+        fixture.addRunningTask(otherService, withService, SECOND);
         assertPreferred(withService, empty, service);
         assertPreferred(empty, withService, batch);
     }
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -98,7 +98,7 @@
     }
 
     /** A task of the job that has run there for so long. */
-    public Placement running(ActiveJob job, Machine machine, long ranMicros) {
+    public Placement addRunningTask(ActiveJob job, Machine machine, long ranMicros) {
         Placement placement = tasks.start(job, machine, NOW - ranMicros);
         placement.sentDirectly();
         placement.running(NOW - ranMicros);
--- a/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
@@ -55,16 +55,16 @@
 
     @Test
     void limitCountsAllTasksTogether() {
-        fixture.running(batch, machine, SECOND);
+        fixture.addRunningTask(batch, machine, SECOND);
         assertTrue(fixture.rules.isWithinTeamLimit(batch.spec(), 2));
         assertFalse(fixture.rules.isWithinTeamLimit(batch.spec(), 3));
     }
 
     @Test
     void borrowedIsWhatExceedsTheQuotaAndGoesOn() {
-        fixture.running(batch, machine, SECOND);
-        fixture.running(batch, machine, SECOND);
-        Placement third = fixture.running(batch, machine, SECOND);
+        fixture.addRunningTask(batch, machine, SECOND);
+        fixture.addRunningTask(batch, machine, SECOND);
+        Placement third = fixture.addRunningTask(batch, machine, SECOND);
         assertEquals(CPU, fixture.rules.borrowedCpuMillis("t"));
         fixture.tasks.stop(third, 0, "test");
         assertEquals(0, fixture.rules.borrowedCpuMillis("t"));
--- a/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
@@ -34,9 +34,9 @@
 
     private Placement replicas(long ranMicros) {
         ActiveJob service = service("service", 3);
-        Placement onEmptier = fixture.running(service, emptier, ranMicros);
-        fixture.running(service, fuller, ranMicros);
-        fixture.running(service, fuller, ranMicros);
+        Placement onEmptier = fixture.addRunningTask(service, emptier, ranMicros);
+        fixture.addRunningTask(service, fuller, ranMicros);
+        fixture.addRunningTask(service, fuller, ranMicros);
         return onEmptier;
     }
 
@@ -64,7 +64,7 @@
                 .tasks(1)
                 .cpuMillis(CPU / 2)
                 .build();
-        fixture.running(batch, emptier, LONG_ENOUGH);
+        fixture.addRunningTask(batch, emptier, LONG_ENOUGH);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
@@ -92,9 +92,9 @@
                 .tasks(2)
                 .cpuMillis(2 * CPU)
                 .build();
-        fixture.running(service, emptier, LONG_ENOUGH);
-        fixture.running(service, fuller, LONG_ENOUGH);
-        fixture.running(service("small", 1), fuller, LONG_ENOUGH);
+        fixture.addRunningTask(service, emptier, LONG_ENOUGH);
+        fixture.addRunningTask(service, fuller, LONG_ENOUGH);
+        fixture.addRunningTask(service("small", 1), fuller, LONG_ENOUGH);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
@@ -103,7 +103,7 @@
     void aSmallFleetEmptiesOneMachineAtATime() {
         replicas(LONG_ENOUGH);
         Machine third = fixture.addMachine("third", false);
-        fixture.running(service("other", 1), third, LONG_ENOUGH);
+        fixture.addRunningTask(service("other", 1), third, LONG_ENOUGH);
 
         consolidator.consolidateIfDue(NOW);
         consolidator.consolidateIfDue(NOW + INTERVAL);
--- a/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
@@ -31,8 +31,8 @@
     @Test
     void machineWithTheLeastLoss() {
         ActiveJob batch = batch("batch", 4 * CPU);
-        Placement longer = fixture.running(batch, first, 100 * SECOND);
-        Placement shorter = fixture.running(batch, second, 10 * SECOND);
+        Placement longer = fixture.addRunningTask(batch, first, 100 * SECOND);
+        Placement shorter = fixture.addRunningTask(batch, second, 10 * SECOND);
         assertEquals(1, preemptor.preemptFor(live, 1, false, NOW));
         assertEquals(Phase.RUNNING, longer.phase());
         assertEquals(Phase.STOPPING, shorter.phase());
@@ -40,9 +40,9 @@
 
     @Test
     void cheapestVictimsOfOneMachineAndNoMore() {
-        fixture.running(batch("blocks", 4 * CPU), second, 1_000 * SECOND);
-        Placement dear = fixture.running(batch("dear", 2 * CPU), first, 50 * SECOND);
-        Placement cheap = fixture.running(batch("cheap", 2 * CPU), first, 5 * SECOND);
+        fixture.addRunningTask(batch("blocks", 4 * CPU), second, 1_000 * SECOND);
+        Placement dear = fixture.addRunningTask(batch("dear", 2 * CPU), first, 50 * SECOND);
+        Placement cheap = fixture.addRunningTask(batch("cheap", 2 * CPU), first, 5 * SECOND);
         ActiveJob small =
                 fixture.service("small", Priority.CRITICAL).cpuMillis(2 * CPU).build();
         assertEquals(1, preemptor.preemptFor(small, 1, false, NOW));
@@ -52,14 +52,14 @@
 
     @Test
     void aCheckpointMakesATaskCheaper() {
-        Placement saved = fixture.running(
+        Placement saved = fixture.addRunningTask(
                 fixture.batch("saves", Priority.BEST_EFFORT)
                         .cpuMillis(4 * CPU)
                         .checkpointMicros(10 * SECOND)
                         .build(),
                 first,
                 101 * SECOND);
-        Placement unsaved = fixture.running(batch("batch", 4 * CPU), second, 20 * SECOND);
+        Placement unsaved = fixture.addRunningTask(batch("batch", 4 * CPU), second, 20 * SECOND);
         assertEquals(1, preemptor.preemptFor(live, 1, false, NOW));
         assertEquals(Phase.STOPPING, saved.phase());
         assertEquals(Phase.RUNNING, unsaved.phase());
@@ -68,8 +68,8 @@
     @Test
     void whatIsStoppingAlreadyIsCounted() {
         ActiveJob batch = batch("batch", 4 * CPU);
-        Placement longer = fixture.running(batch, first, 100 * SECOND);
-        fixture.running(batch, second, 10 * SECOND);
+        Placement longer = fixture.addRunningTask(batch, first, 100 * SECOND);
+        fixture.addRunningTask(batch, second, 10 * SECOND);
         preemptor.preemptFor(live, 1, false, NOW);
         assertEquals(1, preemptor.preemptFor(live, 1, false, NOW));
         assertEquals(Phase.RUNNING, longer.phase());
@@ -77,9 +77,9 @@
 
     @Test
     void servicesAndEqualPriorityAreLeftAlone() {
-        fixture.running(
+        fixture.addRunningTask(
                 fixture.service("service", Priority.STANDARD).cpuMillis(4 * CPU).build(), first, 10 * SECOND);
-        fixture.running(
+        fixture.addRunningTask(
                 fixture.batch("critical", Priority.CRITICAL).cpuMillis(4 * CPU).build(), second, 10 * SECOND);
         assertEquals(0, preemptor.preemptFor(live, 1, false, NOW));
     }
@@ -100,8 +100,8 @@
 
     @Test
     void aDeadlineStopsWorkThatSavesItself() {
-        Placement unsaved = fixture.running(batch("batch", 4 * CPU), first, 20 * SECOND);
-        Placement saved = fixture.running(thatSaves(), second, 100 * SECOND);
+        Placement unsaved = fixture.addRunningTask(batch("batch", 4 * CPU), first, 20 * SECOND);
+        Placement saved = fixture.addRunningTask(thatSaves(), second, 100 * SECOND);
         assertEquals(1, preemptor.preemptFor(withDeadline(), 2, false, NOW));
         assertEquals(Phase.RUNNING, unsaved.phase());
         assertEquals(Phase.STOPPING, saved.phase());
@@ -110,8 +110,8 @@
 
     @Test
     void aDeadlineStopsNothingThatHasHardlyRun() {
-        fixture.running(batch("batch", 4 * CPU), first, 100 * SECOND);
-        fixture.running(thatSaves(), second, 10 * SECOND);
+        fixture.addRunningTask(batch("batch", 4 * CPU), first, 100 * SECOND);
+        fixture.addRunningTask(thatSaves(), second, 10 * SECOND);
         assertEquals(0, preemptor.preemptFor(withDeadline(), 1, false, NOW));
     }
 
@@ -126,8 +126,8 @@
                 .team("guaranteed")
                 .cpuMillis(4 * CPU)
                 .build();
-        Placement longer = fixture.running(borrower, first, 100 * SECOND);
-        Placement shorter = fixture.running(borrower, second, 10 * SECOND);
+        Placement longer = fixture.addRunningTask(borrower, first, 100 * SECOND);
+        Placement shorter = fixture.addRunningTask(borrower, second, 10 * SECOND);
         assertEquals(1, preemptor.preemptFor(lender, 2, false, NOW));
         assertEquals(Phase.RUNNING, longer.phase());
         assertEquals(Phase.STOPPING, shorter.phase());
--- a/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
@@ -23,7 +23,7 @@
 
     private Machine machineWith(String id, PlacementFixture.JobBuilder service) {
         Machine machine = fixture.addMachine(id, false);
-        fixture.running(service.build(), machine, SECOND);
+        fixture.addRunningTask(service.build(), machine, SECOND);
         return machine;
     }
 
@@ -45,7 +45,7 @@
     void allReplicasHaveToFindCapacity() {
         Machine source = machineWith("source", CPU);
         ActiveJob second = fixture.service("second", Priority.STANDARD).build();
-        fixture.running(second, source, SECOND);
+        fixture.addRunningTask(second, source, SECOND);
         machineWith("fuller", 3 * CPU);
         assertFalse(plan.moveAllFrom(source));
     }
