--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
@@ -45,7 +45,8 @@
 
     @Test
     void aMachineInUseIsKept() {
-        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), fixture.addMachine("m", false), SECOND);
+        fixture.addRunningTask(
+                fixture.batch("batch", Priority.STANDARD).build(), fixture.addMachine("m", false), SECOND);
         assertEquals(List.of(), scaleIn.choose(NOW));
     }
 
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -2,8 +2,8 @@
 
 import static org.granitepath.coordination.placement.PlacementFixture.CPU;
 import static org.granitepath.coordination.placement.PlacementFixture.NOW;
-import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
+import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
