--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -12,10 +12,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Replaces the tasks that a gang lost before it ran, under the same attempt, or stops the gang. */
+/** Restarts the tasks that a gang lost before it started to run, under the same attempt, or stops the gang. */
 final class GangCompletion {
     private static final Logger LOG = LoggerFactory.getLogger(GangCompletion.class);
-    /** Of a waiting time that a worker measures we see the beginning and the end only in its heartbeats. */
+    /**
+     * Heartbeat intervals that are subtracted from the wait timeout of a worker. The worker measures its wait itself;
+     * the controller learns of the start and of the end of the wait only from heartbeats, each up to one interval late.
+     */
     private static final int HEARTBEATS_PER_WAIT = 2;
 
     private final Config config;
@@ -30,7 +33,9 @@
         this.machineScorer = machineScorer;
     }
 
-    /** Starts lost tasks anew, as far as there is capacity; stops the gang once the rest would come too late. */
+    /**
+     * Restarts lost tasks as far as there is capacity; stops the gang once the remaining tasks would start too late.
+     */
     void completeOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
             return;
@@ -53,7 +58,7 @@
                 return;
             }
             LOG.info(
-                    "task {}/{} attempt {} starts anew on machine {}: the others of its gang wait",
+                    "task {}/{} attempt {}: restarting on machine {} because the other tasks of its gang are waiting",
                     job.spec().id(),
                     index,
                     attempt.number(),
@@ -62,7 +67,10 @@
         }
     }
 
-    /** The best machine on which this task was not tried under the same attempt: a worker ignores a second start. */
+    /**
+     * Returns the best machine for a lost task, or null if there is none. Machines on which the task was tried under
+     * the same attempt are excluded, because a worker ignores a second start.
+     */
     private @Nullable Machine replacementMachine(
             ActiveJob job, GangAttempt attempt, int index, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!rules.canStartAnotherTask(job)) {
--- a/src/main/java/org/granitepath/coordination/gang/GangConstraints.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangConstraints.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 
-/** In which zones, and how many to a machine, the tasks of a gang may be placed. */
+/** Decides in which zones a gang can be placed, and how many of its tasks on each machine. */
 final class GangConstraints {
     private static final List<ZoneFilter> ANY_ZONE = List.of(ZoneFilter.ANY_ZONE);
 
@@ -18,17 +18,19 @@
         this.rules = rules;
     }
 
-    /** Where the whole gang is tried, in turn: in each zone by itself if its tasks have to stay together. */
+    /** Returns the zone filters to try in turn for the whole gang: one for each zone if all tasks must share a zone. */
     List<ZoneFilter> zonesToTry(JobSpec spec) {
         return mustChooseZone(spec) ? eachZone : ANY_ZONE;
     }
 
-    /** Whether a zone has to be chosen for the gang. One that names its zone has no choice. */
+    /** Returns whether a zone must be chosen for the gang. A gang that names its zone leaves no choice. */
     private static boolean mustChooseZone(JobSpec spec) {
         return spec.oneZone() && spec.zone() == null;
     }
 
-    /** How many tasks fit on the machine now. On a suspect machine only one task is tried at a time. */
+    /**
+     * Returns how many tasks fit on the machine now; at most one on a suspect machine, which gets one task at a time.
+     */
     int slots(Machine machine, JobSpec spec) {
         int slots = machine.capacity().slots(spec, 0, 0, 0);
         return rules.isSuspect(machine) ? Math.min(1, slots) : slots;
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -9,9 +9,11 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Free capacity on full-price machines for the next gang, where gangs are expected to start sooner than a machine
- * boots. In the zone with the most free capacity, batch work that may use spot machines leaves as much as the
- * largest of the present gangs takes. It does so for a bounded time: then it takes what there is.
+ * Keeps capacity free on full-price machines for the next gang, if there are gangs that {@linkplain
+ * BatchPlanner#needsImmediateStart need an immediate start}, sooner than a machine boots. In the zone with the most
+ * free capacity on such machines, batch tasks that can use spot machines leave as much CPU free as the largest of these
+ * gangs needs. A batch job that has waited for {@link StartDelay#MAX_WITH_FREE_CAPACITY_MICROS} can use the headroom
+ * too.
  */
 public final class GangHeadroom {
     private static final String NO_ZONE = "";
@@ -19,18 +21,16 @@
     private final Fleet fleet;
     private final BatchPlanner batchPlanner;
     private String zone = NO_ZONE;
-    /**
-     * Thousandths of a CPU free in that zone beyond what is to be left; negative when there are fewer.
-     */
+    /** Free CPU in that zone beyond the headroom, in thousandths of a CPU; negative if the headroom is not complete. */
     private long spareCpuMillis;
 
-    /** Nothing is kept before the first survey. */
+    /** Creates headroom that keeps nothing free before the first update. */
     public GangHeadroom(Fleet fleet, BatchPlanner batchPlanner) {
         this.fleet = fleet;
         this.batchPlanner = batchPlanner;
     }
 
-    /** Looks at the fleet anew. */
+    /** Selects the zone and computes its spare capacity again from the current state of the fleet. */
     public void update() {
         zone = NO_ZONE;
         long mostCpuMillis = -1;
@@ -53,14 +53,14 @@
         return freeCpuMillis;
     }
 
-    /** Whether the machine's free capacity counts as headroom. */
+    /** Returns whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
         return batchPlanner.largestUrgentGangCpuMillis() > 0
                 && !machine.spot()
                 && machine.zone().equals(zone);
     }
 
-    /** Whether the job may have a task there, as far as gangs are concerned. */
+    /** Returns whether the headroom allows a task of the job on this machine. Other conditions are not checked. */
     public boolean canPlace(Machine machine, ActiveJob job, long nowMicros) {
         JobSpec spec = job.spec();
         if (!isPartOfHeadroom(machine) || spec.service() || spec.gang() || !spec.spot()) {
@@ -70,19 +70,19 @@
                 || StartDelay.micros(job, nowMicros) > StartDelay.MAX_WITH_FREE_CAPACITY_MICROS;
     }
 
-    /** Notes that a task was placed there. */
+    /** Takes account of a task that was placed on this machine. */
     public void onTaskPlaced(Machine machine, JobSpec spec) {
         if (isPartOfHeadroom(machine)) {
             spareCpuMillis -= spec.cpuMillis();
         }
     }
 
-    /** Whether this idle machine is to be kept: without it too little would be free. */
+    /** Returns whether this idle machine must be kept, because the headroom would not be complete without it. */
     public boolean isNeeded(Machine machine) {
         return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().cpuFree();
     }
 
-    /** Notes that a machine is terminated. */
+    /** Takes account of a machine that is to be terminated. */
     public void onMachineTerminated(Machine machine) {
         if (isPartOfHeadroom(machine)) {
             spareCpuMillis -= machine.capacity().cpuFree();
--- a/src/main/java/org/granitepath/coordination/gang/GangPlacement.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacement.java
@@ -4,9 +4,9 @@
 import org.granitepath.coordination.model.Machine;
 
 /**
- * Where the tasks of a whole gang can start now.
+ * The machines on which all tasks of a gang can start now.
  *
- * @param machines one for each task, in the order of the tasks; a machine may be there several times
+ * @param machines one machine for each task, in the order of the tasks; a machine can occur several times
  * @param imageFetches how many of the tasks must fetch their image first
  */
 record GangPlacement(List<Machine> machines, int imageFetches) {}
--- a/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** Finds machines for all tasks of a gang together. */
+/** Finds machines for all tasks of a gang at once. */
 final class GangPlacementFinder {
     private final GangConstraints constraints;
     private final PlacementRules rules;
@@ -26,7 +26,10 @@
     }
 
     /**
-     * The placement with the fewest image fetches among the zones that may be tried, or null if the gang fits in none.
+     * Returns the placement with the fewest image fetches among the zones to try, or null if the gang fits in none of
+     * them.
+     *
+     * @param machinesWithCapacity the machines that accepted tasks and had free capacity when the cycle began
      */
     @Nullable
     GangPlacement find(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
@@ -61,7 +64,7 @@
         return fill(candidates, spec);
     }
 
-    /** Fills one machine after the other, up to what the job may place in each zone. */
+    /** Fills one machine after the other, up to the job's limit for each zone. Returns null if not all tasks fit. */
     private @Nullable GangPlacement fill(List<Machine> candidates, JobSpec spec) {
         List<Machine> chosen = new ArrayList<>();
         Map<String, Integer> tasksByZone = new HashMap<>();
--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -23,7 +23,7 @@
         this.finder = finder;
     }
 
-    /** Releases the machines reserved for gangs that no longer wait for them. */
+    /** Releases the machines that are reserved for gangs that no longer wait for them or whose time is over. */
     void releaseEnded(long nowMicros) {
         for (Machine machine : fleet.machines()) {
             ActiveJob job = machine.reservedFor();
@@ -38,7 +38,10 @@
                 || nowMicros - job.scheduling().reservedSinceMicros() > maxDurationMicros(job);
     }
 
-    /** Machines launched for the gang come one after the other: the first must still be there when the last one is. */
+    /**
+     * Returns how many microseconds a reservation for the job can last. Machines that are launched for a gang become
+     * ready one after the other, and the first must still be reserved when the last is ready.
+     */
     private long maxDurationMicros(ActiveJob job) {
         long longestBootMicros = fleet.types().values().stream()
                 .filter(type -> type.fits(job.spec()))
@@ -49,8 +52,9 @@
     }
 
     /**
-     * Reserves machines for a gang that does not fit, in the zone that will hold most of it. When the time for this is
-     * over, none is reserved for it for a while, so that other work has its turn.
+     * Reserves machines for a gang that does not fit, in the zone that will hold most of its tasks. When the
+     * reservation has lasted for its maximum time, it ends and no machine is reserved for the gang for {@code
+     * gangHoldMicros}, so that other work can use the capacity.
      */
     void reserve(ActiveJob job, long nowMicros) {
         if (nowMicros < job.scheduling().noReservationUntilMicros()) {
@@ -69,7 +73,7 @@
 
     private void end(ActiveJob job, long nowMicros) {
         LOG.debug(
-                "job {}: its reservation ends, the gang does not fit",
+                "job {}: ending the reservation of machines, the gang still does not fit",
                 job.spec().id());
         job.scheduling().reservationEnds();
         job.scheduling().reserveNothingUntil(nowMicros + config.tuning().gangHoldMicros());
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -13,9 +13,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts gangs: all tasks of one or none. Capacity for the whole gang is found first, in one zone if the job wants
- * that, and within the team's limit. For a gang that does not fit, machines are reserved for a bounded time. A gang
- * that lost a task before it started gets that task anew, under the same attempt, or is stopped.
+ * Starts gangs: all tasks of a gang or none. Before a start, it finds capacity for the whole gang, in one zone if the
+ * job requires that, and within the team's limit. For a gang that does not fit, it reserves machines for a bounded
+ * time. For a gang that lost tasks before it started to run, it restarts these tasks under the same attempt or stops
+ * the gang.
  */
 public final class GangScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
@@ -27,7 +28,7 @@
     private final GangReservations reservations;
     private final GangCompletion completion;
 
-    /** Starts gangs on the machines of this fleet. */
+    /** Creates a scheduler of gangs on the machines of this fleet. */
     public GangScheduler(
             Config config, Fleet fleet, PlacementRules rules, TaskLifecycle tasks, MachineScorer machineScorer) {
         this.rules = rules;
@@ -38,15 +39,18 @@
         this.completion = new GangCompletion(config, rules, tasks, machineScorer);
     }
 
-    /** Releases the machines reserved for gangs that no longer wait for them. Called before each cycle. */
+    /**
+     * Releases the machines that are reserved for gangs that no longer wait for them or whose reservation has lasted
+     * for its maximum time. Must be called at the start of each cycle.
+     */
     public void releaseEndedReservations(long nowMicros) {
         reservations.releaseEnded(nowMicros);
     }
 
     /**
-     * Starts a gang, completes one that lost tasks before it ran, or reserves machines for one that does not fit.
+     * Starts the gang, restarts the tasks that it lost before it ran, or reserves machines for it if it does not fit.
      *
-     * @param machinesWithCapacity the machines that take tasks and had some capacity when the cycle began
+     * @param machinesWithCapacity the machines that accepted tasks and had free capacity when the cycle began
      */
     public void schedule(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
         GangAttempt attempt = job.gangAttempt();
@@ -71,7 +75,7 @@
 
     private void start(ActiveJob job, GangPlacement placement, long nowMicros) {
         LOG.info(
-                "job {} of class {}: gang of {} tasks starts after {} ms, {} fetch their image",
+                "job {} of class {}: starting gang of {} tasks after a wait of {} ms, {} tasks must fetch their image",
                 job.spec().id(),
                 job.spec().jobClass(),
                 job.spec().tasks(),
--- a/src/main/java/org/granitepath/coordination/gang/ReservationFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/ReservationFinder.java
@@ -10,18 +10,18 @@
 import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 
-/** Finds the machines to reserve for a gang that does not fit yet: those that will soonest hold most of it. */
+/** Finds the machines to reserve for a gang that does not fit yet: those that will hold most of its tasks soonest. */
 final class ReservationFinder {
-    /** At most this share of the machines is reserved at a time, so that gangs do not starve other work. */
+    /** Maximum share of all machines that is reserved at a time, so that gangs do not starve other jobs. */
     private static final double MAX_RESERVED_SHARE = 0.34;
 
     private static final Reservation NONE = new Reservation(List.of(), 0, -1);
 
     /**
-     * Machines that could be reserved for a gang.
+     * A set of machines that can be reserved for a gang.
      *
-     * @param slots how many of its tasks they will hold once batch work there has ended
-     * @param slotsFreeNow how many tasks they hold now
+     * @param slots how many of the gang's tasks the machines will hold once their batch tasks have ended
+     * @param slotsFreeNow how many of the gang's tasks fit on them now
      */
     private record Reservation(List<Machine> machines, int slots, int slotsFreeNow) {
         boolean isBetterThan(Reservation other) {
@@ -39,7 +39,7 @@
         this.constraints = constraints;
     }
 
-    /** The machines to reserve for this gang; none if too many are reserved already. */
+    /** Returns the machines to reserve for this gang; empty if too many are reserved for others already. */
     List<Machine> machinesFor(ActiveJob job, long nowMicros) {
         int reservableMachines = reservableMachines(job);
         Reservation best = NONE;
@@ -52,7 +52,7 @@
         return best.machines();
     }
 
-    /** How many machines may be reserved for this job, given what is reserved for others. */
+    /** Returns how many machines can be reserved for this job, given those that are reserved for others. */
     private int reservableMachines(ActiveJob job) {
         int reservable = (int) (MAX_RESERVED_SHARE * fleet.machines().size());
         for (Machine machine : fleet.machines()) {
@@ -62,8 +62,8 @@
     }
 
     /**
-     * The machines of a zone that will hold the gang or, while others are launched, a part of it; those that it has
-     * reserved already first, then those with the most capacity.
+     * Returns the machines of the included zones that will hold the gang or, until more machines are launched, a part
+     * of it. Machines that are reserved for the gang already come first, then those with the most free slots.
      */
     private Reservation candidateIn(ZoneFilter zones, ActiveJob job, long nowMicros) {
         List<Machine> candidates = new ArrayList<>();
@@ -83,7 +83,9 @@
                 && rules.isEligible(machine, job, nowMicros);
     }
 
-    /** As many of the first machines as hold the whole gang, or all that hold some of it. */
+    /**
+     * Returns as many of the first machines as will hold the whole gang, or all machines that hold at least one task.
+     */
     private Reservation firstThatHold(List<Machine> candidates, JobSpec spec) {
         List<Machine> chosen = new ArrayList<>();
         int slots = 0;
--- a/src/main/java/org/granitepath/coordination/gang/package-info.java
+++ b/src/main/java/org/granitepath/coordination/gang/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Gang scheduling: all tasks of a job start together or none does. Owns the reservations of machines for gangs.
+ * Gang scheduling: all tasks of a gang start together or none does. This package owns the reservations of machines for
+ * gangs.
  */
 package org.granitepath.coordination.gang;
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -7,9 +7,9 @@
 import org.granitepath.coordination.model.Fleet;
 
 /**
- * What waiting batch work can expect of the capacity at hand: which jobs can still make their deadlines, all
- * together, and which can wait for cheap capacity. Looked at a few times a second for all jobs as a class, not at
- * each decision.
+ * Compares the waiting batch work with the current capacity: which jobs can still meet their deadlines, all together,
+ * and which can wait for cheap capacity. Evaluates all jobs together a few times a second, not at each scheduling
+ * decision.
  */
 public final class BatchPlanner {
     private static final long INTERVAL_MICROS = 250_000;
@@ -23,7 +23,7 @@
     private long nextUpdateMicros;
     private long largestUrgentGangCpuMillis;
 
-    /** Knows nothing before the first update. */
+    /** Creates a planner that has no data before the first update. */
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.activeJobs = activeJobs;
         this.objectives = new JobObjectives(config, fleet, activeJobs);
@@ -33,7 +33,7 @@
         this.guaranteeClassifier = new GuaranteeClassifier(config.teams(), activeJobs);
     }
 
-    /** Looks at all jobs and machines anew, unless it did so lately. */
+    /** Evaluates all jobs and machines again, unless the last update is less than {@link #INTERVAL_MICROS} ago. */
     public void updateIfDue(long nowMicros) {
         if (nowMicros < nextUpdateMicros) {
             return;
@@ -50,32 +50,37 @@
     }
 
     /**
-     * Thousandths of a CPU that all tasks of the largest gang take of those at hand that {@linkplain
-     * #needsImmediateStart need an immediate start}; 0: there is none.
+     * Returns how much CPU all tasks together need of the largest unfinished gang that {@linkplain #needsImmediateStart
+     * needs an immediate start}, in thousandths of a CPU; 0 if there is no such gang.
      */
     public long largestUrgentGangCpuMillis() {
         return largestUrgentGangCpuMillis;
     }
 
-    /** How many microseconds the batch work at hand takes, with so much more capacity, in thousandths of a CPU. */
-    public double batchCompletionMicros(double moreCpuMillis) {
-        return survey.drainMicros(moreCpuMillis);
+    /**
+     * Returns how many microseconds all current batch work takes to complete.
+     *
+     * @param additionalCpuMillis capacity in addition to the current one, in thousandths of a CPU
+     */
+    public double batchCompletionMicros(double additionalCpuMillis) {
+        return survey.drainMicros(additionalCpuMillis);
     }
 
     /**
-     * Whether the job can wait for capacity that is cheap or paid for anyway: until its deadline is at stake, until the
-     * time by which its tasks are expected to start, or, where nothing is expected, until it is starved.
+     * Returns whether the job can wait for capacity that is cheap or paid for in any case. It can wait until its
+     * deadline is at risk, until its class's objective requires its tasks to start, or, if it has neither, until it is
+     * starved.
      *
-     * @param pendingCpuMillis capacity that is on its way, in thousandths of a CPU
+     * @param pendingCpuMillis capacity that is being launched, in thousandths of a CPU
      */
     public boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
         return deferral.canWait(job, pendingCpuMillis, nowMicros);
     }
 
     /**
-     * Whether waiting for cheap capacity would already miss what is expected: the job is within its team's guaranteed
-     * quota, or its class is expected to start sooner than a machine boots. Such work takes whatever capacity there
-     * is.
+     * Returns whether any wait for cheap capacity would miss the job's objective: the job is within its team's
+     * guaranteed quota, or the objective of its class requires a start sooner than a machine boots. Such a job uses
+     * whatever capacity there is.
      */
     public boolean needsImmediateStart(ActiveJob job) {
         return objectives.needsImmediateStart(job);
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -8,11 +8,11 @@
 import org.granitepath.coordination.model.Machine;
 
 /**
- * All batch work at hand and the capacity for it, as of the last update. Capacity is in thousandths of a CPU, work in
- * such thousandths times microseconds, so that their quotient is a time in microseconds.
+ * Totals of the remaining batch work and of the capacity for it, as of the last update. Capacity is in thousandths of a
+ * CPU and work in thousandths of a CPU times microseconds, so that work divided by capacity is a time in microseconds.
  */
 final class CapacitySurvey {
-    /** How much of a running task is left, on the average. */
+    /** The share of a running task's work that remains on average. */
     private static final double LEFT_OF_RUNNING_TASK = 0.5;
 
     private final Config config;
@@ -20,11 +20,14 @@
     private final ActiveJobs activeJobs;
     private final RuntimeEstimator runtimeEstimator;
     private double batchWork;
-    /** Of it, that with a deadline: it goes before the rest. */
+    /** The part of {@link #batchWork} that has a deadline; it is scheduled before the rest. */
     private double deadlineWork;
 
     private double cpuMillis;
-    /** Of it, that on spot machines and beside services, which is paid for anyway. */
+    /**
+     * The part of {@link #cpuMillis} on spot machines, which are cheap, and beside services, which is paid for in any
+     * case.
+     */
     private double cheapCpuMillis;
 
     CapacitySurvey(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
@@ -34,6 +37,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
+    /** Computes the totals again from the current jobs and machines. */
     void update(long nowMicros) {
         sumUpWork();
         sumUpCapacity(nowMicros);
@@ -67,29 +71,29 @@
         }
     }
 
-    /** The CPU time that the job still needs. */
+    /** Returns the CPU time that the job still needs, in thousandths of a CPU times microseconds. */
     double remainingWork(ActiveJob job) {
         return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.running())
                 * job.spec().cpuMillis()
                 * runtimeEstimator.taskMicros(job);
     }
 
-    /** Thousandths of a CPU that batch work has or can have. */
+    /** Returns the capacity that batch tasks use or can use, in thousandths of a CPU. */
     double capacityCpuMillis() {
         return cpuMillis;
     }
 
-    /** How long all batch work takes, with so much more capacity. */
+    /** Returns how many microseconds all batch work takes, given this much additional capacity. */
     double drainMicros(double moreCpuMillis) {
         return batchWork / Math.max(1, cpuMillis + moreCpuMillis);
     }
 
-    /** How long all batch work takes on cheap capacity alone, with so much more of it. */
+    /** Returns how many microseconds all batch work takes on cheap capacity alone, given this much more of it. */
     double drainOnCheapCapacityMicros(double moreCpuMillis) {
         return batchWork / Math.max(1, cheapCpuMillis + moreCpuMillis);
     }
 
-    /** The same for the work that has a deadline. */
+    /** The same for the batch work that has a deadline. */
     double drainDeadlineWorkOnCheapCapacityMicros(double moreCpuMillis) {
         return deadlineWork / Math.max(1, cheapCpuMillis + moreCpuMillis);
     }
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -9,19 +9,21 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.SchedulingClass;
 
-/** Puts each job into its scheduling class, by which jobs can still make their deadlines, all together. */
+/** Assigns each job its scheduling class, depending on which jobs can still meet their deadlines all together. */
 final class DeadlineClassifier {
-    /** The share of the capacity left by what packing leaves unused and what runs on machines to be emptied. */
+    /**
+     * The usable share of the capacity. The rest is lost to imperfect packing and to tasks on machines to be drained.
+     */
     private static final double USABLE_CAPACITY_SHARE = 0.9;
 
-    /** The last wave of a job's tasks leaves capacity unused for this share of a task, on the average. */
+    /** The last wave of a job's tasks leaves capacity unused for this share of a task's run time on average. */
     private static final double LAST_WAVE_TASK_SHARE = 0.5;
 
     /**
-     * A job that is to be complete in time.
+     * A job that must complete by a certain time.
      *
-     * @param work the CPU time that it still needs, as {@link CapacitySurvey} counts it
-     * @param timeLeftMicros until it is late
+     * @param work the CPU time that it still needs, in the unit of {@link CapacitySurvey}
+     * @param timeLeftMicros the time until it is late; negative if it is late already
      */
     private record DueJob(ActiveJob job, double work, double timeLeftMicros) {}
 
@@ -38,7 +40,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Puts each job into its class, guaranteed quotas aside. */
+    /** Assigns each job its class, without regard to guaranteed quotas. */
     void classify(long nowMicros) {
         List<DueJob> possiblyInTime = new ArrayList<>();
         List<DueJob> late = new ArrayList<>();
@@ -60,7 +62,7 @@
         selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.NEARLY, workInTime);
     }
 
-    /** The class of a job that needs no deadline to be in it; {@code ANY} for all others. */
+    /** Returns the class of a job whose class does not depend on a deadline; {@code ANY} for all other jobs. */
     private SchedulingClass classWhateverTheDeadline(ActiveJob job, long nowMicros) {
         if (job.isLive()) {
             return SchedulingClass.LIVE;
@@ -81,7 +83,9 @@
         return new DueJob(job, survey.remainingWork(job), timeLeftMicros);
     }
 
-    /** Of late jobs, those that can be complete within the multiple of their deadline that their class is allowed. */
+    /**
+     * Returns those of the late jobs that can complete within the multiple of their deadline that their class allows.
+     */
     private List<DueJob> withExtendedDeadlines(List<DueJob> late) {
         List<DueJob> extended = new ArrayList<>();
         for (DueJob due : late) {
@@ -96,12 +100,13 @@
     }
 
     /**
-     * Puts into a class the largest number of jobs that can all be in time: by deadline, and whenever the work so far
-     * is too much, the job with the most work is left out (Moore's rule for the fewest late jobs).
+     * Assigns a class to the largest number of jobs that can all complete in time. Adds the jobs in the order of their
+     * deadlines; whenever the total work is too much, drops the job with the most work (the Moore-Hodgson rule, which
+     * minimizes the number of late jobs).
      *
-     * @param leftOut receives the jobs that are left out
-     * @param workBefore work that is done before that of these jobs
-     * @return the work of the selected jobs and that before it
+     * @param leftOut receives the jobs that are dropped
+     * @param workBefore the work that is scheduled before these jobs
+     * @return the total work of the selected jobs and the work before them
      */
     private double selectFeasible(
             List<DueJob> jobs, List<DueJob> leftOut, SchedulingClass schedulingClass, double workBefore) {
--- a/src/main/java/org/granitepath/coordination/placement/Deferral.java
+++ b/src/main/java/org/granitepath/coordination/placement/Deferral.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.ActiveJobs;
 
-/** Which jobs can wait for capacity that is cheap or paid for anyway. */
+/** Decides which jobs can wait for capacity that is cheap or paid for in any case. */
 final class Deferral {
     private final Tuning tuning;
     private final ActiveJobs activeJobs;
@@ -42,7 +42,10 @@
         return leavesTimeForObjective(job, objective, pendingCpuMillis, nowMicros);
     }
 
-    /** Should the wait turn out longer, there must be time left to launch a machine after all. */
+    /**
+     * Returns whether the job meets its deadline if it waits for cheap capacity. The wait includes the boot time of a
+     * machine, so that one can still be launched if the wait turns out longer than expected.
+     */
     private boolean leavesTimeForDeadline(ActiveJob job, double pendingCpuMillis, long nowMicros) {
         double waitMicros =
                 survey.drainDeadlineWorkOnCheapCapacityMicros(pendingCpuMillis) + objectives.shortestBootMicros();
@@ -58,7 +61,7 @@
                 <= latestStartMicros(job, objective) * tuning.deferralShare();
     }
 
-    /** How long the job's tasks may wait for their start and still do what is expected of them. */
+    /** Returns how many microseconds the job's tasks can wait for their start and still meet the objective. */
     private double latestStartMicros(ActiveJob job, Objective objective) {
         double byWait = objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros();
         double byFinish = objective.finishMicros() == 0
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -11,8 +11,9 @@
 import org.granitepath.coordination.model.SchedulingClass;
 
 /**
- * Puts the jobs that are within their team's guaranteed quota into a class of their own. A job is within it when it
- * fits in along with the team's earlier unfinished jobs. All else that a team has is borrowed, and keeps its class.
+ * Assigns the jobs that are within their team's guaranteed quota to a class of their own. A job is within the quota if
+ * its unfinished tasks fit in it together with those of the team's earlier unfinished jobs. Other jobs of the team run
+ * on borrowed quota and keep their class.
  */
 final class GuaranteeClassifier {
     private final Map<String, Team> teams;
@@ -23,7 +24,7 @@
         this.activeJobs = activeJobs;
     }
 
-    /** Puts jobs into the class; all others have been put into theirs before. */
+    /** Assigns the class to the jobs within a quota. All jobs must have been assigned their other class before. */
     void classify() {
         if (teams.values().stream().noneMatch(Team::hasGuarantee)) {
             return;
--- a/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
+++ b/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.model.SchedulingClass;
 import org.granitepath.storage.MachineType;
 
-/** What is expected of a job: by its class's service-level objective, its deadline, its team's guaranteed quota. */
+/** What is required of a job by its class's service-level objective, its deadline, and its team's guaranteed quota. */
 final class JobObjectives {
     private final Config config;
     private final Fleet fleet;
@@ -20,13 +20,14 @@
         this.activeJobs = activeJobs;
     }
 
+    /** Returns the objective of the job's class, or {@link Objective#NONE}. */
     Objective of(ActiveJob job) {
         return config.objectives().getOrDefault(job.spec().jobClass(), Objective.NONE);
     }
 
     /**
-     * The time after its submission by which a job is judged in place of its deadline; 0: there is none. Some classes
-     * are judged by a time of their own; their owners' deadlines are wishes.
+     * Returns the time after its submission by which a job must complete in place of its deadline, in microseconds; 0
+     * if the deadline applies. Some classes have such a time; the deadlines that users give for them are not binding.
      */
     long finishInsteadOfDeadlineMicros(ActiveJob job) {
         Objective objective = of(job);
@@ -34,15 +35,19 @@
     }
 
     /**
-     * Whether this is a gang of which something is expected. It goes with what can be in time, until it has started: it
-     * needs its capacity all at once, and what other work leaves over never becomes enough.
+     * Returns whether this is a gang whose class has an objective. Until it has started, such a gang is scheduled with
+     * the jobs that can meet their deadlines: it needs its capacity all at once, and the capacity that other jobs leave
+     * unused would never be enough.
      */
     boolean isGangWithObjective(ActiveJob job) {
         Objective objective = of(job);
         return job.spec().gang() && (objective.waitMicros() > 0 || objective.finishMicros() > 0);
     }
 
-    /** Giving way has a bound: a job that has long had nothing on a machine competes by its share alone again. */
+    /**
+     * Returns whether the job has had no task on a machine for longer than {@code maxStarvationMicros}. Such a job no
+     * longer gives way to jobs with deadlines and competes with them by its fair share, which bounds its starvation.
+     */
     boolean isStarved(ActiveJob job, long nowMicros) {
         long withoutTaskMicros = job.scheduling().lastRunningMicros() < 0
                 ? activeJobs.ageMicros(job, nowMicros)
@@ -57,6 +62,7 @@
                 || (waitMicros > 0 && waitMicros < shortestBootMicros());
     }
 
+    /** Returns the shortest boot time of all machine types, in microseconds; 0 if no type is known. */
     double shortestBootMicros() {
         return fleet.types().values().stream()
                 .mapToLong(MachineType::bootMicros)
--- a/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
@@ -7,30 +7,31 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** Which of the machines that a job may use is best for one of its tasks. */
+/** Scores the machines that a job can use, to find the best one for a task of the job. */
 public final class MachineScorer {
     private static final double HAS_IMAGE_BONUS = 20;
     /**
-     * Another task there fetches the image already. Otherwise the fetch speed counts, in GB/s: it is lower than this.
+     * Bonus for a machine on which another task is fetching the image already. Without such a task the score is the
+     * fetch speed in GB/s, which is lower than this bonus.
      */
     private static final double FETCHES_IMAGE_BONUS = 10;
-    /** What a machine loses that is left wholly free; one that the task fills loses nothing. */
+    /** Penalty for a machine whose CPUs all stay free; it shrinks to 0 for a machine that the task fills completely. */
     private static final double CPU_LEFT_FREE_PENALTY = 4;
 
     private static final double SERVICE_WITH_SERVICES_BONUS = 12;
     private static final double BATCH_ON_SPOT_BONUS = 6;
     private static final double BATCH_WITH_SERVICES_PENALTY = 6;
-    /** A machine on which tasks failed lately comes after all others. */
+    /** Penalty that ranks a machine on which tasks failed recently after all others. */
     private static final double SUSPECT_PENALTY = 100;
 
     private final PlacementRules rules;
 
-    /** Prefers by these rules. */
+    /** Creates a scorer that identifies suspect machines with these rules. */
     public MachineScorer(PlacementRules rules) {
         this.rules = rules;
     }
 
-    /** The usable machine with the highest score, the first among equals; null: none is usable. */
+    /** Returns the usable machine with the highest score, the first one among equal scores; null if none is usable. */
     public @Nullable Machine best(Collection<Machine> machines, Predicate<Machine> usable, JobSpec spec) {
         Machine best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
@@ -47,9 +48,9 @@
     }
 
     /**
-     * A score without a unit; higher is better. Machines that have the image come first, then tight fits. Services
-     * gather on machines that already hold some, batch work on the others and on spot machines, so that emptied
-     * machines can be terminated.
+     * Returns a score without a unit; higher is better. Machines that have the image come first, then tight fits.
+     * Service tasks are packed onto machines that already host services, batch tasks onto the others and onto spot
+     * machines, so that machines become empty and can be terminated.
      */
     public double score(Machine machine, JobSpec spec) {
         MachineType type = ImageFetchTime.knownType(machine);
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.model.TeamLimits;
 import org.granitepath.storage.JobSpec;
 
-/** Which machines a job may use, and whether its team may use more. */
+/** Decides which machines a job can use, and whether its team's limit allows more tasks. */
 public final class PlacementRules {
     private final Fleet fleet;
     private final TermRecovery recovery;
@@ -20,7 +20,7 @@
     private final FaultTracker faults;
     private final RuntimeEstimator runtimeEstimator;
 
-    /** Rules that go by the state of this term. */
+    /** Creates the rules, which consult the current state of this leader term. */
     public PlacementRules(
             Fleet fleet,
             TermRecovery recovery,
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Whether a job may use this machine now, free capacity and reservations aside: the machine takes tasks, responds,
-     * and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
+     * Returns whether a job can use this machine now, regardless of free capacity and reservations: the machine accepts
+     * tasks, is responsive, and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
      */
     public boolean isEligible(Machine machine, ActiveJob job, long nowMicros) {
         return machine.takesTasks()
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Whether a task of the job can be placed on this machine now: the machine takes tasks, has free capacity that is
-     * not reserved for another job, and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
+     * Returns whether a task of the job can be placed on this machine now: the machine accepts tasks, has free capacity
+     * that is not reserved for another job, and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
      */
     public boolean canPlace(ActiveJob job, Machine machine, long nowMicros) {
         return machine.capacity().fits(job.spec())
@@ -58,9 +58,10 @@
     }
 
     /**
-     * Whether the machine's type, zone and kind fit the job, and no task of the job failed there; whatever the state of
-     * the machine. Work that can wait leaves full-price machines alone that no service needs, so that they can be
-     * terminated, unless it is over before a termination could save anything.
+     * Returns whether the job allows the machine's type, zone and price model, and fault tracking allows a task of the
+     * job there, regardless of the state of the machine. A deferrable job does not use a full-price machine that no
+     * service needs, so that the machine can be terminated, unless its tasks end before a termination could save any
+     * cost.
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
         return machine.allowedFor(job.spec())
@@ -69,7 +70,7 @@
                 && faults.mayTry(machine, job);
     }
 
-    /** Whether the machine is not reserved for a gang, unless the job is this gang or goes before all gangs. */
+    /** Returns whether the machine is not reserved, or is reserved for this job, or the job is a live service. */
     public boolean respectsReservation(Machine machine, ActiveJob job) {
         return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
     }
@@ -82,32 +83,33 @@
                         < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
-    /** Whether tasks failed there lately, so that any other machine is better. */
+    /** Returns whether tasks failed on this machine recently, so that any other machine is better. */
     public boolean isSuspect(Machine machine) {
         return faults.suspects(machine);
     }
 
-    /** Whether a further task of this job may be started at all, capacity aside. */
+    /** Returns whether another task of this job can be started at all, regardless of capacity. */
     public boolean canStartAnotherTask(ActiveJob job) {
         return isWithinTeamLimit(job.spec()) && faults.mayStartAnother(job);
     }
 
     /**
-     * Whether one more such task is within its team's limit. While tasks are unconfirmed, or tasks of jobs that are
-     * over are still to be stopped, what a team uses is not known.
+     * Returns whether one more such task is within its team's limit. False for a team with a limit as long as its use
+     * is not known, because the tasks on some machine are unconfirmed or orphaned tasks are still to be stopped.
      */
     public boolean isWithinTeamLimit(JobSpec spec) {
         return isWithinTeamLimit(spec, 1);
     }
 
-    /** Whether so many more such tasks together are within their team's limit. */
+    /** Returns whether this many more such tasks together are within their team's limit. */
     public boolean isWithinTeamLimit(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
                 && (!teamLimits.limits(spec) || (recovery.noMachineAwaited() && fleet.noOrphanedTasks()));
     }
 
     /**
-     * Thousandths of a CPU that a team's tasks use beyond its guaranteed quota, without those that are being stopped.
+     * Returns how many thousandths of a CPU a team's tasks use beyond its guaranteed quota. Tasks that are being
+     * stopped do not count.
      */
     public long borrowedCpuMillis(String team) {
         long stoppingCpuMillis = 0;
--- a/src/main/java/org/granitepath/coordination/placement/StartDelay.java
+++ b/src/main/java/org/granitepath/coordination/placement/StartDelay.java
@@ -2,17 +2,19 @@
 
 import org.granitepath.coordination.model.ActiveJob;
 
-/** How long a job that has waiting tasks has gone without a start. */
+/** Measures how long a job with waiting tasks has gone without starting one. */
 public final class StartDelay {
     /**
-     * How long a job may be kept from capacity that is free, whether to save costs or for gangs. The users allow 90 s
-     * beside a machine with capacity.
+     * How long a job can be kept off free capacity, to save costs or to leave headroom for gangs. Users allow tasks to
+     * wait 90 s while a machine has capacity for them.
      */
     public static final long MAX_WITH_FREE_CAPACITY_MICROS = 75_000_000;
 
     private StartDelay() {}
 
-    /** Microseconds since its tasks began to wait or one of them was last placed, whichever came later. */
+    /**
+     * Returns the microseconds since the job's tasks began to wait or since one was last placed, whichever is later.
+     */
     public static long micros(ActiveJob job, long nowMicros) {
         return nowMicros
                 - Math.max(
--- a/src/main/java/org/granitepath/coordination/placement/ZoneFilter.java
+++ b/src/main/java/org/granitepath/coordination/placement/ZoneFilter.java
@@ -2,9 +2,9 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** The zones in which capacity is looked for: a single one, or any. */
+/** The zones in which to search for capacity: a single zone, or any. */
 public final class ZoneFilter {
-    /** Leaves no zone out. */
+    /** Includes every zone. */
     public static final ZoneFilter ANY_ZONE = new ZoneFilter(null);
 
     private final @Nullable String onlyZone;
@@ -13,12 +13,12 @@
         this.onlyZone = onlyZone;
     }
 
-    /** Leaves out all zones but this one. */
+    /** Returns a filter that includes this zone alone. */
     public static ZoneFilter only(String zone) {
         return new ZoneFilter(zone);
     }
 
-    /** Whether this zone is among them. */
+    /** Returns whether the filter includes this zone. */
     public boolean includes(String zone) {
         return onlyZone == null || onlyZone.equals(zone);
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/BorrowedCpu.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/BorrowedCpu.java
@@ -6,8 +6,8 @@
 import org.granitepath.coordination.placement.PlacementRules;
 
 /**
- * What can still be reclaimed of each team in one round of preemption, in thousandths of a CPU: what it uses beyond
- * its guaranteed quota. A team's amount is looked up when the team is first asked for.
+ * Tracks how much CPU one round of preemption can still reclaim from each team, in thousandths of a CPU: the amount
+ * that the team uses beyond its guaranteed quota. The amount of a team is looked up when the team is first queried.
  */
 final class BorrowedCpu {
     private final PlacementRules rules;
@@ -17,6 +17,7 @@
         this.rules = rules;
     }
 
+    /** Returns whether the team still uses more than its guaranteed quota. Looks the amount up on the first call. */
     boolean isLeftTo(String team) {
         if (!millisByTeam.containsKey(team)) {
             millisByTeam.put(team, rules.borrowedCpuMillis(team));
@@ -25,8 +26,10 @@
     }
 
     /**
-     * Counts these tasks as reclaimed, or none of them if nothing is left to reclaim of the team of one. Their teams
-     * were asked for before.
+     * Counts all of these tasks as reclaimed, unless the team of any of them has nothing left to reclaim.
+     *
+     * @param placements tasks whose teams were all queried with {@link #isLeftTo} before
+     * @return false if the tasks were not counted
      */
     boolean reclaim(List<Placement> placements) {
         for (Placement placement : placements) {
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -11,11 +11,14 @@
 import org.granitepath.coordination.placement.BatchPlanner;
 import org.granitepath.coordination.placement.StartDelay;
 
-/** The jobs that may start a task in this scheduling cycle: by class, within a class the lowest share first. */
+/**
+ * Priority queue of the jobs that can start a task in this scheduling cycle. It is ordered by scheduling class; within
+ * a class, the job with the lowest fair share comes first.
+ */
 final class CandidateQueue {
-    /** A job with the class and the share that it had when it was queued. */
+    /** A queued job with its scheduling class and fair share at the time of queueing. */
     record Candidate(ActiveJob job, SchedulingClass schedulingClass, double share) {
-        /** Which candidate gets the next task; among equal shares the higher priority, then the older job. */
+        /** Orders by class, then by lowest share; among equal shares by higher priority, then by age, oldest first. */
         static final Comparator<Candidate> FIRST_SERVED = Comparator.comparing(Candidate::schedulingClass)
                 .thenComparingDouble(Candidate::share)
                 .thenComparing(candidate -> candidate.job().spec().priority())
@@ -42,7 +45,9 @@
         this.fairShare = fairShare;
     }
 
-    /** Queues all jobs that have a claimed task to start, and notes which jobs wait. */
+    /**
+     * Replaces the queue with all jobs that have a claimed task to start, and records which jobs have waiting tasks.
+     */
     void refill(long nowMicros) {
         queue.clear();
         for (ActiveJob job : activeJobs.all()) {
@@ -61,7 +66,7 @@
         }
     }
 
-    /** Queues a job again, by its present share, if it has a further claimed task. */
+    /** Queues a job again with its current share if it has another claimed task to start. */
     void addAgain(ActiveJob job, long nowMicros) {
         jobs.claim(job);
         if (job.waitingTasks() > 0 && job.hasClaimedTask()) {
@@ -69,16 +74,17 @@
         }
     }
 
+    /** Returns whether no candidate is left in this cycle. */
     boolean isEmpty() {
         return queue.isEmpty();
     }
 
-    /** Removes the job that gets the next task. */
+    /** Removes and returns the job that gets the next task. The queue must not be empty. */
     ActiveJob poll() {
         return queue.poll().job();
     }
 
-    /** The queued jobs, in no particular order. */
+    /** Returns the queued jobs, in no particular order. */
     Stream<ActiveJob> queuedJobs() {
         return queue.stream().map(Candidate::job);
     }
@@ -88,7 +94,11 @@
         queue.add(candidate(job));
     }
 
-    /** However well a job could wait, it is not left without a start for long while capacity is free. */
+    /**
+     * Returns whether the job can wait for cheap capacity. A job that has gone without a start for {@link
+     * StartDelay#MAX_WITH_FREE_CAPACITY_MICROS} is not deferred any longer, so that it does not wait while capacity is
+     * free.
+     */
     private boolean isDeferrable(ActiveJob job, long nowMicros) {
         return StartDelay.micros(job, nowMicros) < StartDelay.MAX_WITH_FREE_CAPACITY_MICROS
                 && !batchPlanner.needsImmediateStart(job)
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -12,15 +12,16 @@
 import org.granitepath.coordination.model.Placement;
 
 /**
- * Empties the machine that hosts the fewest service replicas when others have capacity and their images, so that it can
- * be terminated. A replica is stopped only to start at once elsewhere; machines with batch work are left alone.
+ * Drains the least used machines that run only service replicas, so that they can be terminated. A machine is drained
+ * only when fuller machines have the capacity for all its replicas and can fetch their images quickly; a replica is
+ * stopped only to start at once on another machine. Machines with batch tasks are not drained.
  */
 public final class Consolidator {
     private static final long INTERVAL_MICROS = 4_000_000;
     private static final double MAX_CPU_USED_SHARE_TO_EMPTY = 0.75;
-    /** One machine is emptied at a time, and one more for each so many in the fleet. */
+    /** One machine drains at a time, plus one for each this many machines in the fleet. */
     private static final int MACHINES_PER_FURTHER_DRAIN = 50;
-    /** A replica is not moved before it has run this long. */
+    /** Minimum time that a replica must have run before it is moved. */
     private static final long MIN_RUNTIME_MICROS = 40_000_000;
 
     private final Fleet fleet;
@@ -29,7 +30,7 @@
     private final TaskLifecycle tasks;
     private long nextRoundMicros;
 
-    /** Moves replicas on the machines of this fleet. */
+    /** Creates a consolidator for the machines of this fleet. */
     public Consolidator(Fleet fleet, ActiveJobs activeJobs, MachineLifecycle machines, TaskLifecycle tasks) {
         this.fleet = fleet;
         this.activeJobs = activeJobs;
@@ -37,7 +38,10 @@
         this.tasks = tasks;
     }
 
-    /** Empties a few machines, unless it did so lately or work waits. */
+    /**
+     * Starts draining a few machines, unless the last round began less than {@link #INTERVAL_MICROS} ago or any job has
+     * a waiting task.
+     */
     public void consolidateIfDue(long nowMicros) {
         if (nowMicros < nextRoundMicros) {
             return;
@@ -49,7 +53,10 @@
         drain(emptiestFirst(nowMicros), furtherDrains());
     }
 
-    /** A few machines drain at a time, so that what moves finds its place before more moves. */
+    /**
+     * Returns how many more machines can be drained now. The number of machines that drain at the same time is limited
+     * so that replicas on the move are placed before more of them move.
+     */
     private int furtherDrains() {
         int drains = 1 + fleet.machines().size() / MACHINES_PER_FURTHER_DRAIN;
         for (Machine machine : fleet.machines()) {
@@ -60,7 +67,7 @@
         return drains;
     }
 
-    /** The machines that may be emptied, that with the smallest share of its CPUs in use first. */
+    /** Returns the machines that can be drained, ordered by the used share of their CPUs, lowest first. */
     private List<Machine> emptiestFirst(long nowMicros) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
--- a/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/FairShare.java
@@ -5,28 +5,30 @@
 import org.granitepath.storage.Priority;
 
 /**
- * The weighted workforce of a job as in D. Difallah et al., "Deadline-Aware Fair Scheduling for Multi-Tenant
- * Crowd-Powered Systems", sections 3 and 4.6, in the simplified variant SDAFS: the next task goes to the job where it
- * is lowest. A batch of the paper is a job here, a crowd worker is capacity for one task.
+ * Computes the fair share of a job: the weighted workforce of D. Difallah et al., "Deadline-Aware Fair Scheduling for
+ * Multi-Tenant Crowd-Powered Systems", sections 3 and 4.6, in the simplified variant SDAFS. The job with the lowest
+ * value gets the next task. A batch in the paper corresponds to a job, a crowd worker to capacity for one task.
  *
- * <p>With P the weight of the priority, T the job's tasks, L those that are not done and R those that run:
+ * <p>P is the weight of the job's priority, T its number of tasks, L the number of its unfinished tasks and R the
+ * number of its running tasks. The value x is
  *
  * <ul>
- *   <li>best effort: {@code x = R / (P T)}
- *   <li>with a deadline: {@code x = 1/(P T) * sum over i below R of ln(1 + (L-i)/T)}
+ *   <li>without a deadline: {@code x = R / (P T)}
+ *   <li>with a deadline: {@code x = 1/(P T) * sum over i from 0 to R - 1 of ln(1 + (L-i)/T)}
  * </ul>
  *
- * <p>The sum telescopes into a quotient of factorials, so it costs two evaluations of ln Gamma however large R is.
+ * <p>The sum equals the logarithm of a quotient of factorials, so it costs two evaluations of ln Gamma whatever the
+ * value of R.
  */
 public final class FairShare {
     private final PriorityWeights weights;
 
-    /** Takes the weights of the priorities from the operators' settings. */
+    /** Uses these weights, which come from the operators' settings. */
     public FairShare(PriorityWeights weights) {
         this.weights = weights;
     }
 
-    /** P, the weight of a priority. */
+    /** Returns P, the weight of a priority. */
     public double weight(Priority priority) {
         return switch (priority) {
             case CRITICAL -> weights.critical();
@@ -37,24 +39,26 @@
     }
 
     /**
-     * The weighted workforce of a job, a number without a unit.
+     * Returns the weighted workforce of a job, a number without a unit.
      *
-     * @param deadline whether the job has a deadline
-     * @param total T, the number of its tasks
-     * @param left L, those that are running or have not yet started
-     * @param running R, those that are running
+     * @param hasDeadline whether the job has a deadline
+     * @param totalTasks T, the number of the job's tasks
+     * @param unfinishedTasks L, the number of tasks that are running or have not yet started
+     * @param runningTasks R, the number of tasks that are running
      */
-    public double share(Priority priority, boolean deadline, int total, int left, int running) {
-        double scale = 1.0 / (weight(priority) * total);
-        return deadline ? scale * logSum(total, left, running) : scale * running;
+    public double share(Priority priority, boolean hasDeadline, int totalTasks, int unfinishedTasks, int runningTasks) {
+        double scale = 1.0 / (weight(priority) * totalTasks);
+        return hasDeadline ? scale * logSum(totalTasks, unfinishedTasks, runningTasks) : scale * runningTasks;
     }
 
-    /** Sum of {@code ln((T + L - i) / T)} for i from 0 to R - 1. */
-    static double logSum(int total, int left, int running) {
-        if (running <= 0) {
+    /** Returns the sum of {@code ln((T + L - i) / T)} for i from 0 to R - 1. */
+    static double logSum(int totalTasks, int unfinishedTasks, int runningTasks) {
+        if (runningTasks <= 0) {
             return 0;
         }
-        double upper = (double) total + left;
-        return LogGamma.value(upper + 1) - LogGamma.value(upper - running + 1) - running * Math.log(total);
+        double upper = (double) totalTasks + unfinishedTasks;
+        return LogGamma.value(upper + 1)
+                - LogGamma.value(upper - runningTasks + 1)
+                - runningTasks * Math.log(totalTasks);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** Chooses the machine for a task among those that have free capacity in this scheduling cycle. */
+/** Selects the machine for a task among those with free capacity in this scheduling cycle. */
 final class MachineSelector {
     private final Fleet fleet;
     private final PlacementRules rules;
@@ -29,7 +29,10 @@
         this.gangHeadroom = gangHeadroom;
     }
 
-    /** Finds the machines on which the smallest of the queued tasks would fit. */
+    /**
+     * Collects the responsive machines that accept tasks and have the smallest CPU and memory amounts free that any
+     * queued job asks for, and updates the gang headroom.
+     */
     void beginCycle(CandidateQueue candidates, long nowMicros) {
         long cpuMillis = smallest(candidates, JobSpec::cpuMillis);
         long memoryMillis = smallest(candidates, JobSpec::memoryMillis);
@@ -52,18 +55,20 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** The machines that take tasks and had some capacity when the cycle began. */
+    /** Returns the machines that accepted tasks and had free capacity when the cycle began, as a live view. */
     List<Machine> machinesWithCapacity() {
         return machinesWithCapacityView;
     }
 
-    /** The best machine for the next task of this job, or null if none has capacity that the job may use. */
+    /**
+     * Returns the best machine for the next task of this job, or null if no machine has capacity that the job can use.
+     */
     @Nullable
     Machine best(ActiveJob job, long nowMicros) {
         return machineScorer.best(machinesWithCapacity, machine -> isUsable(machine, job, nowMicros), job.spec());
     }
 
-    /** Notes that a task was placed there. */
+    /** Records that a task was placed on this machine. */
     void placed(Machine machine, JobSpec spec) {
         gangHeadroom.onTaskPlaced(machine, spec);
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
@@ -10,19 +10,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What to stop on one machine so that at least one more task fits there.
+ * The tasks to stop on one machine so that at least one task of the preempting job fits there.
  *
- * @param cost see {@link PreemptionCost}
- * @param slots how many tasks fit then
+ * @param victims the tasks to stop
+ * @param cost what stopping them costs, in the unit of {@link PreemptionCost}
+ * @param slots how many tasks of the preempting job fit once the victims have stopped
  */
 record Preemption(Machine machine, List<Placement> victims, double cost, int slots) {
 
     /**
-     * Takes the candidates that cost least until one task of the job fits.
+     * Selects the candidates that cost least to stop until one task of the job fits.
      *
-     * @param candidates what may be stopped; they are sorted by cost
-     * @param freed what is being freed on the machine anyway; the victims are added to it
-     * @return null if the task does not even fit once all candidates are stopped
+     * @param candidates the tasks that can be stopped; this method sorts the list by cost
+     * @param freed the resources that stopping tasks free on the machine in any case; the victims are added to it
+     * @return null if the task does not fit even once all candidates have stopped
      */
     static @Nullable Preemption cheapest(
             JobSpec spec, Machine machine, List<Placement> candidates, ResourceUsage freed, long nowMicros) {
@@ -41,7 +42,7 @@
         return null;
     }
 
-    /** Whether it stops a gang, whose other tasks then end on other machines. */
+    /** Returns whether a victim belongs to a gang, whose tasks on other machines then end too. */
     boolean stopsGang() {
         return victims.stream().anyMatch(victim -> victim.job().spec().gang());
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -7,22 +7,22 @@
 import org.granitepath.storage.Priority;
 
 /**
- * What stopping work costs, as CPU time thrown away: thousandths of a CPU times microseconds. Only compared with one
- * another.
+ * Computes what stopping tasks costs, as wasted CPU time in thousandths of a CPU times microseconds. Costs are only
+ * compared with each other.
  */
 final class PreemptionCost {
-    /** What a restart costs a task beyond the progress that it loses. */
+    /** Time that a restart costs a task in addition to the progress that it loses. */
     private static final long RESTART_MICROS = 1_000_000;
-    /** The same for each task of a gang, which has to find capacity for all its tasks together once more. */
+    /** The same for each task of a gang: the gang must find capacity for all its tasks at once again. */
     private static final long GANG_RESTART_MICROS = 15_000_000;
-    /** Lost time of work above best effort counts this many times. */
+    /** Factor for the lost time of tasks with a priority above best effort. */
     private static final int ABOVE_BEST_EFFORT_FACTOR = 3;
-    /** A second that the new task fetches its image: one CPU for one second. */
+    /** Cost of each second that the new task spends fetching its image: one CPU for one second. */
     private static final double PER_FETCH_SECOND = 1e9;
 
     private PreemptionCost() {}
 
-    /** What stopping this task costs; of a gang, what stopping all its tasks costs. */
+    /** Returns the cost of stopping this task; for a task of a gang, the cost of stopping all tasks of the gang. */
     static double ofStopping(Placement placement, long nowMicros) {
         return placement.job().spec().gang()
                 ? placement.job().placements().stream()
@@ -31,7 +31,7 @@
                 : ofOneTask(placement, RESTART_MICROS, nowMicros);
     }
 
-    /** What it costs that the new task has to fetch its image there. */
+    /** Returns the cost of fetching the new task's image on the machine; 0 if the machine has the image. */
     static double ofFetchingImage(Machine machine, JobSpec spec) {
         return ImageFetchTime.secondsOn(machine, spec) * PER_FETCH_SECOND;
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -8,14 +8,17 @@
 import org.granitepath.coordination.placement.StartDelay;
 import org.granitepath.storage.JobSpec;
 
-/** Which running tasks may be stopped for one job at one moment, by priority or because their teams have borrowed. */
+/**
+ * Decides which running tasks can be stopped for one job at one moment: tasks of lower priority, and tasks that other
+ * teams run on borrowed quota.
+ */
 final class PreemptionPolicy {
-    /** A task that has run for this long may be stopped for a job with a deadline. */
+    /** A task must have run longer than this before it can be stopped for a job with a deadline. */
     private static final long MIN_RUNTIME_MICROS = 10_000_000;
     /**
-     * So long guaranteed work waits after its last start for capacity that becomes free by itself, before borrowed
-     * work is stopped for it. Without this wait freed capacity goes back and forth: what is stopped starts
-     * elsewhere, and is stopped there for the next.
+     * A job within its guaranteed quota waits this long after its last start for capacity to become free by itself,
+     * before tasks on borrowed quota are stopped for it. Without this delay freed capacity moves back and forth: a
+     * stopped task starts on another machine and is stopped there again for the next task.
      */
     private static final long RECLAIM_DELAY_MICROS = 2_000_000;
 
@@ -32,36 +35,45 @@
         this.borrowed = new BorrowedCpu(rules);
     }
 
-    /** Whether anything at all may be stopped for the job. */
+    /** Returns whether any task at all can be stopped for the job. */
     boolean mayPreempt() {
         return job.isLive() || job.spec().hasDeadline() || reclaimsBorrowed;
     }
 
-    /** Whether this task may be stopped for the job. */
+    /** Returns whether this task can be stopped for the job. */
     boolean mayPreempt(Placement placement) {
         return hasPrecedenceOver(placement) || (reclaimsBorrowed && isBorrowed(placement));
     }
 
-    /** Counts what is borrowed of these tasks; false: more than their teams have borrowed, so they are left alone. */
+    /**
+     * Counts those of the victims that run on borrowed quota as reclaimed.
+     *
+     * @return false if a team of such a victim has no borrowed quota left, so that no victim must be stopped
+     */
     boolean reclaimBorrowed(List<Placement> victims) {
         return borrowed.reclaim(victims.stream()
                 .filter(placement -> !hasPrecedenceOver(placement))
                 .toList());
     }
 
-    /** How long the task may go on to save its progress. A live replica's capacity is needed at once. */
+    /**
+     * Returns how many microseconds the victim can continue in order to save its progress; 0 if the job is a live
+     * service, which needs the capacity at once.
+     */
     long graceMicros(Placement victim) {
         return job.isLive() ? 0 : victim.job().spec().saveMicros();
     }
 
-    /** By priority alone. Live replicas are never stopped. */
+    /**
+     * Returns whether the task can be stopped because of its lower priority alone. Service replicas are never stopped.
+     */
     private boolean hasPrecedenceOver(Placement placement) {
         JobSpec victim = placement.job().spec();
         if (!job.spec().priority().above(victim.priority()) || victim.service()) {
             return false;
         }
         if (!job.isLive() && victim.gang()) {
-            return false; // it saves only when all its tasks are reached in time
+            return false; // a gang saves its progress only if all its tasks receive the stop in time
         }
         return job.isLive()
                 || (victim.checkpointMicros() > 0
@@ -69,7 +81,7 @@
                         && placement.ranMicros(nowMicros) > MIN_RUNTIME_MICROS);
     }
 
-    /** Whether another team runs this task beyond its own guaranteed quota. Live replicas are never stopped. */
+    /** Returns whether another team runs this task on borrowed quota. Service replicas are never stopped. */
     private boolean isBorrowed(Placement placement) {
         String team = placement.job().spec().team();
         return !team.equals(job.spec().team())
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -15,10 +15,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes capacity by stopping work, where least is lost. Live services may stop anything of lower priority at once;
- * jobs with a deadline only work of lower priority that saves itself first; what is within its team's guaranteed
- * quota, after a moment's wait, also what other teams run beyond theirs. Tasks of one equivalence class are decided
- * together, in one look at the fleet.
+ * Frees capacity for a job by stopping the tasks whose loss costs least.
+ *
+ * <ul>
+ *   <li>A live service can stop any task of lower priority at once, except service replicas.
+ *   <li>A job with a deadline can stop only tasks of lower priority that save their progress first.
+ *   <li>A job within its team's guaranteed quota can, after a short delay, also stop tasks that other teams run beyond
+ *       their own quotas.
+ * </ul>
+ *
+ * <p>All waiting tasks with the same resource request are handled together, in one pass over the fleet.
  */
 public final class Preemptor {
     private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
@@ -27,7 +33,7 @@
     private final PlacementRules rules;
     private final TaskLifecycle tasks;
 
-    /** Stops tasks on the machines of this fleet. */
+    /** Creates a preemptor for the machines of this fleet. */
     public Preemptor(Fleet fleet, PlacementRules rules, TaskLifecycle tasks) {
         this.fleet = fleet;
         this.rules = rules;
@@ -35,10 +41,12 @@
     }
 
     /**
-     * Returns how many tasks like those of this job will fit once the work that is being stopped is gone.
+     * Stops tasks until the wanted number of tasks like those of this job will fit, or until nothing more can be
+     * stopped.
      *
-     * @param wanted how many such tasks wait
-     * @param withImageOnly only on machines that already have the job's image
+     * @param wanted how many such tasks are waiting
+     * @param withImageOnly whether to consider only machines that already have the job's image
+     * @return how many such tasks will fit once all tasks that are being stopped are gone
      */
     int preemptFor(ActiveJob job, int wanted, boolean withImageOnly, long nowMicros) {
         PreemptionPolicy policy = new PreemptionPolicy(job, rules, nowMicros);
@@ -80,9 +88,9 @@
     }
 
     /**
-     * The cheapest way to make capacity for one task on a machine, or null if there is none.
+     * Returns the cheapest way to free capacity for one task on a machine, or null if there is none.
      *
-     * @param stopping what is being freed there anyway
+     * @param stopping the resources of the tasks that are being stopped on the machine already
      */
     private static @Nullable Preemption cheapestPreemption(
             Machine machine, ActiveJob job, PreemptionPolicy policy, ResourceUsage stopping, long nowMicros) {
@@ -95,7 +103,12 @@
         return Preemption.cheapest(job.spec(), machine, candidates, stopping, nowMicros);
     }
 
-    /** Returns how many tasks will fit, what is stopping already included. */
+    /**
+     * Carries out the preemptions, cheapest first, until enough tasks will fit.
+     *
+     * @param alreadyPending how many tasks will fit once the tasks that are being stopped already are gone
+     * @return how many tasks will fit, including those already pending
+     */
     private int stopCheapest(
             List<Preemption> byCost, ActiveJob job, PreemptionPolicy policy, int alreadyPending, int wanted) {
         int pending = alreadyPending;
@@ -109,7 +122,7 @@
             stopVictims(preemption, job, policy);
             pending += preemption.slots();
             if (preemption.stopsGang()) {
-                break; // a whole gang ends: the next cycle sees what capacity that makes
+                break; // the whole gang ends: the next cycle counts the capacity that it frees
             }
         }
         return pending;
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -9,24 +9,27 @@
 import org.granitepath.coordination.placement.ResourceUsage;
 import org.granitepath.storage.JobSpec;
 
-/** Finds capacity on fuller machines for the replicas that move in one round of consolidation. */
+/** Reserves capacity on fuller machines for the replicas that move in one round of consolidation. */
 final class RelocationPlan {
-    /** A replica is not to be away for longer than this, for its image, only because it moves. */
+    /** A replica does not move to a machine where fetching its image would keep it down for this long or longer. */
     private static final double MAX_FETCH_SECONDS = 2;
 
     private final Fleet fleet;
-    /** What replicas that move will use on other machines; nothing yet on those that were looked at. */
+    /** The resources that moving replicas will use on each machine; zero for a machine that was only considered. */
     private final Map<Machine, ResourceUsage> promised = new LinkedHashMap<>();
 
-    /** Nothing moves at first. */
+    /** Creates a plan without any relocation. */
     RelocationPlan(Fleet fleet) {
         this.fleet = fleet;
     }
 
     /**
-     * Whether fuller machines have capacity for all tasks of this one, in its zone and with their images or nearly so.
-     * What they take is noted as promised, even if another task then finds none. A machine that was looked at for
-     * others keeps its tasks.
+     * Promises capacity on fuller machines to all tasks of this machine. A task that is spread over zones stays in its
+     * zone, and a target machine must have the image or fetch it in less than {@link #MAX_FETCH_SECONDS}. Capacity that
+     * was promised to some tasks stays promised even if another task then finds none.
+     *
+     * @return whether all tasks found capacity; false for a machine that was considered as a target for other replicas,
+     *     which keeps its tasks
      */
     boolean moveAllFrom(Machine source) {
         if (promised.containsKey(source)) {
--- a/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
@@ -8,13 +8,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a task needs, in thousandths of a CPU, a GPU and a gigabyte, and where it may run. When one request finds no
- * capacity, none that asks for as much or more under the same constraints does either.
+ * The resources that a task needs, in thousandths of a CPU, of a GPU and of a gigabyte of memory, and its placement
+ * constraints. If one request finds no capacity, no request for as much or more under the same constraints finds any.
  *
- * @param types the machine types allowed; null: any
- * @param zone the zone required; null: any
- * @param closedZones zones where the job may place no further task, since its tasks are spread or kept together
- * @param deferrable whether it waits for cheap capacity
+ * @param types the allowed machine types; null allows any
+ * @param zone the required zone; null allows any
+ * @param closedZones zones where the job cannot place another task, because its tasks are spread or share a zone
+ * @param spot whether spot machines are allowed
+ * @param deferrable whether the job waits for cheap capacity
  */
 record ResourceRequest(
         long cpuMillis,
@@ -27,7 +28,7 @@
         boolean deferrable,
         Priority priority) {
 
-    /** What the next task of this job needs now. */
+    /** Returns the request of the next task of this job as of now. */
     static ResourceRequest of(ActiveJob job, List<String> zones) {
         JobSpec spec = job.spec();
         List<String> closedZones = spec.spread() || spec.oneZone()
@@ -45,7 +46,7 @@
                 spec.priority());
     }
 
-    /** Whether this asks for no more than the other one, under the same constraints. */
+    /** Returns whether this request has the constraints of the other one and asks for no more of any resource. */
     boolean isAtMost(ResourceRequest other) {
         return cpuMillis <= other.cpuMillis
                 && gpuMillis <= other.gpuMillis
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -14,9 +14,12 @@
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.storage.Timers;
 
-/** Runs scheduling cycles: one task at a time to the job that is first by class and fair share. */
+/** Runs scheduling cycles: each step starts one task, or one gang, of the job that is first by class and fair share. */
 public final class Scheduler {
-    /** What decides which machines a job may use, which jobs can wait, and what may be stopped for others. */
+    /**
+     * The policies that decide which machines a job can use, which jobs can wait, and which tasks can be stopped for
+     * others.
+     */
     public record Policies(
             PlacementRules rules, BatchPlanner batchPlanner, Preemptor preemptor, GangHeadroom gangHeadroom) {}
 
@@ -28,7 +31,7 @@
     private final TaskScheduler taskScheduler;
     private final GangScheduler gangScheduler;
 
-    /** Schedules the jobs of this term. */
+    /** Creates the scheduler of one leader term. */
     public Scheduler(
             Config config,
             Fleet fleet,
@@ -55,14 +58,14 @@
         this.gangScheduler = new GangScheduler(config, fleet, rules, tasks, machineScorer);
     }
 
-    /** One cycle, until nothing more fits. */
+    /** Runs one cycle, which starts tasks until no further task fits. */
     public void runCycle() {
         long nowMicros = timers.nowMicros();
         recovery.cycleBegins(nowMicros);
         recovery.cycleEnded(scheduleAll(nowMicros));
     }
 
-    /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
+    /** Returns how many tasks of live work have no capacity yet while other tasks are being stopped for them. */
     private int scheduleAll(long nowMicros) {
         batchPlanner.updateIfDue(nowMicros);
         gangScheduler.releaseEndedReservations(nowMicros);
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -9,11 +9,11 @@
 import org.granitepath.recovery.LiveWorkBacklog;
 
 /**
- * Starts one task of a job that is no gang, or preempts other work for it. Remembers within a scheduling cycle which
- * requests found no capacity, so that none that asks for as much is tried again.
+ * Starts one task of a job that is not a gang, or preempts other tasks for it. Remembers within a scheduling cycle
+ * which requests found no capacity, so that no request for as much or more is tried again.
  */
 final class TaskScheduler {
-    /** A live replica waits this long for a machine that already has its image. */
+    /** How long a replica of a live service waits for a machine that already has its image. */
     private static final long IMAGE_WAIT_MICROS = 1_500_000;
 
     private final List<String> zones;
@@ -39,15 +39,15 @@
         this.tasks = tasks;
     }
 
-    /** Forgets what found no capacity in the last cycle. */
+    /** Forgets the requests that found no capacity in the last cycle. */
     void beginCycle() {
         unplaceable.clear();
     }
 
     /**
-     * Starts the next task of the job if there is capacity.
+     * Starts the next task of the job if there is capacity; otherwise tries to preempt other tasks.
      *
-     * @return for how many tasks that resume first there is no capacity yet, while others are stopped for them
+     * @return how many tasks of live work have no capacity yet while other tasks are being stopped for them
      */
     int schedule(ActiveJob job, long nowMicros) {
         ResourceRequest request = ResourceRequest.of(job, zones);
@@ -72,7 +72,11 @@
         return unplaceable.stream().anyMatch(other -> other.isAtMost(request));
     }
 
-    /** Preempts for all waiting tasks with this request at once. */
+    /**
+     * Preempts other tasks for all waiting tasks with this request at once.
+     *
+     * @return how many tasks will fit once the stopped tasks are gone; 0 if the job is not live work
+     */
     private int preemptForEqualRequests(ActiveJob job, ResourceRequest request, long nowMicros) {
         int wanted = job.waitingTasks() + waitingWithSameRequest(request);
         int pending = preemptor.preemptFor(job, wanted, false, nowMicros);
@@ -87,7 +91,10 @@
                 .sum();
     }
 
-    /** A short wait gets a live replica onto a machine that already has its image. */
+    /**
+     * Returns whether a replica of a live service should still wait for a machine with its image, because the given
+     * machine lacks it.
+     */
     private static boolean waitsForImage(ActiveJob job, Machine machine, long nowMicros) {
         return job.isLive()
                 && !machine.capacity().hasImage(job.spec().image())
