--- a/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
@@ -7,26 +7,29 @@
 import java.util.Map;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** Finds machines for all tasks of a gang together. */
+/** Finds machines for all tasks of a gang at once. */
 final class GangPlacementFinder {
     private final GangConstraints constraints;
     private final PlacementRules rules;
-    private final MachinePreference preference;
+    private final MachineScorer machineScorer;
 
-    GangPlacementFinder(GangConstraints constraints, PlacementRules rules, MachinePreference preference) {
+    GangPlacementFinder(GangConstraints constraints, PlacementRules rules, MachineScorer machineScorer) {
         this.constraints = constraints;
         this.rules = rules;
-        this.preference = preference;
+        this.machineScorer = machineScorer;
     }
 
     /**
-     * The placement with the fewest image fetches among the zones that may be tried, or null if the gang fits in none.
+     * Returns the placement with the fewest image fetches among the zones to try, or null if the gang fits in none of
+     * them.
+     *
+     * @param machinesWithCapacity the machines that accepted tasks and had free capacity when the cycle began
      */
     @Nullable
     GangPlacement find(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
@@ -56,12 +59,12 @@
         if (slots < spec.tasks()) {
             return null;
         }
-        candidates.sort(Comparator.comparingDouble((Machine machine) -> preference.score(machine, spec))
+        candidates.sort(Comparator.comparingDouble((Machine machine) -> machineScorer.score(machine, spec))
                 .reversed());
         return fill(candidates, spec);
     }
 
-    /** Fills one machine after the other, up to what the job may place in each zone. */
+    /** Fills one machine after the other, up to the job's limit for each zone. Returns null if not all tasks fit. */
     private @Nullable GangPlacement fill(List<Machine> candidates, JobSpec spec) {
         List<Machine> chosen = new ArrayList<>();
         Map<String, Integer> tasksByZone = new HashMap<>();
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -10,13 +10,16 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.placement.BatchPlanner;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.storage.Timers;
 
-/** Runs scheduling cycles: one task at a time to the job that is first by class and fair share. */
+/** Runs scheduling cycles: each step starts one task, or one gang, of the job that is first by class and fair share. */
 public final class Scheduler {
-    /** What decides which machines a job may use, which jobs can wait, and what may be stopped for others. */
+    /**
+     * The policies that decide which machines a job can use, which jobs can wait, and which tasks can be stopped for
+     * others.
+     */
     public record Policies(
             PlacementRules rules, BatchPlanner batchPlanner, Preemptor preemptor, GangHeadroom gangHeadroom) {}
 
@@ -28,7 +31,7 @@
     private final TaskScheduler taskScheduler;
     private final GangScheduler gangScheduler;
 
-    /** Schedules the jobs of this term. */
+    /** Creates the scheduler of one leader term. */
     public Scheduler(
             Config config,
             Fleet fleet,
@@ -39,7 +42,7 @@
             Policies policies,
             Timers timers) {
         PlacementRules rules = policies.rules();
-        MachinePreference preference = new MachinePreference(rules);
+        MachineScorer machineScorer = new MachineScorer(rules);
         this.recovery = recovery;
         this.timers = timers;
         this.batchPlanner = policies.batchPlanner();
@@ -49,23 +52,23 @@
                 jobs,
                 batchPlanner,
                 new FairShare(config.tuning().weights()));
-        this.machines = new MachineSelector(fleet, rules, preference, policies.gangHeadroom());
+        this.machines = new MachineSelector(fleet, rules, machineScorer, policies.gangHeadroom());
         this.taskScheduler =
                 new TaskScheduler(config.topology().zones(), candidates, machines, rules, policies.preemptor(), tasks);
-        this.gangScheduler = new GangScheduler(config, fleet, rules, tasks, preference);
+        this.gangScheduler = new GangScheduler(config, fleet, rules, tasks, machineScorer);
     }
 
-    /** One cycle, until nothing more fits. */
+    /** Runs one cycle, which starts tasks until no further task fits. */
     public void runCycle() {
         long nowMicros = timers.nowMicros();
         recovery.onCycleStart(nowMicros);
         recovery.onCycleEnd(scheduleAll(nowMicros));
     }
 
-    /** Returns for how many tasks that resume first there is no capacity yet, while others are stopped for them. */
+    /** Returns how many tasks of live work have no capacity yet while other tasks are being stopped for them. */
     private int scheduleAll(long nowMicros) {
-        batchPlanner.update(nowMicros);
-        gangScheduler.releaseReservations(nowMicros);
+        batchPlanner.updateIfDue(nowMicros);
+        gangScheduler.releaseEndedReservations(nowMicros);
         candidates.refill(nowMicros);
         if (candidates.isEmpty()) {
             return 0;
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -2,8 +2,8 @@
 
 import static org.granitepath.coordination.placement.PlacementFixture.CPU;
 import static org.granitepath.coordination.placement.PlacementFixture.NOW;
-import static org.granitepath.coordination.placement.PlacementFixture.PROMPT_CLASS;
 import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
+import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -39,7 +39,7 @@
             new TermRecovery(recoveryPlan, fixture.jobs, null, null));
 
     private Machine paidMachine(String id, boolean spot) {
-        Machine machine = fixture.machine(id, spot);
+        Machine machine = fixture.addMachine(id, spot);
         machine.setLaunchedMicros(LONG_AGO);
         return machine;
     }
@@ -75,13 +75,13 @@
 
     @Test
     void notBeforeTheMinimumChargeIsUsedUp() {
-        assertReleasedAfter(fixture.machine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
+        assertReleasedAfter(fixture.addMachine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
     }
 
     @Test
     void notWithATask() {
         Machine machine = paidMachine("m", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 
@@ -127,7 +127,7 @@
         releasedAfter(machine, IDLE + 1);
         assertTrue(machine.isHeadroom());
 
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         releasedAfter(machine, IDLE + 1);
 
         assertFalse(machine.isHeadroom());
@@ -135,8 +135,8 @@
 
     @Test
     void notBelowTheHeadroomForGangs() {
-        fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
-        planner.update(NOW);
+        fixture.gang("gang", Priority.STANDARD).jobClass(URGENT_CLASS).tasks(4).build();
+        planner.updateIfDue(NOW);
         Machine first = paidMachine("m1", false);
         Machine second = paidMachine("m2", false);
         idleMachines.survey();
