--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -172,7 +172,7 @@
         }
         for (Machine machine : recorded.machinesWithNewToken()) {
             machine.inventory().tokenRaised(recorded.newToken());
-            listener.tokenRaised(machine);
+            listener.onTokenRaised(machine);
         }
         writeRest();
         listener.recorded();
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -24,7 +24,7 @@
     /** Told of what has gone on record. */
     public interface Listener {
         /** The machine's new fencing token is on record. */
-        void tokenRaised(Machine machine);
+        void onTokenRaised(Machine machine);
 
         /** A write of the inventory is on record; told after the new tokens that it gave. */
         void recorded();
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -182,7 +182,7 @@
     private MachineInventory newInventory() {
         MachineInventory.Listener listener = new MachineInventory.Listener() {
             @Override
-            public void tokenRaised(Machine machine) {
+            public void onTokenRaised(Machine machine) {
                 tokenRaiseHandler.tokenRaised(machine);
                 sender.showRaisedToken(machine);
             }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -195,7 +195,7 @@
     private MachineInventory.Listener inventoryListener() {
         return new MachineInventory.Listener() {
             @Override
-            public void tokenRaised(Machine machine) {
+            public void onTokenRaised(Machine machine) {
                 tokensRaised.add(machine.id());
             }
 
