--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -175,7 +175,7 @@
             listener.onTokenRaised(machine);
         }
         writeRest();
-        listener.recorded();
+        listener.onInventoryWritten();
     }
 
     private void writeRest() {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -27,7 +27,7 @@
         void onTokenRaised(Machine machine);
 
         /** A write of the inventory is on record; told after the new tokens that it gave. */
-        void recorded();
+        void onInventoryWritten();
     }
 
     private final Timers timers;
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -188,7 +188,7 @@
             }
 
             @Override
-            public void recorded() {
+            public void onInventoryWritten() {
                 loop.requestCycle();
             }
         };
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -200,7 +200,7 @@
             }
 
             @Override
-            public void recorded() {}
+            public void onInventoryWritten() {}
         };
     }
 
