--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -19,7 +19,7 @@
     }
 
     /** The machine's new fencing token is on record: it must show it before it is given work again. */
-    public void tokenRaised(Machine machine) {
+    public void onTokenRaised(Machine machine) {
         long nowMicros = timers.nowMicros();
         if (fleet.unresponsive(machine, nowMicros)) {
             machine.contact().fence();
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -183,7 +183,7 @@
         MachineInventory.Listener listener = new MachineInventory.Listener() {
             @Override
             public void onTokenRaised(Machine machine) {
-                tokenRaiseHandler.tokenRaised(machine);
+                tokenRaiseHandler.onTokenRaised(machine);
                 sender.showRaisedToken(machine);
             }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -35,7 +35,7 @@
     @Test
     void aMachineWhoseHeartbeatsComeMustShowTheToken() {
         Machine machine = machineIn(PEER_ZONE);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
         assertFalse(machine.contact().fenced());
         assertEquals(timers.nowMicros() + LEASE, machine.contact().leaseExpiryMicros());
@@ -46,7 +46,7 @@
         Machine machine = machineIn(OWN_ZONE);
         long leaseExpiryMicros = machine.contact().leaseExpiryMicros();
         timers.advance(5 * SECOND);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
         assertTrue(machine.contact().fenced());
         assertEquals(leaseExpiryMicros, machine.contact().leaseExpiryMicros(), "nobody can have kept it alive");
@@ -56,7 +56,7 @@
     void theLeaseOfAnUnresponsiveMachineNearAPeerMayGoOnForAWhile() {
         Machine machine = machineIn(PEER_ZONE);
         timers.advance(5 * SECOND);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertTrue(machine.contact().fenced());
         assertEquals(
                 timers.nowMicros()
@@ -70,7 +70,7 @@
         Machine machine = machineIn(PEER_ZONE);
         machine.leaseExpired();
         timers.advance(5 * SECOND);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertEquals(0, machine.contact().leaseExpiryMicros());
     }
 }
