--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -80,7 +80,7 @@
      * heartbeats come again, in a later agent epoch, it must show that it receives our commands before it is given
      * work.
      */
-    public void leaseExpired(Machine machine) {
+    public void expireLease(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
                 machine.id(),
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -52,7 +52,7 @@
             return;
         }
         if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
-            machines.leaseExpired(machine);
+            machines.expireLease(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
         }
