--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -64,7 +64,7 @@
                 new CloudRequestBudget(config.limits().cloudRequestsPerSecond(), timers.nowMicros());
         SpareHeadroom spareHeadroom = new SpareHeadroom();
         this.launcher = new Launcher(cloud, timers, term.fencingToken(), booting, ended);
-        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::terminated, ended);
+        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::onTerminated, ended);
         this.lister =
                 new MachineLister(fleet, booting, terminator::terminatedLately, cloud, requestBudget, timers, ended);
         this.scaleOut = new ScaleOut(
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -97,7 +97,7 @@
     }
 
     /** The cloud took this machine back for good. */
-    public void terminated(String id) {
+    public void onTerminated(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -32,7 +32,7 @@
         fixture.readyMachine("m1");
         fixture.readyMachine("m2");
         assertEquals(List.of("m1", "m2"), idsOnRecord());
-        fixture.machines.terminated("m1");
+        fixture.machines.onTerminated("m1");
         fixture.timers.advance(SECOND);
         assertEquals(List.of("m2"), idsOnRecord());
     }
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -69,7 +69,7 @@
     void aLateCopyOfAMachineThatIsGoneIsTurnedAway() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat late = nextHeartbeat(machine);
-        fixture.machines.terminated("m");
+        fixture.machines.onTerminated("m");
         assertEquals(UNAVAILABLE, handler.answer(late));
         assertNull(fixture.fleet.machine("m"));
     }
