--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -44,7 +44,7 @@
     }
 
     /** All that this machine is to do, for the answer to its heartbeat. */
-    public List<WorkerCommand> forAnswer(Machine machine) {
+    public List<WorkerCommand> collectForResponse(Machine machine) {
         List<WorkerCommand> answer = stopsFor(machine);
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -60,7 +60,7 @@
             return overtaken(machine, heartbeat);
         }
         loop.runCycleIfDue();
-        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.forAnswer(machine));
+        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.collectForResponse(machine));
     }
 
     private boolean mayJoin(Heartbeat heartbeat) {
