--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -67,7 +67,7 @@
     }
 
     private void sendDirectly(Machine machine) {
-        List<WorkerCommand> toSend = MachineCommands.stopsFor(machine);
+        List<WorkerCommand> toSend = MachineCommands.stopAndClearCommands(machine);
         commands.remove(machine);
         // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
         List<Placement> starts = machineCommands.startable(machine);
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -23,7 +23,7 @@
     }
 
     /** What is to end there, as of now. Every answer that renews a lease holds it: no task outlives its end by that. */
-    public static List<WorkerCommand> stopsFor(Machine machine) {
+    public static List<WorkerCommand> stopAndClearCommands(Machine machine) {
         List<WorkerCommand> stops = new ArrayList<>(machine.cleanupCommands());
         for (Placement placement : machine.placements()) {
             if (placement.phase() == Placement.Phase.STOPPING) {
@@ -45,7 +45,7 @@
 
     /** All that this machine is to do, for the answer to its heartbeat. */
     public List<WorkerCommand> collectForResponse(Machine machine) {
-        List<WorkerCommand> answer = stopsFor(machine);
+        List<WorkerCommand> answer = stopAndClearCommands(machine);
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
             answer.add(WorkerCommand.start(placement.task(), placement.attempt()));
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -94,7 +94,7 @@
         boolean ofPresentAgentEpoch =
                 heartbeat.agentEpoch() == machine.contact().agentEpoch();
         return !machine.isGone() && ofPresentAgentEpoch
-                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopsFor(machine))
+                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopAndClearCommands(machine))
                 : new HeartbeatResponse.Unavailable();
     }
 }
