--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -45,7 +45,7 @@
      * Calls the machines for which commands are due. Commands to machines that are unresponsive would only time out;
      * should one send a heartbeat after all, its answer holds them.
      */
-    public void sendDue() {
+    public void sendDueCommands() {
         if (!leadership.answersWorkers()) {
             return; // we may long have a successor that we don't know of
         }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -165,7 +165,7 @@
     }
 
     private void sendCommands() {
-        sender.sendDue();
+        sender.sendDueCommands();
     }
 
     private RecoveryPlan newRecoveryPlan(RecoveryTracer recoveryTracer) {
