--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -82,7 +82,7 @@
     }
 
     /** Shows the machine its new fencing token at once, unless a call to it would only time out. */
-    public void showRaisedToken(Machine machine) {
+    public void sendRaisedToken(Machine machine) {
         if (!fleet.unresponsive(machine, timers.nowMicros())) {
             calls.showToken(machine);
         }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -184,7 +184,7 @@
             @Override
             public void onTokenRaised(Machine machine) {
                 tokenRaiseHandler.onTokenRaised(machine);
-                sender.showRaisedToken(machine);
+                sender.sendRaisedToken(machine);
             }
 
             @Override
