--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -89,7 +89,7 @@
     }
 
     /** Shows the token to a machine whose heartbeats come, but under a former token, as long as calls are left. */
-    public void showTokenIfNotAdopted(Machine machine, long nowMicros) {
+    public void sendTokenIfUnacknowledged(Machine machine, long nowMicros) {
         if (hasNotAdoptedToken(machine, nowMicros)) {
             calls.showToken(machine);
         }
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -43,7 +43,7 @@
     void check(Machine machine, long nowMicros) {
         checkLease(machine);
         sender.probeIfOverdue(machine, nowMicros);
-        sender.showTokenIfNotAdopted(machine, nowMicros);
+        sender.sendTokenIfUnacknowledged(machine, nowMicros);
         checkPlacements(machine, nowMicros);
     }
 
