--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -53,7 +53,7 @@
         }
         demand.batchPlanner().update(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
-                demand, launcher::refusedLately, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
+                demand, launcher::refusedLately, zone -> failureDetector.isZonePartitioned(zone, nowMicros), nowMicros);
         addPending(plan, nowMicros);
         List<ActiveJob> waiting = demand.jobs().all().stream()
                 .filter(job -> launchesFor(job, nowMicros))
@@ -68,7 +68,7 @@
 
     private void addPending(ScaleOutPlan plan, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (!machine.overdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
+            if (!machine.overdue(nowMicros) && !failureDetector.isZonePartitioned(machine.zone(), nowMicros)) {
                 plan.pending(machine.type(), machine.zone(), machine.spot());
             }
         }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -108,7 +108,7 @@
     }
 
     /** Whether this zone alone was lately cut off: no machine is launched there. */
-    public boolean cutOff(String zone, long nowMicros) {
+    public boolean isZonePartitioned(String zone, long nowMicros) {
         Long lastMicros = lastCutOffMicros.get(zone);
         return lastMicros != null && nowMicros - lastMicros < config.workers().leaseMicros();
     }
@@ -118,7 +118,7 @@
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
     public boolean mayWorkWhileCutOff(Machine machine, long nowMicros) {
-        return cutOff(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
+        return isZonePartitioned(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
     }
 
     /**
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -50,7 +50,7 @@
     }
 
     private boolean cutOff(String zone) {
-        return detector.cutOff(zone, timers.nowMicros());
+        return detector.isZonePartitioned(zone, timers.nowMicros());
     }
 
     private Machine machineIn(String zone) {
