--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -37,7 +37,7 @@
 
     /** Whether missing heartbeats tell of the machine, and not of a cut behind which its work goes on. */
     private boolean isConclusive(Machine machine, long sinceHeartbeatMicros, long nowMicros) {
-        return (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
+        return (heartbeatsTrusted && !failureDetector.isPartitionedWithPeer(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -117,7 +117,7 @@
      * Whether this machine may be cut off with work that goes on: only where a controller inside can keep its lease
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
-    public boolean mayWorkWhileCutOff(Machine machine, long nowMicros) {
+    public boolean isPartitionedWithPeer(Machine machine, long nowMicros) {
         return isZonePartitioned(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -87,8 +87,8 @@
     void workMayGoOnInACutOffZoneWhereAnotherControllerStands() {
         machines(OWN_ZONE, 10, 0);
         machines(PEER_ZONE, 10, 10);
-        assertTrue(detector.mayWorkWhileCutOff(machineIn(PEER_ZONE), timers.nowMicros()));
-        assertFalse(detector.mayWorkWhileCutOff(machineIn(OWN_ZONE), timers.nowMicros()), "not cut off");
+        assertTrue(detector.isPartitionedWithPeer(machineIn(PEER_ZONE), timers.nowMicros()));
+        assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()), "not cut off");
     }
 
     @Test
@@ -96,7 +96,7 @@
         machines(PEER_ZONE, 10, 0);
         machines(OWN_ZONE, 10, 10);
         assertTrue(cutOff(OWN_ZONE));
-        assertFalse(detector.mayWorkWhileCutOff(machineIn(OWN_ZONE), timers.nowMicros()));
+        assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()));
     }
 
     @ParameterizedTest(name = "{0} of 10 overdue: given up after {1} s")
