--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -19,7 +19,7 @@
 
     /** Finds anew whether missing heartbeats tell of the machines at all. Called before a round of decisions. */
     void survey() {
-        heartbeatsTrusted = failureDetector.canJudgeMachines();
+        heartbeatsTrusted = failureDetector.canTrustMissedHeartbeats();
     }
 
     /** Why the machine counts as failed; null: it does not. */
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -137,7 +137,7 @@
      * Whether overdue heartbeats tell of the machines. When many are overdue at once, perhaps we are the ones cut off;
      * peers that don't receive them either tell us that we are not.
      */
-    public boolean canJudgeMachines() {
+    public boolean canTrustMissedHeartbeats() {
         int machines = fleet.machines().size();
         int redirectedByPeer = peers.mostRedirectedMachines();
         boolean few = overdueMachines <= Math.max(FEW_MACHINES, machines * FEW_SHARE);
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -120,12 +120,12 @@
         if (redirectedByPeer != NO_STATUS) {
             peers.statusReceived(new PeerStatus("c2", 0, false, redirectedByPeer));
         }
-        assertEquals(canJudge, detector.canJudgeMachines());
+        assertEquals(canJudge, detector.canTrustMissedHeartbeats());
     }
 
     @Test
     void twoOverdueMachinesAreFewHoweverSmallTheFleetIs() {
         machines(OWN_ZONE, 2, 2);
-        assertTrue(detector.canJudgeMachines());
+        assertTrue(detector.canTrustMissedHeartbeats());
     }
 }
