--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -61,7 +61,7 @@
     }
 
     /** How many parts of the inventory can't be read. */
-    int unreadableParts() {
+    int unreadablePartCount() {
         return unreadableParts;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -86,8 +86,8 @@
     }
 
     /** How many parts of the inventory can't be read. */
-    public int unreadableParts() {
-        return reader.unreadableParts();
+    public int unreadablePartCount() {
+        return reader.unreadablePartCount();
     }
 
     // ---- machines that come and go -----------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/term/TermRecords.java
+++ b/src/main/java/org/granitepath/coordination/term/TermRecords.java
@@ -42,7 +42,7 @@
     void takeOver() {
         List<Machine> takenOver = inventory.takeOver();
         fleet.inherit(takenOver);
-        recovery.start(takenOver, inventory.unreadableParts(), replica.storeRevision());
+        recovery.start(takenOver, inventory.unreadablePartCount(), replica.storeRevision());
         jobs.start();
         LOG.info(
                 "term with fencing token {}: {} machines taken over",
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -244,7 +244,7 @@
         List<Machine> takenOver = inventory.takeOver();
         fleet.inherit(takenOver);
         fleet.typesChanged(List.of(Fixtures.TYPE));
-        recovery.start(takenOver, inventory.unreadableParts(), 1);
+        recovery.start(takenOver, inventory.unreadablePartCount(), 1);
         return takenOver;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -42,14 +42,14 @@
         Machine machine = fixture.takeOver("m").get(0);
         assertTrue(machine.inventory().recorded());
         assertEquals(TERM_TOKEN, machine.fencingToken());
-        assertEquals(0, fixture.inventory.unreadableParts());
+        assertEquals(0, fixture.inventory.unreadablePartCount());
     }
 
     @Test
     void aPartThatCannotBeReadIsCountedAndLeftAlone() {
         fixture.replica.applied(Keys.inventory(0), new UnknownRecord(Map.of()), 1);
         assertEquals(List.of(), fixture.takeOverRecords());
-        assertEquals(1, fixture.inventory.unreadableParts());
+        assertEquals(1, fixture.inventory.unreadablePartCount());
         assertEquals(1, fixture.readyMachine("m").inventory().part());
     }
 
