--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -38,7 +38,7 @@
     }
 
     /** Begins to call the machines of the fleet, which were all taken over. */
-    public void begin() {
+    public void start() {
         toBeCalled.addAll(fleet.machines());
         callNext();
     }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -48,7 +48,7 @@
     public void start() {
         records.takeOver();
         checks.start();
-        takeoverCalls.begin();
+        takeoverCalls.start();
     }
 
     /** Begins to launch and return machines. */
--- a/src/test/java/org/granitepath/coordination/fleet/TakeoverCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TakeoverCallsTest.java
@@ -32,14 +32,14 @@
     @Test
     void aThirdOfTheCallsIsLeftForCommands() {
         takeOver(mostCalls + 2);
-        takeoverCalls.begin();
+        takeoverCalls.start();
         assertEquals(mostCalls, fixture.calls.size());
     }
 
     @Test
     void theNextMachineIsCalledWhenACallHasEnded() {
         List<Machine> machines = takeOver(mostCalls + 2);
-        takeoverCalls.begin();
+        takeoverCalls.start();
         fixture.calls.get(0).answer(nextHeartbeat(machines.get(0)));
         assertEquals(mostCalls + 1, fixture.calls.size());
         assertEquals("m" + mostCalls, called().get(mostCalls));
@@ -48,7 +48,7 @@
     @Test
     void aMachineThatDoesNotAnswerIsCalledAgainAfterAWhile() {
         takeOver(1);
-        takeoverCalls.begin();
+        takeoverCalls.start();
         fixture.calls.get(0).timeOut();
         fixture.timers.advance(CALL_AGAIN - 1);
         assertEquals(List.of("m0"), called());
@@ -59,7 +59,7 @@
     @Test
     void aMachineThatHasAnsweredIsNotCalledAgain() {
         Machine machine = takeOver(1).get(0);
-        takeoverCalls.begin();
+        takeoverCalls.start();
         fixture.calls.get(0).answer(nextHeartbeat(machine));
         fixture.timers.advance(CALL_AGAIN);
         assertEquals(List.of("m0"), called());
@@ -69,7 +69,7 @@
     void aMachineWhoseHeartbeatCameFirstIsNotCalled() {
         List<Machine> machines = takeOver(2);
         fixture.reconciler.reconcile(machines.get(0), nextHeartbeat(machines.get(0)), MessageOrigin.HEARTBEAT);
-        takeoverCalls.begin();
+        takeoverCalls.start();
         assertEquals(List.of("m1"), called());
     }
 
@@ -77,7 +77,7 @@
     void aMachineThatIsBeingCalledAlreadyHasItsTurnLater() {
         Machine machine = takeOver(1).get(0);
         fixture.workerCalls.callWithoutCommands(machine, () -> {});
-        takeoverCalls.begin();
+        takeoverCalls.start();
         fixture.calls.get(0).timeOut();
         assertEquals(1, fixture.calls.size());
         fixture.timers.advance(CALL_AGAIN);
@@ -88,7 +88,7 @@
     void afterTheTermNobodyIsCalled() {
         takeOver(1);
         fixture.ended = true;
-        takeoverCalls.begin();
+        takeoverCalls.start();
         assertTrue(fixture.calls.isEmpty());
     }
 }
