--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -50,7 +50,7 @@
  * workers are kept for the test, which answers them.
  */
 public final class FleetFixture {
-    public static final long SECOND = 1_000_000;
+    public static final long SECOND_MICROS = 1_000_000;
     public static final long FORMER_TOKEN = 6;
     public static final long TERM_TOKEN = 7;
     /** The agent epoch of a machine that has sent its first heartbeat. */
@@ -113,7 +113,7 @@
 
     public FleetFixture() {
         KeyValueStore store = store();
-        replica = new RecordReplica(store, timers, SECOND / 10, replicaListener());
+        replica = new RecordReplica(store, timers, SECOND_MICROS / 10, replicaListener());
         replica.start();
         timers.advance(STORE_ANSWER);
         WriteQueue writeQueue =
@@ -258,7 +258,7 @@
                 new Heartbeat(id, id + ":1", Fixtures.TYPE.name(), zone, false, EPOCH, 0, TERM_TOKEN, -1, List.of());
         Machine machine = fleet.newMachine(first, TERM_TOKEN);
         machines.join(machine);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         reconciler.reconcile(machine, first, MessageOrigin.HEARTBEAT);
         return machine;
     }
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
 
 /** What of the fleet is put on record, and the fencing tokens that single machines are given. */
 class MachineInventoryTest {
-    private static final long CLEANUP_DELAY = 15 * SECOND;
+    private static final long CLEANUP_DELAY = 15 * SECOND_MICROS;
 
     private final FleetFixture fixture = new FleetFixture();
 
@@ -33,7 +33,7 @@
         fixture.readyMachine("m2");
         assertEquals(List.of("m1", "m2"), idsOnRecord());
         fixture.machines.onTerminated("m1");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of("m2"), idsOnRecord());
     }
 
@@ -61,7 +61,7 @@
         fixture.inventory.requestToken(first, "test");
         fixture.inventory.requestToken(second, "test");
         assertFalse(first.takesTasks(), "not before the token is on record");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
         assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
         assertEquals(List.of("m1", "m2"), fixture.tokensRaised);
@@ -72,9 +72,9 @@
         Machine first = fixture.readyMachine("m1");
         Machine second = fixture.readyMachine("m2");
         fixture.inventory.requestToken(first, "test");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         fixture.inventory.requestToken(second, "test");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 2), tokens(first, second));
     }
 
@@ -89,7 +89,7 @@
         fixture.timers.advance(CLEANUP_DELAY - 1);
         assertTrue(machine.takesTasks());
         assertEquals(TERM_TOKEN, machine.fencingToken());
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(TERM_TOKEN + 1, machine.fencingToken());
     }
 
@@ -99,7 +99,7 @@
         Machine machine = fixture.readyMachine("m");
         assertFalse(machine.inventory().recorded());
         fixture.commitOutcome = KeyValueStore.Outcome.OK;
-        fixture.timers.advance(5 * SECOND);
+        fixture.timers.advance(5 * SECOND_MICROS);
         assertTrue(machine.inventory().recorded());
         assertEquals(List.of("m"), idsOnRecord());
     }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.fleet;
 
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.exited;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.status;
@@ -81,7 +81,7 @@
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, cause));
-        assertEquals(fixture.timers.nowMicros() + SECOND, job.scheduling().notBeforeMicros());
+        assertEquals(fixture.timers.nowMicros() + SECOND_MICROS, job.scheduling().notBeforeMicros());
         assertFalse(fixture.faults.suspects(machine));
     }
 
@@ -115,9 +115,9 @@
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, TaskState.RUNNING);
-        fixture.timers.advance(3 * SECOND);
+        fixture.timers.advance(3 * SECOND_MICROS);
         update(placement, exited(placement, Cause.DONE));
-        assertEquals(3.0 * SECOND, job.finishedMicros());
+        assertEquals(3.0 * SECOND_MICROS, job.finishedMicros());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.term;
 
 import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
@@ -88,7 +88,7 @@
         Machine machine = fixture.readyMachine("m");
         int readsBefore = fixture.storeReads();
         assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN + 1)));
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(readsBefore + 1, fixture.storeReads());
     }
 
