--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -54,7 +54,7 @@
     public static final long FORMER_TOKEN = 6;
     public static final long TERM_TOKEN = 7;
     /** The agent epoch of a machine that has sent its first heartbeat. */
-    public static final long EPOCH = 3;
+    public static final long AGENT_EPOCH = 3;
 
     private static final long STORE_ANSWER = 1_000;
     private static final String ZONE = Fixtures.TYPE.zones().get(0);
@@ -255,7 +255,7 @@
 
     Machine readyMachine(String id, String zone) {
         Heartbeat first =
-                new Heartbeat(id, id + ":1", Fixtures.TYPE.name(), zone, false, EPOCH, 0, TERM_TOKEN, -1, List.of());
+                new Heartbeat(id, id + ":1", Fixtures.TYPE.name(), zone, false, AGENT_EPOCH, 0, TERM_TOKEN, -1, List.of());
         Machine machine = fleet.newMachine(first, TERM_TOKEN);
         machines.join(machine);
         timers.advance(SECOND_MICROS);
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
@@ -76,7 +76,7 @@
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
         TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
-        receive(machine, heartbeat(machine, EPOCH, FORMER_TOKEN, running));
+        receive(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN, running));
         assertFalse(machine.placement(task).onlyHere());
     }
 
@@ -130,7 +130,7 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
-        receive(machine, heartbeat(machine, EPOCH, TERM_TOKEN - 1));
+        receive(machine, heartbeat(machine, AGENT_EPOCH, TERM_TOKEN - 1));
         assertTrue(placement.live());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
@@ -58,7 +58,7 @@
     void aCallIsMadeUnderTheMachinesTokenForItsAgentEpoch() {
         calls.callWithoutCommands(fixture.readyMachine("m"), () -> {});
         assertEquals(TERM_TOKEN, onlyCall().fencingToken());
-        assertEquals(EPOCH, onlyCall().agentEpoch());
+        assertEquals(AGENT_EPOCH, onlyCall().agentEpoch());
     }
 
     @Test
@@ -109,12 +109,12 @@
     @CsvSource({"false, 6, 2", "false, 8, 1", "true, 6, 1"})
     void aWorkerThatRefusedIsCalledAgainUnlessItKnowsAHigherToken(boolean executed, long knownToken, int callsMade) {
         Machine machine = fixture.takeOver("m").get(0);
-        fixture.reconciler.reconcile(machine, heartbeat(machine, EPOCH, FORMER_TOKEN), MessageOrigin.HEARTBEAT);
+        fixture.reconciler.reconcile(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN), MessageOrigin.HEARTBEAT);
         calls.callWithoutCommands(machine, () -> {});
         if (executed) {
-            onlyCall().answer(heartbeat(machine, EPOCH, knownToken));
+            onlyCall().answer(heartbeat(machine, AGENT_EPOCH, knownToken));
         } else {
-            onlyCall().refuse(heartbeat(machine, EPOCH, knownToken));
+            onlyCall().refuse(heartbeat(machine, AGENT_EPOCH, knownToken));
         }
         assertEquals(callsMade, fixture.calls.size());
     }
@@ -135,7 +135,7 @@
         Machine machine = fixture.takeOver("m").get(0);
         calls.callWithoutCommands(machine, () -> events.add("ended"));
         fixture.ended = true;
-        onlyCall().answer(heartbeat(machine, EPOCH, FORMER_TOKEN));
+        onlyCall().answer(heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN));
         assertTrue(machine.contact().agentEpoch() < 0, "not taken in");
         assertEquals(List.of("ended"), events);
     }
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.term;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
 import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
@@ -54,14 +54,14 @@
     @ValueSource(longs = {0, TERM_TOKEN})
     void anUnknownMachineJoinsUnderTheTokenOfTheTerm(long knownToken) {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(accepted(), handler.answer(heartbeat(unknown, EPOCH, knownToken)));
+        assertEquals(accepted(), handler.answer(heartbeat(unknown, AGENT_EPOCH, knownToken)));
         assertEquals(TERM_TOKEN, fixture.fleet.machine("m").fencingToken());
     }
 
     @Test
     void anUnknownMachineOfASuccessorIsTurnedAway() {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(unknown, EPOCH, TERM_TOKEN + 1)));
+        assertEquals(UNAVAILABLE, handler.answer(heartbeat(unknown, AGENT_EPOCH, TERM_TOKEN + 1)));
         assertNull(fixture.fleet.machine("m"));
     }
 
@@ -87,7 +87,7 @@
     void aHigherTokenIsAReasonToReadTheRecords() {
         Machine machine = fixture.readyMachine("m");
         int readsBefore = fixture.storeReads();
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN + 1)));
+        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN + 1)));
         fixture.timers.advance(SECOND_MICROS);
         assertEquals(readsBefore + 1, fixture.storeReads());
     }
@@ -96,7 +96,7 @@
     void aHeartbeatOvertakenByTheAnswerToACallIsAnsweredWithTheStops() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat overtaken = nextHeartbeat(machine);
-        handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN, orphan()));
+        handler.answer(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN, orphan()));
         machine.contact().fence();
         assertEquals(accepted(STOP_ORPHAN), handler.answer(overtaken));
         assertFalse(machine.contact().fenced(), "the answer shows the token");
@@ -105,6 +105,6 @@
     @Test
     void aHeartbeatOfAFormerAgentEpochIsTurnedAway() {
         Machine machine = fixture.readyMachine("m");
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH - 1, TERM_TOKEN)));
+        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, AGENT_EPOCH - 1, TERM_TOKEN)));
     }
 }
