--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -224,7 +224,7 @@
     }
 
     /** How many times changes of the store were asked for. */
-    public int storeReads() {
+    public int storeReadCount() {
         return storeReads;
     }
 
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -86,10 +86,10 @@
     @Test
     void aHigherTokenIsAReasonToReadTheRecords() {
         Machine machine = fixture.readyMachine("m");
-        int readsBefore = fixture.storeReads();
+        int readsBefore = fixture.storeReadCount();
         assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN + 1)));
         fixture.timers.advance(SECOND_MICROS);
-        assertEquals(readsBefore + 1, fixture.storeReads());
+        assertEquals(readsBefore + 1, fixture.storeReadCount());
     }
 
     @Test
