--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -254,8 +254,8 @@
     }
 
     Machine readyMachine(String id, String zone) {
-        Heartbeat first =
-                new Heartbeat(id, id + ":1", Fixtures.TYPE.name(), zone, false, AGENT_EPOCH, 0, TERM_TOKEN, -1, List.of());
+        Heartbeat first = new Heartbeat(
+                id, id + ":1", Fixtures.TYPE.name(), zone, false, AGENT_EPOCH, 0, TERM_TOKEN, -1, List.of());
         Machine machine = fleet.newMachine(first, TERM_TOKEN);
         machines.join(machine);
         timers.advance(SECOND_MICROS);
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -81,7 +81,8 @@
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, cause));
-        assertEquals(fixture.timers.nowMicros() + SECOND_MICROS, job.scheduling().notBeforeMicros());
+        assertEquals(
+                fixture.timers.nowMicros() + SECOND_MICROS, job.scheduling().notBeforeMicros());
         assertFalse(fixture.faults.suspects(machine));
     }
 
