--- a/src/main/java/org/granitepath/coordination/fleet/MessageOrigin.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MessageOrigin.java
@@ -5,5 +5,5 @@
     /** The worker sent it by itself. */
     HEARTBEAT,
     /** It came in the response to a direct call. */
-    COMMAND_RESPONSE
+    CALL_RESPONSE
 }
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -104,7 +104,7 @@
         for (Placement placement : starts) {
             placement.directStartAnswered(fencingToken);
         }
-        reconciler.reconcile(machine, heartbeat, MessageOrigin.COMMAND_RESPONSE);
+        reconciler.reconcile(machine, heartbeat, MessageOrigin.CALL_RESPONSE);
         if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
             showToken(machine);
         }
