--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -19,7 +19,7 @@
 
     /** Finds anew whether missing heartbeats tell of the machines at all. Called before a round of decisions. */
     void survey() {
-        heartbeatsTrusted = failureDetector.canJudgeMachines();
+        heartbeatsTrusted = failureDetector.canTrustMissedHeartbeats();
     }
 
     /** Why the machine counts as failed; null: it does not. */
@@ -37,7 +37,7 @@
 
     /** Whether missing heartbeats tell of the machine, and not of a cut behind which its work goes on. */
     private boolean isConclusive(Machine machine, long sinceHeartbeatMicros, long nowMicros) {
-        return (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
+        return (heartbeatsTrusted && !failureDetector.isPartitionedWithPeer(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -45,7 +45,7 @@
      * Calls the machines for which commands are due. Commands to machines that are unresponsive would only time out;
      * should one send a heartbeat after all, its answer holds them.
      */
-    public void sendDue() {
+    public void sendDueCommands() {
         if (!leadership.canAnswerWorkers()) {
             return; // we may long have a successor that we don't know of
         }
@@ -67,7 +67,7 @@
     }
 
     private void sendDirectly(Machine machine) {
-        List<WorkerCommand> toSend = MachineCommands.stopsFor(machine);
+        List<WorkerCommand> toSend = MachineCommands.stopAndClearCommands(machine);
         commands.remove(machine);
         // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
         List<Placement> starts = machineCommands.startable(machine);
@@ -82,14 +82,14 @@
     }
 
     /** Shows the machine its new fencing token at once, unless a call to it would only time out. */
-    public void showRaisedToken(Machine machine) {
+    public void sendRaisedToken(Machine machine) {
         if (!fleet.isUnresponsive(machine, timers.nowMicros())) {
             calls.showToken(machine);
         }
     }
 
     /** Shows the token to a machine whose heartbeats come, but under a former token, as long as calls are left. */
-    public void showTokenIfNotAdopted(Machine machine, long nowMicros) {
+    public void sendTokenIfUnacknowledged(Machine machine, long nowMicros) {
         if (hasNotAdoptedToken(machine, nowMicros)) {
             calls.showToken(machine);
         }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -108,7 +108,7 @@
     }
 
     /** Whether this zone alone was lately cut off: no machine is launched there. */
-    public boolean cutOff(String zone, long nowMicros) {
+    public boolean isZonePartitioned(String zone, long nowMicros) {
         Long lastMicros = lastCutOffMicros.get(zone);
         return lastMicros != null && nowMicros - lastMicros < config.workers().leaseMicros();
     }
@@ -117,8 +117,8 @@
      * Whether this machine may be cut off with work that goes on: only where a controller inside can keep its lease
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
-    public boolean mayWorkWhileCutOff(Machine machine, long nowMicros) {
-        return cutOff(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
+    public boolean isPartitionedWithPeer(Machine machine, long nowMicros) {
+        return isZonePartitioned(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
     }
 
     /**
@@ -137,7 +137,7 @@
      * Whether overdue heartbeats tell of the machines. When many are overdue at once, perhaps we are the ones cut off;
      * peers that don't receive them either tell us that we are not.
      */
-    public boolean canJudgeMachines() {
+    public boolean canTrustMissedHeartbeats() {
         int machines = fleet.machines().size();
         int redirectedByPeer = peers.maxRedirectedMachines();
         boolean few = overdueMachines <= Math.max(FEW_MACHINES, machines * FEW_SHARE);
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -60,7 +60,7 @@
             return overtaken(machine, heartbeat);
         }
         loop.runCycleIfDue();
-        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.forAnswer(machine));
+        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.collectForResponse(machine));
     }
 
     private boolean mayJoin(Heartbeat heartbeat) {
@@ -94,7 +94,7 @@
         boolean ofPresentAgentEpoch =
                 heartbeat.agentEpoch() == machine.contact().agentEpoch();
         return !machine.isGone() && ofPresentAgentEpoch
-                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopsFor(machine))
+                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopAndClearCommands(machine))
                 : new HeartbeatResponse.Unavailable();
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -43,7 +43,7 @@
     void check(Machine machine, long nowMicros) {
         checkLease(machine);
         sender.probeIfOverdue(machine, nowMicros);
-        sender.showTokenIfNotAdopted(machine, nowMicros);
+        sender.sendTokenIfUnacknowledged(machine, nowMicros);
         checkPlacements(machine, nowMicros);
     }
 
@@ -52,7 +52,7 @@
             return;
         }
         if (machine.contact().isFenced() || !config.topology().peerIn(machine.zone())) {
-            machines.leaseExpired(machine);
+            machines.expireLease(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
         }
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -50,7 +50,7 @@
     }
 
     private boolean cutOff(String zone) {
-        return detector.cutOff(zone, timers.nowMicros());
+        return detector.isZonePartitioned(zone, timers.nowMicros());
     }
 
     private Machine machineIn(String zone) {
@@ -87,8 +87,8 @@
     void workMayGoOnInACutOffZoneWhereAnotherControllerStands() {
         machines(OWN_ZONE, 10, 0);
         machines(PEER_ZONE, 10, 10);
-        assertTrue(detector.mayWorkWhileCutOff(machineIn(PEER_ZONE), timers.nowMicros()));
-        assertFalse(detector.mayWorkWhileCutOff(machineIn(OWN_ZONE), timers.nowMicros()), "not cut off");
+        assertTrue(detector.isPartitionedWithPeer(machineIn(PEER_ZONE), timers.nowMicros()));
+        assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()), "not cut off");
     }
 
     @Test
@@ -96,7 +96,7 @@
         machines(PEER_ZONE, 10, 0);
         machines(OWN_ZONE, 10, 10);
         assertTrue(cutOff(OWN_ZONE));
-        assertFalse(detector.mayWorkWhileCutOff(machineIn(OWN_ZONE), timers.nowMicros()));
+        assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()));
     }
 
     @ParameterizedTest(name = "{0} of 10 overdue: given up after {1} s")
@@ -120,12 +120,12 @@
         if (redirectedByPeer != NO_STATUS) {
             peers.handleStatus(new PeerStatus("c2", 0, false, redirectedByPeer));
         }
-        assertEquals(canJudge, detector.canJudgeMachines());
+        assertEquals(canJudge, detector.canTrustMissedHeartbeats());
     }
 
     @Test
     void twoOverdueMachinesAreFewHoweverSmallTheFleetIs() {
         machines(OWN_ZONE, 2, 2);
-        assertTrue(detector.canJudgeMachines());
+        assertTrue(detector.canTrustMissedHeartbeats());
     }
 }
