--- a/src/main/java/org/granitepath/coordination/config/Config.java
+++ b/src/main/java/org/granitepath/coordination/config/Config.java
@@ -7,7 +7,7 @@
  *
  * @param teams by name
  * @param objectives by job class
- * @param skewMicros the time of day of any two machines differs by less than twice this
+ * @param maxClockOffsetMicros the time of day of any two machines differs by less than twice this
  */
 public record Config(
         ControllerIdentity identity,
@@ -16,7 +16,7 @@
         Map<String, Objective> objectives,
         WorkerTiming workers,
         PlatformLimits limits,
-        long skewMicros,
+        long maxClockOffsetMicros,
         Tuning tuning) {
     /** Without word from the store for this long a controller counts as out of contact. */
     public static final long CONTACT_TIMEOUT_MICROS = 2_500_000;
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -116,7 +116,7 @@
         this.timers = timers;
         this.writeQueue = newWriteQueue();
 
-        this.activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
+        this.activeJobs = new ActiveJobs(config.maxClockOffsetMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
         this.teamLimits = new TeamLimits(config.teams());
 
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -47,7 +47,7 @@
         Settings settings = read(SettingsFixture.GOOD);
         assertEquals(12_500, settings.config().teams().get("t").cpuLimit());
         assertEquals(1.5, settings.config().objectives().get("c").deadlineTimes());
-        assertEquals(25_000, settings.config().skewMicros());
+        assertEquals(25_000, settings.config().maxClockOffsetMicros());
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/coordination/TestConfigs.java
+++ b/src/test/java/org/granitepath/coordination/TestConfigs.java
@@ -45,7 +45,7 @@
                 config.objectives(),
                 config.workers(),
                 config.limits(),
-                config.skewMicros(),
+                config.maxClockOffsetMicros(),
                 config.tuning());
     }
 }
