--- a/src/main/java/org/granitepath/cli/ConfigChecks.java
+++ b/src/main/java/org/granitepath/cli/ConfigChecks.java
@@ -38,7 +38,7 @@
                     "facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
         }
         if (times.maxDisconnectedMicros() < WorkerTiming.MIN_DISCONNECTED_MICROS) {
-            long leastGapMicros = times.cancelMicros()
+            long leastGapMicros = times.cancellationTimeoutMicros()
                     - times.maxDisconnectedMicros()
                     + WorkerTiming.MIN_DISCONNECTED_MICROS
                     - times.leaseMicros();
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -51,7 +51,7 @@
 
     /** How long machines that may only be partitioned are waited for: by then all on them is over in any case. */
     private long partitionTimeoutMicros() {
-        return workers.cancelMicros() + workers.leaseMicros();
+        return workers.cancellationTimeoutMicros() + workers.leaseMicros();
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
+++ b/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
@@ -5,12 +5,16 @@
  *
  * @param heartbeatIntervalMicros a worker sends a heartbeat this often, give or take a quarter
  * @param leaseMicros a worker that has had no answer for so long ends all its tasks
- * @param cancelMicros after a confirmed cancellation all tasks of the job must be gone within this time
+ * @param cancellationTimeoutMicros after a confirmed cancellation all tasks of the job must be gone within this time
  * @param gangWaitMicros how long a task of a gang waits for the others before it exits
  * @param gangPeerMicros within this time the tasks of a gang notice that one of them is gone or was told to stop
  */
 public record WorkerTiming(
-        long heartbeatIntervalMicros, long leaseMicros, long cancelMicros, long gangWaitMicros, long gangPeerMicros) {
+        long heartbeatIntervalMicros,
+        long leaseMicros,
+        long cancellationTimeoutMicros,
+        long gangWaitMicros,
+        long gangPeerMicros) {
     /** A margin on everything timed by another machine's clock. */
     public static final long MARGIN_MICROS = 1_500_000;
 
@@ -33,6 +37,6 @@
      * {@link #MIN_DISCONNECTED_MICROS} are refused.
      */
     public long maxDisconnectedMicros() {
-        return cancelMicros - withDrift(leaseMicros) - 2 * MARGIN_MICROS;
+        return cancellationTimeoutMicros - withDrift(leaseMicros) - 2 * MARGIN_MICROS;
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -21,7 +21,7 @@
     private final long startMicros = timers.nowMicros();
     private final Config config = TestConfigs.of("c1", "c1-1", "c2");
     private final long leaseMicros = config.workers().leaseMicros();
-    private final long partitionMicros = leaseMicros + config.workers().cancelMicros();
+    private final long partitionMicros = leaseMicros + config.workers().cancellationTimeoutMicros();
     private final Fleet fleet = new Fleet(config, timers);
     private final FailureDetector failureDetector =
             new FailureDetector(config, fleet, new Peers(config, null, timers, () -> null));
