--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -36,7 +36,7 @@
             return;
         }
         replaceLostTasks(job, attempt, machinesWithCapacity, nowMicros);
-        long longestWaitMicros = config.workers().gangWaitMicros()
+        long longestWaitMicros = config.workers().gangWaitTimeoutMicros()
                 - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
         if (job.waitingTasks() > 0
                 && attempt.shouldBeAbandoned(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
