--- a/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
+++ b/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
@@ -7,14 +7,14 @@
  * @param leaseMicros a worker that has had no answer for so long ends all its tasks
  * @param cancellationTimeoutMicros after a confirmed cancellation all tasks of the job must be gone within this time
  * @param gangWaitTimeoutMicros how long a task of a gang waits for the others before it exits
- * @param gangPeerMicros within this time the tasks of a gang notice that one of them is gone or was told to stop
+ * @param gangPeerLossDetectionMicros within this time the tasks of a gang notice that one of them is gone or was told to stop
  */
 public record WorkerTiming(
         long heartbeatIntervalMicros,
         long leaseMicros,
         long cancellationTimeoutMicros,
         long gangWaitTimeoutMicros,
-        long gangPeerMicros) {
+        long gangPeerLossDetectionMicros) {
     /** A margin on everything timed by another machine's clock. */
     public static final long MARGIN_MICROS = 1_500_000;
 
