--- a/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
+++ b/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
@@ -27,7 +27,7 @@
     }
 
     /** From the last answer that a worker may have had to the end of its lease, at the latest. */
-    public long longestLeaseMicros() {
+    public long maxLeaseMicros() {
         return withDrift(leaseMicros) + MARGIN_MICROS;
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -82,7 +82,7 @@
         if (origin == MessageOrigin.HEARTBEAT) {
             machine.heartbeatReceived(fleet.unresponsive(machine, nowMicros), nowMicros);
         }
-        long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
+        long leaseExpiryMicros = nowMicros + config.workers().maxLeaseMicros();
         machine.contact().leaseRunsUntil(leaseExpiryMicros, underPresentToken);
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -33,7 +33,7 @@
         if (config.topology().peerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
             long longestMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
-                    + config.workers().longestLeaseMicros();
+                    + config.workers().maxLeaseMicros();
             machine.contact().leaseRunsUntil(longestMicros, false);
         }
     }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -63,7 +63,7 @@
         // The former leader may go on answering them for a while, if it is out of contact.
         long leaseExpiryMicros = startedMicros
                 + config.workers().maxDisconnectedMicros()
-                + config.workers().longestLeaseMicros();
+                + config.workers().maxLeaseMicros();
         for (Machine machine : takenOver) {
             machine.takenOverFromFormerLeader(startedMicros, leaseExpiryMicros);
             machines.put(machine.id(), machine);
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -61,7 +61,7 @@
         assertEquals(
                 timers.nowMicros()
                         + config.workers().maxDisconnectedMicros()
-                        + config.workers().longestLeaseMicros(),
+                        + config.workers().maxLeaseMicros(),
                 machine.contact().leaseExpiryMicros());
     }
 
