--- a/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
+++ b/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
@@ -22,13 +22,13 @@
     public static final long MIN_DISCONNECTED_MICROS = 1_000_000;
 
     /** {@code micros} on another machine's steady clock is over on ours after this long. */
-    public static long withDrift(long micros) {
+    public static long withClockDrift(long micros) {
         return micros + micros / 900;
     }
 
     /** From the last answer that a worker may have had to the end of its lease, at the latest. */
     public long maxLeaseMicros() {
-        return withDrift(leaseMicros) + MARGIN_MICROS;
+        return withClockDrift(leaseMicros) + MARGIN_MICROS;
     }
 
     /**
@@ -37,6 +37,6 @@
      * {@link #MIN_DISCONNECTED_MICROS} are refused.
      */
     public long maxDisconnectedMicros() {
-        return cancellationTimeoutMicros - withDrift(leaseMicros) - 2 * MARGIN_MICROS;
+        return cancellationTimeoutMicros - withClockDrift(leaseMicros) - 2 * MARGIN_MICROS;
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -117,7 +117,7 @@
         }
         if (leaderIsPeer) {
             long longestMicros = Math.max(config.tuning().leaderLeaseMicros(), RECENT_MICROS);
-            effective.fireAfter(timers, WorkerTiming.withDrift(longestMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+            effective.fireAfter(timers, WorkerTiming.withClockDrift(longestMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
         } else {
             effective.fire(then); // no other controller starts tasks
         }
