--- a/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
+++ b/src/main/java/org/granitepath/coordination/config/WorkerTiming.java
@@ -16,7 +16,7 @@
         long gangWaitTimeoutMicros,
         long gangPeerLossDetectionMicros) {
     /** A margin on everything timed by another machine's clock. */
-    public static final long MARGIN_MICROS = 1_500_000;
+    public static final long CLOCK_MARGIN_MICROS = 1_500_000;
 
     /** A leader must be able to go from one word of the store to the next. */
     public static final long MIN_DISCONNECTED_MICROS = 1_000_000;
@@ -28,7 +28,7 @@
 
     /** From the last answer that a worker may have had to the end of its lease, at the latest. */
     public long maxLeaseMicros() {
-        return withClockDrift(leaseMicros) + MARGIN_MICROS;
+        return withClockDrift(leaseMicros) + CLOCK_MARGIN_MICROS;
     }
 
     /**
@@ -37,6 +37,6 @@
      * {@link #MIN_DISCONNECTED_MICROS} are refused.
      */
     public long maxDisconnectedMicros() {
-        return cancellationTimeoutMicros - withClockDrift(leaseMicros) - 2 * MARGIN_MICROS;
+        return cancellationTimeoutMicros - withClockDrift(leaseMicros) - 2 * CLOCK_MARGIN_MICROS;
     }
 }
