--- a/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
@@ -11,7 +11,7 @@
 public record PlatformLimits(
         double storeRequestsPerSecond, StoreLimits store, double cloudRequestsPerSecond, int maxConnections) {
     /** Direct calls to machines under way at once, so that some that hang don't hold up the rest of a large fleet. */
-    public int callsAtOnce() {
+    public int maxConcurrentCalls() {
         return Math.max(8, maxConnections / 10);
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -59,7 +59,7 @@
 
     /** A third of the calls is left for commands. */
     private boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce() * 2 / 3;
+        return callsUnderWay < config.limits().maxConcurrentCalls() * 2 / 3;
     }
 
     private static boolean needsCall(Machine machine) {
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -46,12 +46,12 @@
 
     /** Whether one more call may begin. */
     boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce();
+        return callsUnderWay < config.limits().maxConcurrentCalls();
     }
 
     /** Whether one more call may begin that can wait: half of the calls are left for commands. */
     boolean mayProbe() {
-        return callsUnderWay < config.limits().callsAtOnce() / 2;
+        return callsUnderWay < config.limits().maxConcurrentCalls() / 2;
     }
 
     /**
--- a/src/test/java/org/granitepath/coordination/fleet/TakeoverCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TakeoverCallsTest.java
@@ -14,7 +14,7 @@
     private static final long CALL_AGAIN = 300_000;
 
     private final FleetFixture fixture = new FleetFixture();
-    private final int mostCalls = fixture.config.limits().callsAtOnce() * 2 / 3;
+    private final int mostCalls = fixture.config.limits().maxConcurrentCalls() * 2 / 3;
     private final TakeoverCalls takeoverCalls =
             new TakeoverCalls(fixture.config, fixture.fleet, fixture.workerCalls, fixture.timers, () -> fixture.ended);
 
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -22,7 +22,7 @@
 /** How many direct calls may be under way, and what their responses mean. */
 class WorkerCallsTest {
     private final FleetFixture fixture = new FleetFixture();
-    private final int callsAtOnce = fixture.config.limits().callsAtOnce();
+    private final int callsAtOnce = fixture.config.limits().maxConcurrentCalls();
     private final WorkerCalls calls = fixture.workerCalls;
 
     private FleetFixture.Call onlyCall() {
