--- a/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
@@ -16,7 +16,7 @@
     }
 
     /** Connections of machines that stay open between heartbeats; the rest is for users, peers and our own calls. */
-    public int machineConnections() {
+    public int maxPersistentMachineConnections() {
         return Math.max(8, maxConnections / 2);
     }
 
