--- a/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
@@ -21,7 +21,7 @@
     }
 
     /** All connections held open from outside; beyond, each closes after its answer. */
-    public int heldConnections() {
+    public int maxPersistentConnections() {
         return Math.max(16, maxConnections * 7 / 10);
     }
 
