--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -131,7 +131,7 @@
         if (!fields.isTable("facts.state.next")) {
             throw InvalidSettingException.wrong("facts.state.next", "must be a table of limits");
         }
-        return present.within(nextStoreLimits(present));
+        return present.strictest(nextStoreLimits(present));
     }
 
     private StoreLimits presentStoreLimits() throws InvalidSettingException {
--- a/src/main/java/org/granitepath/coordination/config/StoreLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/StoreLimits.java
@@ -12,7 +12,7 @@
      * What is within these limits and within others. Limits that will hold from some moment on are kept from the
      * beginning: the moment comes without notice, and a transaction that exceeds them would be refused.
      */
-    public StoreLimits within(StoreLimits others) {
+    public StoreLimits strictest(StoreLimits others) {
         return new StoreLimits(
                 Math.min(writesPerSecond, others.writesPerSecond),
                 Math.min(valueBytes, others.valueBytes),
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -157,7 +157,7 @@
                         SimGangs.PEER_LOSS_NOTICED),
                 new PlatformLimits(
                         shape.limits().requests(),
-                        upgraded.contains(name) ? limits.within(nextLimits) : limits,
+                        upgraded.contains(name) ? limits.strictest(nextLimits) : limits,
                         5,
                         shape.connections()),
                 250_000,
