--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -94,13 +94,13 @@
     /** What is expected of a class so far, with what one more table says. Kinds that we don't know change nothing. */
     private static Objective with(Objective former, TomlFields table) throws InvalidSettingException {
         return switch (table.anyAsText("kind")) {
-            case "wait" -> new Objective(table.micros("within_s"), former.deadlineTimes(), former.finishMicros());
+            case "wait" -> new Objective(table.micros("within_s"), former.deadlineFactor(), former.finishMicros());
             case "deadline" ->
                 new Objective(
                         former.waitMicros(),
-                        Math.max(former.deadlineTimes(), table.numberOr("times", 1)),
+                        Math.max(former.deadlineFactor(), table.numberOr("times", 1)),
                         former.finishMicros());
-            case "finished" -> new Objective(former.waitMicros(), former.deadlineTimes(), table.micros("within_s"));
+            case "finished" -> new Objective(former.waitMicros(), former.deadlineFactor(), table.micros("within_s"));
             default -> former;
         };
     }
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -85,7 +85,7 @@
     private List<DueJob> withExtendedDeadlines(List<DueJob> late) {
         List<DueJob> extended = new ArrayList<>();
         for (DueJob due : late) {
-            double times = objectives.of(due.job()).deadlineTimes();
+            double times = objectives.of(due.job()).deadlineFactor();
             double timeLeftMicros =
                     due.timeLeftMicros() + (times - 1) * due.job().spec().deadlineMicros();
             if (times > 1 && runtimeEstimator.taskMicros(due.job()) <= timeLeftMicros) {
--- a/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
+++ b/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
@@ -30,7 +30,7 @@
      */
     long finishInsteadOfDeadlineMicros(ActiveJob job) {
         Objective objective = of(job);
-        return objective.deadlineTimes() == 0 && job.spec().hasDeadline() ? objective.finishMicros() : 0;
+        return objective.deadlineFactor() == 0 && job.spec().hasDeadline() ? objective.finishMicros() : 0;
     }
 
     /**
