--- a/src/main/java/org/granitepath/cli/ConfigChecks.java
+++ b/src/main/java/org/granitepath/cli/ConfigChecks.java
@@ -50,11 +50,15 @@
 
     private static void checkTeams(Collection<Team> teams) throws InvalidSettingException {
         for (Team team : teams) {
-            if (team.cpuGuarantee() < 0 || team.cpuLimit() < 0 || team.gpuGuarantee() < 0 || team.gpuLimit() < 0) {
+            if (team.cpuGuaranteeMillis() < 0
+                    || team.cpuLimitMillis() < 0
+                    || team.gpuGuaranteeMillis() < 0
+                    || team.gpuLimitMillis() < 0) {
                 throw new InvalidSettingException(
                         "facts.teams: team " + team.name() + ": guarantees and limits can't be negative");
             }
-            if (exceeds(team.cpuGuarantee(), team.cpuLimit()) || exceeds(team.gpuGuarantee(), team.gpuLimit())) {
+            if (exceeds(team.cpuGuaranteeMillis(), team.cpuLimitMillis())
+                    || exceeds(team.gpuGuaranteeMillis(), team.gpuLimitMillis())) {
                 throw new InvalidSettingException(
                         "facts.teams: team " + team.name() + " is guaranteed more than its limit");
             }
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -31,7 +31,7 @@
     /** Thousandths of a CPU that a team uses beyond its guarantee: these are borrowed. Negative: it has some left. */
     public long borrowedCpu(String teamName) {
         Team team = teams.get(teamName);
-        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuarantee());
+        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuaranteeMillis());
     }
 
     /** Whether the job's team has a limit at all. */
@@ -41,7 +41,7 @@
     }
 
     private static boolean hasLimit(Team team) {
-        return team.cpuLimit() > 0 || team.gpuLimit() > 0;
+        return team.cpuLimitMillis() > 0 || team.gpuLimitMillis() > 0;
     }
 
     /** Whether so many more such tasks are within the limit. */
@@ -50,9 +50,9 @@
         if (team == null || !hasLimit(team)) {
             return true;
         }
-        return (team.cpuLimit() == 0
-                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
-                && (team.gpuLimit() == 0
-                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimit());
+        return (team.cpuLimitMillis() == 0
+                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimitMillis())
+                && (team.gpuLimitMillis() == 0
+                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimitMillis());
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -41,8 +41,8 @@
             cpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().cpuMillis());
             gpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().gpuMillis());
             if (!job.isLive()
-                    && cpuMillis.getLong(team.name()) <= team.cpuGuarantee()
-                    && gpuMillis.getLong(team.name()) <= team.gpuGuarantee()) {
+                    && cpuMillis.getLong(team.name()) <= team.cpuGuaranteeMillis()
+                    && gpuMillis.getLong(team.name()) <= team.gpuGuaranteeMillis()) {
                 job.scheduling().classify(SchedulingClass.GUARANTEED);
             }
         }
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -45,7 +45,7 @@
     @Test
     void goodSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
         Settings settings = read(SettingsFixture.GOOD);
-        assertEquals(12_500, settings.config().teams().get("t").cpuLimit());
+        assertEquals(12_500, settings.config().teams().get("t").cpuLimitMillis());
         assertEquals(1.5, settings.config().objectives().get("c").deadlineFactor());
         assertEquals(25_000, settings.config().maxClockOffsetMicros());
     }
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -49,8 +49,8 @@
         "SERVICE, 10000, false",
         "SERVICE, 9999, true",
     })
-    void aTeamsLimitMustHoldTheTasksThatRunTogether(JobSpec.Shape shape, long cpuLimit, boolean refused) {
-        Config config = config(new Team("team", 0, cpuLimit, 0, 0));
+    void aTeamsLimitMustHoldTheTasksThatRunTogether(JobSpec.Shape shape, long cpuLimitMillis, boolean refused) {
+        Config config = config(new Team("team", 0, cpuLimitMillis, 0, 0));
         Optional<String> reason = reason(Fixtures.spec(shape, false, false), config, Fixtures.TYPE);
         assertEquals(refused ? Optional.of("more than the limit of team team") : Optional.empty(), reason);
     }
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -13,8 +13,8 @@
 class TeamLimitsTest {
     private static final JobSpec SPEC = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
 
-    private static TeamLimits limits(long cpuGuarantee, long cpuLimit) {
-        return new TeamLimits(Map.of(SPEC.team(), new Team(SPEC.team(), cpuGuarantee, cpuLimit, 0, 0)));
+    private static TeamLimits limits(long cpuGuaranteeMillis, long cpuLimitMillis) {
+        return new TeamLimits(Map.of(SPEC.team(), new Team(SPEC.team(), cpuGuaranteeMillis, cpuLimitMillis, 0, 0)));
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -70,7 +70,7 @@
 
     private void checkQuota(String name) {
         Team team = teams.get(name);
-        if (team.cpuLimit() <= 0 && team.gpuLimit() <= 0) {
+        if (team.cpuLimitMillis() <= 0 && team.gpuLimitMillis() <= 0) {
             return;
         }
         long cpu = 0;
@@ -82,7 +82,8 @@
                 gpu += running.gpuMillis();
             }
         }
-        if ((team.cpuLimit() > 0 && cpu > team.cpuLimit()) || (team.gpuLimit() > 0 && gpu > team.gpuLimit())) {
+        if ((team.cpuLimitMillis() > 0 && cpu > team.cpuLimitMillis())
+                || (team.gpuLimitMillis() > 0 && gpu > team.gpuLimitMillis())) {
             breaches.add("quota", "team " + name + " uses " + cpu + " and " + gpu);
         }
     }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -55,7 +55,7 @@
     }
 
     private boolean withinLimit(JobSpec spec, HeldTasks held) {
-        long limit = teams.get(spec.team()).cpuLimit();
+        long limit = teams.get(spec.team()).cpuLimitMillis();
         // What starting more of the job takes of the limit, at least.
         long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
         return limit == 0 || held.cpuOf(spec.team()) + needed <= limit;
