--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -89,8 +89,8 @@
 
     private ScalingPolicy scaling(ScalingPolicy defaults) throws InvalidSettingException {
         return new ScalingPolicy(
-                number("idle-share", defaults.idleShare(), 0, MAX_IDLE_SHARE),
-                number("idle-share-spot", defaults.idleShareSpot(), 0, MAX_IDLE_SHARE),
+                number("idle-share", defaults.idleTimeoutFactor(), 0, MAX_IDLE_SHARE),
+                number("idle-share-spot", defaults.spotIdleTimeoutFactor(), 0, MAX_IDLE_SHARE),
                 number("headroom-share", defaults.headroomShare(), 0, MAX_HEADROOM_SHARE));
     }
 
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -69,7 +69,7 @@
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.spot() ? policy.idleShareSpot() : policy.idleShare();
+        double share = machine.spot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
         return (long) (share * type.bootMicros());
     }
 }
