--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -91,7 +91,7 @@
         return new ScalingPolicy(
                 number("idle-share", defaults.idleTimeoutFactor(), 0, MAX_IDLE_SHARE),
                 number("idle-share-spot", defaults.spotIdleTimeoutFactor(), 0, MAX_IDLE_SHARE),
-                number("headroom-share", defaults.headroomShare(), 0, MAX_HEADROOM_SHARE));
+                number("headroom-share", defaults.maxHeadroomShare(), 0, MAX_HEADROOM_SHARE));
     }
 
     private PriorityWeights weights(PriorityWeights defaults) throws InvalidSettingException {
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -59,7 +59,7 @@
     /** What arrives while a machine of this type boots, up to a share of what the present services use. */
     private double wantedCpuMillis(MachineType type) {
         double arrivingCpuMillis = demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
-        double mostCpuMillis = demand.config().tuning().scaling().headroomShare() * servicesCpuMillis;
+        double mostCpuMillis = demand.config().tuning().scaling().maxHeadroomShare() * servicesCpuMillis;
         return Math.min(arrivingCpuMillis, mostCpuMillis);
     }
 
