--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -82,7 +82,7 @@
                 weights(defaults.weights()),
                 number("deferral-share", defaults.deferralShare(), 0, 1),
                 micros("gang-hold-s", defaults.gangHoldMicros(), 0, MAX_GANG_HOLD_SECONDS),
-                (int) number("claim-block", defaults.claimBlock(), 1, MAX_CLAIM_BLOCK),
+                (int) number("claim-block", defaults.claimBlockSize(), 1, MAX_CLAIM_BLOCK),
                 micros("max-starvation-s", defaults.maxStarvationMicros(), 1, MAX_STARVATION_SECONDS),
                 micros("recovery-hold-s", defaults.recoveryHoldMicros(), 0, MAX_HOLD_SECONDS));
     }
--- a/src/main/java/org/granitepath/coordination/config/Tuning.java
+++ b/src/main/java/org/granitepath/coordination/config/Tuning.java
@@ -8,7 +8,7 @@
  * @param leaderLeaseMicros how long the machines may be without a leader's sign before another takes over
  * @param deferralShare share of a class's wait or finish objective that may pass before it uses full-price machines
  * @param gangHoldMicros how long freed capacity is held for a gang that does not fit
- * @param claimBlock how many tasks of a job are claimed ahead, at least
+ * @param claimBlockSize how many tasks of a job are claimed ahead, at least
  * @param maxStarvationMicros how long a job may be without any task before it no longer gives way to others
  * @param recoveryHoldMicros how long, after a change of leader, other work is held for services and work of the highest
  *     priority, at most; 0: not at all
@@ -19,7 +19,7 @@
         PriorityWeights weights,
         double deferralShare,
         long gangHoldMicros,
-        int claimBlock,
+        int claimBlockSize,
         long maxStarvationMicros,
         long recoveryHoldMicros) {
     private static final int BLOCKS_OF_A_WIDE_JOB = 6;
@@ -46,7 +46,7 @@
                 weights,
                 deferralShare,
                 gangHoldMicros,
-                claimBlock,
+                claimBlockSize,
                 maxStarvationMicros,
                 micros);
     }
@@ -55,11 +55,11 @@
     public int firstBlock(JobSpec spec) {
         return spec.gang()
                 ? spec.tasks()
-                : Math.min(spec.tasks(), spec.service() ? Math.max(claimBlock, WIDE_SERVICE) : claimBlock);
+                : Math.min(spec.tasks(), spec.service() ? Math.max(claimBlockSize, WIDE_SERVICE) : claimBlockSize);
     }
 
     /** Tasks claimed ahead later on: a wide job must not wait for a write every few tasks. */
     public int nextBlock(JobSpec spec) {
-        return Math.max(claimBlock, spec.tasks() / BLOCKS_OF_A_WIDE_JOB);
+        return Math.max(claimBlockSize, spec.tasks() / BLOCKS_OF_A_WIDE_JOB);
     }
 }
