--- a/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
@@ -70,6 +70,7 @@
         LeaderRecord leader = replica.leader();
         return leader == null
                 ? new JobRecord(spec, timers.timeOfDayMicros(), 0, 0)
-                : new JobRecord(spec, timers.timeOfDayMicros(), tuning.firstBlock(spec), leader.fencingToken());
+                : new JobRecord(
+                        spec, timers.timeOfDayMicros(), tuning.firstClaimBlockSize(spec), leader.fencingToken());
     }
 }
--- a/src/main/java/org/granitepath/coordination/config/Tuning.java
+++ b/src/main/java/org/granitepath/coordination/config/Tuning.java
@@ -52,14 +52,14 @@
     }
 
     /** Tasks claimed with the acceptance: of work that runs together, all. */
-    public int firstBlock(JobSpec spec) {
+    public int firstClaimBlockSize(JobSpec spec) {
         return spec.gang()
                 ? spec.tasks()
                 : Math.min(spec.tasks(), spec.service() ? Math.max(claimBlockSize, WIDE_SERVICE) : claimBlockSize);
     }
 
     /** Tasks claimed ahead later on: a wide job must not wait for a write every few tasks. */
-    public int nextBlock(JobSpec spec) {
+    public int nextClaimBlockSize(JobSpec spec) {
         return Math.max(claimBlockSize, spec.tasks() / BLOCKS_OF_A_WIDE_JOB);
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -53,7 +53,7 @@
     void claimNextBlock(ActiveJob job) {
         int tasks = job.spec().tasks();
         // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
-        int block = writeQueue.behind() ? tasks : config.tuning().nextBlock(job.spec());
+        int block = writeQueue.behind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
         int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstNeverStarted() + block);
         boolean soonUsedUp = job.requestedClaim() - job.firstNeverStarted() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || soonUsedUp)) {
--- a/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
@@ -51,7 +51,8 @@
         submissions.record(SPEC, answers::add);
         fixture.timers.advance(SECOND);
         assertEquals(TOKEN, recorded().term());
-        assertEquals(fixture.config.tuning().firstBlock(SPEC), recorded().claimed());
+        assertEquals(
+                fixture.config.tuning().firstClaimBlockSize(SPEC), recorded().claimed());
     }
 
     @Test
