--- a/src/main/java/org/granitepath/coordination/config/Topology.java
+++ b/src/main/java/org/granitepath/coordination/config/Topology.java
@@ -19,7 +19,7 @@
     /**
      * Whether another controller stands in this zone: cut off with it, that one may keep its machines' leases alive.
      */
-    public boolean peerIn(String zone) {
+    public boolean hasPeerIn(String zone) {
         return peerZones.containsValue(zone);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -118,7 +118,7 @@
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
     public boolean mayWorkWhileCutOff(Machine machine, long nowMicros) {
-        return cutOff(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
+        return cutOff(machine.zone(), nowMicros) && config.topology().hasPeerIn(machine.zone());
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -30,7 +30,7 @@
 
     /** A controller cut off together with the machine may not know yet, and go on under the former token. */
     private void extendLeaseInPeerZone(Machine machine, long nowMicros) {
-        if (config.topology().peerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
+        if (config.topology().hasPeerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
             long longestMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
                     + config.workers().maxLeaseMicros();
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -51,7 +51,7 @@
         if (!isLeaseProvedOver(machine)) {
             return;
         }
-        if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
+        if (machine.contact().fenced() || !config.topology().hasPeerIn(machine.zone())) {
             machines.leaseExpired(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
