--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -45,7 +45,7 @@
 
     /** Does nothing before it is started. */
     public Autoscaler(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             Term term,
             PlacementRules rules,
             GangHeadroom gangHeadroom,
--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -10,12 +10,12 @@
 
 /** Plans machines for gangs: for a whole one, or none. */
 final class GangPlan {
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlannedCapacity planned;
     private final OfferMarket market;
 
     /** Plans nothing before it is told to. */
-    GangPlan(ScaleOutPlan.Demand demand, PlannedCapacity planned, OfferMarket market) {
+    GangPlan(ScaleOutPlan.Inputs demand, PlannedCapacity planned, OfferMarket market) {
         this.demand = demand;
         this.planned = planned;
         this.market = market;
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -13,7 +13,7 @@
  * while a machine boots. Lower work may use it meanwhile. CPU amounts are in thousandths.
  */
 final class HeadroomPlan {
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlannedCapacity planned;
     private final OfferMarket market;
     private final long nowMicros;
@@ -23,7 +23,7 @@
     private double spareCpuMillis = Double.MAX_VALUE;
 
     /** Plans nothing before it is told to. */
-    HeadroomPlan(ScaleOutPlan.Demand demand, PlannedCapacity planned, OfferMarket market, long nowMicros) {
+    HeadroomPlan(ScaleOutPlan.Inputs demand, PlannedCapacity planned, OfferMarket market, long nowMicros) {
         this.demand = demand;
         this.planned = planned;
         this.market = market;
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -8,7 +8,7 @@
 
 /** What the cloud offers at present, as far as is known, and the cheapest of it for a job. */
 final class OfferMarket {
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlannedCapacity planned;
     private final Predicate<String> refused;
     private final Predicate<String> cutOff;
@@ -21,7 +21,7 @@
      * @param cutOff zones from which no heartbeat would arrive
      */
     OfferMarket(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             PlannedCapacity planned,
             Predicate<String> refused,
             Predicate<String> cutOff,
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -13,7 +13,7 @@
 final class ScaleOut {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlacementRules rules;
     private final BooleanSupplier leaseConfirmed;
     private final FailureDetector failureDetector;
@@ -28,7 +28,7 @@
      * @param leaseConfirmed whether the store confirmed lately that this controller leads
      */
     ScaleOut(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             PlacementRules rules,
             BooleanSupplier leaseConfirmed,
             FailureDetector failureDetector,
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -33,7 +33,7 @@
      * @param runtimeEstimator tells how long a job's tasks take
      * @param arrivalRate tells how much work of live services arrives
      */
-    public record Demand(
+    public record Inputs(
             Config config,
             Fleet fleet,
             ActiveJobs jobs,
@@ -55,7 +55,7 @@
      * @param refused keys of offers of which the cloud lately had none
      * @param cutOff zones from which no heartbeat would arrive
      */
-    ScaleOutPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
+    ScaleOutPlan(Inputs demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
         this.batchPlanner = demand.batchPlanner();
         this.nowMicros = nowMicros;
         this.market = new OfferMarket(demand, planned, refused, cutOff, nowMicros);
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -215,7 +215,7 @@
 
     private Autoscaler newAutoscaler() {
         return new Autoscaler(
-                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
+                new ScaleOutPlan.Inputs(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
                 new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::ended),
                 rules,
                 gangHeadroom,
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -29,7 +29,7 @@
     private final CloudRequestBudget budget = new CloudRequestBudget(ENOUGH_REQUESTS_PER_SECOND, NOW);
     private boolean leaseConfirmed = true;
     private final ScaleOut scaleOut = new ScaleOut(
-            new ScaleOutPlan.Demand(
+            new ScaleOutPlan.Inputs(
                     fixture.config,
                     fixture.fleet,
                     fixture.jobs,
