--- a/src/main/java/org/granitepath/coordination/config/Config.java
+++ b/src/main/java/org/granitepath/coordination/config/Config.java
@@ -3,11 +3,12 @@
 import java.util.Map;
 
 /**
- * What the decision code needs of the settings: the platform's facts and the operators' own choices.
+ * Configuration of one controller: the facts that the platform dictates and the values that the operators choose.
  *
- * @param teams by name
- * @param objectives by job class
- * @param maxClockOffsetMicros the time of day of any two machines differs by less than twice this
+ * @param teams the teams, by name
+ * @param objectives the service-level objectives, by job class
+ * @param maxClockOffsetMicros bound on the offset of a machine's time of day from the true time; the times of day of
+ *     any two machines differ by less than twice this
  */
 public record Config(
         ControllerIdentity identity,
@@ -18,10 +19,13 @@
         PlatformLimits limits,
         long maxClockOffsetMicros,
         Tuning tuning) {
-    /** Without word from the store for this long a controller counts as out of contact. */
+    /**
+     * A controller that has received no answer from the store for this long counts as out of contact with it. The same
+     * bound applies to messages from the other controllers.
+     */
     public static final long CONTACT_TIMEOUT_MICROS = 2_500_000;
 
-    /** The name of this controller. */
+    /** Returns the name of this controller. */
     public String node() {
         return identity.node();
     }
--- a/src/main/java/org/granitepath/coordination/config/ControllerIdentity.java
+++ b/src/main/java/org/granitepath/coordination/config/ControllerIdentity.java
@@ -1,9 +1,10 @@
 package org.granitepath.coordination.config;
 
 /**
- * Which controller this is.
+ * Identity of a controller process.
  *
- * @param incarnation tells this process from earlier ones of the same name
- * @param zone where it stands
+ * @param node the name of the controller
+ * @param incarnation distinguishes this process from earlier processes of the same name
+ * @param zone the zone in which the controller runs
  */
 public record ControllerIdentity(String node, String incarnation, String zone) {}
--- a/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/PlatformLimits.java
@@ -1,31 +1,43 @@
 package org.granitepath.coordination.config;
 
 /**
- * What the platform allows this controller.
+ * Limits that the platform sets for a controller.
  *
- * @param storeRequestsPerSecond requests to the store by all controllers together
- * @param store what writes to the store keep to, now and later
- * @param cloudRequestsPerSecond requests to the cloud by all controllers together
- * @param maxConnections sockets of this process
+ * @param storeRequestsPerSecond maximum rate of requests to the store, for all controllers together
+ * @param store limits that writes to the store must respect, both those in force now and those that take effect later
+ * @param cloudRequestsPerSecond maximum rate of requests to the cloud, for all controllers together
+ * @param maxConnections maximum number of sockets of this process
  */
 public record PlatformLimits(
         double storeRequestsPerSecond, StoreLimits store, double cloudRequestsPerSecond, int maxConnections) {
-    /** Direct calls to machines under way at once, so that some that hang don't hold up the rest of a large fleet. */
+    /**
+     * Returns the maximum number of concurrent direct calls to machines. It is large enough that a few calls that hang
+     * do not delay the calls to the rest of a large fleet.
+     */
     public int maxConcurrentCalls() {
         return Math.max(8, maxConnections / 10);
     }
 
-    /** Connections of machines that stay open between heartbeats; the rest is for users, peers and our own calls. */
+    /**
+     * Returns the maximum number of machine connections that stay open between heartbeats. The remaining sockets are
+     * for users, for peers and for the calls that this controller makes.
+     */
     public int maxPersistentMachineConnections() {
         return Math.max(8, maxConnections / 2);
     }
 
-    /** All connections held open from outside; beyond, each closes after its answer. */
+    /**
+     * Returns the maximum number of inbound connections that stay open, of machines and all other clients together.
+     * Beyond it, the server closes a connection after its answer.
+     */
     public int maxPersistentConnections() {
         return Math.max(16, maxConnections * 7 / 10);
     }
 
-    /** Connections that wait to be accepted: while a process stands still they take sockets all the same. */
+    /**
+     * Returns the maximum number of connections that wait to be accepted. Such connections occupy sockets even while
+     * the process is paused.
+     */
     public int backlog() {
         return Math.max(16, maxConnections / 5);
     }
--- a/src/main/java/org/granitepath/coordination/config/ScalingPolicy.java
+++ b/src/main/java/org/granitepath/coordination/config/ScalingPolicy.java
@@ -1,9 +1,11 @@
 package org.granitepath.coordination.config;
 
 /**
- * How much capacity is kept that nothing uses.
+ * How much unused capacity the autoscaler keeps.
  *
- * @param idleTimeoutFactor how long a machine may stand idle, in boot times of its type; {@code spotIdleTimeoutFactor} likewise
- * @param maxHeadroomShare most capacity kept for live services to come, as a share of what the present ones use
+ * @param idleTimeoutFactor how long an on-demand machine may be idle, as a multiple of the boot time of its type
+ * @param spotIdleTimeoutFactor how long a spot instance may be idle, as a multiple of the boot time of its type
+ * @param maxHeadroomShare maximum capacity kept for future live services, as a share of the capacity that the present
+ *     services use
  */
 public record ScalingPolicy(double idleTimeoutFactor, double spotIdleTimeoutFactor, double maxHeadroomShare) {}
--- a/src/main/java/org/granitepath/coordination/config/StoreLimits.java
+++ b/src/main/java/org/granitepath/coordination/config/StoreLimits.java
@@ -1,21 +1,22 @@
 package org.granitepath.coordination.config;
 
 /**
- * What the store takes.
+ * Limits of the store.
  *
- * @param writesPerSecond changes of keys
- * @param valueBytes the largest value
- * @param transactionChanges changes to one transaction
+ * @param writesPerSecond maximum number of key changes per second
+ * @param valueBytes maximum size of a value, in bytes
+ * @param transactionChanges maximum number of changes in one transaction
  */
 public record StoreLimits(double writesPerSecond, int valueBytes, int transactionChanges) {
     /**
-     * What is within these limits and within others. Limits that will hold from some moment on are kept from the
-     * beginning: the moment comes without notice, and a transaction that exceeds them would be refused.
+     * Returns the stricter value of each limit in this object and in the other. The limits that the store will have
+     * later are respected from the start: they take effect without notice, and the store then refuses a transaction
+     * that exceeds them.
      */
-    public StoreLimits strictest(StoreLimits others) {
+    public StoreLimits strictest(StoreLimits other) {
         return new StoreLimits(
-                Math.min(writesPerSecond, others.writesPerSecond),
-                Math.min(valueBytes, others.valueBytes),
-                Math.min(transactionChanges, others.transactionChanges));
+                Math.min(writesPerSecond, other.writesPerSecond),
+                Math.min(valueBytes, other.valueBytes),
+                Math.min(transactionChanges, other.transactionChanges));
     }
 }
--- a/src/main/java/org/granitepath/coordination/config/Topology.java
+++ b/src/main/java/org/granitepath/coordination/config/Topology.java
@@ -5,19 +5,20 @@
 import java.util.Map;
 
 /**
- * Where machines and controllers stand.
+ * Zones of the machines and of the controllers.
  *
- * @param zones the zones in which machines can be
- * @param peerZones the other controllers, each with its zone
+ * @param zones the zones in which machines can run
+ * @param peerZones the zone of each other controller, by the controller's name
  */
 public record Topology(List<String> zones, Map<String, String> peerZones) {
-    /** The names of the other controllers. */
+    /** Returns the names of the other controllers. */
     public Collection<String> peers() {
         return peerZones.keySet();
     }
 
     /**
-     * Whether another controller stands in this zone: cut off with it, that one may keep its machines' leases alive.
+     * Returns whether another controller runs in this zone. If a network partition isolates the zone, that controller
+     * may keep the leases of the machines in the zone alive.
      */
     public boolean hasPeerIn(String zone) {
         return peerZones.containsValue(zone);
--- a/src/main/java/org/granitepath/coordination/config/Tuning.java
+++ b/src/main/java/org/granitepath/coordination/config/Tuning.java
@@ -3,15 +3,18 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Operators' own choices, from the YAML file.
+ * Values that the operators choose, from their YAML file.
  *
- * @param leaderLeaseMicros how long the machines may be without a leader's sign before another takes over
- * @param deferralShare share of a class's wait or finish objective that may pass before it uses full-price machines
- * @param gangHoldMicros how long freed capacity is held for a gang that does not fit
- * @param claimBlockSize how many tasks of a job are claimed ahead, at least
- * @param maxStarvationMicros how long a job may be without any task before it no longer gives way to others
- * @param recoveryHoldMicros how long, after a change of leader, other work is held for services and work of the highest
- *     priority, at most; 0: not at all
+ * @param leaderLeaseMicros how long the machines may hear nothing from a leader before another controller takes over
+ * @param scaling how much unused capacity is kept
+ * @param weights fair-share weights of the priorities
+ * @param deferralShare share of the wait or finish objective of a class that may pass before its jobs use on-demand
+ *     machines
+ * @param gangHoldMicros how long freed capacity is held for a gang that does not fit yet
+ * @param claimBlockSize minimum number of tasks of a job that are claimed ahead
+ * @param maxStarvationMicros how long a job may have no running task before it stops yielding to other jobs
+ * @param recoveryHoldMicros maximum time, after a change of leader, for which other work is held back in favor of
+ *     services and work of the highest priority; 0 means that nothing is held back
  */
 public record Tuning(
         long leaderLeaseMicros,
@@ -22,10 +25,12 @@
         int claimBlockSize,
         long maxStarvationMicros,
         long recoveryHoldMicros) {
-    private static final int BLOCKS_OF_A_WIDE_JOB = 6;
-    private static final int WIDE_SERVICE = 32;
+    /** Jobs of many tasks are claimed in this many blocks. */
+    private static final int BLOCKS_PER_WIDE_JOB = 6;
+    /** Services of up to this many tasks are claimed completely when they are accepted. */
+    private static final int MIN_FIRST_SERVICE_BLOCK_SIZE = 32;
 
-    /** What holds without a file of the operators. */
+    /** Returns the values that apply if the operators provide no file. */
     public static Tuning defaults() {
         return new Tuning(
                 3_000_000,
@@ -38,8 +43,8 @@
                 0);
     }
 
-    /** The same choices with another hold. */
-    public Tuning withRecoveryHold(long micros) {
+    /** Returns these values with another {@link #recoveryHoldMicros}. */
+    public Tuning withRecoveryHold(long newRecoveryHoldMicros) {
         return new Tuning(
                 leaderLeaseMicros,
                 scaling,
@@ -48,18 +53,23 @@
                 gangHoldMicros,
                 claimBlockSize,
                 maxStarvationMicros,
-                micros);
+                newRecoveryHoldMicros);
     }
 
-    /** Tasks claimed with the acceptance: of work that runs together, all. */
+    /** Returns how many tasks of a job are claimed when it is accepted: all tasks of a gang, since they run together. */
     public int firstClaimBlockSize(JobSpec spec) {
         return spec.gang()
                 ? spec.tasks()
-                : Math.min(spec.tasks(), spec.service() ? Math.max(claimBlockSize, WIDE_SERVICE) : claimBlockSize);
+                : Math.min(
+                        spec.tasks(),
+                        spec.service() ? Math.max(claimBlockSize, MIN_FIRST_SERVICE_BLOCK_SIZE) : claimBlockSize);
     }
 
-    /** Tasks claimed ahead later on: a wide job must not wait for a write every few tasks. */
+    /**
+     * Returns how many tasks of a job are claimed ahead after its acceptance. The size grows with the job, so that a
+     * job of many tasks does not wait for a write to the store every few tasks.
+     */
     public int nextClaimBlockSize(JobSpec spec) {
-        return Math.max(claimBlockSize, spec.tasks() / BLOCKS_OF_A_WIDE_JOB);
+        return Math.max(claimBlockSize, spec.tasks() / BLOCKS_PER_WIDE_JOB);
     }
 }
--- a/src/main/java/org/granitepath/coordination/config/package-info.java
+++ b/src/main/java/org/granitepath/coordination/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the decision code needs of the settings: the platform's facts and the operators' own choices. Immutable;
- * made once at the start by the command line.
+ * Configuration of the decision code: the facts that the platform dictates and the values that the operators choose.
+ * All types are immutable. The command-line code creates them once, at startup.
  */
 package org.granitepath.coordination.config;
