--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -82,16 +82,16 @@
                 weights(defaults.weights()),
                 number("deferral-share", defaults.deferralShare(), 0, 1),
                 micros("gang-hold-s", defaults.gangHoldMicros(), 0, MAX_GANG_HOLD_SECONDS),
-                (int) number("claim-block", defaults.claimBlock(), 1, MAX_CLAIM_BLOCK),
+                (int) number("claim-block", defaults.claimBlockSize(), 1, MAX_CLAIM_BLOCK),
                 micros("max-starvation-s", defaults.maxStarvationMicros(), 1, MAX_STARVATION_SECONDS),
                 micros("recovery-hold-s", defaults.recoveryHoldMicros(), 0, MAX_HOLD_SECONDS));
     }
 
     private ScalingPolicy scaling(ScalingPolicy defaults) throws InvalidSettingException {
         return new ScalingPolicy(
-                number("idle-share", defaults.idleShare(), 0, MAX_IDLE_SHARE),
-                number("idle-share-spot", defaults.idleShareSpot(), 0, MAX_IDLE_SHARE),
-                number("headroom-share", defaults.headroomShare(), 0, MAX_HEADROOM_SHARE));
+                number("idle-share", defaults.idleTimeoutFactor(), 0, MAX_IDLE_SHARE),
+                number("idle-share-spot", defaults.spotIdleTimeoutFactor(), 0, MAX_IDLE_SHARE),
+                number("headroom-share", defaults.maxHeadroomShare(), 0, MAX_HEADROOM_SHARE));
     }
 
     private PriorityWeights weights(PriorityWeights defaults) throws InvalidSettingException {
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -118,7 +118,7 @@
      * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
      */
     public boolean isPartitionedWithPeer(Machine machine, long nowMicros) {
-        return isZonePartitioned(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
+        return isZonePartitioned(machine.zone(), nowMicros) && config.topology().hasPeerIn(machine.zone());
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -82,7 +82,7 @@
         if (origin == MessageOrigin.HEARTBEAT) {
             machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
-        long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
+        long leaseExpiryMicros = nowMicros + config.workers().maxLeaseMicros();
         machine.contact().setLeaseExpiry(leaseExpiryMicros, underPresentToken);
     }
 
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -116,7 +116,7 @@
         this.timers = timers;
         this.writeQueue = newWriteQueue();
 
-        this.activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
+        this.activeJobs = new ActiveJobs(config.maxClockOffsetMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
         this.teamLimits = new TeamLimits(config.teams());
 
@@ -216,7 +216,7 @@
 
     private Autoscaler newAutoscaler() {
         return new Autoscaler(
-                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
+                new ScaleOutPlan.Inputs(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
                 new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::ended),
                 rules,
                 gangHeadroom,
