--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -15,24 +15,27 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Launches machines for work that waits and terminates those that nothing needs. A stale leader does no harm here:
- * machines that nobody asked for are found in the list or by their heartbeats, and are used or terminated.
+ * Launches machines for waiting work and terminates the machines that no work needs. A stale leader does no harm here:
+ * the present leader finds the surplus machines in the cloud's list or by their heartbeats, and uses or terminates
+ * them.
  */
 public final class Autoscaler {
     private static final long TICK_MICROS = 1_000_000;
     private static final long FIRST_TICK_MICROS = TICK_MICROS / 10;
 
     /**
-     * The term of leadership in which machines are launched and terminated.
+     * The term of leadership in which the autoscaler launches and terminates machines.
      *
-     * @param fencingToken unique to the term
-     * @param ended whether the term is over: then nothing is done any more
+     * @param fencingToken a number that is unique to the term
+     * @param leadership tells whether the leader's lease is confirmed
+     * @param recovery the recovery of what the former leader left
+     * @param hasEnded whether the term is over; the autoscaler then does nothing any more
      */
-    public record Term(long fencingToken, Leadership leadership, TermRecovery recovery, BooleanSupplier ended) {}
+    public record Term(long fencingToken, Leadership leadership, TermRecovery recovery, BooleanSupplier hasEnded) {}
 
     private final Fleet fleet;
     private final Leadership leadership;
-    private final BooleanSupplier ended;
+    private final BooleanSupplier termEnded;
     private final Timers timers;
     private final FailureDetector failureDetector;
     private final FleetSummary summary;
@@ -43,9 +46,9 @@
     private final ScaleOut scaleOut;
     private final ScaleIn scaleIn;
 
-    /** Does nothing before it is started. */
+    /** Creates an autoscaler that does nothing until {@link #start} is called. */
     public Autoscaler(
-            ScaleOutPlan.Inputs demand,
+            ScaleOutPlan.Inputs inputs,
             Term term,
             PlacementRules rules,
             GangHeadroom gangHeadroom,
@@ -53,22 +56,22 @@
             Peers peers,
             CloudPort cloud,
             Timers timers) {
-        Config config = demand.config();
-        this.fleet = demand.fleet();
+        Config config = inputs.config();
+        this.fleet = inputs.fleet();
         this.leadership = term.leadership();
-        this.ended = term.ended();
+        this.termEnded = term.hasEnded();
         this.timers = timers;
         this.failureDetector = new FailureDetector(config, fleet, peers);
-        this.summary = new FleetSummary(fleet, demand.jobs());
+        this.summary = new FleetSummary(fleet, inputs.jobs());
         CloudRequestBudget requestBudget =
                 new CloudRequestBudget(config.limits().cloudRequestsPerSecond(), timers.nowMicros());
         SpareHeadroom spareHeadroom = new SpareHeadroom();
-        this.launcher = new Launcher(cloud, timers, term.fencingToken(), booting, ended);
-        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::terminated, ended);
-        this.lister =
-                new MachineLister(fleet, booting, terminator::terminatedLately, cloud, requestBudget, timers, ended);
+        this.launcher = new Launcher(cloud, timers, term.fencingToken(), booting, termEnded);
+        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::terminated, termEnded);
+        this.lister = new MachineLister(
+                fleet, booting, terminator::wasRecentlyTerminated, cloud, requestBudget, timers, termEnded);
         this.scaleOut = new ScaleOut(
-                demand,
+                inputs,
                 rules,
                 leadership::leaseConfirmed,
                 failureDetector,
@@ -80,13 +83,13 @@
                 new ScaleIn(config, fleet, booting, failureDetector, spareHeadroom, gangHeadroom, term.recovery());
     }
 
-    /** Begins to look at the fleet once a second. */
+    /** Starts the periodic scaling, which runs once a second until the term ends. */
     public void start() {
         timers.after(FIRST_TICK_MICROS, this::tick);
     }
 
     private void tick() {
-        if (ended.getAsBoolean()) {
+        if (termEnded.getAsBoolean()) {
             return;
         }
         timers.after(TICK_MICROS, this::tick);
@@ -95,15 +98,16 @@
         }
         long nowMicros = timers.nowMicros();
         booting.removeJoined(fleet);
-        launcher.forgetOldRefusals(nowMicros);
-        terminator.forgetOld(nowMicros);
+        launcher.expireUnavailableOffers(nowMicros);
+        terminator.forgetOldTerminations(nowMicros);
         failureDetector.update(nowMicros);
         summary.logIfDue(booting.size(), nowMicros);
         lister.listIfDue(nowMicros);
-        // What a predecessor launched shows in the list; launching before reading it would launch everything twice.
-        if (lister.listedOnce()) {
+        // The list shows the machines that the former leader launched. A launch before the first complete listing could
+        // launch all of them a second time.
+        if (lister.hasCompletedListing()) {
             scaleOut.launch(nowMicros);
         }
-        terminator.terminate(scaleIn.choose(nowMicros), nowMicros);
+        terminator.terminate(scaleIn.chooseMachines(nowMicros), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -8,48 +8,48 @@
 import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 
-/** Plans machines for gangs: for a whole one, or none. */
+/** Plans machines for gangs, either for all tasks of a gang or for none. */
 final class GangPlan {
-    private final ScaleOutPlan.Inputs demand;
+    private final ScaleOutPlan.Inputs inputs;
     private final PlannedCapacity planned;
     private final OfferMarket market;
 
-    /** Plans nothing before it is told to. */
-    GangPlan(ScaleOutPlan.Inputs demand, PlannedCapacity planned, OfferMarket market) {
-        this.demand = demand;
+    /** Creates a gang plan that adds nothing until {@link #plan} is called. */
+    GangPlan(ScaleOutPlan.Inputs inputs, PlannedCapacity planned, OfferMarket market) {
+        this.inputs = inputs;
         this.planned = planned;
         this.market = market;
     }
 
     /**
-     * Plans machines for a gang: where its tasks have to stand together, in the zone where most capacity is free or on
-     * its way, as long as machines are to be had there.
+     * Plans machines for a gang. If its tasks must run in one zone, the plan tries the zones in the order of their free
+     * and pending capacity, the most first, until a zone offers all machines that the gang lacks.
      */
     void plan(ActiveJob job) {
         JobSpec spec = job.spec();
         if (!spec.oneZone() || spec.zone() != null) {
-            planWhole(job, ZoneFilter.ANY_ZONE);
+            planInZones(job, ZoneFilter.ANY_ZONE);
             return;
         }
-        List<String> zones = new ArrayList<>(demand.config().topology().zones());
-        zones.removeIf(zone -> market.isCutOff(zone) || !job.zoneAllows(zone));
+        List<String> zones = new ArrayList<>(inputs.config().topology().zones());
+        zones.removeIf(zone -> market.isPartitioned(zone) || !job.zoneAllows(zone));
         zones.sort(Comparator.comparingInt((String zone) -> slots(spec, ZoneFilter.only(zone)))
                 .reversed());
         for (String zone : zones) {
-            if (planWhole(job, ZoneFilter.only(zone))) {
+            if (planInZones(job, ZoneFilter.only(zone))) {
                 return;
             }
         }
     }
 
-    /** How many such tasks fit on what is free or on its way there. */
+    /** Returns how many tasks of the job fit the free and the pending capacity in these zones. */
     private int slots(JobSpec spec, ZoneFilter zones) {
         return freeSlots(spec, zones) + pendingSlots(spec, zones);
     }
 
     private int freeSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
-        for (Machine machine : demand.fleet().machines()) {
+        for (Machine machine : inputs.fleet().machines()) {
             boolean usable = machine.takesTasks()
                     && machine.allowedFor(spec)
                     && zones.includes(machine.zone())
@@ -68,37 +68,40 @@
         return slots;
     }
 
-    /** Plans what this gang lacks in these zones; false when so much is not to be had there. */
-    private boolean planWhole(ActiveJob job, ZoneFilter zones) {
+    /**
+     * Plans the machines that the gang lacks in these zones, up to the maximum number of new machines in a plan.
+     * Returns false and plans none if the zones do not offer them all.
+     */
+    private boolean planInZones(ActiveJob job, ZoneFilter zones) {
         JobSpec spec = job.spec();
         int left = job.waitingTasks() - freeSlots(spec, zones);
-        List<PlannedMachine> used = new ArrayList<>();
+        List<PlannedMachine> reserved = new ArrayList<>();
         for (PlannedMachine machine : planned.machines()) {
-            while (left > 0 && zones.includes(machine.zone()) && machine.take(spec)) {
-                used.add(machine);
+            while (left > 0 && zones.includes(machine.zone()) && machine.reserve(spec)) {
+                reserved.add(machine);
                 left--;
             }
         }
-        List<Offer> launches = new ArrayList<>();
-        while (left > 0 && planned.mayConsiderMore(launches.size())) {
-            Offer offer = market.cheapest(OfferRequest.atAnyPrice(job, left, zones));
+        List<Offer> offers = new ArrayList<>();
+        while (left > 0 && planned.canPlanNewMachine(offers.size())) {
+            Offer offer = market.cheapestOffer(OfferRequest.atAnyPrice(job, left, zones));
             if (offer == null) {
-                used.forEach(machine -> machine.undoTake(spec));
+                reserved.forEach(machine -> machine.unreserve(spec));
                 return false;
             }
             left -= offer.type().slots(spec);
-            launches.add(offer);
+            offers.add(offer);
         }
-        launches.forEach(this::addNew);
+        offers.forEach(this::addNewMachine);
         return true;
     }
 
-    private void addNew(Offer offer) {
+    private void addNewMachine(Offer offer) {
         JobSpec spec = offer.job().spec();
-        planned.countConsidered();
+        planned.countNewMachine();
         PlannedMachine machine = PlannedMachine.of(offer);
         for (int task = 0; task < spec.tasks(); task++) {
-            machine.take(spec);
+            machine.reserve(spec);
         }
         planned.addNew(machine, offer);
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -9,41 +9,45 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * Plans headroom: capacity that live services can take at once, free or by stopping lower work, for as many as arrive
- * while a machine boots. Lower work may use it meanwhile. CPU amounts are in thousandths.
+ * Plans headroom for the live services that arrive while a machine boots: capacity that they can take at once, either
+ * free or by preempting work of lower priority. Such work may use the headroom until then. CPU amounts are in
+ * thousandths.
  */
 final class HeadroomPlan {
-    private final ScaleOutPlan.Inputs demand;
+    private final ScaleOutPlan.Inputs inputs;
     private final PlannedCapacity planned;
     private final OfferMarket market;
     private final long nowMicros;
     private final Map<String, Double> availableCpuMillisByZone = new HashMap<>();
     private double availableCpuMillis;
-    private double servicesCpuMillis;
+    private double cpuMillisUsedByServices;
     private double spareCpuMillis = Double.MAX_VALUE;
 
-    /** Plans nothing before it is told to. */
-    HeadroomPlan(ScaleOutPlan.Inputs demand, PlannedCapacity planned, OfferMarket market, long nowMicros) {
-        this.demand = demand;
+    /** Creates a headroom plan that adds nothing until {@link #addLaunches} is called. */
+    HeadroomPlan(ScaleOutPlan.Inputs inputs, PlannedCapacity planned, OfferMarket market, long nowMicros) {
+        this.inputs = inputs;
         this.planned = planned;
         this.market = market;
         this.nowMicros = nowMicros;
     }
 
-    /** What live services could take beyond the headroom wanted for them. */
+    /**
+     * Returns the thousandths of a CPU that live services could take beyond the headroom wanted for them; negative if
+     * headroom is lacking, and unlimited if no live service has arrived or none of the cloud's offers fits it.
+     */
     double spareCpuMillis() {
         return spareCpuMillis;
     }
 
-    /** Adds launches for the headroom that is lacking. */
-    void make() {
-        ActiveJob newest = demand.arrivalRate().newest();
+    /** Adds the launches for the headroom that is lacking. */
+    void addLaunches() {
+        ActiveJob newest = inputs.arrivalRate().newest();
         if (newest == null) {
             return;
         }
         countFleet(newest);
         countPlanned();
-        Offer offer = market.cheapest(OfferRequest.atAnyPrice(newest, Integer.MAX_VALUE, ZoneFilter.ANY_ZONE));
+        Offer offer = market.cheapestOffer(OfferRequest.atAnyPrice(newest, Integer.MAX_VALUE, ZoneFilter.ANY_ZONE));
         if (offer == null) {
             return;
         }
@@ -52,25 +56,28 @@
         spareCpuMillis = availableCpuMillis - wantedCpuMillis;
         if (availableCpuMillis < wantedCpuMillis) {
             int count = (int) Math.ceil((wantedCpuMillis - availableCpuMillis) / type.cpuMillis());
-            planned.addLaunch(inEmptiestZone(offer), count);
+            planned.addLaunch(inZoneWithLeastHeadroom(offer), count);
         }
     }
 
-    /** What arrives while a machine of this type boots, up to a share of what the present services use. */
+    /**
+     * Returns the CPU that arriving live services need while a machine of this type boots, limited to a share of what
+     * the present services use.
+     */
     private double wantedCpuMillis(MachineType type) {
-        double arrivingCpuMillis = demand.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
-        double mostCpuMillis = demand.config().tuning().scaling().maxHeadroomShare() * servicesCpuMillis;
-        return Math.min(arrivingCpuMillis, mostCpuMillis);
+        double arrivingCpuMillis = inputs.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
+        double maxCpuMillis = inputs.config().tuning().scaling().maxHeadroomShare() * cpuMillisUsedByServices;
+        return Math.min(arrivingCpuMillis, maxCpuMillis);
     }
 
     private void countFleet(ActiveJob newest) {
-        for (Machine machine : demand.fleet().machines()) {
+        for (Machine machine : inputs.fleet().machines()) {
             if (!machine.spot()
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && machine.type().fits(newest.spec())) {
                 long usedCpuMillis = machine.capacity().cpuUsedByServices();
-                servicesCpuMillis += usedCpuMillis;
+                cpuMillisUsedByServices += usedCpuMillis;
                 countAvailable(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
             }
         }
@@ -89,12 +96,15 @@
         availableCpuMillisByZone.merge(zone, (double) freeCpuMillis, Double::sum);
     }
 
-    /** The offer at full price in the zone with the least such capacity; where it is if no zone has it. */
-    private Offer inEmptiestZone(Offer offer) {
-        String emptiest = offer.type().zones().stream()
-                .filter(zone -> market.has(new Offer(offer.type(), zone, false, offer.job())))
+    /**
+     * Returns the on-demand offer of the same type in the zone with the least headroom, of the zones where it is
+     * available; in the zone of the given offer if it is available in none.
+     */
+    private Offer inZoneWithLeastHeadroom(Offer offer) {
+        String zoneWithLeast = offer.type().zones().stream()
+                .filter(zone -> market.isAvailable(new Offer(offer.type(), zone, false, offer.job())))
                 .min(Comparator.comparingDouble(zone -> availableCpuMillisByZone.getOrDefault(zone, 0.0)))
                 .orElse(offer.zone());
-        return new Offer(offer.type(), emptiest, false, offer.job());
+        return new Offer(offer.type(), zoneWithLeast, false, offer.job());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -6,18 +6,21 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.MachineType;
 
-/** Tells which machines nothing needs: idle for longer than it pays to keep them, and no part of any headroom. */
+/**
+ * Detects machines that no work needs: they have been idle for longer than it is worth to keep them, and they are not
+ * part of the headroom for live services or for gangs.
+ */
 final class IdleMachines {
-    /** How long a machine may be idle whose type, and so its time to boot, is not known. */
+    /** How long a machine may be idle if its type is unknown, and with it the boot time. */
     private static final long UNKNOWN_TYPE_IDLE_MICROS = 30_000_000;
 
     private final ScalingPolicy policy;
     private final SpareHeadroom spareHeadroom;
     private final GangHeadroom gangHeadroom;
     private final TermRecovery recovery;
-    private boolean keepsAll;
+    private boolean keepAll;
 
-    /** Knows nothing of the fleet before the first survey. */
+    /** Creates a detector that must be {@linkplain #refresh refreshed} before its first decision. */
     IdleMachines(ScalingPolicy policy, SpareHeadroom spareHeadroom, GangHeadroom gangHeadroom, TermRecovery recovery) {
         this.policy = policy;
         this.spareHeadroom = spareHeadroom;
@@ -25,28 +28,36 @@
         this.recovery = recovery;
     }
 
-    /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
-    void survey() {
-        keepsAll = recovery.keepsIdleMachines();
+    /** Takes the present state of the fleet and the recovery into account. To be called before each round of decisions. */
+    void refresh() {
+        keepAll = recovery.keepsIdleMachines();
         gangHeadroom.survey();
     }
 
-    /** Whether nothing needs the machine. It counts as given up then, and the headroom is smaller by it. */
-    boolean releases(Machine machine, long nowMicros) {
-        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
-        return !keptAsHeadroom(machine, idle) && idle;
+    /**
+     * Decides whether to release a machine that no work needs, and marks the machine if it is kept as headroom for live
+     * services. If the machine is released and is not a spot instance, its capacity no longer counts as headroom.
+     *
+     * @return whether the machine is released
+     */
+    boolean releaseIfUnneeded(Machine machine, long nowMicros) {
+        boolean idle = !keepAll && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
+        return !keepIfHeadroom(machine, idle) && idle;
     }
 
-    /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
-    private boolean keptAsHeadroom(Machine machine, boolean idle) {
-        boolean idleAtFullPrice = idle && !machine.spot();
+    /**
+     * Keeps an idle on-demand machine if it is needed as headroom for future live services, and returns whether it is
+     * kept. Otherwise subtracts it from the headroom.
+     */
+    private boolean keepIfHeadroom(Machine machine, boolean idle) {
+        boolean idleOnDemand = idle && !machine.spot();
         long freeCpuMillis = machine.capacity().cpuFree();
-        machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
+        machine.keepAsHeadroom(idleOnDemand && spareHeadroom.isLessThan(freeCpuMillis));
         if (machine.keptAsHeadroom()) {
             return true;
         }
-        if (idleAtFullPrice) {
-            spareHeadroom.release(freeCpuMillis);
+        if (idleOnDemand) {
+            spareHeadroom.subtract(freeCpuMillis);
             gangHeadroom.terminated(machine);
         }
         return false;
@@ -61,15 +72,16 @@
     }
 
     /**
-     * How long a machine may be idle: as long as a new one would take to boot, so that keeping it never costs much more
-     * than terminating it; longer on spot instances, which cost little and may not be had again.
+     * Returns how long a machine may be idle: the time that a new machine takes to boot times a configured factor, so
+     * that to keep the machine never costs much more than to terminate it. Spot instances have a factor of their own,
+     * which is higher by default, because they cost little and may not be available again.
      */
     private long idleTimeoutMicros(Machine machine) {
         MachineType type = machine.type();
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.spot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
-        return (long) (share * type.bootMicros());
+        double factor = machine.spot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
+        return (long) (factor * type.bootMicros());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -11,72 +11,75 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Launches machines, one request at a time. A request without a definite answer is repeated under the same idempotency
- * key, so that nothing is launched twice. Remembers which offers the cloud lately had no capacity for.
+ * Launches machines, one request at a time. It retries a request without a definite answer under the same idempotency
+ * key, so that no machine is launched twice. It remembers for which offers the cloud recently had no capacity.
  */
 final class Launcher {
     private static final Logger LOG = LoggerFactory.getLogger(Launcher.class);
     private static final String KEY_PREFIX = "b";
     private static final int MAX_MACHINES_PER_REQUEST = 50;
-    private static final int MAX_REPEATS = 20;
-    private static final long REPEAT_MICROS = 1_000_000;
-    /** How long an offer is avoided after the cloud had no capacity for it. */
-    private static final long REFUSED_MICROS = 15_000_000;
+    private static final int MAX_RETRIES = 20;
+    private static final long RETRY_DELAY_MICROS = 1_000_000;
+    /** How long an offer is not used after the cloud had no capacity for it. */
+    private static final long NO_CAPACITY_BACKOFF_MICROS = 15_000_000;
 
     private final CloudPort cloud;
     private final Timers timers;
     private final long fencingToken;
     private final BootingMachines booting;
-    private final BooleanSupplier ended;
-    /** Until when each offer is avoided, by its key. */
-    private final Map<String, Long> refusedUntilMicros = new HashMap<>();
+    private final BooleanSupplier termEnded;
+    /** The time until which each unavailable offer is not used, by the key of the offer. */
+    private final Map<String, Long> unavailableUntilMicros = new HashMap<>();
 
     private long requestCount;
-    private boolean underWay;
+    private boolean requestInFlight;
 
     /**
-     * Launches nothing before it is told to.
+     * Creates a launcher that launches nothing until {@link #launch} is called.
      *
-     * @param booting where the launched machines are put
-     * @param ended whether the term of leadership is over: then answers change nothing
+     * @param fencingToken the fencing token of the term, which the idempotency keys contain
+     * @param booting receives the launched machines
+     * @param termEnded whether the term of leadership is over; the launcher then ignores answers
      */
-    Launcher(CloudPort cloud, Timers timers, long fencingToken, BootingMachines booting, BooleanSupplier ended) {
+    Launcher(CloudPort cloud, Timers timers, long fencingToken, BootingMachines booting, BooleanSupplier termEnded) {
         this.cloud = cloud;
         this.timers = timers;
         this.fencingToken = fencingToken;
         this.booting = booting;
-        this.ended = ended;
+        this.termEnded = termEnded;
     }
 
-    /** Whether a request waits for its answer. */
-    boolean underWay() {
-        return underWay;
+    /** Returns whether a request waits for its answer or its next retry. */
+    boolean hasRequestInFlight() {
+        return requestInFlight;
     }
 
-    /** Whether the cloud lately had no capacity for the offer with this key. */
-    boolean refusedLately(String offerKey) {
-        return refusedUntilMicros.containsKey(offerKey);
+    /** Returns whether the cloud recently had no capacity, or too little, for the offer with this key. */
+    boolean isUnavailable(String offerKey) {
+        return unavailableUntilMicros.containsKey(offerKey);
     }
 
-    /** Forgets refusals that are old enough for another attempt. */
-    void forgetOldRefusals(long nowMicros) {
-        refusedUntilMicros.values().removeIf(untilMicros -> untilMicros < nowMicros);
+    /** Makes offers available again whose unavailable time is over. */
+    void expireUnavailableOffers(long nowMicros) {
+        unavailableUntilMicros.values().removeIf(untilMicros -> untilMicros < nowMicros);
     }
 
     /**
-     * Sends a request for as many of the machines as one request may bring.
+     * Sends a request for the planned machines, at most for as many as one request may launch.
      *
-     * @param drainSeconds for the log: how long the batch work at hand will take
-     * @param whenAnswered called with the time when the cloud has answered and another launch may follow
+     * @param drainSeconds how long the present batch work takes, for the log
+     * @param onAnswer called with the time of the answer in microseconds, when another launch may follow; not called
+     *     if the launcher gives up after the last retry
      */
-    void launch(PlannedLaunch launch, long drainSeconds, LongConsumer whenAnswered) {
-        underWay = true;
+    void launch(PlannedLaunch launch, long drainSeconds, LongConsumer onAnswer) {
+        requestInFlight = true;
         Offer offer = launch.offer();
         int count = Math.min(launch.count(), MAX_MACHINES_PER_REQUEST);
         String idempotencyKey = nextIdempotencyKey();
         ActiveJob job = offer.job();
         LOG.info(
-                "launch {} of {} {} in {}{}, first for job {} ({}, {} tasks wait; batch drains in {} s)",
+                "launch {}: requesting {} machines of type {} in zone {}{}, first for job {} (class {}, {} tasks wait);"
+                        + " batch work drains in {} s",
                 idempotencyKey,
                 count,
                 offer.type().name(),
@@ -88,58 +91,65 @@
                 drainSeconds);
         CloudPort.LaunchRequest request =
                 new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count);
-        send(request, offer, 0, whenAnswered);
+        send(request, offer, 0, onAnswer);
     }
 
-    /** The fencing token is unique to this term of leadership, so no key is ever used for two requests. */
+    /** Returns a new key. The fencing token is unique to the term of leadership, so no two requests share a key. */
     private String nextIdempotencyKey() {
         requestCount++;
         return KEY_PREFIX + fencingToken + "-" + requestCount;
     }
 
-    private void send(CloudPort.LaunchRequest request, Offer offer, int repeats, LongConsumer whenAnswered) {
+    private void send(CloudPort.LaunchRequest request, Offer offer, int retries, LongConsumer onAnswer) {
         cloud.launch(request, answer -> {
-            if (ended.getAsBoolean()) {
+            if (termEnded.getAsBoolean()) {
                 return;
             }
             long nowMicros = timers.nowMicros();
             switch (answer.outcome()) {
                 case OK -> {
-                    launched(request, offer, answer, nowMicros);
-                    underWay = false;
-                    whenAnswered.accept(nowMicros);
+                    onLaunched(request, offer, answer, nowMicros);
+                    requestInFlight = false;
+                    onAnswer.accept(nowMicros);
                 }
                 case NO_CAPACITY -> {
-                    LOG.info("launch {} refused: no capacity for {}", request.idempotencyKey(), offer.key());
-                    refusedUntilMicros.put(offer.key(), nowMicros + REFUSED_MICROS);
-                    underWay = false;
-                    whenAnswered.accept(nowMicros);
+                    LOG.info(
+                            "launch {} failed: the cloud has no capacity for {}; not using the offer for a while",
+                            request.idempotencyKey(),
+                            offer.key());
+                    unavailableUntilMicros.put(offer.key(), nowMicros + NO_CAPACITY_BACKOFF_MICROS);
+                    requestInFlight = false;
+                    onAnswer.accept(nowMicros);
                 }
-                case REFUSED, UNKNOWN -> repeatLater(request, offer, repeats, whenAnswered);
+                case REFUSED, UNKNOWN -> retryLater(request, offer, retries, onAnswer);
             }
         });
     }
 
-    private void launched(CloudPort.LaunchRequest request, Offer offer, CloudPort.LaunchResult answer, long nowMicros) {
+    private void onLaunched(
+            CloudPort.LaunchRequest request, Offer offer, CloudPort.LaunchResult answer, long nowMicros) {
         for (String id : answer.hosts()) {
             booting.add(new BootingMachine(id, offer.type(), offer.zone(), offer.spot(), nowMicros));
         }
-        int brought = answer.hosts().size();
-        if (brought < request.count()) {
-            refusedUntilMicros.put(offer.key(), nowMicros + REFUSED_MICROS);
+        int launchedCount = answer.hosts().size();
+        if (launchedCount < request.count()) {
+            unavailableUntilMicros.put(offer.key(), nowMicros + NO_CAPACITY_BACKOFF_MICROS);
         }
-        LOG.info("launch {} brought {} of {}", request.idempotencyKey(), brought, request.count());
+        LOG.info("launch {} started {} of {} machines", request.idempotencyKey(), launchedCount, request.count());
     }
 
-    /** It may have been carried out: only the same request tells, and launches nothing twice. */
-    private void repeatLater(CloudPort.LaunchRequest request, Offer offer, int repeats, LongConsumer whenAnswered) {
-        if (repeats >= MAX_REPEATS) {
-            underWay = false;
+    /**
+     * Sends the same request again after a delay. The cloud may have carried the request out; only the same request
+     * under the same key can tell, without launching the machines twice.
+     */
+    private void retryLater(CloudPort.LaunchRequest request, Offer offer, int retries, LongConsumer onAnswer) {
+        if (retries >= MAX_RETRIES) {
+            requestInFlight = false;
             return;
         }
-        timers.after(REPEAT_MICROS, () -> {
-            if (!ended.getAsBoolean()) {
-                send(request, offer, repeats + 1, whenAnswered);
+        timers.after(RETRY_DELAY_MICROS, () -> {
+            if (!termEnded.getAsBoolean()) {
+                send(request, offer, retries + 1, onAnswer);
             }
         });
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -5,26 +5,29 @@
 import org.granitepath.coordination.model.Machine;
 import org.jspecify.annotations.Nullable;
 
-/** Tells which machines are to be terminated because they failed, or have lost contact for good. */
+/** Detects machines that are to be terminated because they failed or lost contact permanently. */
 final class MachineFailures {
     private final WorkerTiming workers;
     private final FailureDetector failureDetector;
-    private boolean heartbeatsTrusted;
+    private boolean overdueHeartbeatsConclusive;
 
-    /** Trusts no heartbeats before the first survey. */
+    /** Creates a detector that draws no conclusions from overdue heartbeats before the first {@link #refresh}. */
     MachineFailures(WorkerTiming workers, FailureDetector failureDetector) {
         this.workers = workers;
         this.failureDetector = failureDetector;
     }
 
-    /** Finds anew whether missing heartbeats tell of the machines at all. Called before a round of decisions. */
-    void survey() {
-        heartbeatsTrusted = failureDetector.canJudgeMachines();
+    /**
+     * Determines again whether overdue heartbeats indicate failed machines, rather than a loss of this controller's own
+     * connection. To be called before each round of decisions.
+     */
+    void refresh() {
+        overdueHeartbeatsConclusive = failureDetector.canJudgeMachines();
     }
 
-    /** Why the machine counts as failed; null: it does not. */
+    /** Returns why the machine counts as failed, or null if it does not. */
     @Nullable
-    TerminationReason reason(Machine machine, long nowMicros) {
+    TerminationReason failureReason(Machine machine, long nowMicros) {
         long sinceHeartbeatMicros = nowMicros - machine.contact().lastHeartbeatMicros();
         if (!isConclusive(machine, sinceHeartbeatMicros, nowMicros)) {
             return null;
@@ -35,13 +38,19 @@
         return isUnreachable(machine, nowMicros) ? TerminationReason.UNREACHABLE : null;
     }
 
-    /** Whether missing heartbeats tell of the machine, and not of a cut behind which its work goes on. */
+    /**
+     * Returns whether missing heartbeats indicate a failure of the machine, rather than a network partition during which
+     * its work continues.
+     */
     private boolean isConclusive(Machine machine, long sinceHeartbeatMicros, long nowMicros) {
-        return (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
+        return (overdueHeartbeatsConclusive && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
     }
 
-    /** Whether its heartbeats arrive, but our answers and commands have not reached it for a lease. */
+    /**
+     * Returns whether heartbeats of the machine arrive, but answers and commands of this controller have not reached
+     * the machine for the duration of a lease.
+     */
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
@@ -49,14 +58,18 @@
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
 
-    /** How long machines that may only be partitioned are waited for: by then all on them is over in any case. */
+    /**
+     * Returns how long the controller waits for a machine that may only be partitioned. After that time all tasks on
+     * the machine have ended in any case.
+     */
     private long partitionTimeoutMicros() {
         return workers.cancellationTimeoutMicros() + workers.leaseMicros();
     }
 
     /**
-     * How long a machine may send no heartbeat before it is given up. One that answers direct calls lives: after a
-     * failover its heartbeats may still be on their way to the former leader.
+     * Returns how long a machine may send no heartbeat before it counts as failed. The time is longer for a machine that
+     * has not failed to answer direct calls: it may be alive, since after a failover its heartbeats may still go to the
+     * former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
         return machine.contact().probeFailed()
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -10,99 +10,106 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lists the cloud's machines now and then, page by page, to find those that boot and were launched by a former leader,
- * or by a launch whose answer was lost.
+ * Lists the cloud's machines periodically, page by page, to find booting machines that a former leader launched or that
+ * a launch started whose answer was lost.
  */
 final class MachineLister {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLister.class);
     private static final int PAGE_SIZE = 500;
-    private static final long INTERVAL_MICROS = 6_000_000;
+    private static final long LISTING_INTERVAL_MICROS = 6_000_000;
     private static final long RETRY_MICROS = 2_000_000;
-    /** Older than any time to boot, so that a machine that failed is terminated at once. */
+    /** Age assigned to a failed machine: longer than any boot time, so that the machine is terminated at once. */
     private static final long FAILED_MACHINE_AGE_MICROS = Long.MAX_VALUE / 4;
 
     private final Fleet fleet;
     private final BootingMachines booting;
-    private final Predicate<String> terminatedLately;
+    private final Predicate<String> recentlyTerminated;
     private final CloudPort cloud;
     private final CloudRequestBudget requestBudget;
     private final Timers timers;
-    private final BooleanSupplier ended;
-    private boolean underWay;
-    private long dueMicros;
-    private boolean listedOnce;
+    private final BooleanSupplier termEnded;
+    private boolean listingInProgress;
+    private long nextListingMicros;
+    private boolean completedListing;
 
     /**
-     * Lists nothing before it is told to.
+     * Creates a lister that lists nothing until {@link #listIfDue} is called.
      *
-     * @param terminatedLately machines, by name, that an outdated list may still show
-     * @param ended whether the term of leadership is over: then answers change nothing
+     * @param fleet the machines that have joined, which the lister leaves out
+     * @param booting receives the booting machines that the lister finds
+     * @param recentlyTerminated accepts the names of terminated machines that an outdated list may still show
+     * @param termEnded whether the term of leadership is over; the lister then ignores answers
      */
     MachineLister(
             Fleet fleet,
             BootingMachines booting,
-            Predicate<String> terminatedLately,
+            Predicate<String> recentlyTerminated,
             CloudPort cloud,
             CloudRequestBudget requestBudget,
             Timers timers,
-            BooleanSupplier ended) {
+            BooleanSupplier termEnded) {
         this.fleet = fleet;
         this.booting = booting;
-        this.terminatedLately = terminatedLately;
+        this.recentlyTerminated = recentlyTerminated;
         this.cloud = cloud;
         this.requestBudget = requestBudget;
         this.timers = timers;
-        this.ended = ended;
+        this.termEnded = termEnded;
     }
 
-    /** Whether the whole list has been read at least once. */
-    boolean listedOnce() {
-        return listedOnce;
+    /** Returns whether the whole list has been read at least once. */
+    boolean hasCompletedListing() {
+        return completedListing;
     }
 
-    /** Begins to read the list if it is time to and the budget allows it. */
+    /** Starts to read the list if the next listing is due and the request budget allows it. */
     void listIfDue(long nowMicros) {
-        if (!underWay && nowMicros >= dueMicros && requestBudget.tryTake(nowMicros)) {
-            underWay = true;
-            listPageAfter("");
+        if (!listingInProgress && nowMicros >= nextListingMicros && requestBudget.tryAcquire(nowMicros)) {
+            listingInProgress = true;
+            requestPageAfter("");
         }
     }
 
-    private void listPageAfter(String lastSeen) {
-        cloud.list(lastSeen, PAGE_SIZE, page -> {
-            if (ended.getAsBoolean()) {
+    private void requestPageAfter(String machineId) {
+        cloud.list(machineId, PAGE_SIZE, page -> {
+            if (termEnded.getAsBoolean()) {
                 return;
             }
             long nowMicros = timers.nowMicros();
             if (page.outcome() != CloudPort.Outcome.OK) {
-                underWay = false;
-                dueMicros = nowMicros + RETRY_MICROS;
+                listingInProgress = false;
+                nextListingMicros = nowMicros + RETRY_MICROS;
                 return;
             }
-            String last = lastSeen;
+            String lastId = machineId;
             for (CloudPort.ListedHost listed : page.hosts()) {
-                last = listed.id();
+                lastId = listed.id();
                 addIfBooting(listed, nowMicros);
             }
             if (page.more()) {
-                listPageAfter(last);
+                requestPageAfter(lastId);
                 return;
             }
-            underWay = false;
-            listedOnce = true;
-            dueMicros = nowMicros + INTERVAL_MICROS;
+            listingInProgress = false;
+            completedListing = true;
+            nextListingMicros = nowMicros + LISTING_INTERVAL_MICROS;
         });
     }
 
     private void addIfBooting(CloudPort.ListedHost listed, long nowMicros) {
         MachineType type = fleet.types().get(listed.type());
         if (type == null
-                || terminatedLately.test(listed.id())
+                || recentlyTerminated.test(listed.id())
                 || fleet.machine(listed.id()) != null
                 || booting.contains(listed.id())) {
             return;
         }
-        LOG.info("machine {} ({} {}) is listed as {}", listed.id(), listed.type(), listed.zone(), listed.state());
+        LOG.info(
+                "machine {} ({} {}) found in the cloud's list in state {}; tracking it as a booting machine",
+                listed.id(),
+                listed.type(),
+                listed.zone(),
+                listed.state());
         boolean failed = listed.state() == CloudPort.HostState.FAILED;
         long ageMicros = failed ? FAILED_MACHINE_AGE_MICROS : listed.ageMicros();
         booting.add(new BootingMachine(listed.id(), type, listed.zone(), listed.spot(), nowMicros - ageMicros));
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -6,76 +6,93 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * The cost model: what a machine costs for each task of one job, from its launch to the task's end, with penalties for
- * a start or an end that comes late. Costs are only compared with each other.
+ * Cost model of a machine: the cost for each task of one job, from the launch of the machine to the end of the task,
+ * with penalties for a late start and for a missed deadline. Costs have no unit and are only compared with each other.
  */
 final class OfferCost {
-    /** How long a replica of a service is taken to run. */
-    private static final long SERVICE_HORIZON_MICROS = 600_000_000;
-    /** A service that starts this much later is worth half as much to its users. */
+    /** Assumed run time of a replica of a service. */
+    private static final long SERVICE_RUN_MICROS = 600_000_000;
+    /** A service that starts this much later is worth half as much to its users, so its cost counts twice. */
     private static final double LATE_START_MICROS = 120e6;
 
-    /** A machine that ends a job after its deadline counts as so many times as dear. */
-    private static final double LATE_END_FACTOR = 2;
-    /** Small shares, which only decide among equals: then the zone with the fewest machines on their way. */
-    private static final double SHARE_PER_LAUNCH = 0.001;
+    /** Factor on the cost of a machine on which the job ends after its deadline. */
+    private static final double MISSED_DEADLINE_FACTOR = 2;
+    /**
+     * Relative penalties that are so small that they only decide between offers of equal cost. They favor the zone with
+     * the fewest planned machines and tasks.
+     */
+    private static final double PENALTY_PER_LAUNCH = 0.001;
 
-    private static final double SHARE_PER_TASK_IN_ZONE = 0.0005;
+    private static final double PENALTY_PER_TASK_IN_ZONE = 0.0005;
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final JobSpec spec;
-    private final long horizonMicros;
-    private final long untilDeadlineMicros;
+    private final long runMicros;
+    private final long timeToDeadlineMicros;
 
-    private OfferCost(JobSpec spec, long horizonMicros, long untilDeadlineMicros) {
+    private OfferCost(JobSpec spec, long runMicros, long timeToDeadlineMicros) {
         this.spec = spec;
-        this.horizonMicros = horizonMicros;
-        this.untilDeadlineMicros = untilDeadlineMicros;
+        this.runMicros = runMicros;
+        this.timeToDeadlineMicros = timeToDeadlineMicros;
     }
 
-    /** For the replicas of a service. */
-    static OfferCost ofService(JobSpec spec, long ageMicros) {
-        return of(spec, SERVICE_HORIZON_MICROS, ageMicros);
+    /**
+     * Returns the cost model for the replicas of a service.
+     *
+     * @param ageMicros the time since the job was accepted
+     */
+    static OfferCost forService(JobSpec spec, long ageMicros) {
+        return forTasks(spec, SERVICE_RUN_MICROS, ageMicros);
     }
 
-    /** For tasks that take so long; {@code ageMicros} is how long ago the job was accepted. */
-    static OfferCost of(JobSpec spec, long taskMicros, long ageMicros) {
+    /**
+     * Returns the cost model for tasks of a job.
+     *
+     * @param taskMicros the run time of a task
+     * @param ageMicros the time since the job was accepted
+     */
+    static OfferCost forTasks(JobSpec spec, long taskMicros, long ageMicros) {
         return new OfferCost(spec, taskMicros, spec.deadlineMicros() - ageMicros);
     }
 
-    /** How long a machine of this type takes from its launch to the start of a task: it boots and fetches the image. */
-    long readyMicros(MachineType type) {
+    /** Returns the time from the launch of a machine of this type to the start of a task: its boot and the image fetch. */
+    long startupMicros(MachineType type) {
         return type.bootMicros() + (long) (ImageFetch.seconds(spec, type) * MICROS_PER_SECOND);
     }
 
     /**
-     * Whether it would be late at full price, although it could run on spot instances: then it can wait for cheaper
-     * capacity.
+     * Returns whether the job should wait for cheaper capacity: it could run on spot instances, and on an on-demand
+     * machine it would miss its deadline anyway.
+     *
+     * @param startupMicros the time from the launch of the machine to the start of a task
+     * @param spot whether the machine is a spot instance, for which the answer is always false
      */
-    boolean latenessMakesItWait(long readyMicros, boolean spot) {
-        return isLate(readyMicros) && !spot && spec.spot();
+    boolean shouldWaitForSpot(long startupMicros, boolean spot) {
+        return missesDeadline(startupMicros) && !spot && spec.spot();
     }
 
     /**
-     * The cost for each task on a machine.
+     * Returns the cost for each task on a machine, a number without a unit.
      *
-     * @param tasks how many tasks of the job share it
+     * @param spot whether the machine is a spot instance
+     * @param tasks how many tasks share the machine
+     * @param startupMicros the time from the launch of the machine to the start of a task
      * @param launches how many such machines the plan launches already
-     * @param tasksInZone how many tasks of the job its zone has by the plan so far
+     * @param tasksInZone how many tasks of the job the machine's zone has according to the plan so far
      */
-    double perTask(MachineType type, boolean spot, int tasks, long readyMicros, int launches, int tasksInZone) {
-        long paidMicros = Math.max(readyMicros + horizonMicros, Machine.MINIMUM_CHARGE_MICROS);
+    double costPerTask(MachineType type, boolean spot, int tasks, long startupMicros, int launches, int tasksInZone) {
+        long paidMicros = Math.max(startupMicros + runMicros, Machine.MINIMUM_CHARGE_MICROS);
         double cost = type.priceFor(spot) * paidMicros / tasks;
-        if (isLate(readyMicros)) {
-            cost *= LATE_END_FACTOR;
+        if (missesDeadline(startupMicros)) {
+            cost *= MISSED_DEADLINE_FACTOR;
         }
         if (spec.service()) {
-            cost *= 1 + readyMicros / LATE_START_MICROS;
+            cost *= 1 + startupMicros / LATE_START_MICROS;
         }
-        return cost * (1 + SHARE_PER_LAUNCH * launches + SHARE_PER_TASK_IN_ZONE * tasksInZone);
+        return cost * (1 + PENALTY_PER_LAUNCH * launches + PENALTY_PER_TASK_IN_ZONE * tasksInZone);
     }
 
-    private boolean isLate(long readyMicros) {
-        return spec.hasDeadline() && readyMicros + horizonMicros > untilDeadlineMicros;
+    private boolean missesDeadline(long startupMicros) {
+        return spec.hasDeadline() && startupMicros + runMicros > timeToDeadlineMicros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -6,69 +6,73 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** What the cloud offers at present, as far as is known, and the cheapest of it for a job. */
+/** The offers that the cloud has at present, as far as is known, and the search for the cheapest one for a job. */
 final class OfferMarket {
-    private final ScaleOutPlan.Inputs demand;
+    private final ScaleOutPlan.Inputs inputs;
     private final PlannedCapacity planned;
-    private final Predicate<String> refused;
-    private final Predicate<String> cutOff;
+    private final Predicate<String> unavailable;
+    private final Predicate<String> partitioned;
     private final long nowMicros;
 
     /**
-     * The offers as they are now.
+     * Creates a view of the present offers.
      *
-     * @param refused keys of offers of which the cloud lately had none
-     * @param cutOff zones from which no heartbeat would arrive
+     * @param planned the plan so far, whose launches make further launches of the same offer less attractive
+     * @param unavailable accepts the keys of the offers for which the cloud recently had no capacity
+     * @param partitioned accepts the zones from which no heartbeat would arrive
      */
     OfferMarket(
-            ScaleOutPlan.Inputs demand,
+            ScaleOutPlan.Inputs inputs,
             PlannedCapacity planned,
-            Predicate<String> refused,
-            Predicate<String> cutOff,
+            Predicate<String> unavailable,
+            Predicate<String> partitioned,
             long nowMicros) {
-        this.demand = demand;
+        this.inputs = inputs;
         this.planned = planned;
-        this.refused = refused;
-        this.cutOff = cutOff;
+        this.unavailable = unavailable;
+        this.partitioned = partitioned;
         this.nowMicros = nowMicros;
     }
 
-    /** Whether no heartbeat would arrive from this zone at present. */
-    boolean isCutOff(String zone) {
-        return cutOff.test(zone);
+    /** Returns whether no heartbeat would arrive from this zone at present. */
+    boolean isPartitioned(String zone) {
+        return partitioned.test(zone);
     }
 
-    /** Whether the cloud is likely to have a machine of this kind, whose heartbeats would arrive. */
-    boolean has(Offer offer) {
-        return !cutOff.test(offer.zone()) && !refused.test(offer.key());
+    /** Returns whether the cloud is likely to have a machine of this kind and the machine's heartbeats would arrive. */
+    boolean isAvailable(Offer offer) {
+        return !partitioned.test(offer.zone()) && !unavailable.test(offer.key());
     }
 
-    /** The offer with the lowest cost for each task, from launch to the task's end; null: there is none. */
+    /**
+     * Returns the offer with the lowest cost per task, from the launch of the machine to the end of the task. Null if no
+     * offer fits the request.
+     */
     @Nullable
-    Offer cheapest(OfferRequest request) {
+    Offer cheapestOffer(OfferRequest request) {
         Search search = new Search(request, costFor(request.job()));
-        for (MachineType type : demand.fleet().types().values()) {
+        for (MachineType type : inputs.fleet().types().values()) {
             if (type.fits(request.job().spec())) {
                 search.considerType(type);
             }
         }
-        return search.best;
+        return search.cheapest;
     }
 
     private OfferCost costFor(ActiveJob job) {
         JobSpec spec = job.spec();
-        long ageMicros = spec.hasDeadline() ? demand.jobs().ageMicros(job, nowMicros) : 0;
+        long ageMicros = spec.hasDeadline() ? inputs.jobs().ageMicros(job, nowMicros) : 0;
         return spec.service()
-                ? OfferCost.ofService(spec, ageMicros)
-                : OfferCost.of(spec, demand.runtimeEstimator().taskMicros(job), ageMicros);
+                ? OfferCost.forService(spec, ageMicros)
+                : OfferCost.forTasks(spec, inputs.runtimeEstimator().taskMicros(job), ageMicros);
     }
 
-    /** One search for the cheapest offer; the first among equals wins. */
+    /** One search for the cheapest offer. Of several offers at the same cost, it finds the first one considered. */
     private final class Search {
         private final OfferRequest request;
         private final OfferCost costModel;
-        private @Nullable Offer best;
-        private double bestCost = Double.POSITIVE_INFINITY;
+        private @Nullable Offer cheapest;
+        private double lowestCost = Double.POSITIVE_INFINITY;
 
         Search(OfferRequest request, OfferCost costModel) {
             this.request = request;
@@ -77,31 +81,31 @@
 
         void considerType(MachineType type) {
             int tasks = Math.min(type.slots(request.job().spec()), request.tasks());
-            long readyMicros = costModel.readyMicros(type);
+            long startupMicros = costModel.startupMicros(type);
             for (String zone : type.zones()) {
-                if (request.allowsZone(zone) && !cutOff.test(zone)) {
-                    consider(new Offer(type, zone, true, request.job()), tasks, readyMicros);
-                    consider(new Offer(type, zone, false, request.job()), tasks, readyMicros);
+                if (request.allowsZone(zone) && !partitioned.test(zone)) {
+                    consider(new Offer(type, zone, true, request.job()), tasks, startupMicros);
+                    consider(new Offer(type, zone, false, request.job()), tasks, startupMicros);
                 }
             }
         }
 
-        private void consider(Offer offer, int tasks, long readyMicros) {
-            if (!request.allowsPrice(offer.spot())
-                    || refused.test(offer.key())
-                    || costModel.latenessMakesItWait(readyMicros, offer.spot())) {
+        private void consider(Offer offer, int tasks, long startupMicros) {
+            if (!request.allowsPricing(offer.spot())
+                    || unavailable.test(offer.key())
+                    || costModel.shouldWaitForSpot(startupMicros, offer.spot())) {
                 return;
             }
-            double cost = costModel.perTask(
+            double cost = costModel.costPerTask(
                     offer.type(),
                     offer.spot(),
                     tasks,
-                    readyMicros,
+                    startupMicros,
                     planned.launchCount(offer),
-                    request.tasksIn(offer.zone()));
-            if (cost < bestCost) {
-                bestCost = cost;
-                best = offer;
+                    request.taskCountIn(offer.zone()));
+            if (cost < lowestCost) {
+                lowestCost = cost;
+                cheapest = offer;
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
@@ -5,33 +5,35 @@
 import org.granitepath.coordination.placement.ZoneFilter;
 
 /**
- * A request for one machine.
+ * Requirements on one machine to be launched.
  *
- * @param fullPrice whether it may be one at full price, rather than a spot instance only
- * @param tasks how many tasks wait for capacity of the kind
- * @param tasksByZone how many tasks of the job each zone has by the plan so far
- * @param zones where it may stand, as far as the plan is concerned
+ * @param job the job for which the machine is launched
+ * @param allowsOnDemand whether the machine may be an on-demand machine; if not, it must be a spot instance
+ * @param tasks how many tasks wait that could share the machine
+ * @param tasksByZone how many tasks of the job each zone has according to the plan so far
+ * @param zones the zones in which the plan allows the machine; the job may restrict them further
  */
-record OfferRequest(ActiveJob job, boolean fullPrice, int tasks, Map<String, Integer> tasksByZone, ZoneFilter zones) {
-    /** A request for a machine in these zones, at any price, whatever tasks the zones have already. */
+record OfferRequest(
+        ActiveJob job, boolean allowsOnDemand, int tasks, Map<String, Integer> tasksByZone, ZoneFilter zones) {
+    /** Returns a request for a spot or on-demand machine in these zones, regardless of the tasks in each zone. */
     static OfferRequest atAnyPrice(ActiveJob job, int tasks, ZoneFilter zones) {
         return new OfferRequest(job, true, tasks, Map.of(), zones);
     }
 
-    /** How many tasks of the job this zone has by the plan so far. */
-    int tasksIn(String zone) {
+    /** Returns how many tasks of the job this zone has according to the plan so far. */
+    int taskCountIn(String zone) {
         return tasksByZone.getOrDefault(zone, 0);
     }
 
-    /** Whether a machine in this zone serves the request. */
+    /** Returns whether the request allows a machine in this zone. */
     boolean allowsZone(String zone) {
         return job.spec().allowsZone(zone)
                 && zones.includes(zone)
-                && tasksIn(zone) < job.spec().zoneCap();
+                && taskCountIn(zone) < job.spec().zoneCap();
     }
 
-    /** Whether a machine at this kind of price serves the request. */
-    boolean allowsPrice(boolean spot) {
-        return spot ? job.spec().spot() : fullPrice;
+    /** Returns whether the request allows a spot instance, or an on-demand machine if {@code spot} is false. */
+    boolean allowsPricing(boolean spot) {
+        return spot ? job.spec().spot() : allowsOnDemand;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
@@ -7,71 +7,81 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** The machines that are on their way and those that the plan adds, with the launches that bring the latter. */
+/** The pending machines, and the new machines that the plan adds together with their launches. */
 final class PlannedCapacity {
-    /** More machines than a few launches bring are not planned for: the plan is made anew after each. */
+    /**
+     * Maximum number of new machines in a plan. A few launches bring no more, and a new plan is made after each of
+     * them.
+     */
     private static final int MAX_NEW_MACHINES = 400;
 
     private final List<PlannedMachine> machines = new ArrayList<>();
-    /** The launches so far by the key of their offer, in the order in which they were first planned. */
+    /** The launches by the key of their offer, in the order in which they were first planned. */
     private final Map<String, PlannedLaunch> launches = new LinkedHashMap<>();
 
     private double batchCpuMillis;
-    private int newMachines;
+    private int newMachineCount;
 
-    /** All machines, those on their way first. */
+    /** Returns all machines, the pending ones first. */
     List<PlannedMachine> machines() {
         return machines;
     }
 
-    /** CPUs, in thousandths, that batch work gets on machines on their way or planned. */
+    /** Returns the thousandths of a CPU that batch work gets on pending and new machines. */
     double batchCpuMillis() {
         return batchCpuMillis;
     }
 
-    /** Adds a machine that is on its way. */
+    /** Adds an empty pending machine. */
     void addPending(MachineType type, String zone, boolean spot) {
         machines.add(new PlannedMachine(type, zone, spot));
         batchCpuMillis += type.cpuMillis();
     }
 
-    /** Adds a machine to be launched, of which the first tasks are already set aside. */
+    /** Adds a machine to be launched, on which capacity is already reserved for its first tasks. */
     void addNew(PlannedMachine machine, Offer offer) {
         machines.add(machine);
         batchCpuMillis += offer.job().spec().service() ? 0 : machine.type().cpuMillis();
         addLaunch(offer, 1);
     }
 
-    /** Adds a launch whose machines are not at hand for the rest of the plan. */
+    /** Adds a launch whose machines the rest of the plan does not use. */
     void addLaunch(Offer offer, int count) {
-        launches.merge(offer.key(), new PlannedLaunch(offer, count), (launch, more) -> launch.plus(more.count()));
+        launches.merge(offer.key(), new PlannedLaunch(offer, count), (launch, added) -> launch.plus(added.count()));
     }
 
-    /** How many machines of this offer the plan launches so far. */
+    /** Returns how many machines of this offer the plan launches so far. */
     int launchCount(Offer offer) {
         PlannedLaunch launch = launches.get(offer.key());
         return launch == null ? 0 : launch.count();
     }
 
-    /** Whether one more new machine may be considered beside so many that are not counted yet. */
-    boolean mayConsiderMore(int uncounted) {
-        return newMachines + uncounted < MAX_NEW_MACHINES;
+    /**
+     * Returns whether the plan may have one more new machine.
+     *
+     * @param uncounted how many new machines were found and not yet counted with {@link #countNewMachine}
+     */
+    boolean canPlanNewMachine(int uncounted) {
+        return newMachineCount + uncounted < MAX_NEW_MACHINES;
     }
 
-    /** Counts a new machine that was looked for, whether it was found or not. */
-    void countConsidered() {
-        newMachines++;
+    /** Counts a new machine against the maximum, whether an offer for it is found or not. */
+    void countNewMachine() {
+        newMachineCount++;
     }
 
-    /** What to launch first: for live services before other work, then most of a kind. Null: nothing. */
+    /**
+     * Returns the launch to carry out first: launches for live services precede those for other work, and
+     * within each group the launch of the most machines is first. Null if there is no launch.
+     */
     @Nullable
-    PlannedLaunch first() {
-        PlannedLaunch best = null;
+    PlannedLaunch firstLaunch() {
+        PlannedLaunch first = null;
         for (PlannedLaunch launch : launches.values()) {
-            if (best == null || launch.goesBefore(best)) {
-                best = launch;
+            if (first == null || launch.hasPriorityOver(first)) {
+                first = launch;
             }
         }
-        return best;
+        return first;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
@@ -1,14 +1,17 @@
 package org.granitepath.coordination.autoscaling;
 
-/** How many machines of an offer to launch. */
+/** A planned launch of machines of one offer. */
 record PlannedLaunch(Offer offer, int count) {
-    /** The same with so many machines more. */
-    PlannedLaunch plus(int more) {
-        return new PlannedLaunch(offer, count + more);
+    /** Returns this launch with additional machines. */
+    PlannedLaunch plus(int additional) {
+        return new PlannedLaunch(offer, count + additional);
     }
 
-    /** Whether it goes before another: live services before other work, then most of a kind. */
-    boolean goesBefore(PlannedLaunch other) {
+    /**
+     * Returns whether this launch is to be carried out before another: launches for live services precede those for
+     * other work, and a launch of more machines precedes one of fewer.
+     */
+    boolean hasPriorityOver(PlannedLaunch other) {
         boolean live = offer.job().isLive();
         boolean otherLive = other.offer.job().isLive();
         return live == otherLive ? count > other.count : live;
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -3,7 +3,10 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
-/** Capacity on a machine that is on its way, or is to be launched. Amounts are in thousandths. */
+/**
+ * A machine that is pending or to be launched, with the capacity that is reserved on it. Amounts of CPU, GPU and memory
+ * are in thousandths.
+ */
 final class PlannedMachine {
     private final MachineType type;
     private final String zone;
@@ -12,7 +15,7 @@
     private long freeGpuMillis;
     private long freeMemoryMillis;
 
-    /** An empty machine. */
+    /** Creates a machine on which nothing is reserved. */
     PlannedMachine(MachineType type, String zone, boolean spot) {
         this.type = type;
         this.zone = zone;
@@ -22,38 +25,38 @@
         freeMemoryMillis = type.memoryMillis();
     }
 
-    /** The machine of an offer. */
+    /** Returns an empty machine of the kind that is offered. */
     static PlannedMachine of(Offer offer) {
         return new PlannedMachine(offer.type(), offer.zone(), offer.spot());
     }
 
-    /** Its type. */
+    /** Returns the type of the machine. */
     MachineType type() {
         return type;
     }
 
-    /** Its zone. */
+    /** Returns the zone of the machine. */
     String zone() {
         return zone;
     }
 
-    /** Whether it is a spot instance. */
+    /** Returns whether the machine is a spot instance. */
     boolean spot() {
         return spot;
     }
 
-    /** CPUs, in thousandths, that are not set aside. */
+    /** Returns the thousandths of a CPU that are not reserved. */
     long freeCpuMillis() {
         return freeCpuMillis;
     }
 
-    /** How many such tasks it still holds. */
+    /** Returns how many more tasks of this job the machine holds; 0 if the job does not allow the machine. */
     int slots(JobSpec spec) {
         return allows(spec) ? MachineType.slots(spec, freeCpuMillis, freeGpuMillis, freeMemoryMillis) : 0;
     }
 
-    /** Sets capacity aside for one such task; false when there is none. */
-    boolean take(JobSpec spec) {
+    /** Reserves capacity for one task of this job, and returns whether there was enough. */
+    boolean reserve(JobSpec spec) {
         if (slots(spec) == 0) {
             return false;
         }
@@ -63,8 +66,8 @@
         return true;
     }
 
-    /** Undoes a {@link #take}. */
-    void undoTake(JobSpec spec) {
+    /** Releases the capacity that {@link #reserve} reserved for one task of this job. */
+    void unreserve(JobSpec spec) {
         freeCpuMillis += spec.cpuMillis();
         freeGpuMillis += spec.gpuMillis();
         freeMemoryMillis += spec.memoryMillis();
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleIn.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides which machines to terminate: those that failed, that nothing needs, or that were drained. */
+/** Chooses the machines to terminate: those that failed, that no work needs, or that were drained. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -22,7 +22,7 @@
     private final MachineFailures failures;
     private final IdleMachines idleMachines;
 
-    /** Decides over the machines of this fleet and those that boot. */
+    /** Creates an object that chooses among the machines of this fleet and the booting machines. */
     ScaleIn(
             Config config,
             Fleet fleet,
@@ -37,36 +37,47 @@
         this.idleMachines = new IdleMachines(config.tuning().scaling(), spareHeadroom, gangHeadroom, recovery);
     }
 
-    /** The machines to terminate now, by name, as many as one request may name. */
-    List<String> choose(long nowMicros) {
+    /**
+     * Chooses the machines to terminate now, at most as many as one request may name. Machines that the cloud has not
+     * terminated yet are chosen again.
+     *
+     * @return the names of the machines
+     */
+    List<String> chooseMachines(long nowMicros) {
         List<String> ids = new ArrayList<>();
-        chooseFailedToBoot(ids, nowMicros);
-        failures.survey();
-        idleMachines.survey();
+        addMachinesThatFailedToBoot(ids, nowMicros);
+        failures.refresh();
+        idleMachines.refresh();
         for (Machine machine : List.copyOf(fleet.machines())) {
             if (ids.size() >= Terminator.MAX_MACHINES_PER_REQUEST) {
                 break;
             }
-            if (isToBeTerminated(machine, nowMicros)) {
+            if (decideTermination(machine, nowMicros)) {
                 ids.add(machine.id());
             }
         }
         return ids;
     }
 
-    private void chooseFailedToBoot(List<String> ids, long nowMicros) {
+    private void addMachinesThatFailedToBoot(List<String> ids, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (machine.failedToBoot(nowMicros) && ids.size() < Terminator.MAX_MACHINES_PER_REQUEST) {
+            if (machine.hasFailedToBoot(nowMicros) && ids.size() < Terminator.MAX_MACHINES_PER_REQUEST) {
                 long ageSeconds = (nowMicros - machine.launchedMicros()) / MICROS_PER_SECOND;
-                LOG.info("machine {} terminating: not up after {} s", machine.id(), ageSeconds);
+                LOG.info(
+                        "machine {} sent no heartbeat within {} s of its launch; terminating it",
+                        machine.id(),
+                        ageSeconds);
                 ids.add(machine.id());
             }
         }
     }
 
-    /** Whether the cloud is to be asked for it, for the first time or again. */
-    private boolean isToBeTerminated(Machine machine, long nowMicros) {
-        TerminationReason reason = reason(machine, nowMicros);
+    /**
+     * Decides whether to request the termination of the machine, for the first time or again, and moves the machine to
+     * the phase {@code TERMINATING} if so.
+     */
+    private boolean decideTermination(Machine machine, long nowMicros) {
+        TerminationReason reason = terminationReason(machine, nowMicros);
         if (machine.phase() == Machine.Phase.TERMINATING) {
             return true;
         }
@@ -76,11 +87,11 @@
         return reason != null;
     }
 
-    /** Why the machine is to be terminated; null: it is not. */
-    private @Nullable TerminationReason reason(Machine machine, long nowMicros) {
-        // Asked for every machine, since it also settles which idle ones are kept as headroom.
-        boolean released = idleMachines.releases(machine, nowMicros);
-        TerminationReason failure = failures.reason(machine, nowMicros);
+    /** Returns why the machine is to be terminated, or null if it is not. */
+    private @Nullable TerminationReason terminationReason(Machine machine, long nowMicros) {
+        // Called for every machine, because it also determines which idle machines are kept as headroom.
+        boolean released = idleMachines.releaseIfUnneeded(machine, nowMicros);
+        TerminationReason failure = failures.failureReason(machine, nowMicros);
         if (failure != null) {
             return failure;
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -9,11 +9,11 @@
 import org.granitepath.coordination.placement.PlacementRules;
 import org.granitepath.storage.MachineType;
 
-/** Plans anew whenever the last launch is over, and launches what the plan puts first. */
+/** Makes a new plan whenever the previous launch is over, and carries out the first launch of the plan. */
 final class ScaleOut {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final ScaleOutPlan.Inputs demand;
+    private final ScaleOutPlan.Inputs inputs;
     private final PlacementRules rules;
     private final BooleanSupplier leaseConfirmed;
     private final FailureDetector failureDetector;
@@ -23,12 +23,12 @@
     private final SpareHeadroom spareHeadroom;
 
     /**
-     * Launches nothing before it is told to.
+     * Creates an object that launches nothing until {@link #launch} is called.
      *
-     * @param leaseConfirmed whether the store confirmed lately that this controller leads
+     * @param leaseConfirmed whether the store has recently confirmed that this controller leads
      */
     ScaleOut(
-            ScaleOutPlan.Inputs demand,
+            ScaleOutPlan.Inputs inputs,
             PlacementRules rules,
             BooleanSupplier leaseConfirmed,
             FailureDetector failureDetector,
@@ -36,7 +36,7 @@
             CloudRequestBudget requestBudget,
             Launcher launcher,
             SpareHeadroom spareHeadroom) {
-        this.demand = demand;
+        this.inputs = inputs;
         this.rules = rules;
         this.leaseConfirmed = leaseConfirmed;
         this.failureDetector = failureDetector;
@@ -46,47 +46,50 @@
         this.spareHeadroom = spareHeadroom;
     }
 
-    /** Launches machines for the work that waits, one kind after the other as long as any is lacking. */
+    /**
+     * Launches machines for the waiting work, unless a launch is in progress. Each answer of the cloud starts the next
+     * launch, until no more machines are needed.
+     */
     void launch(long nowMicros) {
-        if (launcher.underWay() || !leaseConfirmed.getAsBoolean()) {
+        if (launcher.hasRequestInFlight() || !leaseConfirmed.getAsBoolean()) {
             return;
         }
-        demand.batchPlanner().update(nowMicros);
+        inputs.batchPlanner().update(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
-                demand, launcher::refusedLately, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
-        addPending(plan, nowMicros);
-        List<ActiveJob> waiting = demand.jobs().all().stream()
-                .filter(job -> launchesFor(job, nowMicros))
+                inputs, launcher::isUnavailable, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
+        addPendingMachines(plan, nowMicros);
+        List<ActiveJob> waiting = inputs.jobs().all().stream()
+                .filter(job -> qualifiesForLaunch(job, nowMicros))
                 .toList();
-        plan.make(waiting);
+        plan.planFor(waiting);
         spareHeadroom.update(plan.spareHeadroomCpuMillis());
-        PlannedLaunch first = plan.first();
-        if (first != null && requestBudget.tryTake(nowMicros)) {
-            launcher.launch(first, Math.round(plan.drainMicros() / MICROS_PER_SECOND), this::launch);
+        PlannedLaunch first = plan.firstLaunch();
+        if (first != null && requestBudget.tryAcquire(nowMicros)) {
+            launcher.launch(first, Math.round(plan.batchDrainMicros() / MICROS_PER_SECOND), this::launch);
         }
     }
 
-    private void addPending(ScaleOutPlan plan, long nowMicros) {
+    private void addPendingMachines(ScaleOutPlan plan, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (!machine.overdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
-                plan.pending(machine.type(), machine.zone(), machine.spot());
+            if (!machine.isOverdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
+                plan.addPending(machine.type(), machine.zone(), machine.spot());
             }
         }
-        Fleet fleet = demand.fleet();
+        Fleet fleet = inputs.fleet();
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
-            if (type != null && justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
-                plan.pending(type, machine.zone(), machine.spot());
+            if (type != null && isJoining(machine) && !fleet.overdue(machine, nowMicros)) {
+                plan.addPending(type, machine.zone(), machine.spot());
             }
         }
     }
 
-    /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
-    private static boolean justJoined(Machine machine) {
+    /** Returns whether the machine has sent its first heartbeats and is not yet ready for tasks. */
+    private static boolean isJoining(Machine machine) {
         return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
     }
 
-    private boolean launchesFor(ActiveJob job, long nowMicros) {
+    private boolean qualifiesForLaunch(ActiveJob job, long nowMicros) {
         return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -19,19 +19,23 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** What is to be launched for the work that waits, given what is on its way. Made anew before each launch. */
+/**
+ * A plan of which machines to launch for the waiting work, given the pending machines: those that were launched and are
+ * not ready for tasks yet. A new plan is made before each launch.
+ */
 public final class ScaleOutPlan {
-    /** Tasks of one job that are planned for at a time: as many as 6,000 machines with a task each. */
+    /** Maximum number of tasks of one job in a plan: one task on each of 6,000 machines. */
     private static final int MAX_PLANNED_TASKS = 6_000;
 
     /**
-     * What a plan is made from.
+     * Inputs of a plan.
      *
-     * @param fleet the machines that there are
-     * @param jobs the jobs that are not over
+     * @param config the configuration of this controller
+     * @param fleet the machines that have joined
+     * @param jobs the jobs that have not ended
      * @param batchPlanner tells which batch work can wait for cheaper capacity
-     * @param runtimeEstimator tells how long a job's tasks take
-     * @param arrivalRate tells how much work of live services arrives
+     * @param runtimeEstimator estimates how long the tasks of a job run
+     * @param arrivalRate estimates how much work of live services arrives
      */
     public record Inputs(
             Config config,
@@ -43,86 +47,90 @@
 
     private final BatchPlanner batchPlanner;
     private final long nowMicros;
-    private final PlannedCapacity planned = new PlannedCapacity();
+    private final PlannedCapacity capacity = new PlannedCapacity();
     private final OfferMarket market;
-    private final HeadroomPlan headroom;
-    private final GangPlan gangs;
+    private final HeadroomPlan headroomPlan;
+    private final GangPlan gangPlan;
     private final WaitingLiveTasks waitingLiveTasks = new WaitingLiveTasks();
 
     /**
-     * An empty plan.
+     * Creates an empty plan.
      *
-     * @param refused keys of offers of which the cloud lately had none
-     * @param cutOff zones from which no heartbeat would arrive
+     * @param unavailable accepts the keys of the offers for which the cloud recently had no capacity
+     * @param partitioned accepts the zones from which no heartbeat would arrive
      */
-    ScaleOutPlan(Inputs demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
-        this.batchPlanner = demand.batchPlanner();
+    ScaleOutPlan(Inputs inputs, Predicate<String> unavailable, Predicate<String> partitioned, long nowMicros) {
+        this.batchPlanner = inputs.batchPlanner();
         this.nowMicros = nowMicros;
-        this.market = new OfferMarket(demand, planned, refused, cutOff, nowMicros);
-        this.headroom = new HeadroomPlan(demand, planned, market, nowMicros);
-        this.gangs = new GangPlan(demand, planned, market);
+        this.market = new OfferMarket(inputs, capacity, unavailable, partitioned, nowMicros);
+        this.headroomPlan = new HeadroomPlan(inputs, capacity, market, nowMicros);
+        this.gangPlan = new GangPlan(inputs, capacity, market);
     }
 
-    /** Takes account of a machine that is on its way. */
-    void pending(MachineType type, String zone, boolean spot) {
-        planned.addPending(type, zone, spot);
+    /** Adds a pending machine, whose capacity the plan may use. */
+    void addPending(MachineType type, String zone, boolean spot) {
+        capacity.addPending(type, zone, spot);
     }
 
-    /** Plans for the jobs that wait for capacity, by priority and age. */
-    void make(Collection<ActiveJob> wanting) {
-        List<ActiveJob> waiting = new ArrayList<>(wanting);
+    /** Plans machines for the jobs that wait for capacity, in the order of their priority and age. */
+    void planFor(Collection<ActiveJob> waitingJobs) {
+        List<ActiveJob> waiting = new ArrayList<>(waitingJobs);
         waiting.sort(Comparator.comparing((ActiveJob job) -> job.spec().priority())
                 .thenComparing(job -> job.acceptedMicros()));
         waiting.stream().filter(ActiveJob::isLive).forEach(waitingLiveTasks::add);
         boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
             if (!headroomPlanned && !job.isLive()) {
-                // What is on its way is headroom once the live services at hand have theirs, whatever else wants it.
-                headroom.make();
+                // Pending capacity that the waiting live services leave counts as headroom, even if other work wants
+                // it.
+                headroomPlan.addLaunches();
                 headroomPlanned = true;
             }
-            plan(job);
+            planJob(job);
         }
         if (!headroomPlanned) {
-            headroom.make();
+            headroomPlan.addLaunches();
         }
     }
 
-    /** What to launch first: for live services before other work, then most of a kind. Null: nothing. */
+    /**
+     * Returns the launch to carry out first: launches for live services precede those for other work, and
+     * within each group the launch of the most machines is first. Null if the plan has no launch.
+     */
     @Nullable
-    PlannedLaunch first() {
-        return planned.first();
+    PlannedLaunch firstLaunch() {
+        return capacity.firstLaunch();
     }
 
-    /** CPUs, in thousandths, that live services could take beyond the headroom wanted for them. */
+    /** Returns the thousandths of a CPU that live services could take beyond the headroom wanted for them. */
     double spareHeadroomCpuMillis() {
-        return headroom.spareCpuMillis();
+        return headroomPlan.spareCpuMillis();
     }
 
-    /** How long the batch work at hand takes on what there is and what is on its way. */
-    double drainMicros() {
-        return batchPlanner.drainMicros(planned.batchCpuMillis());
+    /** Returns how long the present batch work takes on the present, the pending and the planned machines. */
+    double batchDrainMicros() {
+        return batchPlanner.drainMicros(capacity.batchCpuMillis());
     }
 
-    private void plan(ActiveJob job) {
+    private void planJob(ActiveJob job) {
         if (job.spec().gang()) {
-            gangs.plan(job);
+            gangPlan.plan(job);
             return;
         }
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
-        int others = job.isLive() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
+        int equivalentTasks = job.isLive() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
         int wanted = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
-        int lacking = usePending(job, wanted, tasksByZone);
-        planNew(job, lacking, others, tasksByZone);
+        int lacking = reserveOnPending(job, wanted, tasksByZone);
+        planNewMachines(job, lacking, equivalentTasks, tasksByZone);
     }
 
-    /** Sets capacity aside on machines that are on their way, and returns how many tasks are left. */
-    private int usePending(ActiveJob job, int tasks, Map<String, Integer> tasksByZone) {
+    /** Reserves capacity on pending and planned machines, and returns for how many tasks there is none. */
+    private int reserveOnPending(ActiveJob job, int tasks, Map<String, Integer> tasksByZone) {
         boolean deferrable = isDeferrable(job);
         int left = tasks;
-        for (PlannedMachine machine : planned.machines()) {
+        for (PlannedMachine machine : capacity.machines()) {
             if (machine.spot() || !deferrable) {
-                left = fill(machine, job.spec(), left, tasksByZone);
+                left = reserve(machine, job.spec(), left, tasksByZone);
             }
         }
         return left;
@@ -131,31 +139,33 @@
     /**
      * Plans new machines for tasks of a job.
      *
-     * @param others how many more tasks wait that could share the machines
+     * @param tasks how many tasks of the job need capacity
+     * @param equivalentTasks how many tasks of other jobs wait that could share the machines
+     * @param tasksByZone how many tasks of the job each zone has according to the plan so far; updated by this method
      */
-    private void planNew(ActiveJob job, int tasks, int others, Map<String, Integer> tasksByZone) {
+    private void planNewMachines(ActiveJob job, int tasks, int equivalentTasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
-        while (left > 0 && planned.mayConsiderMore(0)) {
-            planned.countConsidered();
-            Offer offer = market.cheapest(
-                    new OfferRequest(job, !isDeferrable(job), left + others, tasksByZone, ZoneFilter.ANY_ZONE));
+        while (left > 0 && capacity.canPlanNewMachine(0)) {
+            capacity.countNewMachine();
+            Offer offer = market.cheapestOffer(new OfferRequest(
+                    job, !isDeferrable(job), left + equivalentTasks, tasksByZone, ZoneFilter.ANY_ZONE));
             if (offer == null) {
                 return;
             }
             PlannedMachine machine = PlannedMachine.of(offer);
             int before = left;
-            left = fill(machine, job.spec(), left, tasksByZone);
+            left = reserve(machine, job.spec(), left, tasksByZone);
             if (left == before) {
                 return;
             }
-            planned.addNew(machine, offer);
+            capacity.addNew(machine, offer);
         }
     }
 
-    /** Sets capacity aside for as many of the tasks as the machine holds, and returns how many are left. */
-    private static int fill(PlannedMachine machine, JobSpec spec, int tasks, Map<String, Integer> tasksByZone) {
+    /** Reserves capacity for as many of the tasks as the machine holds, and returns how many are left. */
+    private static int reserve(PlannedMachine machine, JobSpec spec, int tasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
-        while (left > 0 && tasksByZone.getOrDefault(machine.zone(), 0) < spec.zoneCap() && machine.take(spec)) {
+        while (left > 0 && tasksByZone.getOrDefault(machine.zone(), 0) < spec.zoneCap() && machine.reserve(spec)) {
             tasksByZone.merge(machine.zone(), 1, Integer::sum);
             left--;
         }
@@ -163,6 +173,6 @@
     }
 
     private boolean isDeferrable(ActiveJob job) {
-        return batchPlanner.deferrable(job, planned.batchCpuMillis(), nowMicros);
+        return batchPlanner.deferrable(job, capacity.batchCpuMillis(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/SpareHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/SpareHeadroom.java
@@ -1,22 +1,28 @@
 package org.granitepath.coordination.autoscaling;
 
-/** Capacity that live services could take beyond the headroom wanted for them; machines up to it may be terminated. */
+/**
+ * Capacity that live services could take beyond the headroom wanted for them. Idle machines of up to this capacity may
+ * be terminated.
+ */
 final class SpareHeadroom {
-    /** CPUs in thousandths; unlimited before the first plan, when no headroom is wanted. */
+    /** In thousandths of a CPU; unlimited before the first plan, when no headroom is wanted. */
     private double cpuMillis = Double.MAX_VALUE;
 
-    /** Sets what a new plan found. */
+    /** Replaces the capacity with the result of a new plan, in thousandths of a CPU. */
     void update(double newCpuMillis) {
         cpuMillis = newCpuMillis;
     }
 
-    /** Whether so much is wanted as headroom at least in part. */
-    boolean needs(long machineCpuMillis) {
+    /**
+     * Returns whether this capacity is less than that of a machine, so that at least part of the machine is wanted as
+     * headroom.
+     */
+    boolean isLessThan(long machineCpuMillis) {
         return cpuMillis < machineCpuMillis;
     }
 
-    /** Takes account of a machine that is terminated. */
-    void release(long machineCpuMillis) {
+    /** Subtracts the capacity of a machine that is terminated. */
+    void subtract(long machineCpuMillis) {
         cpuMillis -= machineCpuMillis;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
@@ -1,14 +1,17 @@
 package org.granitepath.coordination.autoscaling;
 
-/** Why a machine is terminated. */
+/** The reason why a machine is terminated. */
 enum TerminationReason {
-    /** It has sent no heartbeat for too long, and what is known of other machines says that it is to blame. */
+    /**
+     * The machine has sent no heartbeat for too long, and the heartbeats of other machines indicate that the machine
+     * failed rather than the network.
+     */
     UNRESPONSIVE("unresponsive"),
-    /** Its heartbeats arrive, but our answers and commands do not reach it. */
-    UNREACHABLE("our answers do not reach it"),
-    /** Nothing has needed it for longer than it pays to keep it. */
+    /** Heartbeats of the machine arrive, but answers and commands of the controller do not reach the machine. */
+    UNREACHABLE("the controller's answers do not reach it"),
+    /** No work has needed the machine for longer than it is worth to keep it. */
     IDLE("idle"),
-    /** It was drained, and is empty. */
+    /** The machine was drained and is empty. */
     DRAINED("drained");
 
     private final String text;
@@ -17,7 +20,7 @@
         this.text = text;
     }
 
-    /** The reason as the log words it. */
+    /** Returns the text of the reason for the log. */
     String text() {
         return text;
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
@@ -8,30 +8,31 @@
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.storage.Timers;
 
-/** Terminates machines, one request at a time, and remembers for a while which ones it terminated. */
+/** Terminates machines, one request at a time, and remembers for a while which machines it terminated. */
 final class Terminator {
-    /** The most machines that one request may name. */
+    /** Maximum number of machines in one request. */
     static final int MAX_MACHINES_PER_REQUEST = 100;
 
-    /** For longer than the cloud's list may be out of date. */
-    private static final long REMEMBERED_MICROS = 120_000_000;
+    /** How long a terminated machine is remembered: longer than the cloud's list may be out of date. */
+    private static final long TERMINATION_MEMORY_MICROS = 120_000_000;
 
     private final CloudPort cloud;
     private final CloudRequestBudget requestBudget;
     private final Timers timers;
     private final BootingMachines booting;
     private final Consumer<String> terminationListener;
-    private final BooleanSupplier ended;
-    /** When each machine was terminated, by its name. */
+    private final BooleanSupplier termEnded;
+    /** The time of termination of each machine, by the name of the machine. */
     private final Map<String, Long> terminatedMicros = new HashMap<>();
 
-    private boolean underWay;
+    private boolean requestInFlight;
 
     /**
-     * Terminates nothing before it is told to.
+     * Creates a terminator that terminates nothing until {@link #terminate} is called.
      *
-     * @param terminationListener told of each machine that is gone, by its name
-     * @param ended whether the term of leadership is over: then answers change nothing
+     * @param booting the booting machines, from which terminated machines are removed
+     * @param terminationListener called with the name of each machine that the cloud has terminated
+     * @param termEnded whether the term of leadership is over; the terminator then ignores answers
      */
     Terminator(
             CloudPort cloud,
@@ -39,34 +40,39 @@
             Timers timers,
             BootingMachines booting,
             Consumer<String> terminationListener,
-            BooleanSupplier ended) {
+            BooleanSupplier termEnded) {
         this.cloud = cloud;
         this.requestBudget = requestBudget;
         this.timers = timers;
         this.booting = booting;
         this.terminationListener = terminationListener;
-        this.ended = ended;
+        this.termEnded = termEnded;
     }
 
-    /** Whether this machine was terminated a short while ago. */
-    boolean terminatedLately(String id) {
+    /** Returns whether this machine was terminated recently. */
+    boolean wasRecentlyTerminated(String id) {
         return terminatedMicros.containsKey(id);
     }
 
-    /** Forgets machines that no list can show any more. */
-    void forgetOld(long nowMicros) {
-        terminatedMicros.values().removeIf(atMicros -> atMicros < nowMicros - REMEMBERED_MICROS);
+    /** Forgets the terminated machines that the cloud's list cannot show any more. */
+    void forgetOldTerminations(long nowMicros) {
+        terminatedMicros
+                .values()
+                .removeIf(terminationMicros -> terminationMicros < nowMicros - TERMINATION_MEMORY_MICROS);
     }
 
-    /** Terminates these machines unless a request is under way or the budget is used up: then they come again. */
+    /**
+     * Terminates these machines. Does nothing if a request is in flight or the request budget is used up; the caller
+     * then names the machines again later.
+     */
     void terminate(List<String> ids, long nowMicros) {
-        if (ids.isEmpty() || underWay || !requestBudget.tryTake(nowMicros)) {
+        if (ids.isEmpty() || requestInFlight || !requestBudget.tryAcquire(nowMicros)) {
             return;
         }
-        underWay = true;
+        requestInFlight = true;
         cloud.terminate(ids, done -> {
-            underWay = false;
-            if (ended.getAsBoolean() || !done) {
+            requestInFlight = false;
+            if (termEnded.getAsBoolean() || !done) {
                 return;
             }
             for (String id : ids) {
--- a/src/main/java/org/granitepath/coordination/autoscaling/WaitingLiveTasks.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/WaitingLiveTasks.java
@@ -7,11 +7,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The waiting tasks of live services that are not planned for yet, by what they need of a machine: those that need the
- * same are launched for together, since they share machines.
+ * Counts the waiting tasks of live services that the plan does not cover yet, by what they need of a machine. Tasks
+ * with the same needs can share machines, so the plan launches machines for them together.
  */
 final class WaitingLiveTasks {
-    /** What a task needs of a machine, in thousandths; {@code types} and {@code zone} are null where any will do. */
+    /**
+     * Everything that a task needs of a machine. Amounts are in thousandths; {@code types} and {@code zone} are null if
+     * the task accepts any.
+     */
     private record EquivalenceClass(
             long cpuMillis,
             long gpuMillis,
@@ -27,12 +30,12 @@
 
     private final Object2IntOpenHashMap<EquivalenceClass> tasksByClass = new Object2IntOpenHashMap<>();
 
-    /** Counts the waiting tasks of this job. */
+    /** Adds the waiting tasks of this job. */
     void add(ActiveJob job) {
         tasksByClass.addTo(EquivalenceClass.of(job.spec()), job.waitingTasks());
     }
 
-    /** Takes out a job that is planned for, and returns how many tasks of the others need the same as its tasks. */
+    /** Removes the waiting tasks of a job, and returns how many tasks of other jobs have the same needs. */
     int removeAndCountEquivalent(ActiveJob job) {
         int before = tasksByClass.addTo(EquivalenceClass.of(job.spec()), -job.waitingTasks());
         return before - job.waitingTasks();
--- a/src/main/java/org/granitepath/coordination/autoscaling/package-info.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How many machines there are: what to launch for the work that waits, and which machines to terminate. Owns the
- * machines that were launched and have sent no heartbeat yet.
+ * Autoscaling: decides which machines to launch for waiting work and which machines to terminate. Keeps track of the
+ * machines that were launched and have not sent a heartbeat yet.
  */
 package org.granitepath.coordination.autoscaling;
--- a/src/test/java/org/granitepath/coordination/autoscaling/CloudRequestBudgetTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/CloudRequestBudgetTest.java
@@ -6,39 +6,39 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many requests to the cloud are let through. */
+/** Tests how many requests to the cloud the budget allows. */
 class CloudRequestBudgetTest {
     private static final long SECOND_MICROS = 1_000_000;
 
     @Test
-    void oneRequestIsFreeAtFirst() {
+    void holdsOneRequestAtFirst() {
         CloudRequestBudget budget = new CloudRequestBudget(10, 0);
-        assertTrue(budget.tryTake(0));
-        assertFalse(budget.tryTake(0));
+        assertTrue(budget.tryAcquire(0));
+        assertFalse(budget.tryAcquire(0));
     }
 
     @Test
-    void itFillsAtAShareOfTheAllowedRate() {
+    void refillsAtShareOfAllowedRate() {
         CloudRequestBudget budget = new CloudRequestBudget(1, 0);
-        assertTrue(budget.tryTake(0));
-        assertFalse(budget.tryTake(SECOND_MICROS), "0.8 requests a second");
-        assertTrue(budget.tryTake(2 * SECOND_MICROS));
+        assertTrue(budget.tryAcquire(0));
+        assertFalse(budget.tryAcquire(SECOND_MICROS), "0.8 requests a second");
+        assertTrue(budget.tryAcquire(2 * SECOND_MICROS));
     }
 
     @Test
-    void itHoldsOneSecondsWorthAtMost() {
+    void holdsAtMostRequestsOfOneSecond() {
         CloudRequestBudget budget = new CloudRequestBudget(10, 0);
-        int taken = 0;
-        while (budget.tryTake(3_600 * SECOND_MICROS)) {
-            taken++;
+        int acquired = 0;
+        while (budget.tryAcquire(3_600 * SECOND_MICROS)) {
+            acquired++;
         }
-        assertEquals(8, taken);
+        assertEquals(8, acquired);
     }
 
     @Test
-    void aLowRateStillHoldsOneRequest() {
+    void holdsOneRequestAtLowRate() {
         CloudRequestBudget budget = new CloudRequestBudget(0.1, 0);
-        assertTrue(budget.tryTake(3_600 * SECOND_MICROS));
-        assertFalse(budget.tryTake(3_600 * SECOND_MICROS));
+        assertTrue(budget.tryAcquire(3_600 * SECOND_MICROS));
+        assertFalse(budget.tryAcquire(3_600 * SECOND_MICROS));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -17,14 +17,14 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which idle machines are released. Machines have four CPUs, boot for 20 s and are idle since {@code NOW}. */
+/** Tests which idle machines are released. Machines have four CPUs, boot in 20 s and are idle since {@code NOW}. */
 class IdleMachinesTest {
-    /** Half a boot time, by the default settings. */
-    private static final long IDLE = 10 * SECOND;
-    /** Seven tenths of a boot time, by the default settings. */
-    private static final long IDLE_SPOT = 14 * SECOND;
+    /** Half the boot time, according to the default settings. */
+    private static final long IDLE_MICROS = 10 * SECOND;
+    /** Seven tenths of the boot time, according to the default settings. */
+    private static final long SPOT_IDLE_MICROS = 14 * SECOND;
 
-    private static final long UNKNOWN_TYPE_IDLE = 30 * SECOND;
+    private static final long UNKNOWN_TYPE_IDLE_MICROS = 30 * SECOND;
     private static final long LONG_AGO = NOW - 3_600 * SECOND;
 
     private final PlacementFixture fixture = new PlacementFixture();
@@ -38,15 +38,15 @@
             new GangHeadroom(fixture.fleet, planner),
             new TermRecovery(recoveryPlan, fixture.jobs, null, null));
 
-    private Machine paidMachine(String id, boolean spot) {
+    private Machine machineLaunchedLongAgo(String id, boolean spot) {
         Machine machine = fixture.machine(id, spot);
         machine.launchedAt(LONG_AGO);
         return machine;
     }
 
     private boolean releasedAfter(Machine machine, long idleMicros) {
-        idleMachines.survey();
-        return idleMachines.releases(machine, NOW + idleMicros);
+        idleMachines.refresh();
+        return idleMachines.releaseIfUnneeded(machine, NOW + idleMicros);
     }
 
     private void assertReleasedAfter(Machine machine, long idleMicros) {
@@ -55,101 +55,101 @@
     }
 
     @Test
-    void afterAShareOfTheBootTime() {
-        assertReleasedAfter(paidMachine("m", false), IDLE);
+    void releasesAfterShareOfBootTime() {
+        assertReleasedAfter(machineLaunchedLongAgo("m", false), IDLE_MICROS);
     }
 
     @Test
-    void laterOnSpotInstances() {
-        assertReleasedAfter(paidMachine("m", true), IDLE_SPOT);
+    void releasesSpotInstancesLater() {
+        assertReleasedAfter(machineLaunchedLongAgo("m", true), SPOT_IDLE_MICROS);
     }
 
     @Test
-    void afterAFixedTimeWhereTheBootTimeIsUnknown() {
+    void releasesAfterFixedTimeIfBootTimeIsUnknown() {
         Machine machine = new Machine("m", "m:1", "unknown", "a", false);
         machine.tasksConfirmed();
         machine.heartbeatReceived(true, NOW);
         machine.launchedAt(LONG_AGO);
-        assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE);
+        assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE_MICROS);
     }
 
     @Test
-    void notBeforeTheMinimumChargeIsUsedUp() {
+    void keepsMachineUntilMinimumChargeIsUsedUp() {
         assertReleasedAfter(fixture.machine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
     }
 
     @Test
-    void notWithATask() {
-        Machine machine = paidMachine("m", false);
+    void keepsMachineWithTask() {
+        Machine machine = machineLaunchedLongAgo("m", false);
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
-        assertFalse(releasedAfter(machine, IDLE + 1));
+        assertFalse(releasedAfter(machine, IDLE_MICROS + 1));
     }
 
     @Test
-    void notWhileItIsReservedForAGang() {
-        Machine machine = paidMachine("m", false);
+    void keepsMachineReservedForGang() {
+        Machine machine = machineLaunchedLongAgo("m", false);
         machine.reserveFor(fixture.gang("gang", Priority.STANDARD).build());
-        assertFalse(releasedAfter(machine, IDLE + 1));
+        assertFalse(releasedAfter(machine, IDLE_MICROS + 1));
     }
 
     @Test
-    void notWhileItsTasksAreUnconfirmed() {
-        Machine machine = paidMachine("m", false);
+    void keepsMachineWithUnconfirmedTasks() {
+        Machine machine = machineLaunchedLongAgo("m", false);
         machine.confirmationLost(NOW, "test");
-        assertFalse(releasedAfter(machine, IDLE + 1));
+        assertFalse(releasedAfter(machine, IDLE_MICROS + 1));
     }
 
     @Test
-    void notBelowTheHeadroomForLiveServices() {
+    void keepsHeadroomForLiveServices() {
         spareHeadroom.update(2 * 4 * CPU - 1);
-        Machine first = paidMachine("m1", false);
-        Machine second = paidMachine("m2", false);
+        Machine first = machineLaunchedLongAgo("m1", false);
+        Machine second = machineLaunchedLongAgo("m2", false);
 
-        assertTrue(releasedAfter(first, IDLE + 1));
+        assertTrue(releasedAfter(first, IDLE_MICROS + 1));
         assertFalse(first.keptAsHeadroom());
 
-        assertFalse(releasedAfter(second, IDLE + 1));
+        assertFalse(releasedAfter(second, IDLE_MICROS + 1));
         assertTrue(second.keptAsHeadroom());
     }
 
     @Test
-    void spotInstancesAreNoHeadroomForLiveServices() {
+    void releasesSpotInstancesDespiteMissingHeadroom() {
         spareHeadroom.update(0);
-        Machine machine = paidMachine("m", true);
-        assertTrue(releasedAfter(machine, IDLE_SPOT + 1));
+        Machine machine = machineLaunchedLongAgo("m", true);
+        assertTrue(releasedAfter(machine, SPOT_IDLE_MICROS + 1));
         assertFalse(machine.keptAsHeadroom());
     }
 
     @Test
-    void aMachineThatIsUsedAgainIsNoHeadroomAnyMore() {
+    void usedMachineIsNoLongerHeadroom() {
         spareHeadroom.update(0);
-        Machine machine = paidMachine("m", false);
-        releasedAfter(machine, IDLE + 1);
+        Machine machine = machineLaunchedLongAgo("m", false);
+        releasedAfter(machine, IDLE_MICROS + 1);
         assertTrue(machine.keptAsHeadroom());
 
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
-        releasedAfter(machine, IDLE + 1);
+        releasedAfter(machine, IDLE_MICROS + 1);
 
         assertFalse(machine.keptAsHeadroom());
     }
 
     @Test
-    void notBelowTheHeadroomForGangs() {
+    void keepsHeadroomForGangs() {
         fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
         planner.update(NOW);
-        Machine first = paidMachine("m1", false);
-        Machine second = paidMachine("m2", false);
-        idleMachines.survey();
+        Machine first = machineLaunchedLongAgo("m1", false);
+        Machine second = machineLaunchedLongAgo("m2", false);
+        idleMachines.refresh();
 
-        assertTrue(idleMachines.releases(first, NOW + IDLE + 1));
-        assertFalse(idleMachines.releases(second, NOW + IDLE + 1));
+        assertTrue(idleMachines.releaseIfUnneeded(first, NOW + IDLE_MICROS + 1));
+        assertFalse(idleMachines.releaseIfUnneeded(second, NOW + IDLE_MICROS + 1));
     }
 
     @Test
-    void notWhileARecoveryHoldsBatchWork() {
-        Machine machine = paidMachine("m", false);
+    void keepsAllMachinesWhileRecoveryHoldsBatchWork() {
+        Machine machine = machineLaunchedLongAgo("m", false);
         recoveryPlan.takeOver("awaited", machine.profile());
         recoveryPlan.recordsRead(1, NOW);
-        assertFalse(releasedAfter(machine, IDLE + 1));
+        assertFalse(releasedAfter(machine, IDLE_MICROS + 1));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
@@ -15,18 +15,18 @@
 import org.granitepath.storage.ProgressRecord;
 import org.junit.jupiter.api.Test;
 
-/** One launch after the other, whatever the cloud answers. */
+/** Tests the launcher: one request at a time, for each answer of the cloud. */
 class LauncherTest {
     private static final long TOKEN = 7;
 
-    private final KeptRequests cloud = new KeptRequests();
+    private final RecordingCloud cloud = new RecordingCloud();
     private final ManualTimers timers = new ManualTimers();
     private final BootingMachines booting = new BootingMachines();
     private final long startMicros = timers.nowMicros();
     private final List<Long> answeredMicros = new ArrayList<>();
     private final Offer offer = new Offer(Examples.TYPE, "a", true, job());
-    private boolean ended;
-    private final Launcher launcher = new Launcher(cloud, timers, TOKEN, booting, () -> ended);
+    private boolean termEnded;
+    private final Launcher launcher = new Launcher(cloud, timers, TOKEN, booting, () -> termEnded);
 
     private static ActiveJob job() {
         JobRecord record = new JobRecord(Examples.batch(), 0, 0, TOKEN);
@@ -38,18 +38,18 @@
     }
 
     @Test
-    void launchedMachinesBoot() {
+    void addsLaunchedMachinesToBootingMachines() {
         launch(2);
-        assertTrue(launcher.underWay());
+        assertTrue(launcher.hasRequestInFlight());
         cloud.answerLaunch(CloudPort.Outcome.OK, "i-1", "i-2");
-        assertFalse(launcher.underWay());
+        assertFalse(launcher.hasRequestInFlight());
         assertTrue(booting.contains("i-1") && booting.contains("i-2"));
-        assertFalse(launcher.refusedLately(offer.key()));
+        assertFalse(launcher.isUnavailable(offer.key()));
         assertEquals(List.of(startMicros), answeredMicros);
     }
 
     @Test
-    void aRequestBringsABoundedNumberUnderAKeyOfItsOwn() {
+    void limitsMachinesPerRequestAndUsesUniqueKeys() {
         launch(1_000);
         cloud.answerLaunch(CloudPort.Outcome.NO_CAPACITY);
         launch(1);
@@ -62,26 +62,26 @@
     }
 
     @Test
-    void offersWithoutCapacityAreAvoidedForAWhile() {
+    void marksOfferUnavailableForFifteenSeconds() {
         launch(2);
         cloud.answerLaunch(CloudPort.Outcome.OK, "i-1");
-        assertTrue(launcher.refusedLately(offer.key()), "it brought fewer than asked for");
-        launcher.forgetOldRefusals(startMicros + 15 * Examples.SECOND_MICROS);
-        assertTrue(launcher.refusedLately(offer.key()));
-        launcher.forgetOldRefusals(startMicros + 15 * Examples.SECOND_MICROS + 1);
-        assertFalse(launcher.refusedLately(offer.key()));
+        assertTrue(launcher.isUnavailable(offer.key()), "the launch started fewer machines than requested");
+        launcher.expireUnavailableOffers(startMicros + 15 * Examples.SECOND_MICROS);
+        assertTrue(launcher.isUnavailable(offer.key()));
+        launcher.expireUnavailableOffers(startMicros + 15 * Examples.SECOND_MICROS + 1);
+        assertFalse(launcher.isUnavailable(offer.key()));
     }
 
     @Test
-    void withoutADefiniteAnswerTheSameRequestIsRepeated() {
+    void retriesSameRequestWithoutDefiniteAnswer() {
         launch(2);
-        IntStream.range(0, 20).forEach(repeat -> {
+        IntStream.range(0, 20).forEach(retry -> {
             cloud.answerLaunch(CloudPort.Outcome.UNKNOWN);
             timers.advance(Examples.SECOND_MICROS);
         });
-        assertTrue(launcher.underWay());
+        assertTrue(launcher.hasRequestInFlight());
         cloud.answerLaunch(CloudPort.Outcome.REFUSED);
-        assertFalse(launcher.underWay(), "given up after 20 repeats");
+        assertFalse(launcher.hasRequestInFlight(), "the launcher gives up after 20 retries");
         assertTrue(timers.nonePending());
         assertEquals(21, cloud.launches.size());
         assertEquals(1, cloud.launches.stream().distinct().count());
@@ -89,9 +89,9 @@
     }
 
     @Test
-    void afterTheTermAnswersChangeNothing() {
+    void ignoresAnswersAfterEndOfTerm() {
         launch(1);
-        ended = true;
+        termEnded = true;
         cloud.answerLaunch(CloudPort.Outcome.OK, "i-1");
         assertEquals(0, booting.size());
         assertEquals(List.of(), answeredMicros);
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -12,7 +12,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** When a machine counts as failed. */
+/** Tests when a machine counts as failed. */
 class MachineFailuresTest {
     private static final String OWN_ZONE = "zone-c1";
     private static final String PEER_ZONE = "zone-c2";
@@ -21,7 +21,7 @@
     private final long startMicros = timers.nowMicros();
     private final Config config = TestConfigs.of("c1", "c1-1", "c2");
     private final long leaseMicros = config.workers().leaseMicros();
-    private final long partitionMicros = leaseMicros + config.workers().cancellationTimeoutMicros();
+    private final long partitionTimeoutMicros = leaseMicros + config.workers().cancellationTimeoutMicros();
     private final Fleet fleet = new Fleet(config, timers);
     private final FailureDetector failureDetector =
             new FailureDetector(config, fleet, new Peers(config, null, timers, () -> null));
@@ -36,28 +36,28 @@
         return machine;
     }
 
-    private void machines(String zone, int count) {
+    private void addMachines(String zone, int count) {
         for (int number = 0; number < count; number++) {
             machine(zone + number, zone);
         }
     }
 
-    /** Why the machine counts as failed so long after the start. */
+    /** Returns why the machine counts as failed this long after the start, or null if it does not. */
     private TerminationReason reasonAfter(Machine machine, long micros) {
         failureDetector.update(startMicros + micros);
-        failures.survey();
-        return failures.reason(machine, startMicros + micros);
+        failures.refresh();
+        return failures.failureReason(machine, startMicros + micros);
     }
 
     @Test
-    void withoutHeartbeatsForMoreThanALease() {
+    void failsWithoutHeartbeatForMoreThanLease() {
         Machine machine = machine("m", OWN_ZONE);
         assertNull(reasonAfter(machine, leaseMicros));
         assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, leaseMicros + 1));
     }
 
     @Test
-    void soonerWhenItDoesNotAnswerCallsEither() {
+    void failsSoonerIfItDoesNotAnswerCallsEither() {
         Machine machine = machine("m", OWN_ZONE);
         machine.contact().callBegan(startMicros + 1);
         machine.contact().callEnded();
@@ -65,7 +65,7 @@
         long timeoutMicros = failureDetector.unresponsiveTimeoutMicros(machine);
 
         assertNull(reasonAfter(machine, timeoutMicros));
-        // One of a zone of its own is suspected once it is overdue: it is waited for one heartbeat longer.
+        // The only machine of a zone is suspected once it is overdue, so the timeout is one heartbeat longer.
         assertNull(reasonAfter(machine, timeoutMicros + 1));
         assertEquals(
                 TerminationReason.UNRESPONSIVE,
@@ -73,30 +73,30 @@
     }
 
     @Test
-    void whereMostAreOverdueOnlyAfterTheLongestPartition() {
-        machines(OWN_ZONE, 4);
+    void failsOnlyAfterLongestPartitionIfMostMachinesAreOverdue() {
+        addMachines(OWN_ZONE, 4);
         Machine machine = fleet.machines().iterator().next();
         assertNull(reasonAfter(machine, leaseMicros + 1));
-        assertNull(reasonAfter(machine, partitionMicros));
-        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, partitionMicros + 1));
+        assertNull(reasonAfter(machine, partitionTimeoutMicros));
+        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, partitionTimeoutMicros + 1));
     }
 
     @Test
-    void inAZoneCutOffWithAPeerOnlyAfterTheLongestPartition() {
-        machines(PEER_ZONE, 4);
+    void failsOnlyAfterLongestPartitionInPartitionedZoneWithPeer() {
+        addMachines(PEER_ZONE, 4);
         Machine machine = fleet.machines().iterator().next();
-        machines(OWN_ZONE, 20);
+        addMachines(OWN_ZONE, 20);
         fleet.machines().stream()
                 .filter(other -> other.zone().equals(OWN_ZONE))
-                .forEach(other -> other.heartbeatReceived(false, startMicros + partitionMicros));
+                .forEach(other -> other.heartbeatReceived(false, startMicros + partitionTimeoutMicros));
 
         assertNull(reasonAfter(machine, leaseMicros + 1));
-        assertNull(reasonAfter(machine, partitionMicros));
-        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, partitionMicros + 1));
+        assertNull(reasonAfter(machine, partitionTimeoutMicros));
+        assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, partitionTimeoutMicros + 1));
     }
 
     @Test
-    void whenOurAnswersHaveNotReachedItForALease() {
+    void failsIfAnswersHaveNotReachedItForLease() {
         Machine machine = machine("m", OWN_ZONE);
         machine.confirmationLost(startMicros, "test");
         machine.heartbeatReceived(false, startMicros + leaseMicros);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void notWhileItIsToBePutOnRecord() {
+    void doesNotFailBeforeItIsRecorded() {
         Machine machine = new Machine("m", "m:1", "type", OWN_ZONE, false);
         fleet.add(machine);
         machine.heartbeatReceived(false, startMicros + leaseMicros);
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineListerTest.java
@@ -16,18 +16,18 @@
 import org.granitepath.coordination.ports.CloudPort.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** What the cloud's list tells of machines that boot, and when it is read. */
+/** Tests which listed machines are tracked as booting, and when the cloud's list is read. */
 class MachineListerTest {
     private static final double ENOUGH_REQUESTS_PER_SECOND = 100;
 
-    private final KeptRequests cloud = new KeptRequests();
+    private final RecordingCloud cloud = new RecordingCloud();
     private final ManualTimers timers = new ManualTimers();
     private final CloudRequestBudget budget = new CloudRequestBudget(ENOUGH_REQUESTS_PER_SECOND, timers.nowMicros());
     private final BootingMachines booting = new BootingMachines();
     private final Fleet fleet = new Fleet(TestConfigs.of("c1", "c1-1"), timers);
-    private boolean ended;
+    private boolean termEnded;
     private final MachineLister lister =
-            new MachineLister(fleet, booting, Set.of("terminated")::contains, cloud, budget, timers, () -> ended);
+            new MachineLister(fleet, booting, Set.of("terminated")::contains, cloud, budget, timers, () -> termEnded);
 
     MachineListerTest() {
         fleet.typesChanged(List.of(Examples.TYPE));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aListedMachineBootsSinceItsLaunch() {
+    void addsListedMachineWithItsLaunchTime() {
         list();
         cloud.answerList(Outcome.OK, false, listed("i-1", HostState.BOOTING, 7 * SECOND_MICROS));
         assertEquals(
@@ -55,15 +55,15 @@
     }
 
     @Test
-    void aMachineThatFailedIsToBeTerminatedAtOnce() {
+    void treatsFailedMachineAsFailedToBoot() {
         list();
         cloud.answerList(Outcome.OK, false, listed("i-1", HostState.FAILED, 0));
         BootingMachine machine = booting.all().iterator().next();
-        assertTrue(machine.failedToBoot(timers.nowMicros()));
+        assertTrue(machine.hasFailedToBoot(timers.nowMicros()));
     }
 
     @Test
-    void machinesOfTheFleetDoNotBoot() {
+    void ignoresMachinesOfFleet() {
         fleet.add(new Machine("joined", "joined:1", Examples.TYPE.name(), "a", true));
         list();
         cloud.answerList(Outcome.OK, false, listed("joined"));
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void anOutdatedListBringsNoTerminatedMachineBack() {
+    void ignoresTerminatedMachineInOutdatedList() {
         list();
         cloud.answerList(Outcome.OK, false, listed("terminated"));
         assertEquals(0, booting.size());
     }
 
     @Test
-    void aMachineOfAnUnknownTypeIsLeftOut() {
+    void ignoresMachineOfUnknownType() {
         list();
         ListedHost unknown = new ListedHost("i-1", "i-1:1", "unknown", "a", true, HostState.BOOTING, 0);
         cloud.answerList(Outcome.OK, false, unknown);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aMachineThatBootsKeepsItsLaunchTime() {
+    void keepsLaunchTimeOfBootingMachine() {
         BootingMachine known = new BootingMachine("i-1", Examples.TYPE, "a", true, 5);
         booting.add(known);
         list();
@@ -95,28 +95,28 @@
     }
 
     @Test
-    void theListIsReadPageByPage() {
+    void readsListPageByPage() {
         list();
         cloud.answerList(Outcome.OK, true, listed("i-1"), listed("i-2"));
-        assertFalse(lister.listedOnce());
+        assertFalse(lister.hasCompletedListing());
         cloud.answerList(Outcome.OK, false, listed("i-3"));
-        assertTrue(lister.listedOnce());
+        assertTrue(lister.hasCompletedListing());
         assertEquals(List.of("", "i-2"), cloud.listedAfter);
         assertEquals(3, booting.size());
     }
 
     @Test
-    void aFullListIsReadAgainAfterSixSeconds() {
+    void readsListAgainSixSecondsAfterSuccess() {
         list();
         cloud.answerList(Outcome.OK, false);
         assertListedAgainAfter(6 * SECOND_MICROS);
     }
 
     @Test
-    void aListThatFailedIsReadAgainAfterTwoSeconds() {
+    void readsListAgainTwoSecondsAfterFailure() {
         list();
         cloud.answerList(Outcome.UNKNOWN, false);
-        assertFalse(lister.listedOnce());
+        assertFalse(lister.hasCompletedListing());
         assertListedAgainAfter(2 * SECOND_MICROS);
     }
 
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void oneListIsReadAtATime() {
+    void readsOneListAtATime() {
         list();
         timers.advance(60 * SECOND_MICROS);
         list();
@@ -138,18 +138,18 @@
     }
 
     @Test
-    void withoutBudgetTheListIsNotRead() {
-        budget.tryTake(timers.nowMicros());
+    void readsNothingWithoutBudget() {
+        budget.tryAcquire(timers.nowMicros());
         list();
         assertEquals(0, cloud.listedAfter.size());
     }
 
     @Test
-    void afterTheTermAnswersChangeNothing() {
+    void ignoresAnswersAfterEndOfTerm() {
         list();
-        ended = true;
+        termEnded = true;
         cloud.answerList(Outcome.OK, false, listed("i-1"));
         assertEquals(0, booting.size());
-        assertFalse(lister.listedOnce());
+        assertFalse(lister.hasCompletedListing());
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/KeptRequests.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
@@ -6,12 +6,12 @@
 import org.granitepath.coordination.ports.CloudPort;
 import org.granitepath.storage.MachineType;
 
-/** A cloud that keeps the requests made of it, for the test to answer the latest of each kind. */
-final class KeptRequests implements CloudPort {
+/** A test double of the cloud that records requests. The test answers the latest request of each kind. */
+final class RecordingCloud implements CloudPort {
     final List<LaunchRequest> launches = new ArrayList<>();
-    /** The machines of each request to terminate. */
+    /** The machines that each termination request names. */
     final List<List<String>> terminations = new ArrayList<>();
-    /** After which machine each page of the list begins. */
+    /** The name of the machine after which each requested page of the list begins. */
     final List<String> listedAfter = new ArrayList<>();
 
     private Consumer<LaunchResult> unansweredLaunch;
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
@@ -15,9 +15,12 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which machines the cloud is asked to take. When a machine counts as failed or idle is tested by itself. */
+/**
+ * Tests which machines are chosen for termination. {@link MachineFailuresTest} and {@link IdleMachinesTest} test when a
+ * machine counts as failed or idle.
+ */
 class ScaleInTest {
-    private static final long FAILED_BOOT = 3 * Examples.BOOT_MICROS + 30 * SECOND;
+    private static final long BOOT_FAILURE_MICROS = 3 * Examples.BOOT_MICROS + 30 * SECOND;
 
     private final PlacementFixture fixture = new PlacementFixture();
     private final BootingMachines booting = new BootingMachines();
@@ -33,77 +36,78 @@
                     new BatchPlanner(fixture.config, fixture.fleet, fixture.jobs, fixture.runtimeEstimator)),
             fixture.recovery);
 
-    private void boots(String id, long launchedMicros) {
+    private void addBootingMachine(String id, long launchedMicros) {
         booting.add(new BootingMachine(id, Examples.TYPE, "a", false, launchedMicros));
     }
 
-    private Machine drained(String id) {
+    private Machine drainedMachine(String id) {
         Machine machine = fixture.machine(id, false);
         machine.drain("test");
         return machine;
     }
 
     @Test
-    void aMachineInUseIsKept() {
+    void keepsMachineInUse() {
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), fixture.machine("m", false), SECOND);
-        assertEquals(List.of(), scaleIn.choose(NOW));
+        assertEquals(List.of(), scaleIn.chooseMachines(NOW));
     }
 
     @Test
-    void aMachineThatFailedToBootIsChosen() {
-        boots("late", NOW - FAILED_BOOT);
-        boots("failed", NOW - FAILED_BOOT - 1);
-        assertEquals(List.of("failed"), scaleIn.choose(NOW));
+    void choosesMachineThatFailedToBoot() {
+        addBootingMachine("late", NOW - BOOT_FAILURE_MICROS);
+        addBootingMachine("failed", NOW - BOOT_FAILURE_MICROS - 1);
+        assertEquals(List.of("failed"), scaleIn.chooseMachines(NOW));
     }
 
     @Test
-    void aMachineThatNothingNeedsIsChosen() {
+    void choosesUnneededMachine() {
         Machine machine = fixture.machine("idle", false);
         long laterMicros = NOW + Machine.MINIMUM_CHARGE_MICROS + 1;
         machine.heartbeatReceived(false, laterMicros);
-        assertEquals(List.of("idle"), scaleIn.choose(laterMicros));
+        assertEquals(List.of("idle"), scaleIn.chooseMachines(laterMicros));
         assertEquals(Machine.Phase.TERMINATING, machine.phase());
     }
 
     @Test
-    void anUnresponsiveMachineIsChosenWhateverRunsThere() {
+    void choosesUnresponsiveMachineWithRunningTask() {
         Machine machine = fixture.machine("m", false);
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         long leaseMicros = fixture.config.workers().leaseMicros();
-        assertEquals(List.of("m"), scaleIn.choose(NOW + leaseMicros + 1));
+        assertEquals(List.of("m"), scaleIn.chooseMachines(NOW + leaseMicros + 1));
         assertEquals(Machine.Phase.TERMINATING, machine.phase());
     }
 
     @Test
-    void aDrainedMachineIsChosenOnceItIsEmpty() {
+    void choosesDrainedMachineOnlyWhenEmpty() {
         Machine busy = fixture.machine("busy", false);
         fixture.running(fixture.batch("batch", Priority.STANDARD).build(), busy, SECOND);
         busy.drain("test");
-        drained("empty");
-        assertEquals(List.of("empty"), scaleIn.choose(NOW));
+        drainedMachine("empty");
+        assertEquals(List.of("empty"), scaleIn.chooseMachines(NOW));
     }
 
     @Test
-    void aMachineThatTheCloudHasNotTakenIsChosenAgain() {
-        drained("m");
-        scaleIn.choose(NOW);
-        assertEquals(List.of("m"), scaleIn.choose(NOW));
+    void choosesMachineAgainUntilTerminated() {
+        drainedMachine("m");
+        scaleIn.chooseMachines(NOW);
+        assertEquals(List.of("m"), scaleIn.chooseMachines(NOW));
     }
 
     @Test
-    void noMoreAreChosenThanOneRequestMayName() {
+    void choosesAtMostOneRequestOfMachines() {
         List<String> expected = new ArrayList<>();
         for (int number = 0; number < 60; number++) {
-            boots("failed" + number, NOW - FAILED_BOOT - 1);
+            addBootingMachine("failed" + number, NOW - BOOT_FAILURE_MICROS - 1);
             expected.add("failed" + number);
         }
         for (int number = 0; number < 60; number++) {
-            drained("drained" + number);
+            drainedMachine("drained" + number);
             if (expected.size() < 100) {
                 expected.add("drained" + number);
             }
         }
-        assertEquals(expected, scaleIn.choose(NOW));
-        assertEquals(Machine.Phase.DRAINING, fixture.fleet.machine("drained59").phase(), "it is not asked for yet");
+        assertEquals(expected, scaleIn.chooseMachines(NOW));
+        assertEquals(
+                Machine.Phase.DRAINING, fixture.fleet.machine("drained59").phase(), "the machine is not chosen yet");
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -18,13 +18,16 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** When machines are launched for work that waits: four tasks of one CPU, which one machine of four CPUs holds. */
+/**
+ * Tests when machines are launched for waiting work. The work consists of four tasks of one CPU each, which fit on one
+ * machine of four CPUs.
+ */
 class ScaleOutTest {
     private static final double ENOUGH_REQUESTS_PER_SECOND = 100;
     private static final Team LIMITED = new Team("limited", 0, CPU / 2, 0, 0);
 
     private final PlacementFixture fixture = new PlacementFixture(LIMITED);
-    private final KeptRequests cloud = new KeptRequests();
+    private final RecordingCloud cloud = new RecordingCloud();
     private final BootingMachines booting = new BootingMachines();
     private final CloudRequestBudget budget = new CloudRequestBudget(ENOUGH_REQUESTS_PER_SECOND, NOW);
     private boolean leaseConfirmed = true;
@@ -55,8 +58,8 @@
         return waitingJob(fixture.batch("batch", Priority.STANDARD));
     }
 
-    /** A spot instance, on which the job can run, boots since then. */
-    private void boots(long launchedMicros) {
+    /** Adds a booting spot instance on which the job can run. */
+    private void addBootingMachine(long launchedMicros) {
         booting.add(new BootingMachine("i-1", fixture.fleet.types().get("small"), "a", true, launchedMicros));
     }
 
@@ -66,28 +69,28 @@
     }
 
     @Test
-    void whatWaitingWorkLacksIsLaunched() {
+    void launchesMachineForWaitingWork() {
         waitingJob();
         scaleOut.launch(NOW);
         assertEquals(List.of(new LaunchRequest("b1-1", "small", "a", true, 1)), cloud.launches);
     }
 
     @Test
-    void whatBootsIsNotLaunchedAgain() {
+    void countsOnBootingMachine() {
         waitingJob();
-        boots(NOW);
+        addBootingMachine(NOW);
         assertLaunches(0);
     }
 
     @Test
-    void aMachineThatIsOverdueIsNotCountedOn() {
+    void doesNotCountOnOverdueMachine() {
         waitingJob();
-        boots(NOW - 2 * Examples.BOOT_MICROS);
+        addBootingMachine(NOW - 2 * Examples.BOOT_MICROS);
         assertLaunches(1);
     }
 
     @Test
-    void oneRequestIsUnderWayAtATime() {
+    void sendsOneRequestAtATime() {
         waitingJob();
         scaleOut.launch(NOW);
         scaleOut.launch(NOW + SECOND);
@@ -95,7 +98,7 @@
     }
 
     @Test
-    void anAnswerBringsTheNextLaunch() {
+    void launchesNextOfferAfterAnswer() {
         waitingJob();
         scaleOut.launch(NOW);
         fixture.timers.advance(SECOND);
@@ -108,45 +111,45 @@
     }
 
     @Test
-    void withoutALeaseNothingIsLaunched() {
+    void launchesNothingWithoutConfirmedLease() {
         waitingJob();
         leaseConfirmed = false;
         assertLaunches(0);
     }
 
     @Test
-    void withoutBudgetNothingIsLaunched() {
+    void launchesNothingWithoutRequestBudget() {
         waitingJob();
-        budget.tryTake(NOW);
+        budget.tryAcquire(NOW);
         assertLaunches(0);
     }
 
     @Test
-    void nothingIsLaunchedForAJobThatDoesNotWait() {
+    void launchesNothingForJobThatDoesNotWait() {
         fixture.batch("batch", Priority.STANDARD).build();
         assertLaunches(0);
     }
 
     @Test
-    void nothingIsLaunchedForAJobThatMayNotStartYet() {
+    void launchesNothingBeforeEarliestStart() {
         waitingJob().scheduling().startNothingBefore(NOW + SECOND);
         assertLaunches(0);
     }
 
     @Test
-    void nothingIsLaunchedForATeamAtItsLimit() {
+    void launchesNothingForTeamAtItsLimit() {
         waitingJob(fixture.batch("batch", Priority.STANDARD).team(LIMITED.name()));
         assertLaunches(0);
     }
 
     @Test
-    void aGangThatLostTasksBeforeItRanIsLaunchedFor() {
+    void launchesForGangThatLostTasksBeforeItRan() {
         waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1);
         assertLaunches(1);
     }
 
     @Test
-    void nothingIsLaunchedForAGangThatRan() {
+    void launchesNothingForGangThatRan() {
         waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).running();
         assertLaunches(0);
     }
--- a/src/test/java/org/granitepath/coordination/autoscaling/TerminatorTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/TerminatorTest.java
@@ -9,17 +9,18 @@
 import org.granitepath.coordination.ManualTimers;
 import org.junit.jupiter.api.Test;
 
-/** One request to terminate after the other, and what is remembered of it. */
+/** Tests the terminator: one request at a time, and how long terminated machines are remembered. */
 class TerminatorTest {
     private static final double ENOUGH_REQUESTS_PER_SECOND = 100;
 
-    private final KeptRequests cloud = new KeptRequests();
+    private final RecordingCloud cloud = new RecordingCloud();
     private final ManualTimers timers = new ManualTimers();
     private final CloudRequestBudget budget = new CloudRequestBudget(ENOUGH_REQUESTS_PER_SECOND, timers.nowMicros());
     private final BootingMachines booting = new BootingMachines();
-    private final List<String> gone = new ArrayList<>();
-    private boolean ended;
-    private final Terminator terminator = new Terminator(cloud, budget, timers, booting, gone::add, () -> ended);
+    private final List<String> terminated = new ArrayList<>();
+    private boolean termEnded;
+    private final Terminator terminator =
+            new Terminator(cloud, budget, timers, booting, terminated::add, () -> termEnded);
 
     TerminatorTest() {
         booting.add(new BootingMachine("i-1", Examples.TYPE, "a", false, timers.nowMicros()));
@@ -30,22 +31,22 @@
     }
 
     @Test
-    void machinesAreGoneOnceTheCloudHasThem() {
+    void reportsMachinesAfterCloudTerminatedThem() {
         terminate("i-1", "i-2");
-        assertEquals(List.of(), gone);
+        assertEquals(List.of(), terminated);
 
         cloud.answerTermination(true);
 
-        assertEquals(List.of("i-1", "i-2"), gone);
+        assertEquals(List.of("i-1", "i-2"), terminated);
         assertFalse(booting.contains("i-1"));
-        assertTrue(terminator.terminatedLately("i-1"));
+        assertTrue(terminator.wasRecentlyTerminated("i-1"));
     }
 
     @Test
-    void afterARefusalTheMachinesStayAndMayBeAskedForAgain() {
+    void keepsMachinesAfterRefusalAndMayRequestAgain() {
         terminate("i-1");
         cloud.answerTermination(false);
-        assertEquals(List.of(), gone);
+        assertEquals(List.of(), terminated);
         assertTrue(booting.contains("i-1"));
 
         timers.advance(Examples.SECOND_MICROS);
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void oneRequestIsUnderWayAtATime() {
+    void sendsOneRequestAtATime() {
         terminate("i-1");
         timers.advance(Examples.SECOND_MICROS);
         terminate("i-2");
@@ -63,37 +64,37 @@
     }
 
     @Test
-    void withoutMachinesNothingIsTakenFromTheBudget() {
+    void usesNoBudgetWithoutMachines() {
         terminate();
         assertEquals(List.of(), cloud.terminations);
-        assertTrue(budget.tryTake(timers.nowMicros()));
+        assertTrue(budget.tryAcquire(timers.nowMicros()));
     }
 
     @Test
-    void withoutBudgetNothingIsAskedFor() {
-        budget.tryTake(timers.nowMicros());
+    void requestsNothingWithoutBudget() {
+        budget.tryAcquire(timers.nowMicros());
         terminate("i-1");
         assertEquals(List.of(), cloud.terminations);
     }
 
     @Test
-    void machinesAreRememberedForTwoMinutes() {
+    void remembersMachinesForTwoMinutes() {
         terminate("i-1");
         cloud.answerTermination(true);
 
-        terminator.forgetOld(timers.nowMicros() + 120 * Examples.SECOND_MICROS);
-        assertTrue(terminator.terminatedLately("i-1"));
+        terminator.forgetOldTerminations(timers.nowMicros() + 120 * Examples.SECOND_MICROS);
+        assertTrue(terminator.wasRecentlyTerminated("i-1"));
 
-        terminator.forgetOld(timers.nowMicros() + 120 * Examples.SECOND_MICROS + 1);
-        assertFalse(terminator.terminatedLately("i-1"));
+        terminator.forgetOldTerminations(timers.nowMicros() + 120 * Examples.SECOND_MICROS + 1);
+        assertFalse(terminator.wasRecentlyTerminated("i-1"));
     }
 
     @Test
-    void afterTheTermAnswersChangeNothing() {
+    void ignoresAnswersAfterEndOfTerm() {
         terminate("i-1");
-        ended = true;
+        termEnded = true;
         cloud.answerTermination(true);
-        assertEquals(List.of(), gone);
+        assertEquals(List.of(), terminated);
         assertTrue(booting.contains("i-1"));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/WaitingLiveTasksTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/WaitingLiveTasksTest.java
@@ -8,7 +8,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** How many tasks of other live services can share the machines that are launched for one. */
+/** Tests the count of tasks of other live services that can share the machines launched for one service. */
 class WaitingLiveTasksTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final WaitingLiveTasks waiting = new WaitingLiveTasks();
@@ -23,21 +23,21 @@
     }
 
     @Test
-    void tasksThatNeedTheSameShareMachines() {
+    void countsTasksWithSameNeeds() {
         ActiveJob service = waitingService("service", 2, CPU);
         waitingService("equivalent", 3, CPU);
         assertEquals(3, waiting.removeAndCountEquivalent(service));
     }
 
     @Test
-    void tasksThatNeedMoreDoNot() {
+    void doesNotCountTasksThatNeedMore() {
         ActiveJob service = waitingService("service", 2, CPU);
         waitingService("larger", 3, 2 * CPU);
         assertEquals(0, waiting.removeAndCountEquivalent(service));
     }
 
     @Test
-    void whatIsPlannedForNoLongerCounts() {
+    void doesNotCountRemovedTasks() {
         ActiveJob first = waitingService("first", 2, CPU);
         ActiveJob second = waitingService("second", 3, CPU);
         waiting.removeAndCountEquivalent(first);
