--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -85,7 +85,7 @@
                 store,
                 replica,
                 timers,
-                () -> peers.allDisconnected(Config.CONTACT_TIMEOUT_MICROS),
+                () -> peers.isEveryPeerDisconnected(Config.CONTACT_TIMEOUT_MICROS),
                 currentTerm);
         this.zoneLeaseKeeper = new ZoneLeaseKeeper(config, replica, jobIndex::hasEnded, peers, timers);
         this.machineTypes = new MachineTypeCatalog(cloud, timers, currentTerm);
@@ -141,7 +141,7 @@
     }
 
     /** Whether users may be sent here. */
-    public boolean healthy() {
+    public boolean isHealthy() {
         return health.healthy();
     }
 
@@ -154,18 +154,18 @@
     }
 
     /** A peer tells how it is, and is told the same. */
-    public PeerPort.PeerStatus statusReceived(PeerPort.PeerStatus peerStatus) {
-        peers.statusReceived(peerStatus);
+    public PeerPort.PeerStatus handlePeerStatus(PeerPort.PeerStatus peerStatus) {
+        peers.handleStatus(peerStatus);
         return status();
     }
 
     /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
-    public void cancellationReceived(PeerPort.CancellationNotice notice) {
+    public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
         replica.applied(Keys.finalOf(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
     /** Whether this controller leads. */
-    public boolean leader() {
+    public boolean isLeader() {
         return currentTerm.isPresent();
     }
 
@@ -195,7 +195,7 @@
     }
 
     /** Takes a worker's heartbeat. */
-    public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
+    public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
         return heartbeatRouter.answer(heartbeat);
     }
 
@@ -204,7 +204,7 @@
         @Override
         public void changed(String key, @Nullable StoredRecord record, long revision) {
             if (key.equals(Keys.LEADER)) {
-                leadership.leaderChanged();
+                leadership.onLeaderRecordChanged();
             } else if (record instanceof MachineTypesRecord recorded) {
                 machineTypes.recordRead(recorded.types());
             } else {
--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -67,13 +67,13 @@
                 new CloudRequestBudget(config.limits().cloudRequestsPerSecond(), timers.nowMicros());
         SpareHeadroom spareHeadroom = new SpareHeadroom();
         this.launcher = new Launcher(cloud, timers, term.fencingToken(), booting, termEnded);
-        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::terminated, termEnded);
+        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::onTerminated, termEnded);
         this.lister = new MachineLister(
                 fleet, booting, terminator::wasRecentlyTerminated, cloud, requestBudget, timers, termEnded);
         this.scaleOut = new ScaleOut(
                 inputs,
                 rules,
-                leadership::leaseConfirmed,
+                leadership::isLeaseConfirmed,
                 failureDetector,
                 booting,
                 requestBudget,
@@ -93,7 +93,7 @@
             return;
         }
         timers.after(TICK_MICROS, this::tick);
-        if (!leadership.leaseConfirmed() || fleet.types().isEmpty()) {
+        if (!leadership.isLeaseConfirmed() || fleet.types().isEmpty()) {
             return;
         }
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -41,7 +41,7 @@
 
     /** Adds the launches for the headroom that is lacking. */
     void addLaunches() {
-        ActiveJob newest = inputs.arrivalRate().newest();
+        ActiveJob newest = inputs.arrivalRate().newestJob();
         if (newest == null) {
             return;
         }
@@ -65,18 +65,18 @@
      * the present services use.
      */
     private double wantedCpuMillis(MachineType type) {
-        double arrivingCpuMillis = inputs.arrivalRate().cpuPerMicro(nowMicros) * type.bootMicros();
+        double arrivingCpuMillis = inputs.arrivalRate().cpuMillisPerMicro(nowMicros) * type.bootMicros();
         double maxCpuMillis = inputs.config().tuning().scaling().maxHeadroomShare() * cpuMillisUsedByServices;
         return Math.min(arrivingCpuMillis, maxCpuMillis);
     }
 
     private void countFleet(ActiveJob newest) {
         for (Machine machine : inputs.fleet().machines()) {
-            if (!machine.spot()
+            if (!machine.isSpot()
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && machine.type().fits(newest.spec())) {
-                long usedCpuMillis = machine.capacity().cpuUsedByServices();
+                long usedCpuMillis = machine.capacity().serviceCpuMillis();
                 cpuMillisUsedByServices += usedCpuMillis;
                 countAvailable(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
             }
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -30,8 +30,8 @@
 
     /** Takes the present state of the fleet and the recovery into account. To be called before each round of decisions. */
     void refresh() {
-        keepAll = recovery.keepsIdleMachines();
-        gangHeadroom.survey();
+        keepAll = recovery.isKeepingIdleMachines();
+        gangHeadroom.update();
     }
 
     /**
@@ -41,7 +41,7 @@
      * @return whether the machine is released
      */
     boolean releaseIfUnneeded(Machine machine, long nowMicros) {
-        boolean idle = !keepAll && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
+        boolean idle = !keepAll && isIdle(machine, nowMicros) && !gangHeadroom.isNeeded(machine);
         return !keepIfHeadroom(machine, idle) && idle;
     }
 
@@ -50,15 +50,15 @@
      * kept. Otherwise subtracts it from the headroom.
      */
     private boolean keepIfHeadroom(Machine machine, boolean idle) {
-        boolean idleOnDemand = idle && !machine.spot();
-        long freeCpuMillis = machine.capacity().cpuFree();
-        machine.keepAsHeadroom(idleOnDemand && spareHeadroom.isLessThan(freeCpuMillis));
-        if (machine.keptAsHeadroom()) {
+        boolean idleOnDemand = idle && !machine.isSpot();
+        long freeCpuMillis = machine.capacity().freeCpuMillis();
+        machine.setHeadroom(idleOnDemand && spareHeadroom.isLessThan(freeCpuMillis));
+        if (machine.isHeadroom()) {
             return true;
         }
         if (idleOnDemand) {
             spareHeadroom.subtract(freeCpuMillis);
-            gangHeadroom.terminated(machine);
+            gangHeadroom.onMachineTerminated(machine);
         }
         return false;
     }
@@ -81,7 +81,7 @@
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double factor = machine.spot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
+        double factor = machine.isSpot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
         return (long) (factor * type.bootMicros());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -128,10 +128,10 @@
 
     private void onLaunched(
             CloudPort.LaunchRequest request, Offer offer, CloudPort.LaunchResult answer, long nowMicros) {
-        for (String id : answer.hosts()) {
+        for (String id : answer.machineIds()) {
             booting.add(new BootingMachine(id, offer.type(), offer.zone(), offer.spot(), nowMicros));
         }
-        int launchedCount = answer.hosts().size();
+        int launchedCount = answer.machineIds().size();
         if (launchedCount < request.count()) {
             unavailableUntilMicros.put(offer.key(), nowMicros + NO_CAPACITY_BACKOFF_MICROS);
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -22,7 +22,7 @@
      * connection. To be called before each round of decisions.
      */
     void refresh() {
-        overdueHeartbeatsConclusive = failureDetector.canJudgeMachines();
+        overdueHeartbeatsConclusive = failureDetector.canTrustMissedHeartbeats();
     }
 
     /** Returns why the machine counts as failed, or null if it does not. */
@@ -43,7 +43,7 @@
      * its work continues.
      */
     private boolean isConclusive(Machine machine, long sinceHeartbeatMicros, long nowMicros) {
-        return (overdueHeartbeatsConclusive && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
+        return (overdueHeartbeatsConclusive && !failureDetector.isPartitionedWithPeer(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
     }
 
@@ -53,8 +53,8 @@
      */
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && !machine.isAwaitingFirstHeartbeat()
+                && machine.inventory().isRecorded()
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
 
@@ -72,7 +72,7 @@
      * former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed()
+        return machine.contact().hasProbeFailed()
                 ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : workers.leaseMicros();
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -71,7 +71,7 @@
     }
 
     private void requestPageAfter(String machineId) {
-        cloud.list(machineId, PAGE_SIZE, page -> {
+        cloud.listMachines(machineId, PAGE_SIZE, page -> {
             if (termEnded.getAsBoolean()) {
                 return;
             }
@@ -82,11 +82,11 @@
                 return;
             }
             String lastId = machineId;
-            for (CloudPort.ListedHost listed : page.hosts()) {
+            for (CloudPort.ListedMachine listed : page.machines()) {
                 lastId = listed.id();
                 addIfBooting(listed, nowMicros);
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 requestPageAfter(lastId);
                 return;
             }
@@ -96,7 +96,7 @@
         });
     }
 
-    private void addIfBooting(CloudPort.ListedHost listed, long nowMicros) {
+    private void addIfBooting(CloudPort.ListedMachine listed, long nowMicros) {
         MachineType type = fleet.types().get(listed.type());
         if (type == null
                 || recentlyTerminated.test(listed.id())
@@ -110,7 +110,7 @@
                 listed.type(),
                 listed.zone(),
                 listed.state());
-        boolean failed = listed.state() == CloudPort.HostState.FAILED;
+        boolean failed = listed.state() == CloudPort.MachineState.FAILED;
         long ageMicros = failed ? FAILED_MACHINE_AGE_MICROS : listed.ageMicros();
         booting.add(new BootingMachine(listed.id(), type, listed.zone(), listed.spot(), nowMicros - ageMicros));
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.autoscaling;
 
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.ImageFetch;
+import org.granitepath.coordination.placement.ImageFetchTime;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
@@ -57,7 +57,7 @@
 
     /** Returns the time from the launch of a machine of this type to the start of a task: its boot and the image fetch. */
     long startupMicros(MachineType type) {
-        return type.bootMicros() + (long) (ImageFetch.seconds(spec, type) * MICROS_PER_SECOND);
+        return type.bootMicros() + (long) (ImageFetchTime.seconds(spec, type) * MICROS_PER_SECOND);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -64,7 +64,7 @@
         long ageMicros = spec.hasDeadline() ? inputs.jobs().ageMicros(job, nowMicros) : 0;
         return spec.service()
                 ? OfferCost.forService(spec, ageMicros)
-                : OfferCost.forTasks(spec, inputs.runtimeEstimator().taskMicros(job), ageMicros);
+                : OfferCost.forTasks(spec, inputs.runtimeEstimator().expectedTaskMicros(job), ageMicros);
     }
 
     /** One search for the cheapest offer. Of several offers at the same cost, it finds the first one considered. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
@@ -12,8 +12,8 @@
      * other work, and a launch of more machines precedes one of fewer.
      */
     boolean hasPriorityOver(PlannedLaunch other) {
-        boolean live = offer.job().isLive();
-        boolean otherLive = other.offer.job().isLive();
+        boolean live = offer.job().isLiveService();
+        boolean otherLive = other.offer.job().isLiveService();
         return live == otherLive ? count > other.count : live;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -54,9 +54,9 @@
         if (launcher.hasRequestInFlight() || !leaseConfirmed.getAsBoolean()) {
             return;
         }
-        inputs.batchPlanner().update(nowMicros);
+        inputs.batchPlanner().updateIfDue(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
-                inputs, launcher::isUnavailable, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
+                inputs, launcher::isUnavailable, zone -> failureDetector.isZonePartitioned(zone, nowMicros), nowMicros);
         addPendingMachines(plan, nowMicros);
         List<ActiveJob> waiting = inputs.jobs().all().stream()
                 .filter(job -> qualifiesForLaunch(job, nowMicros))
@@ -71,29 +71,29 @@
 
     private void addPendingMachines(ScaleOutPlan plan, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (!machine.isOverdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
+            if (!machine.isOverdue(nowMicros) && !failureDetector.isZonePartitioned(machine.zone(), nowMicros)) {
                 plan.addPending(machine.type(), machine.zone(), machine.spot());
             }
         }
         Fleet fleet = inputs.fleet();
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
-            if (type != null && isJoining(machine) && !fleet.overdue(machine, nowMicros)) {
-                plan.addPending(type, machine.zone(), machine.spot());
+            if (type != null && isJoining(machine) && !fleet.isHeartbeatOverdue(machine, nowMicros)) {
+                plan.addPending(type, machine.zone(), machine.isSpot());
             }
         }
     }
 
     /** Returns whether the machine has sent its first heartbeats and is not yet ready for tasks. */
     private static boolean isJoining(Machine machine) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
+        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.isAwaitingFirstHeartbeat();
     }
 
     private boolean qualifiesForLaunch(ActiveJob job, long nowMicros) {
         return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
-                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && (job.gangAttempt() == null || job.gangAttempt().canAddTasks())
                 && rules.isWithinTeamLimit(job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -77,10 +77,10 @@
         List<ActiveJob> waiting = new ArrayList<>(waitingJobs);
         waiting.sort(Comparator.comparing((ActiveJob job) -> job.spec().priority())
                 .thenComparing(job -> job.acceptedMicros()));
-        waiting.stream().filter(ActiveJob::isLive).forEach(waitingLiveTasks::add);
+        waiting.stream().filter(ActiveJob::isLiveService).forEach(waitingLiveTasks::add);
         boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
-            if (!headroomPlanned && !job.isLive()) {
+            if (!headroomPlanned && !job.isLiveService()) {
                 // Pending capacity that the waiting live services leave counts as headroom, even if other work wants
                 // it.
                 headroomPlan.addLaunches();
@@ -109,7 +109,7 @@
 
     /** Returns how long the present batch work takes on the present, the pending and the planned machines. */
     double batchDrainMicros() {
-        return batchPlanner.drainMicros(capacity.batchCpuMillis());
+        return batchPlanner.batchCompletionMicros(capacity.batchCpuMillis());
     }
 
     private void planJob(ActiveJob job) {
@@ -118,7 +118,7 @@
             return;
         }
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
-        int equivalentTasks = job.isLive() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
+        int equivalentTasks = job.isLiveService() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
         int wanted = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
         int lacking = reserveOnPending(job, wanted, tasksByZone);
         planNewMachines(job, lacking, equivalentTasks, tasksByZone);
@@ -173,6 +173,6 @@
     }
 
     private boolean isDeferrable(ActiveJob job) {
-        return batchPlanner.deferrable(job, capacity.batchCpuMillis(), nowMicros);
+        return batchPlanner.isDeferrable(job, capacity.batchCpuMillis(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -168,14 +168,14 @@
         dirtyParts.removeAll(layout.unsplittableParts());
         cleanupTokensDue &= !dirtyParts.isEmpty();
         for (Machine machine : recorded.machinesAdded()) {
-            machine.inventory().onRecord();
+            machine.inventory().markRecorded();
         }
         for (Machine machine : recorded.machinesWithNewToken()) {
-            machine.inventory().tokenRaised(recorded.newToken());
-            listener.tokenRaised(machine);
+            machine.inventory().applyRaisedToken(recorded.newToken());
+            listener.onTokenRaised(machine);
         }
         writeRest();
-        listener.recorded();
+        listener.onInventoryWritten();
     }
 
     private void writeRest() {
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -59,7 +59,7 @@
      * does.
      */
     void showToken(Machine machine) {
-        if (!machine.contact().callInFlight() && machine.contact().agentEpoch() >= 0 && mayCall()) {
+        if (!machine.contact().hasCallInFlight() && machine.contact().agentEpoch() >= 0 && mayCall()) {
             callWithoutCommands(machine, () -> {});
         }
     }
@@ -76,14 +76,14 @@
      * @param answered runs once the call has ended, with a response or without
      */
     void call(Machine machine, List<WorkerCommand> commands, List<Placement> starts, Runnable answered) {
-        machine.contact().callBegan(timers.nowMicros());
+        machine.contact().beginCall(timers.nowMicros());
         callsUnderWay++;
         long fencingToken = machine.fencingToken();
         // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
         long agentEpoch = Math.max(1, machine.contact().agentEpoch());
-        workers.send(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
+        workers.sendCommands(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
             callsUnderWay--;
-            machine.contact().callEnded();
+            machine.contact().endCall();
             if (!ended.getAsBoolean() && !machine.isGone()) {
                 takeReply(machine, fencingToken, starts, reply);
                 loop.requestSend();
@@ -94,7 +94,7 @@
 
     private void takeReply(Machine machine, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
         Heartbeat heartbeat = reply.heartbeat();
-        machine.contact().callAnswered(heartbeat != null);
+        machine.contact().recordCallResult(heartbeat != null);
         if (heartbeat == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start has no answer");
@@ -102,10 +102,10 @@
             return;
         }
         for (Placement placement : starts) {
-            placement.directStartAnswered(fencingToken);
+            placement.acknowledgeDirectStart(fencingToken);
         }
-        reconciler.reconcile(machine, heartbeat, MessageOrigin.COMMAND_RESPONSE);
-        if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
+        reconciler.reconcile(machine, heartbeat, MessageOrigin.CALL_RESPONSE);
+        if (!reply.accepted() && mayTakePresentToken(machine, heartbeat)) {
             showToken(machine);
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -64,7 +64,7 @@
     }
 
     private void open(JobRecord record) {
-        if (recorder.isOfSuccessor(record)) {
+        if (recorder.isClaimedBySuccessor(record)) {
             return;
         }
         if (jobIndex.unreadable(record.spec().id())) {
@@ -75,19 +75,19 @@
         }
         ActiveJob job = new ActiveJob(record, jobIndex.progressOf(record.spec().id()), timers.nowMicros());
         jobs.add(job);
-        if (recorder.isOfThisTerm(record)) {
+        if (recorder.isClaimedByThisTerm(record)) {
             // What was claimed for us from the first can't have been started by a predecessor.
             job.resolveUnconfirmed();
         } else {
             recovery.resolveTasks(job);
         }
-        endIfDone(job);
+        completeIfDone(job);
     }
 
     /** Records the end of the job when all its tasks are done. */
-    public void endIfDone(ActiveJob job) {
+    public void completeIfDone(ActiveJob job) {
         if (job.isOpen() && job.unfinishedTasks() == 0) {
-            job.allTasksDone();
+            job.markCompleting();
             recorder.recordDone(job);
         }
     }
@@ -100,7 +100,7 @@
         open(record);
         ActiveJob job = jobs.get(record.spec().id());
         if (job != null) {
-            arrivalRate.accepted(job, timers.nowMicros());
+            arrivalRate.recordArrival(job, timers.nowMicros());
         }
         loop.requestCycle();
     }
@@ -108,8 +108,8 @@
     @Override
     public void progressed(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
-        if (job != null && progress.claimed() > job.claimed()) {
-            job.claimRecorded(progress.claimed());
+        if (job != null && progress.claimed() > job.claimedTasks()) {
+            job.confirmClaim(progress.claimed());
             loop.requestCycle();
         }
     }
@@ -120,14 +120,14 @@
         if (job == null) {
             return;
         }
-        job.finalStateRecorded(outcome.toString());
+        job.markEnded(outcome.toString());
         if (outcome == FinalRecord.Outcome.DONE) {
             logDone(job);
         }
         for (Placement placement : List.copyOf(job.placements())) {
             tasks.stop(placement, 0, "job " + outcome);
         }
-        jobs.removeIfOver(job);
+        jobs.removeIfEnded(job);
         loop.requestCycle();
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Claims the next block of task numbers in good time, before the present one is used up. */
-    public void claim(ActiveJob job) {
+    public void claimNextBlock(ActiveJob job) {
         recorder.claimNextBlock(job);
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -40,12 +40,12 @@
     }
 
     /** Whether the job was claimed for a successor of ours that this controller does not know of yet. */
-    boolean isOfSuccessor(JobRecord record) {
+    boolean isClaimedBySuccessor(JobRecord record) {
         return record.term() > term.fencingToken();
     }
 
     /** Whether the job was claimed for this term from the first, so that no predecessor can have started it. */
-    boolean isOfThisTerm(JobRecord record) {
+    boolean isClaimedByThisTerm(JobRecord record) {
         return record.term() == term.fencingToken();
     }
 
@@ -54,10 +54,10 @@
         int tasks = job.spec().tasks();
         // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
         int block = writeQueue.behind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
-        int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstNeverStarted() + block);
-        boolean soonUsedUp = job.requestedClaim() - job.firstNeverStarted() <= block / 2;
+        int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
+        boolean soonUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || soonUsedUp)) {
-            job.claimRequested(target);
+            job.requestClaim(target);
             recordProgress(job, WriteQueue.Urgency.WORK, 0);
         }
     }
@@ -74,10 +74,11 @@
     }
 
     private List<Change> progressChange(String key, ActiveJob job) {
-        if (job.phase() == ActiveJob.Phase.OVER) {
+        if (job.phase() == ActiveJob.Phase.ENDED) {
             return List.of();
         }
-        ProgressRecord progress = new ProgressRecord(config.node(), job.requestedClaim(), job.done(), job.running());
+        ProgressRecord progress =
+                new ProgressRecord(config.node(), job.requestedClaim(), job.doneTasks(), job.runningTasks());
         return List.of(Change.write(key, progress.atMost(config.limits().store().valueBytes())));
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -20,7 +20,7 @@
  */
 public final class TaskLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
-    private static final long ATTEMPTS_PER_TERM = 1L << 24;
+    private static final long MAX_ATTEMPTS_PER_TERM = 1L << 24;
 
     private final Leadership.Term term;
     private final TermRecovery recovery;
@@ -30,7 +30,7 @@
     private final SchedulingLoop loop;
     private final CommandQueue commands;
     private final GangMembership gangs = new GangMembership();
-    private long attemptsNumbered;
+    private long lastAttemptInTerm;
 
     /** Places and frees tasks under the fencing token of this term. */
     public TaskLifecycle(
@@ -56,22 +56,22 @@
     }
 
     private long nextAttempt() {
-        attemptsNumbered++;
-        return term.fencingToken() * ATTEMPTS_PER_TERM + attemptsNumbered;
+        lastAttemptInTerm++;
+        return term.fencingToken() * MAX_ATTEMPTS_PER_TERM + lastAttemptInTerm;
     }
 
     private Placement start(ActiveJob job, int index, Machine machine, long attempt, long nowMicros) {
         TaskId task = new TaskId(job.spec().id(), index);
-        job.scheduling().taskStarted(nowMicros);
+        job.scheduling().recordStart(nowMicros);
         Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         place(placement);
-        commands.due(machine);
+        commands.enqueue(machine);
         LOG.debug(
                 "task {} attempt {} goes to machine {} ({} running, {} unfinished)",
                 task,
                 attempt,
                 machine.id(),
-                job.running(),
+                job.runningTasks(),
                 job.unfinishedTasks());
         return placement;
     }
@@ -87,7 +87,7 @@
     /** Decides that a task of a gang is to join the others of its attempt. */
     public void startInGang(ActiveJob job, int index, Machine machine, long nowMicros) {
         job.takeTask(index);
-        gangs.started(start(job, index, machine, gangs.presentNumber(job), nowMicros));
+        gangs.addStarted(start(job, index, machine, gangs.currentAttemptNumber(job), nowMicros));
     }
 
     /**
@@ -100,7 +100,7 @@
         Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), onlyHere, nowMicros);
         place(placement);
         if (job.spec().gang()) {
-            for (Placement leftover : gangs.adopted(placement)) {
+            for (Placement leftover : gangs.addAdopted(placement)) {
                 stopOne(leftover, 0, "of an older attempt of its gang");
             }
         }
@@ -109,8 +109,8 @@
 
     private void place(Placement placement) {
         placement.machine().add(placement);
-        placement.job().place(placement);
-        teamLimits.placed(placement.job().spec());
+        placement.job().addPlacement(placement);
+        teamLimits.addTask(placement.job().spec());
     }
 
     /**
@@ -118,7 +118,7 @@
      * together.
      */
     public void stop(Placement placement, long graceMicros, String why) {
-        for (Placement each : gangs.stopping(placement, why)) {
+        for (Placement each : gangs.markStopping(placement, why)) {
             stopOne(each, graceMicros, why);
         }
     }
@@ -128,39 +128,39 @@
             free(placement, why);
         } else if (placement.phase() == Placement.Phase.STOPPING && graceMicros < placement.graceMicros()) {
             placement.shortenGrace(graceMicros);
-            commands.due(placement.machine());
-        } else if (placement.live() && placement.phase() != Placement.Phase.STOPPING) {
+            commands.enqueue(placement.machine());
+        } else if (placement.isActive() && placement.phase() != Placement.Phase.STOPPING) {
             placement.stop(graceMicros, why);
-            commands.due(placement.machine());
+            commands.enqueue(placement.machine());
         }
     }
 
     /** Repeats a stop that is not seen to have worked yet. */
-    public void stopAgain(Placement placement) {
-        commands.due(placement.machine());
+    public void resendStop(Placement placement) {
+        commands.enqueue(placement.machine());
     }
 
     /** There is proof that the task is not on the machine. */
     public void free(Placement placement, String why) {
-        if (placement.live()) {
+        if (placement.isActive()) {
             release(placement, why);
-            loop.wantCycle();
+            loop.markCycleNeeded();
         }
     }
 
     private void release(Placement placement, String why) {
-        placement.freed(why);
+        placement.free(why);
         placement.machine().remove(placement, timers.nowMicros());
-        teamLimits.freed(placement.job().spec());
+        teamLimits.removeTask(placement.job().spec());
         // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
-        boolean maybeElsewhere = !placement.onlyHere() && recovery.mayRunOnAwaitedMachine(placement.job());
-        placement.job().unplace(placement, maybeElsewhere);
-        if (gangs.left(placement, maybeElsewhere, timers.nowMicros())) {
+        boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.canRunOnAwaitedMachine(placement.job());
+        placement.job().removePlacement(placement, maybeElsewhere);
+        if (gangs.removeTask(placement, maybeElsewhere, timers.nowMicros())) {
             // The others would notice by themselves; their places are free sooner this way.
             stop(placement, 0, "a task of its gang is gone");
         }
-        gangs.forgetIfGone(placement.job());
-        jobs.removeIfOver(placement.job());
+        gangs.clearAttemptIfGone(placement.job());
+        jobs.removeIfEnded(placement.job());
     }
 
     /** There is proof that no task is on the machine. */
@@ -183,7 +183,7 @@
     }
 
     private static boolean finishesWithin(long micros, Placement placement, long nowMicros) {
-        long leftMicros = placement.job().spec().estimateMicros() - placement.ranMicros(nowMicros);
+        long leftMicros = placement.job().spec().estimateMicros() - placement.runTimeMicros(nowMicros);
         return placement.hasRun() && leftMicros < micros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -33,7 +33,7 @@
         GONE;
 
         /** Whether a machine may go from this phase to the next one. */
-        boolean allows(Phase next) {
+        boolean canTransitionTo(Phase next) {
             return switch (this) {
                 case UNCONFIRMED -> next == READY || next == TERMINATING || next == GONE;
                 case READY -> next == UNCONFIRMED || next == DRAINING || next == TERMINATING || next == GONE;
@@ -84,7 +84,7 @@
     }
 
     /** Whether the cloud may take it back at any time. */
-    public boolean spot() {
+    public boolean isSpot() {
         return profile.spot();
     }
 
@@ -109,8 +109,8 @@
     }
 
     /** The cloud's word on its type has come, or changed; null: there is none. */
-    void typeKnown(@Nullable MachineType known) {
-        capacity.typeKnown(known);
+    void setType(@Nullable MachineType known) {
+        capacity.setType(known);
     }
 
     // ---- life cycle --------------------------------------------------------------------------------------------
@@ -124,11 +124,18 @@
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
+        if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException("machine " + id + " can't go from " + phase + " to " + next);
         }
         LOG.info(
-                "machine {} ({} {}{}): {} -> {} ({})", id, typeName(), zone(), spot() ? " spot" : "", phase, next, why);
+                "machine {} ({} {}{}): {} -> {} ({})",
+                id,
+                typeName(),
+                zone(),
+                isSpot() ? " spot" : "",
+                phase,
+                next,
+                why);
         phase = next;
     }
 
@@ -136,14 +143,14 @@
      * A heartbeat under the present fencing token has come, so its tasks are known. Changes nothing on a machine that
      * drains or is being terminated: it gets no tasks again.
      */
-    public void tasksConfirmed() {
+    public void confirmTasks() {
         if (phase == Phase.UNCONFIRMED) {
             transition(Phase.READY, "heartbeat under fencing token " + fencingToken());
         }
     }
 
     /** What is on it is not known for certain any more: nothing is placed there until it is confirmed anew. */
-    public void confirmationLost(long nowMicros, String why) {
+    public void markUnconfirmed(long nowMicros, String why) {
         if (phase == Phase.READY) {
             transition(Phase.UNCONFIRMED, why);
             unconfirmedSinceMicros = nowMicros;
@@ -158,12 +165,12 @@
     }
 
     /** The cloud is about to be asked to take it. */
-    public void terminationDecided(String why) {
+    public void markTerminating(String why) {
         transition(Phase.TERMINATING, why);
     }
 
     /** Nothing can be on it any more, and nothing will be. */
-    public void provedGone(String why) {
+    public void markGone(String why) {
         transition(Phase.GONE, why);
     }
 
@@ -173,33 +180,33 @@
     }
 
     /** Whether tasks may be placed on it, free capacity aside. */
-    public boolean takesTasks() {
-        return phase == Phase.READY && inventory.recorded() && !inventory.needsNewToken() && capacity.type() != null;
+    public boolean isSchedulable() {
+        return phase == Phase.READY && inventory.isRecorded() && !inventory.needsNewToken() && capacity.type() != null;
     }
 
     // ---- taking over and joining -------------------------------------------------------------------------------
 
     /** It was on record when the term began: its tasks are unknown until its first heartbeat. */
-    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
+    void takeOver(long nowMicros, long formerLeaseExpiryMicros) {
         awaitingFirstHeartbeat = true;
-        contact.takenOverFromFormerLeader(nowMicros, formerLeaseExpiryMicros);
+        contact.takeOver(nowMicros, formerLeaseExpiryMicros);
         idleSinceMicros = nowMicros;
         unconfirmedSinceMicros = nowMicros;
     }
 
     /** What a former leader left on it is known, or it is gone. */
-    public void takeoverResolved() {
+    public void resolveTakeover() {
         awaitingFirstHeartbeat = false;
     }
 
     /** Whether it was taken over and is still awaited. */
-    public boolean awaitingFirstHeartbeat() {
+    public boolean isAwaitingFirstHeartbeat() {
         return awaitingFirstHeartbeat;
     }
 
     /** Its first heartbeat has come, and it is to be commanded under this fencing token. */
-    void joinedFleet(long token, long nowMicros) {
-        inventory.joinedFleet(token);
+    void joinFleet(long token, long nowMicros) {
+        inventory.joinFleet(token);
         launchedMicros = nowMicros;
         unconfirmedSinceMicros = nowMicros;
         idleSinceMicros = nowMicros;
@@ -219,7 +226,7 @@
 
     /** Its row in the inventory, with this fencing token. */
     public InventoryRecord.Host inventoryRow(long withToken) {
-        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), spot(), withToken);
+        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), isSpot(), withToken);
     }
 
     // ---- what its worker says ----------------------------------------------------------------------------------
@@ -229,12 +236,12 @@
      *
      * @param wasUnresponsive whether heartbeats were overdue for long: it could show nothing and get no work
      */
-    public void heartbeatReceived(boolean wasUnresponsive, long nowMicros) {
+    public void recordHeartbeat(boolean wasUnresponsive, long nowMicros) {
         if (wasUnresponsive) {
             unconfirmedSinceMicros = nowMicros;
             idleSinceMicros = nowMicros;
         }
-        contact.heartbeatReceived(nowMicros);
+        contact.recordHeartbeat(nowMicros);
     }
 
     /** Since when a heartbeat under its present fencing token is awaited. */
@@ -243,9 +250,9 @@
     }
 
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
-    public void leaseExpired() {
-        contact.leaseExpired();
-        findings.discardCleanup();
+    public void expireLease() {
+        contact.expireLease();
+        findings.clearCleanupCommands();
     }
 
     // ---- findings of the latest message ------------------------------------------------------------------------
@@ -256,8 +263,8 @@
     }
 
     /** The latest message calls for this command. */
-    public void addCleanup(WorkerCommand command) {
-        findings.addCleanup(command);
+    public void addCleanupCommand(WorkerCommand command) {
+        findings.addCleanupCommand(command);
     }
 
     /** A message is about to be compared with the records: what the one before called for is void. */
@@ -266,20 +273,20 @@
     }
 
     /** The message lists a task of which nothing can be decided: it may not be cut short. */
-    public void taskUnconfirmed() {
-        findings.taskUnconfirmed();
+    public void addUnconfirmedTask() {
+        findings.addUnconfirmedTask();
     }
 
     // ---- capacity held back ------------------------------------------------------------------------------------
 
     /** Whether it is idle, but kept as headroom for live services: other work may use it meanwhile. */
-    public boolean keptAsHeadroom() {
+    public boolean isHeadroom() {
         return capacityHold.isHeadroom();
     }
 
     /** Whether it is kept though it is idle. */
-    public void keepAsHeadroom(boolean keep) {
-        capacityHold.keepAsHeadroom(keep);
+    public void setHeadroom(boolean keep) {
+        capacityHold.setHeadroom(keep);
     }
 
     /** The gang for which its free capacity is held, or null. Live services may use it all the same. */
@@ -315,7 +322,7 @@
     }
 
     /** The cloud has told since when it is charged. */
-    public void launchedAt(long chargedSinceMicros) {
+    public void setLaunchedMicros(long chargedSinceMicros) {
         launchedMicros = chargedSinceMicros;
     }
 
@@ -328,7 +335,7 @@
 
     /** The attempt of this task that is placed here, or null. */
     public @Nullable Placement placement(TaskId task) {
-        return placements.of(task);
+        return placements.get(task);
     }
 
     /** Whether any attempt is placed here. */
@@ -354,8 +361,8 @@
     }
 
     /** Whether a task here waits for this image, so that one more need not fetch it anew. */
-    public boolean fetches(String image) {
-        return placements.fetches(image);
+    public boolean isFetching(String image) {
+        return placements.isFetching(image);
     }
 
     /** How many tasks of this shape fit once all but the services here has ended. */
@@ -364,7 +371,7 @@
     }
 
     /** Whether a job may use this machine at all, capacity and other tasks aside. */
-    public boolean allowedFor(JobSpec spec) {
-        return profile.allows(spec);
+    public boolean isAllowedFor(JobSpec spec) {
+        return profile.canRun(spec);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -26,7 +26,7 @@
         FREED;
 
         /** Whether a placement may go from this phase to the next one; heartbeats may skip what they did not show. */
-        boolean allows(Phase next) {
+        boolean canTransitionTo(Phase next) {
             return switch (this) {
                 case ASSIGNED -> next != ASSIGNED;
                 case SENT, FETCHING, WAITING, RUNNING -> next != ASSIGNED && next != SENT;
@@ -43,7 +43,7 @@
     private final long agentEpoch;
     private final long placedMicros;
     private final StartDelivery delivery;
-    private final boolean wasAdopted;
+    private final boolean adopted;
     private Phase phase = Phase.ASSIGNED;
     private long runningSinceMicros = NEVER;
     private long graceMicros;
@@ -68,7 +68,7 @@
         this.agentEpoch = machine.contact().agentEpoch();
         this.placedMicros = nowMicros;
         this.delivery = delivery;
-        this.wasAdopted = wasAdopted;
+        this.adopted = wasAdopted;
     }
 
     /**
@@ -120,7 +120,7 @@
     }
 
     /** Whether it may be on the machine. */
-    public boolean live() {
+    public boolean isActive() {
         return phase != Phase.FREED;
     }
 
@@ -128,7 +128,7 @@
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
+        if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException(
                     "task " + task + " attempt " + attempt + " can't go from " + phase + " to " + next);
         }
@@ -139,70 +139,70 @@
     // ---- starting ----------------------------------------------------------------------------------------------
 
     /** The start goes out in the answer to a heartbeat: only a later heartbeat tells whether it was taken. */
-    public void sentInAnswer() {
-        delivery.sentInAnswer();
+    public void markSentInResponse() {
+        delivery.markSentInResponse();
         transition(Phase.SENT, "in an answer");
     }
 
     /** The start goes out in a direct call under the machine's present fencing token. */
-    public void sentDirectly() {
-        delivery.sentDirectly(machine.fencingToken());
+    public void markSentDirectly() {
+        delivery.markSentDirectly(machine.fencingToken());
         transition(Phase.SENT, "direct");
     }
 
     /** The direct call under this fencing token was answered. */
-    public void directStartAnswered(long token) {
-        delivery.answered(token);
+    public void acknowledgeDirectStart(long token) {
+        delivery.acknowledge(token);
     }
 
     /** Whether the start went out in the answer to a heartbeat and not in a direct call. */
-    public boolean wentOutInAnswer() {
-        return delivery.wentOutInAnswer();
+    public boolean isSentInResponse() {
+        return delivery.isSentInResponse();
     }
 
     /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
-    public boolean mayStillBeStarted(long token) {
-        return delivery.mayStillBeStarted(token);
+    public boolean hasUnacknowledgedStart(long token) {
+        return delivery.hasUnacknowledgedStart(token);
     }
 
     // ---- what heartbeats list ----------------------------------------------------------------------------------
 
     /** A message of the worker lists it. */
-    public void listed(boolean underPresentToken) {
-        delivery.listed(underPresentToken);
+    public void markListed(boolean underPresentToken) {
+        delivery.markListed(underPresentToken);
     }
 
     /** Whether a message of the worker has listed it. */
-    public boolean seen() {
-        return delivery.seen();
+    public boolean hasBeenListed() {
+        return delivery.hasBeenListed();
     }
 
     /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
-    public boolean onlyHere() {
-        return delivery.onlyHere();
+    public boolean isOnlyOnThisMachine() {
+        return delivery.isOnlyOnThisMachine();
     }
 
     /** Whether it was found on the machine: then it is not known when it began. */
-    public boolean wasAdopted() {
-        return wasAdopted;
+    public boolean isAdopted() {
+        return adopted;
     }
 
     /** A heartbeat lists it as waiting for its image. */
-    public void fetching() {
+    public void markFetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
             transition(Phase.FETCHING, "listed in a heartbeat");
         }
     }
 
     /** A heartbeat lists it as waiting for the others of its gang. */
-    public void waiting() {
+    public void markWaiting() {
         if (phase != Phase.STOPPING) {
             transition(Phase.WAITING, "listed in a heartbeat");
         }
     }
 
     /** A heartbeat lists it as running; the first one that does tells since when, at the latest. */
-    public void running(long nowMicros) {
+    public void markRunning(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
         }
@@ -212,7 +212,7 @@
     }
 
     /** A heartbeat lists it as saving, so it was told to stop. */
-    public void saving() {
+    public void markSaving() {
         transition(Phase.STOPPING, "saving");
     }
 
@@ -227,7 +227,7 @@
     }
 
     /** For how long it has been seen to run; 0 when it was not. */
-    public long ranMicros(long nowMicros) {
+    public long runTimeMicros(long nowMicros) {
         return hasRun() ? nowMicros - runningSinceMicros : 0;
     }
 
@@ -250,7 +250,7 @@
     }
 
     /** There is proof that it is not on the machine. */
-    public void freed(String why) {
+    public void free(String why) {
         transition(Phase.FREED, why);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
@@ -5,27 +5,28 @@
 import java.util.List;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.placement.Resources;
+import org.granitepath.coordination.placement.ResourceUsage;
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
 /**
- * What to stop on one machine so that at least one more task fits there.
+ * The tasks to stop on one machine so that at least one task of the preempting job fits there.
  *
- * @param cost see {@link PreemptionCost}
- * @param slots how many tasks fit then
+ * @param victims the tasks to stop
+ * @param cost what stopping them costs, in the unit of {@link PreemptionCost}
+ * @param slots how many tasks of the preempting job fit once the victims have stopped
  */
 record Preemption(Machine machine, List<Placement> victims, double cost, int slots) {
 
     /**
-     * Takes the candidates that cost least until one task of the job fits.
+     * Selects the candidates that cost least to stop until one task of the job fits.
      *
-     * @param candidates what may be stopped; they are sorted by cost
-     * @param freed what is being freed on the machine anyway; the victims are added to it
-     * @return null if the task does not even fit once all candidates are stopped
+     * @param candidates the tasks that can be stopped; this method sorts the list by cost
+     * @param freed the resources that stopping tasks free on the machine in any case; the victims are added to it
+     * @return null if the task does not fit even once all candidates have stopped
      */
     static @Nullable Preemption cheapest(
-            JobSpec spec, Machine machine, List<Placement> candidates, Resources freed, long nowMicros) {
+            JobSpec spec, Machine machine, List<Placement> candidates, ResourceUsage freed, long nowMicros) {
         candidates.sort(Comparator.comparingDouble(placement -> PreemptionCost.ofStopping(placement, nowMicros)));
         List<Placement> victims = new ArrayList<>();
         double cost = PreemptionCost.ofFetchingImage(machine, spec);
@@ -33,7 +34,7 @@
             victims.add(placement);
             cost += PreemptionCost.ofStopping(placement, nowMicros);
             freed.add(placement.job().spec());
-            int slots = freed.slotsOnceFreed(machine.capacity(), spec);
+            int slots = freed.slotsIfFreed(machine.capacity(), spec);
             if (slots > 0) {
                 return new Preemption(machine, victims, cost, slots);
             }
@@ -41,7 +42,7 @@
         return null;
     }
 
-    /** Whether it stops a gang, whose other tasks then end on other machines. */
+    /** Returns whether a victim belongs to a gang, whose tasks on other machines then end too. */
     boolean stopsGang() {
         return victims.stream().anyMatch(victim -> victim.job().spec().gang());
     }
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -46,7 +46,7 @@
 
     /** A worker's heartbeat, answered with what it is to do. */
     HeartbeatResponse answer(Heartbeat heartbeat) {
-        Machine machine = fleet.machine(heartbeat.host());
+        Machine machine = fleet.machine(heartbeat.machineId());
         if (machine == null) {
             if (!mayJoin(heartbeat)) {
                 return new HeartbeatResponse.Unavailable();
@@ -60,12 +60,12 @@
             return overtaken(machine, heartbeat);
         }
         loop.runCycleIfDue();
-        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.forAnswer(machine));
+        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.collectForResponse(machine));
     }
 
     private boolean mayJoin(Heartbeat heartbeat) {
-        if (fleet.isLateCopy(heartbeat)) {
-            LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.host());
+        if (fleet.isFromDepartedMachine(heartbeat)) {
+            LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.machineId());
             return false;
         }
         return heartbeat.fencingToken() <= term.fencingToken();
@@ -90,11 +90,11 @@
 
     /** Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be. */
     private static HeartbeatResponse overtaken(Machine machine, Heartbeat heartbeat) {
-        machine.contact().liftFence();
+        machine.contact().clearFence();
         boolean ofPresentAgentEpoch =
                 heartbeat.agentEpoch() == machine.contact().agentEpoch();
         return !machine.isGone() && ofPresentAgentEpoch
-                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopsFor(machine))
+                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopAndClearCommands(machine))
                 : new HeartbeatResponse.Unavailable();
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -157,7 +157,8 @@
     // ---- jobs --------------------------------------------------------------------------------------------------
 
     private SchedulingLoop newSchedulingLoop() {
-        return new SchedulingLoop(timers, termEnd::ended, leadership::mayStart, this::runCycle, this::sendCommands);
+        return new SchedulingLoop(
+                timers, termEnd::ended, leadership::canStartTasks, this::runCycle, this::sendCommands);
     }
 
     private void runCycle() {
@@ -165,7 +166,7 @@
     }
 
     private void sendCommands() {
-        sender.sendDue();
+        sender.sendDueCommands();
     }
 
     private RecoveryPlan newRecoveryPlan(RecoveryTracer recoveryTracer) {
@@ -182,13 +183,13 @@
     private MachineInventory newInventory() {
         MachineInventory.Listener listener = new MachineInventory.Listener() {
             @Override
-            public void tokenRaised(Machine machine) {
-                tokenRaiseHandler.tokenRaised(machine);
-                sender.showRaisedToken(machine);
+            public void onTokenRaised(Machine machine) {
+                tokenRaiseHandler.onTokenRaised(machine);
+                sender.sendRaisedToken(machine);
             }
 
             @Override
-            public void recorded() {
+            public void onInventoryWritten() {
                 loop.requestCycle();
             }
         };
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -32,10 +32,10 @@
             @Nullable LeaderTerm leaderTerm,
             long nowMicros) {
         long recordsAgeMicros = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
-        if (!leadership.leads()) {
+        if (!leadership.isLeader()) {
             return withoutTerm(config, leadership, replica, recordsAgeMicros);
         }
-        Role role = leadership.leaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
+        Role role = leadership.isLeaseConfirmed() ? Role.LEADING : Role.LEADING_UNCONFIRMED;
         String reason = role == Role.LEADING
                 ? "the state service confirmed lately that this controller leads"
                 : "no recent answer from the state service: another controller may lead by now";
@@ -80,20 +80,20 @@
     private static RecoveryStatus.Term during(TermRecovery recovery, long nowMicros) {
         RecoveryPlan plan = recovery.plan();
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
-        tasks.putAll(plan.verdicts());
+        tasks.putAll(plan.taskCountsByVerdict());
         tasks.put(Verdict.UNCONFIRMED, recovery.unconfirmedTasks());
         return new RecoveryStatus.Term(
                 plan.phase(),
                 plan.fencingToken(),
-                plan.revision(),
+                plan.recordsRevision(),
                 new RecoveryStatus.Machines(
-                        plan.machinesTakenOver(), plan.machinesAwaited(), plan.unreadableInventoryParts()),
+                        plan.takenOverMachineCount(), plan.awaitedMachines(), plan.unreadableInventoryParts()),
                 tasks,
-                plan.comparisons(),
-                plan.holdsBatchWork() ? hold(plan, nowMicros) : null);
+                plan.comparisonCount(),
+                plan.isBatchWorkHeld() ? hold(plan, nowMicros) : null);
     }
 
     private static RecoveryStatus.Hold hold(RecoveryPlan plan, long nowMicros) {
-        return new RecoveryStatus.Hold(plan.waitingFor(), Math.max(0, plan.holdEndsMicros() - nowMicros));
+        return new RecoveryStatus.Hold(plan.awaitedLiveWork(), Math.max(0, plan.holdEndMicros() - nowMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/TermRecords.java
+++ b/src/main/java/org/granitepath/coordination/term/TermRecords.java
@@ -41,8 +41,8 @@
     /** Takes over what is on record. The machines come first: jobs are judged by which of them are still awaited. */
     void takeOver() {
         List<Machine> takenOver = inventory.takeOver();
-        fleet.inherit(takenOver);
-        recovery.start(takenOver, inventory.unreadableParts(), replica.storeRevision());
+        fleet.takeOver(takenOver);
+        recovery.start(takenOver, inventory.unreadablePartCount(), replica.storeRevision());
         jobs.start();
         LOG.info(
                 "term with fencing token {}: {} machines taken over",
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -27,8 +27,8 @@
             packer.packArrayHeader(STATUS_FIELDS)
                     .packInt(VERSION)
                     .packString(status.node())
-                    .packLong(status.contactAgeMicros())
-                    .packBoolean(status.leader())
+                    .packLong(status.storeContactAgeMicros())
+                    .packBoolean(status.isLeader())
                     .packInt(status.redirectedMachines());
             return packer.toByteArray();
         } catch (IOException e) {
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -167,8 +167,8 @@
         if (answer instanceof JobResponse.Status status) {
             fields.put("uid", status.job());
             fields.put("status", word(status.state()));
-            fields.put("done", status.done());
-            fields.put("running", status.running());
+            fields.put("done", status.finishedTasks());
+            fields.put("running", status.runningTasks());
         } else if (answer instanceof JobResponse.Unschedulable unschedulable) {
             fields.put(ERROR, unschedulable.reason());
         } else if (answer instanceof JobResponse.RetryLater later) {
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -27,24 +27,24 @@
         this.fencingToken = fencingToken;
         this.batchHold = new BatchHold(batchHoldMicros);
         this.tracer = tracer;
-        tracer.termBegan(fencingToken);
-        tracer.phaseEntered(phase, "term won");
+        tracer.onTermBegan(fencingToken);
+        tracer.onPhaseEntered(phase, "term won");
     }
 
     /** Takes a machine of the inventory over, before the records count as read. */
-    public void takeOver(String machine, MachineProfile profile) {
+    public void takeOverMachine(String machine, MachineProfile profile) {
         awaited.add(machine, profile);
         machinesTakenOver++;
-        tracer.machineAwaited(machine);
+        tracer.onMachineAwaited(machine);
     }
 
     /** Parts of the inventory that can't be read: no task is proved lost as long as this term lasts. */
-    public void takeOverUnreadable(int parts) {
+    public void takeOverUnreadableParts(int parts) {
         awaited.addUnreadableParts(parts);
     }
 
     /** The records are read, as of this revision: from now on heartbeats are taken. */
-    public void recordsRead(long revisionRead, long nowMicros) {
+    public void onRecordsRead(long revisionRead, long nowMicros) {
         revision = revisionRead;
         batchHold.begin(nowMicros);
         if (awaited.isEmpty()) {
@@ -56,9 +56,9 @@
     }
 
     /** A machine taken over has sent a heartbeat or is proved gone; true when that may tell of unconfirmed tasks. */
-    public boolean resolved(String machine, MachineProfile profile, String proof) {
+    public boolean resolveMachine(String machine, MachineProfile profile, String proof) {
         boolean lastOfItsProfile = awaited.remove(machine, profile);
-        tracer.machineResolved(machine, proof);
+        tracer.onMachineResolved(machine, proof);
         if (awaited.isEmpty() && phase == RecoveryPhase.RESUMING_BATCH) {
             recovered();
         }
@@ -66,8 +66,8 @@
     }
 
     /** The verdict on a claimed task that no heartbeat has listed so far. */
-    public Verdict verdictOnUnlisted(JobSpec spec) {
-        return VerdictTable.ofUnlisted(awaited.mayHold(spec));
+    public Verdict verdictOnUnlistedTask(JobSpec spec) {
+        return VerdictTable.forUnlistedTask(awaited.mayHold(spec));
     }
 
     /** Counts a verdict on one task. */
@@ -81,19 +81,19 @@
     }
 
     /** Whether tasks of this job may start, as far as the recovery is concerned. */
-    public boolean mayStart(JobSpec spec) {
-        return phase.startsBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.includes(spec));
+    public boolean canStart(JobSpec spec) {
+        return phase.canStartBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.isLiveWork(spec));
     }
 
     /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
     public void endHoldIfDue(long nowMicros) {
-        if (holdsBatchWork() && batchHold.isDue(nowMicros)) {
+        if (isBatchWorkHeld() && batchHold.isDue(nowMicros)) {
             resumeBatch(batchHold.reasonToEnd());
         }
     }
 
     /** A scheduling cycle has ended and left this of the live work. */
-    public void cycleEnded(LiveWorkBacklog backlog) {
+    public void onCycleEnded(LiveWorkBacklog backlog) {
         batchHold.waitsFor(backlog);
         if (phase == RecoveryPhase.RECONCILING && backlog.unconfirmedTasks() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
@@ -116,27 +116,27 @@
 
     /** The term is over. */
     public void end() {
-        tracer.termEnded();
+        tracer.onTermEnded();
     }
 
     private void enter(RecoveryPhase next, String reason) {
         LOG.info("recovery under fencing token {}: {} -> {} ({})", fencingToken, phase, next, reason);
         phase = next;
-        tracer.phaseEntered(next, reason);
+        tracer.onPhaseEntered(next, reason);
     }
 
     /** Whether batch work is held for live work. */
-    public boolean holdsBatchWork() {
-        return phase.holdsBatchWork();
+    public boolean isBatchWorkHeld() {
+        return phase.isHoldingBatchWork();
     }
 
     /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
-    public String waitingFor() {
-        return holdsBatchWork() ? batchHold.waitingFor() : "nothing";
+    public String awaitedLiveWork() {
+        return isBatchWorkHeld() ? batchHold.waitingFor() : "nothing";
     }
 
     /** Whether every machine taken over has sent a heartbeat or is proved gone. */
-    public boolean noMachineAwaited() {
+    public boolean isEveryMachineResolved() {
         return awaited.isEmpty();
     }
 
@@ -151,17 +151,17 @@
     }
 
     /** The revision of the records that the recovery began with. */
-    public long revision() {
+    public long recordsRevision() {
         return revision;
     }
 
     /** How many machines the inventory had when the term began. */
-    public int machinesTakenOver() {
+    public int takenOverMachineCount() {
         return machinesTakenOver;
     }
 
     /** The machines still awaited, as of now. */
-    public PSet<String> machinesAwaited() {
+    public PSet<String> awaitedMachines() {
         return awaited.names();
     }
 
@@ -171,17 +171,17 @@
     }
 
     /** When the hold ends at the latest. */
-    public long holdEndsMicros() {
+    public long holdEndMicros() {
         return batchHold.endsMicros();
     }
 
     /** How many attempts were compared with the records so far. */
-    public long comparisons() {
+    public long comparisonCount() {
         return counts.comparisons();
     }
 
     /** How many tasks got each verdict so far. */
-    public Map<Verdict, Integer> verdicts() {
+    public Map<Verdict, Integer> taskCountsByVerdict() {
         return counts.tasks();
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -38,18 +38,18 @@
     /**
      * The recovery of one term of leadership.
      *
-     * @param revision the revision of the records that it began with; 0 while they are read
-     * @param tasks how many tasks got each verdict so far
-     * @param comparisons how many attempts were compared with the records so far
+     * @param recordsRevision the revision of the records that it began with; 0 while they are read
+     * @param taskCountsByVerdict how many tasks got each verdict so far
+     * @param comparisonCount how many attempts were compared with the records so far
      * @param hold what holds batch work back; null when it may start
      */
     public record Term(
             RecoveryPhase phase,
             long fencingToken,
-            long revision,
+            long recordsRevision,
             Machines machines,
-            Map<Verdict, Integer> tasks,
-            long comparisons,
+            Map<Verdict, Integer> taskCountsByVerdict,
+            long comparisonCount,
             @Nullable Hold hold) {}
 
     /**
@@ -88,12 +88,12 @@
     }
 
     /** How many machines are still awaited; 0 when this controller does not lead. */
-    public int machinesMissing() {
+    public int awaitedMachineCount() {
         return term == null ? 0 : term.machines().awaited().size();
     }
 
     /** How many tasks got each verdict so far; empty when this controller does not lead. */
-    public Map<Verdict, Integer> tasks() {
-        return term == null ? Map.of() : term.tasks();
+    public Map<Verdict, Integer> taskCountsByVerdict() {
+        return term == null ? Map.of() : term.taskCountsByVerdict();
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/LauncherTest.java
@@ -82,7 +82,7 @@
         assertTrue(launcher.hasRequestInFlight());
         cloud.answerLaunch(CloudPort.Outcome.REFUSED);
         assertFalse(launcher.hasRequestInFlight(), "the launcher gives up after 20 retries");
-        assertTrue(timers.nonePending());
+        assertTrue(timers.isIdle());
         assertEquals(21, cloud.launches.size());
         assertEquals(1, cloud.launches.stream().distinct().count());
         assertEquals(List.of(), answeredMicros);
--- a/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
@@ -19,7 +19,7 @@
     private Consumer<Listing> unansweredList;
 
     @Override
-    public void types(Consumer<List<MachineType>> then) {
+    public void fetchMachineTypes(Consumer<List<MachineType>> then) {
         throw new UnsupportedOperationException();
     }
 
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void list(String from, int limit, Consumer<Listing> then) {
+    public void listMachines(String from, int limit, Consumer<Listing> then) {
         listedAfter.add(from);
         unansweredList = then;
     }
@@ -49,7 +49,7 @@
         unansweredTermination.accept(done);
     }
 
-    void answerList(Outcome outcome, boolean more, ListedHost... hosts) {
+    void answerList(Outcome outcome, boolean more, ListedMachine... hosts) {
         unansweredList.accept(new Listing(outcome, List.of(hosts), more));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleInTest.java
@@ -41,14 +41,15 @@
     }
 
     private Machine drainedMachine(String id) {
-        Machine machine = fixture.machine(id, false);
+        Machine machine = fixture.addMachine(id, false);
         machine.drain("test");
         return machine;
     }
 
     @Test
     void keepsMachineInUse() {
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), fixture.machine("m", false), SECOND);
+        fixture.addRunningTask(
+                fixture.batch("batch", Priority.STANDARD).build(), fixture.addMachine("m", false), SECOND);
         assertEquals(List.of(), scaleIn.chooseMachines(NOW));
     }
 
@@ -61,17 +62,17 @@
 
     @Test
     void choosesUnneededMachine() {
-        Machine machine = fixture.machine("idle", false);
+        Machine machine = fixture.addMachine("idle", false);
         long laterMicros = NOW + Machine.MINIMUM_CHARGE_MICROS + 1;
-        machine.heartbeatReceived(false, laterMicros);
+        machine.recordHeartbeat(false, laterMicros);
         assertEquals(List.of("idle"), scaleIn.chooseMachines(laterMicros));
         assertEquals(Machine.Phase.TERMINATING, machine.phase());
     }
 
     @Test
     void choosesUnresponsiveMachineWithRunningTask() {
-        Machine machine = fixture.machine("m", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        Machine machine = fixture.addMachine("m", false);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         long leaseMicros = fixture.config.workers().leaseMicros();
         assertEquals(List.of("m"), scaleIn.chooseMachines(NOW + leaseMicros + 1));
         assertEquals(Machine.Phase.TERMINATING, machine.phase());
@@ -79,8 +80,8 @@
 
     @Test
     void choosesDrainedMachineOnlyWhenEmpty() {
-        Machine busy = fixture.machine("busy", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), busy, SECOND);
+        Machine busy = fixture.addMachine("busy", false);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), busy, SECOND);
         busy.drain("test");
         drainedMachine("empty");
         assertEquals(List.of("empty"), scaleIn.chooseMachines(NOW));
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -50,7 +50,7 @@
 
     private ActiveJob waitingJob(PlacementFixture.JobBuilder builder) {
         ActiveJob job = builder.tasks(4).build();
-        job.scheduling().tasksWaiting(NOW);
+        job.scheduling().markWaiting(NOW);
         return job;
     }
 
@@ -132,7 +132,7 @@
 
     @Test
     void launchesNothingBeforeEarliestStart() {
-        waitingJob().scheduling().startNothingBefore(NOW + SECOND);
+        waitingJob().scheduling().delayStartsUntil(NOW + SECOND);
         assertLaunches(0);
     }
 
@@ -150,7 +150,7 @@
 
     @Test
     void launchesNothingForGangThatRan() {
-        waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).running();
+        waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).markRunning();
         assertLaunches(0);
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
 
 /** What of the fleet is put on record, and the fencing tokens that single machines are given. */
 class MachineInventoryTest {
-    private static final long CLEANUP_DELAY = 15 * SECOND;
+    private static final long CLEANUP_DELAY = 15 * SECOND_MICROS;
 
     private final FleetFixture fixture = new FleetFixture();
 
@@ -32,24 +32,24 @@
         fixture.readyMachine("m1");
         fixture.readyMachine("m2");
         assertEquals(List.of("m1", "m2"), idsOnRecord());
-        fixture.machines.terminated("m1");
-        fixture.timers.advance(SECOND);
+        fixture.machines.onTerminated("m1");
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of("m2"), idsOnRecord());
     }
 
     @Test
     void machinesTakenOverAreOursUnderTheTokenOfTheTerm() {
         Machine machine = fixture.takeOver("m").get(0);
-        assertTrue(machine.inventory().recorded());
+        assertTrue(machine.inventory().isRecorded());
         assertEquals(TERM_TOKEN, machine.fencingToken());
-        assertEquals(0, fixture.inventory.unreadableParts());
+        assertEquals(0, fixture.inventory.unreadablePartCount());
     }
 
     @Test
     void aPartThatCannotBeReadIsCountedAndLeftAlone() {
         fixture.replica.applied(Keys.inventory(0), new UnknownRecord(Map.of()), 1);
         assertEquals(List.of(), fixture.takeOverRecords());
-        assertEquals(1, fixture.inventory.unreadableParts());
+        assertEquals(1, fixture.inventory.unreadablePartCount());
         assertEquals(1, fixture.readyMachine("m").inventory().part());
     }
 
@@ -60,8 +60,8 @@
         Machine third = fixture.readyMachine("m3");
         fixture.inventory.requestToken(first, "test");
         fixture.inventory.requestToken(second, "test");
-        assertFalse(first.takesTasks(), "not before the token is on record");
-        fixture.timers.advance(SECOND);
+        assertFalse(first.isSchedulable(), "not before the token is on record");
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
         assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
         assertEquals(List.of("m1", "m2"), fixture.tokensRaised);
@@ -72,9 +72,9 @@
         Machine first = fixture.readyMachine("m1");
         Machine second = fixture.readyMachine("m2");
         fixture.inventory.requestToken(first, "test");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         fixture.inventory.requestToken(second, "test");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 2), tokens(first, second));
     }
 
@@ -87,9 +87,9 @@
         Machine machine = fixture.readyMachine("m");
         fixture.inventory.requestTokenForCleanup(machine);
         fixture.timers.advance(CLEANUP_DELAY - 1);
-        assertTrue(machine.takesTasks());
+        assertTrue(machine.isSchedulable());
         assertEquals(TERM_TOKEN, machine.fencingToken());
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(TERM_TOKEN + 1, machine.fencingToken());
     }
 
@@ -97,10 +97,10 @@
     void whatARefusedWriteHeldIsWrittenLater() {
         fixture.commitOutcome = KeyValueStore.Outcome.REFUSED;
         Machine machine = fixture.readyMachine("m");
-        assertFalse(machine.inventory().recorded());
+        assertFalse(machine.inventory().isRecorded());
         fixture.commitOutcome = KeyValueStore.Outcome.OK;
-        fixture.timers.advance(5 * SECOND);
-        assertTrue(machine.inventory().recorded());
+        fixture.timers.advance(5 * SECOND_MICROS);
+        assertTrue(machine.inventory().isRecorded());
         assertEquals(List.of("m"), idsOnRecord());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
@@ -18,7 +18,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -56,45 +56,45 @@
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.FETCHING)));
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         assertEquals(Placement.Phase.RUNNING, placement.phase());
-        assertEquals(Map.of(Verdict.CONFIRMED, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.CONFIRMED, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
     void aTaskThatAFormerLeaderStartedIsAdopted() {
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE)));
+        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE)));
         Placement placement = machine.placement(task);
         assertNotNull(placement);
         assertEquals(FORMER_ATTEMPT, placement.attempt());
-        assertTrue(placement.onlyHere(), "listed under the present token");
-        assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.verdicts());
+        assertTrue(placement.isOnlyOnThisMachine(), "listed under the present token");
+        assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
     void aTaskListedUnderAFormerTokenMayBeElsewhere() {
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
-        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
-        receive(machine, heartbeat(machine, EPOCH, FORMER_TOKEN, running));
-        assertFalse(machine.placement(task).onlyHere());
+        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE);
+        receive(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN, running));
+        assertFalse(machine.placement(task).isOnlyOnThisMachine());
     }
 
     @Test
     void aTaskThatFinishedMeanwhileIsDone() {
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, Cause.DONE)));
+        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, ExitCause.DONE)));
         assertTrue(jobOf(task).isDone(0));
         assertNull(machine.placement(task));
-        assertEquals(Map.of(Verdict.FINISHED_MEANWHILE, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.FINISHED_MEANWHILE, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
     void anOrphanIsStoppedUntilItIsGoneAndCountedOnce() {
         Machine machine = fixture.readyMachine("m");
         TaskId task = new TaskId("nobody's", 0);
-        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
+        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE);
         List<WorkerCommand> stop = List.of(WorkerCommand.stop(task, FORMER_ATTEMPT, 0));
         receive(machine, nextHeartbeat(machine, running));
         assertEquals(stop, machine.cleanupCommands());
@@ -102,14 +102,14 @@
         assertEquals(stop, machine.cleanupCommands(), "repeated");
         receive(machine, nextHeartbeat(machine));
         assertEquals(List.of(), machine.cleanupCommands());
-        assertEquals(Map.of(Verdict.UNKNOWN_JOB, 1), fixture.plan.verdicts());
+        assertEquals(Map.of(Verdict.UNKNOWN_JOB, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
     void anExitedAttemptThatNobodyNeedsIsCleared() {
         Machine machine = fixture.readyMachine("m");
         TaskId task = new TaskId("nobody's", 0);
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, Cause.STOPPED)));
+        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, ExitCause.STOPPED)));
         assertEquals(List.of(WorkerCommand.clear(task, FORMER_ATTEMPT)), machine.cleanupCommands());
     }
 
@@ -121,8 +121,8 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
-        assertEquals(Map.of(Verdict.CONFIRMED, 1, Verdict.LOST, 1), fixture.plan.verdicts());
+        assertFalse(placement.isActive());
+        assertEquals(Map.of(Verdict.CONFIRMED, 1, Verdict.LOST, 1), fixture.plan.taskCountsByVerdict());
     }
 
     @Test
@@ -130,8 +130,8 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
-        receive(machine, heartbeat(machine, EPOCH, TERM_TOKEN - 1));
-        assertTrue(placement.live());
+        receive(machine, heartbeat(machine, AGENT_EPOCH, TERM_TOKEN - 1));
+        assertTrue(placement.isActive());
     }
 
     @Test
@@ -139,7 +139,7 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine));
-        assertTrue(placement.live());
+        assertTrue(placement.isActive());
     }
 
     @Test
@@ -147,9 +147,9 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertTrue(machine.inventory().needsNewToken());
     }
 
@@ -158,10 +158,10 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertFalse(machine.inventory().needsNewToken());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.fleet;
 
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.exited;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.status;
@@ -15,7 +15,7 @@
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -42,7 +42,7 @@
     private List<Placement> startedGang(ActiveJob gang) {
         fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
         List<Placement> placements = List.copyOf(gang.placements());
-        placements.forEach(Placement::sentDirectly);
+        placements.forEach(Placement::markSentDirectly);
         return placements;
     }
 
@@ -52,37 +52,38 @@
     void aCompletedTaskIsDone() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertTrue(job.isDone(placement.task().index()));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
     }
 
     @Test
     void theTaskOfAServiceIsNeverDone() {
         ActiveJob service = fixture.job(JobSpec.Shape.SERVICE);
         Placement placement = fixture.started(service, machine);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertFalse(service.isDone(placement.task().index()));
-        assertFalse(placement.live(), "it is to start again");
+        assertFalse(placement.isActive(), "it is to start again");
     }
 
     @Test
     void aFailedTaskMakesItsMachineASuspect() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
-        update(placement, exited(placement, Cause.FAILED));
-        assertTrue(fixture.faults.suspects(machine));
-        assertEquals(placement.task().index(), job.firstFreed());
+        update(placement, exited(placement, ExitCause.FAILED));
+        assertTrue(fixture.faults.isSuspect(machine));
+        assertEquals(placement.task().index(), job.firstFreedTask());
     }
 
     @ParameterizedTest
     @EnumSource(names = {"UNKNOWN_JOB", "INSUFFICIENT_CAPACITY"})
-    void aRefusedStartIsRepeatedAfterASecond(Cause cause) {
+    void aRefusedStartIsRepeatedAfterASecond(ExitCause cause) {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, exited(placement, cause));
-        assertEquals(fixture.timers.nowMicros() + SECOND, job.scheduling().notBeforeMicros());
-        assertFalse(fixture.faults.suspects(machine));
+        assertEquals(
+                fixture.timers.nowMicros() + SECOND_MICROS, job.scheduling().notBeforeMicros());
+        assertFalse(fixture.faults.isSuspect(machine));
     }
 
     @Test
@@ -92,8 +93,8 @@
             job.markDone(task);
         }
         Placement last = fixture.started(job, machine);
-        update(last, exited(last, Cause.DONE));
-        assertEquals(ActiveJob.Phase.ENDING, job.phase());
+        update(last, exited(last, ExitCause.DONE));
+        assertEquals(ActiveJob.Phase.COMPLETING, job.phase());
     }
 
     // ---- running -----------------------------------------------------------------------------------------------
@@ -102,12 +103,12 @@
     void aTaskThatHasRunForLongProvesItsJobSound() {
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         update(placement, TaskState.RUNNING);
-        fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
+        fixture.timers.advance(FaultTracker.HEALTHY_RUN_MICROS - 1);
         update(placement, TaskState.RUNNING);
-        assertTrue(fixture.faults.wantsProof(placement));
+        assertTrue(fixture.faults.isUnderObservation(placement));
         fixture.timers.advance(1);
         update(placement, TaskState.RUNNING);
-        assertFalse(fixture.faults.wantsProof(placement));
+        assertFalse(fixture.faults.isUnderObservation(placement));
     }
 
     @Test
@@ -115,21 +116,21 @@
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.started(job, machine);
         update(placement, TaskState.RUNNING);
-        fixture.timers.advance(3 * SECOND);
-        update(placement, exited(placement, Cause.DONE));
-        assertEquals(3.0 * SECOND, job.finishedMicros());
+        fixture.timers.advance(3 * SECOND_MICROS);
+        update(placement, exited(placement, ExitCause.DONE));
+        assertEquals(3.0 * SECOND_MICROS, job.totalRunMicros());
     }
 
     @Test
     void theRunTimeOfAnAdoptedTaskIsNot() {
         Machine takenOver = fixture.takeOver("m9").get(0);
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, FORMER_TOKEN);
-        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, Cause.NONE);
+        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, ExitCause.NONE);
         fixture.reconciler.reconcile(takenOver, nextHeartbeat(takenOver, running), MessageOrigin.HEARTBEAT);
         Placement adopted = job.placement(0);
-        update(adopted, exited(adopted, Cause.DONE));
+        update(adopted, exited(adopted, ExitCause.DONE));
         assertTrue(job.isDone(0));
-        assertEquals(0, job.finishedTasks());
+        assertEquals(0, job.measuredTasks());
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
@@ -138,9 +139,9 @@
     void oneCompletedTaskOfAGangTellsOfAll() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         Placement first = startedGang(gang).get(0);
-        update(first, exited(first, Cause.DONE));
+        update(first, exited(first, ExitCause.DONE));
         assertEquals(0, gang.unfinishedTasks());
-        assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
+        assertEquals(GangAttempt.Phase.COMPLETING, gang.gangAttempt().phase());
     }
 
     @ParameterizedTest
@@ -162,7 +163,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"PEER_GONE", "INCOMPLETE"})
-    void aGangWhoseAttemptIsOverIsStopped(Cause cause) {
+    void aGangWhoseAttemptIsOverIsStopped(ExitCause cause) {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startedGang(gang);
         update(placements.get(0), exited(placements.get(0), cause));
@@ -197,7 +198,7 @@
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startedGang(gang);
         fixture.statusUpdater.completedElsewhere(gang, 0);
-        assertEquals(ActiveJob.Phase.ENDING, gang.phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, gang.phase());
         assertEquals(Placement.Phase.SENT, placements.get(0).phase(), "its tasks exit by themselves");
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -26,18 +26,18 @@
     private Machine machineIn(String zone) {
         Machine machine = new Machine("m00", "10.0.0.1:80", "standard", zone, false);
         fleet.add(machine);
-        machine.heartbeatReceived(false, timers.nowMicros());
-        machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE, true);
-        machine.tasksConfirmed();
+        machine.recordHeartbeat(false, timers.nowMicros());
+        machine.contact().setLeaseExpiry(timers.nowMicros() + LEASE, true);
+        machine.confirmTasks();
         return machine;
     }
 
     @Test
     void aMachineWhoseHeartbeatsComeMustShowTheToken() {
         Machine machine = machineIn(PEER_ZONE);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
-        assertFalse(machine.contact().fenced());
+        assertFalse(machine.contact().isFenced());
         assertEquals(timers.nowMicros() + LEASE, machine.contact().leaseExpiryMicros());
     }
 
@@ -46,9 +46,9 @@
         Machine machine = machineIn(OWN_ZONE);
         long leaseExpiryMicros = machine.contact().leaseExpiryMicros();
         timers.advance(5 * SECOND);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
-        assertTrue(machine.contact().fenced());
+        assertTrue(machine.contact().isFenced());
         assertEquals(leaseExpiryMicros, machine.contact().leaseExpiryMicros(), "nobody can have kept it alive");
     }
 
@@ -56,8 +56,8 @@
     void theLeaseOfAnUnresponsiveMachineNearAPeerMayGoOnForAWhile() {
         Machine machine = machineIn(PEER_ZONE);
         timers.advance(5 * SECOND);
-        handler.tokenRaised(machine);
-        assertTrue(machine.contact().fenced());
+        handler.onTokenRaised(machine);
+        assertTrue(machine.contact().isFenced());
         assertEquals(
                 timers.nowMicros()
                         + config.workers().maxDisconnectedMicros()
@@ -68,9 +68,9 @@
     @Test
     void aLeaseThatIsOverIsNotExtended() {
         Machine machine = machineIn(PEER_ZONE);
-        machine.leaseExpired();
+        machine.expireLease();
         timers.advance(5 * SECOND);
-        handler.tokenRaised(machine);
+        handler.onTokenRaised(machine);
         assertEquals(0, machine.contact().leaseExpiryMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.TestConfigs;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -83,11 +83,11 @@
     }
 
     private boolean mayRenewFirstMachine() {
-        return keeper.mayRenew(heartbeat("m1", ZONE, TERM_TOKEN));
+        return keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN));
     }
 
     private void receive(long contactAgeMicros, boolean leader) {
-        peers.statusReceived(new PeerPort.PeerStatus("c2", contactAgeMicros, leader, 0));
+        peers.handleStatus(new PeerPort.PeerStatus("c2", contactAgeMicros, leader, 0));
     }
 
     @Test
@@ -113,7 +113,7 @@
     @Test
     void machinesOfOtherZonesAreNotAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.mayRenew(heartbeat("m1", "zone-c2", TERM_TOKEN)));
+        assertFalse(keeper.canRenew(heartbeat("m1", "zone-c2", TERM_TOKEN)));
     }
 
     @Test
@@ -140,16 +140,16 @@
     @Test
     void theWorkerMustHaveSeenTheHigherOfTheTokensOnRecord() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.mayRenew(heartbeat("m1", ZONE, TERM_TOKEN - 1)), "the row has an older one");
-        assertFalse(keeper.mayRenew(heartbeat("m2", ZONE, TERM_TOKEN)), "the machine has its own");
-        assertTrue(keeper.mayRenew(heartbeat("m2", ZONE, OWN_TOKEN)));
+        assertFalse(keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN - 1)), "the row has an older one");
+        assertFalse(keeper.canRenew(heartbeat("m2", ZONE, TERM_TOKEN)), "the machine has its own");
+        assertTrue(keeper.canRenew(heartbeat("m2", ZONE, OWN_TOKEN)));
     }
 
     @Test
     void machinesThatAreNotOnRecordAreNotAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.mayRenew(heartbeat("unknown", ZONE, 0)));
-        assertFalse(keeper.mayRenew(heartbeat("unknown", ZONE, TERM_TOKEN)));
+        assertFalse(keeper.canRenew(heartbeat("unknown", ZONE, 0)));
+        assertFalse(keeper.canRenew(heartbeat("unknown", ZONE, TERM_TOKEN)));
     }
 
     @Test
@@ -161,7 +161,7 @@
         timers.advance(SECOND);
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         assertFalse(mayRenewFirstMachine());
-        assertTrue(keeper.mayRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
+        assertTrue(keeper.canRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
     }
 
     @Test
@@ -170,15 +170,15 @@
                 "m1",
                 ZONE,
                 TERM_TOKEN,
-                new TaskStatus(ENDED, 2, TaskState.RUNNING, Cause.NONE, false),
-                new TaskStatus(OPEN, 3, TaskState.RUNNING, Cause.NONE, false)));
+                new TaskStatus(ENDED, 2, TaskState.RUNNING, ExitCause.NONE, false),
+                new TaskStatus(OPEN, 3, TaskState.RUNNING, ExitCause.NONE, false)));
         assertEquals(new HeartbeatResponse.Accepted(TERM_TOKEN, List.of(WorkerCommand.stop(ENDED, 2, 0))), response);
     }
 
     @Test
     void whatHasExitedIsNotStoppedAgain() {
         HeartbeatResponse response = keeper.answer(
-                heartbeat("m1", ZONE, TERM_TOKEN, new TaskStatus(ENDED, 2, TaskState.EXITED, Cause.DONE, false)));
+                heartbeat("m1", ZONE, TERM_TOKEN, new TaskStatus(ENDED, 2, TaskState.EXITED, ExitCause.DONE, false)));
         assertEquals(new HeartbeatResponse.Accepted(TERM_TOKEN, List.of()), response);
     }
 }
--- a/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
@@ -25,8 +25,8 @@
             new MachineLifecycle(
                     fixture.fleet, null, fixture.tasks, fixture.recovery, fixture.faults, null, null, null),
             fixture.tasks);
-    private final Machine emptier = fixture.machine("emptier", false);
-    private final Machine fuller = fixture.machine("fuller", false);
+    private final Machine emptier = fixture.addMachine("emptier", false);
+    private final Machine fuller = fixture.addMachine("fuller", false);
 
     private ActiveJob service(String id, int tasks) {
         return fixture.service(id, Priority.STANDARD).tasks(tasks).build();
@@ -34,16 +34,16 @@
 
     private Placement replicas(long ranMicros) {
         ActiveJob service = service("service", 3);
-        Placement onEmptier = fixture.running(service, emptier, ranMicros);
-        fixture.running(service, fuller, ranMicros);
-        fixture.running(service, fuller, ranMicros);
+        Placement onEmptier = fixture.addRunningTask(service, emptier, ranMicros);
+        fixture.addRunningTask(service, fuller, ranMicros);
+        fixture.addRunningTask(service, fuller, ranMicros);
         return onEmptier;
     }
 
     @Test
     void theReplicasOfTheEmptiestMachineMove() {
         Placement onEmptier = replicas(LONG_ENOUGH);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
         assertEquals(Placement.Phase.STOPPING, onEmptier.phase());
         assertEquals(Machine.Phase.READY, fuller.phase());
@@ -53,7 +53,7 @@
     void nothingMovesWhileWorkWaits() {
         replicas(LONG_ENOUGH);
         service("waiting", 1);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
@@ -64,25 +64,25 @@
                 .tasks(1)
                 .cpuMillis(CPU / 2)
                 .build();
-        fixture.running(batch, emptier, LONG_ENOUGH);
-        consolidator.tick(NOW);
+        fixture.addRunningTask(batch, emptier, LONG_ENOUGH);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
     void aReplicaRunsForAWhileBeforeItMoves() {
         replicas(LONG_ENOUGH - 1);
-        consolidator.tick(NOW);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
     void machinesAreLookedAtEveryFourSeconds() {
         replicas(LONG_ENOUGH - 1);
-        consolidator.tick(NOW);
-        consolidator.tick(NOW + INTERVAL - 1);
+        consolidator.consolidateIfDue(NOW);
+        consolidator.consolidateIfDue(NOW + INTERVAL - 1);
         assertEquals(Machine.Phase.READY, emptier.phase());
-        consolidator.tick(NOW + INTERVAL);
+        consolidator.consolidateIfDue(NOW + INTERVAL);
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
     }
 
@@ -92,21 +92,21 @@
                 .tasks(2)
                 .cpuMillis(2 * CPU)
                 .build();
-        fixture.running(service, emptier, LONG_ENOUGH);
-        fixture.running(service, fuller, LONG_ENOUGH);
-        fixture.running(service("small", 1), fuller, LONG_ENOUGH);
-        consolidator.tick(NOW);
+        fixture.addRunningTask(service, emptier, LONG_ENOUGH);
+        fixture.addRunningTask(service, fuller, LONG_ENOUGH);
+        fixture.addRunningTask(service("small", 1), fuller, LONG_ENOUGH);
+        consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
     void aSmallFleetEmptiesOneMachineAtATime() {
         replicas(LONG_ENOUGH);
-        Machine third = fixture.machine("third", false);
-        fixture.running(service("other", 1), third, LONG_ENOUGH);
+        Machine third = fixture.addMachine("third", false);
+        fixture.addRunningTask(service("other", 1), third, LONG_ENOUGH);
 
-        consolidator.tick(NOW);
-        consolidator.tick(NOW + INTERVAL);
+        consolidator.consolidateIfDue(NOW);
+        consolidator.consolidateIfDue(NOW + INTERVAL);
 
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
         assertEquals(Machine.Phase.READY, third.phase(), "what moves has not found its place yet");
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -37,7 +37,7 @@
 
         @Override
         public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-            call(peer, (controller, answer) -> answer.accept(controller.statusReceived(ours)), then);
+            call(peer, (controller, answer) -> answer.accept(controller.handlePeerStatus(ours)), then);
         }
 
         @Override
@@ -46,7 +46,7 @@
                     peer,
                     (controller, answer) -> {
                         if (!simulation.peersSendNoCancellations) {
-                            controller.cancellationReceived(notice);
+                            controller.handleCancellationNotice(notice);
                             answer.accept(true);
                         }
                     },
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void send(
+        public void sendCommands(
                 String address,
                 long fencingToken,
                 long agentEpoch,
