--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -16,8 +16,8 @@
 
 /**
  * Launches machines for waiting work and terminates the machines that no work needs. A stale leader does no harm here:
- * the present leader finds the surplus machines in the cloud's list or by their heartbeats, and uses or terminates
- * them.
+ * the present leader finds the machines that it did not request in the cloud's list or by their heartbeats, and uses or
+ * terminates them.
  */
 public final class Autoscaler {
     private static final long TICK_MICROS = 1_000_000;
@@ -27,7 +27,7 @@
      * The term of leadership in which the autoscaler launches and terminates machines.
      *
      * @param fencingToken a number that is unique to the term
-     * @param leadership tells whether the leader's lease is confirmed
+     * @param leadership tells whether the lease of this leader is confirmed
      * @param recovery the recovery of what the former leader left
      * @param hasEnded whether the term is over; the autoscaler then does nothing any more
      */
--- a/src/main/java/org/granitepath/coordination/autoscaling/BootingMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/BootingMachine.java
@@ -7,7 +7,7 @@
  *
  * @param id the name that the cloud gave the machine
  * @param spot whether the machine is a spot instance
- * @param launchedMicros the time of the launch, on the local monotonic clock
+ * @param launchedMicros the time of the launch on the local monotonic clock; far in the past if the boot has failed
  */
 record BootingMachine(String id, MachineType type, String zone, boolean spot, long launchedMicros) {
     /**
--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -11,13 +11,13 @@
 /** Plans machines for gangs, either for all tasks of a gang or for none. */
 final class GangPlan {
     private final ScaleOutPlan.Inputs inputs;
-    private final PlannedCapacity planned;
+    private final PlannedCapacity plannedCapacity;
     private final OfferMarket market;
 
     /** Creates a gang plan that adds nothing until {@link #plan} is called. */
-    GangPlan(ScaleOutPlan.Inputs inputs, PlannedCapacity planned, OfferMarket market) {
+    GangPlan(ScaleOutPlan.Inputs inputs, PlannedCapacity plannedCapacity, OfferMarket market) {
         this.inputs = inputs;
-        this.planned = planned;
+        this.plannedCapacity = plannedCapacity;
         this.market = market;
     }
 
@@ -62,7 +62,7 @@
 
     private int pendingSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
-        for (PlannedMachine machine : planned.machines()) {
+        for (PlannedMachine machine : plannedCapacity.machines()) {
             slots += zones.includes(machine.zone()) ? machine.slots(spec) : 0;
         }
         return slots;
@@ -76,14 +76,14 @@
         JobSpec spec = job.spec();
         int left = job.waitingTasks() - freeSlots(spec, zones);
         List<PlannedMachine> reserved = new ArrayList<>();
-        for (PlannedMachine machine : planned.machines()) {
+        for (PlannedMachine machine : plannedCapacity.machines()) {
             while (left > 0 && zones.includes(machine.zone()) && machine.reserve(spec)) {
                 reserved.add(machine);
                 left--;
             }
         }
         List<Offer> offers = new ArrayList<>();
-        while (left > 0 && planned.canPlanNewMachine(offers.size())) {
+        while (left > 0 && plannedCapacity.canPlanNewMachine(offers.size())) {
             Offer offer = market.cheapestOffer(OfferRequest.atAnyPrice(job, left, zones));
             if (offer == null) {
                 reserved.forEach(machine -> machine.unreserve(spec));
@@ -98,11 +98,11 @@
 
     private void addNewMachine(Offer offer) {
         JobSpec spec = offer.job().spec();
-        planned.countNewMachine();
+        plannedCapacity.countNewMachine();
         PlannedMachine machine = PlannedMachine.of(offer);
         for (int task = 0; task < spec.tasks(); task++) {
             machine.reserve(spec);
         }
-        planned.addNew(machine, offer);
+        plannedCapacity.addNew(machine, offer);
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -15,7 +15,7 @@
  */
 final class HeadroomPlan {
     private final ScaleOutPlan.Inputs inputs;
-    private final PlannedCapacity planned;
+    private final PlannedCapacity plannedCapacity;
     private final OfferMarket market;
     private final long nowMicros;
     private final Map<String, Double> availableCpuMillisByZone = new HashMap<>();
@@ -24,9 +24,9 @@
     private double spareCpuMillis = Double.MAX_VALUE;
 
     /** Creates a headroom plan that adds nothing until {@link #addLaunches} is called. */
-    HeadroomPlan(ScaleOutPlan.Inputs inputs, PlannedCapacity planned, OfferMarket market, long nowMicros) {
+    HeadroomPlan(ScaleOutPlan.Inputs inputs, PlannedCapacity plannedCapacity, OfferMarket market, long nowMicros) {
         this.inputs = inputs;
-        this.planned = planned;
+        this.plannedCapacity = plannedCapacity;
         this.market = market;
         this.nowMicros = nowMicros;
     }
@@ -56,7 +56,7 @@
         spareCpuMillis = availableCpuMillis - wantedCpuMillis;
         if (availableCpuMillis < wantedCpuMillis) {
             int count = (int) Math.ceil((wantedCpuMillis - availableCpuMillis) / type.cpuMillis());
-            planned.addLaunch(inZoneWithLeastHeadroom(offer), count);
+            plannedCapacity.addLaunch(inZoneWithLeastHeadroom(offer), count);
         }
     }
 
@@ -84,8 +84,8 @@
     }
 
     private void countPlanned() {
-        for (PlannedMachine machine : planned.machines()) {
-            if (!machine.spot()) {
+        for (PlannedMachine machine : plannedCapacity.machines()) {
+            if (!machine.isSpot()) {
                 countAvailable(machine.zone(), machine.freeCpuMillis());
             }
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -7,11 +7,11 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * Detects machines that no work needs: they have been idle for longer than it is worth to keep them, and they are not
- * part of the headroom for live services or for gangs.
+ * Detects machines that no work needs: they have been idle for longer than it pays to keep them, and they are not part
+ * of the headroom for live services or for gangs.
  */
 final class IdleMachines {
-    /** How long a machine may be idle if its type is unknown, and with it the boot time. */
+    /** How long a machine may be idle if its type, and thus its boot time, is unknown. */
     private static final long UNKNOWN_TYPE_IDLE_MICROS = 30_000_000;
 
     private final ScalingPolicy policy;
@@ -28,15 +28,15 @@
         this.recovery = recovery;
     }
 
-    /** Takes the present state of the fleet and the recovery into account. To be called before each round of decisions. */
+    /** Reads the present state of the fleet and the recovery. To be called before each round of decisions. */
     void refresh() {
         keepAll = recovery.isKeepingIdleMachines();
         gangHeadroom.update();
     }
 
     /**
-     * Decides whether to release a machine that no work needs, and marks the machine if it is kept as headroom for live
-     * services. If the machine is released and is not a spot instance, its capacity no longer counts as headroom.
+     * Decides whether no work needs a machine, and records on the machine whether it is kept as headroom for live
+     * services. The capacity of a released on-demand machine no longer counts as headroom.
      *
      * @return whether the machine is released
      */
@@ -47,7 +47,7 @@
 
     /**
      * Keeps an idle on-demand machine if it is needed as headroom for future live services, and returns whether it is
-     * kept. Otherwise subtracts it from the headroom.
+     * kept. If an idle on-demand machine is not kept, its capacity is subtracted from the headroom.
      */
     private boolean keepIfHeadroom(Machine machine, boolean idle) {
         boolean idleOnDemand = idle && !machine.isSpot();
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Returns how long a machine may be idle: the time that a new machine takes to boot times a configured factor, so
-     * that to keep the machine never costs much more than to terminate it. Spot instances have a factor of their own,
-     * which is higher by default, because they cost little and may not be available again.
+     * Returns how long a machine may be idle: the time that a new machine takes to boot, multiplied by a
+     * configured factor, so that keeping the machine never costs much more than terminating it. Spot instances have a
+     * factor of their own, which is higher by default because they cost little and may not be available again.
      */
     private long idleTimeoutMicros(Machine machine) {
         MachineType type = machine.type();
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -20,7 +20,7 @@
     private static final int MAX_MACHINES_PER_REQUEST = 50;
     private static final int MAX_RETRIES = 20;
     private static final long RETRY_DELAY_MICROS = 1_000_000;
-    /** How long an offer is not used after the cloud had no capacity for it. */
+    /** How long an offer is avoided after the cloud had no capacity for it. */
     private static final long NO_CAPACITY_BACKOFF_MICROS = 15_000_000;
 
     private final CloudPort cloud;
@@ -28,7 +28,7 @@
     private final long fencingToken;
     private final BootingMachines booting;
     private final BooleanSupplier termEnded;
-    /** The time until which each unavailable offer is not used, by the key of the offer. */
+    /** The time until which each unavailable offer is avoided, by the key of the offer. */
     private final Map<String, Long> unavailableUntilMicros = new HashMap<>();
 
     private long requestCount;
@@ -114,7 +114,7 @@
                 }
                 case NO_CAPACITY -> {
                     LOG.info(
-                            "launch {} failed: the cloud has no capacity for {}; not using the offer for a while",
+                            "launch {} failed: the cloud has no capacity for {}; avoiding this offer for a while",
                             request.idempotencyKey(),
                             offer.key());
                     unavailableUntilMicros.put(offer.key(), nowMicros + NO_CAPACITY_BACKOFF_MICROS);
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Returns whether missing heartbeats indicate a failure of the machine, rather than a network partition during which
-     * its work continues.
+     * Returns whether missing heartbeats indicate a failure of the machine, rather than a network partition during
+     * which the work on the machine continues.
      */
     private boolean isConclusive(Machine machine, long sinceHeartbeatMicros, long nowMicros) {
         return (overdueHeartbeatsConclusive && !failureDetector.isPartitionedWithPeer(machine, nowMicros))
@@ -67,9 +67,8 @@
     }
 
     /**
-     * Returns how long a machine may send no heartbeat before it counts as failed. The time is longer for a machine that
-     * has not failed to answer direct calls: it may be alive, since after a failover its heartbeats may still go to the
-     * former leader.
+     * Returns how long a machine may send no heartbeat before it counts as failed. A machine that answers direct calls
+     * is alive and gets more time: after a failover, its heartbeats may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
         return machine.contact().hasProbeFailed()
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -55,7 +55,7 @@
         return new OfferCost(spec, taskMicros, spec.deadlineMicros() - ageMicros);
     }
 
-    /** Returns the time from the launch of a machine of this type to the start of a task: its boot and the image fetch. */
+    /** Returns the time from the launch of a machine of this type to the start of a task: boot plus image fetch. */
     long startupMicros(MachineType type) {
         return type.bootMicros() + (long) (ImageFetchTime.seconds(spec, type) * MICROS_PER_SECOND);
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -9,7 +9,7 @@
 /** The offers that the cloud has at present, as far as is known, and the search for the cheapest one for a job. */
 final class OfferMarket {
     private final ScaleOutPlan.Inputs inputs;
-    private final PlannedCapacity planned;
+    private final PlannedCapacity plannedCapacity;
     private final Predicate<String> unavailable;
     private final Predicate<String> partitioned;
     private final long nowMicros;
@@ -17,18 +17,18 @@
     /**
      * Creates a view of the present offers.
      *
-     * @param planned the plan so far, whose launches make further launches of the same offer less attractive
+     * @param plannedCapacity the plan so far; each launch in it slightly raises the cost of the same offer
      * @param unavailable accepts the keys of the offers for which the cloud recently had no capacity
      * @param partitioned accepts the zones from which no heartbeat would arrive
      */
     OfferMarket(
             ScaleOutPlan.Inputs inputs,
-            PlannedCapacity planned,
+            PlannedCapacity plannedCapacity,
             Predicate<String> unavailable,
             Predicate<String> partitioned,
             long nowMicros) {
         this.inputs = inputs;
-        this.planned = planned;
+        this.plannedCapacity = plannedCapacity;
         this.unavailable = unavailable;
         this.partitioned = partitioned;
         this.nowMicros = nowMicros;
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Returns the offer with the lowest cost per task, from the launch of the machine to the end of the task. Null if no
-     * offer fits the request.
+     * Returns the offer with the lowest cost per task, from the launch of the machine to the end of the task, or null
+     * if no offer fits the request.
      */
     @Nullable
     Offer cheapestOffer(OfferRequest request) {
@@ -101,7 +101,7 @@
                     offer.spot(),
                     tasks,
                     startupMicros,
-                    planned.launchCount(offer),
+                    plannedCapacity.launchCount(offer),
                     request.taskCountIn(offer.zone()));
             if (cost < lowestCost) {
                 lowestCost = cost;
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
@@ -59,20 +59,20 @@
     /**
      * Returns whether the plan may have one more new machine.
      *
-     * @param uncounted how many new machines were found and not yet counted with {@link #countNewMachine}
+     * @param uncounted how many new machines the caller has found but not yet counted with {@link #countNewMachine}
      */
     boolean canPlanNewMachine(int uncounted) {
         return newMachineCount + uncounted < MAX_NEW_MACHINES;
     }
 
-    /** Counts a new machine against the maximum, whether an offer for it is found or not. */
+    /** Counts one search for a new machine against the maximum, whether the search finds an offer or not. */
     void countNewMachine() {
         newMachineCount++;
     }
 
     /**
-     * Returns the launch to carry out first: launches for live services precede those for other work, and
-     * within each group the launch of the most machines is first. Null if there is no launch.
+     * Returns the launch to carry out first, or null if there is no launch. Launches for live services precede
+     * those for other work; within each group, the launch of the most machines is first.
      */
     @Nullable
     PlannedLaunch firstLaunch() {
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedLaunch.java
@@ -9,7 +9,7 @@
 
     /**
      * Returns whether this launch is to be carried out before another: launches for live services precede those for
-     * other work, and a launch of more machines precedes one of fewer.
+     * other work; otherwise the launch of more machines precedes the other.
      */
     boolean hasPriorityOver(PlannedLaunch other) {
         boolean live = offer.job().isLiveService();
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether the machine is a spot instance. */
-    boolean spot() {
+    boolean isSpot() {
         return spot;
     }
 
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -47,7 +47,7 @@
 
     private final BatchPlanner batchPlanner;
     private final long nowMicros;
-    private final PlannedCapacity capacity = new PlannedCapacity();
+    private final PlannedCapacity plannedCapacity = new PlannedCapacity();
     private final OfferMarket market;
     private final HeadroomPlan headroomPlan;
     private final GangPlan gangPlan;
@@ -62,14 +62,14 @@
     ScaleOutPlan(Inputs inputs, Predicate<String> unavailable, Predicate<String> partitioned, long nowMicros) {
         this.batchPlanner = inputs.batchPlanner();
         this.nowMicros = nowMicros;
-        this.market = new OfferMarket(inputs, capacity, unavailable, partitioned, nowMicros);
-        this.headroomPlan = new HeadroomPlan(inputs, capacity, market, nowMicros);
-        this.gangPlan = new GangPlan(inputs, capacity, market);
+        this.market = new OfferMarket(inputs, plannedCapacity, unavailable, partitioned, nowMicros);
+        this.headroomPlan = new HeadroomPlan(inputs, plannedCapacity, market, nowMicros);
+        this.gangPlan = new GangPlan(inputs, plannedCapacity, market);
     }
 
     /** Adds a pending machine, whose capacity the plan may use. */
     void addPending(MachineType type, String zone, boolean spot) {
-        capacity.addPending(type, zone, spot);
+        plannedCapacity.addPending(type, zone, spot);
     }
 
     /** Plans machines for the jobs that wait for capacity, in the order of their priority and age. */
@@ -81,8 +81,8 @@
         boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
             if (!headroomPlanned && !job.isLiveService()) {
-                // Pending capacity that the waiting live services leave counts as headroom, even if other work wants
-                // it.
+                // Pending capacity counts as headroom once the waiting live services have theirs, before other work
+                // does.
                 headroomPlan.addLaunches();
                 headroomPlanned = true;
             }
@@ -94,12 +94,12 @@
     }
 
     /**
-     * Returns the launch to carry out first: launches for live services precede those for other work, and
-     * within each group the launch of the most machines is first. Null if the plan has no launch.
+     * Returns the launch to carry out first, or null if the plan has no launch. Launches for live services precede
+     * those for other work; within each group, the launch of the most machines is first.
      */
     @Nullable
     PlannedLaunch firstLaunch() {
-        return capacity.firstLaunch();
+        return plannedCapacity.firstLaunch();
     }
 
     /** Returns the thousandths of a CPU that live services could take beyond the headroom wanted for them. */
@@ -109,7 +109,7 @@
 
     /** Returns how long the present batch work takes on the present, the pending and the planned machines. */
     double batchDrainMicros() {
-        return batchPlanner.batchCompletionMicros(capacity.batchCpuMillis());
+        return batchPlanner.batchCompletionMicros(plannedCapacity.batchCpuMillis());
     }
 
     private void planJob(ActiveJob job) {
@@ -124,12 +124,12 @@
         planNewMachines(job, lacking, equivalentTasks, tasksByZone);
     }
 
-    /** Reserves capacity on pending and planned machines, and returns for how many tasks there is none. */
+    /** Reserves capacity on the machines of the plan so far, and returns for how many tasks there is none. */
     private int reserveOnPending(ActiveJob job, int tasks, Map<String, Integer> tasksByZone) {
         boolean deferrable = isDeferrable(job);
         int left = tasks;
-        for (PlannedMachine machine : capacity.machines()) {
-            if (machine.spot() || !deferrable) {
+        for (PlannedMachine machine : plannedCapacity.machines()) {
+            if (machine.isSpot() || !deferrable) {
                 left = reserve(machine, job.spec(), left, tasksByZone);
             }
         }
@@ -145,8 +145,8 @@
      */
     private void planNewMachines(ActiveJob job, int tasks, int equivalentTasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
-        while (left > 0 && capacity.canPlanNewMachine(0)) {
-            capacity.countNewMachine();
+        while (left > 0 && plannedCapacity.canPlanNewMachine(0)) {
+            plannedCapacity.countNewMachine();
             Offer offer = market.cheapestOffer(new OfferRequest(
                     job, !isDeferrable(job), left + equivalentTasks, tasksByZone, ZoneFilter.ANY_ZONE));
             if (offer == null) {
@@ -158,7 +158,7 @@
             if (left == before) {
                 return;
             }
-            capacity.addNew(machine, offer);
+            plannedCapacity.addNew(machine, offer);
         }
     }
 
@@ -173,6 +173,6 @@
     }
 
     private boolean isDeferrable(ActiveJob job) {
-        return batchPlanner.isDeferrable(job, capacity.batchCpuMillis(), nowMicros);
+        return batchPlanner.isDeferrable(job, plannedCapacity.batchCpuMillis(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/TerminationReason.java
@@ -9,7 +9,7 @@
     UNRESPONSIVE("unresponsive"),
     /** Heartbeats of the machine arrive, but answers and commands of the controller do not reach the machine. */
     UNREACHABLE("the controller's answers do not reach it"),
-    /** No work has needed the machine for longer than it is worth to keep it. */
+    /** The machine has been idle for longer than it pays to keep it. */
     IDLE("idle"),
     /** The machine was drained and is empty. */
     DRAINED("drained");
--- a/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Terminator.java
@@ -14,7 +14,7 @@
     static final int MAX_MACHINES_PER_REQUEST = 100;
 
     /** How long a terminated machine is remembered: longer than the cloud's list may be out of date. */
-    private static final long TERMINATION_MEMORY_MICROS = 120_000_000;
+    private static final long TERMINATION_RETENTION_MICROS = 120_000_000;
 
     private final CloudPort cloud;
     private final CloudRequestBudget requestBudget;
@@ -58,7 +58,7 @@
     void forgetOldTerminations(long nowMicros) {
         terminatedMicros
                 .values()
-                .removeIf(terminationMicros -> terminationMicros < nowMicros - TERMINATION_MEMORY_MICROS);
+                .removeIf(terminationMicros -> terminationMicros < nowMicros - TERMINATION_RETENTION_MICROS);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/config/Tuning.java
+++ b/src/main/java/org/granitepath/coordination/config/Tuning.java
@@ -56,7 +56,7 @@
                 newRecoveryHoldMicros);
     }
 
-    /** Returns how many tasks of a job are claimed when it is accepted: all tasks of a gang, since they run together. */
+    /** Returns how many tasks of a job are claimed at its acceptance: all tasks of a gang, since they run together. */
     public int firstClaimBlockSize(JobSpec spec) {
         return spec.gang()
                 ? spec.tasks()
