--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -81,8 +81,8 @@
         boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
             if (!headroomPlanned && !job.isLiveService()) {
-                // Pending capacity counts as headroom once the waiting live services have theirs, before other work
-                // does.
+                // Pending capacity that the waiting live services leave counts as headroom, regardless of other
+                // work that wants it.
                 headroomPlan.addLaunches();
                 headroomPlanned = true;
             }
