--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -6,18 +6,21 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.MachineType;
 
-/** Tells which machines nothing needs: idle for longer than it pays to keep them, and no part of any headroom. */
+/**
+ * Detects machines that no work needs: they have been idle for longer than it pays to keep them, and they are not part
+ * of the headroom for live services or for gangs.
+ */
 final class IdleMachines {
-    /** How long a machine may be idle whose type, and so its time to boot, is not known. */
+    /** How long a machine may be idle if its type, and thus its boot time, is unknown. */
     private static final long UNKNOWN_TYPE_IDLE_MICROS = 30_000_000;
 
     private final ScalingPolicy policy;
     private final SpareHeadroom spareHeadroom;
     private final GangHeadroom gangHeadroom;
     private final TermRecovery recovery;
-    private boolean keepsAll;
+    private boolean keepAll;
 
-    /** Knows nothing of the fleet before the first survey. */
+    /** Creates a detector that must be {@linkplain #refresh refreshed} before its first decision. */
     IdleMachines(ScalingPolicy policy, SpareHeadroom spareHeadroom, GangHeadroom gangHeadroom, TermRecovery recovery) {
         this.policy = policy;
         this.spareHeadroom = spareHeadroom;
@@ -25,28 +28,36 @@
         this.recovery = recovery;
     }
 
-    /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
-    void survey() {
-        keepsAll = recovery.isKeepingIdleMachines();
+    /** Reads the present state of the fleet and the recovery. To be called before each round of decisions. */
+    void refresh() {
+        keepAll = recovery.isKeepingIdleMachines();
         gangHeadroom.update();
     }
 
-    /** Whether nothing needs the machine. It counts as given up then, and the headroom is smaller by it. */
-    boolean releases(Machine machine, long nowMicros) {
-        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.isNeeded(machine);
-        return !keptAsHeadroom(machine, idle) && idle;
+    /**
+     * Decides whether no work needs a machine, and records on the machine whether it is kept as headroom for live
+     * services. The capacity of a released on-demand machine no longer counts as headroom.
+     *
+     * @return whether the machine is released
+     */
+    boolean releaseIfUnneeded(Machine machine, long nowMicros) {
+        boolean idle = !keepAll && isIdle(machine, nowMicros) && !gangHeadroom.isNeeded(machine);
+        return !keepIfHeadroom(machine, idle) && idle;
     }
 
-    /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
-    private boolean keptAsHeadroom(Machine machine, boolean idle) {
-        boolean idleAtFullPrice = idle && !machine.isSpot();
+    /**
+     * Keeps an idle on-demand machine if it is needed as headroom for future live services, and returns whether it is
+     * kept. If an idle on-demand machine is not kept, its capacity is subtracted from the headroom.
+     */
+    private boolean keepIfHeadroom(Machine machine, boolean idle) {
+        boolean idleOnDemand = idle && !machine.isSpot();
         long freeCpuMillis = machine.capacity().freeCpuMillis();
-        machine.setHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
+        machine.setHeadroom(idleOnDemand && spareHeadroom.isLessThan(freeCpuMillis));
         if (machine.isHeadroom()) {
             return true;
         }
-        if (idleAtFullPrice) {
-            spareHeadroom.release(freeCpuMillis);
+        if (idleOnDemand) {
+            spareHeadroom.subtract(freeCpuMillis);
             gangHeadroom.onMachineTerminated(machine);
         }
         return false;
@@ -61,15 +72,16 @@
     }
 
     /**
-     * How long a machine may be idle: as long as a new one would take to boot, so that keeping it never costs much more
-     * than terminating it; longer on spot instances, which cost little and may not be had again.
+     * Returns how long a machine may be idle: the time that a new machine takes to boot, multiplied by a
+     * configured factor, so that keeping the machine never costs much more than terminating it. Spot instances have a
+     * factor of their own, which is higher by default because they cost little and may not be available again.
      */
     private long idleTimeoutMicros(Machine machine) {
         MachineType type = machine.type();
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.isSpot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
-        return (long) (share * type.bootMicros());
+        double factor = machine.isSpot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
+        return (long) (factor * type.bootMicros());
     }
 }
