--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -15,11 +15,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Commands for what a machine lists and nobody needs: stops of orphaned tasks, and the clearing of exited ones. */
+/**
+ * Creates the commands that clean up a machine: stop commands for orphaned attempts, which belong to no job or were
+ * replaced, and clear commands for exited attempts, which remove them from the worker's heartbeats.
+ */
 public final class CleanupCommands {
     private static final Logger LOG = LoggerFactory.getLogger(CleanupCommands.class);
-    /** With more exited attempts than this that may not be cleared yet, a machine gets a new token for their sake. */
-    private static final int MOST_UNCLEARED_ATTEMPTS = 24;
+    /**
+     * The number of exited attempts that a machine may list before they can be cleared. Beyond it, the machine gets a
+     * new fencing token so that they can be.
+     */
+    private static final int MAX_UNCLEARED_ATTEMPTS = 24;
 
     private final JobIndex jobIndex;
     private final RecoveryPlan plan;
@@ -27,7 +33,7 @@
     private final CommandQueue commands;
     private final SchedulingLoop loop;
 
-    /** Adds commands to what machines are to be told. */
+    /** Creates a component that queues cleanup commands for machines and requests new fencing tokens for cleanup. */
     public CleanupCommands(
             JobIndex jobIndex,
             RecoveryPlan plan,
@@ -42,16 +48,17 @@
     }
 
     /**
-     * The machine is to end an attempt that belongs to no job, or to no present attempt of one.
+     * Queues a stop command for an attempt that belongs to no job, or that is not the current attempt of its task.
      *
-     * @param repeated the commands that the message before this one called for
+     * @param verdict why the attempt is stopped; counted and logged once, not for repeated commands
+     * @param previousCommands the cleanup commands that resulted from the worker's previous message
      */
-    void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> repeated) {
+    void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> previousCommands) {
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
         machine.addCleanup(stop);
         commands.due(machine);
         loop.wantCycle();
-        if (!repeated.contains(stop)) {
+        if (!previousCommands.contains(stop)) {
             plan.countVerdicts(verdict, 1);
             LOG.info(
                     "stopping task {} attempt {} on machine {}: {}",
@@ -62,7 +69,10 @@
         }
     }
 
-    /** The machine need not list this attempt any more if it has exited and nothing can start it again. */
+    /**
+     * Queues a clear command for the attempt if it has exited and no command can start it again, so that the worker
+     * stops listing it. Attempts with the verdict {@code UNCONFIRMED} are kept.
+     */
     void clearIfExited(Machine machine, TaskStatus status, Verdict verdict) {
         if (status.state() == TaskState.EXITED && verdict != Verdict.UNCONFIRMED && mayClear(machine, status)) {
             machine.addCleanup(WorkerCommand.clear(status.task(), status.attempt()));
@@ -70,8 +80,9 @@
     }
 
     /**
-     * Only a durable outcome is cleared away. An attempt that a direct command started stays listed until the token has
-     * been raised: a late copy of that command would start it once more.
+     * Whether the worker may forget this exited attempt. Its outcome must be durable. An attempt that a direct command
+     * started must also stay listed until the fencing token has been raised, because a delayed copy of that command
+     * would start the attempt again once the worker has forgotten it.
      */
     private boolean mayClear(Machine machine, TaskStatus status) {
         if (machine.contact().mayBeStartedAgain(status.attempt(), machine.fencingToken())) {
@@ -81,6 +92,10 @@
         return isOutcomeDurable(status);
     }
 
+    /**
+     * Whether the store holds the outcome of the attempt. Only a completed task of an open job has an outcome that has
+     * to be stored.
+     */
     private boolean isOutcomeDurable(TaskStatus status) {
         if (status.cause() != Cause.DONE || jobIndex.openJob(status.task().job()) == null) {
             return true;
@@ -91,17 +106,18 @@
     }
 
     /**
-     * Asks for a new token when many exited attempts can't be cleared without one. What runs is not counted: a machine
-     * with more tasks than the bound would want a new token with every heartbeat.
+     * Requests a new fencing token when more than {@link #MAX_UNCLEARED_ATTEMPTS} exited attempts can't be cleared
+     * without one. Running tasks are not counted, because a machine that runs more tasks than the limit would request
+     * a new token with every heartbeat.
      */
     void requestTokenIfManyUncleared(Machine machine, Heartbeat heartbeat) {
-        if (unclearedAttempts(machine, heartbeat) > MOST_UNCLEARED_ATTEMPTS) {
+        if (countUnclearedAttempts(machine, heartbeat) > MAX_UNCLEARED_ATTEMPTS) {
             inventory.requestTokenForCleanup(machine);
         }
     }
 
-    /** Exited attempts that the heartbeat lists and that may not be cleared yet. */
-    private static int unclearedAttempts(Machine machine, Heartbeat heartbeat) {
+    /** Returns the number of exited attempts that the heartbeat lists and that may not be cleared yet. */
+    private static int countUnclearedAttempts(Machine machine, Heartbeat heartbeat) {
         int uncleared = 0;
         for (TaskStatus status : heartbeat.tasks()) {
             uncleared += status.state() == TaskState.EXITED ? 1 : 0;
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -11,8 +11,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Decides which machines are called directly: with commands that are due, to show them their fencing token, or to learn
- * whether they can be reached.
+ * Decides which machines are called directly: to send commands that are due, to send them their current fencing token,
+ * or to find out whether they are reachable.
  */
 public final class CommandSender {
     private final Config config;
@@ -23,7 +23,7 @@
     private final WorkerCalls calls;
     private final Timers timers;
 
-    /** Sends nothing before it is asked to. */
+    /** Creates a sender; it makes no calls until one of its methods is called. */
     public CommandSender(
             Config config,
             Leadership leadership,
@@ -42,16 +42,17 @@
     }
 
     /**
-     * Calls the machines for which commands are due. Commands to machines that are unresponsive would only time out;
-     * should one send a heartbeat after all, its answer holds them.
+     * Calls the machines for which commands are due, as long as calls may be started. Unresponsive machines are skipped
+     * because calls to them would only time out; if such a machine sends a heartbeat after all, the response carries
+     * its commands.
      */
     public void sendDueCommands() {
         if (!leadership.answersWorkers()) {
-            return; // we may long have a successor that we don't know of
+            return; // another controller may have become the leader without this one knowing
         }
         long nowMicros = timers.nowMicros();
         for (Machine machine : commands.machines()) {
-            if (!calls.mayCall()) {
+            if (!calls.canCall()) {
                 return;
             }
             if (canReceiveCommands(machine, nowMicros)) {
@@ -69,8 +70,8 @@
     private void sendDirectly(Machine machine) {
         List<WorkerCommand> toSend = MachineCommands.stopAndClearCommands(machine);
         commands.remove(machine);
-        // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
-        List<Placement> starts = machineCommands.startable(machine);
+        // A response confirms only the starts of its own call: an earlier call without a response may still arrive.
+        List<Placement> starts = machineCommands.startablePlacements(machine);
         for (Placement placement : starts) {
             toSend.add(WorkerCommand.start(placement.task(), placement.attempt()));
             machine.contact().startedDirectly(placement.attempt(), machine.fencingToken());
@@ -81,22 +82,28 @@
         }
     }
 
-    /** Shows the machine its new fencing token at once, unless a call to it would only time out. */
+    /**
+     * Sends the machine its new fencing token immediately, unless the machine is unresponsive and the call would only
+     * time out.
+     */
     public void sendRaisedToken(Machine machine) {
         if (!fleet.unresponsive(machine, timers.nowMicros())) {
-            calls.showToken(machine);
+            calls.sendToken(machine);
         }
     }
 
-    /** Shows the token to a machine whose heartbeats come, but under a former token, as long as calls are left. */
+    /**
+     * Sends the current fencing token to a machine whose heartbeats arrive but still carry an earlier token, unless too
+     * many calls are in flight.
+     */
     public void sendTokenIfUnacknowledged(Machine machine, long nowMicros) {
-        if (hasNotAdoptedToken(machine, nowMicros)) {
-            calls.showToken(machine);
+        if (hasUnacknowledgedToken(machine, nowMicros)) {
+            calls.sendToken(machine);
         }
     }
 
-    /** Its heartbeats come and its token is on record, but they have not shown it yet. */
-    private boolean hasNotAdoptedToken(Machine machine, long nowMicros) {
+    /** Whether heartbeats arrive and the store holds the machine's token, but no heartbeat has carried it yet. */
+    private boolean hasUnacknowledgedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.awaitingFirstHeartbeat()
                 && machine.inventory().recorded()
@@ -104,9 +111,12 @@
                 && !fleet.unresponsive(machine, nowMicros);
     }
 
-    /** Calls a machine whose heartbeat is overdue: whether it can be reached at all is soon known. */
+    /**
+     * Calls a machine whose heartbeat is overdue, to find out quickly whether the machine is reachable. Does nothing
+     * when the machine was called within the last heartbeat interval or too many calls are in flight.
+     */
     public void probeIfOverdue(Machine machine, long nowMicros) {
-        if (isProbeDue(machine, nowMicros) && calls.mayProbe()) {
+        if (isProbeDue(machine, nowMicros) && calls.canProbe()) {
             calls.callWithoutCommands(machine, () -> {});
         }
     }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -13,50 +13,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What it means that heartbeats are overdue: that machines failed, that a zone is cut off, or that we are. Judged
- * before any machine is given up: in a cut the heartbeats of one machine after the other fail to come, and the first
- * machine must not be terminated before the rest are overdue too.
+ * Determines the cause of overdue heartbeats: failed machines, a network partition of a zone, or a partition of this
+ * controller. The cause is determined before any machine is declared failed, because in a partition the heartbeats of
+ * the affected machines become overdue one after the other, and the first machines must not be terminated before the
+ * others are overdue too.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** This share of all machines, or two of them, may be overdue before our own connection is suspected. */
-    private static final double FEW_SHARE = 0.2;
+    /**
+     * Up to this share of all machines, or {@link #FEW_OVERDUE_MACHINES} of them, may be overdue before this controller
+     * suspects its own network connection.
+     */
+    private static final double FEW_OVERDUE_SHARE = 0.2;
 
-    private static final int FEW_MACHINES = 2;
-    private static final int HEARTBEATS_MISSED = 2;
-    private static final long ANSWER_MICROS = 1_000_000;
+    private static final int FEW_OVERDUE_MACHINES = 2;
+    private static final int MAX_MISSED_HEARTBEATS = 2;
+    private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
     private final Config config;
     private final Fleet fleet;
     private final Peers peers;
-    private final Set<String> cutOffZones = new HashSet<>();
-    /** Zones in which many machines are overdue: perhaps a cut of which only the beginning shows. */
+    private final Set<String> partitionedZones = new HashSet<>();
+    /** Zones in which many machines are overdue, which may be the beginning of a partition. */
     private final Set<String> suspectedZones = new HashSet<>();
-    /** When each zone was last found cut off. */
-    private final Map<String, Long> lastCutOffMicros = new HashMap<>();
+    /** When each zone was last found to be partitioned. */
+    private final Map<String, Long> lastPartitionedMicros = new HashMap<>();
 
     private int overdueMachines;
 
-    /** Judges the machines of this fleet, with what peers tell of them. */
+    /** Creates a detector for the machines of this fleet that also uses the status messages of peers. */
     public FailureDetector(Config config, Fleet fleet, Peers peers) {
         this.config = config;
         this.fleet = fleet;
         this.peers = peers;
     }
 
-    /** Looks at all machines anew. */
+    /** Re-evaluates all machines and zones by the age of their heartbeats. */
     public void update(long nowMicros) {
         Object2IntOpenHashMap<String> machinesByZone = new Object2IntOpenHashMap<>();
         Object2IntOpenHashMap<String> overdueByZone = new Object2IntOpenHashMap<>();
-        count(machinesByZone, overdueByZone, nowMicros);
+        countMachines(machinesByZone, overdueByZone, nowMicros);
         suspectedZones.clear();
         for (String zone : machinesByZone.keySet()) {
-            judge(zone, counts(machinesByZone.getInt(zone), overdueByZone.getInt(zone)), nowMicros);
+            updateZone(zone, zoneCounts(machinesByZone.getInt(zone), overdueByZone.getInt(zone)), nowMicros);
         }
-        cutOffZones.retainAll(machinesByZone.keySet());
+        partitionedZones.retainAll(machinesByZone.keySet());
     }
 
-    private void count(
+    private void countMachines(
             Object2IntOpenHashMap<String> machinesByZone, Object2IntOpenHashMap<String> overdueByZone, long nowMicros) {
         overdueMachines = 0;
         for (Machine machine : fleet.machines()) {
@@ -68,27 +72,28 @@
         }
     }
 
-    private ZoneCounts counts(int machinesInZone, int overdueInZone) {
+    private ZoneCounts zoneCounts(int machinesInZone, int overdueInZone) {
         int machinesElsewhere = fleet.machines().size() - machinesInZone;
         return new ZoneCounts(machinesInZone, overdueInZone, machinesElsewhere, overdueMachines - overdueInZone);
     }
 
-    private void judge(String zone, ZoneCounts counts, long nowMicros) {
-        if (counts.isSuspected()) {
+    private void updateZone(String zone, ZoneCounts counts, long nowMicros) {
+        if (counts.isPartitionSuspected()) {
             suspectedZones.add(zone);
         }
-        if (counts.isCutOff()) {
-            lastCutOffMicros.put(zone, nowMicros);
-            foundCutOff(zone, counts);
+        if (counts.isPartitioned()) {
+            lastPartitionedMicros.put(zone, nowMicros);
+            markPartitioned(zone, counts);
         } else {
-            foundConnected(zone, counts);
+            markConnected(zone, counts);
         }
     }
 
-    private void foundCutOff(String zone, ZoneCounts counts) {
-        if (cutOffZones.add(zone)) {
+    private void markPartitioned(String zone, ZoneCounts counts) {
+        if (partitionedZones.add(zone)) {
             LOG.info(
-                    "zone {} seems cut off: {} of {} machines are overdue there, {} of {} elsewhere",
+                    "zone {} appears partitioned: heartbeats of {} of {} machines are overdue there, {} of {} "
+                            + "elsewhere; launching no machines there",
                     zone,
                     counts.overdue(),
                     counts.machines(),
@@ -97,51 +102,57 @@
         }
     }
 
-    private void foundConnected(String zone, ZoneCounts counts) {
-        if (cutOffZones.remove(zone)) {
+    private void markConnected(String zone, ZoneCounts counts) {
+        if (partitionedZones.remove(zone)) {
             LOG.info(
-                    "zone {} sends heartbeats again: {} of {} machines are overdue",
+                    "zone {} is no longer partitioned: heartbeats of {} of {} machines are overdue",
                     zone,
                     counts.overdue(),
                     counts.machines());
         }
     }
 
-    /** Whether this zone alone was lately cut off: no machine is launched there. */
+    /**
+     * Whether this zone alone was found to be partitioned from this controller within the last worker lease duration.
+     * No machines are launched in such a zone.
+     */
     public boolean isZonePartitioned(String zone, long nowMicros) {
-        Long lastMicros = lastCutOffMicros.get(zone);
-        return lastMicros != null && nowMicros - lastMicros < config.workers().leaseMicros();
+        Long partitionedMicros = lastPartitionedMicros.get(zone);
+        return partitionedMicros != null
+                && nowMicros - partitionedMicros < config.workers().leaseMicros();
     }
 
     /**
-     * Whether this machine may be cut off with work that goes on: only where a controller inside can keep its lease
-     * alive. Elsewhere its work is lost with the lease, and is sooner done on another machine.
+     * Whether this machine is in a partitioned zone together with a peer controller, which can keep renewing its lease
+     * so that its tasks go on running. In other partitioned zones the tasks end with the lease, and they complete
+     * sooner on another machine.
      */
     public boolean isPartitionedWithPeer(Machine machine, long nowMicros) {
         return isZonePartitioned(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
     }
 
     /**
-     * How old the last heartbeat of a machine that does not answer calls may become before the machine is given up.
-     * Where many of its zone are overdue it is one heartbeat more: when the last one to send before a cut is overdue,
-     * the heartbeat of the first one is older by that much, and without the wait the first ones were terminated with
-     * all their work.
+     * Returns how old the last heartbeat of a machine that does not respond to calls may become, in microseconds,
+     * before the machine is declared failed. The timeout is one heartbeat interval longer when many machines of the
+     * zone are overdue. When a partition begins, the last machine to become overdue does so up to one interval after
+     * the first, so the zone is recognized as partitioned only then. Without the longer timeout, the machines that
+     * became overdue first were terminated together with all their tasks.
      */
     public long unresponsiveTimeoutMicros(Machine machine) {
         boolean suspected = suspectedZones.contains(machine.zone());
-        int heartbeatsMissed = suspected ? HEARTBEATS_MISSED + 1 : HEARTBEATS_MISSED;
-        return heartbeatsMissed * config.workers().heartbeatIntervalMicros() + ANSWER_MICROS;
+        int missedHeartbeats = suspected ? MAX_MISSED_HEARTBEATS + 1 : MAX_MISSED_HEARTBEATS;
+        return missedHeartbeats * config.workers().heartbeatIntervalMicros() + DELAY_MARGIN_MICROS;
     }
 
     /**
-     * Whether overdue heartbeats tell of the machines. When many are overdue at once, perhaps we are the ones cut off;
-     * peers that don't receive them either tell us that we are not.
+     * Whether missed heartbeats indicate failures of the machines themselves. When many machines are overdue at once,
+     * this controller may be the one that is partitioned, unless a peer does not receive their heartbeats either.
      */
     public boolean canTrustMissedHeartbeats() {
         int machines = fleet.machines().size();
         int redirectedByPeer = peers.mostRedirectedMachines();
-        boolean few = overdueMachines <= Math.max(FEW_MACHINES, machines * FEW_SHARE);
-        boolean peersMissThemToo = redirectedByPeer >= 0 && redirectedByPeer < overdueMachines / 4;
-        return few || (overdueMachines <= machines / 2 && peersMissThemToo);
+        boolean fewOverdue = overdueMachines <= Math.max(FEW_OVERDUE_MACHINES, machines * FEW_OVERDUE_SHARE);
+        boolean peersMissHeartbeatsToo = redirectedByPeer >= 0 && redirectedByPeer < overdueMachines / 4;
+        return fewOverdue || (overdueMachines <= machines / 2 && peersMissHeartbeatsToo);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -8,13 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One log line now and then for those on call: what there is, what of it is used, what waits. */
+/** Periodically logs one line for operators: the size of the fleet, its utilization, and the waiting tasks. */
 public final class FleetSummary {
     private static final Logger LOG = LoggerFactory.getLogger(FleetSummary.class);
     private static final long INTERVAL_MICROS = 10_000_000;
 
-    /** CPUs of one kind of machine, in thousandths. */
-    private static final class CpuUse {
+    /** Total and used CPUs of spot or on-demand machines, in thousandths of a CPU. */
+    private static final class CpuUsage {
         private long totalMillis;
         private long usedMillis;
 
@@ -33,29 +33,29 @@
     private final ActiveJobs jobs;
     private long dueMicros;
 
-    /** Sums up these machines and jobs. */
+    /** Creates a summary of these machines and jobs. */
     public FleetSummary(Fleet fleet, ActiveJobs jobs) {
         this.fleet = fleet;
         this.jobs = jobs;
     }
 
     /**
-     * Writes the line unless it was written lately.
+     * Logs the summary unless it was logged within the last 10 seconds.
      *
-     * @param booting how many machines were launched and have sent no heartbeat yet
+     * @param booting the number of machines that were launched and have sent no heartbeat yet
      */
     public void logIfDue(int booting, long nowMicros) {
         if (nowMicros < dueMicros) {
             return;
         }
         dueMicros = nowMicros + INTERVAL_MICROS;
-        CpuUse fullPrice = new CpuUse();
-        CpuUse spot = new CpuUse();
+        CpuUsage onDemand = new CpuUsage();
+        CpuUsage spot = new CpuUsage();
         int idle = 0;
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
             if (type != null) {
-                (machine.spot() ? spot : fullPrice).add(machine, type);
+                (machine.spot() ? spot : onDemand).add(machine, type);
                 idle += machine.isEmpty() ? 1 : 0;
             }
         }
@@ -66,12 +66,12 @@
             running += job.running();
         }
         LOG.info(
-                "fleet: {} machines ({} idle, {} on their way), CPUs used {} and spot {}; tasks {} running, {} "
-                        + "waiting, {} jobs",
+                "fleet: {} machines ({} idle, {} booting); CPUs used: {} on demand, {} spot; tasks: {} running, {} "
+                        + "waiting; {} jobs",
                 fleet.machines().size(),
                 idle,
                 booting,
-                fullPrice,
+                onDemand,
                 spot,
                 running,
                 waiting,
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -9,8 +9,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Brings what is known of a machine in line with its worker's messages: contact, lease and fencing token here, tasks
- * by the {@link TaskReconciler}.
+ * Updates the state of a machine from the messages of its worker. This class updates contact, lease and fencing token;
+ * the {@link TaskReconciler} updates the tasks.
  */
 public final class HeartbeatReconciler {
     private final Config config;
@@ -22,7 +22,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
 
-    /** Compares the messages of workers with the state of this term. */
+    /** Creates a reconciler that compares the messages of workers with the state of this term. */
     public HeartbeatReconciler(
             Config config,
             Fleet fleet,
@@ -42,20 +42,27 @@
         this.loop = loop;
     }
 
-    /** Takes a worker's message in; false when it tells nothing new, or was made under a token that is not ours. */
+    /**
+     * Processes a message of a worker.
+     *
+     * @param origin whether the worker sent the message by itself or in response to a direct call
+     * @return false when the message was ignored because the machine is gone, the message is not newer than the last
+     *     one, or it carries a higher fencing token than the machine's current one
+     */
     public boolean reconcile(Machine machine, Heartbeat heartbeat, MessageOrigin origin) {
-        if (!tellsNews(machine, heartbeat)) {
+        if (!isRelevant(machine, heartbeat)) {
             return false;
         }
         long nowMicros = timers.nowMicros();
-        boolean underPresentToken = heartbeat.fencingToken() == machine.fencingToken();
-        if (origin == MessageOrigin.HEARTBEAT && isOfLaterAgentEpoch(machine, heartbeat)) {
-            // Its heartbeats come, but do our answers get there? It must show that before it is given work again.
-            inventory.requestToken(machine, "its agent epoch moved on to " + heartbeat.agentEpoch());
+        boolean underCurrentToken = heartbeat.fencingToken() == machine.fencingToken();
+        if (origin == MessageOrigin.HEARTBEAT && hasLaterAgentEpoch(machine, heartbeat)) {
+            // Heartbeats arrive, but the responses may not reach the worker. It has to acknowledge a new fencing token,
+            // which proves that they do, before it gets tasks again.
+            inventory.requestToken(machine, "its agent epoch advanced to " + heartbeat.agentEpoch());
         }
-        noteContact(machine, heartbeat, origin, underPresentToken, nowMicros);
-        taskReconciler.reconcile(machine, heartbeat, origin, underPresentToken, nowMicros);
-        if (underPresentToken) {
+        updateContact(machine, heartbeat, origin, underCurrentToken, nowMicros);
+        taskReconciler.reconcile(machine, heartbeat, origin, underCurrentToken, nowMicros);
+        if (underCurrentToken) {
             confirm(machine);
         }
         if (heartbeat.noticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
@@ -64,35 +71,36 @@
         return true;
     }
 
-    private static boolean tellsNews(Machine machine, Heartbeat heartbeat) {
+    /** Whether the message is newer than the last one and carries no higher token than the machine's current one. */
+    private static boolean isRelevant(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
                 && heartbeat.newerThan(
                         machine.contact().agentEpoch(), machine.contact().sequence())
                 && heartbeat.fencingToken() <= machine.fencingToken();
     }
 
-    private static boolean isOfLaterAgentEpoch(Machine machine, Heartbeat heartbeat) {
+    private static boolean hasLaterAgentEpoch(Machine machine, Heartbeat heartbeat) {
         long knownAgentEpoch = machine.contact().agentEpoch();
         return knownAgentEpoch >= 0 && heartbeat.agentEpoch() > knownAgentEpoch;
     }
 
-    private void noteContact(
-            Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken, long nowMicros) {
+    private void updateContact(
+            Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underCurrentToken, long nowMicros) {
         machine.contact().messageReceived(heartbeat);
         if (origin == MessageOrigin.HEARTBEAT) {
             machine.heartbeatReceived(fleet.unresponsive(machine, nowMicros), nowMicros);
         }
         long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
-        machine.contact().leaseRunsUntil(leaseExpiryMicros, underPresentToken);
+        machine.contact().leaseRunsUntil(leaseExpiryMicros, underCurrentToken);
     }
 
-    /** The worker has shown the present fencing token: what is on the machine is known. */
+    /** Confirms the machine: its worker has sent the current fencing token, so the tasks on the machine are known. */
     private void confirm(Machine machine) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED) {
             machine.tasksConfirmed();
             loop.wantCycle();
         }
-        // An attribute of a span that operators filter by: its words stay.
+        // Operators filter by this text, which is an attribute of a trace span, so the wording must not change.
         recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
@@ -10,77 +10,82 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which part of the machine inventory holds the row of which machine. A part is one value of the store; parts are
- * numbered from 0, and those on record have no gap. Decides only: what is written, and when, is decided elsewhere.
+ * The assignment of machines to parts of the machine inventory. A part is one value in the store and holds one row for
+ * each of its machines; parts are numbered from 0, and the numbers of the stored parts have no gaps. This class only
+ * assigns machines; the {@link InventoryWriter} decides what is written and when.
  */
 final class InventoryLayout {
     private final int partBytes;
-    private final int mostPartsOfSplit;
+    private final int maxPartsPerSplit;
     private final Function<String, Machine> machineById;
     private final List<InventoryPart> parts = new ArrayList<>();
     /**
-     * Parts on record that are larger than may be written, each with those that take over some of its machines. Each
-     * group is written whole, so that no machine is ever on record twice or not at all, and in order, so that there is
-     * no gap between the parts.
+     * Splits that are not stored yet. Each lists a stored part that exceeds the size limit, followed by the new parts
+     * that receive some of its machines. Each split is written in one transaction, so that the store never holds a
+     * machine twice or not at all, and splits are written in order, so that part numbers have no gaps.
      */
     private final ArrayDeque<List<Integer>> pendingSplits = new ArrayDeque<>();
-    /** Large parts with more machines than one transaction can spread: they stay as they are until it can. */
+    /** Oversized parts that one transaction can't split; they stay unchanged until enough machines are removed. */
     private final Set<Integer> unsplittableParts = new HashSet<>();
 
-    private int partsOnRecord;
+    private int storedPartCount;
 
     /**
-     * A layout without parts.
+     * Creates a layout without parts.
      *
-     * @param partBytes how large a part may become
-     * @param mostPartsOfSplit into how many parts a large one may be split, since one transaction writes them all
-     * @param machineById finds the machines that are part of the fleet
+     * @param partBytes the maximum size of a part, in bytes
+     * @param maxPartsPerSplit the maximum number of parts into which an oversized part is split, which is limited
+     *     because one transaction writes them all
+     * @param machineById returns the machine of the fleet that has the given id
      */
-    InventoryLayout(int partBytes, int mostPartsOfSplit, Function<String, Machine> machineById) {
+    InventoryLayout(int partBytes, int maxPartsPerSplit, Function<String, Machine> machineById) {
         this.partBytes = partBytes;
-        this.mostPartsOfSplit = mostPartsOfSplit;
+        this.maxPartsPerSplit = maxPartsPerSplit;
         this.machineById = machineById;
     }
 
-    // ---- what is on record when the term begins ----------------------------------------------------------------
+    // ---- parts found in the store when the term begins ---------------------------------------------------------
 
-    /** The next part on record holds these machines. */
-    void partFound(List<Machine> machines) {
+    /** Adds the next stored part, which holds these machines. */
+    void addStoredPart(List<Machine> machines) {
         InventoryPart part = new InventoryPart();
         machines.forEach(part::add);
         parts.add(part);
-        partsOnRecord = parts.size();
+        storedPartCount = parts.size();
     }
 
-    /** The next part on record can't be read: it counts as full and without machines, so nothing is written there. */
-    void unreadablePartFound() {
+    /**
+     * Adds the next stored part, which can't be read. It counts as full and without machines, so that it is never
+     * written.
+     */
+    void addUnreadablePart() {
         parts.add(InventoryPart.unreadable(partBytes));
-        partsOnRecord = parts.size();
+        storedPartCount = parts.size();
     }
 
     /**
-     * A controller that knew of larger limits may have left parts that may no longer be written: they are split.
+     * Splits the parts that exceed the size limit. A controller with larger limits may have written such parts.
      *
-     * @param machines all machines on record, which are not part of the fleet yet
+     * @param machines all stored machines, which are not part of the fleet yet
      */
-    void splitLargeParts(List<Machine> machines) {
-        int partsFound = partCount();
-        for (int part = 0; part < partsFound; part++) {
+    void splitOversizedParts(List<Machine> machines) {
+        int storedParts = partCount();
+        for (int part = 0; part < storedParts; part++) {
             if (parts.get(part).usedBytes() > partBytes) {
-                split(part, machinesIn(part, machines));
+                split(part, machinesInPart(part, machines));
             }
         }
     }
 
-    private static List<Machine> machinesIn(int part, List<Machine> machines) {
+    private static List<Machine> machinesInPart(int part, List<Machine> machines) {
         return machines.stream()
                 .filter(machine -> machine.inventory().part() == part)
                 .toList();
     }
 
-    // ---- machines that come and go -----------------------------------------------------------------------------
+    // ---- adding and removing machines --------------------------------------------------------------------------
 
-    /** Puts the machine into the first part with space for its row, and tells which. */
+    /** Adds the machine to the first part with space for its row, and returns the number of that part. */
     int add(Machine machine) {
         int part = firstPartWithSpace(InventoryPart.rowBytes(machine));
         if (part == partCount()) {
@@ -98,7 +103,10 @@
         return part;
     }
 
-    /** Takes the machine out of its part, and tells which that was. A large part may become small enough to split. */
+    /**
+     * Removes the machine from its part, and returns the number of that part. An oversized part is split when it has
+     * become small enough.
+     */
     int remove(Machine machine) {
         int part = machine.inventory().part();
         parts.get(part).remove(machine);
@@ -116,8 +124,8 @@
     // ---- splits ------------------------------------------------------------------------------------------------
 
     private void split(int part, List<Machine> machines) {
-        List<List<Machine>> groups = groupsThatFit(machines);
-        if (groups.size() > mostPartsOfSplit) {
+        List<List<Machine>> groups = groupByPartSize(machines);
+        if (groups.size() > maxPartsPerSplit) {
             unsplittableParts.add(part);
             return;
         }
@@ -137,8 +145,8 @@
         return parts.size() - 1;
     }
 
-    /** These machines in order, each group as large as one part can hold. */
-    private List<List<Machine>> groupsThatFit(List<Machine> machines) {
+    /** Divides these machines, in order, into groups that each fill one part. */
+    private List<List<Machine>> groupByPartSize(List<Machine> machines) {
         List<List<Machine>> groups = new ArrayList<>();
         int freeBytes = 0;
         for (Machine machine : machines) {
@@ -153,67 +161,67 @@
         return groups;
     }
 
-    /** How many splits are not on record yet. */
+    /** Returns the number of splits that are not stored yet. */
     int pendingSplitCount() {
         return pendingSplits.size();
     }
 
-    /** The parts of the next split, the one that was too large first; null when none is pending. */
+    /** Returns the parts of the next split, the oversized part first, or null when no split is pending. */
     @Nullable
     List<Integer> nextSplit() {
         return pendingSplits.peek();
     }
 
-    /** Whether a split is pending, and the parts that it adds would follow those on record without a gap. */
-    boolean mayWriteNextSplit() {
+    /** Whether a split is pending and the parts that it adds follow the stored parts without a gap. */
+    boolean canWriteNextSplit() {
         List<Integer> split = pendingSplits.peek();
-        return split != null && (split.size() == 1 || split.get(1) <= partsOnRecord);
+        return split != null && (split.size() == 1 || split.get(1) <= storedPartCount);
     }
 
-    /** The next split is on record. */
-    void nextSplitRecorded() {
+    /** Removes the next split from the pending ones, because it has been stored. */
+    void markNextSplitStored() {
         pendingSplits.remove();
     }
 
-    /** Whether this part may only be written with its split. */
+    /** Whether this part belongs to a pending split and may only be written together with it. */
     boolean isInPendingSplit(int part) {
         return pendingSplits.stream().anyMatch(split -> split.contains(part));
     }
 
-    /** Whether this part is too large to be written, and can't be split either. */
+    /** Whether this part exceeds the size limit and can't be split, so that it can't be written. */
     boolean isUnsplittable(int part) {
         return unsplittableParts.contains(part);
     }
 
-    /** The parts that are too large to be written, and can't be split either. */
+    /** Returns the parts that exceed the size limit and can't be split, so that they can't be written. */
     Set<Integer> unsplittableParts() {
         return unsplittableParts;
     }
 
     // ---- parts -------------------------------------------------------------------------------------------------
 
-    /** How many parts there are, on record or not. */
+    /** Returns the number of parts, stored or not. */
     int partCount() {
         return parts.size();
     }
 
-    /** The ids of the machines of a part, in the order of their rows. */
+    /** Returns the ids of the machines of a part, in the order of their rows. */
     Set<String> machineIds(int part) {
         return parts.get(part).machineIds();
     }
 
-    /** The machines of a part, in the order of their rows. */
+    /** Returns the machines of a part, in the order of their rows. */
     List<Machine> machines(int part) {
         return machineIds(part).stream().map(machineById).toList();
     }
 
-    /** Whether the part is on record, though perhaps not with its present machines. */
-    boolean isOnRecord(int part) {
-        return part < partsOnRecord;
+    /** Whether the store holds the part, though possibly not with its current machines. */
+    boolean isStored(int part) {
+        return part < storedPartCount;
     }
 
-    /** The part is on record from now on. */
-    void partRecorded(int part) {
-        partsOnRecord = Math.max(partsOnRecord, part + 1);
+    /** Marks the part as stored. */
+    void markStored(int part) {
+        storedPartCount = Math.max(storedPartCount, part + 1);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryPart.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryPart.java
@@ -4,24 +4,24 @@
 import java.util.Set;
 import org.granitepath.coordination.model.Machine;
 
-/** One part of the machine inventory: whose rows it holds, and how many bytes these take at most. */
+/** One part of the machine inventory: the machines whose rows it holds, and the maximum size of these rows. */
 final class InventoryPart {
-    /** A part without machines, with the space around its rows. */
+    /** The size of a part without rows, in bytes. */
     static final int EMPTY_BYTES = 64;
 
-    /** In the order of the rows. */
+    /** The ids of the machines, in the order of their rows. */
     private final Set<String> machineIds = new LinkedHashSet<>();
 
     private int usedBytes = EMPTY_BYTES;
 
-    /** A part that counts as full and has no machines that we know of. */
+    /** Returns a part that counts as full and has no known machines. */
     static InventoryPart unreadable(int partBytes) {
         InventoryPart part = new InventoryPart();
         part.usedBytes = partBytes;
         return part;
     }
 
-    /** The bytes of the machine's row, whatever fencing token it may be given. */
+    /** Returns the maximum size of the machine's row in bytes, whatever fencing token the machine may get. */
     static int rowBytes(Machine machine) {
         return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
     }
@@ -32,7 +32,7 @@
         usedBytes += rowBytes(machine);
     }
 
-    /** Removes the machine's row, if it has one here. */
+    /** Removes the machine's row, if this part has one. */
     void remove(Machine machine) {
         if (machineIds.remove(machine.id())) {
             usedBytes -= rowBytes(machine);
@@ -45,12 +45,12 @@
         usedBytes = EMPTY_BYTES;
     }
 
-    /** The ids of its machines, in the order of their rows. */
+    /** Returns the ids of the machines, in the order of their rows. */
     Set<String> machineIds() {
         return machineIds;
     }
 
-    /** The bytes that it takes, at most. */
+    /** Returns the maximum size of the part, in bytes. */
     int usedBytes() {
         return usedBytes;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the machine inventory that is on record when a term begins, and tells the layout which parts there are. */
+/** Reads the stored machine inventory when a term begins, and adds its parts to the layout. */
 final class InventoryReader {
     private static final Logger LOG = LoggerFactory.getLogger(InventoryReader.class);
 
@@ -19,32 +19,34 @@
     private final InventoryLayout layout;
     private int unreadableParts;
 
-    /** Has read nothing yet. */
+    /** Creates a reader; nothing is read before {@link #read()}. */
     InventoryReader(Leadership.Term term, RecordReplica replica, InventoryLayout layout) {
         this.term = term;
         this.replica = replica;
         this.layout = layout;
     }
 
-    /** The machines of all parts that can be read; each belongs to the leader with the term's fencing token. */
+    /**
+     * Reads all parts and returns the machines of those that are readable, each with the fencing token of this term.
+     */
     List<Machine> read() {
         List<Machine> machines = new ArrayList<>();
         for (int part = 0; part < replica.inventoryParts(); part++) {
-            InventoryRecord recorded = replica.inventory(part);
-            if (recorded == null) {
-                leaveUnreadable(part);
+            InventoryRecord storedPart = replica.inventory(part);
+            if (storedPart == null) {
+                skipUnreadablePart(part);
             } else {
-                List<Machine> machinesOfPart = machinesOf(recorded, part);
-                layout.partFound(machinesOfPart);
-                machines.addAll(machinesOfPart);
+                List<Machine> machinesInThisPart = machinesInPart(storedPart, part);
+                layout.addStoredPart(machinesInThisPart);
+                machines.addAll(machinesInThisPart);
             }
         }
         return machines;
     }
 
-    private List<Machine> machinesOf(InventoryRecord recorded, int part) {
+    private List<Machine> machinesInPart(InventoryRecord storedPart, int part) {
         List<Machine> machines = new ArrayList<>();
-        for (InventoryRecord.Host host : recorded.hosts()) {
+        for (InventoryRecord.Host host : storedPart.hosts()) {
             Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
             machine.inventory().foundOnRecord(part, term.fencingToken());
             machines.add(machine);
@@ -52,15 +54,15 @@
         return machines;
     }
 
-    private void leaveUnreadable(int part) {
+    private void skipUnreadablePart(int part) {
         LOG.error(
-                "record {} can't be read: its machines are not known, and no task is taken for lost in this term",
+                "record {} can't be read: its machines are unknown, and no task is declared lost during this term",
                 Keys.inventory(part));
-        layout.unreadablePartFound();
+        layout.addUnreadablePart();
         unreadableParts++;
     }
 
-    /** How many parts of the inventory can't be read. */
+    /** Returns the number of parts that could not be read. */
     int unreadablePartCount() {
         return unreadableParts;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -7,7 +7,7 @@
 import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.Keys;
 
-/** What the present write of the machine inventory holds: which parts, which new machines, which new tokens. */
+/** The contents of one write of the machine inventory: its parts, the added machines, and the new fencing tokens. */
 final class InventoryTransaction {
     private final List<Change> changes = new ArrayList<>();
     private final List<Integer> parts = new ArrayList<>();
@@ -21,26 +21,26 @@
         this.newToken = newToken;
     }
 
-    /** Writes parts of which machines may be given this new token. */
-    static InventoryTransaction drawing(long newToken) {
+    /** Creates a transaction for parts; it gives this new token to the machines that need one. */
+    static InventoryTransaction withNewToken(long newToken) {
         return new InventoryTransaction(false, newToken);
     }
 
     /**
-     * Writes one split. No token is drawn: the counter of fencing tokens might not fit into the same transaction as all
-     * parts of the split.
+     * Creates a transaction for one split. It allocates no fencing token, because the fencing token counter might not
+     * fit into the same transaction as all parts of the split.
      */
-    static InventoryTransaction ofSplit() {
+    static InventoryTransaction forSplit() {
         return new InventoryTransaction(true, 0);
     }
 
     /**
-     * Writes this part too, as it is now.
+     * Adds this part with its current contents to the transaction.
      *
      * @param machines the machines of the part, in the order of their rows
-     * @param cleanupTokensDue whether machines that need a token only to clear attempts get it now
+     * @param cleanupTokensDue whether a new token is due now for machines that need one only to clear attempts
      */
-    void write(int part, List<Machine> machines, boolean cleanupTokensDue) {
+    void addPart(int part, List<Machine> machines, boolean cleanupTokensDue) {
         List<InventoryRecord.Host> rows = new ArrayList<>();
         for (Machine machine : machines) {
             if (cleanupTokensDue) {
@@ -63,32 +63,32 @@
         return newToken;
     }
 
-    /** Whether it writes one split. */
+    /** Whether this transaction writes a split. */
     boolean isSplit() {
         return isSplit;
     }
 
-    /** What goes to the store; whoever makes the transaction may add to it. */
+    /** Returns the changes to the store, as a mutable list to which the caller may add. */
     List<Change> changes() {
         return changes;
     }
 
-    /** The parts that it writes. */
+    /** Returns the parts that this transaction writes. */
     List<Integer> parts() {
         return parts;
     }
 
-    /** The machines that it puts on record for the first time. */
+    /** Returns the machines that this transaction stores for the first time. */
     List<Machine> machinesAdded() {
         return machinesAdded;
     }
 
-    /** The machines that it gives the new token. */
+    /** Returns the machines that get the new token. */
     List<Machine> machinesWithNewToken() {
         return machinesWithNewToken;
     }
 
-    /** The token that it gives to machines. */
+    /** Returns the new token; 0 for a split. */
     long newToken() {
         return newToken;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -16,17 +16,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Puts changed parts of the machine inventory on record, a few in one transaction, within a share of the write budget.
- * Machines that need a new fencing token are given it by the transaction that writes their part.
+ * Writes changed parts of the machine inventory to the store, several in one transaction, within a share of the write
+ * budget. A machine that needs a new fencing token gets it with the transaction that writes its part.
  */
 final class InventoryWriter {
-    /** All writes of the inventory wait in the queue as one. */
+    /** The name shared by all writes of the inventory, so that the queue holds at most one of them. */
     private static final String QUEUE_NAME = "machine inventory";
 
-    private static final long LEAST_GATHER_MICROS = 30_000;
+    private static final long MIN_BATCHING_DELAY_MICROS = 30_000;
     /**
-     * Share of the budget that the machine inventory may take: its writes go first, and claims must not starve behind
-     * them.
+     * The share of the write budget that the machine inventory may use. It is limited because these writes take
+     * precedence over job claims, which must not starve.
      */
     private static final double WRITE_SHARE = 0.3;
 
@@ -38,16 +38,16 @@
     private final InventoryLayout layout;
     private final InventoryLimits limits;
     private final MachineInventory.Listener listener;
-    /** Parts that are not on record as they are now, apart from those in the transaction under way. */
+    /** Parts whose current contents are not stored, except those in the transaction in flight. */
     private final Set<Integer> dirtyParts = new HashSet<>();
-    /** Null while none is under way. */
-    private @Nullable InventoryTransaction underWay;
-    /** Before this the next write would take more than the inventory's share of the budget. */
+    /** The transaction in flight, or one that has failed and is to be repeated; null when there is none. */
+    private @Nullable InventoryTransaction inFlight;
+    /** The earliest time of the next write that keeps within the inventory's share of the budget. */
     private long nextWriteMicros;
 
     private boolean cleanupTokensDue;
 
-    /** Writes nothing before it is asked to. */
+    /** Creates a writer; nothing is written until one of its methods requests it. */
     InventoryWriter(
             Config config,
             Leadership.Term term,
@@ -67,19 +67,19 @@
         this.listener = listener;
     }
 
-    /** The part is not on record as it is now: it is written with the next transaction that has space for it. */
+    /** Schedules the part to be written with its current contents by the next transaction that has space for it. */
     void writeSoon(int part) {
         dirtyParts.add(part);
-        long delayMicros = Math.max(LEAST_GATHER_MICROS, nextWriteMicros - timers.nowMicros());
+        long delayMicros = Math.max(MIN_BATCHING_DELAY_MICROS, nextWriteMicros - timers.nowMicros());
         writeQueue.enqueue(
                 QUEUE_NAME,
                 WriteQueue.Urgency.SAFETY,
                 delayMicros,
-                this::beginTransaction,
-                storeRevision -> transactionRecorded());
+                this::buildTransaction,
+                storeRevision -> onCommitted());
     }
 
-    /** The next split is written as soon as the parts before those that it adds are on record. */
+    /** Schedules the next split, if any, to be written as soon as all parts that precede its new parts are stored. */
     void writeNextSplitSoon() {
         List<Integer> split = layout.nextSplit();
         if (split != null) {
@@ -87,19 +87,22 @@
         }
     }
 
-    /** From now on machines that need a token only for cleanup get it, until no part is dirty any more. */
-    void drawCleanupTokens() {
+    /**
+     * Lets the following writes give a new token also to machines that need one only for cleanup, until no part is
+     * dirty any more.
+     */
+    void allocateCleanupTokens() {
         cleanupTokensDue = true;
     }
 
-    // ---- making a transaction ----------------------------------------------------------------------------------
+    // ---- building a transaction --------------------------------------------------------------------------------
 
-    private List<Change> beginTransaction() {
-        if (underWay != null) {
-            dirtyParts.addAll(underWay.parts()); // the transaction before this one failed
+    private List<Change> buildTransaction() {
+        if (inFlight != null) {
+            dirtyParts.addAll(inFlight.parts()); // the previous transaction has failed
         }
         InventoryTransaction transaction = nextTransaction();
-        underWay = transaction;
+        inFlight = transaction;
         List<Change> changes = transaction.changes();
         if (!transaction.machinesWithNewToken().isEmpty()) {
             changes.add(Change.write(
@@ -113,13 +116,13 @@
 
     private InventoryTransaction nextTransaction() {
         List<Integer> split = layout.nextSplit();
-        return split != null && layout.mayWriteNextSplit() ? splitTransaction(split) : dirtyPartsTransaction();
+        return split != null && layout.canWriteNextSplit() ? splitTransaction(split) : dirtyPartsTransaction();
     }
 
     private InventoryTransaction splitTransaction(List<Integer> parts) {
-        InventoryTransaction transaction = InventoryTransaction.ofSplit();
+        InventoryTransaction transaction = InventoryTransaction.forSplit();
         for (int part : parts) {
-            transaction.write(part, layout.machines(part), cleanupTokensDue);
+            transaction.addPart(part, layout.machines(part), cleanupTokensDue);
         }
         dirtyParts.removeAll(parts);
         for (int part : parts) {
@@ -136,17 +139,19 @@
     }
 
     private InventoryTransaction dirtyPartsTransaction() {
-        InventoryTransaction transaction = InventoryTransaction.drawing(nextToken());
-        for (int part = 0; part < layout.partCount() && transaction.parts().size() < limits.partsAtOnce(); part++) {
-            boolean toBeSplit = layout.isInPendingSplit(part);
-            if (toBeSplit && !layout.isOnRecord(part)) {
-                break; // what comes after it must not be on record before it
+        InventoryTransaction transaction = InventoryTransaction.withNewToken(nextToken());
+        for (int part = 0;
+                part < layout.partCount() && transaction.parts().size() < limits.partsPerTransaction();
+                part++) {
+            boolean isSplitPending = layout.isInPendingSplit(part);
+            if (isSplitPending && !layout.isStored(part)) {
+                break; // storing a later part before this one would leave a gap in the part numbers
             }
-            if (dirtyParts.contains(part) && !toBeSplit && !layout.isUnsplittable(part)) {
-                transaction.write(part, layout.machines(part), cleanupTokensDue);
+            if (dirtyParts.contains(part) && !isSplitPending && !layout.isUnsplittable(part)) {
+                transaction.addPart(part, layout.machines(part), cleanupTokensDue);
             }
         }
-        // A change that comes while the transaction is under way makes its part dirty once more.
+        // A change that occurs while the transaction is in flight marks its part as dirty again.
         dirtyParts.removeAll(transaction.parts());
         return transaction;
     }
@@ -156,29 +161,30 @@
         return (counter == null ? term.fencingToken() : counter.last()) + 1;
     }
 
-    // ---- once it is on record ----------------------------------------------------------------------------------
+    // ---- after a commit ----------------------------------------------------------------------------------------
 
-    private void transactionRecorded() {
-        InventoryTransaction recorded = Objects.requireNonNull(underWay, "a write was begun before it is on record");
-        underWay = null;
-        if (recorded.isSplit()) {
-            layout.nextSplitRecorded();
+    private void onCommitted() {
+        InventoryTransaction committed =
+                Objects.requireNonNull(inFlight, "a committed transaction must have been in flight");
+        inFlight = null;
+        if (committed.isSplit()) {
+            layout.markNextSplitStored();
         }
-        recorded.parts().forEach(layout::partRecorded);
+        committed.parts().forEach(layout::markStored);
         dirtyParts.removeAll(layout.unsplittableParts());
         cleanupTokensDue &= !dirtyParts.isEmpty();
-        for (Machine machine : recorded.machinesAdded()) {
+        for (Machine machine : committed.machinesAdded()) {
             machine.inventory().onRecord();
         }
-        for (Machine machine : recorded.machinesWithNewToken()) {
-            machine.inventory().tokenRaised(recorded.newToken());
+        for (Machine machine : committed.machinesWithNewToken()) {
+            machine.inventory().tokenRaised(committed.newToken());
             listener.onTokenRaised(machine);
         }
-        writeRest();
+        scheduleRemainingWrites();
         listener.onInventoryWritten();
     }
 
-    private void writeRest() {
+    private void scheduleRemainingWrites() {
         if (layout.pendingSplitCount() > 0) {
             writeNextSplitSoon();
         } else if (!dirtyParts.isEmpty()) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -9,32 +9,38 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 
 /**
- * What a machine is to be told as of now, and what of it the answer to its heartbeat carries. Stops are repeated until
- * they are seen to work; starts go out once.
+ * Determines the commands that are due for a machine, and collects them for the response to its heartbeat. Stop
+ * commands are repeated until a message of the worker shows that the task has ended; start commands are sent once.
  */
 public final class MachineCommands {
     private final Leadership leadership;
     private final CommandQueue commands;
 
-    /** Takes machines whose commands have gone out from this queue. */
+    /** Creates an instance that removes machines from this queue when their commands are sent. */
     public MachineCommands(Leadership leadership, CommandQueue commands) {
         this.leadership = leadership;
         this.commands = commands;
     }
 
-    /** What is to end there, as of now. Every answer that renews a lease holds it: no task outlives its end by that. */
+    /**
+     * Returns the cleanup commands and the stop commands that are due for the machine now. Every response that renews
+     * the worker's lease has to carry them, so that no renewal keeps a task running that must end.
+     */
     public static List<WorkerCommand> stopAndClearCommands(Machine machine) {
-        List<WorkerCommand> stops = new ArrayList<>(machine.cleanupCommands());
+        List<WorkerCommand> stopsAndClears = new ArrayList<>(machine.cleanupCommands());
         for (Placement placement : machine.placements()) {
             if (placement.phase() == Placement.Phase.STOPPING) {
-                stops.add(WorkerCommand.stop(placement.task(), placement.attempt(), placement.graceMicros()));
+                stopsAndClears.add(WorkerCommand.stop(placement.task(), placement.attempt(), placement.graceMicros()));
             }
         }
-        return stops;
+        return stopsAndClears;
     }
 
-    /** The placements whose starts may go out now. */
-    List<Placement> startable(Machine machine) {
+    /**
+     * Returns the placements whose start commands may be sent now; empty when the machine takes no tasks or the leader
+     * may not start any.
+     */
+    List<Placement> startablePlacements(Machine machine) {
         if (!machine.takesTasks() || !leadership.mayStart()) {
             return List.of();
         }
@@ -43,14 +49,17 @@
                 .toList();
     }
 
-    /** All that this machine is to do, for the answer to its heartbeat. */
+    /**
+     * Collects all commands that are due for the machine, for the response to its heartbeat, and marks the start
+     * commands among them as sent.
+     */
     public List<WorkerCommand> collectForResponse(Machine machine) {
-        List<WorkerCommand> answer = stopAndClearCommands(machine);
+        List<WorkerCommand> due = stopAndClearCommands(machine);
         commands.remove(machine);
-        for (Placement placement : startable(machine)) {
-            answer.add(WorkerCommand.start(placement.task(), placement.attempt()));
+        for (Placement placement : startablePlacements(machine)) {
+            due.add(WorkerCommand.start(placement.task(), placement.attempt()));
             placement.sentInAnswer();
         }
-        return answer;
+        return due;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -13,20 +13,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Our machines as they are on record, many to a part, and the fencing tokens that single machines are given anew. Says
- * what of it is to be written: the {@link InventoryLayout} decides which machine is in which part, the {@link
- * InventoryReader} reads the parts when the term begins, and the {@link InventoryWriter} writes them.
+ * The machine inventory of this term in the store, which is divided into parts that hold many machines each, and the
+ * allocation of new fencing tokens to single machines. This class determines what has to be written. The {@link
+ * InventoryLayout} assigns machines to parts, the {@link InventoryReader} reads the parts when the term begins, and the
+ * {@link InventoryWriter} writes them.
  */
 public final class MachineInventory {
     private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
     private static final long CLEANUP_DELAY_MICROS = 15_000_000;
 
-    /** Told of what has gone on record. */
+    /** Receives notifications about committed writes of the inventory. */
     public interface Listener {
-        /** The machine's new fencing token is on record. */
+        /** Called when the store holds a new fencing token for the machine. */
         void onTokenRaised(Machine machine);
 
-        /** A write of the inventory is on record; told after the new tokens that it gave. */
+        /** Called after each committed write of the inventory, after {@link #onTokenRaised} for its new tokens. */
         void onInventoryWritten();
     }
 
@@ -38,7 +39,7 @@
     private final InventoryWriter writer;
     private boolean cleanupTimerSet;
 
-    /** An inventory that is empty until the machines on record are taken over. */
+    /** Creates an inventory that is empty until {@link #takeOver()} reads the stored machines. */
     public MachineInventory(
             Config config,
             Leadership.Term term,
@@ -50,84 +51,95 @@
         this.timers = timers;
         this.fleet = fleet;
         this.limits = InventoryLimits.within(config.limits().store());
-        this.layout = new InventoryLayout(limits.partBytes(), limits.mostPartsOfSplit(), this::machine);
+        this.layout = new InventoryLayout(limits.partBytes(), limits.maxPartsPerSplit(), this::machineById);
         this.reader = new InventoryReader(term, replica, layout);
         this.writer = new InventoryWriter(config, term, replica, writeQueue, timers, layout, limits, listener);
     }
 
-    private Machine machine(String id) {
-        return Objects.requireNonNull(fleet.machine(id), "a machine of the inventory is in the fleet");
+    private Machine machineById(String id) {
+        return Objects.requireNonNull(fleet.machine(id), "a machine of the inventory must be in the fleet");
     }
 
     // ---- taking over -------------------------------------------------------------------------------------------
 
-    /** The machines on record when the term began; all are ours under the term's fencing token. */
+    /**
+     * Reads the machines that are stored when the term begins, and returns them with the fencing token of this term.
+     * Parts that exceed the size limit are scheduled to be split.
+     */
     public List<Machine> takeOver() {
         List<Machine> takenOver = reader.read();
-        layout.splitLargeParts(takenOver);
-        beginSplits();
+        layout.splitOversizedParts(takenOver);
+        scheduleSplits();
         return takenOver;
     }
 
-    private void beginSplits() {
+    private void scheduleSplits() {
         if (!layout.unsplittableParts().isEmpty()) {
             LOG.warn(
-                    "{} values of the machine inventory hold more than one transaction can spread: they stay "
-                            + "as they are until machines are gone, and those that need a new token stay unused",
+                    "{} parts of the machine inventory are too large to be split in one transaction: they stay "
+                            + "unchanged until machines are removed, and machines there that need a new fencing "
+                            + "token get no tasks",
                     layout.unsplittableParts().size());
         }
         if (layout.pendingSplitCount() > 0) {
             LOG.info(
-                    "{} values of the machine inventory are split: they exceed {} bytes",
+                    "{} parts of the machine inventory exceed {} bytes and will be split",
                     layout.pendingSplitCount(),
                     limits.partBytes());
             writer.writeNextSplitSoon();
         }
     }
 
-    /** How many parts of the inventory can't be read. */
+    /** Returns the number of parts that could not be read at the beginning of the term. */
     public int unreadablePartCount() {
         return reader.unreadablePartCount();
     }
 
-    // ---- machines that come and go -----------------------------------------------------------------------------
+    // ---- adding and removing machines --------------------------------------------------------------------------
 
-    /** Puts a machine on record. */
+    /** Adds the machine to the inventory and schedules the write. */
     void add(Machine machine) {
         writer.writeSoon(layout.add(machine));
     }
 
-    /** Takes a machine that is gone off the record. */
+    /** Removes a machine that is gone from the inventory and schedules the write. */
     void remove(Machine machine) {
         writer.writeSoon(layout.remove(machine));
     }
 
     // ---- new fencing tokens ------------------------------------------------------------------------------------
 
-    /** A direct command has no answer: only a higher fencing token makes sure that it can't be carried out late. */
+    /**
+     * Requests a higher fencing token for the machine, which takes no tasks until the store holds the token. For
+     * example, a higher token is the only protection against the delayed execution of a direct command that got no
+     * response. Does nothing when a new token has already been requested or the machine is gone.
+     *
+     * @param why the reason, for the log
+     */
     public void requestToken(Machine machine, String why) {
         if (!machine.inventory().needsNewToken() && !machine.isGone()) {
-            LOG.info("machine {} wants a new fencing token: {}", machine.id(), why);
+            LOG.info("machine {} needs a new fencing token: {}", machine.id(), why);
             machine.inventory().requireNewToken();
             writer.writeSoon(machine.inventory().part());
         }
     }
 
     /**
-     * The machine needs a higher fencing token some time, only so that its exited attempts can be cleared: it gets
-     * one together with others, and takes tasks until then.
+     * Requests a higher fencing token for the machine that is needed only to clear exited attempts. The token is
+     * allocated after {@link #CLEANUP_DELAY_MICROS}, together with those of other machines; the machine takes tasks
+     * until then.
      */
     void requestTokenForCleanup(Machine machine) {
         machine.inventory().requireTokenForCleanup();
         if (!cleanupTimerSet) {
             cleanupTimerSet = true;
-            timers.after(CLEANUP_DELAY_MICROS, this::drawCleanupTokens);
+            timers.after(CLEANUP_DELAY_MICROS, this::allocateCleanupTokens);
         }
     }
 
-    private void drawCleanupTokens() {
+    private void allocateCleanupTokens() {
         cleanupTimerSet = false;
-        writer.drawCleanupTokens();
+        writer.allocateCleanupTokens();
         fleet.machines().stream()
                 .filter(machine -> machine.inventory().needsTokenForCleanup())
                 .forEach(machine -> writer.writeSoon(machine.inventory().part()));
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The life of machines during one term of leadership: confirmed, drained, out of their lease, or proved gone. */
+/** Performs the life cycle transitions of machines during one term: join, drain, lease expiry, and removal. */
 public final class MachineLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
@@ -25,7 +25,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
 
-    /** Changes the machines of this fleet, and frees the tasks on them. */
+    /** Creates a life cycle for the machines of this fleet and the tasks on them. */
     public MachineLifecycle(
             Fleet fleet,
             MachineInventory inventory,
@@ -45,10 +45,10 @@
         this.loop = loop;
     }
 
-    /** A machine that is not in the fleet sends a heartbeat: it joins and is put on record. */
+    /** Adds a machine that has sent its first heartbeat to the fleet and to the inventory. */
     public void join(Machine machine) {
         LOG.info(
-                "machine {} ({} {}{}) sends its first heartbeat",
+                "machine {} ({} {}{}): first heartbeat received, adding it to the fleet",
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
@@ -57,18 +57,27 @@
         inventory.add(machine);
     }
 
-    /** Takes no new tasks from now on. */
+    /**
+     * Stops placing new tasks on the machine; its tasks keep running. Does nothing unless the machine is ready.
+     *
+     * @param why the reason, for the log
+     */
     public void drain(Machine machine, String why) {
         machine.drain(why);
     }
 
-    /** The cloud has announced that it takes the machine back: its tasks are stopped while they can still be saved. */
+    /**
+     * Drains a machine that the cloud is about to reclaim, and stops tasks there while they can still save their
+     * progress.
+     *
+     * @param noticeMicros the time until the cloud reclaims the machine
+     */
     void drainBeforePreemption(Machine machine, long noticeMicros) {
-        drain(machine, "the cloud takes it in " + noticeMicros / 1_000_000 + " s");
+        drain(machine, "the cloud reclaims it in " + noticeMicros / 1_000_000 + " s");
         tasks.evacuate(machine, noticeMicros);
     }
 
-    /** Tasks of several jobs failed on each of these machines: they take no new ones. */
+    /** Drains machines that count as faulty because tasks of several jobs failed on each of them. */
     void drainFaulty(List<Machine> faulty) {
         for (Machine machine : faulty) {
             drain(machine, "faulty: tasks of several jobs failed there");
@@ -76,37 +85,46 @@
     }
 
     /**
-     * Its lease is over: nothing can be on it any more. It stays ours, since it may only be cut off: when its
-     * heartbeats come again, in a later agent epoch, it must show that it receives our commands before it is given
-     * work.
+     * Handles the expiry of the worker's lease: all tasks on the machine have ended, so they are freed. The machine
+     * stays in the fleet because it may only be partitioned. When its heartbeats resume, in a later agent epoch, the
+     * worker has to acknowledge a new fencing token, which proves that it receives commands, before it gets tasks
+     * again.
      */
     public void expireLease(Machine machine) {
         LOG.info(
-                "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
+                "machine {} ({} {}{}): worker lease expired, freeing its {} tasks",
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
                 machine.spot() ? " spot" : "",
                 machine.placements().size());
         machine.leaseExpired();
-        tasks.freeAll(machine, "its worker's lease is over");
-        machine.confirmationLost(timers.nowMicros(), "its lease is over");
-        inventory.requestToken(machine, "its lease is over");
+        tasks.freeAll(machine, "its worker's lease expired");
+        machine.confirmationLost(timers.nowMicros(), "its lease expired");
+        inventory.requestToken(machine, "its lease expired");
+        // Operators filter by this text, which is an attribute of a trace span, so the wording must not change.
         recovery.resolved(machine, "its lease is over");
         loop.requestCycle();
     }
 
-    /** The cloud took this machine back for good. */
+    /**
+     * Called when the cloud has terminated this machine, which need not be in the fleet; late heartbeats are ignored.
+     */
     public void onTerminated(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
-            proveGone(machine, "returned to the cloud");
+            removeGone(machine, "returned to the cloud");
         }
         fleet.terminatedForGood(id);
     }
 
-    /** Nothing that we or anyone started can be on this machine any more. */
-    private void proveGone(Machine machine, String why) {
+    /**
+     * Removes a machine on which no task of any leader can run any more: frees its tasks and removes it from the fleet
+     * and the inventory. Does nothing when the machine is already gone.
+     *
+     * @param why the reason, for the log and for the trace span of the recovery, so the wording must not change
+     */
+    private void removeGone(Machine machine, String why) {
         if (machine.isGone()) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/fleet/MessageOrigin.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MessageOrigin.java
@@ -1,9 +1,12 @@
 package org.granitepath.coordination.fleet;
 
-/** How a message of a worker came: a heartbeat can be answered, and proves that the worker reaches us by itself. */
+/**
+ * How a message of a worker arrived. A heartbeat can be responded to, and proves that the worker can connect to the
+ * controller.
+ */
 public enum MessageOrigin {
-    /** The worker sent it by itself. */
+    /** The worker sent the message by itself. */
     HEARTBEAT,
-    /** It came in the response to a direct call. */
+    /** The message was contained in the response to a direct call. */
     CALL_RESPONSE
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -8,81 +8,82 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Speeds a takeover up: calls the machines that are awaited, a few at a time, and shows them the new token. They need
- * not wait for their next heartbeat then.
+ * Speeds up the recovery at the beginning of a term: calls the machines taken over from the previous leader, a limited
+ * number at a time, so that they acknowledge the new fencing token without waiting for their next heartbeat.
  */
 public final class TakeoverCalls {
-    private static final long CALL_AGAIN_MICROS = 300_000;
+    private static final long RETRY_DELAY_MICROS = 300_000;
 
     private final Config config;
     private final Fleet fleet;
     private final WorkerCalls calls;
     private final Timers timers;
-    private final BooleanSupplier ended;
-    /** Machines taken over that are still to be called. */
-    private final ArrayDeque<Machine> toBeCalled = new ArrayDeque<>();
+    private final BooleanSupplier termEnded;
+    /** The machines that have still to be called. */
+    private final ArrayDeque<Machine> pendingMachines = new ArrayDeque<>();
 
-    private int callsUnderWay;
+    private int callsInFlight;
 
     /**
-     * Calls nobody before it begins.
+     * Creates an instance that makes no calls before {@link #start()}.
      *
-     * @param ended whether the term is over, so that nobody is called any more
+     * @param termEnded whether the term is over, so that no more calls are made
      */
-    public TakeoverCalls(Config config, Fleet fleet, WorkerCalls calls, Timers timers, BooleanSupplier ended) {
+    public TakeoverCalls(Config config, Fleet fleet, WorkerCalls calls, Timers timers, BooleanSupplier termEnded) {
         this.config = config;
         this.fleet = fleet;
         this.calls = calls;
         this.timers = timers;
-        this.ended = ended;
+        this.termEnded = termEnded;
     }
 
-    /** Begins to call the machines of the fleet, which were all taken over. */
+    /** Starts calling the machines of the fleet, all of which were taken over from the previous leader. */
     public void start() {
-        toBeCalled.addAll(fleet.machines());
-        callNext();
+        pendingMachines.addAll(fleet.machines());
+        callPending();
     }
 
-    private void callNext() {
-        while (!ended.getAsBoolean() && !toBeCalled.isEmpty() && mayCall()) {
-            Machine machine = toBeCalled.poll();
-            if (!needsCall(machine)) {
+    private void callPending() {
+        while (!termEnded.getAsBoolean() && !pendingMachines.isEmpty() && canCall()) {
+            Machine machine = pendingMachines.poll();
+            if (!isAwaited(machine)) {
                 continue;
             }
             if (machine.contact().callInFlight()) {
-                callAgainLater(machine);
+                retryLater(machine);
             } else {
                 call(machine);
             }
         }
     }
 
-    /** A third of the calls is left for commands. */
-    private boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce() * 2 / 3;
+    /** Whether another call may be made now; a third of the concurrent calls is reserved for commands. */
+    private boolean canCall() {
+        return callsInFlight < config.limits().callsAtOnce() * 2 / 3;
     }
 
-    private static boolean needsCall(Machine machine) {
+    /** Whether the machine has not confirmed the current fencing token yet and is not fenced against calls. */
+    private static boolean isAwaited(Machine machine) {
         return machine.awaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.contact().fenced();
     }
 
     private void call(Machine machine) {
-        callsUnderWay++;
+        callsInFlight++;
         calls.callWithoutCommands(machine, () -> {
-            callsUnderWay--;
+            callsInFlight--;
             if (machine.awaitingFirstHeartbeat()) {
-                callAgainLater(machine);
+                retryLater(machine);
             }
-            callNext();
+            callPending();
         });
     }
 
-    private void callAgainLater(Machine machine) {
-        timers.after(CALL_AGAIN_MICROS, () -> {
-            toBeCalled.add(machine);
-            callNext();
+    private void retryLater(Machine machine) {
+        timers.after(RETRY_DELAY_MICROS, () -> {
+            pendingMachines.add(machine);
+            callPending();
         });
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -19,33 +19,41 @@
 import org.granitepath.recovery.VerdictTable;
 import org.jspecify.annotations.Nullable;
 
-/** Gathers what records, placements and heartbeats say of a task, and asks the verdict table. */
+/**
+ * Collects what the stored records, the placements of this term and the messages of workers say about a task, and looks
+ * up the resulting verdict in the {@link VerdictTable}.
+ */
 final class TaskEvidence {
     private final JobIndex jobIndex;
     private final ActiveJobs activeJobs;
     private final RecoveryPlan plan;
 
-    /** Judges by the records and the placements of this term, and counts the comparisons in the plan. */
+    /** Creates an instance that uses the records and placements of this term and counts comparisons in the plan. */
     TaskEvidence(JobIndex jobIndex, ActiveJobs activeJobs, RecoveryPlan plan) {
         this.jobIndex = jobIndex;
         this.activeJobs = activeJobs;
         this.plan = plan;
     }
 
-    /** The verdict on an attempt that the machine's message lists. */
-    Verdict ofListed(Machine machine, TaskStatus status) {
+    /** Returns the verdict on an attempt that the machine's message lists. */
+    Verdict verdictOnListed(Machine machine, TaskStatus status) {
         plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
         return VerdictTable.ofListed(
-                recordedTask(job, status.task()), knownPlacement(job, machine, status), listedTask(job, status));
+                recordedStateOf(job, status.task()), placementOf(job, machine, status), listedStateOf(job, status));
     }
 
-    /** The verdict on a placement that the machine's message does not list. */
-    Verdict ofMissing(Placement placement, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken) {
+    /**
+     * Returns the verdict on a placement that the machine's message does not list.
+     *
+     * @param underCurrentToken whether the message carries the current fencing token of the machine
+     */
+    Verdict verdictOnMissing(
+            Placement placement, Heartbeat heartbeat, MessageOrigin origin, boolean underCurrentToken) {
         plan.countComparisons(1);
         return VerdictTable.ofMissing(new StartEvidence(
                 placement.agentEpoch() < heartbeat.agentEpoch(),
-                underPresentToken,
+                underCurrentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
                 placement.mayStillBeStarted(heartbeat.fencingToken()),
                 placement.seen(),
@@ -53,7 +61,7 @@
                 origin == MessageOrigin.HEARTBEAT));
     }
 
-    private RecordedTask recordedTask(@Nullable ActiveJob job, TaskId task) {
+    private RecordedTask recordedStateOf(@Nullable ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.OVER) {
             return jobIndex.recorded(task.job());
         }
@@ -69,7 +77,7 @@
         return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
     }
 
-    private static KnownPlacement knownPlacement(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
+    private static KnownPlacement placementOf(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
         Placement here = machine.placement(status.task());
         if (here != null) {
             return here.attempt() == status.attempt() ? KnownPlacement.THIS_ATTEMPT : KnownPlacement.OTHER_ATTEMPT_HERE;
@@ -79,8 +87,8 @@
                 : KnownPlacement.NONE;
     }
 
-    /** A service's task never completes its job, however it exits. */
-    private static ListedTask listedTask(@Nullable ActiveJob job, TaskStatus status) {
+    /** Returns the listed state of the task; a task of a service never counts as completed, however it exits. */
+    private static ListedTask listedStateOf(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
             return ListedTask.LIVE;
         }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -18,9 +18,9 @@
 import org.granitepath.recovery.Verdict;
 
 /**
- * Compares the tasks that a worker's message lists with those placed on its machine, and carries the verdicts out. A
- * task is taken for gone only when a message proves it; what is listed and was not placed by this leader is adopted or
- * stopped.
+ * Compares the tasks that a worker's message lists with the placements on its machine, and acts on the verdicts. A
+ * placement is freed only when a message proves that the task is not on the machine. A listed task that this leader has
+ * not placed there is adopted or stopped.
  */
 public final class TaskReconciler {
     private final ActiveJobs activeJobs;
@@ -31,7 +31,7 @@
     private final TaskStatusUpdater statusUpdater;
     private final CleanupCommands cleanup;
 
-    /** Compares the messages of workers with the jobs and placements of this term. */
+    /** Creates a reconciler that compares the messages of workers with the jobs and placements of this term. */
     public TaskReconciler(
             JobIndex jobIndex,
             ActiveJobs activeJobs,
@@ -50,93 +50,99 @@
     }
 
     /**
-     * Brings the placements of the machine in line with this message, which is its latest one.
+     * Updates the placements of the machine from this message, which is its latest one.
      *
-     * @param underPresentToken whether the worker made it under the present fencing token
+     * @param underCurrentToken whether the message carries the current fencing token of the machine
      */
     void reconcile(
-            Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken, long nowMicros) {
-        Set<TaskId> matched = reconcileListed(machine, heartbeat, underPresentToken, nowMicros);
-        freeMissing(machine, heartbeat, origin, underPresentToken, matched);
+            Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underCurrentToken, long nowMicros) {
+        Set<TaskId> placedTasks = reconcileListed(machine, heartbeat, underCurrentToken, nowMicros);
+        freeMissing(machine, heartbeat, origin, underCurrentToken, placedTasks);
         cleanup.requestTokenIfManyUncleared(machine, heartbeat);
     }
 
-    /** Goes through what the message lists, and returns the tasks of it that are placed here from now on. */
+    /**
+     * Acts on the tasks that the message lists, and returns those of them that are placed on the machine afterwards.
+     */
     private Set<TaskId> reconcileListed(
-            Machine machine, Heartbeat heartbeat, boolean underPresentToken, long nowMicros) {
-        Set<WorkerCommand> repeated = Set.copyOf(machine.cleanupCommands());
+            Machine machine, Heartbeat heartbeat, boolean underCurrentToken, long nowMicros) {
+        Set<WorkerCommand> previousCommands = Set.copyOf(machine.cleanupCommands());
         machine.clearFindings();
-        Set<TaskId> matched = new HashSet<>();
+        Set<TaskId> placedTasks = new HashSet<>();
         for (TaskStatus status : heartbeat.tasks()) {
-            Verdict verdict = evidence.ofListed(machine, status);
+            Verdict verdict = evidence.verdictOnListed(machine, status);
             switch (verdict) {
-                case CONFIRMED -> confirmed(machine, status, underPresentToken, nowMicros);
-                case ADOPTED -> adopted(machine, status, underPresentToken, nowMicros);
-                case FINISHED_MEANWHILE -> finishedMeanwhile(status.task());
-                case STALE, UNKNOWN_JOB -> cleanup.stopOrphan(machine, status, verdict, repeated);
+                case CONFIRMED -> confirm(machine, status, underCurrentToken, nowMicros);
+                case ADOPTED -> adopt(machine, status, underCurrentToken, nowMicros);
+                case FINISHED_MEANWHILE -> recordCompletion(status.task());
+                case STALE, UNKNOWN_JOB -> cleanup.stopOrphan(machine, status, verdict, previousCommands);
                 case UNCONFIRMED -> machine.taskUnconfirmed();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
-                matched.add(status.task());
+                placedTasks.add(status.task());
             }
             cleanup.clearIfExited(machine, status, verdict);
         }
-        return matched;
+        return placedTasks;
     }
 
-    private void confirmed(Machine machine, TaskStatus status, boolean underPresentToken, long nowMicros) {
-        Placement placement =
-                Objects.requireNonNull(machine.placement(status.task()), "a confirmed task is placed on its machine");
+    private void confirm(Machine machine, TaskStatus status, boolean underCurrentToken, long nowMicros) {
+        Placement placement = Objects.requireNonNull(
+                machine.placement(status.task()), "a confirmed task must be placed on its machine");
         if (!placement.seen()) {
             plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
-        placement.listed(underPresentToken);
+        placement.listed(underCurrentToken);
         statusUpdater.update(machine, placement, status, nowMicros);
     }
 
-    private void adopted(Machine machine, TaskStatus status, boolean underPresentToken, long nowMicros) {
-        Placement placement = tasks.adopt(activeJob(status.task()), machine, status, underPresentToken, nowMicros);
+    private void adopt(Machine machine, TaskStatus status, boolean underCurrentToken, long nowMicros) {
+        Placement placement = tasks.adopt(activeJob(status.task()), machine, status, underCurrentToken, nowMicros);
         plan.countVerdicts(Verdict.ADOPTED, 1);
         statusUpdater.update(machine, placement, status, nowMicros);
     }
 
-    private void finishedMeanwhile(TaskId task) {
+    private void recordCompletion(TaskId task) {
         plan.countVerdicts(Verdict.FINISHED_MEANWHILE, 1);
-        statusUpdater.completedElsewhere(activeJob(task), task.index());
+        statusUpdater.markCompletedElsewhere(activeJob(task), task.index());
     }
 
     private ActiveJob activeJob(TaskId task) {
-        return Objects.requireNonNull(activeJobs.get(task.job()), "only a task of an active job is adopted or done");
+        return Objects.requireNonNull(
+                activeJobs.get(task.job()), "the job of an adopted or completed task must be active");
     }
 
     private void freeMissing(
             Machine machine,
             Heartbeat heartbeat,
             MessageOrigin origin,
-            boolean underPresentToken,
-            Set<TaskId> matched) {
+            boolean underCurrentToken,
+            Set<TaskId> placedTasks) {
         for (Placement placement : List.copyOf(machine.placements())) {
-            if (!matched.contains(placement.task())
-                    && evidence.ofMissing(placement, heartbeat, origin, underPresentToken) == Verdict.LOST) {
+            if (!placedTasks.contains(placement.task())
+                    && evidence.verdictOnMissing(placement, heartbeat, origin, underCurrentToken) == Verdict.LOST) {
                 freeLost(machine, placement, heartbeat);
             }
         }
     }
 
     private void freeLost(Machine machine, Placement placement, Heartbeat heartbeat) {
-        if (startWasLostInAnswer(placement, heartbeat)) {
-            inventory.requestToken(machine, "an answer to it was lost");
+        if (wasStartLostInResponse(placement, heartbeat)) {
+            inventory.requestToken(machine, "a heartbeat response with a start command was lost");
         }
         plan.countVerdicts(Verdict.LOST, 1);
         tasks.free(
                 placement,
-                "not in heartbeat " + heartbeat.agentEpoch() + "." + heartbeat.sequence() + " under fencing token "
-                        + heartbeat.fencingToken());
+                "not listed in heartbeat " + heartbeat.agentEpoch() + "." + heartbeat.sequence()
+                        + " under fencing token " + heartbeat.fencingToken());
     }
 
-    /** The worker is the one that was answered, and never showed what the answer told it to start. */
-    private static boolean startWasLostInAnswer(Placement placement, Heartbeat heartbeat) {
+    /**
+     * Whether the start command went out in a heartbeat response that did not reach the worker: the worker's agent
+     * epoch is the one that the command was meant for, and no message has listed the attempt.
+     */
+    private static boolean wasStartLostInResponse(Placement placement, Heartbeat heartbeat) {
         return !placement.seen() && placement.wentOutInAnswer() && placement.agentEpoch() == heartbeat.agentEpoch();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -15,10 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the status of a placed task means for the task, its gang, its job and its machine. */
+/** Applies the status of a placed task to the placement and to its gang, job and machine. */
 public final class TaskStatusUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusUpdater.class);
-    private static final long REFUSED_START_DELAY_MICROS = 1_000_000;
+    private static final long REFUSED_START_RETRY_MICROS = 1_000_000;
 
     private final JobLifecycle jobs;
     private final TaskLifecycle tasks;
@@ -27,7 +27,7 @@
     private final RuntimeEstimator runtimeEstimator;
     private final SchedulingLoop loop;
 
-    /** Applies statuses to the jobs, tasks and machines of this term. */
+    /** Creates an updater for the jobs, tasks and machines of this term. */
     public TaskStatusUpdater(
             JobLifecycle jobs,
             TaskLifecycle tasks,
@@ -43,34 +43,37 @@
         this.loop = loop;
     }
 
-    /** The machine's latest message lists the attempt that is placed there with this status. */
+    /** Applies the status that the machine's latest message lists for this placement. */
     void update(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
         switch (status.state()) {
             case FETCHING -> placement.fetching();
-            case WAITING -> waiting(machine, placement, nowMicros);
-            case RUNNING -> running(machine, placement, nowMicros);
-            case SAVING -> saving(placement);
-            case EXITED -> exited(machine, placement, status, nowMicros);
+            case WAITING -> onWaiting(machine, placement, nowMicros);
+            case RUNNING -> onRunning(machine, placement, nowMicros);
+            case SAVING -> onSaving(placement);
+            case EXITED -> onExited(machine, placement, status, nowMicros);
         }
     }
 
-    private void waiting(Machine machine, Placement placement, long nowMicros) {
+    private void onWaiting(Machine machine, Placement placement, long nowMicros) {
         machine.capacity().imageSeen(placement.job().spec().image());
         placement.waiting();
-        GangAttempt attempt = presentGangAttempt(placement);
+        GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null) {
             attempt.waiting(nowMicros);
         }
     }
 
-    /** The gang attempt that the placement belongs to; null when there is none, or its gang has another one by now. */
-    private static @Nullable GangAttempt presentGangAttempt(Placement placement) {
+    /**
+     * Returns the gang attempt that the placement belongs to, or null when there is none or the gang already has
+     * another attempt.
+     */
+    private static @Nullable GangAttempt currentGangAttempt(Placement placement) {
         GangAttempt attempt = placement.job().gangAttempt();
         return attempt != null && attempt.number() == placement.attempt() ? attempt : null;
     }
 
-    private void running(Machine machine, Placement placement, long nowMicros) {
-        GangAttempt attempt = presentGangAttempt(placement);
+    private void onRunning(Machine machine, Placement placement, long nowMicros) {
+        GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null) {
             attempt.running();
         }
@@ -83,29 +86,32 @@
         }
     }
 
-    /** A gang saves its progress only when all its tasks are told to: a former leader may not have come to that. */
-    private void saving(Placement placement) {
+    /**
+     * Applies the status of a task that saves its progress, and stops its whole gang. A gang saves its progress only
+     * when all its tasks are told to stop, and a previous leader may not have told all of them.
+     */
+    private void onSaving(Placement placement) {
         placement.saving();
-        GangAttempt attempt = presentGangAttempt(placement);
+        GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
-            tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang saves");
+            tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang is saving");
         }
     }
 
-    private void exited(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
+    private void onExited(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
         ActiveJob job = placement.job();
         if (hasCompleted(job, status)) {
-            completed(placement, nowMicros);
+            onCompleted(placement, nowMicros);
         } else if (status.cause() == Cause.FAILED) {
             LOG.info(
-                    "a task of job {} failed on machine {}: task {} attempt {}",
+                    "job {}, machine {}: task {} attempt {} failed",
                     job.spec().id(),
                     machine.id(),
                     status.task(),
                     status.attempt());
             machines.drainFaulty(faults.failed(machine, job, nowMicros));
-        } else if (startWasRefused(status)) {
-            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_DELAY_MICROS);
+        } else if (wasStartRefused(status)) {
+            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_RETRY_MICROS);
         }
         if (endsGangAttempt(placement, status)) {
             tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
@@ -115,36 +121,37 @@
         loop.wantCycle();
     }
 
-    /** A service's task never completes its job, however it exits. */
+    /** Whether the task has completed; a task of a service never counts as completed, however it exits. */
     private static boolean hasCompleted(ActiveJob job, TaskStatus status) {
         return status.cause() == Cause.DONE && !job.spec().service();
     }
 
-    private static boolean startWasRefused(TaskStatus status) {
+    private static boolean wasStartRefused(TaskStatus status) {
         return status.cause() == Cause.UNKNOWN_JOB || status.cause() == Cause.INSUFFICIENT_CAPACITY;
     }
 
     private static boolean endsGangAttempt(Placement placement, TaskStatus status) {
         boolean attemptIsOver = status.cause() == Cause.PEER_GONE || status.cause() == Cause.INCOMPLETE;
-        GangAttempt attempt = presentGangAttempt(placement);
+        GangAttempt attempt = currentGangAttempt(placement);
         return attemptIsOver && attempt != null && !attempt.isEnding();
     }
 
-    private void completed(Placement placement, long nowMicros) {
+    private void onCompleted(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         markDone(job, placement.task().index());
         machines.drainFaulty(faults.proved(placement, nowMicros));
-        if (showsWholeRuntime(placement)) {
+        if (isRuntimeKnown(placement)) {
             runtimeEstimator.finished(job, placement.ranMicros(nowMicros));
         }
         jobs.recordTaskDone(job);
     }
 
-    private static boolean showsWholeRuntime(Placement placement) {
+    /** Whether the whole run of the task was observed, so that its run time can be used for estimates. */
+    private static boolean isRuntimeKnown(Placement placement) {
         return placement.hasRun() && placement.onlyHere() && !placement.wasAdopted();
     }
 
-    /** The tasks of a gang complete together: one tells of all. */
+    /** Marks the task as done; for a gang, whose tasks complete together, marks all tasks of the job. */
     private static void markDone(ActiveJob job, int task) {
         if (!job.spec().gang()) {
             job.markDone(task);
@@ -157,13 +164,15 @@
         }
     }
 
-    /** An attempt that we did not start has completed the task: any other attempt is of no use. */
-    void completedElsewhere(ActiveJob job, int task) {
+    /**
+     * Marks a task as done that an attempt not held by this leader has completed, and stops any other attempt of it.
+     */
+    void markCompletedElsewhere(ActiveJob job, int task) {
         Placement placement = job.placement(task);
         markDone(job, task);
         jobs.recordTaskDone(job);
         if (placement != null && !job.spec().gang()) {
-            tasks.stop(placement, 0, "done elsewhere");
+            tasks.stop(placement, 0, "completed by another attempt");
         } else {
             jobs.endIfDone(job);
         }
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -5,20 +5,23 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.storage.Timers;
 
-/** What it means for a machine that a higher fencing token is on record for it. */
+/** Updates a machine after a higher fencing token for it has been stored. */
 public final class TokenRaiseHandler {
     private final Config config;
     private final Fleet fleet;
     private final Timers timers;
 
-    /** Changes machines of this fleet. */
+    /** Creates a handler for the machines of this fleet. */
     public TokenRaiseHandler(Config config, Fleet fleet, Timers timers) {
         this.config = config;
         this.fleet = fleet;
         this.timers = timers;
     }
 
-    /** The machine's new fencing token is on record: it must show it before it is given work again. */
+    /**
+     * Called when the store holds a new fencing token for the machine. The worker has to acknowledge the token before
+     * the machine gets tasks again; an unresponsive machine is fenced.
+     */
     public void onTokenRaised(Machine machine) {
         long nowMicros = timers.nowMicros();
         if (fleet.unresponsive(machine, nowMicros)) {
@@ -28,13 +31,16 @@
         machine.confirmationLost(nowMicros, "fencing token raised to " + machine.fencingToken());
     }
 
-    /** A controller cut off together with the machine may not know yet, and go on under the former token. */
+    /**
+     * Extends the lease of a machine whose zone has a peer controller: when zone and peer are partitioned together, the
+     * peer may not know the new token yet and may keep renewing the lease under the previous token.
+     */
     private void extendLeaseInPeerZone(Machine machine, long nowMicros) {
         if (config.topology().peerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
-            long longestMicros = nowMicros
+            long latestExpiryMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
                     + config.workers().longestLeaseMicros();
-            machine.contact().leaseRunsUntil(longestMicros, false);
+            machine.contact().leaseRunsUntil(latestExpiryMicros, false);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.storage.Timers;
 
-/** Direct calls to workers: how many are under way, and what their responses mean. */
+/** Makes direct calls to workers, limits how many are in flight, and processes their responses. */
 public final class WorkerCalls {
     private final Config config;
     private final WorkerPort workers;
@@ -19,13 +19,13 @@
     private final HeartbeatReconciler reconciler;
     private final Timers timers;
     private final SchedulingLoop loop;
-    private final BooleanSupplier ended;
-    private int callsUnderWay;
+    private final BooleanSupplier termEnded;
+    private int callsInFlight;
 
     /**
-     * Calls nobody before it is asked to.
+     * Creates an instance that makes no calls until one of its methods is called.
      *
-     * @param ended whether the term is over, so that responses mean nothing any more
+     * @param termEnded whether the term is over, so that responses are ignored
      */
     public WorkerCalls(
             Config config,
@@ -34,70 +34,75 @@
             HeartbeatReconciler reconciler,
             Timers timers,
             SchedulingLoop loop,
-            BooleanSupplier ended) {
+            BooleanSupplier termEnded) {
         this.config = config;
         this.workers = workers;
         this.inventory = inventory;
         this.reconciler = reconciler;
         this.timers = timers;
         this.loop = loop;
-        this.ended = ended;
+        this.termEnded = termEnded;
     }
 
-    /** Whether one more call may begin. */
-    boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce();
+    /** Whether another call may be made now. */
+    boolean canCall() {
+        return callsInFlight < config.limits().callsAtOnce();
     }
 
-    /** Whether one more call may begin that can wait: half of the calls are left for commands. */
-    boolean mayProbe() {
-        return callsUnderWay < config.limits().callsAtOnce() / 2;
+    /** Whether another call without commands may be made now; half of the concurrent calls is reserved for commands. */
+    boolean canProbe() {
+        return callsInFlight < config.limits().callsAtOnce() / 2;
     }
 
     /**
-     * Shows the worker its present fencing token by a call without commands; when too many are under way, a later tick
-     * does.
+     * Sends the worker its current fencing token by a call without commands. Does nothing when too many calls are in
+     * flight, a call to this worker is in flight, or no message of the worker has arrived yet; a later periodic check
+     * tries again.
      */
-    void showToken(Machine machine) {
-        if (!machine.contact().callInFlight() && machine.contact().agentEpoch() >= 0 && mayCall()) {
+    void sendToken(Machine machine) {
+        if (!machine.contact().callInFlight() && machine.contact().agentEpoch() >= 0 && canCall()) {
             callWithoutCommands(machine, () -> {});
         }
     }
 
-    /** Calls the worker only for its response, and to show it its present fencing token. */
-    void callWithoutCommands(Machine machine, Runnable answered) {
-        call(machine, List.of(), List.of(), answered);
+    /**
+     * Calls the worker without commands, to get its status and to send it its current fencing token.
+     *
+     * @param onEnd runs once the call has ended, with or without a response
+     */
+    void callWithoutCommands(Machine machine, Runnable onEnd) {
+        call(machine, List.of(), List.of(), onEnd);
     }
 
     /**
-     * Calls the worker with these commands.
+     * Calls the worker with these commands under the current fencing token of its machine.
      *
      * @param starts the placements that the commands start
-     * @param answered runs once the call has ended, with a response or without
+     * @param onEnd runs once the call has ended, with or without a response
      */
-    void call(Machine machine, List<WorkerCommand> commands, List<Placement> starts, Runnable answered) {
+    void call(Machine machine, List<WorkerCommand> commands, List<Placement> starts, Runnable onEnd) {
         machine.contact().callBegan(timers.nowMicros());
-        callsUnderWay++;
+        callsInFlight++;
         long fencingToken = machine.fencingToken();
-        // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
+        // The agent epoch of a machine taken over is unknown; the response to a wrong guess contains the actual one.
         long agentEpoch = Math.max(1, machine.contact().agentEpoch());
         workers.send(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
-            callsUnderWay--;
+            callsInFlight--;
             machine.contact().callEnded();
-            if (!ended.getAsBoolean() && !machine.isGone()) {
-                takeReply(machine, fencingToken, starts, reply);
+            if (!termEnded.getAsBoolean() && !machine.isGone()) {
+                processReply(machine, fencingToken, starts, reply);
                 loop.requestSend();
             }
-            answered.run();
+            onEnd.run();
         });
     }
 
-    private void takeReply(Machine machine, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
+    private void processReply(Machine machine, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
         Heartbeat heartbeat = reply.heartbeat();
         machine.contact().callAnswered(heartbeat != null);
         if (heartbeat == null) {
             if (!starts.isEmpty()) {
-                inventory.requestToken(machine, "a direct start has no answer");
+                inventory.requestToken(machine, "a direct start command got no response");
             }
             return;
         }
@@ -105,13 +110,16 @@
             placement.directStartAnswered(fencingToken);
         }
         reconciler.reconcile(machine, heartbeat, MessageOrigin.CALL_RESPONSE);
-        if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
-            showToken(machine);
+        if (!reply.executed() && canAcceptCurrentToken(machine, heartbeat)) {
+            sendToken(machine);
         }
     }
 
-    /** The worker refused the call, but knows no fencing token that outranks the present one: it may take that. */
-    private static boolean mayTakePresentToken(Machine machine, Heartbeat heartbeat) {
+    /**
+     * Whether a worker that refused a call may accept the current fencing token in another call, because it has seen no
+     * higher token.
+     */
+    private static boolean canAcceptCurrentToken(Machine machine, Heartbeat heartbeat) {
         return machine.phase() == Machine.Phase.UNCONFIRMED && heartbeat.fencingToken() <= machine.fencingToken();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/package-info.java
+++ b/src/main/java/org/granitepath/coordination/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The life of machines during one term of leadership: their inventory on record, what their heartbeats prove, the
- * commands sent to them, and when an unresponsive one counts as failed. Nothing else changes a machine's phase or
- * lease, but for the autoscaler, which asks the cloud to take machines back.
+ * The life cycle of machines during one term of leadership: the machine inventory in the store, the processing of
+ * heartbeats, the commands sent to workers, and the detection of failed machines. Only this package changes the phase
+ * or the lease of a machine, except for the autoscaler, which asks the cloud to terminate machines.
  */
 package org.granitepath.coordination.fleet;
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -16,40 +16,42 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What overdue heartbeats mean: that machines failed, that a zone is cut off, or that we are. */
+/** Tests how overdue heartbeats are attributed to failed machines, a partitioned zone or a partitioned controller. */
 class FailureDetectorTest {
-    private static final long SECOND = 1_000_000;
-    /** Longer than a heartbeat may take, and shorter than what makes a machine unresponsive. */
-    private static final long OVERDUE = 2 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    /**
+     * Longer than the age at which a heartbeat is overdue, and shorter than that at which a machine is unresponsive.
+     */
+    private static final long OVERDUE_MICROS = 2 * SECOND_MICROS;
 
     private static final String OWN_ZONE = "zone-c1";
     private static final String PEER_ZONE = "zone-c2";
-    private static final int NO_STATUS = -1;
+    private static final int NO_PEER_STATUS = -1;
 
     private final ManualTimers timers = new ManualTimers();
     private final Config config = TestConfigs.of("c1", "c1-1", "c2");
     private final Fleet fleet = new Fleet(config, timers);
-    /** Told by the test how its peer is, so it asks nobody. */
+    /** Gets the status of the peer from the test, so it needs no port to exchange status messages. */
     private final Peers peers = new Peers(config, null, timers, () -> null);
 
     private final FailureDetector detector = new FailureDetector(config, fleet, peers);
 
-    /** So many machines stand in the zone, and the heartbeats of so many of them are overdue. */
-    private void machines(String zone, int count, int overdue) {
+    /** Adds this many machines to the zone; the heartbeats of the first {@code overdue} of them are overdue. */
+    private void addMachines(String zone, int count, int overdue) {
         for (int number = 0; number < count; number++) {
             Machine machine = Fixtures.machine(zone + "-" + number, zone);
-            machine.heartbeatReceived(false, timers.nowMicros() - (number < overdue ? OVERDUE : 0));
+            machine.heartbeatReceived(false, timers.nowMicros() - (number < overdue ? OVERDUE_MICROS : 0));
             fleet.add(machine);
         }
         detector.update(timers.nowMicros());
     }
 
-    private void allHeartbeatsCome() {
+    private void receiveAllHeartbeats() {
         fleet.machines().forEach(machine -> machine.heartbeatReceived(false, timers.nowMicros()));
         detector.update(timers.nowMicros());
     }
 
-    private boolean cutOff(String zone) {
+    private boolean isPartitioned(String zone) {
         return detector.isZonePartitioned(zone, timers.nowMicros());
     }
 
@@ -58,74 +60,75 @@
     }
 
     @Test
-    void theZoneWhoseMachinesAreMostlyOverdueIsCutOff() {
-        machines(OWN_ZONE, 10, 0);
-        machines(PEER_ZONE, 10, 7);
-        assertTrue(cutOff(PEER_ZONE));
-        assertFalse(cutOff(OWN_ZONE));
+    void zoneWithMostlyOverdueMachinesIsPartitioned() {
+        addMachines(OWN_ZONE, 10, 0);
+        addMachines(PEER_ZONE, 10, 7);
+        assertTrue(isPartitioned(PEER_ZONE));
+        assertFalse(isPartitioned(OWN_ZONE));
     }
 
     @Test
-    void whereOthersAreOverdueTooNoZoneIsCutOff() {
-        machines(OWN_ZONE, 10, 3);
-        machines(PEER_ZONE, 10, 7);
-        assertFalse(cutOff(PEER_ZONE));
+    void noZoneIsPartitionedWhenOtherZonesAreOverdueToo() {
+        addMachines(OWN_ZONE, 10, 3);
+        addMachines(PEER_ZONE, 10, 7);
+        assertFalse(isPartitioned(PEER_ZONE));
     }
 
     @Test
-    void aZoneThatWasCutOffIsAvoidedForALease() {
-        machines(OWN_ZONE, 10, 0);
-        machines(PEER_ZONE, 10, 7);
-        allHeartbeatsCome();
+    void zoneCountsAsPartitionedForOneLeaseAfterRecovering() {
+        addMachines(OWN_ZONE, 10, 0);
+        addMachines(PEER_ZONE, 10, 7);
+        receiveAllHeartbeats();
         timers.advance(config.workers().leaseMicros() - 1);
-        assertTrue(cutOff(PEER_ZONE));
+        assertTrue(isPartitioned(PEER_ZONE));
         timers.advance(1);
-        assertFalse(cutOff(PEER_ZONE));
+        assertFalse(isPartitioned(PEER_ZONE));
     }
 
     @Test
-    void workMayGoOnInACutOffZoneWhereAnotherControllerStands() {
-        machines(OWN_ZONE, 10, 0);
-        machines(PEER_ZONE, 10, 10);
+    void tasksMayContinueInPartitionedZoneWithPeer() {
+        addMachines(OWN_ZONE, 10, 0);
+        addMachines(PEER_ZONE, 10, 10);
         assertTrue(detector.isPartitionedWithPeer(machineIn(PEER_ZONE), timers.nowMicros()));
-        assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()), "not cut off");
+        assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()), "not partitioned");
     }
 
     @Test
-    void workEndsInACutOffZoneWithoutAnotherController() {
-        machines(PEER_ZONE, 10, 0);
-        machines(OWN_ZONE, 10, 10);
-        assertTrue(cutOff(OWN_ZONE));
+    void tasksEndInPartitionedZoneWithoutPeer() {
+        addMachines(PEER_ZONE, 10, 0);
+        addMachines(OWN_ZONE, 10, 10);
+        assertTrue(isPartitioned(OWN_ZONE));
         assertFalse(detector.isPartitionedWithPeer(machineIn(OWN_ZONE), timers.nowMicros()));
     }
 
-    @ParameterizedTest(name = "{0} of 10 overdue: given up after {1} s")
+    @ParameterizedTest(name = "{0} of 10 overdue: unresponsive timeout {1} s")
     @CsvSource({"0, 3", "2, 3", "3, 4"})
-    void machinesOfASuspectedZoneAreGivenUpOneHeartbeatLater(int overdue, long timeoutSeconds) {
-        machines(OWN_ZONE, 10, overdue);
-        assertEquals(timeoutSeconds * SECOND, detector.unresponsiveTimeoutMicros(machineIn(OWN_ZONE)));
+    void timeoutIsOneHeartbeatLongerInSuspectedZone(int overdue, long timeoutSeconds) {
+        addMachines(OWN_ZONE, 10, overdue);
+        assertEquals(timeoutSeconds * SECOND_MICROS, detector.unresponsiveTimeoutMicros(machineIn(OWN_ZONE)));
     }
 
-    @ParameterizedTest(name = "{0} of 20 overdue, {1} sent on by a peer: {2}")
+    @ParameterizedTest(name = "{0} of 20 overdue, {1} redirected by a peer: {2}")
     @CsvSource({
-        "4, -1, true", // few, whatever peers tell
-        "5, -1, false", // no peer tells
-        "8, 1, true", // the peer misses them too
-        "8, 2, false", // the peer receives some of them
-        "10, 0, true", // half of all
-        "11, 0, false", // more than half of all
+        "4, -1, true", // few overdue machines, whatever peers report
+        "5, -1, false", // no status of a peer
+        "8, 1, true", // the peer does not receive their heartbeats either
+        "8, 2, false", // the peer receives some of the heartbeats
+        "10, 0, true", // half of all machines
+        "11, 0, false", // more than half of all machines
     })
-    void machinesAreJudgedUnlessWeMayBeTheOnesCutOff(int overdue, int redirectedByPeer, boolean canJudge) {
-        machines(OWN_ZONE, 20, overdue);
-        if (redirectedByPeer != NO_STATUS) {
+    void missedHeartbeatsAreTrustedUnlessControllerMayBePartitioned(
+            int overdue, int redirectedByPeer, boolean trusted) {
+        addMachines(OWN_ZONE, 20, overdue);
+        if (redirectedByPeer != NO_PEER_STATUS) {
             peers.statusReceived(new PeerStatus("c2", 0, false, redirectedByPeer));
         }
-        assertEquals(canJudge, detector.canTrustMissedHeartbeats());
+        assertEquals(trusted, detector.canTrustMissedHeartbeats());
     }
 
     @Test
-    void twoOverdueMachinesAreFewHoweverSmallTheFleetIs() {
-        machines(OWN_ZONE, 2, 2);
+    void twoOverdueMachinesCountAsFewInAnyFleet() {
+        addMachines(OWN_ZONE, 2, 2);
         assertTrue(detector.canTrustMissedHeartbeats());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -46,27 +46,27 @@
 import org.granitepath.storage.WriteQueue;
 
 /**
- * The machines and jobs of one term, out of the real classes. The store commits whatever is written to it; calls to
- * workers are kept for the test, which answers them.
+ * The machines and jobs of one term, built from the production classes. The store is a stub that commits all writes by
+ * default. Direct calls to workers are recorded, and the test completes them.
  */
 public final class FleetFixture {
     public static final long SECOND_MICROS = 1_000_000;
-    public static final long FORMER_TOKEN = 6;
+    public static final long PREVIOUS_TOKEN = 6;
     public static final long TERM_TOKEN = 7;
-    /** The agent epoch of a machine that has sent its first heartbeat. */
+    /** The agent epoch of machines that {@link #readyMachine(String)} creates. */
     public static final long AGENT_EPOCH = 3;
 
-    private static final long STORE_ANSWER = 1_000;
+    private static final long STORE_LATENCY_MICROS = 1_000;
     private static final String ZONE = Fixtures.TYPE.zones().get(0);
 
-    /** A direct call to a worker that was not answered yet. */
+    /** A direct call to a worker, which the test completes by a response or a timeout. */
     record Call(
             String address,
             long fencingToken,
             long agentEpoch,
             List<WorkerCommand> commands,
             Consumer<WorkerPort.Reply> then) {
-        void answer(Heartbeat heartbeat) {
+        void respond(Heartbeat heartbeat) {
             then.accept(new WorkerPort.Reply(true, heartbeat));
         }
 
@@ -89,9 +89,9 @@
     public final MachineCommands machineCommands;
     public final SchedulingLoop loop;
 
-    /** Direct calls, in the order in which they were made. */
+    /** The direct calls to workers, in the order in which they were made. */
     final List<Call> calls = new ArrayList<>();
-    /** The ids of the machines whose new fencing token went on record, in order. */
+    /** The ids of machines whose new fencing token was stored, in the order of the notifications. */
     final List<String> tokensRaised = new ArrayList<>();
 
     final ActiveJobs activeJobs;
@@ -101,9 +101,9 @@
     final MachineInventory inventory;
     final TaskStatusUpdater statusUpdater;
     final WorkerCalls workerCalls;
-    /** Whether the term is over. */
-    boolean ended;
-    /** How the store answers what is written to it. */
+    /** Set by tests to end the term. */
+    boolean termEnded;
+    /** The outcome that the store returns for every write. */
     KeyValueStore.Outcome commitOutcome = KeyValueStore.Outcome.OK;
 
     private final JobIndex jobIndex = new JobIndex();
@@ -115,11 +115,11 @@
         KeyValueStore store = store();
         replica = new RecordReplica(store, timers, SECOND_MICROS / 10, replicaListener());
         replica.start();
-        timers.advance(STORE_ANSWER);
+        timers.advance(STORE_LATENCY_MICROS);
         WriteQueue writeQueue =
-                new WriteQueue(store, replica, timers, 20, 50, RateControl.FIXED, List::of, () -> !ended);
+                new WriteQueue(store, replica, timers, 20, 50, RateControl.FIXED, List::of, () -> !termEnded);
         activeJobs = new ActiveJobs(0, timers, faults::forget);
-        loop = new SchedulingLoop(timers, () -> ended, () -> true, () -> {}, () -> {});
+        loop = new SchedulingLoop(timers, () -> termEnded, () -> true, () -> {}, () -> {});
         CommandQueue commands = new CommandQueue(loop::requestSend);
         recovery = new TermRecovery(plan, activeJobs, timers, loop);
         TeamLimits teamLimits = new TeamLimits(config.teams());
@@ -148,12 +148,14 @@
                 loop);
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
         machineCommands = new MachineCommands(leadership, commands);
-        workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> ended);
+        workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> termEnded);
         fleet.typesChanged(List.of(Fixtures.TYPE));
         jobs.start();
     }
 
-    /** An empty store that commits everything unless told otherwise; those who follow it get no answer. */
+    /**
+     * Creates an empty store whose writes end with {@link #commitOutcome}. Requests to watch changes get no response.
+     */
     @SuppressWarnings("unchecked")
     private KeyValueStore store() {
         return (KeyValueStore) Proxy.newProxyInstance(
@@ -161,16 +163,16 @@
                 new Class<?>[] {KeyValueStore.class},
                 (proxy, method, arguments) -> {
                     switch (method.getName()) {
-                        case "commit" -> answer((Consumer<KeyValueStore.Committed>) arguments[1], committed());
-                        case "list" -> answer((Consumer<KeyValueStore.Page>) arguments[3], emptyPage());
+                        case "commit" -> respondLater((Consumer<KeyValueStore.Committed>) arguments[1], committed());
+                        case "list" -> respondLater((Consumer<KeyValueStore.Page>) arguments[3], emptyPage());
                         default -> storeReads++;
                     }
                     return null;
                 });
     }
 
-    private <T> void answer(Consumer<T> then, T answer) {
-        timers.after(STORE_ANSWER, () -> then.accept(answer));
+    private <T> void respondLater(Consumer<T> then, T response) {
+        timers.after(STORE_LATENCY_MICROS, () -> then.accept(response));
     }
 
     private static KeyValueStore.Page emptyPage() {
@@ -223,24 +225,24 @@
         calls.add(new Call(address, fencingToken, agentEpoch, commands, then));
     }
 
-    /** How many times changes of the store were asked for. */
+    /** Returns how many requests other than commits and listings the store has received. */
     public int storeReadCount() {
         return storeReads;
     }
 
     // ---- machines ----------------------------------------------------------------------------------------------
 
-    /** Machines that a former leader left on record, and that have sent nothing since. */
+    /** Takes over machines that a previous leader has stored and that have sent no message in this term. */
     List<Machine> takeOver(String... ids) {
         List<InventoryRecord.Host> rows = Arrays.stream(ids)
-                .map(id -> new InventoryRecord.Host(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, FORMER_TOKEN))
+                .map(id -> new InventoryRecord.Host(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
         replica.applied(Keys.inventory(0), new InventoryRecord(rows), 1);
-        return takeOverRecords();
+        return takeOverStoredMachines();
     }
 
-    /** The machines on record, taken over as at the beginning of the term. */
-    List<Machine> takeOverRecords() {
+    /** Takes over the stored machines, as at the beginning of a term. */
+    List<Machine> takeOverStoredMachines() {
         List<Machine> takenOver = inventory.takeOver();
         fleet.inherit(takenOver);
         fleet.typesChanged(List.of(Fixtures.TYPE));
@@ -248,7 +250,7 @@
         return takenOver;
     }
 
-    /** A machine that has joined, is on record, and has shown the term's fencing token. */
+    /** Returns a machine that has joined, is stored, and has acknowledged the fencing token of the term. */
     public Machine readyMachine(String id) {
         return readyMachine(id, ZONE);
     }
@@ -263,12 +265,15 @@
         return machine;
     }
 
-    /** The machine's next heartbeat in its agent epoch, or in the first one, under its present fencing token. */
+    /**
+     * Returns the next heartbeat of the machine under its current fencing token, in its agent epoch or, when that is
+     * unknown, in the first one.
+     */
     public static Heartbeat nextHeartbeat(Machine machine, TaskStatus... tasks) {
         return heartbeat(machine, Math.max(1, machine.contact().agentEpoch()), machine.fencingToken(), tasks);
     }
 
-    /** A heartbeat that is newer than the machine's last one, if it is of the same agent epoch. */
+    /** Returns a heartbeat with the next sequence number after the machine's last message. */
     public static Heartbeat heartbeat(Machine machine, long agentEpoch, long fencingToken, TaskStatus... tasks) {
         return new Heartbeat(
                 machine.id(),
@@ -285,20 +290,20 @@
 
     // ---- jobs and tasks ----------------------------------------------------------------------------------------
 
-    /** A job of {@link Fixtures#TASKS} tasks, of which the first so many are claimed for the leader of this term. */
+    /** Opens a job of {@link Fixtures#TASKS} tasks, the first {@code claimed} of which are claimed under this token. */
     ActiveJob job(JobSpec.Shape shape, int claimed, long claimedByToken) {
         JobSpec spec = Fixtures.spec(shape, false, false);
         jobIndex.changed(Keys.JOB + spec.id(), new JobRecord(spec, 0, claimed, claimedByToken));
         return activeJobs.get(spec.id());
     }
 
-    /** A job of which all tasks are claimed in this term, so that no former leader can have started one. */
+    /** Opens a job with all tasks claimed in this term, so that no previous leader can have started one. */
     ActiveJob job(JobSpec.Shape shape) {
         return job(shape, Fixtures.TASKS, TERM_TOKEN);
     }
 
-    /** A task of the job whose start went out in a direct call. */
-    Placement started(ActiveJob job, Machine machine) {
+    /** Places the next task of the job on the machine and marks its start as sent in a direct call. */
+    Placement startDirectly(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
         placement.sentDirectly();
         return placement;
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
@@ -13,15 +13,15 @@
 import org.granitepath.coordination.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** Which machine's row is in which part of the inventory. */
+/** Tests the assignment of machines to inventory parts, and the splitting of oversized parts. */
 class InventoryLayoutTest {
     private static final int ROWS_PER_PART = 3;
-    private static final int MOST_PARTS_OF_SPLIT = 2;
+    private static final int MAX_PARTS_PER_SPLIT = 2;
     private static final int ROW_BYTES = rowBytes(machine("m00"));
     private static final int PART_BYTES = InventoryPart.EMPTY_BYTES + ROWS_PER_PART * ROW_BYTES;
 
     private final Map<String, Machine> fleet = new HashMap<>();
-    private final InventoryLayout layout = new InventoryLayout(PART_BYTES, MOST_PARTS_OF_SPLIT, fleet::get);
+    private final InventoryLayout layout = new InventoryLayout(PART_BYTES, MAX_PARTS_PER_SPLIT, fleet::get);
 
     private static Machine machine(String id) {
         return new Machine(id, "10.0.0.1:80", "standard", "zone-a", false);
@@ -31,8 +31,8 @@
         return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
     }
 
-    /** Machines of equal row size, numbered from this one on, as they are found on record in a part. */
-    private List<Machine> found(int part, int first, int count) {
+    /** Adds a stored part with {@code count} machines of equal row size, numbered from {@code first}. */
+    private List<Machine> addStoredPart(int part, int first, int count) {
         List<Machine> machines = new ArrayList<>();
         for (int number = first; number < first + count; number++) {
             Machine machine = machine(String.format("m%02d", number));
@@ -40,7 +40,7 @@
             fleet.put(machine.id(), machine);
             machines.add(machine);
         }
-        layout.partFound(machines);
+        layout.addStoredPart(machines);
         return machines;
     }
 
@@ -51,25 +51,25 @@
     }
 
     @Test
-    void machinesAreAddedUntilAPartIsFull() {
+    void machinesAreAddedUntilPartIsFull() {
         assertEquals(List.of(0, 0, 0, 1), List.of(add("m00"), add("m01"), add("m02"), add("m03")));
         assertEquals(2, layout.partCount());
-        assertEquals(List.of("m00", "m01", "m02"), List.copyOf(layout.machineIds(0)), "in the order of adding");
+        assertEquals(List.of("m00", "m01", "m02"), List.copyOf(layout.machineIds(0)), "in insertion order");
         assertEquals(1, fleet.get("m03").inventory().part());
     }
 
     @Test
-    void theSpaceOfARemovedMachineIsUsedAgain() {
-        found(0, 0, ROWS_PER_PART);
+    void spaceOfRemovedMachineIsReused() {
+        addStoredPart(0, 0, ROWS_PER_PART);
         assertEquals(0, layout.remove(fleet.remove("m01")));
         assertEquals(Set.of("m00", "m02"), layout.machineIds(0));
         assertEquals(0, add("m03"), "the first part has space for one");
-        assertEquals(1, add("m04"), "and no more");
+        assertEquals(1, add("m04"), "the first part is full again");
     }
 
     @Test
-    void aMachineRemovedTwiceFreesItsSpaceOnce() {
-        found(0, 0, ROWS_PER_PART);
+    void removingMachineTwiceFreesItsSpaceOnce() {
+        addStoredPart(0, 0, ROWS_PER_PART);
         Machine removed = fleet.remove("m01");
         layout.remove(removed);
         layout.remove(removed);
@@ -78,67 +78,67 @@
     }
 
     @Test
-    void nothingIsAddedToAnUnreadablePart() {
-        layout.unreadablePartFound();
+    void unreadablePartGetsNoMachines() {
+        layout.addUnreadablePart();
         assertEquals(1, add("m00"));
-        assertTrue(layout.isOnRecord(0));
-        assertFalse(layout.isOnRecord(1), "not before it is written");
-        layout.partRecorded(1);
-        assertTrue(layout.isOnRecord(1));
+        assertTrue(layout.isStored(0));
+        assertFalse(layout.isStored(1), "not stored before it is written");
+        layout.markStored(1);
+        assertTrue(layout.isStored(1));
     }
 
     @Test
     void partsThatFitAreNotSplit() {
-        layout.splitLargeParts(found(0, 0, ROWS_PER_PART));
+        layout.splitOversizedParts(addStoredPart(0, 0, ROWS_PER_PART));
         assertNull(layout.nextSplit());
-        assertFalse(layout.mayWriteNextSplit());
+        assertFalse(layout.canWriteNextSplit());
         assertEquals(0, layout.pendingSplitCount());
     }
 
     @Test
-    void aLargePartIsSplitIntoAsFewAsHoldIt() {
-        layout.splitLargeParts(found(0, 0, ROWS_PER_PART + 2));
+    void oversizedPartIsSplitIntoMinimalNumberOfParts() {
+        layout.splitOversizedParts(addStoredPart(0, 0, ROWS_PER_PART + 2));
         assertEquals(List.of(0, 1), layout.nextSplit());
         assertEquals(Set.of("m00", "m01", "m02"), layout.machineIds(0));
         assertEquals(Set.of("m03", "m04"), layout.machineIds(1));
         assertEquals(1, fleet.get("m04").inventory().part());
         assertTrue(layout.isInPendingSplit(0));
         assertTrue(layout.isInPendingSplit(1));
-        assertTrue(layout.mayWriteNextSplit());
-        layout.nextSplitRecorded();
+        assertTrue(layout.canWriteNextSplit());
+        layout.markNextSplitStored();
         assertFalse(layout.isInPendingSplit(0));
         assertEquals(1, add("m05"), "the second part has space for one");
         assertEquals(2, add("m06"));
     }
 
     @Test
-    void splitsAreWrittenInOrderSoThatThereIsNoGap() {
-        List<Machine> machines = new ArrayList<>(found(0, 0, ROWS_PER_PART + 1));
-        machines.addAll(found(1, 10, ROWS_PER_PART + 1));
-        layout.splitLargeParts(machines);
+    void splitsAreWrittenInOrderWithoutGaps() {
+        List<Machine> machines = new ArrayList<>(addStoredPart(0, 0, ROWS_PER_PART + 1));
+        machines.addAll(addStoredPart(1, 10, ROWS_PER_PART + 1));
+        layout.splitOversizedParts(machines);
         assertEquals(2, layout.pendingSplitCount());
         assertEquals(List.of(0, 2), layout.nextSplit());
-        layout.nextSplitRecorded();
+        layout.markNextSplitStored();
         assertEquals(List.of(1, 3), layout.nextSplit());
-        assertFalse(layout.mayWriteNextSplit(), "part 2 is not on record");
-        layout.partRecorded(2);
-        assertTrue(layout.mayWriteNextSplit());
+        assertFalse(layout.canWriteNextSplit(), "part 2 is not stored");
+        layout.markStored(2);
+        assertTrue(layout.canWriteNextSplit());
     }
 
     @Test
-    void aPartTooLargeToSplitStaysUntilMachinesAreGone() {
-        int tooMany = MOST_PARTS_OF_SPLIT * ROWS_PER_PART + 1;
-        layout.splitLargeParts(found(0, 0, tooMany));
+    void unsplittablePartStaysUntilMachinesAreRemoved() {
+        int tooMany = MAX_PARTS_PER_SPLIT * ROWS_PER_PART + 1;
+        layout.splitOversizedParts(addStoredPart(0, 0, tooMany));
         assertTrue(layout.isUnsplittable(0));
         assertEquals(Set.of(0), layout.unsplittableParts());
         assertEquals(0, layout.pendingSplitCount());
         assertEquals(tooMany, layout.machineIds(0).size());
-        assertEquals(1, add("m20"), "nothing is added to it");
+        assertEquals(1, add("m20"), "no machine is added to it");
         layout.remove(fleet.remove("m00"));
         assertFalse(layout.isUnsplittable(0));
         assertEquals(List.of(0, 2), layout.nextSplit());
         assertEquals(Set.of("m01", "m02", "m03"), layout.machineIds(0));
         assertEquals(Set.of("m04", "m05", "m06"), layout.machineIds(2));
-        assertFalse(layout.mayWriteNextSplit(), "part 1 is not on record");
+        assertFalse(layout.canWriteNextSplit(), "part 1 is not stored");
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -15,30 +15,30 @@
 import org.granitepath.storage.UnknownRecord;
 import org.junit.jupiter.api.Test;
 
-/** What of the fleet is put on record, and the fencing tokens that single machines are given. */
+/** Tests the storing of machines and the allocation of new fencing tokens to single machines. */
 class MachineInventoryTest {
-    private static final long CLEANUP_DELAY = 15 * SECOND_MICROS;
+    private static final long CLEANUP_DELAY_MICROS = 15 * SECOND_MICROS;
 
     private final FleetFixture fixture = new FleetFixture();
 
-    private List<String> idsOnRecord() {
+    private List<String> storedIds() {
         return fixture.replica.inventory(0).hosts().stream()
                 .map(InventoryRecord.Host::id)
                 .toList();
     }
 
     @Test
-    void machinesThatComeAndGoAreOnRecord() {
+    void addedAndRemovedMachinesAreWrittenToStore() {
         fixture.readyMachine("m1");
         fixture.readyMachine("m2");
-        assertEquals(List.of("m1", "m2"), idsOnRecord());
+        assertEquals(List.of("m1", "m2"), storedIds());
         fixture.machines.onTerminated("m1");
         fixture.timers.advance(SECOND_MICROS);
-        assertEquals(List.of("m2"), idsOnRecord());
+        assertEquals(List.of("m2"), storedIds());
     }
 
     @Test
-    void machinesTakenOverAreOursUnderTheTokenOfTheTerm() {
+    void machinesTakenOverGetTokenOfTerm() {
         Machine machine = fixture.takeOver("m").get(0);
         assertTrue(machine.inventory().recorded());
         assertEquals(TERM_TOKEN, machine.fencingToken());
@@ -46,21 +46,21 @@
     }
 
     @Test
-    void aPartThatCannotBeReadIsCountedAndLeftAlone() {
+    void unreadablePartIsCountedAndNotWritten() {
         fixture.replica.applied(Keys.inventory(0), new UnknownRecord(Map.of()), 1);
-        assertEquals(List.of(), fixture.takeOverRecords());
+        assertEquals(List.of(), fixture.takeOverStoredMachines());
         assertEquals(1, fixture.inventory.unreadablePartCount());
         assertEquals(1, fixture.readyMachine("m").inventory().part());
     }
 
     @Test
-    void machinesThatNeedANewTokenAtOnceShareTheNextOne() {
+    void machinesThatNeedNewTokenTogetherShareIt() {
         Machine first = fixture.readyMachine("m1");
         Machine second = fixture.readyMachine("m2");
         Machine third = fixture.readyMachine("m3");
         fixture.inventory.requestToken(first, "test");
         fixture.inventory.requestToken(second, "test");
-        assertFalse(first.takesTasks(), "not before the token is on record");
+        assertFalse(first.takesTasks(), "not before the token is stored");
         fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
         assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void everyNewTokenIsHigherThanTheLastOneDrawn() {
+    void eachNewTokenIsHigherThanTheLastOne() {
         Machine first = fixture.readyMachine("m1");
         Machine second = fixture.readyMachine("m2");
         fixture.inventory.requestToken(first, "test");
@@ -83,10 +83,10 @@
     }
 
     @Test
-    void aTokenThatIsNeededOnlyForCleanupWaitsWhileTheMachineTakesTasks() {
+    void cleanupTokenIsDelayedWhileMachineTakesTasks() {
         Machine machine = fixture.readyMachine("m");
         fixture.inventory.requestTokenForCleanup(machine);
-        fixture.timers.advance(CLEANUP_DELAY - 1);
+        fixture.timers.advance(CLEANUP_DELAY_MICROS - 1);
         assertTrue(machine.takesTasks());
         assertEquals(TERM_TOKEN, machine.fencingToken());
         fixture.timers.advance(SECOND_MICROS);
@@ -94,13 +94,13 @@
     }
 
     @Test
-    void whatARefusedWriteHeldIsWrittenLater() {
+    void refusedWriteIsRepeated() {
         fixture.commitOutcome = KeyValueStore.Outcome.REFUSED;
         Machine machine = fixture.readyMachine("m");
         assertFalse(machine.inventory().recorded());
         fixture.commitOutcome = KeyValueStore.Outcome.OK;
         fixture.timers.advance(5 * SECOND_MICROS);
         assertTrue(machine.inventory().recorded());
-        assertEquals(List.of("m"), idsOnRecord());
+        assertEquals(List.of("m"), storedIds());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.fleet;
 
 import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
-import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
+import static org.granitepath.coordination.fleet.FleetFixture.PREVIOUS_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
@@ -27,9 +27,9 @@
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** What is done about tasks that a message lists, and about placements that it does not list. */
+/** Tests the handling of tasks that a worker's message lists, and of placements that it does not list. */
 class TaskReconcilerTest {
-    private static final long FORMER_ATTEMPT = 5;
+    private static final long PREVIOUS_ATTEMPT = 5;
 
     private final FleetFixture fixture = new FleetFixture();
 
@@ -37,9 +37,9 @@
         assertTrue(fixture.reconciler.reconcile(machine, heartbeat, MessageOrigin.HEARTBEAT));
     }
 
-    /** The first task of a job that a former leader may have started on the machine. */
-    private TaskId claimedByFormerLeader() {
-        ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, FORMER_TOKEN);
+    /** Opens a job whose first task was claimed, and possibly started, by a previous leader, and returns that task. */
+    private TaskId claimedByPreviousLeader() {
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, PREVIOUS_TOKEN);
         return new TaskId(job.spec().id(), 0);
     }
 
@@ -50,9 +50,9 @@
     // ---- listed ------------------------------------------------------------------------------------------------
 
     @Test
-    void aListedPlacementIsConfirmedOnce() {
+    void listedPlacementIsConfirmedOnce() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.FETCHING)));
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         assertEquals(Placement.Phase.RUNNING, placement.phase());
@@ -60,42 +60,42 @@
     }
 
     @Test
-    void aTaskThatAFormerLeaderStartedIsAdopted() {
+    void taskStartedByPreviousLeaderIsAdopted() {
         Machine machine = fixture.takeOver("m").get(0);
-        TaskId task = claimedByFormerLeader();
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE)));
+        TaskId task = claimedByPreviousLeader();
+        receive(machine, nextHeartbeat(machine, status(task, PREVIOUS_ATTEMPT, TaskState.RUNNING, Cause.NONE)));
         Placement placement = machine.placement(task);
         assertNotNull(placement);
-        assertEquals(FORMER_ATTEMPT, placement.attempt());
-        assertTrue(placement.onlyHere(), "listed under the present token");
+        assertEquals(PREVIOUS_ATTEMPT, placement.attempt());
+        assertTrue(placement.onlyHere(), "listed under the current token");
         assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.verdicts());
     }
 
     @Test
-    void aTaskListedUnderAFormerTokenMayBeElsewhere() {
+    void taskListedUnderPreviousTokenMayBeOnOtherMachine() {
         Machine machine = fixture.takeOver("m").get(0);
-        TaskId task = claimedByFormerLeader();
-        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
-        receive(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN, running));
+        TaskId task = claimedByPreviousLeader();
+        TaskStatus running = status(task, PREVIOUS_ATTEMPT, TaskState.RUNNING, Cause.NONE);
+        receive(machine, heartbeat(machine, AGENT_EPOCH, PREVIOUS_TOKEN, running));
         assertFalse(machine.placement(task).onlyHere());
     }
 
     @Test
-    void aTaskThatFinishedMeanwhileIsDone() {
+    void taskCompletedByUnknownAttemptIsDone() {
         Machine machine = fixture.takeOver("m").get(0);
-        TaskId task = claimedByFormerLeader();
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, Cause.DONE)));
+        TaskId task = claimedByPreviousLeader();
+        receive(machine, nextHeartbeat(machine, status(task, PREVIOUS_ATTEMPT, TaskState.EXITED, Cause.DONE)));
         assertTrue(jobOf(task).isDone(0));
         assertNull(machine.placement(task));
         assertEquals(Map.of(Verdict.FINISHED_MEANWHILE, 1), fixture.plan.verdicts());
     }
 
     @Test
-    void anOrphanIsStoppedUntilItIsGoneAndCountedOnce() {
+    void orphanIsStoppedRepeatedlyAndCountedOnce() {
         Machine machine = fixture.readyMachine("m");
         TaskId task = new TaskId("nobody's", 0);
-        TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, Cause.NONE);
-        List<WorkerCommand> stop = List.of(WorkerCommand.stop(task, FORMER_ATTEMPT, 0));
+        TaskStatus running = status(task, PREVIOUS_ATTEMPT, TaskState.RUNNING, Cause.NONE);
+        List<WorkerCommand> stop = List.of(WorkerCommand.stop(task, PREVIOUS_ATTEMPT, 0));
         receive(machine, nextHeartbeat(machine, running));
         assertEquals(stop, machine.cleanupCommands());
         receive(machine, nextHeartbeat(machine, running));
@@ -106,19 +106,19 @@
     }
 
     @Test
-    void anExitedAttemptThatNobodyNeedsIsCleared() {
+    void exitedAttemptOfUnknownJobIsCleared() {
         Machine machine = fixture.readyMachine("m");
         TaskId task = new TaskId("nobody's", 0);
-        receive(machine, nextHeartbeat(machine, status(task, FORMER_ATTEMPT, TaskState.EXITED, Cause.STOPPED)));
-        assertEquals(List.of(WorkerCommand.clear(task, FORMER_ATTEMPT)), machine.cleanupCommands());
+        receive(machine, nextHeartbeat(machine, status(task, PREVIOUS_ATTEMPT, TaskState.EXITED, Cause.STOPPED)));
+        assertEquals(List.of(WorkerCommand.clear(task, PREVIOUS_ATTEMPT)), machine.cleanupCommands());
     }
 
     // ---- not listed --------------------------------------------------------------------------------------------
 
     @Test
-    void aPlacementThatIsListedNoMoreIsFreed() {
+    void placementThatIsNoLongerListedIsFreed() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
         assertFalse(placement.live());
@@ -126,24 +126,24 @@
     }
 
     @Test
-    void aMessageUnderAFormerTokenProvesNothingOfWhatItDoesNotList() {
+    void messageUnderPreviousTokenFreesNoPlacement() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, heartbeat(machine, AGENT_EPOCH, TERM_TOKEN - 1));
         assertTrue(placement.live());
     }
 
     @Test
-    void aDirectStartWithoutAnAnswerMayStillBeCarriedOut() {
+    void directStartWithoutResponseIsNotFreed() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine));
         assertTrue(placement.live());
     }
 
     @Test
-    void aStartThatWasLostInAnAnswerRaisesTheToken() {
+    void startLostInHeartbeatResponseRequestsNewToken() {
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void aTaskThatWasSeenAndIsGoneDoesNot() {
+    void lostTaskThatWasListedBeforeRequestsNoToken() {
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
+import static org.granitepath.coordination.fleet.FleetFixture.PREVIOUS_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.exited;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What the status of a placed task changes: the task, its gang, its job and its machine. */
+/** Tests the effect of a placed task's status on the task and on its gang, job and machine. */
 class TaskStatusUpdaterTest {
     private final FleetFixture fixture = new FleetFixture();
     private final Machine machine = fixture.readyMachine("m");
@@ -39,7 +39,7 @@
     }
 
     /** The placements of two tasks of a gang, whose starts went out. */
-    private List<Placement> startedGang(ActiveJob gang) {
+    private List<Placement> startGang(ActiveJob gang) {
         fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
         List<Placement> placements = List.copyOf(gang.placements());
         placements.forEach(Placement::sentDirectly);
@@ -49,27 +49,27 @@
     // ---- exits -------------------------------------------------------------------------------------------------
 
     @Test
-    void aCompletedTaskIsDone() {
+    void completedTaskIsDone() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
-        Placement placement = fixture.started(job, machine);
+        Placement placement = fixture.startDirectly(job, machine);
         update(placement, exited(placement, Cause.DONE));
         assertTrue(job.isDone(placement.task().index()));
         assertFalse(placement.live());
     }
 
     @Test
-    void theTaskOfAServiceIsNeverDone() {
+    void taskOfServiceIsNeverDone() {
         ActiveJob service = fixture.job(JobSpec.Shape.SERVICE);
-        Placement placement = fixture.started(service, machine);
+        Placement placement = fixture.startDirectly(service, machine);
         update(placement, exited(placement, Cause.DONE));
         assertFalse(service.isDone(placement.task().index()));
-        assertFalse(placement.live(), "it is to start again");
+        assertFalse(placement.live(), "the task will be started again");
     }
 
     @Test
-    void aFailedTaskMakesItsMachineASuspect() {
+    void failedTaskMakesMachineSuspect() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
-        Placement placement = fixture.started(job, machine);
+        Placement placement = fixture.startDirectly(job, machine);
         update(placement, exited(placement, Cause.FAILED));
         assertTrue(fixture.faults.suspects(machine));
         assertEquals(placement.task().index(), job.firstFreed());
@@ -77,9 +77,9 @@
 
     @ParameterizedTest
     @EnumSource(names = {"UNKNOWN_JOB", "INSUFFICIENT_CAPACITY"})
-    void aRefusedStartIsRepeatedAfterASecond(Cause cause) {
+    void refusedStartIsRetriedAfterOneSecond(Cause cause) {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
-        Placement placement = fixture.started(job, machine);
+        Placement placement = fixture.startDirectly(job, machine);
         update(placement, exited(placement, cause));
         assertEquals(
                 fixture.timers.nowMicros() + SECOND_MICROS, job.scheduling().notBeforeMicros());
@@ -87,12 +87,12 @@
     }
 
     @Test
-    void theJobEndsWithItsLastTask() {
+    void jobEndsWithLastTask() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         for (int task = 1; task < job.spec().tasks(); task++) {
             job.markDone(task);
         }
-        Placement last = fixture.started(job, machine);
+        Placement last = fixture.startDirectly(job, machine);
         update(last, exited(last, Cause.DONE));
         assertEquals(ActiveJob.Phase.ENDING, job.phase());
     }
@@ -100,8 +100,8 @@
     // ---- running -----------------------------------------------------------------------------------------------
 
     @Test
-    void aTaskThatHasRunForLongProvesItsJobSound() {
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+    void longRunningTaskProvesThatJobIsNotFaulty() {
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
         update(placement, TaskState.RUNNING);
@@ -112,9 +112,9 @@
     }
 
     @Test
-    void theRunTimeOfATaskSeenFromItsStartIsLearnt() {
+    void runtimeOfTaskObservedFromStartIsRecorded() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
-        Placement placement = fixture.started(job, machine);
+        Placement placement = fixture.startDirectly(job, machine);
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(3 * SECOND_MICROS);
         update(placement, exited(placement, Cause.DONE));
@@ -122,9 +122,9 @@
     }
 
     @Test
-    void theRunTimeOfAnAdoptedTaskIsNot() {
+    void runtimeOfAdoptedTaskIsNotRecorded() {
         Machine takenOver = fixture.takeOver("m9").get(0);
-        ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, FORMER_TOKEN);
+        ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, PREVIOUS_TOKEN);
         TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, Cause.NONE);
         fixture.reconciler.reconcile(takenOver, nextHeartbeat(takenOver, running), MessageOrigin.HEARTBEAT);
         Placement adopted = job.placement(0);
@@ -136,9 +136,9 @@
     // ---- gangs -------------------------------------------------------------------------------------------------
 
     @Test
-    void oneCompletedTaskOfAGangTellsOfAll() {
+    void completedTaskOfGangCompletesAllTasks() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
-        Placement first = startedGang(gang).get(0);
+        Placement first = startGang(gang).get(0);
         update(first, exited(first, Cause.DONE));
         assertEquals(0, gang.unfinishedTasks());
         assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
@@ -146,16 +146,16 @@
 
     @ParameterizedTest
     @CsvSource({"WAITING, WAITING", "RUNNING, RUNNING"})
-    void theAttemptOfAGangFollowsItsTasks(TaskState state, GangAttempt.Phase phase) {
+    void gangAttemptFollowsStateOfItsTasks(TaskState state, GangAttempt.Phase phase) {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
-        update(startedGang(gang).get(0), state);
+        update(startGang(gang).get(0), state);
         assertEquals(phase, gang.gangAttempt().phase());
     }
 
     @Test
-    void anOlderAttemptSaysNothingOfThePresentOne() {
+    void olderAttemptDoesNotAffectCurrentOne() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
-        Placement older = startedGang(gang).get(0);
+        Placement older = startGang(gang).get(0);
         gang.beginGangAttempt(older.attempt() + 1);
         update(older, TaskState.RUNNING);
         assertEquals(GangAttempt.Phase.FORMING, gang.gangAttempt().phase());
@@ -163,18 +163,18 @@
 
     @ParameterizedTest
     @EnumSource(names = {"PEER_GONE", "INCOMPLETE"})
-    void aGangWhoseAttemptIsOverIsStopped(Cause cause) {
+    void gangIsStoppedWhenItsAttemptIsOver(Cause cause) {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
-        List<Placement> placements = startedGang(gang);
+        List<Placement> placements = startGang(gang);
         update(placements.get(0), exited(placements.get(0), cause));
         assertEquals(Placement.Phase.STOPPING, placements.get(1).phase());
         assertEquals(GangAttempt.Phase.STOPPING, gang.gangAttempt().phase());
     }
 
     @Test
-    void whenOneTaskOfAGangSavesAllAreToldTo() {
+    void savingTaskOfGangStopsAllTasks() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
-        List<Placement> placements = startedGang(gang);
+        List<Placement> placements = startGang(gang);
         placements.forEach(placement -> update(placement, TaskState.RUNNING));
         update(placements.get(0), TaskState.SAVING);
         assertEquals(Placement.Phase.STOPPING, placements.get(1).phase());
@@ -184,20 +184,20 @@
     // ---- completed by an attempt that is not placed --------------------------------------------------------------
 
     @Test
-    void anotherAttemptOfATaskThatIsDoneIsStopped() {
+    void otherAttemptOfCompletedTaskIsStopped() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
-        Placement placement = fixture.started(job, machine);
-        fixture.statusUpdater.completedElsewhere(job, placement.task().index());
+        Placement placement = fixture.startDirectly(job, machine);
+        fixture.statusUpdater.markCompletedElsewhere(job, placement.task().index());
         assertTrue(job.isDone(placement.task().index()));
         assertEquals(Placement.Phase.STOPPING, placement.phase());
         assertEquals(0, placement.graceMicros());
     }
 
     @Test
-    void aGangThatCompletedElsewhereEndsWithoutStops() {
+    void gangCompletedElsewhereEndsWithoutStops() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
-        List<Placement> placements = startedGang(gang);
-        fixture.statusUpdater.completedElsewhere(gang, 0);
+        List<Placement> placements = startGang(gang);
+        fixture.statusUpdater.markCompletedElsewhere(gang, 0);
         assertEquals(ActiveJob.Phase.ENDING, gang.phase());
         assertEquals(Placement.Phase.SENT, placements.get(0).phase(), "its tasks exit by themselves");
     }
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -11,10 +11,10 @@
 import org.granitepath.coordination.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** What a raised fencing token means for a machine whose heartbeats come, and for an unresponsive one. */
+/** Tests the effect of a raised fencing token on responsive and unresponsive machines. */
 class TokenRaiseHandlerTest {
-    private static final long SECOND = 1_000_000;
-    private static final long LEASE = 10 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long LEASE_MICROS = 10 * SECOND_MICROS;
     private static final String OWN_ZONE = "zone-c1";
     private static final String PEER_ZONE = "zone-c2";
 
@@ -27,35 +27,38 @@
         Machine machine = new Machine("m00", "10.0.0.1:80", "standard", zone, false);
         fleet.add(machine);
         machine.heartbeatReceived(false, timers.nowMicros());
-        machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE, true);
+        machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE_MICROS, true);
         machine.tasksConfirmed();
         return machine;
     }
 
     @Test
-    void aMachineWhoseHeartbeatsComeMustShowTheToken() {
+    void responsiveMachineBecomesUnconfirmed() {
         Machine machine = machineIn(PEER_ZONE);
         handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
         assertFalse(machine.contact().fenced());
-        assertEquals(timers.nowMicros() + LEASE, machine.contact().leaseExpiryMicros());
+        assertEquals(timers.nowMicros() + LEASE_MICROS, machine.contact().leaseExpiryMicros());
     }
 
     @Test
-    void anUnresponsiveMachineIsFenced() {
+    void unresponsiveMachineIsFenced() {
         Machine machine = machineIn(OWN_ZONE);
         long leaseExpiryMicros = machine.contact().leaseExpiryMicros();
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
         assertTrue(machine.contact().fenced());
-        assertEquals(leaseExpiryMicros, machine.contact().leaseExpiryMicros(), "nobody can have kept it alive");
+        assertEquals(
+                leaseExpiryMicros,
+                machine.contact().leaseExpiryMicros(),
+                "no peer in the zone can have renewed the lease");
     }
 
     @Test
-    void theLeaseOfAnUnresponsiveMachineNearAPeerMayGoOnForAWhile() {
+    void leaseOfUnresponsiveMachineIsExtendedInZoneOfPeer() {
         Machine machine = machineIn(PEER_ZONE);
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         handler.onTokenRaised(machine);
         assertTrue(machine.contact().fenced());
         assertEquals(
@@ -66,10 +69,10 @@
     }
 
     @Test
-    void aLeaseThatIsOverIsNotExtended() {
+    void expiredLeaseIsNotExtended() {
         Machine machine = machineIn(PEER_ZONE);
         machine.leaseExpired();
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         handler.onTokenRaised(machine);
         assertEquals(0, machine.contact().leaseExpiryMicros());
     }
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.fleet;
 
 import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
-import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
+import static org.granitepath.coordination.fleet.FleetFixture.PREVIOUS_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How many direct calls may be under way, and what their responses mean. */
+/** Tests the limits on direct calls in flight and the processing of their responses. */
 class WorkerCallsTest {
     private final FleetFixture fixture = new FleetFixture();
     private final int callsAtOnce = fixture.config.limits().callsAtOnce();
@@ -30,47 +30,47 @@
         return fixture.calls.get(0);
     }
 
-    private void beginCalls(int count) {
+    private void startCalls(int count) {
         for (int number = 0; number < count; number++) {
             calls.callWithoutCommands(fixture.readyMachine("m" + number), () -> {});
         }
     }
 
     @Test
-    void onlySoManyCallsAreUnderWayAtOnce() {
-        beginCalls(callsAtOnce - 1);
-        assertTrue(calls.mayCall());
-        beginCalls(1);
-        assertFalse(calls.mayCall());
+    void callsInFlightAreLimited() {
+        startCalls(callsAtOnce - 1);
+        assertTrue(calls.canCall());
+        startCalls(1);
+        assertFalse(calls.canCall());
         fixture.calls.get(0).timeOut();
-        assertTrue(calls.mayCall(), "one has ended");
+        assertTrue(calls.canCall(), "one call has ended");
     }
 
     @Test
-    void probesLeaveHalfOfTheCallsForCommands() {
-        beginCalls(callsAtOnce / 2 - 1);
-        assertTrue(calls.mayProbe());
-        beginCalls(1);
-        assertFalse(calls.mayProbe());
+    void probesLeaveHalfOfCallsForCommands() {
+        startCalls(callsAtOnce / 2 - 1);
+        assertTrue(calls.canProbe());
+        startCalls(1);
+        assertFalse(calls.canProbe());
     }
 
     @Test
-    void aCallIsMadeUnderTheMachinesTokenForItsAgentEpoch() {
+    void callCarriesTokenAndAgentEpochOfMachine() {
         calls.callWithoutCommands(fixture.readyMachine("m"), () -> {});
         assertEquals(TERM_TOKEN, onlyCall().fencingToken());
         assertEquals(AGENT_EPOCH, onlyCall().agentEpoch());
     }
 
     @Test
-    void theFirstAgentEpochIsGuessedOfAMachineTakenOver() {
+    void agentEpochOfMachineTakenOverIsAssumedToBeFirst() {
         calls.callWithoutCommands(fixture.takeOver("m").get(0), () -> {});
         assertEquals(1, onlyCall().agentEpoch());
     }
 
     @Test
-    void aStartWithoutAnAnswerRaisesTheToken() {
+    void startWithoutResponseRequestsNewToken() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().timeOut();
         assertTrue(machine.inventory().needsNewToken());
@@ -78,41 +78,41 @@
     }
 
     @Test
-    void aStopWithoutAnAnswerDoesNot() {
+    void stopWithoutResponseRequestsNoToken() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(WorkerCommand.stop(placement.task(), placement.attempt(), 0)), List.of(), () -> {});
         onlyCall().timeOut();
         assertFalse(machine.inventory().needsNewToken());
     }
 
     @Test
-    void anAnsweredStartCannotBeCarriedOutLate() {
+    void startWithResponseCannotBeExecutedLater() {
         Machine machine = fixture.readyMachine("m");
-        Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
+        Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(), List.of(placement), () -> {});
-        onlyCall().answer(nextHeartbeat(machine));
+        onlyCall().respond(nextHeartbeat(machine));
         assertFalse(placement.mayStillBeStarted(TERM_TOKEN));
-        assertFalse(placement.live(), "the answer does not list it, so it was not started");
+        assertFalse(placement.live(), "the response does not list it, so it was not started");
     }
 
     @Test
-    void theStatusInAResponseConfirmsTheMachine() {
+    void statusInResponseConfirmsMachine() {
         Machine machine = fixture.takeOver("m").get(0);
         calls.callWithoutCommands(machine, () -> {});
-        onlyCall().answer(nextHeartbeat(machine));
+        onlyCall().respond(nextHeartbeat(machine));
         assertEquals(Machine.Phase.READY, machine.phase());
         assertFalse(machine.awaitingFirstHeartbeat());
     }
 
     @ParameterizedTest(name = "executed: {0}, worker knows token {1}")
     @CsvSource({"false, 6, 2", "false, 8, 1", "true, 6, 1"})
-    void aWorkerThatRefusedIsCalledAgainUnlessItKnowsAHigherToken(boolean executed, long knownToken, int callsMade) {
+    void refusingWorkerIsCalledAgainUnlessItKnowsHigherToken(boolean executed, long knownToken, int callsMade) {
         Machine machine = fixture.takeOver("m").get(0);
-        fixture.reconciler.reconcile(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN), MessageOrigin.HEARTBEAT);
+        fixture.reconciler.reconcile(machine, heartbeat(machine, AGENT_EPOCH, PREVIOUS_TOKEN), MessageOrigin.HEARTBEAT);
         calls.callWithoutCommands(machine, () -> {});
         if (executed) {
-            onlyCall().answer(heartbeat(machine, AGENT_EPOCH, knownToken));
+            onlyCall().respond(heartbeat(machine, AGENT_EPOCH, knownToken));
         } else {
             onlyCall().refuse(heartbeat(machine, AGENT_EPOCH, knownToken));
         }
@@ -120,23 +120,23 @@
     }
 
     @Test
-    void aMachineIsShownItsTokenByOneCallAtATime() {
+    void tokenIsSentByOneCallAtATime() {
         Machine machine = fixture.readyMachine("m");
-        calls.showToken(machine);
-        calls.showToken(machine);
+        calls.sendToken(machine);
+        calls.sendToken(machine);
         onlyCall().timeOut();
-        calls.showToken(machine);
+        calls.sendToken(machine);
         assertEquals(2, fixture.calls.size());
     }
 
     @Test
-    void afterTheTermAResponseMeansNothing() {
+    void responseAfterEndOfTermIsIgnored() {
         List<String> events = new ArrayList<>();
         Machine machine = fixture.takeOver("m").get(0);
         calls.callWithoutCommands(machine, () -> events.add("ended"));
-        fixture.ended = true;
-        onlyCall().answer(heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN));
-        assertTrue(machine.contact().agentEpoch() < 0, "not taken in");
+        fixture.termEnded = true;
+        onlyCall().respond(heartbeat(machine, AGENT_EPOCH, PREVIOUS_TOKEN));
+        assertTrue(machine.contact().agentEpoch() < 0, "response not processed");
         assertEquals(List.of("ended"), events);
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/ZoneCountsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/ZoneCountsTest.java
@@ -5,30 +5,30 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the overdue heartbeats of a zone, compared with those of all others, say of it. */
+/** Tests the detection of a partitioned zone from the overdue heartbeats there and in all other zones. */
 class ZoneCountsTest {
     @Test
-    void aZoneIsCutOffWhenMostOfItAndLittleElseIsOverdue() {
-        assertTrue(new ZoneCounts(10, 7, 20, 5).isCutOff());
-        assertFalse(new ZoneCounts(10, 6, 20, 5).isCutOff(), "too few are overdue there");
-        assertFalse(new ZoneCounts(10, 7, 20, 6).isCutOff(), "too many are overdue elsewhere");
+    void zoneIsPartitionedWhenMostOfItAndLittleElseIsOverdue() {
+        assertTrue(new ZoneCounts(10, 7, 20, 5).isPartitioned());
+        assertFalse(new ZoneCounts(10, 6, 20, 5).isPartitioned(), "too few are overdue there");
+        assertFalse(new ZoneCounts(10, 7, 20, 6).isPartitioned(), "too many are overdue elsewhere");
     }
 
     @Test
-    void aSmallZoneTellsNothing() {
-        assertTrue(new ZoneCounts(4, 4, 20, 0).isCutOff());
-        assertFalse(new ZoneCounts(3, 3, 20, 0).isCutOff());
+    void smallZoneIsNeverPartitioned() {
+        assertTrue(new ZoneCounts(4, 4, 20, 0).isPartitioned());
+        assertFalse(new ZoneCounts(3, 3, 20, 0).isPartitioned());
     }
 
     @Test
-    void theOnlyZoneIsNeverCutOff() {
-        assertFalse(new ZoneCounts(10, 10, 0, 0).isCutOff());
+    void onlyZoneIsNeverPartitioned() {
+        assertFalse(new ZoneCounts(10, 10, 0, 0).isPartitioned());
     }
 
     @Test
-    void aZoneIsSuspectedWhenMoreThanAFewAreOverdue() {
-        assertFalse(new ZoneCounts(10, 2, 20, 0).isSuspected());
-        assertTrue(new ZoneCounts(10, 3, 20, 0).isSuspected());
-        assertTrue(new ZoneCounts(10, 3, 20, 20).isSuspected(), "whatever the others do");
+    void zoneIsSuspectedWhenMoreThanFifthIsOverdue() {
+        assertFalse(new ZoneCounts(10, 2, 20, 0).isPartitionSuspected());
+        assertTrue(new ZoneCounts(10, 3, 20, 0).isPartitionSuspected());
+        assertTrue(new ZoneCounts(10, 3, 20, 20).isPartitionSuspected(), "regardless of other zones");
     }
 }
