--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -33,7 +33,7 @@
     private final CommandQueue commands;
     private final SchedulingLoop loop;
 
-    /** Creates a component that queues cleanup commands for machines and requests new fencing tokens for cleanup. */
+    /** Creates an instance that queues cleanup commands for machines and requests new fencing tokens for cleanup. */
     public CleanupCommands(
             JobIndex jobIndex,
             RecoveryPlan plan,
@@ -82,7 +82,8 @@
     /**
      * Whether the worker may forget this exited attempt. Its outcome must be durable. An attempt that a direct command
      * started must also stay listed until the fencing token has been raised, because a delayed copy of that command
-     * would start the attempt again once the worker has forgotten it.
+     * would start the attempt again once the worker has forgotten it. Drops the note of the direct start when no
+     * command can start the attempt any more.
      */
     private boolean mayClear(Machine machine, TaskStatus status) {
         if (machine.contact().mayBeStartedAgain(status.attempt(), machine.fencingToken())) {
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Calls the machines for which commands are due, as long as calls may be started. Unresponsive machines are skipped
-     * because calls to them would only time out; if such a machine sends a heartbeat after all, the response carries
-     * its commands.
+     * Calls the machines for which commands are due, until the limit on concurrent calls is reached. Unresponsive
+     * machines are skipped because calls to them would only time out; if such a machine sends a heartbeat after all,
+     * the response carries its commands.
      */
     public void sendDueCommands() {
         if (!leadership.answersWorkers()) {
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Calls a machine whose heartbeat is overdue, to find out quickly whether the machine is reachable. Does nothing
-     * when the machine was called within the last heartbeat interval or too many calls are in flight.
+     * Calls a machine whose heartbeat is overdue, to find out quickly whether the machine is reachable. A machine is
+     * called at most once per heartbeat interval, and half of the concurrent calls is left for commands.
      */
     public void probeIfOverdue(Machine machine, long nowMicros) {
         if (isProbeDue(machine, nowMicros) && calls.canProbe()) {
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -28,7 +28,7 @@
 
     private static final int FEW_OVERDUE_MACHINES = 2;
     private static final int MAX_MISSED_HEARTBEATS = 2;
-    private static final long DELAY_MARGIN_MICROS = 1_000_000;
+    private static final long RESPONSE_MARGIN_MICROS = 1_000_000;
 
     private final Config config;
     private final Fleet fleet;
@@ -134,14 +134,14 @@
     /**
      * Returns how old the last heartbeat of a machine that does not respond to calls may become, in microseconds,
      * before the machine is declared failed. The timeout is one heartbeat interval longer when many machines of the
-     * zone are overdue. When a partition begins, the last machine to become overdue does so up to one interval after
-     * the first, so the zone is recognized as partitioned only then. Without the longer timeout, the machines that
-     * became overdue first were terminated together with all their tasks.
+     * zone are overdue: when the machine that was the last to send a heartbeat before a partition becomes overdue, the
+     * heartbeat of the machine that was the first to send is older by up to one interval. Without the longer timeout,
+     * the machines that sent first were terminated together with all their tasks.
      */
     public long unresponsiveTimeoutMicros(Machine machine) {
         boolean suspected = suspectedZones.contains(machine.zone());
         int missedHeartbeats = suspected ? MAX_MISSED_HEARTBEATS + 1 : MAX_MISSED_HEARTBEATS;
-        return missedHeartbeats * config.workers().heartbeatIntervalMicros() + DELAY_MARGIN_MICROS;
+        return missedHeartbeats * config.workers().heartbeatIntervalMicros() + RESPONSE_MARGIN_MICROS;
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -71,7 +71,10 @@
         return true;
     }
 
-    /** Whether the message is newer than the last one and carries no higher token than the machine's current one. */
+    /**
+     * Whether the machine is not gone, and the message is newer than the last one and carries no higher token than the
+     * machine's current one.
+     */
     private static boolean isRelevant(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
                 && heartbeat.newerThan(
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -36,15 +36,15 @@
             if (storedPart == null) {
                 skipUnreadablePart(part);
             } else {
-                List<Machine> machinesInThisPart = machinesInPart(storedPart, part);
-                layout.addStoredPart(machinesInThisPart);
-                machines.addAll(machinesInThisPart);
+                List<Machine> machinesInPart = toMachines(storedPart, part);
+                layout.addStoredPart(machinesInPart);
+                machines.addAll(machinesInPart);
             }
         }
         return machines;
     }
 
-    private List<Machine> machinesInPart(InventoryRecord storedPart, int part) {
+    private List<Machine> toMachines(InventoryRecord storedPart, int part) {
         List<Machine> machines = new ArrayList<>();
         for (InventoryRecord.Host host : storedPart.hosts()) {
             Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -13,10 +13,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine inventory of this term in the store, which is divided into parts that hold many machines each, and the
- * allocation of new fencing tokens to single machines. This class determines what has to be written. The {@link
- * InventoryLayout} assigns machines to parts, the {@link InventoryReader} reads the parts when the term begins, and the
- * {@link InventoryWriter} writes them.
+ * Keeps the machine inventory of this term in the store and allocates new fencing tokens to single machines. The stored
+ * inventory is divided into parts that hold many machines each. This class determines what has to be written. The
+ * {@link InventoryLayout} assigns machines to parts, the {@link InventoryReader} reads the parts when the term begins,
+ * and the {@link InventoryWriter} writes them.
  */
 public final class MachineInventory {
     private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
@@ -102,7 +102,7 @@
         writer.writeSoon(layout.add(machine));
     }
 
-    /** Removes a machine that is gone from the inventory and schedules the write. */
+    /** Removes the machine, which is gone, from the inventory and schedules the write. */
     void remove(Machine machine) {
         writer.writeSoon(layout.remove(machine));
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -25,7 +25,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
 
-    /** Creates a life cycle for the machines of this fleet and the tasks on them. */
+    /** Creates an instance that manages the machines of this fleet and the tasks on them. */
     public MachineLifecycle(
             Fleet fleet,
             MachineInventory inventory,
@@ -108,12 +108,13 @@
     }
 
     /**
-     * Called when the cloud has terminated this machine, which need not be in the fleet; late heartbeats are ignored.
+     * Called when the cloud has terminated the machine with this id. Removes the machine if it is in the fleet, and
+     * marks the id as terminated, so that delayed heartbeats of the machine are recognized.
      */
     public void onTerminated(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
-            removeGone(machine, "returned to the cloud");
+            removeTerminated(machine, "returned to the cloud");
         }
         fleet.terminatedForGood(id);
     }
@@ -122,9 +123,10 @@
      * Removes a machine on which no task of any leader can run any more: frees its tasks and removes it from the fleet
      * and the inventory. Does nothing when the machine is already gone.
      *
-     * @param why the reason, for the log and for the trace span of the recovery, so the wording must not change
+     * @param why the reason, for the log and for an attribute of a trace span that operators filter by, so the wording
+     *     must not change
      */
-    private void removeGone(Machine machine, String why) {
+    private void removeTerminated(Machine machine, String why) {
         if (machine.isGone()) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -18,7 +18,7 @@
 /** Applies the status of a placed task to the placement and to its gang, job and machine. */
 public final class TaskStatusUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusUpdater.class);
-    private static final long REFUSED_START_RETRY_MICROS = 1_000_000;
+    private static final long REFUSED_START_RETRY_DELAY_MICROS = 1_000_000;
 
     private final JobLifecycle jobs;
     private final TaskLifecycle tasks;
@@ -87,8 +87,9 @@
     }
 
     /**
-     * Applies the status of a task that saves its progress, and stops its whole gang. A gang saves its progress only
-     * when all its tasks are told to stop, and a previous leader may not have told all of them.
+     * Applies the status of a task that saves its progress, and stops all tasks of its gang if the gang is running. A
+     * gang saves its progress only when all its tasks are told to stop, and a previous leader may not have told all of
+     * them.
      */
     private void onSaving(Placement placement) {
         placement.saving();
@@ -111,7 +112,7 @@
                     status.attempt());
             machines.drainFaulty(faults.failed(machine, job, nowMicros));
         } else if (wasStartRefused(status)) {
-            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_RETRY_MICROS);
+            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_RETRY_DELAY_MICROS);
         }
         if (endsGangAttempt(placement, status)) {
             tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
@@ -146,7 +147,10 @@
         jobs.recordTaskDone(job);
     }
 
-    /** Whether the whole run of the task was observed, so that its run time can be used for estimates. */
+    /**
+     * Whether the run time of a completed task can be used for estimates: this leader started the task, has seen it
+     * run, and knows that it ran on no other machine.
+     */
     private static boolean isRuntimeKnown(Placement placement) {
         return placement.hasRun() && placement.onlyHere() && !placement.wasAdopted();
     }
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -44,7 +44,7 @@
         this.termEnded = termEnded;
     }
 
-    /** Whether another call may be made now. */
+    /** Whether the limit on concurrent calls allows another call now. */
     boolean canCall() {
         return callsInFlight < config.limits().callsAtOnce();
     }
@@ -56,7 +56,7 @@
 
     /**
      * Sends the worker its current fencing token by a call without commands. Does nothing when too many calls are in
-     * flight, a call to this worker is in flight, or no message of the worker has arrived yet; a later periodic check
+     * flight, a call to this worker is in flight, or the agent epoch of the worker is unknown; a later periodic check
      * tries again.
      */
     void sendToken(Machine machine) {
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Whether a worker that refused a call may accept the current fencing token in another call, because it has seen no
-     * higher token.
+     * Whether a worker that refused a call may accept the current fencing token in another call: its machine is
+     * unconfirmed, and the worker has seen no higher token.
      */
     private static boolean canAcceptCurrentToken(Machine machine, Heartbeat heartbeat) {
         return machine.phase() == Machine.Phase.UNCONFIRMED && heartbeat.fencingToken() <= machine.fencingToken();
