--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -38,7 +38,7 @@
         update(placement, status(placement, state));
     }
 
-    /** The placements of two tasks of a gang, whose starts went out. */
+    /** Starts a gang of two tasks by direct calls, and returns their placements. */
     private List<Placement> startGang(ActiveJob gang) {
         fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
         List<Placement> placements = List.copyOf(gang.placements());
