--- a/src/main/java/org/granitepath/coordination/CurrentTerm.java
+++ b/src/main/java/org/granitepath/coordination/CurrentTerm.java
@@ -39,20 +39,20 @@
     }
 
     @Override
-    public void elected(Leadership.Term term) {
+    public void onElected(Leadership.Term term) {
         LeaderTerm elected = newTerm.apply(term);
         leaderTerm = elected;
         elected.start();
         List<MachineType> types = List.copyOf(machineTypes.get());
         if (!types.isEmpty()) {
-            elected.typesChanged(types);
-            elected.recordTypes(types);
+            elected.onMachineTypesChanged(types);
+            elected.recordMachineTypes(types);
         }
         elected.startAutoscaling();
     }
 
     @Override
-    public void leadershipLost(String why) {
+    public void onLeadershipLost(String why) {
         if (leaderTerm != null) {
             leaderTerm.end();
             leaderTerm = null;
@@ -62,15 +62,15 @@
     @Override
     public void fetched(List<MachineType> types) {
         if (leaderTerm != null) {
-            leaderTerm.typesChanged(types);
-            leaderTerm.recordTypes(types);
+            leaderTerm.onMachineTypesChanged(types);
+            leaderTerm.recordMachineTypes(types);
         }
     }
 
     @Override
     public void readFromRecord(List<MachineType> types) {
         if (leaderTerm != null) {
-            leaderTerm.typesChanged(types);
+            leaderTerm.onMachineTypesChanged(types);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -27,27 +27,27 @@
 
     /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
     void survey() {
-        keepsAll = recovery.keepsIdleMachines();
-        gangHeadroom.survey();
+        keepsAll = recovery.isKeepingIdleMachines();
+        gangHeadroom.update();
     }
 
     /** Whether nothing needs the machine. It counts as given up then, and the headroom is smaller by it. */
     boolean releases(Machine machine, long nowMicros) {
-        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
+        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.isNeeded(machine);
         return !keptAsHeadroom(machine, idle) && idle;
     }
 
     /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
     private boolean keptAsHeadroom(Machine machine, boolean idle) {
-        boolean idleAtFullPrice = idle && !machine.spot();
-        long freeCpuMillis = machine.capacity().cpuFree();
-        machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
-        if (machine.keptAsHeadroom()) {
+        boolean idleAtFullPrice = idle && !machine.isSpot();
+        long freeCpuMillis = machine.capacity().freeCpuMillis();
+        machine.setHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
+        if (machine.isHeadroom()) {
             return true;
         }
         if (idleAtFullPrice) {
             spareHeadroom.release(freeCpuMillis);
-            gangHeadroom.terminated(machine);
+            gangHeadroom.onMachineTerminated(machine);
         }
         return false;
     }
@@ -69,7 +69,7 @@
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.spot() ? policy.idleShareSpot() : policy.idleShare();
+        double share = machine.isSpot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
         return (long) (share * type.bootMicros());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -44,14 +44,14 @@
     /** Whether its heartbeats arrive, but our answers and commands have not reached it for a lease. */
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && !machine.isAwaitingFirstHeartbeat()
+                && machine.inventory().isRecorded()
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
 
     /** How long machines that may only be partitioned are waited for: by then all on them is over in any case. */
     private long partitionTimeoutMicros() {
-        return workers.cancelMicros() + workers.leaseMicros();
+        return workers.cancellationTimeoutMicros() + workers.leaseMicros();
     }
 
     /**
@@ -59,7 +59,7 @@
      * failover its heartbeats may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed()
+        return machine.contact().hasProbeFailed()
                 ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : workers.leaseMicros();
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -69,7 +69,7 @@
     }
 
     private void listPageAfter(String lastSeen) {
-        cloud.list(lastSeen, PAGE_SIZE, page -> {
+        cloud.listMachines(lastSeen, PAGE_SIZE, page -> {
             if (ended.getAsBoolean()) {
                 return;
             }
@@ -80,11 +80,11 @@
                 return;
             }
             String last = lastSeen;
-            for (CloudPort.ListedHost listed : page.hosts()) {
+            for (CloudPort.ListedMachine listed : page.machines()) {
                 last = listed.id();
                 addIfBooting(listed, nowMicros);
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 listPageAfter(last);
                 return;
             }
@@ -94,7 +94,7 @@
         });
     }
 
-    private void addIfBooting(CloudPort.ListedHost listed, long nowMicros) {
+    private void addIfBooting(CloudPort.ListedMachine listed, long nowMicros) {
         MachineType type = fleet.types().get(listed.type());
         if (type == null
                 || terminatedLately.test(listed.id())
@@ -103,7 +103,7 @@
             return;
         }
         LOG.info("machine {} ({} {}) is listed as {}", listed.id(), listed.type(), listed.zone(), listed.state());
-        boolean failed = listed.state() == CloudPort.HostState.FAILED;
+        boolean failed = listed.state() == CloudPort.MachineState.FAILED;
         long ageMicros = failed ? FAILED_MACHINE_AGE_MICROS : listed.ageMicros();
         booting.add(new BootingMachine(listed.id(), type, listed.zone(), listed.spot(), nowMicros - ageMicros));
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -13,7 +13,7 @@
 final class ScaleOut {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlacementRules rules;
     private final BooleanSupplier leaseConfirmed;
     private final FailureDetector failureDetector;
@@ -28,7 +28,7 @@
      * @param leaseConfirmed whether the store confirmed lately that this controller leads
      */
     ScaleOut(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             PlacementRules rules,
             BooleanSupplier leaseConfirmed,
             FailureDetector failureDetector,
@@ -51,7 +51,7 @@
         if (launcher.underWay() || !leaseConfirmed.getAsBoolean()) {
             return;
         }
-        demand.batchPlanner().update(nowMicros);
+        demand.batchPlanner().updateIfDue(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
                 demand, launcher::refusedLately, zone -> failureDetector.isZonePartitioned(zone, nowMicros), nowMicros);
         addPending(plan, nowMicros);
@@ -75,22 +75,22 @@
         Fleet fleet = demand.fleet();
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
-            if (type != null && justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
-                plan.pending(type, machine.zone(), machine.spot());
+            if (type != null && justJoined(machine) && !fleet.isHeartbeatOverdue(machine, nowMicros)) {
+                plan.pending(type, machine.zone(), machine.isSpot());
             }
         }
     }
 
     /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
     private static boolean justJoined(Machine machine) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
+        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.isAwaitingFirstHeartbeat();
     }
 
     private boolean launchesFor(ActiveJob job, long nowMicros) {
         return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
-                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && (job.gangAttempt() == null || job.gangAttempt().canAddTasks())
                 && rules.isWithinTeamLimit(job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -47,7 +47,7 @@
      * the response carries its commands.
      */
     public void sendDueCommands() {
-        if (!leadership.answersWorkers()) {
+        if (!leadership.canAnswerWorkers()) {
             return; // another controller may have become the leader without this one knowing
         }
         long nowMicros = timers.nowMicros();
@@ -62,9 +62,9 @@
     }
 
     private boolean canReceiveCommands(Machine machine, long nowMicros) {
-        return !machine.contact().callInFlight()
+        return !machine.contact().hasCallInFlight()
                 && machine.contact().agentEpoch() >= 0
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     private void sendDirectly(Machine machine) {
@@ -74,8 +74,8 @@
         List<Placement> starts = machineCommands.startablePlacements(machine);
         for (Placement placement : starts) {
             toSend.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            machine.contact().startedDirectly(placement.attempt(), machine.fencingToken());
-            placement.sentDirectly();
+            machine.contact().recordDirectStart(placement.attempt(), machine.fencingToken());
+            placement.markSentDirectly();
         }
         if (!toSend.isEmpty()) {
             calls.call(machine, toSend, starts, () -> {});
@@ -87,7 +87,7 @@
      * time out.
      */
     public void sendRaisedToken(Machine machine) {
-        if (!fleet.unresponsive(machine, timers.nowMicros())) {
+        if (!fleet.isUnresponsive(machine, timers.nowMicros())) {
             calls.sendToken(machine);
         }
     }
@@ -105,10 +105,10 @@
     /** Whether heartbeats arrive and the store holds the machine's token, but no heartbeat has carried it yet. */
     private boolean hasUnacknowledgedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && !machine.isAwaitingFirstHeartbeat()
+                && machine.inventory().isRecorded()
                 && !machine.inventory().needsNewToken()
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     /**
@@ -122,10 +122,10 @@
     }
 
     private boolean isProbeDue(Machine machine, long nowMicros) {
-        return fleet.overdue(machine, nowMicros)
-                && !machine.contact().fenced()
-                && !machine.awaitingFirstHeartbeat()
-                && !machine.contact().callInFlight()
+        return fleet.isHeartbeatOverdue(machine, nowMicros)
+                && !machine.contact().isFenced()
+                && !machine.isAwaitingFirstHeartbeat()
+                && !machine.contact().hasCallInFlight()
                 && nowMicros - machine.contact().lastCallMicros()
                         > config.workers().heartbeatIntervalMicros();
     }
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -65,7 +65,7 @@
         overdueMachines = 0;
         for (Machine machine : fleet.machines()) {
             machinesByZone.addTo(machine.zone(), 1);
-            if (fleet.overdue(machine, nowMicros)) {
+            if (fleet.isHeartbeatOverdue(machine, nowMicros)) {
                 overdueByZone.addTo(machine.zone(), 1);
                 overdueMachines++;
             }
@@ -128,7 +128,7 @@
      * sooner on another machine.
      */
     public boolean isPartitionedWithPeer(Machine machine, long nowMicros) {
-        return isZonePartitioned(machine.zone(), nowMicros) && config.topology().peerIn(machine.zone());
+        return isZonePartitioned(machine.zone(), nowMicros) && config.topology().hasPeerIn(machine.zone());
     }
 
     /**
@@ -150,7 +150,7 @@
      */
     public boolean canTrustMissedHeartbeats() {
         int machines = fleet.machines().size();
-        int redirectedByPeer = peers.mostRedirectedMachines();
+        int redirectedByPeer = peers.maxRedirectedMachines();
         boolean fewOverdue = overdueMachines <= Math.max(FEW_OVERDUE_MACHINES, machines * FEW_OVERDUE_SHARE);
         boolean peersMissHeartbeatsToo = redirectedByPeer >= 0 && redirectedByPeer < overdueMachines / 4;
         return fewOverdue || (overdueMachines <= machines / 2 && peersMissHeartbeatsToo);
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -65,8 +65,8 @@
         if (underCurrentToken) {
             confirm(machine);
         }
-        if (heartbeat.noticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
-            machines.drainBeforePreemption(machine, heartbeat.noticeMicros());
+        if (heartbeat.terminationNoticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
+            machines.drainBeforePreemption(machine, heartbeat.terminationNoticeMicros());
         }
         return true;
     }
@@ -77,7 +77,7 @@
      */
     private static boolean isRelevant(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
-                && heartbeat.newerThan(
+                && heartbeat.isNewerThan(
                         machine.contact().agentEpoch(), machine.contact().sequence())
                 && heartbeat.fencingToken() <= machine.fencingToken();
     }
@@ -89,21 +89,21 @@
 
     private void updateContact(
             Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underCurrentToken, long nowMicros) {
-        machine.contact().messageReceived(heartbeat);
+        machine.contact().recordMessage(heartbeat);
         if (origin == MessageOrigin.HEARTBEAT) {
-            machine.heartbeatReceived(fleet.unresponsive(machine, nowMicros), nowMicros);
+            machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
-        long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
-        machine.contact().leaseRunsUntil(leaseExpiryMicros, underCurrentToken);
+        long leaseExpiryMicros = nowMicros + config.workers().maxLeaseMicros();
+        machine.contact().setLeaseExpiry(leaseExpiryMicros, underCurrentToken);
     }
 
     /** Confirms the machine: its worker has sent the current fencing token, so the tasks on the machine are known. */
     private void confirm(Machine machine) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED) {
-            machine.tasksConfirmed();
-            loop.wantCycle();
+            machine.confirmTasks();
+            loop.markCycleNeeded();
         }
         // Operators filter by this text, which is an attribute of a trace span, so the wording must not change.
-        recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
+        recovery.resolve(machine, "heard under fencing token " + machine.fencingToken());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -48,7 +48,7 @@
         List<Machine> machines = new ArrayList<>();
         for (InventoryRecord.Host host : storedPart.hosts()) {
             Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
-            machine.inventory().foundOnRecord(part, term.fencingToken());
+            machine.inventory().restoreFromRecord(part, term.fencingToken());
             machines.add(machine);
         }
         return machines;
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -174,10 +174,10 @@
         dirtyParts.removeAll(layout.unsplittableParts());
         cleanupTokensDue &= !dirtyParts.isEmpty();
         for (Machine machine : committed.machinesAdded()) {
-            machine.inventory().onRecord();
+            machine.inventory().markRecorded();
         }
         for (Machine machine : committed.machinesWithNewToken()) {
-            machine.inventory().tokenRaised(committed.newToken());
+            machine.inventory().applyRaisedToken(committed.newToken());
             listener.onTokenRaised(machine);
         }
         scheduleRemainingWrites();
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -41,7 +41,7 @@
      * may not start any.
      */
     List<Placement> startablePlacements(Machine machine) {
-        if (!machine.takesTasks() || !leadership.mayStart()) {
+        if (!machine.isSchedulable() || !leadership.canStartTasks()) {
             return List.of();
         }
         return machine.placements().stream()
@@ -58,7 +58,7 @@
         commands.remove(machine);
         for (Placement placement : startablePlacements(machine)) {
             due.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            placement.sentInAnswer();
+            placement.markSentInResponse();
         }
         return due;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -52,7 +52,7 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "");
+                machine.isSpot() ? " spot" : "");
         fleet.add(machine);
         inventory.add(machine);
     }
@@ -96,14 +96,14 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "",
+                machine.isSpot() ? " spot" : "",
                 machine.placements().size());
-        machine.leaseExpired();
+        machine.expireLease();
         tasks.freeAll(machine, "its worker's lease expired");
-        machine.confirmationLost(timers.nowMicros(), "its lease expired");
+        machine.markUnconfirmed(timers.nowMicros(), "its lease expired");
         inventory.requestToken(machine, "its lease expired");
         // Operators filter by this text, which is an attribute of a trace span, so the wording must not change.
-        recovery.resolved(machine, "its lease is over");
+        recovery.resolve(machine, "its lease is over");
         loop.requestCycle();
     }
 
@@ -116,7 +116,7 @@
         if (machine != null) {
             removeTerminated(machine, "returned to the cloud");
         }
-        fleet.terminatedForGood(id);
+        fleet.markTerminated(id);
     }
 
     /**
@@ -130,13 +130,13 @@
         if (machine.isGone()) {
             return;
         }
-        machine.provedGone(why);
+        machine.markGone(why);
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
         commands.remove(machine);
         inventory.remove(machine);
-        recovery.resolved(machine, why);
+        recovery.resolve(machine, why);
         loop.requestCycle();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -49,7 +49,7 @@
             if (!isAwaited(machine)) {
                 continue;
             }
-            if (machine.contact().callInFlight()) {
+            if (machine.contact().hasCallInFlight()) {
                 retryLater(machine);
             } else {
                 call(machine);
@@ -59,21 +59,21 @@
 
     /** Whether another call may be made now; a third of the concurrent calls is reserved for commands. */
     private boolean canCall() {
-        return callsInFlight < config.limits().callsAtOnce() * 2 / 3;
+        return callsInFlight < config.limits().maxConcurrentCalls() * 2 / 3;
     }
 
     /** Whether the machine has not confirmed the current fencing token yet and is not fenced against calls. */
     private static boolean isAwaited(Machine machine) {
-        return machine.awaitingFirstHeartbeat()
+        return machine.isAwaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.contact().fenced();
+                && !machine.contact().isFenced();
     }
 
     private void call(Machine machine) {
         callsInFlight++;
         calls.callWithoutCommands(machine, () -> {
             callsInFlight--;
-            if (machine.awaitingFirstHeartbeat()) {
+            if (machine.isAwaitingFirstHeartbeat()) {
                 retryLater(machine);
             }
             callPending();
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -6,13 +6,13 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
-import org.granitepath.recovery.ListedTask;
-import org.granitepath.recovery.RecordedTask;
+import org.granitepath.recovery.ListedTaskState;
+import org.granitepath.recovery.RecordedTaskState;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.StartEvidence;
 import org.granitepath.recovery.Verdict;
@@ -39,7 +39,7 @@
     Verdict verdictOnListed(Machine machine, TaskStatus status) {
         plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
-        return VerdictTable.ofListed(
+        return VerdictTable.forListedAttempt(
                 recordedStateOf(job, status.task()), placementOf(job, machine, status), listedStateOf(job, status));
     }
 
@@ -51,30 +51,30 @@
     Verdict verdictOnMissing(
             Placement placement, Heartbeat heartbeat, MessageOrigin origin, boolean underCurrentToken) {
         plan.countComparisons(1);
-        return VerdictTable.ofMissing(new StartEvidence(
+        return VerdictTable.forMissingAttempt(new StartEvidence(
                 placement.agentEpoch() < heartbeat.agentEpoch(),
                 underCurrentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
-                placement.mayStillBeStarted(heartbeat.fencingToken()),
-                placement.seen(),
-                placement.wentOutInAnswer(),
+                placement.hasUnacknowledgedStart(heartbeat.fencingToken()),
+                placement.hasBeenListed(),
+                placement.isSentInResponse(),
                 origin == MessageOrigin.HEARTBEAT));
     }
 
-    private RecordedTask recordedStateOf(@Nullable ActiveJob job, TaskId task) {
-        if (job == null || job.phase() == ActiveJob.Phase.OVER) {
+    private RecordedTaskState recordedStateOf(@Nullable ActiveJob job, TaskId task) {
+        if (job == null || job.phase() == ActiveJob.Phase.ENDED) {
             return jobIndex.recorded(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
-            return RecordedTask.NOT_IN_JOB;
+            return RecordedTaskState.NOT_IN_JOB;
         }
-        if (job.phase() == ActiveJob.Phase.ENDING) {
-            return RecordedTask.JOB_DONE;
+        if (job.phase() == ActiveJob.Phase.COMPLETING) {
+            return RecordedTaskState.JOB_DONE;
         }
         if (job.isDone(task.index())) {
-            return RecordedTask.TASK_DONE;
+            return RecordedTaskState.TASK_DONE;
         }
-        return task.index() < job.claimed() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
+        return task.index() < job.claimedTasks() ? RecordedTaskState.CLAIMED : RecordedTaskState.UNCLAIMED;
     }
 
     private static KnownPlacement placementOf(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
@@ -88,12 +88,12 @@
     }
 
     /** Returns the listed state of the task; a task of a service never counts as completed, however it exits. */
-    private static ListedTask listedStateOf(@Nullable ActiveJob job, TaskStatus status) {
+    private static ListedTaskState listedStateOf(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
-            return ListedTask.LIVE;
+            return ListedTaskState.LIVE;
         }
         boolean completes =
-                status.cause() == Cause.DONE && (job == null || !job.spec().service());
-        return completes ? ListedTask.COMPLETED : ListedTask.EXITED;
+                status.cause() == ExitCause.DONE && (job == null || !job.spec().service());
+        return completes ? ListedTaskState.COMPLETED : ListedTaskState.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -76,7 +76,7 @@
                 case ADOPTED -> adopt(machine, status, underCurrentToken, nowMicros);
                 case FINISHED_MEANWHILE -> recordCompletion(status.task());
                 case STALE, UNKNOWN_JOB -> cleanup.stopOrphan(machine, status, verdict, previousCommands);
-                case UNCONFIRMED -> machine.taskUnconfirmed();
+                case UNCONFIRMED -> machine.addUnconfirmedTask();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
@@ -90,10 +90,10 @@
     private void confirm(Machine machine, TaskStatus status, boolean underCurrentToken, long nowMicros) {
         Placement placement = Objects.requireNonNull(
                 machine.placement(status.task()), "a confirmed task must be placed on its machine");
-        if (!placement.seen()) {
+        if (!placement.hasBeenListed()) {
             plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
-        placement.listed(underCurrentToken);
+        placement.markListed(underCurrentToken);
         statusUpdater.update(machine, placement, status, nowMicros);
     }
 
@@ -143,6 +143,8 @@
      * epoch is the one that the command was meant for, and no message has listed the attempt.
      */
     private static boolean wasStartLostInResponse(Placement placement, Heartbeat heartbeat) {
-        return !placement.seen() && placement.wentOutInAnswer() && placement.agentEpoch() == heartbeat.agentEpoch();
+        return !placement.hasBeenListed()
+                && placement.isSentInResponse()
+                && placement.agentEpoch() == heartbeat.agentEpoch();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
@@ -46,7 +46,7 @@
     /** Applies the status that the machine's latest message lists for this placement. */
     void update(Machine machine, Placement placement, TaskStatus status, long nowMicros) {
         switch (status.state()) {
-            case FETCHING -> placement.fetching();
+            case FETCHING -> placement.markFetching();
             case WAITING -> onWaiting(machine, placement, nowMicros);
             case RUNNING -> onRunning(machine, placement, nowMicros);
             case SAVING -> onSaving(placement);
@@ -55,11 +55,11 @@
     }
 
     private void onWaiting(Machine machine, Placement placement, long nowMicros) {
-        machine.capacity().imageSeen(placement.job().spec().image());
-        placement.waiting();
+        machine.capacity().addImage(placement.job().spec().image());
+        placement.markWaiting();
         GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null) {
-            attempt.waiting(nowMicros);
+            attempt.markWaiting(nowMicros);
         }
     }
 
@@ -75,14 +75,15 @@
     private void onRunning(Machine machine, Placement placement, long nowMicros) {
         GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null) {
-            attempt.running();
+            attempt.markRunning();
         }
         if (!placement.hasRun()) {
-            machine.capacity().imageSeen(placement.job().spec().image());
+            machine.capacity().addImage(placement.job().spec().image());
         }
-        placement.running(nowMicros);
-        if (placement.ranMicros(nowMicros) >= FaultTracker.PROOF_MICROS && faults.wantsProof(placement)) {
-            machines.drainFaulty(faults.proved(placement, nowMicros));
+        placement.markRunning(nowMicros);
+        if (placement.runTimeMicros(nowMicros) >= FaultTracker.HEALTHY_RUN_MICROS
+                && faults.isUnderObservation(placement)) {
+            machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         }
     }
 
@@ -92,7 +93,7 @@
      * them.
      */
     private void onSaving(Placement placement) {
-        placement.saving();
+        placement.markSaving();
         GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
             tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang is saving");
@@ -103,36 +104,36 @@
         ActiveJob job = placement.job();
         if (hasCompleted(job, status)) {
             onCompleted(placement, nowMicros);
-        } else if (status.cause() == Cause.FAILED) {
+        } else if (status.cause() == ExitCause.FAILED) {
             LOG.info(
                     "job {}, machine {}: task {} attempt {} failed",
                     job.spec().id(),
                     machine.id(),
                     status.task(),
                     status.attempt());
-            machines.drainFaulty(faults.failed(machine, job, nowMicros));
+            machines.drainFaulty(faults.recordFailure(machine, job, nowMicros));
         } else if (wasStartRefused(status)) {
-            job.scheduling().startNothingBefore(nowMicros + REFUSED_START_RETRY_DELAY_MICROS);
+            job.scheduling().delayStartsUntil(nowMicros + REFUSED_START_RETRY_DELAY_MICROS);
         }
         if (endsGangAttempt(placement, status)) {
             tasks.stop(placement, 0, "a task of its gang exited: " + status.cause());
         }
         tasks.free(placement, "exited: " + status.cause());
-        jobs.endIfDone(job);
-        loop.wantCycle();
+        jobs.completeIfDone(job);
+        loop.markCycleNeeded();
     }
 
     /** Whether the task has completed; a task of a service never counts as completed, however it exits. */
     private static boolean hasCompleted(ActiveJob job, TaskStatus status) {
-        return status.cause() == Cause.DONE && !job.spec().service();
+        return status.cause() == ExitCause.DONE && !job.spec().service();
     }
 
     private static boolean wasStartRefused(TaskStatus status) {
-        return status.cause() == Cause.UNKNOWN_JOB || status.cause() == Cause.INSUFFICIENT_CAPACITY;
+        return status.cause() == ExitCause.UNKNOWN_JOB || status.cause() == ExitCause.INSUFFICIENT_CAPACITY;
     }
 
     private static boolean endsGangAttempt(Placement placement, TaskStatus status) {
-        boolean attemptIsOver = status.cause() == Cause.PEER_GONE || status.cause() == Cause.INCOMPLETE;
+        boolean attemptIsOver = status.cause() == ExitCause.PEER_GONE || status.cause() == ExitCause.INCOMPLETE;
         GangAttempt attempt = currentGangAttempt(placement);
         return attemptIsOver && attempt != null && !attempt.isEnding();
     }
@@ -140,9 +141,9 @@
     private void onCompleted(Placement placement, long nowMicros) {
         ActiveJob job = placement.job();
         markDone(job, placement.task().index());
-        machines.drainFaulty(faults.proved(placement, nowMicros));
+        machines.drainFaulty(faults.recordSuccess(placement, nowMicros));
         if (isRuntimeKnown(placement)) {
-            runtimeEstimator.finished(job, placement.ranMicros(nowMicros));
+            runtimeEstimator.recordFinishedTask(job, placement.runTimeMicros(nowMicros));
         }
         jobs.recordTaskDone(job);
     }
@@ -152,7 +153,7 @@
      * run, and knows that it ran on no other machine.
      */
     private static boolean isRuntimeKnown(Placement placement) {
-        return placement.hasRun() && placement.onlyHere() && !placement.wasAdopted();
+        return placement.hasRun() && placement.isOnlyOnThisMachine() && !placement.isAdopted();
     }
 
     /** Marks the task as done; for a gang, whose tasks complete together, marks all tasks of the job. */
@@ -164,7 +165,7 @@
         job.markAllDone();
         GangAttempt attempt = job.gangAttempt();
         if (attempt != null) {
-            attempt.completed();
+            attempt.markCompleted();
         }
     }
 
@@ -178,7 +179,7 @@
         if (placement != null && !job.spec().gang()) {
             tasks.stop(placement, 0, "completed by another attempt");
         } else {
-            jobs.endIfDone(job);
+            jobs.completeIfDone(job);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -24,11 +24,11 @@
      */
     public void onTokenRaised(Machine machine) {
         long nowMicros = timers.nowMicros();
-        if (fleet.unresponsive(machine, nowMicros)) {
+        if (fleet.isUnresponsive(machine, nowMicros)) {
             machine.contact().fence();
             extendLeaseInPeerZone(machine, nowMicros);
         }
-        machine.confirmationLost(nowMicros, "fencing token raised to " + machine.fencingToken());
+        machine.markUnconfirmed(nowMicros, "fencing token raised to " + machine.fencingToken());
     }
 
     /**
@@ -36,11 +36,11 @@
      * peer may not know the new token yet and may keep renewing the lease under the previous token.
      */
     private void extendLeaseInPeerZone(Machine machine, long nowMicros) {
-        if (config.topology().peerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
+        if (config.topology().hasPeerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
             long latestExpiryMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
-                    + config.workers().longestLeaseMicros();
-            machine.contact().leaseRunsUntil(latestExpiryMicros, false);
+                    + config.workers().maxLeaseMicros();
+            machine.contact().setLeaseExpiry(latestExpiryMicros, false);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -46,12 +46,12 @@
 
     /** Whether the limit on concurrent calls allows another call now. */
     boolean canCall() {
-        return callsInFlight < config.limits().callsAtOnce();
+        return callsInFlight < config.limits().maxConcurrentCalls();
     }
 
     /** Whether another call without commands may be made now; half of the concurrent calls is reserved for commands. */
     boolean canProbe() {
-        return callsInFlight < config.limits().callsAtOnce() / 2;
+        return callsInFlight < config.limits().maxConcurrentCalls() / 2;
     }
 
     /**
@@ -60,7 +60,7 @@
      * tries again.
      */
     void sendToken(Machine machine) {
-        if (!machine.contact().callInFlight() && machine.contact().agentEpoch() >= 0 && canCall()) {
+        if (!machine.contact().hasCallInFlight() && machine.contact().agentEpoch() >= 0 && canCall()) {
             callWithoutCommands(machine, () -> {});
         }
     }
@@ -81,14 +81,14 @@
      * @param onEnd runs once the call has ended, with or without a response
      */
     void call(Machine machine, List<WorkerCommand> commands, List<Placement> starts, Runnable onEnd) {
-        machine.contact().callBegan(timers.nowMicros());
+        machine.contact().beginCall(timers.nowMicros());
         callsInFlight++;
         long fencingToken = machine.fencingToken();
         // The agent epoch of a machine taken over is unknown; the response to a wrong guess contains the actual one.
         long agentEpoch = Math.max(1, machine.contact().agentEpoch());
-        workers.send(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
+        workers.sendCommands(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
             callsInFlight--;
-            machine.contact().callEnded();
+            machine.contact().endCall();
             if (!termEnded.getAsBoolean() && !machine.isGone()) {
                 processReply(machine, fencingToken, starts, reply);
                 loop.requestSend();
@@ -99,7 +99,7 @@
 
     private void processReply(Machine machine, long fencingToken, List<Placement> starts, WorkerPort.Reply reply) {
         Heartbeat heartbeat = reply.heartbeat();
-        machine.contact().callAnswered(heartbeat != null);
+        machine.contact().recordCallResult(heartbeat != null);
         if (heartbeat == null) {
             if (!starts.isEmpty()) {
                 inventory.requestToken(machine, "a direct start command got no response");
@@ -107,10 +107,10 @@
             return;
         }
         for (Placement placement : starts) {
-            placement.directStartAnswered(fencingToken);
+            placement.acknowledgeDirectStart(fencingToken);
         }
         reconciler.reconcile(machine, heartbeat, MessageOrigin.CALL_RESPONSE);
-        if (!reply.executed() && canAcceptCurrentToken(machine, heartbeat)) {
+        if (!reply.accepted() && canAcceptCurrentToken(machine, heartbeat)) {
             sendToken(machine);
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -32,28 +32,28 @@
 
     /** Begins with the machines and the records as of this revision. */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
-        takenOver.forEach(machine -> plan.takeOver(machine.id(), machine.profile()));
-        plan.takeOverUnreadable(unreadableParts);
-        plan.recordsRead(revision, timers.nowMicros());
+        takenOver.forEach(machine -> plan.takeOverMachine(machine.id(), machine.profile()));
+        plan.takeOverUnreadableParts(unreadableParts);
+        plan.onRecordsRead(revision, timers.nowMicros());
     }
 
     /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
-    public boolean noMachineAwaited() {
-        return plan.noMachineAwaited();
+    public boolean hasResolvedAllMachines() {
+        return plan.isEveryMachineResolved();
     }
 
     /** Whether a task of this job may be on a machine that is still awaited. */
-    boolean mayRunOnAwaitedMachine(ActiveJob job) {
-        return plan.verdictOnUnlisted(job.spec()) == Verdict.UNCONFIRMED;
+    boolean canRunOnAwaitedMachine(ActiveJob job) {
+        return plan.verdictOnUnlistedTask(job.spec()) == Verdict.UNCONFIRMED;
     }
 
     /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
-    public void resolved(Machine machine, String proof) {
-        if (!machine.awaitingFirstHeartbeat()) {
+    public void resolve(Machine machine, String proof) {
+        if (!machine.isAwaitingFirstHeartbeat()) {
             return;
         }
-        machine.takeoverResolved();
-        if (plan.resolved(machine.id(), machine.profile(), proof)) {
+        machine.resolveTakeover();
+        if (plan.resolveMachine(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
         }
@@ -61,19 +61,19 @@
 
     /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
     void resolveTasks(ActiveJob job) {
-        if (job.unconfirmedTasks() > 0 && !mayRunOnAwaitedMachine(job)) {
+        if (job.unconfirmedTasks() > 0 && !canRunOnAwaitedMachine(job)) {
             plan.countVerdicts(Verdict.LOST, job.unconfirmedTasks());
             job.resolveUnconfirmed();
         }
     }
 
     /** Whether tasks of the job may start, as far as the recovery is concerned. */
-    public boolean mayStart(ActiveJob job) {
-        return plan.mayStart(job.spec());
+    public boolean canStart(ActiveJob job) {
+        return plan.canStart(job.spec());
     }
 
     /** A scheduling cycle is about to begin: a hold whose time is over ends. */
-    public void cycleBegins(long nowMicros) {
+    public void onCycleStart(long nowMicros) {
         plan.endHoldIfDue(nowMicros);
     }
 
@@ -83,12 +83,12 @@
      * @param tasksAwaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
      *     for them
      */
-    public void cycleEnded(int tasksAwaitingPreemption) {
-        if (!plan.holdsBatchWork()) {
+    public void onCycleEnd(int tasksAwaitingPreemption) {
+        if (!plan.isBatchWorkHeld()) {
             return;
         }
-        plan.cycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
-        if (!plan.holdsBatchWork()) {
+        plan.onCycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
+        if (!plan.isBatchWorkHeld()) {
             loop.requestCycle();
         }
     }
@@ -97,9 +97,9 @@
      * Whether capacity that is free may be wanted shortly by live work: machines that look idle are kept until it is
      * known what of that work is lost.
      */
-    public boolean keepsIdleMachines() {
-        return plan.holdsBatchWork()
-                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
+    public boolean isKeepingIdleMachines() {
+        return plan.isBatchWorkHeld()
+                || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
     /** How many claimed tasks may be on machines still awaited. */
@@ -112,13 +112,13 @@
         int jobsAwaitingClaim = 0;
         int unacknowledgedTasks = 0;
         for (ActiveJob job : jobs.all()) {
-            if (!job.isOpen() || !LiveWorkBacklog.includes(job.spec())) {
+            if (!job.isOpen() || !LiveWorkBacklog.isLiveWork(job.spec())) {
                 continue;
             }
             unconfirmedTasks += job.unconfirmedTasks();
-            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasClaimedTask() ? 1 : 0;
+            jobsAwaitingClaim += job.waitingTasks() > 0 && !job.hasStartableTask() ? 1 : 0;
             for (Placement placement : job.placements()) {
-                unacknowledgedTasks += placement.seen() ? 0 : 1;
+                unacknowledgedTasks += placement.hasBeenListed() ? 0 : 1;
             }
         }
         return new LiveWorkBacklog(unconfirmedTasks, jobsAwaitingClaim, unacknowledgedTasks, tasksAwaitingPreemption);
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -53,34 +53,34 @@
         for (String peer : config.topology().peers()) {
             port.exchangeStatus(peer, ownStatus.get(), answer -> {
                 if (answer != null) {
-                    statusReceived(answer);
+                    handleStatus(answer);
                 }
             });
         }
     }
 
     /** A peer has told how it is. */
-    public void statusReceived(PeerStatus status) {
+    public void handleStatus(PeerStatus status) {
         lastStatusByPeer.put(status.node(), new LastStatus(status, timers.nowMicros()));
     }
 
     /** The most machines that one peer lately turned away; negative without a recent status of any peer. */
-    public int mostRedirectedMachines() {
+    public int maxRedirectedMachines() {
         return recentStatuses().mapToInt(PeerStatus::redirectedMachines).max().orElse(-1);
     }
 
     /** Whether a peer lately told that it is the leader. */
-    public boolean hasRecentStatusOfLeader() {
-        return recentStatuses().anyMatch(PeerStatus::leader);
+    public boolean hasRecentLeaderStatus() {
+        return recentStatuses().anyMatch(PeerStatus::isLeader);
     }
 
     /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
-    public boolean anyConnected(long ageMicros) {
+    public boolean isAnyPeerConnected(long ageMicros) {
         return recentStatuses().anyMatch(status -> isConnected(status, ageMicros));
     }
 
     /** Whether every peer lately told that the store had not answered it for so long, or never. */
-    public boolean allDisconnected(long ageMicros) {
+    public boolean isEveryPeerDisconnected(long ageMicros) {
         long nowMicros = timers.nowMicros();
         return config.topology().peers().stream()
                 .map(lastStatusByPeer::get)
@@ -95,7 +95,7 @@
     }
 
     private static boolean isConnected(PeerStatus status, long ageMicros) {
-        return status.contactAgeMicros() >= 0 && status.contactAgeMicros() <= ageMicros;
+        return status.storeContactAgeMicros() >= 0 && status.storeContactAgeMicros() <= ageMicros;
     }
 
     /**
@@ -117,7 +117,7 @@
         }
         if (leaderIsPeer) {
             long longestMicros = Math.max(config.tuning().leaderLeaseMicros(), RECENT_MICROS);
-            effective.fireAfter(timers, WorkerTiming.withDrift(longestMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+            effective.fireAfter(timers, WorkerTiming.withClockDrift(longestMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
         } else {
             effective.fire(then); // no other controller starts tasks
         }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -37,8 +37,8 @@
     }
 
     /** Forgets a job that is over once nothing of it is on any machine. */
-    public void removeIfOver(ActiveJob job) {
-        if (job.phase() == ActiveJob.Phase.OVER && !job.hasPlacements()) {
+    public void removeIfEnded(ActiveJob job) {
+        if (job.phase() == ActiveJob.Phase.ENDED && !job.hasPlacements()) {
             jobs.remove(job.spec().id());
             removalListener.accept(job);
         }
@@ -46,6 +46,7 @@
 
     /** Time since the job was accepted, as far as the clocks agree. */
     public long ageMicros(ActiveJob job, long nowMicros) {
-        return Math.max(nowMicros - job.sinceMicros(), timers.timeOfDayMicros() - job.acceptedMicros() - skewMicros);
+        return Math.max(
+                nowMicros - job.firstSeenMicros(), timers.timeOfDayMicros() - job.acceptedMicros() - skewMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -27,7 +27,7 @@
         WAITING,
         RUNNING,
         STOPPING,
-        ENDING
+        COMPLETING
     }
 
     private final String job;
@@ -62,22 +62,22 @@
     }
 
     /** A task was placed on a machine, or found there. */
-    public void placed(int task, String machine) {
+    public void recordPlacement(int task, String machine) {
         machinesTried.computeIfAbsent(task, unknown -> new HashSet<>()).add(machine);
     }
 
     /** Whether a start of this task would be ignored there. */
-    public boolean wasTriedOn(int task, String machine) {
+    public boolean hasBeenTriedOn(int task, String machine) {
         return machinesTried.getOrDefault(task, Set.of()).contains(machine);
     }
 
     /** All tasks are placed, so none is missing any more. */
-    public void allTasksPlaced() {
+    public void markAllTasksPlaced() {
         incompleteSinceMicros = NEVER;
     }
 
     /** A task waits for the others. */
-    public void waiting(long nowMicros) {
+    public void markWaiting(long nowMicros) {
         if (phase == Phase.FORMING) {
             waitingSinceMicros = nowMicros;
             transition(Phase.WAITING, "a task waits for the others");
@@ -85,26 +85,26 @@
     }
 
     /** A task runs, so all do, or did. */
-    public void running() {
+    public void markRunning() {
         if (phase == Phase.FORMING || phase == Phase.WAITING) {
             transition(Phase.RUNNING, "its tasks run");
         }
     }
 
     /** All tasks are told to stop, or were told by a former leader. */
-    public void stopping(String why) {
-        if (phase != Phase.ENDING) {
+    public void markStopping(String why) {
+        if (phase != Phase.COMPLETING) {
             transition(Phase.STOPPING, why);
         }
     }
 
     /** A task has completed. */
-    public void completed() {
-        transition(Phase.ENDING, "a task has completed");
+    public void markCompleted() {
+        transition(Phase.COMPLETING, "a task has completed");
     }
 
     /** A task is proved gone. Before the gang has started another may take its place; otherwise the attempt is over. */
-    public void taskGone(long nowMicros) {
+    public void markTaskGone(long nowMicros) {
         if (phase == Phase.RUNNING) {
             transition(Phase.STOPPING, "a task is gone");
         } else if (incompleteSinceMicros < 0) {
@@ -114,11 +114,11 @@
 
     /** Whether the tasks that are left exit by themselves or were told to. */
     public boolean isEnding() {
-        return phase == Phase.STOPPING || phase == Phase.ENDING;
+        return phase == Phase.STOPPING || phase == Phase.COMPLETING;
     }
 
     /** Whether tasks that are missing may still join. */
-    public boolean mayBeCompleted() {
+    public boolean canAddTasks() {
         return phase == Phase.FORMING || phase == Phase.WAITING;
     }
 
@@ -130,7 +130,7 @@
      * @param longestWaitMicros for how long a task may have waited when a start is still worth sending
      */
     public boolean shouldBeAbandoned(long nowMicros, long longestIncompleteMicros, long longestWaitMicros) {
-        return mayBeCompleted()
+        return canAddTasks()
                 && incompleteSinceMicros >= 0
                 && (nowMicros - incompleteSinceMicros > longestIncompleteMicros
                         || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > longestWaitMicros));
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -51,7 +51,7 @@
         if (!isLeaseProvedOver(machine)) {
             return;
         }
-        if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
+        if (machine.contact().isFenced() || !config.topology().hasPeerIn(machine.zone())) {
             machines.expireLease(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
@@ -68,12 +68,12 @@
     }
 
     private void checkPlacements(Machine machine, long nowMicros) {
-        boolean unresponsive = fleet.unresponsive(machine, nowMicros);
+        boolean unresponsive = fleet.isUnresponsive(machine, nowMicros);
         for (Placement placement : List.copyOf(machine.placements())) {
             if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
                 tasks.free(placement, "never sent: the machine is unresponsive");
             } else if (placement.phase() == Placement.Phase.STOPPING) {
-                tasks.stopAgain(placement);
+                tasks.resendStop(placement);
             }
         }
     }
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -33,12 +33,12 @@
     private static void putTerm(Map<String, Object> fields, RecoveryStatus.Term term) {
         fields.put("phase", RecoveryLabels.of(term.phase()));
         fields.put("fencing_token", term.fencingToken());
-        fields.put("revision", term.revision());
+        fields.put("revision", term.recordsRevision());
         fields.put("machines", machines(term.machines()));
         Map<String, Object> tasks = new LinkedHashMap<>();
-        term.tasks().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
+        term.taskCountsByVerdict().forEach((verdict, count) -> tasks.put(RecoveryLabels.of(verdict), count));
         fields.put("tasks", tasks);
-        fields.put("attempts_compared", term.comparisons());
+        fields.put("attempts_compared", term.comparisonCount());
         RecoveryStatus.Hold hold = term.hold();
         fields.put("other_work_held", hold != null);
         if (hold != null) {
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -8,33 +8,33 @@
     /** Tells nobody. */
     RecoveryTracer NONE = new RecoveryTracer() {
         @Override
-        public void termBegan(long fencingToken) {}
+        public void onTermBegan(long fencingToken) {}
 
         @Override
-        public void phaseEntered(RecoveryPhase phase, String reason) {}
+        public void onPhaseEntered(RecoveryPhase phase, String reason) {}
 
         @Override
-        public void machineAwaited(String machine) {}
+        public void onMachineAwaited(String machine) {}
 
         @Override
-        public void machineResolved(String machine, String proof) {}
+        public void onMachineResolved(String machine, String proof) {}
 
         @Override
-        public void termEnded() {}
+        public void onTermEnded() {}
     };
 
     /** A term of leadership has begun. */
-    void termBegan(long fencingToken);
+    void onTermBegan(long fencingToken);
 
     /** The recovery has reached a phase. */
-    void phaseEntered(RecoveryPhase phase, String reason);
+    void onPhaseEntered(RecoveryPhase phase, String reason);
 
     /** A machine was taken over; what is on it is unconfirmed. */
-    void machineAwaited(String machine);
+    void onMachineAwaited(String machine);
 
     /** What is on the machine is known, or it is gone. */
-    void machineResolved(String machine, String proof);
+    void onMachineResolved(String machine, String proof);
 
     /** The term is over, whatever the recovery has reached. */
-    void termEnded();
+    void onTermEnded();
 }
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void termBegan(long fencingToken) {
+    public void onTermBegan(long fencingToken) {
         end();
         term = tracer.spanBuilder("recovery")
                 .setNoParent()
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void phaseEntered(RecoveryPhase next, String reason) {
+    public void onPhaseEntered(RecoveryPhase next, String reason) {
         phase.end();
         if (next == RecoveryPhase.RECOVERED) {
             end();
@@ -53,14 +53,14 @@
     }
 
     @Override
-    public void machineAwaited(String machine) {
+    public void onMachineAwaited(String machine) {
         Span span = child("machine in doubt");
         span.setAttribute(MACHINE, machine);
         machines.put(machine, span);
     }
 
     @Override
-    public void machineResolved(String machine, String proof) {
+    public void onMachineResolved(String machine, String proof) {
         Span span = machines.remove(machine);
         if (span != null) {
             span.setAttribute(PROOF, proof);
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void termEnded() {
+    public void onTermEnded() {
         end();
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FailureDetectorTest.java
@@ -40,14 +40,14 @@
     private void addMachines(String zone, int count, int overdue) {
         for (int number = 0; number < count; number++) {
             Machine machine = Fixtures.machine(zone + "-" + number, zone);
-            machine.heartbeatReceived(false, timers.nowMicros() - (number < overdue ? OVERDUE_MICROS : 0));
+            machine.recordHeartbeat(false, timers.nowMicros() - (number < overdue ? OVERDUE_MICROS : 0));
             fleet.add(machine);
         }
         detector.update(timers.nowMicros());
     }
 
     private void receiveAllHeartbeats() {
-        fleet.machines().forEach(machine -> machine.heartbeatReceived(false, timers.nowMicros()));
+        fleet.machines().forEach(machine -> machine.recordHeartbeat(false, timers.nowMicros()));
         detector.update(timers.nowMicros());
     }
 
@@ -121,7 +121,7 @@
             int overdue, int redirectedByPeer, boolean trusted) {
         addMachines(OWN_ZONE, 20, overdue);
         if (redirectedByPeer != NO_PEER_STATUS) {
-            peers.statusReceived(new PeerStatus("c2", 0, false, redirectedByPeer));
+            peers.handleStatus(new PeerStatus("c2", 0, false, redirectedByPeer));
         }
         assertEquals(trusted, detector.canTrustMissedHeartbeats());
     }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -27,7 +27,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.model.TeamLimits;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -148,8 +148,8 @@
                 loop);
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
         machineCommands = new MachineCommands(leadership, commands);
-        workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> termEnded);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        workerCalls = new WorkerCalls(config, this::sendCommands, inventory, reconciler, timers, loop, () -> termEnded);
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         jobs.start();
     }
 
@@ -209,14 +209,14 @@
     private static Leadership.Listener leadershipListener() {
         return new Leadership.Listener() {
             @Override
-            public void elected(Leadership.Term elected) {}
+            public void onElected(Leadership.Term elected) {}
 
             @Override
-            public void leadershipLost(String why) {}
+            public void onLeadershipLost(String why) {}
         };
     }
 
-    private void send(
+    private void sendCommands(
             String address,
             long fencingToken,
             long agentEpoch,
@@ -244,8 +244,8 @@
     /** Takes over the stored machines, as at the beginning of a term. */
     List<Machine> takeOverStoredMachines() {
         List<Machine> takenOver = inventory.takeOver();
-        fleet.inherit(takenOver);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        fleet.takeOver(takenOver);
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         recovery.start(takenOver, inventory.unreadablePartCount(), 1);
         return takenOver;
     }
@@ -280,7 +280,7 @@
                 machine.contact().address(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot(),
+                machine.isSpot(),
                 agentEpoch,
                 machine.contact().sequence() + 1,
                 fencingToken,
@@ -305,19 +305,19 @@
     /** Places the next task of the job on the machine and marks its start as sent in a direct call. */
     Placement startDirectly(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
-        placement.sentDirectly();
+        placement.markSentDirectly();
         return placement;
     }
 
     static TaskStatus status(Placement placement, TaskState state) {
-        return new TaskStatus(placement.task(), placement.attempt(), state, Cause.NONE, false);
+        return new TaskStatus(placement.task(), placement.attempt(), state, ExitCause.NONE, false);
     }
 
-    static TaskStatus exited(Placement placement, Cause cause) {
+    static TaskStatus exited(Placement placement, ExitCause cause) {
         return new TaskStatus(placement.task(), placement.attempt(), TaskState.EXITED, cause, false);
     }
 
-    static TaskStatus status(TaskId task, long attempt, TaskState state, Cause cause) {
+    static TaskStatus status(TaskId task, long attempt, TaskState state, ExitCause cause) {
         return new TaskStatus(task, attempt, state, cause, false);
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void partIsWrittenWithCurrentTokens() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         InventoryTransaction transaction = addPart(InventoryTransaction.withNewToken(NEW_TOKEN), false);
         assertEquals(List.of(3), transaction.parts());
         assertEquals(Keys.INVENTORY + 3, transaction.changes().get(0).key());
@@ -40,7 +40,7 @@
 
     @Test
     void machineThatNeedsNewTokenGetsIt() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         machine.inventory().requireNewToken();
         InventoryTransaction transaction = addPart(InventoryTransaction.withNewToken(NEW_TOKEN), false);
         assertEquals(NEW_TOKEN, writtenToken(transaction));
@@ -50,7 +50,7 @@
 
     @Test
     void cleanupTokenIsAllocatedOnlyWhenDue() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         machine.inventory().requireTokenForCleanup();
         assertEquals(TERM_TOKEN, writtenToken(addPart(InventoryTransaction.withNewToken(NEW_TOKEN), false)));
         assertEquals(NEW_TOKEN, writtenToken(addPart(InventoryTransaction.withNewToken(NEW_TOKEN), true)));
@@ -58,7 +58,7 @@
 
     @Test
     void splitAllocatesNoToken() {
-        machine.inventory().foundOnRecord(3, TERM_TOKEN);
+        machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         machine.inventory().requireNewToken();
         InventoryTransaction transaction = addPart(InventoryTransaction.forSplit(), false);
         assertTrue(transaction.isSplit());
--- a/src/test/java/org/granitepath/coordination/fleet/TakeoverCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TakeoverCallsTest.java
@@ -14,7 +14,7 @@
     private static final long RETRY_DELAY_MICROS = 300_000;
 
     private final FleetFixture fixture = new FleetFixture();
-    private final int maxCalls = fixture.config.limits().callsAtOnce() * 2 / 3;
+    private final int maxCalls = fixture.config.limits().maxConcurrentCalls() * 2 / 3;
     private final TakeoverCalls takeoverCalls = new TakeoverCalls(
             fixture.config, fixture.fleet, fixture.workerCalls, fixture.timers, () -> fixture.termEnded);
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -15,7 +15,7 @@
 import org.granitepath.coordination.model.GangAttempt;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -42,7 +42,7 @@
     private List<Placement> startGang(ActiveJob gang) {
         fixture.tasks.startGang(gang, List.of(machine, fixture.readyMachine("m2")), fixture.timers.nowMicros());
         List<Placement> placements = List.copyOf(gang.placements());
-        placements.forEach(Placement::sentDirectly);
+        placements.forEach(Placement::markSentDirectly);
         return placements;
     }
 
@@ -52,38 +52,38 @@
     void completedTaskIsDone() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.startDirectly(job, machine);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertTrue(job.isDone(placement.task().index()));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
     }
 
     @Test
     void taskOfServiceIsNeverDone() {
         ActiveJob service = fixture.job(JobSpec.Shape.SERVICE);
         Placement placement = fixture.startDirectly(service, machine);
-        update(placement, exited(placement, Cause.DONE));
+        update(placement, exited(placement, ExitCause.DONE));
         assertFalse(service.isDone(placement.task().index()));
-        assertFalse(placement.live(), "the task will be started again");
+        assertFalse(placement.isActive(), "the task will be started again");
     }
 
     @Test
     void failedTaskMakesMachineSuspect() {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.startDirectly(job, machine);
-        update(placement, exited(placement, Cause.FAILED));
-        assertTrue(fixture.faults.suspects(machine));
-        assertEquals(placement.task().index(), job.firstFreed());
+        update(placement, exited(placement, ExitCause.FAILED));
+        assertTrue(fixture.faults.isSuspect(machine));
+        assertEquals(placement.task().index(), job.firstFreedTask());
     }
 
     @ParameterizedTest
     @EnumSource(names = {"UNKNOWN_JOB", "INSUFFICIENT_CAPACITY"})
-    void refusedStartIsRetriedAfterOneSecond(Cause cause) {
+    void refusedStartIsRetriedAfterOneSecond(ExitCause cause) {
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH);
         Placement placement = fixture.startDirectly(job, machine);
         update(placement, exited(placement, cause));
         assertEquals(
                 fixture.timers.nowMicros() + SECOND_MICROS, job.scheduling().notBeforeMicros());
-        assertFalse(fixture.faults.suspects(machine));
+        assertFalse(fixture.faults.isSuspect(machine));
     }
 
     @Test
@@ -93,8 +93,8 @@
             job.markDone(task);
         }
         Placement last = fixture.startDirectly(job, machine);
-        update(last, exited(last, Cause.DONE));
-        assertEquals(ActiveJob.Phase.ENDING, job.phase());
+        update(last, exited(last, ExitCause.DONE));
+        assertEquals(ActiveJob.Phase.COMPLETING, job.phase());
     }
 
     // ---- running -----------------------------------------------------------------------------------------------
@@ -103,12 +103,12 @@
     void longRunningTaskProvesThatJobIsNotFaulty() {
         Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         update(placement, TaskState.RUNNING);
-        fixture.timers.advance(FaultTracker.PROOF_MICROS - 1);
+        fixture.timers.advance(FaultTracker.HEALTHY_RUN_MICROS - 1);
         update(placement, TaskState.RUNNING);
-        assertTrue(fixture.faults.wantsProof(placement));
+        assertTrue(fixture.faults.isUnderObservation(placement));
         fixture.timers.advance(1);
         update(placement, TaskState.RUNNING);
-        assertFalse(fixture.faults.wantsProof(placement));
+        assertFalse(fixture.faults.isUnderObservation(placement));
     }
 
     @Test
@@ -117,20 +117,20 @@
         Placement placement = fixture.startDirectly(job, machine);
         update(placement, TaskState.RUNNING);
         fixture.timers.advance(3 * SECOND_MICROS);
-        update(placement, exited(placement, Cause.DONE));
-        assertEquals(3.0 * SECOND_MICROS, job.finishedMicros());
+        update(placement, exited(placement, ExitCause.DONE));
+        assertEquals(3.0 * SECOND_MICROS, job.totalRunMicros());
     }
 
     @Test
     void runtimeOfAdoptedTaskIsNotRecorded() {
         Machine takenOver = fixture.takeOver("m9").get(0);
         ActiveJob job = fixture.job(JobSpec.Shape.BATCH, 1, PREVIOUS_TOKEN);
-        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, Cause.NONE);
+        TaskStatus running = status(new TaskId(job.spec().id(), 0), 5, TaskState.RUNNING, ExitCause.NONE);
         fixture.reconciler.reconcile(takenOver, nextHeartbeat(takenOver, running), MessageOrigin.HEARTBEAT);
         Placement adopted = job.placement(0);
-        update(adopted, exited(adopted, Cause.DONE));
+        update(adopted, exited(adopted, ExitCause.DONE));
         assertTrue(job.isDone(0));
-        assertEquals(0, job.finishedTasks());
+        assertEquals(0, job.measuredTasks());
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
@@ -139,9 +139,9 @@
     void completedTaskOfGangCompletesAllTasks() {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         Placement first = startGang(gang).get(0);
-        update(first, exited(first, Cause.DONE));
+        update(first, exited(first, ExitCause.DONE));
         assertEquals(0, gang.unfinishedTasks());
-        assertEquals(GangAttempt.Phase.ENDING, gang.gangAttempt().phase());
+        assertEquals(GangAttempt.Phase.COMPLETING, gang.gangAttempt().phase());
     }
 
     @ParameterizedTest
@@ -163,7 +163,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"PEER_GONE", "INCOMPLETE"})
-    void gangIsStoppedWhenItsAttemptIsOver(Cause cause) {
+    void gangIsStoppedWhenItsAttemptIsOver(ExitCause cause) {
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startGang(gang);
         update(placements.get(0), exited(placements.get(0), cause));
@@ -198,7 +198,7 @@
         ActiveJob gang = fixture.job(JobSpec.Shape.GANG);
         List<Placement> placements = startGang(gang);
         fixture.statusUpdater.markCompletedElsewhere(gang, 0);
-        assertEquals(ActiveJob.Phase.ENDING, gang.phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, gang.phase());
         assertEquals(Placement.Phase.SENT, placements.get(0).phase(), "its tasks exit by themselves");
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TokenRaiseHandlerTest.java
@@ -26,9 +26,9 @@
     private Machine machineIn(String zone) {
         Machine machine = new Machine("m00", "10.0.0.1:80", "standard", zone, false);
         fleet.add(machine);
-        machine.heartbeatReceived(false, timers.nowMicros());
-        machine.contact().leaseRunsUntil(timers.nowMicros() + LEASE_MICROS, true);
-        machine.tasksConfirmed();
+        machine.recordHeartbeat(false, timers.nowMicros());
+        machine.contact().setLeaseExpiry(timers.nowMicros() + LEASE_MICROS, true);
+        machine.confirmTasks();
         return machine;
     }
 
@@ -37,7 +37,7 @@
         Machine machine = machineIn(PEER_ZONE);
         handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
-        assertFalse(machine.contact().fenced());
+        assertFalse(machine.contact().isFenced());
         assertEquals(timers.nowMicros() + LEASE_MICROS, machine.contact().leaseExpiryMicros());
     }
 
@@ -48,7 +48,7 @@
         timers.advance(5 * SECOND_MICROS);
         handler.onTokenRaised(machine);
         assertEquals(Machine.Phase.UNCONFIRMED, machine.phase());
-        assertTrue(machine.contact().fenced());
+        assertTrue(machine.contact().isFenced());
         assertEquals(
                 leaseExpiryMicros,
                 machine.contact().leaseExpiryMicros(),
@@ -60,18 +60,18 @@
         Machine machine = machineIn(PEER_ZONE);
         timers.advance(5 * SECOND_MICROS);
         handler.onTokenRaised(machine);
-        assertTrue(machine.contact().fenced());
+        assertTrue(machine.contact().isFenced());
         assertEquals(
                 timers.nowMicros()
                         + config.workers().maxDisconnectedMicros()
-                        + config.workers().longestLeaseMicros(),
+                        + config.workers().maxLeaseMicros(),
                 machine.contact().leaseExpiryMicros());
     }
 
     @Test
     void expiredLeaseIsNotExtended() {
         Machine machine = machineIn(PEER_ZONE);
-        machine.leaseExpired();
+        machine.expireLease();
         timers.advance(5 * SECOND_MICROS);
         handler.onTokenRaised(machine);
         assertEquals(0, machine.contact().leaseExpiryMicros());
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -22,7 +22,7 @@
 /** Tests the limits on direct calls in flight and the processing of their responses. */
 class WorkerCallsTest {
     private final FleetFixture fixture = new FleetFixture();
-    private final int callsAtOnce = fixture.config.limits().callsAtOnce();
+    private final int callsAtOnce = fixture.config.limits().maxConcurrentCalls();
     private final WorkerCalls calls = fixture.workerCalls;
 
     private FleetFixture.Call onlyCall() {
@@ -74,7 +74,7 @@
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().timeOut();
         assertTrue(machine.inventory().needsNewToken());
-        assertTrue(placement.mayStillBeStarted(TERM_TOKEN));
+        assertTrue(placement.hasUnacknowledgedStart(TERM_TOKEN));
     }
 
     @Test
@@ -92,8 +92,8 @@
         Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().respond(nextHeartbeat(machine));
-        assertFalse(placement.mayStillBeStarted(TERM_TOKEN));
-        assertFalse(placement.live(), "the response does not list it, so it was not started");
+        assertFalse(placement.hasUnacknowledgedStart(TERM_TOKEN));
+        assertFalse(placement.isActive(), "the response does not list it, so it was not started");
     }
 
     @Test
@@ -102,7 +102,7 @@
         calls.callWithoutCommands(machine, () -> {});
         onlyCall().respond(nextHeartbeat(machine));
         assertEquals(Machine.Phase.READY, machine.phase());
-        assertFalse(machine.awaitingFirstHeartbeat());
+        assertFalse(machine.isAwaitingFirstHeartbeat());
     }
 
     @ParameterizedTest(name = "executed: {0}, worker knows token {1}")
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementFixture;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
@@ -21,22 +21,22 @@
 
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangScheduler scheduler = new GangScheduler(
-            fixture.config, fixture.fleet, fixture.rules, fixture.tasks, new MachinePreference(fixture.rules));
+            fixture.config, fixture.fleet, fixture.rules, fixture.tasks, new MachineScorer(fixture.rules));
     private final List<Machine> machines = new ArrayList<>();
     private final ActiveJob gang =
             fixture.gang("gang", Priority.STANDARD).tasks(2).cpuMillis(2 * CPU).build();
 
     GangSchedulerTest() {
         for (String id : List.of("m1", "m2", "m3")) {
-            machines.add(fixture.machine(id, false));
+            machines.add(fixture.addMachine(id, false));
         }
-        gang.claimRecorded(2);
+        gang.confirmClaim(2);
     }
 
     private void fillMachines() {
         ActiveJob batch =
                 fixture.batch("batch", Priority.STANDARD).cpuMillis(3 * CPU).build();
-        machines.forEach(machine -> fixture.running(batch, machine, SECOND));
+        machines.forEach(machine -> fixture.addRunningTask(batch, machine, SECOND));
     }
 
     private long reserved() {
@@ -64,9 +64,9 @@
     void aReservationEndsAfterTheHoldAndTheLongestBoot() {
         fillMachines();
         scheduler.schedule(gang, machines, NOW);
-        scheduler.releaseReservations(NOW + GANG_HOLD_AND_BOOT);
+        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT);
         assertEquals(1, reserved());
-        scheduler.releaseReservations(NOW + GANG_HOLD_AND_BOOT + 1);
+        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT + 1);
         assertEquals(0, reserved());
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -32,7 +32,7 @@
     private int effective;
 
     private void receive(String peer, long contactAgeMicros, int redirected) {
-        peers.statusReceived(new PeerPort.PeerStatus(peer, contactAgeMicros, peer.equals("c2"), redirected));
+        peers.handleStatus(new PeerPort.PeerStatus(peer, contactAgeMicros, peer.equals("c2"), redirected));
     }
 
     private void announce(String leader) {
@@ -41,27 +41,27 @@
 
     @Test
     void onlyRecentStatusesCount() {
-        assertEquals(-1, peers.mostRedirectedMachines(), "nothing is known");
+        assertEquals(-1, peers.maxRedirectedMachines(), "nothing is known");
         receive("c2", 0, 4);
         timers.advance(2 * SECOND);
         receive("c3", 0, 1);
-        assertEquals(4, peers.mostRedirectedMachines());
-        assertTrue(peers.hasRecentStatusOfLeader());
+        assertEquals(4, peers.maxRedirectedMachines());
+        assertTrue(peers.hasRecentLeaderStatus());
         timers.advance(2 * SECOND);
-        assertEquals(1, peers.mostRedirectedMachines());
-        assertFalse(peers.hasRecentStatusOfLeader());
+        assertEquals(1, peers.maxRedirectedMachines());
+        assertFalse(peers.hasRecentLeaderStatus());
     }
 
     @Test
     void allAreDisconnectedOnlyIfEachOneSaysSo() {
         receive("c2", CONTACT + 1, 0);
-        assertFalse(peers.allDisconnected(CONTACT), "nothing is known of c3");
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT), "nothing is known of c3");
         receive("c3", CONTACT, 0);
-        assertFalse(peers.allDisconnected(CONTACT));
-        assertTrue(peers.anyConnected(CONTACT));
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT));
+        assertTrue(peers.isAnyPeerConnected(CONTACT));
         receive("c3", -1, 0);
-        assertTrue(peers.allDisconnected(CONTACT), "never in contact");
-        assertFalse(peers.anyConnected(CONTACT));
+        assertTrue(peers.isEveryPeerDisconnected(CONTACT), "never in contact");
+        assertFalse(peers.isAnyPeerConnected(CONTACT));
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -8,11 +8,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.coordination.ports.CloudPort.HostState;
 import org.granitepath.coordination.ports.CloudPort.LaunchRequest;
-import org.granitepath.coordination.ports.CloudPort.ListedHost;
+import org.granitepath.coordination.ports.CloudPort.ListedMachine;
+import org.granitepath.coordination.ports.CloudPort.MachineState;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 import org.granitepath.coordination.ports.JobResponse;
@@ -100,7 +100,7 @@
                         88,
                         41,
                         12_500_000,
-                        List.of(new Heartbeat.TaskStatus(TASK, 7, TaskState.EXITED, Cause.STOPPED, true))),
+                        List.of(new Heartbeat.TaskStatus(TASK, 7, TaskState.EXITED, ExitCause.STOPPED, true))),
                 heartbeat);
     }
 
@@ -121,7 +121,7 @@
         "mates_gone,PEER_GONE",
         "alone,INCOMPLETE"
     })
-    void causesOfExits(String word, Cause cause) {
+    void causesOfExits(String word, ExitCause cause) {
         assertEquals(
                 cause,
                 reported("\"status\":\"ended\",\"cause\":\"" + word + "\"").cause());
@@ -159,9 +159,9 @@
 
     @ParameterizedTest
     @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
-    void machinesAsTheCloudListsThem(String word, HostState state) {
+    void machinesAsTheCloudListsThem(String word, MachineState state) {
         assertEquals(
-                List.of(new ListedHost("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
+                List.of(new ListedMachine("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
                 CloudCodec.decodeListing(Json.object("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
                         + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + word
                         + "\",\"held_s\":61.5}],\"has_next\":false}")));
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -29,8 +29,8 @@
 
     private static RecoveryPlan plan(long hold) {
         RecoveryPlan plan = new RecoveryPlan(7, hold, RecoveryTracer.NONE);
-        plan.takeOver("a", NORTH);
-        plan.takeOver("b", SOUTH_SPOT);
+        plan.takeOverMachine("a", NORTH);
+        plan.takeOverMachine("b", SOUTH_SPOT);
         return plan;
     }
 
@@ -38,28 +38,28 @@
     void nothingStartsWhileTheRecordsAreRead() {
         RecoveryPlan plan = plan(HOLD);
         assertEquals(RecoveryPhase.READING, plan.phase());
-        assertFalse(plan.mayStart(SERVICE));
-        assertFalse(plan.mayStart(BATCH));
+        assertFalse(plan.canStart(SERVICE));
+        assertFalse(plan.canStart(BATCH));
     }
 
     @Test
     void servicesFirstThenTheRestThenRecovered() {
         RecoveryPlan plan = plan(HOLD);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
-        assertTrue(plan.mayStart(SERVICE));
-        assertFalse(plan.mayStart(BATCH));
-        plan.cycleEnded(DOUBT);
+        assertTrue(plan.canStart(SERVICE));
+        assertFalse(plan.canStart(BATCH));
+        plan.onCycleEnded(DOUBT);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
-        plan.cycleEnded(UNSEEN);
+        plan.onCycleEnded(UNSEEN);
         assertEquals(RecoveryPhase.RESUMING_LIVE, plan.phase());
-        assertFalse(plan.mayStart(BATCH));
-        plan.cycleEnded(LiveWorkBacklog.NONE);
+        assertFalse(plan.canStart(BATCH));
+        plan.onCycleEnded(LiveWorkBacklog.NONE);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
-        assertTrue(plan.mayStart(BATCH));
-        plan.resolved("a", NORTH, "heard");
+        assertTrue(plan.canStart(BATCH));
+        plan.resolveMachine("a", NORTH, "heard");
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
-        plan.resolved("b", SOUTH_SPOT, "lease over");
+        plan.resolveMachine("b", SOUTH_SPOT, "lease over");
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
     }
 
@@ -71,54 +71,54 @@
     @MethodSource("anythingLeft")
     void theHoldEndsInTimeWhateverIsLeft(LiveWorkBacklog left) {
         RecoveryPlan plan = plan(HOLD);
-        plan.recordsRead(42, 100);
+        plan.onRecordsRead(42, 100);
         plan.endHoldIfDue(100 + HOLD - 1);
-        plan.cycleEnded(left);
-        assertFalse(plan.mayStart(BATCH));
+        plan.onCycleEnded(left);
+        assertFalse(plan.canStart(BATCH));
         plan.endHoldIfDue(100 + HOLD);
-        assertTrue(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(BATCH));
     }
 
     @Test
     void withoutAHoldNothingWaits() {
         RecoveryPlan plan = plan(0);
-        plan.recordsRead(42, 0);
-        assertTrue(plan.mayStart(BATCH));
+        plan.onRecordsRead(42, 0);
+        assertTrue(plan.canStart(BATCH));
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
 
     @Test
     void withoutMachinesThereIsNothingToRecover() {
         RecoveryPlan plan = new RecoveryPlan(7, HOLD, RecoveryTracer.NONE);
-        plan.recordsRead(1, 0);
+        plan.onRecordsRead(1, 0);
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
-        assertTrue(plan.mayStart(BATCH));
+        assertTrue(plan.canStart(BATCH));
     }
 
     /** A task is lost once no machine is left that its job may use, whatever others are still awaited. */
     @Test
     void onlyMachinesThatTheJobMayUseAreWaitedFor() {
         RecoveryPlan plan = plan(HOLD);
-        plan.recordsRead(42, 0);
+        plan.onRecordsRead(42, 0);
         JobSpec inTheSouth = RecoveryFixtures.batch(null, "south", true);
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
-        assertTrue(plan.resolved("a", NORTH, "heard"));
-        assertEquals(Verdict.LOST, plan.verdictOnUnlisted(SERVICE));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(BATCH));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(inTheSouth));
-        assertEquals(Verdict.LOST, plan.verdictOnUnlisted(RecoveryFixtures.batch(null, "north", true)));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
+        assertTrue(plan.resolveMachine("a", NORTH, "heard"));
+        assertEquals(Verdict.LOST, plan.verdictOnUnlistedTask(SERVICE));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(BATCH));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(inTheSouth));
+        assertEquals(Verdict.LOST, plan.verdictOnUnlistedTask(RecoveryFixtures.batch(null, "north", true)));
     }
 
     /** Any machine may be in a part of the inventory that can't be read. */
     @Test
     void anUnreadablePartOfTheInventoryLeavesAllUnconfirmed() {
         RecoveryPlan plan = plan(HOLD);
-        plan.takeOverUnreadable(1);
-        plan.recordsRead(42, 0);
-        plan.resolved("a", NORTH, "heard");
-        plan.resolved("b", SOUTH_SPOT, "heard");
-        assertFalse(plan.noMachineAwaited());
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlisted(SERVICE));
+        plan.takeOverUnreadableParts(1);
+        plan.onRecordsRead(42, 0);
+        plan.resolveMachine("a", NORTH, "heard");
+        plan.resolveMachine("b", SOUTH_SPOT, "heard");
+        assertFalse(plan.isEveryMachineResolved());
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
         plan.endHoldIfDue(HOLD);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
@@ -131,22 +131,24 @@
         for (int run = 0; run < 200; run++) {
             List<RecoveryPhase> phases = new ArrayList<>();
             RecoveryPlan plan = plan(HOLD);
-            plan.recordsRead(1, 0);
-            List<Runnable> machines = new ArrayList<>(
-                    List.of(() -> plan.resolved("a", NORTH, "heard"), () -> plan.resolved("b", SOUTH_SPOT, "heard")));
+            plan.onRecordsRead(1, 0);
+            List<Runnable> machines = new ArrayList<>(List.of(
+                    () -> plan.resolveMachine("a", NORTH, "heard"),
+                    () -> plan.resolveMachine("b", SOUTH_SPOT, "heard")));
             long now = 0;
             for (int step = 0; step < 40; step++) {
                 now += random.nextInt((int) SECOND / 2);
                 plan.endHoldIfDue(now);
                 LiveWorkBacklog left =
                         new LiveWorkBacklog(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
-                plan.cycleEnded(left);
+                plan.onCycleEnded(left);
                 if (!machines.isEmpty() && random.nextInt(10) == 0) {
                     machines.remove(random.nextInt(machines.size())).run();
                 }
                 phases.add(plan.phase());
-                assertTrue(now < HOLD || plan.mayStart(BATCH), "held beyond the bound");
-                assertEquals(plan.noMachineAwaited() && plan.mayStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
+                assertTrue(now < HOLD || plan.canStart(BATCH), "held beyond the bound");
+                assertEquals(
+                        plan.isEveryMachineResolved() && plan.canStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
             }
             List<RecoveryPhase> sorted = phases.stream().sorted().toList();
             assertEquals(sorted, phases);
