--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -74,7 +74,7 @@
      * stops listing it. Attempts with the verdict {@code UNCONFIRMED} are kept.
      */
     void clearIfExited(Machine machine, TaskStatus status, Verdict verdict) {
-        if (status.state() == TaskState.EXITED && verdict != Verdict.UNCONFIRMED && mayClear(machine, status)) {
+        if (status.state() == TaskState.EXITED && verdict != Verdict.UNCONFIRMED && canClear(machine, status)) {
             machine.addCleanupCommand(WorkerCommand.clear(status.task(), status.attempt()));
         }
     }
@@ -85,7 +85,7 @@
      * would start the attempt again once the worker has forgotten it. Drops the note of the direct start when no
      * command can start the attempt any more.
      */
-    private boolean mayClear(Machine machine, TaskStatus status) {
+    private boolean canClear(Machine machine, TaskStatus status) {
         if (machine.contact().canBeStartedAgain(status.attempt(), machine.fencingToken())) {
             return false;
         }
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -22,7 +22,7 @@
 /** Tests the limits on direct calls in flight and the processing of their responses. */
 class WorkerCallsTest {
     private final FleetFixture fixture = new FleetFixture();
-    private final int callsAtOnce = fixture.config.limits().maxConcurrentCalls();
+    private final int maxConcurrentCalls = fixture.config.limits().maxConcurrentCalls();
     private final WorkerCalls calls = fixture.workerCalls;
 
     private FleetFixture.Call onlyCall() {
@@ -38,7 +38,7 @@
 
     @Test
     void callsInFlightAreLimited() {
-        startCalls(callsAtOnce - 1);
+        startCalls(maxConcurrentCalls - 1);
         assertTrue(calls.canCall());
         startCalls(1);
         assertFalse(calls.canCall());
@@ -48,7 +48,7 @@
 
     @Test
     void probesLeaveHalfOfCallsForCommands() {
-        startCalls(callsAtOnce / 2 - 1);
+        startCalls(maxConcurrentCalls / 2 - 1);
         assertTrue(calls.canProbe());
         startCalls(1);
         assertFalse(calls.canProbe());
