--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Returns whether the job allows the machine's type, zone and price model, and fault tracking allows a task of the
-     * job there, regardless of the state of the machine. A deferrable job does not use a full-price machine that no
-     * service needs, so that the machine can be terminated, unless its tasks end before a termination could save any
-     * cost.
+     * Returns whether the job allows the machine's type, zone and price model, and no failed task on the machine
+     * excludes the job (see {@link FaultTracker}), regardless of the state of the machine. A deferrable job does not
+     * use a full-price machine that no service needs, so that the machine can be terminated, unless its tasks end
+     * before a termination could save any cost.
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
         return machine.allowedFor(job.spec())
@@ -94,8 +94,9 @@
     }
 
     /**
-     * Returns whether one more such task is within its team's limit. False for a team with a limit as long as its use
-     * is not known, because the tasks on some machine are unconfirmed or orphaned tasks are still to be stopped.
+     * Returns whether one more such task is within its team's limit. The result is false for a team with a limit while
+     * its use is not known, because the tasks on some machine are unconfirmed or orphaned tasks are still to be
+     * stopped.
      */
     public boolean isWithinTeamLimit(JobSpec spec) {
         return isWithinTeamLimit(spec, 1);
--- a/src/test/java/org/granitepath/coordination/gang/GangConstraintsTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangConstraintsTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** Where a gang is tried, in a fleet of two zones. */
+/** Tests which zones are tried for a gang in a fleet with two zones. */
 class GangConstraintsTest {
     private final GangConstraints constraints = new GangConstraints(List.of("a", "b"), new PlacementFixture().rules);
 
@@ -20,12 +20,12 @@
     }
 
     @Test
-    void aGangThatMayBeSpreadIsTriedInAllZonesTogether() {
+    void gangWithoutZoneConstraintIsTriedInAllZonesTogether() {
         assertEquals(List.of(ZoneFilter.ANY_ZONE), zonesToTry(false));
     }
 
     @Test
-    void aGangOfOneZoneIsTriedInEachByItself() {
+    void gangThatMustShareAZoneIsTriedInEachZoneSeparately() {
         List<ZoneFilter> zones = zonesToTry(true);
         assertEquals(2, zones.size());
         assertTrue(zones.get(0).includes("a"));
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -14,7 +14,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** What batch work leaves free for a gang of four CPUs, on two machines with four each. */
+/** Tests how much capacity batch tasks leave free for a gang with four CPUs, on two machines with four CPUs each. */
 class GangHeadroomTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final BatchPlanner planner =
@@ -29,18 +29,18 @@
         batch.scheduling().tasksWaiting(NOW);
     }
 
-    private void promptGang() {
+    private void addUrgentGang() {
         fixture.gang("gang", Priority.STANDARD).jobClass(URGENT_CLASS).tasks(4).build();
     }
 
-    private void survey() {
+    private void update() {
         planner.updateIfDue(NOW);
         headroom.update();
     }
 
     @Test
-    void nothingIsKeptWithoutAPromptGang() {
-        survey();
+    void nothingIsKeptFreeWithoutAnUrgentGang() {
+        update();
         headroom.onTaskPlaced(first, batch.spec());
         headroom.onTaskPlaced(first, batch.spec());
         assertTrue(headroom.canPlace(first, batch, NOW));
@@ -48,9 +48,9 @@
     }
 
     @Test
-    void batchWorkLeavesWhatTheGangTakes() {
-        promptGang();
-        survey();
+    void batchTasksLeaveTheHeadroomOfTheGangFree() {
+        addUrgentGang();
+        update();
         assertTrue(headroom.canPlace(first, batch, NOW));
         headroom.onTaskPlaced(first, batch.spec());
         assertFalse(headroom.canPlace(first, batch, NOW));
@@ -58,17 +58,17 @@
     }
 
     @Test
-    void batchWorkThatHasWaitedLongTakesWhatThereIs() {
-        promptGang();
-        survey();
+    void batchJobThatHasWaitedLongUsesTheHeadroom() {
+        addUrgentGang();
+        update();
         headroom.onTaskPlaced(first, batch.spec());
         assertTrue(headroom.canPlace(first, batch, NOW + 76 * SECOND));
     }
 
     @Test
-    void oneIdleMachineOfTwoIsKept() {
-        promptGang();
-        survey();
+    void oneOfTwoIdleMachinesIsKept() {
+        addUrgentGang();
+        update();
         assertFalse(headroom.isNeeded(first));
         headroom.onMachineTerminated(first);
         assertTrue(headroom.isNeeded(first));
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -14,7 +14,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Machines for a whole gang or none. */
+/** Tests that machines are found for all tasks of a gang or for none. */
 class GangPlacementFinderTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangPlacementFinder finder = new GangPlacementFinder(
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void noPartOfAGangIsPlaced() {
+    void partOfAGangIsNotPlaced() {
         fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), first, SECOND);
         fixture.addRunningTask(fixture.batch("other", Priority.STANDARD).build(), second, SECOND);
         assertNull(finder.find(gang, List.of(first, second), NOW));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void onASuspectMachineOneTaskIsTried() {
+    void suspectMachineGetsOnlyOneTask() {
         fixture.faults.failed(first, fixture.batch("failed", Priority.STANDARD).build(), NOW);
         GangPlacement placement = finder.find(gang, List.of(first, second), NOW);
         assertEquals(List.of(second, second, first), placement.machines());
--- a/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangSchedulerTest.java
@@ -15,9 +15,9 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** A gang of two tasks with two CPUs each, and three machines with four CPUs. */
+/** Tests the start and the reservations of a gang of two tasks with two CPUs each, on three machines with four CPUs. */
 class GangSchedulerTest {
-    private static final long GANG_HOLD_AND_BOOT = 30 * SECOND;
+    private static final long GANG_HOLD_AND_BOOT_MICROS = 30 * SECOND;
 
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangScheduler scheduler = new GangScheduler(
@@ -39,34 +39,34 @@
         machines.forEach(machine -> fixture.addRunningTask(batch, machine, SECOND));
     }
 
-    private long reserved() {
+    private long reservedMachines() {
         return machines.stream()
                 .filter(machine -> machine.reservedFor() == gang)
                 .count();
     }
 
     @Test
-    void itStartsWhole() {
+    void allTasksOfAGangStartTogether() {
         scheduler.schedule(gang, machines, NOW);
         assertEquals(2, gang.placements().size());
-        assertEquals(0, reserved());
+        assertEquals(0, reservedMachines());
     }
 
     @Test
-    void whereItDoesNotFitAThirdOfTheMachinesIsReserved() {
+    void aThirdOfTheMachinesIsReservedForAGangThatDoesNotFit() {
         fillMachines();
         scheduler.schedule(gang, machines, NOW);
         assertFalse(gang.hasPlacements());
-        assertEquals(1, reserved());
+        assertEquals(1, reservedMachines());
     }
 
     @Test
-    void aReservationEndsAfterTheHoldAndTheLongestBoot() {
+    void reservationEndsAfterTheGangHoldAndTheLongestBootTime() {
         fillMachines();
         scheduler.schedule(gang, machines, NOW);
-        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT);
-        assertEquals(1, reserved());
-        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT + 1);
-        assertEquals(0, reserved());
+        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT_MICROS);
+        assertEquals(1, reservedMachines());
+        scheduler.releaseEndedReservations(NOW + GANG_HOLD_AND_BOOT_MICROS + 1);
+        assertEquals(0, reservedMachines());
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The classes of jobs, and which of them can wait. Tasks take 60 s, a machine has four CPUs. */
+/** Tests the scheduling classes of jobs and which jobs can be deferred. Tasks take 60 s, a machine has four CPUs. */
 class BatchPlannerTest {
     private final PlacementFixture fixture = new PlacementFixture(new Team("g", 4 * CPU, 0, 0, 0));
     private final BatchPlanner planner =
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theMostJobsThatCanBeInTimeTogether() {
+    void largestSetOfJobsThatMeetTheirDeadlinesTogetherIsSelected() {
         fixture.addMachine("m1", true);
         ActiveJob small = due("small", 4, 120 * SECOND);
         ActiveJob large = due("large", 8, 180 * SECOND);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void liveServicesAndStarvedJobsNeedNoDeadline() {
+    void classOfLiveServicesAndStarvedJobsNeedsNoDeadline() {
         ActiveJob live = fixture.service("live", Priority.CRITICAL).build();
         ActiveJob starved = fixture.batch("starved", Priority.BEST_EFFORT)
                 .acceptedMicros(NOW - 200 * SECOND)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void theGuaranteedQuotaIsForTheOldestJobsThatFitIn() {
+    void guaranteedQuotaGoesToTheOldestJobsThatFit() {
         ActiveJob older = fixture.batch("older", Priority.BEST_EFFORT)
                 .team("g")
                 .tasks(3)
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aJobWaitsForCheapCapacityWhileItsDeadlineAllows() {
+    void jobIsDeferrableWhileItsDeadlineAllows() {
         fixture.addMachine("m1", true);
         ActiveJob relaxed = due("relaxed", 4, 300 * SECOND);
         ActiveJob urgent = due("urgent", 4, 100 * SECOND);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void workTakesLessTimeWithMoreCapacity() {
+    void additionalCapacityShortensTheCompletionTime() {
         fixture.addMachine("m1", false);
         fixture.batch("batch", Priority.STANDARD).tasks(8).build();
         planner.updateIfDue(NOW);
--- a/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
@@ -7,7 +7,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** How long a task waits for an image of 3 GB on a machine that fetches 1 GB/s. */
+/** Tests how long a task waits for an image of 3 GB on a machine that fetches 1 GB/s. */
 class ImageFetchTimeTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final Machine machine = fixture.addMachine("m", false);
@@ -15,12 +15,12 @@
             fixture.batch("batch", Priority.STANDARD).imageGb(3).build().spec();
 
     @Test
-    void anImageIsFetchedAtTheSpeedOfTheMachineType() {
+    void missingImageIsFetchedAtTheSpeedOfTheMachineType() {
         assertEquals(3, ImageFetchTime.secondsOn(machine, spec));
     }
 
     @Test
-    void anImageThatIsThereIsNotFetched() {
+    void presentImageTakesNoTime() {
         machine.capacity().imageSeen(spec.image());
         assertEquals(0, ImageFetchTime.secondsOn(machine, spec));
     }
--- a/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
@@ -10,7 +10,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The order in which machines are preferred. */
+/** Tests which of two machines gets the higher score. */
 class MachineScorerTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final MachineScorer machineScorer = new MachineScorer(fixture.rules);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void imageThenFetchUnderWayThenNeither() {
+    void machineWithImageThenMachineFetchingItThenOthers() {
         Machine withImage = fixture.addMachine("with-image", false);
         Machine fetching = fixture.addMachine("fetching", false);
         Machine without = fixture.addMachine("without", false);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void tighterFit() {
+    void tighterFitIsPreferred() {
         Machine empty = fixture.addMachine("empty", false);
         Machine fuller = fixture.addMachine("fuller", false);
         ActiveJob large =
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void servicesGatherAndBatchWorkAvoidsThem() {
+    void servicesArePackedTogetherAndBatchTasksAvoidThem() {
         Machine empty = fixture.addMachine("empty", false);
         Machine withService = fixture.addMachine("with-service", false);
         fixture.addRunningTask(otherService, withService, SECOND);
@@ -55,12 +55,12 @@
     }
 
     @Test
-    void batchWorkPrefersSpot() {
+    void batchTaskPrefersSpotMachine() {
         assertPreferred(fixture.addMachine("spot", true), fixture.addMachine("full-price", false), batch);
     }
 
     @Test
-    void suspectMachineComesLast() {
+    void suspectMachineIsRankedLast() {
         Machine suspect = fixture.addMachine("suspect", true);
         Machine sound = fixture.addMachine("sound", false);
         suspect.capacity().imageSeen(batch.spec().image());
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -36,19 +36,22 @@
 import org.granitepath.storage.Priority;
 import org.granitepath.storage.ProgressRecord;
 
-/** A small fleet and its jobs, out of the real classes, at one moment. */
+/** A small fleet and its jobs, made of the production classes, at one moment. */
 public final class PlacementFixture {
+    /** One second in microseconds. */
     public static final long SECOND = 1_000_000;
+    /** The time at which the fixture's timers start, in microseconds. */
     public static final long NOW = 1_000 * SECOND;
+    /** One CPU in thousandths. */
     public static final long CPU = 1_000;
-    /** Its tasks are expected to start sooner than a machine boots. */
+    /** A job class whose objective requires its tasks to start sooner than a machine boots. */
     public static final String URGENT_CLASS = "prompt";
 
-    /** Each machine has four CPUs and fetches images at 1 GB/s. */
+    /** The type of all machines: four CPUs, images are fetched at 1 GB/s, and booting takes 20 s. */
     private static final MachineType TYPE =
             new MachineType("small", 4 * CPU, 0, 16_000, 1, 1, 0.3, 20 * SECOND, List.of("a", "b"));
 
-    /** Stands at {@link #NOW} until a test moves it. */
+    /** Start at {@link #NOW}; only a test advances them. */
     public final ManualTimers timers = new ManualTimers(NOW);
 
     public final Config config;
@@ -60,6 +63,7 @@
     public final FaultTracker faults = new FaultTracker();
     public final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
 
+    /** Creates an empty fleet with these teams. */
     public PlacementFixture(Team... teams) {
         Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
         config = config(byName);
@@ -86,7 +90,7 @@
                 Tuning.defaults());
     }
 
-    /** An empty machine that takes tasks. */
+    /** Adds an empty machine in zone "a" that accepts tasks. */
     public Machine addMachine(String id, boolean spot) {
         Machine machine =
                 fleet.newMachine(new Heartbeat(id, id + ":1", TYPE.name(), "a", spot, 1, 1, 1, 0, List.of()), 1);
@@ -97,7 +101,7 @@
         return machine;
     }
 
-    /** A task of the job that has run there for so long. */
+    /** Places the job's next task on the machine, as one that has run for this long. */
     public Placement addRunningTask(ActiveJob job, Machine machine, long ranMicros) {
         Placement placement = tasks.start(job, machine, NOW - ranMicros);
         placement.sentDirectly();
@@ -105,19 +109,22 @@
         return placement;
     }
 
+    /** Returns a builder for a batch job. */
     public JobBuilder batch(String id, Priority priority) {
         return new JobBuilder(id, JobSpec.Shape.BATCH, priority);
     }
 
+    /** Returns a builder for a gang. */
     public JobBuilder gang(String id, Priority priority) {
         return new JobBuilder(id, JobSpec.Shape.GANG, priority);
     }
 
+    /** Returns a builder for a service. */
     public JobBuilder service(String id, Priority priority) {
         return new JobBuilder(id, JobSpec.Shape.SERVICE, priority);
     }
 
-    /** A job with 10 tasks of one CPU each, of team "t", that allows spot machines; what differs is set. */
+    /** Builds a job. By default it has 10 tasks with one CPU each, belongs to team "t" and allows spot machines. */
     public final class JobBuilder {
         private final String id;
         private final JobSpec.Shape shape;
@@ -137,46 +144,55 @@
             this.priority = priority;
         }
 
+        /** Sets the name of the job class. */
         public JobBuilder jobClass(String name) {
             jobClass = name;
             return this;
         }
 
+        /** Sets the name of the team. */
         public JobBuilder team(String name) {
             team = name;
             return this;
         }
 
+        /** Sets the number of tasks. */
         public JobBuilder tasks(int count) {
             tasks = count;
             return this;
         }
 
+        /** Sets the CPU that each task needs, in thousandths of a CPU. */
         public JobBuilder cpuMillis(long amount) {
             cpuMillis = amount;
             return this;
         }
 
+        /** Sets the size of the image in gigabytes. */
         public JobBuilder imageGb(double size) {
             imageGb = size;
             return this;
         }
 
+        /** Sets the interval between checkpoints in microseconds; 0 for none. */
         public JobBuilder checkpointMicros(long interval) {
             checkpointMicros = interval;
             return this;
         }
 
+        /** Sets the deadline in microseconds after acceptance. */
         public JobBuilder deadlineMicros(long deadline) {
             deadlineMicros = deadline;
             return this;
         }
 
+        /** Sets the time of acceptance in microseconds. */
         public JobBuilder acceptedMicros(long timeOfDay) {
             acceptedMicros = timeOfDay;
             return this;
         }
 
+        /** Creates the job and adds it to the active jobs of the fixture. */
         public ActiveJob build() {
             JobSpec spec = new JobSpec(
                     id,
--- a/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
@@ -14,7 +14,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Where jobs may run. */
+/** Tests which machines a job can use, and the limits and quotas of teams. */
 class PlacementRulesTest {
     private final PlacementFixture fixture =
             new PlacementFixture(new Team("t", 2 * CPU, 3 * CPU, 0, 0), new Team("u", 0, 0, 0, 0));
@@ -22,7 +22,7 @@
     private final ActiveJob batch = fixture.batch("batch", Priority.STANDARD).build();
 
     @Test
-    void reservationIsForItsGangAndLiveServices() {
+    void reservedMachineIsOpenToItsGangAndToLiveServices() {
         ActiveJob gang = fixture.batch("gang", Priority.STANDARD).build();
         ActiveJob live = fixture.service("live", Priority.CRITICAL).build();
         assertTrue(fixture.rules.respectsReservation(machine, batch));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void machineThatDrainsSatisfiesConstraintsButIsNotEligible() {
+    void drainingMachineSatisfiesConstraintsButIsNotEligible() {
         assertTrue(fixture.rules.isEligible(machine, batch, NOW));
         machine.drain("test");
         assertTrue(fixture.rules.satisfiesConstraints(machine, batch, NOW));
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void silentMachineIsNotEligible() {
+    void unresponsiveMachineIsNotEligible() {
         assertFalse(fixture.rules.isEligible(machine, batch, NOW + 60 * SECOND));
     }
 
     @Test
-    void deferrableJobLeavesFullPriceMachineAlone() {
+    void deferrableJobDoesNotUseFullPriceMachine() {
         batch.scheduling().setDeferrable(true);
         long minimumChargeOver = NOW + Machine.MINIMUM_CHARGE_MICROS;
         assertFalse(fixture.rules.satisfiesConstraints(machine, batch, minimumChargeOver));
@@ -54,14 +54,14 @@
     }
 
     @Test
-    void limitCountsAllTasksTogether() {
+    void teamLimitCountsAllRequestedTasksTogether() {
         fixture.addRunningTask(batch, machine, SECOND);
         assertTrue(fixture.rules.isWithinTeamLimit(batch.spec(), 2));
         assertFalse(fixture.rules.isWithinTeamLimit(batch.spec(), 3));
     }
 
     @Test
-    void borrowedIsWhatExceedsTheQuotaAndGoesOn() {
+    void borrowedCpuExceedsTheQuotaAndExcludesStoppingTasks() {
         fixture.addRunningTask(batch, machine, SECOND);
         fixture.addRunningTask(batch, machine, SECOND);
         Placement third = fixture.addRunningTask(batch, machine, SECOND);
--- a/src/test/java/org/granitepath/coordination/placement/ZoneFilterTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/ZoneFilterTest.java
@@ -5,16 +5,16 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which zones are looked at. */
+/** Tests which zones a filter includes. */
 class ZoneFilterTest {
     @Test
-    void anyZoneLeavesNoneOut() {
+    void anyZoneIncludesEveryZone() {
         assertTrue(ZoneFilter.ANY_ZONE.includes("a"));
         assertTrue(ZoneFilter.ANY_ZONE.includes("b"));
     }
 
     @Test
-    void onlyOneZoneLeavesOutAllOthers() {
+    void filterForOneZoneExcludesAllOthers() {
         assertTrue(ZoneFilter.only("a").includes("a"));
         assertFalse(ZoneFilter.only("a").includes("b"));
     }
--- a/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which job gets the next task. */
+/** Tests the order in which queued jobs get the next task. */
 class CandidateTest {
     private final PlacementFixture fixture = new PlacementFixture();
 
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void classThenShareThenPriorityThenAge() {
+    void candidatesAreOrderedByClassThenShareThenPriorityThenAge() {
         List<Candidate> expected = List.of(
                 new Candidate(job("live", Priority.HIGH, 9), SchedulingClass.LIVE, 0.9),
                 new Candidate(job("guaranteed", Priority.BEST_EFFORT, 9), SchedulingClass.GUARANTEED, 0.8),
--- a/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/ConsolidatorTest.java
@@ -13,10 +13,13 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are emptied: of two with four CPUs each, one holds a replica of one CPU and the other two. */
+/**
+ * Tests which machines are drained. Of two machines with four CPUs each, one hosts one replica with one CPU and the
+ * other hosts two such replicas.
+ */
 class ConsolidatorTest {
-    private static final long INTERVAL = 4 * SECOND;
-    private static final long LONG_ENOUGH = 40 * SECOND;
+    private static final long INTERVAL_MICROS = 4 * SECOND;
+    private static final long MIN_RUNTIME_MICROS = 40 * SECOND;
 
     private final PlacementFixture fixture = new PlacementFixture();
     private final Consolidator consolidator = new Consolidator(
@@ -32,7 +35,7 @@
         return fixture.service(id, Priority.STANDARD).tasks(tasks).build();
     }
 
-    private Placement replicas(long ranMicros) {
+    private Placement addReplicas(long ranMicros) {
         ActiveJob service = service("service", 3);
         Placement onEmptier = fixture.addRunningTask(service, emptier, ranMicros);
         fixture.addRunningTask(service, fuller, ranMicros);
@@ -41,8 +44,8 @@
     }
 
     @Test
-    void theReplicasOfTheEmptiestMachineMove() {
-        Placement onEmptier = replicas(LONG_ENOUGH);
+    void replicasOfTheLeastUsedMachineAreMoved() {
+        Placement onEmptier = addReplicas(MIN_RUNTIME_MICROS);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
         assertEquals(Placement.Phase.STOPPING, onEmptier.phase());
@@ -50,65 +53,65 @@
     }
 
     @Test
-    void nothingMovesWhileWorkWaits() {
-        replicas(LONG_ENOUGH);
+    void noReplicaIsMovedWhileATaskIsWaiting() {
+        addReplicas(MIN_RUNTIME_MICROS);
         service("waiting", 1);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
-    void aMachineWithBatchWorkIsLeftAlone() {
-        replicas(LONG_ENOUGH);
+    void machineWithBatchTaskIsNotDrained() {
+        addReplicas(MIN_RUNTIME_MICROS);
         ActiveJob batch = fixture.batch("batch", Priority.STANDARD)
                 .tasks(1)
                 .cpuMillis(CPU / 2)
                 .build();
-        fixture.addRunningTask(batch, emptier, LONG_ENOUGH);
+        fixture.addRunningTask(batch, emptier, MIN_RUNTIME_MICROS);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
-    void aReplicaRunsForAWhileBeforeItMoves() {
-        replicas(LONG_ENOUGH - 1);
+    void replicaIsNotMovedBeforeTheMinimumRunTime() {
+        addReplicas(MIN_RUNTIME_MICROS - 1);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
-    void machinesAreLookedAtEveryFourSeconds() {
-        replicas(LONG_ENOUGH - 1);
+    void roundsRunEveryFourSeconds() {
+        addReplicas(MIN_RUNTIME_MICROS - 1);
         consolidator.consolidateIfDue(NOW);
-        consolidator.consolidateIfDue(NOW + INTERVAL - 1);
+        consolidator.consolidateIfDue(NOW + INTERVAL_MICROS - 1);
         assertEquals(Machine.Phase.READY, emptier.phase());
-        consolidator.consolidateIfDue(NOW + INTERVAL);
+        consolidator.consolidateIfDue(NOW + INTERVAL_MICROS);
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
     }
 
     @Test
-    void aReplicaThatFitsNowhereElseStays() {
+    void replicaThatFitsOnNoOtherMachineIsNotMoved() {
         ActiveJob service = fixture.service("service", Priority.STANDARD)
                 .tasks(2)
                 .cpuMillis(2 * CPU)
                 .build();
-        fixture.addRunningTask(service, emptier, LONG_ENOUGH);
-        fixture.addRunningTask(service, fuller, LONG_ENOUGH);
-        fixture.addRunningTask(service("small", 1), fuller, LONG_ENOUGH);
+        fixture.addRunningTask(service, emptier, MIN_RUNTIME_MICROS);
+        fixture.addRunningTask(service, fuller, MIN_RUNTIME_MICROS);
+        fixture.addRunningTask(service("small", 1), fuller, MIN_RUNTIME_MICROS);
         consolidator.consolidateIfDue(NOW);
         assertEquals(Machine.Phase.READY, emptier.phase());
     }
 
     @Test
-    void aSmallFleetEmptiesOneMachineAtATime() {
-        replicas(LONG_ENOUGH);
+    void smallFleetDrainsOneMachineAtATime() {
+        addReplicas(MIN_RUNTIME_MICROS);
         Machine third = fixture.addMachine("third", false);
-        fixture.addRunningTask(service("other", 1), third, LONG_ENOUGH);
+        fixture.addRunningTask(service("other", 1), third, MIN_RUNTIME_MICROS);
 
         consolidator.consolidateIfDue(NOW);
-        consolidator.consolidateIfDue(NOW + INTERVAL);
+        consolidator.consolidateIfDue(NOW + INTERVAL_MICROS);
 
         assertEquals(Machine.Phase.DRAINING, emptier.phase());
-        assertEquals(Machine.Phase.READY, third.phase(), "what moves has not found its place yet");
+        assertEquals(Machine.Phase.READY, third.phase(), "the replica of the first machine is still stopping");
     }
 }
--- a/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/PreemptorTest.java
@@ -15,7 +15,7 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which work is stopped for which. */
+/** Tests which tasks are stopped for which jobs. */
 class PreemptorTest {
     private final PlacementFixture fixture = new PlacementFixture(new Team("guaranteed", 4 * CPU, 0, 0, 0));
     private final Preemptor preemptor = new Preemptor(fixture.fleet, fixture.rules, fixture.tasks);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void machineWithTheLeastLoss() {
+    void taskWithTheShortestRunTimeIsPreempted() {
         ActiveJob batch = batch("batch", 4 * CPU);
         Placement longer = fixture.addRunningTask(batch, first, 100 * SECOND);
         Placement shorter = fixture.addRunningTask(batch, second, 10 * SECOND);
@@ -39,19 +39,19 @@
     }
 
     @Test
-    void cheapestVictimsOfOneMachineAndNoMore() {
+    void onlyTheCheapestSufficientVictimsAreStopped() {
         fixture.addRunningTask(batch("blocks", 4 * CPU), second, 1_000 * SECOND);
-        Placement dear = fixture.addRunningTask(batch("dear", 2 * CPU), first, 50 * SECOND);
+        Placement expensive = fixture.addRunningTask(batch("expensive", 2 * CPU), first, 50 * SECOND);
         Placement cheap = fixture.addRunningTask(batch("cheap", 2 * CPU), first, 5 * SECOND);
         ActiveJob small =
                 fixture.service("small", Priority.CRITICAL).cpuMillis(2 * CPU).build();
         assertEquals(1, preemptor.preemptFor(small, 1, false, NOW));
-        assertEquals(Phase.RUNNING, dear.phase());
+        assertEquals(Phase.RUNNING, expensive.phase());
         assertEquals(Phase.STOPPING, cheap.phase());
     }
 
     @Test
-    void aCheckpointMakesATaskCheaper() {
+    void recentCheckpointLowersThePreemptionCost() {
         Placement saved = fixture.addRunningTask(
                 fixture.batch("saves", Priority.BEST_EFFORT)
                         .cpuMillis(4 * CPU)
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whatIsStoppingAlreadyIsCounted() {
+    void tasksThatAreStoppingAlreadyCountAsPendingCapacity() {
         ActiveJob batch = batch("batch", 4 * CPU);
         Placement longer = fixture.addRunningTask(batch, first, 100 * SECOND);
         fixture.addRunningTask(batch, second, 10 * SECOND);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void servicesAndEqualPriorityAreLeftAlone() {
+    void servicesAndTasksOfEqualPriorityAreNotPreempted() {
         fixture.addRunningTask(
                 fixture.service("service", Priority.STANDARD).cpuMillis(4 * CPU).build(), first, 10 * SECOND);
         fixture.addRunningTask(
@@ -84,14 +84,14 @@
         assertEquals(0, preemptor.preemptFor(live, 1, false, NOW));
     }
 
-    private ActiveJob withDeadline() {
+    private ActiveJob jobWithDeadline() {
         return fixture.batch("urgent", Priority.HIGH)
                 .cpuMillis(4 * CPU)
                 .deadlineMicros(100 * SECOND)
                 .build();
     }
 
-    private ActiveJob thatSaves() {
+    private ActiveJob checkpointingJob() {
         return fixture.batch("saves", Priority.BEST_EFFORT)
                 .cpuMillis(4 * CPU)
                 .checkpointMicros(60 * SECOND)
@@ -99,24 +99,24 @@
     }
 
     @Test
-    void aDeadlineStopsWorkThatSavesItself() {
+    void jobWithDeadlinePreemptsOnlyTasksWithCheckpoints() {
         Placement unsaved = fixture.addRunningTask(batch("batch", 4 * CPU), first, 20 * SECOND);
-        Placement saved = fixture.addRunningTask(thatSaves(), second, 100 * SECOND);
-        assertEquals(1, preemptor.preemptFor(withDeadline(), 2, false, NOW));
+        Placement saved = fixture.addRunningTask(checkpointingJob(), second, 100 * SECOND);
+        assertEquals(1, preemptor.preemptFor(jobWithDeadline(), 2, false, NOW));
         assertEquals(Phase.RUNNING, unsaved.phase());
         assertEquals(Phase.STOPPING, saved.phase());
         assertEquals(SECOND, saved.graceMicros());
     }
 
     @Test
-    void aDeadlineStopsNothingThatHasHardlyRun() {
+    void jobWithDeadlineDoesNotPreemptBeforeTheMinimumRunTime() {
         fixture.addRunningTask(batch("batch", 4 * CPU), first, 100 * SECOND);
-        fixture.addRunningTask(thatSaves(), second, 10 * SECOND);
-        assertEquals(0, preemptor.preemptFor(withDeadline(), 1, false, NOW));
+        fixture.addRunningTask(checkpointingJob(), second, 10 * SECOND);
+        assertEquals(0, preemptor.preemptFor(jobWithDeadline(), 1, false, NOW));
     }
 
     @Test
-    void noTeamGivesBackMoreThanItHasBorrowed() {
+    void onlyBorrowedQuotaIsReclaimedFromATeam() {
         ActiveJob lender = fixture.batch("lender", Priority.BEST_EFFORT)
                 .team("lends")
                 .cpuMillis(4 * CPU)
--- a/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
@@ -11,12 +11,12 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which replicas find capacity on fuller machines. A machine has four CPUs and fetches an image at 1 GB/s. */
+/** Tests which replicas find capacity on fuller machines. A machine has four CPUs and fetches images at 1 GB/s. */
 class RelocationPlanTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final RelocationPlan plan = new RelocationPlan(fixture.fleet);
 
-    /** A machine with so much of its CPUs in use by one replica. */
+    /** Adds a machine with one replica that uses this much CPU. */
     private Machine machineWith(String id, long cpuMillis) {
         return machineWith(id, fixture.service(id, Priority.STANDARD).cpuMillis(cpuMillis));
     }
@@ -28,21 +28,21 @@
     }
 
     @Test
-    void capacityIsFoundOnAFullerMachine() {
+    void replicaMovesToAFullerMachine() {
         Machine source = machineWith("source", CPU);
         machineWith("fuller", 3 * CPU);
         assertTrue(plan.moveAllFrom(source));
     }
 
     @Test
-    void emptierMachinesAreNotFilled() {
+    void replicaDoesNotMoveToALessUsedMachine() {
         Machine source = machineWith("source", 2 * CPU);
         machineWith("emptier", CPU);
         assertFalse(plan.moveAllFrom(source));
     }
 
     @Test
-    void allReplicasHaveToFindCapacity() {
+    void allReplicasOfAMachineMustFindCapacity() {
         Machine source = machineWith("source", CPU);
         ActiveJob second = fixture.service("second", Priority.STANDARD).build();
         fixture.addRunningTask(second, source, SECOND);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void capacityIsPromisedOnce() {
+    void capacityIsPromisedOnlyOnce() {
         Machine first = machineWith("first", CPU);
         Machine second = machineWith("second", CPU);
         machineWith("fuller", 3 * CPU);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aMachineThatIsToTakeReplicasKeepsItsOwn() {
+    void targetOfARelocationKeepsItsOwnReplicas() {
         Machine source = machineWith("source", CPU);
         Machine fuller = machineWith("fuller", 2 * CPU);
         machineWith("fullest", 4 * CPU - 1);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aReplicaDoesNotMoveWhereItsImageIsFarAway() {
+    void replicaDoesNotMoveIfItsImageTakesTooLongToFetch() {
         Machine source = machineWith(
                 "source", fixture.service("large-image", Priority.STANDARD).imageGb(2));
         machineWith("fuller", 2 * CPU);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void machinesThatTakeNoTasksTakeNoReplicas() {
+    void replicaDoesNotMoveToADrainingMachine() {
         Machine source = machineWith("source", CPU);
         machineWith("fuller", 2 * CPU).drain("test");
         assertFalse(plan.moveAllFrom(source));
--- a/src/test/java/org/granitepath/coordination/scheduling/ResourceRequestTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/ResourceRequestTest.java
@@ -7,14 +7,14 @@
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which request can't be met when another one could not. */
+/** Tests which requests cannot be met if another request could not be met. */
 class ResourceRequestTest {
     private static ResourceRequest request(long cpuMillis, long memoryMillis, String zone, List<String> closedZones) {
         return new ResourceRequest(cpuMillis, 0, memoryMillis, null, zone, closedZones, true, false, Priority.STANDARD);
     }
 
     @Test
-    void moreOfOneAmountIsMore() {
+    void requestIsAtMostAnotherOnlyIfEveryAmountIs() {
         ResourceRequest small = request(1_000, 1_000, null, List.of());
         assertTrue(small.isAtMost(request(1_000, 1_000, null, List.of())));
         assertTrue(small.isAtMost(request(1_000, 2_000, null, List.of())));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void otherConstraintsAreNotCompared() {
+    void requestsWithDifferentConstraintsAreNotComparable() {
         ResourceRequest anywhere = request(1_000, 1_000, null, List.of());
         assertFalse(anywhere.isAtMost(request(1_000, 1_000, "a", List.of())));
         assertFalse(anywhere.isAtMost(request(1_000, 1_000, null, List.of("a"))));
