--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -33,7 +33,7 @@
         this.guaranteeClassifier = new GuaranteeClassifier(config.teams(), activeJobs);
     }
 
-    /** Evaluates all jobs and machines again, unless the last update is less than {@link #INTERVAL_MICROS} ago. */
+    /** Evaluates all jobs and machines again, unless less than the update interval has passed since the last time. */
     public void updateIfDue(long nowMicros) {
         if (nowMicros < nextUpdateMicros) {
             return;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns how much CPU all tasks together need of the largest unfinished gang that {@linkplain #needsImmediateStart
-     * needs an immediate start}, in thousandths of a CPU; 0 if there is no such gang.
+     * Returns the total CPU of all tasks of the largest gang that {@linkplain #needsImmediateStart needs an immediate
+     * start}, in thousandths of a CPU; 0 if there is no such gang.
      */
     public long largestUrgentGangCpuMillis() {
         return largestUrgentGangCpuMillis;
--- a/src/main/java/org/granitepath/coordination/placement/ImageFetchTime.java
+++ b/src/main/java/org/granitepath/coordination/placement/ImageFetchTime.java
@@ -23,7 +23,7 @@
         return machine.capacity().hasImage(spec.image()) ? 0 : seconds(spec, knownType(machine));
     }
 
-    /** Returns the type of a machine that accepts tasks. Throws an exception if the type is not known. */
+    /** Returns the type of a machine that accepts tasks. Throws a NullPointerException if it is not known. */
     static MachineType knownType(Machine machine) {
         return Objects.requireNonNull(machine.type(), "a machine that takes tasks has a known type");
     }
--- a/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
+++ b/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
@@ -27,7 +27,8 @@
 
     /**
      * Returns the time after its submission by which a job must complete in place of its deadline, in microseconds; 0
-     * if the deadline applies. Some classes have such a time; the deadlines that users give for them are not binding.
+     * if there is no such time. Some classes have a completion objective of their own; for them the deadlines that
+     * users give are not binding.
      */
     long finishInsteadOfDeadlineMicros(ActiveJob job) {
         Objective objective = of(job);
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -70,7 +70,10 @@
                 && faults.mayTry(machine, job);
     }
 
-    /** Returns whether the machine is not reserved, or is reserved for this job, or the job is a live service. */
+    /**
+     * Returns whether the machine is not reserved for a gang, or the job is this gang or a live service, which has
+     * precedence over all gangs.
+     */
     public boolean respectsReservation(Machine machine, ActiveJob job) {
         return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
     }
--- a/src/main/java/org/granitepath/coordination/placement/package-info.java
+++ b/src/main/java/org/granitepath/coordination/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides which machines a job can use, which of them are best, and which jobs can wait for cheaper ones. The only
- * state that it changes is the scheduling state of jobs.
+ * Decides which machines a job can use, which of them are best, and which jobs can wait for cheaper ones. This
+ * package makes decisions but does not carry them out; the only state that it changes is the scheduling state of jobs.
  */
 package org.granitepath.coordination.placement;
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Starts draining a few machines, unless the last round began less than {@link #INTERVAL_MICROS} ago or any job has
-     * a waiting task.
+     * Starts draining a few machines, unless any job has a waiting task or less than the interval between rounds has
+     * passed since the last round.
      */
     public void consolidateIfDue(long nowMicros) {
         if (nowMicros < nextRoundMicros) {
