--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -45,7 +45,7 @@
 
     /** Does nothing before it is started. */
     public Autoscaler(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             Term term,
             PlacementRules rules,
             GangHeadroom gangHeadroom,
@@ -64,13 +64,13 @@
                 new CloudRequestBudget(config.limits().cloudRequestsPerSecond(), timers.nowMicros());
         SpareHeadroom spareHeadroom = new SpareHeadroom();
         this.launcher = new Launcher(cloud, timers, term.fencingToken(), booting, ended);
-        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::terminated, ended);
+        this.terminator = new Terminator(cloud, requestBudget, timers, booting, machines::onTerminated, ended);
         this.lister =
                 new MachineLister(fleet, booting, terminator::terminatedLately, cloud, requestBudget, timers, ended);
         this.scaleOut = new ScaleOut(
                 demand,
                 rules,
-                leadership::leaseConfirmed,
+                leadership::isLeaseConfirmed,
                 failureDetector,
                 booting,
                 requestBudget,
@@ -90,7 +90,7 @@
             return;
         }
         timers.after(TICK_MICROS, this::tick);
-        if (!leadership.leaseConfirmed() || fleet.types().isEmpty()) {
+        if (!leadership.isLeaseConfirmed() || fleet.types().isEmpty()) {
             return;
         }
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -10,12 +10,12 @@
 
 /** Plans machines for gangs: for a whole one, or none. */
 final class GangPlan {
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlannedCapacity planned;
     private final OfferMarket market;
 
     /** Plans nothing before it is told to. */
-    GangPlan(ScaleOutPlan.Demand demand, PlannedCapacity planned, OfferMarket market) {
+    GangPlan(ScaleOutPlan.Inputs demand, PlannedCapacity planned, OfferMarket market) {
         this.demand = demand;
         this.planned = planned;
         this.market = market;
@@ -32,7 +32,7 @@
             return;
         }
         List<String> zones = new ArrayList<>(demand.config().topology().zones());
-        zones.removeIf(zone -> market.isCutOff(zone) || !job.zoneAllows(zone));
+        zones.removeIf(zone -> market.isCutOff(zone) || !job.canPlaceInZone(zone));
         zones.sort(Comparator.comparingInt((String zone) -> slots(spec, ZoneFilter.only(zone)))
                 .reversed());
         for (String zone : zones) {
@@ -50,8 +50,8 @@
     private int freeSlots(JobSpec spec, ZoneFilter zones) {
         int slots = 0;
         for (Machine machine : demand.fleet().machines()) {
-            boolean usable = machine.takesTasks()
-                    && machine.allowedFor(spec)
+            boolean usable = machine.isSchedulable()
+                    && machine.isAllowedFor(spec)
                     && zones.includes(machine.zone())
                     && (machine.reservedFor() == null
                             || machine.reservedFor().spec().equals(spec));
--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -27,7 +27,7 @@
 
     /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
     void survey() {
-        keepsAll = recovery.keepsIdleMachines();
+        keepsAll = recovery.isKeepingIdleMachines();
         gangHeadroom.update();
     }
 
@@ -39,10 +39,10 @@
 
     /** Whether an idle machine stays for live services to come; if it does not, the headroom shrinks by it. */
     private boolean keptAsHeadroom(Machine machine, boolean idle) {
-        boolean idleAtFullPrice = idle && !machine.spot();
-        long freeCpuMillis = machine.capacity().cpuFree();
-        machine.keepAsHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
-        if (machine.keptAsHeadroom()) {
+        boolean idleAtFullPrice = idle && !machine.isSpot();
+        long freeCpuMillis = machine.capacity().freeCpuMillis();
+        machine.setHeadroom(idleAtFullPrice && spareHeadroom.needs(freeCpuMillis));
+        if (machine.isHeadroom()) {
             return true;
         }
         if (idleAtFullPrice) {
@@ -69,7 +69,7 @@
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.spot() ? policy.idleShareSpot() : policy.idleShare();
+        double share = machine.isSpot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
         return (long) (share * type.bootMicros());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineFailures.java
@@ -19,7 +19,7 @@
 
     /** Finds anew whether missing heartbeats tell of the machines at all. Called before a round of decisions. */
     void survey() {
-        heartbeatsTrusted = failureDetector.canJudgeMachines();
+        heartbeatsTrusted = failureDetector.canTrustMissedHeartbeats();
     }
 
     /** Why the machine counts as failed; null: it does not. */
@@ -37,21 +37,21 @@
 
     /** Whether missing heartbeats tell of the machine, and not of a cut behind which its work goes on. */
     private boolean isConclusive(Machine machine, long sinceHeartbeatMicros, long nowMicros) {
-        return (heartbeatsTrusted && !failureDetector.mayWorkWhileCutOff(machine, nowMicros))
+        return (heartbeatsTrusted && !failureDetector.isPartitionedWithPeer(machine, nowMicros))
                 || sinceHeartbeatMicros > partitionTimeoutMicros();
     }
 
     /** Whether its heartbeats arrive, but our answers and commands have not reached it for a lease. */
     private boolean isUnreachable(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && !machine.isAwaitingFirstHeartbeat()
+                && machine.inventory().isRecorded()
                 && nowMicros - machine.unconfirmedSinceMicros() > workers.leaseMicros();
     }
 
     /** How long machines that may only be partitioned are waited for: by then all on them is over in any case. */
     private long partitionTimeoutMicros() {
-        return workers.cancelMicros() + workers.leaseMicros();
+        return workers.cancellationTimeoutMicros() + workers.leaseMicros();
     }
 
     /**
@@ -59,7 +59,7 @@
      * failover its heartbeats may still be on their way to the former leader.
      */
     private long failureTimeoutMicros(Machine machine) {
-        return machine.contact().probeFailed()
+        return machine.contact().hasProbeFailed()
                 ? failureDetector.unresponsiveTimeoutMicros(machine)
                 : workers.leaseMicros();
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -13,7 +13,7 @@
 final class ScaleOut {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlacementRules rules;
     private final BooleanSupplier leaseConfirmed;
     private final FailureDetector failureDetector;
@@ -28,7 +28,7 @@
      * @param leaseConfirmed whether the store confirmed lately that this controller leads
      */
     ScaleOut(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             PlacementRules rules,
             BooleanSupplier leaseConfirmed,
             FailureDetector failureDetector,
@@ -53,7 +53,7 @@
         }
         demand.batchPlanner().updateIfDue(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
-                demand, launcher::refusedLately, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
+                demand, launcher::refusedLately, zone -> failureDetector.isZonePartitioned(zone, nowMicros), nowMicros);
         addPending(plan, nowMicros);
         List<ActiveJob> waiting = demand.jobs().all().stream()
                 .filter(job -> launchesFor(job, nowMicros))
@@ -68,29 +68,29 @@
 
     private void addPending(ScaleOutPlan plan, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (!machine.overdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
+            if (!machine.overdue(nowMicros) && !failureDetector.isZonePartitioned(machine.zone(), nowMicros)) {
                 plan.pending(machine.type(), machine.zone(), machine.spot());
             }
         }
         Fleet fleet = demand.fleet();
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
-            if (type != null && justJoined(machine) && !fleet.overdue(machine, nowMicros)) {
-                plan.pending(type, machine.zone(), machine.spot());
+            if (type != null && justJoined(machine) && !fleet.isHeartbeatOverdue(machine, nowMicros)) {
+                plan.pending(type, machine.zone(), machine.isSpot());
             }
         }
     }
 
     /** Whether it has sent its first heartbeats and is not yet ready for tasks. */
     private static boolean justJoined(Machine machine) {
-        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.awaitingFirstHeartbeat();
+        return machine.phase() == Machine.Phase.UNCONFIRMED && machine.isEmpty() && !machine.isAwaitingFirstHeartbeat();
     }
 
     private boolean launchesFor(ActiveJob job, long nowMicros) {
         return job.waitingTasks() > 0
                 && job.scheduling().isWaiting()
                 && job.scheduling().notBeforeMicros() <= nowMicros
-                && (job.gangAttempt() == null || job.gangAttempt().mayBeCompleted())
+                && (job.gangAttempt() == null || job.gangAttempt().canAddTasks())
                 && rules.isWithinTeamLimit(job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -6,7 +6,7 @@
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.WorkerCommand;
@@ -48,9 +48,9 @@
      */
     void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> repeated) {
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
-        machine.addCleanup(stop);
-        commands.due(machine);
-        loop.wantCycle();
+        machine.addCleanupCommand(stop);
+        commands.enqueue(machine);
+        loop.markCycleNeeded();
         if (!repeated.contains(stop)) {
             plan.countVerdicts(verdict, 1);
             LOG.info(
@@ -65,7 +65,7 @@
     /** The machine need not list this attempt any more if it has exited and nothing can start it again. */
     void clearIfExited(Machine machine, TaskStatus status, Verdict verdict) {
         if (status.state() == TaskState.EXITED && verdict != Verdict.UNCONFIRMED && mayClear(machine, status)) {
-            machine.addCleanup(WorkerCommand.clear(status.task(), status.attempt()));
+            machine.addCleanupCommand(WorkerCommand.clear(status.task(), status.attempt()));
         }
     }
 
@@ -74,7 +74,7 @@
      * been raised: a late copy of that command would start it once more.
      */
     private boolean mayClear(Machine machine, TaskStatus status) {
-        if (machine.contact().mayBeStartedAgain(status.attempt(), machine.fencingToken())) {
+        if (machine.contact().canBeStartedAgain(status.attempt(), machine.fencingToken())) {
             return false;
         }
         machine.contact().forgetDirectStart(status.attempt());
@@ -82,7 +82,7 @@
     }
 
     private boolean isOutcomeDurable(TaskStatus status) {
-        if (status.cause() != Cause.DONE || jobIndex.openJob(status.task().job()) == null) {
+        if (status.cause() != ExitCause.DONE || jobIndex.openJob(status.task().job()) == null) {
             return true;
         }
         return jobIndex.progressOf(status.task().job())
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -45,8 +45,8 @@
      * Calls the machines for which commands are due. Commands to machines that are unresponsive would only time out;
      * should one send a heartbeat after all, its answer holds them.
      */
-    public void sendDue() {
-        if (!leadership.answersWorkers()) {
+    public void sendDueCommands() {
+        if (!leadership.canAnswerWorkers()) {
             return; // we may long have a successor that we don't know of
         }
         long nowMicros = timers.nowMicros();
@@ -61,20 +61,20 @@
     }
 
     private boolean canReceiveCommands(Machine machine, long nowMicros) {
-        return !machine.contact().callInFlight()
+        return !machine.contact().hasCallInFlight()
                 && machine.contact().agentEpoch() >= 0
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     private void sendDirectly(Machine machine) {
-        List<WorkerCommand> toSend = MachineCommands.stopsFor(machine);
+        List<WorkerCommand> toSend = MachineCommands.stopAndClearCommands(machine);
         commands.remove(machine);
         // An answer tells only of the starts in its own call: one sent before, without an answer, may come yet.
         List<Placement> starts = machineCommands.startable(machine);
         for (Placement placement : starts) {
             toSend.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            machine.contact().startedDirectly(placement.attempt(), machine.fencingToken());
-            placement.sentDirectly();
+            machine.contact().recordDirectStart(placement.attempt(), machine.fencingToken());
+            placement.markSentDirectly();
         }
         if (!toSend.isEmpty()) {
             calls.call(machine, toSend, starts, () -> {});
@@ -82,14 +82,14 @@
     }
 
     /** Shows the machine its new fencing token at once, unless a call to it would only time out. */
-    public void showRaisedToken(Machine machine) {
-        if (!fleet.unresponsive(machine, timers.nowMicros())) {
+    public void sendRaisedToken(Machine machine) {
+        if (!fleet.isUnresponsive(machine, timers.nowMicros())) {
             calls.showToken(machine);
         }
     }
 
     /** Shows the token to a machine whose heartbeats come, but under a former token, as long as calls are left. */
-    public void showTokenIfNotAdopted(Machine machine, long nowMicros) {
+    public void sendTokenIfUnacknowledged(Machine machine, long nowMicros) {
         if (hasNotAdoptedToken(machine, nowMicros)) {
             calls.showToken(machine);
         }
@@ -98,10 +98,10 @@
     /** Its heartbeats come and its token is on record, but they have not shown it yet. */
     private boolean hasNotAdoptedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.awaitingFirstHeartbeat()
-                && machine.inventory().recorded()
+                && !machine.isAwaitingFirstHeartbeat()
+                && machine.inventory().isRecorded()
                 && !machine.inventory().needsNewToken()
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     /** Calls a machine whose heartbeat is overdue: whether it can be reached at all is soon known. */
@@ -112,10 +112,10 @@
     }
 
     private boolean isProbeDue(Machine machine, long nowMicros) {
-        return fleet.overdue(machine, nowMicros)
-                && !machine.contact().fenced()
-                && !machine.awaitingFirstHeartbeat()
-                && !machine.contact().callInFlight()
+        return fleet.isHeartbeatOverdue(machine, nowMicros)
+                && !machine.contact().isFenced()
+                && !machine.isAwaitingFirstHeartbeat()
+                && !machine.contact().hasCallInFlight()
                 && nowMicros - machine.contact().lastCallMicros()
                         > config.workers().heartbeatIntervalMicros();
     }
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -58,15 +58,15 @@
         if (underPresentToken) {
             confirm(machine);
         }
-        if (heartbeat.noticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
-            machines.drainBeforePreemption(machine, heartbeat.noticeMicros());
+        if (heartbeat.terminationNoticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
+            machines.drainBeforePreemption(machine, heartbeat.terminationNoticeMicros());
         }
         return true;
     }
 
     private static boolean tellsNews(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
-                && heartbeat.newerThan(
+                && heartbeat.isNewerThan(
                         machine.contact().agentEpoch(), machine.contact().sequence())
                 && heartbeat.fencingToken() <= machine.fencingToken();
     }
@@ -78,21 +78,21 @@
 
     private void noteContact(
             Machine machine, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken, long nowMicros) {
-        machine.contact().messageReceived(heartbeat);
+        machine.contact().recordMessage(heartbeat);
         if (origin == MessageOrigin.HEARTBEAT) {
-            machine.heartbeatReceived(fleet.unresponsive(machine, nowMicros), nowMicros);
+            machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
-        long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
-        machine.contact().leaseRunsUntil(leaseExpiryMicros, underPresentToken);
+        long leaseExpiryMicros = nowMicros + config.workers().maxLeaseMicros();
+        machine.contact().setLeaseExpiry(leaseExpiryMicros, underPresentToken);
     }
 
     /** The worker has shown the present fencing token: what is on the machine is known. */
     private void confirm(Machine machine) {
         if (machine.phase() == Machine.Phase.UNCONFIRMED) {
-            machine.tasksConfirmed();
-            loop.wantCycle();
+            machine.confirmTasks();
+            loop.markCycleNeeded();
         }
         // An attribute of a span that operators filter by: its words stay.
-        recovery.resolved(machine, "heard under fencing token " + machine.fencingToken());
+        recovery.resolve(machine, "heard under fencing token " + machine.fencingToken());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -23,7 +23,7 @@
     }
 
     /** What is to end there, as of now. Every answer that renews a lease holds it: no task outlives its end by that. */
-    public static List<WorkerCommand> stopsFor(Machine machine) {
+    public static List<WorkerCommand> stopAndClearCommands(Machine machine) {
         List<WorkerCommand> stops = new ArrayList<>(machine.cleanupCommands());
         for (Placement placement : machine.placements()) {
             if (placement.phase() == Placement.Phase.STOPPING) {
@@ -35,7 +35,7 @@
 
     /** The placements whose starts may go out now. */
     List<Placement> startable(Machine machine) {
-        if (!machine.takesTasks() || !leadership.mayStart()) {
+        if (!machine.isSchedulable() || !leadership.canStartTasks()) {
             return List.of();
         }
         return machine.placements().stream()
@@ -44,12 +44,12 @@
     }
 
     /** All that this machine is to do, for the answer to its heartbeat. */
-    public List<WorkerCommand> forAnswer(Machine machine) {
-        List<WorkerCommand> answer = stopsFor(machine);
+    public List<WorkerCommand> collectForResponse(Machine machine) {
+        List<WorkerCommand> answer = stopAndClearCommands(machine);
         commands.remove(machine);
         for (Placement placement : startable(machine)) {
             answer.add(WorkerCommand.start(placement.task(), placement.attempt()));
-            placement.sentInAnswer();
+            placement.markSentInResponse();
         }
         return answer;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineInventory.java
@@ -24,10 +24,10 @@
     /** Told of what has gone on record. */
     public interface Listener {
         /** The machine's new fencing token is on record. */
-        void tokenRaised(Machine machine);
+        void onTokenRaised(Machine machine);
 
         /** A write of the inventory is on record; told after the new tokens that it gave. */
-        void recorded();
+        void onInventoryWritten();
     }
 
     private final Timers timers;
@@ -86,8 +86,8 @@
     }
 
     /** How many parts of the inventory can't be read. */
-    public int unreadableParts() {
-        return reader.unreadableParts();
+    public int unreadablePartCount() {
+        return reader.unreadablePartCount();
     }
 
     // ---- machines that come and go -----------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -74,7 +74,7 @@
                 case ADOPTED -> adopted(machine, status, underPresentToken, nowMicros);
                 case FINISHED_MEANWHILE -> finishedMeanwhile(status.task());
                 case STALE, UNKNOWN_JOB -> cleanup.stopOrphan(machine, status, verdict, repeated);
-                case UNCONFIRMED -> machine.taskUnconfirmed();
+                case UNCONFIRMED -> machine.addUnconfirmedTask();
                 case EXITED, LOST -> {}
             }
             if (verdict == Verdict.CONFIRMED || verdict == Verdict.ADOPTED) {
@@ -88,10 +88,10 @@
     private void confirmed(Machine machine, TaskStatus status, boolean underPresentToken, long nowMicros) {
         Placement placement =
                 Objects.requireNonNull(machine.placement(status.task()), "a confirmed task is placed on its machine");
-        if (!placement.seen()) {
+        if (!placement.hasBeenListed()) {
             plan.countVerdicts(Verdict.CONFIRMED, 1);
         }
-        placement.listed(underPresentToken);
+        placement.markListed(underPresentToken);
         statusUpdater.update(machine, placement, status, nowMicros);
     }
 
@@ -137,6 +137,8 @@
 
     /** The worker is the one that was answered, and never showed what the answer told it to start. */
     private static boolean startWasLostInAnswer(Placement placement, Heartbeat heartbeat) {
-        return !placement.seen() && placement.wentOutInAnswer() && placement.agentEpoch() == heartbeat.agentEpoch();
+        return !placement.hasBeenListed()
+                && placement.isSentInResponse()
+                && placement.agentEpoch() == heartbeat.agentEpoch();
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
@@ -37,11 +37,11 @@
      * Restarts lost tasks as far as there is capacity; stops the gang once the remaining tasks would start too late.
      */
     void completeOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
-        if (!attempt.mayBeCompleted() || job.unconfirmedTasks() > 0) {
+        if (!attempt.canAddTasks() || job.unconfirmedTasks() > 0) {
             return;
         }
         replaceLostTasks(job, attempt, machinesWithCapacity, nowMicros);
-        long longestWaitMicros = config.workers().gangWaitMicros()
+        long longestWaitMicros = config.workers().gangWaitTimeoutMicros()
                 - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
         if (job.waitingTasks() > 0
                 && attempt.shouldBeAbandoned(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
@@ -52,7 +52,7 @@
     private void replaceLostTasks(
             ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         while (job.waitingTasks() > 0) {
-            int index = job.firstFreed();
+            int index = job.firstFreedTask();
             Machine machine = replacementMachine(job, attempt, index, machinesWithCapacity, nowMicros);
             if (machine == null) {
                 return;
@@ -78,7 +78,7 @@
         }
         return machineScorer.best(
                 machinesWithCapacity,
-                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.wasTriedOn(index, machine.id()),
+                machine -> rules.canPlace(job, machine, nowMicros) && !attempt.hasBeenTriedOn(index, machine.id()),
                 job.spec());
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -46,8 +46,8 @@
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
         Object2LongOpenHashMap<String> freeCpuMillis = new Object2LongOpenHashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (!machine.spot() && machine.takesTasks()) {
-                freeCpuMillis.addTo(machine.zone(), machine.capacity().cpuFree());
+            if (!machine.isSpot() && machine.isSchedulable()) {
+                freeCpuMillis.addTo(machine.zone(), machine.capacity().freeCpuMillis());
             }
         }
         return freeCpuMillis;
@@ -56,7 +56,7 @@
     /** Returns whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
         return batchPlanner.largestUrgentGangCpuMillis() > 0
-                && !machine.spot()
+                && !machine.isSpot()
                 && machine.zone().equals(zone);
     }
 
@@ -79,13 +79,13 @@
 
     /** Returns whether this idle machine must be kept, because the headroom would not be complete without it. */
     public boolean isNeeded(Machine machine) {
-        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().cpuFree();
+        return isPartOfHeadroom(machine) && spareCpuMillis < machine.capacity().freeCpuMillis();
     }
 
     /** Takes account of a machine that is to be terminated. */
     public void onMachineTerminated(Machine machine) {
         if (isPartOfHeadroom(machine)) {
-            spareCpuMillis -= machine.capacity().cpuFree();
+            spareCpuMillis -= machine.capacity().freeCpuMillis();
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -34,7 +34,7 @@
     }
 
     private boolean hasEnded(ActiveJob job, long nowMicros) {
-        return !job.scheduling().holdsReservation()
+        return !job.scheduling().hasReservation()
                 || nowMicros - job.scheduling().reservedSinceMicros() > maxDurationMicros(job);
     }
 
@@ -57,11 +57,11 @@
      * gangHoldMicros}, so that other work can use the capacity.
      */
     void reserve(ActiveJob job, long nowMicros) {
-        if (nowMicros < job.scheduling().noReservationUntilMicros()) {
+        if (nowMicros < job.scheduling().reservationBlockedUntilMicros()) {
             return;
         }
-        if (!job.scheduling().holdsReservation()) {
-            job.scheduling().reservationBegins(nowMicros);
+        if (!job.scheduling().hasReservation()) {
+            job.scheduling().beginReservation(nowMicros);
         } else if (hasEnded(job, nowMicros)) {
             end(job, nowMicros);
             return;
@@ -75,8 +75,8 @@
         LOG.debug(
                 "job {}: ending the reservation of machines, the gang still does not fit",
                 job.spec().id());
-        job.scheduling().reservationEnds();
-        job.scheduling().reserveNothingUntil(nowMicros + config.tuning().gangHoldMicros());
+        job.scheduling().endReservation();
+        job.scheduling().blockReservationUntil(nowMicros + config.tuning().gangHoldMicros());
         fleet.machines().forEach(machine -> machine.endReservationFor(job));
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -34,10 +34,10 @@
     /** Told when this controller begins and ceases to lead. */
     public interface Listener {
         /** This controller leads, and its replica is as new as the write that made it so. */
-        void elected(Term term);
+        void onElected(Term term);
 
         /** This controller leads no more. */
-        void leadershipLost(String why);
+        void onLeadershipLost(String why);
     }
 
     private final Config config;
@@ -76,7 +76,7 @@
     }
 
     /** Whether a campaign was won and the term is not known to be over. */
-    public boolean leads() {
+    public boolean isLeader() {
         return held != null;
     }
 
@@ -86,13 +86,13 @@
     }
 
     /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
-    public boolean answersWorkers() {
+    public boolean canAnswerWorkers() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING || phase == LeadershipPhase.DISCONNECTED;
     }
 
     /** Whether the store confirmed lately that we lead. */
-    public boolean leaseConfirmed() {
+    public boolean isLeaseConfirmed() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING;
     }
@@ -102,8 +102,8 @@
      * of contact we can't tell that from an outage, unless all others say that they are out of contact as well: then
      * none of them can have confirmed one.
      */
-    public boolean mayStart() {
-        return leaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
+    public boolean canStartTasks() {
+        return isLeaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
     /** When the last request was sent that the store answered with our being the leader; 0 before the first term. */
@@ -118,7 +118,7 @@
     }
 
     /** The leader record changed. */
-    public void leaderChanged() {
+    public void onLeaderRecordChanged() {
         LeaderRecord leader = replica.leader();
         if (held != null) {
             Term term = held.term();
@@ -244,7 +244,7 @@
                 return;
             }
             if (fresh) {
-                listener.elected(begun.term());
+                listener.onElected(begun.term());
             } else {
                 timers.after(CHECK_MICROS, () -> takeOver(begun));
             }
@@ -289,7 +289,7 @@
         formerConfirmedMicros = held.lease().lastConfirmedMicros();
         held = null;
         transition(LeadershipPhase.FOLLOWING, why);
-        listener.leadershipLost(why);
+        listener.onLeadershipLost(why);
         considerCampaign();
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -24,18 +24,18 @@
     /** {@code ENDING}: all tasks done, to be recorded. {@code OVER}: its final state is on record. */
     public enum Phase {
         OPEN,
-        ENDING,
-        OVER;
+        COMPLETING,
+        ENDED;
 
         /** Whether a job may go from this phase to the next one. */
-        boolean allows(Phase next) {
+        boolean canTransitionTo(Phase next) {
             return compareTo(next) < 0;
         }
     }
 
     private final JobSpec spec;
     private final long acceptedMicros;
-    private final long sinceMicros;
+    private final long firstSeenMicros;
     private final TaskNumbers numbers;
     private final Int2ObjectMap<Placement> placements = new Int2ObjectLinkedOpenHashMap<>();
     private final Collection<Placement> placementsView = Collections.unmodifiableCollection(placements.values());
@@ -43,15 +43,15 @@
     private final SchedulingState scheduling = new SchedulingState();
 
     private Phase phase = Phase.OPEN;
-    private double finishedMicros;
-    private int finishedTasks;
+    private double totalRunMicros;
+    private int measuredTasks;
     private @Nullable GangAttempt gangAttempt;
 
     /** A job as its records tell; every claimed task that is not done is unconfirmed. */
     public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
-        this.sinceMicros = nowMicros;
+        this.firstSeenMicros = nowMicros;
         this.numbers = new TaskNumbers(Math.max(record.claimed(), progress.claimed()), progress.done());
         this.tasksByZone = new TasksByZone(spec);
     }
@@ -67,12 +67,12 @@
     }
 
     /** When this leader learnt of it, on the steady clock. */
-    long sinceMicros() {
-        return sinceMicros;
+    long firstSeenMicros() {
+        return firstSeenMicros;
     }
 
     /** Whether it is a service whose start its users wait for: it goes before all other work. */
-    public boolean isLive() {
+    public boolean isLiveService() {
         return spec.service() && !Priority.HIGH.above(spec.priority());
     }
 
@@ -97,7 +97,7 @@
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
+        if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException("job " + spec.id() + " can't go from " + phase + " to " + next);
         }
         LOG.info("job {}: {} -> {} ({})", spec.id(), phase, next, why);
@@ -105,19 +105,19 @@
     }
 
     /** All its tasks are done, which is still to be recorded. */
-    public void allTasksDone() {
-        transition(Phase.ENDING, "all tasks done");
+    public void markCompleting() {
+        transition(Phase.COMPLETING, "all tasks done");
     }
 
     /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
-    public void finalStateRecorded(String outcome) {
-        transition(Phase.OVER, outcome);
+    public void markEnded(String outcome) {
+        transition(Phase.ENDED, outcome);
     }
 
     // ---- counts ------------------------------------------------------------------------------------------------
 
     /** Handed out and not known to be over: placed, or unconfirmed. */
-    public int running() {
+    public int runningTasks() {
         return placements.size() + numbers.unconfirmedCount();
     }
 
@@ -128,12 +128,12 @@
 
     /** Tasks that could start now if there were capacity, claimed or not. */
     public int waitingTasks() {
-        return phase == Phase.OPEN ? unfinishedTasks() - running() : 0;
+        return phase == Phase.OPEN ? unfinishedTasks() - runningTasks() : 0;
     }
 
     /** The finished tasks, as ranges of their numbers. */
-    public RangeSet<Integer> done() {
-        return numbers.done();
+    public RangeSet<Integer> doneTasks() {
+        return numbers.doneTasks();
     }
 
     /** Whether this task is done. */
@@ -144,13 +144,13 @@
     // ---- claims ------------------------------------------------------------------------------------------------
 
     /** Tasks below this are ours by record. */
-    public int claimed() {
-        return numbers.claimed();
+    public int claimedTasks() {
+        return numbers.claimedTasks();
     }
 
     /** A larger claim is on record. */
-    public void claimRecorded(int tasks) {
-        numbers.claimRecorded(tasks);
+    public void confirmClaim(int tasks) {
+        numbers.confirmClaim(tasks);
     }
 
     /** The claim that was asked for last, on record or not. */
@@ -159,18 +159,18 @@
     }
 
     /** A claim of this many tasks is to be recorded. */
-    public void claimRequested(int tasks) {
-        numbers.claimRequested(tasks);
+    public void requestClaim(int tasks) {
+        numbers.requestClaim(tasks);
     }
 
     /** Tasks at or above this were never handed out. */
-    public int firstNeverStarted() {
-        return numbers.firstNeverStarted();
+    public int firstUnstartedTask() {
+        return numbers.firstUnstartedTask();
     }
 
     /** Whether a task could be started without a further claim. */
-    public boolean hasClaimedTask() {
-        return numbers.hasClaimed();
+    public boolean hasStartableTask() {
+        return numbers.hasStartableTask();
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
@@ -186,8 +186,8 @@
     }
 
     /** The lowest task number that was started before and is free again. */
-    public int firstFreed() {
-        return numbers.firstFreed();
+    public int firstFreedTask() {
+        return numbers.firstFreedTask();
     }
 
     /** The attempts of its tasks that are on machines, or may be. */
@@ -206,22 +206,22 @@
     }
 
     /** A task of it is placed. */
-    public void place(Placement placement) {
+    public void addPlacement(Placement placement) {
         int task = placement.task().index();
         placements.put(task, placement);
         tasksByZone.add(placement.machine().zone());
-        numbers.placed(task);
+        numbers.markPlaced(task);
     }
 
     /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
-    public void unplace(Placement placement, boolean elsewhere) {
+    public void removePlacement(Placement placement, boolean elsewhere) {
         int task = placement.task().index();
         if (!placements.remove(task, placement)) {
             return;
         }
         tasksByZone.remove(placement.machine().zone());
-        if (phase != Phase.OVER) {
-            numbers.unplaced(task, elsewhere);
+        if (phase != Phase.ENDED) {
+            numbers.markRemoved(task, elsewhere);
         }
     }
 
@@ -250,8 +250,8 @@
     // ---- zones -------------------------------------------------------------------------------------------------
 
     /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
-    public boolean zoneAllows(String zone) {
-        return tasksByZone.allows(zone, numbers.unconfirmedCount());
+    public boolean canPlaceInZone(String zone) {
+        return tasksByZone.canPlaceInZone(zone, numbers.unconfirmedCount());
     }
 
     /** How many of its tasks are placed in each zone. */
@@ -262,19 +262,19 @@
     // ---- run times ---------------------------------------------------------------------------------------------
 
     /** A task that this term has seen from its start on has run to its end. */
-    public void taskFinished(long runMicros) {
-        finishedMicros += runMicros;
-        finishedTasks++;
+    public void addRunTime(long runMicros) {
+        totalRunMicros += runMicros;
+        measuredTasks++;
     }
 
     /** Run time of those of its tasks that finished in this term, together. */
-    public double finishedMicros() {
-        return finishedMicros;
+    public double totalRunMicros() {
+        return totalRunMicros;
     }
 
     /** How many of its tasks finished in this term, run time known. */
-    public int finishedTasks() {
-        return finishedTasks;
+    public int measuredTasks() {
+        return measuredTasks;
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
@@ -292,7 +292,7 @@
     }
 
     /** No task of the attempt is on a machine any more. */
-    public void forgetGangAttempt() {
+    public void clearGangAttempt() {
         gangAttempt = null;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -7,13 +7,13 @@
  */
 public enum SchedulingClass {
     /** A service whose start its users wait for. */
-    LIVE,
+    LIVE_SERVICE,
     /** Within the guaranteed quota of its team. */
     GUARANTEED,
     /** Makes its deadline together with all others that do. */
-    IN_TIME,
+    MEETS_DEADLINE,
     /** Makes the longest multiple of its deadline that the objectives name. */
-    NEARLY,
+    MEETS_EXTENDED_DEADLINE,
     /** Late all the same, or without a deadline. */
-    ANY
+    OTHER
 }
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
@@ -62,20 +62,20 @@
             if (machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
                     && !machine.contact()
-                            .unresponsive(nowMicros, config.workers().heartbeatIntervalMicros())) {
+                            .isUnresponsive(nowMicros, config.workers().heartbeatIntervalMicros())) {
                 long batchCpuMillis =
-                        machine.type().cpuMillis() - machine.capacity().cpuUsedByServices();
+                        machine.type().cpuMillis() - machine.capacity().serviceCpuMillis();
                 cpuMillis += batchCpuMillis;
-                cheapCpuMillis += machine.spot() || machine.capacity().hostsService() ? batchCpuMillis : 0;
+                cheapCpuMillis += machine.isSpot() || machine.capacity().hasService() ? batchCpuMillis : 0;
             }
         }
     }
 
     /** Returns the CPU time that the job still needs, in thousandths of a CPU times microseconds. */
     double remainingWork(ActiveJob job) {
-        return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.running())
+        return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.runningTasks())
                 * job.spec().cpuMillis()
-                * runtimeEstimator.taskMicros(job);
+                * runtimeEstimator.expectedTaskMicros(job);
     }
 
     /** Returns the capacity that batch tasks use or can use, in thousandths of a CPU. */
--- a/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/GuaranteeClassifier.java
@@ -41,10 +41,10 @@
             }
             cpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().cpuMillis());
             gpuMillis.addTo(team.name(), job.unfinishedTasks() * job.spec().gpuMillis());
-            if (!job.isLive()
-                    && cpuMillis.getLong(team.name()) <= team.cpuGuarantee()
-                    && gpuMillis.getLong(team.name()) <= team.gpuGuarantee()) {
-                job.scheduling().classify(SchedulingClass.GUARANTEED);
+            if (!job.isLiveService()
+                    && cpuMillis.getLong(team.name()) <= team.cpuGuaranteeMillis()
+                    && gpuMillis.getLong(team.name()) <= team.gpuGuaranteeMillis()) {
+                job.scheduling().setSchedulingClass(SchedulingClass.GUARANTEED);
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -41,9 +41,9 @@
      * tasks, is responsive, and {@linkplain #satisfiesConstraints satisfies the job's constraints}.
      */
     public boolean isEligible(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.takesTasks()
+        return machine.isSchedulable()
                 && satisfiesConstraints(machine, job, nowMicros)
-                && !fleet.unresponsive(machine, nowMicros);
+                && !fleet.isUnresponsive(machine, nowMicros);
     }
 
     /**
@@ -52,7 +52,7 @@
      */
     public boolean canPlace(ActiveJob job, Machine machine, long nowMicros) {
         return machine.capacity().fits(job.spec())
-                && machine.takesTasks()
+                && machine.isSchedulable()
                 && respectsReservation(machine, job)
                 && satisfiesConstraints(machine, job, nowMicros);
     }
@@ -64,10 +64,10 @@
      * before a termination could save any cost.
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.allowedFor(job.spec())
-                && job.zoneAllows(machine.zone())
-                && (!job.scheduling().deferrable() || isPaidForAnyway(machine, job, nowMicros))
-                && faults.mayTry(machine, job);
+        return machine.isAllowedFor(job.spec())
+                && job.canPlaceInZone(machine.zone())
+                && (!job.scheduling().isDeferrable() || isPaidForAnyway(machine, job, nowMicros))
+                && faults.canTry(machine, job);
     }
 
     /**
@@ -75,25 +75,25 @@
      * precedence over all gangs.
      */
     public boolean respectsReservation(Machine machine, ActiveJob job) {
-        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLive();
+        return machine.reservedFor() == null || machine.reservedFor() == job || job.isLiveService();
     }
 
     private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
-        return machine.spot()
-                || machine.capacity().hostsService()
-                || machine.keptAsHeadroom()
-                || nowMicros + runtimeEstimator.taskMicros(job)
+        return machine.isSpot()
+                || machine.capacity().hasService()
+                || machine.isHeadroom()
+                || nowMicros + runtimeEstimator.expectedTaskMicros(job)
                         < machine.launchedMicros() + Machine.MINIMUM_CHARGE_MICROS;
     }
 
     /** Returns whether tasks failed on this machine recently, so that any other machine is better. */
     public boolean isSuspect(Machine machine) {
-        return faults.suspects(machine);
+        return faults.isSuspect(machine);
     }
 
     /** Returns whether another task of this job can be started at all, regardless of capacity. */
     public boolean canStartAnotherTask(ActiveJob job) {
-        return isWithinTeamLimit(job.spec()) && faults.mayStartAnother(job);
+        return isWithinTeamLimit(job.spec()) && faults.canStartAnother(job);
     }
 
     /**
@@ -108,7 +108,7 @@
     /** Returns whether this many more such tasks together are within their team's limit. */
     public boolean isWithinTeamLimit(JobSpec spec, int count) {
         return teamLimits.allows(spec, count)
-                && (!teamLimits.limits(spec) || (recovery.noMachineAwaited() && fleet.noOrphanedTasks()));
+                && (!teamLimits.hasLimit(spec) || (recovery.hasResolvedAllMachines() && fleet.hasNoOrphanedTasks()));
     }
 
     /**
@@ -126,6 +126,6 @@
                 }
             }
         }
-        return teamLimits.borrowedCpu(team) - stoppingCpuMillis;
+        return teamLimits.borrowedCpuMillis(team) - stoppingCpuMillis;
     }
 }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -16,7 +16,7 @@
     }
 
     /** The state of a machine as the cloud lists it. */
-    enum HostState {
+    enum MachineState {
         BOOTING,
         RUNNING,
         FAILED
@@ -26,27 +26,27 @@
     record LaunchRequest(String idempotencyKey, String type, String zone, boolean spot, int count) {}
 
     /** The machines that a launch brought. */
-    record LaunchResult(Outcome outcome, List<String> hosts) {}
+    record LaunchResult(Outcome outcome, List<String> machineIds) {}
 
     /**
      * A machine as the cloud lists it.
      *
      * @param address where its worker answers; null while it boots
      */
-    record ListedHost(
+    record ListedMachine(
             String id,
             @Nullable String address,
             String type,
             String zone,
             boolean spot,
-            HostState state,
+            MachineState state,
             long ageMicros) {}
 
     /** A page of the list of machines; it may be out of date. */
-    record Listing(Outcome outcome, List<ListedHost> hosts, boolean more) {}
+    record Listing(Outcome outcome, List<ListedMachine> machines, boolean hasMore) {}
 
     /** Asks for the machine types; answered with null when they could not be had. */
-    void types(Consumer<@Nullable List<MachineType>> then);
+    void fetchMachineTypes(Consumer<@Nullable List<MachineType>> then);
 
     /** Launches machines. */
     void launch(LaunchRequest request, Consumer<LaunchResult> then);
@@ -55,5 +55,5 @@
     void terminate(List<String> hosts, Consumer<Boolean> then);
 
     /** Lists machines by name, beginning after {@code from}. */
-    void list(String from, int limit, Consumer<Listing> then);
+    void listMachines(String from, int limit, Consumer<Listing> then);
 }
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -4,7 +4,7 @@
 
 /** A worker's heartbeat. {@code noticeMicros} is negative when the cloud has announced nothing. */
 public record Heartbeat(
-        String host,
+        String machineId,
         String address,
         String type,
         String zone,
@@ -12,7 +12,7 @@
         long agentEpoch,
         long sequence,
         long fencingToken,
-        long noticeMicros,
+        long terminationNoticeMicros,
         List<TaskStatus> tasks) {
 
     /** What a task on a machine does. {@code WAITING}: a task of a gang waits for the others. */
@@ -28,7 +28,7 @@
      * Why a task has exited. {@code PEER_GONE}: another task of its gang is gone. {@code INCOMPLETE}: its gang was not
      * complete in time.
      */
-    public enum Cause {
+    public enum ExitCause {
         NONE,
         DONE,
         STOPPED,
@@ -41,10 +41,10 @@
     }
 
     /** One task on the machine; {@code saved} when its progress was kept. */
-    public record TaskStatus(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean saved) {}
 
     /** Whether this heartbeat was made later than one with the given agent epoch and sequence. */
-    public boolean newerThan(long otherAgentEpoch, long otherSequence) {
+    public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
         return agentEpoch > otherAgentEpoch || (agentEpoch == otherAgentEpoch && sequence > otherSequence);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -52,15 +52,15 @@
         queue.clear();
         for (ActiveJob job : activeJobs.all()) {
             if (job.waitingTasks() <= 0) {
-                job.scheduling().noTaskWaiting();
+                job.scheduling().clearWaiting();
                 continue;
             }
             if (job.scheduling().notBeforeMicros() > nowMicros) {
                 continue;
             }
-            jobs.claim(job);
-            job.scheduling().tasksWaiting(nowMicros);
-            if (job.hasClaimedTask() && recovery.mayStart(job)) {
+            jobs.claimNextBlock(job);
+            job.scheduling().markWaiting(nowMicros);
+            if (job.hasStartableTask() && recovery.canStart(job)) {
                 add(job, nowMicros);
             }
         }
@@ -68,8 +68,8 @@
 
     /** Queues a job again with its current share if it has another claimed task to start. */
     void addAgain(ActiveJob job, long nowMicros) {
-        jobs.claim(job);
-        if (job.waitingTasks() > 0 && job.hasClaimedTask()) {
+        jobs.claimNextBlock(job);
+        if (job.waitingTasks() > 0 && job.hasStartableTask()) {
             add(job, nowMicros);
         }
     }
@@ -108,12 +108,14 @@
     private Candidate candidate(ActiveJob job) {
         return new Candidate(
                 job,
-                job.isLive() ? SchedulingClass.LIVE : job.scheduling().schedulingClass(),
+                job.isLiveService()
+                        ? SchedulingClass.LIVE_SERVICE
+                        : job.scheduling().schedulingClass(),
                 fairShare.share(
                         job.spec().priority(),
                         job.spec().hasDeadline(),
                         job.spec().tasks(),
                         job.unfinishedTasks(),
-                        job.running()));
+                        job.runningTasks()));
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -37,7 +37,7 @@
 
     /** Returns whether any task at all can be stopped for the job. */
     boolean mayPreempt() {
-        return job.isLive() || job.spec().hasDeadline() || reclaimsBorrowed;
+        return job.isLiveService() || job.spec().hasDeadline() || reclaimsBorrowed;
     }
 
     /** Returns whether this task can be stopped for the job. */
@@ -61,7 +61,7 @@
      * service, which needs the capacity at once.
      */
     long graceMicros(Placement victim) {
-        return job.isLive() ? 0 : victim.job().spec().saveMicros();
+        return job.isLiveService() ? 0 : victim.job().spec().saveMicros();
     }
 
     /**
@@ -72,13 +72,13 @@
         if (!job.spec().priority().above(victim.priority()) || victim.service()) {
             return false;
         }
-        if (!job.isLive() && victim.gang()) {
+        if (!job.isLiveService() && victim.gang()) {
             return false; // a gang saves its progress only if all its tasks receive the stop in time
         }
-        return job.isLive()
+        return job.isLiveService()
                 || (victim.checkpointMicros() > 0
                         && placement.hasRun()
-                        && placement.ranMicros(nowMicros) > MIN_RUNTIME_MICROS);
+                        && placement.runTimeMicros(nowMicros) > MIN_RUNTIME_MICROS);
     }
 
     /** Returns whether another team runs this task on borrowed quota. Service replicas are never stopped. */
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -59,10 +59,10 @@
 
     private static boolean mayMoveTo(Machine machine, Machine source, JobSpec spec) {
         return machine != source
-                && machine.takesTasks()
-                && machine.allowedFor(spec)
+                && machine.isSchedulable()
+                && machine.isAllowedFor(spec)
                 && (machine.zone().equals(source.zone()) || !spec.spread())
                 && ImageFetchTime.secondsOn(machine, spec) < MAX_FETCH_SECONDS
-                && machine.capacity().cpuUsedShare() > source.capacity().cpuUsedShare();
+                && machine.capacity().usedCpuShare() > source.capacity().usedCpuShare();
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -61,8 +61,8 @@
     /** Runs one cycle, which starts tasks until no further task fits. */
     public void runCycle() {
         long nowMicros = timers.nowMicros();
-        recovery.cycleBegins(nowMicros);
-        recovery.cycleEnded(scheduleAll(nowMicros));
+        recovery.onCycleStart(nowMicros);
+        recovery.onCycleEnd(scheduleAll(nowMicros));
     }
 
     /** Returns how many tasks of live work have no capacity yet while other tasks are being stopped for them. */
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -80,7 +80,7 @@
     private int preemptForEqualRequests(ActiveJob job, ResourceRequest request, long nowMicros) {
         int wanted = job.waitingTasks() + waitingWithSameRequest(request);
         int pending = preemptor.preemptFor(job, wanted, false, nowMicros);
-        return LiveWorkBacklog.includes(job.spec()) ? pending : 0;
+        return LiveWorkBacklog.isLiveWork(job.spec()) ? pending : 0;
     }
 
     private int waitingWithSameRequest(ResourceRequest request) {
@@ -96,7 +96,7 @@
      * machine lacks it.
      */
     private static boolean waitsForImage(ActiveJob job, Machine machine, long nowMicros) {
-        return job.isLive()
+        return job.isLiveService()
                 && !machine.capacity().hasImage(job.spec().image())
                 && nowMicros - job.scheduling().waitingSinceMicros() < IMAGE_WAIT_MICROS;
     }
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -65,7 +65,7 @@
         for (Machine machine : List.copyOf(fleet.machines())) {
             machineChecks.check(machine, nowMicros);
         }
-        if (recovery.noMachineAwaited() && leadership.leaseConfirmed()) {
+        if (recovery.hasResolvedAllMachines() && leadership.isLeaseConfirmed()) {
             consolidator.consolidateIfDue(nowMicros);
         }
         loop.requestCycle();
@@ -77,7 +77,7 @@
         lastRunMicros = nowMicros;
         if (pauseMicros > PAUSE_MICROS) {
             LOG.info("we stood still for {} s: no machine counts as unresponsive for that", pauseMicros / 1_000_000);
-            fleet.excusePause(pauseMicros, nowMicros);
+            fleet.compensateForPause(pauseMicros, nowMicros);
         }
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -40,7 +40,7 @@
 
     private Machine paidMachine(String id, boolean spot) {
         Machine machine = fixture.addMachine(id, spot);
-        machine.launchedAt(LONG_AGO);
+        machine.setLaunchedMicros(LONG_AGO);
         return machine;
     }
 
@@ -67,9 +67,9 @@
     @Test
     void afterAFixedTimeWhereTheBootTimeIsUnknown() {
         Machine machine = new Machine("m", "m:1", "unknown", "a", false);
-        machine.tasksConfirmed();
-        machine.heartbeatReceived(true, NOW);
-        machine.launchedAt(LONG_AGO);
+        machine.confirmTasks();
+        machine.recordHeartbeat(true, NOW);
+        machine.setLaunchedMicros(LONG_AGO);
         assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE);
     }
 
@@ -95,7 +95,7 @@
     @Test
     void notWhileItsTasksAreUnconfirmed() {
         Machine machine = paidMachine("m", false);
-        machine.confirmationLost(NOW, "test");
+        machine.markUnconfirmed(NOW, "test");
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 
@@ -106,10 +106,10 @@
         Machine second = paidMachine("m2", false);
 
         assertTrue(releasedAfter(first, IDLE + 1));
-        assertFalse(first.keptAsHeadroom());
+        assertFalse(first.isHeadroom());
 
         assertFalse(releasedAfter(second, IDLE + 1));
-        assertTrue(second.keptAsHeadroom());
+        assertTrue(second.isHeadroom());
     }
 
     @Test
@@ -117,7 +117,7 @@
         spareHeadroom.update(0);
         Machine machine = paidMachine("m", true);
         assertTrue(releasedAfter(machine, IDLE_SPOT + 1));
-        assertFalse(machine.keptAsHeadroom());
+        assertFalse(machine.isHeadroom());
     }
 
     @Test
@@ -125,12 +125,12 @@
         spareHeadroom.update(0);
         Machine machine = paidMachine("m", false);
         releasedAfter(machine, IDLE + 1);
-        assertTrue(machine.keptAsHeadroom());
+        assertTrue(machine.isHeadroom());
 
         fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         releasedAfter(machine, IDLE + 1);
 
-        assertFalse(machine.keptAsHeadroom());
+        assertFalse(machine.isHeadroom());
     }
 
     @Test
@@ -148,8 +148,8 @@
     @Test
     void notWhileARecoveryHoldsBatchWork() {
         Machine machine = paidMachine("m", false);
-        recoveryPlan.takeOver("awaited", machine.profile());
-        recoveryPlan.recordsRead(1, NOW);
+        recoveryPlan.takeOverMachine("awaited", machine.profile());
+        recoveryPlan.onRecordsRead(1, NOW);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 }
--- a/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/ScaleOutTest.java
@@ -29,7 +29,7 @@
     private final CloudRequestBudget budget = new CloudRequestBudget(ENOUGH_REQUESTS_PER_SECOND, NOW);
     private boolean leaseConfirmed = true;
     private final ScaleOut scaleOut = new ScaleOut(
-            new ScaleOutPlan.Demand(
+            new ScaleOutPlan.Inputs(
                     fixture.config,
                     fixture.fleet,
                     fixture.jobs,
@@ -47,7 +47,7 @@
 
     private ActiveJob waitingJob(PlacementFixture.JobBuilder builder) {
         ActiveJob job = builder.tasks(4).build();
-        job.scheduling().tasksWaiting(NOW);
+        job.scheduling().markWaiting(NOW);
         return job;
     }
 
@@ -129,7 +129,7 @@
 
     @Test
     void nothingIsLaunchedForAJobThatMayNotStartYet() {
-        waitingJob().scheduling().startNothingBefore(NOW + SECOND);
+        waitingJob().scheduling().delayStartsUntil(NOW + SECOND);
         assertLaunches(0);
     }
 
@@ -147,7 +147,7 @@
 
     @Test
     void nothingIsLaunchedForAGangThatRan() {
-        waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).running();
+        waitingJob(fixture.gang("gang", Priority.STANDARD)).beginGangAttempt(1).markRunning();
         assertLaunches(0);
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -27,7 +27,7 @@
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.model.TeamLimits;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
@@ -50,11 +50,11 @@
  * workers are kept for the test, which answers them.
  */
 public final class FleetFixture {
-    public static final long SECOND = 1_000_000;
+    public static final long SECOND_MICROS = 1_000_000;
     public static final long FORMER_TOKEN = 6;
     public static final long TERM_TOKEN = 7;
     /** The agent epoch of a machine that has sent its first heartbeat. */
-    public static final long EPOCH = 3;
+    public static final long AGENT_EPOCH = 3;
 
     private static final long STORE_ANSWER = 1_000;
     private static final String ZONE = Fixtures.TYPE.zones().get(0);
@@ -113,7 +113,7 @@
 
     public FleetFixture() {
         KeyValueStore store = store();
-        replica = new RecordReplica(store, timers, SECOND / 10, replicaListener());
+        replica = new RecordReplica(store, timers, SECOND_MICROS / 10, replicaListener());
         replica.start();
         timers.advance(STORE_ANSWER);
         WriteQueue writeQueue =
@@ -148,8 +148,8 @@
                 loop);
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
         machineCommands = new MachineCommands(leadership, commands);
-        workerCalls = new WorkerCalls(config, this::send, inventory, reconciler, timers, loop, () -> ended);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
+        workerCalls = new WorkerCalls(config, this::sendCommands, inventory, reconciler, timers, loop, () -> ended);
+        fleet.updateTypes(List.of(Fixtures.TYPE));
         jobs.start();
     }
 
@@ -195,26 +195,26 @@
     private MachineInventory.Listener inventoryListener() {
         return new MachineInventory.Listener() {
             @Override
-            public void tokenRaised(Machine machine) {
+            public void onTokenRaised(Machine machine) {
                 tokensRaised.add(machine.id());
             }
 
             @Override
-            public void recorded() {}
+            public void onInventoryWritten() {}
         };
     }
 
     private static Leadership.Listener leadershipListener() {
         return new Leadership.Listener() {
             @Override
-            public void elected(Leadership.Term elected) {}
+            public void onElected(Leadership.Term elected) {}
 
             @Override
-            public void leadershipLost(String why) {}
+            public void onLeadershipLost(String why) {}
         };
     }
 
-    private void send(
+    private void sendCommands(
             String address,
             long fencingToken,
             long agentEpoch,
@@ -224,7 +224,7 @@
     }
 
     /** How many times changes of the store were asked for. */
-    public int storeReads() {
+    public int storeReadCount() {
         return storeReads;
     }
 
@@ -242,9 +242,9 @@
     /** The machines on record, taken over as at the beginning of the term. */
     List<Machine> takeOverRecords() {
         List<Machine> takenOver = inventory.takeOver();
-        fleet.inherit(takenOver);
-        fleet.typesChanged(List.of(Fixtures.TYPE));
-        recovery.start(takenOver, inventory.unreadableParts(), 1);
+        fleet.takeOver(takenOver);
+        fleet.updateTypes(List.of(Fixtures.TYPE));
+        recovery.start(takenOver, inventory.unreadablePartCount(), 1);
         return takenOver;
     }
 
@@ -254,11 +254,11 @@
     }
 
     Machine readyMachine(String id, String zone) {
-        Heartbeat first =
-                new Heartbeat(id, id + ":1", Fixtures.TYPE.name(), zone, false, EPOCH, 0, TERM_TOKEN, -1, List.of());
+        Heartbeat first = new Heartbeat(
+                id, id + ":1", Fixtures.TYPE.name(), zone, false, AGENT_EPOCH, 0, TERM_TOKEN, -1, List.of());
         Machine machine = fleet.newMachine(first, TERM_TOKEN);
         machines.join(machine);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         reconciler.reconcile(machine, first, MessageOrigin.HEARTBEAT);
         return machine;
     }
@@ -275,7 +275,7 @@
                 machine.contact().address(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot(),
+                machine.isSpot(),
                 agentEpoch,
                 machine.contact().sequence() + 1,
                 fencingToken,
@@ -300,19 +300,19 @@
     /** A task of the job whose start went out in a direct call. */
     Placement started(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
-        placement.sentDirectly();
+        placement.markSentDirectly();
         return placement;
     }
 
     static TaskStatus status(Placement placement, TaskState state) {
-        return new TaskStatus(placement.task(), placement.attempt(), state, Cause.NONE, false);
+        return new TaskStatus(placement.task(), placement.attempt(), state, ExitCause.NONE, false);
     }
 
-    static TaskStatus exited(Placement placement, Cause cause) {
+    static TaskStatus exited(Placement placement, ExitCause cause) {
         return new TaskStatus(placement.task(), placement.attempt(), TaskState.EXITED, cause, false);
     }
 
-    static TaskStatus status(TaskId task, long attempt, TaskState state, Cause cause) {
+    static TaskStatus status(TaskId task, long attempt, TaskState state, ExitCause cause) {
         return new TaskStatus(task, attempt, state, cause, false);
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -25,95 +25,95 @@
 
     @Test
     void aFailureMakesTheMachineASuspect() {
-        assertTrue(faults.mayTry(first, job));
-        assertEquals(List.of(), faults.failed(first, job, FAILED));
-        assertTrue(faults.suspects(first));
-        assertFalse(faults.mayTry(first, job), "no job is tried again where it failed");
-        assertTrue(faults.mayTry(first, other));
-        assertTrue(faults.mayTry(second, job));
+        assertTrue(faults.canTry(first, job));
+        assertEquals(List.of(), faults.recordFailure(first, job, FAILED));
+        assertTrue(faults.isSuspect(first));
+        assertFalse(faults.canTry(first, job), "no job is tried again where it failed");
+        assertTrue(faults.canTry(first, other));
+        assertTrue(faults.canTry(second, job));
     }
 
     @Test
     void aSuspectIsOfferedOneTaskAtATime() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         first.add(started(other, first, FAILED + SECOND));
-        assertFalse(faults.mayTry(first, other));
+        assertFalse(faults.canTry(first, other));
     }
 
     @Test
     void aSecondJobThatFailsThereMakesItFaulty() {
-        faults.failed(first, job, FAILED);
-        assertEquals(List.of(first), faults.failed(first, other, FAILED + SECOND));
-        assertFalse(faults.mayTry(first, Fixtures.job()));
-        assertEquals(List.of(), faults.failed(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
+        faults.recordFailure(first, job, FAILED);
+        assertEquals(List.of(first), faults.recordFailure(first, other, FAILED + SECOND));
+        assertFalse(faults.canTry(first, Fixtures.job()));
+        assertEquals(List.of(), faults.recordFailure(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
     }
 
     @Test
     void aJobThatFailsOnThreeMachinesIsItselfInQuestion() {
-        faults.failed(first, job, FAILED);
-        faults.failed(second, job, FAILED);
-        assertTrue(faults.mayStartAnother(job));
-        faults.failed(third, job, FAILED);
-        assertFalse(faults.suspects(third), "it makes no further machine a suspect");
-        assertTrue(faults.mayStartAnother(job), "nothing of it is placed");
-        job.place(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
-        assertFalse(faults.mayStartAnother(job));
+        faults.recordFailure(first, job, FAILED);
+        faults.recordFailure(second, job, FAILED);
+        assertTrue(faults.canStartAnother(job));
+        faults.recordFailure(third, job, FAILED);
+        assertFalse(faults.isSuspect(third), "it makes no further machine a suspect");
+        assertTrue(faults.canStartAnother(job), "nothing of it is placed");
+        job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
+        assertFalse(faults.canStartAnother(job));
     }
 
     @Test
     void aJobWithoutProofIsRetriedLessAndLessOften() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         assertEquals(FAILED + SECOND / 2, job.scheduling().notBeforeMicros());
-        faults.failed(second, job, FAILED);
+        faults.recordFailure(second, job, FAILED);
         assertEquals(FAILED + SECOND, job.scheduling().notBeforeMicros());
     }
 
     @Test
     void aTaskThatStartedAfterTheFailureClearsTheMachine() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         Placement before = started(other, first, FAILED - SECOND);
-        faults.proved(before, FAILED + SECOND);
-        assertTrue(faults.suspects(first), "it started before the failure");
+        faults.recordSuccess(before, FAILED + SECOND);
+        assertTrue(faults.isSuspect(first), "it started before the failure");
         Placement after = started(other, first, FAILED + SECOND);
-        assertTrue(faults.wantsProof(after));
-        faults.proved(after, FAILED + 6 * SECOND);
-        assertFalse(faults.suspects(first));
-        assertFalse(faults.wantsProof(after));
+        assertTrue(faults.isUnderObservation(after));
+        faults.recordSuccess(after, FAILED + 6 * SECOND);
+        assertFalse(faults.isSuspect(first));
+        assertFalse(faults.isUnderObservation(after));
     }
 
     @Test
     void nothingClearsAFaultyMachine() {
-        faults.failed(first, job, FAILED);
-        faults.failed(first, other, FAILED);
-        faults.proved(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
-        assertTrue(faults.suspects(first));
+        faults.recordFailure(first, job, FAILED);
+        faults.recordFailure(first, other, FAILED);
+        faults.recordSuccess(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
+        assertTrue(faults.isSuspect(first));
     }
 
     @Test
     void proofOfAJobPutsItsFailuresOnTheMachines() {
-        faults.failed(first, job, FAILED);
-        faults.failed(second, job, FAILED);
-        faults.failed(third, job, FAILED);
-        faults.failed(third, other, FAILED);
+        faults.recordFailure(first, job, FAILED);
+        faults.recordFailure(second, job, FAILED);
+        faults.recordFailure(third, job, FAILED);
+        faults.recordFailure(third, other, FAILED);
         List<Machine> faulty =
-                faults.proved(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
+                faults.recordSuccess(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
         assertEquals(List.of(third), faulty, "where another job failed too");
         assertEquals(FAILED + 6 * SECOND, job.scheduling().notBeforeMicros(), "it need not wait any longer");
-        assertTrue(faults.mayStartAnother(job));
+        assertTrue(faults.canStartAnother(job));
     }
 
     @Test
     void whatIsForgottenCountsNoMore() {
-        faults.failed(first, job, FAILED);
+        faults.recordFailure(first, job, FAILED);
         faults.forget(job);
-        assertTrue(faults.mayTry(first, job));
+        assertTrue(faults.canTry(first, job));
         faults.forget(first);
-        assertFalse(faults.suspects(first));
+        assertFalse(faults.isSuspect(first));
     }
 
     private static Placement started(ActiveJob job, Machine machine, long startedMicros) {
         Placement placement = Fixtures.placement(job, 0, machine, 1, startedMicros);
-        placement.running(startedMicros);
+        placement.markRunning(startedMicros);
         return placement;
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -33,7 +33,7 @@
         assertEquals(Placement.Phase.ASSIGNED, placement.phase());
         assertTrue(machine.placements().contains(placement) && job.placements().contains(placement));
         assertEquals(List.of(machine), fixture.commands.machines());
-        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpu(BATCH.team()));
+        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()));
     }
 
     @Test
@@ -41,7 +41,7 @@
         ActiveJob job = fixture.openJob(BATCH);
         long first = tasks.start(job, machine, 0).attempt();
         long second = tasks.start(job, machine, 0).attempt();
-        long ofNextTerm = fixture.tasksOfTerm(TOKEN + 1).start(job, machine, 0).attempt();
+        long ofNextTerm = fixture.tasksForTerm(TOKEN + 1).start(job, machine, 0).attempt();
         assertTrue(first < second && second < ofNextTerm, first + " " + second + " " + ofNextTerm);
     }
 
@@ -50,14 +50,14 @@
         ActiveJob job = fixture.openJob(BATCH);
         Placement placement = tasks.start(job, machine, 0);
         tasks.stop(placement, 10 * SECOND, "test");
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertEquals(placement.task().index(), job.takeTask(), "it is the next to start again");
-        assertEquals(0, fixture.teamLimits.borrowedCpu(BATCH.team()));
+        assertEquals(0, fixture.teamLimits.borrowedCpuMillis(BATCH.team()));
     }
 
     @Test
     void aTaskThatWasSentIsToldToStopAndKeepsItsPlace() {
-        Placement placement = fixture.sent(fixture.openJob(BATCH), machine);
+        Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
         fixture.commands.remove(machine);
         tasks.stop(placement, 10 * SECOND, "test");
         assertEquals(Placement.Phase.STOPPING, placement.phase());
@@ -68,7 +68,7 @@
     @ParameterizedTest
     @CsvSource({"5, 5", "20, 10"})
     void aSecondStopOnlyShortensTheGracePeriod(long secondGraceSeconds, long expectedSeconds) {
-        Placement placement = fixture.sent(fixture.openJob(BATCH), machine);
+        Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
         tasks.stop(placement, 10 * SECOND, "test");
         tasks.stop(placement, secondGraceSeconds * SECOND, "test");
         assertEquals(expectedSeconds * SECOND, placement.graceMicros());
@@ -77,11 +77,11 @@
     @Test
     void aTaskIsFreedOnce() {
         ActiveJob job = fixture.openJob(BATCH);
-        fixture.sent(job, machine);
-        Placement placement = fixture.sent(job, machine);
+        fixture.startAndSend(job, machine);
+        Placement placement = fixture.startAndSend(job, machine);
         tasks.free(placement, "test");
         tasks.free(placement, "test");
-        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpu(BATCH.team()), "the other one runs");
+        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()), "the other one runs");
     }
 
     @ParameterizedTest
@@ -92,10 +92,10 @@
     })
     void aTaskFoundInAnOldHeartbeatMayBeOnAMachineStillAwaited(boolean onlyHere, boolean awaited, int unconfirmed) {
         if (awaited) {
-            fixture.awaitAMachine();
+            fixture.addAwaitedMachine();
         }
         ActiveJob job = fixture.openJob(BATCH);
-        Placement placement = fixture.adopted(job, 0, machine, 1, onlyHere);
+        Placement placement = fixture.adopt(job, 0, machine, 1, onlyHere);
         tasks.free(placement, "test");
         assertEquals(unconfirmed, job.unconfirmedTasks());
     }
@@ -108,8 +108,8 @@
     })
     void fromAMachineThatIsTakenBackWorkMovesThatWontFinish(
             JobSpec.Shape shape, long ranSeconds, Placement.Phase then) {
-        Placement placement = fixture.sent(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
-        placement.running(fixture.timers.nowMicros());
+        Placement placement = fixture.startAndSend(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
+        placement.markRunning(fixture.timers.nowMicros());
         fixture.timers.advance(ranSeconds * SECOND);
         tasks.evacuate(machine, 30 * SECOND);
         assertEquals(then, placement.phase());
@@ -140,7 +140,7 @@
     @Test
     void theTasksOfAGangAreStoppedTogether() {
         List<Placement> gang = startedGang();
-        gang.forEach(Placement::sentDirectly);
+        gang.forEach(Placement::markSentDirectly);
         tasks.stop(gang.get(0), 0, "test");
         assertEquals(List.of(Placement.Phase.STOPPING), phases(gang));
     }
@@ -157,8 +157,8 @@
     @Test
     void whenATaskOfARunningGangIsGoneTheOthersAreStopped() {
         List<Placement> gang = startedGang();
-        gang.forEach(Placement::sentDirectly);
-        gang.get(0).job().gangAttempt().running();
+        gang.forEach(Placement::markSentDirectly);
+        gang.get(0).job().gangAttempt().markRunning();
         tasks.free(gang.get(0), "test");
         assertEquals(List.of(Placement.Phase.STOPPING), phases(gang.subList(1, gang.size())));
     }
@@ -166,7 +166,7 @@
     @Test
     void whenATaskOfAFormingGangIsGoneTheOthersStay() {
         List<Placement> gang = startedGang();
-        gang.forEach(Placement::sentDirectly);
+        gang.forEach(Placement::markSentDirectly);
         tasks.free(gang.get(0), "test");
         assertEquals(List.of(Placement.Phase.SENT), phases(gang.subList(1, gang.size())));
     }
@@ -174,8 +174,8 @@
     @Test
     void aNewerAttemptOfAGangThatIsFoundStopsTheOlderOne() {
         ActiveJob job = fixture.openJob(GANG);
-        Placement older = fixture.adopted(job, 0, fixture.machine("g-0"), 1, true);
-        Placement newer = fixture.adopted(job, 1, fixture.machine("g-1"), 2, true);
+        Placement older = fixture.adopt(job, 0, fixture.machine("g-0"), 1, true);
+        Placement newer = fixture.adopt(job, 1, fixture.machine("g-1"), 2, true);
         assertEquals(Placement.Phase.STOPPING, older.phase());
         assertEquals(Placement.Phase.SENT, newer.phase());
     }
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -29,7 +29,7 @@
             """;
 
     private static final String EVENTS = """
-            in           tasksConfirmed  confirmationLost  drain        terminationDecided  provedGone
+            in           confirmTasks  markUnconfirmed  drain        markTerminating  markGone
             UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
             READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
             DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
@@ -53,80 +53,80 @@
     }
 
     @Override
-    boolean allows(Phase from, Phase next) {
-        return from.allows(next);
+    boolean canTransition(Phase from, Phase next) {
+        return from.canTransitionTo(next);
     }
 
     @Override
-    void bringTo(Phase phase) {
+    void moveTo(Phase phase) {
         switch (phase) {
             case UNCONFIRMED -> {}
-            case READY -> machine.tasksConfirmed();
+            case READY -> machine.confirmTasks();
             case DRAINING -> {
-                machine.tasksConfirmed();
+                machine.confirmTasks();
                 machine.drain("test");
             }
-            case TERMINATING -> machine.terminationDecided("test");
-            case GONE -> machine.provedGone("test");
+            case TERMINATING -> machine.markTerminating("test");
+            case GONE -> machine.markGone("test");
         }
     }
 
     @Override
     void apply(String event) {
         switch (event) {
-            case "tasksConfirmed" -> machine.tasksConfirmed();
-            case "confirmationLost" -> machine.confirmationLost(9 * SECOND, "test");
+            case "confirmTasks" -> machine.confirmTasks();
+            case "markUnconfirmed" -> machine.markUnconfirmed(9 * SECOND, "test");
             case "drain" -> machine.drain("test");
-            case "terminationDecided" -> machine.terminationDecided("test");
-            case "provedGone" -> machine.provedGone("test");
+            case "markTerminating" -> machine.markTerminating("test");
+            case "markGone" -> machine.markGone("test");
             default -> throw new IllegalArgumentException(event);
         }
     }
 
     @Test
     void confirmationCanBeLostOnlyOnce() {
-        machine.tasksConfirmed();
-        machine.confirmationLost(3 * SECOND, "fencing token raised");
-        machine.confirmationLost(4 * SECOND, "fencing token raised");
+        machine.confirmTasks();
+        machine.markUnconfirmed(3 * SECOND, "fencing token raised");
+        machine.markUnconfirmed(4 * SECOND, "fencing token raised");
         assertEquals(3 * SECOND, machine.unconfirmedSinceMicros());
     }
 
     @Test
     void aMachineThatDrainsIsNotSaidToBeUnconfirmedSinceLater() {
-        machine.joinedFleet(7, SECOND);
-        machine.tasksConfirmed();
+        machine.joinFleet(7, SECOND);
+        machine.confirmTasks();
         machine.drain("test");
-        machine.confirmationLost(4 * SECOND, "test");
+        machine.markUnconfirmed(4 * SECOND, "test");
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
     }
 
     @Test
     void itTakesTasksOnceItIsConfirmedAndOnRecord() {
-        machine.joinedFleet(7, SECOND);
+        machine.joinFleet(7, SECOND);
         assertEquals(7, machine.fencingToken());
-        assertFalse(machine.takesTasks());
-        machine.tasksConfirmed();
-        assertFalse(machine.takesTasks(), "its row is not on record");
-        machine.inventory().onRecord();
-        assertTrue(machine.takesTasks());
+        assertFalse(machine.isSchedulable());
+        machine.confirmTasks();
+        assertFalse(machine.isSchedulable(), "its row is not on record");
+        machine.inventory().markRecorded();
+        assertTrue(machine.isSchedulable());
         machine.inventory().requireNewToken();
-        assertFalse(machine.takesTasks(), "waits for a higher fencing token");
-        machine.inventory().tokenRaised(8);
-        assertTrue(machine.takesTasks());
-        machine.typeKnown(null);
-        assertFalse(machine.takesTasks(), "its capacity is not known");
-        machine.typeKnown(Fixtures.TYPE);
+        assertFalse(machine.isSchedulable(), "waits for a higher fencing token");
+        machine.inventory().applyRaisedToken(8);
+        assertTrue(machine.isSchedulable());
+        machine.setType(null);
+        assertFalse(machine.isSchedulable(), "its capacity is not known");
+        machine.setType(Fixtures.TYPE);
         machine.drain("test");
-        assertFalse(machine.takesTasks());
+        assertFalse(machine.isSchedulable());
     }
 
     @Test
     void aTokenForCleanupWaitsUntilItIsDue() {
         machine.inventory().requireTokenForCleanup();
         assertFalse(machine.inventory().needsNewToken());
-        machine.inventory().cleanupTokenDue();
+        machine.inventory().requireCleanupTokenNow();
         assertTrue(machine.inventory().needsNewToken());
-        machine.inventory().tokenRaised(8);
+        machine.inventory().applyRaisedToken(8);
         assertFalse(machine.inventory().needsNewToken());
         assertFalse(machine.inventory().needsTokenForCleanup());
         assertEquals(8, machine.fencingToken());
@@ -134,23 +134,23 @@
 
     @Test
     void aMachineTakenOverIsAwaitedUntilWhatIsOnItIsKnown() {
-        machine.takenOverFromFormerLeader(SECOND, 30 * SECOND);
-        assertTrue(machine.awaitingFirstHeartbeat());
+        machine.takeOver(SECOND, 30 * SECOND);
+        assertTrue(machine.isAwaitingFirstHeartbeat());
         assertEquals(30 * SECOND, machine.contact().leaseExpiryMicros());
         assertEquals(SECOND, machine.contact().lastHeartbeatMicros());
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
         assertEquals(SECOND, machine.idleSinceMicros());
-        machine.takeoverResolved();
-        assertFalse(machine.awaitingFirstHeartbeat());
+        machine.resolveTakeover();
+        assertFalse(machine.isAwaitingFirstHeartbeat());
     }
 
     @Test
     void aMachineThatWasUnresponsiveCountsAsIdleAndUnconfirmedAnew() {
-        machine.joinedFleet(7, SECOND);
-        machine.heartbeatReceived(false, 5 * SECOND);
+        machine.joinFleet(7, SECOND);
+        machine.recordHeartbeat(false, 5 * SECOND);
         assertEquals(SECOND, machine.idleSinceMicros());
         assertEquals(SECOND, machine.unconfirmedSinceMicros());
-        machine.heartbeatReceived(true, 50 * SECOND);
+        machine.recordHeartbeat(true, 50 * SECOND);
         assertEquals(50 * SECOND, machine.idleSinceMicros());
         assertEquals(50 * SECOND, machine.unconfirmedSinceMicros());
         assertEquals(50 * SECOND, machine.contact().lastHeartbeatMicros());
@@ -158,8 +158,8 @@
 
     @Test
     void findingsHoldUntilTheNextMessage() {
-        machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
-        machine.taskUnconfirmed();
+        machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
+        machine.addUnconfirmedTask();
         assertEquals(1, machine.cleanupCommands().size());
         assertFalse(machine.isEmpty(), "a task that nothing is known of may not be cut short");
         machine.clearFindings();
@@ -169,9 +169,9 @@
 
     @Test
     void leaseExpiryVoidsTheCleanup() {
-        machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
-        machine.addCleanup(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
-        machine.leaseExpired();
+        machine.contact().recordMessage(Fixtures.heartbeat(machine, 4, 12));
+        machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
+        machine.expireLease();
         assertEquals(List.of(), machine.cleanupCommands());
         assertEquals(5, machine.contact().agentEpoch());
     }
@@ -184,13 +184,13 @@
         machine.add(first);
         machine.add(second);
         assertEquals(List.of(first, second), List.copyOf(machine.placements()));
-        assertEquals(2_000, machine.capacity().cpuFree());
+        assertEquals(2_000, machine.capacity().freeCpuMillis());
         machine.remove(first, 3 * SECOND);
         assertEquals(0, machine.idleSinceMicros());
         machine.remove(second, 4 * SECOND);
         machine.remove(second, 5 * SECOND);
         assertEquals(4 * SECOND, machine.idleSinceMicros());
-        assertEquals(4_000, machine.capacity().cpuFree(), "released once");
+        assertEquals(4_000, machine.capacity().freeCpuMillis(), "released once");
     }
 
     @Test
@@ -227,9 +227,9 @@
     void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
         Placement placement = Fixtures.placement(Fixtures.job(), 0, machine, 1);
         machine.add(placement);
-        assertTrue(machine.fetches("image"));
-        assertFalse(machine.fetches("other"));
-        placement.running(3 * SECOND);
-        assertFalse(machine.fetches("image"));
+        assertTrue(machine.isFetching("image"));
+        assertFalse(machine.isFetching("other"));
+        placement.markRunning(3 * SECOND);
+        assertFalse(machine.isFetching("image"));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,7 +25,7 @@
             """;
 
     private static final String EVENTS = """
-            in        sentInAnswer  sentDirectly  fetching  waiting   running   saving    stop      freed
+            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   markSaving    stop      free
             ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
             FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
@@ -53,122 +53,122 @@
     }
 
     @Override
-    boolean allows(Phase from, Phase next) {
-        return from.allows(next);
+    boolean canTransition(Phase from, Phase next) {
+        return from.canTransitionTo(next);
     }
 
     @Override
-    void bringTo(Phase phase) {
+    void moveTo(Phase phase) {
         switch (phase) {
             case ASSIGNED -> {}
-            case SENT -> placement.sentDirectly();
-            case FETCHING -> placement.fetching();
-            case WAITING -> placement.waiting();
-            case RUNNING -> placement.running(SECOND);
+            case SENT -> placement.markSentDirectly();
+            case FETCHING -> placement.markFetching();
+            case WAITING -> placement.markWaiting();
+            case RUNNING -> placement.markRunning(SECOND);
             case STOPPING -> placement.stop(0, "test");
-            case FREED -> placement.freed("test");
+            case FREED -> placement.free("test");
         }
     }
 
     @Override
     void apply(String event) {
         switch (event) {
-            case "sentInAnswer" -> placement.sentInAnswer();
-            case "sentDirectly" -> placement.sentDirectly();
-            case "fetching" -> placement.fetching();
-            case "waiting" -> placement.waiting();
-            case "running" -> placement.running(9 * SECOND);
-            case "saving" -> placement.saving();
+            case "markSentInResponse" -> placement.markSentInResponse();
+            case "markSentDirectly" -> placement.markSentDirectly();
+            case "markFetching" -> placement.markFetching();
+            case "markWaiting" -> placement.markWaiting();
+            case "markRunning" -> placement.markRunning(9 * SECOND);
+            case "markSaving" -> placement.markSaving();
             case "stop" -> placement.stop(0, "test");
-            case "freed" -> placement.freed("test");
+            case "free" -> placement.free("test");
             default -> throw new IllegalArgumentException(event);
         }
     }
 
     @Test
     void itIsMeantForTheAgentEpochThatIsKnown() {
-        machine.contact().messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        machine.contact().recordMessage(Fixtures.heartbeat(machine, 4, 12));
         assertEquals(4, Fixtures.placement(job, 3, machine, 12).agentEpoch());
     }
 
     @Test
     void aDirectStartWithoutAnAnswerMayStillBeCarriedOutUnderItsTokenOrAnOlderOne() {
-        machine.joinedFleet(7, SECOND);
-        placement.sentDirectly();
-        assertFalse(placement.wentOutInAnswer());
-        assertTrue(placement.mayStillBeStarted(6));
-        assertTrue(placement.mayStillBeStarted(7));
-        assertFalse(placement.mayStillBeStarted(8));
+        machine.joinFleet(7, SECOND);
+        placement.markSentDirectly();
+        assertFalse(placement.isSentInResponse());
+        assertTrue(placement.hasUnacknowledgedStart(6));
+        assertTrue(placement.hasUnacknowledgedStart(7));
+        assertFalse(placement.hasUnacknowledgedStart(8));
     }
 
     @Test
     void onlyTheAnswerToTheLatestCallCounts() {
-        machine.joinedFleet(7, SECOND);
-        placement.sentDirectly();
-        placement.directStartAnswered(6);
-        assertTrue(placement.mayStillBeStarted(7));
-        placement.directStartAnswered(7);
-        assertFalse(placement.mayStillBeStarted(7));
+        machine.joinFleet(7, SECOND);
+        placement.markSentDirectly();
+        placement.acknowledgeDirectStart(6);
+        assertTrue(placement.hasUnacknowledgedStart(7));
+        placement.acknowledgeDirectStart(7);
+        assertFalse(placement.hasUnacknowledgedStart(7));
     }
 
     @Test
     void aStartInAnAnswerIsNoDirectOne() {
-        machine.joinedFleet(7, SECOND);
-        placement.sentInAnswer();
-        assertTrue(placement.wentOutInAnswer());
-        assertFalse(placement.mayStillBeStarted(7));
-        placement.sentDirectly();
-        assertFalse(placement.wentOutInAnswer());
-        assertTrue(placement.mayStillBeStarted(7));
+        machine.joinFleet(7, SECOND);
+        placement.markSentInResponse();
+        assertTrue(placement.isSentInResponse());
+        assertFalse(placement.hasUnacknowledgedStart(7));
+        placement.markSentDirectly();
+        assertFalse(placement.isSentInResponse());
+        assertTrue(placement.hasUnacknowledgedStart(7));
     }
 
     @Test
     void whatIsListedHasArrived() {
-        machine.joinedFleet(7, SECOND);
-        placement.sentDirectly();
-        assertFalse(placement.seen());
-        placement.listed(false);
-        assertTrue(placement.seen());
-        assertFalse(placement.mayStillBeStarted(7));
+        machine.joinFleet(7, SECOND);
+        placement.markSentDirectly();
+        assertFalse(placement.hasBeenListed());
+        placement.markListed(false);
+        assertTrue(placement.hasBeenListed());
+        assertFalse(placement.hasUnacknowledgedStart(7));
     }
 
     @Test
     void anAttemptOfOurOwnCanBeNowhereElse() {
-        assertTrue(placement.onlyHere());
-        assertFalse(placement.wasAdopted());
-        placement.listed(false);
-        assertTrue(placement.onlyHere());
+        assertTrue(placement.isOnlyOnThisMachine());
+        assertFalse(placement.isAdopted());
+        placement.markListed(false);
+        assertTrue(placement.isOnlyOnThisMachine());
     }
 
     @Test
     void anAdoptedAttemptIsOnlyHereOnceItIsListedUnderThePresentToken() {
         Placement adopted = Placement.adopted(new TaskId("run-1", 4), job, machine, 12, false, SECOND);
         assertEquals(Phase.SENT, adopted.phase());
-        assertTrue(adopted.seen());
-        assertTrue(adopted.wasAdopted());
-        assertFalse(adopted.onlyHere());
-        adopted.listed(false);
-        assertFalse(adopted.onlyHere());
-        adopted.listed(true);
-        assertTrue(adopted.onlyHere());
-        adopted.listed(false);
-        assertTrue(adopted.onlyHere(), "what was proved once stays so");
+        assertTrue(adopted.hasBeenListed());
+        assertTrue(adopted.isAdopted());
+        assertFalse(adopted.isOnlyOnThisMachine());
+        adopted.markListed(false);
+        assertFalse(adopted.isOnlyOnThisMachine());
+        adopted.markListed(true);
+        assertTrue(adopted.isOnlyOnThisMachine());
+        adopted.markListed(false);
+        assertTrue(adopted.isOnlyOnThisMachine(), "what was proved once stays so");
     }
 
     @Test
     void theFirstHeartbeatThatListsItAsRunningTellsSinceWhen() {
-        assertEquals(0, placement.ranMicros(5 * SECOND));
-        placement.running(5 * SECOND);
-        placement.running(6 * SECOND);
+        assertEquals(0, placement.runTimeMicros(5 * SECOND));
+        placement.markRunning(5 * SECOND);
+        placement.markRunning(6 * SECOND);
         assertTrue(placement.hasRun());
         assertEquals(5 * SECOND, placement.runningSinceMicros());
-        assertEquals(3 * SECOND, placement.ranMicros(8 * SECOND));
+        assertEquals(3 * SECOND, placement.runTimeMicros(8 * SECOND));
     }
 
     @Test
     void aTaskThatIsStoppedBeforeItWasSeenToRunStillTellsItsStart() {
         placement.stop(0, "test");
-        placement.running(5 * SECOND);
+        placement.markRunning(5 * SECOND);
         assertEquals(Phase.STOPPING, placement.phase());
         assertEquals(5 * SECOND, placement.runningSinceMicros());
     }
@@ -185,8 +185,8 @@
     @Test
     void itMayBeOnTheMachineUntilItIsFreed() {
         placement.stop(0, "test");
-        assertTrue(placement.live());
-        placement.freed("test");
-        assertFalse(placement.live());
+        assertTrue(placement.isActive());
+        placement.free("test");
+        assertFalse(placement.isActive());
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -13,38 +13,38 @@
 class TeamLimitsTest {
     private static final JobSpec SPEC = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
 
-    private static TeamLimits limits(long cpuGuarantee, long cpuLimit) {
-        return new TeamLimits(Map.of(SPEC.team(), new Team(SPEC.team(), cpuGuarantee, cpuLimit, 0, 0)));
+    private static TeamLimits limits(long cpuGuaranteeMillis, long cpuLimitMillis) {
+        return new TeamLimits(Map.of(SPEC.team(), new Team(SPEC.team(), cpuGuaranteeMillis, cpuLimitMillis, 0, 0)));
     }
 
     @Test
     void aTeamThatIsNotListedHasNoLimit() {
         TeamLimits limits = new TeamLimits(Map.of());
-        assertFalse(limits.limits(SPEC));
+        assertFalse(limits.hasLimit(SPEC));
         assertTrue(limits.allows(SPEC, 1_000_000));
-        limits.placed(SPEC);
-        assertEquals(1_000, limits.borrowedCpu(SPEC.team()));
+        limits.addTask(SPEC);
+        assertEquals(1_000, limits.borrowedCpuMillis(SPEC.team()));
     }
 
     @Test
     void tasksAreAllowedUpToTheLimit() {
         TeamLimits limits = limits(0, 3_000);
-        assertTrue(limits.limits(SPEC));
+        assertTrue(limits.hasLimit(SPEC));
         assertTrue(limits.allows(SPEC, 3));
         assertFalse(limits.allows(SPEC, 4));
-        limits.placed(SPEC);
+        limits.addTask(SPEC);
         assertFalse(limits.allows(SPEC, 3));
-        limits.freed(SPEC);
+        limits.removeTask(SPEC);
         assertTrue(limits.allows(SPEC, 3));
     }
 
     @Test
     void whatIsWithinTheGuaranteeIsNotBorrowed() {
         TeamLimits limits = limits(1_500, 0);
-        assertFalse(limits.limits(SPEC));
-        assertEquals(-1_500, limits.borrowedCpu(SPEC.team()));
-        limits.placed(SPEC);
-        limits.placed(SPEC);
-        assertEquals(500, limits.borrowedCpu(SPEC.team()));
+        assertFalse(limits.hasLimit(SPEC));
+        assertEquals(-1_500, limits.borrowedCpuMillis(SPEC.team()));
+        limits.addTask(SPEC);
+        limits.addTask(SPEC);
+        assertEquals(500, limits.borrowedCpuMillis(SPEC.team()));
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/ImageFetchTimeTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void presentImageTakesNoTime() {
-        machine.capacity().imageSeen(spec.image());
+        machine.capacity().addImage(spec.image());
         assertEquals(0, ImageFetchTime.secondsOn(machine, spec));
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
@@ -29,7 +29,7 @@
         Machine withImage = fixture.addMachine("with-image", false);
         Machine fetching = fixture.addMachine("fetching", false);
         Machine without = fixture.addMachine("without", false);
-        withImage.capacity().imageSeen(batch.spec().image());
+        withImage.capacity().addImage(batch.spec().image());
         fixture.tasks.start(batch, fetching, NOW);
         assertPreferred(withImage, fetching, batch);
         assertPreferred(fetching, without, batch);
@@ -63,8 +63,8 @@
     void suspectMachineIsRankedLast() {
         Machine suspect = fixture.addMachine("suspect", true);
         Machine sound = fixture.addMachine("sound", false);
-        suspect.capacity().imageSeen(batch.spec().image());
-        fixture.faults.failed(suspect, otherService, NOW);
+        suspect.capacity().addImage(batch.spec().image());
+        fixture.faults.recordFailure(suspect, otherService, NOW);
         assertPreferred(sound, suspect, batch);
     }
 }
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.term;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
@@ -14,7 +14,7 @@
 import org.granitepath.coordination.model.Fixtures;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.HeartbeatResponse;
@@ -45,7 +45,7 @@
     }
 
     private static TaskStatus orphan() {
-        return new TaskStatus(ORPHAN, 5, TaskState.RUNNING, Cause.NONE, false);
+        return new TaskStatus(ORPHAN, 5, TaskState.RUNNING, ExitCause.NONE, false);
     }
 
     // ---- machines that are not in the fleet ----------------------------------------------------------------------
@@ -54,14 +54,14 @@
     @ValueSource(longs = {0, TERM_TOKEN})
     void anUnknownMachineJoinsUnderTheTokenOfTheTerm(long knownToken) {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(accepted(), handler.answer(heartbeat(unknown, EPOCH, knownToken)));
+        assertEquals(accepted(), handler.answer(heartbeat(unknown, AGENT_EPOCH, knownToken)));
         assertEquals(TERM_TOKEN, fixture.fleet.machine("m").fencingToken());
     }
 
     @Test
     void anUnknownMachineOfASuccessorIsTurnedAway() {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(unknown, EPOCH, TERM_TOKEN + 1)));
+        assertEquals(UNAVAILABLE, handler.answer(heartbeat(unknown, AGENT_EPOCH, TERM_TOKEN + 1)));
         assertNull(fixture.fleet.machine("m"));
     }
 
@@ -69,7 +69,7 @@
     void aLateCopyOfAMachineThatIsGoneIsTurnedAway() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat late = nextHeartbeat(machine);
-        fixture.machines.terminated("m");
+        fixture.machines.onTerminated("m");
         assertEquals(UNAVAILABLE, handler.answer(late));
         assertNull(fixture.fleet.machine("m"));
     }
@@ -86,25 +86,25 @@
     @Test
     void aHigherTokenIsAReasonToReadTheRecords() {
         Machine machine = fixture.readyMachine("m");
-        int readsBefore = fixture.storeReads();
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN + 1)));
-        fixture.timers.advance(SECOND);
-        assertEquals(readsBefore + 1, fixture.storeReads());
+        int readsBefore = fixture.storeReadCount();
+        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN + 1)));
+        fixture.timers.advance(SECOND_MICROS);
+        assertEquals(readsBefore + 1, fixture.storeReadCount());
     }
 
     @Test
     void aHeartbeatOvertakenByTheAnswerToACallIsAnsweredWithTheStops() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat overtaken = nextHeartbeat(machine);
-        handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN, orphan()));
+        handler.answer(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN, orphan()));
         machine.contact().fence();
         assertEquals(accepted(STOP_ORPHAN), handler.answer(overtaken));
-        assertFalse(machine.contact().fenced(), "the answer shows the token");
+        assertFalse(machine.contact().isFenced(), "the answer shows the token");
     }
 
     @Test
     void aHeartbeatOfAFormerAgentEpochIsTurnedAway() {
         Machine machine = fixture.readyMachine("m");
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH - 1, TERM_TOKEN)));
+        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, AGENT_EPOCH - 1, TERM_TOKEN)));
     }
 }
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -151,9 +151,9 @@
     CloudPort tracing(String node, CloudPort port) {
         return new CloudPort() {
             @Override
-            public void types(Consumer<List<MachineType>> then) {
+            public void fetchMachineTypes(Consumer<List<MachineType>> then) {
                 add(node, "machine types", "");
-                port.types(then);
+                port.fetchMachineTypes(then);
             }
 
             @Override
@@ -169,9 +169,9 @@
             }
 
             @Override
-            public void list(String from, int limit, Consumer<Listing> then) {
+            public void listMachines(String from, int limit, Consumer<Listing> then) {
                 add(node, "list machines", from + " " + limit);
-                port.list(from, limit, then);
+                port.listMachines(from, limit, then);
             }
         };
     }
@@ -179,7 +179,7 @@
     WorkerPort tracing(String node, WorkerPort port) {
         return (address, fencingToken, agentEpoch, commands, then) -> {
             add(node, "command " + address, WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands));
-            port.send(address, fencingToken, agentEpoch, commands, then);
+            port.sendCommands(address, fencingToken, agentEpoch, commands, then);
         };
     }
 
