--- a/src/main/java/org/granitepath/coordination/gang/GangConstraints.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangConstraints.java
@@ -10,17 +10,17 @@
 final class GangConstraints {
     private static final List<ZoneFilter> ANY_ZONE = List.of(ZoneFilter.ANY_ZONE);
 
-    private final List<ZoneFilter> eachZone;
+    private final List<ZoneFilter> singleZones;
     private final PlacementRules rules;
 
     GangConstraints(List<String> zones, PlacementRules rules) {
-        this.eachZone = zones.stream().map(ZoneFilter::only).toList();
+        this.singleZones = zones.stream().map(ZoneFilter::only).toList();
         this.rules = rules;
     }
 
     /** Returns the zone filters to try in turn for the whole gang: one for each zone if all tasks must share a zone. */
     List<ZoneFilter> zonesToTry(JobSpec spec) {
-        return mustChooseZone(spec) ? eachZone : ANY_ZONE;
+        return mustChooseZone(spec) ? singleZones : ANY_ZONE;
     }
 
     /** Returns whether a zone must be chosen for the gang. A gang that names its zone leaves no choice. */
--- a/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangScheduler.java
@@ -26,7 +26,7 @@
     private final TaskLifecycle tasks;
     private final GangPlacementFinder placementFinder;
     private final GangReservations reservations;
-    private final GangCompletion completion;
+    private final LostTaskRestarter lostTaskRestarter;
 
     /** Creates a scheduler of gangs on the machines of this fleet. */
     public GangScheduler(
@@ -36,7 +36,7 @@
         GangConstraints constraints = new GangConstraints(config.topology().zones(), rules);
         this.placementFinder = new GangPlacementFinder(constraints, rules, machineScorer);
         this.reservations = new GangReservations(config, fleet, new ReservationFinder(fleet, rules, constraints));
-        this.completion = new GangCompletion(config, rules, tasks, machineScorer);
+        this.lostTaskRestarter = new LostTaskRestarter(config, rules, tasks, machineScorer);
     }
 
     /**
@@ -55,7 +55,7 @@
     public void schedule(ActiveJob job, List<Machine> machinesWithCapacity, long nowMicros) {
         GangAttempt attempt = job.gangAttempt();
         if (attempt != null) {
-            completion.completeOrStop(job, attempt, machinesWithCapacity, nowMicros);
+            lostTaskRestarter.restartOrStop(job, attempt, machinesWithCapacity, nowMicros);
         } else if (job.runningTasks() == 0 && job.claimedTasks() >= job.spec().tasks()) {
             startOrReserve(job, machinesWithCapacity, nowMicros);
         }
--- a/src/main/java/org/granitepath/coordination/gang/GangCompletion.java
+++ b/src/main/java/org/granitepath/coordination/gang/LostTaskRestarter.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Restarts the tasks that a gang lost before it started to run, under the same attempt, or stops the gang. */
-final class GangCompletion {
-    private static final Logger LOG = LoggerFactory.getLogger(GangCompletion.class);
+final class LostTaskRestarter {
+    private static final Logger LOG = LoggerFactory.getLogger(LostTaskRestarter.class);
     /**
      * Heartbeat intervals that are subtracted from the wait timeout of a worker. The worker measures its wait itself;
      * the controller learns of the start and of the end of the wait only from heartbeats, each up to one interval late.
@@ -26,7 +26,7 @@
     private final TaskLifecycle tasks;
     private final MachineScorer machineScorer;
 
-    GangCompletion(Config config, PlacementRules rules, TaskLifecycle tasks, MachineScorer machineScorer) {
+    LostTaskRestarter(Config config, PlacementRules rules, TaskLifecycle tasks, MachineScorer machineScorer) {
         this.config = config;
         this.rules = rules;
         this.tasks = tasks;
@@ -36,11 +36,11 @@
     /**
      * Restarts lost tasks as far as there is capacity; stops the gang once the remaining tasks would start too late.
      */
-    void completeOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
+    void restartOrStop(ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!attempt.canAddTasks() || job.unconfirmedTasks() > 0) {
             return;
         }
-        replaceLostTasks(job, attempt, machinesWithCapacity, nowMicros);
+        restartLostTasks(job, attempt, machinesWithCapacity, nowMicros);
         long longestWaitMicros = config.workers().gangWaitTimeoutMicros()
                 - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
         if (job.waitingTasks() > 0
@@ -49,11 +49,11 @@
         }
     }
 
-    private void replaceLostTasks(
+    private void restartLostTasks(
             ActiveJob job, GangAttempt attempt, List<Machine> machinesWithCapacity, long nowMicros) {
         while (job.waitingTasks() > 0) {
             int index = job.firstFreedTask();
-            Machine machine = replacementMachine(job, attempt, index, machinesWithCapacity, nowMicros);
+            Machine machine = machineForRestart(job, attempt, index, machinesWithCapacity, nowMicros);
             if (machine == null) {
                 return;
             }
@@ -71,7 +71,7 @@
      * Returns the best machine for a lost task, or null if there is none. Machines on which the task was tried under
      * the same attempt are excluded, because a worker ignores a second start.
      */
-    private @Nullable Machine replacementMachine(
+    private @Nullable Machine machineForRestart(
             ActiveJob job, GangAttempt attempt, int index, List<Machine> machinesWithCapacity, long nowMicros) {
         if (!rules.canStartAnotherTask(job)) {
             return null;
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -16,8 +16,8 @@
 
     private final ActiveJobs activeJobs;
     private final JobObjectives objectives;
-    private final CapacitySurvey survey;
-    private final Deferral deferral;
+    private final WorkloadTotals workload;
+    private final DeferralPolicy deferralPolicy;
     private final DeadlineClassifier deadlineClassifier;
     private final GuaranteeClassifier guaranteeClassifier;
     private long nextUpdateMicros;
@@ -27,9 +27,9 @@
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.activeJobs = activeJobs;
         this.objectives = new JobObjectives(config, fleet, activeJobs);
-        this.survey = new CapacitySurvey(config, fleet, activeJobs, runtimeEstimator);
-        this.deferral = new Deferral(config.tuning(), activeJobs, objectives, survey, runtimeEstimator);
-        this.deadlineClassifier = new DeadlineClassifier(activeJobs, objectives, survey, runtimeEstimator);
+        this.workload = new WorkloadTotals(config, fleet, activeJobs, runtimeEstimator);
+        this.deferralPolicy = new DeferralPolicy(config.tuning(), activeJobs, objectives, workload, runtimeEstimator);
+        this.deadlineClassifier = new DeadlineClassifier(activeJobs, objectives, workload, runtimeEstimator);
         this.guaranteeClassifier = new GuaranteeClassifier(config.teams(), activeJobs);
     }
 
@@ -39,7 +39,7 @@
             return;
         }
         nextUpdateMicros = nowMicros + INTERVAL_MICROS;
-        survey.update(nowMicros);
+        workload.update(nowMicros);
         deadlineClassifier.classify(nowMicros);
         guaranteeClassifier.classify();
         largestUrgentGangCpuMillis = activeJobs.all().stream()
@@ -63,7 +63,7 @@
      * @param additionalCpuMillis capacity in addition to the current one, in thousandths of a CPU
      */
     public double batchCompletionMicros(double additionalCpuMillis) {
-        return survey.drainMicros(additionalCpuMillis);
+        return workload.completionMicros(additionalCpuMillis);
     }
 
     /**
@@ -74,7 +74,7 @@
      * @param pendingCpuMillis capacity that is being launched, in thousandths of a CPU
      */
     public boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        return deferral.canWait(job, pendingCpuMillis, nowMicros);
+        return deferralPolicy.isDeferrable(job, pendingCpuMillis, nowMicros);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -22,48 +22,51 @@
     /**
      * A job that must complete by a certain time.
      *
-     * @param work the CPU time that it still needs, in the unit of {@link CapacitySurvey}
+     * @param work the CPU time that it still needs, in the unit of {@link WorkloadTotals}
      * @param timeLeftMicros the time until it is late; negative if it is late already
      */
-    private record DueJob(ActiveJob job, double work, double timeLeftMicros) {}
+    private record DeadlineJob(ActiveJob job, double work, double timeLeftMicros) {}
 
     private final ActiveJobs activeJobs;
     private final JobObjectives objectives;
-    private final CapacitySurvey survey;
+    private final WorkloadTotals workload;
     private final RuntimeEstimator runtimeEstimator;
 
     DeadlineClassifier(
-            ActiveJobs activeJobs, JobObjectives objectives, CapacitySurvey survey, RuntimeEstimator runtimeEstimator) {
+            ActiveJobs activeJobs,
+            JobObjectives objectives,
+            WorkloadTotals workload,
+            RuntimeEstimator runtimeEstimator) {
         this.activeJobs = activeJobs;
         this.objectives = objectives;
-        this.survey = survey;
+        this.workload = workload;
         this.runtimeEstimator = runtimeEstimator;
     }
 
     /** Assigns each job its class, without regard to guaranteed quotas. */
     void classify(long nowMicros) {
-        List<DueJob> possiblyInTime = new ArrayList<>();
-        List<DueJob> late = new ArrayList<>();
+        List<DeadlineJob> feasible = new ArrayList<>();
+        List<DeadlineJob> late = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
             if (job.runningTasks() > 0) {
                 job.scheduling().recordRunning(nowMicros);
             }
-            SchedulingClass fixedClass = classWhateverTheDeadline(job, nowMicros);
-            job.scheduling().setSchedulingClass(fixedClass);
-            if (fixedClass == SchedulingClass.OTHER && isToBeInTime(job)) {
-                DueJob due = dueJob(job, nowMicros);
+            SchedulingClass independentClass = deadlineIndependentClass(job, nowMicros);
+            job.scheduling().setSchedulingClass(independentClass);
+            if (independentClass == SchedulingClass.OTHER && mustCompleteInTime(job)) {
+                DeadlineJob due = deadlineJob(job, nowMicros);
                 boolean possible = runtimeEstimator.expectedTaskMicros(job) <= due.timeLeftMicros();
-                List<DueJob> jobs = possible ? possiblyInTime : late;
+                List<DeadlineJob> jobs = possible ? feasible : late;
                 jobs.add(due);
             }
         }
-        double workInTime = selectFeasible(possiblyInTime, late, SchedulingClass.MEETS_DEADLINE, 0);
-        List<DueJob> possiblyNearlyInTime = withExtendedDeadlines(late);
-        selectFeasible(possiblyNearlyInTime, new ArrayList<>(), SchedulingClass.MEETS_EXTENDED_DEADLINE, workInTime);
+        double selectedWork = selectFeasible(feasible, late, SchedulingClass.MEETS_DEADLINE, 0);
+        List<DeadlineJob> feasibleIfExtended = withExtendedDeadlines(late);
+        selectFeasible(feasibleIfExtended, new ArrayList<>(), SchedulingClass.MEETS_EXTENDED_DEADLINE, selectedWork);
     }
 
-    /** Returns the class of a job whose class does not depend on a deadline; {@code ANY} for all other jobs. */
-    private SchedulingClass classWhateverTheDeadline(ActiveJob job, long nowMicros) {
+    /** Returns the class of a job whose class does not depend on a deadline; {@code OTHER} for all other jobs. */
+    private SchedulingClass deadlineIndependentClass(ActiveJob job, long nowMicros) {
         if (job.isLiveService()) {
             return SchedulingClass.LIVE_SERVICE;
         }
@@ -72,28 +75,28 @@
                 : SchedulingClass.OTHER;
     }
 
-    private boolean isToBeInTime(ActiveJob job) {
-        return job.spec().hasDeadline() || objectives.finishInsteadOfDeadlineMicros(job) > 0;
+    private boolean mustCompleteInTime(ActiveJob job) {
+        return job.spec().hasDeadline() || objectives.deadlineOverrideMicros(job) > 0;
     }
 
-    private DueJob dueJob(ActiveJob job, long nowMicros) {
-        long objectiveMicros = objectives.finishInsteadOfDeadlineMicros(job);
+    private DeadlineJob deadlineJob(ActiveJob job, long nowMicros) {
+        long objectiveMicros = objectives.deadlineOverrideMicros(job);
         long allowedMicros = objectiveMicros > 0 ? objectiveMicros : job.spec().deadlineMicros();
         long timeLeftMicros = allowedMicros - activeJobs.ageMicros(job, nowMicros);
-        return new DueJob(job, survey.remainingWork(job), timeLeftMicros);
+        return new DeadlineJob(job, workload.remainingWork(job), timeLeftMicros);
     }
 
     /**
      * Returns those of the late jobs that can complete within the multiple of their deadline that their class allows.
      */
-    private List<DueJob> withExtendedDeadlines(List<DueJob> late) {
-        List<DueJob> extended = new ArrayList<>();
-        for (DueJob due : late) {
-            double times = objectives.of(due.job()).deadlineFactor();
-            double timeLeftMicros =
-                    due.timeLeftMicros() + (times - 1) * due.job().spec().deadlineMicros();
-            if (times > 1 && runtimeEstimator.expectedTaskMicros(due.job()) <= timeLeftMicros) {
-                extended.add(new DueJob(due.job(), due.work(), timeLeftMicros));
+    private List<DeadlineJob> withExtendedDeadlines(List<DeadlineJob> late) {
+        List<DeadlineJob> extended = new ArrayList<>();
+        for (DeadlineJob due : late) {
+            double deadlineFactor = objectives.of(due.job()).deadlineFactor();
+            double timeLeftMicros = due.timeLeftMicros()
+                    + (deadlineFactor - 1) * due.job().spec().deadlineMicros();
+            if (deadlineFactor > 1 && runtimeEstimator.expectedTaskMicros(due.job()) <= timeLeftMicros) {
+                extended.add(new DeadlineJob(due.job(), due.work(), timeLeftMicros));
             }
         }
         return extended;
@@ -109,29 +112,29 @@
      * @return the total work of the selected jobs and the work before them
      */
     private double selectFeasible(
-            List<DueJob> jobs, List<DueJob> leftOut, SchedulingClass schedulingClass, double workBefore) {
-        jobs.sort(Comparator.comparingDouble(DueJob::timeLeftMicros));
-        PriorityQueue<DueJob> selected =
-                new PriorityQueue<>(Comparator.comparingDouble(DueJob::work).reversed());
-        double capacity = survey.capacityCpuMillis();
+            List<DeadlineJob> jobs, List<DeadlineJob> leftOut, SchedulingClass schedulingClass, double workBefore) {
+        jobs.sort(Comparator.comparingDouble(DeadlineJob::timeLeftMicros));
+        PriorityQueue<DeadlineJob> selected = new PriorityQueue<>(
+                Comparator.comparingDouble(DeadlineJob::work).reversed());
+        double capacity = workload.capacityCpuMillis();
         double sum = workBefore;
-        for (DueJob due : jobs) {
+        for (DeadlineJob due : jobs) {
             selected.add(due);
             sum += due.work();
             double usableWork = capacity * USABLE_CAPACITY_SHARE * usableMicros(due);
             while (sum > usableWork && !selected.isEmpty() && capacity > 0) {
-                DueJob largest = selected.poll();
+                DeadlineJob largest = selected.poll();
                 sum -= largest.work();
                 leftOut.add(largest);
             }
         }
-        for (DueJob due : selected) {
+        for (DeadlineJob due : selected) {
             due.job().scheduling().setSchedulingClass(schedulingClass);
         }
         return sum;
     }
 
-    private double usableMicros(DueJob due) {
+    private double usableMicros(DeadlineJob due) {
         return due.timeLeftMicros() - LAST_WAVE_TASK_SHARE * runtimeEstimator.expectedTaskMicros(due.job());
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/Deferral.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
@@ -7,32 +7,32 @@
 import org.granitepath.coordination.model.ActiveJobs;
 
 /** Decides which jobs can wait for capacity that is cheap or paid for in any case. */
-final class Deferral {
+final class DeferralPolicy {
     private final Tuning tuning;
     private final ActiveJobs activeJobs;
     private final JobObjectives objectives;
-    private final CapacitySurvey survey;
+    private final WorkloadTotals workload;
     private final RuntimeEstimator runtimeEstimator;
 
-    Deferral(
+    DeferralPolicy(
             Tuning tuning,
             ActiveJobs activeJobs,
             JobObjectives objectives,
-            CapacitySurvey survey,
+            WorkloadTotals workload,
             RuntimeEstimator runtimeEstimator) {
         this.tuning = tuning;
         this.activeJobs = activeJobs;
         this.objectives = objectives;
-        this.survey = survey;
+        this.workload = workload;
         this.runtimeEstimator = runtimeEstimator;
     }
 
     /** See {@link BatchPlanner#isDeferrable}. */
-    boolean canWait(ActiveJob job, double pendingCpuMillis, long nowMicros) {
+    boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
         if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
             return false;
         }
-        if (job.spec().hasDeadline() && objectives.finishInsteadOfDeadlineMicros(job) == 0) {
+        if (job.spec().hasDeadline() && objectives.deadlineOverrideMicros(job) == 0) {
             return leavesTimeForDeadline(job, pendingCpuMillis, nowMicros);
         }
         Objective objective = objectives.of(job);
@@ -47,8 +47,8 @@
      * machine, so that one can still be launched if the wait turns out longer than expected.
      */
     private boolean leavesTimeForDeadline(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        double waitMicros =
-                survey.drainDeadlineWorkOnCheapCapacityMicros(pendingCpuMillis) + objectives.shortestBootMicros();
+        double waitMicros = workload.deadlineWorkCompletionOnCheapCapacityMicros(pendingCpuMillis)
+                + objectives.shortestBootMicros();
         return activeJobs.ageMicros(job, nowMicros) + waitMicros + runtimeEstimator.expectedTaskMicros(job)
                 <= job.spec().deadlineMicros();
     }
@@ -57,7 +57,7 @@
             ActiveJob job, Objective objective, double pendingCpuMillis, long nowMicros) {
         long waitedMicros =
                 job.scheduling().isWaiting() ? nowMicros - job.scheduling().waitingSinceMicros() : 0;
-        return waitedMicros + survey.drainOnCheapCapacityMicros(pendingCpuMillis)
+        return waitedMicros + workload.completionOnCheapCapacityMicros(pendingCpuMillis)
                 <= latestStartMicros(job, objective) * tuning.deferralShare();
     }
 
--- a/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
+++ b/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
@@ -30,7 +30,7 @@
      * if there is no such time. Some classes have a completion objective of their own; for them the deadlines that
      * users give are not binding.
      */
-    long finishInsteadOfDeadlineMicros(ActiveJob job) {
+    long deadlineOverrideMicros(ActiveJob job) {
         Objective objective = of(job);
         return objective.deadlineFactor() == 0 && job.spec().hasDeadline() ? objective.finishMicros() : 0;
     }
--- a/src/main/java/org/granitepath/coordination/placement/CapacitySurvey.java
+++ b/src/main/java/org/granitepath/coordination/placement/WorkloadTotals.java
@@ -11,9 +11,9 @@
  * Totals of the remaining batch work and of the capacity for it, as of the last update. Capacity is in thousandths of a
  * CPU and work in thousandths of a CPU times microseconds, so that work divided by capacity is a time in microseconds.
  */
-final class CapacitySurvey {
+final class WorkloadTotals {
     /** The share of a running task's work that remains on average. */
-    private static final double LEFT_OF_RUNNING_TASK = 0.5;
+    private static final double REMAINING_SHARE_OF_RUNNING_TASK = 0.5;
 
     private final Config config;
     private final Fleet fleet;
@@ -30,7 +30,7 @@
      */
     private double cheapCpuMillis;
 
-    CapacitySurvey(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
+    WorkloadTotals(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.config = config;
         this.fleet = fleet;
         this.activeJobs = activeJobs;
@@ -73,7 +73,7 @@
 
     /** Returns the CPU time that the job still needs, in thousandths of a CPU times microseconds. */
     double remainingWork(ActiveJob job) {
-        return (job.unfinishedTasks() - LEFT_OF_RUNNING_TASK * job.runningTasks())
+        return (job.unfinishedTasks() - REMAINING_SHARE_OF_RUNNING_TASK * job.runningTasks())
                 * job.spec().cpuMillis()
                 * runtimeEstimator.expectedTaskMicros(job);
     }
@@ -84,17 +84,17 @@
     }
 
     /** Returns how many microseconds all batch work takes, given this much additional capacity. */
-    double drainMicros(double moreCpuMillis) {
-        return batchWork / Math.max(1, cpuMillis + moreCpuMillis);
+    double completionMicros(double additionalCpuMillis) {
+        return batchWork / Math.max(1, cpuMillis + additionalCpuMillis);
     }
 
     /** Returns how many microseconds all batch work takes on cheap capacity alone, given this much more of it. */
-    double drainOnCheapCapacityMicros(double moreCpuMillis) {
-        return batchWork / Math.max(1, cheapCpuMillis + moreCpuMillis);
+    double completionOnCheapCapacityMicros(double additionalCpuMillis) {
+        return batchWork / Math.max(1, cheapCpuMillis + additionalCpuMillis);
     }
 
     /** The same for the batch work that has a deadline. */
-    double drainDeadlineWorkOnCheapCapacityMicros(double moreCpuMillis) {
-        return deadlineWork / Math.max(1, cheapCpuMillis + moreCpuMillis);
+    double deadlineWorkCompletionOnCheapCapacityMicros(double additionalCpuMillis) {
+        return deadlineWork / Math.max(1, cheapCpuMillis + additionalCpuMillis);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -19,7 +19,7 @@
     /** A queued job with its scheduling class and fair share at the time of queueing. */
     record Candidate(ActiveJob job, SchedulingClass schedulingClass, double share) {
         /** Orders by class, then by lowest share; among equal shares by higher priority, then by age, oldest first. */
-        static final Comparator<Candidate> FIRST_SERVED = Comparator.comparing(Candidate::schedulingClass)
+        static final Comparator<Candidate> SCHEDULING_ORDER = Comparator.comparing(Candidate::schedulingClass)
                 .thenComparingDouble(Candidate::share)
                 .thenComparing(candidate -> candidate.job().spec().priority())
                 .thenComparingLong(candidate -> candidate.job().acceptedMicros());
@@ -30,7 +30,7 @@
     private final JobLifecycle jobs;
     private final BatchPlanner batchPlanner;
     private final FairShare fairShare;
-    private final PriorityQueue<Candidate> queue = new PriorityQueue<>(Candidate.FIRST_SERVED);
+    private final PriorityQueue<Candidate> queue = new PriorityQueue<>(Candidate.SCHEDULING_ORDER);
 
     CandidateQueue(
             ActiveJobs activeJobs,
@@ -67,7 +67,7 @@
     }
 
     /** Queues a job again with its current share if it has another claimed task to start. */
-    void addAgain(ActiveJob job, long nowMicros) {
+    void requeue(ActiveJob job, long nowMicros) {
         jobs.claimNextBlock(job);
         if (job.waitingTasks() > 0 && job.hasStartableTask()) {
             add(job, nowMicros);
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -18,9 +18,9 @@
  */
 public final class Consolidator {
     private static final long INTERVAL_MICROS = 4_000_000;
-    private static final double MAX_CPU_USED_SHARE_TO_EMPTY = 0.75;
+    private static final double MAX_USED_CPU_SHARE_TO_DRAIN = 0.75;
     /** One machine drains at a time, plus one for each this many machines in the fleet. */
-    private static final int MACHINES_PER_FURTHER_DRAIN = 50;
+    private static final int MACHINES_PER_ADDITIONAL_DRAIN = 50;
     /** Minimum time that a replica must have run before it is moved. */
     private static final long MIN_RUNTIME_MICROS = 40_000_000;
 
@@ -50,15 +50,15 @@
         if (hasWaitingWork()) {
             return;
         }
-        drain(emptiestFirst(nowMicros), furtherDrains());
+        drain(drainableMachines(nowMicros), remainingDrains());
     }
 
     /**
      * Returns how many more machines can be drained now. The number of machines that drain at the same time is limited
      * so that replicas on the move are placed before more of them move.
      */
-    private int furtherDrains() {
-        int drains = 1 + fleet.machines().size() / MACHINES_PER_FURTHER_DRAIN;
+    private int remainingDrains() {
+        int drains = 1 + fleet.machines().size() / MACHINES_PER_ADDITIONAL_DRAIN;
         for (Machine machine : fleet.machines()) {
             if (machine.phase() == Machine.Phase.DRAINING && machine.hasPlacements()) {
                 drains--;
@@ -68,10 +68,10 @@
     }
 
     /** Returns the machines that can be drained, ordered by the used share of their CPUs, lowest first. */
-    private List<Machine> emptiestFirst(long nowMicros) {
+    private List<Machine> drainableMachines(long nowMicros) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (mayEmpty(machine, nowMicros)) {
+            if (canDrain(machine, nowMicros)) {
                 machines.add(machine);
             }
         }
@@ -88,14 +88,14 @@
         return false;
     }
 
-    private void drain(List<Machine> candidates, int most) {
-        int drainsLeft = most;
+    private void drain(List<Machine> candidates, int maxDrains) {
+        int drainsLeft = maxDrains;
         RelocationPlan relocations = new RelocationPlan(fleet);
         for (Machine machine : candidates) {
             if (drainsLeft <= 0) {
                 return;
             }
-            if (relocations.moveAllFrom(machine)) {
+            if (relocations.planMovesFrom(machine)) {
                 drainsLeft--;
                 drain(machine);
             }
@@ -109,10 +109,10 @@
         }
     }
 
-    private static boolean mayEmpty(Machine machine, long nowMicros) {
+    private static boolean canDrain(Machine machine, long nowMicros) {
         if (!machine.isSchedulable()
                 || !machine.hasPlacements()
-                || machine.capacity().usedCpuShare() > MAX_CPU_USED_SHARE_TO_EMPTY) {
+                || machine.capacity().usedCpuShare() > MAX_USED_CPU_SHARE_TO_DRAIN) {
             return false;
         }
         for (Placement placement : machine.placements()) {
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -69,7 +69,7 @@
     }
 
     /** Records that a task was placed on this machine. */
-    void placed(Machine machine, JobSpec spec) {
+    void onTaskPlaced(Machine machine, JobSpec spec) {
         gangHeadroom.onTaskPlaced(machine, spec);
     }
 
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -18,7 +18,7 @@
     /** Factor for the lost time of tasks with a priority above best effort. */
     private static final int ABOVE_BEST_EFFORT_FACTOR = 3;
     /** Cost of each second that the new task spends fetching its image: one CPU for one second. */
-    private static final double PER_FETCH_SECOND = 1e9;
+    private static final double COST_PER_FETCH_SECOND = 1e9;
 
     private PreemptionCost() {}
 
@@ -33,7 +33,7 @@
 
     /** Returns the cost of fetching the new task's image on the machine; 0 if the machine has the image. */
     static double ofFetchingImage(Machine machine, JobSpec spec) {
-        return ImageFetchTime.secondsOn(machine, spec) * PER_FETCH_SECOND;
+        return ImageFetchTime.secondsOn(machine, spec) * COST_PER_FETCH_SECOND;
     }
 
     private static double ofOneTask(Placement placement, long restartMicros, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -24,25 +24,25 @@
 
     private final ActiveJob job;
     private final long nowMicros;
-    private final boolean reclaimsBorrowed;
-    private final BorrowedCpu borrowed;
+    private final boolean canReclaimBorrowed;
+    private final ReclaimableCpu reclaimableCpu;
 
     PreemptionPolicy(ActiveJob job, PlacementRules rules, long nowMicros) {
         this.job = job;
         this.nowMicros = nowMicros;
-        this.reclaimsBorrowed = job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
+        this.canReclaimBorrowed = job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
                 && StartDelay.micros(job, nowMicros) > RECLAIM_DELAY_MICROS;
-        this.borrowed = new BorrowedCpu(rules);
+        this.reclaimableCpu = new ReclaimableCpu(rules);
     }
 
     /** Returns whether any task at all can be stopped for the job. */
-    boolean mayPreempt() {
-        return job.isLiveService() || job.spec().hasDeadline() || reclaimsBorrowed;
+    boolean canPreemptAny() {
+        return job.isLiveService() || job.spec().hasDeadline() || canReclaimBorrowed;
     }
 
     /** Returns whether this task can be stopped for the job. */
-    boolean mayPreempt(Placement placement) {
-        return hasPrecedenceOver(placement) || (reclaimsBorrowed && isBorrowed(placement));
+    boolean canPreempt(Placement placement) {
+        return hasPrecedenceOver(placement) || (canReclaimBorrowed && isBorrowed(placement));
     }
 
     /**
@@ -51,7 +51,7 @@
      * @return false if a team of such a victim has no borrowed quota left, so that no victim must be stopped
      */
     boolean reclaimBorrowed(List<Placement> victims) {
-        return borrowed.reclaim(victims.stream()
+        return reclaimableCpu.reclaim(victims.stream()
                 .filter(placement -> !hasPrecedenceOver(placement))
                 .toList());
     }
@@ -87,6 +87,6 @@
         return !team.equals(job.spec().team())
                 && !placement.job().spec().service()
                 && placement.job().scheduling().schedulingClass() != SchedulingClass.GUARANTEED
-                && borrowed.isLeftTo(team);
+                && reclaimableCpu.isAvailableFrom(team);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemptor.java
@@ -50,13 +50,13 @@
      */
     int preemptFor(ActiveJob job, int wanted, boolean withImageOnly, long nowMicros) {
         PreemptionPolicy policy = new PreemptionPolicy(job, rules, nowMicros);
-        if (!policy.mayPreempt()) {
+        if (!policy.canPreemptAny()) {
             return 0;
         }
         int pending = 0;
         List<Preemption> preemptions = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (!isConsidered(machine, job, withImageOnly, nowMicros)) {
+            if (!isCandidate(machine, job, withImageOnly, nowMicros)) {
                 continue;
             }
             ResourceUsage stopping = usedByStoppingTasks(machine);
@@ -72,7 +72,7 @@
         return stopCheapest(preemptions, job, policy, pending, wanted);
     }
 
-    private boolean isConsidered(Machine machine, ActiveJob job, boolean withImageOnly, long nowMicros) {
+    private boolean isCandidate(Machine machine, ActiveJob job, boolean withImageOnly, long nowMicros) {
         return rules.isEligible(machine, job, nowMicros)
                 && (!withImageOnly || machine.capacity().hasImage(job.spec().image()));
     }
@@ -96,7 +96,7 @@
             Machine machine, ActiveJob job, PreemptionPolicy policy, ResourceUsage stopping, long nowMicros) {
         List<Placement> candidates = new ArrayList<>();
         for (Placement placement : machine.placements()) {
-            if (placement.phase() != Placement.Phase.STOPPING && policy.mayPreempt(placement)) {
+            if (placement.phase() != Placement.Phase.STOPPING && policy.canPreempt(placement)) {
                 candidates.add(placement);
             }
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/BorrowedCpu.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ReclaimableCpu.java
@@ -9,16 +9,16 @@
  * Tracks how much CPU one round of preemption can still reclaim from each team, in thousandths of a CPU: the amount
  * that the team uses beyond its guaranteed quota. The amount of a team is looked up when the team is first queried.
  */
-final class BorrowedCpu {
+final class ReclaimableCpu {
     private final PlacementRules rules;
     private final Object2LongOpenHashMap<String> millisByTeam = new Object2LongOpenHashMap<>();
 
-    BorrowedCpu(PlacementRules rules) {
+    ReclaimableCpu(PlacementRules rules) {
         this.rules = rules;
     }
 
     /** Returns whether the team still uses more than its guaranteed quota. Looks the amount up on the first call. */
-    boolean isLeftTo(String team) {
+    boolean isAvailableFrom(String team) {
         if (!millisByTeam.containsKey(team)) {
             millisByTeam.put(team, rules.borrowedCpuMillis(team));
         }
@@ -28,7 +28,7 @@
     /**
      * Counts all of these tasks as reclaimed, unless the team of any of them has nothing left to reclaim.
      *
-     * @param placements tasks whose teams were all queried with {@link #isLeftTo} before
+     * @param placements tasks whose teams were all queried with {@link #isAvailableFrom} before
      * @return false if the tasks were not counted
      */
     boolean reclaim(List<Placement> placements) {
--- a/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/TaskScheduler.java
@@ -22,7 +22,7 @@
     private final PlacementRules rules;
     private final Preemptor preemptor;
     private final TaskLifecycle tasks;
-    private final List<ResourceRequest> unplaceable = new ArrayList<>();
+    private final List<ResourceRequest> unplaceableRequests = new ArrayList<>();
 
     TaskScheduler(
             List<String> zones,
@@ -41,7 +41,7 @@
 
     /** Forgets the requests that found no capacity in the last cycle. */
     void beginCycle() {
-        unplaceable.clear();
+        unplaceableRequests.clear();
     }
 
     /**
@@ -56,20 +56,20 @@
         }
         Machine machine = machines.best(job, nowMicros);
         if (machine == null) {
-            unplaceable.add(request);
+            unplaceableRequests.add(request);
             return preemptForEqualRequests(job, request, nowMicros);
         }
-        if (waitsForImage(job, machine, nowMicros) && preemptor.preemptFor(job, 1, true, nowMicros) > 0) {
+        if (shouldWaitForImage(job, machine, nowMicros) && preemptor.preemptFor(job, 1, true, nowMicros) > 0) {
             return 1;
         }
         tasks.start(job, machine, nowMicros);
-        machines.placed(machine, job.spec());
-        candidates.addAgain(job, nowMicros);
+        machines.onTaskPlaced(machine, job.spec());
+        candidates.requeue(job, nowMicros);
         return 0;
     }
 
     private boolean isUnplaceable(ResourceRequest request) {
-        return unplaceable.stream().anyMatch(other -> other.isAtMost(request));
+        return unplaceableRequests.stream().anyMatch(other -> other.isAtMost(request));
     }
 
     /**
@@ -95,7 +95,7 @@
      * Returns whether a replica of a live service should still wait for a machine with its image, because the given
      * machine lacks it.
      */
-    private static boolean waitsForImage(ActiveJob job, Machine machine, long nowMicros) {
+    private static boolean shouldWaitForImage(ActiveJob job, Machine machine, long nowMicros) {
         return job.isLiveService()
                 && !machine.capacity().hasImage(job.spec().image())
                 && nowMicros - job.scheduling().waitingSinceMicros() < IMAGE_WAIT_MICROS;
--- a/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/CandidateTest.java
@@ -34,7 +34,7 @@
                 new Candidate(job("any", Priority.CRITICAL, 1), SchedulingClass.OTHER, 0));
         List<Candidate> sorted = new ArrayList<>(expected);
         Collections.shuffle(sorted, new Random(1));
-        sorted.sort(Candidate.FIRST_SERVED);
+        sorted.sort(Candidate.SCHEDULING_ORDER);
         assertEquals(expected, sorted);
     }
 }
--- a/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
+++ b/src/test/java/org/granitepath/coordination/scheduling/RelocationPlanTest.java
@@ -31,14 +31,14 @@
     void replicaMovesToAFullerMachine() {
         Machine source = machineWith("source", CPU);
         machineWith("fuller", 3 * CPU);
-        assertTrue(plan.moveAllFrom(source));
+        assertTrue(plan.planMovesFrom(source));
     }
 
     @Test
     void replicaDoesNotMoveToALessUsedMachine() {
         Machine source = machineWith("source", 2 * CPU);
         machineWith("emptier", CPU);
-        assertFalse(plan.moveAllFrom(source));
+        assertFalse(plan.planMovesFrom(source));
     }
 
     @Test
@@ -47,16 +47,16 @@
         ActiveJob second = fixture.service("second", Priority.STANDARD).build();
         fixture.addRunningTask(second, source, SECOND);
         machineWith("fuller", 3 * CPU);
-        assertFalse(plan.moveAllFrom(source));
+        assertFalse(plan.planMovesFrom(source));
     }
 
     @Test
-    void capacityIsPromisedOnlyOnce() {
+    void capacityIsPlannedOnlyOnce() {
         Machine first = machineWith("first", CPU);
         Machine second = machineWith("second", CPU);
         machineWith("fuller", 3 * CPU);
-        assertTrue(plan.moveAllFrom(first));
-        assertFalse(plan.moveAllFrom(second));
+        assertTrue(plan.planMovesFrom(first));
+        assertFalse(plan.planMovesFrom(second));
     }
 
     @Test
@@ -64,8 +64,8 @@
         Machine source = machineWith("source", CPU);
         Machine fuller = machineWith("fuller", 2 * CPU);
         machineWith("fullest", 4 * CPU - 1);
-        assertTrue(plan.moveAllFrom(source));
-        assertFalse(plan.moveAllFrom(fuller));
+        assertTrue(plan.planMovesFrom(source));
+        assertFalse(plan.planMovesFrom(fuller));
     }
 
     @Test
@@ -73,13 +73,13 @@
         Machine source = machineWith(
                 "source", fixture.service("large-image", Priority.STANDARD).imageGb(2));
         machineWith("fuller", 2 * CPU);
-        assertFalse(plan.moveAllFrom(source));
+        assertFalse(plan.planMovesFrom(source));
     }
 
     @Test
     void replicaDoesNotMoveToADrainingMachine() {
         Machine source = machineWith("source", CPU);
         machineWith("fuller", 2 * CPU).drain("test");
-        assertFalse(plan.moveAllFrom(source));
+        assertFalse(plan.planMovesFrom(source));
     }
 }
