--- a/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
@@ -11,8 +11,8 @@
 public final class MachineScorer {
     private static final double HAS_IMAGE_BONUS = 20;
     /**
-     * Bonus for a machine on which another task is fetching the image already. Without such a task the fetch
-     * speed in GB/s is the bonus, which is always lower than this.
+     * Bonus for a machine on which another task is fetching the image already. Without such a task the fetch speed
+     * in GB/s is the bonus, which is lower than this.
      */
     private static final double FETCHES_IMAGE_BONUS = 10;
     /** Penalty for a machine whose CPUs all stay free; it shrinks to 0 for a machine that the task fills completely. */
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -66,7 +66,7 @@
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
         return machine.isAllowedFor(job.spec())
                 && job.canPlaceInZone(machine.zone())
-                && (!job.scheduling().isDeferrable() || isPaidForAnyway(machine, job, nowMicros))
+                && (!job.scheduling().isDeferrable() || hasNoExtraCost(machine, job, nowMicros))
                 && faults.canTry(machine, job);
     }
 
@@ -78,7 +78,7 @@
         return machine.reservedFor() == null || machine.reservedFor() == job || job.isLiveService();
     }
 
-    private boolean isPaidForAnyway(Machine machine, ActiveJob job, long nowMicros) {
+    private boolean hasNoExtraCost(Machine machine, ActiveJob job, long nowMicros) {
         return machine.isSpot()
                 || machine.capacity().hasService()
                 || machine.isHeadroom()
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -48,7 +48,7 @@
     /**
      * Counts those of the victims that run on borrowed quota as reclaimed.
      *
-     * @return false if a team of such a victim has no borrowed quota left, so that no victim must be stopped
+     * @return false if a team of such a victim has no borrowed quota left; then no victim is to be stopped
      */
     boolean reclaimBorrowed(List<Placement> victims) {
         return reclaimableCpu.reclaim(victims.stream()
