--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -16,8 +16,8 @@
 
     private final ActiveJobs activeJobs;
     private final JobObjectives objectives;
-    private final CapacitySurvey survey;
-    private final Deferral deferral;
+    private final WorkloadTotals workload;
+    private final DeferralPolicy deferralPolicy;
     private final DeadlineClassifier deadlineClassifier;
     private final GuaranteeClassifier guaranteeClassifier;
     private long nextUpdateMicros;
@@ -27,19 +27,19 @@
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
         this.activeJobs = activeJobs;
         this.objectives = new JobObjectives(config, fleet, activeJobs);
-        this.survey = new CapacitySurvey(config, fleet, activeJobs, runtimeEstimator);
-        this.deferral = new Deferral(config.tuning(), activeJobs, objectives, survey, runtimeEstimator);
-        this.deadlineClassifier = new DeadlineClassifier(activeJobs, objectives, survey, runtimeEstimator);
+        this.workload = new WorkloadTotals(config, fleet, activeJobs, runtimeEstimator);
+        this.deferralPolicy = new DeferralPolicy(config.tuning(), activeJobs, objectives, workload, runtimeEstimator);
+        this.deadlineClassifier = new DeadlineClassifier(activeJobs, objectives, workload, runtimeEstimator);
         this.guaranteeClassifier = new GuaranteeClassifier(config.teams(), activeJobs);
     }
 
-    /** Evaluates all jobs and machines again, unless the last update is less than {@link #INTERVAL_MICROS} ago. */
+    /** Evaluates all jobs and machines again, unless less than the update interval has passed since the last time. */
     public void updateIfDue(long nowMicros) {
         if (nowMicros < nextUpdateMicros) {
             return;
         }
         nextUpdateMicros = nowMicros + INTERVAL_MICROS;
-        survey.update(nowMicros);
+        workload.update(nowMicros);
         deadlineClassifier.classify(nowMicros);
         guaranteeClassifier.classify();
         largestUrgentGangCpuMillis = activeJobs.all().stream()
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns how much CPU all tasks together need of the largest unfinished gang that {@linkplain #needsImmediateStart
-     * needs an immediate start}, in thousandths of a CPU; 0 if there is no such gang.
+     * Returns the total CPU of all tasks of the largest gang that {@linkplain #needsImmediateStart needs an immediate
+     * start}, in thousandths of a CPU; 0 if there is no such gang.
      */
     public long largestUrgentGangCpuMillis() {
         return largestUrgentGangCpuMillis;
@@ -63,7 +63,7 @@
      * @param additionalCpuMillis capacity in addition to the current one, in thousandths of a CPU
      */
     public double batchCompletionMicros(double additionalCpuMillis) {
-        return survey.drainMicros(additionalCpuMillis);
+        return workload.completionMicros(additionalCpuMillis);
     }
 
     /**
@@ -74,7 +74,7 @@
      * @param pendingCpuMillis capacity that is being launched, in thousandths of a CPU
      */
     public boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        return deferral.canWait(job, pendingCpuMillis, nowMicros);
+        return deferralPolicy.isDeferrable(job, pendingCpuMillis, nowMicros);
     }
 
     /**
