--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -6,50 +6,56 @@
 import org.pcollections.PSet;
 
 /**
- * The machines taken over that have neither sent a heartbeat under the present fencing token nor are proved gone. They
- * are counted by profile: whether a task may be on one of them costs as many steps as there are profiles, not machines.
+ * The machines taken over that have neither sent a heartbeat under the current fencing token nor are proved gone. They
+ * are counted by profile, so that the check whether a task may be on one of them takes as many steps as there are
+ * profiles, not machines.
  */
 final class AwaitedMachines {
-    private final Object2IntLinkedOpenHashMap<MachineProfile> byProfile = new Object2IntLinkedOpenHashMap<>();
-    /** Their names: an immutable set, so that whoever asks gets it as it stands, without a copy. */
-    private PSet<String> names = OrderedPSet.empty();
+    private final Object2IntLinkedOpenHashMap<MachineProfile> countByProfile = new Object2IntLinkedOpenHashMap<>();
+    /** The ids of the machines. The set is immutable, so that {@link #ids} can return it without a copy. */
+    private PSet<String> ids = OrderedPSet.empty();
 
-    /** Parts of the inventory that can't be read: any machine may be among them. */
+    /** The number of inventory parts that cannot be read. Any machine may be listed in them. */
     private int unreadableParts;
 
+    /** Adds a machine that was taken over. */
     void add(String machine, MachineProfile profile) {
-        byProfile.addTo(profile, 1);
-        names = names.plus(machine);
+        countByProfile.addTo(profile, 1);
+        ids = ids.plus(machine);
     }
 
+    /** Adds parts of the inventory that cannot be read; they stay awaited for the rest of the term. */
     void addUnreadableParts(int parts) {
         unreadableParts += parts;
     }
 
-    /** One machine of this profile has sent a heartbeat or is gone; true when it was the last one of its profile. */
+    /** Removes a machine that has sent a heartbeat or is gone, and returns whether it was the last one of its profile. */
     boolean remove(String machine, MachineProfile profile) {
-        int stillAwaited = byProfile.addTo(profile, -1) - 1;
-        names = names.minus(machine);
-        if (stillAwaited > 0) {
+        int remaining = countByProfile.addTo(profile, -1) - 1;
+        ids = ids.minus(machine);
+        if (remaining > 0) {
             return false;
         }
-        byProfile.removeInt(profile);
+        countByProfile.removeInt(profile);
         return true;
     }
 
-    /** Whether a task of this job may be on one of them. */
-    boolean mayHold(JobSpec spec) {
-        return unreadableParts > 0 || byProfile.keySet().stream().anyMatch(profile -> profile.canRun(spec));
+    /** Returns whether a task of this job may be on one of the awaited machines. */
+    boolean canHoldTaskOf(JobSpec spec) {
+        return unreadableParts > 0 || countByProfile.keySet().stream().anyMatch(profile -> profile.canRun(spec));
     }
 
+    /** Returns whether no machine is awaited and all parts of the inventory could be read. */
     boolean isEmpty() {
-        return names.isEmpty() && unreadableParts == 0;
+        return ids.isEmpty() && unreadableParts == 0;
     }
 
-    PSet<String> names() {
-        return names;
+    /** Returns the ids of the awaited machines, as an immutable set. */
+    PSet<String> ids() {
+        return ids;
     }
 
+    /** Returns the number of inventory parts that cannot be read. */
     int unreadableParts() {
         return unreadableParts;
     }
--- a/src/main/java/org/granitepath/recovery/BatchHold.java
+++ b/src/main/java/org/granitepath/recovery/BatchHold.java
@@ -1,46 +1,50 @@
 package org.granitepath.recovery;
 
 /**
- * The bound on how long batch work is held for live work, and what of the live work it waits for. Whether it is held at
- * all is a matter of the phase.
+ * The time limit for holding batch work back in favour of live work, and the live work that batch work waits for. Whether
+ * batch work is held at all depends on the {@link RecoveryPhase}.
  */
 final class BatchHold {
-    private final long longestMicros;
-    private long endsMicros;
+    private final long maxHoldMicros;
+    private long endMicros;
     private LiveWorkBacklog backlog = LiveWorkBacklog.NONE;
 
-    /** @param longestMicros how long batch work is held, at most; 0: not at all */
-    BatchHold(long longestMicros) {
-        this.longestMicros = longestMicros;
+    /**
+     * Creates a hold that has not begun.
+     *
+     * @param maxHoldMicros the longest time for which batch work is held; 0 if it is not held at all
+     */
+    BatchHold(long maxHoldMicros) {
+        this.maxHoldMicros = maxHoldMicros;
     }
 
-    /** The time that the hold may last begins now. */
+    /** Starts the time limit. */
     void begin(long nowMicros) {
-        endsMicros = nowMicros + longestMicros;
+        endMicros = nowMicros + maxHoldMicros;
     }
 
-    /** Whether it has lasted for as long as it may. */
-    boolean isDue(long nowMicros) {
-        return nowMicros >= endsMicros;
+    /** Returns whether the time limit has passed. */
+    boolean hasExpired(long nowMicros) {
+        return nowMicros >= endMicros;
     }
 
-    /** When it ends at the latest; 0 before it has begun. */
-    long endsMicros() {
-        return endsMicros;
+    /** Returns the time at which the hold ends at the latest, or 0 before it has begun. */
+    long endMicros() {
+        return endMicros;
     }
 
-    /** A scheduling cycle has left this of the live work. */
-    void waitsFor(LiveWorkBacklog left) {
-        backlog = left;
+    /** Sets the live work that the latest scheduling cycle has not resumed. */
+    void setBacklog(LiveWorkBacklog newBacklog) {
+        backlog = newBacklog;
     }
 
-    /** What it waits for, in words that operators read. */
-    String waitingFor() {
+    /** Returns a summary for operators of the live work that batch work waits for. */
+    String awaitedLiveWork() {
         return backlog.summary();
     }
 
-    /** Why it ends when it is due, in words that operators read. */
-    String reasonToEnd() {
-        return longestMicros == 0 ? "no hold is set" : "the longest hold is over, with " + waitingFor();
+    /** Returns the reason, for operators, why the hold ends when it has expired. */
+    String expiryReason() {
+        return maxHoldMicros == 0 ? "no hold is set" : "the longest hold is over, with " + awaitedLiveWork();
     }
 }
--- a/src/main/java/org/granitepath/recovery/KnownPlacement.java
+++ b/src/main/java/org/granitepath/recovery/KnownPlacement.java
@@ -1,11 +1,13 @@
 package org.granitepath.recovery;
 
-/** Where this leader holds the task that a heartbeat lists. */
+/** Where this leader has placed a task that a heartbeat lists. */
 public enum KnownPlacement {
+    /** This leader has not placed the task. */
     NONE,
-    /** The very attempt that is listed, on the machine that sent the heartbeat. */
+    /** This leader has placed the listed attempt on the machine that sent the heartbeat. */
     THIS_ATTEMPT,
-    /** On the same machine, under another attempt. */
+    /** This leader has placed another attempt of the task on the machine that sent the heartbeat. */
     OTHER_ATTEMPT_HERE,
+    /** This leader has placed the task on another machine. */
     OTHER_MACHINE
 }
--- a/src/main/java/org/granitepath/recovery/ListedTaskState.java
+++ b/src/main/java/org/granitepath/recovery/ListedTaskState.java
@@ -1,11 +1,11 @@
 package org.granitepath.recovery;
 
-/** What a heartbeat says of an attempt. */
+/** The state of an attempt that a heartbeat lists, as far as it matters for the verdict. */
 public enum ListedTaskState {
-    /** Fetches its image, waits, runs or saves. */
+    /** The attempt fetches its image, waits, runs or saves its progress. */
     LIVE,
-    /** Has exited with a result that completes the task. */
+    /** The attempt has exited with a result that completes the task. */
     COMPLETED,
-    /** Has exited for another reason, or without a result that counts. */
+    /** The attempt has exited without completing the task. */
     EXITED
 }
--- a/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
+++ b/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
@@ -4,25 +4,25 @@
 import org.granitepath.storage.Priority;
 
 /**
- * What is left to do about live work after a scheduling cycle. Live work resumes before all other: services, and jobs
- * of the highest priority.
+ * The live work that is not resumed yet after a scheduling cycle. Live work consists of services and of jobs of the
+ * highest priority. It is resumed before all other work.
  *
- * @param unconfirmedTasks may be on machines still awaited
- * @param jobsAwaitingClaim have tasks to start, and wait for their next claim to be on record
- * @param unacknowledgedTasks were placed, and no heartbeat has listed them yet
- * @param tasksAwaitingPreemption have no capacity yet, but other tasks are being preempted for them
+ * @param unconfirmedTasks the number of tasks that may be on machines still awaited
+ * @param jobsAwaitingClaim the number of jobs that have tasks to start and wait until their next claim is recorded
+ * @param unacknowledgedTasks the number of tasks that were placed and that no heartbeat has listed yet
+ * @param tasksAwaitingPreemption the number of tasks without capacity for which other tasks are being preempted
  */
 public record LiveWorkBacklog(
         int unconfirmedTasks, int jobsAwaitingClaim, int unacknowledgedTasks, int tasksAwaitingPreemption) {
-    /** Nothing is left. */
+    /** All live work is resumed. */
     public static final LiveWorkBacklog NONE = new LiveWorkBacklog(0, 0, 0, 0);
 
-    /** Whether this job is live work. */
+    /** Returns whether this job is live work. */
     public static boolean isLiveWork(JobSpec spec) {
         return spec.service() || spec.priority() == Priority.CRITICAL;
     }
 
-    /** What is left, in words that operators read in the log and in {@code GET /recovery}. */
+    /** Returns a summary that operators read in the log and in {@code GET /recovery}. */
     String summary() {
         return unconfirmedTasks + " tasks in doubt, "
                 + jobsAwaitingClaim + " to be claimed, "
@@ -30,7 +30,10 @@
                 + tasksAwaitingPreemption + " getting room";
     }
 
-    /** Whether nothing is left that could be placed at once. What waits for a machine to boot is not counted. */
+    /**
+     * Returns whether no live work is left that can be placed at once. Tasks that wait for a machine to boot are not
+     * counted.
+     */
     boolean isPlaced() {
         return jobsAwaitingClaim == 0 && unacknowledgedTasks == 0 && tasksAwaitingPreemption == 0;
     }
--- a/src/main/java/org/granitepath/recovery/MachineProfile.java
+++ b/src/main/java/org/granitepath/recovery/MachineProfile.java
@@ -2,10 +2,16 @@
 
 import org.granitepath.storage.JobSpec;
 
-/** What decides which jobs a machine may hold: tasks never start on machines that their job does not allow. */
+/**
+ * The properties of a machine that decide which jobs may run on it. A task never starts on a machine that its job does
+ * not allow.
+ *
+ * @param type the name of the machine type
+ * @param spot whether the machine is a spot instance
+ */
 public record MachineProfile(String type, String zone, boolean spot) {
 
-    /** Whether a task of this job can be on such a machine. */
+    /** Returns whether a task of this job can be on a machine with this profile. */
     public boolean canRun(JobSpec spec) {
         return spec.allowsType(type) && spec.allowsZone(zone) && (spec.spot() || !spot);
     }
--- a/src/main/java/org/granitepath/recovery/RecordedTaskState.java
+++ b/src/main/java/org/granitepath/recovery/RecordedTaskState.java
@@ -1,19 +1,21 @@
 package org.granitepath.recovery;
 
-/** What the records say of a task that a heartbeat lists. */
+/** The state, according to the records in the store, of a task that a heartbeat lists. */
 public enum RecordedTaskState {
-    /** Claimed by this or a former leader, not finished. */
+    /** The task is claimed by this or an earlier leader, and has not finished. */
     CLAIMED,
-    /** Its number was never claimed: no leader may have started it. */
+    /** The task was never claimed, so no leader was allowed to start it. */
     UNCLAIMED,
-    /** On record as finished, in a job that goes on. */
+    /** The task is recorded as finished, and its job has not ended. */
     TASK_DONE,
+    /** The job is recorded as done. */
     JOB_DONE,
+    /** The job is recorded as cancelled. */
     JOB_CANCELLED,
-    /** The job has fewer tasks than this number. */
+    /** The job has no task with this index. */
     NOT_IN_JOB,
     /** There is no record of the job. */
     UNKNOWN_JOB,
-    /** A record of the job can't be read, so what it says is not known. */
+    /** A record of the job cannot be read, so the state is unknown. */
     UNREADABLE
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -1,24 +1,24 @@
 package org.granitepath.recovery;
 
-/** The stages of a recovery, in order. A term never goes back to an earlier one. */
+/** The phases of a recovery, in order. A term never returns to an earlier phase. */
 public enum RecoveryPhase {
-    /** The term is won; the records are being read up to its beginning. Nothing is commanded. */
+    /** The term has been won, and the records are being read up to its start. No commands are sent. */
     READING,
-    /** Heartbeats are compared with the records; live work starts as its proofs come in. */
+    /** Heartbeats are compared with the records. A task of live work may start once it is proved to be on no machine. */
     RECONCILING,
-    /** No task of live work is unconfirmed any more; those that have or get capacity are being started. */
+    /** No task of live work is unconfirmed any more. The tasks for which there is capacity, or will be, are started. */
     RESUMING_LIVE,
-    /** All work may start, each task on its own proof; some machines are still awaited. */
+    /** All work may start, each task once it is proved to be on no machine. Some machines may still be awaited. */
     RESUMING_BATCH,
     /** Every machine taken over has sent a heartbeat or is proved gone. */
     RECOVERED;
 
-    /** Whether batch work, which comes after live work, may start. */
+    /** Returns whether batch work, which is resumed after live work, may start. */
     public boolean canStartBatchWork() {
         return compareTo(RESUMING_BATCH) >= 0;
     }
 
-    /** Whether batch work is held for live work, which may start. */
+    /** Returns whether live work may start while batch work is held back. */
     public boolean isHoldingBatchWork() {
         return this == RECONCILING || this == RESUMING_LIVE;
     }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -7,8 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery of one term of leadership: how far it has come, and so which work may start. Live work starts by the
- * proof of each task; batch work, which is all other, is held until live work is placed, but never beyond a bound.
+ * The recovery in one term of leadership: its progress, and which work may start. A task of live work may start once it
+ * is proved to be on no machine. All other work is batch work; it is held back until live work is placed, but no longer
+ * than a time limit.
  */
 public final class RecoveryPlan {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryPlan.class);
@@ -22,7 +23,11 @@
     private long revision;
     private int machinesTakenOver;
 
-    /** @param batchHoldMicros how long batch work is held for live work, at most; 0: not at all */
+    /**
+     * Creates the plan of a term that has just been won.
+     *
+     * @param batchHoldMicros the longest time for which batch work is held back; 0 if it is not held back at all
+     */
     public RecoveryPlan(long fencingToken, long batchHoldMicros, RecoveryTracer tracer) {
         this.fencingToken = fencingToken;
         this.batchHold = new BatchHold(batchHoldMicros);
@@ -31,19 +36,22 @@
         tracer.onPhaseEntered(phase, "term won");
     }
 
-    /** Takes a machine of the inventory over, before the records count as read. */
+    /** Adds a machine of the inventory to the awaited machines. Call this method before {@link #onRecordsRead}. */
     public void takeOverMachine(String machine, MachineProfile profile) {
         awaited.add(machine, profile);
         machinesTakenOver++;
         tracer.onMachineAwaited(machine);
     }
 
-    /** Parts of the inventory that can't be read: no task is proved lost as long as this term lasts. */
+    /**
+     * Adds parts of the inventory that cannot be read. Any machine may be listed in them, so that no claimed task that
+     * is not listed by a heartbeat is proved lost for the rest of this term.
+     */
     public void takeOverUnreadableParts(int parts) {
         awaited.addUnreadableParts(parts);
     }
 
-    /** The records are read, as of this revision: from now on heartbeats are taken. */
+    /** Ends the phase {@code READING}: the records are read as of this revision, and heartbeats are evaluated from now on. */
     public void onRecordsRead(long revisionRead, long nowMicros) {
         revision = revisionRead;
         batchHold.begin(nowMicros);
@@ -55,46 +63,51 @@
         }
     }
 
-    /** A machine taken over has sent a heartbeat or is proved gone; true when that may tell of unconfirmed tasks. */
+    /**
+     * Removes a machine from the awaited machines, because it has sent a heartbeat or is proved gone.
+     *
+     * @param proof what the machine has sent, or how it is known to be gone
+     * @return whether the verdict on unconfirmed tasks may have changed: it was the last machine of its profile
+     */
     public boolean resolveMachine(String machine, MachineProfile profile, String proof) {
-        boolean lastOfItsProfile = awaited.remove(machine, profile);
+        boolean isLastOfProfile = awaited.remove(machine, profile);
         tracer.onMachineResolved(machine, proof);
         if (awaited.isEmpty() && phase == RecoveryPhase.RESUMING_BATCH) {
-            recovered();
+            enterRecovered();
         }
-        return lastOfItsProfile;
+        return isLastOfProfile;
     }
 
-    /** The verdict on a claimed task that no heartbeat has listed so far. */
+    /** Returns the verdict on a claimed task of this job that no heartbeat has listed so far. */
     public Verdict verdictOnUnlistedTask(JobSpec spec) {
-        return VerdictTable.forUnlistedTask(awaited.mayHold(spec));
+        return VerdictTable.forUnlistedTask(awaited.canHoldTaskOf(spec));
     }
 
-    /** Counts a verdict on one task. */
+    /** Adds a verdict on this number of tasks to the counts. */
     public void countVerdicts(Verdict verdict, int tasks) {
         counts.add(verdict, tasks);
     }
 
-    /** Counts the comparisons of an attempt with the records. */
+    /** Adds this number of attempts to the count of those that were compared with the records. */
     public void countComparisons(int attempts) {
         counts.addComparisons(attempts);
     }
 
-    /** Whether tasks of this job may start, as far as the recovery is concerned. */
+    /** Returns whether the recovery allows tasks of this job to start. */
     public boolean canStart(JobSpec spec) {
         return phase.canStartBatchWork() || (phase != RecoveryPhase.READING && LiveWorkBacklog.isLiveWork(spec));
     }
 
-    /** Ends the hold when its time is over. Called before each scheduling cycle, so that it sets no timer. */
+    /** Ends the hold if its time limit has passed. Called before each scheduling cycle, so that no timer is needed. */
     public void endHoldIfDue(long nowMicros) {
-        if (isBatchWorkHeld() && batchHold.isDue(nowMicros)) {
-            resumeBatch(batchHold.reasonToEnd());
+        if (isBatchWorkHeld() && batchHold.hasExpired(nowMicros)) {
+            resumeBatch(batchHold.expiryReason());
         }
     }
 
-    /** A scheduling cycle has ended and left this of the live work. */
+    /** Updates the phase after a scheduling cycle that has left this backlog of live work. */
     public void onCycleEnded(LiveWorkBacklog backlog) {
-        batchHold.waitsFor(backlog);
+        batchHold.setBacklog(backlog);
         if (phase == RecoveryPhase.RECONCILING && backlog.unconfirmedTasks() == 0) {
             enter(RecoveryPhase.RESUMING_LIVE, "no task that goes first is in doubt");
         }
@@ -106,15 +119,15 @@
     private void resumeBatch(String reason) {
         enter(RecoveryPhase.RESUMING_BATCH, reason);
         if (awaited.isEmpty()) {
-            recovered();
+            enterRecovered();
         }
     }
 
-    private void recovered() {
+    private void enterRecovered() {
         enter(RecoveryPhase.RECOVERED, "every machine taken over is heard or proved gone");
     }
 
-    /** The term is over. */
+    /** Reports the end of the term to the tracer. */
     public void end() {
         tracer.onTermEnded();
     }
@@ -125,63 +138,66 @@
         tracer.onPhaseEntered(next, reason);
     }
 
-    /** Whether batch work is held for live work. */
+    /** Returns whether batch work is held back in favour of live work. */
     public boolean isBatchWorkHeld() {
         return phase.isHoldingBatchWork();
     }
 
-    /** What batch work waits for, in words that operators read in {@code GET /recovery}. */
+    /** Returns what batch work waits for, as operators read it in {@code GET /recovery}. */
     public String awaitedLiveWork() {
-        return isBatchWorkHeld() ? batchHold.waitingFor() : "nothing";
+        return isBatchWorkHeld() ? batchHold.awaitedLiveWork() : "nothing";
     }
 
-    /** Whether every machine taken over has sent a heartbeat or is proved gone. */
+    /**
+     * Returns whether every machine taken over has sent a heartbeat or is proved gone. Never true if a part of the
+     * inventory cannot be read.
+     */
     public boolean isEveryMachineResolved() {
         return awaited.isEmpty();
     }
 
-    /** The fencing token of the term. */
+    /** Returns the fencing token of the term. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** How far the recovery has come. */
+    /** Returns the current phase of the recovery. */
     public RecoveryPhase phase() {
         return phase;
     }
 
-    /** The revision of the records that the recovery began with. */
+    /** Returns the revision of the records that the recovery began with, or 0 while they are being read. */
     public long recordsRevision() {
         return revision;
     }
 
-    /** How many machines the inventory had when the term began. */
+    /** Returns the number of machines in the inventory when the term began. */
     public int takenOverMachineCount() {
         return machinesTakenOver;
     }
 
-    /** The machines still awaited, as of now. */
+    /** Returns the ids of the machines that are still awaited, as an immutable set. */
     public PSet<String> awaitedMachines() {
-        return awaited.names();
+        return awaited.ids();
     }
 
-    /** How many parts of the inventory can't be read. */
+    /** Returns the number of inventory parts that cannot be read. */
     public int unreadableInventoryParts() {
         return awaited.unreadableParts();
     }
 
-    /** When the hold ends at the latest. */
+    /** Returns the time at which the hold ends at the latest, or 0 before the records are read. */
     public long holdEndMicros() {
-        return batchHold.endsMicros();
+        return batchHold.endMicros();
     }
 
-    /** How many attempts were compared with the records so far. */
+    /** Returns how many attempts have been compared with the records so far. */
     public long comparisonCount() {
-        return counts.comparisons();
+        return counts.comparisonCount();
     }
 
-    /** How many tasks got each verdict so far. */
+    /** Returns how many tasks got each verdict so far, as a copy. */
     public Map<Verdict, Integer> taskCountsByVerdict() {
-        return counts.tasks();
+        return counts.taskCounts();
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -6,13 +6,16 @@
 import org.pcollections.PSet;
 
 /**
- * What a controller can tell of the recovery.
+ * The state of the recovery as one controller reports it.
  *
- * @param leader the leader that this controller knows of, or null
- * @param reason why the role is what it is
- * @param recordsAgeMicros how long ago the store last told this controller of the records; negative: never
- * @param unreadableRecords how many records can't be read
- * @param term the recovery of the controller's own term; null when it does not lead
+ * @param node the node name of the controller
+ * @param role whether the controller is the leader, and how certain that is
+ * @param leader the node name of the leader that this controller knows of, or null if it knows of none
+ * @param reason why the controller reports this role, as text for operators
+ * @param recordsAgeMicros the time since the store last answered a read of the records, in microseconds; negative if the
+ *     controller has not read them yet
+ * @param unreadableRecords the number of records that cannot be read
+ * @param term the recovery in the controller's own term, or null if it is not the leader
  */
 public record RecoveryStatus(
         String node,
@@ -23,25 +26,25 @@
         long unreadableRecords,
         @Nullable Term term) {
 
-    /** Whether the controller can tell at all. */
+    /** Whether the controller is the leader, and how certain that is. */
     public enum Role {
-        /** It leads, confirmed lately by the store: what it tells holds. */
+        /** The controller is the leader, as the store confirmed recently, so its status is valid. */
         LEADING,
-        /** It led when the store last answered: another may lead by now. */
+        /** The controller was the leader when the store last answered; another one may be the leader by now. */
         LEADING_UNCONFIRMED,
-        /** Another controller leads, or none does. */
+        /** Another controller is the leader, or there is none. */
         FOLLOWING,
-        /** It has no answer of the store that is recent enough to say who leads. */
+        /** The store has not answered recently enough for the controller to know the leader. */
         UNKNOWN
     }
 
     /**
-     * The recovery of one term of leadership.
+     * The recovery in one term of leadership.
      *
-     * @param recordsRevision the revision of the records that it began with; 0 while they are read
-     * @param taskCountsByVerdict how many tasks got each verdict so far
-     * @param comparisonCount how many attempts were compared with the records so far
-     * @param hold what holds batch work back; null when it may start
+     * @param recordsRevision the revision of the records that the recovery began with; 0 while they are being read
+     * @param taskCountsByVerdict the number of tasks that got each verdict so far
+     * @param comparisonCount the number of attempts that were compared with the records so far
+     * @param hold the hold on batch work, or null if batch work may start
      */
     public record Term(
             RecoveryPhase phase,
@@ -55,23 +58,24 @@
     /**
      * The machines that the term began with.
      *
-     * @param awaited those that have neither sent a heartbeat nor are proved gone, by name
-     * @param unreadableInventoryParts parts of the inventory that can't be read: any machine may be among them
+     * @param takenOver the number of machines in the inventory when the term began
+     * @param awaited the ids of the machines that have neither sent a heartbeat nor are proved gone
+     * @param unreadableInventoryParts the number of inventory parts that cannot be read; any machine may be in them
      */
     public record Machines(int takenOver, PSet<String> awaited, int unreadableInventoryParts) {
-        /** None is known: the inventory is not read yet. */
+        /** No machine is known, because the inventory has not been read yet. */
         public static final Machines NONE = new Machines(0, OrderedPSet.empty(), 0);
     }
 
     /**
-     * What holds batch work back.
+     * The hold on batch work.
      *
-     * @param waitsFor what it waits for, in words
-     * @param remainingMicros for how much longer it is held, at most; negative: not known
+     * @param waitsFor what batch work waits for, as text for operators
+     * @param remainingMicros the longest time for which batch work is still held, in microseconds; negative if unknown
      */
     public record Hold(String waitsFor, long remainingMicros) {}
 
-    /** Of a controller that does not lead. */
+    /** Returns the status of a controller that is not the leader. */
     public static RecoveryStatus withoutTerm(
             String node,
             Role role,
@@ -82,17 +86,17 @@
         return new RecoveryStatus(node, role, leader, reason, recordsAgeMicros, unreadableRecords, null);
     }
 
-    /** How far the recovery has come; null when this controller does not lead. */
+    /** Returns the phase of the recovery, or null if this controller is not the leader. */
     public @Nullable RecoveryPhase phase() {
         return term == null ? null : term.phase();
     }
 
-    /** How many machines are still awaited; 0 when this controller does not lead. */
+    /** Returns the number of machines still awaited, or 0 if this controller is not the leader. */
     public int awaitedMachineCount() {
         return term == null ? 0 : term.machines().awaited().size();
     }
 
-    /** How many tasks got each verdict so far; empty when this controller does not lead. */
+    /** Returns how many tasks got each verdict so far; empty if this controller is not the leader. */
     public Map<Verdict, Integer> taskCountsByVerdict() {
         return term == null ? Map.of() : term.taskCountsByVerdict();
     }
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -1,11 +1,11 @@
 package org.granitepath.recovery;
 
 /**
- * Is told how a recovery goes, for metrics and traces; nothing is decided by it. Times are those of the caller's steady
- * clock.
+ * Receives the events of a recovery for metrics and traces. It makes no decisions. Events take place at the time of the
+ * call, by the caller's monotonic clock.
  */
 public interface RecoveryTracer {
-    /** Tells nobody. */
+    /** Ignores all events. */
     RecoveryTracer NONE = new RecoveryTracer() {
         @Override
         public void onTermBegan(long fencingToken) {}
@@ -26,15 +26,15 @@
     /** A term of leadership has begun. */
     void onTermBegan(long fencingToken);
 
-    /** The recovery has reached a phase. */
+    /** The recovery has entered a phase, for the given reason. */
     void onPhaseEntered(RecoveryPhase phase, String reason);
 
-    /** A machine was taken over; what is on it is unconfirmed. */
+    /** A machine was taken over. The tasks on it are unconfirmed. */
     void onMachineAwaited(String machine);
 
-    /** What is on the machine is known, or it is gone. */
+    /** The tasks on a machine that was taken over are known, or the machine is gone, according to the given proof. */
     void onMachineResolved(String machine, String proof);
 
-    /** The term is over, whatever the recovery has reached. */
+    /** The term has ended, whatever phase the recovery has reached. */
     void onTermEnded();
 }
--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -1,15 +1,16 @@
 package org.granitepath.recovery;
 
 /**
- * What is known of an attempt that this leader holds on a machine and that the machine's heartbeat does not list.
+ * What is known about an attempt that this leader has placed on a machine and that the machine's heartbeat does not list.
  *
- * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start was meant for
- * @param underCurrentToken the heartbeat was made under the machine's present fencing token
- * @param startSent the start has gone out
- * @param startUnanswered a direct start under the token of the heartbeat, or a later one, has no answer: it may come yet
+ * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start command was meant for
+ * @param underCurrentToken the worker created the heartbeat under the machine's current fencing token
+ * @param startSent the start command was sent
+ * @param startUnanswered a direct call with the start command, under the token of the heartbeat or a later one, has not
+ *     been answered: the command may still reach the worker
  * @param listedBefore an earlier heartbeat listed the attempt
- * @param sentInHeartbeatResponse the start went out in the answer to a heartbeat
- * @param initiatedByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
+ * @param sentInHeartbeatResponse the start command was sent in the response to a heartbeat
+ * @param initiatedByWorker the worker sent this heartbeat by itself; otherwise it arrived in the answer to a direct call
  */
 public record StartEvidence(
         boolean laterAgentEpoch,
--- a/src/main/java/org/granitepath/recovery/Verdict.java
+++ b/src/main/java/org/granitepath/recovery/Verdict.java
@@ -1,21 +1,21 @@
 package org.granitepath.recovery;
 
-/** What the records and a machine's heartbeat together say of one task. */
+/** What the records and a machine's heartbeat together prove about one task. */
 public enum Verdict {
-    /** The heartbeat lists the attempt that this leader holds there: its state is taken from the heartbeat. */
+    /** The heartbeat lists the attempt that this leader has placed there. Its state is taken from the heartbeat. */
     CONFIRMED,
-    /** An attempt of a former leader runs where nothing speaks against it: from now on it is this leader's. */
+    /** An attempt of an earlier leader runs and does not conflict with the records. This leader continues it as its own. */
     ADOPTED,
-    /** An attempt that this leader does not hold has completed the task: the result counts. */
+    /** An attempt that this leader has not placed has completed the task. Its result counts. */
     FINISHED_MEANWHILE,
-    /** Runs for a job or a task that is over, was never claimed, or is held elsewhere: it is stopped. */
+    /** The attempt runs although its job or task has ended, was never claimed, or is placed elsewhere. It is stopped. */
     STALE,
-    /** Runs for a job that no record knows: it is stopped, and cleared once it has exited. */
+    /** The attempt runs a task that is in no job record. It is stopped, and cleared once it has exited. */
     UNKNOWN_JOB,
-    /** Has exited and tells nothing new: it is cleared when the protocol allows it. */
+    /** The attempt has exited without a new result. It is cleared when the protocol allows it. */
     EXITED,
-    /** Proved to be on no machine: the task may start again. */
+    /** The task is proved to be on no machine. It may start again. */
     LOST,
-    /** May still run: nothing is done about the task until there is proof. */
+    /** The task may still be running. No action is taken on it until there is proof. */
     UNCONFIRMED
 }
--- a/src/main/java/org/granitepath/recovery/VerdictCounts.java
+++ b/src/main/java/org/granitepath/recovery/VerdictCounts.java
@@ -3,28 +3,28 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** How many attempts one term has compared with the records, and how many tasks got each verdict. */
+/** Counts the attempts that one term has compared with the records, and the tasks that got each verdict. */
 final class VerdictCounts {
-    private final Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
-    private long comparisons;
+    private final Map<Verdict, Integer> taskCounts = new EnumMap<>(Verdict.class);
+    private long comparisonCount;
 
-    /** This verdict was reached on so many tasks. */
-    void add(Verdict verdict, int count) {
-        tasks.merge(verdict, count, Integer::sum);
+    /** Adds a verdict on this number of tasks. */
+    void add(Verdict verdict, int tasks) {
+        taskCounts.merge(verdict, tasks, Integer::sum);
     }
 
-    /** So many attempts were compared with the records. */
+    /** Adds this number of attempts that were compared with the records. */
     void addComparisons(int attempts) {
-        comparisons += attempts;
+        comparisonCount += attempts;
     }
 
-    /** How many attempts were compared with the records so far. */
-    long comparisons() {
-        return comparisons;
+    /** Returns how many attempts were compared with the records so far. */
+    long comparisonCount() {
+        return comparisonCount;
     }
 
-    /** How many tasks got each verdict so far, verdicts that were never reached aside: a copy. */
-    Map<Verdict, Integer> tasks() {
-        return tasks.isEmpty() ? Map.of() : new EnumMap<>(tasks);
+    /** Returns how many tasks got each verdict so far, as a copy that leaves out verdicts that no task got. */
+    Map<Verdict, Integer> taskCounts() {
+        return taskCounts.isEmpty() ? Map.of() : new EnumMap<>(taskCounts);
     }
 }
--- a/src/main/java/org/granitepath/recovery/VerdictTable.java
+++ b/src/main/java/org/granitepath/recovery/VerdictTable.java
@@ -1,13 +1,13 @@
 package org.granitepath.recovery;
 
 /**
- * The one table by which records and heartbeats are compared. It holds for the whole term, not only for its
- * beginning: a heartbeat that was held up may arrive at any time. {@code docs/recovery.md} prints it.
+ * The decision table for comparing heartbeats with the records. It applies during the whole term, not only at its
+ * beginning, because a delayed heartbeat may arrive at any time. {@code docs/recovery.md} contains the same table.
  */
 public final class VerdictTable {
     private VerdictTable() {}
 
-    /** The verdict on an attempt that a heartbeat lists. */
+    /** Returns the verdict on an attempt that a heartbeat lists. */
     public static Verdict forListedAttempt(
             RecordedTaskState recorded, KnownPlacement placement, ListedTaskState listed) {
         if (placement == KnownPlacement.THIS_ATTEMPT) {
@@ -17,13 +17,13 @@
             return Verdict.UNCONFIRMED;
         }
         return switch (listed) {
-            case LIVE -> ofLive(recorded, placement);
-            case COMPLETED -> ofCompleted(recorded);
+            case LIVE -> forLiveAttempt(recorded, placement);
+            case COMPLETED -> forCompletedAttempt(recorded);
             case EXITED -> Verdict.EXITED;
         };
     }
 
-    private static Verdict ofLive(RecordedTaskState recorded, KnownPlacement placement) {
+    private static Verdict forLiveAttempt(RecordedTaskState recorded, KnownPlacement placement) {
         return switch (recorded) {
             case CLAIMED -> placement == KnownPlacement.NONE ? Verdict.ADOPTED : Verdict.STALE;
             case UNCLAIMED, TASK_DONE, JOB_DONE, JOB_CANCELLED -> Verdict.STALE;
@@ -32,8 +32,8 @@
         };
     }
 
-    /** A result counts whoever started the attempt, as long as the records lack it. */
-    private static Verdict ofCompleted(RecordedTaskState recorded) {
+    /** A result counts whichever leader started the attempt, as long as it is not recorded yet. */
+    private static Verdict forCompletedAttempt(RecordedTaskState recorded) {
         return switch (recorded) {
             case CLAIMED, UNCLAIMED -> Verdict.FINISHED_MEANWHILE;
             case TASK_DONE, JOB_DONE, JOB_CANCELLED, NOT_IN_JOB, UNKNOWN_JOB -> Verdict.EXITED;
@@ -41,7 +41,7 @@
         };
     }
 
-    /** The verdict on an attempt of this leader that the machine's heartbeat does not list. */
+    /** Returns the verdict on an attempt that this leader has placed on a machine whose heartbeat does not list it. */
     public static Verdict forMissingAttempt(StartEvidence start) {
         if (start.laterAgentEpoch()) {
             return Verdict.LOST;
@@ -49,12 +49,13 @@
         if (!start.underCurrentToken() || !start.startSent() || start.startUnanswered()) {
             return Verdict.UNCONFIRMED;
         }
-        boolean answerWasTaken = start.listedBefore() || start.initiatedByWorker() || !start.sentInHeartbeatResponse();
-        return answerWasTaken ? Verdict.LOST : Verdict.UNCONFIRMED;
+        boolean responseWasReceived =
+                start.listedBefore() || start.initiatedByWorker() || !start.sentInHeartbeatResponse();
+        return responseWasReceived ? Verdict.LOST : Verdict.UNCONFIRMED;
     }
 
-    /** The verdict on a task that is claimed on record and that no heartbeat so far has listed. */
-    public static Verdict forUnlistedTask(boolean mayRunOnAwaitedMachine) {
-        return mayRunOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
+    /** Returns the verdict on a task that is recorded as claimed and that no heartbeat has listed so far. */
+    public static Verdict forUnlistedTask(boolean canBeOnAwaitedMachine) {
+        return canBeOnAwaitedMachine ? Verdict.UNCONFIRMED : Verdict.LOST;
     }
 }
--- a/src/main/java/org/granitepath/recovery/package-info.java
+++ b/src/main/java/org/granitepath/recovery/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Recovery after a change of leader: what records and heartbeats together prove of each task, which machines are
- * still awaited, and in which order work resumes. Pure decisions: no I/O, no threads, no clock of its own.
+ * Recovery after a change of leader: what the records and the heartbeats together prove about each task, which machines
+ * are still awaited, and in which order work is resumed. This package contains decision logic only: it does no I/O and
+ * has no threads and no clock of its own.
  */
 package org.granitepath.recovery;
--- a/src/test/java/org/granitepath/recovery/BatchHoldTest.java
+++ b/src/test/java/org/granitepath/recovery/BatchHoldTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long batch work is held at most, and in which words operators read why. */
+/** The longest time for which batch work is held, and the texts that tell operators why. */
 class BatchHoldTest {
     private static final LiveWorkBacklog BACKLOG = new LiveWorkBacklog(1, 2, 3, 4);
     private static final String SUMMARY = "1 tasks in doubt, 2 to be claimed, 3 sent and not seen yet, 4 getting room";
@@ -14,36 +14,36 @@
     private final BatchHold hold = new BatchHold(5_000_000);
 
     @Test
-    void itIsDueWhenItHasLastedForAsLongAsItMay() {
+    void theHoldExpiresAfterItsTimeLimit() {
         hold.begin(100);
-        assertEquals(5_000_100, hold.endsMicros());
-        assertFalse(hold.isDue(5_000_099));
-        assertTrue(hold.isDue(5_000_100));
+        assertEquals(5_000_100, hold.endMicros());
+        assertFalse(hold.hasExpired(5_000_099));
+        assertTrue(hold.hasExpired(5_000_100));
     }
 
     @Test
-    void itIsDueAtOnceWhenNoneIsSet() {
+    void aHoldOfZeroExpiresAtOnce() {
         BatchHold none = new BatchHold(0);
         none.begin(100);
-        assertTrue(none.isDue(100));
-        assertEquals("no hold is set", none.reasonToEnd());
+        assertTrue(none.hasExpired(100));
+        assertEquals("no hold is set", none.expiryReason());
     }
 
     @Test
-    void nothingOfTheLiveWorkIsLeftAtFirst() {
-        assertEquals(LiveWorkBacklog.NONE.summary(), hold.waitingFor());
+    void noLiveWorkIsAwaitedAtFirst() {
+        assertEquals(LiveWorkBacklog.NONE.summary(), hold.awaitedLiveWork());
     }
 
     @Test
-    void itWaitsForWhatTheLatestCycleHasLeft() {
-        hold.waitsFor(LiveWorkBacklog.NONE);
-        hold.waitsFor(BACKLOG);
-        assertEquals(SUMMARY, hold.waitingFor());
+    void batchWorkWaitsForTheBacklogOfTheLatestCycle() {
+        hold.setBacklog(LiveWorkBacklog.NONE);
+        hold.setBacklog(BACKLOG);
+        assertEquals(SUMMARY, hold.awaitedLiveWork());
     }
 
     @Test
-    void theReasonToEndTellsWhatIsLeft() {
-        hold.waitsFor(BACKLOG);
-        assertEquals("the longest hold is over, with " + SUMMARY, hold.reasonToEnd());
+    void theExpiryReasonNamesTheBacklog() {
+        hold.setBacklog(BACKLOG);
+        assertEquals("the longest hold is over, with " + SUMMARY, hold.expiryReason());
     }
 }
--- a/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
+++ b/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
@@ -4,17 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The words in which operators read what live work still waits for. */
+/** The summary of the backlog that operators read; its text must not change. */
 class LiveWorkBacklogTest {
     @Test
-    void theSummaryStaysAsOperatorsKnowIt() {
+    void theSummaryNamesAllCounts() {
         assertEquals(
                 "1 tasks in doubt, 2 to be claimed, 3 sent and not seen yet, 4 getting room",
                 new LiveWorkBacklog(1, 2, 3, 4).summary());
     }
 
     @Test
-    void thePlanTellsItWhileItHoldsBatchWork() {
+    void thePlanReportsTheSummaryWhileBatchWorkIsHeld() {
         RecoveryPlan plan = new RecoveryPlan(7, 5_000_000, RecoveryTracer.NONE);
         assertEquals("nothing", plan.awaitedLiveWork());
         plan.takeOverMachine("a", new MachineProfile("small", "north", false));
--- a/src/test/java/org/granitepath/recovery/RecoveryFixtures.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryFixtures.java
@@ -4,7 +4,7 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 
-/** Machines and jobs for tests of a recovery. */
+/** Machine profiles and jobs for recovery tests. */
 final class RecoveryFixtures {
     static final long SECOND = 1_000_000;
     static final MachineProfile NORTH = new MachineProfile("small", "north", false);
@@ -13,12 +13,12 @@
 
     private RecoveryFixtures() {}
 
-    /** A batch job of standard priority; types and zone may be null, which allows any. */
+    /** Returns a batch job of standard priority. Null types or a null zone allow any. */
     static JobSpec batch(List<String> types, String zone, boolean spot) {
         return job(JobSpec.Shape.BATCH, Priority.STANDARD, types, zone, spot);
     }
 
-    /** A job of three small tasks; types and zone may be null, which allows any. */
+    /** Returns a job of three small tasks. Null types or a null zone allow any. */
     static JobSpec job(JobSpec.Shape shape, Priority priority, List<String> types, String zone, boolean spot) {
         return new JobSpec(
                 "run-1",
--- a/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** In which phases of a recovery batch work is held, and in which it may start. */
+/** The phases of a recovery in which batch work is held, and those in which it may start. */
 class RecoveryPhaseTest {
-    @ParameterizedTest(name = "{0}: held {1}, starts {2}")
+    @ParameterizedTest(name = "{0}: held {1}, may start {2}")
     @CsvSource({
         "READING, false, false",
         "RECONCILING, true, false",
@@ -15,8 +15,8 @@
         "RESUMING_BATCH, false, true",
         "RECOVERED, false, true"
     })
-    void batchWorkIsHeldBetweenTheRecordsAndItsStart(RecoveryPhase phase, boolean held, boolean starts) {
+    void batchWorkIsHeldAfterTheRecordsAreReadUntilItMayStart(RecoveryPhase phase, boolean held, boolean canStart) {
         assertEquals(held, phase.isHoldingBatchWork());
-        assertEquals(starts, phase.canStartBatchWork());
+        assertEquals(canStart, phase.canStartBatchWork());
     }
 }
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which work may start in each phase of a recovery, and what ends the phase. */
+/** Which work may start in each phase of a recovery, and when the phase ends. */
 class RecoveryPlanTest {
     private static final long HOLD = 5 * SECOND;
-    private static final LiveWorkBacklog DOUBT = new LiveWorkBacklog(1, 0, 0, 0);
-    private static final LiveWorkBacklog UNSEEN = new LiveWorkBacklog(0, 0, 1, 0);
+    private static final LiveWorkBacklog UNCONFIRMED_TASK = new LiveWorkBacklog(1, 0, 0, 0);
+    private static final LiveWorkBacklog UNACKNOWLEDGED_TASK = new LiveWorkBacklog(0, 0, 1, 0);
 
     private static final JobSpec SERVICE =
             RecoveryFixtures.job(JobSpec.Shape.SERVICE, Priority.CRITICAL, null, null, false);
@@ -43,15 +43,15 @@
     }
 
     @Test
-    void servicesFirstThenTheRestThenRecovered() {
+    void servicesResumeBeforeBatchWork() {
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 0);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
         assertTrue(plan.canStart(SERVICE));
         assertFalse(plan.canStart(BATCH));
-        plan.onCycleEnded(DOUBT);
+        plan.onCycleEnded(UNCONFIRMED_TASK);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
-        plan.onCycleEnded(UNSEEN);
+        plan.onCycleEnded(UNACKNOWLEDGED_TASK);
         assertEquals(RecoveryPhase.RESUMING_LIVE, plan.phase());
         assertFalse(plan.canStart(BATCH));
         plan.onCycleEnded(LiveWorkBacklog.NONE);
@@ -63,24 +63,28 @@
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
     }
 
-    static List<LiveWorkBacklog> anythingLeft() {
-        return List.of(DOUBT, UNSEEN, new LiveWorkBacklog(0, 1, 0, 0), new LiveWorkBacklog(0, 0, 0, 1));
+    static List<LiveWorkBacklog> anyBacklog() {
+        return List.of(
+                UNCONFIRMED_TASK,
+                UNACKNOWLEDGED_TASK,
+                new LiveWorkBacklog(0, 1, 0, 0),
+                new LiveWorkBacklog(0, 0, 0, 1));
     }
 
     @ParameterizedTest
-    @MethodSource("anythingLeft")
-    void theHoldEndsInTimeWhateverIsLeft(LiveWorkBacklog left) {
+    @MethodSource("anyBacklog")
+    void theHoldEndsInTimeWithAnyBacklog(LiveWorkBacklog backlog) {
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 100);
         plan.endHoldIfDue(100 + HOLD - 1);
-        plan.onCycleEnded(left);
+        plan.onCycleEnded(backlog);
         assertFalse(plan.canStart(BATCH));
         plan.endHoldIfDue(100 + HOLD);
         assertTrue(plan.canStart(BATCH));
     }
 
     @Test
-    void withoutAHoldNothingWaits() {
+    void withoutAHoldBatchWorkStartsAtOnce() {
         RecoveryPlan plan = plan(0);
         plan.onRecordsRead(42, 0);
         assertTrue(plan.canStart(BATCH));
@@ -88,30 +92,30 @@
     }
 
     @Test
-    void withoutMachinesThereIsNothingToRecover() {
+    void withoutMachinesTheRecoveryEndsAtOnce() {
         RecoveryPlan plan = new RecoveryPlan(7, HOLD, RecoveryTracer.NONE);
         plan.onRecordsRead(1, 0);
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
         assertTrue(plan.canStart(BATCH));
     }
 
-    /** A task is lost once no machine is left that its job may use, whatever others are still awaited. */
+    /** A task is lost once no awaited machine is left that its job allows, whatever other machines are awaited. */
     @Test
-    void onlyMachinesThatTheJobMayUseAreWaitedFor() {
+    void onlyMachinesThatTheJobAllowsAreAwaited() {
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 0);
-        JobSpec inTheSouth = RecoveryFixtures.batch(null, "south", true);
+        JobSpec southOnly = RecoveryFixtures.batch(null, "south", true);
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
         assertTrue(plan.resolveMachine("a", NORTH, "heard"));
         assertEquals(Verdict.LOST, plan.verdictOnUnlistedTask(SERVICE));
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(BATCH));
-        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(inTheSouth));
+        assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(southOnly));
         assertEquals(Verdict.LOST, plan.verdictOnUnlistedTask(RecoveryFixtures.batch(null, "north", true)));
     }
 
-    /** Any machine may be in a part of the inventory that can't be read. */
+    /** Any machine may be listed in a part of the inventory that cannot be read. */
     @Test
-    void anUnreadablePartOfTheInventoryLeavesAllUnconfirmed() {
+    void withAnUnreadableInventoryPartAllTasksStayUnconfirmed() {
         RecoveryPlan plan = plan(HOLD);
         plan.takeOverUnreadableParts(1);
         plan.onRecordsRead(42, 0);
@@ -123,10 +127,10 @@
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
 
-    /** Any order of events: phases only go forward, and other work never starts before the hold has a reason to end. */
+    /** In any order of events, phases only advance, and batch work is never held beyond the time limit. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void anyOrderOfEvents(long seed) {
+    void phasesOnlyAdvanceInAnyOrderOfEvents(long seed) {
         Random random = new Random(seed);
         for (int run = 0; run < 200; run++) {
             List<RecoveryPhase> phases = new ArrayList<>();
@@ -139,14 +143,14 @@
             for (int step = 0; step < 40; step++) {
                 now += random.nextInt((int) SECOND / 2);
                 plan.endHoldIfDue(now);
-                LiveWorkBacklog left =
+                LiveWorkBacklog backlog =
                         new LiveWorkBacklog(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
-                plan.onCycleEnded(left);
+                plan.onCycleEnded(backlog);
                 if (!machines.isEmpty() && random.nextInt(10) == 0) {
                     machines.remove(random.nextInt(machines.size())).run();
                 }
                 phases.add(plan.phase());
-                assertTrue(now < HOLD || plan.canStart(BATCH), "held beyond the bound");
+                assertTrue(now < HOLD || plan.canStart(BATCH), "held beyond the time limit");
                 assertEquals(
                         plan.isEveryMachineResolved() && plan.canStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
             }
--- a/src/test/java/org/granitepath/recovery/VerdictTableTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictTableTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Each cell of the tables that docs/recovery.md prints is what the code decides. */
+/** Each cell of the tables in docs/recovery.md is the verdict of the code. */
 class VerdictTableTest {
     private static final String LISTED = "| records |";
     private static final String MISSING = "| message of a later agent epoch |";
-    private static final List<KnownPlacement> HELD =
+    private static final List<KnownPlacement> PLACEMENTS =
             List.of(KnownPlacement.NONE, KnownPlacement.OTHER_ATTEMPT_HERE, KnownPlacement.OTHER_MACHINE);
     private static final int FLAGS = 7;
 
@@ -26,10 +26,10 @@
         page = Files.readAllLines(Path.of("docs/recovery.md"));
     }
 
-    /** The rows of the table whose head begins so, without head and rule. */
-    private static List<List<String>> rows(String head) {
+    /** Returns the rows of the table whose header starts with this text, without the header and its separator. */
+    private static List<List<String>> rows(String header) {
         int at = 0;
-        while (!page.get(at).startsWith(head)) {
+        while (!page.get(at).startsWith(header)) {
             at++;
         }
         List<List<String>> rows = new ArrayList<>();
@@ -43,15 +43,16 @@
     }
 
     @Test
-    void whatHeartbeatsListIsAsPrinted() {
+    void verdictsOnListedAttemptsAreAsDocumented() {
         List<List<String>> rows = rows(LISTED);
         assertEquals(RecordedTaskState.values().length, rows.size(), "rows");
         for (List<String> row : rows) {
             RecordedTaskState recorded = RecordedTaskState.valueOf(row.get(0));
-            for (int held = 0; held < HELD.size(); held++) {
-                assertCell(row.get(1 + held), recorded, HELD.get(held), ListedTaskState.LIVE);
-                assertCell(row.get(1 + HELD.size()), recorded, HELD.get(held), ListedTaskState.COMPLETED);
-                assertCell(row.get(2 + HELD.size()), recorded, HELD.get(held), ListedTaskState.EXITED);
+            for (int placement = 0; placement < PLACEMENTS.size(); placement++) {
+                assertCell(row.get(1 + placement), recorded, PLACEMENTS.get(placement), ListedTaskState.LIVE);
+                assertCell(
+                        row.get(1 + PLACEMENTS.size()), recorded, PLACEMENTS.get(placement), ListedTaskState.COMPLETED);
+                assertCell(row.get(2 + PLACEMENTS.size()), recorded, PLACEMENTS.get(placement), ListedTaskState.EXITED);
             }
             for (ListedTaskState listed : ListedTaskState.values()) {
                 assertCell("CONFIRMED", recorded, KnownPlacement.THIS_ATTEMPT, listed);
@@ -60,15 +61,15 @@
     }
 
     private static void assertCell(
-            String cell, RecordedTaskState recorded, KnownPlacement held, ListedTaskState listed) {
+            String cell, RecordedTaskState recorded, KnownPlacement placement, ListedTaskState listed) {
         assertEquals(
                 Verdict.valueOf(cell),
-                VerdictTable.forListedAttempt(recorded, held, listed),
-                recorded + ", " + held + ", " + listed);
+                VerdictTable.forListedAttempt(recorded, placement, listed),
+                recorded + ", " + placement + ", " + listed);
     }
 
     @Test
-    void whatHeartbeatsDoNotListIsAsPrinted() {
+    void verdictsOnMissingAttemptsAreAsDocumented() {
         List<List<String>> rows = rows(MISSING);
         for (int bits = 0; bits < 1 << FLAGS; bits++) {
             boolean[] flags = new boolean[FLAGS];
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void whatNoHeartbeatListsIsLostOnlyWhenNoMachineIsLeft() {
+    void anUnlistedTaskIsLostOnlyIfItCanBeOnNoAwaitedMachine() {
         assertEquals(Verdict.UNCONFIRMED, VerdictTable.forUnlistedTask(true));
         assertEquals(Verdict.LOST, VerdictTable.forUnlistedTask(false));
     }
