--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -5,13 +5,20 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** The cloud as the decision code sees it. Every call answers once, later, on the event loop. */
+/**
+ * Calls to the cloud. Every call returns at once and passes its result to {@code then} exactly once, later, on the event
+ * loop.
+ */
 public interface CloudPort {
-    /** How a call ended. {@code UNKNOWN}: no answer, so it may have been carried out. */
+    /** The outcome of a call. */
     enum Outcome {
+        /** The cloud has executed the call. */
         OK,
+        /** The cloud has no machine of the requested type at present. */
         NO_CAPACITY,
+        /** The cloud has rejected the call. */
         REFUSED,
+        /** No answer was received, so the cloud may have executed the call. */
         UNKNOWN
     }
 
@@ -22,16 +29,29 @@
         FAILED
     }
 
-    /** A request for machines; the same {@code idempotencyKey} never launches twice. */
+    /**
+     * A request to launch machines.
+     *
+     * @param idempotencyKey the cloud executes requests with the same key only once
+     * @param type the name of the machine type
+     * @param spot whether to launch spot instances
+     * @param count the number of machines
+     */
     record LaunchRequest(String idempotencyKey, String type, String zone, boolean spot, int count) {}
 
-    /** The machines that a launch brought. */
+    /**
+     * The result of a launch.
+     *
+     * @param machineIds the ids of the machines that were launched
+     */
     record LaunchResult(Outcome outcome, List<String> machineIds) {}
 
     /**
      * A machine as the cloud lists it.
      *
-     * @param address where its worker answers; null while it boots
+     * @param address the address of the machine's worker, or null while the machine boots
+     * @param type the name of the machine type
+     * @param ageMicros the time since the launch, in microseconds
      */
     record ListedMachine(
             String id,
@@ -42,18 +62,22 @@
             MachineState state,
             long ageMicros) {}
 
-    /** A page of the list of machines; it may be out of date. */
+    /**
+     * A page of the list of machines. It may be out of date.
+     *
+     * @param hasMore whether more pages follow
+     */
     record Listing(Outcome outcome, List<ListedMachine> machines, boolean hasMore) {}
 
-    /** Asks for the machine types; answered with null when they could not be had. */
+    /** Fetches the machine types. {@code then} receives null if they could not be fetched. */
     void fetchMachineTypes(Consumer<@Nullable List<MachineType>> then);
 
-    /** Launches machines. */
+    /** Launches machines of one type in one zone. */
     void launch(LaunchRequest request, Consumer<LaunchResult> then);
 
-    /** Terminates machines; answered with whether they are gone. */
-    void terminate(List<String> hosts, Consumer<Boolean> then);
+    /** Terminates machines. {@code then} receives whether the machines are gone. */
+    void terminate(List<String> machineIds, Consumer<Boolean> then);
 
-    /** Lists machines by name, beginning after {@code from}. */
+    /** Lists at most {@code limit} machines in the order of their ids, starting after the id {@code from}. */
     void listMachines(String from, int limit, Consumer<Listing> then);
 }
--- a/src/main/java/org/granitepath/coordination/ports/HeartbeatResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/HeartbeatResponse.java
@@ -3,14 +3,18 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** What a worker is told: commands, another controller to send heartbeats to, or to try elsewhere. */
+/** The response to a worker's heartbeat. */
 public sealed interface HeartbeatResponse {
-    /** The worker stays here, and its lease is renewed. */
+    /** The heartbeat is accepted: the worker's lease is renewed, and the worker executes the commands. */
     record Accepted(long fencingToken, List<WorkerCommand> commands) implements HeartbeatResponse {}
 
-    /** {@code node} null: not here, and the leader is not known. */
+    /**
+     * The worker sends its heartbeats to another controller.
+     *
+     * @param node the node name of the leader, or null if this controller does not know it
+     */
     record Redirect(@Nullable String node) implements HeartbeatResponse {}
 
-    /** The worker tries the next controller. */
+    /** This controller cannot answer the worker, which tries the next controller. */
     record Unavailable() implements HeartbeatResponse {}
 }
--- a/src/main/java/org/granitepath/coordination/ports/JobResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/JobResponse.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.ports;
 
-/** What a user is told. */
+/** The response to a user's request about a job. */
 public sealed interface JobResponse {
     /** The state of a job as users see it. */
     enum JobState {
@@ -10,16 +10,23 @@
         CANCELLED
     }
 
-    /** The job is known; {@code created} when this very request made it so. */
+    /**
+     * The status of a job that is on record.
+     *
+     * @param created whether this request created the job
+     * @param job the id of the job
+     * @param finishedTasks the number of tasks that have finished
+     * @param runningTasks the number of tasks that are running
+     */
     record Status(boolean created, String job, JobState state, int finishedTasks, int runningTasks)
             implements JobResponse {}
 
-    /** No such job was ever accepted. */
+    /** There is no job with the requested id. */
     record NotFound() implements JobResponse {}
 
-    /** The job can never run, and why. */
+    /** The job can never run, for the given reason. */
     record Unschedulable(String reason) implements JobResponse {}
 
-    /** Can't be answered now; worth asking again after this many seconds. */
+    /** The request cannot be answered now, for the given reason. The client may retry after this many seconds. */
     record RetryLater(String reason, int afterSeconds) implements JobResponse {}
 }
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -3,23 +3,37 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** What controllers tell one another. Every call answers once, later, on the event loop. */
+/**
+ * Calls to the other controllers. Every call returns at once and passes its result to {@code then} exactly once, later,
+ * on the event loop.
+ */
 public interface PeerPort {
     /**
-     * How a controller is.
+     * The status of a controller.
      *
-     * @param storeContactAgeMicros how long ago the store last brought this controller up to date; negative: never
-     * @param redirectedMachines how many machines lately sent heartbeats to this controller although it does not own
-     *     them
+     * @param node the node name of the controller
+     * @param storeContactAgeMicros the time since the store last answered a read of the controller, in microseconds;
+     *     negative if the controller has not read the records yet
+     * @param isLeader whether the controller is the leader
+     * @param redirectedMachines the number of machines that recently sent heartbeats to the controller although it is
+     *     not their leader
      */
     record PeerStatus(String node, long storeContactAgeMicros, boolean isLeader, int redirectedMachines) {}
 
-    /** A cancellation that is on record, with the revision of its record. */
+    /**
+     * A cancellation that is committed to the store.
+     *
+     * @param job the id of the cancelled job
+     * @param revision the revision of the record of the cancellation
+     */
     record CancellationNotice(String job, long revision) {}
 
-    /** Tells a peer of it; answered with whether it has taken that in. No rule rests on its arrival. */
+    /**
+     * Sends the notice of a cancellation to a peer. {@code then} receives whether the peer has applied it. Correctness
+     * does not depend on the delivery of the notice.
+     */
     void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then);
 
-    /** Tells a peer how we are; answered with how it is, or null. */
-    void exchangeStatus(String peer, PeerStatus ours, Consumer<@Nullable PeerStatus> then);
+    /** Sends this controller's status to a peer. {@code then} receives the peer's status, or null without an answer. */
+    void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<@Nullable PeerStatus> then);
 }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
@@ -1,25 +1,32 @@
 package org.granitepath.coordination.ports;
 
-/** A command to a worker. */
+/**
+ * A command to a worker.
+ *
+ * @param graceMicros for {@link Verb#STOP}, the time that the task has to save its progress, in microseconds; otherwise 0
+ */
 public record WorkerCommand(Verb verb, TaskId task, long attempt, long graceMicros) {
-    /** What the worker is to do. */
+    /** The kind of a command. */
     public enum Verb {
+        /** Starts an attempt of a task. */
         START,
+        /** Stops an attempt. */
         STOP,
+        /** Removes an attempt that has exited from the heartbeats. */
         CLEAR
     }
 
-    /** Starts the task, unless the worker has this attempt already. */
+    /** Returns a command that starts the task, unless the worker has this attempt already. */
     public static WorkerCommand start(TaskId task, long attempt) {
         return new WorkerCommand(Verb.START, task, attempt, 0);
     }
 
-    /** Ends the task, which may save itself if it can do so in this time. */
+    /** Returns a command that stops the task. The task may save its progress within the grace period. */
     public static WorkerCommand stop(TaskId task, long attempt, long graceMicros) {
         return new WorkerCommand(Verb.STOP, task, attempt, graceMicros);
     }
 
-    /** Removes an exited attempt from the heartbeats. */
+    /** Returns a command that removes an exited attempt from the heartbeats. */
     public static WorkerCommand clear(TaskId task, long attempt) {
         return new WorkerCommand(Verb.CLEAR, task, attempt, 0);
     }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -4,17 +4,25 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** Direct calls to workers. Every call answers once, later, on the event loop. */
+/**
+ * Direct calls to workers. Every call returns at once and passes its result to {@code then} exactly once, later, on the
+ * event loop.
+ */
 public interface WorkerPort {
     /**
-     * How a call ended.
+     * The result of a call.
      *
-     * @param accepted whether the worker has taken the commands; otherwise it refused them, or did not answer
-     * @param heartbeat the worker's status with its answer; null when none came
+     * @param accepted whether the worker has accepted the commands; otherwise it refused them or did not answer
+     * @param heartbeat the status that the worker sent in its answer, or null if there is none
      */
     record Reply(boolean accepted, @Nullable Heartbeat heartbeat) {}
 
-    /** Sends commands under a fencing token, for one agent epoch of the worker. */
+    /**
+     * Sends commands to a worker.
+     *
+     * @param fencingToken the token under which the commands are sent
+     * @param agentEpoch the agent epoch of the worker that the commands are meant for
+     */
     void sendCommands(
             String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then);
 }
--- a/src/main/java/org/granitepath/coordination/ports/package-info.java
+++ b/src/main/java/org/granitepath/coordination/ports/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The edges of the decision code: the cloud, workers, peers and users as it sees them, and the messages exchanged with
- * them. Interfaces and immutable values only; implementations are in {@code transport},
- * wire formats in {@code protocol}.
+ * The interfaces through which the decision logic reaches the cloud, the workers and the peers, and the messages that it
+ * exchanges with them and with users. This package contains only interfaces and immutable values. The implementations
+ * are in {@code transport}, the wire formats in {@code protocol}.
  */
 package org.granitepath.coordination.ports;
