--- a/src/main/java/org/granitepath/coordination/leadership/Campaign.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Campaign.java
@@ -14,15 +14,16 @@
 import org.granitepath.storage.Timers;
 
 /**
- * One attempt to become leader: opens a lease, reads the records afresh, and commits the transaction that takes the
- * leader key and draws the next fencing token. It ends with exactly one call of its listener.
+ * One attempt to become leader. It opens a lease, brings the replica up to date, and commits the transaction that writes
+ * the leader key and takes the next fencing token. It ends with exactly one call of its listener.
  */
 final class Campaign {
-    /** Why this controller may stand for leader. */
+    /** Why this controller may campaign. */
     enum Reason {
+        /** The store holds no leader record. */
         NO_LEADER("no leader on record"),
-        /** The leader on record is an earlier process of this controller, and that has ended. */
-        RESTARTED("we led before our restart");
+        /** The leader on record is an earlier process of this controller, which has ended. */
+        RESTARTED("the leader on record is this controller before its restart");
 
         private final String text;
 
@@ -30,26 +31,28 @@
             this.text = text;
         }
 
+        /** Returns the reason as it is logged. */
         String text() {
             return text;
         }
     }
 
     /**
-     * What a won campaign leaves.
+     * The result of a campaign that was won.
      *
+     * @param lease the id of the lease that the leader key is attached to
      * @param openedMicros when the request that opened the lease was sent
-     * @param changes what was committed at the revision that guards the term
+     * @param changes the changes that were committed at {@link Leadership.Term#leaderRevision}
      */
-    record Victory(Leadership.Term term, long lease, long openedMicros, List<Change> changes) {}
+    record WonCampaign(Leadership.Term term, long lease, long openedMicros, List<Change> changes) {}
 
-    /** Told how the campaign ended. */
+    /** Receives the outcome of the campaign. */
     interface Listener {
-        /** This controller is the leader on record. */
-        void won(Victory victory);
+        /** This controller is now the leader on record. */
+        void onWon(WonCampaign won);
 
-        /** Nothing was won. */
-        void abandoned(String why);
+        /** The campaign ended without making this controller the leader. */
+        void onAbandoned(String why);
     }
 
     private final Config config;
@@ -74,23 +77,23 @@
         this.listener = listener;
     }
 
-    /** Begins; the request that opens the lease is sent at once. */
+    /** Starts the campaign by sending the request that opens the lease. */
     void start() {
         store.openLease(config.tuning().leaderLeaseMicros(), leased -> {
             if (leased.outcome() == Outcome.OK) {
-                replica.barrier(fresh -> commitIfStillFree(fresh, leased.lease()));
+                replica.barrier(fresh -> commitIfLeaderKeyIsFree(fresh, leased.lease()));
             } else {
-                listener.abandoned("no lease to be had");
+                listener.onAbandoned("the store granted no lease");
             }
         });
     }
 
-    /** Looks at the leader record as it is now: another controller may have won meanwhile. */
-    private void commitIfStillFree(boolean fresh, long lease) {
+    /** Checks the leader record again after the read: another controller may have become leader in the meantime. */
+    private void commitIfLeaderKeyIsFree(boolean fresh, long lease) {
         if (!fresh) {
-            listener.abandoned("can't read the records");
+            listener.onAbandoned("the records could not be read");
         } else if (!leaderKeyIsFree()) {
-            listener.abandoned("another was faster");
+            listener.onAbandoned("another controller became leader first");
         } else {
             commit(lease);
         }
@@ -105,18 +108,20 @@
         FencingTokenRecord counter = replica.fencingToken();
         long fencingToken = (counter == null ? 0 : counter.last()) + 1;
         LeaderRecord leader = new LeaderRecord(config.node(), config.identity().incarnation(), fencingToken);
-        FencingTokenRecord drawn = new FencingTokenRecord(config.node(), fencingToken, fencingToken);
-        List<Change> changes = List.of(new Change(Keys.LEADER, leader, lease), Change.write(Keys.FENCING_TOKEN, drawn));
+        FencingTokenRecord nextToken = new FencingTokenRecord(config.node(), fencingToken, fencingToken);
+        List<Change> changes =
+                List.of(new Change(Keys.LEADER, leader, lease), Change.write(Keys.FENCING_TOKEN, nextToken));
         List<Precondition> unchanged = changes.stream()
                 .map(change -> new Precondition(change.key(), replica.revision(change.key())))
                 .toList();
         store.commit(new Transaction(unchanged, changes), answer -> {
             if (answer.outcome() == Outcome.OK) {
                 Leadership.Term term = new Leadership.Term(fencingToken, answer.storeRevision());
-                listener.won(new Victory(term, lease, startedMicros, changes));
+                listener.onWon(new WonCampaign(term, lease, startedMicros, changes));
             } else {
-                // If it is carried out all the same, nobody renews the lease and the key goes with it.
-                listener.abandoned("takeover " + answer.outcome());
+                // If the store applies the transaction after all, no controller renews the lease, and the leader key
+                // is removed when the lease expires.
+                listener.onAbandoned("the takeover transaction ended with " + answer.outcome());
             }
         });
     }
--- a/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
+++ b/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
@@ -7,11 +7,11 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Whether this controller may stand for leader now: the records are read, they name no leader that may live, and no
- * backoff from an earlier campaign or term is left.
+ * Decides whether this controller may campaign now: the records are read, they name no leader that may still be running,
+ * and no backoff from an earlier campaign or term is in effect.
  */
 final class CampaignEligibility {
-    /** Long enough for the others to campaign first. */
+    /** 15 s, long enough for the other controllers to campaign first. */
     private static final long BACKOFF_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
     private final Config config;
@@ -25,7 +25,7 @@
         this.timers = timers;
     }
 
-    /** Why a campaign may begin now; empty when it may not. */
+    /** Returns why a campaign may start now, or empty if none may. */
     Optional<Campaign.Reason> reason() {
         if (!replica.loaded() || timers.nowMicros() < backoffUntilMicros) {
             return Optional.empty();
@@ -34,22 +34,25 @@
         if (leader == null) {
             return Optional.of(Campaign.Reason.NO_LEADER);
         }
-        return isFormerSelf(leader) ? Optional.of(Campaign.Reason.RESTARTED) : Optional.empty();
+        return isPreviousProcess(leader) ? Optional.of(Campaign.Reason.RESTARTED) : Optional.empty();
     }
 
-    /** A leader of our own name and another incarnation is our former process, and that has ended. */
-    private boolean isFormerSelf(LeaderRecord leader) {
+    /**
+     * Returns whether the leader on record is an earlier process of this controller. It has the same node name and
+     * another incarnation, and it has ended, since this process runs in its place.
+     */
+    private boolean isPreviousProcess(LeaderRecord leader) {
         return config.node().equals(leader.node())
                 && !config.identity().incarnation().equals(leader.incarnation());
     }
 
-    /** This controller gave up its term because another can do better. */
-    void steppedDown() {
+    /** Starts the backoff after this controller gave up its term in favour of another controller. */
+    void onSteppedDown() {
         backOff(BACKOFF_AFTER_STEPPING_DOWN_MICROS);
     }
 
-    /** A campaign won nothing. */
-    void campaignAbandoned() {
+    /** Starts the backoff after an abandoned campaign: a tenth of the duration of the leader lease. */
+    void onCampaignAbandoned() {
         backOff(config.tuning().leaderLeaseMicros() / 10);
     }
 
--- a/src/main/java/org/granitepath/coordination/leadership/LeaderLease.java
+++ b/src/main/java/org/granitepath/coordination/leadership/LeaderLease.java
@@ -6,80 +6,84 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The lease that the leader key of one term is attached to: renews it, and knows when the store last confirmed it. */
+/** Renews the lease that the leader key of one term is attached to, and tracks when the store last confirmed it. */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderLease.class);
 
-    /** Told how renewals end, until the lease is released. */
+    /** Receives the results of renewals until the lease is abandoned. */
     interface Listener {
         /** The store confirmed the lease. */
-        void renewed();
+        void onRenewed();
 
-        /** The lease is over. */
-        void expired();
+        /** The store does not know the lease any more. */
+        void onExpired();
     }
 
     private final KeyValueStore store;
     private final Timers timers;
     private final long lease;
-    private final long lifeMicros;
+    private final long durationMicros;
     private final Listener listener;
     private long lastConfirmedMicros;
     private long renewalDueMicros;
     private boolean renewing;
-    private boolean released;
+    private boolean abandoned;
 
     /**
-     * @param lease as the store names it
-     * @param openedMicros when the request that opened it was sent
+     * Creates the renewal of a lease that is open.
+     *
+     * @param lease the id that the store gave to the lease
+     * @param durationMicros how long the lease lasts after it was opened or renewed
+     * @param openedMicros when the request that opened the lease was sent
      */
-    LeaderLease(KeyValueStore store, Timers timers, long lease, long lifeMicros, long openedMicros, Listener listener) {
+    LeaderLease(
+            KeyValueStore store, Timers timers, long lease, long durationMicros, long openedMicros, Listener listener) {
         this.store = store;
         this.timers = timers;
         this.lease = lease;
-        this.lifeMicros = lifeMicros;
+        this.durationMicros = durationMicros;
         this.listener = listener;
         this.lastConfirmedMicros = openedMicros;
-        this.renewalDueMicros = openedMicros + lifeMicros / 3;
+        this.renewalDueMicros = openedMicros + durationMicros / 3;
     }
 
-    /** When the last request was sent that the store answered with our holding the lease. */
+    /** Returns the time at which the last request was sent whose answer confirmed that this controller holds the lease. */
     long lastConfirmedMicros() {
         return lastConfirmedMicros;
     }
 
-    /** Renews the lease if it is time, and no renewal is under way. */
+    /** Renews the lease if a renewal is due and none is in progress. */
     void renewIfDue(long nowMicros) {
         if (nowMicros >= renewalDueMicros && !renewing) {
             renew();
         }
     }
 
-    /** The term is over: answers that are still to come mean nothing. */
-    void release() {
-        released = true;
+    /** Ignores all answers to renewals from now on, because the term has ended. The lease itself is left to expire. */
+    void abandon() {
+        abandoned = true;
     }
 
     private void renew() {
         renewing = true;
         long sentMicros = timers.nowMicros();
-        renewalDueMicros = sentMicros + lifeMicros / 4;
+        renewalDueMicros = sentMicros + durationMicros / 4;
         store.renewLease(lease, outcome -> {
-            if (!released) {
+            if (!abandoned) {
                 renewing = false;
-                renewalEnded(outcome, sentMicros);
+                handleRenewal(outcome, sentMicros);
             }
         });
     }
 
-    private void renewalEnded(Outcome outcome, long sentMicros) {
+    private void handleRenewal(Outcome outcome, long sentMicros) {
         if (outcome == Outcome.OK) {
             lastConfirmedMicros = sentMicros;
-            listener.renewed();
+            listener.onRenewed();
         } else if (outcome == Outcome.NOT_FOUND) {
-            listener.expired();
+            listener.onExpired();
         } else {
-            LOG.debug("renewal of lease {}: {}", lease, outcome);
+            LOG.debug("lease {}: renewal ended with {}; trying again", lease, outcome);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -16,27 +16,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who owns the machines. The leader holds a leased key; the transaction that takes it also draws the next fencing
- * token from the shared counter and names the leader of all machines of the inventory there. It is the same small
- * write however many machines there are; the machine inventory says only which these are, and only the leader on
- * record can change them.
+ * Leader election and this controller's part in it. The leader manages all machines of the inventory. It holds a key
+ * that is attached to a lease. The transaction that writes this key also takes the next fencing token from a shared
+ * counter and records there which controller leads all machines of the inventory. This is the same small write however
+ * many machines there are: the machine inventory only lists the machines, and only the leader on record can change it.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    private static final long CHECK_MICROS = 250_000;
+    private static final long CHECK_INTERVAL_MICROS = 250_000;
 
-    /** What a won campaign brings: the fencing token, and the guard for all later writes. */
+    /**
+     * A term of leadership.
+     *
+     * @param fencingToken the fencing token that the term started with
+     * @param leaderRevision the revision of the leader record; it is the precondition of all writes of the term
+     */
     public record Term(long fencingToken, long leaderRevision) {}
 
-    /** The term that this controller holds, and the lease that its leader key is attached to. */
+    /** The current term of this controller, and the lease that its leader key is attached to. */
     private record HeldTerm(Term term, LeaderLease lease) {}
 
-    /** Told when this controller begins and ceases to lead. */
+    /** Receives notice when this controller becomes the leader and when it ceases to be. */
     public interface Listener {
-        /** This controller leads, and its replica is as new as the write that made it so. */
+        /** This controller is the leader, and its replica is at least as recent as the write that made it the leader. */
         void onElected(Term term);
 
-        /** This controller leads no more. */
+        /** This controller is not the leader any more. */
         void onLeadershipLost(String why);
     }
 
@@ -48,12 +53,16 @@
     private final BooleanSupplier peersDisconnected;
     private final CampaignEligibility eligibility;
     private LeadershipPhase phase = LeadershipPhase.FOLLOWING;
-    /** Null while this controller does not lead. */
-    private @Nullable HeldTerm held;
-    /** When the last term that is over was last confirmed; 0 before the first term is over. */
-    private long formerConfirmedMicros;
+    /** Null while this controller is not the leader. */
+    private @Nullable HeldTerm heldTerm;
+    /** When the store last confirmed the previous term; 0 before the first term has ended. */
+    private long previousTermConfirmedMicros;
 
-    /** @param peersDisconnected whether every other controller lately told that the store doesn't answer it */
+    /**
+     * Creates the election, which does nothing until it is started.
+     *
+     * @param peersDisconnected returns whether every peer has recently reported that the store does not answer it
+     */
     public Leadership(
             Config config,
             KeyValueStore store,
@@ -70,107 +79,115 @@
         this.eligibility = new CampaignEligibility(config, replica, timers);
     }
 
-    /** Begins to campaign whenever there is no leader. */
+    /** Starts the periodic checks: from now on this controller campaigns whenever there is no leader. */
     public void start() {
-        timers.after(CHECK_MICROS, this::tick);
+        timers.after(CHECK_INTERVAL_MICROS, this::checkPeriodically);
     }
 
-    /** Whether a campaign was won and the term is not known to be over. */
+    /** Returns whether this controller has won a campaign and the term is not known to have ended. */
     public boolean isLeader() {
-        return held != null;
+        return heldTerm != null;
     }
 
-    /** The fencing token of our term, or 0. */
+    /** Returns the fencing token of this controller's current term, or 0 if it is not the leader. */
     public long fencingToken() {
-        return held == null ? 0 : held.term().fencingToken();
+        return heldTerm == null ? 0 : heldTerm.term().fencingToken();
     }
 
-    /** Whether workers may be answered: we lead, and could not have missed a cancellation for too long. */
+    /**
+     * Returns whether this controller may answer workers: it is the leader, and has not been out of contact for so long
+     * that a cancellation could have been missed for too long.
+     */
     public boolean canAnswerWorkers() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING || phase == LeadershipPhase.DISCONNECTED;
     }
 
-    /** Whether the store confirmed lately that we lead. */
+    /** Returns whether the store has recently confirmed that this controller is the leader. */
     public boolean isLeaseConfirmed() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING;
     }
 
     /**
-     * Whether a task may be started: a cancellation that some controller has confirmed must not have escaped us. Out
-     * of contact we can't tell that from an outage, unless all others say that they are out of contact as well: then
-     * none of them can have confirmed one.
+     * Returns whether tasks may be started. This controller must not have missed a cancellation that another controller
+     * has confirmed. While it has no contact with the store, it cannot know whether the store is down for all
+     * controllers or only unreachable from here. Tasks may then be started only if all peers report that they have no
+     * contact either, because in that case none of them can have confirmed a cancellation.
      */
     public boolean canStartTasks() {
         return isLeaseConfirmed() || (phase == LeadershipPhase.DISCONNECTED && peersDisconnected.getAsBoolean());
     }
 
-    /** When the last request was sent that the store answered with our being the leader; 0 before the first term. */
+    /**
+     * Returns the time at which the last request was sent whose answer confirmed that this controller was the leader, or
+     * 0 before its first term.
+     */
     public long lastConfirmedMicros() {
-        return held == null ? formerConfirmedMicros : held.lease().lastConfirmedMicros();
+        return heldTerm == null ? previousTermConfirmedMicros : heldTerm.lease().lastConfirmedMicros();
     }
 
-    /** The leader on record, or null. */
+    /** Returns the node name of the leader on record, or null if there is none. */
     public @Nullable String leaderNode() {
         LeaderRecord leader = replica.leader();
         return leader == null ? null : leader.node();
     }
 
-    /** The leader record changed. */
+    /** Reacts to a change of the leader record: ends the current term if it was replaced, or campaigns if none leads. */
     public void onLeaderRecordChanged() {
         LeaderRecord leader = replica.leader();
-        if (held != null) {
-            Term term = held.term();
-            if (!isOurs(leader, term) && replica.revision(Keys.LEADER) != term.leaderRevision()) {
-                loseLeadership(leader == null ? "our lease ran out" : "taken over by " + leader.node());
+        if (heldTerm != null) {
+            Term term = heldTerm.term();
+            if (!isLeaderOfTerm(leader, term) && replica.revision(Keys.LEADER) != term.leaderRevision()) {
+                loseLeadership(leader == null ? "the leader lease expired" : "taken over by " + leader.node());
             }
         } else if (leader == null) {
-            considerCampaign();
+            campaignIfEligible();
         }
     }
 
-    private boolean isOurs(@Nullable LeaderRecord leader, Term term) {
+    private boolean isLeaderOfTerm(@Nullable LeaderRecord leader, Term term) {
         return leader != null
                 && config.identity().incarnation().equals(leader.incarnation())
                 && leader.fencingToken() == term.fencingToken();
     }
 
-    /** Hands the machines over: another can do better. */
+    /** Ends the current term so that another controller can lead. Does nothing if this controller is not the leader. */
     public void stepDown(String why) {
-        if (held == null) {
+        if (heldTerm == null) {
             return;
         }
-        Precondition stillOurs = new Precondition(Keys.LEADER, held.term().leaderRevision());
-        Transaction removal = new Transaction(List.of(stillOurs), List.of(Change.remove(Keys.LEADER)));
-        store.commit(removal, answer -> {}); // should this be lost, the lease runs out by itself
-        eligibility.steppedDown();
+        Precondition stillLeader = new Precondition(Keys.LEADER, heldTerm.term().leaderRevision());
+        Transaction removal = new Transaction(List.of(stillLeader), List.of(Change.remove(Keys.LEADER)));
+        store.commit(
+                removal, answer -> {}); // if this request is lost, the leader key is removed when its lease expires
+        eligibility.onSteppedDown();
         loseLeadership(why);
     }
 
-    private void tick() {
-        timers.after(CHECK_MICROS, this::tick);
-        if (held == null) {
-            considerCampaign();
+    private void checkPeriodically() {
+        timers.after(CHECK_INTERVAL_MICROS, this::checkPeriodically);
+        if (heldTerm == null) {
+            campaignIfEligible();
             return;
         }
-        held.lease().renewIfDue(timers.nowMicros());
+        heldTerm.lease().renewIfDue(timers.nowMicros());
         refreshPhase();
     }
 
-    private void considerCampaign() {
+    private void campaignIfEligible() {
         if (phase == LeadershipPhase.FOLLOWING) {
             eligibility.reason().ifPresent(this::startCampaign);
         }
     }
 
-    /** The only place where the phase changes. */
+    /** Changes the phase, and logs the change; the phase is changed nowhere else. */
     private void transition(LeadershipPhase next, String why) {
         if (phase == next) {
             return;
         }
-        if (!phase.allows(next)) {
-            throw new IllegalStateException("leadership can't go from " + phase + " to " + next);
+        if (!phase.canChangeTo(next)) {
+            throw new IllegalStateException("leadership phase cannot change from " + phase + " to " + next);
         }
         LOG.info("leadership {} -> {} ({})", phase, next, why);
         phase = next;
@@ -181,12 +198,12 @@
         transition(LeadershipPhase.CAMPAIGNING, reason.text());
         Campaign.Listener campaignListener = new Campaign.Listener() {
             @Override
-            public void won(Campaign.Victory victory) {
-                beginTerm(victory);
+            public void onWon(Campaign.WonCampaign campaign) {
+                beginTerm(campaign);
             }
 
             @Override
-            public void abandoned(String why) {
+            public void onAbandoned(String why) {
                 abandonCampaign(why);
             }
         };
@@ -195,72 +212,73 @@
 
     /** {@code CAMPAIGNING -> FOLLOWING}. */
     private void abandonCampaign(String why) {
-        eligibility.campaignAbandoned();
+        eligibility.onCampaignAbandoned();
         transition(LeadershipPhase.FOLLOWING, why);
     }
 
     /** {@code CAMPAIGNING -> LEADING}. */
-    private void beginTerm(Campaign.Victory victory) {
-        Term term = victory.term();
-        HeldTerm begun = new HeldTerm(term, newLease(victory));
-        held = begun;
-        // Only now: the change of the leader record is judged by the term.
-        for (Change change : victory.changes()) {
+    private void beginTerm(Campaign.WonCampaign campaign) {
+        Term term = campaign.term();
+        HeldTerm newTerm = new HeldTerm(term, createLease(campaign));
+        heldTerm = newTerm;
+        // Only after heldTerm is set: onLeaderRecordChanged compares the leader record with it.
+        for (Change change : campaign.changes()) {
             replica.applied(change.key(), change.record(), term.leaderRevision());
         }
         transition(LeadershipPhase.LEADING, "fencing token " + term.fencingToken());
-        takeOver(begun);
+        announceElection(newTerm);
     }
 
-    private LeaderLease newLease(Campaign.Victory victory) {
+    private LeaderLease createLease(Campaign.WonCampaign campaign) {
         LeaderLease.Listener leaseListener = new LeaderLease.Listener() {
             @Override
-            public void renewed() {
+            public void onRenewed() {
                 refreshPhase();
             }
 
             @Override
-            public void expired() {
-                loseLeadership("our lease ran out");
+            public void onExpired() {
+                loseLeadership("the leader lease expired");
             }
         };
         return new LeaderLease(
                 store,
                 timers,
-                victory.lease(),
+                campaign.lease(),
                 config.tuning().leaderLeaseMicros(),
-                victory.openedMicros(),
+                campaign.openedMicros(),
                 leaseListener);
     }
 
     /**
-     * The term begins once the replica is as new as the write that began it: a late write of the former leader may
-     * have gone in just before ours, and a machine inventory begun by it must not be overlooked. After ours none of
-     * its writes can.
+     * Announces the new term once the replica is at least as recent as the write that started it. The store may have
+     * applied a late write of the previous leader just before that write, and the term must not miss a part of the
+     * machine inventory that was created by it. After that write the store rejects all writes of the previous leader.
      */
-    private void takeOver(HeldTerm begun) {
+    private void announceElection(HeldTerm elected) {
         replica.barrier(fresh -> {
-            if (!begun.equals(held)) {
+            if (!elected.equals(heldTerm)) {
                 return;
             }
             if (fresh) {
-                listener.onElected(begun.term());
+                listener.onElected(elected.term());
             } else {
-                timers.after(CHECK_MICROS, () -> takeOver(begun));
+                timers.after(CHECK_INTERVAL_MICROS, () -> announceElection(elected));
             }
         });
     }
 
     /**
-     * Moves among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} by the time that has passed. A process
-     * that stood still goes on with whatever came first, a heartbeat that waited or a timer, in the phase from before
-     * its pause, while a successor may hold the machines: so the phase is looked at again before it is relied on.
+     * Changes the phase among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} according to the time since the
+     * last contact with the store. This method is called whenever the phase is about to be used, not only by the
+     * timer: after a pause of the process, a heartbeat that was waiting may be processed before the timer runs, in the
+     * phase from before the pause, although a successor may have taken over the machines in the meantime.
      */
     private void refreshPhase() {
-        if (held == null) {
+        if (heldTerm == null) {
             return;
         }
-        long sinceContactMicros = timers.nowMicros() - lastContactMicros(held.lease());
+        long sinceContactMicros = timers.nowMicros() - lastContactMicros(heldTerm.lease());
         long maxDisconnectedMicros = config.workers().maxDisconnectedMicros();
         if (sinceContactMicros <= Math.min(config.tuning().leaderLeaseMicros(), maxDisconnectedMicros)) {
             transition(LeadershipPhase.LEADING, "the state service answers");
@@ -272,24 +290,24 @@
     }
 
     /**
-     * The older of two words of the store: that the lease is ours, and what the records are. A cancellation shows in
-     * the records alone, and renewals may get through while reads don't; when an outage ends the first renewal comes
-     * before the first read.
+     * Returns the earlier of two times: when the store last confirmed the lease, and when it last answered a read of the
+     * records. Confirmation of the lease is not enough, because a cancellation shows only in the records. Renewals may
+     * succeed while reads fail, and after an outage the first renewal succeeds before the first read.
      */
     private long lastContactMicros(LeaderLease lease) {
         return Math.min(lease.lastConfirmedMicros(), replica.lastContactMicros());
     }
 
-    /** From any phase of a term to {@code FOLLOWING}. */
+    /** Ends the current term, in whatever phase it is: changes the phase to {@code FOLLOWING}. */
     private void loseLeadership(String why) {
-        if (held == null) {
+        if (heldTerm == null) {
             return;
         }
-        held.lease().release();
-        formerConfirmedMicros = held.lease().lastConfirmedMicros();
-        held = null;
+        heldTerm.lease().abandon();
+        previousTermConfirmedMicros = heldTerm.lease().lastConfirmedMicros();
+        heldTerm = null;
         transition(LeadershipPhase.FOLLOWING, why);
         listener.onLeadershipLost(why);
-        considerCampaign();
+        campaignIfEligible();
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/LeadershipPhase.java
+++ b/src/main/java/org/granitepath/coordination/leadership/LeadershipPhase.java
@@ -1,26 +1,29 @@
 package org.granitepath.coordination.leadership;
 
 /**
- * Where this controller stands. The last three are the phases of a term, by the age of the store's last word: time
- * alone moves a term among them, in either direction.
+ * The phases of leader election on one controller. The last three are the phases of a term; which of them applies
+ * depends only on the time since the last contact with the store, so a term can change from each of them to the others.
  */
 enum LeadershipPhase {
-    /** Another controller leads, or none. */
+    /** Another controller is the leader, or there is none. */
     FOLLOWING,
-    /** This controller stands for leader. */
+    /** This controller tries to become the leader. */
     CAMPAIGNING,
-    /** This controller leads, as the store confirmed lately. */
+    /** This controller is the leader, and the store has confirmed it recently. */
     LEADING,
     /**
-     * Lately no word from the store, or only about our lease and not about the records. Workers are still answered,
-     * since an outage looks the same.
+     * The store has not answered recently, or it has confirmed the lease but not answered reads of the records. Workers
+     * are still answered, because the cause may be an outage of the store, in which no other controller leads either.
      */
     DISCONNECTED,
-    /** Disconnected for so long that a cancellation might be missed: workers are left to their leases. */
+    /**
+     * Out of contact for so long that a cancellation might have been missed for too long. Workers are not answered any
+     * more, so their leases expire.
+     */
     FENCED_OFF;
 
-    /** Whether a controller may go from this phase to the next one. */
-    boolean allows(LeadershipPhase next) {
+    /** Returns whether a controller may change from this phase to the next one. */
+    boolean canChangeTo(LeadershipPhase next) {
         return switch (this) {
             case FOLLOWING -> next == CAMPAIGNING;
             case CAMPAIGNING -> next == LEADING || next == FOLLOWING;
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -13,19 +13,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How the other controllers are. An outage of the store and a cut of our own path to it look alike from here;
- * a peer that is in contact tells them apart.
+ * The last known status of the other controllers. A controller that gets no answers from the store cannot know by itself
+ * whether the store is down or only unreachable from its own network; the status of a peer that has contact with the
+ * store shows which.
  */
 public final class Peers {
-    private static final long EXCHANGE_MICROS = 1_000_000;
-    /** A status that is older than this tells nothing of the present. */
-    private static final long RECENT_MICROS = 3_500_000;
-    /** Beyond the time after which a leader out of reach starts nothing more: it must surely be over. */
+    private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
+    /** A status that was received longer ago than this is not used any more. */
+    private static final long MAX_STATUS_AGE_MICROS = 3_500_000;
+    /** Added to the time after which an unreachable leader starts no more tasks, so that this time has surely passed. */
     private static final long ANNOUNCEMENT_MARGIN_MICROS = 100_000;
 
     private record LastStatus(PeerStatus status, long receivedMicros) {
         boolean isRecent(long nowMicros) {
-            return nowMicros - receivedMicros < RECENT_MICROS;
+            return nowMicros - receivedMicros < MAX_STATUS_AGE_MICROS;
         }
     }
 
@@ -35,7 +36,7 @@
     private final Supplier<PeerStatus> ownStatus;
     private final Map<String, LastStatus> lastStatusByPeer = new HashMap<>();
 
-    /** Nothing is exchanged before it is started. */
+    /** Creates the exchange of status messages, which does not begin until {@link #start} is called. */
     public Peers(Config config, PeerPort port, Timers timers, Supplier<PeerStatus> ownStatus) {
         this.config = config;
         this.port = port;
@@ -43,13 +44,13 @@
         this.ownStatus = ownStatus;
     }
 
-    /** Begins to exchange status messages once a second. */
+    /** Starts exchanging status messages with all peers once a second. */
     public void start() {
         exchangeStatus();
     }
 
     private void exchangeStatus() {
-        timers.after(EXCHANGE_MICROS, this::exchangeStatus);
+        timers.after(EXCHANGE_INTERVAL_MICROS, this::exchangeStatus);
         for (String peer : config.topology().peers()) {
             port.exchangeStatus(peer, ownStatus.get(), answer -> {
                 if (answer != null) {
@@ -59,32 +60,39 @@
         }
     }
 
-    /** A peer has told how it is. */
+    /** Stores the status that a peer has sent. */
     public void handleStatus(PeerStatus status) {
         lastStatusByPeer.put(status.node(), new LastStatus(status, timers.nowMicros()));
     }
 
-    /** The most machines that one peer lately turned away; negative without a recent status of any peer. */
+    /** Returns the highest number of redirected machines in a recent status, or -1 if no peer has a recent status. */
     public int maxRedirectedMachines() {
         return recentStatuses().mapToInt(PeerStatus::redirectedMachines).max().orElse(-1);
     }
 
-    /** Whether a peer lately told that it is the leader. */
+    /** Returns whether a peer has recently reported that it is the leader. */
     public boolean hasRecentLeaderStatus() {
         return recentStatuses().anyMatch(PeerStatus::isLeader);
     }
 
-    /** Whether a peer lately had word from the store, at most {@code ageMicros} old when it told us. */
-    public boolean isAnyPeerConnected(long ageMicros) {
-        return recentStatuses().anyMatch(status -> isConnected(status, ageMicros));
+    /**
+     * Returns whether some peer has recently reported contact with the store that was at most {@code maxAgeMicros} old
+     * when it was reported.
+     */
+    public boolean isAnyPeerConnected(long maxAgeMicros) {
+        return recentStatuses().anyMatch(status -> isConnected(status, maxAgeMicros));
     }
 
-    /** Whether every peer lately told that the store had not answered it for so long, or never. */
-    public boolean isEveryPeerDisconnected(long ageMicros) {
+    /**
+     * Returns whether every peer has recently reported that it has had no contact with the store for more than
+     * {@code maxAgeMicros}, or never.
+     */
+    public boolean isEveryPeerDisconnected(long maxAgeMicros) {
         long nowMicros = timers.nowMicros();
         return config.topology().peers().stream()
                 .map(lastStatusByPeer::get)
-                .allMatch(last -> last != null && last.isRecent(nowMicros) && !isConnected(last.status(), ageMicros));
+                .allMatch(
+                        last -> last != null && last.isRecent(nowMicros) && !isConnected(last.status(), maxAgeMicros));
     }
 
     private Stream<PeerStatus> recentStatuses() {
@@ -94,32 +102,33 @@
                 .map(LastStatus::status);
     }
 
-    private static boolean isConnected(PeerStatus status, long ageMicros) {
-        return status.storeContactAgeMicros() >= 0 && status.storeContactAgeMicros() <= ageMicros;
+    private static boolean isConnected(PeerStatus status, long maxAgeMicros) {
+        return status.storeContactAgeMicros() >= 0 && status.storeContactAgeMicros() <= maxAgeMicros;
     }
 
     /**
-     * Passes a cancellation on that is on record. {@code then} runs once no task of the job is started any more: when
-     * the leader has taken it in, or when a leader that we don't reach can no longer count as in contact with the
-     * records, nor go by an earlier status message of ours that told it that we were out of contact.
+     * Sends a cancellation that is committed to the store to all peers. {@code then} runs once no task of the job can be
+     * started any more. That is so when the leader has applied the cancellation. If the leader cannot be reached, it is
+     * so after the time in which the leader's last contact with the records becomes too old for it to start tasks, and
+     * in which the last status message that told it that this controller was out of contact becomes too old as well.
      *
-     * @param leader the leader on record, or null
+     * @param leader the leader on record, or null if there is none
      */
     public void announceCancellation(PeerPort.CancellationNotice notice, @Nullable String leader, Runnable then) {
         boolean leaderIsPeer = config.topology().peers().contains(leader);
-        OneShot effective = new OneShot();
+        OneShot whenEffective = new OneShot();
         for (String peer : config.topology().peers()) {
-            port.sendCancellation(peer, notice, taken -> {
-                if (taken && peer.equals(leader)) {
-                    effective.fire(then);
+            port.sendCancellation(peer, notice, applied -> {
+                if (applied && peer.equals(leader)) {
+                    whenEffective.fire(then);
                 }
             });
         }
         if (leaderIsPeer) {
-            long longestMicros = Math.max(config.tuning().leaderLeaseMicros(), RECENT_MICROS);
-            effective.fireAfter(timers, WorkerTiming.withDrift(longestMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+            long maxStartMicros = Math.max(config.tuning().leaderLeaseMicros(), MAX_STATUS_AGE_MICROS);
+            whenEffective.fireAfter(timers, WorkerTiming.withDrift(maxStartMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
         } else {
-            effective.fire(then); // no other controller starts tasks
+            whenEffective.fire(then); // no other controller can start tasks
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -18,10 +18,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller that is cut off with machines of its zone keeps their leases alive for the leader, so that work goes
- * on there. It starts nothing: it answers under the fencing token on record, which the worker must have seen, and
- * stops what it knows to be over. It does so for as long as a leader out of contact may, and only for machines of its
- * own zone; the leader counts on that before it takes an unresponsive machine's tasks for gone.
+ * Renews the leases of machines on behalf of the leader while this controller and the machines of its zone are cut off
+ * together, so that the tasks there keep running. It starts no tasks. It answers a worker only under the fencing token
+ * on record, which the worker must know already, and stops tasks of jobs that it knows to have ended. It does so only
+ * for machines of its own zone, and no longer than a leader without contact with the store may answer workers. The
+ * leader relies on these two limits when it decides that the tasks of an unresponsive machine are gone.
  */
 public final class ZoneLeaseKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(ZoneLeaseKeeper.class);
@@ -31,13 +32,17 @@
     private final Predicate<String> jobHasEnded;
     private final Peers peers;
     private final Timers timers;
-    /** The present fencing token of each machine on record, as of the contact at {@link #tokensAsOfMicros}. */
+    /** The fencing token of each recorded machine, as of the contact at {@link #tokensAsOfMicros}. */
     private final Object2LongOpenHashMap<String> fencingTokens = new Object2LongOpenHashMap<>();
 
-    /** The contact with the store after which the tokens were read. */
+    /** The time of the last contact with the store when the tokens were read from the replica. */
     private long tokensAsOfMicros = Long.MIN_VALUE;
 
-    /** @param jobHasEnded whether the job of this name is done or cancelled, as far as this controller knows */
+    /**
+     * Creates the keeper, which answers no worker by itself.
+     *
+     * @param jobHasEnded returns whether the job with this id is done or cancelled, as far as this controller knows
+     */
     public ZoneLeaseKeeper(
             Config config, RecordReplica replica, Predicate<String> jobHasEnded, Peers peers, Timers timers) {
         this.config = config;
@@ -47,7 +52,7 @@
         this.timers = timers;
     }
 
-    /** Whether this controller may answer the worker in the place of the leader. */
+    /** Returns whether this controller may answer the worker on behalf of the leader. */
     public boolean canRenew(Heartbeat heartbeat) {
         if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
             return false;
@@ -56,7 +61,10 @@
         return heartbeat.fencingToken() > 0 && fencingTokens.getLong(heartbeat.machineId()) == heartbeat.fencingToken();
     }
 
-    /** Whether the store and the leader are out of reach, and have been for no longer than a leader may go on so. */
+    /**
+     * Returns whether neither the store nor the leader is within reach, and the last contact with the store is not older
+     * than a leader without contact may be.
+     */
     private boolean isCutOffFromLeader() {
         long contactAgeMicros = timers.nowMicros() - replica.lastContactMicros();
         return contactAgeMicros >= Config.CONTACT_TIMEOUT_MICROS
@@ -65,7 +73,10 @@
                 && !peers.isAnyPeerConnected(Config.CONTACT_TIMEOUT_MICROS);
     }
 
-    /** The records don't change without contact, and the inventory is too long to be searched for each heartbeat. */
+    /**
+     * Reads the tokens from the replica unless they have been read since the last contact with the store. Without
+     * contact the records do not change, and the inventory is too long to search for each heartbeat.
+     */
     private void readTokensOncePerContact() {
         if (tokensAsOfMicros == replica.lastContactMicros()) {
             return;
@@ -73,7 +84,7 @@
         tokensAsOfMicros = replica.lastContactMicros();
         readTokens();
         LOG.info(
-                "out of contact, without a recent status of the leader: keeping the machines of {} alive for it",
+                "zone {}: no contact with the store and no recent status of the leader, renewing machine leases for it",
                 config.identity().zone());
     }
 
@@ -92,8 +103,8 @@
     }
 
     /**
-     * The leader's fencing token once more, and the end of what is over: a cancellation must not outlive its time
-     * here.
+     * Returns a response that renews the worker's lease under the fencing token that it reported, and stops its tasks of
+     * ended jobs: a cancelled task must end in time here as well.
      */
     public HeartbeatResponse answer(Heartbeat heartbeat) {
         List<WorkerCommand> stops = new ArrayList<>();
--- a/src/test/java/org/granitepath/coordination/leadership/LeaderLeaseTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeaderLeaseTest.java
@@ -12,24 +12,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** When the leader lease is renewed, and what the answers to renewals mean. */
 class LeaderLeaseTest {
     private static final long LEASE = 17;
-    private static final long LIFE = 12_000_000;
+    private static final long DURATION = 12_000_000;
 
     private final ManualTimers timers = new ManualTimers();
     private final ScriptedStore store = new ScriptedStore();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final long openedMicros = timers.nowMicros();
     private final LeaderLease lease =
-            new LeaderLease(store, timers, LEASE, LIFE, openedMicros, new LeaderLease.Listener() {
+            new LeaderLease(store, timers, LEASE, DURATION, openedMicros, new LeaderLease.Listener() {
                 @Override
-                public void renewed() {
-                    told.add("renewed");
+                public void onRenewed() {
+                    events.add("renewed");
                 }
 
                 @Override
-                public void expired() {
-                    told.add("expired");
+                public void onExpired() {
+                    events.add("expired");
                 }
             });
 
@@ -43,50 +44,50 @@
     }
 
     @Test
-    void theFirstRenewalIsDueAfterAThirdOfTheLife() {
-        renewIfDueAfter(LIFE / 3 - 1);
+    void theFirstRenewalIsDueAfterAThirdOfTheDuration() {
+        renewIfDueAfter(DURATION / 3 - 1);
         assertTrue(store.renewals.isEmpty());
         renewIfDueAfter(1);
         assertEquals(LEASE, store.renewals.remove().lease());
     }
 
     @Test
-    void theNextRenewalIsDueAQuarterOfTheLifeAfterTheLastWasSent() {
-        renewIfDueAfter(LIFE / 3);
+    void theNextRenewalIsDueAQuarterOfTheDurationAfterTheLastWasSent() {
+        renewIfDueAfter(DURATION / 3);
         answer(Outcome.OK);
-        renewIfDueAfter(LIFE / 4 - 1);
+        renewIfDueAfter(DURATION / 4 - 1);
         assertTrue(store.renewals.isEmpty());
         renewIfDueAfter(1);
         assertEquals(1, store.renewals.size());
     }
 
     @Test
-    void oneRenewalIsUnderWayAtATime() {
-        renewIfDueAfter(LIFE / 3);
-        renewIfDueAfter(LIFE);
+    void onlyOneRenewalIsInProgress() {
+        renewIfDueAfter(DURATION / 3);
+        renewIfDueAfter(DURATION);
         assertEquals(1, store.renewals.size());
     }
 
     @Test
-    void beforeAnyRenewalItIsConfirmedAsOfItsOpening() {
+    void beforeAnyRenewalTheOpeningCountsAsConfirmation() {
         assertEquals(openedMicros, lease.lastConfirmedMicros());
     }
 
     @Test
-    void aRenewalConfirmsItAsOfWhenItWasSent() {
-        renewIfDueAfter(LIFE / 3);
-        timers.advance(LIFE / 3);
+    void aRenewalConfirmsTheLeaseAsOfTheTimeItWasSent() {
+        renewIfDueAfter(DURATION / 3);
+        timers.advance(DURATION / 3);
         answer(Outcome.OK);
-        assertEquals(openedMicros + LIFE / 3, lease.lastConfirmedMicros());
-        assertEquals(List.of("renewed"), told);
+        assertEquals(openedMicros + DURATION / 3, lease.lastConfirmedMicros());
+        assertEquals(List.of("renewed"), events);
     }
 
     @Test
     void aLeaseThatTheStoreDoesNotKnowHasExpired() {
-        renewIfDueAfter(LIFE / 3);
+        renewIfDueAfter(DURATION / 3);
         answer(Outcome.NOT_FOUND);
         assertEquals(openedMicros, lease.lastConfirmedMicros());
-        assertEquals(List.of("expired"), told);
+        assertEquals(List.of("expired"), events);
     }
 
     @ParameterizedTest
@@ -94,22 +95,22 @@
             value = Outcome.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = {"OK", "NOT_FOUND"})
-    void aRenewalWithoutAnAnswerTellsNothingAndIsSentAgain(Outcome outcome) {
-        renewIfDueAfter(LIFE / 3);
+    void aRenewalWithoutAnAnswerIsNotReportedAndIsSentAgain(Outcome outcome) {
+        renewIfDueAfter(DURATION / 3);
         answer(outcome);
         assertEquals(openedMicros, lease.lastConfirmedMicros());
-        assertEquals(List.of(), told);
-        renewIfDueAfter(LIFE / 4);
+        assertEquals(List.of(), events);
+        renewIfDueAfter(DURATION / 4);
         assertEquals(1, store.renewals.size());
     }
 
     @ParameterizedTest
     @EnumSource
-    void anAnswerAfterTheTermHasEndedMeansNothing(Outcome outcome) {
-        renewIfDueAfter(LIFE / 3);
-        lease.release();
+    void anAnswerAfterTheTermHasEndedIsIgnored(Outcome outcome) {
+        renewIfDueAfter(DURATION / 3);
+        lease.abandon();
         answer(outcome);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), events);
         assertEquals(openedMicros, lease.lastConfirmedMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipPhaseTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipPhaseTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** The allowed changes from one phase of leader election to the next. */
 class LeadershipPhaseTest {
     private static final Map<LeadershipPhase, Set<LeadershipPhase>> NEXT_PHASES = Map.of(
             FOLLOWING, Set.of(CAMPAIGNING),
@@ -24,9 +25,10 @@
 
     @ParameterizedTest
     @EnumSource
-    void onlyThesePhasesMayFollow(LeadershipPhase phase) {
-        Set<LeadershipPhase> allowed =
-                Arrays.stream(LeadershipPhase.values()).filter(phase::allows).collect(Collectors.toSet());
+    void onlyTheseChangesAreAllowed(LeadershipPhase phase) {
+        Set<LeadershipPhase> allowed = Arrays.stream(LeadershipPhase.values())
+                .filter(phase::canChangeTo)
+                .collect(Collectors.toSet());
         assertEquals(NEXT_PHASES.get(phase), allowed);
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -16,7 +16,7 @@
 import org.granitepath.storage.StoredRecord;
 import org.junit.jupiter.api.Test;
 
-/** The phases of leadership, with a store in memory and a clock moved by hand. */
+/** The phases of leader election, with an in-memory store and a manual clock. */
 class LeadershipTest {
     private static final long SECOND = 1_000_000;
     private static final String NODE = "c1";
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void withoutALeaderOnRecordItCampaignsAndLeads() {
+    void withoutALeaderOnRecordTheControllerBecomesLeader() {
         start();
         assertEquals(List.of("elected 1"), events);
         assertTrue(leadership.isLeaseConfirmed() && leadership.canStartTasks());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void anotherLeaderIsFollowedUntilItsLeaseEnds() {
+    void aControllerFollowsAnotherLeaderUntilItsLeaseExpires() {
         store.put(Keys.LEADER, new LeaderRecord("c2", "c2-1", 7), 99);
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", 7, 7), 0);
         start();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void theFormerProcessOfTheSameNameIsReplacedAtOnce() {
+    void anEarlierProcessOfTheSameControllerIsReplacedAtOnce() {
         store.put(Keys.LEADER, new LeaderRecord(NODE, "c1-1", 7), 99);
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord(NODE, 7, 7), 0);
         start();
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void inAnOutageItDisconnectsThenIsFencedOffAndLeadsAgainAfterwards() {
+    void inAnOutageTheLeaderIsDisconnectedThenFencedOffAndLeadsAgainAfterwards() {
         start();
         store.unreachable = true;
         timers.advance(5 * SECOND);
@@ -109,11 +109,11 @@
         store.expireLeaseOf(Keys.LEADER);
         store.unreachable = false;
         timers.advance(3 * SECOND);
-        assertEquals(List.of("elected 1", "lost: our lease ran out", "elected 2"), events);
+        assertEquals(List.of("elected 1", "lost: the leader lease expired", "elected 2"), events);
     }
 
     @Test
-    void renewalsAloneKeepTheTermButDoNotConfirmIt() {
+    void renewalsWithoutReadsKeepTheTermButDoNotConfirmIt() {
         start();
         store.readsWithheld = true;
         timers.advance(5 * SECOND);
@@ -121,28 +121,31 @@
                 leadership.isLeader() && !leadership.isLeaseConfirmed(), "a cancellation shows in the records alone");
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
-        assertEquals(List.of("elected 1", "lost: our lease ran out"), events, "the renewal tells");
+        assertEquals(
+                List.of("elected 1", "lost: the leader lease expired"),
+                events,
+                "the answer to the renewal shows that the lease has expired");
     }
 
     @Test
-    void whoStepsDownLetsOthersCampaignFirst() {
+    void aLeaderThatStepsDownLetsOthersCampaignFirst() {
         start();
-        leadership.stepDown("the machines don't reach us");
+        leadership.stepDown("the machines cannot reach this controller");
         timers.advance(14 * SECOND);
-        assertEquals(List.of("elected 1", "lost: the machines don't reach us"), events);
+        assertEquals(List.of("elected 1", "lost: the machines cannot reach this controller"), events);
         timers.advance(2 * SECOND);
         assertEquals("elected 2", events.get(2));
     }
 
     @Test
-    void aRenewalOfAnEarlierTermThatIsAnsweredLateDoesNotEndThePresentOne() {
+    void aLateAnswerToARenewalOfAnEarlierTermDoesNotEndTheCurrentTerm() {
         start();
         store.renewalsWithheld = true;
         timers.advance(3 * SECOND);
-        leadership.stepDown("the machines don't reach us");
+        leadership.stepDown("the machines cannot reach this controller");
         store.renewalsWithheld = false;
         timers.advance(16 * SECOND);
-        List<String> before = List.of("elected 1", "lost: the machines don't reach us", "elected 2");
+        List<String> before = List.of("elected 1", "lost: the machines cannot reach this controller", "elected 2");
         assertEquals(before, events);
         assertEquals(1, store.answerWithheldRenewals());
         timers.advance(SECOND);
@@ -151,12 +154,12 @@
     }
 
     @Test
-    void theTimeOfTheLastConfirmationOutlivesTheTerm() {
+    void theTimeOfTheLastConfirmationIsKeptAfterTheTerm() {
         start();
         assertTrue(leadership.lastConfirmedMicros() > 0);
         timers.advance(3 * SECOND);
         long confirmedMicros = leadership.lastConfirmedMicros();
-        leadership.stepDown("the machines don't reach us");
+        leadership.stepDown("the machines cannot reach this controller");
         timers.advance(10 * SECOND);
         assertEquals(confirmedMicros, leadership.lastConfirmedMicros());
     }
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -11,9 +11,9 @@
 import org.granitepath.storage.StoredRecordCodec;
 import org.granitepath.storage.Timers;
 
-/** A store in memory that answers after a millisecond, or not while it is unreachable. */
+/** An in-memory store that answers after one millisecond, or times out while it is unreachable. */
 public final class MemoryStore implements KeyValueStore {
-    /** How long an answer takes. */
+    /** The delay of an answer. */
     public static final long ANSWER_MICROS = 1_000;
 
     private static final long TIMEOUT_MICROS = 500_000;
@@ -23,28 +23,28 @@
     private final Map<String, Long> leaseOfKey = new HashMap<>();
     private long storeRevision = 1;
     private long leasesOpened;
-    /** While set, no request is carried out or answered. */
+    /** While set, no request is executed or answered. */
     public boolean unreachable;
-    /** While set, reads are not answered; all else is. */
+    /** While set, reads are not answered; all other requests are. */
     public boolean readsWithheld;
-    /** While set, renewals are not answered before {@link #answerWithheldRenewals}. */
+    /** While set, renewals are not answered until {@link #answerWithheldRenewals} is called. */
     boolean renewalsWithheld;
 
     private final List<Runnable> withheldRenewals = new ArrayList<>();
 
-    /** An empty store. */
+    /** Creates an empty store. */
     public MemoryStore(Timers timers) {
         this.timers = timers;
     }
 
-    /** Writes as another client would; null removes. */
+    /** Writes a record as another client would; null removes the key. */
     public void put(String key, StoredRecord record, long lease) {
         storeRevision++;
         items.put(key, new Item(key, record == null ? null : StoredRecordCodec.encode(record), storeRevision));
         leaseOfKey.put(key, lease);
     }
 
-    /** Ends the lease of a key, and with it the key. */
+    /** Lets the lease of a key expire, which removes the key. */
     void expireLeaseOf(String key) {
         put(key, null, 0);
     }
@@ -54,39 +54,39 @@
         return item == null || item.value() == null ? 0 : item.revision();
     }
 
-    private void answer(Runnable served, Runnable timedOut) {
-        answer(unreachable, served, timedOut);
+    private void answer(Runnable onAnswer, Runnable onTimeout) {
+        answer(unreachable, onAnswer, onTimeout);
     }
 
-    private void answer(boolean withheld, Runnable served, Runnable timedOut) {
+    private void answer(boolean withheld, Runnable onAnswer, Runnable onTimeout) {
         if (withheld) {
-            timers.after(TIMEOUT_MICROS, timedOut);
+            timers.after(TIMEOUT_MICROS, onTimeout);
         } else {
-            timers.after(ANSWER_MICROS, served);
+            timers.after(ANSWER_MICROS, onAnswer);
         }
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<Committed> then) {
-        answer(() -> then.accept(carryOut(transaction)), () -> then.accept(ended(Outcome.UNKNOWN)));
+        answer(() -> then.accept(execute(transaction)), () -> then.accept(result(Outcome.UNKNOWN)));
     }
 
-    private Committed carryOut(Transaction transaction) {
+    private Committed execute(Transaction transaction) {
         for (Precondition precondition : transaction.preconditions()) {
             if (revisionOf(precondition.key()) != precondition.revision()) {
-                return ended(Outcome.CONFLICT);
+                return result(Outcome.CONFLICT);
             }
         }
         transaction.changes().forEach(change -> put(change.key(), change.record(), change.lease()));
-        // One revision for all changes of a transaction would be truer; for guards the last one serves as well.
+        // A real store gives all changes of a transaction one revision. For preconditions the last one serves as well.
         transaction
                 .changes()
                 .forEach(change -> items.computeIfPresent(
                         change.key(), (key, item) -> new Item(key, item.value(), storeRevision)));
-        return ended(Outcome.OK);
+        return result(Outcome.OK);
     }
 
-    private Committed ended(Outcome outcome) {
+    private Committed result(Outcome outcome) {
         return new Committed(outcome, storeRevision, List.of());
     }
 
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long durationMicros, Consumer<Leased> then) {
         answer(
                 () -> then.accept(new Leased(Outcome.OK, ++leasesOpened)),
                 () -> then.accept(new Leased(Outcome.UNKNOWN, 0)));
@@ -122,15 +122,15 @@
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> then) {
-        Runnable served = () -> then.accept(leaseOfKey.containsValue(lease) ? Outcome.OK : Outcome.NOT_FOUND);
+        Runnable onAnswer = () -> then.accept(leaseOfKey.containsValue(lease) ? Outcome.OK : Outcome.NOT_FOUND);
         if (renewalsWithheld) {
-            withheldRenewals.add(served);
+            withheldRenewals.add(onAnswer);
         } else {
-            answer(served, () -> then.accept(Outcome.UNKNOWN));
+            answer(onAnswer, () -> then.accept(Outcome.UNKNOWN));
         }
     }
 
-    /** Answers the renewals that were withheld, by the leases there are now; tells how many they were. */
+    /** Answers the withheld renewals according to the leases that exist now, and returns their number. */
     int answerWithheldRenewals() {
         int count = withheldRenewals.size();
         withheldRenewals.forEach(Runnable::run);
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -12,7 +12,7 @@
 import org.granitepath.coordination.ports.PeerPort;
 import org.junit.jupiter.api.Test;
 
-/** What is concluded from the last status of each peer, and when a cancellation counts as effective. */
+/** What a controller concludes from the last status of each peer, and when a cancellation counts as effective. */
 class PeersTest {
     private static final long SECOND = 1_000_000;
     private static final long CONTACT = 2_500_000;
@@ -40,8 +40,8 @@
     }
 
     @Test
-    void onlyRecentStatusesCount() {
-        assertEquals(-1, peers.maxRedirectedMachines(), "nothing is known");
+    void onlyRecentStatusesAreUsed() {
+        assertEquals(-1, peers.maxRedirectedMachines(), "no status was received");
         receive("c2", 0, 4);
         timers.advance(2 * SECOND);
         receive("c3", 0, 1);
@@ -53,9 +53,9 @@
     }
 
     @Test
-    void allAreDisconnectedOnlyIfEachOneSaysSo() {
+    void allPeersAreDisconnectedOnlyIfEachReportsIt() {
         receive("c2", CONTACT + 1, 0);
-        assertFalse(peers.isEveryPeerDisconnected(CONTACT), "nothing is known of c3");
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT), "no status of c3 was received");
         receive("c3", CONTACT, 0);
         assertFalse(peers.isEveryPeerDisconnected(CONTACT));
         assertTrue(peers.isAnyPeerConnected(CONTACT));
@@ -65,18 +65,18 @@
     }
 
     @Test
-    void aCancellationIsEffectiveOnceTheLeaderHasIt() {
+    void aCancellationIsEffectiveOnceTheLeaderHasAppliedIt() {
         announce("c2");
         announcements.get("c3").accept(true);
         announcements.get("c2").accept(false);
         assertEquals(0, effective);
         announcements.get("c2").accept(true);
         timers.advance(10 * SECOND);
-        assertEquals(1, effective, "the timeout is void");
+        assertEquals(1, effective, "the callback does not run again after the timeout");
     }
 
     @Test
-    void aCancellationIsEffectiveOnceALeaderOutOfReachStartsNothing() {
+    void aCancellationIsEffectiveOnceAnUnreachableLeaderStartsNoTasks() {
         announce("c2");
         timers.advance(3 * SECOND);
         assertEquals(0, effective);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void withoutALeaderElsewhereACancellationIsEffectiveAtOnce() {
+    void ifNoPeerIsLeaderACancellationIsEffectiveAtOnce() {
         announce("c1");
         assertEquals(1, effective);
     }
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which workers a controller that is cut off with its zone answers in place of the leader, and what it tells them. */
+/** Which workers a controller that is cut off with its zone answers on behalf of the leader, and how it answers. */
 class ZoneLeaseKeeperTest {
     private static final long SECOND = 1_000_000;
     private static final String ZONE = "zone-c1";
@@ -45,12 +45,12 @@
         @Override
         public void loaded() {}
     });
-    private final Peers peers = new Peers(config, new NoPeers(), timers, () -> null);
+    private final Peers peers = new Peers(config, new UnreachablePeers(), timers, () -> null);
     private final ZoneLeaseKeeper keeper =
             new ZoneLeaseKeeper(config, replica, Set.of(ENDED.job())::contains, peers, timers);
 
-    /** Peers that never answer; the test tells what they say. */
-    private static final class NoPeers implements PeerPort {
+    /** Peers that never answer a call; the test delivers their status messages itself. */
+    private static final class UnreachablePeers implements PeerPort {
         @Override
         public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
 
@@ -58,9 +58,9 @@
         public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {}
     }
 
-    /** Two machines on record, the second under a token of its own. */
+    /** Records two machines, the second of which has a fencing token of its own. */
     @BeforeEach
-    void followTheStore() {
+    void recordTwoMachines() {
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", TERM_TOKEN, OWN_TOKEN), 0);
         store.put(
                 Keys.inventory(0),
@@ -74,7 +74,7 @@
 
     private void loseContactFor(long micros) {
         store.unreachable = true;
-        timers.advance(MemoryStore.ANSWER_MICROS); // what is under way is still answered
+        timers.advance(MemoryStore.ANSWER_MICROS); // the requests in progress are still answered
         timers.advance(replica.lastContactMicros() + micros - timers.nowMicros());
     }
 
@@ -91,19 +91,19 @@
     }
 
     @Test
-    void inContactWithTheStoreItLeavesMachinesToTheLeader() {
+    void inContactWithTheStoreNoMachineIsAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS - 1);
         assertFalse(mayRenewFirstMachine());
     }
 
     @Test
-    void cutOffItAnswersTheMachinesOfItsZone() {
+    void aControllerThatIsCutOffAnswersMachinesOfItsZone() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         assertTrue(mayRenewFirstMachine());
     }
 
     @Test
-    void itAnswersForAsLongAsALeaderOutOfContactMay() {
+    void machinesAreAnsweredAsLongAsALeaderWithoutContactMayAnswer() {
         loseContactFor(config.workers().maxDisconnectedMicros());
         assertTrue(mayRenewFirstMachine());
         timers.advance(1);
@@ -117,31 +117,33 @@
     }
 
     @Test
-    void aRecentStatusOfTheLeaderMeansThatItIsNotCutOff() {
+    void withARecentStatusOfTheLeaderTheControllerIsNotCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(-1, true);
         assertFalse(mayRenewFirstMachine());
     }
 
     @Test
-    void aPeerInContactWithTheStoreMeansThatItIsNotCutOff() {
+    void withAPeerInContactTheControllerIsNotCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(0, false);
         assertFalse(mayRenewFirstMachine());
     }
 
     @Test
-    void aPeerOutOfContactChangesNothing() {
+    void withAPeerOutOfContactTheControllerIsStillCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(Config.CONTACT_TIMEOUT_MICROS + 1, false);
         assertTrue(mayRenewFirstMachine());
     }
 
     @Test
-    void theWorkerMustHaveSeenTheHigherOfTheTokensOnRecord() {
+    void theWorkerMustKnowTheHigherOfTheRecordedTokens() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN - 1)), "the row has an older one");
-        assertFalse(keeper.canRenew(heartbeat("m2", ZONE, TERM_TOKEN)), "the machine has its own");
+        assertFalse(
+                keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN - 1)),
+                "the token of the term is higher than the one in the inventory");
+        assertFalse(keeper.canRenew(heartbeat("m2", ZONE, TERM_TOKEN)), "the machine has a higher token of its own");
         assertTrue(keeper.canRenew(heartbeat("m2", ZONE, OWN_TOKEN)));
     }
 
@@ -165,7 +167,7 @@
     }
 
     @Test
-    void itsAnswerStopsTasksOfEndedJobsAndStartsNothing() {
+    void theResponseStopsTasksOfEndedJobsAndStartsNoTasks() {
         HeartbeatResponse response = keeper.answer(heartbeat(
                 "m1",
                 ZONE,
@@ -176,7 +178,7 @@
     }
 
     @Test
-    void whatHasExitedIsNotStoppedAgain() {
+    void aTaskThatHasExitedIsNotStoppedAgain() {
         HeartbeatResponse response = keeper.answer(
                 heartbeat("m1", ZONE, TERM_TOKEN, new TaskStatus(ENDED, 2, TaskState.EXITED, ExitCause.DONE, false)));
         assertEquals(new HeartbeatResponse.Accepted(TERM_TOKEN, List.of()), response);
