--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the heartbeats of workers. */
+/** Answers workers' heartbeats on behalf of the leader of one term. */
 final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
@@ -26,7 +26,7 @@
     private final MachineCommands machineCommands;
     private final SchedulingLoop loop;
 
-    /** Answers for the leader of this term. */
+    /** Creates the handler for one term. */
     HeartbeatHandler(
             Leadership.Term term,
             RecordReplica replica,
@@ -44,26 +44,26 @@
         this.loop = loop;
     }
 
-    /** A worker's heartbeat, answered with what it is to do. */
-    HeartbeatResponse answer(Heartbeat heartbeat) {
+    /** Processes a worker's heartbeat and returns the response, which contains the commands for the worker. */
+    HeartbeatResponse handle(Heartbeat heartbeat) {
         Machine machine = fleet.machine(heartbeat.machineId());
         if (machine == null) {
-            if (!mayJoin(heartbeat)) {
+            if (!canJoin(heartbeat)) {
                 return new HeartbeatResponse.Unavailable();
             }
             machine = join(heartbeat);
         }
         if (heartbeat.fencingToken() > machine.fencingToken()) {
-            return outranked(machine, heartbeat);
+            return rejectHigherToken(machine, heartbeat);
         }
         if (!reconciler.reconcile(machine, heartbeat, MessageOrigin.HEARTBEAT)) {
-            return overtaken(machine, heartbeat);
+            return answerOutdated(machine, heartbeat);
         }
         loop.runCycleIfDue();
         return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.forAnswer(machine));
     }
 
-    private boolean mayJoin(Heartbeat heartbeat) {
+    private boolean canJoin(Heartbeat heartbeat) {
         if (fleet.isLateCopy(heartbeat)) {
             LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.machineId());
             return false;
@@ -77,10 +77,13 @@
         return machine;
     }
 
-    /** Someone with a higher token gives commands there: we were replaced, or our own new token is under way. */
-    private HeartbeatResponse outranked(Machine machine, Heartbeat heartbeat) {
+    /**
+     * Rejects a heartbeat that reports a higher fencing token than the one known here. Either a new leader has replaced
+     * this one, or a higher token of this leader is not yet known here; reading the records tells which.
+     */
+    private HeartbeatResponse rejectHigherToken(Machine machine, Heartbeat heartbeat) {
         LOG.info(
-                "machine {} has seen fencing token {}, ours is {}",
+                "machine {} reports fencing token {}, higher than {}: reading the records",
                 machine.id(),
                 heartbeat.fencingToken(),
                 machine.fencingToken());
@@ -88,12 +91,15 @@
         return new HeartbeatResponse.Unavailable();
     }
 
-    /** Overtaken by the answer to a direct call: nothing to learn, but the worker is where it should be. */
-    private static HeartbeatResponse overtaken(Machine machine, Heartbeat heartbeat) {
+    /**
+     * Answers a heartbeat that is older than the worker's answer to a direct call, which has arrived already. The
+     * heartbeat is not evaluated, but a worker of the current agent epoch is accepted and told which tasks to stop.
+     */
+    private static HeartbeatResponse answerOutdated(Machine machine, Heartbeat heartbeat) {
         machine.contact().liftFence();
-        boolean ofPresentAgentEpoch =
+        boolean isCurrentAgentEpoch =
                 heartbeat.agentEpoch() == machine.contact().agentEpoch();
-        return !machine.isGone() && ofPresentAgentEpoch
+        return !machine.isGone() && isCurrentAgentEpoch
                 ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopsFor(machine))
                 : new HeartbeatResponse.Unavailable();
     }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -10,9 +10,9 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * The leader's work for one term, as the controller sees it. A new term starts from the records alone; whatever a
- * predecessor may have started is unconfirmed until each machine of the inventory has sent a message under the new
- * fencing token or is proved gone. Made by a {@link LeaderTermFactory}.
+ * The leader's work during one term, as the controller uses it. A new term starts from the records alone. Tasks that an
+ * earlier leader may have started stay unconfirmed until each machine of the inventory has sent a message under the new
+ * fencing token or is proved gone. Created by {@link LeaderTermFactory}.
  */
 public final class LeaderTerm {
     private final TermEnd termEnd;
@@ -24,7 +24,7 @@
     private final Autoscaler autoscaler;
     private final Fleet fleet;
 
-    /** A term that does nothing before it is started. */
+    /** Creates a term, which does nothing until it is started. */
     LeaderTerm(
             TermEnd termEnd,
             TermRecords records,
@@ -44,46 +44,50 @@
         this.fleet = fleet;
     }
 
-    /** Begins the term: takes the machines and jobs on record over. */
+    /** Starts the term: takes over the recorded machines and jobs, and starts the periodic checks. */
     public void start() {
         records.takeOver();
         checks.start();
         takeoverCalls.begin();
     }
 
-    /** Begins to launch and return machines. */
+    /** Starts launching and terminating machines. */
     public void startAutoscaling() {
         autoscaler.start();
     }
 
-    /** The term is over: nothing of it acts any more. */
+    /** Ends the term: none of its components acts any more. */
     public void end() {
         termEnd.end();
         records.end();
     }
 
-    /** The cloud has told of its machine types. */
+    /** Replaces the machine types that the fleet uses. */
     public void onMachineTypesChanged(List<MachineType> types) {
-        machineTypes.changed(types);
+        machineTypes.onTypesChanged(types);
     }
 
-    /** Keeps the machine types on record, for controllers that start while the cloud is away. */
+    /** Writes the machine types to the store, for controllers that start while the cloud is unreachable. */
     public void recordMachineTypes(List<MachineType> types) {
-        machineTypes.putOnRecord(types);
+        machineTypes.recordTypes(types);
     }
 
-    /** How far the recovery has come of what a former leader left. */
+    /** Returns the recovery of the work that the previous leader left. */
     TermRecovery recovery() {
         return records.recovery();
     }
 
-    /** Whether most machines have become unresponsive to us while a peer receives their heartbeats. */
+    /**
+     * Returns whether most machines have become unresponsive to this controller while a peer receives their heartbeats.
+     *
+     * @param redirectedByPeer the highest number of redirected machines that any peer reports; negative: unknown
+     */
     public boolean isCutOffFromWorkers(int redirectedByPeer) {
         return fleet.cutFromWorkers(redirectedByPeer);
     }
 
-    /** A worker's heartbeat, answered with what it is to do. */
+    /** Processes a worker's heartbeat and returns the response, which contains the commands for the worker. */
     public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
-        return heartbeatHandler.answer(heartbeat);
+        return heartbeatHandler.handle(heartbeat);
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -46,16 +46,16 @@
 import org.granitepath.storage.WriteQueue;
 
 /**
- * Puts the parts of one term together, in the order of their packages from the lowest one up: each part is given only
- * what stands above it here. Where a lower part calls a higher one, it is given a method of this factory, which the
- * higher part answers once it is made: the scheduling loop calls scheduler and sender, and the inventory tells of
- * raised tokens.
+ * Creates the components of one term and wires them together, in the order of their packages from the lowest layer up:
+ * each component receives only components that are created before it. Where a component of a lower layer has to call
+ * one of a higher layer, it receives a method of this factory that forwards the call. That is so for the scheduling
+ * loop, which calls the scheduler and the command sender, and for the inventory, which reports raised fencing tokens.
  */
 public final class LeaderTermFactory {
-    /** The leader's share of the budget for changes; request handlers of all controllers share what is left. */
+    /** The leader's share of the store's write limit; the request handlers of all controllers share the rest. */
     private static final double WRITE_SHARE = 0.65;
 
-    // What this controller has beyond the term.
+    // Components of the controller that outlive the term.
     private final Config config;
     private final Leadership leadership;
     private final Leadership.Term term;
@@ -72,7 +72,7 @@
     private final Fleet fleet;
     private final TeamLimits teamLimits;
 
-    // jobs: the life of jobs and tasks
+    // jobs: the lifecycle of jobs and tasks
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final FaultTracker faults = new FaultTracker();
     private final ArrivalRate arrivalRate = new ArrivalRate();
@@ -82,7 +82,7 @@
     private final TaskLifecycle tasks;
     private final JobLifecycle jobs;
 
-    // fleet: the life of machines
+    // fleet: the lifecycle of machines
     private final MachineInventory inventory;
     private final MachineLifecycle machines;
     private final TokenRaiseHandler tokenRaiseHandler;
@@ -91,13 +91,13 @@
     private final WorkerCalls calls;
     private final CommandSender sender;
 
-    // placement, gang, scheduling: the decisions
+    // placement, gang, scheduling: scheduling decisions
     private final PlacementRules rules;
     private final BatchPlanner batchPlanner;
     private final GangHeadroom gangHeadroom;
     private final Scheduler scheduler;
 
-    /** Puts together what the parts of this term share; nothing happens before the term is started. */
+    /** Creates the components that the parts of the term share. They do nothing until the term is started. */
     public LeaderTermFactory(
             Config config,
             Leadership leadership,
@@ -114,35 +114,35 @@
         this.replica = replica;
         this.jobIndex = jobIndex;
         this.timers = timers;
-        this.writeQueue = newWriteQueue();
+        this.writeQueue = createWriteQueue();
 
         this.activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
         this.teamLimits = new TeamLimits(config.teams());
 
-        this.loop = newSchedulingLoop();
+        this.loop = createSchedulingLoop();
         this.commands = new CommandQueue(loop::requestSend);
-        this.recovery = new TermRecovery(newRecoveryPlan(recoveryTracer), activeJobs, timers, loop);
+        this.recovery = new TermRecovery(createRecoveryPlan(recoveryTracer), activeJobs, timers, loop);
         this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
-        this.jobs = newJobLifecycle();
+        this.jobs = createJobLifecycle();
 
-        this.inventory = newInventory();
+        this.inventory = createInventory();
         this.machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, commands, timers, loop);
         this.tokenRaiseHandler = new TokenRaiseHandler(config, fleet, timers);
-        this.reconciler = newReconciler();
+        this.reconciler = createReconciler();
         this.machineCommands = new MachineCommands(leadership, commands);
-        this.calls = new WorkerCalls(config, ports.workers(), inventory, reconciler, timers, loop, termEnd::ended);
+        this.calls = new WorkerCalls(config, ports.workers(), inventory, reconciler, timers, loop, termEnd::isEnded);
         this.sender = new CommandSender(config, leadership, fleet, machineCommands, commands, calls, timers);
 
         this.rules = new PlacementRules(fleet, recovery, activeJobs, teamLimits, faults, runtimeEstimator);
         this.batchPlanner = new BatchPlanner(config, fleet, activeJobs, runtimeEstimator);
         this.gangHeadroom = new GangHeadroom(fleet, batchPlanner);
-        this.scheduler = newScheduler();
+        this.scheduler = createScheduler();
     }
 
     // ---- storage -----------------------------------------------------------------------------------------------
 
-    private WriteQueue newWriteQueue() {
+    private WriteQueue createWriteQueue() {
         return new WriteQueue(
                 ports.store(),
                 replica,
@@ -151,14 +151,14 @@
                 config.limits().store().writesPerSecond() * WRITE_SHARE,
                 RateControl.FIXED,
                 () -> List.of(new Precondition(Keys.LEADER, term.leaderRevision())),
-                () -> !termEnd.ended());
+                () -> !termEnd.isEnded());
     }
 
     // ---- jobs --------------------------------------------------------------------------------------------------
 
-    private SchedulingLoop newSchedulingLoop() {
+    private SchedulingLoop createSchedulingLoop() {
         return new SchedulingLoop(
-                timers, termEnd::ended, leadership::canStartTasks, this::runCycle, this::sendCommands);
+                timers, termEnd::isEnded, leadership::canStartTasks, this::runCycle, this::sendCommands);
     }
 
     private void runCycle() {
@@ -169,18 +169,18 @@
         sender.sendDue();
     }
 
-    private RecoveryPlan newRecoveryPlan(RecoveryTracer recoveryTracer) {
+    private RecoveryPlan createRecoveryPlan(RecoveryTracer recoveryTracer) {
         return new RecoveryPlan(term.fencingToken(), config.tuning().recoveryHoldMicros(), recoveryTracer);
     }
 
-    private JobLifecycle newJobLifecycle() {
+    private JobLifecycle createJobLifecycle() {
         JobRecorder recorder = new JobRecorder(config, term, replica, writeQueue, loop);
         return new JobLifecycle(jobIndex, recorder, recovery, activeJobs, tasks, arrivalRate, timers, loop);
     }
 
     // ---- fleet -------------------------------------------------------------------------------------------------
 
-    private MachineInventory newInventory() {
+    private MachineInventory createInventory() {
         MachineInventory.Listener listener = new MachineInventory.Listener() {
             @Override
             public void tokenRaised(Machine machine) {
@@ -196,7 +196,7 @@
         return new MachineInventory(config, term, replica, writeQueue, timers, fleet, listener);
     }
 
-    private HeartbeatReconciler newReconciler() {
+    private HeartbeatReconciler createReconciler() {
         TaskStatusUpdater statusUpdater = new TaskStatusUpdater(jobs, tasks, machines, faults, runtimeEstimator, loop);
         CleanupCommands cleanup = new CleanupCommands(jobIndex, recovery.plan(), inventory, commands, loop);
         TaskReconciler taskReconciler =
@@ -206,7 +206,7 @@
 
     // ---- scheduling --------------------------------------------------------------------------------------------
 
-    private Scheduler newScheduler() {
+    private Scheduler createScheduler() {
         Preemptor preemptor = new Preemptor(fleet, rules, tasks);
         Scheduler.Policies policies = new Scheduler.Policies(rules, batchPlanner, preemptor, gangHeadroom);
         return new Scheduler(config, fleet, activeJobs, recovery, tasks, jobs, policies, timers);
@@ -214,10 +214,10 @@
 
     // ---- autoscaling -------------------------------------------------------------------------------------------
 
-    private Autoscaler newAutoscaler() {
+    private Autoscaler createAutoscaler() {
         return new Autoscaler(
                 new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
-                new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::ended),
+                new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::isEnded),
                 rules,
                 gangHeadroom,
                 machines,
@@ -228,20 +228,20 @@
 
     // ---- term --------------------------------------------------------------------------------------------------
 
-    /** The term, which is made once. */
+    /** Creates the term. Call this method once only. */
     public LeaderTerm create() {
         return new LeaderTerm(
                 termEnd,
                 new TermRecords(term, replica, fleet, inventory, recovery, jobs),
-                new TakeoverCalls(config, fleet, calls, timers, termEnd::ended),
+                new TakeoverCalls(config, fleet, calls, timers, termEnd::isEnded),
                 new HeartbeatHandler(term, replica, fleet, machines, reconciler, machineCommands, loop),
-                newPeriodicChecks(),
+                createPeriodicChecks(),
                 new TermMachineTypes(config, replica, writeQueue, fleet, loop),
-                newAutoscaler(),
+                createAutoscaler(),
                 fleet);
     }
 
-    private PeriodicChecks newPeriodicChecks() {
+    private PeriodicChecks createPeriodicChecks() {
         MachineChecks machineChecks = new MachineChecks(config, leadership, fleet, inventory, machines, tasks, sender);
         Consolidator consolidator = new Consolidator(fleet, activeJobs, machines, tasks);
         return new PeriodicChecks(termEnd, leadership, fleet, machineChecks, recovery, consolidator, timers, loop);
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 
-/** What is checked of each machine again and again: its lease, whether it can be reached, and its placements. */
+/** The periodic checks of each machine: its lease, whether it can be reached, and its placements. */
 final class MachineChecks {
     private final Config config;
     private final Leadership leadership;
@@ -21,7 +21,7 @@
     private final TaskLifecycle tasks;
     private final CommandSender sender;
 
-    /** Checks machines of this fleet. */
+    /** Creates the checks for the machines of this fleet. */
     MachineChecks(
             Config config,
             Leadership leadership,
@@ -48,21 +48,21 @@
     }
 
     private void checkLease(Machine machine) {
-        if (!isLeaseProvedOver(machine)) {
+        if (!hasLeaseProvablyExpired(machine)) {
             return;
         }
         if (machine.contact().fenced() || !config.topology().peerIn(machine.zone())) {
             machines.leaseExpired(machine);
         } else {
-            inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
+            inventory.requestToken(machine, "its lease has expired, unless a controller that is cut off renews it");
         }
     }
 
     /**
-     * A lease that ran out proves something only if we were the leader all along: a successor that we don't know of may
-     * be answering this worker. So the store must have confirmed us after the end.
+     * Returns whether the machine's lease has expired and the store has confirmed since then that this controller is the
+     * leader. Without that confirmation the expiry proves nothing: an unknown successor may be renewing the lease.
      */
-    private boolean isLeaseProvedOver(Machine machine) {
+    private boolean hasLeaseProvablyExpired(Machine machine) {
         long leaseExpiryMicros = machine.contact().leaseExpiryMicros();
         return leaseExpiryMicros > 0 && leadership.lastConfirmedMicros() > leaseExpiryMicros;
     }
@@ -71,7 +71,7 @@
         boolean unresponsive = fleet.unresponsive(machine, nowMicros);
         for (Placement placement : List.copyOf(machine.placements())) {
             if (unresponsive && placement.phase() == Placement.Phase.ASSIGNED) {
-                tasks.free(placement, "never sent: the machine is unresponsive");
+                tasks.free(placement, "its start was never sent: the machine is unresponsive");
             } else if (placement.phase() == Placement.Phase.STOPPING) {
                 tasks.stopAgain(placement);
             }
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -11,12 +11,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a leader does twice a second: notices that it stood still, checks all machines, empties machines. */
+/**
+ * The checks that a leader makes twice a second: it detects pauses of its own process, checks all machines, and
+ * consolidates work so that machines become empty.
+ */
 final class PeriodicChecks {
     private static final Logger LOG = LoggerFactory.getLogger(PeriodicChecks.class);
     private static final long INTERVAL_MICROS = 500_000;
-    /** Checks that come later than this after they were due: we stood still, or fell far behind. */
-    private static final long PAUSE_MICROS = 1_000_000;
+    /** A delay of the checks beyond this bound means that the process was paused or has fallen far behind. */
+    private static final long PAUSE_THRESHOLD_MICROS = 1_000_000;
 
     private final TermEnd termEnd;
     private final Leadership leadership;
@@ -28,7 +31,7 @@
     private final SchedulingLoop loop;
     private long lastRunMicros;
 
-    /** Checks nothing before it is started; a pause counts from now on. */
+    /** Creates the checks, which do nothing until they are started. Pauses are detected from now on. */
     PeriodicChecks(
             TermEnd termEnd,
             Leadership leadership,
@@ -49,19 +52,19 @@
         this.lastRunMicros = timers.nowMicros();
     }
 
-    /** Begins to check, for as long as the term lasts, and asks for a first scheduling cycle. */
+    /** Starts the checks, which run until the term ends, and requests a first scheduling cycle. */
     void start() {
         timers.after(INTERVAL_MICROS, this::run);
         loop.requestCycle();
     }
 
     private void run() {
-        if (termEnd.ended()) {
+        if (termEnd.isEnded()) {
             return;
         }
         timers.after(INTERVAL_MICROS, this::run);
         long nowMicros = timers.nowMicros();
-        excusePause(nowMicros);
+        detectPause(nowMicros);
         for (Machine machine : List.copyOf(fleet.machines())) {
             machineChecks.check(machine, nowMicros);
         }
@@ -71,12 +74,17 @@
         loop.requestCycle();
     }
 
-    /** While this process stood still it received nothing: no machine may be blamed for that. */
-    private void excusePause(long nowMicros) {
+    /**
+     * Detects a pause of this process. The process received nothing during the pause, so no machine may count as
+     * unresponsive because of it.
+     */
+    private void detectPause(long nowMicros) {
         long pauseMicros = nowMicros - lastRunMicros - INTERVAL_MICROS;
         lastRunMicros = nowMicros;
-        if (pauseMicros > PAUSE_MICROS) {
-            LOG.info("we stood still for {} s: no machine counts as unresponsive for that", pauseMicros / 1_000_000);
+        if (pauseMicros > PAUSE_THRESHOLD_MICROS) {
+            LOG.info(
+                    "this process was paused for {} s: the pause does not count towards machine timeouts",
+                    pauseMicros / 1_000_000);
             fleet.excusePause(pauseMicros, nowMicros);
         }
     }
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -13,17 +13,17 @@
 import org.granitepath.storage.RecordReplica;
 import org.jspecify.annotations.Nullable;
 
-/** Puts together what a controller can tell of a recovery, and says so when it can't. */
+/** Creates the recovery status that a controller reports, including the reason if the status is unknown. */
 public final class RecoveryStatusFactory {
-    /** The hold ends when the records are read, and nobody knows when that is. */
-    private static final long HELD_FOR_UNKNOWN_TIME = -1;
+    /** The hold lasts until the records are read, and it is unknown when that will be. */
+    private static final long REMAINING_TIME_UNKNOWN = -1;
 
     private RecoveryStatusFactory() {}
 
     /**
-     * What this controller can tell now.
+     * Returns the present status.
      *
-     * @param leaderTerm null while this controller does not lead, or still reads the records of its term
+     * @param leaderTerm null while this controller is not the leader, or is still reading the records of its term
      */
     public static RecoveryStatus of(
             Config config,
@@ -39,8 +39,9 @@
         String reason = role == Role.LEADING
                 ? "the state service confirmed lately that this controller leads"
                 : "no recent answer from the state service: another controller may lead by now";
-        RecoveryStatus.Term term =
-                leaderTerm == null ? reading(leadership.fencingToken()) : during(leaderTerm.recovery(), nowMicros);
+        RecoveryStatus.Term term = leaderTerm == null
+                ? termWhileReading(leadership.fencingToken())
+                : termDuringRecovery(leaderTerm.recovery(), nowMicros);
         return new RecoveryStatus(
                 config.node(), role, config.node(), reason, recordsAgeMicros, replica.malformedRecords(), term);
     }
@@ -71,13 +72,13 @@
         return RecoveryStatus.withoutTerm(config.node(), Role.FOLLOWING, leader, reason, recordsAgeMicros, unreadable);
     }
 
-    private static RecoveryStatus.Term reading(long fencingToken) {
-        RecoveryStatus.Hold hold = new RecoveryStatus.Hold("the records", HELD_FOR_UNKNOWN_TIME);
+    private static RecoveryStatus.Term termWhileReading(long fencingToken) {
+        RecoveryStatus.Hold hold = new RecoveryStatus.Hold("the records", REMAINING_TIME_UNKNOWN);
         return new RecoveryStatus.Term(
                 RecoveryPhase.READING, fencingToken, 0, RecoveryStatus.Machines.NONE, Map.of(), 0, hold);
     }
 
-    private static RecoveryStatus.Term during(TermRecovery recovery, long nowMicros) {
+    private static RecoveryStatus.Term termDuringRecovery(TermRecovery recovery, long nowMicros) {
         RecoveryPlan plan = recovery.plan();
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.putAll(plan.taskCountsByVerdict());
--- a/src/main/java/org/granitepath/coordination/term/TermEnd.java
+++ b/src/main/java/org/granitepath/coordination/term/TermEnd.java
@@ -1,16 +1,19 @@
 package org.granitepath.coordination.term;
 
-/** Whether a term of leadership is over: then nothing of it acts any more, whatever timers and answers still come. */
+/**
+ * Whether a term of leadership has ended. From then on the components of the term ignore their timers and the
+ * answers to their calls.
+ */
 final class TermEnd {
     private boolean ended;
 
-    /** The term is over. */
+    /** Marks the term as ended. */
     void end() {
         ended = true;
     }
 
-    /** Whether the term is over. */
-    boolean ended() {
+    /** Returns whether the term has ended. */
+    boolean isEnded() {
         return ended;
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
+++ b/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
@@ -12,7 +12,7 @@
 import org.granitepath.storage.RecordSize;
 import org.granitepath.storage.WriteQueue;
 
-/** The cloud's machine types as the leader uses them and keeps them on record. */
+/** Applies the cloud's machine types to the term's fleet, and writes them to the store. */
 final class TermMachineTypes {
     private static final long RECORD_DELAY_MICROS = 2_000_000;
 
@@ -22,7 +22,7 @@
     private final Fleet fleet;
     private final SchedulingLoop loop;
 
-    /** No type is known before the cloud has told. */
+    /** Creates the component without any types. */
     TermMachineTypes(Config config, RecordReplica replica, WriteQueue writeQueue, Fleet fleet, SchedulingLoop loop) {
         this.config = config;
         this.replica = replica;
@@ -31,18 +31,21 @@
         this.loop = loop;
     }
 
-    /** The cloud has told of its machine types. */
-    void changed(List<MachineType> types) {
+    /** Replaces the fleet's machine types and requests a scheduling cycle. */
+    void onTypesChanged(List<MachineType> types) {
         fleet.typesChanged(types);
         loop.requestCycle();
     }
 
-    /** Keeps the machine types on record, for controllers that start while the cloud is away. */
-    void putOnRecord(List<MachineType> types) {
+    /**
+     * Writes the machine types to the store, for controllers that start while the cloud is unreachable. Does nothing if
+     * types are recorded already, or if these exceed the size limit of a value in the store.
+     */
+    void recordTypes(List<MachineType> types) {
         MachineTypesRecord typesRecord = new MachineTypesRecord(types);
         if (replica.has(Keys.TYPES)
                 || RecordSize.of(typesRecord) > config.limits().store().valueBytes()) {
-            return; // a part of the types would let controllers refuse jobs that can run
+            return; // with a part of the types on record, controllers would reject jobs that can run
         }
         writeQueue.enqueue(
                 Keys.TYPES,
--- a/src/main/java/org/granitepath/coordination/term/TermPorts.java
+++ b/src/main/java/org/granitepath/coordination/term/TermPorts.java
@@ -5,5 +5,5 @@
 import org.granitepath.coordination.ports.WorkerPort;
 import org.granitepath.storage.KeyValueStore;
 
-/** Those outside the controller with whom a leader deals: the store, the cloud, the workers, the other controllers. */
+/** The external systems that a leader calls: the store, the cloud, the workers and the other controllers. */
 public record TermPorts(KeyValueStore store, CloudPort cloud, WorkerPort workers, Peers peers) {}
--- a/src/main/java/org/granitepath/coordination/term/TermRecords.java
+++ b/src/main/java/org/granitepath/coordination/term/TermRecords.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machines and jobs on record: the new leader's when its term starts, and nobody's concern here when it ends. */
+/** Takes over the recorded machines and jobs when a term starts, and stops following them when it ends. */
 final class TermRecords {
     private static final Logger LOG = LoggerFactory.getLogger(TermRecords.class);
 
@@ -22,7 +22,7 @@
     private final TermRecovery recovery;
     private final JobLifecycle jobs;
 
-    /** Takes nothing over before it is asked to. */
+    /** Creates the component; nothing is taken over until {@link #takeOver} is called. */
     TermRecords(
             Leadership.Term term,
             RecordReplica replica,
@@ -38,7 +38,10 @@
         this.jobs = jobs;
     }
 
-    /** Takes over what is on record. The machines come first: jobs are judged by which of them are still awaited. */
+    /**
+     * Takes over the recorded machines and jobs. The machines come first, because the state of a job's tasks depends on
+     * which machines are still awaited.
+     */
     void takeOver() {
         List<Machine> takenOver = inventory.takeOver();
         fleet.inherit(takenOver);
@@ -50,12 +53,12 @@
                 fleet.machines().size());
     }
 
-    /** How far the recovery has come of what a former leader left. */
+    /** Returns the recovery of the work that the previous leader left. */
     TermRecovery recovery() {
         return recovery;
     }
 
-    /** The term is over: changes of records mean nothing to it any more. */
+    /** Stops processing changes of the records, because the term has ended. */
     void end() {
         jobs.end();
         recovery.plan().end();
--- a/src/main/java/org/granitepath/coordination/term/package-info.java
+++ b/src/main/java/org/granitepath/coordination/term/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One term of leadership: puts the parts together, answers workers and makes the periodic checks, and tells how far the
- * recovery has come. Made when a campaign is won and dropped when leadership is lost.
+ * One term of leadership: wires its components together, answers workers, makes the periodic checks and reports the
+ * progress of the recovery. A term is created when a campaign is won and discarded when leadership is lost.
  */
 package org.granitepath.coordination.term;
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the leader answers to the heartbeat of a machine that it knows, or does not know. */
+/** The leader's response to heartbeats of machines in its fleet, and of machines that are not. */
 class HeartbeatHandlerTest {
     private static final HeartbeatResponse UNAVAILABLE = new HeartbeatResponse.Unavailable();
     private static final TaskId ORPHAN = new TaskId("nobody's", 0);
@@ -50,61 +50,61 @@
 
     // ---- machines that are not in the fleet ----------------------------------------------------------------------
 
-    @ParameterizedTest(name = "that knows token {0}")
+    @ParameterizedTest(name = "machine that knows fencing token {0}")
     @ValueSource(longs = {0, TERM_TOKEN})
     void anUnknownMachineJoinsUnderTheTokenOfTheTerm(long knownToken) {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(accepted(), handler.answer(heartbeat(unknown, EPOCH, knownToken)));
+        assertEquals(accepted(), handler.handle(heartbeat(unknown, EPOCH, knownToken)));
         assertEquals(TERM_TOKEN, fixture.fleet.machine("m").fencingToken());
     }
 
     @Test
-    void anUnknownMachineOfASuccessorIsTurnedAway() {
+    void anUnknownMachineWithAHigherTokenIsRejected() {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(unknown, EPOCH, TERM_TOKEN + 1)));
+        assertEquals(UNAVAILABLE, handler.handle(heartbeat(unknown, EPOCH, TERM_TOKEN + 1)));
         assertNull(fixture.fleet.machine("m"));
     }
 
     @Test
-    void aLateCopyOfAMachineThatIsGoneIsTurnedAway() {
+    void aLateHeartbeatOfAMachineThatIsGoneIsRejected() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat late = nextHeartbeat(machine);
         fixture.machines.terminated("m");
-        assertEquals(UNAVAILABLE, handler.answer(late));
+        assertEquals(UNAVAILABLE, handler.handle(late));
         assertNull(fixture.fleet.machine("m"));
     }
 
     // ---- machines of the fleet -----------------------------------------------------------------------------------
 
     @Test
-    void aHeartbeatIsAnsweredWithWhatItCallsFor() {
+    void aHeartbeatIsAnsweredWithCleanupCommands() {
         Machine machine = fixture.readyMachine("m");
-        assertEquals(accepted(STOP_ORPHAN), handler.answer(nextHeartbeat(machine, orphan())));
-        assertEquals(accepted(), handler.answer(nextHeartbeat(machine)), "the stop has worked");
+        assertEquals(accepted(STOP_ORPHAN), handler.handle(nextHeartbeat(machine, orphan())));
+        assertEquals(accepted(), handler.handle(nextHeartbeat(machine)), "the orphaned task is not listed any more");
     }
 
     @Test
-    void aHigherTokenIsAReasonToReadTheRecords() {
+    void aHigherTokenCausesAReadOfTheRecords() {
         Machine machine = fixture.readyMachine("m");
         int readsBefore = fixture.storeReads();
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN + 1)));
+        assertEquals(UNAVAILABLE, handler.handle(heartbeat(machine, EPOCH, TERM_TOKEN + 1)));
         fixture.timers.advance(SECOND);
         assertEquals(readsBefore + 1, fixture.storeReads());
     }
 
     @Test
-    void aHeartbeatOvertakenByTheAnswerToACallIsAnsweredWithTheStops() {
+    void aHeartbeatOlderThanTheAnswerToACallIsAnsweredWithTheStops() {
         Machine machine = fixture.readyMachine("m");
-        Heartbeat overtaken = nextHeartbeat(machine);
-        handler.answer(heartbeat(machine, EPOCH, TERM_TOKEN, orphan()));
+        Heartbeat outdated = nextHeartbeat(machine);
+        handler.handle(heartbeat(machine, EPOCH, TERM_TOKEN, orphan()));
         machine.contact().fence();
-        assertEquals(accepted(STOP_ORPHAN), handler.answer(overtaken));
-        assertFalse(machine.contact().fenced(), "the answer shows the token");
+        assertEquals(accepted(STOP_ORPHAN), handler.handle(outdated));
+        assertFalse(machine.contact().fenced(), "the response carries the fencing token");
     }
 
     @Test
-    void aHeartbeatOfAFormerAgentEpochIsTurnedAway() {
+    void aHeartbeatOfAnEarlierAgentEpochIsRejected() {
         Machine machine = fixture.readyMachine("m");
-        assertEquals(UNAVAILABLE, handler.answer(heartbeat(machine, EPOCH - 1, TERM_TOKEN)));
+        assertEquals(UNAVAILABLE, handler.handle(heartbeat(machine, EPOCH - 1, TERM_TOKEN)));
     }
 }
