--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -33,10 +33,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: serves users always, and machines while it owns them. All calls come on the event loop. */
+/**
+ * One controller process. It answers user requests at any time, and manages the machines while it is the leader. All
+ * methods must be called on the event loop.
+ */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    /** Share of the store's requests that all controllers together may spend on reading the latest changes. */
+    /** The share of the store's request limit that all controllers together may spend on reading changes. */
     private static final double READ_SHARE = 0.6;
 
     private final Config config;
@@ -60,7 +63,7 @@
     private final HeartbeatRouter heartbeatRouter;
     private final ControllerChecks checks;
 
-    /** Makes a controller that does nothing before {@link #start}. */
+    /** Creates a controller that does nothing until {@link #start} is called. */
     public Controller(
             Config config,
             KeyValueStore store,
@@ -75,10 +78,10 @@
         this.workers = workers;
         this.timers = timers;
         this.recoveryTracer = recoveryTracer;
-        this.replica = new RecordReplica(store, timers, readSpacingMicros(config), new ReplicaListener());
+        this.replica = new RecordReplica(store, timers, minReadIntervalMicros(config), new ReplicaListener());
         this.storeContact = new StoreContact(replica, timers);
         this.endedJobEviction = new EndedJobEviction(replica, jobIndex);
-        this.currentTerm = new CurrentTerm(this::newTerm, this::knownMachineTypes);
+        this.currentTerm = new CurrentTerm(this::createTerm, this::knownMachineTypes);
         this.peers = new Peers(config, peerPort, timers, this::status);
         this.leadership = new Leadership(
                 config,
@@ -98,12 +101,12 @@
                 machineTypes::all,
                 (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
         this.health = new ControllerHealth(replica, machineTypes, storeContact, peers);
-        this.heartbeatRouter = newHeartbeatRouter();
+        this.heartbeatRouter = createHeartbeatRouter();
         this.checks =
                 new ControllerChecks(replica, redirectedMachines, currentTerm, leadership, peers, machineTypes, timers);
     }
 
-    private HeartbeatRouter newHeartbeatRouter() {
+    private HeartbeatRouter createHeartbeatRouter() {
         return new HeartbeatRouter(
                 config.node(),
                 currentTerm,
@@ -115,7 +118,7 @@
                 timers);
     }
 
-    private LeaderTerm newTerm(Leadership.Term term) {
+    private LeaderTerm createTerm(Leadership.Term term) {
         TermPorts ports = new TermPorts(store, cloud, workers, peers);
         return new LeaderTermFactory(config, leadership, term, ports, replica, jobIndex, timers, recoveryTracer)
                 .create();
@@ -125,14 +128,17 @@
         return machineTypes.all();
     }
 
-    /** Least time between two reads, from this controller's part of the share for reading. */
-    private static long readSpacingMicros(Config config) {
+    /**
+     * Returns the minimum time between two reads: {@link #READ_SHARE} of the store's request limit is divided evenly
+     * among all controllers.
+     */
+    private static long minReadIntervalMicros(Config config) {
         int controllers = config.topology().peers().size() + 1;
         double readsPerSecond = config.limits().storeRequestsPerSecond() * READ_SHARE / controllers;
         return (long) (1e6 / readsPerSecond);
     }
 
-    /** Begins to follow the records, to stand for leader and to talk to the other controllers. */
+    /** Starts following the records in the store, campaigning for leadership and exchanging status with the peers. */
     public void start() {
         replica.start();
         leadership.start();
@@ -140,9 +146,9 @@
         checks.run();
     }
 
-    /** Whether users may be sent here. */
+    /** Returns whether a load balancer may send user requests to this controller. */
     public boolean isHealthy() {
-        return health.healthy();
+        return health.isHealthy();
     }
 
     private PeerPort.PeerStatus status() {
@@ -153,64 +159,67 @@
                 redirectedMachines.count());
     }
 
-    /** A peer tells how it is, and is told the same. */
+    /** Records the status that a peer sent, and returns the status of this controller in reply. */
     public PeerPort.PeerStatus handlePeerStatus(PeerPort.PeerStatus peerStatus) {
         peers.handleStatus(peerStatus);
         return status();
     }
 
-    /** A peer has confirmed a cancellation that we may not be able to read: it is on record, so it counts at once. */
+    /**
+     * Applies a cancellation that a peer has confirmed to a user. The cancellation is committed to the store, so it
+     * takes effect here at once, even if this controller cannot read the store at the moment.
+     */
     public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
         replica.applied(Keys.finalOf(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
-    /** Whether this controller leads. */
+    /** Returns whether this controller is the leader. */
     public boolean isLeader() {
         return currentTerm.isPresent();
     }
 
-    /** The fencing token of the present term of this controller; 0 while it does not lead. */
+    /** Returns the fencing token of this controller's current term, or 0 if it is not the leader. */
     public long fencingToken() {
         return leadership.fencingToken();
     }
 
-    /** How far the recovery of the present term has come, or why this controller can't tell. */
+    /** Returns the progress of the recovery in the current term, or the reason why this controller does not know it. */
     public RecoveryStatus recoveryStatus() {
         return RecoveryStatusFactory.of(config, leadership, replica, currentTerm.get(), timers.nowMicros());
     }
 
-    /** Takes a submission; answered once it is on record. */
+    /** Submits a job. {@code then} receives the response once the job is committed to the store. */
     public void submit(JobSpec spec, Consumer<JobResponse> then) {
         requestHandler.submit(spec, then);
     }
 
-    /** Tells the state of a job. */
+    /** Looks up a job. {@code then} receives its state. */
     public void poll(String id, Consumer<JobResponse> then) {
         requestHandler.poll(id, then);
     }
 
-    /** Cancels a job; answered once no task of it is started any more. */
+    /** Cancels a job. {@code then} receives the response once no controller can start a task of the job any more. */
     public void cancel(String id, Consumer<JobResponse> then) {
         requestHandler.cancel(id, then);
     }
 
-    /** Takes a worker's heartbeat. */
+    /** Processes a worker's heartbeat and returns the response to it. */
     public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
-        return heartbeatRouter.answer(heartbeat);
+        return heartbeatRouter.route(heartbeat);
     }
 
-    /** Passes each changed record to the part that it concerns. */
+    /** Dispatches each changed record to the component that uses it. */
     private final class ReplicaListener implements RecordReplica.Listener {
         @Override
         public void changed(String key, @Nullable StoredRecord record, long revision) {
             if (key.equals(Keys.LEADER)) {
                 leadership.onLeaderRecordChanged();
             } else if (record instanceof MachineTypesRecord recorded) {
-                machineTypes.recordRead(recorded.types());
+                machineTypes.onRecordRead(recorded.types());
             } else {
                 jobIndex.changed(key, record);
                 if (record != null) {
-                    endedJobEviction.recordWritten(key);
+                    endedJobEviction.onRecordWritten(key);
                 }
             }
         }
--- a/src/main/java/org/granitepath/coordination/ControllerChecks.java
+++ b/src/main/java/org/granitepath/coordination/ControllerChecks.java
@@ -6,7 +6,7 @@
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 
-/** What each controller does every second, leader or not. */
+/** The checks that every controller makes once a second, whether or not it is the leader. */
 final class ControllerChecks {
     private static final long INTERVAL_MICROS = 1_000_000;
 
@@ -18,7 +18,7 @@
     private final MachineTypeCatalog machineTypes;
     private final Timers timers;
 
-    /** Checks nothing before it is run. */
+    /** Creates the checks; none is made until {@link #run} is called. */
     ControllerChecks(
             RecordReplica replica,
             RedirectedMachines redirectedMachines,
@@ -36,15 +36,15 @@
         this.timers = timers;
     }
 
-    /** Makes all checks now and again every second. */
+    /** Makes all checks now, and schedules the next run in one second. */
     void run() {
         timers.after(INTERVAL_MICROS, this::run);
         if (replica.loaded()) {
             replica.barrier(fresh -> {});
         }
         long nowMicros = timers.nowMicros();
-        redirectedMachines.forgetOld(nowMicros);
-        stepDownIfCutFromWorkers();
+        redirectedMachines.removeExpired(nowMicros);
+        stepDownIfCutOffFromWorkers();
         if (currentTerm.isPresent()) {
             machineTypes.refreshIfDue(nowMicros);
         } else {
@@ -52,10 +52,10 @@
         }
     }
 
-    private void stepDownIfCutFromWorkers() {
+    private void stepDownIfCutOffFromWorkers() {
         LeaderTerm leaderTerm = currentTerm.get();
         if (leaderTerm != null && leaderTerm.isCutOffFromWorkers(peers.maxRedirectedMachines())) {
-            leadership.stepDown("the machines reach the others, but not us");
+            leadership.stepDown("most machines reach another controller, but not this one");
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/ControllerHealth.java
+++ b/src/main/java/org/granitepath/coordination/ControllerHealth.java
@@ -4,7 +4,7 @@
 import org.granitepath.coordination.leadership.Peers;
 import org.granitepath.storage.RecordReplica;
 
-/** Whether users may be sent to this controller. */
+/** Decides whether user requests may be sent to this controller. */
 final class ControllerHealth {
     private final RecordReplica replica;
     private final MachineTypeCatalog machineTypes;
@@ -19,10 +19,11 @@
     }
 
     /**
-     * Whether it knows enough to answer, and no other could do better: in an outage all stay, while a controller that
-     * alone has lost the store sends users to the others.
+     * Returns whether this controller has the data to answer users and no peer is better placed to do so. During an
+     * outage of the store all controllers stay healthy; a controller that alone has lost contact with the store reports
+     * itself unhealthy, so that users are sent to the others.
      */
-    boolean healthy() {
+    boolean isHealthy() {
         if (!replica.loaded() || machineTypes.isEmpty()) {
             return false;
         }
--- a/src/main/java/org/granitepath/coordination/CurrentTerm.java
+++ b/src/main/java/org/granitepath/coordination/CurrentTerm.java
@@ -9,38 +9,38 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** Begins and ends the terms of leadership of this controller, and passes new machine types to the present one. */
+/** Starts and ends this controller's terms of leadership, and passes new machine types on to the current term. */
 final class CurrentTerm implements Leadership.Listener, MachineTypeCatalog.Listener {
-    private final Function<Leadership.Term, LeaderTerm> newTerm;
+    private final Function<Leadership.Term, LeaderTerm> termFactory;
     private final Supplier<Collection<MachineType>> machineTypes;
-    /** Null while this controller does not lead. */
+    /** Null while this controller is not the leader. */
     private @Nullable LeaderTerm leaderTerm;
 
     /**
-     * No term is present before this controller is elected.
+     * Creates the holder without a term; the first term begins when this controller is elected.
      *
-     * @param newTerm makes a term that does nothing before it is started
-     * @param machineTypes the types that the cloud launches; none while they are not known
+     * @param termFactory creates a term, which does nothing until it is started
+     * @param machineTypes returns the types that the cloud offers; empty while they are not known
      */
-    CurrentTerm(Function<Leadership.Term, LeaderTerm> newTerm, Supplier<Collection<MachineType>> machineTypes) {
-        this.newTerm = newTerm;
+    CurrentTerm(Function<Leadership.Term, LeaderTerm> termFactory, Supplier<Collection<MachineType>> machineTypes) {
+        this.termFactory = termFactory;
         this.machineTypes = machineTypes;
     }
 
-    /** The present term; null while this controller does not lead. */
+    /** Returns the current term, or null if this controller is not the leader. */
     @Nullable
     LeaderTerm get() {
         return leaderTerm;
     }
 
-    /** Whether this controller leads. */
+    /** Returns whether this controller is the leader. */
     boolean isPresent() {
         return leaderTerm != null;
     }
 
     @Override
     public void onElected(Leadership.Term term) {
-        LeaderTerm elected = newTerm.apply(term);
+        LeaderTerm elected = termFactory.apply(term);
         leaderTerm = elected;
         elected.start();
         List<MachineType> types = List.copyOf(machineTypes.get());
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void fetched(List<MachineType> types) {
+    public void onFetched(List<MachineType> types) {
         if (leaderTerm != null) {
             leaderTerm.onMachineTypesChanged(types);
             leaderTerm.recordMachineTypes(types);
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void readFromRecord(List<MachineType> types) {
+    public void onReadFromRecord(List<MachineType> types) {
         if (leaderTerm != null) {
             leaderTerm.onMachineTypesChanged(types);
         }
--- a/src/main/java/org/granitepath/coordination/EndedJobEviction.java
+++ b/src/main/java/org/granitepath/coordination/EndedJobEviction.java
@@ -4,7 +4,10 @@
 import org.granitepath.storage.Keys;
 import org.granitepath.storage.RecordReplica;
 
-/** Of a job that is over only the final state is kept; a day's descriptions would fill a small machine. */
+/**
+ * Evicts the description and progress of ended jobs from the replica, which keeps only their final state. The
+ * descriptions of one day's jobs would fill the memory of a small machine.
+ */
 final class EndedJobEviction {
     private final RecordReplica replica;
     private final JobIndex jobIndex;
@@ -14,8 +17,11 @@
         this.jobIndex = jobIndex;
     }
 
-    /** A record was written, and the index knows of it: of a job that is over the replica forgets all but the end. */
-    void recordWritten(String key) {
+    /**
+     * Evicts all records but the final one if the key belongs to an ended job. Called after a record was written and
+     * the job index was updated.
+     */
+    void onRecordWritten(String key) {
         Keys.jobKey(key).map(Keys.JobKey::jobId).filter(jobIndex::hasEnded).ifPresent(this::evict);
     }
 
--- a/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
+++ b/src/main/java/org/granitepath/coordination/HeartbeatRouter.java
@@ -8,7 +8,10 @@
 import org.granitepath.coordination.term.LeaderTerm;
 import org.granitepath.storage.Timers;
 
-/** Decides who answers a worker's heartbeat: the present term, the zone lease keeper, or the leader elsewhere. */
+/**
+ * Routes a worker's heartbeat to whatever answers it: the current term of this controller, its zone lease keeper, or
+ * the leader on another controller.
+ */
 final class HeartbeatRouter {
     private final String node;
     private final CurrentTerm currentTerm;
@@ -20,10 +23,10 @@
     private final Timers timers;
 
     /**
-     * Answers nobody before it is asked.
+     * Creates a router.
      *
      * @param node the name of this controller
-     * @param redirectedMachines notes the machines that were not answered here
+     * @param redirectedMachines records the machines whose heartbeats this controller did not accept
      */
     HeartbeatRouter(
             String node,
@@ -44,8 +47,8 @@
         this.timers = timers;
     }
 
-    /** The answer to a worker's heartbeat. */
-    HeartbeatResponse answer(Heartbeat heartbeat) {
+    /** Returns the response to a worker's heartbeat. */
+    HeartbeatResponse route(Heartbeat heartbeat) {
         LeaderTerm leaderTerm = currentTerm.get();
         if (leaderTerm != null) {
             return leadership.canAnswerWorkers()
@@ -60,7 +63,9 @@
     }
 
     /**
-     * A leader that is cut from us is cut from the machines around us as well: going there would cost them time.
+     * Redirects the worker to the leader only if this controller has recent contact with the store or with the leader.
+     * A leader that this controller cannot reach is probably out of reach of the machines around it as well, and a
+     * redirect there would only delay their workers.
      */
     private HeartbeatResponse redirectToLeader() {
         String leader = leadership.leaderNode();
--- a/src/main/java/org/granitepath/coordination/MachineTypeCatalog.java
+++ b/src/main/java/org/granitepath/coordination/MachineTypeCatalog.java
@@ -9,20 +9,21 @@
 import org.granitepath.storage.Timers;
 
 /**
- * The machine types that the cloud launches, by name. The cloud is asked; until it has answered once the types on
- * record stand in, so that a controller that starts while the cloud is down can judge submissions.
+ * The machine types that the cloud offers, by name. They are fetched from the cloud. Until the first fetch succeeds, the
+ * types recorded in the store are used instead, so that a controller that starts during an outage of the cloud can
+ * validate submissions.
  */
 final class MachineTypeCatalog {
-    private static final long REFRESH_MICROS = 60_000_000;
-    private static final long RETRY_MICROS = 2_000_000;
+    private static final long REFRESH_INTERVAL_MICROS = 60_000_000;
+    private static final long RETRY_DELAY_MICROS = 2_000_000;
 
-    /** Told of new types. */
+    /** Receives new machine types. */
     interface Listener {
-        /** The types were learned from the cloud. */
-        void fetched(List<MachineType> types);
+        /** The types were fetched from the cloud. */
+        void onFetched(List<MachineType> types);
 
-        /** The types were learned from the record that a leader has left. */
-        void readFromRecord(List<MachineType> types);
+        /** The types were read from the record that a leader wrote to the store. */
+        void onReadFromRecord(List<MachineType> types);
     }
 
     private final CloudPort cloud;
@@ -38,52 +39,55 @@
         this.listener = listener;
     }
 
-    /** Whether no types are known yet. */
+    /** Returns whether no types are known yet. */
     boolean isEmpty() {
         return types.isEmpty();
     }
 
-    /** All types, in the order of the cloud's list; a view. */
+    /** Returns a live view of all types, in the order in which the cloud lists them. */
     Collection<MachineType> all() {
         return types.values();
     }
 
-    /** Asks the cloud if no types are known; what a controller that does not lead needs. */
+    /** Fetches the types if none are known and no fetch is in progress. Called while this controller is not the leader. */
     void fetchIfUnknown() {
         if (types.isEmpty() && !fetching) {
             fetch();
         }
     }
 
-    /** Asks the cloud if no types are known or the last answer has aged; what a leader needs. */
+    /**
+     * Fetches the types if none are known or a refresh is due, and no fetch is in progress. Called while this controller
+     * is the leader.
+     */
     void refreshIfDue(long nowMicros) {
         if ((types.isEmpty() || nowMicros >= refreshDueMicros) && !fetching) {
             fetch();
         }
     }
 
-    /** Takes the types on record, unless some are known: those are as new or newer. */
-    void recordRead(List<MachineType> recorded) {
+    /** Uses the recorded types if none are known yet. Types that are already known are at least as recent. */
+    void onRecordRead(List<MachineType> recorded) {
         if (types.isEmpty()) {
             replaceAll(recorded);
-            listener.readFromRecord(recorded);
+            listener.onReadFromRecord(recorded);
         }
     }
 
     private void fetch() {
         fetching = true;
-        cloud.fetchMachineTypes(list -> {
+        cloud.fetchMachineTypes(fetched -> {
             fetching = false;
-            refreshDueMicros = timers.nowMicros() + (list == null ? RETRY_MICROS : REFRESH_MICROS);
-            if (list != null) {
-                replaceAll(list);
-                listener.fetched(list);
+            refreshDueMicros = timers.nowMicros() + (fetched == null ? RETRY_DELAY_MICROS : REFRESH_INTERVAL_MICROS);
+            if (fetched != null) {
+                replaceAll(fetched);
+                listener.onFetched(fetched);
             }
         });
     }
 
-    private void replaceAll(List<MachineType> next) {
+    private void replaceAll(List<MachineType> newTypes) {
         types.clear();
-        next.forEach(type -> types.put(type.name(), type));
+        newTypes.forEach(type -> types.put(type.name(), type));
     }
 }
--- a/src/main/java/org/granitepath/coordination/StoreContact.java
+++ b/src/main/java/org/granitepath/coordination/StoreContact.java
@@ -4,7 +4,7 @@
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 
-/** How lately the store has answered this controller. */
+/** The time since the store last answered this controller. */
 final class StoreContact {
     private final RecordReplica replica;
     private final Timers timers;
@@ -14,12 +14,12 @@
         this.timers = timers;
     }
 
-    /** The time since the store last answered a read, in microseconds. */
+    /** Returns the time since the store last answered a read, in microseconds. */
     long ageMicros() {
         return timers.nowMicros() - replica.lastContactMicros();
     }
 
-    /** Whether the last answer is so recent that the store counts as in contact. */
+    /** Returns whether the last answer is more recent than {@link Config#CONTACT_TIMEOUT_MICROS}. */
     boolean isRecent() {
         return ageMicros() < Config.CONTACT_TIMEOUT_MICROS;
     }
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When users may be sent to a controller: it knows enough, and no other could do better. */
+/** A controller is healthy when it has the data to answer users and no peer is better placed to do so. */
 class ControllerHealthTest {
     private static final long SECOND = 1_000_000;
 
@@ -35,17 +35,17 @@
     private final Peers peers =
             new Peers(TestConfigs.of("c1", "c1-1", "c2"), new UnreachablePeers(), timers, () -> status("c1", 0));
     private final MachineTypeCatalog machineTypes =
-            new MachineTypeCatalog(silentCloud(), timers, new MachineTypeCatalog.Listener() {
+            new MachineTypeCatalog(unresponsiveCloud(), timers, new MachineTypeCatalog.Listener() {
                 @Override
-                public void fetched(List<MachineType> types) {}
+                public void onFetched(List<MachineType> types) {}
 
                 @Override
-                public void readFromRecord(List<MachineType> types) {}
+                public void onReadFromRecord(List<MachineType> types) {}
             });
     private final ControllerHealth health =
             new ControllerHealth(replica, machineTypes, new StoreContact(replica, timers), peers);
 
-    /** Peers that never answer: what they tell comes by their own messages. */
+    /** Peers that never answer a call; the test delivers their status messages itself. */
     private static final class UnreachablePeers implements PeerPort {
         @Override
         public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
@@ -58,52 +58,52 @@
         return new PeerPort.PeerStatus(node, contactAgeMicros, false, 0);
     }
 
-    private static CloudPort silentCloud() {
+    private static CloudPort unresponsiveCloud() {
         return (CloudPort) Proxy.newProxyInstance(
                 CloudPort.class.getClassLoader(), new Class<?>[] {CloudPort.class}, (proxy, method, arguments) -> null);
     }
 
-    private void recordsRead() {
+    private void readRecords() {
         replica.start();
         timers.advance(SECOND);
     }
 
-    private void typesKnown() {
-        machineTypes.recordRead(List.of(Fixtures.TYPE));
+    private void learnMachineTypes() {
+        machineTypes.onRecordRead(List.of(Fixtures.TYPE));
     }
 
     @Test
-    void itIsUnhealthyBeforeItHasReadTheRecords() {
-        typesKnown();
-        assertFalse(health.healthy());
+    void isUnhealthyBeforeTheRecordsAreRead() {
+        learnMachineTypes();
+        assertFalse(health.isHealthy());
     }
 
     @Test
-    void itIsUnhealthyBeforeItKnowsTheMachineTypes() {
-        recordsRead();
-        assertFalse(health.healthy());
+    void isUnhealthyBeforeTheMachineTypesAreKnown() {
+        readRecords();
+        assertFalse(health.isHealthy());
     }
 
     @Test
-    void itIsHealthyWhileTheStoreAnswers() {
-        recordsRead();
-        typesKnown();
+    void isHealthyWhileTheStoreAnswers() {
+        readRecords();
+        learnMachineTypes();
         peers.handleStatus(status("c2", 0));
-        assertTrue(health.healthy());
+        assertTrue(health.isHealthy());
     }
 
     @ParameterizedTest
     @CsvSource({
-        "0, false", // the peer has contact: users go there
-        "60000000, true", // no one has
+        "0, false", // the peer is in contact with the store, so users are sent to it
+        "60000000, true", // no controller is in contact with the store
         "-1, true",
     })
-    void withoutTheStoreItIsHealthyIfNoPeerCanDoBetter(long contactAgeOfPeer, boolean healthy) {
-        recordsRead();
-        typesKnown();
+    void withoutTheStoreIsHealthyOnlyIfNoPeerHasContact(long peerContactAgeMicros, boolean healthy) {
+        readRecords();
+        learnMachineTypes();
         store.unreachable = true;
         timers.advance(5 * SECOND);
-        peers.handleStatus(status("c2", contactAgeOfPeer));
-        assertEquals(healthy, health.healthy());
+        peers.handleStatus(status("c2", peerContactAgeMicros));
+        assertEquals(healthy, health.isHealthy());
     }
 }
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Of a job that is over the replica keeps the end alone, in whatever order its records come. */
+/** The replica keeps only the final record of an ended job, in whatever order the job's records arrive. */
 class EndedJobEvictionTest {
     private static final String JOB = "run-1";
     private static final List<String> KEYS = List.of(Keys.job(JOB), Keys.progress(JOB), Keys.finalOf(JOB));
@@ -36,31 +36,31 @@
             });
     private final EndedJobEviction eviction = new EndedJobEviction(replica, jobIndex);
 
-    private void written(String key) {
+    private void write(String key) {
         StoredRecord record = switch (Keys.jobKey(key).orElseThrow().kind()) {
             case JOB -> new JobRecord(Fixtures.spec(JobSpec.Shape.BATCH, false, false), 0, 0, 0);
             case PROGRESS -> ProgressRecord.none();
             case FINAL -> new FinalRecord(FinalRecord.Outcome.DONE);
         };
         replica.applied(key, record, 1);
-        eviction.recordWritten(key);
+        eviction.onRecordWritten(key);
     }
 
-    private List<String> kept() {
+    private List<String> keysInReplica() {
         return KEYS.stream().filter(replica::has).toList();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"g/j/run-1 g/p/run-1 g/f/run-1", "g/f/run-1 g/p/run-1 g/j/run-1"})
-    void theEndAloneIsKept(String order) {
-        Stream.of(order.split(" ")).forEach(this::written);
-        assertEquals(List.of(Keys.finalOf(JOB)), kept());
+    void onlyTheFinalRecordOfAnEndedJobIsKept(String order) {
+        Stream.of(order.split(" ")).forEach(this::write);
+        assertEquals(List.of(Keys.finalOf(JOB)), keysInReplica());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"g/j/run-1 g/p/run-1", "g/p/run-1 g/j/run-1"})
-    void ofAnOpenJobAllIsKept(String order) {
-        Stream.of(order.split(" ")).forEach(this::written);
-        assertEquals(List.of(Keys.job(JOB), Keys.progress(JOB)), kept());
+    void allRecordsOfAnOpenJobAreKept(String order) {
+        Stream.of(order.split(" ")).forEach(this::write);
+        assertEquals(List.of(Keys.job(JOB), Keys.progress(JOB)), keysInReplica());
     }
 }
--- a/src/test/java/org/granitepath/coordination/MachineTypeCatalogTest.java
+++ b/src/test/java/org/granitepath/coordination/MachineTypeCatalogTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.storage.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** Types on record stand in until the cloud has answered once; who asks the cloud again, and when. */
+/** Recorded types are used until the cloud has answered once. Only a leader refreshes known types. */
 class MachineTypeCatalogTest {
     private static final long SECOND = 1_000_000;
 
@@ -21,17 +21,17 @@
     private final MachineTypeCatalog catalog =
             new MachineTypeCatalog(cloud(), timers, new MachineTypeCatalog.Listener() {
                 @Override
-                public void fetched(List<MachineType> types) {
+                public void onFetched(List<MachineType> types) {
                     events.add("fetched");
                 }
 
                 @Override
-                public void readFromRecord(List<MachineType> types) {
+                public void onReadFromRecord(List<MachineType> types) {
                     events.add("read");
                 }
             });
 
-    /** A cloud of which only the types are asked. */
+    /** A cloud that collects the requests for machine types; no other method is called. */
     @SuppressWarnings("unchecked")
     private CloudPort cloud() {
         return (CloudPort) Proxy.newProxyInstance(
@@ -46,17 +46,17 @@
     }
 
     @Test
-    void theRecordCountsOnlyUntilTheCloudHasAnswered() {
-        catalog.recordRead(types("recorded"));
+    void recordedTypesAreUsedOnlyUntilTheCloudHasAnswered() {
+        catalog.onRecordRead(types("recorded"));
         catalog.refreshIfDue(timers.nowMicros());
         requests.get(0).accept(types("fetched"));
-        catalog.recordRead(types("recorded"));
+        catalog.onRecordRead(types("recorded"));
         assertEquals(List.of("read", "fetched"), events);
         assertEquals("fetched", catalog.all().iterator().next().name());
     }
 
     @Test
-    void onlyALeaderAsksAgainForKnownTypes() {
+    void onlyALeaderRefreshesKnownTypes() {
         catalog.fetchIfUnknown();
         catalog.fetchIfUnknown();
         assertEquals(1, requests.size(), "one request at a time");
@@ -66,8 +66,8 @@
         requests.get(1).accept(types("fetched"));
         timers.advance(61 * SECOND);
         catalog.fetchIfUnknown();
-        assertEquals(2, requests.size(), "known");
+        assertEquals(2, requests.size(), "types that are known are not fetched again");
         catalog.refreshIfDue(timers.nowMicros());
-        assertEquals(3, requests.size(), "aged");
+        assertEquals(3, requests.size(), "a leader refreshes types older than a minute");
     }
 }
--- a/src/test/java/org/granitepath/coordination/ManualTimers.java
+++ b/src/test/java/org/granitepath/coordination/ManualTimers.java
@@ -4,20 +4,21 @@
 import java.util.PriorityQueue;
 import org.granitepath.storage.Timers;
 
-/** A clock that a test moves by hand; what is due runs in order of time, then of registration. */
+/** Timers on a clock that the test advances. Due actions run in order of their time, then of their registration. */
 public final class ManualTimers implements Timers {
-    private record Timer(long dueMicros, long number, Runnable action) {}
+    private record Timer(long dueMicros, long sequence, Runnable action) {}
 
     private final PriorityQueue<Timer> pending =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::dueMicros).thenComparingLong(Timer::number));
+            new PriorityQueue<>(Comparator.comparingLong(Timer::dueMicros).thenComparingLong(Timer::sequence));
     private long nowMicros;
-    private long timersSet;
+    private long nextSequence;
 
+    /** Creates a clock that starts at 1,000 seconds. */
     public ManualTimers() {
         this(1_000_000_000);
     }
 
-    /** A clock that shows this time at first. */
+    /** Creates a clock that starts at this time. */
     public ManualTimers(long nowMicros) {
         this.nowMicros = nowMicros;
     }
@@ -34,15 +35,15 @@
 
     @Override
     public void after(long delayMicros, Runnable action) {
-        pending.add(new Timer(nowMicros + delayMicros, timersSet++, action));
+        pending.add(new Timer(nowMicros + delayMicros, nextSequence++, action));
     }
 
-    /** Whether nothing is to happen later. */
+    /** Returns whether no action is scheduled. */
     public boolean isIdle() {
         return pending.isEmpty();
     }
 
-    /** Lets so much time pass and runs what becomes due. */
+    /** Advances the clock by this time and runs all actions that become due. */
     public void advance(long micros) {
         long untilMicros = nowMicros + micros;
         while (!pending.isEmpty() && pending.peek().dueMicros() <= untilMicros) {
--- a/src/test/java/org/granitepath/coordination/TestConfigs.java
+++ b/src/test/java/org/granitepath/coordination/TestConfigs.java
@@ -14,13 +14,13 @@
 import org.granitepath.coordination.config.Tuning;
 import org.granitepath.coordination.config.WorkerTiming;
 
-/** Settings for tests of single parts. */
+/** Configurations for unit tests. */
 public final class TestConfigs {
     private static final long SECOND = 1_000_000;
 
     private TestConfigs() {}
 
-    /** Settings of one controller; each peer stands in a zone of its own. */
+    /** Returns the configuration of one controller; each controller is in a zone of its own. */
     public static Config of(String node, String incarnation, String... peers) {
         Map<String, String> peerZones = new LinkedHashMap<>();
         Arrays.stream(peers).forEach(peer -> peerZones.put(peer, "zone-" + peer));
@@ -35,7 +35,7 @@
                 Tuning.defaults());
     }
 
-    /** The same settings with these teams. */
+    /** Returns a copy of the configuration with these teams. */
     public static Config withTeams(Config config, Team... teams) {
         Map<String, Team> byName = Arrays.stream(teams).collect(Collectors.toMap(Team::name, team -> team));
         return new Config(
