--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -33,7 +33,7 @@
      * @param runtimeEstimator tells how long a job's tasks take
      * @param arrivalRate tells how much work of live services arrives
      */
-    public record Demand(
+    public record Inputs(
             Config config,
             Fleet fleet,
             ActiveJobs jobs,
@@ -55,7 +55,7 @@
      * @param refused keys of offers of which the cloud lately had none
      * @param cutOff zones from which no heartbeat would arrive
      */
-    ScaleOutPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
+    ScaleOutPlan(Inputs demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
         this.batchPlanner = demand.batchPlanner();
         this.nowMicros = nowMicros;
         this.market = new OfferMarket(demand, planned, refused, cutOff, nowMicros);
@@ -73,10 +73,10 @@
         List<ActiveJob> waiting = new ArrayList<>(wanting);
         waiting.sort(Comparator.comparing((ActiveJob job) -> job.spec().priority())
                 .thenComparing(job -> job.acceptedMicros()));
-        waiting.stream().filter(ActiveJob::isLive).forEach(waitingLiveTasks::add);
+        waiting.stream().filter(ActiveJob::isLiveService).forEach(waitingLiveTasks::add);
         boolean headroomPlanned = false;
         for (ActiveJob job : waiting) {
-            if (!headroomPlanned && !job.isLive()) {
+            if (!headroomPlanned && !job.isLiveService()) {
                 // What is on its way is headroom once the live services at hand have theirs, whatever else wants it.
                 headroom.make();
                 headroomPlanned = true;
@@ -101,7 +101,7 @@
 
     /** How long the batch work at hand takes on what there is and what is on its way. */
     double drainMicros() {
-        return batchPlanner.drainMicros(planned.batchCpuMillis());
+        return batchPlanner.batchCompletionMicros(planned.batchCpuMillis());
     }
 
     private void plan(ActiveJob job) {
@@ -110,7 +110,7 @@
             return;
         }
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
-        int others = job.isLive() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
+        int others = job.isLiveService() ? waitingLiveTasks.removeAndCountEquivalent(job) : 0;
         int wanted = Math.min(job.waitingTasks(), MAX_PLANNED_TASKS);
         int lacking = usePending(job, wanted, tasksByZone);
         planNew(job, lacking, others, tasksByZone);
@@ -163,6 +163,6 @@
     }
 
     private boolean isDeferrable(ActiveJob job) {
-        return batchPlanner.deferrable(job, planned.batchCpuMillis(), nowMicros);
+        return batchPlanner.isDeferrable(job, planned.batchCpuMillis(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FleetSummary.java
@@ -20,7 +20,7 @@
 
         void add(Machine machine, MachineType type) {
             totalMillis += type.cpuMillis();
-            usedMillis += type.cpuMillis() - machine.capacity().cpuFree();
+            usedMillis += type.cpuMillis() - machine.capacity().freeCpuMillis();
         }
 
         @Override
@@ -55,7 +55,7 @@
         for (Machine machine : fleet.machines()) {
             MachineType type = machine.type();
             if (type != null) {
-                (machine.spot() ? spot : fullPrice).add(machine, type);
+                (machine.isSpot() ? spot : fullPrice).add(machine, type);
                 idle += machine.isEmpty() ? 1 : 0;
             }
         }
@@ -63,7 +63,7 @@
         int running = 0;
         for (ActiveJob job : jobs.all()) {
             waiting += Math.max(0, job.waitingTasks());
-            running += job.running();
+            running += job.runningTasks();
         }
         LOG.info(
                 "fleet: {} machines ({} idle, {} on their way), CPUs used {} and spot {}; tasks {} running, {} "
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -52,7 +52,7 @@
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "");
+                machine.isSpot() ? " spot" : "");
         fleet.add(machine);
         inventory.add(machine);
     }
@@ -80,29 +80,29 @@
      * heartbeats come again, in a later agent epoch, it must show that it receives our commands before it is given
      * work.
      */
-    public void leaseExpired(Machine machine) {
+    public void expireLease(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
                 machine.id(),
                 machine.typeName(),
                 machine.zone(),
-                machine.spot() ? " spot" : "",
+                machine.isSpot() ? " spot" : "",
                 machine.placements().size());
-        machine.leaseExpired();
+        machine.expireLease();
         tasks.freeAll(machine, "its worker's lease is over");
-        machine.confirmationLost(timers.nowMicros(), "its lease is over");
+        machine.markUnconfirmed(timers.nowMicros(), "its lease is over");
         inventory.requestToken(machine, "its lease is over");
-        recovery.resolved(machine, "its lease is over");
+        recovery.resolve(machine, "its lease is over");
         loop.requestCycle();
     }
 
     /** The cloud took this machine back for good. */
-    public void terminated(String id) {
+    public void onTerminated(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
         }
-        fleet.terminatedForGood(id);
+        fleet.markTerminated(id);
     }
 
     /** Nothing that we or anyone started can be on this machine any more. */
@@ -110,13 +110,13 @@
         if (machine.isGone()) {
             return;
         }
-        machine.provedGone(why);
+        machine.markGone(why);
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
         commands.remove(machine);
         inventory.remove(machine);
-        recovery.resolved(machine, why);
+        recovery.resolve(machine, why);
         loop.requestCycle();
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -38,7 +38,7 @@
     }
 
     /** Begins to call the machines of the fleet, which were all taken over. */
-    public void begin() {
+    public void start() {
         toBeCalled.addAll(fleet.machines());
         callNext();
     }
@@ -49,7 +49,7 @@
             if (!needsCall(machine)) {
                 continue;
             }
-            if (machine.contact().callInFlight()) {
+            if (machine.contact().hasCallInFlight()) {
                 callAgainLater(machine);
             } else {
                 call(machine);
@@ -59,20 +59,20 @@
 
     /** A third of the calls is left for commands. */
     private boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce() * 2 / 3;
+        return callsUnderWay < config.limits().maxConcurrentCalls() * 2 / 3;
     }
 
     private static boolean needsCall(Machine machine) {
-        return machine.awaitingFirstHeartbeat()
+        return machine.isAwaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
-                && !machine.contact().fenced();
+                && !machine.contact().isFenced();
     }
 
     private void call(Machine machine) {
         callsUnderWay++;
         calls.callWithoutCommands(machine, () -> {
             callsUnderWay--;
-            if (machine.awaitingFirstHeartbeat()) {
+            if (machine.isAwaitingFirstHeartbeat()) {
                 callAgainLater(machine);
             }
             callNext();
--- a/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TokenRaiseHandler.java
@@ -19,22 +19,22 @@
     }
 
     /** The machine's new fencing token is on record: it must show it before it is given work again. */
-    public void tokenRaised(Machine machine) {
+    public void onTokenRaised(Machine machine) {
         long nowMicros = timers.nowMicros();
-        if (fleet.unresponsive(machine, nowMicros)) {
+        if (fleet.isUnresponsive(machine, nowMicros)) {
             machine.contact().fence();
             extendLeaseInPeerZone(machine, nowMicros);
         }
-        machine.confirmationLost(nowMicros, "fencing token raised to " + machine.fencingToken());
+        machine.markUnconfirmed(nowMicros, "fencing token raised to " + machine.fencingToken());
     }
 
     /** A controller cut off together with the machine may not know yet, and go on under the former token. */
     private void extendLeaseInPeerZone(Machine machine, long nowMicros) {
-        if (config.topology().peerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
+        if (config.topology().hasPeerIn(machine.zone()) && machine.contact().leaseExpiryMicros() > 0) {
             long longestMicros = nowMicros
                     + config.workers().maxDisconnectedMicros()
-                    + config.workers().longestLeaseMicros();
-            machine.contact().leaseRunsUntil(longestMicros, false);
+                    + config.workers().maxLeaseMicros();
+            machine.contact().setLeaseExpiry(longestMicros, false);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -126,7 +126,7 @@
         }
         if (leaderIsPeer) {
             long maxStartMicros = Math.max(config.tuning().leaderLeaseMicros(), MAX_STATUS_AGE_MICROS);
-            whenEffective.fireAfter(timers, WorkerTiming.withDrift(maxStartMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+            whenEffective.fireAfter(timers, WorkerTiming.withClockDrift(maxStartMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
         } else {
             whenEffective.fire(then); // no other controller can start tasks
         }
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -11,7 +11,7 @@
     private boolean needsTokenForCleanup;
 
     /** The machine joins the fleet and is to be commanded under this fencing token. */
-    void joinedFleet(long token) {
+    void joinFleet(long token) {
         fencingToken = token;
     }
 
@@ -21,7 +21,7 @@
     }
 
     /** It was found on record, in this part of the inventory, and belongs to the leader with this fencing token. */
-    public void foundOnRecord(int part, long token) {
+    public void restoreFromRecord(int part, long token) {
         this.part = part;
         recorded = true;
         fencingToken = token;
@@ -33,17 +33,17 @@
     }
 
     /** The row is to be written in this part. */
-    public void putInPart(int part) {
+    public void assignPart(int part) {
         this.part = part;
     }
 
     /** Whether the store has it in our inventory under its fencing token. Nothing starts before. */
-    public boolean recorded() {
+    public boolean isRecorded() {
         return recorded;
     }
 
     /** The row is on record. */
-    public void onRecord() {
+    public void markRecorded() {
         recorded = true;
     }
 
@@ -68,12 +68,12 @@
     }
 
     /** The time has come to draw the fencing tokens that could wait. */
-    public void cleanupTokenDue() {
+    public void requireCleanupTokenNow() {
         needsNewToken |= needsTokenForCleanup;
     }
 
     /** A higher fencing token is on record for it. */
-    public void tokenRaised(long token) {
+    public void applyRaisedToken(long token) {
         needsNewToken = false;
         needsTokenForCleanup = false;
         fencingToken = token;
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -6,9 +6,9 @@
 
     private long notBeforeMicros;
     private long reservedSinceMicros = NEVER;
-    private long noReservationUntilMicros = NEVER;
+    private long reservationBlockedUntilMicros = NEVER;
     private long lastRunningMicros = NEVER;
-    private SchedulingClass schedulingClass = SchedulingClass.ANY;
+    private SchedulingClass schedulingClass = SchedulingClass.OTHER;
     private boolean deferrable;
     private long lastStartMicros = NEVER;
     private long waitingSinceMicros = NEVER;
@@ -19,12 +19,12 @@
     }
 
     /** It belongs to this class until it is classified again. */
-    public void classify(SchedulingClass next) {
+    public void setSchedulingClass(SchedulingClass next) {
         schedulingClass = next;
     }
 
     /** Whether it can wait for cheap capacity. */
-    public boolean deferrable() {
+    public boolean isDeferrable() {
         return deferrable;
     }
 
@@ -39,7 +39,7 @@
     }
 
     /** No task of it is started before then. */
-    public void startNothingBefore(long earliestStartMicros) {
+    public void delayStartsUntil(long earliestStartMicros) {
         notBeforeMicros = earliestStartMicros;
     }
 
@@ -54,14 +54,14 @@
     }
 
     /** It is seen to have tasks that wait; the first sight of that counts until none does. */
-    public void tasksWaiting(long nowMicros) {
+    public void markWaiting(long nowMicros) {
         if (!isWaiting()) {
             waitingSinceMicros = nowMicros;
         }
     }
 
     /** No task of it waits. */
-    public void noTaskWaiting() {
+    public void clearWaiting() {
         waitingSinceMicros = NEVER;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** A task of it was placed. */
-    public void taskStarted(long nowMicros) {
+    public void recordStart(long nowMicros) {
         lastStartMicros = nowMicros;
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** It has a task on a machine. */
-    public void seenRunning(long nowMicros) {
+    public void recordRunning(long nowMicros) {
         lastRunningMicros = nowMicros;
     }
 
@@ -93,27 +93,27 @@
     }
 
     /** Whether machines are reserved for it. */
-    public boolean holdsReservation() {
+    public boolean hasReservation() {
         return reservedSinceMicros != NEVER;
     }
 
     /** Machines are reserved for it from now on. */
-    public void reservationBegins(long nowMicros) {
+    public void beginReservation(long nowMicros) {
         reservedSinceMicros = nowMicros;
     }
 
     /** No machine is reserved for it any more. */
-    public void reservationEnds() {
+    public void endReservation() {
         reservedSinceMicros = NEVER;
     }
 
     /** No machine is reserved for this gang again before then. */
-    public long noReservationUntilMicros() {
-        return noReservationUntilMicros;
+    public long reservationBlockedUntilMicros() {
+        return reservationBlockedUntilMicros;
     }
 
     /** Other work has its turn until then. */
-    public void reserveNothingUntil(long earliestReservationMicros) {
-        noReservationUntilMicros = earliestReservationMicros;
+    public void blockReservationUntil(long earliestReservationMicros) {
+        reservationBlockedUntilMicros = earliestReservationMicros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -17,31 +17,31 @@
     }
 
     /** A task of this kind is placed. */
-    public void placed(JobSpec spec) {
+    public void addTask(JobSpec spec) {
         cpuMillisUsed.addTo(spec.team(), spec.cpuMillis());
         gpuMillisUsed.addTo(spec.team(), spec.gpuMillis());
     }
 
     /** A task of this kind is proved gone. */
-    public void freed(JobSpec spec) {
+    public void removeTask(JobSpec spec) {
         cpuMillisUsed.addTo(spec.team(), -spec.cpuMillis());
         gpuMillisUsed.addTo(spec.team(), -spec.gpuMillis());
     }
 
     /** Thousandths of a CPU that a team uses beyond its guarantee: these are borrowed. Negative: it has some left. */
-    public long borrowedCpu(String teamName) {
+    public long borrowedCpuMillis(String teamName) {
         Team team = teams.get(teamName);
-        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuarantee());
+        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuaranteeMillis());
     }
 
     /** Whether the job's team has a limit at all. */
-    public boolean limits(JobSpec spec) {
+    public boolean hasLimit(JobSpec spec) {
         Team team = teams.get(spec.team());
         return team != null && hasLimit(team);
     }
 
     private static boolean hasLimit(Team team) {
-        return team.cpuLimit() > 0 || team.gpuLimit() > 0;
+        return team.cpuLimitMillis() > 0 || team.gpuLimitMillis() > 0;
     }
 
     /** Whether so many more such tasks are within the limit. */
@@ -50,9 +50,9 @@
         if (team == null || !hasLimit(team)) {
             return true;
         }
-        return (team.cpuLimit() == 0
-                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
-                && (team.gpuLimit() == 0
-                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimit());
+        return (team.cpuLimitMillis() == 0
+                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimitMillis())
+                && (team.gpuLimitMillis() == 0
+                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimitMillis());
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -15,7 +15,7 @@
     /** A lease that is over, or was never given. */
     private static final long NO_LEASE = 0;
 
-    private static final int MISSED_HEARTBEATS = 2;
+    private static final int MAX_MISSED_HEARTBEATS = 2;
     private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
     private String address;
@@ -28,7 +28,7 @@
     private long lastCallMicros;
     private boolean callInFlight;
     /** Attempts started by a direct command, each with the fencing token of the command. */
-    private final Long2LongOpenHashMap directAttempts = new Long2LongOpenHashMap();
+    private final Long2LongOpenHashMap tokensOfDirectStarts = new Long2LongOpenHashMap();
 
     WorkerContact(String address) {
         this.address = address;
@@ -40,7 +40,7 @@
     }
 
     /** The machine was on record when the term began: the former leader may have kept its lease alive until then. */
-    void takenOverFromFormerLeader(long nowMicros, long formerLeaseExpiryMicros) {
+    void takeOver(long nowMicros, long formerLeaseExpiryMicros) {
         lastHeartbeatMicros = nowMicros;
         leaseExpiryMicros = formerLeaseExpiryMicros;
     }
@@ -58,7 +58,7 @@
     }
 
     /** A newer message of the worker has come, by itself or as the answer to a direct call. */
-    public void messageReceived(Heartbeat message) {
+    public void recordMessage(Heartbeat message) {
         agentEpoch = message.agentEpoch();
         sequence = message.sequence();
         address = message.address();
@@ -68,7 +68,7 @@
      * The worker has sent a heartbeat by itself. Answers to direct calls don't count here: without heartbeats the
      * worker's lease expires all the same.
      */
-    void heartbeatReceived(long nowMicros) {
+    void recordHeartbeat(long nowMicros) {
         lastHeartbeatMicros = nowMicros;
         probeFailed = false;
         fenced = false;
@@ -80,13 +80,13 @@
     }
 
     /** This process stood still for so long: no heartbeat counts as missing in that time. */
-    void excusePause(long pauseMicros, long nowMicros) {
+    void compensateForPause(long pauseMicros, long nowMicros) {
         lastHeartbeatMicros = Math.min(nowMicros, lastHeartbeatMicros + pauseMicros);
     }
 
     /** Whether a heartbeat is overdue by so much that a command would hardly arrive. */
-    public boolean unresponsive(long nowMicros, long heartbeatIntervalMicros) {
-        return nowMicros - lastHeartbeatMicros > MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
+    public boolean isUnresponsive(long nowMicros, long heartbeatIntervalMicros) {
+        return nowMicros - lastHeartbeatMicros > MAX_MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
 
     // ---- lease -------------------------------------------------------------------------------------------------
@@ -100,16 +100,16 @@
     }
 
     /** The worker may go on until then; only a message under the present fencing token can shorten that. */
-    public void leaseRunsUntil(long expiryMicros, boolean underPresentToken) {
+    public void setLeaseExpiry(long expiryMicros, boolean underPresentToken) {
         leaseExpiryMicros = underPresentToken ? expiryMicros : Math.max(leaseExpiryMicros, expiryMicros);
     }
 
     /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
-    public void leaseExpired() {
+    public void expireLease() {
         leaseExpiryMicros = NO_LEASE;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
         sequence = NO_SEQUENCE;
-        directAttempts.clear();
+        tokensOfDirectStarts.clear();
     }
 
     /**
@@ -117,7 +117,7 @@
      * controller in contact with the store lets the worker go on under the one it has. While this holds, it is not
      * called.
      */
-    public boolean fenced() {
+    public boolean isFenced() {
         return fenced;
     }
 
@@ -127,31 +127,31 @@
     }
 
     /** The worker may have seen the fencing token on record. */
-    public void liftFence() {
+    public void clearFence() {
         fenced = false;
     }
 
     // ---- direct calls ------------------------------------------------------------------------------------------
 
     /** Whether a direct call has not ended yet. */
-    public boolean callInFlight() {
+    public boolean hasCallInFlight() {
         return callInFlight;
     }
 
     /** A direct call begins. The worker may see the token, and a lease keeper that knows it may go on under it. */
-    public void callBegan(long nowMicros) {
+    public void beginCall(long nowMicros) {
         callInFlight = true;
         fenced = false;
         lastCallMicros = nowMicros;
     }
 
     /** The direct call was answered or given up. */
-    public void callEnded() {
+    public void endCall() {
         callInFlight = false;
     }
 
     /** Whether the call that has ended brought a message of the worker. */
-    public void callAnswered(boolean answered) {
+    public void recordCallResult(boolean answered) {
         probeFailed = !answered && lastHeartbeatMicros < lastCallMicros;
     }
 
@@ -161,22 +161,22 @@
     }
 
     /** Whether it was called since its latest heartbeat, and there was no answer. */
-    public boolean probeFailed() {
+    public boolean hasProbeFailed() {
         return probeFailed;
     }
 
     /** An attempt is started by a direct command under this fencing token; a late copy may come any time. */
-    public void startedDirectly(long attempt, long fencingToken) {
-        directAttempts.put(attempt, fencingToken);
+    public void recordDirectStart(long attempt, long fencingToken) {
+        tokensOfDirectStarts.put(attempt, fencingToken);
     }
 
     /** Whether a late copy of the direct command that started the attempt would be carried out under this token. */
-    public boolean mayBeStartedAgain(long attempt, long fencingToken) {
-        return directAttempts.get(attempt) >= fencingToken;
+    public boolean canBeStartedAgain(long attempt, long fencingToken) {
+        return tokensOfDirectStarts.get(attempt) >= fencingToken;
     }
 
     /** The attempt is cleared away. */
     public void forgetDirectStart(long attempt) {
-        directAttempts.remove(attempt);
+        tokensOfDirectStarts.remove(attempt);
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -60,11 +60,11 @@
             return answerOutdated(machine, heartbeat);
         }
         loop.runCycleIfDue();
-        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.forAnswer(machine));
+        return new HeartbeatResponse.Accepted(machine.fencingToken(), machineCommands.collectForResponse(machine));
     }
 
     private boolean canJoin(Heartbeat heartbeat) {
-        if (fleet.isLateCopy(heartbeat)) {
+        if (fleet.isFromDepartedMachine(heartbeat)) {
             LOG.debug("machine {} is gone: a late copy of its heartbeat is ignored", heartbeat.machineId());
             return false;
         }
@@ -96,11 +96,11 @@
      * heartbeat is not evaluated, but a worker of the current agent epoch is accepted and told which tasks to stop.
      */
     private static HeartbeatResponse answerOutdated(Machine machine, Heartbeat heartbeat) {
-        machine.contact().liftFence();
+        machine.contact().clearFence();
         boolean isCurrentAgentEpoch =
                 heartbeat.agentEpoch() == machine.contact().agentEpoch();
         return !machine.isGone() && isCurrentAgentEpoch
-                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopsFor(machine))
+                ? new HeartbeatResponse.Accepted(machine.fencingToken(), MachineCommands.stopAndClearCommands(machine))
                 : new HeartbeatResponse.Unavailable();
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -48,7 +48,7 @@
     public void start() {
         records.takeOver();
         checks.start();
-        takeoverCalls.begin();
+        takeoverCalls.start();
     }
 
     /** Starts launching and terminating machines. */
@@ -83,7 +83,7 @@
      * @param redirectedByPeer the highest number of redirected machines that any peer reports; negative: unknown
      */
     public boolean isCutOffFromWorkers(int redirectedByPeer) {
-        return fleet.cutFromWorkers(redirectedByPeer);
+        return fleet.isPartitionedFromWorkers(redirectedByPeer);
     }
 
     /** Processes a worker's heartbeat and returns the response, which contains the commands for the worker. */
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -116,7 +116,7 @@
         this.timers = timers;
         this.writeQueue = createWriteQueue();
 
-        this.activeJobs = new ActiveJobs(config.skewMicros(), timers, faults::forget);
+        this.activeJobs = new ActiveJobs(config.maxClockOffsetMicros(), timers, faults::forget);
         this.fleet = new Fleet(config, timers);
         this.teamLimits = new TeamLimits(config.teams());
 
@@ -166,7 +166,7 @@
     }
 
     private void sendCommands() {
-        sender.sendDue();
+        sender.sendDueCommands();
     }
 
     private RecoveryPlan createRecoveryPlan(RecoveryTracer recoveryTracer) {
@@ -183,13 +183,13 @@
     private MachineInventory createInventory() {
         MachineInventory.Listener listener = new MachineInventory.Listener() {
             @Override
-            public void tokenRaised(Machine machine) {
-                tokenRaiseHandler.tokenRaised(machine);
-                sender.showRaisedToken(machine);
+            public void onTokenRaised(Machine machine) {
+                tokenRaiseHandler.onTokenRaised(machine);
+                sender.sendRaisedToken(machine);
             }
 
             @Override
-            public void recorded() {
+            public void onInventoryWritten() {
                 loop.requestCycle();
             }
         };
@@ -216,7 +216,7 @@
 
     private Autoscaler createAutoscaler() {
         return new Autoscaler(
-                new ScaleOutPlan.Demand(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
+                new ScaleOutPlan.Inputs(config, fleet, activeJobs, batchPlanner, runtimeEstimator, arrivalRate),
                 new Autoscaler.Term(term.fencingToken(), leadership, recovery, termEnd::isEnded),
                 rules,
                 gangHeadroom,
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -68,8 +68,8 @@
         for (Machine machine : List.copyOf(fleet.machines())) {
             machineChecks.check(machine, nowMicros);
         }
-        if (recovery.noMachineAwaited() && leadership.isLeaseConfirmed()) {
-            consolidator.tick(nowMicros);
+        if (recovery.hasResolvedAllMachines() && leadership.isLeaseConfirmed()) {
+            consolidator.consolidateIfDue(nowMicros);
         }
         loop.requestCycle();
     }
@@ -85,7 +85,7 @@
             LOG.info(
                     "this process was paused for {} s: the pause does not count towards machine timeouts",
                     pauseMicros / 1_000_000);
-            fleet.excusePause(pauseMicros, nowMicros);
+            fleet.compensateForPause(pauseMicros, nowMicros);
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
+++ b/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
@@ -33,7 +33,7 @@
 
     /** Replaces the fleet's machine types and requests a scheduling cycle. */
     void onTypesChanged(List<MachineType> types) {
-        fleet.typesChanged(types);
+        fleet.updateTypes(types);
         loop.requestCycle();
     }
 
--- a/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/IdleMachinesTest.java
@@ -2,8 +2,8 @@
 
 import static org.granitepath.coordination.placement.PlacementFixture.CPU;
 import static org.granitepath.coordination.placement.PlacementFixture.NOW;
-import static org.granitepath.coordination.placement.PlacementFixture.PROMPT_CLASS;
 import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
+import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -39,8 +39,8 @@
             new TermRecovery(recoveryPlan, fixture.jobs, null, null));
 
     private Machine paidMachine(String id, boolean spot) {
-        Machine machine = fixture.machine(id, spot);
-        machine.launchedAt(LONG_AGO);
+        Machine machine = fixture.addMachine(id, spot);
+        machine.setLaunchedMicros(LONG_AGO);
         return machine;
     }
 
@@ -67,21 +67,21 @@
     @Test
     void afterAFixedTimeWhereTheBootTimeIsUnknown() {
         Machine machine = new Machine("m", "m:1", "unknown", "a", false);
-        machine.tasksConfirmed();
-        machine.heartbeatReceived(true, NOW);
-        machine.launchedAt(LONG_AGO);
+        machine.confirmTasks();
+        machine.recordHeartbeat(true, NOW);
+        machine.setLaunchedMicros(LONG_AGO);
         assertReleasedAfter(machine, UNKNOWN_TYPE_IDLE);
     }
 
     @Test
     void notBeforeTheMinimumChargeIsUsedUp() {
-        assertReleasedAfter(fixture.machine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
+        assertReleasedAfter(fixture.addMachine("launched-now", false), Machine.MINIMUM_CHARGE_MICROS);
     }
 
     @Test
     void notWithATask() {
         Machine machine = paidMachine("m", false);
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 
@@ -95,7 +95,7 @@
     @Test
     void notWhileItsTasksAreUnconfirmed() {
         Machine machine = paidMachine("m", false);
-        machine.confirmationLost(NOW, "test");
+        machine.markUnconfirmed(NOW, "test");
         assertFalse(releasedAfter(machine, IDLE + 1));
     }
 
@@ -106,10 +106,10 @@
         Machine second = paidMachine("m2", false);
 
         assertTrue(releasedAfter(first, IDLE + 1));
-        assertFalse(first.keptAsHeadroom());
+        assertFalse(first.isHeadroom());
 
         assertFalse(releasedAfter(second, IDLE + 1));
-        assertTrue(second.keptAsHeadroom());
+        assertTrue(second.isHeadroom());
     }
 
     @Test
@@ -117,7 +117,7 @@
         spareHeadroom.update(0);
         Machine machine = paidMachine("m", true);
         assertTrue(releasedAfter(machine, IDLE_SPOT + 1));
-        assertFalse(machine.keptAsHeadroom());
+        assertFalse(machine.isHeadroom());
     }
 
     @Test
@@ -125,18 +125,18 @@
         spareHeadroom.update(0);
         Machine machine = paidMachine("m", false);
         releasedAfter(machine, IDLE + 1);
-        assertTrue(machine.keptAsHeadroom());
+        assertTrue(machine.isHeadroom());
 
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), machine, SECOND);
         releasedAfter(machine, IDLE + 1);
 
-        assertFalse(machine.keptAsHeadroom());
+        assertFalse(machine.isHeadroom());
     }
 
     @Test
     void notBelowTheHeadroomForGangs() {
-        fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
-        planner.update(NOW);
+        fixture.gang("gang", Priority.STANDARD).jobClass(URGENT_CLASS).tasks(4).build();
+        planner.updateIfDue(NOW);
         Machine first = paidMachine("m1", false);
         Machine second = paidMachine("m2", false);
         idleMachines.survey();
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
@@ -67,7 +67,7 @@
         Placement placement = machine.placement(task);
         assertNotNull(placement);
         assertEquals(FORMER_ATTEMPT, placement.attempt());
-        assertTrue(placement.onlyHere(), "listed under the present token");
+        assertTrue(placement.isOnlyOnThisMachine(), "listed under the present token");
         assertEquals(Map.of(Verdict.ADOPTED, 1), fixture.plan.taskCountsByVerdict());
     }
 
@@ -76,8 +76,8 @@
         Machine machine = fixture.takeOver("m").get(0);
         TaskId task = claimedByFormerLeader();
         TaskStatus running = status(task, FORMER_ATTEMPT, TaskState.RUNNING, ExitCause.NONE);
-        receive(machine, heartbeat(machine, EPOCH, FORMER_TOKEN, running));
-        assertFalse(machine.placement(task).onlyHere());
+        receive(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN, running));
+        assertFalse(machine.placement(task).isOnlyOnThisMachine());
     }
 
     @Test
@@ -121,7 +121,7 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertEquals(Map.of(Verdict.CONFIRMED, 1, Verdict.LOST, 1), fixture.plan.taskCountsByVerdict());
     }
 
@@ -130,8 +130,8 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
-        receive(machine, heartbeat(machine, EPOCH, TERM_TOKEN - 1));
-        assertTrue(placement.live());
+        receive(machine, heartbeat(machine, AGENT_EPOCH, TERM_TOKEN - 1));
+        assertTrue(placement.isActive());
     }
 
     @Test
@@ -139,7 +139,7 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine));
-        assertTrue(placement.live());
+        assertTrue(placement.isActive());
     }
 
     @Test
@@ -147,9 +147,9 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertTrue(machine.inventory().needsNewToken());
     }
 
@@ -158,10 +158,10 @@
         Machine machine = fixture.readyMachine("m");
         Placement placement =
                 fixture.tasks.start(fixture.job(JobSpec.Shape.BATCH), machine, fixture.timers.nowMicros());
-        placement.sentInAnswer();
+        placement.markSentInResponse();
         receive(machine, nextHeartbeat(machine, status(placement, TaskState.RUNNING)));
         receive(machine, nextHeartbeat(machine));
-        assertFalse(placement.live());
+        assertFalse(placement.isActive());
         assertFalse(machine.inventory().needsNewToken());
     }
 }
--- a/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/WorkerCallsTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.fleet;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
 import static org.granitepath.coordination.fleet.FleetFixture.FORMER_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
@@ -22,7 +22,7 @@
 /** How many direct calls may be under way, and what their responses mean. */
 class WorkerCallsTest {
     private final FleetFixture fixture = new FleetFixture();
-    private final int callsAtOnce = fixture.config.limits().callsAtOnce();
+    private final int callsAtOnce = fixture.config.limits().maxConcurrentCalls();
     private final WorkerCalls calls = fixture.workerCalls;
 
     private FleetFixture.Call onlyCall() {
@@ -58,7 +58,7 @@
     void aCallIsMadeUnderTheMachinesTokenForItsAgentEpoch() {
         calls.callWithoutCommands(fixture.readyMachine("m"), () -> {});
         assertEquals(TERM_TOKEN, onlyCall().fencingToken());
-        assertEquals(EPOCH, onlyCall().agentEpoch());
+        assertEquals(AGENT_EPOCH, onlyCall().agentEpoch());
     }
 
     @Test
@@ -74,7 +74,7 @@
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().timeOut();
         assertTrue(machine.inventory().needsNewToken());
-        assertTrue(placement.mayStillBeStarted(TERM_TOKEN));
+        assertTrue(placement.hasUnacknowledgedStart(TERM_TOKEN));
     }
 
     @Test
@@ -92,8 +92,8 @@
         Placement placement = fixture.started(fixture.job(JobSpec.Shape.BATCH), machine);
         calls.call(machine, List.of(), List.of(placement), () -> {});
         onlyCall().answer(nextHeartbeat(machine));
-        assertFalse(placement.mayStillBeStarted(TERM_TOKEN));
-        assertFalse(placement.live(), "the answer does not list it, so it was not started");
+        assertFalse(placement.hasUnacknowledgedStart(TERM_TOKEN));
+        assertFalse(placement.isActive(), "the answer does not list it, so it was not started");
     }
 
     @Test
@@ -102,19 +102,19 @@
         calls.callWithoutCommands(machine, () -> {});
         onlyCall().answer(nextHeartbeat(machine));
         assertEquals(Machine.Phase.READY, machine.phase());
-        assertFalse(machine.awaitingFirstHeartbeat());
+        assertFalse(machine.isAwaitingFirstHeartbeat());
     }
 
     @ParameterizedTest(name = "executed: {0}, worker knows token {1}")
     @CsvSource({"false, 6, 2", "false, 8, 1", "true, 6, 1"})
     void aWorkerThatRefusedIsCalledAgainUnlessItKnowsAHigherToken(boolean executed, long knownToken, int callsMade) {
         Machine machine = fixture.takeOver("m").get(0);
-        fixture.reconciler.reconcile(machine, heartbeat(machine, EPOCH, FORMER_TOKEN), MessageOrigin.HEARTBEAT);
+        fixture.reconciler.reconcile(machine, heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN), MessageOrigin.HEARTBEAT);
         calls.callWithoutCommands(machine, () -> {});
         if (executed) {
-            onlyCall().answer(heartbeat(machine, EPOCH, knownToken));
+            onlyCall().answer(heartbeat(machine, AGENT_EPOCH, knownToken));
         } else {
-            onlyCall().refuse(heartbeat(machine, EPOCH, knownToken));
+            onlyCall().refuse(heartbeat(machine, AGENT_EPOCH, knownToken));
         }
         assertEquals(callsMade, fixture.calls.size());
     }
@@ -135,7 +135,7 @@
         Machine machine = fixture.takeOver("m").get(0);
         calls.callWithoutCommands(machine, () -> events.add("ended"));
         fixture.ended = true;
-        onlyCall().answer(heartbeat(machine, EPOCH, FORMER_TOKEN));
+        onlyCall().answer(heartbeat(machine, AGENT_EPOCH, FORMER_TOKEN));
         assertTrue(machine.contact().agentEpoch() < 0, "not taken in");
         assertEquals(List.of("ended"), events);
     }
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -58,7 +58,7 @@
     })
     void tasksThatAFormerTermClaimedAreUnconfirmedWhileAMachineIsAwaited(long term, boolean awaited, int unconfirmed) {
         if (awaited) {
-            fixture.awaitAMachine();
+            fixture.addAwaitedMachine();
         }
         accepted(BATCH, 4, term);
         lifecycle.start();
@@ -85,14 +85,14 @@
         lifecycle.start();
         accepted(LIVE_SERVICE, 4, TOKEN);
         assertNotNull(job());
-        assertSame(job(), fixture.arrivalRate.newest());
+        assertSame(job(), fixture.arrivalRate.newestJob());
     }
 
     @Test
     void aJobThatWasOnRecordBeforeDoesNotCountAsArrived() {
         accepted(LIVE_SERVICE, 4, TOKEN);
         lifecycle.start();
-        assertNull(fixture.arrivalRate.newest());
+        assertNull(fixture.arrivalRate.newestJob());
     }
 
     @Test
@@ -102,7 +102,7 @@
         accepted(BATCH, 4, TOKEN);
         progressed(BATCH.tasks(), BATCH.tasks());
         lifecycle.start();
-        assertEquals(ActiveJob.Phase.ENDING, job().phase());
+        assertEquals(ActiveJob.Phase.COMPLETING, job().phase());
         fixture.timers.advance(SECOND);
         assertEquals(FinalRecord.Outcome.DONE, fixture.jobIndex.finalOf(JOB));
         assertNull(job(), "nothing of it is on any machine");
@@ -112,7 +112,7 @@
     void aCancelledJobIsKeptUntilItsTasksAreGone() {
         accepted(BATCH, 4, TOKEN);
         lifecycle.start();
-        Placement placement = fixture.sent(job(), fixture.machine("i-1"));
+        Placement placement = fixture.startAndSend(job(), fixture.machine("i-1"));
         ended(FinalRecord.Outcome.CANCELLED);
         assertEquals(Placement.Phase.STOPPING, placement.phase());
         assertFalse(job().isOpen());
@@ -126,7 +126,7 @@
         accepted(BATCH, 4, TOKEN);
         lifecycle.start();
         progressed(recorded, 0);
-        assertEquals(expected, job().claimed());
+        assertEquals(expected, job().claimedTasks());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
@@ -15,30 +15,30 @@
 
     @Test
     void withoutExperienceTheEstimateHolds() {
-        assertEquals(60 * SECOND, estimator.taskMicros(job));
+        assertEquals(60 * SECOND, estimator.expectedTaskMicros(job));
     }
 
     @Test
     void oneFinishedTaskCountsForItsJobMoreThanForItsClass() {
-        estimator.finished(job, 30 * SECOND);
+        estimator.recordFinishedTask(job, 30 * SECOND);
         double classMicros = 60.0 * SECOND * (0.5 + 10) / 11;
-        assertEquals(classMicros, (double) estimator.taskMicros(sameClass), 1);
-        assertEquals((30.0 * SECOND + 2 * classMicros) / 3, (double) estimator.taskMicros(job), 1);
+        assertEquals(classMicros, (double) estimator.expectedTaskMicros(sameClass), 1);
+        assertEquals((30.0 * SECOND + 2 * classMicros) / 3, (double) estimator.expectedTaskMicros(job), 1);
     }
 
     @Test
     void aClassChangesAnEstimateFivefoldAtMost() {
         for (int i = 0; i < 300; i++) {
-            estimator.finished(job, 6_000 * SECOND);
+            estimator.recordFinishedTask(job, 6_000 * SECOND);
         }
-        assertEquals(300 * SECOND, estimator.taskMicros(sameClass));
+        assertEquals(300 * SECOND, estimator.expectedTaskMicros(sameClass));
     }
 
     @Test
     void aClassReducesAnEstimateToAFifthAtMost() {
         for (int i = 0; i < 300; i++) {
-            estimator.finished(job, 1);
+            estimator.recordFinishedTask(job, 1);
         }
-        assertEquals(12 * SECOND, estimator.taskMicros(sameClass));
+        assertEquals(12 * SECOND, estimator.expectedTaskMicros(sameClass));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,12 +18,12 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        waiting   running   stopping  completed  taskGone
-            FORMING   WAITING   RUNNING   STOPPING  ENDING     FORMING
-            WAITING   WAITING   RUNNING   STOPPING  ENDING     WAITING
-            RUNNING   RUNNING   RUNNING   STOPPING  ENDING     STOPPING
-            STOPPING  STOPPING  STOPPING  STOPPING  ENDING     STOPPING
-            ENDING    ENDING    ENDING    ENDING    ENDING     ENDING
+            in        markWaiting   markRunning   markStopping  markCompleted  markTaskGone
+            FORMING   WAITING   RUNNING   STOPPING  COMPLETING     FORMING
+            WAITING   WAITING   RUNNING   STOPPING  COMPLETING     WAITING
+            RUNNING   RUNNING   RUNNING   STOPPING  COMPLETING     STOPPING
+            STOPPING  STOPPING  STOPPING  STOPPING  COMPLETING     STOPPING
+            COMPLETING    COMPLETING    COMPLETING    COMPLETING    COMPLETING     COMPLETING
             """;
 
     private final GangAttempt attempt = new GangAttempt("run-1", 7);
@@ -36,31 +36,31 @@
     @ParameterizedTest(name = "{0}, {1} -> {2}")
     @MethodSource("events")
     void eachEventInEachPhase(Phase from, String event, String expected) {
-        bringTo(from);
+        moveTo(from);
         apply(event);
         assertEquals(Phase.valueOf(expected), attempt.phase());
-        assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.mayBeCompleted());
-        assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.ENDING, attempt.isEnding());
+        assertEquals(attempt.phase() == Phase.FORMING || attempt.phase() == Phase.WAITING, attempt.canAddTasks());
+        assertEquals(attempt.phase() == Phase.STOPPING || attempt.phase() == Phase.COMPLETING, attempt.isEnding());
     }
 
-    private void bringTo(Phase phase) {
+    private void moveTo(Phase phase) {
         switch (phase) {
             case FORMING -> {}
-            case WAITING -> attempt.waiting(SECOND);
-            case RUNNING -> attempt.running();
-            case STOPPING -> attempt.stopping("test");
-            case ENDING -> attempt.completed();
+            case WAITING -> attempt.markWaiting(SECOND);
+            case RUNNING -> attempt.markRunning();
+            case STOPPING -> attempt.markStopping("test");
+            case COMPLETING -> attempt.markCompleted();
         }
         assertEquals(phase, attempt.phase());
     }
 
     private void apply(String event) {
         switch (event) {
-            case "waiting" -> attempt.waiting(2 * SECOND);
-            case "running" -> attempt.running();
-            case "stopping" -> attempt.stopping("test");
-            case "completed" -> attempt.completed();
-            case "taskGone" -> attempt.taskGone(2 * SECOND);
+            case "markWaiting" -> attempt.markWaiting(2 * SECOND);
+            case "markRunning" -> attempt.markRunning();
+            case "markStopping" -> attempt.markStopping("test");
+            case "markCompleted" -> attempt.markCompleted();
+            case "markTaskGone" -> attempt.markTaskGone(2 * SECOND);
             default -> throw new IllegalArgumentException(event);
         }
     }
@@ -68,53 +68,53 @@
     @Test
     void itFormsWaitsRunsAndEnds() {
         assertEquals(Phase.FORMING, attempt.phase());
-        attempt.waiting(SECOND);
+        attempt.markWaiting(SECOND);
         assertEquals(Phase.WAITING, attempt.phase());
-        attempt.running();
+        attempt.markRunning();
         assertEquals(Phase.RUNNING, attempt.phase());
-        attempt.completed();
-        assertEquals(Phase.ENDING, attempt.phase());
-        attempt.stopping("its job is over");
-        attempt.taskGone(2 * SECOND);
-        attempt.running();
-        assertEquals(Phase.ENDING, attempt.phase(), "what is complete stays so");
+        attempt.markCompleted();
+        assertEquals(Phase.COMPLETING, attempt.phase());
+        attempt.markStopping("its job is over");
+        attempt.markTaskGone(2 * SECOND);
+        attempt.markRunning();
+        assertEquals(Phase.COMPLETING, attempt.phase(), "what is complete stays so");
     }
 
     @Test
     void aTaskLostBeforeTheStartMayBeReplacedForAWhile() {
-        attempt.waiting(SECOND);
-        attempt.taskGone(2 * SECOND);
-        assertTrue(attempt.mayBeCompleted());
+        attempt.markWaiting(SECOND);
+        attempt.markTaskGone(2 * SECOND);
+        assertTrue(attempt.canAddTasks());
         assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
         assertTrue(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
-        attempt.allTasksPlaced();
+        attempt.markAllTasksPlaced();
         assertFalse(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT));
     }
 
     @Test
     void aReplacementThatComesTooLateIsHopeless() {
-        attempt.waiting(SECOND);
-        attempt.taskGone(20 * SECOND);
+        attempt.markWaiting(SECOND);
+        attempt.markTaskGone(20 * SECOND);
         assertTrue(attempt.shouldBeAbandoned(22 * SECOND, PATIENCE, LAST_MOMENT));
     }
 
     @Test
     void aTaskLostWhileRunningEndsTheAttempt() {
-        attempt.running();
-        attempt.taskGone(SECOND);
+        attempt.markRunning();
+        attempt.markTaskGone(SECOND);
         assertEquals(Phase.STOPPING, attempt.phase());
-        assertFalse(attempt.mayBeCompleted());
-        attempt.running();
-        attempt.waiting(2 * SECOND);
+        assertFalse(attempt.canAddTasks());
+        attempt.markRunning();
+        attempt.markWaiting(2 * SECOND);
         assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat changes nothing");
         assertTrue(attempt.isEnding());
     }
 
     @Test
     void aTaskIsNotSentWhereItsStartWouldBeIgnored() {
-        attempt.placed(3, "i-1");
-        assertTrue(attempt.wasTriedOn(3, "i-1"));
-        assertFalse(attempt.wasTriedOn(3, "i-2"));
-        assertFalse(attempt.wasTriedOn(2, "i-1"));
+        attempt.recordPlacement(3, "i-1");
+        assertTrue(attempt.hasBeenTriedOn(3, "i-1"));
+        assertFalse(attempt.hasBeenTriedOn(3, "i-2"));
+        assertFalse(attempt.hasBeenTriedOn(2, "i-1"));
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -17,28 +17,28 @@
     @Test
     void nothingFitsWhileTheTypeIsNotKnown() {
         assertFalse(capacity.fits(BATCH));
-        assertEquals(0, capacity.cpuFree());
-        assertEquals(0, capacity.cpuUsedShare());
+        assertEquals(0, capacity.freeCpuMillis());
+        assertEquals(0, capacity.usedCpuShare());
         assertEquals(0, capacity.slots(BATCH, 1_000_000, 0, 1_000_000));
     }
 
     @Test
     void whatIsTakenIsNotFree() {
-        capacity.typeKnown(Fixtures.TYPE);
+        capacity.setType(Fixtures.TYPE);
         assertEquals(4, capacity.slots(BATCH, 0, 0, 0));
-        capacity.take(BATCH);
+        capacity.allocate(BATCH);
         assertEquals(3, capacity.slots(BATCH, 0, 0, 0));
-        assertEquals(0.25, capacity.cpuUsedShare());
+        assertEquals(0.25, capacity.usedCpuShare());
         assertTrue(capacity.hasFree(3_000, 6_000));
         assertFalse(capacity.hasFree(3_001, 6_000));
         assertFalse(capacity.hasFree(3_000, 6_001));
         capacity.release(BATCH);
-        assertEquals(4_000, capacity.cpuFree());
+        assertEquals(4_000, capacity.freeCpuMillis());
     }
 
     @Test
     void theScarcestResourceDecides() {
-        capacity.typeKnown(Fixtures.TYPE);
+        capacity.setType(Fixtures.TYPE);
         assertEquals(4, capacity.slots(BATCH, 10_000, 0, 0), "memory for four");
         assertEquals(4, capacity.slots(BATCH, 0, 0, 10_000), "CPUs for four");
         assertEquals(6, capacity.slots(BATCH, 2_000, 0, 4_000));
@@ -47,23 +47,23 @@
 
     @Test
     void servicesAreCountedApart() {
-        capacity.take(BATCH);
-        assertFalse(capacity.hostsService());
-        capacity.take(SERVICE);
-        assertTrue(capacity.hostsService());
-        assertEquals(1_000, capacity.cpuUsedByServices());
+        capacity.allocate(BATCH);
+        assertFalse(capacity.hasService());
+        capacity.allocate(SERVICE);
+        assertTrue(capacity.hasService());
+        assertEquals(1_000, capacity.serviceCpuMillis());
         capacity.release(SERVICE);
-        assertFalse(capacity.hostsService());
-        assertEquals(0, capacity.cpuUsedByServices());
+        assertFalse(capacity.hasService());
+        assertEquals(0, capacity.serviceCpuMillis());
     }
 
     @Test
     void theSixteenImagesSeenLastAreRemembered() {
         for (int i = 0; i < 16; i++) {
-            capacity.imageSeen("image-" + i);
+            capacity.addImage("image-" + i);
         }
-        capacity.imageSeen("image-0");
-        capacity.imageSeen("image-16");
+        capacity.addImage("image-0");
+        capacity.addImage("image-16");
         assertTrue(capacity.hasImage("image-0"), "seen again lately");
         assertFalse(capacity.hasImage("image-1"));
         assertTrue(capacity.hasImage("image-2"));
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -13,33 +13,33 @@
 
     @Test
     void nothingIsNotedAtFirst() {
-        assertEquals(SchedulingClass.ANY, scheduling.schedulingClass());
+        assertEquals(SchedulingClass.OTHER, scheduling.schedulingClass());
         assertEquals(0, scheduling.notBeforeMicros());
         assertFalse(scheduling.isWaiting());
-        assertFalse(scheduling.holdsReservation());
+        assertFalse(scheduling.hasReservation());
         assertTrue(scheduling.lastStartMicros() < 0);
         assertTrue(scheduling.lastRunningMicros() < 0);
     }
 
     @Test
     void aJobWaitsSinceItWasFirstSeenTo() {
-        scheduling.tasksWaiting(SECOND);
-        scheduling.tasksWaiting(2 * SECOND);
+        scheduling.markWaiting(SECOND);
+        scheduling.markWaiting(2 * SECOND);
         assertEquals(SECOND, scheduling.waitingSinceMicros());
-        scheduling.noTaskWaiting();
+        scheduling.clearWaiting();
         assertFalse(scheduling.isWaiting());
-        scheduling.tasksWaiting(3 * SECOND);
+        scheduling.markWaiting(3 * SECOND);
         assertEquals(3 * SECOND, scheduling.waitingSinceMicros());
     }
 
     @Test
     void aReservationEndsAndIsBarredForAWhile() {
-        scheduling.reservationBegins(SECOND);
-        assertTrue(scheduling.holdsReservation());
+        scheduling.beginReservation(SECOND);
+        assertTrue(scheduling.hasReservation());
         assertEquals(SECOND, scheduling.reservedSinceMicros());
-        scheduling.reservationEnds();
-        scheduling.reserveNothingUntil(9 * SECOND);
-        assertFalse(scheduling.holdsReservation());
-        assertEquals(9 * SECOND, scheduling.noReservationUntilMicros());
+        scheduling.endReservation();
+        scheduling.blockReservationUntil(9 * SECOND);
+        assertFalse(scheduling.hasReservation());
+        assertEquals(9 * SECOND, scheduling.reservationBlockedUntilMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -16,115 +16,115 @@
     void nothingIsKnownAtFirst() {
         assertTrue(contact.agentEpoch() < 0);
         assertTrue(contact.sequence() < 0);
-        assertFalse(contact.fenced());
-        assertFalse(contact.callInFlight());
-        assertFalse(contact.probeFailed());
+        assertFalse(contact.isFenced());
+        assertFalse(contact.hasCallInFlight());
+        assertFalse(contact.hasProbeFailed());
     }
 
     @Test
     void aMessageTellsEpochAndSequence() {
-        contact.messageReceived(Fixtures.heartbeat(machine, 4, 12));
+        contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         assertEquals(4, contact.agentEpoch());
         assertEquals(12, contact.sequence());
     }
 
     @Test
     void aHeartbeatClearsAFailedProbeAndTheFence() {
-        contact.callBegan(2 * SECOND);
-        contact.callEnded();
-        contact.callAnswered(false);
+        contact.beginCall(2 * SECOND);
+        contact.endCall();
+        contact.recordCallResult(false);
         contact.fence();
-        assertTrue(contact.probeFailed());
-        assertTrue(contact.fenced());
-        contact.heartbeatReceived(3 * SECOND);
-        assertFalse(contact.probeFailed());
-        assertFalse(contact.fenced());
+        assertTrue(contact.hasProbeFailed());
+        assertTrue(contact.isFenced());
+        contact.recordHeartbeat(3 * SECOND);
+        assertFalse(contact.hasProbeFailed());
+        assertFalse(contact.isFenced());
         assertEquals(3 * SECOND, contact.lastHeartbeatMicros());
     }
 
     @Test
     void aCallLiftsTheFenceSinceItShowsTheToken() {
         contact.fence();
-        contact.callBegan(2 * SECOND);
-        assertFalse(contact.fenced());
-        assertTrue(contact.callInFlight());
+        contact.beginCall(2 * SECOND);
+        assertFalse(contact.isFenced());
+        assertTrue(contact.hasCallInFlight());
         assertEquals(2 * SECOND, contact.lastCallMicros());
-        contact.callEnded();
-        assertFalse(contact.callInFlight());
+        contact.endCall();
+        assertFalse(contact.hasCallInFlight());
     }
 
     @Test
     void aCallThatAHeartbeatOvertookHasNotFailed() {
-        contact.callBegan(2 * SECOND);
-        contact.heartbeatReceived(3 * SECOND);
-        contact.callEnded();
-        contact.callAnswered(false);
-        assertFalse(contact.probeFailed());
+        contact.beginCall(2 * SECOND);
+        contact.recordHeartbeat(3 * SECOND);
+        contact.endCall();
+        contact.recordCallResult(false);
+        assertFalse(contact.hasProbeFailed());
     }
 
     @Test
     void anAnswerIsNoHeartbeat() {
-        contact.heartbeatReceived(SECOND);
-        contact.callBegan(2 * SECOND);
-        contact.callEnded();
-        contact.callAnswered(true);
-        assertFalse(contact.probeFailed());
+        contact.recordHeartbeat(SECOND);
+        contact.beginCall(2 * SECOND);
+        contact.endCall();
+        contact.recordCallResult(true);
+        assertFalse(contact.hasProbeFailed());
         assertEquals(SECOND, contact.lastHeartbeatMicros());
     }
 
     @Test
     void onlyAMessageUnderThePresentTokenShortensTheLease() {
-        contact.leaseRunsUntil(30 * SECOND, true);
-        contact.leaseRunsUntil(20 * SECOND, false);
+        contact.setLeaseExpiry(30 * SECOND, true);
+        contact.setLeaseExpiry(20 * SECOND, false);
         assertEquals(30 * SECOND, contact.leaseExpiryMicros());
-        contact.leaseRunsUntil(40 * SECOND, false);
+        contact.setLeaseExpiry(40 * SECOND, false);
         assertEquals(40 * SECOND, contact.leaseExpiryMicros());
-        contact.leaseRunsUntil(20 * SECOND, true);
+        contact.setLeaseExpiry(20 * SECOND, true);
         assertEquals(20 * SECOND, contact.leaseExpiryMicros());
     }
 
     @Test
     void leaseExpiryMovesTheAgentEpochOnAndForgetsDirectStarts() {
-        contact.messageReceived(Fixtures.heartbeat(machine, 4, 12));
-        contact.leaseRunsUntil(30 * SECOND, true);
-        contact.startedDirectly(9, 7);
-        contact.leaseExpired();
+        contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
+        contact.setLeaseExpiry(30 * SECOND, true);
+        contact.recordDirectStart(9, 7);
+        contact.expireLease();
         assertEquals(5, contact.agentEpoch());
         assertTrue(contact.sequence() < 0, "any message of the later epoch is newer");
         assertEquals(0, contact.leaseExpiryMicros());
-        assertFalse(contact.mayBeStartedAgain(9, 7));
+        assertFalse(contact.canBeStartedAgain(9, 7));
     }
 
     @Test
     void leaseExpiryOfAWorkerWithoutAMessageLeavesEpochZeroBehind() {
-        contact.leaseExpired();
+        contact.expireLease();
         assertEquals(1, contact.agentEpoch());
     }
 
     @Test
     void aLateCopyOfADirectStartIsCarriedOutUnderItsTokenOrAnOlderOne() {
-        contact.startedDirectly(9, 7);
-        assertTrue(contact.mayBeStartedAgain(9, 6));
-        assertTrue(contact.mayBeStartedAgain(9, 7));
-        assertFalse(contact.mayBeStartedAgain(9, 8));
-        assertFalse(contact.mayBeStartedAgain(10, 7));
+        contact.recordDirectStart(9, 7);
+        assertTrue(contact.canBeStartedAgain(9, 6));
+        assertTrue(contact.canBeStartedAgain(9, 7));
+        assertFalse(contact.canBeStartedAgain(9, 8));
+        assertFalse(contact.canBeStartedAgain(10, 7));
         contact.forgetDirectStart(9);
-        assertFalse(contact.mayBeStartedAgain(9, 7));
+        assertFalse(contact.canBeStartedAgain(9, 7));
     }
 
     @Test
     void itIsUnresponsiveAfterTwoHeartbeatsAndAMargin() {
-        contact.heartbeatReceived(10 * SECOND);
-        assertFalse(contact.unresponsive(21 * SECOND, 5 * SECOND));
-        assertTrue(contact.unresponsive(21 * SECOND + 1, 5 * SECOND));
+        contact.recordHeartbeat(10 * SECOND);
+        assertFalse(contact.isUnresponsive(21 * SECOND, 5 * SECOND));
+        assertTrue(contact.isUnresponsive(21 * SECOND + 1, 5 * SECOND));
     }
 
     @Test
     void aPauseOfThisProcessIsExcusedButNeverLiesAhead() {
-        contact.heartbeatReceived(10 * SECOND);
-        contact.excusePause(4 * SECOND, 20 * SECOND);
+        contact.recordHeartbeat(10 * SECOND);
+        contact.compensateForPause(4 * SECOND, 20 * SECOND);
         assertEquals(14 * SECOND, contact.lastHeartbeatMicros());
-        contact.excusePause(60 * SECOND, 20 * SECOND);
+        contact.compensateForPause(60 * SECOND, 20 * SECOND);
         assertEquals(20 * SECOND, contact.lastHeartbeatMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/placement/MachinePreferenceTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/MachineScorerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The order in which machines are preferred. */
-class MachinePreferenceTest {
+class MachineScorerTest {
     private final PlacementFixture fixture = new PlacementFixture();
-    private final MachinePreference preference = new MachinePreference(fixture.rules);
+    private final MachineScorer machineScorer = new MachineScorer(fixture.rules);
     private final ActiveJob batch = fixture.batch("batch", Priority.STANDARD).build();
     private final ActiveJob service =
             fixture.service("service", Priority.STANDARD).build();
@@ -21,15 +21,15 @@
             fixture.service("other-service", Priority.STANDARD).build();
 
     private void assertPreferred(Machine better, Machine worse, ActiveJob job) {
-        assertTrue(preference.score(better, job.spec()) > preference.score(worse, job.spec()));
+        assertTrue(machineScorer.score(better, job.spec()) > machineScorer.score(worse, job.spec()));
     }
 
     @Test
     void imageThenFetchUnderWayThenNeither() {
-        Machine withImage = fixture.machine("with-image", false);
-        Machine fetching = fixture.machine("fetching", false);
-        Machine without = fixture.machine("without", false);
-        withImage.capacity().imageSeen(batch.spec().image());
+        Machine withImage = fixture.addMachine("with-image", false);
+        Machine fetching = fixture.addMachine("fetching", false);
+        Machine without = fixture.addMachine("without", false);
+        withImage.capacity().addImage(batch.spec().image());
         fixture.tasks.start(batch, fetching, NOW);
         assertPreferred(withImage, fetching, batch);
         assertPreferred(fetching, without, batch);
@@ -37,34 +37,34 @@
 
     @Test
     void tighterFit() {
-        Machine empty = fixture.machine("empty", false);
-        Machine fuller = fixture.machine("fuller", false);
+        Machine empty = fixture.addMachine("empty", false);
+        Machine fuller = fixture.addMachine("fuller", false);
         ActiveJob large =
                 fixture.batch("large", Priority.STANDARD).cpuMillis(3 * CPU).build();
-        fixture.running(large, fuller, SECOND);
+        fixture.addRunningTask(large, fuller, SECOND);
         assertPreferred(fuller, empty, batch);
     }
 
     @Test
     void servicesGatherAndBatchWorkAvoidsThem() {
-        Machine empty = fixture.machine("empty", false);
-        Machine withService = fixture.machine("with-service", false);
-        fixture.running(otherService, withService, SECOND);
+        Machine empty = fixture.addMachine("empty", false);
+        Machine withService = fixture.addMachine("with-service", false);
+        fixture.addRunningTask(otherService, withService, SECOND);
         assertPreferred(withService, empty, service);
         assertPreferred(empty, withService, batch);
     }
 
     @Test
     void batchWorkPrefersSpot() {
-        assertPreferred(fixture.machine("spot", true), fixture.machine("full-price", false), batch);
+        assertPreferred(fixture.addMachine("spot", true), fixture.addMachine("full-price", false), batch);
     }
 
     @Test
     void suspectMachineComesLast() {
-        Machine suspect = fixture.machine("suspect", true);
-        Machine sound = fixture.machine("sound", false);
-        suspect.capacity().imageSeen(batch.spec().image());
-        fixture.faults.failed(suspect, otherService, NOW);
+        Machine suspect = fixture.addMachine("suspect", true);
+        Machine sound = fixture.addMachine("sound", false);
+        suspect.capacity().addImage(batch.spec().image());
+        fixture.faults.recordFailure(suspect, otherService, NOW);
         assertPreferred(sound, suspect, batch);
     }
 }
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.term;
 
-import static org.granitepath.coordination.fleet.FleetFixture.EPOCH;
-import static org.granitepath.coordination.fleet.FleetFixture.SECOND;
+import static org.granitepath.coordination.fleet.FleetFixture.AGENT_EPOCH;
+import static org.granitepath.coordination.fleet.FleetFixture.SECOND_MICROS;
 import static org.granitepath.coordination.fleet.FleetFixture.TERM_TOKEN;
 import static org.granitepath.coordination.fleet.FleetFixture.heartbeat;
 import static org.granitepath.coordination.fleet.FleetFixture.nextHeartbeat;
@@ -54,14 +54,14 @@
     @ValueSource(longs = {0, TERM_TOKEN})
     void anUnknownMachineJoinsUnderTheTokenOfTheTerm(long knownToken) {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(accepted(), handler.handle(heartbeat(unknown, EPOCH, knownToken)));
+        assertEquals(accepted(), handler.handle(heartbeat(unknown, AGENT_EPOCH, knownToken)));
         assertEquals(TERM_TOKEN, fixture.fleet.machine("m").fencingToken());
     }
 
     @Test
     void anUnknownMachineWithAHigherTokenIsRejected() {
         Machine unknown = Fixtures.machine("m", "north");
-        assertEquals(UNAVAILABLE, handler.handle(heartbeat(unknown, EPOCH, TERM_TOKEN + 1)));
+        assertEquals(UNAVAILABLE, handler.handle(heartbeat(unknown, AGENT_EPOCH, TERM_TOKEN + 1)));
         assertNull(fixture.fleet.machine("m"));
     }
 
@@ -69,7 +69,7 @@
     void aLateHeartbeatOfAMachineThatIsGoneIsRejected() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat late = nextHeartbeat(machine);
-        fixture.machines.terminated("m");
+        fixture.machines.onTerminated("m");
         assertEquals(UNAVAILABLE, handler.handle(late));
         assertNull(fixture.fleet.machine("m"));
     }
@@ -86,25 +86,25 @@
     @Test
     void aHigherTokenCausesAReadOfTheRecords() {
         Machine machine = fixture.readyMachine("m");
-        int readsBefore = fixture.storeReads();
-        assertEquals(UNAVAILABLE, handler.handle(heartbeat(machine, EPOCH, TERM_TOKEN + 1)));
-        fixture.timers.advance(SECOND);
-        assertEquals(readsBefore + 1, fixture.storeReads());
+        int readsBefore = fixture.storeReadCount();
+        assertEquals(UNAVAILABLE, handler.handle(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN + 1)));
+        fixture.timers.advance(SECOND_MICROS);
+        assertEquals(readsBefore + 1, fixture.storeReadCount());
     }
 
     @Test
     void aHeartbeatOlderThanTheAnswerToACallIsAnsweredWithTheStops() {
         Machine machine = fixture.readyMachine("m");
         Heartbeat outdated = nextHeartbeat(machine);
-        handler.handle(heartbeat(machine, EPOCH, TERM_TOKEN, orphan()));
+        handler.handle(heartbeat(machine, AGENT_EPOCH, TERM_TOKEN, orphan()));
         machine.contact().fence();
         assertEquals(accepted(STOP_ORPHAN), handler.handle(outdated));
-        assertFalse(machine.contact().fenced(), "the response carries the fencing token");
+        assertFalse(machine.contact().isFenced(), "the response carries the fencing token");
     }
 
     @Test
     void aHeartbeatOfAnEarlierAgentEpochIsRejected() {
         Machine machine = fixture.readyMachine("m");
-        assertEquals(UNAVAILABLE, handler.handle(heartbeat(machine, EPOCH - 1, TERM_TOKEN)));
+        assertEquals(UNAVAILABLE, handler.handle(heartbeat(machine, AGENT_EPOCH - 1, TERM_TOKEN)));
     }
 }
