--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -146,7 +146,7 @@
         checks.run();
     }
 
-    /** Returns whether a load balancer may send user requests to this controller. */
+    /** Returns whether user requests may be sent to this controller. */
     public boolean isHealthy() {
         return health.isHealthy();
     }
@@ -166,14 +166,14 @@
     }
 
     /**
-     * Applies a cancellation that a peer has confirmed to a user. The cancellation is committed to the store, so it
-     * takes effect here at once, even if this controller cannot read the store at the moment.
+     * Applies a cancellation that a peer has sent. The cancellation is committed to the store, so it takes effect here
+     * at once, even if this controller cannot read the store at the moment.
      */
     public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
         replica.applied(Keys.finalOf(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
-    /** Returns whether this controller is the leader. */
+    /** Returns whether this controller is the leader and its term has started. */
     public boolean isLeader() {
         return currentTerm.isPresent();
     }
--- a/src/main/java/org/granitepath/coordination/ControllerChecks.java
+++ b/src/main/java/org/granitepath/coordination/ControllerChecks.java
@@ -44,7 +44,7 @@
         }
         long nowMicros = timers.nowMicros();
         redirectedMachines.removeExpired(nowMicros);
-        stepDownIfCutOffFromWorkers();
+        stepDownIfPartitionedFromWorkers();
         if (currentTerm.isPresent()) {
             machineTypes.refreshIfDue(nowMicros);
         } else {
@@ -52,9 +52,9 @@
         }
     }
 
-    private void stepDownIfCutOffFromWorkers() {
+    private void stepDownIfPartitionedFromWorkers() {
         LeaderTerm leaderTerm = currentTerm.get();
-        if (leaderTerm != null && leaderTerm.isCutOffFromWorkers(peers.maxRedirectedMachines())) {
+        if (leaderTerm != null && leaderTerm.isPartitionedFromWorkers(peers.maxRedirectedMachines())) {
             leadership.stepDown("most machines reach another controller, but not this one");
         }
     }
--- a/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
+++ b/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
@@ -11,7 +11,7 @@
  * and no backoff from an earlier campaign or term is in effect.
  */
 final class CampaignEligibility {
-    /** 15 s, long enough for the other controllers to campaign first. */
+    /** Long enough for the other controllers to campaign first. */
     private static final long BACKOFF_AFTER_STEPPING_DOWN_MICROS = 15_000_000;
 
     private final Config config;
@@ -51,7 +51,7 @@
         backOff(BACKOFF_AFTER_STEPPING_DOWN_MICROS);
     }
 
-    /** Starts the backoff after an abandoned campaign: a tenth of the duration of the leader lease. */
+    /** Starts the backoff after a campaign that was abandoned. */
     void onCampaignAbandoned() {
         backOff(config.tuning().leaderLeaseMicros() / 10);
     }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -159,8 +159,8 @@
         }
         Precondition stillLeader = new Precondition(Keys.LEADER, heldTerm.term().leaderRevision());
         Transaction removal = new Transaction(List.of(stillLeader), List.of(Change.remove(Keys.LEADER)));
-        store.commit(
-                removal, answer -> {}); // if this request is lost, the leader key is removed when its lease expires
+        // If this request is lost, the store removes the leader key when its lease expires.
+        store.commit(removal, answer -> {});
         eligibility.onSteppedDown();
         loseLeadership(why);
     }
--- a/src/main/java/org/granitepath/coordination/leadership/LeadershipPhase.java
+++ b/src/main/java/org/granitepath/coordination/leadership/LeadershipPhase.java
@@ -13,7 +13,7 @@
     LEADING,
     /**
      * The store has not answered recently, or it has confirmed the lease but not answered reads of the records. Workers
-     * are still answered, because the cause may be an outage of the store, in which no other controller leads either.
+     * are still answered, because this controller cannot tell an outage of the store from a loss of its own connection.
      */
     DISCONNECTED,
     /**
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -108,9 +108,10 @@
 
     /**
      * Sends a cancellation that is committed to the store to all peers. {@code then} runs once no task of the job can be
-     * started any more. That is so when the leader has applied the cancellation. If the leader cannot be reached, it is
-     * so after the time in which the leader's last contact with the records becomes too old for it to start tasks, and
-     * in which the last status message that told it that this controller was out of contact becomes too old as well.
+     * started any more, which is so as soon as the leader has applied the cancellation. If the leader does not confirm
+     * this, {@code then} runs after a timeout. By that time the leader's last contact with the records is too old for it
+     * to start tasks. A status message in which this controller told the leader that it had no contact with the store
+     * either, and which would allow the leader to start tasks all the same, is too old by then as well.
      *
      * @param leader the leader on record, or null if there is none
      */
@@ -125,8 +126,9 @@
             });
         }
         if (leaderIsPeer) {
-            long maxStartMicros = Math.max(config.tuning().leaderLeaseMicros(), MAX_STATUS_AGE_MICROS);
-            whenEffective.fireAfter(timers, WorkerTiming.withClockDrift(maxStartMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+            long leaderTimeoutMicros = Math.max(config.tuning().leaderLeaseMicros(), MAX_STATUS_AGE_MICROS);
+            whenEffective.fireAfter(
+                    timers, WorkerTiming.withClockDrift(leaderTimeoutMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
         } else {
             whenEffective.fire(then); // no other controller can start tasks
         }
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Returns whether neither the store nor the leader is within reach, and the last contact with the store is not older
-     * than a leader without contact may be.
+     * Returns whether the store and the leader are out of reach, directly and through peers, and have been for no longer
+     * than a leader without contact may answer workers.
      */
     private boolean isCutOffFromLeader() {
         long contactAgeMicros = timers.nowMicros() - replica.lastContactMicros();
@@ -84,7 +84,7 @@
         tokensAsOfMicros = replica.lastContactMicros();
         readTokens();
         LOG.info(
-                "zone {}: no contact with the store and no recent status of the leader, renewing machine leases for it",
+                "zone {}: cut off from the store and the leader, renewing the leases of its machines for the leader",
                 config.identity().zone());
     }
 
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -82,7 +82,7 @@
      *
      * @param redirectedByPeer the highest number of redirected machines that any peer reports; negative: unknown
      */
-    public boolean isCutOffFromWorkers(int redirectedByPeer) {
+    public boolean isPartitionedFromWorkers(int redirectedByPeer) {
         return fleet.isPartitionedFromWorkers(redirectedByPeer);
     }
 
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -21,7 +21,7 @@
     private RecoveryStatusFactory() {}
 
     /**
-     * Returns the present status.
+     * Returns the current recovery status of this controller.
      *
      * @param leaderTerm null while this controller is not the leader, or is still reading the records of its term
      */
@@ -80,16 +80,16 @@
 
     private static RecoveryStatus.Term termDuringRecovery(TermRecovery recovery, long nowMicros) {
         RecoveryPlan plan = recovery.plan();
-        Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
-        tasks.putAll(plan.taskCountsByVerdict());
-        tasks.put(Verdict.UNCONFIRMED, recovery.unconfirmedTasks());
+        Map<Verdict, Integer> taskCounts = new EnumMap<>(Verdict.class);
+        taskCounts.putAll(plan.taskCountsByVerdict());
+        taskCounts.put(Verdict.UNCONFIRMED, recovery.unconfirmedTasks());
         return new RecoveryStatus.Term(
                 plan.phase(),
                 plan.fencingToken(),
                 plan.recordsRevision(),
                 new RecoveryStatus.Machines(
                         plan.takenOverMachineCount(), plan.awaitedMachines(), plan.unreadableInventoryParts()),
-                tasks,
+                taskCounts,
                 plan.comparisonCount(),
                 plan.isBatchWorkHeld() ? hold(plan, nowMicros) : null);
     }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Adds parts of the inventory that cannot be read. Any machine may be listed in them, so that no claimed task that
-     * is not listed by a heartbeat is proved lost for the rest of this term.
+     * Adds parts of the inventory that cannot be read. Any machine may be listed in them, so no task that heartbeats have
+     * not listed counts as lost for the rest of this term.
      */
     public void takeOverUnreadableParts(int parts) {
         awaited.addUnreadableParts(parts);
--- a/src/main/java/org/granitepath/recovery/StartEvidence.java
+++ b/src/main/java/org/granitepath/recovery/StartEvidence.java
@@ -1,7 +1,8 @@
 package org.granitepath.recovery;
 
 /**
- * What is known about an attempt that this leader has placed on a machine and that the machine's heartbeat does not list.
+ * What is known about an attempt that this leader has placed on a machine, but that the machine's heartbeat does not
+ * list.
  *
  * @param laterAgentEpoch the heartbeat is of a later agent epoch than the one that the start command was meant for
  * @param underCurrentToken the worker created the heartbeat under the machine's current fencing token
@@ -10,7 +11,7 @@
  *     been answered: the command may still reach the worker
  * @param listedBefore an earlier heartbeat listed the attempt
  * @param sentInHeartbeatResponse the start command was sent in the response to a heartbeat
- * @param initiatedByWorker the worker sent this heartbeat by itself; otherwise it arrived in the answer to a direct call
+ * @param initiatedByWorker the worker sent this heartbeat by itself; otherwise it came in the answer to a direct call
  */
 public record StartEvidence(
         boolean laterAgentEpoch,
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -51,7 +51,7 @@
         public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
     }
 
     private static PeerPort.PeerStatus status(String node, long contactAgeMicros) {
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -117,8 +117,7 @@
         start();
         store.readsWithheld = true;
         timers.advance(5 * SECOND);
-        assertTrue(
-                leadership.isLeader() && !leadership.isLeaseConfirmed(), "a cancellation shows in the records alone");
+        assertTrue(leadership.isLeader() && !leadership.isLeaseConfirmed(), "a cancellation shows only in the records");
         store.expireLeaseOf(Keys.LEADER);
         timers.advance(SECOND);
         assertEquals(
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
     };
     private final Peers peers = new Peers(TestConfigs.of("c1", "c1-1", "c2", "c3"), port, timers, () -> null);
     private int effective;
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -55,7 +55,7 @@
         public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
     }
 
     /** Records two machines, the second of which has a fencing token of its own. */
--- a/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
+++ b/src/test/java/org/granitepath/recovery/LiveWorkBacklogTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The summary of the backlog that operators read; its text must not change. */
+/** The summary of the backlog. Operators and their tools read it, so its text must not change. */
 class LiveWorkBacklogTest {
     @Test
     void theSummaryNamesAllCounts() {
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void servicesResumeBeforeBatchWork() {
+    void servicesResumeFirstThenBatchWorkThenTheRecoveryEnds() {
         RecoveryPlan plan = plan(HOLD);
         plan.onRecordsRead(42, 0);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
@@ -127,7 +127,10 @@
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
 
-    /** In any order of events, phases only advance, and batch work is never held beyond the time limit. */
+    /**
+     * In any order of events, phases only advance, batch work is held no longer than the time limit, and the recovery
+     * ends exactly when no machine is awaited and batch work may start.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void phasesOnlyAdvanceInAnyOrderOfEvents(long seed) {
