--- a/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
+++ b/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
@@ -5,28 +5,32 @@
 import java.util.Set;
 import org.granitepath.coordination.model.Machine;
 
-/** The machines for which there are commands that have not gone out yet. */
+/** The machines that have commands to be sent. */
 public final class CommandQueue {
     private final Set<Machine> machines = new LinkedHashSet<>();
     private final Runnable requestSend;
 
-    /** @param requestSend asks for the commands to be sent shortly */
+    /**
+     * Creates an empty queue.
+     *
+     * @param requestSend asks for the commands to be sent shortly
+     */
     public CommandQueue(Runnable requestSend) {
         this.requestSend = requestSend;
     }
 
-    /** There is something to tell this machine. */
+    /** Adds a machine that has a command to be sent, and asks for the commands to be sent. */
     public void enqueue(Machine machine) {
         machines.add(machine);
         requestSend.run();
     }
 
-    /** What is due there has gone out, or the machine is gone. */
+    /** Removes a machine whose commands were sent, or that is gone. */
     public void remove(Machine machine) {
         machines.remove(machine);
     }
 
-    /** The machines for which commands are due, in the order in which they came. */
+    /** Returns a copy of the list of machines that have commands to be sent, in the order in which they were added. */
     public List<Machine> machines() {
         return List.copyOf(machines);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
+++ b/src/main/java/org/granitepath/coordination/jobs/GangMembership.java
@@ -7,11 +7,12 @@
 import org.granitepath.coordination.model.Placement;
 
 /**
- * Which tasks belong to the present attempt of their gang, and which are to be stopped with one another. It decides
- * only: {@link TaskLifecycle} tells it of each task that begins or ends, and stops those that it names.
+ * Determines which tasks belong to the current attempt of their gang, and which are to be stopped together. This class
+ * only decides: {@link TaskLifecycle} reports each task that begins or ends, and stops the tasks that this class
+ * returns.
  */
 final class GangMembership {
-    /** A task that was started in the present attempt is a member of it. */
+    /** Adds a task that was started in the current attempt. */
     void addStarted(Placement placement) {
         GangAttempt attempt = currentAttempt(placement.job());
         join(attempt, placement);
@@ -21,8 +22,8 @@
     }
 
     /**
-     * A task that a former leader started was found. Attempts only grow, and a newer one begins when the older ones are
-     * proved gone: what is older is a leftover.
+     * Adds a task that a previous leader started and that was found on a machine. Attempt numbers only grow, and an
+     * attempt begins only after the older ones are proven to be gone, so tasks of older attempts are leftovers.
      *
      * @return the leftovers, which are to be stopped
      */
@@ -51,10 +52,10 @@
     }
 
     /**
-     * A task is to be stopped. A task of a gang is of no use without the others, and saves its progress only together
-     * with them: all are stopped at once.
+     * Marks the attempt of a task as stopping. A task of a gang is useless without the others and saves its progress
+     * only together with them, so all are stopped at once.
      *
-     * @return all that are to be stopped; of a job that is no gang the task alone
+     * @return all tasks to stop, which is the given task alone if its job is not a gang
      */
     List<Placement> markStopping(Placement placement, String why) {
         GangAttempt attempt = placement.job().gangAttempt();
@@ -66,23 +67,24 @@
     }
 
     /**
-     * A task is not on its machine any more.
+     * Removes a task that is no longer on its machine.
      *
-     * @param maybeElsewhere whether it may run on another machine
-     * @return whether the others can't go on without it
+     * @param maybeElsewhere whether the task may be running on another machine
+     * @return whether the other tasks of the gang cannot continue without it
      */
     boolean removeTask(Placement placement, boolean maybeElsewhere, long nowMicros) {
         GangAttempt attempt = placement.job().gangAttempt();
         if (attempt == null || placement.attempt() != attempt.number() || maybeElsewhere) {
             return false;
         }
-        boolean ran = attempt.phase() == GangAttempt.Phase.RUNNING;
+        boolean wasRunning = attempt.phase() == GangAttempt.Phase.RUNNING;
         attempt.markTaskGone(nowMicros);
-        return ran;
+        return wasRunning;
     }
 
     /**
-     * An attempt without a placement is forgotten in any case: a heartbeat that lists one of its tasks brings it back.
+     * Clears the current attempt of a job without placements. This is always safe: a heartbeat that lists one of its
+     * tasks restores the attempt.
      */
     void clearAttemptIfGone(ActiveJob job) {
         if (!job.hasPlacements()) {
@@ -90,12 +92,12 @@
         }
     }
 
-    /** The number by which the tasks of the present attempt find each other. */
+    /** Returns the number of the gang's current attempt, by which its tasks find each other. */
     long currentAttemptNumber(ActiveJob job) {
         return currentAttempt(job).number();
     }
 
     private static GangAttempt currentAttempt(ActiveJob job) {
-        return Objects.requireNonNull(job.gangAttempt(), "a task of a gang starts in an attempt only");
+        return Objects.requireNonNull(job.gangAttempt(), "the gang has no current attempt");
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The life of jobs during one term of leadership: opened, claimed in blocks, done or cancelled. What goes on record of
- * them is written by {@link JobRecorder}.
+ * The life cycle of jobs during one leadership term: jobs are opened, claimed in blocks of tasks, and completed or
+ * cancelled. {@link JobRecorder} writes their records.
  */
 public final class JobLifecycle implements JobIndex.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
@@ -29,7 +29,7 @@
     private final Timers timers;
     private final SchedulingLoop loop;
 
-    /** Opens nothing before it is started. */
+    /** Creates the life cycle. No job is opened before {@link #start}. */
     public JobLifecycle(
             JobIndex jobIndex,
             JobRecorder recorder,
@@ -49,7 +49,7 @@
         this.loop = loop;
     }
 
-    /** Opens all jobs on record and follows their records from now on. */
+    /** Opens all unfinished jobs in the records and follows changes of the records from now on. */
     public void start() {
         for (JobRecord record : jobIndex.openJobs()) {
             open(record);
@@ -58,7 +58,7 @@
         loop.requestCycle();
     }
 
-    /** The term is over: records are followed no more. */
+    /** Ends the term: changes of the records are no longer followed. */
     public void end() {
         jobIndex.stopListening();
     }
@@ -69,14 +69,15 @@
         }
         if (jobIndex.unreadable(record.spec().id())) {
             LOG.error(
-                    "job {}: a record of it can't be read; its tasks are left alone and none starts in this term",
+                    "job {}: one of its records is unreadable; its running tasks are left alone and none is started"
+                            + " in this term",
                     record.spec().id());
             return;
         }
         ActiveJob job = new ActiveJob(record, jobIndex.progressOf(record.spec().id()), timers.nowMicros());
         jobs.add(job);
         if (recorder.isClaimedByThisTerm(record)) {
-            // What was claimed for us from the first can't have been started by a predecessor.
+            // Tasks that were claimed for this term from the first cannot have been started by a previous leader.
             job.resolveUnconfirmed();
         } else {
             recovery.resolveTasks(job);
@@ -84,7 +85,7 @@
         completeIfDone(job);
     }
 
-    /** Records the end of the job when all its tasks are done. */
+    /** Starts to record the job as done if it is open and all its tasks are done. */
     public void completeIfDone(ActiveJob job) {
         if (job.isOpen() && job.unfinishedTasks() == 0) {
             job.markCompleting();
@@ -147,12 +148,12 @@
                 due);
     }
 
-    /** Claims the next block of task numbers in good time, before the present one is used up. */
+    /** Claims the next block of tasks in advance, before the current block is used up. */
     public void claimNextBlock(ActiveJob job) {
         recorder.claimNextBlock(job);
     }
 
-    /** A task of the job is done: the count goes on record some time soon. */
+    /** Records, after a short delay, that a task of the job is done. */
     public void recordTaskDone(ActiveJob job) {
         recorder.recordTaskDone(job);
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -13,10 +13,11 @@
 import org.granitepath.storage.WriteQueue;
 
 /**
- * Writes what one term of leadership puts on record of its jobs: claims and finished tasks, and that a job is done. A
- * write is made from the state at the time when it goes out, so what came meanwhile needs no further one.
+ * Writes the records of jobs during one leadership term: claims, finished tasks, and the completion of jobs. The
+ * content of a write is taken from the state at the time of sending, so changes in the meantime need no further write.
  */
 public final class JobRecorder {
+    /** How long finished tasks are collected before they are recorded. */
     private static final long PROGRESS_DELAY_MICROS = 1_000_000;
 
     private final Config config;
@@ -26,9 +27,9 @@
     private final SchedulingLoop loop;
 
     /**
-     * Writes through this queue.
+     * Creates a recorder that writes through the given queue.
      *
-     * @param replica the records as this controller knows them: what is there need not be written
+     * @param replica the records known to this controller; what they contain is not written again
      */
     public JobRecorder(
             Config config, Leadership.Term term, RecordReplica replica, WriteQueue writeQueue, SchedulingLoop loop) {
@@ -39,30 +40,30 @@
         this.loop = loop;
     }
 
-    /** Whether the job was claimed for a successor of ours that this controller does not know of yet. */
+    /** Returns whether the job was claimed for a later term that this controller does not know of yet. */
     boolean isClaimedBySuccessor(JobRecord record) {
         return record.term() > term.fencingToken();
     }
 
-    /** Whether the job was claimed for this term from the first, so that no predecessor can have started it. */
+    /** Returns whether the job was claimed for this term from the first, so no previous leader has started it. */
     boolean isClaimedByThisTerm(JobRecord record) {
         return record.term() == term.fencingToken();
     }
 
-    /** Claims the next block of task numbers, if not enough of the present one is left. */
+    /** Claims the next block of tasks if not enough of the current block is left. */
     void claimNextBlock(ActiveJob job) {
         int tasks = job.spec().tasks();
-        // When writes have to wait for one another, a job claims all it has: machines would stand idle meanwhile.
+        // If writes queue up, a job claims all its tasks at once; otherwise machines would be idle in the meantime.
         int block = writeQueue.behind() ? tasks : config.tuning().nextBlock(job.spec());
         int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
-        boolean soonUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
-        if (target > job.requestedClaim() && (target == tasks || soonUsedUp)) {
+        boolean isNearlyUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
+        if (target > job.requestedClaim() && (target == tasks || isNearlyUsedUp)) {
             job.requestClaim(target);
             recordProgress(job, WriteQueue.Urgency.WORK, 0);
         }
     }
 
-    /** A task of the job is done: the count goes on record some time soon. */
+    /** Records, after a short delay, that a task of the job is done. */
     void recordTaskDone(ActiveJob job) {
         recordProgress(job, WriteQueue.Urgency.PROGRESS_ONLY, PROGRESS_DELAY_MICROS);
     }
@@ -82,7 +83,7 @@
         return List.of(Change.write(key, progress.atMost(config.limits().store().valueBytes())));
     }
 
-    /** All tasks of the job are done: that goes on record at once, unless a final state is there already. */
+    /** Records without delay that all tasks of the job are done, unless the job has a final record already. */
     void recordDone(ActiveJob job) {
         String key = Keys.finalOf(job.spec().id());
         writeQueue.enqueue(
--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -5,43 +5,44 @@
 import org.granitepath.coordination.model.ActiveJob;
 
 /**
- * How long tasks really run. Owners' estimates are often wrong by half, on some days all in one direction; what has
- * finished corrects them, by class and, once some of its tasks are done, by job.
+ * Estimates the actual run times of tasks. The estimates of job owners are often wrong by half, on some days all in the
+ * same direction. The run times of finished tasks correct them by job class and, once some of its tasks are done, by
+ * job.
  */
 public final class RuntimeEstimator {
-    /** How many finished tasks of a class weigh as much as its owners' estimates. */
+    /** This many finished tasks of a class have the same weight as the estimates of its owners. */
     private static final double CLASS_PRIOR_TASKS = 10;
 
-    /** The same for the finished tasks of one job. */
+    /** This many finished tasks of one job have the same weight as the corrected estimate. */
     private static final double JOB_PRIOR_TASKS = 2;
-    /** Older experience fades. */
+    /** At this many tasks the history of a class is halved, so that older run times lose weight. */
     private static final double MAX_HISTORY_TASKS = 200;
 
     private static final long MIN_ESTIMATE_MICROS = 1_000_000;
-    /** Experience with a class changes an estimate by these factors at most. */
+    /** The history of a class multiplies an estimate by at most this factor, and by at least the next one. */
     private static final double MAX_CORRECTION = 5;
 
     private static final double MIN_CORRECTION = 0.2;
 
-    /** What the finished tasks of one job class were expected to take, and took. */
+    /** The estimated and the actual run times of the finished tasks of one job class. */
     private static final class ClassHistory {
         private double expectedMicros;
         private double actualMicros;
         private double finishedTasks;
 
-        /** Takes in a finished task; what is long ago counts less and less. */
-        void add(long estimateMicros, long ranMicros) {
+        /** Adds a finished task and reduces the weight of old ones. */
+        void add(long estimateMicros, long runMicros) {
             if (finishedTasks >= MAX_HISTORY_TASKS) {
                 expectedMicros /= 2;
                 actualMicros /= 2;
                 finishedTasks /= 2;
             }
             expectedMicros += estimateMicros;
-            actualMicros += ranMicros;
+            actualMicros += runMicros;
             finishedTasks++;
         }
 
-        /** By what factor estimates of this class are to be corrected; 1 while nothing is known. */
+        /** Returns the factor by which estimates of this class are to be multiplied; 1 while nothing is known. */
         double correctionFactor() {
             if (expectedMicros <= 0) {
                 return 1;
@@ -54,14 +55,14 @@
 
     private final Map<String, ClassHistory> historyByClass = new Object2ObjectOpenHashMap<>();
 
-    /** A task of the job ran to its end. */
-    public void recordFinishedTask(ActiveJob job, long ranMicros) {
-        job.addRunTime(ranMicros);
+    /** Records the run time of a task of the job that ran to its end. */
+    public void recordFinishedTask(ActiveJob job, long runMicros) {
+        job.addRunTime(runMicros);
         ClassHistory history = historyByClass.computeIfAbsent(job.spec().jobClass(), unused -> new ClassHistory());
-        history.add(job.spec().estimateMicros(), ranMicros);
+        history.add(job.spec().estimateMicros(), runMicros);
     }
 
-    /** The run time to expect of one task of this job. */
+    /** Returns the expected run time of one task of the job, in microseconds. */
     public long expectedTaskMicros(ActiveJob job) {
         double estimateMicros = Math.max(MIN_ESTIMATE_MICROS, job.spec().estimateMicros());
         ClassHistory history = historyByClass.get(job.spec().jobClass());
--- a/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
+++ b/src/main/java/org/granitepath/coordination/jobs/SchedulingLoop.java
@@ -4,12 +4,13 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Puts scheduling cycles and the sending of commands together. A cycle over a large fleet takes its time: the next one
- * waits for several times as long, for the sake of the heartbeats that come meanwhile.
+ * Runs scheduling cycles and sends commands, batching requests for both. A cycle over a large fleet takes long, so the
+ * next one waits for a multiple of that time to leave room for the heartbeats that arrive meanwhile.
  */
 public final class SchedulingLoop {
+    /** Requests within this time are served together. */
     private static final long BATCHING_DELAY_MICROS = 2_000;
-    /** The next cycle comes no sooner than this many times as long as the last one took. */
+    /** The next cycle begins no sooner than this multiple of the duration of the last one. */
     private static final int CYCLE_SPACING_FACTOR = 4;
 
     private static final long MAX_CYCLE_SPACING_MICROS = 250_000;
@@ -24,33 +25,38 @@
     private boolean timerScheduled;
 
     /**
-     * Nothing runs before it is asked for.
+     * Creates a loop that runs nothing until a request is made.
      *
-     * @param mayStart whether a task may be started now; without that a cycle would be of no use
-     * @param runCycle one scheduling cycle
-     * @param send sends the commands that are due
+     * @param termEnded whether the term has ended, after which nothing runs any more
+     * @param canStartTasks whether tasks may be started now; otherwise a cycle would be useless
+     * @param runCycle runs one scheduling cycle
+     * @param sendCommands sends the commands that are due
      */
     public SchedulingLoop(
-            Timers timers, BooleanSupplier ended, BooleanSupplier mayStart, Runnable runCycle, Runnable send) {
+            Timers timers,
+            BooleanSupplier termEnded,
+            BooleanSupplier canStartTasks,
+            Runnable runCycle,
+            Runnable sendCommands) {
         this.timers = timers;
-        this.termEnded = ended;
-        this.canStartTasks = mayStart;
+        this.termEnded = termEnded;
+        this.canStartTasks = canStartTasks;
         this.runCycle = runCycle;
-        this.sendCommands = send;
+        this.sendCommands = sendCommands;
     }
 
-    /** Asks for a cycle over the waiting jobs and for commands to go out, shortly and together. */
+    /** Requests a cycle over the waiting jobs, followed by sending commands, both shortly. */
     public void requestCycle() {
         cycleRequested = true;
         requestSend();
     }
 
-    /** Notes that a cycle is worth making, whenever the loop runs next. */
+    /** Notes that a cycle is needed when the loop runs next, without requesting a run. */
     public void markCycleNeeded() {
         cycleRequested = true;
     }
 
-    /** Asks for commands to go out shortly. */
+    /** Requests that commands be sent shortly. */
     public void requestSend() {
         if (timerScheduled) {
             return;
@@ -65,7 +71,7 @@
         });
     }
 
-    /** Makes a cycle at once if one is wanted and due, or asks for it. */
+    /** Runs a needed cycle at once if its time has come, or requests it otherwise. */
     public void runCycleIfDue() {
         if (!cycleRequested) {
             return;
@@ -78,15 +84,15 @@
     }
 
     private void runCycleIfRequested() {
-        // What a cycle would stop to make capacity could not be followed by a start while none is allowed.
+        // While no task may start, a cycle would stop tasks to free capacity without starting others in their place.
         if (!cycleRequested || !canStartTasks.getAsBoolean()) {
             return;
         }
-        long beganMicros = timers.nowMicros();
+        long startMicros = timers.nowMicros();
         cycleRequested = false;
         runCycle.run();
-        long finishedMicros = timers.nowMicros();
-        nextCycleMicros = finishedMicros
-                + Math.min(MAX_CYCLE_SPACING_MICROS, CYCLE_SPACING_FACTOR * (finishedMicros - beganMicros));
+        long endMicros = timers.nowMicros();
+        nextCycleMicros =
+                endMicros + Math.min(MAX_CYCLE_SPACING_MICROS, CYCLE_SPACING_FACTOR * (endMicros - startMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The life of tasks on machines: from the decision to start one to the proof that it is gone. Tasks begin and end here
- * alone; which tasks of a gang belong together is up to {@link GangMembership}.
+ * The life cycle of tasks on machines, from the decision to start a task until it is proven to be gone. Only this class
+ * starts and ends tasks; {@link GangMembership} decides which tasks of a gang belong together.
  */
 public final class TaskLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
@@ -32,7 +32,7 @@
     private final GangMembership gangs = new GangMembership();
     private long lastAttemptInTerm;
 
-    /** Places and frees tasks under the fencing token of this term. */
+    /** Creates a life cycle that numbers attempts by the fencing token of the given term. */
     public TaskLifecycle(
             Leadership.Term term,
             TermRecovery recovery,
@@ -50,7 +50,9 @@
         this.commands = commands;
     }
 
-    /** Decides that the job's next task is to start there. The command goes out with the next answer or call. */
+    /**
+     * Starts the job's next task on the machine. The command is sent with the next heartbeat response or direct call.
+     */
     public Placement start(ActiveJob job, Machine machine, long nowMicros) {
         return start(job, job.takeTask(), machine, nextAttempt(), nowMicros);
     }
@@ -67,7 +69,7 @@
         place(placement);
         commands.enqueue(machine);
         LOG.debug(
-                "task {} attempt {} goes to machine {} ({} running, {} unfinished)",
+                "task {} attempt {} assigned to machine {} (job has {} running and {} unfinished tasks)",
                 task,
                 attempt,
                 machine.id(),
@@ -76,7 +78,7 @@
         return placement;
     }
 
-    /** Decides that a whole gang is to start, one task on each of these machines, under an attempt of its own. */
+    /** Starts a whole gang in a new attempt, with one task on each of the machines. */
     public void startGang(ActiveJob job, List<Machine> machines, long nowMicros) {
         job.beginGangAttempt(nextAttempt());
         for (Machine machine : machines) {
@@ -84,24 +86,25 @@
         }
     }
 
-    /** Decides that a task of a gang is to join the others of its attempt. */
+    /** Starts a task of a gang in the gang's current attempt. */
     public void startInGang(ActiveJob job, int index, Machine machine, long nowMicros) {
         job.takeTask(index);
         gangs.addStarted(start(job, index, machine, gangs.currentAttemptNumber(job), nowMicros));
     }
 
     /**
-     * A task that a former leader started is on this machine: from now on it is ours.
+     * Adopts a task that a previous leader started on the machine. It belongs to this leader from now on.
      *
-     * @param onlyHere whether it is listed under the present fencing token, so that it can be nowhere else
+     * @param onlyOnThisMachine whether it is listed under the current fencing token, which rules out other machines
      */
     public Placement adopt(
-            ActiveJob job, Machine machine, Heartbeat.TaskStatus status, boolean onlyHere, long nowMicros) {
-        Placement placement = Placement.adopted(status.task(), job, machine, status.attempt(), onlyHere, nowMicros);
+            ActiveJob job, Machine machine, Heartbeat.TaskStatus status, boolean onlyOnThisMachine, long nowMicros) {
+        Placement placement =
+                Placement.adopted(status.task(), job, machine, status.attempt(), onlyOnThisMachine, nowMicros);
         place(placement);
         if (job.spec().gang()) {
             for (Placement leftover : gangs.addAdopted(placement)) {
-                stopOne(leftover, 0, "of an older attempt of its gang");
+                stopOne(leftover, 0, "belongs to an older attempt of its gang");
             }
         }
         return placement;
@@ -114,8 +117,10 @@
     }
 
     /**
-     * Tells the machine to end the task; one that was never sent is freed at once. All tasks of a gang are stopped
-     * together.
+     * Tells the machine to stop the task. A task that was never sent is freed at once, and all tasks of a gang are
+     * stopped together.
+     *
+     * @param graceMicros how long the task may take to save its progress
      */
     public void stop(Placement placement, long graceMicros, String why) {
         for (Placement each : gangs.markStopping(placement, why)) {
@@ -135,12 +140,12 @@
         }
     }
 
-    /** Repeats a stop that is not seen to have worked yet. */
+    /** Sends a stop again that has not taken effect yet. */
     public void resendStop(Placement placement) {
         commands.enqueue(placement.machine());
     }
 
-    /** There is proof that the task is not on the machine. */
+    /** Frees a task that is proven not to be on the machine. */
     public void free(Placement placement, String why) {
         if (placement.isActive()) {
             release(placement, why);
@@ -152,32 +157,35 @@
         placement.free(why);
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.removeTask(placement.job().spec());
-        // Taken over from a heartbeat that may be old: that it is not here proves nothing about machines still awaited.
+        // An adopted task may come from an old heartbeat. That it is gone here says nothing of awaited machines.
         boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.canRunOnAwaitedMachine(placement.job());
         placement.job().removePlacement(placement, maybeElsewhere);
         if (gangs.removeTask(placement, maybeElsewhere, timers.nowMicros())) {
-            // The others would notice by themselves; their places are free sooner this way.
+            // The other tasks would notice by themselves, but stopping them frees their capacity sooner.
             stop(placement, 0, "a task of its gang is gone");
         }
         gangs.clearAttemptIfGone(placement.job());
         jobs.removeIfEnded(placement.job());
     }
 
-    /** There is proof that no task is on the machine. */
+    /** Frees all tasks of a machine that is proven to have none. */
     public void freeAll(Machine machine, String why) {
         for (Placement placement : List.copyOf(machine.placements())) {
             free(placement, why);
         }
     }
 
-    /** A spot machine is about to be taken: work that can be saved or won't finish moves. */
+    /**
+     * Stops tasks on a spot machine that the cloud is about to reclaim: services, tasks that can save their progress,
+     * and tasks that will not finish in time.
+     */
     public void evacuate(Machine machine, long noticeMicros) {
         long nowMicros = timers.nowMicros();
         for (Placement placement : List.copyOf(machine.placements())) {
             JobSpec spec = placement.job().spec();
             boolean saves = spec.checkpointMicros() > 0;
             if (spec.service() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
-                stop(placement, saves ? spec.saveMicros() : 0, "machine is taken back");
+                stop(placement, saves ? spec.saveMicros() : 0, "the cloud reclaims the machine");
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -10,14 +10,14 @@
 import org.granitepath.recovery.Verdict;
 import org.granitepath.storage.Timers;
 
-/** Carries the recovery plan of one term out on the fleet and the jobs. */
+/** Applies the recovery plan of one leadership term to the fleet and the jobs. */
 public final class TermRecovery {
     private final RecoveryPlan plan;
     private final ActiveJobs jobs;
     private final Timers timers;
     private final SchedulingLoop loop;
 
-    /** Carries this plan out on these jobs. */
+    /** Creates the recovery that applies the plan to the given jobs. */
     public TermRecovery(RecoveryPlan plan, ActiveJobs jobs, Timers timers, SchedulingLoop loop) {
         this.plan = plan;
         this.jobs = jobs;
@@ -25,29 +25,37 @@
         this.loop = loop;
     }
 
-    /** The plan, which knows phase and verdicts. */
+    /** Returns the plan, which holds the phase and the verdicts. */
     public RecoveryPlan plan() {
         return plan;
     }
 
-    /** Begins with the machines and the records as of this revision. */
+    /** Starts with the machines that were taken over and the records as of the given revision. */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
         takenOver.forEach(machine -> plan.takeOver(machine.id(), machine.profile()));
         plan.takeOverUnreadable(unreadableParts);
         plan.recordsRead(revision, timers.nowMicros());
     }
 
-    /** Whether every machine taken over has sent a heartbeat under the present fencing token or is proved gone. */
+    /**
+     * Returns whether every machine that was taken over has sent a heartbeat under its current fencing token or is
+     * proven to be gone.
+     */
     public boolean hasResolvedAllMachines() {
         return plan.noMachineAwaited();
     }
 
-    /** Whether a task of this job may be on a machine that is still awaited. */
+    /** Returns whether a task of the job may be on a machine whose first heartbeat is awaited. */
     boolean canRunOnAwaitedMachine(ActiveJob job) {
         return plan.verdictOnUnlisted(job.spec()) == Verdict.UNCONFIRMED;
     }
 
-    /** A heartbeat under the present fencing token has come, or the machine is gone: what was left there is known. */
+    /**
+     * Resolves a machine that was taken over, so that its tasks are known: it has sent a heartbeat under its current
+     * fencing token, or it is gone. Does nothing if the machine is not awaited.
+     *
+     * @param proof how this is known
+     */
     public void resolve(Machine machine, String proof) {
         if (!machine.isAwaitingFirstHeartbeat()) {
             return;
@@ -59,7 +67,7 @@
         }
     }
 
-    /** Frees the tasks of a job that no heartbeat has listed, if no machine is left that may hold them. */
+    /** Frees the unconfirmed tasks of a job if no awaited machine may hold them. */
     void resolveTasks(ActiveJob job) {
         if (job.unconfirmedTasks() > 0 && !canRunOnAwaitedMachine(job)) {
             plan.countVerdicts(Verdict.LOST, job.unconfirmedTasks());
@@ -67,21 +75,20 @@
         }
     }
 
-    /** Whether tasks of the job may start, as far as the recovery is concerned. */
+    /** Returns whether the recovery lets tasks of the job start. */
     public boolean canStart(ActiveJob job) {
         return plan.mayStart(job.spec());
     }
 
-    /** A scheduling cycle is about to begin: a hold whose time is over ends. */
+    /** Ends the hold on batch work if its time is over. Called before each scheduling cycle. */
     public void onCycleStart(long nowMicros) {
         plan.endHoldIfDue(nowMicros);
     }
 
     /**
-     * A scheduling cycle has ended.
+     * Updates the recovery after a scheduling cycle.
      *
-     * @param tasksAwaitingPreemption how many tasks of live work have no capacity yet, while others are being preempted
-     *     for them
+     * @param tasksAwaitingPreemption the number of live tasks without capacity for which others are being preempted
      */
     public void onCycleEnd(int tasksAwaitingPreemption) {
         if (!plan.holdsBatchWork()) {
@@ -94,15 +101,15 @@
     }
 
     /**
-     * Whether capacity that is free may be wanted shortly by live work: machines that look idle are kept until it is
-     * known what of that work is lost.
+     * Returns whether idle machines are to be kept because live work may need them shortly: it is not known yet which
+     * of its tasks are lost.
      */
     public boolean isKeepingIdleMachines() {
         return plan.holdsBatchWork()
                 || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
-    /** How many claimed tasks may be on machines still awaited. */
+    /** Returns the number of claimed tasks that may be on machines whose first heartbeat is awaited. */
     public int unconfirmedTasks() {
         return jobs.all().stream().mapToInt(job -> job.unconfirmedTasks()).sum();
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -15,19 +15,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An unfinished job as its leader sees it: which tasks are done, placed, free to start, or unconfirmed, and what the
- * scheduler has noted of it. State changes through the named methods alone.
+ * A job without a final record, as the current leader knows it: which of its tasks are done, placed, free to start or
+ * unconfirmed, and the scheduler's notes on it. The state changes only through the methods of this class.
  */
 public final class ActiveJob {
     private static final Logger LOG = LoggerFactory.getLogger(ActiveJob.class);
 
-    /** {@code ENDING}: all tasks done, to be recorded. {@code OVER}: its final state is on record. */
+    /**
+     * The life cycle of a job. {@code COMPLETING}: all tasks are done, and the final record is still to be stored.
+     * {@code ENDED}: the final record is stored.
+     */
     public enum Phase {
         OPEN,
         COMPLETING,
         ENDED;
 
-        /** Whether a job may go from this phase to the next one. */
+        /** Returns whether a job in this phase may move to the given phase. */
         boolean canTransitionTo(Phase next) {
             return compareTo(next) < 0;
         }
@@ -47,7 +50,11 @@
     private int measuredTasks;
     private @Nullable GangAttempt gangAttempt;
 
-    /** A job as its records tell; every claimed task that is not done is unconfirmed. */
+    /**
+     * Restores a job from its records. Every claimed task that is not done is unconfirmed at first.
+     *
+     * @param nowMicros the current time on the steady clock
+     */
     public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
@@ -56,39 +63,42 @@
         this.tasksByZone = new TasksByZone(spec);
     }
 
-    /** What its user asked for. */
+    /** Returns the job's specification as its user submitted it. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** The time of day at which it was accepted. */
+    /** Returns the time of day at which the job was accepted. */
     public long acceptedMicros() {
         return acceptedMicros;
     }
 
-    /** When this leader learnt of it, on the steady clock. */
+    /** Returns the time at which this leader learned of the job, on the steady clock. */
     long firstSeenMicros() {
         return firstSeenMicros;
     }
 
-    /** Whether it is a service whose start its users wait for: it goes before all other work. */
+    /**
+     * Returns whether the job is a live service: a service of priority HIGH or above, whose users wait for its start.
+     * It is scheduled before all other work.
+     */
     public boolean isLiveService() {
         return spec.service() && !Priority.HIGH.above(spec.priority());
     }
 
-    /** What the scheduler has noted of it. */
+    /** Returns the scheduler's notes on this job. */
     public SchedulingState scheduling() {
         return scheduling;
     }
 
     // ---- life cycle --------------------------------------------------------------------------------------------
 
-    /** How far it has come. */
+    /** Returns the phase of the job's life cycle. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether tasks of it may still start. */
+    /** Returns whether tasks of this job may still be started. */
     public boolean isOpen() {
         return phase == Phase.OPEN;
     }
@@ -104,108 +114,112 @@
         phase = next;
     }
 
-    /** All its tasks are done, which is still to be recorded. */
+    /** Moves to {@code COMPLETING}: all tasks are done, and the final record is still to be stored. */
     public void markCompleting() {
         transition(Phase.COMPLETING, "all tasks done");
     }
 
-    /** Its final state is on record, whoever wrote it: done, or cancelled by its user. */
+    /**
+     * Moves to {@code ENDED}: the final record is stored, no matter which controller wrote it.
+     *
+     * @param outcome whether the job is done or was cancelled by its user, for the log
+     */
     public void markEnded(String outcome) {
         transition(Phase.ENDED, outcome);
     }
 
     // ---- counts ------------------------------------------------------------------------------------------------
 
-    /** Handed out and not known to be over: placed, or unconfirmed. */
+    /** Returns the number of tasks that were handed out and are not known to have ended: placed or unconfirmed. */
     public int runningTasks() {
         return placements.size() + numbers.unconfirmedCount();
     }
 
-    /** How many of its tasks are not done. */
+    /** Returns the number of tasks that are not done. */
     public int unfinishedTasks() {
         return spec.tasks() - numbers.doneCount();
     }
 
-    /** Tasks that could start now if there were capacity, claimed or not. */
+    /** Returns the number of tasks, claimed or not, that could start now if capacity were free. */
     public int waitingTasks() {
         return phase == Phase.OPEN ? unfinishedTasks() - runningTasks() : 0;
     }
 
-    /** The finished tasks, as ranges of their numbers. */
+    /** Returns the tasks that are done, as ranges of task numbers. */
     public RangeSet<Integer> doneTasks() {
         return numbers.doneTasks();
     }
 
-    /** Whether this task is done. */
+    /** Returns whether the given task is done. */
     public boolean isDone(int task) {
         return numbers.isDone(task);
     }
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
-    /** Tasks below this are ours by record. */
+    /** Returns the number of tasks that are claimed in the store; tasks with lower numbers belong to this leader. */
     public int claimedTasks() {
         return numbers.claimedTasks();
     }
 
-    /** A larger claim is on record. */
+    /** Notes that a larger claim, of this many tasks, is stored. */
     public void confirmClaim(int tasks) {
         numbers.confirmClaim(tasks);
     }
 
-    /** The claim that was asked for last, on record or not. */
+    /** Returns the size of the latest requested claim, whether it is stored or not. */
     public int requestedClaim() {
         return numbers.requestedClaim();
     }
 
-    /** A claim of this many tasks is to be recorded. */
+    /** Notes that a claim of this many tasks is to be stored. */
     public void requestClaim(int tasks) {
         numbers.requestClaim(tasks);
     }
 
-    /** Tasks at or above this were never handed out. */
+    /** Returns the lowest task number that was never handed out; all higher numbers were not handed out either. */
     public int firstUnstartedTask() {
         return numbers.firstUnstartedTask();
     }
 
-    /** Whether a task could be started without a further claim. */
+    /** Returns whether a task can be started without storing a further claim. */
     public boolean hasStartableTask() {
         return numbers.hasStartableTask();
     }
 
     // ---- tasks -------------------------------------------------------------------------------------------------
 
-    /** Takes the next task number to start. */
+    /** Takes the next task to start and returns its number. */
     public int takeTask() {
         return numbers.take();
     }
 
-    /** Takes this task number, which is free, to start. */
+    /** Takes the given task, which must be free, in order to start it. */
     public void takeTask(int task) {
         numbers.take(task);
     }
 
-    /** The lowest task number that was started before and is free again. */
+    /** Returns the lowest number of a task that was started before and is free again; there must be one. */
     public int firstFreedTask() {
         return numbers.firstFreedTask();
     }
 
-    /** The attempts of its tasks that are on machines, or may be. */
+    /** Returns the attempts of this job's tasks that are, or may be, on machines, as an unmodifiable view. */
     public Collection<Placement> placements() {
         return placementsView;
     }
 
-    /** Where this task is placed, or null. */
+    /** Returns the placement of the given task, or null if the task is not placed. */
     public @Nullable Placement placement(int task) {
         return placements.get(task);
     }
 
-    /** Whether any attempt of its tasks is on a machine, or may be. */
+    /** Returns whether an attempt of any of this job's tasks is, or may be, on a machine. */
     public boolean hasPlacements() {
         return !placements.isEmpty();
     }
 
-    /** A task of it is placed. */
+    /** Adds the placement of one of this job's tasks. */
     public void addPlacement(Placement placement) {
         int task = placement.task().index();
         placements.put(task, placement);
@@ -213,85 +227,95 @@
         numbers.markPlaced(task);
     }
 
-    /** The placement is proved gone; {@code elsewhere}: but the task may be on another machine. */
-    public void removePlacement(Placement placement, boolean elsewhere) {
+    /**
+     * Removes a placement that is proven to be gone. Does nothing if its task has another placement by now.
+     *
+     * @param maybeElsewhere whether the task may be running on another machine, which makes it unconfirmed
+     */
+    public void removePlacement(Placement placement, boolean maybeElsewhere) {
         int task = placement.task().index();
         if (!placements.remove(task, placement)) {
             return;
         }
         tasksByZone.remove(placement.machine().zone());
         if (phase != Phase.ENDED) {
-            numbers.markRemoved(task, elsewhere);
+            numbers.markRemoved(task, maybeElsewhere);
         }
     }
 
-    /** This task is done. */
+    /** Marks the given task as done. */
     public void markDone(int task) {
         numbers.markDone(task);
     }
 
-    /** A task of a gang has completed: all have. */
+    /** Marks all tasks as done. The tasks of a gang complete together, so this applies once one of them is done. */
     public void markAllDone() {
         numbers.markAllDone(spec.tasks());
     }
 
     // ---- unconfirmed tasks -------------------------------------------------------------------------------------
 
-    /** How many claimed tasks may run on machines still awaited. */
+    /** Returns the number of claimed tasks that may be running on machines whose first heartbeat is awaited. */
     public int unconfirmedTasks() {
         return numbers.unconfirmedCount();
     }
 
-    /** Every machine that could have held a task of ours has sent a heartbeat or is proved gone. */
+    /**
+     * Frees all unconfirmed tasks. Every machine that could have held a task of this job has sent a heartbeat or is
+     * proven to be gone.
+     */
     public void resolveUnconfirmed() {
         numbers.resolveUnconfirmed();
     }
 
     // ---- zones -------------------------------------------------------------------------------------------------
 
-    /** Whether one more task may stand in this zone; tasks unconfirmed may stand anywhere. */
+    /**
+     * Returns whether one more task may be placed in the given zone. An unconfirmed task counts as possibly running in
+     * any zone.
+     */
     public boolean canPlaceInZone(String zone) {
         return tasksByZone.canPlaceInZone(zone, numbers.unconfirmedCount());
     }
 
-    /** How many of its tasks are placed in each zone. */
+    /** Returns the number of placed tasks by zone, as an unmodifiable view. */
     public Map<String, Integer> tasksByZone() {
         return tasksByZone.asMap();
     }
 
     // ---- run times ---------------------------------------------------------------------------------------------
 
-    /** A task that this term has seen from its start on has run to its end. */
+    /** Adds the run time of a completed task that was observed from its start in this term. */
     public void addRunTime(long runMicros) {
         totalRunMicros += runMicros;
         measuredTasks++;
     }
 
-    /** Run time of those of its tasks that finished in this term, together. */
+    /** Returns the sum of all run times added in this term. */
     public double totalRunMicros() {
         return totalRunMicros;
     }
 
-    /** How many of its tasks finished in this term, run time known. */
+    /** Returns the number of run times added in this term. */
     public int measuredTasks() {
         return measuredTasks;
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
 
-    /** The attempt of a gang that is on machines; null: none, or another shape. */
+    /** Returns the current attempt of this gang, or null if none is on machines or the job is not a gang. */
     public @Nullable GangAttempt gangAttempt() {
         return gangAttempt;
     }
 
-    /** An attempt with this number is the present one from now on. */
+    /** Makes a new attempt with the given number the current attempt of this gang and returns it. */
     public GangAttempt beginGangAttempt(long number) {
         GangAttempt attempt = new GangAttempt(spec.id(), number);
         gangAttempt = attempt;
         return attempt;
     }
 
-    /** No task of the attempt is on a machine any more. */
+    /** Removes the current attempt; none of its tasks is on a machine any more. */
     public void clearGangAttempt() {
         gangAttempt = null;
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -7,36 +7,42 @@
 import org.granitepath.storage.Timers;
 import org.jspecify.annotations.Nullable;
 
-/** The jobs of one term of leadership that are not over, or whose tasks are still to be stopped. */
+/** The jobs of one leadership term that have no final record yet or still have tasks to stop. */
 public final class ActiveJobs {
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
     private final Consumer<ActiveJob> removalListener;
     private final Timers timers;
-    private final long skewMicros;
-
-    /** @param removalListener told of each job that is forgotten */
-    public ActiveJobs(long skewMicros, Timers timers, Consumer<ActiveJob> removalListener) {
+    private final long maxClockOffsetMicros;
+
+    /**
+     * Creates an empty set of jobs.
+     *
+     * @param maxClockOffsetMicros the largest clock offset of a machine; the times of day of two machines differ by
+     *     less than twice this
+     * @param removalListener is called with each job that is removed
+     */
+    public ActiveJobs(long maxClockOffsetMicros, Timers timers, Consumer<ActiveJob> removalListener) {
         this.removalListener = removalListener;
         this.timers = timers;
-        this.skewMicros = skewMicros;
+        this.maxClockOffsetMicros = maxClockOffsetMicros;
     }
 
-    /** All of them, in the order in which this term learnt of them. */
+    /** Returns all jobs, in the order in which this leader learned of them. */
     public Collection<ActiveJob> all() {
         return jobs.values();
     }
 
-    /** The job of this name, or null. */
+    /** Returns the job with the given id, or null if there is none. */
     public @Nullable ActiveJob get(String id) {
         return jobs.get(id);
     }
 
-    /** Opens a job. */
+    /** Adds a job. */
     public void add(ActiveJob job) {
         jobs.put(job.spec().id(), job);
     }
 
-    /** Forgets a job that is over once nothing of it is on any machine. */
+    /** Removes the job if it has ended and none of its tasks may be on a machine any more. */
     public void removeIfEnded(ActiveJob job) {
         if (job.phase() == ActiveJob.Phase.ENDED && !job.hasPlacements()) {
             jobs.remove(job.spec().id());
@@ -44,9 +50,13 @@
         }
     }
 
-    /** Time since the job was accepted, as far as the clocks agree. */
+    /**
+     * Returns the time since the job was accepted, in microseconds. The time of day is reduced by the largest clock
+     * offset, and the result is never less than the time since this leader learned of the job.
+     */
     public long ageMicros(ActiveJob job, long nowMicros) {
         return Math.max(
-                nowMicros - job.firstSeenMicros(), timers.timeOfDayMicros() - job.acceptedMicros() - skewMicros);
+                nowMicros - job.firstSeenMicros(),
+                timers.timeOfDayMicros() - job.acceptedMicros() - maxClockOffsetMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/CapacityHold.java
+++ b/src/main/java/org/granitepath/coordination/model/CapacityHold.java
@@ -2,38 +2,38 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** For whom the free capacity of a machine is held back: for a gang that waits, and as headroom for live services. */
+/** What the free capacity of a machine is held for: a waiting gang, or headroom for live services. */
 final class CapacityHold {
     private boolean headroom;
     private @Nullable ActiveJob reservedFor;
 
-    /** Whether the machine is idle, but kept as headroom for live services. */
+    /** Returns whether the machine is idle and kept as headroom for live services. */
     boolean isHeadroom() {
         return headroom;
     }
 
-    /** Whether the machine is kept as headroom from now on. */
-    void setHeadroom(boolean keep) {
-        headroom = keep;
+    /** Sets whether the machine is kept as headroom. */
+    void setHeadroom(boolean isHeadroom) {
+        headroom = isHeadroom;
     }
 
-    /** The gang that the capacity is held for, or null. */
+    /** Returns the gang for which the capacity is reserved, or null if there is no reservation. */
     @Nullable
     ActiveJob reservedFor() {
         return reservedFor;
     }
 
-    /** Holds the capacity for this gang, in place of any other. */
+    /** Reserves the capacity for the given gang and replaces any other reservation. */
     void reserveFor(ActiveJob gang) {
         reservedFor = gang;
     }
 
-    /** Ends the reservation, whoever it is for. */
+    /** Ends the reservation, no matter which gang holds it. */
     void endReservation() {
         reservedFor = null;
     }
 
-    /** Ends the reservation if it is for this gang. */
+    /** Ends the reservation if the given gang holds it. */
     void endReservationFor(ActiveJob gang) {
         if (reservedFor == gang) {
             reservedFor = null;
--- a/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
+++ b/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
@@ -4,12 +4,18 @@
 import java.util.Map;
 import org.granitepath.coordination.ports.Heartbeat;
 
-/** Machines that left the fleet, each with its last agent epoch: late copies of their heartbeats still arrive. */
+/**
+ * The machines that left the fleet, each with its last agent epoch. Delayed copies of their heartbeats may still arrive
+ * and must not make them join again.
+ */
 final class DepartedMachines {
-    /** Two whole fleets of 6,000 machines: many come and go while a late copy of a heartbeat is on its way. */
+    /**
+     * Two full fleets of 6,000 machines, because many machines come and go while a delayed copy of a heartbeat is in
+     * transit.
+     */
     static final int MAX_REMEMBERED = 12_000;
 
-    /** The one that left first comes first, so it is the first to be forgotten. */
+    /** In the order of departure, so the machine that left first is evicted first. */
     private final Map<String, Long> lastAgentEpochs = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -19,17 +25,17 @@
         }
     };
 
-    /** The machine left; only a worker of a later agent epoch than this one may join under its name. */
+    /** Adds a machine. Only a worker with a later agent epoch than the given one may join under its name. */
     void add(String machine, long lastAgentEpoch) {
         lastAgentEpochs.put(machine, lastAgentEpoch);
     }
 
-    /** The cloud took the machine back: no worker will ever join under its name. */
+    /** Adds a machine that the cloud has terminated. No worker may join under its name any more. */
     void addPermanently(String machine) {
         lastAgentEpochs.put(machine, Long.MAX_VALUE);
     }
 
-    /** Whether a heartbeat is a late copy from a machine that left. */
+    /** Returns whether the heartbeat is a delayed copy from a machine that left the fleet. */
     boolean isFromDepartedMachine(Heartbeat heartbeat) {
         return heartbeat.agentEpoch() <= lastAgentEpochs.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
     }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -11,12 +11,16 @@
 import org.granitepath.storage.Timers;
 import org.jspecify.annotations.Nullable;
 
-/** The machines of one term of leadership and their types. Holds state only; life cycles are kept elsewhere. */
+/**
+ * The machines of one leadership term and their types. This class only holds the state; other classes decide on the
+ * life cycle of machines.
+ */
 public final class Fleet {
+    /** A heartbeat that is late by this many intervals is overdue. */
     private static final double OVERDUE_HEARTBEAT_INTERVALS = 1.5;
-    /** Share of all machines that must be unresponsive before the leader itself may be the one cut off. */
+    /** At least this share of the machines must be unresponsive before the leader itself may be the one cut off. */
     private static final double MIN_UNRESPONSIVE_SHARE = 0.6;
-    /** A peer that redirects fewer of them proves little, however small the fleet is. */
+    /** If a peer redirects fewer machines than this, it proves little, however small the fleet is. */
     private static final int MIN_REDIRECTED_BY_PEER = 2;
 
     private final Config config;
@@ -26,31 +30,31 @@
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final DepartedMachines departed = new DepartedMachines();
 
-    /** A fleet without machines, as of now. */
+    /** Creates an empty fleet. The leadership term begins now. */
     public Fleet(Config config, Timers timers) {
         this.config = config;
         this.timers = timers;
         this.startedMicros = timers.nowMicros();
     }
 
-    /** All machines that are not gone, in the order in which they joined. */
+    /** Returns all machines that are not gone, in the order in which they joined. */
     public Collection<Machine> machines() {
         return machines.values();
     }
 
-    /** The machine of this name, or null. */
+    /** Returns the machine with the given name, or null if it is not in the fleet. */
     public @Nullable Machine machine(String id) {
         return machines.get(id);
     }
 
-    /** The machine types that are known, by name. */
+    /** Returns the known machine types by name. */
     public Map<String, MachineType> types() {
         return types;
     }
 
-    /** The cloud has told of its machine types. */
-    public void updateTypes(List<MachineType> list) {
-        for (MachineType type : list) {
+    /** Adds or replaces the given machine types and updates the machines of these types. */
+    public void updateTypes(List<MachineType> updatedTypes) {
+        for (MachineType type : updatedTypes) {
             types.put(type.name(), type);
         }
         for (Machine machine : machines.values()) {
@@ -58,9 +62,9 @@
         }
     }
 
-    /** Takes over machines of a former leader; their tasks are unknown until each is confirmed. */
+    /** Takes over machines from the previous leader. Their tasks are unknown until each machine is confirmed. */
     public void takeOver(List<Machine> takenOver) {
-        // The former leader may go on answering them for a while, if it is out of contact.
+        // A previous leader that has lost contact with the store may keep answering their heartbeats for a while.
         long leaseExpiryMicros = startedMicros
                 + config.workers().maxDisconnectedMicros()
                 + config.workers().longestLeaseMicros();
@@ -70,7 +74,7 @@
         }
     }
 
-    /** The machine of a first heartbeat, which is not in the fleet yet. */
+    /** Creates the machine that sent its first heartbeat, without adding it to the fleet. */
     public Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
                 heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
@@ -79,39 +83,39 @@
         return machine;
     }
 
-    /** The machine belongs to the fleet from now on. */
+    /** Adds a machine to the fleet. */
     public void add(Machine machine) {
         machines.put(machine.id(), machine);
     }
 
-    /** The machine is gone; late messages of its worker are known as such. */
+    /** Removes a machine that is gone. Late messages of its worker are recognized from now on. */
     public void remove(Machine machine) {
         machines.remove(machine.id());
         departed.add(machine.id(), machine.contact().agentEpoch());
     }
 
-    /** The cloud took this machine back: whatever still arrives of it is late. */
+    /** Notes that the cloud has terminated the machine: any message that still arrives from it is late. */
     public void markTerminated(String id) {
         departed.addPermanently(id);
     }
 
-    /** Whether a heartbeat is a late copy from a machine that is gone. */
+    /** Returns whether the heartbeat is a delayed copy from a machine that left the fleet. */
     public boolean isFromDepartedMachine(Heartbeat heartbeat) {
         return departed.isFromDepartedMachine(heartbeat);
     }
 
-    /** Whether heartbeats of the machine are missing for so long that a command would hardly arrive. */
+    /** Returns whether heartbeats of the machine have been missing for so long that a command would hardly arrive. */
     public boolean isUnresponsive(Machine machine, long nowMicros) {
         return machine.contact().isUnresponsive(nowMicros, config.workers().heartbeatIntervalMicros());
     }
 
-    /** Whether a heartbeat is late by so much that it is worth asking for one. */
+    /** Returns whether the machine's heartbeat is so late that the leader should ask for one. */
     public boolean isHeartbeatOverdue(Machine machine, long nowMicros) {
         return nowMicros - machine.contact().lastHeartbeatMicros()
                 > OVERDUE_HEARTBEAT_INTERVALS * config.workers().heartbeatIntervalMicros();
     }
 
-    /** Whether no machine is known to run a task that is nobody's and still to be stopped. */
+    /** Returns whether no machine is known to run an orphaned task that is still to be stopped. */
     public boolean hasNoOrphanedTasks() {
         for (Machine machine : machines.values()) {
             for (WorkerCommand command : machine.cleanupCommands()) {
@@ -124,8 +128,10 @@
     }
 
     /**
-     * Whether most machines have become unresponsive to us while a peer gets their heartbeats: then it had better lead,
-     * before their leases run out.
+     * Returns whether most machines have become unresponsive to this leader while a peer receives their heartbeats. The
+     * peer should then become the leader before the machines' leases expire.
+     *
+     * @param redirectedByPeer the number of machines whose heartbeats reached the peer, which redirected them
      */
     public boolean isPartitionedFromWorkers(int redirectedByPeer) {
         long nowMicros = timers.nowMicros();
@@ -138,7 +144,7 @@
                 && nowMicros - startedMicros > config.workers().leaseMicros();
     }
 
-    /** This process stood still: no heartbeat counts as missing in that time. */
+    /** Excludes a pause of this process from the time in which heartbeats count as missing. */
     public void compensateForPause(long pauseMicros, long nowMicros) {
         for (Machine machine : machines.values()) {
             machine.contact().compensateForPause(pauseMicros, nowMicros);
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -8,19 +8,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One attempt of a gang. Its tasks share the attempt's number, by which they find each other; they start together when
- * the last one has its image, and they complete together. What a task does is told by heartbeats of its machine, and
- * the others may know better: a gang may be running, or broken, before a heartbeat says so.
+ * One attempt to run a gang. The tasks of the attempt share its number and find each other by it. They start together
+ * once the last one has its image, and they complete together. The controller learns the state of each task from the
+ * heartbeats of its machine, while the tasks learn of each other directly: a gang may be running or broken before any
+ * heartbeat reports it.
  */
 public final class GangAttempt {
     private static final Logger LOG = LoggerFactory.getLogger(GangAttempt.class);
     private static final long NEVER = -1;
 
     /**
-     * {@code FORMING}: starts are under way or images are fetched. {@code WAITING}: a task has its image and waits for
-     * the others. {@code RUNNING}: all run. {@code STOPPING}: all were told to stop, or one is gone and the others
-     * exit. {@code ENDING}: a task has completed, so all have. Until no task is on a machine any more, the attempt
-     * lives, and no other begins.
+     * {@code FORMING}: tasks are being started or fetch their images. {@code WAITING}: at least one task has its image
+     * and waits for the others. {@code RUNNING}: all tasks run. {@code STOPPING}: all tasks were told to stop, or one
+     * is gone and the others exit. {@code COMPLETING}: a task has completed, so all have. The attempt exists until none
+     * of its tasks is on a machine any more; no other attempt begins before.
      */
     public enum Phase {
         FORMING,
@@ -35,21 +36,24 @@
     private Phase phase = Phase.FORMING;
     private long waitingSinceMicros = NEVER;
     private long incompleteSinceMicros = NEVER;
-    /** Where each task of the attempt was sent: a worker that knows this task and attempt ignores a second start. */
+    /**
+     * The machines to which each task of the attempt was sent. A worker that knows the task and the attempt ignores a
+     * second start.
+     */
     private final Map<Integer, Set<String>> machinesTried = new HashMap<>();
 
-    /** An attempt with this number, of which nothing is known yet. */
+    /** Creates an attempt with the given number, none of whose tasks is placed. */
     GangAttempt(String job, long number) {
         this.job = job;
         this.number = number;
     }
 
-    /** The number that its tasks share; later attempts have larger ones. */
+    /** Returns the number that all tasks of the attempt share. Later attempts have larger numbers. */
     public long number() {
         return number;
     }
 
-    /** How far it has come. */
+    /** Returns the phase of the attempt. */
     public Phase phase() {
         return phase;
     }
@@ -61,22 +65,22 @@
         }
     }
 
-    /** A task was placed on a machine, or found there. */
+    /** Notes that a task was placed on the machine or found there. */
     public void recordPlacement(int task, String machine) {
         machinesTried.computeIfAbsent(task, unknown -> new HashSet<>()).add(machine);
     }
 
-    /** Whether a start of this task would be ignored there. */
+    /** Returns whether the task was sent to the machine before, so that its worker would ignore another start. */
     public boolean hasBeenTriedOn(int task, String machine) {
         return machinesTried.getOrDefault(task, Set.of()).contains(machine);
     }
 
-    /** All tasks are placed, so none is missing any more. */
+    /** Notes that all tasks are placed, so none is missing any more. */
     public void markAllTasksPlaced() {
         incompleteSinceMicros = NEVER;
     }
 
-    /** A task waits for the others. */
+    /** Notes that a task waits for the others. Does nothing unless the attempt is {@code FORMING}. */
     public void markWaiting(long nowMicros) {
         if (phase == Phase.FORMING) {
             waitingSinceMicros = nowMicros;
@@ -84,26 +88,29 @@
         }
     }
 
-    /** A task runs, so all do, or did. */
+    /** Notes that a task runs, which means that all tasks run or have run. */
     public void markRunning() {
         if (phase == Phase.FORMING || phase == Phase.WAITING) {
-            transition(Phase.RUNNING, "its tasks run");
+            transition(Phase.RUNNING, "its tasks are running");
         }
     }
 
-    /** All tasks are told to stop, or were told by a former leader. */
+    /** Notes that all tasks are told to stop, by this leader or a previous one. */
     public void markStopping(String why) {
         if (phase != Phase.COMPLETING) {
             transition(Phase.STOPPING, why);
         }
     }
 
-    /** A task has completed. */
+    /** Notes that a task has completed. */
     public void markCompleted() {
         transition(Phase.COMPLETING, "a task has completed");
     }
 
-    /** A task is proved gone. Before the gang has started another may take its place; otherwise the attempt is over. */
+    /**
+     * Notes that a task is proven to be gone. Before the gang has started, another attempt of the task may replace it;
+     * a running gang stops.
+     */
     public void markTaskGone(long nowMicros) {
         if (phase == Phase.RUNNING) {
             transition(Phase.STOPPING, "a task is gone");
@@ -112,27 +119,27 @@
         }
     }
 
-    /** Whether the tasks that are left exit by themselves or were told to. */
+    /** Returns whether the remaining tasks were told to stop or exit by themselves. */
     public boolean isEnding() {
         return phase == Phase.STOPPING || phase == Phase.COMPLETING;
     }
 
-    /** Whether tasks that are missing may still join. */
+    /** Returns whether missing tasks may still join the attempt. */
     public boolean canAddTasks() {
         return phase == Phase.FORMING || phase == Phase.WAITING;
     }
 
     /**
-     * Whether the tasks that are there had better be stopped than left to wait: tasks have been missing for long, or
-     * could not start before those that wait give up.
+     * Returns whether the tasks on machines should be stopped rather than kept waiting: a task has been missing for too
+     * long, or it could not start before the waiting tasks give up.
      *
-     * @param longestIncompleteMicros for how long a task may be missing
-     * @param longestWaitMicros for how long a task may have waited when a start is still worth sending
+     * @param maxIncompleteMicros how long a task may be missing
+     * @param maxWaitMicros how long a task may have waited for a start of another one to be still worth sending
      */
-    public boolean shouldBeAbandoned(long nowMicros, long longestIncompleteMicros, long longestWaitMicros) {
+    public boolean shouldBeAbandoned(long nowMicros, long maxIncompleteMicros, long maxWaitMicros) {
         return canAddTasks()
                 && incompleteSinceMicros >= 0
-                && (nowMicros - incompleteSinceMicros > longestIncompleteMicros
-                        || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > longestWaitMicros));
+                && (nowMicros - incompleteSinceMicros > maxIncompleteMicros
+                        || (waitingSinceMicros >= 0 && nowMicros - waitingSinceMicros > maxWaitMicros));
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.model;
 
-/** Where a machine is on record, and under which fencing token it is commanded. */
+/** The place of a machine in the stored inventory, and the fencing token of the commands sent to it. */
 public final class InventoryEntry {
     private static final int NOT_IN_INVENTORY = -1;
 
@@ -10,69 +10,75 @@
     private boolean needsNewToken;
     private boolean needsTokenForCleanup;
 
-    /** The machine joins the fleet and is to be commanded under this fencing token. */
+    /** Sets the fencing token with which a machine is commanded that joins the fleet. */
     void joinFleet(long token) {
         fencingToken = token;
     }
 
-    /** The fencing token under which it is commanded. */
+    /** Returns the fencing token with which the machine is commanded. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** It was found on record, in this part of the inventory, and belongs to the leader with this fencing token. */
+    /** Restores the entry of a machine that the store holds in the given part, under the given fencing token. */
     public void restoreFromRecord(int part, long token) {
         this.part = part;
         recorded = true;
         fencingToken = token;
     }
 
-    /** The part of the inventory that holds its row, on record or to be written. */
+    /** Returns the part of the inventory that holds the machine's row, whether the row is stored yet or not. */
     public int part() {
         return part;
     }
 
-    /** The row is to be written in this part. */
+    /** Sets the part of the inventory to which the machine's row is to be written. */
     public void assignPart(int part) {
         this.part = part;
     }
 
-    /** Whether the store has it in our inventory under its fencing token. Nothing starts before. */
+    /**
+     * Returns whether the store holds the machine in this leader's inventory, under its fencing token. No task starts
+     * on the machine before.
+     */
     public boolean isRecorded() {
         return recorded;
     }
 
-    /** The row is on record. */
+    /** Notes that the machine's row is stored. */
     public void markRecorded() {
         recorded = true;
     }
 
-    /** Whether it takes no tasks before a higher fencing token is on record for it. */
+    /** Returns whether the machine takes no tasks until a higher fencing token is stored for it. */
     public boolean needsNewToken() {
         return needsNewToken;
     }
 
-    /** It must get a higher fencing token before it takes tasks again. */
+    /** Requires a higher fencing token before the machine takes tasks again. */
     public void requireNewToken() {
         needsNewToken = true;
     }
 
-    /** Whether it needs a higher fencing token only so that exited attempts can be cleared, which can wait. */
+    /**
+     * Returns whether the machine needs a higher fencing token only to clear exited attempts. That token may be drawn
+     * later.
+     */
     public boolean needsTokenForCleanup() {
         return needsTokenForCleanup;
     }
 
-    /** It needs a higher fencing token some time. */
+    /** Requires a higher fencing token to clear exited attempts; it may be drawn later. */
     public void requireTokenForCleanup() {
         needsTokenForCleanup = true;
     }
 
-    /** The time has come to draw the fencing tokens that could wait. */
+    /** Requires the deferred token, if any, without further delay. */
     public void requireCleanupTokenNow() {
         needsNewToken |= needsTokenForCleanup;
     }
 
-    /** A higher fencing token is on record for it. */
+    /** Sets the higher fencing token that is now stored for the machine. */
     public void applyRaisedToken(long token) {
         needsNewToken = false;
         needsTokenForCleanup = false;
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -13,17 +13,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A machine of the leader's inventory: its life cycle, what is known of its worker, under which fencing token it is
- * commanded, and the tasks placed on it. State changes through the named methods alone.
+ * A machine of the leader's inventory: its life cycle, the state of its worker, the fencing token with which it is
+ * commanded, and the tasks placed on it. The state changes only through the methods of this class.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
-    /** The cloud charges at least this much time for each machine. */
+    /** The minimum run time that the cloud charges for each machine. */
     public static final long MINIMUM_CHARGE_MICROS = 60_000_000;
 
     /**
-     * {@code UNCONFIRMED}: no heartbeat under its present fencing token yet, so its tasks are not known for certain.
-     * {@code DRAINING}: takes no new tasks. {@code TERMINATING}: the cloud was asked to take it and may do so now.
+     * The life cycle of a machine. {@code UNCONFIRMED}: no heartbeat under its current fencing token has arrived yet,
+     * so its tasks are not known for certain. {@code READY}: its tasks are known. {@code DRAINING}: it takes no new
+     * tasks. {@code TERMINATING}: the cloud was asked to terminate it and may do so at any moment. {@code GONE}: it is
+     * proven to be gone for good.
      */
     public enum Phase {
         UNCONFIRMED,
@@ -32,7 +34,7 @@
         TERMINATING,
         GONE;
 
-        /** Whether a machine may go from this phase to the next one. */
+        /** Returns whether a machine in this phase may move to the given phase. */
         boolean canTransitionTo(Phase next) {
             return switch (this) {
                 case UNCONFIRMED -> next == READY || next == TERMINATING || next == GONE;
@@ -59,63 +61,63 @@
     private long idleSinceMicros;
     private long launchedMicros;
 
-    /** A machine from which no heartbeat has come yet. */
+    /** Creates a machine that has not sent a heartbeat yet. */
     public Machine(String id, String address, String typeName, String zone, boolean spot) {
         this.id = id;
         this.contact = new WorkerContact(address);
         this.profile = new MachineProfile(typeName, zone, spot);
     }
 
-    // ---- what it is --------------------------------------------------------------------------------------------
+    // ---- properties --------------------------------------------------------------------------------------------
 
-    /** The name that the cloud gave it. */
+    /** Returns the name that the cloud gave the machine. */
     public String id() {
         return id;
     }
 
-    /** The name of its type. */
+    /** Returns the name of the machine's type. */
     public String typeName() {
         return profile.type();
     }
 
-    /** The zone in which it stands. */
+    /** Returns the zone of the machine. */
     public String zone() {
         return profile.zone();
     }
 
-    /** Whether the cloud may take it back at any time. */
+    /** Returns whether this is a spot machine, which the cloud may reclaim at any time. */
     public boolean isSpot() {
         return profile.spot();
     }
 
-    /** What of it decides which jobs it may hold. */
+    /** Returns the properties that decide which jobs may use the machine. */
     public MachineProfile profile() {
         return profile;
     }
 
-    /** What is known of its worker. */
+    /** Returns what is known of the machine's worker. */
     public WorkerContact contact() {
         return contact;
     }
 
-    /** What of it is used and free. */
+    /** Returns the used and free resources of the machine. */
     public MachineCapacity capacity() {
         return capacity;
     }
 
-    /** Its type, or null while the cloud has not told of it. */
+    /** Returns the machine's type, or null while the cloud has not described it. */
     public @Nullable MachineType type() {
         return capacity.type();
     }
 
-    /** The cloud's word on its type has come, or changed; null: there is none. */
+    /** Sets the machine's type after the cloud has described or changed it; null if it is not known. */
     void setType(@Nullable MachineType known) {
         capacity.setType(known);
     }
 
     // ---- life cycle --------------------------------------------------------------------------------------------
 
-    /** Where it is in its life cycle. */
+    /** Returns the phase of the machine's life cycle. */
     public Phase phase() {
         return phase;
     }
@@ -125,7 +127,7 @@
             return;
         }
         if (!phase.canTransitionTo(next)) {
-            throw new IllegalStateException("machine " + id + " can't go from " + phase + " to " + next);
+            throw new IllegalStateException("machine " + id + " cannot move from " + phase + " to " + next);
         }
         LOG.info(
                 "machine {} ({} {}{}): {} -> {} ({})",
@@ -140,8 +142,8 @@
     }
 
     /**
-     * A heartbeat under the present fencing token has come, so its tasks are known. Changes nothing on a machine that
-     * drains or is being terminated: it gets no tasks again.
+     * Confirms the machine's tasks after a heartbeat under its current fencing token. Does nothing if the machine is
+     * draining or terminating, because it never gets tasks again.
      */
     public void confirmTasks() {
         if (phase == Phase.UNCONFIRMED) {
@@ -149,7 +151,7 @@
         }
     }
 
-    /** What is on it is not known for certain any more: nothing is placed there until it is confirmed anew. */
+    /** Marks the machine's tasks as not known for certain. No task is placed on it until it is confirmed again. */
     public void markUnconfirmed(long nowMicros, String why) {
         if (phase == Phase.READY) {
             transition(Phase.UNCONFIRMED, why);
@@ -157,54 +159,59 @@
         }
     }
 
-    /** Takes no new tasks from now on. */
+    /** Stops placing new tasks on the machine. */
     public void drain(String why) {
         if (phase == Phase.READY) {
             transition(Phase.DRAINING, why);
         }
     }
 
-    /** The cloud is about to be asked to take it. */
+    /** Marks that the cloud is about to be asked to terminate the machine. */
     public void markTerminating(String why) {
         transition(Phase.TERMINATING, why);
     }
 
-    /** Nothing can be on it any more, and nothing will be. */
+    /** Marks the machine as gone: no task can be on it, now or later. */
     public void markGone(String why) {
         transition(Phase.GONE, why);
     }
 
-    /** Whether it is proved to be gone for good. */
+    /** Returns whether the machine is proven to be gone for good. */
     public boolean isGone() {
         return phase == Phase.GONE;
     }
 
-    /** Whether tasks may be placed on it, free capacity aside. */
+    /** Returns whether tasks may be placed on the machine, regardless of its free capacity. */
     public boolean isSchedulable() {
         return phase == Phase.READY && inventory.isRecorded() && !inventory.needsNewToken() && capacity.type() != null;
     }
 
-    // ---- taking over and joining -------------------------------------------------------------------------------
+    // ---- takeover and joining ----------------------------------------------------------------------------------
 
-    /** It was on record when the term began: its tasks are unknown until its first heartbeat. */
-    void takeOver(long nowMicros, long formerLeaseExpiryMicros) {
+    /**
+     * Takes over a machine that was in the inventory when the term began. Its tasks are unknown until its first
+     * heartbeat.
+     *
+     * @param previousLeaseExpiryMicros the latest time until which the previous leader may have extended the lease
+     */
+    void takeOver(long nowMicros, long previousLeaseExpiryMicros) {
         awaitingFirstHeartbeat = true;
-        contact.takeOver(nowMicros, formerLeaseExpiryMicros);
+        contact.takeOver(nowMicros, previousLeaseExpiryMicros);
         idleSinceMicros = nowMicros;
         unconfirmedSinceMicros = nowMicros;
     }
 
-    /** What a former leader left on it is known, or it is gone. */
+    /** Ends the takeover: the tasks that a previous leader left on the machine are known, or the machine is gone. */
     public void resolveTakeover() {
         awaitingFirstHeartbeat = false;
     }
 
-    /** Whether it was taken over and is still awaited. */
+    /** Returns whether the machine was taken over and its first heartbeat in this term is still awaited. */
     public boolean isAwaitingFirstHeartbeat() {
         return awaitingFirstHeartbeat;
     }
 
-    /** Its first heartbeat has come, and it is to be commanded under this fencing token. */
+    /** Sets the fencing token with which the machine is commanded, after its first heartbeat. */
     void joinFleet(long token, long nowMicros) {
         inventory.joinFleet(token);
         launchedMicros = nowMicros;
@@ -214,27 +221,28 @@
 
     // ---- inventory and fencing token ---------------------------------------------------------------------------
 
-    /** Where and under which fencing token it is on record. */
+    /** Returns the machine's place in the stored inventory and its fencing token. */
     public InventoryEntry inventory() {
         return inventory;
     }
 
-    /** The fencing token under which it is commanded. */
+    /** Returns the fencing token with which the machine is commanded. */
     public long fencingToken() {
         return inventory.fencingToken();
     }
 
-    /** Its row in the inventory, with this fencing token. */
+    /** Returns the machine's row for the stored inventory, with the given fencing token. */
     public InventoryRecord.Host inventoryRow(long withToken) {
         return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), isSpot(), withToken);
     }
 
-    // ---- what its worker says ----------------------------------------------------------------------------------
+    // ---- messages of the worker --------------------------------------------------------------------------------
 
     /**
-     * A heartbeat that the worker sent by itself has come.
+     * Records a heartbeat that the worker sent on its own.
      *
-     * @param wasUnresponsive whether heartbeats were overdue for long: it could show nothing and get no work
+     * @param wasUnresponsive whether heartbeats had been missing for long; the machine could neither report tasks nor
+     *     receive work in that time, so its waiting times start anew
      */
     public void recordHeartbeat(boolean wasUnresponsive, long nowMicros) {
         if (wasUnresponsive) {
@@ -244,12 +252,12 @@
         contact.recordHeartbeat(nowMicros);
     }
 
-    /** Since when a heartbeat under its present fencing token is awaited. */
+    /** Returns the time since which a heartbeat under the machine's current fencing token is awaited. */
     public long unconfirmedSinceMicros() {
         return unconfirmedSinceMicros;
     }
 
-    /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
+    /** Records that the worker's lease has expired. Any later message of the worker has a later agent epoch. */
     public void expireLease() {
         contact.expireLease();
         findings.clearCleanupCommands();
@@ -257,120 +265,123 @@
 
     // ---- findings of the latest message ------------------------------------------------------------------------
 
-    /** Commands that the latest message calls for: stops of orphaned tasks, and the clearing of exited ones. */
+    /** Returns the commands that the latest message calls for: stops of orphaned tasks, and clears of exited ones. */
     public List<WorkerCommand> cleanupCommands() {
         return findings.cleanupCommands();
     }
 
-    /** The latest message calls for this command. */
+    /** Adds a command that the latest message calls for. */
     public void addCleanupCommand(WorkerCommand command) {
         findings.addCleanupCommand(command);
     }
 
-    /** A message is about to be compared with the records: what the one before called for is void. */
+    /** Drops the findings of the previous message before the next one is compared with the records. */
     public void clearFindings() {
         findings.clear();
     }
 
-    /** The message lists a task of which nothing can be decided: it may not be cut short. */
+    /** Counts a listed task on which no decision is possible. Such a task must not be cut short. */
     public void addUnconfirmedTask() {
         findings.addUnconfirmedTask();
     }
 
-    // ---- capacity held back ------------------------------------------------------------------------------------
+    // ---- held capacity -----------------------------------------------------------------------------------------
 
-    /** Whether it is idle, but kept as headroom for live services: other work may use it meanwhile. */
+    /** Returns whether the machine is idle and kept as headroom for live services. Other work may use it meanwhile. */
     public boolean isHeadroom() {
         return capacityHold.isHeadroom();
     }
 
-    /** Whether it is kept though it is idle. */
-    public void setHeadroom(boolean keep) {
-        capacityHold.setHeadroom(keep);
+    /** Sets whether the machine is kept as headroom although it is idle. */
+    public void setHeadroom(boolean isHeadroom) {
+        capacityHold.setHeadroom(isHeadroom);
     }
 
-    /** The gang for which its free capacity is held, or null. Live services may use it all the same. */
+    /**
+     * Returns the gang for which the machine's free capacity is reserved, or null if there is none. Live services may
+     * use reserved capacity nevertheless.
+     */
     public @Nullable ActiveJob reservedFor() {
         return capacityHold.reservedFor();
     }
 
-    /** Holds its free capacity for this gang. */
+    /** Reserves the machine's free capacity for the given gang. */
     public void reserveFor(ActiveJob gang) {
         capacityHold.reserveFor(gang);
     }
 
-    /** Ends the reservation, whoever it is for. */
+    /** Ends the reservation, no matter which gang holds it. */
     public void endReservation() {
         capacityHold.endReservation();
     }
 
-    /** Ends the reservation if it is for this gang. */
+    /** Ends the reservation if the given gang holds it. */
     public void endReservationFor(ActiveJob gang) {
         capacityHold.endReservationFor(gang);
     }
 
-    // ---- idle and charged times --------------------------------------------------------------------------------
+    // ---- idle time and charged time ----------------------------------------------------------------------------
 
-    /** Since when it has had no placement, or could have had none. */
+    /** Returns the time since which the machine has had no placement, or could not have had one. */
     public long idleSinceMicros() {
         return idleSinceMicros;
     }
 
-    /** When it was launched, as far as we know. */
+    /** Returns the time at which the machine was launched, as far as this controller knows. */
     public long launchedMicros() {
         return launchedMicros;
     }
 
-    /** The cloud has told since when it is charged. */
+    /** Sets the time since which the cloud charges for the machine. */
     public void setLaunchedMicros(long chargedSinceMicros) {
         launchedMicros = chargedSinceMicros;
     }
 
     // ---- placements and capacity -------------------------------------------------------------------------------
 
-    /** The attempts placed here, in the order in which they came. */
+    /** Returns the attempts placed on this machine, in the order in which they were placed. */
     public Collection<Placement> placements() {
         return placements.all();
     }
 
-    /** The attempt of this task that is placed here, or null. */
+    /** Returns the attempt of the given task that is placed on this machine, or null if there is none. */
     public @Nullable Placement placement(TaskId task) {
         return placements.get(task);
     }
 
-    /** Whether any attempt is placed here. */
+    /** Returns whether any attempt is placed on this machine. */
     public boolean hasPlacements() {
         return !placements.isEmpty();
     }
 
-    /** Whether nothing is on it that must not be cut short. */
+    /** Returns whether the machine holds nothing that must not be cut short: no placement and no unconfirmed task. */
     public boolean isEmpty() {
         return placements.isEmpty() && !findings.hasUnconfirmedTasks();
     }
 
-    /** An attempt is placed here. */
+    /** Adds an attempt that is placed on this machine. */
     public void add(Placement placement) {
         placements.add(placement);
     }
 
-    /** An attempt is proved gone. */
+    /** Removes an attempt that is proven to be gone. */
     public void remove(Placement placement, long nowMicros) {
         if (placements.remove(placement) && placements.isEmpty()) {
             idleSinceMicros = nowMicros;
         }
     }
 
-    /** Whether a task here waits for this image, so that one more need not fetch it anew. */
+    /** Returns whether a task here waits for the image, so that another task need not fetch it again. */
     public boolean isFetching(String image) {
         return placements.isFetching(image);
     }
 
-    /** How many tasks of this shape fit once all but the services here has ended. */
+    /** Returns how many tasks of the job would fit if all tasks here except those of services had ended. */
     public int slotsBesideServices(JobSpec spec) {
         return placements.slotsBesideServices(spec);
     }
 
-    /** Whether a job may use this machine at all, capacity and other tasks aside. */
+    /** Returns whether the job may use this machine at all, regardless of capacity and of other tasks. */
     public boolean isAllowedFor(JobSpec spec) {
         return profile.allows(spec);
     }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -6,11 +6,14 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** What of a machine's resources is used and what is free, and which images it has. */
+/**
+ * The used and the free resources of a machine, and the images it holds. CPUs, GPUs and gigabytes of memory are counted
+ * in thousandths.
+ */
 public final class MachineCapacity {
     private static final int MAX_IMAGES = 16;
 
-    /** The image seen last comes last, so the first one is the first to be forgotten. */
+    /** In the order in which the images were last used, so the least recently used one is evicted first. */
     private final LinkedHashSet<String> images = new LinkedHashSet<>();
 
     private @Nullable MachineType type;
@@ -20,20 +23,23 @@
     private int services;
     private long servicesCpuMillis;
 
-    /** The machine's type, or null while the cloud has not told of it. */
+    /** Returns the machine's type, or null while the cloud has not described it. */
     @Nullable
     MachineType type() {
         return type;
     }
 
+    /** Sets the machine's type; null if it is not known. */
     void setType(@Nullable MachineType known) {
         type = known;
     }
 
+    /** Counts the resources of one task of the job as used. */
     void allocate(JobSpec spec) {
         adjust(spec, 1);
     }
 
+    /** Counts the resources of one task of the job as free again. */
     void release(JobSpec spec) {
         adjust(spec, -1);
     }
@@ -48,7 +54,7 @@
         }
     }
 
-    /** A task that needs this image runs here, so the machine has it. */
+    /** Notes that a task with the given image runs on the machine, which therefore holds the image. */
     public void addImage(String image) {
         images.remove(image);
         images.add(image);
@@ -57,44 +63,47 @@
         }
     }
 
-    /** Whether the image was lately seen to be there. */
+    /** Returns whether the image is among the 16 images most recently used on the machine. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
 
-    /** Whether a task of a service is placed there. */
+    /** Returns whether a task of a service is placed on the machine. */
     public boolean hasService() {
         return services > 0;
     }
 
-    /** Thousandths of a CPU that services use. */
+    /** Returns the thousandths of a CPU that services use. */
     public long serviceCpuMillis() {
         return servicesCpuMillis;
     }
 
-    /** The share of the CPUs that is used; 0 while the type is not known. */
+    /** Returns the share of the CPUs that is used, or 0 while the type is not known. */
     public double usedCpuShare() {
         return type == null ? 0 : (double) cpuUsedMillis / type.cpuMillis();
     }
 
-    /** Thousandths of a CPU that are free; 0 while the type is not known. */
+    /** Returns the thousandths of a CPU that are free, or 0 while the type is not known. */
     public long freeCpuMillis() {
         return type == null ? 0 : type.cpuMillis() - cpuUsedMillis;
     }
 
-    /** Whether this much is free. The type must be known. */
+    /** Returns whether this much CPU and memory is free. The machine type must be known. */
     public boolean hasFree(long cpuMillis, long memoryMillis) {
         MachineType known = Objects.requireNonNull(type, "the machine type is not known");
         return known.cpuMillis() - cpuUsedMillis >= cpuMillis
                 && known.memoryMillis() - memoryUsedMillis >= memoryMillis;
     }
 
-    /** Whether one more such task fits. */
+    /** Returns whether one more task of the job fits; false while the type is not known. */
     public boolean fits(JobSpec spec) {
         return slots(spec, 0, 0, 0) > 0;
     }
 
-    /** How many tasks of this shape fit, were this much more free. */
+    /**
+     * Returns how many more tasks of the job would fit if the given amounts were free in addition, or 0 while the type
+     * is not known.
+     */
     public int slots(JobSpec spec, long moreCpuMillis, long moreGpuMillis, long moreMemoryMillis) {
         if (type == null) {
             return 0;
--- a/src/main/java/org/granitepath/coordination/model/MachinePlacements.java
+++ b/src/main/java/org/granitepath/coordination/model/MachinePlacements.java
@@ -8,23 +8,23 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** The attempts placed on one machine, at most one for each task, and the capacity that they take. */
+/** The attempts placed on one machine, at most one for each task. */
 final class MachinePlacements {
     private final Map<TaskId, Placement> byTask = new LinkedHashMap<>();
     private final Collection<Placement> view = Collections.unmodifiableCollection(byTask.values());
     private final MachineCapacity capacity;
 
-    /** No attempt is placed yet. Each one that comes or goes is counted in this capacity. */
+    /** Starts without placements. Each placement that is added or removed changes the given capacity. */
     MachinePlacements(MachineCapacity capacity) {
         this.capacity = capacity;
     }
 
-    /** All of them, in the order in which they came: a view that changes with them. */
+    /** Returns all placements in the order in which they were added, as an unmodifiable view. */
     Collection<Placement> all() {
         return view;
     }
 
-    /** The attempt of this task, or null. */
+    /** Returns the placed attempt of the given task, or null if there is none. */
     @Nullable
     Placement get(TaskId task) {
         return byTask.get(task);
@@ -39,7 +39,7 @@
         capacity.allocate(placement.job().spec());
     }
 
-    /** Whether this very attempt was placed here until now; another attempt of its task stays. */
+    /** Removes this attempt and returns whether it was placed here. Another attempt of the same task stays. */
     boolean remove(Placement placement) {
         if (!byTask.remove(placement.task(), placement)) {
             return false;
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** Whether a task that was not seen to run yet waits for this image. */
+    /** Returns whether a task with the given image is placed and was not seen running yet. */
     boolean isFetching(String image) {
         for (Placement placement : byTask.values()) {
             if (!placement.hasRun() && placement.job().spec().image().equals(image)) {
@@ -58,7 +58,7 @@
         return false;
     }
 
-    /** How many tasks of this shape fit once all but the services has ended. */
+    /** Returns how many more tasks of the job would fit if all tasks here except those of services had ended. */
     int slotsBesideServices(JobSpec spec) {
         long cpuMillis = 0;
         long gpuMillis = 0;
--- a/src/main/java/org/granitepath/coordination/model/MessageFindings.java
+++ b/src/main/java/org/granitepath/coordination/model/MessageFindings.java
@@ -6,40 +6,40 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 
 /**
- * What the comparison of a worker's latest message with the records has found: commands that the message calls for, and
- * tasks that nothing can be decided about. It holds until the next message is compared.
+ * The result of comparing a worker's latest message with the records: the cleanup commands that the message calls for,
+ * and the tasks on which no decision is possible yet. It is valid until the next message is compared.
  */
 final class MessageFindings {
     private final List<WorkerCommand> cleanupCommands = new ArrayList<>();
     private final List<WorkerCommand> cleanupCommandsView = Collections.unmodifiableList(cleanupCommands);
     private int unconfirmedTasks;
 
-    /** Stops of orphaned tasks, and the clearing of exited ones, in the order in which they were found. */
+    /** Returns commands that stop orphaned tasks and clear exited ones, in the order found, as an unmodifiable view. */
     List<WorkerCommand> cleanupCommands() {
         return cleanupCommandsView;
     }
 
-    /** The message calls for this command. */
+    /** Adds a command that the message calls for. */
     void addCleanupCommand(WorkerCommand command) {
         cleanupCommands.add(command);
     }
 
-    /** The worker's lease is over, so that it has ended its tasks: the commands are void. */
+    /** Drops the commands. The worker's lease has expired, so the worker has ended its tasks. */
     void clearCleanupCommands() {
         cleanupCommands.clear();
     }
 
-    /** The message lists a task of which nothing can be decided: it may not be cut short. */
+    /** Counts a listed task on which no decision is possible. Such a task must not be cut short. */
     void addUnconfirmedTask() {
         unconfirmedTasks++;
     }
 
-    /** Whether the message lists any task of which nothing can be decided. */
+    /** Returns whether the message lists any task on which no decision is possible. */
     boolean hasUnconfirmedTasks() {
         return unconfirmedTasks > 0;
     }
 
-    /** The next message is about to be compared. */
+    /** Drops all findings before the next message is compared. */
     void clear() {
         cleanupCommands.clear();
         unconfirmedTasks = 0;
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -5,16 +5,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One attempt of a task on a machine, from the decision until there is proof that it is not there. State changes
- * through the named methods alone.
+ * One attempt of a task on a machine, from the decision to start it until it is proven to be gone from the machine. The
+ * state changes only through the methods of this class.
  */
 public final class Placement {
     private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
     private static final long NEVER = -1;
 
     /**
-     * {@code ASSIGNED}: decided, not sent. {@code SENT}: a start is under way or was answered. {@code WAITING}: a task
-     * of a gang waits for the others.
+     * The life cycle of a placement. {@code ASSIGNED}: decided, but not sent. {@code SENT}: a start is in transit or
+     * was answered. {@code FETCHING}: the task waits for its image. {@code WAITING}: a task of a gang waits for the
+     * others. {@code STOPPING}: the task is to end. {@code FREED}: the attempt is proven not to be on the machine.
      */
     public enum Phase {
         ASSIGNED,
@@ -25,7 +26,7 @@
         STOPPING,
         FREED;
 
-        /** Whether a placement may go from this phase to the next one; heartbeats may skip what they did not show. */
+        /** Returns whether a placement may move to the given phase. Heartbeats may skip phases that they never show. */
         boolean canTransitionTo(Phase next) {
             return switch (this) {
                 case ASSIGNED -> next != ASSIGNED;
@@ -48,7 +49,7 @@
     private long runningSinceMicros = NEVER;
     private long graceMicros;
 
-    /** An attempt that this leader has decided on, for the worker's present agent epoch. */
+    /** Creates an attempt that this leader has decided on, for the current agent epoch of the machine's worker. */
     public Placement(TaskId task, ActiveJob job, Machine machine, long attempt, long nowMicros) {
         this(task, job, machine, attempt, nowMicros, StartDelivery.notSent(), false);
     }
@@ -60,7 +61,7 @@
             long attempt,
             long nowMicros,
             StartDelivery delivery,
-            boolean wasAdopted) {
+            boolean adopted) {
         this.task = task;
         this.job = job;
         this.machine = machine;
@@ -68,58 +69,60 @@
         this.agentEpoch = machine.contact().agentEpoch();
         this.placedMicros = nowMicros;
         this.delivery = delivery;
-        this.adopted = wasAdopted;
+        this.adopted = adopted;
     }
 
     /**
-     * An attempt of a former leader that was found on the machine.
+     * Returns the placement of an attempt that a previous leader started and that was found on the machine.
      *
-     * @param onlyHere whether it was listed under the present fencing token, so that it can be nowhere else
+     * @param onlyOnThisMachine whether it was listed under the current fencing token, which rules out other machines
      */
     public static Placement adopted(
-            TaskId task, ActiveJob job, Machine machine, long attempt, boolean onlyHere, long nowMicros) {
+            TaskId task, ActiveJob job, Machine machine, long attempt, boolean onlyOnThisMachine, long nowMicros) {
         Placement placement =
-                new Placement(task, job, machine, attempt, nowMicros, StartDelivery.adopted(onlyHere), true);
-        placement.transition(Phase.SENT, "taken over");
+                new Placement(task, job, machine, attempt, nowMicros, StartDelivery.adopted(onlyOnThisMachine), true);
+        placement.transition(Phase.SENT, "adopted from the previous leader");
         return placement;
     }
 
-    /** The task. */
+    /** Returns the task. */
     public TaskId task() {
         return task;
     }
 
-    /** The job that the task belongs to. */
+    /** Returns the job that the task belongs to. */
     public ActiveJob job() {
         return job;
     }
 
-    /** Where it is placed. */
+    /** Returns the machine on which the task is placed. */
     public Machine machine() {
         return machine;
     }
 
-    /** The number of the attempt, which is never used twice. */
+    /** Returns the number of the attempt. Numbers are never reused. */
     public long attempt() {
         return attempt;
     }
 
-    /** The worker's agent epoch that the start is meant for; a later agent epoch proves this attempt gone. */
+    /**
+     * Returns the worker's agent epoch for which the start is meant. A later epoch proves that this attempt is gone.
+     */
     public long agentEpoch() {
         return agentEpoch;
     }
 
-    /** When it was decided on, or found. */
+    /** Returns the time at which the attempt was decided on or found. */
     public long placedMicros() {
         return placedMicros;
     }
 
-    /** How far it has come. */
+    /** Returns the phase of the attempt's life cycle. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether it may be on the machine. */
+    /** Returns whether the attempt may be on the machine. */
     public boolean isActive() {
         return phase != Phase.FREED;
     }
@@ -130,78 +133,86 @@
         }
         if (!phase.canTransitionTo(next)) {
             throw new IllegalStateException(
-                    "task " + task + " attempt " + attempt + " can't go from " + phase + " to " + next);
+                    "task " + task + " attempt " + attempt + " cannot move from " + phase + " to " + next);
         }
         LOG.debug("task {} attempt {} on machine {}: {} -> {} ({})", task, attempt, machine.id(), phase, next, why);
         phase = next;
     }
 
-    // ---- starting ----------------------------------------------------------------------------------------------
+    // ---- start -------------------------------------------------------------------------------------------------
 
-    /** The start goes out in the answer to a heartbeat: only a later heartbeat tells whether it was taken. */
+    /** Notes that the start is sent in a heartbeat response. Only a later heartbeat shows whether it arrived. */
     public void markSentInResponse() {
         delivery.markSentInResponse();
-        transition(Phase.SENT, "in an answer");
+        transition(Phase.SENT, "sent in a heartbeat response");
     }
 
-    /** The start goes out in a direct call under the machine's present fencing token. */
+    /** Notes that the start is sent in a direct call under the machine's current fencing token. */
     public void markSentDirectly() {
         delivery.markSentDirectly(machine.fencingToken());
-        transition(Phase.SENT, "direct");
+        transition(Phase.SENT, "sent in a direct call");
     }
 
-    /** The direct call under this fencing token was answered. */
+    /** Notes that the direct call under the given fencing token was answered. */
     public void acknowledgeDirectStart(long token) {
         delivery.acknowledge(token);
     }
 
-    /** Whether the start went out in the answer to a heartbeat and not in a direct call. */
+    /** Returns whether the latest start was sent in a heartbeat response rather than in a direct call. */
     public boolean isSentInResponse() {
         return delivery.isSentInResponse();
     }
 
-    /** Whether a direct start under this fencing token or a later one has no answer yet: it may be carried out late. */
+    /**
+     * Returns whether a direct start under the given fencing token or a later one has not been answered. The worker may
+     * still carry it out.
+     */
     public boolean hasUnacknowledgedStart(long token) {
         return delivery.hasUnacknowledgedStart(token);
     }
 
-    // ---- what heartbeats list ----------------------------------------------------------------------------------
+    // ---- reports of the worker ---------------------------------------------------------------------------------
 
-    /** A message of the worker lists it. */
-    public void markListed(boolean underPresentToken) {
-        delivery.markListed(underPresentToken);
+    /** Notes that a message of the worker lists the attempt. */
+    public void markListed(boolean underCurrentToken) {
+        delivery.markListed(underCurrentToken);
     }
 
-    /** Whether a message of the worker has listed it. */
+    /** Returns whether a message of the worker has listed the attempt. */
     public boolean hasBeenListed() {
         return delivery.hasBeenListed();
     }
 
-    /** Whether it is ours, or was listed under the present fencing token: then the task can be nowhere else. */
+    /**
+     * Returns whether the task can be on no other machine: this leader started the attempt, or a message under the
+     * current fencing token listed it.
+     */
     public boolean isOnlyOnThisMachine() {
         return delivery.isOnlyOnThisMachine();
     }
 
-    /** Whether it was found on the machine: then it is not known when it began. */
+    /** Returns whether a previous leader started the attempt. Its start time is unknown in that case. */
     public boolean isAdopted() {
         return adopted;
     }
 
-    /** A heartbeat lists it as waiting for its image. */
+    /** Notes that a heartbeat lists the task as fetching its image. */
     public void markFetching() {
         if (phase == Phase.ASSIGNED || phase == Phase.SENT) {
             transition(Phase.FETCHING, "listed in a heartbeat");
         }
     }
 
-    /** A heartbeat lists it as waiting for the others of its gang. */
+    /** Notes that a heartbeat lists the task as waiting for the others of its gang. */
     public void markWaiting() {
         if (phase != Phase.STOPPING) {
             transition(Phase.WAITING, "listed in a heartbeat");
         }
     }
 
-    /** A heartbeat lists it as running; the first one that does tells since when, at the latest. */
+    /**
+     * Notes that a heartbeat lists the task as running. The first such heartbeat sets the latest possible start time.
+     */
     public void markRunning(long nowMicros) {
         if (!hasRun()) {
             runningSinceMicros = nowMicros;
@@ -211,45 +222,45 @@
         }
     }
 
-    /** A heartbeat lists it as saving, so it was told to stop. */
+    /** Notes that a heartbeat lists the task as saving its progress, which means that it was told to stop. */
     public void markSaving() {
-        transition(Phase.STOPPING, "saving");
+        transition(Phase.STOPPING, "saving its progress");
     }
 
-    /** Whether it was ever seen to run. */
+    /** Returns whether the task was ever seen running. */
     public boolean hasRun() {
         return runningSinceMicros != NEVER;
     }
 
-    /** When it was first seen to run; negative: it was not. */
+    /** Returns the time at which the task was first seen running, or a negative value if it was not. */
     public long runningSinceMicros() {
         return runningSinceMicros;
     }
 
-    /** For how long it has been seen to run; 0 when it was not. */
+    /** Returns how long the task has been seen running, or 0 if it was not. */
     public long runTimeMicros(long nowMicros) {
         return hasRun() ? nowMicros - runningSinceMicros : 0;
     }
 
-    // ---- stopping ----------------------------------------------------------------------------------------------
+    // ---- stop --------------------------------------------------------------------------------------------------
 
-    /** The machine is to be told to end it. */
-    public void stop(long longestGraceMicros, String why) {
-        graceMicros = longestGraceMicros;
+    /** Marks the attempt as to be stopped by its machine, with the given time to save its progress. */
+    public void stop(long maxGraceMicros, String why) {
+        graceMicros = maxGraceMicros;
         transition(Phase.STOPPING, why);
     }
 
-    /** Told to save before, and cancelled meanwhile: it need not, and must not go on. */
-    public void shortenGrace(long longestGraceMicros) {
-        graceMicros = longestGraceMicros;
+    /** Shortens the grace period of a stop, because the job was cancelled after the task had been told to save. */
+    public void shortenGrace(long maxGraceMicros) {
+        graceMicros = maxGraceMicros;
     }
 
-    /** How long it may take to save itself when it is stopped. */
+    /** Returns how long the task may take to save its progress when it is stopped. */
     public long graceMicros() {
         return graceMicros;
     }
 
-    /** There is proof that it is not on the machine. */
+    /** Marks the attempt as proven not to be on the machine. */
     public void free(String why) {
         transition(Phase.FREED, why);
     }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -1,19 +1,20 @@
 package org.granitepath.coordination.model;
 
 /**
- * Which jobs go first, whatever their shares. Live services come first, then what is within its team's guarantee. Of
- * the rest, jobs that can make their deadlines all together go before those that can make the longest multiple that the
- * objectives name, and these before what is late all the same or has no deadline.
+ * The class of a job, by which jobs are ordered before their shares count. Live services come first, then work within
+ * the guarantee of its team. Of the rest, jobs that can all meet their deadlines together come before jobs that can
+ * meet the largest multiple of their deadline that the objectives name; jobs that will be late anyway or have no
+ * deadline come last.
  */
 public enum SchedulingClass {
-    /** A service whose start its users wait for. */
+    /** A service whose users wait for its start. */
     LIVE_SERVICE,
     /** Within the guaranteed quota of its team. */
     GUARANTEED,
-    /** Makes its deadline together with all others that do. */
+    /** Meets its deadline together with all other jobs of this class. */
     MEETS_DEADLINE,
-    /** Makes the longest multiple of its deadline that the objectives name. */
+    /** Meets the largest multiple of its deadline that the objectives name. */
     MEETS_EXTENDED_DEADLINE,
-    /** Late all the same, or without a deadline. */
+    /** Late even so, or without a deadline. */
     OTHER
 }
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -1,6 +1,6 @@
 package org.granitepath.coordination.model;
 
-/** What the scheduler has noted of a job: its class, since when it waits, and what is reserved for it. */
+/** The scheduler's notes on a job: its class, its waiting times, and the reservations for a gang. */
 public final class SchedulingState {
     private static final long NEVER = -1;
 
@@ -13,107 +13,110 @@
     private long lastStartMicros = NEVER;
     private long waitingSinceMicros = NEVER;
 
-    /** The class by which it is ordered before its share counts. */
+    /** Returns the class by which the job is ordered before its share counts. */
     public SchedulingClass schedulingClass() {
         return schedulingClass;
     }
 
-    /** It belongs to this class until it is classified again. */
+    /** Sets the class of the job, until it is classified again. */
     public void setSchedulingClass(SchedulingClass next) {
         schedulingClass = next;
     }
 
-    /** Whether it can wait for cheap capacity. */
+    /** Returns whether the job can wait for cheap capacity. */
     public boolean isDeferrable() {
         return deferrable;
     }
 
-    /** It can wait for cheap capacity, or can't, until the scheduler looks at it again. */
-    public void setDeferrable(boolean canWait) {
-        deferrable = canWait;
+    /** Sets whether the job can wait for cheap capacity, until the scheduler decides again. */
+    public void setDeferrable(boolean isDeferrable) {
+        deferrable = isDeferrable;
     }
 
-    /** Before this none of its tasks is started. */
+    /** Returns the time before which no task of the job is started. */
     public long notBeforeMicros() {
         return notBeforeMicros;
     }
 
-    /** No task of it is started before then. */
-    public void delayStartsUntil(long earliestStartMicros) {
-        notBeforeMicros = earliestStartMicros;
+    /** Sets the time before which no task of the job is started, in place of any earlier setting. */
+    public void delayStartsUntil(long micros) {
+        notBeforeMicros = micros;
     }
 
-    /** Since when tasks wait without capacity; negative when none does. */
+    /** Returns the time since which tasks have been waiting for capacity, or a negative value if none waits. */
     public long waitingSinceMicros() {
         return waitingSinceMicros;
     }
 
-    /** Whether tasks of it wait without capacity. */
+    /** Returns whether tasks of the job wait for capacity. */
     public boolean isWaiting() {
         return waitingSinceMicros != NEVER;
     }
 
-    /** It is seen to have tasks that wait; the first sight of that counts until none does. */
+    /** Notes that tasks of the job wait. The first such call sets the start of the waiting time until none waits. */
     public void markWaiting(long nowMicros) {
         if (!isWaiting()) {
             waitingSinceMicros = nowMicros;
         }
     }
 
-    /** No task of it waits. */
+    /** Notes that no task of the job waits. */
     public void clearWaiting() {
         waitingSinceMicros = NEVER;
     }
 
-    /** When a task of it was last placed; negative: not in this term. */
+    /** Returns the time at which a task of the job was last placed, or a negative value if none was in this term. */
     public long lastStartMicros() {
         return lastStartMicros;
     }
 
-    /** A task of it was placed. */
+    /** Notes that a task of the job was placed. */
     public void recordStart(long nowMicros) {
         lastStartMicros = nowMicros;
     }
 
-    /** When it last had a task on a machine, as far as this term knows; negative: never. */
+    /**
+     * Returns the time at which the job last had a task on a machine, or a negative value if it had none as far as this
+     * term knows.
+     */
     public long lastRunningMicros() {
         return lastRunningMicros;
     }
 
-    /** It has a task on a machine. */
+    /** Notes that the job has a task on a machine. */
     public void recordRunning(long nowMicros) {
         lastRunningMicros = nowMicros;
     }
 
-    // ---- reservations of gangs ---------------------------------------------------------------------------------
+    // ---- gang reservations -------------------------------------------------------------------------------------
 
-    /** Since when machines are reserved for this gang; negative when none is. */
+    /** Returns the time since which machines are reserved for this gang, or a negative value if none is. */
     public long reservedSinceMicros() {
         return reservedSinceMicros;
     }
 
-    /** Whether machines are reserved for it. */
+    /** Returns whether machines are reserved for this gang. */
     public boolean hasReservation() {
         return reservedSinceMicros != NEVER;
     }
 
-    /** Machines are reserved for it from now on. */
+    /** Notes that machines are reserved for this gang from now on. */
     public void beginReservation(long nowMicros) {
         reservedSinceMicros = nowMicros;
     }
 
-    /** No machine is reserved for it any more. */
+    /** Notes that no machine is reserved for this gang any more. */
     public void endReservation() {
         reservedSinceMicros = NEVER;
     }
 
-    /** No machine is reserved for this gang again before then. */
+    /** Returns the time before which no machine is reserved for this gang again. */
     public long reservationBlockedUntilMicros() {
         return reservationBlockedUntilMicros;
     }
 
-    /** Other work has its turn until then. */
-    public void blockReservationUntil(long earliestReservationMicros) {
-        reservationBlockedUntilMicros = earliestReservationMicros;
+    /** Blocks reservations for this gang until the given time, so that other work has its turn. */
+    public void blockReservationUntil(long micros) {
+        reservationBlockedUntilMicros = micros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/StartDelivery.java
+++ b/src/main/java/org/granitepath/coordination/model/StartDelivery.java
@@ -1,8 +1,8 @@
 package org.granitepath.coordination.model;
 
 /**
- * What is known of the way of an attempt to its machine: how the start went out, whether it may still be carried out
- * late, and whether a message of the worker has listed the attempt.
+ * How the start of an attempt is delivered to its machine: how it was sent, whether it may still be carried out late,
+ * and whether a message of the worker has listed the attempt.
  */
 final class StartDelivery {
     private static final long NO_TOKEN = 0;
@@ -12,66 +12,69 @@
     private boolean listed;
     private boolean onlyOnThisMachine;
 
-    private StartDelivery(boolean seen, boolean onlyHere) {
-        this.listed = seen;
-        this.onlyOnThisMachine = onlyHere;
+    private StartDelivery(boolean listed, boolean onlyOnThisMachine) {
+        this.listed = listed;
+        this.onlyOnThisMachine = onlyOnThisMachine;
     }
 
-    /** Of an attempt that this leader has decided on: it is nowhere else, and nothing has been sent yet. */
+    /** Returns the state of an attempt that this leader has decided on: not sent yet, and on no other machine. */
     static StartDelivery notSent() {
         return new StartDelivery(false, true);
     }
 
     /**
-     * Of an attempt of a former leader that a message has listed.
+     * Returns the state of an attempt that a previous leader started and that a message has listed.
      *
-     * @param onlyHere whether it was listed under the present fencing token, so that it can be nowhere else
+     * @param onlyOnThisMachine whether it was listed under the current fencing token, which rules out other machines
      */
-    static StartDelivery adopted(boolean onlyHere) {
-        return new StartDelivery(true, onlyHere);
+    static StartDelivery adopted(boolean onlyOnThisMachine) {
+        return new StartDelivery(true, onlyOnThisMachine);
     }
 
-    /** The start goes out in the answer to a heartbeat; an earlier direct call may still be carried out. */
+    /** Notes that the start is sent in a heartbeat response. An earlier direct call may still be carried out. */
     void markSentInResponse() {
         sentInResponse = true;
     }
 
-    /** The start goes out in a direct call under this fencing token, which takes the place of earlier calls. */
+    /** Notes that the start is sent in a direct call under the given fencing token, which replaces earlier calls. */
     void markSentDirectly(long token) {
         sentInResponse = false;
         unacknowledgedToken = token;
     }
 
-    /** The direct call under this fencing token was answered; the answer to an earlier one changes nothing. */
+    /** Notes that the call under the given fencing token was answered. Answers to earlier calls have no effect. */
     void acknowledge(long token) {
         if (unacknowledgedToken == token) {
             unacknowledgedToken = NO_TOKEN;
         }
     }
 
-    /** A message of the worker lists the attempt, so the start has arrived. What was proved once stays so. */
-    void markListed(boolean underPresentToken) {
+    /**
+     * Notes that a message of the worker lists the attempt, so the start has arrived. A listing under the current
+     * fencing token proves for good that the task is on no other machine.
+     */
+    void markListed(boolean underCurrentToken) {
         listed = true;
-        onlyOnThisMachine |= underPresentToken;
+        onlyOnThisMachine |= underCurrentToken;
         unacknowledgedToken = NO_TOKEN;
     }
 
-    /** Whether the latest start went out in the answer to a heartbeat. */
+    /** Returns whether the latest start was sent in a heartbeat response. */
     boolean isSentInResponse() {
         return sentInResponse;
     }
 
-    /** Whether a direct start under this fencing token or a later one has no answer yet. */
+    /** Returns whether a direct start under the given fencing token or a later one has not been answered. */
     boolean hasUnacknowledgedStart(long token) {
         return unacknowledgedToken != NO_TOKEN && unacknowledgedToken >= token;
     }
 
-    /** Whether a message of the worker has listed the attempt. */
+    /** Returns whether a message of the worker has listed the attempt. */
     boolean hasBeenListed() {
         return listed;
     }
 
-    /** Whether the task can be on no other machine. */
+    /** Returns whether the task can be on no other machine. */
     boolean isOnlyOnThisMachine() {
         return onlyOnThisMachine;
     }
--- a/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
+++ b/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
@@ -7,14 +7,14 @@
 import org.granitepath.storage.ProgressRecord;
 
 /**
- * Which task numbers of a job are done, which may start, and which are unconfirmed. A number may start when it is
- * claimed, not done, not placed, and proved to be on no machine. Where tasks are placed is not known here.
+ * The numbers of a job's tasks that are done, free to start, or unconfirmed. A task may start if it is claimed, not
+ * done, not placed, and proven to be on no machine. This class does not know where tasks are placed.
  */
 final class TaskNumbers {
     private final RangeSet<Integer> doneTasks;
-    /** Started before, and free again. */
+    /** Tasks that were started before and are free again. */
     private final IntAVLTreeSet freed = new IntAVLTreeSet();
-    /** Claimed by a predecessor; may be running on a machine still awaited. */
+    /** Tasks claimed by a previous leader that may be running on a machine whose first heartbeat is awaited. */
     private final IntOpenHashSet unconfirmed = new IntOpenHashSet();
 
     private int doneCount;
@@ -22,14 +22,14 @@
     private int requestedClaim;
     private int firstUnstartedTask;
 
-    /** The numbers as the records tell; every claimed one that is not done is unconfirmed. */
-    TaskNumbers(int claimed, RangeSet<Integer> doneOnRecord) {
-        this.doneTasks = TreeRangeSet.create(doneOnRecord);
+    /** Restores the numbers from the records. Every claimed task that is not done is unconfirmed. */
+    TaskNumbers(int claimedTasks, RangeSet<Integer> recordedDoneTasks) {
+        this.doneTasks = TreeRangeSet.create(recordedDoneTasks);
         this.doneCount = ProgressRecord.count(doneTasks);
-        this.claimedTasks = claimed;
-        this.requestedClaim = claimed;
-        this.firstUnstartedTask = claimed;
-        for (int task = 0; task < claimed; task++) {
+        this.claimedTasks = claimedTasks;
+        this.requestedClaim = claimedTasks;
+        this.firstUnstartedTask = claimedTasks;
+        for (int task = 0; task < claimedTasks; task++) {
             if (!doneTasks.contains(task)) {
                 unconfirmed.add(task);
             }
@@ -38,7 +38,7 @@
 
     // ---- done --------------------------------------------------------------------------------------------------
 
-    /** The done ones, as ranges. */
+    /** Returns the tasks that are done, as ranges. */
     RangeSet<Integer> doneTasks() {
         return doneTasks;
     }
@@ -51,7 +51,7 @@
         return doneTasks.contains(task);
     }
 
-    /** This one is done, so it never starts again. */
+    /** Marks a task as done, so it never starts again. */
     void markDone(int task) {
         if (!doneTasks.contains(task)) {
             ProgressRecord.addTask(doneTasks, task);
@@ -61,7 +61,7 @@
         unconfirmed.remove(task);
     }
 
-    /** All numbers below this are done, and there are no others. */
+    /** Marks all tasks of a job with this many tasks as done. */
     void markAllDone(int tasks) {
         ProgressRecord.addTasks(doneTasks, tasks);
         doneCount = tasks;
@@ -71,39 +71,39 @@
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
-    /** Numbers below this are claimed on record. */
+    /** Returns the number of tasks claimed in the store, which are those with lower numbers. */
     int claimedTasks() {
         return claimedTasks;
     }
 
-    /** A larger claim is on record. */
+    /** Notes that a larger claim is stored. */
     void confirmClaim(int tasks) {
         claimedTasks = tasks;
     }
 
-    /** The claim that was asked for last, on record or not. */
+    /** Returns the size of the latest requested claim, whether it is stored or not. */
     int requestedClaim() {
         return requestedClaim;
     }
 
-    /** A claim of this many numbers is to be recorded. */
+    /** Notes that a claim of this many tasks is to be stored. */
     void requestClaim(int tasks) {
         requestedClaim = tasks;
     }
 
     // ---- starting ----------------------------------------------------------------------------------------------
 
-    /** Numbers at or above this were never handed out. */
+    /** Returns the lowest number that was never handed out; all higher numbers were not handed out either. */
     int firstUnstartedTask() {
         return firstUnstartedTask;
     }
 
-    /** Whether any could start without a further claim. */
+    /** Returns whether a task can be started without a further claim. */
     boolean hasStartableTask() {
         return !freed.isEmpty() || firstUnstartedTask < claimedTasks;
     }
 
-    /** Takes the next one to start: the lowest that is free again, or else the first that was never started. */
+    /** Takes the next task to start: the lowest that is free again, or else the first that was never started. */
     int take() {
         if (!freed.isEmpty()) {
             int task = freed.firstInt();
@@ -113,28 +113,32 @@
         return firstUnstartedTask++;
     }
 
-    /** Takes this one, which is free again. */
+    /** Takes the given task, which is free again. */
     void take(int task) {
         freed.remove(task);
     }
 
-    /** The lowest one that is free again; there must be one. */
+    /** Returns the lowest number that is free again; there must be one. */
     int firstFreedTask() {
         return freed.firstInt();
     }
 
-    /** This one is placed, so it is known where it is. */
+    /** Notes that a task is placed, so its machine is known. */
     void markPlaced(int task) {
         unconfirmed.remove(task);
         freed.remove(task);
     }
 
-    /** The placement of this one is proved gone; {@code elsewhere}: but it may be on another machine. */
-    void markRemoved(int task, boolean elsewhere) {
+    /**
+     * Notes that the placement of a task is proven to be gone.
+     *
+     * @param maybeElsewhere whether the task may be on another machine, which makes it unconfirmed
+     */
+    void markRemoved(int task, boolean maybeElsewhere) {
         if (doneTasks.contains(task)) {
             return;
         }
-        if (elsewhere) {
+        if (maybeElsewhere) {
             unconfirmed.add(task);
         } else {
             freed.add(task);
@@ -143,12 +147,12 @@
 
     // ---- unconfirmed -------------------------------------------------------------------------------------------
 
-    /** How many may run on machines still awaited. */
+    /** Returns the number of tasks that may be running on machines whose first heartbeat is awaited. */
     int unconfirmedCount() {
         return unconfirmed.size();
     }
 
-    /** None of the unconfirmed ones is on any machine: they are free again. */
+    /** Frees all unconfirmed tasks, because none of them is on any machine. */
     void resolveUnconfirmed() {
         freed.addAll(unconfirmed);
         unconfirmed.clear();
--- a/src/main/java/org/granitepath/coordination/model/TasksByZone.java
+++ b/src/main/java/org/granitepath/coordination/model/TasksByZone.java
@@ -5,35 +5,35 @@
 import java.util.Map;
 import org.granitepath.storage.JobSpec;
 
-/** How many tasks of a job are placed in each zone, and what the job's zone rules still allow. */
+/** The number of placed tasks of one job in each zone, and the zones in which the job may place more. */
 final class TasksByZone {
     private final JobSpec spec;
     private final Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
 
-    /** Nothing is placed yet. */
+    /** Starts without placed tasks. */
     TasksByZone(JobSpec spec) {
         this.spec = spec;
     }
 
-    /** A task is placed in this zone. */
+    /** Counts a task placed in the zone. */
     void add(String zone) {
         counts.addTo(zone, 1);
     }
 
-    /** A task in this zone is proved gone. */
+    /** Removes a task that was placed in the zone and is proven to be gone. */
     void remove(String zone) {
         counts.addTo(zone, -1);
     }
 
-    /** The count of each zone that ever had a task: a view, which callers can't change. */
+    /** Returns the count of each zone that ever had a task, as an unmodifiable view. */
     Map<String, Integer> asMap() {
         return Collections.unmodifiableMap(counts);
     }
 
     /**
-     * Whether one more task may stand in this zone.
+     * Returns whether one more task may be placed in the zone.
      *
-     * @param unconfirmedTasks tasks that may stand in any zone
+     * @param unconfirmedTasks the number of tasks that may be running in any zone
      */
     boolean canPlaceInZone(String zone, int unconfirmedTasks) {
         if (spec.oneZone() && (unconfirmedTasks > 0 || hasTaskOutside(zone))) {
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -5,36 +5,39 @@
 import org.granitepath.coordination.config.Team;
 import org.granitepath.storage.JobSpec;
 
-/** What each team's tasks take of its limit. */
+/** The resources that the tasks of each team use, compared with the team's guarantee and limit. */
 public final class TeamLimits {
     private final Map<String, Team> teams;
     private final Object2LongOpenHashMap<String> cpuMillisUsed = new Object2LongOpenHashMap<>();
     private final Object2LongOpenHashMap<String> gpuMillisUsed = new Object2LongOpenHashMap<>();
 
-    /** Nothing is used yet. */
+    /** Starts without used resources. */
     public TeamLimits(Map<String, Team> teams) {
         this.teams = teams;
     }
 
-    /** A task of this kind is placed. */
+    /** Counts the resources of one placed task of the job. */
     public void addTask(JobSpec spec) {
         cpuMillisUsed.addTo(spec.team(), spec.cpuMillis());
         gpuMillisUsed.addTo(spec.team(), spec.gpuMillis());
     }
 
-    /** A task of this kind is proved gone. */
+    /** Releases the resources of one task of the job that is proven to be gone. */
     public void removeTask(JobSpec spec) {
         cpuMillisUsed.addTo(spec.team(), -spec.cpuMillis());
         gpuMillisUsed.addTo(spec.team(), -spec.gpuMillis());
     }
 
-    /** Thousandths of a CPU that a team uses beyond its guarantee: these are borrowed. Negative: it has some left. */
+    /**
+     * Returns the thousandths of a CPU that a team uses beyond its guarantee, which are borrowed. A negative value is
+     * the unused part of the guarantee.
+     */
     public long borrowedCpuMillis(String teamName) {
         Team team = teams.get(teamName);
         return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuarantee());
     }
 
-    /** Whether the job's team has a limit at all. */
+    /** Returns whether the job's team has a limit at all. */
     public boolean hasLimit(JobSpec spec) {
         Team team = teams.get(spec.team());
         return team != null && hasLimit(team);
@@ -44,7 +47,7 @@
         return team.cpuLimit() > 0 || team.gpuLimit() > 0;
     }
 
-    /** Whether so many more such tasks are within the limit. */
+    /** Returns whether this many more tasks of the job are within the limit of its team. */
     public boolean allows(JobSpec spec, int tasks) {
         Team team = teams.get(spec.team());
         if (team == null || !hasLimit(team)) {
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -4,15 +4,15 @@
 import org.granitepath.coordination.ports.Heartbeat;
 
 /**
- * What a leader knows of the worker of one machine: its latest message, until when its lease may run, and the direct
- * calls to it. State changes through the named methods alone.
+ * What a leader knows of the worker of one machine: its latest message, the latest possible expiry of its lease, and
+ * the direct calls to it. The state changes only through the methods of this class.
  */
 public final class WorkerContact {
     private static final long UNKNOWN_AGENT_EPOCH = -1;
-    /** No message is numbered so: sequence numbers start at 0. */
+    /** No message has this number: sequence numbers start at 0. */
     private static final long NO_SEQUENCE = -1;
 
-    /** A lease that is over, or was never given. */
+    /** The value of a lease that has expired or was never granted. */
     private static final long NO_LEASE = 0;
 
     private static final int MAX_MISSED_HEARTBEATS = 2;
@@ -27,37 +27,41 @@
     private boolean probeFailed;
     private long lastCallMicros;
     private boolean callInFlight;
-    /** Attempts started by a direct command, each with the fencing token of the command. */
+    /** The attempts started by a direct command, each with the fencing token of the command. */
     private final Long2LongOpenHashMap tokensOfDirectStarts = new Long2LongOpenHashMap();
 
     WorkerContact(String address) {
         this.address = address;
     }
 
-    /** Where the worker takes direct commands, as of its latest message. */
+    /** Returns the address at which the worker accepts direct commands, as of its latest message. */
     public String address() {
         return address;
     }
 
-    /** The machine was on record when the term began: the former leader may have kept its lease alive until then. */
-    void takeOver(long nowMicros, long formerLeaseExpiryMicros) {
+    /**
+     * Takes over a worker whose machine was in the inventory when the term began.
+     *
+     * @param previousLeaseExpiryMicros the latest time until which the previous leader may have extended the lease
+     */
+    void takeOver(long nowMicros, long previousLeaseExpiryMicros) {
         lastHeartbeatMicros = nowMicros;
-        leaseExpiryMicros = formerLeaseExpiryMicros;
+        leaseExpiryMicros = previousLeaseExpiryMicros;
     }
 
-    // ---- what its worker says ----------------------------------------------------------------------------------
+    // ---- messages of the worker --------------------------------------------------------------------------------
 
-    /** The worker's latest agent epoch; negative: unknown. */
+    /** Returns the worker's latest agent epoch, or a negative value if it is unknown. */
     public long agentEpoch() {
         return agentEpoch;
     }
 
-    /** The number of the worker's latest message in its agent epoch; negative: none. */
+    /** Returns the number of the worker's latest message in its agent epoch, or a negative value if there is none. */
     public long sequence() {
         return sequence;
     }
 
-    /** A newer message of the worker has come, by itself or as the answer to a direct call. */
+    /** Records a newer message of the worker: a heartbeat, or the response to a direct call. */
     public void recordMessage(Heartbeat message) {
         agentEpoch = message.agentEpoch();
         sequence = message.sequence();
@@ -65,8 +69,8 @@
     }
 
     /**
-     * The worker has sent a heartbeat by itself. Answers to direct calls don't count here: without heartbeats the
-     * worker's lease expires all the same.
+     * Records a heartbeat that the worker sent on its own. Responses to direct calls do not count here, because the
+     * worker's lease expires without heartbeats in any case.
      */
     void recordHeartbeat(long nowMicros) {
         lastHeartbeatMicros = nowMicros;
@@ -74,17 +78,17 @@
         fenced = false;
     }
 
-    /** When its worker last sent a heartbeat by itself. */
+    /** Returns the time at which the worker last sent a heartbeat on its own. */
     public long lastHeartbeatMicros() {
         return lastHeartbeatMicros;
     }
 
-    /** This process stood still for so long: no heartbeat counts as missing in that time. */
+    /** Excludes a pause of this process from the time in which heartbeats count as missing. */
     void compensateForPause(long pauseMicros, long nowMicros) {
         lastHeartbeatMicros = Math.min(nowMicros, lastHeartbeatMicros + pauseMicros);
     }
 
-    /** Whether a heartbeat is overdue by so much that a command would hardly arrive. */
+    /** Returns whether a heartbeat is so long overdue that a command would hardly arrive. */
     public boolean isUnresponsive(long nowMicros, long heartbeatIntervalMicros) {
         return nowMicros - lastHeartbeatMicros > MAX_MISSED_HEARTBEATS * heartbeatIntervalMicros + DELAY_MARGIN_MICROS;
     }
@@ -92,19 +96,22 @@
     // ---- lease -------------------------------------------------------------------------------------------------
 
     /**
-     * From this moment on nobody can have kept the worker's lease alive, provided that we don't either; 0 when it is
-     * over.
+     * Returns the time from which on no other controller can have kept the worker's lease alive, provided that this
+     * controller does not extend it either, or 0 if the lease has expired.
      */
     public long leaseExpiryMicros() {
         return leaseExpiryMicros;
     }
 
-    /** The worker may go on until then; only a message under the present fencing token can shorten that. */
-    public void setLeaseExpiry(long expiryMicros, boolean underPresentToken) {
-        leaseExpiryMicros = underPresentToken ? expiryMicros : Math.max(leaseExpiryMicros, expiryMicros);
+    /**
+     * Sets the time until which the worker may continue. Only a message under the current fencing token can make it
+     * earlier.
+     */
+    public void setLeaseExpiry(long expiryMicros, boolean underCurrentToken) {
+        leaseExpiryMicros = underCurrentToken ? expiryMicros : Math.max(leaseExpiryMicros, expiryMicros);
     }
 
-    /** The worker's lease is over: its next message, if any, is of a later agent epoch. */
+    /** Records that the worker's lease has expired. Any later message of the worker has a later agent epoch. */
     public void expireLease() {
         leaseExpiryMicros = NO_LEASE;
         agentEpoch = Math.max(agentEpoch, 0) + 1;
@@ -113,69 +120,72 @@
     }
 
     /**
-     * Whether a fencing token is on record that was drawn since its latest heartbeat and never sent to it: no
-     * controller in contact with the store lets the worker go on under the one it has. While this holds, it is not
-     * called.
+     * Returns whether a fencing token is stored that was drawn after the worker's latest heartbeat and was never sent
+     * to the worker. No controller in contact with the store then lets the worker continue under the token it has. The
+     * worker is not called while this holds.
      */
     public boolean isFenced() {
         return fenced;
     }
 
-    /** A fencing token is on record that the worker has not been shown. */
+    /** Notes that a fencing token is stored that the worker has not received. */
     public void fence() {
         fenced = true;
     }
 
-    /** The worker may have seen the fencing token on record. */
+    /** Notes that the worker may have received the stored fencing token. */
     public void clearFence() {
         fenced = false;
     }
 
     // ---- direct calls ------------------------------------------------------------------------------------------
 
-    /** Whether a direct call has not ended yet. */
+    /** Returns whether a direct call is in flight. */
     public boolean hasCallInFlight() {
         return callInFlight;
     }
 
-    /** A direct call begins. The worker may see the token, and a lease keeper that knows it may go on under it. */
+    /**
+     * Notes that a direct call begins. The worker may receive the fencing token by it, and a lease keeper that knows
+     * the token may then let the worker continue, so the fence ends.
+     */
     public void beginCall(long nowMicros) {
         callInFlight = true;
         fenced = false;
         lastCallMicros = nowMicros;
     }
 
-    /** The direct call was answered or given up. */
+    /** Notes that the direct call was answered or given up. */
     public void endCall() {
         callInFlight = false;
     }
 
-    /** Whether the call that has ended brought a message of the worker. */
+    /** Records whether the direct call that has ended brought a message of the worker. */
     public void recordCallResult(boolean answered) {
         probeFailed = !answered && lastHeartbeatMicros < lastCallMicros;
     }
 
-    /** When it was last called. */
+    /** Returns the time of the latest direct call. */
     public long lastCallMicros() {
         return lastCallMicros;
     }
 
-    /** Whether it was called since its latest heartbeat, and there was no answer. */
+    /** Returns whether the worker was called after its latest heartbeat and did not answer. */
     public boolean hasProbeFailed() {
         return probeFailed;
     }
 
-    /** An attempt is started by a direct command under this fencing token; a late copy may come any time. */
+    /** Records the direct command that starts the attempt. A late copy of the command may arrive at any time. */
     public void recordDirectStart(long attempt, long fencingToken) {
         tokensOfDirectStarts.put(attempt, fencingToken);
     }
 
-    /** Whether a late copy of the direct command that started the attempt would be carried out under this token. */
+    /** Returns whether a late copy of the attempt's direct start would be carried out under the given token. */
     public boolean canBeStartedAgain(long attempt, long fencingToken) {
         return tokensOfDirectStarts.get(attempt) >= fencingToken;
     }
 
-    /** The attempt is cleared away. */
+    /** Forgets the direct start of an attempt that is cleared. */
     public void forgetDirectStart(long attempt) {
         tokensOfDirectStarts.remove(attempt);
     }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -23,17 +23,17 @@
 /** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
 class ActiveJobTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
-            from    OPEN  COMPLETING  ENDED
-            OPEN    =     yes     yes
-            COMPLETING  -     =       yes
-            ENDED    -     -       =
+            from        OPEN  COMPLETING  ENDED
+            OPEN        =     yes         yes
+            COMPLETING  -     =           yes
+            ENDED       -     -           =
             """;
 
     private static final String EVENTS = """
-            in      markCompleting  markEnded
-            OPEN    COMPLETING        ENDED
-            COMPLETING  COMPLETING        ENDED
-            ENDED    refused       ENDED
+            in          markCompleting  markEnded
+            OPEN        COMPLETING      ENDED
+            COMPLETING  COMPLETING      ENDED
+            ENDED       refused         ENDED
             """;
 
     private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -18,12 +18,12 @@
     private static final long LAST_MOMENT = 20 * SECOND;
 
     private static final String EVENTS = """
-            in        markWaiting   markRunning   markStopping  markCompleted  markTaskGone
-            FORMING   WAITING   RUNNING   STOPPING  COMPLETING     FORMING
-            WAITING   WAITING   RUNNING   STOPPING  COMPLETING     WAITING
-            RUNNING   RUNNING   RUNNING   STOPPING  COMPLETING     STOPPING
-            STOPPING  STOPPING  STOPPING  STOPPING  COMPLETING     STOPPING
-            COMPLETING    COMPLETING    COMPLETING    COMPLETING    COMPLETING     COMPLETING
+            in          markWaiting  markRunning  markStopping  markCompleted  markTaskGone
+            FORMING     WAITING      RUNNING      STOPPING      COMPLETING     FORMING
+            WAITING     WAITING      RUNNING      STOPPING      COMPLETING     WAITING
+            RUNNING     RUNNING      RUNNING      STOPPING      COMPLETING     STOPPING
+            STOPPING    STOPPING     STOPPING     STOPPING      COMPLETING     STOPPING
+            COMPLETING  COMPLETING   COMPLETING   COMPLETING    COMPLETING     COMPLETING
             """;
 
     private final GangAttempt attempt = new GangAttempt("run-1", 7);
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -30,11 +30,11 @@
 
     private static final String EVENTS = """
             in           confirmTasks  markUnconfirmed  drain        markTerminating  markGone
-            UNCONFIRMED  READY           UNCONFIRMED       UNCONFIRMED  TERMINATING         GONE
-            READY        READY           UNCONFIRMED       DRAINING     TERMINATING         GONE
-            DRAINING     DRAINING        DRAINING          DRAINING     TERMINATING         GONE
-            TERMINATING  TERMINATING     TERMINATING       TERMINATING  TERMINATING         GONE
-            GONE         GONE            GONE              GONE         refused             GONE
+            UNCONFIRMED  READY         UNCONFIRMED      UNCONFIRMED  TERMINATING      GONE
+            READY        READY         UNCONFIRMED      DRAINING     TERMINATING      GONE
+            DRAINING     DRAINING      DRAINING         DRAINING     TERMINATING      GONE
+            TERMINATING  TERMINATING   TERMINATING      TERMINATING  TERMINATING      GONE
+            GONE         GONE          GONE             GONE         refused          GONE
             """;
 
     private final Machine machine = Fixtures.machine("i-1", "north");
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -25,14 +25,14 @@
             """;
 
     private static final String EVENTS = """
-            in        markSentInResponse  markSentDirectly  markFetching  markWaiting   markRunning   markSaving    stop      free
-            ASSIGNED  SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
-            SENT      SENT          SENT          FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
-            FETCHING  refused       refused       FETCHING  WAITING   RUNNING   STOPPING  STOPPING  FREED
-            WAITING   refused       refused       WAITING   WAITING   RUNNING   STOPPING  STOPPING  FREED
-            RUNNING   refused       refused       RUNNING   WAITING   RUNNING   STOPPING  STOPPING  FREED
-            STOPPING  refused       refused       STOPPING  STOPPING  STOPPING  STOPPING  STOPPING  FREED
-            FREED     refused       refused       FREED     refused   refused   refused   refused   FREED
+            in       markSentInResponse markSentDirectly markFetching markWaiting markRunning markSaving stop     free
+            ASSIGNED SENT               SENT             FETCHING     WAITING     RUNNING     STOPPING   STOPPING FREED
+            SENT     SENT               SENT             FETCHING     WAITING     RUNNING     STOPPING   STOPPING FREED
+            FETCHING refused            refused          FETCHING     WAITING     RUNNING     STOPPING   STOPPING FREED
+            WAITING  refused            refused          WAITING      WAITING     RUNNING     STOPPING   STOPPING FREED
+            RUNNING  refused            refused          RUNNING      WAITING     RUNNING     STOPPING   STOPPING FREED
+            STOPPING refused            refused          STOPPING     STOPPING    STOPPING    STOPPING   STOPPING FREED
+            FREED    refused            refused          FREED        refused     refused     refused    refused  FREED
             """;
 
     private final Machine machine = Fixtures.machine("i-1", "north");
