--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -28,12 +28,12 @@
     /** Looks at the fleet and the recovery anew. Called before a round of decisions. */
     void survey() {
         keepsAll = recovery.isKeepingIdleMachines();
-        gangHeadroom.survey();
+        gangHeadroom.update();
     }
 
     /** Whether nothing needs the machine. It counts as given up then, and the headroom is smaller by it. */
     boolean releases(Machine machine, long nowMicros) {
-        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.keeps(machine);
+        boolean idle = !keepsAll && isIdle(machine, nowMicros) && !gangHeadroom.isNeeded(machine);
         return !keptAsHeadroom(machine, idle) && idle;
     }
 
@@ -47,7 +47,7 @@
         }
         if (idleAtFullPrice) {
             spareHeadroom.release(freeCpuMillis);
-            gangHeadroom.terminated(machine);
+            gangHeadroom.onMachineTerminated(machine);
         }
         return false;
     }
@@ -69,7 +69,7 @@
         if (type == null) {
             return UNKNOWN_TYPE_IDLE_MICROS;
         }
-        double share = machine.isSpot() ? policy.idleShareSpot() : policy.idleShare();
+        double share = machine.isSpot() ? policy.spotIdleTimeoutFactor() : policy.idleTimeoutFactor();
         return (long) (share * type.bootMicros());
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -13,7 +13,7 @@
 final class ScaleOut {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final ScaleOutPlan.Demand demand;
+    private final ScaleOutPlan.Inputs demand;
     private final PlacementRules rules;
     private final BooleanSupplier leaseConfirmed;
     private final FailureDetector failureDetector;
@@ -28,7 +28,7 @@
      * @param leaseConfirmed whether the store confirmed lately that this controller leads
      */
     ScaleOut(
-            ScaleOutPlan.Demand demand,
+            ScaleOutPlan.Inputs demand,
             PlacementRules rules,
             BooleanSupplier leaseConfirmed,
             FailureDetector failureDetector,
@@ -51,9 +51,9 @@
         if (launcher.underWay() || !leaseConfirmed.getAsBoolean()) {
             return;
         }
-        demand.batchPlanner().update(nowMicros);
+        demand.batchPlanner().updateIfDue(nowMicros);
         ScaleOutPlan plan = new ScaleOutPlan(
-                demand, launcher::refusedLately, zone -> failureDetector.cutOff(zone, nowMicros), nowMicros);
+                demand, launcher::refusedLately, zone -> failureDetector.isZonePartitioned(zone, nowMicros), nowMicros);
         addPending(plan, nowMicros);
         List<ActiveJob> waiting = demand.jobs().all().stream()
                 .filter(job -> launchesFor(job, nowMicros))
@@ -68,7 +68,7 @@
 
     private void addPending(ScaleOutPlan plan, long nowMicros) {
         for (BootingMachine machine : booting.all()) {
-            if (!machine.overdue(nowMicros) && !failureDetector.cutOff(machine.zone(), nowMicros)) {
+            if (!machine.overdue(nowMicros) && !failureDetector.isZonePartitioned(machine.zone(), nowMicros)) {
                 plan.pending(machine.type(), machine.zone(), machine.spot());
             }
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -33,7 +33,7 @@
      * @param runtimeEstimator tells how long a job's tasks take
      * @param arrivalRate tells how much work of live services arrives
      */
-    public record Demand(
+    public record Inputs(
             Config config,
             Fleet fleet,
             ActiveJobs jobs,
@@ -55,7 +55,7 @@
      * @param refused keys of offers of which the cloud lately had none
      * @param cutOff zones from which no heartbeat would arrive
      */
-    ScaleOutPlan(Demand demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
+    ScaleOutPlan(Inputs demand, Predicate<String> refused, Predicate<String> cutOff, long nowMicros) {
         this.batchPlanner = demand.batchPlanner();
         this.nowMicros = nowMicros;
         this.market = new OfferMarket(demand, planned, refused, cutOff, nowMicros);
@@ -101,7 +101,7 @@
 
     /** How long the batch work at hand takes on what there is and what is on its way. */
     double drainMicros() {
-        return batchPlanner.drainMicros(planned.batchCpuMillis());
+        return batchPlanner.batchCompletionMicros(planned.batchCpuMillis());
     }
 
     private void plan(ActiveJob job) {
@@ -163,6 +163,6 @@
     }
 
     private boolean isDeferrable(ActiveJob job) {
-        return batchPlanner.deferrable(job, planned.batchCpuMillis(), nowMicros);
+        return batchPlanner.isDeferrable(job, planned.batchCpuMillis(), nowMicros);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -58,15 +58,15 @@
         if (underPresentToken) {
             confirm(machine);
         }
-        if (heartbeat.noticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
-            machines.drainBeforePreemption(machine, heartbeat.noticeMicros());
+        if (heartbeat.terminationNoticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
+            machines.drainBeforePreemption(machine, heartbeat.terminationNoticeMicros());
         }
         return true;
     }
 
     private static boolean tellsNews(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
-                && heartbeat.newerThan(
+                && heartbeat.isNewerThan(
                         machine.contact().agentEpoch(), machine.contact().sequence())
                 && heartbeat.fencingToken() <= machine.fencingToken();
     }
@@ -82,7 +82,7 @@
         if (origin == MessageOrigin.HEARTBEAT) {
             machine.recordHeartbeat(fleet.isUnresponsive(machine, nowMicros), nowMicros);
         }
-        long leaseExpiryMicros = nowMicros + config.workers().longestLeaseMicros();
+        long leaseExpiryMicros = nowMicros + config.workers().maxLeaseMicros();
         machine.contact().setLeaseExpiry(leaseExpiryMicros, underPresentToken);
     }
 
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -172,10 +172,10 @@
         }
         for (Machine machine : recorded.machinesWithNewToken()) {
             machine.inventory().applyRaisedToken(recorded.newToken());
-            listener.tokenRaised(machine);
+            listener.onTokenRaised(machine);
         }
         writeRest();
-        listener.recorded();
+        listener.onInventoryWritten();
     }
 
     private void writeRest() {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -80,7 +80,7 @@
      * heartbeats come again, in a later agent epoch, it must show that it receives our commands before it is given
      * work.
      */
-    public void leaseExpired(Machine machine) {
+    public void expireLease(Machine machine) {
         LOG.info(
                 "machine {} ({} {}{}): its lease is over, {} tasks are proved gone",
                 machine.id(),
@@ -97,7 +97,7 @@
     }
 
     /** The cloud took this machine back for good. */
-    public void terminated(String id) {
+    public void onTerminated(String id) {
         Machine machine = fleet.machine(id);
         if (machine != null) {
             proveGone(machine, "returned to the cloud");
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -38,7 +38,7 @@
     }
 
     /** Begins to call the machines of the fleet, which were all taken over. */
-    public void begin() {
+    public void start() {
         toBeCalled.addAll(fleet.machines());
         callNext();
     }
@@ -59,7 +59,7 @@
 
     /** A third of the calls is left for commands. */
     private boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce() * 2 / 3;
+        return callsUnderWay < config.limits().maxConcurrentCalls() * 2 / 3;
     }
 
     private static boolean needsCall(Machine machine) {
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -6,13 +6,13 @@
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
 import org.granitepath.coordination.ports.Heartbeat;
-import org.granitepath.coordination.ports.Heartbeat.Cause;
+import org.granitepath.coordination.ports.Heartbeat.ExitCause;
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.Heartbeat.TaskStatus;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.recovery.KnownPlacement;
-import org.granitepath.recovery.ListedTask;
-import org.granitepath.recovery.RecordedTask;
+import org.granitepath.recovery.ListedTaskState;
+import org.granitepath.recovery.RecordedTaskState;
 import org.granitepath.recovery.RecoveryPlan;
 import org.granitepath.recovery.StartEvidence;
 import org.granitepath.recovery.Verdict;
@@ -36,14 +36,14 @@
     Verdict ofListed(Machine machine, TaskStatus status) {
         plan.countComparisons(1);
         ActiveJob job = activeJobs.get(status.task().job());
-        return VerdictTable.ofListed(
+        return VerdictTable.forListedAttempt(
                 recordedTask(job, status.task()), knownPlacement(job, machine, status), listedTask(job, status));
     }
 
     /** The verdict on a placement that the machine's message does not list. */
     Verdict ofMissing(Placement placement, Heartbeat heartbeat, MessageOrigin origin, boolean underPresentToken) {
         plan.countComparisons(1);
-        return VerdictTable.ofMissing(new StartEvidence(
+        return VerdictTable.forMissingAttempt(new StartEvidence(
                 placement.agentEpoch() < heartbeat.agentEpoch(),
                 underPresentToken,
                 placement.phase() != Placement.Phase.ASSIGNED,
@@ -53,20 +53,20 @@
                 origin == MessageOrigin.HEARTBEAT));
     }
 
-    private RecordedTask recordedTask(@Nullable ActiveJob job, TaskId task) {
+    private RecordedTaskState recordedTask(@Nullable ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.ENDED) {
             return jobIndex.recorded(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
-            return RecordedTask.NOT_IN_JOB;
+            return RecordedTaskState.NOT_IN_JOB;
         }
         if (job.phase() == ActiveJob.Phase.COMPLETING) {
-            return RecordedTask.JOB_DONE;
+            return RecordedTaskState.JOB_DONE;
         }
         if (job.isDone(task.index())) {
-            return RecordedTask.TASK_DONE;
+            return RecordedTaskState.TASK_DONE;
         }
-        return task.index() < job.claimedTasks() ? RecordedTask.CLAIMED : RecordedTask.UNCLAIMED;
+        return task.index() < job.claimedTasks() ? RecordedTaskState.CLAIMED : RecordedTaskState.UNCLAIMED;
     }
 
     private static KnownPlacement knownPlacement(@Nullable ActiveJob job, Machine machine, TaskStatus status) {
@@ -80,12 +80,12 @@
     }
 
     /** A service's task never completes its job, however it exits. */
-    private static ListedTask listedTask(@Nullable ActiveJob job, TaskStatus status) {
+    private static ListedTaskState listedTask(@Nullable ActiveJob job, TaskStatus status) {
         if (status.state() != TaskState.EXITED) {
-            return ListedTask.LIVE;
+            return ListedTaskState.LIVE;
         }
         boolean completes =
-                status.cause() == Cause.DONE && (job == null || !job.spec().service());
-        return completes ? ListedTask.COMPLETED : ListedTask.EXITED;
+                status.cause() == ExitCause.DONE && (job == null || !job.spec().service());
+        return completes ? ListedTaskState.COMPLETED : ListedTaskState.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -46,12 +46,12 @@
 
     /** Whether one more call may begin. */
     boolean mayCall() {
-        return callsUnderWay < config.limits().callsAtOnce();
+        return callsUnderWay < config.limits().maxConcurrentCalls();
     }
 
     /** Whether one more call may begin that can wait: half of the calls are left for commands. */
     boolean mayProbe() {
-        return callsUnderWay < config.limits().callsAtOnce() / 2;
+        return callsUnderWay < config.limits().maxConcurrentCalls() / 2;
     }
 
     /**
@@ -81,7 +81,7 @@
         long fencingToken = machine.fencingToken();
         // Of a machine taken over the agent epoch is not known; a wrong guess is answered with the right one.
         long agentEpoch = Math.max(1, machine.contact().agentEpoch());
-        workers.send(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
+        workers.sendCommands(machine.contact().address(), fencingToken, agentEpoch, commands, reply -> {
             callsUnderWay--;
             machine.contact().endCall();
             if (!ended.getAsBoolean() && !machine.isGone()) {
@@ -104,8 +104,8 @@
         for (Placement placement : starts) {
             placement.acknowledgeDirectStart(fencingToken);
         }
-        reconciler.reconcile(machine, heartbeat, MessageOrigin.COMMAND_RESPONSE);
-        if (!reply.executed() && mayTakePresentToken(machine, heartbeat)) {
+        reconciler.reconcile(machine, heartbeat, MessageOrigin.CALL_RESPONSE);
+        if (!reply.accepted() && mayTakePresentToken(machine, heartbeat)) {
             showToken(machine);
         }
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -32,9 +32,9 @@
 
     /** Starts with the machines that were taken over and the records as of the given revision. */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
-        takenOver.forEach(machine -> plan.takeOver(machine.id(), machine.profile()));
-        plan.takeOverUnreadable(unreadableParts);
-        plan.recordsRead(revision, timers.nowMicros());
+        takenOver.forEach(machine -> plan.takeOverMachine(machine.id(), machine.profile()));
+        plan.takeOverUnreadableParts(unreadableParts);
+        plan.onRecordsRead(revision, timers.nowMicros());
     }
 
     /**
@@ -42,12 +42,12 @@
      * proven to be gone.
      */
     public boolean hasResolvedAllMachines() {
-        return plan.noMachineAwaited();
+        return plan.isEveryMachineResolved();
     }
 
     /** Returns whether a task of the job may be on a machine whose first heartbeat is awaited. */
     boolean canRunOnAwaitedMachine(ActiveJob job) {
-        return plan.verdictOnUnlisted(job.spec()) == Verdict.UNCONFIRMED;
+        return plan.verdictOnUnlistedTask(job.spec()) == Verdict.UNCONFIRMED;
     }
 
     /**
@@ -61,7 +61,7 @@
             return;
         }
         machine.resolveTakeover();
-        if (plan.resolved(machine.id(), machine.profile(), proof)) {
+        if (plan.resolveMachine(machine.id(), machine.profile(), proof)) {
             jobs.all().forEach(this::resolveTasks);
             loop.requestCycle();
         }
@@ -77,7 +77,7 @@
 
     /** Returns whether the recovery lets tasks of the job start. */
     public boolean canStart(ActiveJob job) {
-        return plan.mayStart(job.spec());
+        return plan.canStart(job.spec());
     }
 
     /** Ends the hold on batch work if its time is over. Called before each scheduling cycle. */
@@ -91,11 +91,11 @@
      * @param tasksAwaitingPreemption the number of live tasks without capacity for which others are being preempted
      */
     public void onCycleEnd(int tasksAwaitingPreemption) {
-        if (!plan.holdsBatchWork()) {
+        if (!plan.isBatchWorkHeld()) {
             return;
         }
-        plan.cycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
-        if (!plan.holdsBatchWork()) {
+        plan.onCycleEnded(liveWorkBacklog(tasksAwaitingPreemption));
+        if (!plan.isBatchWorkHeld()) {
             loop.requestCycle();
         }
     }
@@ -105,8 +105,8 @@
      * of its tasks are lost.
      */
     public boolean isKeepingIdleMachines() {
-        return plan.holdsBatchWork()
-                || (!plan.noMachineAwaited() && liveWorkBacklog(0).unconfirmedTasks() > 0);
+        return plan.isBatchWorkHeld()
+                || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
 
     /** Returns the number of claimed tasks that may be on machines whose first heartbeat is awaited. */
@@ -119,7 +119,7 @@
         int jobsAwaitingClaim = 0;
         int unacknowledgedTasks = 0;
         for (ActiveJob job : jobs.all()) {
-            if (!job.isOpen() || !LiveWorkBacklog.includes(job.spec())) {
+            if (!job.isOpen() || !LiveWorkBacklog.isLiveWork(job.spec())) {
                 continue;
             }
             unconfirmedTasks += job.unconfirmedTasks();
--- a/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
+++ b/src/main/java/org/granitepath/coordination/model/DepartedMachines.java
@@ -37,6 +37,6 @@
 
     /** Returns whether the heartbeat is a delayed copy from a machine that left the fleet. */
     boolean isFromDepartedMachine(Heartbeat heartbeat) {
-        return heartbeat.agentEpoch() <= lastAgentEpochs.getOrDefault(heartbeat.host(), Long.MIN_VALUE);
+        return heartbeat.agentEpoch() <= lastAgentEpochs.getOrDefault(heartbeat.machineId(), Long.MIN_VALUE);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -67,7 +67,7 @@
         // A previous leader that has lost contact with the store may keep answering their heartbeats for a while.
         long leaseExpiryMicros = startedMicros
                 + config.workers().maxDisconnectedMicros()
-                + config.workers().longestLeaseMicros();
+                + config.workers().maxLeaseMicros();
         for (Machine machine : takenOver) {
             machine.takeOver(startedMicros, leaseExpiryMicros);
             machines.put(machine.id(), machine);
@@ -77,7 +77,7 @@
     /** Creates the machine that sent its first heartbeat, without adding it to the fleet. */
     public Machine newMachine(Heartbeat heartbeat, long fencingToken) {
         Machine machine = new Machine(
-                heartbeat.host(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+                heartbeat.machineId(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         machine.setType(types.get(machine.typeName()));
         machine.joinFleet(fencingToken, timers.nowMicros());
         return machine;
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -383,6 +383,6 @@
 
     /** Returns whether the job may use this machine at all, regardless of capacity and of other tasks. */
     public boolean isAllowedFor(JobSpec spec) {
-        return profile.allows(spec);
+        return profile.canRun(spec);
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/TeamLimits.java
+++ b/src/main/java/org/granitepath/coordination/model/TeamLimits.java
@@ -34,7 +34,7 @@
      */
     public long borrowedCpuMillis(String teamName) {
         Team team = teams.get(teamName);
-        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuarantee());
+        return cpuMillisUsed.getLong(teamName) - (team == null ? 0 : team.cpuGuaranteeMillis());
     }
 
     /** Returns whether the job's team has a limit at all. */
@@ -44,7 +44,7 @@
     }
 
     private static boolean hasLimit(Team team) {
-        return team.cpuLimit() > 0 || team.gpuLimit() > 0;
+        return team.cpuLimitMillis() > 0 || team.gpuLimitMillis() > 0;
     }
 
     /** Returns whether this many more tasks of the job are within the limit of its team. */
@@ -53,9 +53,9 @@
         if (team == null || !hasLimit(team)) {
             return true;
         }
-        return (team.cpuLimit() == 0
-                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimit())
-                && (team.gpuLimit() == 0
-                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimit());
+        return (team.cpuLimitMillis() == 0
+                        || cpuMillisUsed.getLong(spec.team()) + tasks * spec.cpuMillis() <= team.cpuLimitMillis())
+                && (team.gpuLimitMillis() == 0
+                        || gpuMillisUsed.getLong(spec.team()) + tasks * spec.gpuMillis() <= team.gpuLimitMillis());
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -48,7 +48,7 @@
     public void start() {
         records.takeOver();
         checks.start();
-        takeoverCalls.begin();
+        takeoverCalls.start();
     }
 
     /** Begins to launch and return machines. */
@@ -63,12 +63,12 @@
     }
 
     /** The cloud has told of its machine types. */
-    public void typesChanged(List<MachineType> types) {
+    public void onMachineTypesChanged(List<MachineType> types) {
         machineTypes.changed(types);
     }
 
     /** Keeps the machine types on record, for controllers that start while the cloud is away. */
-    public void recordTypes(List<MachineType> types) {
+    public void recordMachineTypes(List<MachineType> types) {
         machineTypes.putOnRecord(types);
     }
 
@@ -78,12 +78,12 @@
     }
 
     /** Whether most machines have become unresponsive to us while a peer receives their heartbeats. */
-    public boolean cutFromWorkers(int redirectedByPeer) {
+    public boolean isCutOffFromWorkers(int redirectedByPeer) {
         return fleet.isPartitionedFromWorkers(redirectedByPeer);
     }
 
     /** A worker's heartbeat, answered with what it is to do. */
-    public HeartbeatResponse heartbeat(Heartbeat heartbeat) {
+    public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
         return heartbeatHandler.answer(heartbeat);
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -43,7 +43,7 @@
     void check(Machine machine, long nowMicros) {
         checkLease(machine);
         sender.probeIfOverdue(machine, nowMicros);
-        sender.showTokenIfNotAdopted(machine, nowMicros);
+        sender.sendTokenIfUnacknowledged(machine, nowMicros);
         checkPlacements(machine, nowMicros);
     }
 
@@ -51,8 +51,8 @@
         if (!isLeaseProvedOver(machine)) {
             return;
         }
-        if (machine.contact().isFenced() || !config.topology().peerIn(machine.zone())) {
-            machines.leaseExpired(machine);
+        if (machine.contact().isFenced() || !config.topology().hasPeerIn(machine.zone())) {
+            machines.expireLease(machine);
         } else {
             inventory.requestToken(machine, "its lease is over, unless a controller that is cut off keeps it alive");
         }
--- a/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/PeriodicChecks.java
@@ -65,8 +65,8 @@
         for (Machine machine : List.copyOf(fleet.machines())) {
             machineChecks.check(machine, nowMicros);
         }
-        if (recovery.hasResolvedAllMachines() && leadership.leaseConfirmed()) {
-            consolidator.tick(nowMicros);
+        if (recovery.hasResolvedAllMachines() && leadership.isLeaseConfirmed()) {
+            consolidator.consolidateIfDue(nowMicros);
         }
         loop.requestCycle();
     }
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -80,7 +80,7 @@
     }
 
     private void tellHealth(HttpServerExchange exchange) {
-        if (controller.healthy()) {
+        if (controller.isHealthy()) {
             reply(exchange, HttpStatus.OK, EMPTY_OBJECT);
         } else {
             reply(exchange, HttpStatus.SERVICE_UNAVAILABLE, NOT_HEALTHY);
@@ -111,7 +111,7 @@
             reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
-        HeartbeatResponse answer = controller.heartbeat(heartbeat);
+        HeartbeatResponse answer = controller.handleHeartbeat(heartbeat);
         if (!(answer instanceof HeartbeatResponse.Accepted)) {
             exchange.setPersistent(false); // it goes elsewhere
         }
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -2,8 +2,8 @@
 
 import static org.granitepath.coordination.placement.PlacementFixture.CPU;
 import static org.granitepath.coordination.placement.PlacementFixture.NOW;
-import static org.granitepath.coordination.placement.PlacementFixture.PROMPT_CLASS;
 import static org.granitepath.coordination.placement.PlacementFixture.SECOND;
+import static org.granitepath.coordination.placement.PlacementFixture.URGENT_CLASS;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,57 +20,57 @@
     private final BatchPlanner planner =
             new BatchPlanner(fixture.config, fixture.fleet, fixture.jobs, fixture.runtimeEstimator);
     private final GangHeadroom headroom = new GangHeadroom(fixture.fleet, planner);
-    private final Machine first = fixture.machine("m1", false);
+    private final Machine first = fixture.addMachine("m1", false);
     private final ActiveJob batch =
             fixture.batch("batch", Priority.STANDARD).cpuMillis(3 * CPU).build();
 
     GangHeadroomTest() {
-        fixture.machine("m2", false);
+        fixture.addMachine("m2", false);
         batch.scheduling().markWaiting(NOW);
     }
 
     private void promptGang() {
-        fixture.gang("gang", Priority.STANDARD).jobClass(PROMPT_CLASS).tasks(4).build();
+        fixture.gang("gang", Priority.STANDARD).jobClass(URGENT_CLASS).tasks(4).build();
     }
 
     private void survey() {
-        planner.update(NOW);
-        headroom.survey();
+        planner.updateIfDue(NOW);
+        headroom.update();
     }
 
     @Test
     void nothingIsKeptWithoutAPromptGang() {
         survey();
-        headroom.taskPlaced(first, batch.spec());
-        headroom.taskPlaced(first, batch.spec());
-        assertTrue(headroom.leavesHeadroom(first, batch, NOW));
-        assertFalse(headroom.keeps(first));
+        headroom.onTaskPlaced(first, batch.spec());
+        headroom.onTaskPlaced(first, batch.spec());
+        assertTrue(headroom.canPlace(first, batch, NOW));
+        assertFalse(headroom.isNeeded(first));
     }
 
     @Test
     void batchWorkLeavesWhatTheGangTakes() {
         promptGang();
         survey();
-        assertTrue(headroom.leavesHeadroom(first, batch, NOW));
-        headroom.taskPlaced(first, batch.spec());
-        assertFalse(headroom.leavesHeadroom(first, batch, NOW));
-        assertTrue(headroom.leavesHeadroom(fixture.machine("spot", true), batch, NOW));
+        assertTrue(headroom.canPlace(first, batch, NOW));
+        headroom.onTaskPlaced(first, batch.spec());
+        assertFalse(headroom.canPlace(first, batch, NOW));
+        assertTrue(headroom.canPlace(fixture.addMachine("spot", true), batch, NOW));
     }
 
     @Test
     void batchWorkThatHasWaitedLongTakesWhatThereIs() {
         promptGang();
         survey();
-        headroom.taskPlaced(first, batch.spec());
-        assertTrue(headroom.leavesHeadroom(first, batch, NOW + 76 * SECOND));
+        headroom.onTaskPlaced(first, batch.spec());
+        assertTrue(headroom.canPlace(first, batch, NOW + 76 * SECOND));
     }
 
     @Test
     void oneIdleMachineOfTwoIsKept() {
         promptGang();
         survey();
-        assertFalse(headroom.keeps(first));
-        headroom.terminated(first);
-        assertTrue(headroom.keeps(first));
+        assertFalse(headroom.isNeeded(first));
+        headroom.onMachineTerminated(first);
+        assertTrue(headroom.isNeeded(first));
     }
 }
--- a/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangPlacementFinderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.granitepath.coordination.model.ActiveJob;
 import org.granitepath.coordination.model.Machine;
-import org.granitepath.coordination.placement.MachinePreference;
+import org.granitepath.coordination.placement.MachineScorer;
 import org.granitepath.coordination.placement.PlacementFixture;
 import org.granitepath.storage.Priority;
 import org.junit.jupiter.api.Test;
@@ -18,9 +18,9 @@
 class GangPlacementFinderTest {
     private final PlacementFixture fixture = new PlacementFixture();
     private final GangPlacementFinder finder = new GangPlacementFinder(
-            new GangConstraints(List.of("a", "b"), fixture.rules), fixture.rules, new MachinePreference(fixture.rules));
-    private final Machine first = fixture.machine("m1", false);
-    private final Machine second = fixture.machine("m2", false);
+            new GangConstraints(List.of("a", "b"), fixture.rules), fixture.rules, new MachineScorer(fixture.rules));
+    private final Machine first = fixture.addMachine("m1", false);
+    private final Machine second = fixture.addMachine("m2", false);
     private final ActiveJob gang =
             fixture.gang("gang", Priority.STANDARD).tasks(3).cpuMillis(2 * CPU).build();
 
@@ -34,8 +34,8 @@
 
     @Test
     void noPartOfAGangIsPlaced() {
-        fixture.running(fixture.batch("batch", Priority.STANDARD).build(), first, SECOND);
-        fixture.running(fixture.batch("other", Priority.STANDARD).build(), second, SECOND);
+        fixture.addRunningTask(fixture.batch("batch", Priority.STANDARD).build(), first, SECOND);
+        fixture.addRunningTask(fixture.batch("other", Priority.STANDARD).build(), second, SECOND);
         assertNull(finder.find(gang, List.of(first, second), NOW));
     }
 
--- a/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/BatchPlannerTest.java
@@ -33,12 +33,12 @@
 
     @Test
     void theMostJobsThatCanBeInTimeTogether() {
-        fixture.machine("m1", true);
+        fixture.addMachine("m1", true);
         ActiveJob small = due("small", 4, 120 * SECOND);
         ActiveJob large = due("large", 8, 180 * SECOND);
         ActiveJob alsoSmall = due("also-small", 4, 240 * SECOND);
         ActiveJob hopeless = due("hopeless", 1, 30 * SECOND);
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(small));
         assertEquals(SchedulingClass.OTHER, classOf(large));
         assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(alsoSmall));
@@ -53,7 +53,7 @@
                 .build();
         ActiveJob fresh =
                 fixture.batch("fresh", Priority.BEST_EFFORT).acceptedMicros(NOW).build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(SchedulingClass.LIVE_SERVICE, classOf(live));
         assertEquals(SchedulingClass.MEETS_DEADLINE, classOf(starved));
         assertEquals(SchedulingClass.OTHER, classOf(fresh));
@@ -75,7 +75,7 @@
                 .tasks(1)
                 .acceptedMicros(NOW)
                 .build();
-        planner.update(NOW);
+        planner.updateIfDue(NOW);
         assertEquals(SchedulingClass.GUARANTEED, classOf(older));
         assertEquals(SchedulingClass.OTHER, classOf(younger));
         assertEquals(SchedulingClass.OTHER, classOf(ofOthers));
@@ -85,22 +85,22 @@
 
     @Test
     void aJobWaitsForCheapCapacityWhileItsDeadlineAllows() {
-        fixture.machine("m1", true);
+        fixture.addMachine("m1", true);
         ActiveJob relaxed = due("relaxed", 4, 300 * SECOND);
         ActiveJob urgent = due("urgent", 4, 100 * SECOND);
         ActiveJob service = fixture.service("service", Priority.STANDARD).build();
-        planner.update(NOW);
-        assertTrue(planner.deferrable(relaxed, 0, NOW));
-        assertFalse(planner.deferrable(urgent, 0, NOW));
-        assertFalse(planner.deferrable(service, 0, NOW));
+        planner.updateIfDue(NOW);
+        assertTrue(planner.isDeferrable(relaxed, 0, NOW));
+        assertFalse(planner.isDeferrable(urgent, 0, NOW));
+        assertFalse(planner.isDeferrable(service, 0, NOW));
     }
 
     @Test
     void workTakesLessTimeWithMoreCapacity() {
-        fixture.machine("m1", false);
+        fixture.addMachine("m1", false);
         fixture.batch("batch", Priority.STANDARD).tasks(8).build();
-        planner.update(NOW);
-        assertEquals(120.0 * SECOND, planner.drainMicros(0));
-        assertEquals(60.0 * SECOND, planner.drainMicros(4.0 * CPU));
+        planner.updateIfDue(NOW);
+        assertEquals(120.0 * SECOND, planner.batchCompletionMicros(0));
+        assertEquals(60.0 * SECOND, planner.batchCompletionMicros(4.0 * CPU));
     }
 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -157,7 +157,7 @@
                         SimGangs.PEER_LOSS_NOTICED),
                 new PlatformLimits(
                         shape.limits().requests(),
-                        upgraded.contains(name) ? limits.within(nextLimits) : limits,
+                        upgraded.contains(name) ? limits.strictest(nextLimits) : limits,
                         5,
                         shape.connections()),
                 250_000,
@@ -173,7 +173,7 @@
         return trace == null ? then : trace.userAnswers(node, user, then);
     }
 
-    private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedHost host) {
+    private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(host.type()))
                 .findFirst()
@@ -200,15 +200,15 @@
         public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
             Controller controller = controllerAt(node);
             HeartbeatResponse answer =
-                    controller == null ? new HeartbeatResponse.Unavailable() : controller.heartbeat(heartbeat);
+                    controller == null ? new HeartbeatResponse.Unavailable() : controller.handleHeartbeat(heartbeat);
             if (trace != null) {
-                trace.heartbeatAnswered(node, heartbeat.host(), answer);
+                trace.heartbeatAnswered(node, heartbeat.machineId(), answer);
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
-                if (controller.leader()) {
-                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.host());
-                    commands.sent(controller.fencingToken(), node, heartbeat.host(), accepted.commands());
+                if (controller.isLeader()) {
+                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.machineId());
+                    commands.sent(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
             }
             return answer;
