--- a/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
@@ -12,9 +12,9 @@
 import org.granitepath.storage.ProgressRecord;
 import org.junit.jupiter.api.Test;
 
-/** How fast live services arrive. */
+/** Tests the arrival rate of live services. */
 class ArrivalRateTest {
-    /** Ten tasks of one CPU, within a minute. */
+    /** The rate just after the arrival of ten tasks of 1 CPU each, averaged over a minute. */
     private static final double ONE_ARRIVAL = 10 * 1_000 / 60e6;
 
     private final ArrivalRate arrivalRate = new ArrivalRate();
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void arrivalsAddUpAndFade() {
+    void arrivalsAddUpAndDecay() {
         arrivalRate.recordArrival(service, SECOND);
         assertEquals(ONE_ARRIVAL / Math.E, arrivalRate.cpuMillisPerMicro(61 * SECOND), 1e-15);
         arrivalRate.recordArrival(service, 61 * SECOND);
--- a/src/test/java/org/granitepath/coordination/jobs/CommandQueueTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/CommandQueueTest.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** The machines for which commands are due. */
+/** Tests the queue of machines that have commands to be sent. */
 class CommandQueueTest {
     private final Machine first = Fixtures.machine("i-1", "north");
     private final Machine second = Fixtures.machine("i-2", "north");
@@ -15,18 +15,18 @@
     private final CommandQueue commands = new CommandQueue(() -> requests++);
 
     @Test
-    void machinesComeOnceAndInTheOrderInWhichTheyCame() {
+    void machinesAreListedOnceInInsertionOrder() {
         commands.enqueue(second);
         commands.enqueue(first);
         commands.enqueue(second);
         assertEquals(List.of(second, first), commands.machines());
-        assertEquals(3, requests, "each asks for the commands to be sent");
+        assertEquals(3, requests, "each call requests a send");
         commands.remove(second);
         assertEquals(List.of(first), commands.machines());
     }
 
     @Test
-    void theListMayBeWalkedWhileCommandsComeAndGo() {
+    void listMayBeIteratedWhileMachinesAreRemoved() {
         commands.enqueue(first);
         commands.enqueue(second);
         for (Machine machine : commands.machines()) {
--- a/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/FaultTrackerTest.java
@@ -12,9 +12,9 @@
 import org.granitepath.coordination.model.Placement;
 import org.junit.jupiter.api.Test;
 
-/** Whose fault a failed task is: its machine's or its job's. */
+/** Tests whether a failed task is blamed on its machine or on its job. */
 class FaultTrackerTest {
-    private static final long FAILED = 10 * SECOND;
+    private static final long FAILED_MICROS = 10 * SECOND;
 
     private final FaultTracker faults = new FaultTracker();
     private final Machine first = Fixtures.machine("i-1", "north");
@@ -24,87 +24,91 @@
     private final ActiveJob other = Fixtures.job();
 
     @Test
-    void aFailureMakesTheMachineASuspect() {
+    void failureMakesMachineSuspect() {
         assertTrue(faults.canTry(first, job));
-        assertEquals(List.of(), faults.recordFailure(first, job, FAILED));
+        assertEquals(List.of(), faults.recordFailure(first, job, FAILED_MICROS));
         assertTrue(faults.isSuspect(first));
-        assertFalse(faults.canTry(first, job), "no job is tried again where it failed");
+        assertFalse(faults.canTry(first, job), "a job is not tried again on a machine where it failed");
         assertTrue(faults.canTry(first, other));
         assertTrue(faults.canTry(second, job));
     }
 
     @Test
-    void aSuspectIsOfferedOneTaskAtATime() {
-        faults.recordFailure(first, job, FAILED);
-        first.add(started(other, first, FAILED + SECOND));
+    void suspectGetsOneTaskAtATime() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        first.add(started(other, first, FAILED_MICROS + SECOND));
         assertFalse(faults.canTry(first, other));
     }
 
     @Test
-    void aSecondJobThatFailsThereMakesItFaulty() {
-        faults.recordFailure(first, job, FAILED);
-        assertEquals(List.of(first), faults.recordFailure(first, other, FAILED + SECOND));
+    void failureOfSecondJobMakesMachineFaulty() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        assertEquals(List.of(first), faults.recordFailure(first, other, FAILED_MICROS + SECOND));
         assertFalse(faults.canTry(first, Fixtures.job()));
-        assertEquals(List.of(), faults.recordFailure(first, Fixtures.job(), FAILED + 2 * SECOND), "told once");
+        assertEquals(
+                List.of(),
+                faults.recordFailure(first, Fixtures.job(), FAILED_MICROS + 2 * SECOND),
+                "reported only once");
     }
 
     @Test
-    void aJobThatFailsOnThreeMachinesIsItselfInQuestion() {
-        faults.recordFailure(first, job, FAILED);
-        faults.recordFailure(second, job, FAILED);
+    void jobThatFailsOnThreeMachinesIsSuspect() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        faults.recordFailure(second, job, FAILED_MICROS);
         assertTrue(faults.canStartAnother(job));
-        faults.recordFailure(third, job, FAILED);
-        assertFalse(faults.isSuspect(third), "it makes no further machine a suspect");
-        assertTrue(faults.canStartAnother(job), "nothing of it is placed");
-        job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED + SECOND));
+        faults.recordFailure(third, job, FAILED_MICROS);
+        assertFalse(faults.isSuspect(third), "a suspect job makes no further machine a suspect");
+        assertTrue(faults.canStartAnother(job), "none of its tasks is placed");
+        job.addPlacement(started(job, Fixtures.machine("i-4", "north"), FAILED_MICROS + SECOND));
         assertFalse(faults.canStartAnother(job));
     }
 
     @Test
-    void aJobWithoutProofIsRetriedLessAndLessOften() {
-        faults.recordFailure(first, job, FAILED);
-        assertEquals(FAILED + SECOND / 2, job.scheduling().notBeforeMicros());
-        faults.recordFailure(second, job, FAILED);
-        assertEquals(FAILED + SECOND, job.scheduling().notBeforeMicros());
+    void unprovenJobIsRetriedAtGrowingIntervals() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        assertEquals(FAILED_MICROS + SECOND / 2, job.scheduling().notBeforeMicros());
+        faults.recordFailure(second, job, FAILED_MICROS);
+        assertEquals(FAILED_MICROS + SECOND, job.scheduling().notBeforeMicros());
     }
 
     @Test
-    void aTaskThatStartedAfterTheFailureClearsTheMachine() {
-        faults.recordFailure(first, job, FAILED);
-        Placement before = started(other, first, FAILED - SECOND);
-        faults.recordSuccess(before, FAILED + SECOND);
+    void taskStartedAfterFailureClearsMachine() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        Placement before = started(other, first, FAILED_MICROS - SECOND);
+        faults.recordSuccess(before, FAILED_MICROS + SECOND);
         assertTrue(faults.isSuspect(first), "it started before the failure");
-        Placement after = started(other, first, FAILED + SECOND);
+        Placement after = started(other, first, FAILED_MICROS + SECOND);
         assertTrue(faults.isUnderObservation(after));
-        faults.recordSuccess(after, FAILED + 6 * SECOND);
+        faults.recordSuccess(after, FAILED_MICROS + 6 * SECOND);
         assertFalse(faults.isSuspect(first));
         assertFalse(faults.isUnderObservation(after));
     }
 
     @Test
-    void nothingClearsAFaultyMachine() {
-        faults.recordFailure(first, job, FAILED);
-        faults.recordFailure(first, other, FAILED);
-        faults.recordSuccess(started(Fixtures.job(), first, FAILED + SECOND), FAILED + 6 * SECOND);
+    void faultyMachineIsNeverCleared() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        faults.recordFailure(first, other, FAILED_MICROS);
+        faults.recordSuccess(started(Fixtures.job(), first, FAILED_MICROS + SECOND), FAILED_MICROS + 6 * SECOND);
         assertTrue(faults.isSuspect(first));
     }
 
     @Test
-    void proofOfAJobPutsItsFailuresOnTheMachines() {
-        faults.recordFailure(first, job, FAILED);
-        faults.recordFailure(second, job, FAILED);
-        faults.recordFailure(third, job, FAILED);
-        faults.recordFailure(third, other, FAILED);
-        List<Machine> faulty =
-                faults.recordSuccess(started(job, Fixtures.machine("i-4", "north"), FAILED), FAILED + 6 * SECOND);
-        assertEquals(List.of(third), faulty, "where another job failed too");
-        assertEquals(FAILED + 6 * SECOND, job.scheduling().notBeforeMicros(), "it need not wait any longer");
+    void successOfJobBlamesItsFailuresOnMachines() {
+        faults.recordFailure(first, job, FAILED_MICROS);
+        faults.recordFailure(second, job, FAILED_MICROS);
+        faults.recordFailure(third, job, FAILED_MICROS);
+        faults.recordFailure(third, other, FAILED_MICROS);
+        List<Machine> faulty = faults.recordSuccess(
+                started(job, Fixtures.machine("i-4", "north"), FAILED_MICROS), FAILED_MICROS + 6 * SECOND);
+        assertEquals(List.of(third), faulty, "another job failed there, too");
+        assertEquals(
+                FAILED_MICROS + 6 * SECOND, job.scheduling().notBeforeMicros(), "the job need not wait any longer");
         assertTrue(faults.canStartAnother(job));
     }
 
     @Test
-    void whatIsForgottenCountsNoMore() {
-        faults.recordFailure(first, job, FAILED);
+    void forgottenJobAndMachineNoLongerCount() {
+        faults.recordFailure(first, job, FAILED_MICROS);
         faults.forget(job);
         assertTrue(faults.canTry(first, job));
         faults.forget(first);
--- a/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/GangMembershipTest.java
@@ -16,74 +16,74 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who belongs to the present attempt of a gang, here the one with number 5, and who is stopped with whom. */
+/** Tests which tasks belong to the current attempt of a gang, which has number 5, and which are stopped together. */
 class GangMembershipTest {
-    private static final long PRESENT = 5;
+    private static final long CURRENT_ATTEMPT = 5;
 
     private final JobsFixture fixture = new JobsFixture();
     private final ActiveJob job = fixture.openJob(GANG);
-    private final GangAttempt attempt = job.beginGangAttempt(PRESENT);
+    private final GangAttempt attempt = job.beginGangAttempt(CURRENT_ATTEMPT);
     private final GangMembership gangs = new GangMembership();
 
-    private Placement placed(ActiveJob ofJob, int task, long number) {
+    private Placement place(ActiveJob ofJob, int task, long number) {
         Placement placement = Fixtures.placement(ofJob, task, fixture.machine("i-" + task), number);
         ofJob.addPlacement(placement);
         return placement;
     }
 
     @Test
-    void aTaskThatWasStartedInTheAttemptIsNotStartedAgainOnItsMachine() {
-        gangs.addStarted(placed(job, 0, PRESENT));
+    void startedTaskIsRememberedWithItsMachine() {
+        gangs.addStarted(place(job, 0, CURRENT_ATTEMPT));
         assertTrue(attempt.hasBeenTriedOn(0, "i-0"));
     }
 
     @Test
-    void aTaskOfThePresentAttemptThatIsFoundJoinsIt() {
-        Placement found = placed(job, 0, PRESENT);
+    void adoptedTaskOfCurrentAttemptJoinsIt() {
+        Placement found = place(job, 0, CURRENT_ATTEMPT);
         assertEquals(List.of(), gangs.addAdopted(found));
         assertTrue(attempt.hasBeenTriedOn(0, "i-0"));
     }
 
     @Test
-    void aTaskOfAnOlderAttemptThatIsFoundIsALeftover() {
-        Placement found = placed(job, 0, PRESENT - 1);
+    void adoptedTaskOfOlderAttemptIsLeftover() {
+        Placement found = place(job, 0, CURRENT_ATTEMPT - 1);
         assertEquals(List.of(found), gangs.addAdopted(found));
         assertSame(attempt, job.gangAttempt());
     }
 
     @Test
-    void aTaskOfANewerAttemptThatIsFoundMakesTheOthersLeftovers() {
-        Placement former = placed(job, 0, PRESENT);
-        Placement found = placed(job, 1, PRESENT + 1);
-        assertEquals(List.of(former), gangs.addAdopted(found));
-        assertEquals(PRESENT + 1, gangs.currentAttemptNumber(job));
+    void adoptedTaskOfNewerAttemptMakesOthersLeftovers() {
+        Placement older = place(job, 0, CURRENT_ATTEMPT);
+        Placement found = place(job, 1, CURRENT_ATTEMPT + 1);
+        assertEquals(List.of(older), gangs.addAdopted(found));
+        assertEquals(CURRENT_ATTEMPT + 1, gangs.currentAttemptNumber(job));
     }
 
     @Test
-    void aGangIsStoppedAsAWhole() {
-        List<Placement> all = List.of(placed(job, 0, PRESENT), placed(job, 1, PRESENT));
+    void allTasksOfGangAreStoppedTogether() {
+        List<Placement> all = List.of(place(job, 0, CURRENT_ATTEMPT), place(job, 1, CURRENT_ATTEMPT));
         assertEquals(all, gangs.markStopping(all.get(1), "test"));
         assertEquals(GangAttempt.Phase.STOPPING, attempt.phase());
     }
 
     @Test
-    void aTaskOfAnotherShapeIsStoppedAlone() {
+    void taskOfBatchJobIsStoppedAlone() {
         ActiveJob batch = fixture.openJob(BATCH);
-        placed(batch, 0, 1);
-        Placement second = placed(batch, 1, 2);
+        place(batch, 0, 1);
+        Placement second = place(batch, 1, 2);
         assertEquals(List.of(second), gangs.markStopping(second, "test"));
     }
 
     @ParameterizedTest
     @CsvSource({
         "5, true, false, true",
-        "5, false, false, false", // another may take its place
-        "4, true, false, false", // a leftover
-        "5, true, true, false", // it may run on a machine that is not heard yet
+        "5, false, false, false", // another attempt of the task may replace it
+        "4, true, false, false", // a leftover of an older attempt
+        "5, true, true, false", // the task may be on a machine whose first heartbeat is awaited
     })
-    void aRunningGangCannotGoOnWithoutOneOfItsTasks(
+    void runningGangCannotContinueWithoutOneOfItsTasks(
             long number, boolean running, boolean maybeElsewhere, boolean stopsOthers) {
-        Placement gone = placed(job, 0, number);
+        Placement gone = place(job, 0, number);
         if (running) {
             attempt.markRunning();
         }
@@ -91,8 +91,8 @@
     }
 
     @Test
-    void anAttemptIsForgottenWithItsLastPlacement() {
-        Placement only = placed(job, 0, PRESENT);
+    void attemptIsClearedWithItsLastPlacement() {
+        Placement only = place(job, 0, CURRENT_ATTEMPT);
         gangs.clearAttemptIfGone(job);
         assertSame(attempt, job.gangAttempt());
         job.removePlacement(only, false);
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -24,24 +24,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a term opens the jobs on record, follows their records and puts their end on record. */
+/** Tests how a term opens recorded jobs, follows their records and records their completion. */
 class JobLifecycleTest {
     private static final String JOB = BATCH.id();
 
     private final JobsFixture fixture = new JobsFixture();
     private final JobLifecycle lifecycle = fixture.lifecycle;
 
-    private void accepted(JobSpec spec, int claimed, long term) {
+    private void recordAccepted(JobSpec spec, int claimed, long term) {
         fixture.jobIndex.changed(Keys.job(spec.id()), new JobRecord(spec, 0, claimed, term));
     }
 
-    private void progressed(int claimed, int doneTasks) {
+    private void recordProgress(int claimed, int doneTasks) {
         var done = TreeRangeSet.<Integer>create();
         ProgressRecord.addTasks(done, doneTasks);
         fixture.jobIndex.changed(Keys.progress(JOB), new ProgressRecord("c1", claimed, done, 0));
     }
 
-    private void ended(FinalRecord.Outcome outcome) {
+    private void recordEnded(FinalRecord.Outcome outcome) {
         fixture.jobIndex.changed(Keys.finalOf(JOB), new FinalRecord(outcome));
     }
 
@@ -49,71 +49,71 @@
         return fixture.jobs.get(JOB);
     }
 
-    /** The term of the fixture has fencing token 3. */
+    /** The fixture's term has fencing token 3. */
     @ParameterizedTest
     @CsvSource({
         "2, true, 4",
-        "2, false, 0", // no machine is left that may hold them
-        "3, true, 0", // claimed for this term: no predecessor can have started them
+        "2, false, 0", // no awaited machine may hold them
+        "3, true, 0", // claimed for this term, so no previous leader has started them
     })
-    void tasksThatAFormerTermClaimedAreUnconfirmedWhileAMachineIsAwaited(long term, boolean awaited, int unconfirmed) {
+    void tasksClaimedByEarlierTermAreUnconfirmedWhileMachineIsAwaited(long term, boolean awaited, int unconfirmed) {
         if (awaited) {
             fixture.addAwaitedMachine();
         }
-        accepted(BATCH, 4, term);
+        recordAccepted(BATCH, 4, term);
         lifecycle.start();
         assertEquals(unconfirmed, job().unconfirmedTasks());
     }
 
     @Test
-    void aJobThatASuccessorHasClaimedIsLeftAlone() {
-        accepted(BATCH, 4, TOKEN + 1);
+    void jobClaimedBySuccessorIsNotOpened() {
+        recordAccepted(BATCH, 4, TOKEN + 1);
         lifecycle.start();
         assertNull(job());
     }
 
     @Test
-    void aJobOfWhichARecordCannotBeReadIsLeftAlone() {
-        accepted(BATCH, 4, TOKEN);
+    void jobWithUnreadableRecordIsNotOpened() {
+        recordAccepted(BATCH, 4, TOKEN);
         fixture.jobIndex.changed(Keys.progress(JOB), new UnknownRecord(Map.of()));
         lifecycle.start();
         assertNull(job());
     }
 
     @Test
-    void aJobThatIsAcceptedDuringTheTermIsOpenedAndCountsAsArrived() {
+    void jobAcceptedDuringTermIsOpenedAndCountsAsArrival() {
         lifecycle.start();
-        accepted(LIVE_SERVICE, 4, TOKEN);
+        recordAccepted(LIVE_SERVICE, 4, TOKEN);
         assertNotNull(job());
         assertSame(job(), fixture.arrivalRate.newestJob());
     }
 
     @Test
-    void aJobThatWasOnRecordBeforeDoesNotCountAsArrived() {
-        accepted(LIVE_SERVICE, 4, TOKEN);
+    void jobRecordedBeforeTermDoesNotCountAsArrival() {
+        recordAccepted(LIVE_SERVICE, 4, TOKEN);
         lifecycle.start();
         assertNull(fixture.arrivalRate.newestJob());
     }
 
     @Test
-    void theEndOfAJobWhoseTasksAreAllDoneGoesOnRecord() {
+    void jobWithAllTasksDoneIsRecordedAsDone() {
         fixture.replica.start();
         fixture.timers.advance(SECOND);
-        accepted(BATCH, 4, TOKEN);
-        progressed(BATCH.tasks(), BATCH.tasks());
+        recordAccepted(BATCH, 4, TOKEN);
+        recordProgress(BATCH.tasks(), BATCH.tasks());
         lifecycle.start();
         assertEquals(ActiveJob.Phase.COMPLETING, job().phase());
         fixture.timers.advance(SECOND);
         assertEquals(FinalRecord.Outcome.DONE, fixture.jobIndex.finalOf(JOB));
-        assertNull(job(), "nothing of it is on any machine");
+        assertNull(job(), "none of its tasks is on a machine");
     }
 
     @Test
-    void aCancelledJobIsKeptUntilItsTasksAreGone() {
-        accepted(BATCH, 4, TOKEN);
+    void cancelledJobIsKeptUntilItsTasksAreGone() {
+        recordAccepted(BATCH, 4, TOKEN);
         lifecycle.start();
         Placement placement = fixture.startAndSend(job(), fixture.machine("i-1"));
-        ended(FinalRecord.Outcome.CANCELLED);
+        recordEnded(FinalRecord.Outcome.CANCELLED);
         assertEquals(Placement.Phase.STOPPING, placement.phase());
         assertFalse(job().isOpen());
         fixture.tasks.free(placement, "test");
@@ -122,18 +122,18 @@
 
     @ParameterizedTest
     @CsvSource({"6, 6", "2, 4"})
-    void aClaimOnRecordOnlyGrows(int recorded, int expected) {
-        accepted(BATCH, 4, TOKEN);
+    void recordedClaimOnlyGrows(int recorded, int expected) {
+        recordAccepted(BATCH, 4, TOKEN);
         lifecycle.start();
-        progressed(recorded, 0);
+        recordProgress(recorded, 0);
         assertEquals(expected, job().claimedTasks());
     }
 
     @Test
-    void afterTheTermRecordsAreFollowedNoMore() {
+    void recordsAreNotFollowedAfterEndOfTerm() {
         lifecycle.start();
         lifecycle.end();
-        accepted(BATCH, 4, TOKEN);
+        recordAccepted(BATCH, 4, TOKEN);
         assertNull(job());
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -28,7 +28,7 @@
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 
-/** The life of jobs and tasks in one term of leadership, over a store in memory and a clock moved by hand. */
+/** The life cycle of jobs and tasks in one leadership term, with an in-memory store and a manually advanced clock. */
 final class JobsFixture {
     static final long SECOND = 1_000_000;
     /** The fencing token of the term. */
@@ -36,7 +36,7 @@
 
     static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
     static final JobSpec GANG = Fixtures.spec(JobSpec.Shape.GANG, false, false);
-    /** A service whose start its users wait for. */
+    /** A service whose users wait for its start. */
     static final JobSpec LIVE_SERVICE = Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.HIGH);
 
     final ManualTimers timers = new ManualTimers();
@@ -71,13 +71,13 @@
         return new JobRecorder(config, new Leadership.Term(TOKEN, 1), replica, writeQueue, loop);
     }
 
-    /** Starts and ends tasks under this fencing token. */
+    /** Returns a life cycle of tasks in the term with the given fencing token. */
     TaskLifecycle tasksForTerm(long fencingToken) {
         return new TaskLifecycle(
                 new Leadership.Term(fencingToken, 1), recovery, jobs, teamLimits, timers, loop, commands);
     }
 
-    /** A former leader has left a machine of which nothing was heard yet: it may hold any task. */
+    /** Takes over a machine from a previous leader that has not sent a heartbeat yet, so it may hold any task. */
     void addAwaitedMachine() {
         recovery.start(List.of(machine("awaited")), 0, 1);
     }
@@ -86,7 +86,7 @@
         return Fixtures.machine(id, "north");
     }
 
-    /** An open job whose ten tasks are all claimed for this term and free to start. */
+    /** Returns an open job whose ten tasks are all claimed for this term and free to start. */
     ActiveJob openJob(JobSpec spec) {
         ActiveJob job =
                 new ActiveJob(new JobRecord(spec, 0, spec.tasks(), TOKEN), ProgressRecord.none(), timers.nowMicros());
@@ -95,21 +95,21 @@
         return job;
     }
 
-    /** A task that was started there just now, and whose start has gone out. */
+    /** Starts the job's next task on the machine and marks its start as sent. */
     Placement startAndSend(ActiveJob job, Machine machine) {
         Placement placement = tasks.start(job, machine, timers.nowMicros());
         placement.markSentDirectly();
         return placement;
     }
 
-    /** A task of a former leader that a heartbeat lists, and that may be elsewhere if the heartbeat is old. */
-    Placement adopt(ActiveJob job, int index, Machine machine, long attempt, boolean onlyHere) {
+    /** Adopts a running task that a heartbeat lists and a previous leader started. */
+    Placement adopt(ActiveJob job, int index, Machine machine, long attempt, boolean onlyOnThisMachine) {
         Heartbeat.TaskStatus status = new Heartbeat.TaskStatus(
                 new TaskId(job.spec().id(), index),
                 attempt,
                 Heartbeat.TaskState.RUNNING,
                 Heartbeat.ExitCause.NONE,
                 false);
-        return tasks.adopt(job, machine, status, onlyHere, timers.nowMicros());
+        return tasks.adopt(job, machine, status, onlyOnThisMachine, timers.nowMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/RuntimeEstimatorTest.java
@@ -7,19 +7,19 @@
 import org.granitepath.coordination.model.Fixtures;
 import org.junit.jupiter.api.Test;
 
-/** How run times that were seen correct the estimates, which are 60 s here. */
+/** Tests how measured run times correct the owners' estimates, which are 60 s here. */
 class RuntimeEstimatorTest {
     private final RuntimeEstimator estimator = new RuntimeEstimator();
     private final ActiveJob job = Fixtures.job();
     private final ActiveJob sameClass = Fixtures.job();
 
     @Test
-    void withoutExperienceTheEstimateHolds() {
+    void estimateOfOwnerIsUsedWithoutHistory() {
         assertEquals(60 * SECOND, estimator.expectedTaskMicros(job));
     }
 
     @Test
-    void oneFinishedTaskCountsForItsJobMoreThanForItsClass() {
+    void finishedTaskWeighsMoreForItsJobThanForItsClass() {
         estimator.recordFinishedTask(job, 30 * SECOND);
         double classMicros = 60.0 * SECOND * (0.5 + 10) / 11;
         assertEquals(classMicros, (double) estimator.expectedTaskMicros(sameClass), 1);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aClassChangesAnEstimateFivefoldAtMost() {
+    void classHistoryRaisesEstimateAtMostFivefold() {
         for (int i = 0; i < 300; i++) {
             estimator.recordFinishedTask(job, 6_000 * SECOND);
         }
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aClassReducesAnEstimateToAFifthAtMost() {
+    void classHistoryLowersEstimateAtMostToOneFifth() {
         for (int i = 0; i < 300; i++) {
             estimator.recordFinishedTask(job, 1);
         }
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Where tasks begin and end. */
+/** Tests the life cycle of tasks, from the decision to start them until they are freed. */
 class TaskLifecycleTest {
     private final JobsFixture fixture = new JobsFixture();
     private final TaskLifecycle tasks = fixture.tasks;
     private final Machine machine = fixture.machine("i-1");
 
     @Test
-    void aStartedTaskTakesItsPlaceAndWaitsToBeSent() {
+    void startedTaskUsesCapacityAndQueuesCommand() {
         ActiveJob job = fixture.openJob(BATCH);
         Placement placement = tasks.start(job, machine, fixture.timers.nowMicros());
         assertEquals(Placement.Phase.ASSIGNED, placement.phase());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void laterAttemptsHaveLargerNumbersAlsoAcrossTerms() {
+    void attemptNumbersGrowWithinAndAcrossTerms() {
         ActiveJob job = fixture.openJob(BATCH);
         long first = tasks.start(job, machine, 0).attempt();
         long second = tasks.start(job, machine, 0).attempt();
@@ -46,17 +46,17 @@
     }
 
     @Test
-    void aStopFreesATaskThatWasNeverSent() {
+    void stopFreesTaskThatWasNeverSent() {
         ActiveJob job = fixture.openJob(BATCH);
         Placement placement = tasks.start(job, machine, 0);
         tasks.stop(placement, 10 * SECOND, "test");
         assertFalse(placement.isActive());
-        assertEquals(placement.task().index(), job.takeTask(), "it is the next to start again");
+        assertEquals(placement.task().index(), job.takeTask(), "it is the next task to start");
         assertEquals(0, fixture.teamLimits.borrowedCpuMillis(BATCH.team()));
     }
 
     @Test
-    void aTaskThatWasSentIsToldToStopAndKeepsItsPlace() {
+    void sentTaskKeepsItsPlacementWhileStopping() {
         Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
         fixture.commands.remove(machine);
         tasks.stop(placement, 10 * SECOND, "test");
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @CsvSource({"5, 5", "20, 10"})
-    void aSecondStopOnlyShortensTheGracePeriod(long secondGraceSeconds, long expectedSeconds) {
+    void secondStopOnlyShortensGracePeriod(long secondGraceSeconds, long expectedSeconds) {
         Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
         tasks.stop(placement, 10 * SECOND, "test");
         tasks.stop(placement, secondGraceSeconds * SECOND, "test");
@@ -75,49 +75,52 @@
     }
 
     @Test
-    void aTaskIsFreedOnce() {
+    void secondFreeHasNoEffect() {
         ActiveJob job = fixture.openJob(BATCH);
         fixture.startAndSend(job, machine);
         Placement placement = fixture.startAndSend(job, machine);
         tasks.free(placement, "test");
         tasks.free(placement, "test");
-        assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()), "the other one runs");
+        assertEquals(
+                BATCH.cpuMillis(),
+                fixture.teamLimits.borrowedCpuMillis(BATCH.team()),
+                "the other task is still running");
     }
 
     @ParameterizedTest
     @CsvSource({
-        "false, true, 1", // an old heartbeat: a machine that is awaited may have the task
+        "false, true, 1", // an awaited machine may have the task, because the heartbeat is old
         "false, false, 0",
         "true, true, 0",
     })
-    void aTaskFoundInAnOldHeartbeatMayBeOnAMachineStillAwaited(boolean onlyHere, boolean awaited, int unconfirmed) {
+    void taskAdoptedFromOldHeartbeatMayBeOnAwaitedMachine(boolean onlyOnThisMachine, boolean awaited, int unconfirmed) {
         if (awaited) {
             fixture.addAwaitedMachine();
         }
         ActiveJob job = fixture.openJob(BATCH);
-        Placement placement = fixture.adopt(job, 0, machine, 1, onlyHere);
+        Placement placement = fixture.adopt(job, 0, machine, 1, onlyOnThisMachine);
         tasks.free(placement, "test");
         assertEquals(unconfirmed, job.unconfirmedTasks());
     }
 
     @ParameterizedTest
     @CsvSource({
-        "BATCH, 50, RUNNING", // of its 60 s 10 are left, which is less than half of the notice
+        "BATCH, 50, RUNNING", // 10 of its 60 s are left, which is less than half of the notice
         "BATCH, 40, STOPPING",
         "SERVICE, 50, STOPPING",
     })
-    void fromAMachineThatIsTakenBackWorkMovesThatWontFinish(
-            JobSpec.Shape shape, long ranSeconds, Placement.Phase then) {
+    void evacuationStopsServicesAndTasksThatWouldNotFinish(
+            JobSpec.Shape shape, long ranSeconds, Placement.Phase expected) {
         Placement placement = fixture.startAndSend(fixture.openJob(Fixtures.spec(shape, false, false)), machine);
         placement.markRunning(fixture.timers.nowMicros());
         fixture.timers.advance(ranSeconds * SECOND);
         tasks.evacuate(machine, 30 * SECOND);
-        assertEquals(then, placement.phase());
+        assertEquals(expected, placement.phase());
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
 
-    private List<Placement> startedGang() {
+    private List<Placement> startGang() {
         ActiveJob job = fixture.openJob(GANG);
         List<Machine> machines = IntStream.range(0, GANG.tasks())
                 .mapToObj(index -> fixture.machine("g-" + index))
@@ -131,23 +134,23 @@
     }
 
     @Test
-    void theTasksOfAGangShareOneAttempt() {
-        List<Placement> gang = startedGang();
+    void tasksOfGangShareOneAttempt() {
+        List<Placement> gang = startGang();
         assertEquals(GANG.tasks(), gang.size());
         assertEquals(1, gang.stream().mapToLong(Placement::attempt).distinct().count());
     }
 
     @Test
-    void theTasksOfAGangAreStoppedTogether() {
-        List<Placement> gang = startedGang();
+    void tasksOfGangAreStoppedTogether() {
+        List<Placement> gang = startGang();
         gang.forEach(Placement::markSentDirectly);
         tasks.stop(gang.get(0), 0, "test");
         assertEquals(List.of(Placement.Phase.STOPPING), phases(gang));
     }
 
     @Test
-    void aGangOfWhichNothingWasSentIsForgottenWhenItIsStopped() {
-        List<Placement> gang = startedGang();
+    void stopClearsAttemptOfGangThatWasNeverSent() {
+        List<Placement> gang = startGang();
         tasks.stop(gang.get(0), 0, "test");
         assertEquals(List.of(Placement.Phase.FREED), phases(gang));
         assertEquals(GANG.tasks(), gang.get(0).job().waitingTasks());
@@ -155,8 +158,8 @@
     }
 
     @Test
-    void whenATaskOfARunningGangIsGoneTheOthersAreStopped() {
-        List<Placement> gang = startedGang();
+    void lossOfTaskStopsRunningGang() {
+        List<Placement> gang = startGang();
         gang.forEach(Placement::markSentDirectly);
         gang.get(0).job().gangAttempt().markRunning();
         tasks.free(gang.get(0), "test");
@@ -164,15 +167,15 @@
     }
 
     @Test
-    void whenATaskOfAFormingGangIsGoneTheOthersStay() {
-        List<Placement> gang = startedGang();
+    void lossOfTaskKeepsFormingGang() {
+        List<Placement> gang = startGang();
         gang.forEach(Placement::markSentDirectly);
         tasks.free(gang.get(0), "test");
         assertEquals(List.of(Placement.Phase.SENT), phases(gang.subList(1, gang.size())));
     }
 
     @Test
-    void aNewerAttemptOfAGangThatIsFoundStopsTheOlderOne() {
+    void adoptedNewerAttemptStopsOlderOne() {
         ActiveJob job = fixture.openJob(GANG);
         Placement older = fixture.adopt(job, 0, fixture.machine("g-0"), 1, true);
         Placement newer = fixture.adopt(job, 1, fixture.machine("g-1"), 2, true);
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
+/** Tests the life cycle of a job, and which of its tasks are done, placed, unconfirmed or free to start. */
 class ActiveJobTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
             from        OPEN  COMPLETING  ENDED
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Five tasks claimed by a former leader, of which task 1 is done. */
+    /** A job of which a previous leader claimed five tasks and task 1 is done. */
     private static ActiveJob inherited(JobSpec spec) {
         RangeSet<Integer> done = TreeRangeSet.create();
         ProgressRecord.addTask(done, 1);
@@ -86,20 +86,20 @@
     }
 
     @Test
-    void whatAFormerLeaderClaimedAndIsNotDoneIsUnconfirmed() {
+    void claimedTasksOfPreviousLeaderAreUnconfirmedUnlessDone() {
         ActiveJob inherited = inherited(BATCH);
-        assertEquals(5, inherited.claimedTasks(), "the larger claim of its two records");
+        assertEquals(5, inherited.claimedTasks(), "the larger one of the claims in its two records");
         assertEquals(5, inherited.requestedClaim());
         assertEquals(5, inherited.firstUnstartedTask());
         assertEquals(4, inherited.unconfirmedTasks());
         assertEquals(4, inherited.runningTasks());
         assertEquals(9, inherited.unfinishedTasks());
         assertEquals(5, inherited.waitingTasks());
-        assertFalse(inherited.hasStartableTask(), "none is proved to be on no machine");
+        assertFalse(inherited.hasStartableTask(), "no unconfirmed task may start");
     }
 
     @Test
-    void whatIsResolvedStartsAgainLowestNumberFirst() {
+    void resolvedTasksStartAgainLowestNumberFirst() {
         ActiveJob inherited = inherited(BATCH);
         inherited.resolveUnconfirmed();
         assertEquals(0, inherited.unconfirmedTasks());
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aClaimCountsOnceItIsOnRecord() {
+    void claimAllowsStartsOnlyOnceItIsStored() {
         job.requestClaim(4);
         assertEquals(4, job.requestedClaim());
         assertFalse(job.hasStartableTask());
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aTaskThatIsFoundIsUnconfirmedNoMore() {
+    void placedTaskIsNoLongerUnconfirmed() {
         ActiveJob inherited = inherited(BATCH);
         Placement found = Fixtures.placement(inherited, 2, north, 1);
         inherited.addPlacement(found);
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aTaskProvedGoneIsFreeUnlessItMayBeElsewhere() {
+    void removedTaskIsFreeUnlessItMayBeElsewhere() {
         ActiveJob inherited = inherited(BATCH);
         Placement here = Fixtures.placement(inherited, 2, north, 1);
         inherited.addPlacement(here);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void anEarlierAttemptDoesNotDisplaceALaterOne() {
+    void removingEarlierAttemptKeepsLaterOne() {
         Placement earlier = Fixtures.placement(job, 2, north, 1);
         Placement later = Fixtures.placement(job, 2, south, 2);
         job.addPlacement(later);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void aTaskThatIsDoneNeverStartsAgain() {
+    void doneTaskNeverStartsAgain() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
         job.addPlacement(placement);
         job.markDone(0);
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void nothingOfAJobThatIsOverWaitsOrIsFreed() {
+    void endedJobHasNoWaitingOrFreedTasks() {
         Placement placement = Fixtures.placement(job, 0, north, 1);
         job.addPlacement(placement);
         job.markEnded("cancelled");
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void aGangIsDoneAsAWhole() {
+    void allTasksOfGangAreDoneTogether() {
         ActiveJob gang = inherited(Fixtures.spec(JobSpec.Shape.GANG, false, false));
         gang.markAllDone();
         assertEquals(0, gang.unfinishedTasks());
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void aGangHasOneAttemptAtATime() {
+    void gangHasOneAttemptAtATime() {
         assertNull(job.gangAttempt());
         GangAttempt attempt = job.beginGangAttempt(5);
         assertSame(attempt, job.gangAttempt());
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void oneZoneStandsOnceAnythingIsPlaced() {
+    void oneZoneJobIsBoundToZoneOfItsFirstPlacement() {
         ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
         assertTrue(oneZone.canPlaceInZone("north"));
         Placement placement = Fixtures.placement(oneZone, 0, south, 1);
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void anUnconfirmedTaskMayStandInAnyZone() {
+    void unconfirmedTasksCountInEveryZone() {
         assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).canPlaceInZone("north"));
         ActiveJob spread = inherited(Fixtures.spec(JobSpec.Shape.SERVICE, false, true));
         int cap = spread.spec().zoneCap();
@@ -231,7 +231,7 @@
 
     @ParameterizedTest(name = "{0} of priority {1}: {2}")
     @CsvSource({"SERVICE, CRITICAL, true", "SERVICE, HIGH, true", "SERVICE, STANDARD, false", "BATCH, CRITICAL, false"})
-    void servicesOfHighPriorityAreLive(JobSpec.Shape shape, Priority priority, boolean live) {
+    void servicesOfHighPriorityAreLiveServices(JobSpec.Shape shape, Priority priority, boolean live) {
         JobSpec spec = Fixtures.spec(shape, false, false, priority);
         assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLiveService());
     }
--- a/src/test/java/org/granitepath/coordination/model/CapacityHoldTest.java
+++ b/src/test/java/org/granitepath/coordination/model/CapacityHoldTest.java
@@ -7,20 +7,20 @@
 
 import org.junit.jupiter.api.Test;
 
-/** For whom capacity is held back, and what ends that. */
+/** Tests what capacity is held for, and what ends a hold. */
 class CapacityHoldTest {
     private final ActiveJob gang = Fixtures.job();
     private final ActiveJob other = Fixtures.job();
     private final CapacityHold hold = new CapacityHold();
 
     @Test
-    void nothingIsHeldAtFirst() {
+    void newHoldHasNeitherHeadroomNorReservation() {
         assertFalse(hold.isHeadroom());
         assertNull(hold.reservedFor());
     }
 
     @Test
-    void headroomIsKeptUntilItIsReleased() {
+    void headroomIsKeptUntilItIsCleared() {
         hold.setHeadroom(true);
         assertTrue(hold.isHeadroom());
         hold.setHeadroom(false);
@@ -28,14 +28,14 @@
     }
 
     @Test
-    void aLaterGangTakesTheReservationOver() {
+    void laterReservationReplacesEarlierOne() {
         hold.reserveFor(gang);
         hold.reserveFor(other);
         assertSame(other, hold.reservedFor());
     }
 
     @Test
-    void aReservationEndsForItsOwnGangOnly() {
+    void reservationEndsOnlyForItsOwnGang() {
         hold.reserveFor(gang);
         hold.endReservationFor(other);
         assertSame(gang, hold.reservedFor());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aReservationCanBeEndedWhoeverItIsFor() {
+    void reservationCanBeEndedForAnyGang() {
         hold.reserveFor(gang);
         hold.endReservation();
         assertNull(hold.reservedFor());
--- a/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
+++ b/src/test/java/org/granitepath/coordination/model/DepartedMachinesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which heartbeats are late copies from machines that left the fleet. */
+/** Tests which heartbeats are recognized as delayed copies from machines that left the fleet. */
 class DepartedMachinesTest {
     private final DepartedMachines departed = new DepartedMachines();
 
@@ -18,26 +18,26 @@
     }
 
     @Test
-    void aHeartbeatOfAMachineThatNeverLeftIsNoLateCopy() {
+    void heartbeatOfMachineThatNeverLeftIsNotRejected() {
         departed.add("i-1", 4);
         assertFalse(departed.isFromDepartedMachine(heartbeat("i-2", 0)));
     }
 
     @ParameterizedTest(name = "left in epoch 4, heartbeat of epoch {0}: {1}")
     @CsvSource({"3, true", "4, true", "5, false"})
-    void onlyAWorkerOfALaterAgentEpochMayJoinAgain(long agentEpoch, boolean lateCopy) {
+    void onlyWorkerWithLaterAgentEpochMayJoinAgain(long agentEpoch, boolean delayedCopy) {
         departed.add("i-1", 4);
-        assertEquals(lateCopy, departed.isFromDepartedMachine(heartbeat("i-1", agentEpoch)));
+        assertEquals(delayedCopy, departed.isFromDepartedMachine(heartbeat("i-1", agentEpoch)));
     }
 
     @Test
-    void noWorkerJoinsUnderTheNameOfAMachineThatTheCloudTookBack() {
+    void noWorkerMayJoinUnderNameOfTerminatedMachine() {
         departed.addPermanently("i-1");
         assertTrue(departed.isFromDepartedMachine(heartbeat("i-1", Long.MAX_VALUE)));
     }
 
     @Test
-    void theMachineThatLeftFirstIsForgottenFirst() {
+    void machineThatLeftFirstIsEvictedFirst() {
         for (int i = 0; i <= DepartedMachines.MAX_REMEMBERED; i++) {
             departed.add("i-" + i, 4);
         }
--- a/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
+++ b/src/test/java/org/granitepath/coordination/model/GangAttemptTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The states of one attempt of a gang. */
+/** Tests the phases of one attempt of a gang. */
 class GangAttemptTest {
     private static final long SECOND = 1_000_000;
-    private static final long PATIENCE = 10 * SECOND;
-    private static final long LAST_MOMENT = 20 * SECOND;
+    private static final long MAX_INCOMPLETE_MICROS = 10 * SECOND;
+    private static final long MAX_WAIT_MICROS = 20 * SECOND;
 
     private static final String EVENTS = """
             in          markWaiting  markRunning  markStopping  markCompleted  markTaskGone
@@ -32,10 +32,10 @@
         return RuleTable.cells(Phase.class, EVENTS);
     }
 
-    /** An older heartbeat never takes an attempt back: none is refused, what comes too late changes nothing. */
+    /** No event is refused. One that arrives too late, as in an older heartbeat, has no effect on the attempt. */
     @ParameterizedTest(name = "{0}, {1} -> {2}")
     @MethodSource("events")
-    void eachEventInEachPhase(Phase from, String event, String expected) {
+    void eventLeadsToExpectedPhase(Phase from, String event, String expected) {
         moveTo(from);
         apply(event);
         assertEquals(Phase.valueOf(expected), attempt.phase());
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void itFormsWaitsRunsAndEnds() {
+    void attemptFormsWaitsRunsAndCompletes() {
         assertEquals(Phase.FORMING, attempt.phase());
         attempt.markWaiting(SECOND);
         assertEquals(Phase.WAITING, attempt.phase());
@@ -74,44 +74,45 @@
         assertEquals(Phase.RUNNING, attempt.phase());
         attempt.markCompleted();
         assertEquals(Phase.COMPLETING, attempt.phase());
-        attempt.markStopping("its job is over");
+        attempt.markStopping("its job has ended");
         attempt.markTaskGone(2 * SECOND);
         attempt.markRunning();
-        assertEquals(Phase.COMPLETING, attempt.phase(), "what is complete stays so");
+        assertEquals(Phase.COMPLETING, attempt.phase(), "a completed attempt stays so");
     }
 
     @Test
-    void aTaskLostBeforeTheStartMayBeReplacedForAWhile() {
+    void taskLostBeforeStartMayBeReplacedForLimitedTime() {
         attempt.markWaiting(SECOND);
         attempt.markTaskGone(2 * SECOND);
         assertTrue(attempt.canAddTasks());
-        assertFalse(attempt.shouldBeAbandoned(3 * SECOND, PATIENCE, LAST_MOMENT));
-        assertTrue(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT), "missing for too long");
+        assertFalse(attempt.shouldBeAbandoned(3 * SECOND, MAX_INCOMPLETE_MICROS, MAX_WAIT_MICROS));
+        assertTrue(
+                attempt.shouldBeAbandoned(13 * SECOND, MAX_INCOMPLETE_MICROS, MAX_WAIT_MICROS), "missing for too long");
         attempt.markAllTasksPlaced();
-        assertFalse(attempt.shouldBeAbandoned(13 * SECOND, PATIENCE, LAST_MOMENT));
+        assertFalse(attempt.shouldBeAbandoned(13 * SECOND, MAX_INCOMPLETE_MICROS, MAX_WAIT_MICROS));
     }
 
     @Test
-    void aReplacementThatComesTooLateIsHopeless() {
+    void attemptIsAbandonedIfReplacementWouldStartTooLate() {
         attempt.markWaiting(SECOND);
         attempt.markTaskGone(20 * SECOND);
-        assertTrue(attempt.shouldBeAbandoned(22 * SECOND, PATIENCE, LAST_MOMENT));
+        assertTrue(attempt.shouldBeAbandoned(22 * SECOND, MAX_INCOMPLETE_MICROS, MAX_WAIT_MICROS));
     }
 
     @Test
-    void aTaskLostWhileRunningEndsTheAttempt() {
+    void taskLostWhileRunningStopsAttempt() {
         attempt.markRunning();
         attempt.markTaskGone(SECOND);
         assertEquals(Phase.STOPPING, attempt.phase());
         assertFalse(attempt.canAddTasks());
         attempt.markRunning();
         attempt.markWaiting(2 * SECOND);
-        assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat changes nothing");
+        assertEquals(Phase.STOPPING, attempt.phase(), "an older heartbeat has no effect");
         assertTrue(attempt.isEnding());
     }
 
     @Test
-    void aTaskIsNotSentWhereItsStartWouldBeIgnored() {
+    void machinesTriedAreRememberedByTask() {
         attempt.recordPlacement(3, "i-1");
         assertTrue(attempt.hasBeenTriedOn(3, "i-1"));
         assertFalse(attempt.hasBeenTriedOn(3, "i-2"));
--- a/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineCapacityTest.java
@@ -7,7 +7,7 @@
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** What is used and free of a machine with 4 CPUs, a GPU and 8 GB, by tasks of 1 CPU and 2 GB. */
+/** Tests the used and free resources of a machine with 4 CPUs, a GPU and 8 GB. Each task needs 1 CPU and 2 GB. */
 class MachineCapacityTest {
     private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
     private static final JobSpec SERVICE = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
@@ -15,7 +15,7 @@
     private final MachineCapacity capacity = new MachineCapacity();
 
     @Test
-    void nothingFitsWhileTheTypeIsNotKnown() {
+    void nothingFitsWhileTypeIsUnknown() {
         assertFalse(capacity.fits(BATCH));
         assertEquals(0, capacity.freeCpuMillis());
         assertEquals(0, capacity.usedCpuShare());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void whatIsTakenIsNotFree() {
+    void allocatedResourcesAreNotFreeUntilReleased() {
         capacity.setType(Fixtures.TYPE);
         assertEquals(4, capacity.slots(BATCH, 0, 0, 0));
         capacity.allocate(BATCH);
@@ -37,16 +37,16 @@
     }
 
     @Test
-    void theScarcestResourceDecides() {
+    void scarcestResourceLimitsSlots() {
         capacity.setType(Fixtures.TYPE);
-        assertEquals(4, capacity.slots(BATCH, 10_000, 0, 0), "memory for four");
-        assertEquals(4, capacity.slots(BATCH, 0, 0, 10_000), "CPUs for four");
+        assertEquals(4, capacity.slots(BATCH, 10_000, 0, 0), "the memory suffices for four");
+        assertEquals(4, capacity.slots(BATCH, 0, 0, 10_000), "the CPUs suffice for four");
         assertEquals(6, capacity.slots(BATCH, 2_000, 0, 4_000));
         assertEquals(0, capacity.slots(BATCH, -4_000, 0, 0));
     }
 
     @Test
-    void servicesAreCountedApart() {
+    void servicesAreCountedSeparately() {
         capacity.allocate(BATCH);
         assertFalse(capacity.hasService());
         capacity.allocate(SERVICE);
@@ -58,13 +58,13 @@
     }
 
     @Test
-    void theSixteenImagesSeenLastAreRemembered() {
+    void sixteenMostRecentlyUsedImagesAreRemembered() {
         for (int i = 0; i < 16; i++) {
             capacity.addImage("image-" + i);
         }
         capacity.addImage("image-0");
         capacity.addImage("image-16");
-        assertTrue(capacity.hasImage("image-0"), "seen again lately");
+        assertTrue(capacity.hasImage("image-0"), "used again recently");
         assertFalse(capacity.hasImage("image-1"));
         assertTrue(capacity.hasImage("image-2"));
         assertTrue(capacity.hasImage("image-16"));
--- a/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The attempts placed on a machine of 4 CPUs, by tasks of 1 CPU. */
+/** Tests the attempts placed on a machine of 4 CPUs. Each task needs 1 CPU. */
 class MachinePlacementsTest {
     private final Machine machine = Fixtures.machine("i-1", "north");
     private final ActiveJob job = Fixtures.job();
@@ -21,12 +21,12 @@
     private final MachinePlacements placements = new MachinePlacements(capacity);
 
     @BeforeEach
-    void typeIsKnown() {
+    void setMachineType() {
         capacity.setType(Fixtures.TYPE);
     }
 
     @Test
-    void attemptsKeepTheOrderInWhichTheyCame() {
+    void placementsKeepInsertionOrder() {
         Placement first = Fixtures.placement(job, 5, machine, 1);
         Placement second = Fixtures.placement(job, 2, machine, 2);
         placements.add(first);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void anAttemptTakesCapacityUntilItIsRemoved() {
+    void placementUsesCapacityUntilRemoved() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
         assertEquals(3_000, capacity.freeCpuMillis());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void whatIsRemovedTwiceReleasesItsCapacityOnce() {
+    void secondRemovalReleasesNoCapacity() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
         placements.remove(placement);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void anEarlierAttemptDoesNotRemoveALaterOne() {
+    void removingEarlierAttemptKeepsLaterOne() {
         Placement later = Fixtures.placement(job, 0, machine, 2);
         placements.add(later);
         assertFalse(placements.remove(Fixtures.placement(job, 0, machine, 1)));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
+    void imageIsFetchingUntilTaskWithItHasRun() {
         Placement placement = Fixtures.placement(job, 0, machine, 1);
         placements.add(placement);
         assertTrue(placements.isFetching("image"));
@@ -75,11 +75,11 @@
     }
 
     @Test
-    void onlyServicesTakeFromWhatIsLeftBesideServices() {
+    void slotsBesideServicesIgnoreOtherTasks() {
         JobSpec service = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
         placements.add(Fixtures.placement(job, 0, machine, 1));
         placements.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
         assertEquals(3, placements.slotsBesideServices(service));
-        assertEquals(2_000, capacity.freeCpuMillis(), "nothing is released by asking");
+        assertEquals(2_000, capacity.freeCpuMillis(), "the query releases nothing");
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.provider.Arguments;
 
-/** The life cycle of a machine of the inventory, and what its events change beside the phase. */
+/** Tests the life cycle of a machine, and what its events change besides the phase. */
 class MachineTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
             from         UNCONFIRMED  READY  DRAINING  TERMINATING  GONE
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void confirmationCanBeLostOnlyOnce() {
+    void secondMarkUnconfirmedKeepsFirstTime() {
         machine.confirmTasks();
         machine.markUnconfirmed(3 * SECOND, "fencing token raised");
         machine.markUnconfirmed(4 * SECOND, "fencing token raised");
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aMachineThatDrainsIsNotSaidToBeUnconfirmedSinceLater() {
+    void markUnconfirmedHasNoEffectOnDrainingMachine() {
         machine.joinFleet(7, SECOND);
         machine.confirmTasks();
         machine.drain("test");
@@ -101,27 +101,27 @@
     }
 
     @Test
-    void itTakesTasksOnceItIsConfirmedAndOnRecord() {
+    void machineIsSchedulableOnceConfirmedAndRecorded() {
         machine.joinFleet(7, SECOND);
         assertEquals(7, machine.fencingToken());
         assertFalse(machine.isSchedulable());
         machine.confirmTasks();
-        assertFalse(machine.isSchedulable(), "its row is not on record");
+        assertFalse(machine.isSchedulable(), "its row is not stored");
         machine.inventory().markRecorded();
         assertTrue(machine.isSchedulable());
         machine.inventory().requireNewToken();
-        assertFalse(machine.isSchedulable(), "waits for a higher fencing token");
+        assertFalse(machine.isSchedulable(), "a higher fencing token is required");
         machine.inventory().applyRaisedToken(8);
         assertTrue(machine.isSchedulable());
         machine.setType(null);
-        assertFalse(machine.isSchedulable(), "its capacity is not known");
+        assertFalse(machine.isSchedulable(), "its type is not known");
         machine.setType(Fixtures.TYPE);
         machine.drain("test");
         assertFalse(machine.isSchedulable());
     }
 
     @Test
-    void aTokenForCleanupWaitsUntilItIsDue() {
+    void cleanupTokenIsDeferredUntilRequiredNow() {
         machine.inventory().requireTokenForCleanup();
         assertFalse(machine.inventory().needsNewToken());
         machine.inventory().requireCleanupTokenNow();
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aMachineTakenOverIsAwaitedUntilWhatIsOnItIsKnown() {
+    void takenOverMachineIsAwaitedUntilResolved() {
         machine.takeOver(SECOND, 30 * SECOND);
         assertTrue(machine.isAwaitingFirstHeartbeat());
         assertEquals(30 * SECOND, machine.contact().leaseExpiryMicros());
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aMachineThatWasUnresponsiveCountsAsIdleAndUnconfirmedAnew() {
+    void waitingTimesStartAnewAfterUnresponsivePeriod() {
         machine.joinFleet(7, SECOND);
         machine.recordHeartbeat(false, 5 * SECOND);
         assertEquals(SECOND, machine.idleSinceMicros());
@@ -157,18 +157,18 @@
     }
 
     @Test
-    void findingsHoldUntilTheNextMessage() {
+    void findingsAreKeptUntilNextMessage() {
         machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
         machine.addUnconfirmedTask();
         assertEquals(1, machine.cleanupCommands().size());
-        assertFalse(machine.isEmpty(), "a task that nothing is known of may not be cut short");
+        assertFalse(machine.isEmpty(), "an unconfirmed task must not be cut short");
         machine.clearFindings();
         assertEquals(List.of(), machine.cleanupCommands());
         assertTrue(machine.isEmpty());
     }
 
     @Test
-    void leaseExpiryVoidsTheCleanup() {
+    void leaseExpiryDropsCleanupCommands() {
         machine.contact().recordMessage(Fixtures.heartbeat(machine, 4, 12));
         machine.addCleanupCommand(WorkerCommand.stop(new TaskId("run-1", 0), 3, 0));
         machine.expireLease();
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void itIsIdleFromItsLastPlacementOn() {
+    void machineIsIdleSinceItsLastPlacementWasRemoved() {
         ActiveJob job = Fixtures.job();
         Placement first = Fixtures.placement(job, 0, machine, 1);
         Placement second = Fixtures.placement(job, 1, machine, 2);
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void anEarlierAttemptDoesNotRemoveALaterOne() {
+    void removingEarlierAttemptKeepsLaterOne() {
         ActiveJob job = Fixtures.job();
         Placement earlier = Fixtures.placement(job, 0, machine, 1);
         Placement later = Fixtures.placement(job, 0, machine, 2);
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void onlyServicesCountAgainstTheCapacityThatIsLeftBesideThem() {
+    void slotsBesideServicesIgnoreOtherTasks() {
         JobSpec service = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
         machine.add(Fixtures.placement(Fixtures.job(), 0, machine, 1));
         assertEquals(4, machine.slotsBesideServices(service));
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void aReservationEndsForItsGangOnly() {
+    void reservationEndsOnlyForItsOwnGang() {
         ActiveJob gang = Fixtures.job();
         ActiveJob other = Fixtures.job();
         machine.reserveFor(gang);
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void anImageIsFetchedUntilATaskThatNeedsItHasRun() {
+    void imageIsFetchingUntilTaskWithItHasRun() {
         Placement placement = Fixtures.placement(Fixtures.job(), 0, machine, 1);
         machine.add(placement);
         assertTrue(machine.isFetching("image"));
--- a/src/test/java/org/granitepath/coordination/model/MessageFindingsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MessageFindingsTest.java
@@ -10,7 +10,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** What the latest message of a worker calls for, and until when. */
+/** Tests what is kept of the comparison of a worker's latest message, and until when. */
 class MessageFindingsTest {
     private static final WorkerCommand STOP = WorkerCommand.stop(new TaskId("run-1", 0), 3, 0);
     private static final WorkerCommand CLEAR = WorkerCommand.clear(new TaskId("run-1", 1), 4);
@@ -18,27 +18,27 @@
     private final MessageFindings findings = new MessageFindings();
 
     @Test
-    void nothingIsFoundAtFirst() {
+    void newFindingsAreEmpty() {
         assertEquals(List.of(), findings.cleanupCommands());
         assertFalse(findings.hasUnconfirmedTasks());
     }
 
     @Test
-    void commandsKeepTheOrderInWhichTheyWereFound() {
+    void commandsKeepInsertionOrder() {
         findings.addCleanupCommand(STOP);
         findings.addCleanupCommand(CLEAR);
         assertEquals(List.of(STOP, CLEAR), findings.cleanupCommands());
     }
 
     @Test
-    void commandsChangeThroughTheNamedMethodsAlone() {
+    void commandListIsUnmodifiable() {
         assertThrows(
                 UnsupportedOperationException.class,
                 () -> findings.cleanupCommands().add(STOP));
     }
 
     @Test
-    void discardingTheCleanupLeavesUnconfirmedTasks() {
+    void clearingCommandsKeepsUnconfirmedTasks() {
         findings.addCleanupCommand(STOP);
         findings.addUnconfirmedTask();
         findings.clearCleanupCommands();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void theNextMessageVoidsAllFindings() {
+    void clearDropsAllFindings() {
         findings.addCleanupCommand(STOP);
         findings.addUnconfirmedTask();
         findings.addUnconfirmedTask();
--- a/src/test/java/org/granitepath/coordination/model/PlacementTest.java
+++ b/src/test/java/org/granitepath/coordination/model/PlacementTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.provider.Arguments;
 
-/** The life cycle of one attempt of a task on a machine. */
+/** Tests the life cycle of one attempt of a task on a machine. */
 class PlacementTest extends StateMachineRules<Phase> {
     private static final String STEPS = """
             from      ASSIGNED  SENT  FETCHING  WAITING  RUNNING  STOPPING  FREED
@@ -86,13 +86,13 @@
     }
 
     @Test
-    void itIsMeantForTheAgentEpochThatIsKnown() {
+    void attemptIsMeantForCurrentAgentEpoch() {
         machine.contact().recordMessage(Fixtures.heartbeat(machine, 4, 12));
         assertEquals(4, Fixtures.placement(job, 3, machine, 12).agentEpoch());
     }
 
     @Test
-    void aDirectStartWithoutAnAnswerMayStillBeCarriedOutUnderItsTokenOrAnOlderOne() {
+    void unansweredDirectStartMayBeCarriedOutUnderItsTokenOrOlderOne() {
         machine.joinFleet(7, SECOND);
         placement.markSentDirectly();
         assertFalse(placement.isSentInResponse());
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void onlyTheAnswerToTheLatestCallCounts() {
+    void onlyAnswerToLatestCallCounts() {
         machine.joinFleet(7, SECOND);
         placement.markSentDirectly();
         placement.acknowledgeDirectStart(6);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aStartInAnAnswerIsNoDirectOne() {
+    void startInHeartbeatResponseIsNotDirect() {
         machine.joinFleet(7, SECOND);
         placement.markSentInResponse();
         assertTrue(placement.isSentInResponse());
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whatIsListedHasArrived() {
+    void listedAttemptHasArrived() {
         machine.joinFleet(7, SECOND);
         placement.markSentDirectly();
         assertFalse(placement.hasBeenListed());
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void anAttemptOfOurOwnCanBeNowhereElse() {
+    void ownAttemptIsOnNoOtherMachine() {
         assertTrue(placement.isOnlyOnThisMachine());
         assertFalse(placement.isAdopted());
         placement.markListed(false);
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void anAdoptedAttemptIsOnlyHereOnceItIsListedUnderThePresentToken() {
+    void adoptedAttemptIsOnNoOtherMachineOnceListedUnderCurrentToken() {
         Placement adopted = Placement.adopted(new TaskId("run-1", 4), job, machine, 12, false, SECOND);
         assertEquals(Phase.SENT, adopted.phase());
         assertTrue(adopted.hasBeenListed());
@@ -152,11 +152,11 @@
         adopted.markListed(true);
         assertTrue(adopted.isOnlyOnThisMachine());
         adopted.markListed(false);
-        assertTrue(adopted.isOnlyOnThisMachine(), "what was proved once stays so");
+        assertTrue(adopted.isOnlyOnThisMachine(), "a proof stays valid");
     }
 
     @Test
-    void theFirstHeartbeatThatListsItAsRunningTellsSinceWhen() {
+    void firstRunningHeartbeatSetsStartTime() {
         assertEquals(0, placement.runTimeMicros(5 * SECOND));
         placement.markRunning(5 * SECOND);
         placement.markRunning(6 * SECOND);
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void aTaskThatIsStoppedBeforeItWasSeenToRunStillTellsItsStart() {
+    void stoppingTaskStillGetsItsStartTime() {
         placement.stop(0, "test");
         placement.markRunning(5 * SECOND);
         assertEquals(Phase.STOPPING, placement.phase());
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void theGracePeriodCanBeChangedWhileItStops() {
+    void gracePeriodCanBeShortenedWhileStopping() {
         placement.stop(30 * SECOND, "preempted");
         assertEquals(30 * SECOND, placement.graceMicros());
         placement.shortenGrace(0);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void itMayBeOnTheMachineUntilItIsFreed() {
+    void placementIsActiveUntilFreed() {
         placement.stop(0, "test");
         assertTrue(placement.isActive());
         placement.free("test");
--- a/src/test/java/org/granitepath/coordination/model/RuleTable.java
+++ b/src/test/java/org/granitepath/coordination/model/RuleTable.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.params.provider.Arguments;
 
 /**
- * The rules of a state machine as a text table: a row for each phase, a column for each next phase or event. Tests
- * check it cell by cell, so it can be read as the specification.
+ * The rules of a state machine as a text table, with a row for each phase and a column for each next phase or event.
+ * Tests check the table cell by cell, so that it serves as the specification.
  */
 final class RuleTable {
-    /** In a table of phases and events: the event is refused in this phase. */
+    /** The cell of an event that is refused in a phase. */
     static final String REFUSED = "refused";
-    /** In a table of phases and next phases: staying is no transition, so nobody asks. */
+    /** The cell of a phase and itself in a table of next phases. Staying in a phase is not a transition. */
     static final String SAME = "=";
 
     private RuleTable() {}
 
-    /** One test case for each cell: phase, column, cell. Each phase must have its row. */
+    /** Returns a test case for each cell: the phase, the column and the cell. Each phase must have a row. */
     static <P extends Enum<P>> Stream<Arguments> cells(Class<P> phases, String table) {
         List<List<String>> lines = table.lines()
                 .map(line -> Arrays.asList(line.trim().split("\\s+")))
@@ -32,10 +32,10 @@
                         .map(phase -> phase.name())
                         .toList(),
                 lines.stream().skip(1).map(line -> line.get(0)).collect(Collectors.toList()),
-                "a row for each phase");
+                "the table must have a row for each phase");
         List<Arguments> cases = new ArrayList<>();
         for (List<String> line : lines.subList(1, lines.size())) {
-            assertEquals(columns.size() + 1, line.size(), "cells of " + line.get(0));
+            assertEquals(columns.size() + 1, line.size(), "number of cells in row " + line.get(0));
             for (int i = 0; i < columns.size(); i++) {
                 cases.add(
                         Arguments.of(phases.cast(Enum.valueOf(phases, line.get(0))), columns.get(i), line.get(i + 1)));
@@ -44,15 +44,18 @@
         return cases.stream();
     }
 
-    /** One test case for each pair of different phases: phase, next phase, whether the step is allowed. */
+    /** Returns a test case for each pair of different phases: phase, next phase, and whether the step is allowed. */
     static <P extends Enum<P>> Stream<Arguments> steps(Class<P> phases, String table) {
         List<Arguments> cells = cells(phases, table).toList();
         int count = phases.getEnumConstants().length;
-        assertEquals(count * count, cells.size(), "a cell for each pair of phases");
+        assertEquals(count * count, cells.size(), "the table must have a cell for each pair of phases");
         List<Arguments> steps = new ArrayList<>();
         for (Arguments cell : cells) {
             P next = Enum.valueOf(phases, (String) cell.get()[1]);
-            assertEquals(cell.get()[0] == next, SAME.equals(cell.get()[2]), "the diagonal");
+            assertEquals(
+                    cell.get()[0] == next,
+                    SAME.equals(cell.get()[2]),
+                    "only cells of a phase and itself contain " + SAME);
             if (cell.get()[0] != next) {
                 steps.add(Arguments.of(cell.get()[0], next, "yes".equals(cell.get()[2])));
             }
--- a/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
+++ b/src/test/java/org/granitepath/coordination/model/SchedulingStateTest.java
@@ -7,12 +7,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the scheduler has noted of a job. */
+/** Tests the scheduler's notes on a job. */
 class SchedulingStateTest {
     private final SchedulingState scheduling = new SchedulingState();
 
     @Test
-    void nothingIsNotedAtFirst() {
+    void newStateIsEmpty() {
         assertEquals(SchedulingClass.OTHER, scheduling.schedulingClass());
         assertEquals(0, scheduling.notBeforeMicros());
         assertFalse(scheduling.isWaiting());
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aJobWaitsSinceItWasFirstSeenTo() {
+    void jobWaitsSinceFirstMarkWaiting() {
         scheduling.markWaiting(SECOND);
         scheduling.markWaiting(2 * SECOND);
         assertEquals(SECOND, scheduling.waitingSinceMicros());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aReservationEndsAndIsBarredForAWhile() {
+    void endedReservationCanBeBlockedUntilLaterTime() {
         scheduling.beginReservation(SECOND);
         assertTrue(scheduling.hasReservation());
         assertEquals(SECOND, scheduling.reservedSinceMicros());
--- a/src/test/java/org/granitepath/coordination/model/StartDeliveryTest.java
+++ b/src/test/java/org/granitepath/coordination/model/StartDeliveryTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a start went out, whether it may be carried out late, and what proves where the attempt is. */
+/** Tests how a start is sent, whether it may be carried out late, and what proves where the attempt is. */
 class StartDeliveryTest {
     private final StartDelivery delivery = StartDelivery.notSent();
 
     @Test
-    void whatWasNotSentIsNeitherSeenNorAnywhereElse() {
+    void unsentAttemptIsNeitherListedNorElsewhere() {
         assertFalse(delivery.hasBeenListed());
         assertTrue(delivery.isOnlyOnThisMachine());
         assertFalse(delivery.isSentInResponse());
@@ -22,21 +22,21 @@
 
     @ParameterizedTest(name = "started under token 7, asked for token {0}: {1}")
     @CsvSource({"6, true", "7, true", "8, false"})
-    void aDirectStartWithoutAnAnswerMayBeCarriedOutUnderItsTokenOrAnOlderOne(long token, boolean expected) {
+    void unansweredDirectStartMayBeCarriedOutUnderItsTokenOrOlderOne(long token, boolean expected) {
         delivery.markSentDirectly(7);
         assertEquals(expected, delivery.hasUnacknowledgedStart(token));
     }
 
     @ParameterizedTest(name = "started under token 7, answered under token {0}: {1}")
     @CsvSource({"6, true", "7, false", "8, true"})
-    void onlyTheAnswerToTheLatestCallCounts(long answered, boolean mayStillBeStarted) {
+    void onlyAnswerToLatestCallCounts(long answered, boolean mayStillBeStarted) {
         delivery.markSentDirectly(7);
         delivery.acknowledge(answered);
         assertEquals(mayStillBeStarted, delivery.hasUnacknowledgedStart(7));
     }
 
     @Test
-    void aStartInAnAnswerLeavesAnEarlierDirectOneUnanswered() {
+    void startInHeartbeatResponseLeavesEarlierDirectStartUnanswered() {
         delivery.markSentDirectly(7);
         delivery.markSentInResponse();
         assertTrue(delivery.isSentInResponse());
@@ -44,36 +44,36 @@
     }
 
     @Test
-    void aDirectStartTakesThePlaceOfOneInAnAnswer() {
+    void directStartReplacesStartInHeartbeatResponse() {
         delivery.markSentInResponse();
         delivery.markSentDirectly(7);
         assertFalse(delivery.isSentInResponse());
     }
 
     @Test
-    void whatIsListedHasArrived() {
+    void listedAttemptHasArrived() {
         delivery.markSentDirectly(7);
         delivery.markListed(false);
         assertTrue(delivery.hasBeenListed());
         assertFalse(delivery.hasUnacknowledgedStart(7));
     }
 
-    @ParameterizedTest(name = "adopted under the present token: {0}")
+    @ParameterizedTest(name = "adopted under the current token: {0}")
     @CsvSource({"true", "false"})
-    void anAdoptedAttemptWasSeen(boolean underPresentToken) {
-        StartDelivery adopted = StartDelivery.adopted(underPresentToken);
+    void adoptedAttemptCountsAsListed(boolean underCurrentToken) {
+        StartDelivery adopted = StartDelivery.adopted(underCurrentToken);
         assertTrue(adopted.hasBeenListed());
-        assertEquals(underPresentToken, adopted.isOnlyOnThisMachine());
+        assertEquals(underCurrentToken, adopted.isOnlyOnThisMachine());
     }
 
     @Test
-    void anAdoptedAttemptIsOnlyHereOnceItIsListedUnderThePresentToken() {
+    void adoptedAttemptIsOnNoOtherMachineOnceListedUnderCurrentToken() {
         StartDelivery adopted = StartDelivery.adopted(false);
         adopted.markListed(false);
         assertFalse(adopted.isOnlyOnThisMachine());
         adopted.markListed(true);
         assertTrue(adopted.isOnlyOnThisMachine());
         adopted.markListed(false);
-        assertTrue(adopted.isOnlyOnThisMachine(), "what was proved once stays so");
+        assertTrue(adopted.isOnlyOnThisMachine(), "a proof stays valid");
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/TaskNumbersTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TaskNumbersTest.java
@@ -11,39 +11,39 @@
 import org.granitepath.storage.ProgressRecord;
 import org.junit.jupiter.api.Test;
 
-/** Which of the task numbers 0 to 4, claimed by a former leader with task 1 done, are done, free and unconfirmed. */
+/** Tests a job of which a previous leader claimed tasks 0 to 4 and task 1 is done. */
 class TaskNumbersTest {
-    private final RangeSet<Integer> doneOnRecord = TreeRangeSet.create();
-    private final TaskNumbers numbers = claimedByFormerLeader();
+    private final RangeSet<Integer> recordedDoneTasks = TreeRangeSet.create();
+    private final TaskNumbers numbers = claimedByPreviousLeader();
 
-    private TaskNumbers claimedByFormerLeader() {
-        ProgressRecord.addTask(doneOnRecord, 1);
-        return new TaskNumbers(5, doneOnRecord);
+    private TaskNumbers claimedByPreviousLeader() {
+        ProgressRecord.addTask(recordedDoneTasks, 1);
+        return new TaskNumbers(5, recordedDoneTasks);
     }
 
     @Test
-    void whatIsClaimedAndNotDoneIsUnconfirmed() {
+    void claimedTasksAreUnconfirmedUnlessDone() {
         assertEquals(4, numbers.unconfirmedCount());
         assertEquals(1, numbers.doneCount());
         assertTrue(numbers.isDone(1));
-        assertFalse(numbers.hasStartableTask(), "none is proved to be on no machine");
+        assertFalse(numbers.hasStartableTask(), "no unconfirmed task may start");
     }
 
     @Test
-    void allThatIsClaimedCountsAsStarted() {
+    void claimedTasksCountAsStarted() {
         assertEquals(5, numbers.claimedTasks());
         assertEquals(5, numbers.requestedClaim());
         assertEquals(5, numbers.firstUnstartedTask());
     }
 
     @Test
-    void theRecordItselfIsNotChanged() {
+    void recordedRangesAreNotChanged() {
         numbers.markDone(2);
-        assertFalse(doneOnRecord.contains(2));
+        assertFalse(recordedDoneTasks.contains(2));
     }
 
     @Test
-    void theLowestNumberThatIsFreeAgainGoesFirst() {
+    void lowestFreedTaskStartsFirst() {
         numbers.resolveUnconfirmed();
         numbers.confirmClaim(6);
         assertEquals(0, numbers.firstFreedTask());
@@ -56,12 +56,12 @@
     }
 
     @Test
-    void noneIsFreeAgainWhileAllAreUnconfirmed() {
+    void noTaskIsFreedWhileAllAreUnconfirmed() {
         assertThrows(NoSuchElementException.class, numbers::firstFreedTask);
     }
 
     @Test
-    void aRequestedClaimStartsNothing() {
+    void requestedClaimAllowsNoStartsUntilConfirmed() {
         numbers.requestClaim(8);
         assertEquals(8, numbers.requestedClaim());
         assertEquals(5, numbers.claimedTasks());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void whatIsPlacedIsNeitherUnconfirmedNorFree() {
+    void placedTaskIsNeitherUnconfirmedNorFree() {
         numbers.markPlaced(0);
         assertEquals(3, numbers.unconfirmedCount());
         numbers.resolveUnconfirmed();
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatMayBeElsewhereIsUnconfirmedAgain() {
+    void removedTaskThatMayBeElsewhereIsUnconfirmedAgain() {
         numbers.markPlaced(0);
         numbers.markRemoved(0, true);
         assertEquals(4, numbers.unconfirmedCount());
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void whatIsNowhereIsFreeAgain() {
+    void removedTaskThatIsNowhereElseIsFreeAgain() {
         numbers.markPlaced(0);
         numbers.markRemoved(0, false);
         assertEquals(3, numbers.unconfirmedCount());
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void whatIsDoneIsCountedOnceAndNeverFreeAgain() {
+    void doneTaskIsCountedOnceAndNeverFreeAgain() {
         numbers.markPlaced(0);
         numbers.markDone(0);
         numbers.markDone(0);
@@ -109,13 +109,13 @@
     }
 
     @Test
-    void anUnconfirmedOneThatIsDoneIsUnconfirmedNoMore() {
+    void doneTaskIsNoLongerUnconfirmed() {
         numbers.markDone(3);
         assertEquals(3, numbers.unconfirmedCount());
     }
 
     @Test
-    void allAreDoneTogether() {
+    void markAllDoneClearsFreedAndUnconfirmedTasks() {
         numbers.markPlaced(0);
         numbers.markRemoved(0, false);
         numbers.markAllDone(10);
--- a/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
@@ -9,7 +9,7 @@
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** Where tasks of a job stand, and where one more may. */
+/** Tests in which zones the tasks of a job are placed and one more may be placed. */
 class TasksByZoneTest {
     private static final JobSpec ONE_ZONE = Fixtures.spec(JobSpec.Shape.GANG, true, false);
     private static final JobSpec SPREAD = Fixtures.spec(JobSpec.Shape.SERVICE, false, true);
@@ -30,19 +30,19 @@
     }
 
     @Test
-    void countsChangeThroughTheNamedMethodsAlone() {
+    void mapIsUnmodifiable() {
         Map<String, Integer> view = tasksByZone(SPREAD).asMap();
         assertThrows(UnsupportedOperationException.class, () -> view.put("north", 1));
     }
 
     @Test
-    void aJobWithoutZoneRulesMayStandAnywhere() {
+    void jobWithoutZoneRulesMayUseAnyZone() {
         TasksByZone tasks = tasksByZone(Fixtures.spec(JobSpec.Shape.BATCH, false, false), "south");
         assertTrue(tasks.canPlaceInZone("north", 1_000));
     }
 
     @Test
-    void oneZoneStandsWhileATaskIsThere() {
+    void oneZoneJobIsBoundToZoneWhileTaskIsPlacedThere() {
         TasksByZone tasks = tasksByZone(ONE_ZONE, "south");
         assertTrue(tasks.canPlaceInZone("south", 0));
         assertFalse(tasks.canPlaceInZone("north", 0));
@@ -51,13 +51,13 @@
     }
 
     @Test
-    void oneZoneIsNotKnownWhileAnyTaskIsUnconfirmed() {
+    void oneZoneJobCannotBePlacedWhileTaskIsUnconfirmed() {
         assertTrue(tasksByZone(ONE_ZONE).canPlaceInZone("north", 0));
         assertFalse(tasksByZone(ONE_ZONE).canPlaceInZone("north", 1));
     }
 
     @Test
-    void aSpreadJobMayStandInAZoneUpToItsCap() {
+    void spreadJobMayUseZoneUpToItsCap() {
         TasksByZone tasks = tasksByZone(SPREAD);
         for (int placed = 0; placed < SPREAD.zoneCap(); placed++) {
             assertTrue(tasks.canPlaceInZone("north", 0), placed + " placed");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void unconfirmedTasksCountInEachZone() {
+    void unconfirmedTasksCountInEveryZone() {
         assertTrue(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.zoneCap() - 1));
         assertFalse(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.zoneCap()));
     }
--- a/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TeamLimitsTest.java
@@ -9,7 +9,7 @@
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** What a team may use and what it borrows, by tasks of 1 CPU. */
+/** Tests what a team may use and what it borrows. Each task needs 1 CPU. */
 class TeamLimitsTest {
     private static final JobSpec SPEC = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void aTeamThatIsNotListedHasNoLimit() {
+    void unknownTeamHasNoLimit() {
         TeamLimits limits = new TeamLimits(Map.of());
         assertFalse(limits.hasLimit(SPEC));
         assertTrue(limits.allows(SPEC, 1_000_000));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void tasksAreAllowedUpToTheLimit() {
+    void tasksAreAllowedUpToLimit() {
         TeamLimits limits = limits(0, 3_000);
         assertTrue(limits.hasLimit(SPEC));
         assertTrue(limits.allows(SPEC, 3));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void whatIsWithinTheGuaranteeIsNotBorrowed() {
+    void usageWithinGuaranteeIsNotBorrowed() {
         TeamLimits limits = limits(1_500, 0);
         assertFalse(limits.hasLimit(SPEC));
         assertEquals(-1_500, limits.borrowedCpuMillis(SPEC.team()));
--- a/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
+++ b/src/test/java/org/granitepath/coordination/model/WorkerContactTest.java
@@ -7,13 +7,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What heartbeats, direct calls and the expiry of the lease change in what is known of a worker. */
+/** Tests the effect of heartbeats, direct calls and lease expiry on what is known of a worker. */
 class WorkerContactTest {
     private final Machine machine = Fixtures.machine("i-1", "north");
     private final WorkerContact contact = machine.contact();
 
     @Test
-    void nothingIsKnownAtFirst() {
+    void newContactKnowsNothingOfWorker() {
         assertTrue(contact.agentEpoch() < 0);
         assertTrue(contact.sequence() < 0);
         assertFalse(contact.isFenced());
@@ -22,14 +22,14 @@
     }
 
     @Test
-    void aMessageTellsEpochAndSequence() {
+    void messageSetsEpochAndSequence() {
         contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         assertEquals(4, contact.agentEpoch());
         assertEquals(12, contact.sequence());
     }
 
     @Test
-    void aHeartbeatClearsAFailedProbeAndTheFence() {
+    void heartbeatClearsFailedProbeAndFence() {
         contact.beginCall(2 * SECOND);
         contact.endCall();
         contact.recordCallResult(false);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aCallLiftsTheFenceSinceItShowsTheToken() {
+    void callClearsFenceBecauseItCarriesToken() {
         contact.fence();
         contact.beginCall(2 * SECOND);
         assertFalse(contact.isFenced());
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aCallThatAHeartbeatOvertookHasNotFailed() {
+    void heartbeatDuringCallPreventsFailedProbe() {
         contact.beginCall(2 * SECOND);
         contact.recordHeartbeat(3 * SECOND);
         contact.endCall();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void anAnswerIsNoHeartbeat() {
+    void callResponseDoesNotCountAsHeartbeat() {
         contact.recordHeartbeat(SECOND);
         contact.beginCall(2 * SECOND);
         contact.endCall();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void onlyAMessageUnderThePresentTokenShortensTheLease() {
+    void onlyMessageUnderCurrentTokenShortensLease() {
         contact.setLeaseExpiry(30 * SECOND, true);
         contact.setLeaseExpiry(20 * SECOND, false);
         assertEquals(30 * SECOND, contact.leaseExpiryMicros());
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void leaseExpiryMovesTheAgentEpochOnAndForgetsDirectStarts() {
+    void leaseExpiryAdvancesAgentEpochAndForgetsDirectStarts() {
         contact.recordMessage(Fixtures.heartbeat(machine, 4, 12));
         contact.setLeaseExpiry(30 * SECOND, true);
         contact.recordDirectStart(9, 7);
@@ -96,13 +96,13 @@
     }
 
     @Test
-    void leaseExpiryOfAWorkerWithoutAMessageLeavesEpochZeroBehind() {
+    void leaseExpiryBeforeAnyMessageSetsAgentEpochToOne() {
         contact.expireLease();
         assertEquals(1, contact.agentEpoch());
     }
 
     @Test
-    void aLateCopyOfADirectStartIsCarriedOutUnderItsTokenOrAnOlderOne() {
+    void lateCopyOfDirectStartIsCarriedOutUnderItsTokenOrOlderOne() {
         contact.recordDirectStart(9, 7);
         assertTrue(contact.canBeStartedAgain(9, 6));
         assertTrue(contact.canBeStartedAgain(9, 7));
@@ -113,14 +113,14 @@
     }
 
     @Test
-    void itIsUnresponsiveAfterTwoHeartbeatsAndAMargin() {
+    void workerIsUnresponsiveAfterTwoHeartbeatsAndMargin() {
         contact.recordHeartbeat(10 * SECOND);
         assertFalse(contact.isUnresponsive(21 * SECOND, 5 * SECOND));
         assertTrue(contact.isUnresponsive(21 * SECOND + 1, 5 * SECOND));
     }
 
     @Test
-    void aPauseOfThisProcessIsExcusedButNeverLiesAhead() {
+    void pauseIsExcludedButNeverMovesHeartbeatIntoFuture() {
         contact.recordHeartbeat(10 * SECOND);
         contact.compensateForPause(4 * SECOND, 20 * SECOND);
         assertEquals(14 * SECOND, contact.lastHeartbeatMicros());
