--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -27,7 +27,9 @@
     /** A machine on which this many jobs failed, with no success in between, is faulty. */
     private static final int MIN_JOBS_OF_FAULTY_MACHINE = 2;
 
+    /** Doubled for each machine on which the job failed. */
     private static final long BASE_BACKOFF_MICROS = 250_000;
+
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
     private static final int MAX_DOUBLINGS = 8;
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -157,7 +157,7 @@
         placement.free(why);
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.removeTask(placement.job().spec());
-        // An adopted task may come from an old heartbeat. That it is gone here says nothing of awaited machines.
+        // An adopted task may come from an old heartbeat. That it is gone here says nothing about awaited machines.
         boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.canRunOnAwaitedMachine(placement.job());
         placement.job().removePlacement(placement, maybeElsewhere);
         if (gangs.removeTask(placement, maybeElsewhere, timers.nowMicros())) {
@@ -177,7 +177,7 @@
 
     /**
      * Stops tasks on a spot machine that the cloud is about to reclaim: services, tasks that can save their progress,
-     * and tasks that will not finish in time.
+     * and tasks that will not finish within half of the notice.
      */
     public void evacuate(Machine machine, long noticeMicros) {
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -30,7 +30,11 @@
         return plan;
     }
 
-    /** Starts with the machines that were taken over and the records as of the given revision. */
+    /**
+     * Starts with the machines that were taken over and the records as of the given revision.
+     *
+     * @param unreadableParts the number of inventory parts that cannot be read
+     */
     public void start(List<Machine> takenOver, int unreadableParts, long revision) {
         takenOver.forEach(machine -> plan.takeOverMachine(machine.id(), machine.profile()));
         plan.takeOverUnreadableParts(unreadableParts);
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -53,7 +53,7 @@
     /**
      * Restores a job from its records. Every claimed task that is not done is unconfirmed at first.
      *
-     * @param nowMicros the current time on the steady clock
+     * @param nowMicros the current time on the monotonic clock
      */
     public ActiveJob(JobRecord record, ProgressRecord progress, long nowMicros) {
         this.spec = record.spec();
@@ -73,7 +73,7 @@
         return acceptedMicros;
     }
 
-    /** Returns the time at which this leader learned of the job, on the steady clock. */
+    /** Returns the time at which this leader learned of the job, on the monotonic clock. */
     long firstSeenMicros() {
         return firstSeenMicros;
     }
@@ -108,7 +108,7 @@
             return;
         }
         if (!phase.canTransitionTo(next)) {
-            throw new IllegalStateException("job " + spec.id() + " can't go from " + phase + " to " + next);
+            throw new IllegalStateException("job " + spec.id() + " cannot move from " + phase + " to " + next);
         }
         LOG.info("job {}: {} -> {} ({})", spec.id(), phase, next, why);
         phase = next;
@@ -194,7 +194,7 @@
         return numbers.take();
     }
 
-    /** Takes the given task, which must be free, in order to start it. */
+    /** Takes the given free task in order to start it. Has no effect if the task is already taken. */
     public void takeTask(int task) {
         numbers.take(task);
     }
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -16,7 +16,7 @@
  * life cycle of machines.
  */
 public final class Fleet {
-    /** A heartbeat that is late by this many intervals is overdue. */
+    /** A heartbeat is overdue when the last one is older than this many heartbeat intervals. */
     private static final double OVERDUE_HEARTBEAT_INTERVALS = 1.5;
     /** At least this share of the machines must be unresponsive before the leader itself may be the one cut off. */
     private static final double MIN_UNRESPONSIVE_SHARE = 0.6;
@@ -52,7 +52,7 @@
         return types;
     }
 
-    /** Adds or replaces the given machine types and updates the machines of these types. */
+    /** Adds or replaces the given machine types and updates the types of all machines. */
     public void updateTypes(List<MachineType> updatedTypes) {
         for (MachineType type : updatedTypes) {
             types.put(type.name(), type);
--- a/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
+++ b/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
@@ -113,7 +113,7 @@
         return firstUnstartedTask++;
     }
 
-    /** Takes the given task, which is free again. */
+    /** Takes the given task if it is free again. */
     void take(int task) {
         freed.remove(task);
     }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -15,7 +15,9 @@
     /** The value of a lease that has expired or was never granted. */
     private static final long NO_LEASE = 0;
 
+    /** A worker is unresponsive after this many missed heartbeats and a margin for delays. */
     private static final int MAX_MISSED_HEARTBEATS = 2;
+
     private static final long DELAY_MARGIN_MICROS = 1_000_000;
 
     private String address;
