--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -52,7 +52,7 @@
     record Item(String key, @Nullable Map<String, Object> value, long revision) {}
 
     /** Records as listed or followed, as of the revision {@code storeRevision}. */
-    record Page(Outcome outcome, List<Item> items, boolean more, long storeRevision) {}
+    record Page(Outcome outcome, List<Item> items, boolean hasMore, long storeRevision) {}
 
     /** A new lease, when {@code outcome} is OK. */
     record Leased(Outcome outcome, long lease) {}
--- a/src/main/java/org/granitepath/storage/RecordLoader.java
+++ b/src/main/java/org/granitepath/storage/RecordLoader.java
@@ -65,7 +65,7 @@
                 records.apply(item);
                 last = item.key();
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 requestPage(last);
                 return;
             }
