--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -46,7 +46,7 @@
     record Transaction(List<Precondition> preconditions, List<Change> changes) {}
 
     /** How a transaction ended: the new revision, or the keys whose preconditions do not hold. */
-    record Committed(Outcome outcome, long storeRevision, List<String> failed) {}
+    record Committed(Outcome outcome, long storeRevision, List<String> failedKeys) {}
 
     /** One key as read or followed; {@code value} null: removed. */
     record Item(String key, @Nullable Map<String, Object> value, long revision) {}
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -138,7 +138,7 @@
         if (answer.outcome() == Outcome.OK) {
             committed(batch, answer.storeRevision());
         } else {
-            LOG.debug("transaction on {} ended {} {}", batch.writes().keySet(), answer.outcome(), answer.failed());
+            LOG.debug("transaction on {} ended {} {}", batch.writes().keySet(), answer.outcome(), answer.failedKeys());
             failed(batch, answer.outcome());
         }
     }
