--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Item;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
@@ -63,8 +63,8 @@
     }
 
     /** Reads how a transaction ended, of which the status has told the outcome. */
-    public static Committed decodeCommitted(Outcome outcome, Map<String, Object> body) {
-        return new Committed(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
+    public static CommitResult decodeCommitted(Outcome outcome, Map<String, Object> body) {
+        return new CommitResult(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
     }
 
     /** Reads a page of keys. */
--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -46,7 +46,7 @@
     record Transaction(List<Precondition> preconditions, List<Change> changes) {}
 
     /** How a transaction ended: the new revision, or the keys whose preconditions do not hold. */
-    record Committed(Outcome outcome, long storeRevision, List<String> failedKeys) {}
+    record CommitResult(Outcome outcome, long storeRevision, List<String> failedKeys) {}
 
     /** One key as read or followed; {@code value} null: removed. */
     record Item(String key, @Nullable Map<String, Object> value, long revision) {}
@@ -58,7 +58,7 @@
     record Leased(Outcome outcome, long lease) {}
 
     /** Commits a transaction. */
-    void commit(Transaction transaction, Consumer<Committed> then);
+    void commit(Transaction transaction, Consumer<CommitResult> then);
 
     /** Lists keys in order, beginning after {@code from}. */
     void list(String prefix, String from, int limit, Consumer<Page> then);
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -6,7 +6,7 @@
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
@@ -133,7 +133,7 @@
         return new Transaction(preconditions, batch.changes());
     }
 
-    private void answered(WriteBatch batch, Committed answer) {
+    private void answered(WriteBatch batch, CommitResult answer) {
         pace.answered(answer.outcome());
         if (answer.outcome() == Outcome.OK) {
             committed(batch, answer.storeRevision());
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -26,13 +26,13 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), answer -> {
             Map<String, Object> body = answer.json();
             Outcome outcome = outcome(answer.status(), body);
             then.accept(
                     body == null
-                            ? new Committed(outcome, 0, List.of())
+                            ? new CommitResult(outcome, 0, List.of())
                             : KeyValueStoreCodec.decodeCommitted(outcome, body));
         });
     }
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -163,7 +163,7 @@
                 new Class<?>[] {KeyValueStore.class},
                 (proxy, method, arguments) -> {
                     switch (method.getName()) {
-                        case "commit" -> respondLater((Consumer<KeyValueStore.Committed>) arguments[1], committed());
+                        case "commit" -> respondLater((Consumer<KeyValueStore.CommitResult>) arguments[1], committed());
                         case "list" -> respondLater((Consumer<KeyValueStore.Page>) arguments[3], emptyPage());
                         default -> storeReads++;
                     }
@@ -179,9 +179,9 @@
         return new KeyValueStore.Page(KeyValueStore.Outcome.OK, List.of(), false, 1);
     }
 
-    private KeyValueStore.Committed committed() {
+    private KeyValueStore.CommitResult committed() {
         storeRevision++;
-        return new KeyValueStore.Committed(commitOutcome, storeRevision, List.of());
+        return new KeyValueStore.CommitResult(commitOutcome, storeRevision, List.of());
     }
 
     private static RecordReplica.Listener replicaListener() {
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -67,11 +67,11 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         answer(() -> then.accept(execute(transaction)), () -> then.accept(result(Outcome.UNKNOWN)));
     }
 
-    private Committed execute(Transaction transaction) {
+    private CommitResult execute(Transaction transaction) {
         for (Precondition precondition : transaction.preconditions()) {
             if (revisionOf(precondition.key()) != precondition.revision()) {
                 return result(Outcome.CONFLICT);
@@ -86,8 +86,8 @@
         return result(Outcome.OK);
     }
 
-    private Committed result(Outcome outcome) {
-        return new Committed(outcome, storeRevision, List.of());
+    private CommitResult result(Outcome outcome) {
+        return new CommitResult(outcome, storeRevision, List.of());
     }
 
     @Override
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -16,7 +16,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.JobSpecCodec;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -165,11 +165,11 @@
     @Test
     void endOfTransactionsIsRead() {
         assertEquals(
-                new Committed(Outcome.CONFLICT, 12, List.of("g/leader")),
+                new CommitResult(Outcome.CONFLICT, 12, List.of("g/leader")),
                 KeyValueStoreCodec.decodeCommitted(
                         Outcome.CONFLICT, Json.object("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
         assertEquals(
-                new Committed(Outcome.REFUSED, 0, List.of()),
+                new CommitResult(Outcome.REFUSED, 0, List.of()),
                 KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.object("{\"error\":\"busy\"}")));
     }
 
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -117,7 +117,7 @@
     KeyValueStore tracing(String node, KeyValueStore port) {
         return new KeyValueStore() {
             @Override
-            public void commit(Transaction transaction, Consumer<Committed> then) {
+            public void commit(Transaction transaction, Consumer<CommitResult> then) {
                 add(node, "commit", sorted(KeyValueStoreCodec.encodeTransaction(transaction)));
                 port.commit(transaction, then);
             }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.storage.KeyValueStore;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Leased;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
@@ -162,9 +162,9 @@
         reads++;
     }
 
-    void commit(String node, Transaction transaction, Consumer<Committed> answer) {
+    void commit(String node, Transaction transaction, Consumer<CommitResult> answer) {
         if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
-            answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
+            answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of()));
         } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
             world.after(2_000_000 + world.random.nextInt(10_000_000), () -> commitLate(transaction));
         } else {
@@ -224,7 +224,7 @@
         }
     }
 
-    private Committed commit(Transaction transaction) {
+    private CommitResult commit(Transaction transaction) {
         if (limits.exceededBy(transaction)) {
             oversized++;
             return committed(Outcome.REJECTED, List.of());
@@ -257,8 +257,8 @@
                 .anyMatch(precondition -> precondition.key().equals(Keys.LEADER));
     }
 
-    private Committed committed(Outcome outcome, List<String> failed) {
-        return new Committed(outcome, keys.revision(), failed);
+    private CommitResult committed(Outcome outcome, List<String> failed) {
+        return new CommitResult(outcome, keys.revision(), failed);
     }
 
     private void expire() {
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -8,7 +8,7 @@
 /** The simulated store as one controller reaches it: over links that delay, lose and cut. */
 final class SimStorePort implements KeyValueStore {
     private static final long TIMEOUT = 2_000_000;
-    private static final Committed NO_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
+    private static final CommitResult NO_COMMIT = new CommitResult(Outcome.UNKNOWN, 0, List.of());
     private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
     private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
 
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         callLater(TIMEOUT, answer -> store.commit(node, transaction, answer), NO_COMMIT, then);
     }
 
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -13,7 +13,7 @@
     public record Follow(long from, long waitMicros, Consumer<Page> answer) {}
 
     /** A transaction that was sent. */
-    public record Commit(Transaction transaction, Consumer<Committed> answer) {}
+    public record Commit(Transaction transaction, Consumer<CommitResult> answer) {}
 
     /** A renewal that was sent. */
     public record Renewal(long lease, Consumer<Outcome> answer) {}
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         commits.add(new Commit(transaction, then));
     }
 
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ManualTimers;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
 import org.granitepath.storage.KeyValueStore.Precondition;
@@ -76,7 +76,7 @@
     }
 
     private void answer(Outcome outcome, long revision) {
-        store.commits.remove().answer().accept(new Committed(outcome, revision, List.of()));
+        store.commits.remove().answer().accept(new CommitResult(outcome, revision, List.of()));
     }
 
     /** The names of the writes of the transaction that is under way. */
