--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -55,7 +55,7 @@
     record Page(Outcome outcome, List<Item> items, boolean hasMore, long storeRevision) {}
 
     /** A new lease, when {@code outcome} is OK. */
-    record Leased(Outcome outcome, long lease) {}
+    record Leased(Outcome outcome, long leaseId) {}
 
     /** Commits a transaction. */
     void commit(Transaction transaction, Consumer<CommitResult> then);
