--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -55,7 +55,7 @@
     record Page(Outcome outcome, List<Item> items, boolean hasMore, long storeRevision) {}
 
     /** A new lease, when {@code outcome} is OK. */
-    record Leased(Outcome outcome, long leaseId) {}
+    record LeaseResult(Outcome outcome, long leaseId) {}
 
     /** Commits a transaction. */
     void commit(Transaction transaction, Consumer<CommitResult> then);
@@ -67,7 +67,7 @@
     void follow(String prefix, long from, long waitMicros, Consumer<Page> then);
 
     /** Opens a lease. */
-    void openLease(long lifeMicros, Consumer<Leased> then);
+    void openLease(long lifeMicros, Consumer<LeaseResult> then);
 
     /** Renews a lease; {@code NOT_FOUND} when it has ended. */
     void renewLease(long lease, Consumer<Outcome> then);
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -53,11 +53,11 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
             Map<String, Object> body = answer.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
-            then.accept(new Leased(outcome(answer.status(), body), lease));
+            then.accept(new LeaseResult(outcome(answer.status(), body), lease));
         });
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -114,10 +114,10 @@
     }
 
     @Override
-    public void openLease(long durationMicros, Consumer<Leased> then) {
+    public void openLease(long durationMicros, Consumer<LeaseResult> then) {
         answer(
-                () -> then.accept(new Leased(Outcome.OK, ++leasesOpened)),
-                () -> then.accept(new Leased(Outcome.UNKNOWN, 0)));
+                () -> then.accept(new LeaseResult(Outcome.OK, ++leasesOpened)),
+                () -> then.accept(new LeaseResult(Outcome.UNKNOWN, 0)));
     }
 
     @Override
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -135,7 +135,7 @@
             }
 
             @Override
-            public void openLease(long lifeMicros, Consumer<Leased> then) {
+            public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
                 add(node, "open lease", KeyValueStoreCodec.encodeLease(lifeMicros));
                 port.openLease(lifeMicros, then);
             }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.KeyValueStore.CommitResult;
-import org.granitepath.storage.KeyValueStore.Leased;
+import org.granitepath.storage.KeyValueStore.LeaseResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
 import org.granitepath.storage.KeyValueStore.Transaction;
@@ -187,10 +187,10 @@
         watches.follow(prefix, from, waitMicros, answer);
     }
 
-    Leased openLease(String node, long lifeMicros) {
+    LeaseResult openLease(String node, long lifeMicros) {
         return away(node, 0)
-                ? new Leased(Outcome.REFUSED, 0)
-                : new Leased(Outcome.OK, leases.open(world.now(), lifeMicros));
+                ? new LeaseResult(Outcome.REFUSED, 0)
+                : new LeaseResult(Outcome.OK, leases.open(world.now(), lifeMicros));
     }
 
     Outcome renewLease(String node, long lease) {
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -10,7 +10,7 @@
     private static final long TIMEOUT = 2_000_000;
     private static final CommitResult NO_COMMIT = new CommitResult(Outcome.UNKNOWN, 0, List.of());
     private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
-    private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
+    private static final LeaseResult NO_LEASE = new LeaseResult(Outcome.UNKNOWN, 0);
 
     private final World world;
     private final SimStore store;
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         call(TIMEOUT, () -> store.openLease(node, lifeMicros), NO_LEASE, then);
     }
 
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         throw new UnsupportedOperationException("no test opens a lease here");
     }
 
