--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -56,8 +56,8 @@
         }
         fields.put(WRITE, change.key());
         fields.put(VALUE, StoredRecordCodec.encode(change.record()));
-        if (change.lease() != 0) {
-            fields.put(PERMIT, change.lease());
+        if (change.leaseId() != 0) {
+            fields.put(PERMIT, change.leaseId());
         }
         return fields;
     }
--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -30,7 +30,7 @@
     record Precondition(String key, long revision) {}
 
     /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
-    record Change(String key, @Nullable StoredRecord record, long lease) {
+    record Change(String key, @Nullable StoredRecord record, long leaseId) {
         /** A write of a record that belongs to no lease. */
         public static Change write(String key, StoredRecord record) {
             return new Change(key, record, 0);
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -77,7 +77,7 @@
                 return result(Outcome.CONFLICT);
             }
         }
-        transaction.changes().forEach(change -> put(change.key(), change.record(), change.lease()));
+        transaction.changes().forEach(change -> put(change.key(), change.record(), change.leaseId()));
         // A real store gives all changes of a transaction one revision. For preconditions the last one serves as well.
         transaction
                 .changes()
