--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -5,7 +5,7 @@
 /** Keys of the records in the store. They are fixed: running controllers of other versions use them. */
 public final class Keys {
     /** Prefix of all our records. */
-    public static final String ALL = "g/";
+    public static final String ROOT_PREFIX = "g/";
     /** Prefix of the records of accepted jobs; the job's id follows. */
     public static final String JOB = "g/j/";
     /** Prefix of the records of the progress of jobs; the job's id follows. */
--- a/src/main/java/org/granitepath/storage/ReadBarrier.java
+++ b/src/main/java/org/granitepath/storage/ReadBarrier.java
@@ -65,7 +65,7 @@
         lastBegunMicros = nowMicros;
         List<Consumer<Boolean>> served = waiting;
         waiting = new ArrayList<>();
-        store.follow(Keys.ALL, position.storeRevision(), 0, page -> {
+        store.follow(Keys.ROOT_PREFIX, position.storeRevision(), 0, page -> {
             boolean fresh = page.outcome() == Outcome.OK && position.following();
             if (fresh) {
                 position.advance(page, nowMicros);
--- a/src/main/java/org/granitepath/storage/RecordFollower.java
+++ b/src/main/java/org/granitepath/storage/RecordFollower.java
@@ -48,7 +48,7 @@
             timers.after(spacingMicros, this::follow);
             return;
         }
-        store.follow(Keys.ALL, position.storeRevision(), LONG_POLL_MICROS, page -> {
+        store.follow(Keys.ROOT_PREFIX, position.storeRevision(), LONG_POLL_MICROS, page -> {
             if (!position.following()) {
                 return;
             }
--- a/src/main/java/org/granitepath/storage/RecordLoader.java
+++ b/src/main/java/org/granitepath/storage/RecordLoader.java
@@ -46,7 +46,7 @@
 
         private void requestPage(String from) {
             long sentMicros = timers.nowMicros();
-            store.list(Keys.ALL, from, PAGE, page -> {
+            store.list(Keys.ROOT_PREFIX, from, PAGE, page -> {
                 if (page.outcome() == Outcome.OK) {
                     takePage(page, from, sentMicros);
                 } else {
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -37,7 +37,7 @@
         assertEquals(
                 List.of("g/", "g/j/", "g/p/", "g/f/", "g/roster/", "g/leader", "g/baton", "g/types"),
                 List.of(
-                        Keys.ALL,
+                        Keys.ROOT_PREFIX,
                         Keys.JOB,
                         Keys.PROGRESS,
                         Keys.FINAL,
