--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -7,7 +7,7 @@
     /** Prefix of all our records. */
     public static final String ROOT_PREFIX = "g/";
     /** Prefix of the records of accepted jobs; the job's id follows. */
-    public static final String JOB = "g/j/";
+    public static final String JOB_PREFIX = "g/j/";
     /** Prefix of the records of the progress of jobs; the job's id follows. */
     public static final String PROGRESS = "g/p/";
     /** Prefix of the records of how jobs ended; the job's id follows. */
@@ -24,7 +24,7 @@
     /** The records that are kept of a job. */
     public enum JobRecordKind {
         /** Its description: a {@link JobRecord}. */
-        JOB(Keys.JOB),
+        JOB(Keys.JOB_PREFIX),
         /** How far it has come: a {@link ProgressRecord}. */
         PROGRESS(Keys.PROGRESS),
         /** How it ended: a {@link FinalRecord}. */
@@ -54,7 +54,7 @@
 
     /** The key of an accepted job. */
     public static String job(String jobId) {
-        return JOB + jobId;
+        return JOB_PREFIX + jobId;
     }
 
     /** The key of the progress of a job. */
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -49,7 +49,7 @@
     private static StoredRecord decodeByKey(String key, Map<String, Object> fields) {
         if (key == null) {
             throw new MalformedFieldException("key", "a text", null);
-        } else if (key.startsWith(Keys.JOB)) {
+        } else if (key.startsWith(Keys.JOB_PREFIX)) {
             return JobRecordCodec.decode(fields);
         } else if (key.startsWith(Keys.PROGRESS)) {
             return ProgressRecordCodec.decode(fields);
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -38,7 +38,7 @@
                 List.of("g/", "g/j/", "g/p/", "g/f/", "g/roster/", "g/leader", "g/baton", "g/types"),
                 List.of(
                         Keys.ROOT_PREFIX,
-                        Keys.JOB,
+                        Keys.JOB_PREFIX,
                         Keys.PROGRESS,
                         Keys.FINAL,
                         Keys.INVENTORY,
@@ -137,7 +137,7 @@
     /** What can't be read is an error that names the record; kinds of later versions are let be. */
     @Test
     void malformedAndUnknownRecords() throws MalformedRecordException {
-        for (String key : List.of(Keys.JOB + "run-1", Keys.LEADER)) {
+        for (String key : List.of(Keys.JOB_PREFIX + "run-1", Keys.LEADER)) {
             Map<String, Object> empty = Map.of("spec", Map.of("id", "run-1"));
             MalformedRecordException e =
                     assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(key, empty));
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -249,7 +249,7 @@
     }
 
     private static boolean acceptsAJob(Transaction transaction) {
-        return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB));
+        return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB_PREFIX));
     }
 
     private static boolean isTiedToTheLeader(Transaction transaction) {
