--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -9,7 +9,7 @@
     /** Prefix of the records of accepted jobs; the job's id follows. */
     public static final String JOB_PREFIX = "g/j/";
     /** Prefix of the records of the progress of jobs; the job's id follows. */
-    public static final String PROGRESS = "g/p/";
+    public static final String PROGRESS_PREFIX = "g/p/";
     /** Prefix of the records of how jobs ended; the job's id follows. */
     public static final String FINAL = "g/f/";
     /** Prefix of the parts of the machine inventory; the number of the part follows, from 0. */
@@ -26,7 +26,7 @@
         /** Its description: a {@link JobRecord}. */
         JOB(Keys.JOB_PREFIX),
         /** How far it has come: a {@link ProgressRecord}. */
-        PROGRESS(Keys.PROGRESS),
+        PROGRESS(Keys.PROGRESS_PREFIX),
         /** How it ended: a {@link FinalRecord}. */
         FINAL(Keys.FINAL);
 
@@ -59,7 +59,7 @@
 
     /** The key of the progress of a job. */
     public static String progress(String jobId) {
-        return PROGRESS + jobId;
+        return PROGRESS_PREFIX + jobId;
     }
 
     /** The key of how a job ended. */
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -51,7 +51,7 @@
             throw new MalformedFieldException("key", "a text", null);
         } else if (key.startsWith(Keys.JOB_PREFIX)) {
             return JobRecordCodec.decode(fields);
-        } else if (key.startsWith(Keys.PROGRESS)) {
+        } else if (key.startsWith(Keys.PROGRESS_PREFIX)) {
             return ProgressRecordCodec.decode(fields);
         } else if (key.startsWith(Keys.FINAL)) {
             return FinalRecordCodec.decode(fields);
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -39,7 +39,7 @@
                 List.of(
                         Keys.ROOT_PREFIX,
                         Keys.JOB_PREFIX,
-                        Keys.PROGRESS,
+                        Keys.PROGRESS_PREFIX,
                         Keys.FINAL,
                         Keys.INVENTORY,
                         Keys.LEADER,
