--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -11,7 +11,7 @@
     /** Prefix of the records of the progress of jobs; the job's id follows. */
     public static final String PROGRESS_PREFIX = "g/p/";
     /** Prefix of the records of how jobs ended; the job's id follows. */
-    public static final String FINAL = "g/f/";
+    public static final String FINAL_PREFIX = "g/f/";
     /** Prefix of the parts of the machine inventory; the number of the part follows, from 0. */
     public static final String INVENTORY = "g/roster/";
     /** The leader. */
@@ -28,7 +28,7 @@
         /** How far it has come: a {@link ProgressRecord}. */
         PROGRESS(Keys.PROGRESS_PREFIX),
         /** How it ended: a {@link FinalRecord}. */
-        FINAL(Keys.FINAL);
+        FINAL(Keys.FINAL_PREFIX);
 
         private final String prefix;
 
@@ -64,7 +64,7 @@
 
     /** The key of how a job ended. */
     public static String finalOf(String jobId) {
-        return FINAL + jobId;
+        return FINAL_PREFIX + jobId;
     }
 
     /** The key of a part of the machine inventory. */
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -53,7 +53,7 @@
             return JobRecordCodec.decode(fields);
         } else if (key.startsWith(Keys.PROGRESS_PREFIX)) {
             return ProgressRecordCodec.decode(fields);
-        } else if (key.startsWith(Keys.FINAL)) {
+        } else if (key.startsWith(Keys.FINAL_PREFIX)) {
             return FinalRecordCodec.decode(fields);
         } else if (key.startsWith(Keys.INVENTORY)) {
             return InventoryRecordCodec.decode(fields);
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -40,7 +40,7 @@
                         Keys.ROOT_PREFIX,
                         Keys.JOB_PREFIX,
                         Keys.PROGRESS_PREFIX,
-                        Keys.FINAL,
+                        Keys.FINAL_PREFIX,
                         Keys.INVENTORY,
                         Keys.LEADER,
                         Keys.FENCING_TOKEN,
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -31,7 +31,7 @@
 
     /** What can't be read frees nothing, is not written over, and does not stop the rest. */
     @ParameterizedTest
-    @ValueSource(strings = {Keys.JOB_PREFIX, Keys.PROGRESS_PREFIX, Keys.FINAL})
+    @ValueSource(strings = {Keys.JOB_PREFIX, Keys.PROGRESS_PREFIX, Keys.FINAL_PREFIX})
     void recordsThatCannotBeRead(String prefix) {
         Simulation simulation = busy(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
