--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -13,7 +13,7 @@
     /** Prefix of the records of how jobs ended; the job's id follows. */
     public static final String FINAL_PREFIX = "g/f/";
     /** Prefix of the parts of the machine inventory; the number of the part follows, from 0. */
-    public static final String INVENTORY = "g/roster/";
+    public static final String INVENTORY_PREFIX = "g/roster/";
     /** The leader. */
     public static final String LEADER = "g/leader";
     /** The shared counter of fencing tokens. */
@@ -69,6 +69,6 @@
 
     /** The key of a part of the machine inventory. */
     public static String inventory(int part) {
-        return INVENTORY + part;
+        return INVENTORY_PREFIX + part;
     }
 }
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -55,7 +55,7 @@
             return ProgressRecordCodec.decode(fields);
         } else if (key.startsWith(Keys.FINAL_PREFIX)) {
             return FinalRecordCodec.decode(fields);
-        } else if (key.startsWith(Keys.INVENTORY)) {
+        } else if (key.startsWith(Keys.INVENTORY_PREFIX)) {
             return InventoryRecordCodec.decode(fields);
         }
         return switch (key) {
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
@@ -32,7 +32,7 @@
         machine.inventory().restoreFromRecord(3, TERM_TOKEN);
         InventoryTransaction transaction = addPart(InventoryTransaction.withNewToken(NEW_TOKEN), false);
         assertEquals(List.of(3), transaction.parts());
-        assertEquals(Keys.INVENTORY + 3, transaction.changes().get(0).key());
+        assertEquals(Keys.INVENTORY_PREFIX + 3, transaction.changes().get(0).key());
         assertEquals(TERM_TOKEN, writtenToken(transaction));
         assertEquals(List.of(), transaction.machinesWithNewToken());
         assertEquals(List.of(), transaction.machinesAdded());
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -41,7 +41,7 @@
                         Keys.JOB_PREFIX,
                         Keys.PROGRESS_PREFIX,
                         Keys.FINAL_PREFIX,
-                        Keys.INVENTORY,
+                        Keys.INVENTORY_PREFIX,
                         Keys.LEADER,
                         Keys.FENCING_TOKEN,
                         Keys.TYPES));
@@ -144,7 +144,7 @@
             assertEquals(key, e.key());
         }
         Map<String, Object> badRow = Map.of("hosts", List.of(List.of("i-1", 7)));
-        assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(Keys.INVENTORY + 0, badRow));
+        assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(Keys.INVENTORY_PREFIX + 0, badRow));
         assertEquals(
                 UnknownRecord.class,
                 StoredRecordCodec.decode("g/later/1", Map.of("x", 1)).getClass());
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -75,7 +75,7 @@
     @Test
     void aPartOfTheInventoryThatCannotBeRead() {
         Simulation simulation = busy(2);
-        String key = Keys.INVENTORY + "0";
+        String key = Keys.INVENTORY_PREFIX + "0";
         simulation.after(RESTART, () -> {
             restart(simulation, false);
             simulation.store.plant(key, "{\"hosts\":[7]}");
