--- a/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
+++ b/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
@@ -43,15 +43,15 @@
      */
     void recordTypes(List<MachineType> types) {
         MachineTypesRecord typesRecord = new MachineTypesRecord(types);
-        if (replica.has(Keys.TYPES)
+        if (replica.has(Keys.MACHINE_TYPES)
                 || RecordSize.of(typesRecord) > config.limits().store().valueBytes()) {
             return; // with a part of the types on record, controllers would reject jobs that can run
         }
         writeQueue.enqueue(
-                Keys.TYPES,
+                Keys.MACHINE_TYPES,
                 WriteQueue.Urgency.PROGRESS_ONLY,
                 RECORD_DELAY_MICROS,
-                () -> replica.has(Keys.TYPES) ? List.of() : List.of(Change.write(Keys.TYPES, typesRecord)),
+                () -> replica.has(Keys.MACHINE_TYPES) ? List.of() : List.of(Change.write(Keys.MACHINE_TYPES, typesRecord)),
                 storeRevision -> {});
     }
 }
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -19,7 +19,7 @@
     /** The shared counter of fencing tokens. */
     public static final String FENCING_TOKEN = "g/baton";
     /** The machine types that the cloud launches. */
-    public static final String TYPES = "g/types";
+    public static final String MACHINE_TYPES = "g/types";
 
     /** The records that are kept of a job. */
     public enum JobRecordKind {
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -61,7 +61,7 @@
         return switch (key) {
             case Keys.LEADER -> LeaderRecordCodec.decode(fields);
             case Keys.FENCING_TOKEN -> FencingTokenRecordCodec.decode(fields);
-            case Keys.TYPES -> MachineTypesRecordCodec.decode(fields);
+            case Keys.MACHINE_TYPES -> MachineTypesRecordCodec.decode(fields);
             default -> new UnknownRecord(fields);
         };
     }
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -210,7 +210,7 @@
         String json = "{\"types\":[{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,"
                 + "\"price\":12.0,\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}]}";
         assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
-        assertEquals(record, StoredRecordCodec.decode(Keys.TYPES, Json.object(json)));
+        assertEquals(record, StoredRecordCodec.decode(Keys.MACHINE_TYPES, Json.object(json)));
     }
 
     // ---- users and operators -----------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -44,7 +44,7 @@
                         Keys.INVENTORY_PREFIX,
                         Keys.LEADER,
                         Keys.FENCING_TOKEN,
-                        Keys.TYPES));
+                        Keys.MACHINE_TYPES));
     }
 
     @Test
--- a/src/test/java/org/granitepath/storage/JobKeyTest.java
+++ b/src/test/java/org/granitepath/storage/JobKeyTest.java
@@ -22,7 +22,7 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {Keys.LEADER, Keys.FENCING_TOKEN, Keys.TYPES, Keys.INVENTORY_PREFIX + "0"})
+    @ValueSource(strings = {Keys.LEADER, Keys.FENCING_TOKEN, Keys.MACHINE_TYPES, Keys.INVENTORY_PREFIX + "0"})
     void otherRecordsAreOfNoJob(String key) {
         assertEquals(Optional.empty(), Keys.jobKey(key));
     }
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -58,7 +58,7 @@
         records.put(Keys.LEADER, new LeaderRecord("worker-1", "worker-1-2", 41));
         records.put(Keys.FENCING_TOKEN, new FencingTokenRecord("worker-1", 41, 43));
         records.put(
-                Keys.TYPES,
+                Keys.MACHINE_TYPES,
                 new MachineTypesRecord(List.of(
                         new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b")))));
         records.put("g/later/1", new UnknownRecord(Map.of("x", 1)));
@@ -114,7 +114,7 @@
                         Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))), "hosts"),
                 Arguments.of(Keys.LEADER, Map.of("incarnation", "n-2"), "node"),
                 Arguments.of(Keys.LEADER, Map.of("node", "n", "incarnation", 2), "incarnation"),
-                Arguments.of(Keys.TYPES, Map.of("types", List.of("g8")), "types"));
+                Arguments.of(Keys.MACHINE_TYPES, Map.of("types", List.of("g8")), "types"));
     }
 
     /** The error says which record and which field. */
@@ -134,7 +134,7 @@
     @Test
     void fieldsThatMayBeMissing() throws MalformedRecordException {
         assertEquals(new FencingTokenRecord(null, 0, 0), StoredRecordCodec.decode(Keys.FENCING_TOKEN, Map.of()));
-        assertEquals(new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.TYPES, Map.of("types", 1)));
+        assertEquals(new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.MACHINE_TYPES, Map.of("types", 1)));
         assertEquals(
                 new ProgressRecord(null, 2, TreeRangeSet.create(), 0),
                 StoredRecordCodec.decode(Keys.progress("run-1"), Map.of("claimed", 2, "done", List.of(7))));
