--- a/src/main/java/org/granitepath/coordination/EndedJobEviction.java
+++ b/src/main/java/org/granitepath/coordination/EndedJobEviction.java
@@ -22,7 +22,7 @@
      * the job index was updated.
      */
     void onRecordWritten(String key) {
-        Keys.jobKey(key).map(Keys.JobKey::jobId).filter(jobIndex::hasEnded).ifPresent(this::evict);
+        Keys.parseJobKey(key).map(Keys.JobKey::jobId).filter(jobIndex::hasEnded).ifPresent(this::evict);
     }
 
     private void evict(String jobId) {
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -118,7 +118,7 @@
 
     /** Takes a changed record in. Removals don't occur among jobs. */
     public void changed(String key, @Nullable StoredRecord record) {
-        Keys.jobKey(key).ifPresent(jobKey -> changed(jobKey, record));
+        Keys.parseJobKey(key).ifPresent(jobKey -> changed(jobKey, record));
     }
 
     private void changed(Keys.JobKey key, @Nullable StoredRecord record) {
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -43,7 +43,7 @@
     private Keys() {}
 
     /** Takes the key of a job's record apart; empty for a key of another kind. */
-    public static Optional<JobKey> jobKey(String key) {
+    public static Optional<JobKey> parseJobKey(String key) {
         for (JobRecordKind kind : JobRecordKind.values()) {
             if (key.startsWith(kind.prefix)) {
                 return Optional.of(new JobKey(kind, key.substring(kind.prefix.length())));
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -37,7 +37,7 @@
     private final EndedJobEviction eviction = new EndedJobEviction(replica, jobIndex);
 
     private void write(String key) {
-        StoredRecord record = switch (Keys.jobKey(key).orElseThrow().kind()) {
+        StoredRecord record = switch (Keys.parseJobKey(key).orElseThrow().kind()) {
             case JOB -> new JobRecord(Fixtures.spec(JobSpec.Shape.BATCH, false, false), 0, 0, 0);
             case PROGRESS -> ProgressRecord.none();
             case FINAL -> new FinalRecord(FinalRecord.Outcome.DONE);
--- a/src/test/java/org/granitepath/storage/JobKeyTest.java
+++ b/src/test/java/org/granitepath/storage/JobKeyTest.java
@@ -12,18 +12,18 @@
 class JobKeyTest {
     @Test
     void aKeyTellsWhichRecordOfWhichJobItNames() {
-        assertEquals(Optional.of(new Keys.JobKey(Keys.JobRecordKind.JOB, "a/b")), Keys.jobKey(Keys.job("a/b")));
+        assertEquals(Optional.of(new Keys.JobKey(Keys.JobRecordKind.JOB, "a/b")), Keys.parseJobKey(Keys.job("a/b")));
     }
 
     @ParameterizedTest
     @CsvSource({"g/j/a, JOB", "g/p/a, PROGRESS", "g/f/a, FINAL"})
     void eachKindHasAPrefixOfItsOwn(String key, Keys.JobRecordKind kind) {
-        assertEquals(Optional.of(new Keys.JobKey(kind, "a")), Keys.jobKey(key));
+        assertEquals(Optional.of(new Keys.JobKey(kind, "a")), Keys.parseJobKey(key));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {Keys.LEADER, Keys.FENCING_TOKEN, Keys.MACHINE_TYPES, Keys.INVENTORY_PREFIX + "0"})
     void otherRecordsAreOfNoJob(String key) {
-        assertEquals(Optional.empty(), Keys.jobKey(key));
+        assertEquals(Optional.empty(), Keys.parseJobKey(key));
     }
 }
