--- a/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
@@ -56,7 +56,7 @@
             return;
         }
         writeQueue.enqueue(
-                Keys.finalOf(jobId),
+                Keys.finalRecord(jobId),
                 WriteQueue.Urgency.SAFETY,
                 0,
                 () -> cancellation(jobId),
@@ -70,7 +70,7 @@
             return List.of();
         }
         return pending.isAwaited(jobId)
-                ? List.of(Change.write(Keys.finalOf(jobId), new FinalRecord(FinalRecord.Outcome.CANCELLED)))
+                ? List.of(Change.write(Keys.finalRecord(jobId), new FinalRecord(FinalRecord.Outcome.CANCELLED)))
                 : List.of();
     }
 
@@ -81,7 +81,7 @@
     private void confirm(String jobId) {
         if (jobIndex.finalOf(jobId) == FinalRecord.Outcome.CANCELLED) {
             announcer.announce(
-                    new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalOf(jobId))),
+                    new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalRecord(jobId))),
                     () -> pending.resolve(jobId, answers.knownJob(jobId)));
         } else {
             pending.resolve(jobId, answers.knownJob(jobId));
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -85,7 +85,7 @@
 
     /** Records without delay that all tasks of the job are done, unless the job has a final record already. */
     void recordDone(ActiveJob job) {
-        String key = Keys.finalOf(job.spec().id());
+        String key = Keys.finalRecord(job.spec().id());
         writeQueue.enqueue(
                 key,
                 WriteQueue.Urgency.SAFETY,
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -63,7 +63,7 @@
     }
 
     /** The key of how a job ended. */
-    public static String finalOf(String jobId) {
+    public static String finalRecord(String jobId) {
         return FINAL_PREFIX + jobId;
     }
 
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -60,7 +60,7 @@
 
     /** It is on record how the job ended. */
     void putEnd(FinalRecord.Outcome outcome) {
-        store.put(Keys.finalOf(JOB), new FinalRecord(outcome), 0);
+        store.put(Keys.finalRecord(JOB), new FinalRecord(outcome), 0);
     }
 
     /** Reads what is on record so far. */
--- a/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
@@ -51,7 +51,7 @@
     void aCancellationIsAnnouncedWithTheRevisionOfItsRecord() {
         cancelAndWait();
         assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.finalOf(JOB));
-        assertEquals(List.of(new CancellationNotice(JOB, fixture.replica.revision(Keys.finalOf(JOB)))), notices);
+        assertEquals(List.of(new CancellationNotice(JOB, fixture.replica.revision(Keys.finalRecord(JOB)))), notices);
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -35,7 +35,7 @@
     @Test
     void theEndOfAJobIsKnownWithoutItsDescription() {
         jobIndex.changed(Keys.job("a"), UNREADABLE);
-        jobIndex.changed(Keys.finalOf("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        jobIndex.changed(Keys.finalRecord("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         assertFalse(jobIndex.statusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
         assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recorded("a"));
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -42,7 +42,7 @@
     }
 
     private void recordEnded(FinalRecord.Outcome outcome) {
-        fixture.jobIndex.changed(Keys.finalOf(JOB), new FinalRecord(outcome));
+        fixture.jobIndex.changed(Keys.finalRecord(JOB), new FinalRecord(outcome));
     }
 
     private ActiveJob job() {
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -51,7 +51,7 @@
         Map<String, StoredRecord> records = new LinkedHashMap<>();
         records.put(Keys.job("run-1"), new JobRecord(SPEC, 1_700_000_000_000_000L, 4, 41));
         records.put(Keys.progress("run-1"), new ProgressRecord("worker-1", 4, done, 2));
-        records.put(Keys.finalOf("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        records.put(Keys.finalRecord("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         records.put(
                 Keys.inventory(0),
                 new InventoryRecord(List.of(new InventoryRecord.Host("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
@@ -104,8 +104,8 @@
                 Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1, "done", 3), "done"),
                 Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1, "done", List.of(0, "3")), "done"),
                 Arguments.of(Keys.progress("run-1"), Map.of("done", List.of()), "claimed"),
-                Arguments.of(Keys.finalOf("run-1"), Map.of(), "how"),
-                Arguments.of(Keys.finalOf("run-1"), Map.of("how", "done"), "how"),
+                Arguments.of(Keys.finalRecord("run-1"), Map.of(), "how"),
+                Arguments.of(Keys.finalRecord("run-1"), Map.of("how", "done"), "how"),
                 Arguments.of(Keys.inventory(0), Map.of(), "hosts"),
                 Arguments.of(Keys.inventory(0), Map.of("hosts", List.of("i-1")), "hosts"),
                 Arguments.of(Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
@@ -154,6 +154,6 @@
         assertEquals(Priority.BEST_EFFORT, spec.priority());
         assertEquals(
                 new FinalRecord(FinalRecord.Outcome.DONE),
-                StoredRecordCodec.decode(Keys.finalOf("run-1"), Map.of("how", 9)));
+                StoredRecordCodec.decode(Keys.finalRecord("run-1"), Map.of("how", 9)));
     }
 }
