--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -68,7 +68,7 @@
     }
 
     /** The key of a part of the machine inventory. */
-    public static String inventory(int part) {
+    public static String inventoryPart(int part) {
         return INVENTORY_PREFIX + part;
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -79,7 +79,7 @@
     /** How many parts the machine inventory has, those that can't be read included. */
     public int inventoryParts() {
         int parts = 0;
-        while (has(Keys.inventory(parts))) {
+        while (has(Keys.inventoryPart(parts))) {
             parts++;
         }
         return parts;
@@ -87,7 +87,7 @@
 
     /** A part of the machine inventory, or null when it has fewer or this one can't be read. */
     public @Nullable InventoryRecord inventory(int part) {
-        return records.record(Keys.inventory(part), InventoryRecord.class);
+        return records.record(Keys.inventoryPart(part), InventoryRecord.class);
     }
 
     /** The revision of the last change of a record, for preconditions; 0 when there is no such record. */
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -237,7 +237,7 @@
         List<InventoryRecord.Host> rows = Arrays.stream(ids)
                 .map(id -> new InventoryRecord.Host(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
-        replica.applied(Keys.inventory(0), new InventoryRecord(rows), 1);
+        replica.applied(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
         return takeOverStoredMachines();
     }
 
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -88,7 +88,7 @@
     @Test
     void machines() throws MalformedRecordException {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
-        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventory(0), Json.object(json));
+        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.object(json));
         assertEquals(
                 new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.hosts().get(0));
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -53,7 +53,7 @@
         records.put(Keys.progress("run-1"), new ProgressRecord("worker-1", 4, done, 2));
         records.put(Keys.finalRecord("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         records.put(
-                Keys.inventory(0),
+                Keys.inventoryPart(0),
                 new InventoryRecord(List.of(new InventoryRecord.Host("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
         records.put(Keys.LEADER, new LeaderRecord("worker-1", "worker-1-2", 41));
         records.put(Keys.FENCING_TOKEN, new FencingTokenRecord("worker-1", 41, 43));
@@ -106,12 +106,12 @@
                 Arguments.of(Keys.progress("run-1"), Map.of("done", List.of()), "claimed"),
                 Arguments.of(Keys.finalRecord("run-1"), Map.of(), "how"),
                 Arguments.of(Keys.finalRecord("run-1"), Map.of("how", "done"), "how"),
-                Arguments.of(Keys.inventory(0), Map.of(), "hosts"),
-                Arguments.of(Keys.inventory(0), Map.of("hosts", List.of("i-1")), "hosts"),
-                Arguments.of(Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
-                Arguments.of(Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
+                Arguments.of(Keys.inventoryPart(0), Map.of(), "hosts"),
+                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of("i-1")), "hosts"),
+                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
+                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
                 Arguments.of(
-                        Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))), "hosts"),
+                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))), "hosts"),
                 Arguments.of(Keys.LEADER, Map.of("incarnation", "n-2"), "node"),
                 Arguments.of(Keys.LEADER, Map.of("node", "n", "incarnation", 2), "incarnation"),
                 Arguments.of(Keys.MACHINE_TYPES, Map.of("types", List.of("g8")), "types"));
