--- a/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryWriter.java
@@ -158,7 +158,7 @@
 
     private long nextToken() {
         FencingTokenRecord counter = replica.fencingToken();
-        return (counter == null ? term.fencingToken() : counter.last()) + 1;
+        return (counter == null ? term.fencingToken() : counter.lastIssuedToken()) + 1;
     }
 
     // ---- after a commit ----------------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/coordination/leadership/Campaign.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Campaign.java
@@ -106,7 +106,7 @@
 
     private void commit(long lease) {
         FencingTokenRecord counter = replica.fencingToken();
-        long fencingToken = (counter == null ? 0 : counter.last()) + 1;
+        long fencingToken = (counter == null ? 0 : counter.lastIssuedToken()) + 1;
         LeaderRecord leader = new LeaderRecord(config.node(), config.identity().incarnation(), fencingToken);
         FencingTokenRecord nextToken = new FencingTokenRecord(config.node(), fencingToken, fencingToken);
         List<Change> changes =
--- a/src/main/java/org/granitepath/storage/FencingTokenRecord.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecord.java
@@ -9,4 +9,4 @@
  *
  * @param last the highest token drawn so far
  */
-public record FencingTokenRecord(@Nullable String leader, long term, long last) implements StoredRecord {}
+public record FencingTokenRecord(@Nullable String leader, long term, long lastIssuedToken) implements StoredRecord {}
--- a/src/main/java/org/granitepath/storage/FencingTokenRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecordCodec.java
@@ -15,7 +15,7 @@
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(OWNER, counter.leader());
         fields.put(TERM, counter.term());
-        fields.put(LAST, counter.last());
+        fields.put(LAST, counter.lastIssuedToken());
         return fields;
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -63,7 +63,7 @@
         assertFalse(first.isSchedulable(), "not before the token is stored");
         fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
-        assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
+        assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().lastIssuedToken());
         assertEquals(List.of("m1", "m2"), fixture.tokensRaised);
     }
 
