--- a/src/main/java/org/granitepath/storage/JobRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/JobRecordCodec.java
@@ -16,7 +16,7 @@
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(SPEC, JobSpecCodec.encode(job.spec()));
         fields.put(AT, job.acceptedMicros());
-        fields.put(CLAIMED, job.claimed());
+        fields.put(CLAIMED, job.claimedTasks());
         fields.put(TERM, job.term());
         return fields;
     }
--- a/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
@@ -52,7 +52,7 @@
         fixture.timers.advance(SECOND);
         assertEquals(TOKEN, recorded().term());
         assertEquals(
-                fixture.config.tuning().firstClaimBlockSize(SPEC), recorded().claimed());
+                fixture.config.tuning().firstClaimBlockSize(SPEC), recorded().claimedTasks());
     }
 
     @Test
@@ -60,7 +60,7 @@
         fixture.readRecords();
         submissions.record(SPEC, answers::add);
         fixture.timers.advance(SECOND);
-        assertEquals(0, recorded().claimed());
+        assertEquals(0, recorded().claimedTasks());
     }
 
     @Test
