--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -109,8 +109,8 @@
     @Override
     public void progressed(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
-        if (job != null && progress.claimed() > job.claimedTasks()) {
-            job.confirmClaim(progress.claimed());
+        if (job != null && progress.claimedTasks() > job.claimedTasks()) {
+            job.confirmClaim(progress.claimedTasks());
             loop.requestCycle();
         }
     }
--- a/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
@@ -25,7 +25,7 @@
         }
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(OWNER, progress.leader());
-        fields.put(CLAIMED, progress.claimed());
+        fields.put(CLAIMED, progress.claimedTasks());
         fields.put(DONE, ends);
         fields.put(RUNNING, progress.running());
         return fields;
