--- a/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
@@ -38,7 +38,7 @@
         }
         ProgressRecord progress = jobIndex.progressOf(jobId);
         JobState state = progress.running() > 0 ? JobState.RUNNING : JobState.PENDING;
-        int doneTasks = ProgressRecord.count(progress.done());
+        int doneTasks = ProgressRecord.count(progress.doneTasks());
         return new JobResponse.Status(created, jobId, state, doneTasks, progress.running());
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -102,7 +102,7 @@
             return true;
         }
         return jobIndex.progressOf(status.task().job())
-                .done()
+                .doneTasks()
                 .contains(status.task().index());
     }
 
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -59,7 +59,7 @@
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
         this.firstSeenMicros = nowMicros;
-        this.numbers = new TaskNumbers(Math.max(record.claimedTasks(), progress.claimedTasks()), progress.done());
+        this.numbers = new TaskNumbers(Math.max(record.claimedTasks(), progress.claimedTasks()), progress.doneTasks());
         this.tasksByZone = new TasksByZone(spec);
     }
 
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -14,11 +14,11 @@
  * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
  * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
  */
-public record ProgressRecord(@Nullable String leader, int claimedTasks, RangeSet<Integer> done, int running)
+public record ProgressRecord(@Nullable String leader, int claimedTasks, RangeSet<Integer> doneTasks, int running)
         implements StoredRecord {
     /** Keeps a copy of the finished tasks: the leader goes on adding to its own. */
     public ProgressRecord {
-        done = ImmutableRangeSet.copyOf(done);
+        doneTasks = ImmutableRangeSet.copyOf(doneTasks);
     }
 
     /**
@@ -30,9 +30,9 @@
         if (spare >= 0) {
             return this;
         }
-        List<Range<Integer>> largestFirst = new ArrayList<>(done.asRanges());
+        List<Range<Integer>> largestFirst = new ArrayList<>(doneTasks.asRanges());
         largestFirst.sort(Comparator.comparingInt(range -> range.lowerEndpoint() - range.upperEndpoint()));
-        RangeSet<Integer> kept = TreeRangeSet.create(done);
+        RangeSet<Integer> kept = TreeRangeSet.create(doneTasks);
         for (int i = largestFirst.size() - 1; i >= 0 && spare < 0; i--) {
             Range<Integer> range = largestFirst.get(i);
             kept.remove(range);
--- a/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
@@ -19,7 +19,7 @@
 
     static Map<String, Object> encode(ProgressRecord progress) {
         List<Integer> ends = new ArrayList<>();
-        for (Range<Integer> range : progress.done().asRanges()) {
+        for (Range<Integer> range : progress.doneTasks().asRanges()) {
             ends.add(range.lowerEndpoint());
             ends.add(range.upperEndpoint());
         }
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -74,7 +74,7 @@
         String json = "{\"owner\":\"worker-1\",\"claimed\":12,\"done\":[0,3,5,6],\"running\":4}";
         ProgressRecord record =
                 (ProgressRecord) StoredRecordCodec.decode(Keys.progress("run-000412"), Json.object(json));
-        assertEquals(4, ProgressRecord.count(record.done()));
+        assertEquals(4, ProgressRecord.count(record.doneTasks()));
         assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -198,8 +198,8 @@
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
         ProgressRecord kept = whole.atMost(2048);
         assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
-        assertTrue(kept.done().encloses(Range.closedOpen(3_000, 3_500)));
-        assertTrue(ProgressRecord.count(kept.done()) > 600, ProgressRecord.count(kept.done()) + " kept");
+        assertTrue(kept.doneTasks().encloses(Range.closedOpen(3_000, 3_500)));
+        assertTrue(ProgressRecord.count(kept.doneTasks()) > 600, ProgressRecord.count(kept.doneTasks()) + " kept");
         assertEquals(whole, whole.atMost(100_000));
     }
 
