--- a/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
@@ -37,8 +37,8 @@
             return new JobResponse.Status(created, jobId, end, 0, 0);
         }
         ProgressRecord progress = jobIndex.progressOf(jobId);
-        JobState state = progress.running() > 0 ? JobState.RUNNING : JobState.PENDING;
+        JobState state = progress.runningTasks() > 0 ? JobState.RUNNING : JobState.PENDING;
         int doneTasks = ProgressRecord.count(progress.doneTasks());
-        return new JobResponse.Status(created, jobId, state, doneTasks, progress.running());
+        return new JobResponse.Status(created, jobId, state, doneTasks, progress.runningTasks());
     }
 }
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -14,7 +14,7 @@
  * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
  * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
  */
-public record ProgressRecord(@Nullable String leader, int claimedTasks, RangeSet<Integer> doneTasks, int running)
+public record ProgressRecord(@Nullable String leader, int claimedTasks, RangeSet<Integer> doneTasks, int runningTasks)
         implements StoredRecord {
     /** Keeps a copy of the finished tasks: the leader goes on adding to its own. */
     public ProgressRecord {
@@ -38,7 +38,7 @@
             kept.remove(range);
             spare += RecordSize.ofValue(range.lowerEndpoint()) + RecordSize.ofValue(range.upperEndpoint()) + 2;
         }
-        return new ProgressRecord(leader, claimedTasks, kept, running);
+        return new ProgressRecord(leader, claimedTasks, kept, runningTasks);
     }
 
     /** Of a job of which nothing is on record yet. */
--- a/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
@@ -27,7 +27,7 @@
         fields.put(OWNER, progress.leader());
         fields.put(CLAIMED, progress.claimedTasks());
         fields.put(DONE, ends);
-        fields.put(RUNNING, progress.running());
+        fields.put(RUNNING, progress.runningTasks());
         return fields;
     }
 
