--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -25,7 +25,7 @@
      * This record, if need be with fewer finished tasks, so that it takes at most so many bytes. The ranges that hold
      * the most tasks stay. What is left out would only be started again and be found complete.
      */
-    public ProgressRecord atMost(int bytes) {
+    public ProgressRecord truncatedTo(int bytes) {
         int spare = bytes - RecordSize.of(this);
         if (spare >= 0) {
             return this;
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -196,11 +196,11 @@
         }
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
-        ProgressRecord kept = whole.atMost(2048);
+        ProgressRecord kept = whole.truncatedTo(2048);
         assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
         assertTrue(kept.doneTasks().encloses(Range.closedOpen(3_000, 3_500)));
         assertTrue(ProgressRecord.count(kept.doneTasks()) > 600, ProgressRecord.count(kept.doneTasks()) + " kept");
-        assertEquals(whole, whole.atMost(100_000));
+        assertEquals(whole, whole.truncatedTo(100_000));
     }
 
     /** Whatever a record holds, its size is not underrated. */
