--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -92,7 +92,7 @@
 
     /** How far the job has come; nothing done and nothing claimed when no record tells. */
     public ProgressRecord progressOf(String id) {
-        return progressByJob.getOrDefault(id, ProgressRecord.none());
+        return progressByJob.getOrDefault(id, ProgressRecord.empty());
     }
 
     /** Whether a record of the job can't be read. */
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -42,7 +42,7 @@
     }
 
     /** Of a job of which nothing is on record yet. */
-    public static ProgressRecord none() {
+    public static ProgressRecord empty() {
         return new ProgressRecord("", 0, TreeRangeSet.create(), 0);
     }
 
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -39,7 +39,7 @@
     private void write(String key) {
         StoredRecord record = switch (Keys.parseJobKey(key).orElseThrow().kind()) {
             case JOB -> new JobRecord(Fixtures.spec(JobSpec.Shape.BATCH, false, false), 0, 0, 0);
-            case PROGRESS -> ProgressRecord.none();
+            case PROGRESS -> ProgressRecord.empty();
             case FINAL -> new FinalRecord(FinalRecord.Outcome.DONE);
         };
         replica.applied(key, record, 1);
--- a/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/ArrivalRateTest.java
@@ -19,7 +19,7 @@
 
     private final ArrivalRate arrivalRate = new ArrivalRate();
     private final ActiveJob service =
-            Fixtures.job(Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.HIGH), 0, ProgressRecord.none());
+            Fixtures.job(Fixtures.spec(JobSpec.Shape.SERVICE, false, false, Priority.HIGH), 0, ProgressRecord.empty());
 
     @Test
     void onlyLiveServicesCount() {
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -89,7 +89,7 @@
     /** Returns an open job whose ten tasks are all claimed for this term and free to start. */
     ActiveJob openJob(JobSpec spec) {
         ActiveJob job =
-                new ActiveJob(new JobRecord(spec, 0, spec.tasks(), TOKEN), ProgressRecord.none(), timers.nowMicros());
+                new ActiveJob(new JobRecord(spec, 0, spec.tasks(), TOKEN), ProgressRecord.empty(), timers.nowMicros());
         job.resolveUnconfirmed();
         jobs.add(job);
         return job;
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -206,7 +206,7 @@
 
     @Test
     void oneZoneJobIsBoundToZoneOfItsFirstPlacement() {
-        ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
+        ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.empty());
         assertTrue(oneZone.canPlaceInZone("north"));
         Placement placement = Fixtures.placement(oneZone, 0, south, 1);
         oneZone.addPlacement(placement);
@@ -233,7 +233,7 @@
     @CsvSource({"SERVICE, CRITICAL, true", "SERVICE, HIGH, true", "SERVICE, STANDARD, false", "BATCH, CRITICAL, false"})
     void servicesOfHighPriorityAreLiveServices(JobSpec.Shape shape, Priority priority, boolean live) {
         JobSpec spec = Fixtures.spec(shape, false, false, priority);
-        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLiveService());
+        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.empty()).isLiveService());
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/model/Fixtures.java
+++ b/src/test/java/org/granitepath/coordination/model/Fixtures.java
@@ -60,7 +60,7 @@
 
     /** Returns a batch job of ten tasks, none of which was ever claimed. */
     public static ActiveJob job() {
-        return job(spec(JobSpec.Shape.BATCH, false, false), 0, ProgressRecord.none());
+        return job(spec(JobSpec.Shape.BATCH, false, false), 0, ProgressRecord.empty());
     }
 
     /** Returns a job with the given first claim and progress. */
--- a/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachinePlacementsTest.java
@@ -78,7 +78,7 @@
     void slotsBesideServicesIgnoreOtherTasks() {
         JobSpec service = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
         placements.add(Fixtures.placement(job, 0, machine, 1));
-        placements.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
+        placements.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.empty()), 1, machine, 2));
         assertEquals(3, placements.slotsBesideServices(service));
         assertEquals(2_000, capacity.freeCpuMillis(), "the query releases nothing");
     }
--- a/src/test/java/org/granitepath/coordination/model/MachineTest.java
+++ b/src/test/java/org/granitepath/coordination/model/MachineTest.java
@@ -208,7 +208,7 @@
         JobSpec service = Fixtures.spec(JobSpec.Shape.SERVICE, false, false);
         machine.add(Fixtures.placement(Fixtures.job(), 0, machine, 1));
         assertEquals(4, machine.slotsBesideServices(service));
-        machine.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.none()), 1, machine, 2));
+        machine.add(Fixtures.placement(Fixtures.job(service, 0, ProgressRecord.empty()), 1, machine, 2));
         assertEquals(3, machine.slotsBesideServices(service));
     }
 
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -215,7 +215,7 @@
                     checkpointMicros,
                     SECOND,
                     deadlineMicros);
-            ActiveJob job = new ActiveJob(new JobRecord(spec, acceptedMicros, 0, 1), ProgressRecord.none(), NOW);
+            ActiveJob job = new ActiveJob(new JobRecord(spec, acceptedMicros, 0, 1), ProgressRecord.empty(), NOW);
             jobs.add(job);
             return job;
         }
