--- a/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
+++ b/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
@@ -63,7 +63,7 @@
 
     /** Marks all tasks of a job with this many tasks as done. */
     void markAllDone(int tasks) {
-        ProgressRecord.addTasks(doneTasks, tasks);
+        ProgressRecord.addTasksBelow(doneTasks, tasks);
         doneCount = tasks;
         freed.clear();
         unconfirmed.clear();
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -52,7 +52,7 @@
     }
 
     /** Adds all task numbers below {@code count}. */
-    public static void addTasks(RangeSet<Integer> set, int count) {
+    public static void addTasksBelow(RangeSet<Integer> set, int count) {
         set.add(Range.closedOpen(0, count));
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -37,7 +37,7 @@
 
     private void recordProgress(int claimed, int doneTasks) {
         var done = TreeRangeSet.<Integer>create();
-        ProgressRecord.addTasks(done, doneTasks);
+        ProgressRecord.addTasksBelow(done, doneTasks);
         fixture.jobIndex.changed(Keys.progress(JOB), new ProgressRecord("c1", claimed, done, 0));
     }
 
