--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -96,7 +96,7 @@
             InventoryRecord inventory = replica.inventory(part);
             if (inventory != null) {
                 inventory
-                        .hosts()
+                        .machines()
                         .forEach(host -> fencingTokens.put(host.id(), Math.max(termToken, host.fencingToken())));
             }
         }
--- a/src/main/java/org/granitepath/storage/InventoryRecord.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecord.java
@@ -6,13 +6,13 @@
  * Which machines there are; one value holds many. Whose they are says the leader's record; {@code fencingToken}
  * matters only where it is higher than the one there: this machine's own, drawn when a command to it had no answer.
  */
-public record InventoryRecord(List<Host> hosts) implements StoredRecord {
+public record InventoryRecord(List<Host> machines) implements StoredRecord {
     /** More tokens than will ever be drawn. */
     private static final long LARGEST_TOKEN = 999_999_999_999L;
 
     /** Keeps a copy of the list. */
     public InventoryRecord {
-        hosts = List.copyOf(hosts);
+        machines = List.copyOf(machines);
     }
 
     /** One machine; {@code fencingToken} is its own when higher than that of the leader's term. */
--- a/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -29,7 +29,7 @@
 
     static Map<String, Object> encode(InventoryRecord inventory) {
         List<Object> rows = new ArrayList<>();
-        for (Host host : inventory.hosts()) {
+        for (Host host : inventory.machines()) {
             rows.add(encodeRow(host));
         }
         Map<String, Object> fields = new LinkedHashMap<>();
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryTransactionTest.java
@@ -24,7 +24,7 @@
 
     private static long writtenToken(InventoryTransaction transaction) {
         InventoryRecord written = (InventoryRecord) transaction.changes().get(0).record();
-        return written.hosts().get(0).fencingToken();
+        return written.machines().get(0).fencingToken();
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -91,7 +91,7 @@
         InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.object(json));
         assertEquals(
                 new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
-                record.hosts().get(0));
+                record.machines().get(0));
         assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
