--- a/src/main/java/org/granitepath/coordination/fleet/InventoryPart.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryPart.java
@@ -23,7 +23,7 @@
 
     /** Returns the maximum size of the machine's row in bytes, whatever fencing token the machine may get. */
     static int rowBytes(Machine machine) {
-        return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
+        return machine.inventoryRow(machine.fencingToken()).maxRowBytes();
     }
 
     /** Adds a row for the machine. */
--- a/src/main/java/org/granitepath/storage/InventoryRecord.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecord.java
@@ -18,7 +18,7 @@
     /** One machine; {@code fencingToken} is its own when higher than that of the leader's term. */
     public record Host(String id, String address, String type, String zone, boolean spot, long fencingToken) {
         /** The bytes that this machine's row takes, whatever its token may be later. */
-        public int largestRowBytes() {
+        public int maxRowBytes() {
             Host latest = new Host(id, address, type, zone, spot, LARGEST_TOKEN);
             return RecordSize.ofValue(InventoryRecordCodec.encodeRow(latest)) + 1;
         }
--- a/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/InventoryLayoutTest.java
@@ -28,7 +28,7 @@
     }
 
     private static int rowBytes(Machine machine) {
-        return machine.inventoryRow(machine.fencingToken()).largestRowBytes();
+        return machine.inventoryRow(machine.fencingToken()).maxRowBytes();
     }
 
     /** Adds a stored part with {@code count} machines of equal row size, numbered from {@code first}. */
