--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -46,7 +46,7 @@
 
     private List<Machine> toMachines(InventoryRecord storedPart, int part) {
         List<Machine> machines = new ArrayList<>();
-        for (InventoryRecord.Host host : storedPart.machines()) {
+        for (InventoryRecord.MachineRow host : storedPart.machines()) {
             Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
             machine.inventory().restoreFromRecord(part, term.fencingToken());
             machines.add(machine);
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -41,7 +41,7 @@
      * @param cleanupTokensDue whether a new token is due now for machines that need one only to clear attempts
      */
     void addPart(int part, List<Machine> machines, boolean cleanupTokensDue) {
-        List<InventoryRecord.Host> rows = new ArrayList<>();
+        List<InventoryRecord.MachineRow> rows = new ArrayList<>();
         for (Machine machine : machines) {
             if (cleanupTokensDue) {
                 machine.inventory().requireCleanupTokenNow();
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -232,8 +232,8 @@
     }
 
     /** Returns the machine's row for the stored inventory, with the given fencing token. */
-    public InventoryRecord.Host inventoryRow(long withToken) {
-        return new InventoryRecord.Host(id, contact.address(), typeName(), zone(), isSpot(), withToken);
+    public InventoryRecord.MachineRow inventoryRow(long withToken) {
+        return new InventoryRecord.MachineRow(id, contact.address(), typeName(), zone(), isSpot(), withToken);
     }
 
     // ---- messages of the worker --------------------------------------------------------------------------------
--- a/src/main/java/org/granitepath/storage/InventoryRecord.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecord.java
@@ -6,7 +6,7 @@
  * Which machines there are; one value holds many. Whose they are says the leader's record; {@code fencingToken}
  * matters only where it is higher than the one there: this machine's own, drawn when a command to it had no answer.
  */
-public record InventoryRecord(List<Host> machines) implements StoredRecord {
+public record InventoryRecord(List<MachineRow> machines) implements StoredRecord {
     /** More tokens than will ever be drawn. */
     private static final long LARGEST_TOKEN = 999_999_999_999L;
 
@@ -16,10 +16,10 @@
     }
 
     /** One machine; {@code fencingToken} is its own when higher than that of the leader's term. */
-    public record Host(String id, String address, String type, String zone, boolean spot, long fencingToken) {
+    public record MachineRow(String id, String address, String type, String zone, boolean spot, long fencingToken) {
         /** The bytes that this machine's row takes, whatever its token may be later. */
         public int maxRowBytes() {
-            Host latest = new Host(id, address, type, zone, spot, LARGEST_TOKEN);
+            MachineRow latest = new MachineRow(id, address, type, zone, spot, LARGEST_TOKEN);
             return RecordSize.ofValue(InventoryRecordCodec.encodeRow(latest)) + 1;
         }
     }
--- a/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.granitepath.storage.InventoryRecord.Host;
+import org.granitepath.storage.InventoryRecord.MachineRow;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -29,7 +29,7 @@
 
     static Map<String, Object> encode(InventoryRecord inventory) {
         List<Object> rows = new ArrayList<>();
-        for (Host host : inventory.machines()) {
+        for (MachineRow host : inventory.machines()) {
             rows.add(encodeRow(host));
         }
         Map<String, Object> fields = new LinkedHashMap<>();
@@ -37,7 +37,7 @@
         return fields;
     }
 
-    static List<Object> encodeRow(Host host) {
+    static List<Object> encodeRow(MachineRow host) {
         return List.of(
                 host.id(),
                 host.address(),
@@ -49,18 +49,18 @@
 
     /** @throws MalformedFieldException when a row is none, is too short or has a value of another type */
     static InventoryRecord decode(Map<String, Object> fields) {
-        List<Host> hosts = new ArrayList<>();
+        List<MachineRow> hosts = new ArrayList<>();
         for (Object row : Fields.requiredList(fields, HOSTS)) {
             hosts.add(decodeRow(Fields.requiredList(row, HOSTS)));
         }
         return new InventoryRecord(hosts);
     }
 
-    private static Host decodeRow(List<?> row) {
+    private static MachineRow decodeRow(List<?> row) {
         if (row.size() < COLUMNS) {
             throw new MalformedFieldException(HOSTS, "a list of rows of " + COLUMNS + " values", row);
         }
-        return new Host(
+        return new MachineRow(
                 textOf(row.get(ID)),
                 textOf(row.get(ADDRESS)),
                 textOf(row.get(TYPE)),
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -234,8 +234,8 @@
 
     /** Takes over machines that a previous leader has stored and that have sent no message in this term. */
     List<Machine> takeOver(String... ids) {
-        List<InventoryRecord.Host> rows = Arrays.stream(ids)
-                .map(id -> new InventoryRecord.Host(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
+        List<InventoryRecord.MachineRow> rows = Arrays.stream(ids)
+                .map(id -> new InventoryRecord.MachineRow(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
         replica.applied(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
         return takeOverStoredMachines();
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -23,7 +23,7 @@
 
     private List<String> storedIds() {
         return fixture.replica.inventory(0).machines().stream()
-                .map(InventoryRecord.Host::id)
+                .map(InventoryRecord.MachineRow::id)
                 .toList();
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -65,8 +65,8 @@
         store.put(
                 Keys.inventoryPart(0),
                 new InventoryRecord(List.of(
-                        new InventoryRecord.Host("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
-                        new InventoryRecord.Host("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
+                        new InventoryRecord.MachineRow("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
+                        new InventoryRecord.MachineRow("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
                 0);
         replica.start();
         timers.advance(SECOND);
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -90,7 +90,7 @@
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
         InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.object(json));
         assertEquals(
-                new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
+                new InventoryRecord.MachineRow("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.machines().get(0));
         assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -54,7 +54,7 @@
         records.put(Keys.finalRecord("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         records.put(
                 Keys.inventoryPart(0),
-                new InventoryRecord(List.of(new InventoryRecord.Host("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
+                new InventoryRecord(List.of(new InventoryRecord.MachineRow("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
         records.put(Keys.LEADER, new LeaderRecord("worker-1", "worker-1-2", 41));
         records.put(Keys.FENCING_TOKEN, new FencingTokenRecord("worker-1", 41, 43));
         records.put(
