--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -86,7 +86,7 @@
         if (missesDeadline(startupMicros)) {
             cost *= MISSED_DEADLINE_FACTOR;
         }
-        if (spec.service()) {
+        if (spec.isService()) {
             cost *= 1 + startupMicros / LATE_START_MICROS;
         }
         return cost * (1 + PENALTY_PER_LAUNCH * launches + PENALTY_PER_TASK_IN_ZONE * tasksInZone);
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -62,7 +62,7 @@
     private OfferCost costFor(ActiveJob job) {
         JobSpec spec = job.spec();
         long ageMicros = spec.hasDeadline() ? inputs.jobs().ageMicros(job, nowMicros) : 0;
-        return spec.service()
+        return spec.isService()
                 ? OfferCost.forService(spec, ageMicros)
                 : OfferCost.forTasks(spec, inputs.runtimeEstimator().expectedTaskMicros(job), ageMicros);
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
@@ -41,7 +41,7 @@
     /** Adds a machine to be launched, on which capacity is already reserved for its first tasks. */
     void addNew(PlannedMachine machine, Offer offer) {
         machines.add(machine);
-        batchCpuMillis += offer.job().spec().service() ? 0 : machine.type().cpuMillis();
+        batchCpuMillis += offer.job().spec().isService() ? 0 : machine.type().cpuMillis();
         addLaunch(offer, 1);
     }
 
--- a/src/main/java/org/granitepath/coordination/config/Tuning.java
+++ b/src/main/java/org/granitepath/coordination/config/Tuning.java
@@ -62,7 +62,7 @@
                 ? spec.tasks()
                 : Math.min(
                         spec.tasks(),
-                        spec.service() ? Math.max(claimBlockSize, MIN_FIRST_SERVICE_BLOCK_SIZE) : claimBlockSize);
+                        spec.isService() ? Math.max(claimBlockSize, MIN_FIRST_SERVICE_BLOCK_SIZE) : claimBlockSize);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -93,7 +93,7 @@
             return ListedTaskState.LIVE;
         }
         boolean completes =
-                status.cause() == ExitCause.DONE && (job == null || !job.spec().service());
+                status.cause() == ExitCause.DONE && (job == null || !job.spec().isService());
         return completes ? ListedTaskState.COMPLETED : ListedTaskState.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -125,7 +125,7 @@
 
     /** Whether the task has completed; a task of a service never counts as completed, however it exits. */
     private static boolean hasCompleted(ActiveJob job, TaskStatus status) {
-        return status.cause() == ExitCause.DONE && !job.spec().service();
+        return status.cause() == ExitCause.DONE && !job.spec().isService();
     }
 
     private static boolean wasStartRefused(TaskStatus status) {
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -184,7 +184,7 @@
         for (Placement placement : List.copyOf(machine.placements())) {
             JobSpec spec = placement.job().spec();
             boolean saves = spec.checkpointMicros() > 0;
-            if (spec.service() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
+            if (spec.isService() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
                 stop(placement, saves ? spec.saveMicros() : 0, "the cloud reclaims the machine");
             }
         }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -48,7 +48,7 @@
         cpuUsedMillis += sign * spec.cpuMillis();
         gpuUsedMillis += sign * spec.gpuMillis();
         memoryUsedMillis += sign * spec.memoryMillis();
-        if (spec.service()) {
+        if (spec.isService()) {
             services += sign;
             servicesCpuMillis += sign * spec.cpuMillis();
         }
--- a/src/main/java/org/granitepath/coordination/model/MachinePlacements.java
+++ b/src/main/java/org/granitepath/coordination/model/MachinePlacements.java
@@ -65,7 +65,7 @@
         long memoryMillis = 0;
         for (Placement placement : byTask.values()) {
             JobSpec other = placement.job().spec();
-            if (!other.service()) {
+            if (!other.isService()) {
                 cpuMillis += other.cpuMillis();
                 gpuMillis += other.gpuMillis();
                 memoryMillis += other.memoryMillis();
--- a/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
+++ b/src/main/java/org/granitepath/coordination/placement/MachineScorer.java
@@ -58,7 +58,7 @@
         score -= CPU_LEFT_FREE_PENALTY * (machine.capacity().freeCpuMillis() - spec.cpuMillis()) / type.cpuMillis();
         score -= rules.isSuspect(machine) ? SUSPECT_PENALTY : 0;
         boolean hostsService = machine.capacity().hasService();
-        if (spec.service()) {
+        if (spec.isService()) {
             return score + (hostsService ? SERVICE_WITH_SERVICES_BONUS : 0);
         }
         return score + (machine.isSpot() ? BATCH_ON_SPOT_BONUS : 0) - (hostsService ? BATCH_WITH_SERVICES_PENALTY : 0);
--- a/src/main/java/org/granitepath/coordination/placement/WorkloadTotals.java
+++ b/src/main/java/org/granitepath/coordination/placement/WorkloadTotals.java
@@ -47,7 +47,7 @@
         batchWork = 0;
         deadlineWork = 0;
         for (ActiveJob job : activeJobs.all()) {
-            if (!job.spec().service()) {
+            if (!job.spec().isService()) {
                 double work = remainingWork(job);
                 batchWork += work;
                 deadlineWork += job.spec().hasDeadline() ? work : 0;
--- a/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Consolidator.java
@@ -116,7 +116,7 @@
             return false;
         }
         for (Placement placement : machine.placements()) {
-            if (!placement.job().spec().service()
+            if (!placement.job().spec().isService()
                     || placement.phase() != Placement.Phase.RUNNING
                     || nowMicros - placement.runningSinceMicros() < MIN_RUNTIME_MICROS) {
                 return false;
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -69,7 +69,7 @@
      */
     private boolean hasPrecedenceOver(Placement placement) {
         JobSpec victim = placement.job().spec();
-        if (!job.spec().priority().above(victim.priority()) || victim.service()) {
+        if (!job.spec().priority().above(victim.priority()) || victim.isService()) {
             return false;
         }
         if (!job.isLiveService() && victim.gang()) {
@@ -85,7 +85,7 @@
     private boolean isBorrowed(Placement placement) {
         String team = placement.job().spec().team();
         return !team.equals(job.spec().team())
-                && !placement.job().spec().service()
+                && !placement.job().spec().isService()
                 && placement.job().scheduling().schedulingClass() != SchedulingClass.GUARANTEED
                 && reclaimableCpu.isAvailableFrom(team);
     }
--- a/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
+++ b/src/main/java/org/granitepath/recovery/LiveWorkBacklog.java
@@ -19,7 +19,7 @@
 
     /** Returns whether this job is live work. */
     public static boolean isLiveWork(JobSpec spec) {
-        return spec.service() || spec.priority() == Priority.CRITICAL;
+        return spec.isService() || spec.priority() == Priority.CRITICAL;
     }
 
     /** Returns a summary that operators read in the log and in {@code GET /recovery}. */
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -50,7 +50,7 @@
     public static final long NO_DEADLINE = -1;
 
     /** Whether its tasks run until it is cancelled. */
-    public boolean service() {
+    public boolean isService() {
         return shape == Shape.SERVICE;
     }
 
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -35,7 +35,7 @@
         assertEquals(8_000, spec.cpuMillis());
         assertEquals(900_000_000, spec.deadlineMicros());
         assertEquals(List.of("g8"), spec.types());
-        assertFalse(spec.service());
+        assertFalse(spec.isService());
         assertEquals(spec, JobSpecCodec.decode(Json.object(Json.text(JobSpecCodec.encode(spec)))));
     }
 
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -64,7 +64,7 @@
                 JobSpec spec = simulation.jobs.randomJob();
                 simulation.users.submit(
                         spec,
-                        spec.service() ? 60 * SECOND : simulation.world.random.nextInt(6) == 0 ? 12 * SECOND : -1);
+                        spec.isService() ? 60 * SECOND : simulation.world.random.nextInt(6) == 0 ? 12 * SECOND : -1);
                 simulation.users.pollUnknownJob();
             });
         }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -62,7 +62,7 @@
     }
 
     private static boolean isService(Simulation simulation, SimCommands.Start start) {
-        return simulation.users.describedAs(start.task().job()).service();
+        return simulation.users.describedAs(start.task().job()).isService();
     }
 
     /** Without a hold the same restart starts batch work first: what the test above shows is the hold's doing. */
@@ -97,10 +97,10 @@
             all.stream()
                     .filter(worker -> worker.runs().live().stream()
                             .anyMatch(run ->
-                                    simulation.users.describedAs(run.task.job()).service()))
+                                    simulation.users.describedAs(run.task.job()).isService()))
                     .limit(2)
                     .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.DROP, 90 * SECOND));
-            all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
+            all.forEach(worker -> worker.endTasks(spec -> !spec.isService(), ExitCause.STOPPED));
         });
         simulation.run(RESTART + 30 * SECOND);
 
@@ -130,7 +130,7 @@
                     .toList();
             assertFalse(spot.isEmpty());
             spot.forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 60 * SECOND));
-            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
+            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::isService, ExitCause.STOPPED));
         });
         simulation.run(RESTART + Simulation.LEASE);
 
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -106,7 +106,7 @@
                     .onSpot()
                     .create();
             shortJobs.add(spec);
-            simulation.after(at, () -> simulation.users.submit(spec, spec.service() ? 20 * SECOND : -1));
+            simulation.after(at, () -> simulation.users.submit(spec, spec.isService() ? 20 * SECOND : -1));
         }
         simulation.after(
                 RESTART - 100_000 - simulation.world.random.nextInt(400_000),
@@ -184,7 +184,7 @@
     }
 
     private static void endReplicas(Simulation simulation) {
-        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
+        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::isService, ExitCause.STOPPED));
     }
 
     /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -114,7 +114,7 @@
         }
         run.state = TaskState.RUNNING;
         long runMicros = runMicros(run, spec);
-        run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
+        run.until = spec.isService() ? Long.MAX_VALUE : world.now() + runMicros;
         if (fails(run)) {
             failures++;
             run.until = world.now() + FAILS_AFTER;
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -206,7 +206,7 @@
     List<String> unfinishedBatches() {
         List<String> list = new ArrayList<>();
         for (JobSpec spec : described.values()) {
-            if (!spec.service()
+            if (!spec.isService()
                     && simulation.rules.acceptedJob(spec.id())
                     && simulation.rules.finalTold(spec.id()) == null) {
                 list.add(spec.id());
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -144,7 +144,7 @@
     /** How many tasks of services are on a machine. */
     long replicas() {
         return placed.keySet().stream()
-                .filter(task -> jobs.spec(task.job()).service())
+                .filter(task -> jobs.spec(task.job()).isService())
                 .count();
     }
 }
