--- a/src/main/java/org/granitepath/coordination/admission/AdmissionRules.java
+++ b/src/main/java/org/granitepath/coordination/admission/AdmissionRules.java
@@ -51,7 +51,7 @@
 
     /** The tasks of a service or a gang run all at once; of other jobs one task at a time is enough to go on. */
     private static boolean exceedsLimit(Team team, JobSpec spec) {
-        int concurrentTasks = spec.isService() || spec.gang() ? spec.tasks() : 1;
+        int concurrentTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
         return (team.cpuLimitMillis() > 0 && spec.cpuMillis() * concurrentTasks > team.cpuLimitMillis())
                 || (team.gpuLimitMillis() > 0 && spec.gpuMillis() * concurrentTasks > team.gpuLimitMillis());
     }
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -113,7 +113,7 @@
     }
 
     private void planJob(ActiveJob job) {
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             gangPlan.plan(job);
             return;
         }
--- a/src/main/java/org/granitepath/coordination/config/Tuning.java
+++ b/src/main/java/org/granitepath/coordination/config/Tuning.java
@@ -58,7 +58,7 @@
 
     /** Returns how many tasks of a job are claimed at its acceptance: all tasks of a gang, since they run together. */
     public int firstClaimBlockSize(JobSpec spec) {
-        return spec.gang()
+        return spec.isGang()
                 ? spec.tasks()
                 : Math.min(
                         spec.tasks(),
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -158,7 +158,7 @@
 
     /** Marks the task as done; for a gang, whose tasks complete together, marks all tasks of the job. */
     private static void markDone(ActiveJob job, int task) {
-        if (!job.spec().gang()) {
+        if (!job.spec().isGang()) {
             job.markDone(task);
             return;
         }
@@ -176,7 +176,7 @@
         Placement placement = job.placement(task);
         markDone(job, task);
         jobs.recordTaskDone(job);
-        if (placement != null && !job.spec().gang()) {
+        if (placement != null && !job.spec().isGang()) {
             tasks.stop(placement, 0, "completed by another attempt");
         } else {
             jobs.completeIfDone(job);
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -55,7 +55,7 @@
         int tasks = job.spec().tasks();
         // If writes queue up, a job claims all its tasks at once; otherwise machines would be idle in the meantime.
         int block = writeQueue.behind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
-        int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
+        int target = job.spec().isGang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
         boolean isNearlyUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || isNearlyUsedUp)) {
             job.requestClaim(target);
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -102,7 +102,7 @@
         Placement placement =
                 Placement.adopted(status.task(), job, machine, status.attempt(), onlyOnThisMachine, nowMicros);
         place(placement);
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             for (Placement leftover : gangs.addAdopted(placement)) {
                 stopOne(leftover, 0, "belongs to an older attempt of its gang");
             }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -43,7 +43,7 @@
         deadlineClassifier.classify(nowMicros);
         guaranteeClassifier.classify();
         largestUrgentGangCpuMillis = activeJobs.all().stream()
-                .filter(job -> job.spec().gang() && needsImmediateStart(job))
+                .filter(job -> job.spec().isGang() && needsImmediateStart(job))
                 .mapToLong(job -> job.spec().cpuMillis() * job.spec().tasks())
                 .max()
                 .orElse(0);
--- a/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
+++ b/src/main/java/org/granitepath/coordination/placement/JobObjectives.java
@@ -42,7 +42,7 @@
      */
     boolean isGangWithObjective(ActiveJob job) {
         Objective objective = of(job);
-        return job.spec().gang() && (objective.waitMicros() > 0 || objective.finishMicros() > 0);
+        return job.spec().isGang() && (objective.waitMicros() > 0 || objective.finishMicros() > 0);
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Preemption.java
@@ -44,6 +44,6 @@
 
     /** Returns whether a victim belongs to a gang, whose tasks on other machines then end too. */
     boolean stopsGang() {
-        return victims.stream().anyMatch(victim -> victim.job().spec().gang());
+        return victims.stream().anyMatch(victim -> victim.job().spec().isGang());
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -24,7 +24,7 @@
 
     /** Returns the cost of stopping this task; for a task of a gang, the cost of stopping all tasks of the gang. */
     static double ofStopping(Placement placement, long nowMicros) {
-        return placement.job().spec().gang()
+        return placement.job().spec().isGang()
                 ? placement.job().placements().stream()
                         .mapToDouble(each -> ofOneTask(each, GANG_RESTART_MICROS, nowMicros))
                         .sum()
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -72,7 +72,7 @@
         if (!job.spec().priority().above(victim.priority()) || victim.isService()) {
             return false;
         }
-        if (!job.isLiveService() && victim.gang()) {
+        if (!job.isLiveService() && victim.isGang()) {
             return false; // a gang saves its progress only if all its tasks receive the stop in time
         }
         return job.isLiveService()
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -78,7 +78,7 @@
         int awaitingPreemption = 0;
         while (!candidates.isEmpty()) {
             ActiveJob job = candidates.poll();
-            if (job.spec().gang()) {
+            if (job.spec().isGang()) {
                 gangScheduler.schedule(job, machines.machinesWithCapacity(), nowMicros);
             } else {
                 awaitingPreemption += taskScheduler.schedule(job, nowMicros);
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -55,7 +55,7 @@
     }
 
     /** Whether its tasks start together or not at all. */
-    public boolean gang() {
+    public boolean isGang() {
         return shape == Shape.GANG;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -106,7 +106,7 @@
         JobSpec spec = jobs.apply(run.task.job());
         images.add(spec.image());
         rules.started(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
-        if (spec.gang() && !results.contains(run.task) && !fails(run)) {
+        if (spec.isGang() && !results.contains(run.task) && !fails(run)) {
             run.state = TaskState.WAITING;
             run.until = Long.MAX_VALUE;
             run.member = gangs.join(spec, run.task, run.attempt, worker::hangs);
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -50,14 +50,14 @@
         return !jobs.wasCancellationAsked(spec.id())
                 && jobs.finalTold(spec.id()) == null
                 && withinLimit(spec, held)
-                && (!spec.gang() || wholeGangFits(spec, left, held, machines))
+                && (!spec.isGang() || wholeGangFits(spec, left, held, machines))
                 && machines.stream().anyMatch(machine -> couldRunOn(machine, spec, held));
     }
 
     private boolean withinLimit(JobSpec spec, HeldTasks held) {
         long limit = teams.get(spec.team()).cpuLimitMillis();
         // What starting more of the job takes of the limit, at least.
-        long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
+        long needed = spec.cpuMillis() * (spec.isGang() ? spec.tasks() : 1);
         return limit == 0 || held.cpuOf(spec.team()) + needed <= limit;
     }
 
