--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
@@ -29,7 +29,7 @@
     boolean allowsZone(String zone) {
         return job.spec().allowsZone(zone)
                 && zones.includes(zone)
-                && taskCountIn(zone) < job.spec().zoneCap();
+                && taskCountIn(zone) < job.spec().maxTasksPerZone();
     }
 
     /** Returns whether the request allows a spot instance, or an on-demand machine if {@code spot} is false. */
--- a/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangPlacementFinder.java
@@ -72,7 +72,7 @@
         for (Machine machine : candidates) {
             int slots = constraints.slots(machine, spec);
             for (int slot = 0; slot < slots && chosen.size() < spec.tasks(); slot++) {
-                if (tasksByZone.merge(machine.zone(), 1, Integer::sum) > spec.zoneCap()) {
+                if (tasksByZone.merge(machine.zone(), 1, Integer::sum) > spec.maxTasksPerZone()) {
                     break;
                 }
                 chosen.add(machine);
--- a/src/main/java/org/granitepath/coordination/model/TasksByZone.java
+++ b/src/main/java/org/granitepath/coordination/model/TasksByZone.java
@@ -39,7 +39,7 @@
         if (spec.oneZone() && (unconfirmedTasks > 0 || hasTaskOutside(zone))) {
             return false;
         }
-        return !spec.spread() || counts.getInt(zone) + unconfirmedTasks + 1 <= spec.zoneCap();
+        return !spec.spread() || counts.getInt(zone) + unconfirmedTasks + 1 <= spec.maxTasksPerZone();
     }
 
     private boolean hasTaskOutside(String zone) {
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -75,7 +75,7 @@
     }
 
     /** At most this many tasks may stand in one zone. */
-    public int zoneCap() {
+    public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 }
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -220,7 +220,7 @@
     void unconfirmedTasksCountInEveryZone() {
         assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).canPlaceInZone("north"));
         ActiveJob spread = inherited(Fixtures.spec(JobSpec.Shape.SERVICE, false, true));
-        int cap = spread.spec().zoneCap();
+        int cap = spread.spec().maxTasksPerZone();
         assertEquals(4 + 1 <= cap, spread.canPlaceInZone("north"));
         while (spread.tasksByZone().getOrDefault("north", 0) + spread.unconfirmedTasks() < cap) {
             spread.addPlacement(
--- a/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
+++ b/src/test/java/org/granitepath/coordination/model/TasksByZoneTest.java
@@ -59,7 +59,7 @@
     @Test
     void spreadJobMayUseZoneUpToItsCap() {
         TasksByZone tasks = tasksByZone(SPREAD);
-        for (int placed = 0; placed < SPREAD.zoneCap(); placed++) {
+        for (int placed = 0; placed < SPREAD.maxTasksPerZone(); placed++) {
             assertTrue(tasks.canPlaceInZone("north", 0), placed + " placed");
             tasks.add("north");
         }
@@ -69,7 +69,7 @@
 
     @Test
     void unconfirmedTasksCountInEveryZone() {
-        assertTrue(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.zoneCap() - 1));
-        assertFalse(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.zoneCap()));
+        assertTrue(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.maxTasksPerZone() - 1));
+        assertFalse(tasksByZone(SPREAD).canPlaceInZone("north", SPREAD.maxTasksPerZone()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -63,7 +63,7 @@
                 elsewhere += sameZone ? 0 : 1;
             }
         }
-        if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere > 0)) {
+        if ((spec.spread() && here > spec.maxTasksPerZone()) || (spec.oneZone() && elsewhere > 0)) {
             breaches.add("wrong_place", task + ": " + here + " of its job in " + zone);
         }
     }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -64,7 +64,7 @@
     private static boolean couldRunOn(SimWorker machine, JobSpec spec, HeldTasks held) {
         return machine.wouldTake(spec)
                 && (!spec.oneZone() || Set.of(machine.zone).containsAll(held.zonesOf(spec.id())))
-                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
+                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.maxTasksPerZone());
     }
 
     /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
