--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -65,7 +65,7 @@
     }
 
     /** Whether machines of this type may be used. */
-    public boolean allowsType(String type) {
+    public boolean isTypeAllowed(String type) {
         return types == null || types.contains(type);
     }
 
--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -16,7 +16,7 @@
 
     /** Whether a task of this job fits an empty machine of this type. */
     public boolean fits(JobSpec spec) {
-        return spec.allowsType(name)
+        return spec.isTypeAllowed(name)
                 && spec.cpuMillis() <= cpuMillis
                 && spec.gpuMillis() <= gpuMillis
                 && spec.memoryMillis() <= memoryMillis
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -116,7 +116,7 @@
                 && !tasks.faulty()
                 && noticeEnd < 0
                 && runs().hasCapacityFor(spec, null)
-                && spec.allowsType(type.name())
+                && spec.isTypeAllowed(type.name())
                 && spec.allowsZone(zone)
                 && (spec.spot() || !spot);
     }
