--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
@@ -27,7 +27,7 @@
 
     /** Returns whether the request allows a machine in this zone. */
     boolean allowsZone(String zone) {
-        return job.spec().allowsZone(zone)
+        return job.spec().isZoneAllowed(zone)
                 && zones.includes(zone)
                 && taskCountIn(zone) < job.spec().maxTasksPerZone();
     }
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -70,7 +70,7 @@
     }
 
     /** Whether machines of this zone may be used. */
-    public boolean allowsZone(String candidate) {
+    public boolean isZoneAllowed(String candidate) {
         return zone == null || zone.equals(candidate);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -117,7 +117,7 @@
                 && noticeEnd < 0
                 && runs().hasCapacityFor(spec, null)
                 && spec.isTypeAllowed(type.name())
-                && spec.allowsZone(zone)
+                && spec.isZoneAllowed(zone)
                 && (spec.spot() || !spot);
     }
 
