--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -68,7 +68,7 @@
      * @param spot whether the machine is a spot instance, for which the answer is always false
      */
     boolean shouldWaitForSpot(long startupMicros, boolean spot) {
-        return missesDeadline(startupMicros) && !spot && spec.spot();
+        return missesDeadline(startupMicros) && !spot && spec.spotAllowed();
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
@@ -34,6 +34,6 @@
 
     /** Returns whether the request allows a spot instance, or an on-demand machine if {@code spot} is false. */
     boolean allowsPricing(boolean spot) {
-        return spot ? job.spec().spot() : allowsOnDemand;
+        return spot ? job.spec().spotAllowed() : allowsOnDemand;
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedMachine.java
@@ -74,6 +74,6 @@
     }
 
     private boolean allows(JobSpec spec) {
-        return spec.isTypeAllowed(type.name()) && spec.isZoneAllowed(zone) && (!spot || spec.spot());
+        return spec.isTypeAllowed(type.name()) && spec.isZoneAllowed(zone) && (!spot || spec.spotAllowed());
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
@@ -29,7 +29,7 @@
 
     /** See {@link BatchPlanner#isDeferrable}. */
     boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        if (job.spec().isService() || job.spec().isGang() || !job.spec().spot()) {
+        if (job.spec().isService() || job.spec().isGang() || !job.spec().spotAllowed()) {
             return false;
         }
         if (job.spec().hasDeadline() && objectives.deadlineOverrideMicros(job) == 0) {
--- a/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
@@ -41,7 +41,7 @@
                 spec.types(),
                 spec.zone(),
                 closedZones,
-                spec.spot(),
+                spec.spotAllowed(),
                 job.scheduling().isDeferrable(),
                 spec.priority());
     }
--- a/src/main/java/org/granitepath/recovery/MachineProfile.java
+++ b/src/main/java/org/granitepath/recovery/MachineProfile.java
@@ -13,6 +13,6 @@
 
     /** Returns whether a task of this job can be on a machine with this profile. */
     public boolean canRun(JobSpec spec) {
-        return spec.isTypeAllowed(type) && spec.isZoneAllowed(zone) && (spec.spot() || !spot);
+        return spec.isTypeAllowed(type) && spec.isZoneAllowed(zone) && (spec.spotAllowed() || !spot);
     }
 }
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -30,7 +30,7 @@
         @Nullable String zone,
         boolean oneZone,
         boolean spread,
-        boolean spot,
+        boolean spotAllowed,
         long estimateMicros,
         long checkpointMicros,
         long saveMicros,
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -90,7 +90,7 @@
                 BATCH.zone(),
                 BATCH.oneZone(),
                 BATCH.spread(),
-                BATCH.spot(),
+                BATCH.spotAllowed(),
                 BATCH.estimateMicros(),
                 BATCH.checkpointMicros(),
                 BATCH.saveMicros(),
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -106,7 +106,7 @@
                 like.zone(),
                 like.oneZone(),
                 like.spread(),
-                like.spot(),
+                like.spotAllowed(),
                 like.estimateMicros(),
                 like.checkpointMicros(),
                 like.saveMicros(),
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -118,7 +118,7 @@
                 && runs().hasCapacityFor(spec, null)
                 && spec.isTypeAllowed(type.name())
                 && spec.isZoneAllowed(zone)
-                && (spec.spot() || !spot);
+                && (spec.spotAllowed() || !spot);
     }
 
     // ---- troubles ----------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -45,7 +45,7 @@
     }
 
     private void checkMachine(TaskId task, JobSpec spec, String type, String zone, boolean spot) {
-        if (!spec.isTypeAllowed(type) || !spec.isZoneAllowed(zone) || (spot && !spec.spot())) {
+        if (!spec.isTypeAllowed(type) || !spec.isZoneAllowed(zone) || (spot && !spec.spotAllowed())) {
             breaches.add("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
         }
     }
