--- a/src/main/java/org/granitepath/coordination/admission/AdmissionRules.java
+++ b/src/main/java/org/granitepath/coordination/admission/AdmissionRules.java
@@ -57,7 +57,7 @@
     }
 
     private boolean fitsNoMachineType(JobSpec spec) {
-        return machineTypesKnown() && machineTypes.get().stream().noneMatch(type -> type.fits(spec));
+        return machineTypesKnown() && machineTypes.get().stream().noneMatch(type -> type.canFit(spec));
     }
 
     /** The record with its longest numbers, since the true ones are not known before the write. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/HeadroomPlan.java
@@ -75,7 +75,7 @@
             if (!machine.isSpot()
                     && machine.type() != null
                     && machine.phase() != Machine.Phase.TERMINATING
-                    && machine.type().fits(newest.spec())) {
+                    && machine.type().canFit(newest.spec())) {
                 long usedCpuMillis = machine.capacity().serviceCpuMillis();
                 cpuMillisUsedByServices += usedCpuMillis;
                 countAvailable(machine.zone(), machine.type().cpuMillis() - usedCpuMillis);
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferMarket.java
@@ -52,7 +52,7 @@
     Offer cheapestOffer(OfferRequest request) {
         Search search = new Search(request, costFor(request.job()));
         for (MachineType type : inputs.fleet().types().values()) {
-            if (type.fits(request.job().spec())) {
+            if (type.canFit(request.job().spec())) {
                 search.considerType(type);
             }
         }
--- a/src/main/java/org/granitepath/coordination/gang/GangReservations.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangReservations.java
@@ -44,7 +44,7 @@
      */
     private long maxDurationMicros(ActiveJob job) {
         long longestBootMicros = fleet.types().values().stream()
-                .filter(type -> type.fits(job.spec()))
+                .filter(type -> type.canFit(job.spec()))
                 .mapToLong(MachineType::bootMicros)
                 .max()
                 .orElse(0);
--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -15,7 +15,7 @@
         List<String> zones) {
 
     /** Whether a task of this job fits an empty machine of this type. */
-    public boolean fits(JobSpec spec) {
+    public boolean canFit(JobSpec spec) {
         return spec.isTypeAllowed(name)
                 && spec.cpuMillis() <= cpuMillis
                 && spec.gpuMillis() <= gpuMillis
