--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -82,7 +82,7 @@
      */
     double costPerTask(MachineType type, boolean spot, int tasks, long startupMicros, int launches, int tasksInZone) {
         long paidMicros = Math.max(startupMicros + runMicros, Machine.MINIMUM_CHARGE_MICROS);
-        double cost = type.priceFor(spot) * paidMicros / tasks;
+        double cost = type.hourlyPrice(spot) * paidMicros / tasks;
         if (missesDeadline(startupMicros)) {
             cost *= MISSED_DEADLINE_FACTOR;
         }
--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -44,7 +44,7 @@
     }
 
     /** The nominal price of an hour. */
-    public double priceFor(boolean spot) {
+    public double hourlyPrice(boolean spot) {
         return spot ? spotPrice : price;
     }
 }
