--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -83,7 +83,7 @@
      * It is scheduled before all other work.
      */
     public boolean isLiveService() {
-        return spec.isService() && !Priority.HIGH.above(spec.priority());
+        return spec.isService() && !Priority.HIGH.isHigherThan(spec.priority());
     }
 
     /** Returns the scheduler's notes on this job. */
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -43,6 +43,6 @@
         long unsavedMicros = checkpointMicros > 0 ? ranMicros % checkpointMicros : ranMicros;
         return (double) spec.cpuMillis()
                 * (unsavedMicros + restartMicros)
-                * (spec.priority().above(Priority.BEST_EFFORT) ? ABOVE_BEST_EFFORT_FACTOR : 1);
+                * (spec.priority().isHigherThan(Priority.BEST_EFFORT) ? ABOVE_BEST_EFFORT_FACTOR : 1);
     }
 }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -69,7 +69,7 @@
      */
     private boolean hasPrecedenceOver(Placement placement) {
         JobSpec victim = placement.job().spec();
-        if (!job.spec().priority().above(victim.priority()) || victim.isService()) {
+        if (!job.spec().priority().isHigherThan(victim.priority()) || victim.isService()) {
             return false;
         }
         if (!job.isLiveService() && victim.isGang()) {
--- a/src/main/java/org/granitepath/storage/Priority.java
+++ b/src/main/java/org/granitepath/storage/Priority.java
@@ -12,7 +12,7 @@
     BEST_EFFORT;
 
     /** Whether work of this priority goes before, and may stop, work of the other. */
-    public boolean above(Priority other) {
+    public boolean isHigherThan(Priority other) {
         return compareTo(other) < 0;
     }
 }
