--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -211,7 +211,7 @@
     /** Dispatches each changed record to the component that uses it. */
     private final class ReplicaListener implements RecordReplica.Listener {
         @Override
-        public void changed(String key, @Nullable StoredRecord record, long revision) {
+        public void onRecordChanged(String key, @Nullable StoredRecord record, long revision) {
             if (key.equals(Keys.LEADER)) {
                 leadership.onLeaderRecordChanged();
             } else if (record instanceof MachineTypesRecord recorded) {
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -12,7 +12,7 @@
     /** Told of every change of a record, in order; {@code record} null: removed. */
     public interface Listener {
         /** A record was written, or removed when {@code record} is null. */
-        void changed(String key, @Nullable StoredRecord record, long revision);
+        void onRecordChanged(String key, @Nullable StoredRecord record, long revision);
 
         /** All records have been read for the first time. */
         void loaded();
--- a/src/main/java/org/granitepath/storage/ReplicaRecords.java
+++ b/src/main/java/org/granitepath/storage/ReplicaRecords.java
@@ -61,7 +61,7 @@
     void apply(String key, @Nullable StoredRecord record, long revision) {
         if (isNewer(key, revision)) {
             entries.put(key, new Entry(record, revision));
-            listener.changed(key, record, revision);
+            listener.onRecordChanged(key, record, revision);
         }
     }
 
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -27,7 +27,7 @@
     private final MemoryStore store = new MemoryStore(timers);
     private final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {}
+        public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
         @Override
         public void loaded() {}
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -27,7 +27,7 @@
     private final RecordReplica replica =
             new RecordReplica(new MemoryStore(timers), timers, 100_000, new RecordReplica.Listener() {
                 @Override
-                public void changed(String key, StoredRecord record, long revision) {
+                public void onRecordChanged(String key, StoredRecord record, long revision) {
                     jobIndex.changed(key, record);
                 }
 
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -31,7 +31,7 @@
     final WaitingRequests waitingRequests = new WaitingRequests();
     final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {
+        public void onRecordChanged(String key, StoredRecord record, long revision) {
             jobIndex.changed(key, record);
         }
 
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -187,7 +187,7 @@
     private static RecordReplica.Listener replicaListener() {
         return new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {}
+            public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
             public void loaded() {}
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -56,7 +56,7 @@
     private static RecordReplica newReplica(MemoryStore store, JobIndex jobIndex, Timers timers) {
         return new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {
+            public void onRecordChanged(String key, StoredRecord record, long revision) {
                 jobIndex.changed(key, record);
             }
 
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -31,7 +31,7 @@
         Config config = TestConfigs.of(NODE, "c1-2", "c2");
         RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {
+            public void onRecordChanged(String key, StoredRecord record, long revision) {
                 if (key.equals(Keys.LEADER)) {
                     leadership.onLeaderRecordChanged();
                 }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -58,7 +58,7 @@
     private RecordReplica replicaOf(SimStore of, String node) {
         RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {}
+            public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
             public void loaded() {}
--- a/src/test/java/org/granitepath/storage/ReplicaFixture.java
+++ b/src/test/java/org/granitepath/storage/ReplicaFixture.java
@@ -19,7 +19,7 @@
 
     final ReplicaRecords records = new ReplicaRecords(new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {
+        public void onRecordChanged(String key, StoredRecord record, long revision) {
             changes.add((record == null ? "-" : "") + key + "@" + revision);
         }
 
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -33,7 +33,7 @@
     private final ScriptedStore store = new ScriptedStore();
     private final RecordReplica replica = new RecordReplica(store, timers, SPACING, new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {}
+        public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
         @Override
         public void loaded() {}
