--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -225,7 +225,7 @@
         }
 
         @Override
-        public void loaded() {
+        public void onLoaded() {
             LOG.info(
                     "records read: {} open jobs, leader {}", jobIndex.openJobs().size(), leadership.leaderNode());
         }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -15,7 +15,7 @@
         void onRecordChanged(String key, @Nullable StoredRecord record, long revision);
 
         /** All records have been read for the first time. */
-        void loaded();
+        void onLoaded();
     }
 
     private final Listener listener;
@@ -119,7 +119,7 @@
         position.loaded(revision, sentMicros);
         if (!loadedOnce) {
             loadedOnce = true;
-            listener.loaded();
+            listener.onLoaded();
         }
         follower.follow();
     }
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -30,7 +30,7 @@
         public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     private final Peers peers =
             new Peers(TestConfigs.of("c1", "c1-1", "c2"), new UnreachablePeers(), timers, () -> status("c1", 0));
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -32,7 +32,7 @@
                 }
 
                 @Override
-                public void loaded() {}
+                public void onLoaded() {}
             });
     private final EndedJobEviction eviction = new EndedJobEviction(replica, jobIndex);
 
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -36,7 +36,7 @@
         }
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     final WriteQueue writeQueue = new WriteQueue(
             store,
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -190,7 +190,7 @@
             public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         };
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -61,7 +61,7 @@
             }
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -38,7 +38,7 @@
             }
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
         leadership = new Leadership(config, store, replica, timers, () -> peersDisconnected, new Leadership.Listener() {
             @Override
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -43,7 +43,7 @@
         public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     private final Peers peers = new Peers(config, new UnreachablePeers(), timers, () -> null);
     private final ZoneLeaseKeeper keeper =
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -61,7 +61,7 @@
             public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
         replica.start();
         return replica;
--- a/src/test/java/org/granitepath/storage/ReplicaFixture.java
+++ b/src/test/java/org/granitepath/storage/ReplicaFixture.java
@@ -24,7 +24,7 @@
         }
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     final ReplicaPosition position = new ReplicaPosition(records, timers.nowMicros());
 
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -36,7 +36,7 @@
         public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     private final List<String> committed = new ArrayList<>();
     private boolean open = true;
