--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -154,7 +154,7 @@
     private PeerPort.PeerStatus status() {
         return new PeerPort.PeerStatus(
                 config.node(),
-                replica.loaded() ? storeContact.ageMicros() : -1,
+                replica.isLoaded() ? storeContact.ageMicros() : -1,
                 currentTerm.isPresent(),
                 redirectedMachines.count());
     }
--- a/src/main/java/org/granitepath/coordination/ControllerChecks.java
+++ b/src/main/java/org/granitepath/coordination/ControllerChecks.java
@@ -39,7 +39,7 @@
     /** Makes all checks now, and schedules the next run in one second. */
     void run() {
         timers.after(INTERVAL_MICROS, this::run);
-        if (replica.loaded()) {
+        if (replica.isLoaded()) {
             replica.barrier(fresh -> {});
         }
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/ControllerHealth.java
+++ b/src/main/java/org/granitepath/coordination/ControllerHealth.java
@@ -24,7 +24,7 @@
      * itself unhealthy, so that users are sent to the others.
      */
     boolean isHealthy() {
-        if (!replica.loaded() || machineTypes.isEmpty()) {
+        if (!replica.isLoaded() || machineTypes.isEmpty()) {
             return false;
         }
         return storeContact.isRecent() || !peers.isAnyPeerConnected(Config.CONTACT_TIMEOUT_MICROS);
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -105,7 +105,7 @@
         if (jobIndex.hasEnded(jobId)) {
             return Optional.of(answers.knownJob(jobId));
         }
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return Optional.of(JobAnswers.retryLater("starting"));
         }
         if (waitingRequests.isFull()) {
--- a/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
+++ b/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
@@ -27,7 +27,7 @@
 
     /** Returns why a campaign may start now, or empty if none may. */
     Optional<Campaign.Reason> reason() {
-        if (!replica.loaded() || timers.nowMicros() < backoffUntilMicros) {
+        if (!replica.isLoaded() || timers.nowMicros() < backoffUntilMicros) {
             return Optional.empty();
         }
         LeaderRecord leader = replica.leader();
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -54,7 +54,7 @@
 
     /** Returns whether this controller may answer the worker on behalf of the leader. */
     public boolean canRenew(Heartbeat heartbeat) {
-        if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
+        if (!replica.isLoaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
             return false;
         }
         readTokensOncePerContact();
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -31,7 +31,7 @@
             RecordReplica replica,
             @Nullable LeaderTerm leaderTerm,
             long nowMicros) {
-        long recordsAgeMicros = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
+        long recordsAgeMicros = replica.isLoaded() ? nowMicros - replica.lastContactMicros() : -1;
         if (!leadership.isLeader()) {
             return withoutTerm(config, leadership, replica, recordsAgeMicros);
         }
@@ -49,7 +49,7 @@
     private static RecoveryStatus withoutTerm(
             Config config, Leadership leadership, RecordReplica replica, long recordsAgeMicros) {
         long unreadable = replica.malformedRecords();
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return RecoveryStatus.withoutTerm(
                     config.node(),
                     Role.UNKNOWN,
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether all records have been read once. */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return loadedOnce;
     }
 
