--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -43,12 +43,12 @@
                 ? termWhileReading(leadership.fencingToken())
                 : termDuringRecovery(leaderTerm.recovery(), nowMicros);
         return new RecoveryStatus(
-                config.node(), role, config.node(), reason, recordsAgeMicros, replica.malformedRecords(), term);
+                config.node(), role, config.node(), reason, recordsAgeMicros, replica.malformedRecordCount(), term);
     }
 
     private static RecoveryStatus withoutTerm(
             Config config, Leadership leadership, RecordReplica replica, long recordsAgeMicros) {
-        long unreadable = replica.malformedRecords();
+        long unreadable = replica.malformedRecordCount();
         if (!replica.isLoaded()) {
             return RecoveryStatus.withoutTerm(
                     config.node(),
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -57,7 +57,7 @@
     }
 
     /** How many records could not be read so far. */
-    public long malformedRecords() {
+    public long malformedRecordCount() {
         return records.malformed();
     }
 
