--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -31,7 +31,7 @@
      */
     List<Machine> read() {
         List<Machine> machines = new ArrayList<>();
-        for (int part = 0; part < replica.inventoryParts(); part++) {
+        for (int part = 0; part < replica.inventoryPartCount(); part++) {
             InventoryRecord storedPart = replica.inventory(part);
             if (storedPart == null) {
                 skipUnreadablePart(part);
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -92,7 +92,7 @@
         fencingTokens.clear();
         FencingTokenRecord counter = replica.fencingToken();
         long termToken = counter == null ? 0 : counter.term();
-        for (int part = 0; part < replica.inventoryParts(); part++) {
+        for (int part = 0; part < replica.inventoryPartCount(); part++) {
             InventoryRecord inventory = replica.inventory(part);
             if (inventory != null) {
                 inventory
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -77,7 +77,7 @@
     }
 
     /** How many parts the machine inventory has, those that can't be read included. */
-    public int inventoryParts() {
+    public int inventoryPartCount() {
         int parts = 0;
         while (has(Keys.inventoryPart(parts))) {
             parts++;
