--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -32,7 +32,7 @@
     List<Machine> read() {
         List<Machine> machines = new ArrayList<>();
         for (int part = 0; part < replica.inventoryPartCount(); part++) {
-            InventoryRecord storedPart = replica.inventory(part);
+            InventoryRecord storedPart = replica.inventoryPart(part);
             if (storedPart == null) {
                 skipUnreadablePart(part);
             } else {
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -93,7 +93,7 @@
         FencingTokenRecord counter = replica.fencingToken();
         long termToken = counter == null ? 0 : counter.term();
         for (int part = 0; part < replica.inventoryPartCount(); part++) {
-            InventoryRecord inventory = replica.inventory(part);
+            InventoryRecord inventory = replica.inventoryPart(part);
             if (inventory != null) {
                 inventory
                         .machines()
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -86,7 +86,7 @@
     }
 
     /** A part of the machine inventory, or null when it has fewer or this one can't be read. */
-    public @Nullable InventoryRecord inventory(int part) {
+    public @Nullable InventoryRecord inventoryPart(int part) {
         return records.record(Keys.inventoryPart(part), InventoryRecord.class);
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -22,7 +22,7 @@
     private final FleetFixture fixture = new FleetFixture();
 
     private List<String> storedIds() {
-        return fixture.replica.inventory(0).machines().stream()
+        return fixture.replica.inventoryPart(0).machines().stream()
                 .map(InventoryRecord.MachineRow::id)
                 .toList();
     }
