--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -96,7 +96,7 @@
     }
 
     /** Drops a record that nobody reads or writes any more. */
-    public void forget(String key) {
+    public void evict(String key) {
         records.forget(key);
     }
 
