--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -223,7 +223,7 @@
         heldTerm = newTerm;
         // Only after heldTerm is set: onLeaderRecordChanged compares the leader record with it.
         for (Change change : campaign.changes()) {
-            replica.applied(change.key(), change.record(), term.leaderRevision());
+            replica.applyCommitted(change.key(), change.record(), term.leaderRevision());
         }
         transition(LeadershipPhase.LEADING, "fencing token " + term.fencingToken());
         announceElection(newTerm);
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -101,7 +101,7 @@
     }
 
     /** Records our own committed write at once, before the follow brings it. */
-    public void applied(String key, @Nullable StoredRecord record, long revision) {
+    public void applyCommitted(String key, @Nullable StoredRecord record, long revision) {
         records.apply(key, record, revision);
     }
 
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -145,7 +145,7 @@
 
     private void committed(WriteBatch batch, long storeRevision) {
         for (Change change : batch.changes()) {
-            replica.applied(change.key(), change.record(), storeRevision);
+            replica.applyCommitted(change.key(), change.record(), storeRevision);
         }
         busy = false;
         retryPolicy.committed();
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -42,7 +42,7 @@
             case PROGRESS -> ProgressRecord.empty();
             case FINAL -> new FinalRecord(FinalRecord.Outcome.DONE);
         };
-        replica.applied(key, record, 1);
+        replica.applyCommitted(key, record, 1);
         eviction.onRecordWritten(key);
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -237,7 +237,7 @@
         List<InventoryRecord.MachineRow> rows = Arrays.stream(ids)
                 .map(id -> new InventoryRecord.MachineRow(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
-        replica.applied(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
+        replica.applyCommitted(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
         return takeOverStoredMachines();
     }
 
