--- a/src/main/java/org/granitepath/coordination/ControllerChecks.java
+++ b/src/main/java/org/granitepath/coordination/ControllerChecks.java
@@ -40,7 +40,7 @@
     void run() {
         timers.after(INTERVAL_MICROS, this::run);
         if (replica.isLoaded()) {
-            replica.barrier(fresh -> {});
+            replica.requestBarrier(fresh -> {});
         }
         long nowMicros = timers.nowMicros();
         redirectedMachines.removeExpired(nowMicros);
--- a/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
+++ b/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
@@ -31,7 +31,7 @@
         OneShot outcome = new OneShot();
         Runnable unanswered = () -> then.accept(JobAnswers.retryLater(STORE_UNAVAILABLE));
         outcome.fireAfter(timers, TIMEOUT_MICROS, () -> finish(unanswered));
-        replica.barrier(fresh -> outcome.fire(() -> finish(fresh ? action : unanswered)));
+        replica.requestBarrier(fresh -> outcome.fire(() -> finish(fresh ? action : unanswered)));
     }
 
     private void finish(Runnable action) {
--- a/src/main/java/org/granitepath/coordination/leadership/Campaign.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Campaign.java
@@ -81,7 +81,7 @@
     void start() {
         store.openLease(config.tuning().leaderLeaseMicros(), leased -> {
             if (leased.outcome() == Outcome.OK) {
-                replica.barrier(fresh -> commitIfLeaderKeyIsFree(fresh, leased.leaseId()));
+                replica.requestBarrier(fresh -> commitIfLeaderKeyIsFree(fresh, leased.leaseId()));
             } else {
                 listener.onAbandoned("the store granted no lease");
             }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -256,7 +256,7 @@
      * machine inventory that was created by it. After that write the store rejects all writes of the previous leader.
      */
     private void announceElection(HeldTerm elected) {
-        replica.barrier(fresh -> {
+        replica.requestBarrier(fresh -> {
             if (!elected.equals(heldTerm)) {
                 return;
             }
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -87,7 +87,7 @@
                 machine.id(),
                 heartbeat.fencingToken(),
                 machine.fencingToken());
-        replica.barrier(fresh -> {});
+        replica.requestBarrier(fresh -> {});
         return new HeartbeatResponse.Unavailable();
     }
 
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -21,7 +21,7 @@
     private final Listener listener;
     private final ReplicaRecords records;
     private final ReplicaPosition position;
-    private final ReadBarrier barrier;
+    private final ReadBarrier requestBarrier;
     private final RecordFollower follower;
     private final RecordLoader loader;
     private boolean loadedOnce;
@@ -31,8 +31,8 @@
         this.listener = listener;
         this.records = new ReplicaRecords(listener);
         this.position = new ReplicaPosition(records, timers.nowMicros());
-        this.barrier = new ReadBarrier(store, timers, spacingMicros, position);
-        this.follower = new RecordFollower(store, timers, spacingMicros, position, barrier, this::load);
+        this.requestBarrier = new ReadBarrier(store, timers, spacingMicros, position);
+        this.follower = new RecordFollower(store, timers, spacingMicros, position, requestBarrier, this::load);
         this.loader = new RecordLoader(store, timers, records, this::loadCompleted);
     }
 
@@ -106,8 +106,8 @@
     }
 
     /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
-    public void barrier(Consumer<Boolean> then) {
-        barrier.request(then);
+    public void requestBarrier(Consumer<Boolean> then) {
+        requestBarrier.request(then);
     }
 
     private void load() {
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -197,7 +197,7 @@
     private void readBackAfter(long delayMicros) {
         timers.after(
                 delayMicros,
-                () -> replica.barrier(fresh -> {
+                () -> replica.requestBarrier(fresh -> {
                     if (!open.getAsBoolean()) {
                         return;
                     }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -80,7 +80,7 @@
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
+            world.after(i * 5_000L, () -> replica.requestBarrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
