--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -54,7 +54,7 @@
     void claimNextBlock(ActiveJob job) {
         int tasks = job.spec().tasks();
         // If writes queue up, a job claims all its tasks at once; otherwise machines would be idle in the meantime.
-        int block = writeQueue.behind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
+        int block = writeQueue.isBehind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
         int target = job.spec().isGang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
         boolean isNearlyUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || isNearlyUsedUp)) {
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -42,7 +42,7 @@
     /** Whether a transaction is under way, or a failed one is waited out. */
     private boolean busy;
 
-    private boolean behind;
+    private boolean isBehind;
 
     /**
      * @param transactionChanges the most changes that the store takes in a transaction
@@ -77,8 +77,8 @@
     }
 
     /** Whether more waits, mere progress aside, than can be written in a few seconds. */
-    public boolean behind() {
-        return behind;
+    public boolean isBehind() {
+        return isBehind;
     }
 
     /**
@@ -121,7 +121,7 @@
         busy = true;
         pace.sent(batch.size());
         pending.remove(batch.writes());
-        behind = pace.isBehind(pending.countWithoutProgress());
+        isBehind = pace.isBehind(pending.countWithoutProgress());
         store.commit(transaction, answer -> answered(batch, answer));
     }
 
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -246,8 +246,8 @@
         for (int i = 0; i < 3 * WRITES_PER_SECOND + TRANSACTION_CHANGES + 1; i++) {
             write("waits" + i, urgency, 0);
         }
-        assertFalse(queue.behind(), "judged when a transaction goes out");
+        assertFalse(queue.isBehind(), "judged when a transaction goes out");
         answer(Outcome.OK, 8);
-        assertEquals(urgency != Urgency.PROGRESS_ONLY, queue.behind());
+        assertEquals(urgency != Urgency.PROGRESS_ONLY, queue.isBehind());
     }
 }
