--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -18,7 +18,7 @@
     /** Told when the records of a job change. */
     public interface Listener {
         /** A job was accepted. */
-        void accepted(JobRecord job);
+        void onJobAccepted(JobRecord job);
 
         /** More of a job is claimed or done. */
         void progressed(String id, ProgressRecord progress);
@@ -30,7 +30,7 @@
     /** Stands for a listener while there is none. */
     private static final Listener NOBODY = new Listener() {
         @Override
-        public void accepted(JobRecord job) {}
+        public void onJobAccepted(JobRecord job) {}
 
         @Override
         public void progressed(String id, ProgressRecord progress) {}
@@ -147,7 +147,7 @@
             return;
         }
         openJobs.put(id, record);
-        listener.accepted(record);
+        listener.onJobAccepted(record);
     }
 
     private void progressChanged(String id, ProgressRecord record) {
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void accepted(JobRecord record) {
+    public void onJobAccepted(JobRecord record) {
         if (jobs.get(record.spec().id()) != null) {
             return;
         }
