--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -21,7 +21,7 @@
         void onJobAccepted(JobRecord job);
 
         /** More of a job is claimed or done. */
-        void progressed(String id, ProgressRecord progress);
+        void onProgressRecorded(String id, ProgressRecord progress);
 
         /** A job is over. */
         void ended(String id, FinalRecord.Outcome outcome);
@@ -33,7 +33,7 @@
         public void onJobAccepted(JobRecord job) {}
 
         @Override
-        public void progressed(String id, ProgressRecord progress) {}
+        public void onProgressRecorded(String id, ProgressRecord progress) {}
 
         @Override
         public void ended(String id, FinalRecord.Outcome outcome) {}
@@ -155,7 +155,7 @@
             return;
         }
         progressByJob.put(id, record);
-        listener.progressed(id, record);
+        listener.onProgressRecorded(id, record);
     }
 
     private void ended(String id, FinalRecord.Outcome outcome) {
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public void progressed(String id, ProgressRecord progress) {
+    public void onProgressRecorded(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
         if (job != null && progress.claimedTasks() > job.claimedTasks()) {
             job.confirmClaim(progress.claimedTasks());
