--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -24,7 +24,7 @@
         void onProgressRecorded(String id, ProgressRecord progress);
 
         /** A job is over. */
-        void ended(String id, FinalRecord.Outcome outcome);
+        void onJobEnded(String id, FinalRecord.Outcome outcome);
     }
 
     /** Stands for a listener while there is none. */
@@ -36,7 +36,7 @@
         public void onProgressRecorded(String id, ProgressRecord progress) {}
 
         @Override
-        public void ended(String id, FinalRecord.Outcome outcome) {}
+        public void onJobEnded(String id, FinalRecord.Outcome outcome) {}
     };
 
     /** What can't be read of a job; each value includes those before it. */
@@ -162,6 +162,6 @@
         outcomes.put(id, outcome);
         openJobs.remove(id);
         progressByJob.remove(id);
-        listener.ended(id, outcome);
+        listener.onJobEnded(id, outcome);
     }
 }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void ended(String id, FinalRecord.Outcome outcome) {
+    public void onJobEnded(String id, FinalRecord.Outcome outcome) {
         ActiveJob job = jobs.get(id);
         if (job == null) {
             return;
