--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -56,7 +56,7 @@
     private Listener listener = NOBODY;
 
     /** Tells this one from now on, and no other. */
-    public void listen(Listener next) {
+    public void setListener(Listener next) {
         listener = next;
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -54,7 +54,7 @@
         for (JobRecord record : jobIndex.openJobs()) {
             open(record);
         }
-        jobIndex.listen(this);
+        jobIndex.setListener(this);
         loop.requestCycle();
     }
 
