--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -61,7 +61,7 @@
     }
 
     /** Tells nobody from now on. */
-    public void stopListening() {
+    public void clearListener() {
         listener = NOBODY;
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -60,7 +60,7 @@
 
     /** Ends the term: changes of the records are no longer followed. */
     public void end() {
-        jobIndex.stopListening();
+        jobIndex.clearListener();
     }
 
     private void open(JobRecord record) {
