--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -96,7 +96,7 @@
     }
 
     /** Whether a record of the job can't be read. */
-    public boolean unreadable(String id) {
+    public boolean isUnreadable(String id) {
         return unreadableJobs.containsKey(id);
     }
 
@@ -111,7 +111,7 @@
         if (outcome != null) {
             return outcome == FinalRecord.Outcome.DONE ? RecordedTaskState.JOB_DONE : RecordedTaskState.JOB_CANCELLED;
         }
-        return unreadable(id) || openJobs.containsKey(id)
+        return isUnreadable(id) || openJobs.containsKey(id)
                 ? RecordedTaskState.UNREADABLE
                 : RecordedTaskState.UNKNOWN_JOB;
     }
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -67,7 +67,7 @@
         if (recorder.isClaimedBySuccessor(record)) {
             return;
         }
-        if (jobIndex.unreadable(record.spec().id())) {
+        if (jobIndex.isUnreadable(record.spec().id())) {
             LOG.error(
                     "job {}: one of its records is unreadable; its running tasks are left alone and none is started"
                             + " in this term",
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -20,7 +20,7 @@
     @Test
     void unreadableProgressLeavesTheStatusKnown() {
         jobIndex.changed(Keys.progress("a"), UNREADABLE);
-        assertTrue(jobIndex.unreadable("a"));
+        assertTrue(jobIndex.isUnreadable("a"));
         assertFalse(jobIndex.statusUnknown("a"));
         assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recorded("a"));
     }
@@ -43,7 +43,7 @@
 
     @Test
     void aJobOfWhichNothingIsOnRecordIsNotKnown() {
-        assertFalse(jobIndex.isKnown("a") || jobIndex.unreadable("a") || jobIndex.statusUnknown("a"));
+        assertFalse(jobIndex.isKnown("a") || jobIndex.isUnreadable("a") || jobIndex.statusUnknown("a"));
         assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recorded("a"));
     }
 }
