--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -101,7 +101,7 @@
     }
 
     /** Whether users can't be told of the job, since its description or its end can't be read. */
-    boolean statusUnknown(String id) {
+    boolean isStatusUnknown(String id) {
         return unreadableJobs.get(id) == Unreadable.STATUS && !hasEnded(id);
     }
 
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -111,7 +111,7 @@
         if (waitingRequests.isFull()) {
             return Optional.of(JobAnswers.retryLater("too many requests wait"));
         }
-        return jobIndex.statusUnknown(jobId) ? Optional.of(JobAnswers.retryLater(UNREADABLE)) : Optional.empty();
+        return jobIndex.isStatusUnknown(jobId) ? Optional.of(JobAnswers.retryLater(UNREADABLE)) : Optional.empty();
     }
 
     /** Another controller may know the job already, under a description that can run. */
@@ -147,7 +147,7 @@
             return;
         }
         barrierReads.whenFresh(then, () -> {
-            if (jobIndex.statusUnknown(jobId)) {
+            if (jobIndex.isStatusUnknown(jobId)) {
                 then.accept(JobAnswers.retryLater(UNREADABLE));
             } else if (!jobIndex.isKnown(jobId)) {
                 then.accept(new JobResponse.NotFound());
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -21,7 +21,7 @@
     void unreadableProgressLeavesTheStatusKnown() {
         jobIndex.changed(Keys.progress("a"), UNREADABLE);
         assertTrue(jobIndex.isUnreadable("a"));
-        assertFalse(jobIndex.statusUnknown("a"));
+        assertFalse(jobIndex.isStatusUnknown("a"));
         assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recorded("a"));
     }
 
@@ -29,21 +29,21 @@
     void withAnUnreadableDescriptionTheStatusStaysUnknownWhateverElseCantBeRead() {
         jobIndex.changed(Keys.job("a"), UNREADABLE);
         jobIndex.changed(Keys.progress("a"), UNREADABLE);
-        assertTrue(jobIndex.statusUnknown("a"));
+        assertTrue(jobIndex.isStatusUnknown("a"));
     }
 
     @Test
     void theEndOfAJobIsKnownWithoutItsDescription() {
         jobIndex.changed(Keys.job("a"), UNREADABLE);
         jobIndex.changed(Keys.finalRecord("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
-        assertFalse(jobIndex.statusUnknown("a"));
+        assertFalse(jobIndex.isStatusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
         assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recorded("a"));
     }
 
     @Test
     void aJobOfWhichNothingIsOnRecordIsNotKnown() {
-        assertFalse(jobIndex.isKnown("a") || jobIndex.isUnreadable("a") || jobIndex.statusUnknown("a"));
+        assertFalse(jobIndex.isKnown("a") || jobIndex.isUnreadable("a") || jobIndex.isStatusUnknown("a"));
         assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recorded("a"));
     }
 }
