--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -106,7 +106,7 @@
     }
 
     /** What the records say of a task of a job that no leader here has open. */
-    public RecordedTaskState recorded(String id) {
+    public RecordedTaskState recordedTaskState(String id) {
         FinalRecord.Outcome outcome = outcomes.get(id);
         if (outcome != null) {
             return outcome == FinalRecord.Outcome.DONE ? RecordedTaskState.JOB_DONE : RecordedTaskState.JOB_CANCELLED;
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -63,7 +63,7 @@
 
     private RecordedTaskState recordedStateOf(@Nullable ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.ENDED) {
-            return jobIndex.recorded(task.job());
+            return jobIndex.recordedTaskState(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
             return RecordedTaskState.NOT_IN_JOB;
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -22,7 +22,7 @@
         jobIndex.changed(Keys.progress("a"), UNREADABLE);
         assertTrue(jobIndex.isUnreadable("a"));
         assertFalse(jobIndex.isStatusUnknown("a"));
-        assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recordedTaskState("a"));
     }
 
     @Test
@@ -38,12 +38,12 @@
         jobIndex.changed(Keys.finalRecord("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         assertFalse(jobIndex.isStatusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
-        assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recordedTaskState("a"));
     }
 
     @Test
     void aJobOfWhichNothingIsOnRecordIsNotKnown() {
         assertFalse(jobIndex.isKnown("a") || jobIndex.isUnreadable("a") || jobIndex.isStatusUnknown("a"));
-        assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recordedTaskState("a"));
     }
 }
