--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -217,7 +217,7 @@
             } else if (record instanceof MachineTypesRecord recorded) {
                 machineTypes.onRecordRead(recorded.types());
             } else {
-                jobIndex.changed(key, record);
+                jobIndex.applyRecord(key, record);
                 if (record != null) {
                     endedJobEviction.onRecordWritten(key);
                 }
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -117,11 +117,11 @@
     }
 
     /** Takes a changed record in. Removals don't occur among jobs. */
-    public void changed(String key, @Nullable StoredRecord record) {
-        Keys.parseJobKey(key).ifPresent(jobKey -> changed(jobKey, record));
+    public void applyRecord(String key, @Nullable StoredRecord record) {
+        Keys.parseJobKey(key).ifPresent(jobKey -> applyRecord(jobKey, record));
     }
 
-    private void changed(Keys.JobKey key, @Nullable StoredRecord record) {
+    private void applyRecord(Keys.JobKey key, @Nullable StoredRecord record) {
         if (record instanceof JobRecord job) {
             jobChanged(key.jobId(), job);
         } else if (record instanceof ProgressRecord jobProgress) {
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -28,7 +28,7 @@
             new RecordReplica(new MemoryStore(timers), timers, 100_000, new RecordReplica.Listener() {
                 @Override
                 public void onRecordChanged(String key, StoredRecord record, long revision) {
-                    jobIndex.changed(key, record);
+                    jobIndex.applyRecord(key, record);
                 }
 
                 @Override
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -32,7 +32,7 @@
     final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
         @Override
         public void onRecordChanged(String key, StoredRecord record, long revision) {
-            jobIndex.changed(key, record);
+            jobIndex.applyRecord(key, record);
         }
 
         @Override
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -293,7 +293,7 @@
     /** Opens a job of {@link Fixtures#TASKS} tasks, the first {@code claimed} of which are claimed under this token. */
     ActiveJob job(JobSpec.Shape shape, int claimed, long claimedByToken) {
         JobSpec spec = Fixtures.spec(shape, false, false);
-        jobIndex.changed(Keys.JOB_PREFIX + spec.id(), new JobRecord(spec, 0, claimed, claimedByToken));
+        jobIndex.applyRecord(Keys.JOB_PREFIX + spec.id(), new JobRecord(spec, 0, claimed, claimedByToken));
         return activeJobs.get(spec.id());
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -57,7 +57,7 @@
         return new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
             @Override
             public void onRecordChanged(String key, StoredRecord record, long revision) {
-                jobIndex.changed(key, record);
+                jobIndex.applyRecord(key, record);
             }
 
             @Override
