--- a/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
@@ -41,7 +41,7 @@
 
     /** Whether the cancellation is on record, but whoever asked for it has no answer yet. */
     boolean isBeingConfirmed(String jobId) {
-        return jobIndex.finalOf(jobId) == FinalRecord.Outcome.CANCELLED && pending.isAwaited(jobId);
+        return jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED && pending.isAwaited(jobId);
     }
 
     /** Lets a request wait for a cancellation that is being confirmed. */
@@ -79,7 +79,7 @@
      * leader may be out of contact with the records: so it is told first.
      */
     private void confirm(String jobId) {
-        if (jobIndex.finalOf(jobId) == FinalRecord.Outcome.CANCELLED) {
+        if (jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED) {
             announcer.announce(
                     new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalRecord(jobId))),
                     () -> pending.resolve(jobId, answers.knownJob(jobId)));
--- a/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
@@ -31,7 +31,7 @@
     }
 
     private JobResponse status(String jobId, boolean created) {
-        FinalRecord.Outcome outcome = jobIndex.finalOf(jobId);
+        FinalRecord.Outcome outcome = jobIndex.outcomeOf(jobId);
         if (outcome != null) {
             JobState end = outcome == FinalRecord.Outcome.DONE ? JobState.DONE : JobState.CANCELLED;
             return new JobResponse.Status(created, jobId, end, 0, 0);
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -76,7 +76,7 @@
     }
 
     /** How the job ended, or null if it has not. */
-    public FinalRecord.@Nullable Outcome finalOf(String id) {
+    public FinalRecord.@Nullable Outcome outcomeOf(String id) {
         return outcomes.get(id);
     }
 
--- a/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
@@ -50,7 +50,7 @@
     @Test
     void aCancellationIsAnnouncedWithTheRevisionOfItsRecord() {
         cancelAndWait();
-        assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.finalOf(JOB));
+        assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.outcomeOf(JOB));
         assertEquals(List.of(new CancellationNotice(JOB, fixture.replica.revision(Keys.finalRecord(JOB)))), notices);
     }
 
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -104,7 +104,7 @@
         lifecycle.start();
         assertEquals(ActiveJob.Phase.COMPLETING, job().phase());
         fixture.timers.advance(SECOND);
-        assertEquals(FinalRecord.Outcome.DONE, fixture.jobIndex.finalOf(JOB));
+        assertEquals(FinalRecord.Outcome.DONE, fixture.jobIndex.outcomeOf(JOB));
         assertNull(job(), "none of its tasks is on a machine");
     }
 
