--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -21,7 +21,7 @@
         /** Not carried out: not now. */
         REFUSED,
         /** Not carried out, and never will be as it stands. */
-        REJECTED,
+        INVALID,
         /** No answer, so it may have been carried out, or may yet be. */
         UNKNOWN
     }
--- a/src/main/java/org/granitepath/storage/RetryPolicy.java
+++ b/src/main/java/org/granitepath/storage/RetryPolicy.java
@@ -46,7 +46,7 @@
      */
     Decision failed(Outcome outcome, int writes, int changes) {
         return switch (outcome) {
-            case REJECTED -> rejected(writes);
+            case INVALID -> rejected(writes);
             case REFUSED -> {
                 // A small transaction gets through sooner where others draw on the same budget.
                 largestTransaction = Math.max(1, changes / 2);
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -83,7 +83,7 @@
         return switch (status) {
             case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
-            case HttpStatus.BAD_REQUEST -> Outcome.REJECTED;
+            case HttpStatus.BAD_REQUEST -> Outcome.INVALID;
             case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
             case HttpStatus.CONFLICT -> Outcome.CONFLICT;
             case HttpStatus.GONE -> Outcome.GONE;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -227,7 +227,7 @@
     private CommitResult commit(Transaction transaction) {
         if (limits.exceededBy(transaction)) {
             oversized++;
-            return committed(Outcome.REJECTED, List.of());
+            return committed(Outcome.INVALID, List.of());
         }
         if (acceptsAJob(transaction) && !isTiedToTheLeader(transaction)) {
             unfenced++;
--- a/src/test/java/org/granitepath/storage/RetryPolicyTest.java
+++ b/src/test/java/org/granitepath/storage/RetryPolicyTest.java
@@ -13,14 +13,14 @@
     @Test
     void aSingleRejectedWriteIsAbandoned() {
         RetryPolicy policy = new RetryPolicy(8, RateControl.FIXED);
-        assertEquals(new Decision(Action.ABANDON, 100_000), policy.failed(Outcome.REJECTED, 1, 3));
+        assertEquals(new Decision(Action.ABANDON, 100_000), policy.failed(Outcome.INVALID, 1, 3));
         assertEquals(8, policy.largestTransaction());
     }
 
     @Test
     void rejectedWritesAreSentOneByOne() {
         RetryPolicy policy = new RetryPolicy(8, RateControl.FIXED);
-        assertEquals(new Decision(Action.SEND_AGAIN, 100_000), policy.failed(Outcome.REJECTED, 2, 3));
+        assertEquals(new Decision(Action.SEND_AGAIN, 100_000), policy.failed(Outcome.INVALID, 2, 3));
         assertEquals(1, policy.largestTransaction());
         policy.committed();
         assertEquals(2, policy.largestTransaction());
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -178,7 +178,7 @@
     @Test
     void aRejectedWriteIsAbandonedAndTheNextGoesOn() {
         write("a");
-        answer(Outcome.REJECTED, 0);
+        answer(Outcome.INVALID, 0);
         timers.advance(SECOND);
         assertTrue(store.commits.isEmpty());
         write("b");
