--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -59,12 +59,12 @@
     public void recordFinishedTask(ActiveJob job, long runMicros) {
         job.addRunTime(runMicros);
         ClassHistory history = historyByClass.computeIfAbsent(job.spec().jobClass(), unused -> new ClassHistory());
-        history.add(job.spec().estimateMicros(), runMicros);
+        history.add(job.spec().estimatedRunMicros(), runMicros);
     }
 
     /** Returns the expected run time of one task of the job, in microseconds. */
     public long expectedTaskMicros(ActiveJob job) {
-        double estimateMicros = Math.max(MIN_ESTIMATE_MICROS, job.spec().estimateMicros());
+        double estimateMicros = Math.max(MIN_ESTIMATE_MICROS, job.spec().estimatedRunMicros());
         ClassHistory history = historyByClass.get(job.spec().jobClass());
         if (history != null) {
             estimateMicros *= history.correctionFactor();
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -191,7 +191,7 @@
     }
 
     private static boolean finishesWithin(long micros, Placement placement, long nowMicros) {
-        long leftMicros = placement.job().spec().estimateMicros() - placement.runTimeMicros(nowMicros);
+        long leftMicros = placement.job().spec().estimatedRunMicros() - placement.runTimeMicros(nowMicros);
         return placement.hasRun() && leftMicros < micros;
     }
 }
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -31,7 +31,7 @@
         boolean oneZone,
         boolean spread,
         boolean spotAllowed,
-        long estimateMicros,
+        long estimatedRunMicros,
         long checkpointMicros,
         long saveMicros,
         long deadlineMicros) {
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -67,7 +67,7 @@
         fields.put(ONE_ZONE, spec.oneZone());
         fields.put(SPREAD, spec.spread());
         fields.put(SPOT, spec.spotAllowed());
-        fields.put(ESTIMATE, spec.estimateMicros());
+        fields.put(ESTIMATE, spec.estimatedRunMicros());
         fields.put(CHECKPOINT, spec.checkpointMicros());
         fields.put(SAVE, spec.saveMicros());
         fields.put(DEADLINE, spec.deadlineMicros());
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -91,7 +91,7 @@
                 BATCH.oneZone(),
                 BATCH.spread(),
                 BATCH.spotAllowed(),
-                BATCH.estimateMicros(),
+                BATCH.estimatedRunMicros(),
                 BATCH.checkpointMicros(),
                 BATCH.saveMicros(),
                 BATCH.deadlineMicros());
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -231,7 +231,7 @@
     private long total(JobSpec spec) {
         return totals.computeIfAbsent(
                 spec.id(),
-                unknown -> spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros()));
+                unknown -> spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros()));
     }
 
     /** A task has its image and joins the others of its attempt. */
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -107,7 +107,7 @@
                 like.oneZone(),
                 like.spread(),
                 like.spotAllowed(),
-                like.estimateMicros(),
+                like.estimatedRunMicros(),
                 like.checkpointMicros(),
                 like.saveMicros(),
                 deadlineMicros);
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -125,7 +125,7 @@
     private long runMicros(Run run, JobSpec spec) {
         return results.contains(run.task)
                 ? 0
-                : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
+                : spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros());
     }
 
     private boolean fails(Run run) {
