--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -183,7 +183,7 @@
         long nowMicros = timers.nowMicros();
         for (Placement placement : List.copyOf(machine.placements())) {
             JobSpec spec = placement.job().spec();
-            boolean saves = spec.checkpointMicros() > 0;
+            boolean saves = spec.checkpointIntervalMicros() > 0;
             if (spec.isService() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
                 stop(placement, saves ? spec.saveMicros() : 0, "the cloud reclaims the machine");
             }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -39,7 +39,7 @@
     private static double ofOneTask(Placement placement, long restartMicros, long nowMicros) {
         JobSpec spec = placement.job().spec();
         long ranMicros = placement.runTimeMicros(nowMicros);
-        long checkpointMicros = spec.checkpointMicros();
+        long checkpointMicros = spec.checkpointIntervalMicros();
         long unsavedMicros = checkpointMicros > 0 ? ranMicros % checkpointMicros : ranMicros;
         return (double) spec.cpuMillis()
                 * (unsavedMicros + restartMicros)
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -76,7 +76,7 @@
             return false; // a gang saves its progress only if all its tasks receive the stop in time
         }
         return job.isLiveService()
-                || (victim.checkpointMicros() > 0
+                || (victim.checkpointIntervalMicros() > 0
                         && placement.hasRun()
                         && placement.runTimeMicros(nowMicros) > MIN_RUNTIME_MICROS);
     }
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -32,7 +32,7 @@
         boolean spread,
         boolean spotAllowed,
         long estimatedRunMicros,
-        long checkpointMicros,
+        long checkpointIntervalMicros,
         long saveMicros,
         long deadlineMicros) {
 
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -68,7 +68,7 @@
         fields.put(SPREAD, spec.spread());
         fields.put(SPOT, spec.spotAllowed());
         fields.put(ESTIMATE, spec.estimatedRunMicros());
-        fields.put(CHECKPOINT, spec.checkpointMicros());
+        fields.put(CHECKPOINT, spec.checkpointIntervalMicros());
         fields.put(SAVE, spec.saveMicros());
         fields.put(DEADLINE, spec.deadlineMicros());
         return fields;
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -92,7 +92,7 @@
                 BATCH.spread(),
                 BATCH.spotAllowed(),
                 BATCH.estimatedRunMicros(),
-                BATCH.checkpointMicros(),
+                BATCH.checkpointIntervalMicros(),
                 BATCH.saveMicros(),
                 BATCH.deadlineMicros());
     }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -170,7 +170,7 @@
         /** The save fails, or the others exit a while after one is gone; what was made since the checkpoint is lost. */
         private void noticeLoss() {
             if (noticedAt == Long.MAX_VALUE) {
-                long interval = spec.checkpointMicros();
+                long interval = spec.checkpointIntervalMicros();
                 if (interval > 0) {
                     keep(progress() / interval * interval);
                 }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -108,7 +108,7 @@
                 like.spread(),
                 like.spotAllowed(),
                 like.estimatedRunMicros(),
-                like.checkpointMicros(),
+                like.checkpointIntervalMicros(),
                 like.saveMicros(),
                 deadlineMicros);
     }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -221,13 +221,13 @@
 
     private void stop(Run run, long graceMicros) {
         JobSpec spec = jobs.apply(run.task.job());
-        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
+        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointIntervalMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
             run.member.stop();
             changed = true;
             return;
         }
-        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
+        if (run.state == TaskState.RUNNING && spec.checkpointIntervalMicros() > 0 && graceMicros >= spec.saveMicros()) {
             run.state = TaskState.SAVING;
             run.until = world.now() + spec.saveMicros();
             changed = true;
