--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -96,7 +96,7 @@
         placement.markSaving();
         GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
-            tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang is saving");
+            tasks.stop(placement, placement.job().spec().saveDurationMicros(), "a task of its gang is saving");
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -185,7 +185,7 @@
             JobSpec spec = placement.job().spec();
             boolean saves = spec.checkpointIntervalMicros() > 0;
             if (spec.isService() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
-                stop(placement, saves ? spec.saveMicros() : 0, "the cloud reclaims the machine");
+                stop(placement, saves ? spec.saveDurationMicros() : 0, "the cloud reclaims the machine");
             }
         }
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -61,7 +61,7 @@
      * service, which needs the capacity at once.
      */
     long graceMicros(Placement victim) {
-        return job.isLiveService() ? 0 : victim.job().spec().saveMicros();
+        return job.isLiveService() ? 0 : victim.job().spec().saveDurationMicros();
     }
 
     /**
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -33,7 +33,7 @@
         boolean spotAllowed,
         long estimatedRunMicros,
         long checkpointIntervalMicros,
-        long saveMicros,
+        long saveDurationMicros,
         long deadlineMicros) {
 
     /** How the tasks of a job relate to one another and to time. */
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -69,7 +69,7 @@
         fields.put(SPOT, spec.spotAllowed());
         fields.put(ESTIMATE, spec.estimatedRunMicros());
         fields.put(CHECKPOINT, spec.checkpointIntervalMicros());
-        fields.put(SAVE, spec.saveMicros());
+        fields.put(SAVE, spec.saveDurationMicros());
         fields.put(DEADLINE, spec.deadlineMicros());
         return fields;
     }
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -93,7 +93,7 @@
                 BATCH.spotAllowed(),
                 BATCH.estimatedRunMicros(),
                 BATCH.checkpointIntervalMicros(),
-                BATCH.saveMicros(),
+                BATCH.saveDurationMicros(),
                 BATCH.deadlineMicros());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -178,7 +178,7 @@
         placements.forEach(placement -> update(placement, TaskState.RUNNING));
         update(placements.get(0), TaskState.SAVING);
         assertEquals(Placement.Phase.STOPPING, placements.get(1).phase());
-        assertEquals(gang.spec().saveMicros(), placements.get(1).graceMicros());
+        assertEquals(gang.spec().saveDurationMicros(), placements.get(1).graceMicros());
     }
 
     // ---- completed by an attempt that is not placed --------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -184,7 +184,7 @@
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.saves() && world.now() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member -> member.saves() && world.now() - member.toldToSaveMicros >= spec.saveDurationMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -109,7 +109,7 @@
                 like.spotAllowed(),
                 like.estimatedRunMicros(),
                 like.checkpointIntervalMicros(),
-                like.saveMicros(),
+                like.saveDurationMicros(),
                 deadlineMicros);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -222,14 +222,14 @@
     private void stop(Run run, long graceMicros) {
         JobSpec spec = jobs.apply(run.task.job());
         boolean savesInGang = run.member != null && run.member.running() && spec.checkpointIntervalMicros() > 0;
-        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
+        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveDurationMicros()) {
             run.member.stop();
             changed = true;
             return;
         }
-        if (run.state == TaskState.RUNNING && spec.checkpointIntervalMicros() > 0 && graceMicros >= spec.saveMicros()) {
+        if (run.state == TaskState.RUNNING && spec.checkpointIntervalMicros() > 0 && graceMicros >= spec.saveDurationMicros()) {
             run.state = TaskState.SAVING;
-            run.until = world.now() + spec.saveMicros();
+            run.until = world.now() + spec.saveDurationMicros();
             changed = true;
         } else if (run.state != TaskState.SAVING || graceMicros == 0) {
             end(run, ExitCause.STOPPED);
