--- a/src/test/java/org/granitepath/storage/RecordLoaderTest.java
+++ b/src/test/java/org/granitepath/storage/RecordLoaderTest.java
@@ -29,7 +29,7 @@
             (revision, lastRequestMicros) -> completions.add(new Loaded(revision, lastRequestMicros)));
 
     private String nextFrom() {
-        return replica.store.listings.element().from();
+        return replica.store.listings.element().afterKey();
     }
 
     private void answer(KeyValueStore.Page page) {
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -7,7 +7,7 @@
 /** A store that keeps what it is asked, in order, until the test answers it. */
 public final class ScriptedStore implements KeyValueStore {
     /** A listing that was asked for. */
-    public record Listing(String from, Consumer<Page> answer) {}
+    public record Listing(String afterKey, Consumer<Page> answer) {}
 
     /** A follow that was asked for. */
     public record Follow(long from, long waitMicros, Consumer<Page> answer) {}
