--- a/src/test/java/org/granitepath/storage/ReadBarrierTest.java
+++ b/src/test/java/org/granitepath/storage/ReadBarrierTest.java
@@ -42,7 +42,7 @@
         replica.following(7);
         request("a");
         ScriptedStore.Follow follow = replica.store.follows.remove();
-        assertEquals(7, follow.from());
+        assertEquals(7, follow.afterRevision());
         assertEquals(0, follow.waitMicros());
         assertEquals(List.of(), answers);
     }
--- a/src/test/java/org/granitepath/storage/RecordFollowerTest.java
+++ b/src/test/java/org/granitepath/storage/RecordFollowerTest.java
@@ -34,7 +34,7 @@
         replica.following(7);
         follower.follow();
         ScriptedStore.Follow follow = replica.store.follows.remove();
-        assertEquals(7, follow.from());
+        assertEquals(7, follow.afterRevision());
         assertEquals(LONG_POLL, follow.waitMicros());
     }
 
@@ -54,7 +54,7 @@
         replica.timers.advance(SPACING - 1);
         assertTrue(replica.store.follows.isEmpty());
         replica.timers.advance(1);
-        assertEquals(9, replica.store.follows.remove().from());
+        assertEquals(9, replica.store.follows.remove().afterRevision());
     }
 
     @Test
@@ -80,7 +80,7 @@
         replica.timers.advance(RETRY - 1);
         assertTrue(replica.store.follows.isEmpty());
         replica.timers.advance(1);
-        assertEquals(7, replica.store.follows.remove().from());
+        assertEquals(7, replica.store.follows.remove().afterRevision());
         assertEquals(0, reloads);
     }
 
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -10,7 +10,7 @@
     public record Listing(String afterKey, Consumer<Page> answer) {}
 
     /** A follow that was asked for. */
-    public record Follow(long from, long waitMicros, Consumer<Page> answer) {}
+    public record Follow(long afterRevision, long waitMicros, Consumer<Page> answer) {}
 
     /** A transaction that was sent. */
     public record Commit(Transaction transaction, Consumer<CommitResult> answer) {}
