--- a/src/test/java/org/granitepath/coordination/leadership/LeaderLeaseTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeaderLeaseTest.java
@@ -48,7 +48,7 @@
         renewIfDueAfter(DURATION / 3 - 1);
         assertTrue(store.renewals.isEmpty());
         renewIfDueAfter(1);
-        assertEquals(LEASE, store.renewals.remove().lease());
+        assertEquals(LEASE, store.renewals.remove().leaseId());
     }
 
     @Test
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -16,7 +16,7 @@
     public record Commit(Transaction transaction, Consumer<CommitResult> answer) {}
 
     /** A renewal that was sent. */
-    public record Renewal(long lease, Consumer<Outcome> answer) {}
+    public record Renewal(long leaseId, Consumer<Outcome> answer) {}
 
     /** Listings that the test has not taken yet. */
     public final Queue<Listing> listings = new ArrayDeque<>();
