--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -170,7 +170,8 @@
      * at once, even if this controller cannot read the store at the moment.
      */
     public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
-        replica.applyCommitted(Keys.finalRecord(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
+        replica.applyCommitted(
+                Keys.finalRecord(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
     /** Returns whether this controller is the leader and its term has started. */
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -165,7 +165,9 @@
     /** Reserves capacity for as many of the tasks as the machine holds, and returns how many are left. */
     private static int reserve(PlannedMachine machine, JobSpec spec, int tasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
-        while (left > 0 && tasksByZone.getOrDefault(machine.zone(), 0) < spec.maxTasksPerZone() && machine.reserve(spec)) {
+        while (left > 0
+                && tasksByZone.getOrDefault(machine.zone(), 0) < spec.maxTasksPerZone()
+                && machine.reserve(spec)) {
             tasksByZone.merge(machine.zone(), 1, Integer::sum);
             left--;
         }
--- a/src/main/java/org/granitepath/coordination/autoscaling/WaitingLiveTasks.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/WaitingLiveTasks.java
@@ -24,7 +24,12 @@
             boolean spot) {
         static EquivalenceClass of(JobSpec spec) {
             return new EquivalenceClass(
-                    spec.cpuMillis(), spec.gpuMillis(), spec.memoryMillis(), spec.types(), spec.zone(), spec.spotAllowed());
+                    spec.cpuMillis(),
+                    spec.gpuMillis(),
+                    spec.memoryMillis(),
+                    spec.types(),
+                    spec.zone(),
+                    spec.spotAllowed());
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -80,7 +80,8 @@
         }
         ProgressRecord progress =
                 new ProgressRecord(config.node(), job.requestedClaim(), job.doneTasks(), job.runningTasks());
-        return List.of(Change.write(key, progress.truncatedTo(config.limits().store().valueBytes())));
+        return List.of(
+                Change.write(key, progress.truncatedTo(config.limits().store().valueBytes())));
     }
 
     /** Records without delay that all tasks of the job are done, unless the job has a final record already. */
--- a/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
+++ b/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
@@ -51,7 +51,9 @@
                 Keys.MACHINE_TYPES,
                 WriteQueue.Urgency.PROGRESS_ONLY,
                 RECORD_DELAY_MICROS,
-                () -> replica.has(Keys.MACHINE_TYPES) ? List.of() : List.of(Change.write(Keys.MACHINE_TYPES, typesRecord)),
+                () -> replica.has(Keys.MACHINE_TYPES)
+                        ? List.of()
+                        : List.of(Change.write(Keys.MACHINE_TYPES, typesRecord)),
                 storeRevision -> {});
     }
 }
--- a/src/main/java/org/granitepath/storage/FencingTokenRecord.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecord.java
@@ -7,6 +7,6 @@
  * {@code term}, but for those whose row names a higher one. It outlives the leader's lease, so no machine is ever
  * without exactly one leader.
  *
- * @param last the highest token drawn so far
+ * @param lastIssuedToken the highest token drawn so far
  */
 public record FencingTokenRecord(@Nullable String leader, long term, long lastIssuedToken) implements StoredRecord {}
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -11,7 +11,7 @@
  * @param zone the only zone that may be used; null: any
  * @param oneZone whether all tasks must run in one zone
  * @param spread whether no zone may hold more than half of the tasks, rounded up
- * @param spot whether spot instances may be used
+ * @param spotAllowed whether spot instances may be used
  * @param deadlineMicros time after acceptance, or {@link #NO_DEADLINE}
  */
 public record JobSpec(
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -235,7 +235,8 @@
     /** Takes over machines that a previous leader has stored and that have sent no message in this term. */
     List<Machine> takeOver(String... ids) {
         List<InventoryRecord.MachineRow> rows = Arrays.stream(ids)
-                .map(id -> new InventoryRecord.MachineRow(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
+                .map(id -> new InventoryRecord.MachineRow(
+                        id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
         replica.applyCommitted(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
         return takeOverStoredMachines();
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -184,7 +184,8 @@
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.saves() && world.now() - member.toldToSaveMicros >= spec.saveDurationMicros())
+                    .filter(member ->
+                            member.saves() && world.now() - member.toldToSaveMicros >= spec.saveDurationMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -231,7 +232,8 @@
     private long total(JobSpec spec) {
         return totals.computeIfAbsent(
                 spec.id(),
-                unknown -> spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros()));
+                unknown ->
+                        spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros()));
     }
 
     /** A task has its image and joins the others of its attempt. */
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -239,7 +239,8 @@
         if (!failed.isEmpty()) {
             return committed(Outcome.CONFLICT, failed);
         }
-        if (transaction.changes().stream().anyMatch(change -> change.leaseId() != 0 && !leases.holds(change.leaseId()))) {
+        if (transaction.changes().stream()
+                .anyMatch(change -> change.leaseId() != 0 && !leases.holds(change.leaseId()))) {
             return committed(Outcome.REFUSED, List.of());
         }
         keys.apply(transaction.changes());
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -227,7 +227,9 @@
             changed = true;
             return;
         }
-        if (run.state == TaskState.RUNNING && spec.checkpointIntervalMicros() > 0 && graceMicros >= spec.saveDurationMicros()) {
+        if (run.state == TaskState.RUNNING
+                && spec.checkpointIntervalMicros() > 0
+                && graceMicros >= spec.saveDurationMicros()) {
             run.state = TaskState.SAVING;
             run.until = world.now() + spec.saveDurationMicros();
             changed = true;
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -54,7 +54,8 @@
         records.put(Keys.finalRecord("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         records.put(
                 Keys.inventoryPart(0),
-                new InventoryRecord(List.of(new InventoryRecord.MachineRow("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
+                new InventoryRecord(
+                        List.of(new InventoryRecord.MachineRow("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
         records.put(Keys.LEADER, new LeaderRecord("worker-1", "worker-1-2", 41));
         records.put(Keys.FENCING_TOKEN, new FencingTokenRecord("worker-1", 41, 43));
         records.put(
@@ -108,10 +109,14 @@
                 Arguments.of(Keys.finalRecord("run-1"), Map.of("how", "done"), "how"),
                 Arguments.of(Keys.inventoryPart(0), Map.of(), "hosts"),
                 Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of("i-1")), "hosts"),
-                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
-                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
                 Arguments.of(
-                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))), "hosts"),
+                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
+                Arguments.of(
+                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
+                Arguments.of(
+                        Keys.inventoryPart(0),
+                        Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))),
+                        "hosts"),
                 Arguments.of(Keys.LEADER, Map.of("incarnation", "n-2"), "node"),
                 Arguments.of(Keys.LEADER, Map.of("node", "n", "incarnation", 2), "incarnation"),
                 Arguments.of(Keys.MACHINE_TYPES, Map.of("types", List.of("g8")), "types"));
@@ -134,7 +139,8 @@
     @Test
     void fieldsThatMayBeMissing() throws MalformedRecordException {
         assertEquals(new FencingTokenRecord(null, 0, 0), StoredRecordCodec.decode(Keys.FENCING_TOKEN, Map.of()));
-        assertEquals(new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.MACHINE_TYPES, Map.of("types", 1)));
+        assertEquals(
+                new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.MACHINE_TYPES, Map.of("types", 1)));
         assertEquals(
                 new ProgressRecord(null, 2, TreeRangeSet.create(), 0),
                 StoredRecordCodec.decode(Keys.progress("run-1"), Map.of("claimed", 2, "done", List.of(7))));
