--- a/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
@@ -31,14 +31,14 @@
     }
 
     private JobResponse status(String jobId, boolean created) {
-        FinalRecord.Outcome outcome = jobIndex.finalOf(jobId);
+        FinalRecord.Outcome outcome = jobIndex.outcomeOf(jobId);
         if (outcome != null) {
             JobState end = outcome == FinalRecord.Outcome.DONE ? JobState.DONE : JobState.CANCELLED;
             return new JobResponse.Status(created, jobId, end, 0, 0);
         }
         ProgressRecord progress = jobIndex.progressOf(jobId);
-        JobState state = progress.running() > 0 ? JobState.RUNNING : JobState.PENDING;
-        int doneTasks = ProgressRecord.count(progress.done());
-        return new JobResponse.Status(created, jobId, state, doneTasks, progress.running());
+        JobState state = progress.runningTasks() > 0 ? JobState.RUNNING : JobState.PENDING;
+        int doneTasks = ProgressRecord.count(progress.doneTasks());
+        return new JobResponse.Status(created, jobId, state, doneTasks, progress.runningTasks());
     }
 }
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -18,25 +18,25 @@
     /** Told when the records of a job change. */
     public interface Listener {
         /** A job was accepted. */
-        void accepted(JobRecord job);
+        void onJobAccepted(JobRecord job);
 
         /** More of a job is claimed or done. */
-        void progressed(String id, ProgressRecord progress);
+        void onProgressRecorded(String id, ProgressRecord progress);
 
         /** A job is over. */
-        void ended(String id, FinalRecord.Outcome outcome);
+        void onJobEnded(String id, FinalRecord.Outcome outcome);
     }
 
     /** Stands for a listener while there is none. */
     private static final Listener NOBODY = new Listener() {
         @Override
-        public void accepted(JobRecord job) {}
+        public void onJobAccepted(JobRecord job) {}
 
         @Override
-        public void progressed(String id, ProgressRecord progress) {}
+        public void onProgressRecorded(String id, ProgressRecord progress) {}
 
         @Override
-        public void ended(String id, FinalRecord.Outcome outcome) {}
+        public void onJobEnded(String id, FinalRecord.Outcome outcome) {}
     };
 
     /** What can't be read of a job; each value includes those before it. */
@@ -56,12 +56,12 @@
     private Listener listener = NOBODY;
 
     /** Tells this one from now on, and no other. */
-    public void listen(Listener next) {
+    public void setListener(Listener next) {
         listener = next;
     }
 
     /** Tells nobody from now on. */
-    public void stopListening() {
+    public void clearListener() {
         listener = NOBODY;
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** How the job ended, or null if it has not. */
-    public FinalRecord.@Nullable Outcome finalOf(String id) {
+    public FinalRecord.@Nullable Outcome outcomeOf(String id) {
         return outcomes.get(id);
     }
 
@@ -92,36 +92,36 @@
 
     /** How far the job has come; nothing done and nothing claimed when no record tells. */
     public ProgressRecord progressOf(String id) {
-        return progressByJob.getOrDefault(id, ProgressRecord.none());
+        return progressByJob.getOrDefault(id, ProgressRecord.empty());
     }
 
     /** Whether a record of the job can't be read. */
-    public boolean unreadable(String id) {
+    public boolean isUnreadable(String id) {
         return unreadableJobs.containsKey(id);
     }
 
     /** Whether users can't be told of the job, since its description or its end can't be read. */
-    boolean statusUnknown(String id) {
+    boolean isStatusUnknown(String id) {
         return unreadableJobs.get(id) == Unreadable.STATUS && !hasEnded(id);
     }
 
     /** What the records say of a task of a job that no leader here has open. */
-    public RecordedTaskState recorded(String id) {
+    public RecordedTaskState recordedTaskState(String id) {
         FinalRecord.Outcome outcome = outcomes.get(id);
         if (outcome != null) {
             return outcome == FinalRecord.Outcome.DONE ? RecordedTaskState.JOB_DONE : RecordedTaskState.JOB_CANCELLED;
         }
-        return unreadable(id) || openJobs.containsKey(id)
+        return isUnreadable(id) || openJobs.containsKey(id)
                 ? RecordedTaskState.UNREADABLE
                 : RecordedTaskState.UNKNOWN_JOB;
     }
 
     /** Takes a changed record in. Removals don't occur among jobs. */
-    public void changed(String key, @Nullable StoredRecord record) {
-        Keys.jobKey(key).ifPresent(jobKey -> changed(jobKey, record));
+    public void applyRecord(String key, @Nullable StoredRecord record) {
+        Keys.parseJobKey(key).ifPresent(jobKey -> applyRecord(jobKey, record));
     }
 
-    private void changed(Keys.JobKey key, @Nullable StoredRecord record) {
+    private void applyRecord(Keys.JobKey key, @Nullable StoredRecord record) {
         if (record instanceof JobRecord job) {
             jobChanged(key.jobId(), job);
         } else if (record instanceof ProgressRecord jobProgress) {
@@ -147,7 +147,7 @@
             return;
         }
         openJobs.put(id, record);
-        listener.accepted(record);
+        listener.onJobAccepted(record);
     }
 
     private void progressChanged(String id, ProgressRecord record) {
@@ -155,13 +155,13 @@
             return;
         }
         progressByJob.put(id, record);
-        listener.progressed(id, record);
+        listener.onProgressRecorded(id, record);
     }
 
     private void ended(String id, FinalRecord.Outcome outcome) {
         outcomes.put(id, outcome);
         openJobs.remove(id);
         progressByJob.remove(id);
-        listener.ended(id, outcome);
+        listener.onJobEnded(id, outcome);
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -41,7 +41,7 @@
      * @param cleanupTokensDue whether a new token is due now for machines that need one only to clear attempts
      */
     void addPart(int part, List<Machine> machines, boolean cleanupTokensDue) {
-        List<InventoryRecord.Host> rows = new ArrayList<>();
+        List<InventoryRecord.MachineRow> rows = new ArrayList<>();
         for (Machine machine : machines) {
             if (cleanupTokensDue) {
                 machine.inventory().requireCleanupTokenNow();
@@ -49,7 +49,7 @@
             rows.add(machine.inventoryRow(tokenToWrite(machine)));
         }
         parts.add(part);
-        changes.add(Change.write(Keys.inventory(part), new InventoryRecord(rows)));
+        changes.add(Change.write(Keys.inventoryPart(part), new InventoryRecord(rows)));
     }
 
     private long tokenToWrite(Machine machine) {
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -54,8 +54,8 @@
     void claimNextBlock(ActiveJob job) {
         int tasks = job.spec().tasks();
         // If writes queue up, a job claims all its tasks at once; otherwise machines would be idle in the meantime.
-        int block = writeQueue.behind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
-        int target = job.spec().gang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
+        int block = writeQueue.isBehind() ? tasks : config.tuning().nextClaimBlockSize(job.spec());
+        int target = job.spec().isGang() ? tasks : Math.min(tasks, job.firstUnstartedTask() + block);
         boolean isNearlyUsedUp = job.requestedClaim() - job.firstUnstartedTask() <= block / 2;
         if (target > job.requestedClaim() && (target == tasks || isNearlyUsedUp)) {
             job.requestClaim(target);
@@ -80,12 +80,13 @@
         }
         ProgressRecord progress =
                 new ProgressRecord(config.node(), job.requestedClaim(), job.doneTasks(), job.runningTasks());
-        return List.of(Change.write(key, progress.atMost(config.limits().store().valueBytes())));
+        return List.of(
+                Change.write(key, progress.truncatedTo(config.limits().store().valueBytes())));
     }
 
     /** Records without delay that all tasks of the job are done, unless the job has a final record already. */
     void recordDone(ActiveJob job) {
-        String key = Keys.finalOf(job.spec().id());
+        String key = Keys.finalRecord(job.spec().id());
         writeQueue.enqueue(
                 key,
                 WriteQueue.Urgency.SAFETY,
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -102,7 +102,7 @@
         Placement placement =
                 Placement.adopted(status.task(), job, machine, status.attempt(), onlyOnThisMachine, nowMicros);
         place(placement);
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             for (Placement leftover : gangs.addAdopted(placement)) {
                 stopOne(leftover, 0, "belongs to an older attempt of its gang");
             }
@@ -183,15 +183,15 @@
         long nowMicros = timers.nowMicros();
         for (Placement placement : List.copyOf(machine.placements())) {
             JobSpec spec = placement.job().spec();
-            boolean saves = spec.checkpointMicros() > 0;
-            if (spec.service() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
-                stop(placement, saves ? spec.saveMicros() : 0, "the cloud reclaims the machine");
+            boolean saves = spec.checkpointIntervalMicros() > 0;
+            if (spec.isService() || saves || !finishesWithin(noticeMicros / 2, placement, nowMicros)) {
+                stop(placement, saves ? spec.saveDurationMicros() : 0, "the cloud reclaims the machine");
             }
         }
     }
 
     private static boolean finishesWithin(long micros, Placement placement, long nowMicros) {
-        long leftMicros = placement.job().spec().estimateMicros() - placement.runTimeMicros(nowMicros);
+        long leftMicros = placement.job().spec().estimatedRunMicros() - placement.runTimeMicros(nowMicros);
         return placement.hasRun() && leftMicros < micros;
     }
 }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -227,7 +227,7 @@
         heldTerm = newTerm;
         // Only after heldTerm is set: onLeaderRecordChanged compares the leader record with it.
         for (Change change : campaign.changes()) {
-            replica.applied(change.key(), change.record(), term.leaderRevision());
+            replica.applyCommitted(change.key(), change.record(), term.leaderRevision());
         }
         transition(LeadershipPhase.LEADING, "fencing token " + term.fencingToken());
         announceElection(newTerm);
@@ -260,7 +260,7 @@
      * machine inventory that was created by it. After that write the store rejects all writes of the previous leader.
      */
     private void announceElection(HeldTerm elected) {
-        replica.barrier(fresh -> {
+        replica.requestBarrier(fresh -> {
             if (!elected.equals(heldTerm)) {
                 return;
             }
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -54,7 +54,7 @@
 
     /** Returns whether this controller may answer the worker on behalf of the leader. */
     public boolean canRenew(Heartbeat heartbeat) {
-        if (!replica.loaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
+        if (!replica.isLoaded() || !heartbeat.zone().equals(config.identity().zone()) || !isCutOffFromLeader()) {
             return false;
         }
         readTokensOncePerContact();
@@ -92,11 +92,11 @@
         fencingTokens.clear();
         FencingTokenRecord counter = replica.fencingToken();
         long termToken = counter == null ? 0 : counter.term();
-        for (int part = 0; part < replica.inventoryParts(); part++) {
-            InventoryRecord inventory = replica.inventory(part);
+        for (int part = 0; part < replica.inventoryPartCount(); part++) {
+            InventoryRecord inventory = replica.inventoryPart(part);
             if (inventory != null) {
                 inventory
-                        .hosts()
+                        .machines()
                         .forEach(host -> fencingTokens.put(host.id(), Math.max(termToken, host.fencingToken())));
             }
         }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -59,7 +59,7 @@
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
         this.firstSeenMicros = nowMicros;
-        this.numbers = new TaskNumbers(Math.max(record.claimed(), progress.claimed()), progress.done());
+        this.numbers = new TaskNumbers(Math.max(record.claimedTasks(), progress.claimedTasks()), progress.doneTasks());
         this.tasksByZone = new TasksByZone(spec);
     }
 
@@ -83,7 +83,7 @@
      * It is scheduled before all other work.
      */
     public boolean isLiveService() {
-        return spec.service() && !Priority.HIGH.above(spec.priority());
+        return spec.isService() && !Priority.HIGH.isHigherThan(spec.priority());
     }
 
     /** Returns the scheduler's notes on this job. */
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionCost.java
@@ -24,7 +24,7 @@
 
     /** Returns the cost of stopping this task; for a task of a gang, the cost of stopping all tasks of the gang. */
     static double ofStopping(Placement placement, long nowMicros) {
-        return placement.job().spec().gang()
+        return placement.job().spec().isGang()
                 ? placement.job().placements().stream()
                         .mapToDouble(each -> ofOneTask(each, GANG_RESTART_MICROS, nowMicros))
                         .sum()
@@ -39,10 +39,10 @@
     private static double ofOneTask(Placement placement, long restartMicros, long nowMicros) {
         JobSpec spec = placement.job().spec();
         long ranMicros = placement.runTimeMicros(nowMicros);
-        long checkpointMicros = spec.checkpointMicros();
+        long checkpointMicros = spec.checkpointIntervalMicros();
         long unsavedMicros = checkpointMicros > 0 ? ranMicros % checkpointMicros : ranMicros;
         return (double) spec.cpuMillis()
                 * (unsavedMicros + restartMicros)
-                * (spec.priority().above(Priority.BEST_EFFORT) ? ABOVE_BEST_EFFORT_FACTOR : 1);
+                * (spec.priority().isHigherThan(Priority.BEST_EFFORT) ? ABOVE_BEST_EFFORT_FACTOR : 1);
     }
 }
--- a/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/RecoveryStatusFactory.java
@@ -31,7 +31,7 @@
             RecordReplica replica,
             @Nullable LeaderTerm leaderTerm,
             long nowMicros) {
-        long recordsAgeMicros = replica.loaded() ? nowMicros - replica.lastContactMicros() : -1;
+        long recordsAgeMicros = replica.isLoaded() ? nowMicros - replica.lastContactMicros() : -1;
         if (!leadership.isLeader()) {
             return withoutTerm(config, leadership, replica, recordsAgeMicros);
         }
@@ -43,13 +43,13 @@
                 ? termWhileReading(leadership.fencingToken())
                 : termDuringRecovery(leaderTerm.recovery(), nowMicros);
         return new RecoveryStatus(
-                config.node(), role, config.node(), reason, recordsAgeMicros, replica.malformedRecords(), term);
+                config.node(), role, config.node(), reason, recordsAgeMicros, replica.malformedRecordCount(), term);
     }
 
     private static RecoveryStatus withoutTerm(
             Config config, Leadership leadership, RecordReplica replica, long recordsAgeMicros) {
-        long unreadable = replica.malformedRecords();
-        if (!replica.loaded()) {
+        long unreadable = replica.malformedRecordCount();
+        if (!replica.isLoaded()) {
             return RecoveryStatus.withoutTerm(
                     config.node(),
                     Role.UNKNOWN,
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -66,10 +66,10 @@
         }
         fields.put(ONE_ZONE, spec.oneZone());
         fields.put(SPREAD, spec.spread());
-        fields.put(SPOT, spec.spot());
-        fields.put(ESTIMATE, spec.estimateMicros());
-        fields.put(CHECKPOINT, spec.checkpointMicros());
-        fields.put(SAVE, spec.saveMicros());
+        fields.put(SPOT, spec.spotAllowed());
+        fields.put(ESTIMATE, spec.estimatedRunMicros());
+        fields.put(CHECKPOINT, spec.checkpointIntervalMicros());
+        fields.put(SAVE, spec.saveDurationMicros());
         fields.put(DEADLINE, spec.deadlineMicros());
         return fields;
     }
--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -21,7 +21,7 @@
         /** Not carried out: not now. */
         REFUSED,
         /** Not carried out, and never will be as it stands. */
-        REJECTED,
+        INVALID,
         /** No answer, so it may have been carried out, or may yet be. */
         UNKNOWN
     }
@@ -30,7 +30,7 @@
     record Precondition(String key, long revision) {}
 
     /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
-    record Change(String key, @Nullable StoredRecord record, long lease) {
+    record Change(String key, @Nullable StoredRecord record, long leaseId) {
         /** A write of a record that belongs to no lease. */
         public static Change write(String key, StoredRecord record) {
             return new Change(key, record, 0);
@@ -46,19 +46,19 @@
     record Transaction(List<Precondition> preconditions, List<Change> changes) {}
 
     /** How a transaction ended: the new revision, or the keys whose preconditions do not hold. */
-    record Committed(Outcome outcome, long storeRevision, List<String> failed) {}
+    record CommitResult(Outcome outcome, long storeRevision, List<String> failedKeys) {}
 
     /** One key as read or followed; {@code value} null: removed. */
     record Item(String key, @Nullable Map<String, Object> value, long revision) {}
 
     /** Records as listed or followed, as of the revision {@code storeRevision}. */
-    record Page(Outcome outcome, List<Item> items, boolean more, long storeRevision) {}
+    record Page(Outcome outcome, List<Item> items, boolean hasMore, long storeRevision) {}
 
     /** A new lease, when {@code outcome} is OK. */
-    record Leased(Outcome outcome, long lease) {}
+    record LeaseResult(Outcome outcome, long leaseId) {}
 
     /** Commits a transaction. */
-    void commit(Transaction transaction, Consumer<Committed> then);
+    void commit(Transaction transaction, Consumer<CommitResult> then);
 
     /** Lists keys in order, beginning after {@code from}. */
     void list(String prefix, String from, int limit, Consumer<Page> then);
@@ -67,7 +67,7 @@
     void follow(String prefix, long from, long waitMicros, Consumer<Page> then);
 
     /** Opens a lease. */
-    void openLease(long lifeMicros, Consumer<Leased> then);
+    void openLease(long lifeMicros, Consumer<LeaseResult> then);
 
     /** Renews a lease; {@code NOT_FOUND} when it has ended. */
     void renewLease(long lease, Consumer<Outcome> then);
--- a/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
@@ -19,15 +19,15 @@
 
     static Map<String, Object> encode(ProgressRecord progress) {
         List<Integer> ends = new ArrayList<>();
-        for (Range<Integer> range : progress.done().asRanges()) {
+        for (Range<Integer> range : progress.doneTasks().asRanges()) {
             ends.add(range.lowerEndpoint());
             ends.add(range.upperEndpoint());
         }
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(OWNER, progress.leader());
-        fields.put(CLAIMED, progress.claimed());
+        fields.put(CLAIMED, progress.claimedTasks());
         fields.put(DONE, ends);
-        fields.put(RUNNING, progress.running());
+        fields.put(RUNNING, progress.runningTasks());
         return fields;
     }
 
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -26,13 +26,13 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), answer -> {
             Map<String, Object> body = answer.json();
             Outcome outcome = outcome(answer.status(), body);
             then.accept(
                     body == null
-                            ? new Committed(outcome, 0, List.of())
+                            ? new CommitResult(outcome, 0, List.of())
                             : KeyValueStoreCodec.decodeCommitted(outcome, body));
         });
     }
@@ -53,11 +53,11 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
             Map<String, Object> body = answer.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
-            then.accept(new Leased(outcome(answer.status(), body), lease));
+            then.accept(new LeaseResult(outcome(answer.status(), body), lease));
         });
     }
 
@@ -83,7 +83,7 @@
         return switch (status) {
             case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
-            case HttpStatus.BAD_REQUEST -> Outcome.REJECTED;
+            case HttpStatus.BAD_REQUEST -> Outcome.INVALID;
             case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
             case HttpStatus.CONFLICT -> Outcome.CONFLICT;
             case HttpStatus.GONE -> Outcome.GONE;
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -28,10 +28,10 @@
     private final RecordReplica replica =
             new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
                 @Override
-                public void changed(String key, StoredRecord record, long revision) {}
+                public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
                 @Override
-                public void loaded() {}
+                public void onLoaded() {}
             });
     private final Peers peers =
             new Peers(TestConfigs.of("c1", "c1-1", "c2"), new UnreachablePeers(), timers, () -> status("c1", 0));
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -67,17 +67,17 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         answer(() -> then.accept(execute(transaction)), () -> then.accept(result(Outcome.UNKNOWN)));
     }
 
-    private Committed execute(Transaction transaction) {
+    private CommitResult execute(Transaction transaction) {
         for (Precondition precondition : transaction.preconditions()) {
             if (revisionOf(precondition.key()) != precondition.revision()) {
                 return result(Outcome.CONFLICT);
             }
         }
-        transaction.changes().forEach(change -> put(change.key(), change.record(), change.lease()));
+        transaction.changes().forEach(change -> put(change.key(), change.record(), change.leaseId()));
         // A real store gives all changes of a transaction one revision. For preconditions the last one serves as well.
         transaction
                 .changes()
@@ -86,8 +86,8 @@
         return result(Outcome.OK);
     }
 
-    private Committed result(Outcome outcome) {
-        return new Committed(outcome, storeRevision, List.of());
+    private CommitResult result(Outcome outcome) {
+        return new CommitResult(outcome, storeRevision, List.of());
     }
 
     @Override
@@ -114,10 +114,10 @@
     }
 
     @Override
-    public void openLease(long durationMicros, Consumer<Leased> then) {
+    public void openLease(long durationMicros, Consumer<LeaseResult> then) {
         answer(
-                () -> then.accept(new Leased(Outcome.OK, ++leasesOpened)),
-                () -> then.accept(new Leased(Outcome.UNKNOWN, 0)));
+                () -> then.accept(new LeaseResult(Outcome.OK, ++leasesOpened)),
+                () -> then.accept(new LeaseResult(Outcome.UNKNOWN, 0)));
     }
 
     @Override
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -41,10 +41,10 @@
     private final RecordReplica replica =
             new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
                 @Override
-                public void changed(String key, StoredRecord record, long revision) {}
+                public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
                 @Override
-                public void loaded() {}
+                public void onLoaded() {}
             });
     private final Peers peers = new Peers(config, new UnreachablePeers(), timers, () -> null);
     private final ZoneLeaseKeeper keeper =
@@ -64,10 +64,10 @@
     void recordTwoMachines() {
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", TERM_TOKEN, OWN_TOKEN), 0);
         store.put(
-                Keys.inventory(0),
+                Keys.inventoryPart(0),
                 new InventoryRecord(List.of(
-                        new InventoryRecord.Host("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
-                        new InventoryRecord.Host("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
+                        new InventoryRecord.MachineRow("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
+                        new InventoryRecord.MachineRow("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
                 0);
         replica.start();
         timers.advance(SECOND_MICROS);
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -37,14 +37,14 @@
         assertEquals(
                 List.of("g/", "g/j/", "g/p/", "g/f/", "g/roster/", "g/leader", "g/baton", "g/types"),
                 List.of(
-                        Keys.ALL,
-                        Keys.JOB,
-                        Keys.PROGRESS,
-                        Keys.FINAL,
-                        Keys.INVENTORY,
+                        Keys.ROOT_PREFIX,
+                        Keys.JOB_PREFIX,
+                        Keys.PROGRESS_PREFIX,
+                        Keys.FINAL_PREFIX,
+                        Keys.INVENTORY_PREFIX,
                         Keys.LEADER,
                         Keys.FENCING_TOKEN,
-                        Keys.TYPES));
+                        Keys.MACHINE_TYPES));
     }
 
     @Test
@@ -74,7 +74,7 @@
         String json = "{\"owner\":\"worker-1\",\"claimed\":12,\"done\":[0,3,5,6],\"running\":4}";
         ProgressRecord record =
                 (ProgressRecord) StoredRecordCodec.decode(Keys.progress("run-000412"), Json.object(json));
-        assertEquals(4, ProgressRecord.count(record.done()));
+        assertEquals(4, ProgressRecord.count(record.doneTasks()));
         assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
@@ -88,10 +88,10 @@
     @Test
     void machines() throws MalformedRecordException {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
-        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventory(0), Json.object(json));
+        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.object(json));
         assertEquals(
-                new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
-                record.hosts().get(0));
+                new InventoryRecord.MachineRow("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
+                record.machines().get(0));
         assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
     }
 
@@ -137,14 +137,14 @@
     /** What can't be read is an error that names the record; kinds of later versions are let be. */
     @Test
     void malformedAndUnknownRecords() throws MalformedRecordException {
-        for (String key : List.of(Keys.JOB + "run-1", Keys.LEADER)) {
+        for (String key : List.of(Keys.JOB_PREFIX + "run-1", Keys.LEADER)) {
             Map<String, Object> empty = Map.of("spec", Map.of("id", "run-1"));
             MalformedRecordException e =
                     assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(key, empty));
             assertEquals(key, e.key());
         }
         Map<String, Object> badRow = Map.of("hosts", List.of(List.of("i-1", 7)));
-        assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(Keys.INVENTORY + 0, badRow));
+        assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(Keys.INVENTORY_PREFIX + 0, badRow));
         assertEquals(
                 UnknownRecord.class,
                 StoredRecordCodec.decode("g/later/1", Map.of("x", 1)).getClass());
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -58,10 +58,10 @@
     private RecordReplica replicaOf(SimStore of, String node) {
         RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {}
+            public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
         replica.start();
         return replica;
@@ -80,7 +80,7 @@
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
+            world.after(i * 5_000L, () -> replica.requestBarrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
@@ -196,11 +196,11 @@
         }
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
-        ProgressRecord kept = whole.atMost(2048);
+        ProgressRecord kept = whole.truncatedTo(2048);
         assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
-        assertTrue(kept.done().encloses(Range.closedOpen(3_000, 3_500)));
-        assertTrue(ProgressRecord.count(kept.done()) > 600, ProgressRecord.count(kept.done()) + " kept");
-        assertEquals(whole, whole.atMost(100_000));
+        assertTrue(kept.doneTasks().encloses(Range.closedOpen(3_000, 3_500)));
+        assertTrue(ProgressRecord.count(kept.doneTasks()) > 600, ProgressRecord.count(kept.doneTasks()) + " kept");
+        assertEquals(whole, whole.truncatedTo(100_000));
     }
 
     /** Whatever a record holds, its size is not underrated. */
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -117,7 +117,7 @@
     KeyValueStore tracing(String node, KeyValueStore port) {
         return new KeyValueStore() {
             @Override
-            public void commit(Transaction transaction, Consumer<Committed> then) {
+            public void commit(Transaction transaction, Consumer<CommitResult> then) {
                 add(node, "commit", sorted(KeyValueStoreCodec.encodeTransaction(transaction)));
                 port.commit(transaction, then);
             }
@@ -135,7 +135,7 @@
             }
 
             @Override
-            public void openLease(long lifeMicros, Consumer<Leased> then) {
+            public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
                 add(node, "open lease", KeyValueStoreCodec.encodeLease(lifeMicros));
                 port.openLease(lifeMicros, then);
             }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -31,7 +31,7 @@
 
     /** What can't be read frees nothing, is not written over, and does not stop the rest. */
     @ParameterizedTest
-    @ValueSource(strings = {Keys.JOB, Keys.PROGRESS, Keys.FINAL})
+    @ValueSource(strings = {Keys.JOB_PREFIX, Keys.PROGRESS_PREFIX, Keys.FINAL_PREFIX})
     void recordsThatCannotBeRead(String prefix) {
         Simulation simulation = busy(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
@@ -75,7 +75,7 @@
     @Test
     void aPartOfTheInventoryThatCannotBeRead() {
         Simulation simulation = busy(2);
-        String key = Keys.INVENTORY + "0";
+        String key = Keys.INVENTORY_PREFIX + "0";
         simulation.after(RESTART, () -> {
             restart(simulation, false);
             simulation.store.plant(key, "{\"hosts\":[7]}");
@@ -106,7 +106,7 @@
                     .onSpot()
                     .create();
             shortJobs.add(spec);
-            simulation.after(at, () -> simulation.users.submit(spec, spec.service() ? 20 * SECOND : -1));
+            simulation.after(at, () -> simulation.users.submit(spec, spec.isService() ? 20 * SECOND : -1));
         }
         simulation.after(
                 RESTART - 100_000 - simulation.world.random.nextInt(400_000),
@@ -184,7 +184,7 @@
     }
 
     private static void endReplicas(Simulation simulation) {
-        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
+        simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::isService, ExitCause.STOPPED));
     }
 
     /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -170,7 +170,7 @@
         /** The save fails, or the others exit a while after one is gone; what was made since the checkpoint is lost. */
         private void noticeLoss() {
             if (noticedAt == Long.MAX_VALUE) {
-                long interval = spec.checkpointMicros();
+                long interval = spec.checkpointIntervalMicros();
                 if (interval > 0) {
                     keep(progress() / interval * interval);
                 }
@@ -184,7 +184,8 @@
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.saves() && world.now() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member ->
+                            member.saves() && world.now() - member.toldToSaveMicros >= spec.saveDurationMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -231,7 +232,8 @@
     private long total(JobSpec spec) {
         return totals.computeIfAbsent(
                 spec.id(),
-                unknown -> spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros()));
+                unknown ->
+                        spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros()));
     }
 
     /** A task has its image and joins the others of its attempt. */
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -106,10 +106,10 @@
                 like.zone(),
                 like.oneZone(),
                 like.spread(),
-                like.spot(),
-                like.estimateMicros(),
-                like.checkpointMicros(),
-                like.saveMicros(),
+                like.spotAllowed(),
+                like.estimatedRunMicros(),
+                like.checkpointIntervalMicros(),
+                like.saveDurationMicros(),
                 deadlineMicros);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.storage.KeyValueStore;
-import org.granitepath.storage.KeyValueStore.Committed;
-import org.granitepath.storage.KeyValueStore.Leased;
+import org.granitepath.storage.KeyValueStore.CommitResult;
+import org.granitepath.storage.KeyValueStore.LeaseResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
 import org.granitepath.storage.KeyValueStore.Transaction;
@@ -162,9 +162,9 @@
         reads++;
     }
 
-    void commit(String node, Transaction transaction, Consumer<Committed> answer) {
+    void commit(String node, Transaction transaction, Consumer<CommitResult> answer) {
         if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
-            answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
+            answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of()));
         } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
             world.after(2_000_000 + world.random.nextInt(10_000_000), () -> commitLate(transaction));
         } else {
@@ -187,10 +187,10 @@
         watches.follow(prefix, from, waitMicros, answer);
     }
 
-    Leased openLease(String node, long lifeMicros) {
+    LeaseResult openLease(String node, long lifeMicros) {
         return away(node, 0)
-                ? new Leased(Outcome.REFUSED, 0)
-                : new Leased(Outcome.OK, leases.open(world.now(), lifeMicros));
+                ? new LeaseResult(Outcome.REFUSED, 0)
+                : new LeaseResult(Outcome.OK, leases.open(world.now(), lifeMicros));
     }
 
     Outcome renewLease(String node, long lease) {
@@ -224,10 +224,10 @@
         }
     }
 
-    private Committed commit(Transaction transaction) {
+    private CommitResult commit(Transaction transaction) {
         if (limits.exceededBy(transaction)) {
             oversized++;
-            return committed(Outcome.REJECTED, List.of());
+            return committed(Outcome.INVALID, List.of());
         }
         if (acceptsAJob(transaction) && !isTiedToTheLeader(transaction)) {
             unfenced++;
@@ -239,7 +239,8 @@
         if (!failed.isEmpty()) {
             return committed(Outcome.CONFLICT, failed);
         }
-        if (transaction.changes().stream().anyMatch(change -> change.lease() != 0 && !leases.holds(change.lease()))) {
+        if (transaction.changes().stream()
+                .anyMatch(change -> change.leaseId() != 0 && !leases.holds(change.leaseId()))) {
             return committed(Outcome.REFUSED, List.of());
         }
         keys.apply(transaction.changes());
@@ -249,7 +250,7 @@
     }
 
     private static boolean acceptsAJob(Transaction transaction) {
-        return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB));
+        return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB_PREFIX));
     }
 
     private static boolean isTiedToTheLeader(Transaction transaction) {
@@ -257,8 +258,8 @@
                 .anyMatch(precondition -> precondition.key().equals(Keys.LEADER));
     }
 
-    private Committed committed(Outcome outcome, List<String> failed) {
-        return new Committed(outcome, keys.revision(), failed);
+    private CommitResult committed(Outcome outcome, List<String> failed) {
+        return new CommitResult(outcome, keys.revision(), failed);
     }
 
     private void expire() {
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -8,9 +8,9 @@
 /** The simulated store as one controller reaches it: over links that delay, lose and cut. */
 final class SimStorePort implements KeyValueStore {
     private static final long TIMEOUT = 2_000_000;
-    private static final Committed NO_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
+    private static final CommitResult NO_COMMIT = new CommitResult(Outcome.UNKNOWN, 0, List.of());
     private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
-    private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
+    private static final LeaseResult NO_LEASE = new LeaseResult(Outcome.UNKNOWN, 0);
 
     private final World world;
     private final SimStore store;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         callLater(TIMEOUT, answer -> store.commit(node, transaction, answer), NO_COMMIT, then);
     }
 
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         call(TIMEOUT, () -> store.openLease(node, lifeMicros), NO_LEASE, then);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -106,7 +106,7 @@
         JobSpec spec = jobs.apply(run.task.job());
         images.add(spec.image());
         rules.started(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
-        if (spec.gang() && !results.contains(run.task) && !fails(run)) {
+        if (spec.isGang() && !results.contains(run.task) && !fails(run)) {
             run.state = TaskState.WAITING;
             run.until = Long.MAX_VALUE;
             run.member = gangs.join(spec, run.task, run.attempt, worker::hangs);
@@ -114,7 +114,7 @@
         }
         run.state = TaskState.RUNNING;
         long runMicros = runMicros(run, spec);
-        run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
+        run.until = spec.isService() ? Long.MAX_VALUE : world.now() + runMicros;
         if (fails(run)) {
             failures++;
             run.until = world.now() + FAILS_AFTER;
@@ -125,7 +125,7 @@
     private long runMicros(Run run, JobSpec spec) {
         return results.contains(run.task)
                 ? 0
-                : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
+                : spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros());
     }
 
     private boolean fails(Run run) {
@@ -221,15 +221,17 @@
 
     private void stop(Run run, long graceMicros) {
         JobSpec spec = jobs.apply(run.task.job());
-        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
-        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
+        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointIntervalMicros() > 0;
+        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveDurationMicros()) {
             run.member.stop();
             changed = true;
             return;
         }
-        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
+        if (run.state == TaskState.RUNNING
+                && spec.checkpointIntervalMicros() > 0
+                && graceMicros >= spec.saveDurationMicros()) {
             run.state = TaskState.SAVING;
-            run.until = world.now() + spec.saveMicros();
+            run.until = world.now() + spec.saveDurationMicros();
             changed = true;
         } else if (run.state != TaskState.SAVING || graceMicros == 0) {
             end(run, ExitCause.STOPPED);
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -116,9 +116,9 @@
                 && !tasks.faulty()
                 && noticeEnd < 0
                 && runs().hasCapacityFor(spec, null)
-                && spec.allowsType(type.name())
-                && spec.allowsZone(zone)
-                && (spec.spot() || !spot);
+                && spec.isTypeAllowed(type.name())
+                && spec.isZoneAllowed(zone)
+                && (spec.spotAllowed() || !spot);
     }
 
     // ---- troubles ----------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -50,21 +50,21 @@
         return !jobs.wasCancellationAsked(spec.id())
                 && jobs.finalTold(spec.id()) == null
                 && withinLimit(spec, held)
-                && (!spec.gang() || wholeGangFits(spec, left, held, machines))
+                && (!spec.isGang() || wholeGangFits(spec, left, held, machines))
                 && machines.stream().anyMatch(machine -> couldRunOn(machine, spec, held));
     }
 
     private boolean withinLimit(JobSpec spec, HeldTasks held) {
         long limit = teams.get(spec.team()).cpuLimitMillis();
         // What starting more of the job takes of the limit, at least.
-        long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
+        long needed = spec.cpuMillis() * (spec.isGang() ? spec.tasks() : 1);
         return limit == 0 || held.cpuOf(spec.team()) + needed <= limit;
     }
 
     private static boolean couldRunOn(SimWorker machine, JobSpec spec, HeldTasks held) {
         return machine.wouldTake(spec)
                 && (!spec.oneZone() || Set.of(machine.zone).containsAll(held.zonesOf(spec.id())))
-                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
+                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.maxTasksPerZone());
     }
 
     /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -7,16 +7,16 @@
 /** A store that keeps what it is asked, in order, until the test answers it. */
 public final class ScriptedStore implements KeyValueStore {
     /** A listing that was asked for. */
-    public record Listing(String from, Consumer<Page> answer) {}
+    public record Listing(String afterKey, Consumer<Page> answer) {}
 
     /** A follow that was asked for. */
-    public record Follow(long from, long waitMicros, Consumer<Page> answer) {}
+    public record Follow(long afterRevision, long waitMicros, Consumer<Page> answer) {}
 
     /** A transaction that was sent. */
-    public record Commit(Transaction transaction, Consumer<Committed> answer) {}
+    public record Commit(Transaction transaction, Consumer<CommitResult> answer) {}
 
     /** A renewal that was sent. */
-    public record Renewal(long lease, Consumer<Outcome> answer) {}
+    public record Renewal(long leaseId, Consumer<Outcome> answer) {}
 
     /** Listings that the test has not taken yet. */
     public final Queue<Listing> listings = new ArrayDeque<>();
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         commits.add(new Commit(transaction, then));
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         throw new UnsupportedOperationException("no test opens a lease here");
     }
 
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -51,14 +51,15 @@
         Map<String, StoredRecord> records = new LinkedHashMap<>();
         records.put(Keys.job("run-1"), new JobRecord(SPEC, 1_700_000_000_000_000L, 4, 41));
         records.put(Keys.progress("run-1"), new ProgressRecord("worker-1", 4, done, 2));
-        records.put(Keys.finalOf("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        records.put(Keys.finalRecord("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         records.put(
-                Keys.inventory(0),
-                new InventoryRecord(List.of(new InventoryRecord.Host("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
+                Keys.inventoryPart(0),
+                new InventoryRecord(
+                        List.of(new InventoryRecord.MachineRow("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
         records.put(Keys.LEADER, new LeaderRecord("worker-1", "worker-1-2", 41));
         records.put(Keys.FENCING_TOKEN, new FencingTokenRecord("worker-1", 41, 43));
         records.put(
-                Keys.TYPES,
+                Keys.MACHINE_TYPES,
                 new MachineTypesRecord(List.of(
                         new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b")))));
         records.put("g/later/1", new UnknownRecord(Map.of("x", 1)));
@@ -104,17 +105,21 @@
                 Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1, "done", 3), "done"),
                 Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1, "done", List.of(0, "3")), "done"),
                 Arguments.of(Keys.progress("run-1"), Map.of("done", List.of()), "claimed"),
-                Arguments.of(Keys.finalOf("run-1"), Map.of(), "how"),
-                Arguments.of(Keys.finalOf("run-1"), Map.of("how", "done"), "how"),
-                Arguments.of(Keys.inventory(0), Map.of(), "hosts"),
-                Arguments.of(Keys.inventory(0), Map.of("hosts", List.of("i-1")), "hosts"),
-                Arguments.of(Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
-                Arguments.of(Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
+                Arguments.of(Keys.finalRecord("run-1"), Map.of(), "how"),
+                Arguments.of(Keys.finalRecord("run-1"), Map.of("how", "done"), "how"),
+                Arguments.of(Keys.inventoryPart(0), Map.of(), "hosts"),
+                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of("i-1")), "hosts"),
                 Arguments.of(
-                        Keys.inventory(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))), "hosts"),
+                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
+                Arguments.of(
+                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
+                Arguments.of(
+                        Keys.inventoryPart(0),
+                        Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))),
+                        "hosts"),
                 Arguments.of(Keys.LEADER, Map.of("incarnation", "n-2"), "node"),
                 Arguments.of(Keys.LEADER, Map.of("node", "n", "incarnation", 2), "incarnation"),
-                Arguments.of(Keys.TYPES, Map.of("types", List.of("g8")), "types"));
+                Arguments.of(Keys.MACHINE_TYPES, Map.of("types", List.of("g8")), "types"));
     }
 
     /** The error says which record and which field. */
@@ -134,7 +139,8 @@
     @Test
     void fieldsThatMayBeMissing() throws MalformedRecordException {
         assertEquals(new FencingTokenRecord(null, 0, 0), StoredRecordCodec.decode(Keys.FENCING_TOKEN, Map.of()));
-        assertEquals(new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.TYPES, Map.of("types", 1)));
+        assertEquals(
+                new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.MACHINE_TYPES, Map.of("types", 1)));
         assertEquals(
                 new ProgressRecord(null, 2, TreeRangeSet.create(), 0),
                 StoredRecordCodec.decode(Keys.progress("run-1"), Map.of("claimed", 2, "done", List.of(7))));
@@ -154,6 +160,6 @@
         assertEquals(Priority.BEST_EFFORT, spec.priority());
         assertEquals(
                 new FinalRecord(FinalRecord.Outcome.DONE),
-                StoredRecordCodec.decode(Keys.finalOf("run-1"), Map.of("how", 9)));
+                StoredRecordCodec.decode(Keys.finalRecord("run-1"), Map.of("how", 9)));
     }
 }
