--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.granitepath.transport.AfterCall;
+import org.granitepath.transport.ConnectionPolicy;
 import org.granitepath.transport.EventLoop;
 import org.granitepath.transport.HttpCalls;
 import org.granitepath.transport.OutgoingRequest;
@@ -52,10 +52,10 @@
     /** Sends a request of each kind and waits until all are answered or too much time has passed. */
     private static void callEach(String address) throws IOException, InterruptedException {
         List<OutgoingRequest> requests = List.of(
-                OutgoingRequest.get(address, "/up", AfterCall.CLOSE),
-                OutgoingRequest.postJson(address, "/submissions", SUBMISSION, AfterCall.KEEP),
-                OutgoingRequest.postJson(address, "/agent/beat", HEARTBEAT, AfterCall.KEEP),
-                OutgoingRequest.get(address, "/submissions/run-1", AfterCall.KEEP));
+                OutgoingRequest.get(address, "/up", ConnectionPolicy.CLOSE),
+                OutgoingRequest.postJson(address, "/submissions", SUBMISSION, ConnectionPolicy.KEEP_ALIVE),
+                OutgoingRequest.postJson(address, "/agent/beat", HEARTBEAT, ConnectionPolicy.KEEP_ALIVE),
+                OutgoingRequest.get(address, "/submissions/run-1", ConnectionPolicy.KEEP_ALIVE));
         CountDownLatch answered = new CountDownLatch(requests.size());
         EventLoop loop = new EventLoop();
         HttpCalls http = new HttpCalls(loop);
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -16,7 +16,7 @@
 
     /** Calls the cloud at this address. */
     public CloudClient(HttpCalls http, String address) {
-        this.cloud = new JsonClient(http, address, AfterCall.CLOSE, TIMEOUT_MICROS);
+        this.cloud = new JsonClient(http, address, ConnectionPolicy.CLOSE, TIMEOUT_MICROS);
     }
 
     @Override
--- a/src/main/java/org/granitepath/transport/JsonClient.java
+++ b/src/main/java/org/granitepath/transport/JsonClient.java
@@ -6,14 +6,14 @@
 final class JsonClient {
     private final HttpCalls http;
     private final String address;
-    private final AfterCall afterCall;
+    private final ConnectionPolicy connectionPolicy;
     private final long timeoutMicros;
 
     /** @param timeoutMicros how long a call may take that does not say otherwise */
-    JsonClient(HttpCalls http, String address, AfterCall afterCall, long timeoutMicros) {
+    JsonClient(HttpCalls http, String address, ConnectionPolicy connectionPolicy, long timeoutMicros) {
         this.http = http;
         this.address = address;
-        this.afterCall = afterCall;
+        this.connectionPolicy = connectionPolicy;
         this.timeoutMicros = timeoutMicros;
     }
 
@@ -22,7 +22,7 @@
     }
 
     void get(String path, long callTimeoutMicros, Consumer<HttpAnswer> then) {
-        http.call(OutgoingRequest.get(address, path, afterCall), callTimeoutMicros, then);
+        http.call(OutgoingRequest.get(address, path, connectionPolicy), callTimeoutMicros, then);
     }
 
     void post(String path, String body, Consumer<HttpAnswer> then) {
@@ -30,6 +30,6 @@
     }
 
     void post(String path, String body, long callTimeoutMicros, Consumer<HttpAnswer> then) {
-        http.call(OutgoingRequest.postJson(address, path, body, afterCall), callTimeoutMicros, then);
+        http.call(OutgoingRequest.postJson(address, path, body, connectionPolicy), callTimeoutMicros, then);
     }
 }
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -22,7 +22,7 @@
 
     /** Calls the store at this address. */
     public KeyValueStoreClient(HttpCalls http, String address) {
-        this.store = new JsonClient(http, address, AfterCall.KEEP, TIMEOUT_MICROS);
+        this.store = new JsonClient(http, address, ConnectionPolicy.KEEP_ALIVE, TIMEOUT_MICROS);
     }
 
     @Override
--- a/src/main/java/org/granitepath/transport/OutgoingRequest.java
+++ b/src/main/java/org/granitepath/transport/OutgoingRequest.java
@@ -14,7 +14,7 @@
     private final String address;
     private final HttpString method;
     private final String path;
-    private final AfterCall afterCall;
+    private final ConnectionPolicy connectionPolicy;
     private final String contentType;
     private final byte @Nullable [] body;
 
@@ -22,13 +22,13 @@
             String address,
             HttpString method,
             String path,
-            AfterCall afterCall,
+            ConnectionPolicy connectionPolicy,
             String contentType,
             byte @Nullable [] body) {
         this.address = address;
         this.method = method;
         this.path = path;
-        this.afterCall = afterCall;
+        this.connectionPolicy = connectionPolicy;
         this.contentType = contentType;
         this.body = body;
     }
@@ -39,18 +39,20 @@
      * @param address HOST:PORT of the program that is asked
      * @param path the path with its query, encoded as it is to be sent
      */
-    public static OutgoingRequest get(String address, String path, AfterCall afterCall) {
-        return new OutgoingRequest(address, Methods.GET, path, afterCall, JSON_TYPE, null);
+    public static OutgoingRequest get(String address, String path, ConnectionPolicy connectionPolicy) {
+        return new OutgoingRequest(address, Methods.GET, path, connectionPolicy, JSON_TYPE, null);
     }
 
     /** A request with a JSON text for its body. */
-    public static OutgoingRequest postJson(String address, String path, String json, AfterCall afterCall) {
-        return post(address, path, JSON_TYPE, json.getBytes(StandardCharsets.UTF_8), afterCall);
+    public static OutgoingRequest postJson(
+            String address, String path, String json, ConnectionPolicy connectionPolicy) {
+        return post(address, path, JSON_TYPE, json.getBytes(StandardCharsets.UTF_8), connectionPolicy);
     }
 
     /** A request with a body of any type. The array is not copied: the caller leaves it alone from here on. */
-    static OutgoingRequest post(String address, String path, String contentType, byte[] body, AfterCall afterCall) {
-        return new OutgoingRequest(address, Methods.POST, path, afterCall, contentType, body);
+    static OutgoingRequest post(
+            String address, String path, String contentType, byte[] body, ConnectionPolicy connectionPolicy) {
+        return new OutgoingRequest(address, Methods.POST, path, connectionPolicy, contentType, body);
     }
 
     String address() {
@@ -59,7 +61,7 @@
 
     /** Whether the connection is kept for later calls to the address, and may be one that an earlier call left. */
     boolean sharesConnection() {
-        return afterCall == AfterCall.KEEP;
+        return connectionPolicy == ConnectionPolicy.KEEP_ALIVE;
     }
 
     byte @Nullable [] body() {
@@ -70,7 +72,7 @@
     ClientRequest toClientRequest() {
         ClientRequest request = new ClientRequest().setMethod(method).setPath(path);
         request.getRequestHeaders().put(Headers.HOST, address);
-        if (afterCall == AfterCall.CLOSE) {
+        if (connectionPolicy == ConnectionPolicy.CLOSE) {
             request.getRequestHeaders().put(Headers.CONNECTION, "close");
         }
         if (body != null) {
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -41,6 +41,9 @@
     private void post(String peer, String path, byte[] message, Consumer<HttpAnswer> then) {
         // Peers are those of the settings, which have an address for each.
         String address = Objects.requireNonNull(addresses.get(peer), () -> "no address of peer " + peer);
-        http.call(OutgoingRequest.post(address, path, CONTENT_TYPE, message, AfterCall.KEEP), TIMEOUT_MICROS, then);
+        http.call(
+                OutgoingRequest.post(address, path, CONTENT_TYPE, message, ConnectionPolicy.KEEP_ALIVE),
+                TIMEOUT_MICROS,
+                then);
     }
 }
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -26,7 +26,7 @@
                 address,
                 COMMANDS_PATH,
                 WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands),
-                AfterCall.CLOSE);
+                ConnectionPolicy.CLOSE);
         http.call(request, TIMEOUT_MICROS, answer -> then.accept(reply(answer)));
     }
 
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -39,7 +39,8 @@
             long before = descriptors();
             CountDownLatch ended = new CountDownLatch(CALLS);
             List<Integer> statuses = new ArrayList<>();
-            OutgoingRequest request = OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", AfterCall.CLOSE);
+            OutgoingRequest request =
+                    OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", ConnectionPolicy.CLOSE);
             loop.run(() -> {
                 for (int i = 0; i < CALLS; i++) {
                     http.call(request, 300_000, answer -> {
--- a/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
@@ -76,13 +76,13 @@
         return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private HttpAnswer get(String path, AfterCall afterCall) throws Exception {
-        return call(OutgoingRequest.get(address, path, afterCall), CALL_TIMEOUT_MICROS);
+    private HttpAnswer get(String path, ConnectionPolicy connectionPolicy) throws Exception {
+        return call(OutgoingRequest.get(address, path, connectionPolicy), CALL_TIMEOUT_MICROS);
     }
 
     @Test
     void theStatusAndTheBodyAreTold() throws Exception {
-        HttpAnswer answer = get("/refused", AfterCall.KEEP);
+        HttpAnswer answer = get("/refused", ConnectionPolicy.KEEP_ALIVE);
         assertEquals(409, answer.status());
         assertEquals("why", answer.text());
     }
@@ -90,66 +90,67 @@
     @Test
     void aBodyGoesOverWhole() throws Exception {
         byte[] body = "ä".repeat(20_000).getBytes(StandardCharsets.UTF_8);
-        OutgoingRequest request = OutgoingRequest.post(address, "/echo", "text/plain", body, AfterCall.CLOSE);
+        OutgoingRequest request = OutgoingRequest.post(address, "/echo", "text/plain", body, ConnectionPolicy.CLOSE);
         assertArrayEquals(body, call(request, CALL_TIMEOUT_MICROS).body());
     }
 
     @Test
     void aBodyHasItsTypeAndItsLengthInBytes() throws Exception {
-        OutgoingRequest json = OutgoingRequest.postJson(address, "/type", "ä", AfterCall.KEEP);
+        OutgoingRequest json = OutgoingRequest.postJson(address, "/type", "ä", ConnectionPolicy.KEEP_ALIVE);
         assertEquals("application/json 2", call(json, CALL_TIMEOUT_MICROS).text());
     }
 
     @Test
     void aBodyThatIsNoJsonHasATypeOfItsOwn() throws Exception {
         OutgoingRequest bytes =
-                OutgoingRequest.post(address, "/type", "application/msgpack", new byte[3], AfterCall.KEEP);
+                OutgoingRequest.post(address, "/type", "application/msgpack", new byte[3], ConnectionPolicy.KEEP_ALIVE);
         assertEquals("application/msgpack 3", call(bytes, CALL_TIMEOUT_MICROS).text());
     }
 
     @Test
     void aRequestWithoutABodyHasNeither() throws Exception {
-        assertEquals("null null", get("/type", AfterCall.KEEP).text());
+        assertEquals("null null", get("/type", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
     void aConnectionThatIsKeptTakesTheNextCall() throws Exception {
-        String first = get("/caller", AfterCall.KEEP).text();
-        assertEquals(first, get("/caller", AfterCall.KEEP).text());
+        String first = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
+        assertEquals(first, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
     void aConnectionThatIsClosedTakesNoOther() throws Exception {
-        String kept = get("/caller", AfterCall.KEEP).text();
-        String closed = get("/caller", AfterCall.CLOSE).text();
+        String kept = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
+        String closed = get("/caller", ConnectionPolicy.CLOSE).text();
         assertNotEquals(kept, closed);
-        assertEquals(kept, get("/caller", AfterCall.KEEP).text());
+        assertEquals(kept, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
     void aCallThatIsNotAnsweredEndsInTime() throws Exception {
         long beganMicros = loop.nowMicros();
-        HttpAnswer answer = call(OutgoingRequest.get(address, "/silent", AfterCall.KEEP), SHORT_TIMEOUT_MICROS);
+        HttpAnswer answer =
+                call(OutgoingRequest.get(address, "/silent", ConnectionPolicy.KEEP_ALIVE), SHORT_TIMEOUT_MICROS);
         assertTrue(answer.isMissing());
         assertTrue(loop.nowMicros() - beganMicros >= SHORT_TIMEOUT_MICROS);
     }
 
     @Test
     void aConnectionOfACallThatTimedOutIsNotUsedAgain() throws Exception {
-        String kept = get("/caller", AfterCall.KEEP).text();
-        call(OutgoingRequest.get(address, "/silent", AfterCall.KEEP), SHORT_TIMEOUT_MICROS);
-        assertNotEquals(kept, get("/caller", AfterCall.KEEP).text());
+        String kept = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
+        call(OutgoingRequest.get(address, "/silent", ConnectionPolicy.KEEP_ALIVE), SHORT_TIMEOUT_MICROS);
+        assertNotEquals(kept, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
     void aCallToAnAddressWhereNobodyListensEndsWithoutAnAnswer() throws Exception {
         listener.stop();
-        assertTrue(get("/echo", AfterCall.KEEP).isMissing());
+        assertTrue(get("/echo", ConnectionPolicy.KEEP_ALIVE).isMissing());
     }
 
     @Test
     void aRequestThatCannotBeHandledEndsNothingElse() throws Exception {
-        call(OutgoingRequest.get(address, "/failing", AfterCall.CLOSE), SHORT_TIMEOUT_MICROS);
-        assertEquals(409, get("/refused", AfterCall.CLOSE).status());
+        call(OutgoingRequest.get(address, "/failing", ConnectionPolicy.CLOSE), SHORT_TIMEOUT_MICROS);
+        assertEquals(409, get("/refused", ConnectionPolicy.CLOSE).status());
     }
 }
