--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -32,7 +32,7 @@
         cloud.post("/rentals", CloudCodec.encodeLaunch(request), answer -> then.accept(launchResult(answer)));
     }
 
-    private static LaunchResult launchResult(HttpAnswer answer) {
+    private static LaunchResult launchResult(HttpResponse answer) {
         Map<String, Object> body = answer.json();
         if (answer.isOk() && body != null) {
             return new LaunchResult(Outcome.OK, CloudCodec.decodeHosts(body));
--- a/src/main/java/org/granitepath/transport/HttpCall.java
+++ b/src/main/java/org/granitepath/transport/HttpCall.java
@@ -24,14 +24,14 @@
     private final EventLoop loop;
     private final ConnectionPool connections;
     private final OutgoingRequest request;
-    private final Consumer<HttpAnswer> then;
+    private final Consumer<HttpResponse> then;
     private @Nullable IoFuture<StreamConnection> connecting;
     private @Nullable ClientConnection connection;
     private XnioExecutor.@Nullable Key deadline;
     private boolean ended;
 
     /** @param then takes the end of the call, once, on the event loop */
-    HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpAnswer> then) {
+    HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpResponse> then) {
         this.loop = loop;
         this.connections = connections;
         this.request = request;
@@ -86,7 +86,7 @@
         }
         end();
         releaseConnection();
-        answer(HttpAnswer.of(status, body));
+        answer(HttpResponse.of(status, body));
     }
 
     private void fail(IOException cause) {
@@ -103,7 +103,7 @@
         if (connecting != null) {
             connecting.cancel();
         }
-        answer(HttpAnswer.MISSING);
+        answer(HttpResponse.NONE);
     }
 
     private void end() {
@@ -123,7 +123,7 @@
         }
     }
 
-    private void answer(HttpAnswer answer) {
+    private void answer(HttpResponse answer) {
         EventLoop.guarded(() -> then.accept(answer)).run();
     }
 
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -22,7 +22,7 @@
      * @param timeoutMicros the time from now until the call ends without an answer
      * @param then takes the end of the call, exactly once
      */
-    public void call(OutgoingRequest request, long timeoutMicros, Consumer<HttpAnswer> then) {
+    public void call(OutgoingRequest request, long timeoutMicros, Consumer<HttpResponse> then) {
         new HttpCall(loop, connections, request, then).begin(timeoutMicros);
     }
 }
--- a/src/main/java/org/granitepath/transport/HttpAnswer.java
+++ b/src/main/java/org/granitepath/transport/HttpResponse.java
@@ -7,21 +7,21 @@
 import org.jspecify.annotations.Nullable;
 
 /** How a call ended: with a status and a body, or without an answer. The body is decoded on request only. */
-public final class HttpAnswer {
+public final class HttpResponse {
     /** The call failed or timed out; whether the request was carried out is not known. */
-    static final HttpAnswer MISSING = new HttpAnswer(HttpStatus.NO_ANSWER, null);
+    static final HttpResponse NONE = new HttpResponse(HttpStatus.NO_ANSWER, null);
 
     private final int status;
     private final byte @Nullable [] body;
 
-    private HttpAnswer(int status, byte @Nullable [] body) {
+    private HttpResponse(int status, byte @Nullable [] body) {
         this.status = status;
         this.body = body;
     }
 
     /** An answer that came. The array is not copied. */
-    static HttpAnswer of(int status, byte[] body) {
-        return new HttpAnswer(status, body);
+    static HttpResponse of(int status, byte[] body) {
+        return new HttpResponse(status, body);
     }
 
     /** The HTTP status; {@link HttpStatus#NO_ANSWER} when there was no answer. */
--- a/src/main/java/org/granitepath/transport/JsonClient.java
+++ b/src/main/java/org/granitepath/transport/JsonClient.java
@@ -17,19 +17,19 @@
         this.timeoutMicros = timeoutMicros;
     }
 
-    void get(String path, Consumer<HttpAnswer> then) {
+    void get(String path, Consumer<HttpResponse> then) {
         get(path, timeoutMicros, then);
     }
 
-    void get(String path, long callTimeoutMicros, Consumer<HttpAnswer> then) {
+    void get(String path, long callTimeoutMicros, Consumer<HttpResponse> then) {
         http.call(OutgoingRequest.get(address, path, connectionPolicy), callTimeoutMicros, then);
     }
 
-    void post(String path, String body, Consumer<HttpAnswer> then) {
+    void post(String path, String body, Consumer<HttpResponse> then) {
         post(path, body, timeoutMicros, then);
     }
 
-    void post(String path, String body, long callTimeoutMicros, Consumer<HttpAnswer> then) {
+    void post(String path, String body, long callTimeoutMicros, Consumer<HttpResponse> then) {
         http.call(OutgoingRequest.postJson(address, path, body, connectionPolicy), callTimeoutMicros, then);
     }
 }
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -71,7 +71,7 @@
                 answer -> then.accept(outcome(answer.status(), Map.of())));
     }
 
-    private static Page page(HttpAnswer answer, Function<Map<String, Object>, Page> decoder) {
+    private static Page page(HttpResponse answer, Function<Map<String, Object>, Page> decoder) {
         Map<String, Object> body = answer.json();
         return answer.isOk() && body != null
                 ? decoder.apply(body)
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -28,7 +28,7 @@
         post(peer, STATUS_PATH, PeerCodec.encode(ours), answer -> then.accept(status(answer)));
     }
 
-    private static @Nullable PeerStatus status(HttpAnswer answer) {
+    private static @Nullable PeerStatus status(HttpResponse answer) {
         byte[] body = answer.body();
         return answer.isOk() && body != null ? PeerCodec.decode(body) : null;
     }
@@ -38,7 +38,7 @@
         post(peer, CANCELLATION_PATH, PeerCodec.encode(notice), answer -> then.accept(answer.isOk()));
     }
 
-    private void post(String peer, String path, byte[] message, Consumer<HttpAnswer> then) {
+    private void post(String peer, String path, byte[] message, Consumer<HttpResponse> then) {
         // Peers are those of the settings, which have an address for each.
         String address = Objects.requireNonNull(addresses.get(peer), () -> "no address of peer " + peer);
         http.call(
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -31,7 +31,7 @@
     }
 
     /** A worker that refuses, as it has another fencing token or agent epoch, tells its state all the same. */
-    private static Reply reply(HttpAnswer answer) {
+    private static Reply reply(HttpResponse answer) {
         String text = answer.text();
         boolean hasHeartbeat = answer.isOk() || answer.status() == HttpStatus.CONFLICT;
         return new Reply(answer.isOk(), hasHeartbeat && text != null ? WorkerCodec.decodeHeartbeat(text) : null);
--- a/src/main/java/org/granitepath/transport/package-info.java
+++ b/src/main/java/org/granitepath/transport/package-info.java
@@ -3,6 +3,6 @@
  *
  * <p>In: {@code HttpServers} starts {@code ServiceServer} and {@code PeerServer}, each behind an {@code HttpListener}.
  * Out: a client of each other program turns calls of the decision code into an {@code OutgoingRequest}, which
- * {@code HttpCalls} answers with an {@code HttpAnswer}.
+ * {@code HttpCalls} answers with an {@code HttpResponse}.
  */
 package org.granitepath.transport;
--- a/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
@@ -70,19 +70,19 @@
         return headers.getFirst(Headers.CONTENT_TYPE) + " " + headers.getFirst(Headers.CONTENT_LENGTH);
     }
 
-    private HttpAnswer call(OutgoingRequest request, long timeoutMicros) throws Exception {
-        CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+    private HttpResponse call(OutgoingRequest request, long timeoutMicros) throws Exception {
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         loop.run(() -> http.call(request, timeoutMicros, answer::complete));
         return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private HttpAnswer get(String path, ConnectionPolicy connectionPolicy) throws Exception {
+    private HttpResponse get(String path, ConnectionPolicy connectionPolicy) throws Exception {
         return call(OutgoingRequest.get(address, path, connectionPolicy), CALL_TIMEOUT_MICROS);
     }
 
     @Test
     void theStatusAndTheBodyAreTold() throws Exception {
-        HttpAnswer answer = get("/refused", ConnectionPolicy.KEEP_ALIVE);
+        HttpResponse answer = get("/refused", ConnectionPolicy.KEEP_ALIVE);
         assertEquals(409, answer.status());
         assertEquals("why", answer.text());
     }
@@ -129,7 +129,7 @@
     @Test
     void aCallThatIsNotAnsweredEndsInTime() throws Exception {
         long beganMicros = loop.nowMicros();
-        HttpAnswer answer =
+        HttpResponse answer =
                 call(OutgoingRequest.get(address, "/silent", ConnectionPolicy.KEEP_ALIVE), SHORT_TIMEOUT_MICROS);
         assertTrue(answer.isMissing());
         assertTrue(loop.nowMicros() - beganMicros >= SHORT_TIMEOUT_MICROS);
--- a/src/test/java/org/granitepath/transport/HttpAnswerTest.java
+++ b/src/test/java/org/granitepath/transport/HttpResponseTest.java
@@ -9,18 +9,18 @@
 import org.granitepath.protocol.HttpStatus;
 import org.junit.jupiter.api.Test;
 
-class HttpAnswerTest {
-    private static HttpAnswer answer(int status, String body) {
-        return HttpAnswer.of(status, body.getBytes(StandardCharsets.UTF_8));
+class HttpResponseTest {
+    private static HttpResponse answer(int status, String body) {
+        return HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void aCallWithoutAnAnswerHasNoBody() {
-        assertTrue(HttpAnswer.MISSING.isMissing());
-        assertNull(HttpAnswer.MISSING.body());
-        assertNull(HttpAnswer.MISSING.text());
-        assertNull(HttpAnswer.MISSING.json());
-        assertNull(HttpAnswer.MISSING.jsonIfOk());
+        assertTrue(HttpResponse.NONE.isMissing());
+        assertNull(HttpResponse.NONE.body());
+        assertNull(HttpResponse.NONE.text());
+        assertNull(HttpResponse.NONE.json());
+        assertNull(HttpResponse.NONE.jsonIfOk());
     }
 
     @Test
