--- a/src/main/java/org/granitepath/protocol/HttpStatus.java
+++ b/src/main/java/org/granitepath/protocol/HttpStatus.java
@@ -3,7 +3,7 @@
 /** The HTTP statuses that the interfaces use, and the one that stands for a call without an answer. */
 public final class HttpStatus {
     /** No HTTP status: the call ended without an answer. */
-    public static final int NO_ANSWER = 0;
+    public static final int NO_RESPONSE = 0;
     /** Carried out. */
     public static final int OK = 200;
     /** Carried out, and something is there that was not before. */
@@ -21,7 +21,7 @@
     /** Another controller answers for this. */
     public static final int MISDIRECTED_REQUEST = 421;
     /** The request is well formed, but can never be fulfilled. */
-    public static final int UNPROCESSABLE = 422;
+    public static final int UNPROCESSABLE_CONTENT = 422;
     /** Not now. */
     public static final int SERVICE_UNAVAILABLE = 503;
 
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -158,7 +158,9 @@
         } else if (answer instanceof JobResponse.NotFound) {
             return HttpStatus.NOT_FOUND;
         }
-        return answer instanceof JobResponse.Unschedulable ? HttpStatus.UNPROCESSABLE : HttpStatus.SERVICE_UNAVAILABLE;
+        return answer instanceof JobResponse.Unschedulable
+                ? HttpStatus.UNPROCESSABLE_CONTENT
+                : HttpStatus.SERVICE_UNAVAILABLE;
     }
 
     /** The body of the answer to a user. */
--- a/src/main/java/org/granitepath/transport/HttpResponse.java
+++ b/src/main/java/org/granitepath/transport/HttpResponse.java
@@ -9,7 +9,7 @@
 /** How a call ended: with a status and a body, or without an answer. The body is decoded on request only. */
 public final class HttpResponse {
     /** The call failed or timed out; whether the request was carried out is not known. */
-    static final HttpResponse NONE = new HttpResponse(HttpStatus.NO_ANSWER, null);
+    static final HttpResponse NONE = new HttpResponse(HttpStatus.NO_RESPONSE, null);
 
     private final int status;
     private final byte @Nullable [] body;
@@ -24,7 +24,7 @@
         return new HttpResponse(status, body);
     }
 
-    /** The HTTP status; {@link HttpStatus#NO_ANSWER} when there was no answer. */
+    /** The HTTP status; {@link HttpStatus#NO_RESPONSE} when there was no answer. */
     int status() {
         return status;
     }
@@ -34,7 +34,7 @@
     }
 
     boolean isMissing() {
-        return status == HttpStatus.NO_ANSWER;
+        return status == HttpStatus.NO_RESPONSE;
     }
 
     /** The body as it came; null when there was no answer. */
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -81,7 +81,7 @@
     /** @param body null when there was none or it is no JSON object: then nothing is known of a success */
     private static Outcome outcome(int status, @Nullable Map<String, Object> body) {
         return switch (status) {
-            case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
+            case HttpStatus.NO_RESPONSE -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
             case HttpStatus.BAD_REQUEST -> Outcome.REJECTED;
             case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -56,7 +56,7 @@
             assertEquals(
                     CALLS,
                     statuses.stream()
-                            .filter(status -> status == HttpStatus.NO_ANSWER)
+                            .filter(status -> status == HttpStatus.NO_RESPONSE)
                             .count());
             long held = descriptors() - before;
             assertTrue(held < CALLS / 4, held + " sockets held");
