--- a/src/main/java/org/granitepath/transport/Connections.java
+++ b/src/main/java/org/granitepath/transport/ConnectionLimiter.java
@@ -10,8 +10,8 @@
  * The connections that users and machines hold open. A fleet can have more machines than a controller has sockets, so
  * beyond a bound a connection is closed after its answer, and whoever comes next still finds a socket.
  */
-final class Connections {
-    private static final Logger LOG = LoggerFactory.getLogger(Connections.class);
+final class ConnectionLimiter {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionLimiter.class);
 
     /** What is known of a connection. */
     private static final class Held {
@@ -29,7 +29,7 @@
     private boolean full;
 
     /** Holds at most so many connections of machines open, and so many in all. */
-    Connections(int maxMachines, int maxInAll) {
+    ConnectionLimiter(int maxMachines, int maxInAll) {
         this.maxMachines = maxMachines;
         this.maxInAll = maxInAll;
     }
@@ -43,7 +43,7 @@
     }
 
     /** Counts the connection of this request, and lets it close after the answer when too many are held open. */
-    void requested(HttpServerExchange exchange, boolean machine) {
+    void onRequest(HttpServerExchange exchange, boolean machine) {
         markAs(machine, held(exchange.getConnection()));
         boolean over = (machine && machines > maxMachines) || machines + others > maxInAll;
         if (over) {
--- a/src/main/java/org/granitepath/transport/ConnectionPool.java
+++ b/src/main/java/org/granitepath/transport/ConnectionPool.java
@@ -15,7 +15,7 @@
 import org.xnio.StreamConnection;
 
 /**
- * Opens connections to other programs and keeps some that are idle for later calls to the same address. Connections are
+ * Opens connections to other programs and keeps some that are idle for later calls to the same address. ConnectionLimiter are
  * kept only to addresses of the settings, so addresses are never forgotten.
  */
 final class ConnectionPool {
--- a/src/main/java/org/granitepath/transport/HttpServers.java
+++ b/src/main/java/org/granitepath/transport/HttpServers.java
@@ -15,8 +15,8 @@
      */
     public static void listen(
             Controller controller, PlatformLimits limits, EventLoop loop, Address service, Address peerInterface) {
-        Connections connections =
-                new Connections(limits.maxPersistentMachineConnections(), limits.maxPersistentConnections());
+        ConnectionLimiter connections =
+                new ConnectionLimiter(limits.maxPersistentMachineConnections(), limits.maxPersistentConnections());
         Metrics metrics = new Metrics(connections, controller::recoveryStatus);
         ServiceServer serviceServer = new ServiceServer(controller, metrics, loop, connections);
         PeerServer peerServer = new PeerServer(controller, metrics);
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -25,7 +25,7 @@
     private static final int SIGNIFICANT_DIGITS = 2;
     private static final double[] PERCENTILES = {50, 90, 99, 100};
 
-    private final Connections connections;
+    private final ConnectionLimiter connections;
     private final Supplier<RecoveryStatus> recovery;
     private final Map<String, Histogram> latencies = new TreeMap<>();
     /** Counts by kind of request and status, with a space between. */
@@ -36,7 +36,7 @@
     private @Nullable SimpleMeterRegistry registry;
 
     /** Shows these connections and this state of the recovery beside what it is told. */
-    Metrics(Connections connections, Supplier<RecoveryStatus> recovery) {
+    Metrics(ConnectionLimiter connections, Supplier<RecoveryStatus> recovery) {
         this.connections = connections;
         this.recovery = recovery;
     }
@@ -114,10 +114,10 @@
     private void registerConnections(MeterRegistry meters) {
         Gauge.builder("granitepath.reports.unreadable", this, metrics -> metrics.unreadableHeartbeats)
                 .register(meters);
-        Gauge.builder("granitepath.connections", connections, Connections::machines)
+        Gauge.builder("granitepath.connections", connections, ConnectionLimiter::machines)
                 .tags("of", "machines")
                 .register(meters);
-        Gauge.builder("granitepath.connections", connections, Connections::others)
+        Gauge.builder("granitepath.connections", connections, ConnectionLimiter::others)
                 .tags("of", "others")
                 .register(meters);
     }
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ServiceServer.java
@@ -32,9 +32,9 @@
     private final Controller controller;
     private final Metrics metrics;
     private final EventLoop loop;
-    private final Connections connections;
+    private final ConnectionLimiter connections;
 
-    ServiceServer(Controller controller, Metrics metrics, EventLoop loop, Connections connections) {
+    ServiceServer(Controller controller, Metrics metrics, EventLoop loop, ConnectionLimiter connections) {
         this.controller = controller;
         this.metrics = metrics;
         this.loop = loop;
@@ -46,7 +46,7 @@
         String path = exchange.getRequestPath();
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
-        connections.requested(exchange, path.equals(HEARTBEAT_PATH));
+        connections.onRequest(exchange, path.equals(HEARTBEAT_PATH));
         if (path.equals(HEARTBEAT_PATH) && post) {
             readBody(exchange, text -> heartbeat(exchange, text));
         } else if (path.equals(HEALTH_PATH) && get) {
--- a/src/test/java/org/granitepath/transport/MetricsTest.java
+++ b/src/test/java/org/granitepath/transport/MetricsTest.java
@@ -13,7 +13,8 @@
     private static final int LATENCY_MICROS = 1_000;
 
     private final Metrics metrics = new Metrics(
-            new Connections(8, 16), () -> RecoveryStatus.withoutTerm("n0", Role.FOLLOWING, "n1", "follows", 0, 3));
+            new ConnectionLimiter(8, 16),
+            () -> RecoveryStatus.withoutTerm("n0", Role.FOLLOWING, "n1", "follows", 0, 3));
 
     private List<String> linesOf(String name) {
         return metrics.text()
