--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -14,7 +14,7 @@
 import org.granitepath.protocol.WorkerCodec;
 
 /** What users, workers and health checks talk to. */
-final class ServiceServer {
+final class ApiServer {
     private static final String HEARTBEAT_PATH = "/agent/beat";
     private static final String JOBS_PATH = "/submissions";
     private static final String JOB_PREFIX = JOBS_PATH + "/";
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final ConnectionLimiter connections;
 
-    ServiceServer(Controller controller, Metrics metrics, EventLoop loop, ConnectionLimiter connections) {
+    ApiServer(Controller controller, Metrics metrics, EventLoop loop, ConnectionLimiter connections) {
         this.controller = controller;
         this.metrics = metrics;
         this.loop = loop;
--- a/src/main/java/org/granitepath/transport/HttpServers.java
+++ b/src/main/java/org/granitepath/transport/HttpServers.java
@@ -18,9 +18,9 @@
         ConnectionLimiter connections =
                 new ConnectionLimiter(limits.maxPersistentMachineConnections(), limits.maxPersistentConnections());
         Metrics metrics = new Metrics(connections, controller::recoveryStatus);
-        ServiceServer serviceServer = new ServiceServer(controller, metrics, loop, connections);
+        ApiServer apiServer = new ApiServer(controller, metrics, loop, connections);
         PeerServer peerServer = new PeerServer(controller, metrics);
         HttpListener.listen(loop, peerInterface, limits.backlog(), peerServer::route);
-        HttpListener.listen(loop, service, limits.backlog(), serviceServer::route);
+        HttpListener.listen(loop, service, limits.backlog(), apiServer::route);
     }
 }
