--- a/src/main/java/org/granitepath/transport/HttpCall.java
+++ b/src/main/java/org/granitepath/transport/HttpCall.java
@@ -71,13 +71,14 @@
         exchange.setResponseListener(step(this::read));
         byte[] body = request.body();
         if (body != null) {
-            new BytesWriter(body).begin(exchange.getRequestChannel());
+            new RequestBodyWriter(body).begin(exchange.getRequestChannel());
         }
     }
 
     private void read(ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
-        new BytesReader(loop.buffers(), body -> succeed(status, body), this::fail).begin(exchange.getResponseChannel());
+        new ResponseBodyReader(loop.buffers(), body -> succeed(status, body), this::fail)
+                .begin(exchange.getResponseChannel());
     }
 
     private void succeed(int status, byte[] body) {
--- a/src/main/java/org/granitepath/transport/BytesWriter.java
+++ b/src/main/java/org/granitepath/transport/RequestBodyWriter.java
@@ -11,11 +11,11 @@
  * Writes a request body and ends it. A failure closes the channel and is told to nobody: the call finds its connection
  * closed, or its deadline ends it.
  */
-final class BytesWriter implements ChannelListener<StreamSinkChannel> {
+final class RequestBodyWriter implements ChannelListener<StreamSinkChannel> {
     private final ByteBuffer unwritten;
 
     /** The array is not copied. */
-    BytesWriter(byte[] body) {
+    RequestBodyWriter(byte[] body) {
         this.unwritten = ByteBuffer.wrap(body);
     }
 
--- a/src/main/java/org/granitepath/transport/BytesReader.java
+++ b/src/main/java/org/granitepath/transport/ResponseBodyReader.java
@@ -11,7 +11,7 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /** Reads a response body to its end, up to a bound. */
-final class BytesReader implements ChannelListener<StreamSourceChannel> {
+final class ResponseBodyReader implements ChannelListener<StreamSourceChannel> {
     /** A controller has a heap of 64 MiB: an answer without end must not fill it. */
     static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
@@ -23,7 +23,7 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
     /** Tells the whole body, or why it can't be had; either closes the channel first. */
-    BytesReader(ByteBufferPool pool, Consumer<byte[]> done, Consumer<IOException> failed) {
+    ResponseBodyReader(ByteBufferPool pool, Consumer<byte[]> done, Consumer<IOException> failed) {
         this.pool = pool;
         this.done = done;
         this.failed = failed;
--- a/src/test/java/org/granitepath/transport/BytesTest.java
+++ b/src/test/java/org/granitepath/transport/BodyTransferTest.java
@@ -17,8 +17,8 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Bodies that are written by {@link BytesWriter} into a pipe of the event loop and read by {@link BytesReader}. */
-class BytesTest {
+/** Bodies that are written by {@link RequestBodyWriter} into a pipe of the event loop and read by {@link ResponseBodyReader}. */
+class BodyTransferTest {
     /** Only a body that never comes to an end is stopped by it. */
     private static final int TIMEOUT_SECONDS = 60;
 
@@ -45,11 +45,12 @@
     }
 
     private void write(byte[] body) {
-        loop.run(() -> new BytesWriter(body).begin(pipe.getRightSide()));
+        loop.run(() -> new RequestBodyWriter(body).begin(pipe.getRightSide()));
     }
 
     private void read() {
-        loop.run(() -> new BytesReader(loop.buffers(), read::complete, failed::complete).begin(pipe.getLeftSide()));
+        loop.run(() ->
+                new ResponseBodyReader(loop.buffers(), read::complete, failed::complete).begin(pipe.getLeftSide()));
     }
 
     /** A pipe takes less than the largest of these at once, and a buffer less than the second. */
@@ -83,7 +84,7 @@
 
     @Test
     void aBodyBeyondTheBoundFails() throws Exception {
-        write(new byte[BytesReader.MAX_BODY_BYTES + 1]);
+        write(new byte[ResponseBodyReader.MAX_BODY_BYTES + 1]);
         read();
         assertEquals(
                 "response too long",
@@ -93,8 +94,8 @@
 
     @Test
     void aBodyAtTheBoundIsRead() throws Exception {
-        write(new byte[BytesReader.MAX_BODY_BYTES]);
+        write(new byte[ResponseBodyReader.MAX_BODY_BYTES]);
         read();
-        assertEquals(BytesReader.MAX_BODY_BYTES, read.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).length);
+        assertEquals(ResponseBodyReader.MAX_BODY_BYTES, read.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).length);
     }
 }
