--- a/src/main/java/org/granitepath/transport/Connector.java
+++ b/src/main/java/org/granitepath/transport/CancellableConnector.java
@@ -15,18 +15,18 @@
  * socket each, by the hundred when a zone is cut off. The client asks this stand-in of the event loop's thread to
  * connect, which keeps hold of the attempt; it is never started as a thread itself.
  */
-final class Connector extends XnioIoThread {
+final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread thread;
     private @Nullable IoFuture<StreamConnection> latest;
 
-    Connector(XnioIoThread thread) {
+    CancellableConnector(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
         this.thread = thread;
     }
 
     /** The attempt that was begun last; null: none was. */
     @Nullable
-    IoFuture<StreamConnection> latest() {
+    IoFuture<StreamConnection> latestAttempt() {
         return latest;
     }
 
--- a/src/main/java/org/granitepath/transport/ConnectionPool.java
+++ b/src/main/java/org/granitepath/transport/ConnectionPool.java
@@ -23,13 +23,13 @@
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final EventLoop loop;
-    private final Connector connector;
+    private final CancellableConnector connector;
     /** By address; the one that was used last is first. */
     private final Map<String, ArrayDeque<ClientConnection>> idle = new HashMap<>();
 
     ConnectionPool(EventLoop loop) {
         this.loop = loop;
-        this.connector = new Connector(loop.thread());
+        this.connector = new CancellableConnector(loop.thread());
     }
 
     /**
@@ -41,7 +41,7 @@
     IoFuture<StreamConnection> open(String address, ClientCallback<ClientConnection> opened) {
         UndertowClient.getInstance()
                 .connect(opened, URI.create("http://" + address), connector, loop.buffers(), OPTIONS);
-        return connector.latest();
+        return connector.latestAttempt();
     }
 
     /** A connection to this address that was kept and is still open; null: there is none. */
