--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -59,7 +59,7 @@
         CountDownLatch answered = new CountDownLatch(requests.size());
         EventLoop loop = new EventLoop();
         HttpCalls http = new HttpCalls(loop);
-        loop.run(() -> {
+        loop.execute(() -> {
             for (OutgoingRequest request : requests) {
                 http.call(request, REQUEST_TIMEOUT_MICROS, answer -> answered.countDown());
             }
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -41,7 +41,7 @@
     static void start(Settings settings, boolean traceRecovery) throws IOException {
         EventLoop loop = new EventLoop();
         CompletableFuture<Void> started = new CompletableFuture<>();
-        loop.run(() -> {
+        loop.execute(() -> {
             try {
                 serve(settings, loop, traceRecovery);
                 started.complete(null);
--- a/src/main/java/org/granitepath/transport/EventLoop.java
+++ b/src/main/java/org/granitepath/transport/EventLoop.java
@@ -60,7 +60,7 @@
     }
 
     /** Runs on the event loop, soon, after what was handed over before. May be called on any thread. */
-    public void run(Runnable action) {
+    public void execute(Runnable action) {
         thread.execute(guarded(action));
     }
 
@@ -77,7 +77,7 @@
     @Override
     public void after(long delayMicros, Runnable action) {
         if (delayMicros <= 0) {
-            run(action);
+            execute(action);
         } else {
             thread.executeAfter(guarded(action), Math.max(1, delayMicros / MICROS_PER_MILLI), TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/org/granitepath/transport/HttpCall.java
+++ b/src/main/java/org/granitepath/transport/HttpCall.java
@@ -118,7 +118,7 @@
         ClientConnection used = connection;
         if (request.sharesConnection() && used != null && used.isOpen()) {
             // Only after the exchange has been closed by the client may the connection take the next request.
-            loop.run(() -> connections.keepIdle(request.address(), used));
+            loop.execute(() -> connections.keepIdle(request.address(), used));
         } else {
             IoUtils.safeClose(used);
         }
--- a/src/test/java/org/granitepath/transport/BodyTransferTest.java
+++ b/src/test/java/org/granitepath/transport/BodyTransferTest.java
@@ -45,11 +45,11 @@
     }
 
     private void write(byte[] body) {
-        loop.run(() -> new RequestBodyWriter(body).begin(pipe.getRightSide()));
+        loop.execute(() -> new RequestBodyWriter(body).begin(pipe.getRightSide()));
     }
 
     private void read() {
-        loop.run(() ->
+        loop.execute(() ->
                 new ResponseBodyReader(loop.buffers(), read::complete, failed::complete).begin(pipe.getLeftSide()));
     }
 
--- a/src/test/java/org/granitepath/transport/EventLoopTest.java
+++ b/src/test/java/org/granitepath/transport/EventLoopTest.java
@@ -35,7 +35,7 @@
     /** Runs the set-up on the loop and returns the events up to the one that completes the future. */
     private List<String> eventsOf(Consumer<CompletableFuture<Void>> setUp) throws Exception {
         CompletableFuture<Void> ended = new CompletableFuture<>();
-        loop.run(() -> setUp.accept(ended));
+        loop.execute(() -> setUp.accept(ended));
         ended.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         return events;
     }
@@ -51,9 +51,9 @@
     @Test
     void actionsRunInTheOrderInWhichTheyWereHandedOver() throws Exception {
         List<String> ran = eventsOf(ended -> {
-            loop.run(event("first"));
-            loop.run(event("second"));
-            loop.run(end(ended));
+            loop.execute(event("first"));
+            loop.execute(event("second"));
+            loop.execute(end(ended));
         });
         assertEquals(List.of("first", "second"), ran);
     }
@@ -61,9 +61,9 @@
     @Test
     void anActionEndsBeforeTheOnesThatItHandsOver() throws Exception {
         List<String> ran = eventsOf(ended -> {
-            loop.run(event("handed over"));
+            loop.execute(event("handed over"));
             events.add("end of the action");
-            loop.run(end(ended));
+            loop.execute(end(ended));
         });
         assertEquals(List.of("end of the action", "handed over"), ran);
     }
@@ -71,11 +71,11 @@
     @Test
     void aTimerWithoutADelayTakesItsTurn() throws Exception {
         List<String> ran = eventsOf(ended -> {
-            loop.run(event("before"));
+            loop.execute(event("before"));
             loop.after(0, event("timer"));
             loop.after(-1, event("late timer"));
-            loop.run(event("after"));
-            loop.run(end(ended));
+            loop.execute(event("after"));
+            loop.execute(end(ended));
         });
         assertEquals(List.of("before", "timer", "late timer", "after"), ran);
     }
@@ -102,11 +102,11 @@
     @Test
     void aFailureEndsItsActionOnly() throws Exception {
         List<String> ran = eventsOf(ended -> {
-            loop.run(() -> {
+            loop.execute(() -> {
                 events.add("began");
                 throw new IllegalStateException("on purpose");
             });
-            loop.run(event("next"));
+            loop.execute(event("next"));
             loop.after(1_000, () -> {
                 throw new IllegalStateException("on purpose");
             });
@@ -120,7 +120,7 @@
     void allActionsAndTimersRunOnOneThread() throws Exception {
         CompletableFuture<Thread> ofAction = new CompletableFuture<>();
         CompletableFuture<Thread> ofTimer = new CompletableFuture<>();
-        loop.run(() -> ofAction.complete(Thread.currentThread()));
+        loop.execute(() -> ofAction.complete(Thread.currentThread()));
         loop.after(1_000, () -> ofTimer.complete(Thread.currentThread()));
         assertSame(loop.thread(), ofAction.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertSame(loop.thread(), ofTimer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -41,7 +41,7 @@
             List<Integer> statuses = new ArrayList<>();
             OutgoingRequest request =
                     OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", ConnectionPolicy.CLOSE);
-            loop.run(() -> {
+            loop.execute(() -> {
                 for (int i = 0; i < CALLS; i++) {
                     http.call(request, 300_000, answer -> {
                         statuses.add(answer.status());
--- a/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
@@ -72,7 +72,7 @@
 
     private HttpResponse call(OutgoingRequest request, long timeoutMicros) throws Exception {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        loop.run(() -> http.call(request, timeoutMicros, answer::complete));
+        loop.execute(() -> http.call(request, timeoutMicros, answer::complete));
         return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
