--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -62,12 +62,12 @@
         fields.put("site", request.zone());
         fields.put("loaner", request.spot());
         fields.put("count", request.count());
-        return Json.text(fields);
+        return Json.encode(fields);
     }
 
     /** The request to return machines. */
     public static String encodeHosts(List<String> hosts) {
-        return Json.text(Map.of(HOSTS, hosts));
+        return Json.encode(Map.of(HOSTS, hosts));
     }
 
     /** Reads the names of the machines that a launch brought. */
--- a/src/main/java/org/granitepath/protocol/Json.java
+++ b/src/main/java/org/granitepath/protocol/Json.java
@@ -20,7 +20,7 @@
     private Json() {}
 
     /** Reads an object; null when the text is not exactly one JSON object. */
-    public static @Nullable Map<String, Object> object(String text) {
+    public static @Nullable Map<String, Object> decodeObject(String text) {
         try (JsonParser parser = JSON_MAPPER.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 return null;
@@ -33,7 +33,7 @@
     }
 
     /** The value as JSON text. */
-    public static String text(Object value) {
+    public static String encode(Object value) {
         try {
             return JSON_MAPPER.asString(value);
         } catch (IOException e) {
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -45,7 +45,7 @@
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("guards", preconditions);
         body.put("apply", changes);
-        return Json.text(body);
+        return Json.encode(body);
     }
 
     private static Map<String, Object> encodeChange(Change change) {
@@ -94,7 +94,7 @@
 
     /** The request for a lease. */
     public static String encodeLease(long lifeMicros) {
-        return Json.text(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
+        return Json.encode(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
     }
 
     /** Reads the number of a new lease. */
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -27,7 +27,7 @@
         if (status.term() != null) {
             putTerm(fields, status.term());
         }
-        return Json.text(fields);
+        return Json.encode(fields);
     }
 
     private static void putTerm(Map<String, Object> fields, RecoveryStatus.Term term) {
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -45,7 +45,7 @@
 
     /** Reads and checks a submission. */
     public static JobSpec decode(String body) throws Malformed {
-        Map<String, Object> fields = Json.object(body);
+        Map<String, Object> fields = Json.decodeObject(body);
         if (fields == null) {
             throw new Malformed("not a JSON object");
         }
@@ -178,12 +178,12 @@
         } else {
             fields.put(ERROR, "no such job");
         }
-        return Json.text(fields);
+        return Json.encode(fields);
     }
 
     /** The body of the answer to a user whose submission is malformed. */
     public static String encode(Malformed malformed) {
-        return Json.text(Map.of(ERROR, malformed.getMessage()));
+        return Json.encode(Map.of(ERROR, malformed.getMessage()));
     }
 
     private static String word(JobResponse.JobState state) {
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -46,7 +46,7 @@
 
     /** Reads a heartbeat; null when it is none. */
     public static @Nullable Heartbeat decodeHeartbeat(String body) {
-        Map<String, Object> fields = Json.object(body);
+        Map<String, Object> fields = Json.decodeObject(body);
         return fields == null ? null : decodeHeartbeat(fields);
     }
 
@@ -174,7 +174,7 @@
             return encodeCommands(accepted.fencingToken(), NO_AGENT_EPOCH, accepted.commands());
         }
         if (answer instanceof HeartbeatResponse.Redirect redirect && redirect.node() != null) {
-            return Json.text(Map.of("supervisor", redirect.node()));
+            return Json.encode(Map.of("supervisor", redirect.node()));
         }
         return "{}";
     }
@@ -191,7 +191,7 @@
             fields.put(SHIFT, agentEpoch);
         }
         fields.put("orders", orders);
-        return Json.text(fields);
+        return Json.encode(fields);
     }
 
     private static Map<String, Object> encodeCommand(WorkerCommand command) {
--- a/src/main/java/org/granitepath/transport/HttpResponse.java
+++ b/src/main/java/org/granitepath/transport/HttpResponse.java
@@ -52,7 +52,7 @@
     @Nullable
     Map<String, Object> json() {
         String text = text();
-        return isMissing() || text == null ? null : Json.object(text);
+        return isMissing() || text == null ? null : Json.decodeObject(text);
     }
 
     /** The body as a JSON object; null when the status is another than OK or the body is no JSON object. */
--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -42,7 +42,7 @@
             fields.put("expect_s", service ? 0.0 : runMillis / 1e3);
             fields.put("snapshot_s", 0.0);
             fields.put("flush_s", 0.0);
-            return Json.text(fields);
+            return Json.encode(fields);
         }
     }
 
--- a/src/test/java/org/granitepath/loopback/ControllerProcess.java
+++ b/src/test/java/org/granitepath/loopback/ControllerProcess.java
@@ -112,7 +112,7 @@
         try {
             HttpResponse<String> response =
                     client.send(request.timeout(CALL_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
-            return new Reply(response.statusCode(), Json.object(response.body()));
+            return new Reply(response.statusCode(), Json.decodeObject(response.body()));
         } catch (IOException e) {
             return new Reply(0, Map.of());
         }
--- a/src/test/java/org/granitepath/loopback/HttpStandIn.java
+++ b/src/test/java/org/granitepath/loopback/HttpStandIn.java
@@ -59,8 +59,8 @@
                     exchange.getRequestMethod(),
                     exchange.getRequestURI().getPath(),
                     query(exchange.getRequestURI().getQuery()),
-                    body.isEmpty() ? Map.of() : Json.object(body));
-            byte[] bytes = Json.text(answer.body()).getBytes(StandardCharsets.UTF_8);
+                    body.isEmpty() ? Map.of() : Json.decodeObject(body));
+            byte[] bytes = Json.encode(answer.body()).getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(answer.status(), bytes.length);
             exchange.getResponseBody().write(bytes);
         }
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -151,7 +151,7 @@
             advance();
             changed = false;
             ofAgentEpoch = agentEpoch;
-            body = Json.text(heartbeat());
+            body = Json.encode(heartbeat());
         }
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://" + deployment.controllers().get(node) + "/agent/beat"))
@@ -160,7 +160,7 @@
                 .build();
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            Map<String, Object> answer = Json.object(response.body());
+            Map<String, Object> answer = Json.decodeObject(response.body());
             if (response.statusCode() == 200 && answer != null) {
                 accept(answer, ofAgentEpoch, sent);
                 return node;
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -36,7 +36,7 @@
         assertEquals(900_000_000, spec.deadlineMicros());
         assertEquals(List.of("g8"), spec.types());
         assertFalse(spec.service());
-        assertEquals(spec, JobSpecCodec.decode(Json.object(Json.text(JobSpecCodec.encode(spec)))));
+        assertEquals(spec, JobSpecCodec.decode(Json.decodeObject(Json.encode(JobSpecCodec.encode(spec)))));
     }
 
     @ParameterizedTest
@@ -115,7 +115,7 @@
 
     @Test
     void commandsAreEncoded() {
-        Map<String, Object> answer = Json.object(WorkerCodec.encode(
+        Map<String, Object> answer = Json.decodeObject(WorkerCodec.encode(
                 new HeartbeatResponse.Accepted(41, List.of(WorkerCommand.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
         assertEquals(
                 Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
@@ -167,19 +167,19 @@
         assertEquals(
                 new Committed(Outcome.CONFLICT, 12, List.of("g/leader")),
                 KeyValueStoreCodec.decodeCommitted(
-                        Outcome.CONFLICT, Json.object("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
+                        Outcome.CONFLICT, Json.decodeObject("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
         assertEquals(
                 new Committed(Outcome.REFUSED, 0, List.of()),
-                KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.object("{\"error\":\"busy\"}")));
+                KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.decodeObject("{\"error\":\"busy\"}")));
     }
 
     @Test
     void answersOfTheCloudAreRead() {
-        assertTrue(CloudCodec.isNoCapacity(Json.object("{\"error\":\"no capacity\"}")));
-        assertFalse(CloudCodec.isNoCapacity(Json.object("{\"error\":\"busy\"}")));
+        assertTrue(CloudCodec.isNoCapacity(Json.decodeObject("{\"error\":\"no capacity\"}")));
+        assertFalse(CloudCodec.isNoCapacity(Json.decodeObject("{\"error\":\"busy\"}")));
         assertFalse(CloudCodec.isNoCapacity(Map.of()));
-        assertTrue(CloudCodec.hasMore(Json.object("{\"hosts\":[],\"has_next\":true}")));
-        assertFalse(CloudCodec.hasMore(Json.object("{\"hosts\":[]}")));
+        assertTrue(CloudCodec.hasMore(Json.decodeObject("{\"hosts\":[],\"has_next\":true}")));
+        assertFalse(CloudCodec.hasMore(Json.decodeObject("{\"hosts\":[]}")));
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -147,11 +147,11 @@
 
     @Test
     void answersOfTheCloud() {
-        assertEquals(List.of("i-1"), CloudCodec.decodeHosts(Json.object("{\"hosts\":[\"i-1\"]}")));
+        assertEquals(List.of("i-1"), CloudCodec.decodeHosts(Json.decodeObject("{\"hosts\":[\"i-1\"]}")));
         assertEquals(
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))),
                 CloudCodec.decodeTypes(
-                        Json.object("{\"models\":[{\"sku\":\"g8\",\"cpus\":96,\"cards\":8,\"mem_gb\":768,"
+                        Json.decodeObject("{\"models\":[{\"sku\":\"g8\",\"cpus\":96,\"cards\":8,\"mem_gb\":768,"
                                 + "\"cache_gb\":200,\"fetch_gb_per_s\":1.0,\"rate\":12.0,"
                                 + "\"market_price\":4.5,\"ready_s\":45,"
                                 + "\"sites\":[\"a\",\"b\"]}]}")));
@@ -162,7 +162,7 @@
     void machinesAsTheCloudListsThem(String word, MachineState state) {
         assertEquals(
                 List.of(new ListedMachine("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
-                CloudCodec.decodeListing(Json.object("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
+                CloudCodec.decodeListing(Json.decodeObject("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
                         + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + word
                         + "\",\"held_s\":61.5}],\"has_next\":false}")));
     }
@@ -178,10 +178,11 @@
                         Change.write("g/f/run-2", new FinalRecord(FinalRecord.Outcome.CANCELLED)),
                         Change.remove("c/d")));
         assertEquals(
-                Json.object("{\"guards\":[{\"key\":\"g/leader\",\"stamp\":412}],\"apply\":[{\"write\":\"g/f/run-1\","
-                        + "\"v\":{\"how\":0},\"permit\":7},{\"write\":\"g/f/run-2\",\"v\":{\"how\":1}},"
-                        + "{\"remove\":\"c/d\"}]}"),
-                Json.object(KeyValueStoreCodec.encodeTransaction(transaction)));
+                Json.decodeObject(
+                        "{\"guards\":[{\"key\":\"g/leader\",\"stamp\":412}],\"apply\":[{\"write\":\"g/f/run-1\","
+                                + "\"v\":{\"how\":0},\"permit\":7},{\"write\":\"g/f/run-2\",\"v\":{\"how\":1}},"
+                                + "{\"remove\":\"c/d\"}]}"),
+                Json.decodeObject(KeyValueStoreCodec.encodeTransaction(transaction)));
     }
 
     @Test
@@ -189,7 +190,7 @@
         assertEquals(
                 new Page(Outcome.OK, List.of(new Item("a/b", Map.of("x", 1), 412)), true, 431),
                 KeyValueStoreCodec.decodeList(
-                        Json.object("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
+                        Json.decodeObject("{\"items\":[{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412}],"
                                 + "\"has_next\":true,\"epoch\":431}")));
         assertEquals(
                 new Page(
@@ -198,9 +199,9 @@
                         false,
                         433),
                 KeyValueStoreCodec.decodeFollow(
-                        Json.object("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
+                        Json.decodeObject("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
                                 + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
-        assertEquals(7, KeyValueStoreCodec.decodeLease(Json.object("{\"permit\":7}")));
+        assertEquals(7, KeyValueStoreCodec.decodeLease(Json.decodeObject("{\"permit\":7}")));
     }
 
     @Test
@@ -209,8 +210,8 @@
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))));
         String json = "{\"types\":[{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,"
                 + "\"price\":12.0,\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}]}";
-        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
-        assertEquals(record, StoredRecordCodec.decode(Keys.TYPES, Json.object(json)));
+        assertEquals(json, Json.encode(StoredRecordCodec.encode(record)));
+        assertEquals(record, StoredRecordCodec.decode(Keys.TYPES, Json.decodeObject(json)));
     }
 
     // ---- users and operators -----------------------------------------------------------------------------------
@@ -282,6 +283,6 @@
         assertEquals(
                 "{\"node\":\"n1\",\"role\":\"unknown\",\"reason\":\"starting\",\"unreadable_records\":0}",
                 RecoveryStatusCodec.encode(RecoveryStatus.withoutTerm("n1", Role.UNKNOWN, null, "starting", -1, 0)));
-        assertNull(Json.object("nonsense"));
+        assertNull(Json.decodeObject("nonsense"));
     }
 }
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -50,22 +50,22 @@
     @Test
     void jobs() throws MalformedRecordException {
         String json = "{\"spec\":" + SPEC + ",\"at\":1700000000000000,\"claimed\":6,\"term\":41}";
-        JobRecord record = (JobRecord) StoredRecordCodec.decode(Keys.job("run-000412"), Json.object(json));
+        JobRecord record = (JobRecord) StoredRecordCodec.decode(Keys.job("run-000412"), Json.decodeObject(json));
         assertEquals(JobSpec.Shape.BATCH, record.spec().shape());
         assertEquals("HIGH", record.spec().priority().name());
-        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
+        assertEquals(json, Json.encode(StoredRecordCodec.encode(record)));
     }
 
     @Test
     void services() {
         String json = SPEC.replace("\"shape\":0", "\"shape\":2").replace("\"rank\":1", "\"rank\":0");
-        JobSpec spec = JobSpecCodec.decode(Json.object(json));
+        JobSpec spec = JobSpecCodec.decode(Json.decodeObject(json));
         assertEquals(JobSpec.Shape.SERVICE, spec.shape());
         assertEquals("CRITICAL", spec.priority().name());
-        assertEquals(json, Json.text(JobSpecCodec.encode(spec)));
+        assertEquals(json, Json.encode(JobSpecCodec.encode(spec)));
         assertEquals(
                 JobSpec.Shape.GANG,
-                JobSpecCodec.decode(Json.object(SPEC.replace("\"shape\":0", "\"shape\":1")))
+                JobSpecCodec.decode(Json.decodeObject(SPEC.replace("\"shape\":0", "\"shape\":1")))
                         .shape());
     }
 
@@ -73,33 +73,33 @@
     void progress() throws MalformedRecordException {
         String json = "{\"owner\":\"worker-1\",\"claimed\":12,\"done\":[0,3,5,6],\"running\":4}";
         ProgressRecord record =
-                (ProgressRecord) StoredRecordCodec.decode(Keys.progress("run-000412"), Json.object(json));
+                (ProgressRecord) StoredRecordCodec.decode(Keys.progress("run-000412"), Json.decodeObject(json));
         assertEquals(4, ProgressRecord.count(record.done()));
-        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
+        assertEquals(json, Json.encode(StoredRecordCodec.encode(record)));
     }
 
     @Test
     void finalStates() {
-        assertEquals("{\"how\":0}", Json.text(StoredRecordCodec.encode(new FinalRecord(FinalRecord.Outcome.DONE))));
+        assertEquals("{\"how\":0}", Json.encode(StoredRecordCodec.encode(new FinalRecord(FinalRecord.Outcome.DONE))));
         assertEquals(
-                "{\"how\":1}", Json.text(StoredRecordCodec.encode(new FinalRecord(FinalRecord.Outcome.CANCELLED))));
+                "{\"how\":1}", Json.encode(StoredRecordCodec.encode(new FinalRecord(FinalRecord.Outcome.CANCELLED))));
     }
 
     @Test
     void machines() throws MalformedRecordException {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
-        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventory(0), Json.object(json));
+        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventory(0), Json.decodeObject(json));
         assertEquals(
                 new InventoryRecord.Host("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.hosts().get(0));
-        assertEquals(json, Json.text(StoredRecordCodec.encode(record)));
+        assertEquals(json, Json.encode(StoredRecordCodec.encode(record)));
     }
 
     @Test
     void machineTypes() {
         String json = "{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,\"price\":12.0,"
                 + "\"spot\":4.5,\"boot\":45000000,\"zones\":[\"a\",\"b\"]}";
-        assertEquals(json, Json.text(MachineTypeCodec.encode(MachineTypeCodec.decode(Json.object(json)))));
+        assertEquals(json, Json.encode(MachineTypeCodec.encode(MachineTypeCodec.decode(Json.decodeObject(json)))));
     }
 
     @Test
@@ -114,7 +114,7 @@
 
     @Test
     void leaseRequests() {
-        assertEquals(Map.of("life_ms", 3000), Json.object(KeyValueStoreCodec.encodeLease(3_000_000)));
+        assertEquals(Map.of("life_ms", 3000), Json.decodeObject(KeyValueStoreCodec.encodeLease(3_000_000)));
     }
 
     @Test
@@ -122,16 +122,17 @@
         LeaderRecord leader = new LeaderRecord("worker-1", "worker-1-2", 41);
         assertEquals(
                 "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41}",
-                Json.text(StoredRecordCodec.encode(leader)));
+                Json.encode(StoredRecordCodec.encode(leader)));
         String former = "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41,\"at\":1700000000000000}";
-        assertEquals(leader, StoredRecordCodec.decode(Keys.LEADER, Json.object(former)));
+        assertEquals(leader, StoredRecordCodec.decode(Keys.LEADER, Json.decodeObject(former)));
         FencingTokenRecord token = new FencingTokenRecord("worker-1", 41, 43);
         assertEquals(
                 Map.of("owner", "worker-1", "term", 41, "last", 43),
-                Json.object(Json.text(StoredRecordCodec.encode(token))));
+                Json.decodeObject(Json.encode(StoredRecordCodec.encode(token))));
         assertEquals(
                 token,
-                StoredRecordCodec.decode(Keys.FENCING_TOKEN, Json.object(Json.text(StoredRecordCodec.encode(token)))));
+                StoredRecordCodec.decode(
+                        Keys.FENCING_TOKEN, Json.decodeObject(Json.encode(StoredRecordCodec.encode(token)))));
     }
 
     /** What can't be read is an error that names the record; kinds of later versions are let be. */
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -197,7 +197,7 @@
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
         ProgressRecord kept = whole.atMost(2048);
-        assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
+        assertTrue(Json.encode(StoredRecordCodec.encode(kept)).length() <= 2048);
         assertTrue(kept.done().encloses(Range.closedOpen(3_000, 3_500)));
         assertTrue(ProgressRecord.count(kept.done()) > 600, ProgressRecord.count(kept.done()) + " kept");
         assertEquals(whole, whole.atMost(100_000));
@@ -208,7 +208,7 @@
     void sizesAreNotUnderrated() {
         StoredRecord record = new UnknownRecord(
                 Map.of("a\"\\/", List.of(1, 2.5, true, "\u0001\u00e9\u4e2d"), "b", Map.of("c", List.of(), "d", -17L)));
-        int bytes = Json.text(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
+        int bytes = Json.encode(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
         assertTrue(RecordSize.of(record) >= bytes, RecordSize.of(record) + " < " + bytes);
     }
 }
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -87,7 +87,7 @@
 
     /** The order of the fields of an encoded object means nothing and may differ from one process to the next. */
     private static String sorted(String json) {
-        return Json.text(sorted(Json.object(json)));
+        return Json.encode(sorted(Json.decodeObject(json)));
     }
 
     private static Object sorted(Object value) {
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -128,7 +128,7 @@
     }
 
     private static KeyValueStore.Item item(String key, @Nullable String json, long revision) {
-        return new KeyValueStore.Item(key, json == null ? null : Json.object(json), revision);
+        return new KeyValueStore.Item(key, json == null ? null : Json.decodeObject(json), revision);
     }
 
     private KeyValueStore.Page page(List<KeyValueStore.Item> items, boolean more) {
--- a/src/test/java/org/granitepath/simulation/TransactionLimits.java
+++ b/src/test/java/org/granitepath/simulation/TransactionLimits.java
@@ -20,6 +20,6 @@
 
     /** The value as the store keeps it. */
     static String json(KeyValueStore.Change change) {
-        return Json.text(StoredRecordCodec.encode(change.record()));
+        return Json.encode(StoredRecordCodec.encode(change.record()));
     }
 }
