--- a/src/main/java/org/granitepath/cli/TomlFields.java
+++ b/src/main/java/org/granitepath/cli/TomlFields.java
@@ -144,12 +144,12 @@
 
     /** A time in seconds, which may be zero. */
     long micros(String path) throws InvalidSettingException {
-        return Units.micros(number(path, 0));
+        return Units.secondsToMicros(number(path, 0));
     }
 
     /** A time in seconds, which is more than zero. */
     long positiveMicros(String path) throws InvalidSettingException {
-        return Units.micros(number(path, MIN_POSITIVE_SECONDS));
+        return Units.secondsToMicros(number(path, MIN_POSITIVE_SECONDS));
     }
 
     /** A time in seconds, which is more than zero; {@code otherwise} if it is missing. */
--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -114,7 +114,7 @@
 
     private long micros(String name, long otherwiseMicros, double leastSeconds, double mostSeconds)
             throws InvalidSettingException {
-        return Units.micros(number(name, Units.seconds(otherwiseMicros), leastSeconds, mostSeconds));
+        return Units.secondsToMicros(number(name, Units.microsToSeconds(otherwiseMicros), leastSeconds, mostSeconds));
     }
 
     private double number(String name, double otherwise, double least, double most) throws InvalidSettingException {
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -43,7 +43,7 @@
                             Fields.doubleOf(fields, "fetch_gb_per_s", DEFAULT_FETCH_GB_PER_SECOND)),
                     Fields.doubleOf(fields, "rate", 0),
                     Fields.doubleOf(fields, "market_price", 0),
-                    Units.micros(Fields.doubleOf(fields, "ready_s", DEFAULT_BOOT_SECONDS)),
+                    Units.secondsToMicros(Fields.doubleOf(fields, "ready_s", DEFAULT_BOOT_SECONDS)),
                     Fields.textsOf(fields, "sites")));
         }
         return types;
@@ -51,7 +51,7 @@
 
     /** In thousandths: a machine is not taken for larger than it is. */
     private static long thousandths(Map<String, Object> fields, String name) {
-        return Units.thousandthsOffered(Fields.doubleOf(fields, name, 0));
+        return Units.toThousandthsRoundedDown(Fields.doubleOf(fields, name, 0));
     }
 
     /** The request for a launch. */
@@ -87,7 +87,7 @@
                     Fields.textOf(fields, "site", UNKNOWN),
                     Fields.boolOf(fields, "loaner"),
                     hostState(String.valueOf(fields.get("status"))),
-                    Units.micros(Fields.doubleOf(fields, "held_s", 0))));
+                    Units.secondsToMicros(Fields.doubleOf(fields, "held_s", 0))));
         }
         return hosts;
     }
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -21,7 +21,7 @@
         }
         fields.put("reason", status.reason());
         if (status.recordsAgeMicros() >= 0) {
-            fields.put("records_age_s", Units.seconds(status.recordsAgeMicros()));
+            fields.put("records_age_s", Units.microsToSeconds(status.recordsAgeMicros()));
         }
         fields.put("unreadable_records", status.unreadableRecords());
         if (status.term() != null) {
@@ -44,7 +44,7 @@
         if (hold != null) {
             fields.put("held_for", hold.waitsFor());
             if (hold.remainingMicros() >= 0) {
-                fields.put("held_at_most_s", Units.seconds(hold.remainingMicros()));
+                fields.put("held_at_most_s", Units.microsToSeconds(hold.remainingMicros()));
             }
         }
     }
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -144,11 +144,11 @@
 
     /** In thousandths: a task gets no less than was asked for. */
     private static long thousandths(Map<String, Object> fields, String name) throws Malformed {
-        return Units.thousandthsRequested(amount(fields, name));
+        return Units.toThousandthsRoundedUp(amount(fields, name));
     }
 
     private static long micros(Map<String, Object> fields, String name) throws Malformed {
-        return Units.micros(amount(fields, name));
+        return Units.secondsToMicros(amount(fields, name));
     }
 
     /** The status that tells the user how the request ended. */
--- a/src/main/java/org/granitepath/protocol/Units.java
+++ b/src/main/java/org/granitepath/protocol/Units.java
@@ -13,22 +13,22 @@
     private Units() {}
 
     /** Seconds in microseconds, rounded to the nearest. */
-    public static long micros(double seconds) {
+    public static long secondsToMicros(double seconds) {
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
     /** Microseconds in seconds. */
-    public static double seconds(long micros) {
+    public static double microsToSeconds(long micros) {
         return micros / MICROS_PER_SECOND;
     }
 
     /** An amount in thousandths, rounded down: what is offered is not taken for more than it is. */
-    static long thousandthsOffered(double amount) {
+    static long toThousandthsRoundedDown(double amount) {
         return (long) Math.floor(amount * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE);
     }
 
     /** An amount in thousandths, rounded up: who asks for it gets no less. */
-    static long thousandthsRequested(double amount) {
+    static long toThousandthsRoundedUp(double amount) {
         return (long) Math.ceil(amount * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE);
     }
 }
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -77,7 +77,7 @@
     }
 
     private static long noticeMicros(double seconds) {
-        return seconds < 0 ? NO_NOTICE : Units.micros(seconds);
+        return seconds < 0 ? NO_NOTICE : Units.secondsToMicros(seconds);
     }
 
     /** Null when one of them can't be read. */
@@ -200,7 +200,7 @@
         fields.put(PIECE, command.task().toString());
         fields.put(TRY, command.attempt());
         if (command.verb() == WorkerCommand.Verb.STOP) {
-            fields.put("leeway_s", Units.seconds(command.graceMicros()));
+            fields.put("leeway_s", Units.microsToSeconds(command.graceMicros()));
         }
         return fields;
     }
