--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -50,7 +50,7 @@
     }
 
     /** Reads a notice of a cancellation; null when it is none that we understand. */
-    public static @Nullable CancellationNotice decodeCancelled(byte[] bytes) {
+    public static @Nullable CancellationNotice decodeCancellation(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < CANCELLATION_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
@@ -63,7 +63,7 @@
     }
 
     /** Reads a status message; null when it is none that we understand. */
-    public static @Nullable PeerStatus decode(byte[] bytes) {
+    public static @Nullable PeerStatus decodeStatus(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < STATUS_FIELDS || unpacker.unpackInt() != VERSION) {
                 return null;
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -30,7 +30,7 @@
 
     private static @Nullable PeerStatus status(HttpResponse answer) {
         byte[] body = answer.body();
-        return answer.isOk() && body != null ? PeerCodec.decode(body) : null;
+        return answer.isOk() && body != null ? PeerCodec.decodeStatus(body) : null;
     }
 
     @Override
--- a/src/main/java/org/granitepath/transport/PeerServer.java
+++ b/src/main/java/org/granitepath/transport/PeerServer.java
@@ -42,7 +42,7 @@
     }
 
     private void exchangeStatus(HttpServerExchange exchange, byte[] bytes) {
-        PeerPort.PeerStatus theirs = PeerCodec.decode(bytes);
+        PeerPort.PeerStatus theirs = PeerCodec.decodeStatus(bytes);
         if (theirs == null) {
             exchange.setStatusCode(HttpStatus.BAD_REQUEST).endExchange();
             return;
@@ -52,7 +52,7 @@
     }
 
     private void receiveCancellation(HttpServerExchange exchange, byte[] bytes) {
-        PeerPort.CancellationNotice notice = PeerCodec.decodeCancelled(bytes);
+        PeerPort.CancellationNotice notice = PeerCodec.decodeCancellation(bytes);
         if (notice == null) {
             exchange.setStatusCode(HttpStatus.BAD_REQUEST);
         } else {
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -125,12 +125,12 @@
     @Test
     void messagesPassBetweenControllers() {
         PeerPort.PeerStatus status = new PeerPort.PeerStatus("worker-1", 1234, true, 17);
-        assertEquals(status, PeerCodec.decode(PeerCodec.encode(status)));
-        assertNull(PeerCodec.decode(new byte[] {1, 2, 3}));
+        assertEquals(status, PeerCodec.decodeStatus(PeerCodec.encode(status)));
+        assertNull(PeerCodec.decodeStatus(new byte[] {1, 2, 3}));
         PeerPort.CancellationNotice notice = new PeerPort.CancellationNotice("run-000412", 77);
-        assertEquals(notice, PeerCodec.decodeCancelled(PeerCodec.encode(notice)));
-        assertNull(PeerCodec.decodeCancelled(PeerCodec.encode(new PeerPort.CancellationNotice("no job", 77))));
-        assertNull(PeerCodec.decodeCancelled(new byte[] {1, 2, 3}));
+        assertEquals(notice, PeerCodec.decodeCancellation(PeerCodec.encode(notice)));
+        assertNull(PeerCodec.decodeCancellation(PeerCodec.encode(new PeerPort.CancellationNotice("no job", 77))));
+        assertNull(PeerCodec.decodeCancellation(new byte[] {1, 2, 3}));
     }
 
     /** Words that a newer platform may use: the task counts as on its machine, or as exited, and nothing fails. */
