--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -29,7 +29,7 @@
     private CloudCodec() {}
 
     /** Reads the machine types that the cloud launches. */
-    public static List<MachineType> decodeTypes(Map<String, Object> body) {
+    public static List<MachineType> decodeMachineTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
         for (Object element : Fields.listOf(body, "models")) {
             Map<String, Object> fields = Fields.requiredObject(element, "models");
@@ -66,12 +66,12 @@
     }
 
     /** The request to return machines. */
-    public static String encodeHosts(List<String> hosts) {
+    public static String encodeTermination(List<String> hosts) {
         return Json.encode(Map.of(HOSTS, hosts));
     }
 
     /** Reads the names of the machines that a launch brought. */
-    public static List<String> decodeHosts(Map<String, Object> body) {
+    public static List<String> decodeLaunchedMachines(Map<String, Object> body) {
         return Fields.textsOf(body, HOSTS);
     }
 
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -23,7 +23,7 @@
     public void fetchMachineTypes(Consumer<List<MachineType>> then) {
         cloud.get("/flavors", answer -> {
             Map<String, Object> body = answer.jsonIfOk();
-            then.accept(body == null ? null : CloudCodec.decodeTypes(body));
+            then.accept(body == null ? null : CloudCodec.decodeMachineTypes(body));
         });
     }
 
@@ -35,7 +35,7 @@
     private static LaunchResult launchResult(HttpResponse answer) {
         Map<String, Object> body = answer.json();
         if (answer.isOk() && body != null) {
-            return new LaunchResult(Outcome.OK, CloudCodec.decodeHosts(body));
+            return new LaunchResult(Outcome.OK, CloudCodec.decodeLaunchedMachines(body));
         }
         if (answer.status() == HttpStatus.SERVICE_UNAVAILABLE && body != null && CloudCodec.isNoCapacity(body)) {
             return new LaunchResult(Outcome.NO_CAPACITY, List.of());
@@ -45,7 +45,7 @@
 
     @Override
     public void terminate(List<String> hosts, Consumer<Boolean> then) {
-        cloud.post("/rentals/return", CloudCodec.encodeHosts(hosts), answer -> then.accept(answer.isOk()));
+        cloud.post("/rentals/return", CloudCodec.encodeTermination(hosts), answer -> then.accept(answer.isOk()));
     }
 
     @Override
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -142,15 +142,15 @@
         assertEquals(
                 "{\"booking\":\"b41-1\",\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"count\":12}",
                 CloudCodec.encodeLaunch(new LaunchRequest("b41-1", "g8", "a", true, 12)));
-        assertEquals("{\"hosts\":[\"i-1\",\"i-2\"]}", CloudCodec.encodeHosts(List.of("i-1", "i-2")));
+        assertEquals("{\"hosts\":[\"i-1\",\"i-2\"]}", CloudCodec.encodeTermination(List.of("i-1", "i-2")));
     }
 
     @Test
     void answersOfTheCloud() {
-        assertEquals(List.of("i-1"), CloudCodec.decodeHosts(Json.decodeObject("{\"hosts\":[\"i-1\"]}")));
+        assertEquals(List.of("i-1"), CloudCodec.decodeLaunchedMachines(Json.decodeObject("{\"hosts\":[\"i-1\"]}")));
         assertEquals(
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))),
-                CloudCodec.decodeTypes(
+                CloudCodec.decodeMachineTypes(
                         Json.decodeObject("{\"models\":[{\"sku\":\"g8\",\"cpus\":96,\"cards\":8,\"mem_gb\":768,"
                                 + "\"cache_gb\":200,\"fetch_gb_per_s\":1.0,\"rate\":12.0,"
                                 + "\"market_price\":4.5,\"ready_s\":45,"
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -164,7 +164,7 @@
 
             @Override
             public void terminate(List<String> hosts, Consumer<Boolean> then) {
-                add(node, "return", CloudCodec.encodeHosts(hosts));
+                add(node, "return", CloudCodec.encodeTermination(hosts));
                 port.terminate(hosts, then);
             }
 
