--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -79,7 +79,7 @@
     }
 
     /** Reads the changes that a watch brought. */
-    public static Page decodeFollow(Map<String, Object> body) {
+    public static Page decodeEvents(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
         for (Object element : Fields.listOf(body, "events")) {
             Map<String, Object> fields = Fields.requiredObject(element, "events");
@@ -93,7 +93,7 @@
     }
 
     /** The request for a lease. */
-    public static String encodeLease(long lifeMicros) {
+    public static String encodeLeaseRequest(long lifeMicros) {
         return Json.encode(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
     }
 
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -49,12 +49,12 @@
         store.get(
                 path,
                 waitMicros + TIMEOUT_MICROS,
-                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeFollow)));
+                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeEvents)));
     }
 
     @Override
     public void openLease(long lifeMicros, Consumer<Leased> then) {
-        store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
+        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), answer -> {
             Map<String, Object> body = answer.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
             then.accept(new Leased(outcome(answer.status(), body), lease));
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -198,7 +198,7 @@
                         List.of(new Item("c/9", Map.of("x", 1), 433), new Item("c/d", null, 432)),
                         false,
                         433),
-                KeyValueStoreCodec.decodeFollow(
+                KeyValueStoreCodec.decodeEvents(
                         Json.decodeObject("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
                                 + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
         assertEquals(7, KeyValueStoreCodec.decodeLease(Json.decodeObject("{\"permit\":7}")));
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -114,7 +114,7 @@
 
     @Test
     void leaseRequests() {
-        assertEquals(Map.of("life_ms", 3000), Json.decodeObject(KeyValueStoreCodec.encodeLease(3_000_000)));
+        assertEquals(Map.of("life_ms", 3000), Json.decodeObject(KeyValueStoreCodec.encodeLeaseRequest(3_000_000)));
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -136,7 +136,7 @@
 
             @Override
             public void openLease(long lifeMicros, Consumer<Leased> then) {
-                add(node, "open lease", KeyValueStoreCodec.encodeLease(lifeMicros));
+                add(node, "open lease", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros));
                 port.openLease(lifeMicros, then);
             }
 
