--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -28,10 +28,10 @@
     private static final String ERROR = "error";
 
     /** Why a submission is malformed, in words for its sender. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedSubmissionException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Malformed(String reason) {
+        MalformedSubmissionException(String reason) {
             super(reason);
         }
     }
@@ -44,17 +44,17 @@
     }
 
     /** Reads and checks a submission. */
-    public static JobSpec decode(String body) throws Malformed {
+    public static JobSpec decode(String body) throws MalformedSubmissionException {
         Map<String, Object> fields = Json.decodeObject(body);
         if (fields == null) {
-            throw new Malformed("not a JSON object");
+            throw new MalformedSubmissionException("not a JSON object");
         }
         String id = text(fields, "uid");
         if (!isJobId(id)) {
-            throw new Malformed("uid: not a job id");
+            throw new MalformedSubmissionException("uid: not a job id");
         }
         if (!(fields.get("pieces") instanceof Integer pieces) || pieces < 1 || pieces > MAX_TASKS) {
-            throw new Malformed("pieces: must be a whole number from 1 to " + MAX_TASKS);
+            throw new MalformedSubmissionException("pieces: must be a whole number from 1 to " + MAX_TASKS);
         }
         Object due = fields.get("due_s");
         return new JobSpec(
@@ -80,74 +80,75 @@
                 due == null ? JobSpec.NO_DEADLINE : micros(fields, "due_s"));
     }
 
-    private static JobSpec.Shape shape(String word) throws Malformed {
+    private static JobSpec.Shape shape(String word) throws MalformedSubmissionException {
         return switch (word) {
             case "batch" -> JobSpec.Shape.BATCH;
             case "gang" -> JobSpec.Shape.GANG;
             case "daemon" -> JobSpec.Shape.SERVICE;
-            default -> throw new Malformed("shape: must be batch, gang or daemon");
+            default -> throw new MalformedSubmissionException("shape: must be batch, gang or daemon");
         };
     }
 
-    private static Priority priority(String word) throws Malformed {
+    private static Priority priority(String word) throws MalformedSubmissionException {
         return switch (word) {
             case "critical" -> Priority.CRITICAL;
             case "high" -> Priority.HIGH;
             case "standard" -> Priority.STANDARD;
             case "best_effort" -> Priority.BEST_EFFORT;
-            default -> throw new Malformed("rank: must be critical, high, standard or best_effort");
+            default -> throw new MalformedSubmissionException("rank: must be critical, high, standard or best_effort");
         };
     }
 
     /** Null: any. */
-    private static @Nullable List<String> machineTypes(@Nullable Object value) throws Malformed {
+    private static @Nullable List<String> machineTypes(@Nullable Object value) throws MalformedSubmissionException {
         if (value == null) {
             return null;
         }
         if (!(value instanceof List<?> list)) {
-            throw new Malformed("models: must be a list of names or null");
+            throw new MalformedSubmissionException("models: must be a list of names or null");
         }
         List<String> names = new ArrayList<>();
         for (Object element : list) {
             if (!(element instanceof String name)) {
-                throw new Malformed("models: must be a list of names or null");
+                throw new MalformedSubmissionException("models: must be a list of names or null");
             }
             names.add(name);
         }
         return names;
     }
 
-    private static String text(Map<String, Object> fields, String name) throws Malformed {
+    private static String text(Map<String, Object> fields, String name) throws MalformedSubmissionException {
         if (!(fields.get(name) instanceof String text) || text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
-            throw new Malformed(name + ": must be a text of 1 to " + MAX_NAME_LENGTH + " characters");
+            throw new MalformedSubmissionException(
+                    name + ": must be a text of 1 to " + MAX_NAME_LENGTH + " characters");
         }
         return text;
     }
 
-    private static boolean flag(Map<String, Object> fields, String name) throws Malformed {
+    private static boolean flag(Map<String, Object> fields, String name) throws MalformedSubmissionException {
         if (!(fields.get(name) instanceof Boolean flag)) {
-            throw new Malformed(name + ": must be true or false");
+            throw new MalformedSubmissionException(name + ": must be true or false");
         }
         return flag;
     }
 
-    private static double amount(Map<String, Object> fields, String name) throws Malformed {
+    private static double amount(Map<String, Object> fields, String name) throws MalformedSubmissionException {
         if (!(fields.get(name) instanceof Number number)) {
-            throw new Malformed(name + ": must be a number");
+            throw new MalformedSubmissionException(name + ": must be a number");
         }
         double amount = number.doubleValue();
         if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
-            throw new Malformed(name + ": must be from 0 to " + (long) MAX_AMOUNT);
+            throw new MalformedSubmissionException(name + ": must be from 0 to " + (long) MAX_AMOUNT);
         }
         return amount;
     }
 
     /** In thousandths: a task gets no less than was asked for. */
-    private static long thousandths(Map<String, Object> fields, String name) throws Malformed {
+    private static long thousandths(Map<String, Object> fields, String name) throws MalformedSubmissionException {
         return Units.toThousandthsRoundedUp(amount(fields, name));
     }
 
-    private static long micros(Map<String, Object> fields, String name) throws Malformed {
+    private static long micros(Map<String, Object> fields, String name) throws MalformedSubmissionException {
         return Units.secondsToMicros(amount(fields, name));
     }
 
@@ -182,7 +183,7 @@
     }
 
     /** The body of the answer to a user whose submission is malformed. */
-    public static String encode(Malformed malformed) {
+    public static String encode(MalformedSubmissionException malformed) {
         return Json.encode(Map.of(ERROR, malformed.getMessage()));
     }
 
--- a/src/main/java/org/granitepath/transport/ApiServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -99,7 +99,7 @@
     private void submit(HttpServerExchange exchange, String text) {
         try {
             controller.submit(SubmissionCodec.decode(text), response -> answer(exchange, response));
-        } catch (SubmissionCodec.Malformed e) {
+        } catch (SubmissionCodec.MalformedSubmissionException e) {
             reply(exchange, HttpStatus.BAD_REQUEST, SubmissionCodec.encode(e));
         }
     }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -30,7 +30,7 @@
             + "\"due_s\":900.0,\"new_field\":{\"a\":[1]}}";
 
     @Test
-    void submissionIsRead() throws SubmissionCodec.Malformed {
+    void submissionIsRead() throws SubmissionCodec.MalformedSubmissionException {
         JobSpec spec = SubmissionCodec.decode(GOOD);
         assertEquals(8_000, spec.cpuMillis());
         assertEquals(900_000_000, spec.deadlineMicros());
@@ -64,7 +64,7 @@
         int at = change.indexOf('>');
         assertTrue(GOOD.contains(change.substring(0, at)), change);
         String body = GOOD.replace(change.substring(0, at), change.substring(at + 1));
-        assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
+        assertThrows(SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
     }
 
     @Test
@@ -184,8 +184,8 @@
 
     @Test
     void malformedSubmissionsAreAnswered() {
-        SubmissionCodec.Malformed malformed =
-                assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode("[]"));
+        SubmissionCodec.MalformedSubmissionException malformed =
+                assertThrows(SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode("[]"));
         assertEquals("{\"error\":\"not a JSON object\"}", SubmissionCodec.encode(malformed));
     }
 }
