--- a/src/main/java/org/granitepath/cli/Command.java
+++ b/src/main/java/org/granitepath/cli/Command.java
@@ -15,7 +15,7 @@
     /** The exit status of a command that could not go on. */
     static final int FAILED = 1;
     /** The exit status for arguments or settings that can't be used. */
-    static final int BAD_USE = 2;
+    static final int USAGE_ERROR = 2;
 
     @Parameter(
             names = {"-h", "--help"},
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -30,10 +30,10 @@
             return run(args);
         } catch (InvalidSettingException e) {
             System.err.println("granitepath: " + e.getMessage());
-            return Command.BAD_USE;
+            return Command.USAGE_ERROR;
         } catch (ParameterException e) {
             System.err.println("granitepath: " + inOurWords(e));
-            return Command.BAD_USE;
+            return Command.USAGE_ERROR;
         } catch (Exception e) {
             // The outermost edge: whatever went wrong is told in one line, and the status says so.
             System.err.println("granitepath: can't go on: " + e.getMessage());
@@ -64,7 +64,7 @@
         }
         if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
             parser.usage();
-            return args.length == 0 ? Command.BAD_USE : Command.OK;
+            return args.length == 0 ? Command.USAGE_ERROR : Command.OK;
         }
         parser.parse(args);
         Command command = Objects.requireNonNull(commands.get(parser.getParsedCommand()), "no subcommand");
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -179,7 +179,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"serve --confg x", "serve", "serve --config /nonexistent", "dance"})
     void wrongUseEndsWithItsStatus(String commandLine) {
-        assertEquals(Command.BAD_USE, Main.execute(commandLine.split(" ")));
+        assertEquals(Command.USAGE_ERROR, Main.execute(commandLine.split(" ")));
     }
 
     @Test
