--- a/src/main/java/org/granitepath/cli/ConfigChecks.java
+++ b/src/main/java/org/granitepath/cli/ConfigValidator.java
@@ -7,22 +7,22 @@
 import org.granitepath.coordination.config.WorkerTiming;
 
 /** Finds settings that are well-formed each by itself but contradict each other. */
-final class ConfigChecks {
+final class ConfigValidator {
     private static final int MIN_HEARTBEATS_PER_LEASE = 2;
     private static final double MICROS_PER_TENTH_SECOND = 1e5;
     private static final int TENTHS_PER_SECOND = 10;
 
-    private ConfigChecks() {}
+    private ConfigValidator() {}
 
     /** Reports the first contradiction. */
-    static void check(Config config, boolean liveFirst) throws InvalidSettingException {
-        checkHold(config.tuning(), liveFirst);
-        checkTimes(config.workers());
-        checkTeams(config.teams().values());
+    static void validate(Config config, boolean liveFirst) throws InvalidSettingException {
+        validateHold(config.tuning(), liveFirst);
+        validateTimes(config.workers());
+        validateTeams(config.teams().values());
     }
 
     /** A hold that contradicts what else was asked for. */
-    private static void checkHold(Tuning tuning, boolean liveFirst) throws InvalidSettingException {
+    private static void validateHold(Tuning tuning, boolean liveFirst) throws InvalidSettingException {
         if (liveFirst && tuning.recoveryHoldMicros() == 0) {
             throw new InvalidSettingException("recovery-hold-s is 0, but --live-first asks for a hold");
         }
@@ -32,7 +32,7 @@
     }
 
     /** Times under which no rule could be kept, whatever the service does. */
-    private static void checkTimes(WorkerTiming times) throws InvalidSettingException {
+    private static void validateTimes(WorkerTiming times) throws InvalidSettingException {
         if (times.leaseMicros() < MIN_HEARTBEATS_PER_LEASE * times.heartbeatIntervalMicros()) {
             throw new InvalidSettingException(
                     "facts.workers.lease_s must be at least twice report_s, or leases run out between reports");
@@ -48,7 +48,7 @@
         }
     }
 
-    private static void checkTeams(Collection<Team> teams) throws InvalidSettingException {
+    private static void validateTeams(Collection<Team> teams) throws InvalidSettingException {
         for (Team team : teams) {
             if (team.cpuGuaranteeMillis() < 0
                     || team.cpuLimitMillis() < 0
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -44,7 +44,7 @@
         }
         long defaultHoldMicros = liveFirst ? fields.positiveMicros("facts.workers.lease_s") / HOLDS_PER_LEASE : 0;
         Config config = new ConfigReader(fields).read(peerZones, TuningFile.read(tuningFile, defaultHoldMicros));
-        ConfigChecks.check(config, liveFirst);
+        ConfigValidator.validate(config, liveFirst);
         return new Settings(
                 config,
                 fields.address("serve_on"),
