--- a/src/main/java/org/granitepath/transport/ApiServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -91,7 +91,7 @@
     private void measure(HttpServerExchange exchange, String request) {
         long beganMicros = loop.nowMicros();
         exchange.addExchangeCompleteListener((completed, next) -> {
-            metrics.served(request, completed.getStatusCode(), loop.nowMicros() - beganMicros);
+            metrics.recordRequest(request, completed.getStatusCode(), loop.nowMicros() - beganMicros);
             next.proceed();
         });
     }
@@ -107,7 +107,7 @@
     private void heartbeat(HttpServerExchange exchange, String text) {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
         if (heartbeat == null) {
-            metrics.unreadableHeartbeat(exchange.getSourceAddress().toString());
+            metrics.recordUnreadableHeartbeat(exchange.getSourceAddress().toString());
             reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -42,7 +42,7 @@
     }
 
     /** A heartbeat that can't be read came from this address. Such heartbeats may come without end: few are logged. */
-    void unreadableHeartbeat(String address) {
+    void recordUnreadableHeartbeat(String address) {
         unreadableHeartbeats++;
         if (Long.bitCount(unreadableHeartbeats) == 1) {
             LOG.warn("a heartbeat from {} can't be read ({} such heartbeats so far)", address, unreadableHeartbeats);
@@ -50,7 +50,7 @@
     }
 
     /** Counts a request of this kind that was answered. */
-    void served(String request, int status, long micros) {
+    void recordRequest(String request, int status, long micros) {
         latencies
                 .computeIfAbsent(request, unused -> new Histogram(LONGEST_MICROS, SIGNIFICANT_DIGITS))
                 .recordValue(Math.max(0, Math.min(micros, LONGEST_MICROS)));
--- a/src/test/java/org/granitepath/transport/MetricsTest.java
+++ b/src/test/java/org/granitepath/transport/MetricsTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void answersAreCountedByRequestAndStatus() {
-        metrics.served("submit", 201, LATENCY_MICROS);
-        metrics.served("submit", 201, LATENCY_MICROS);
-        metrics.served("poll", 503, LATENCY_MICROS);
+        metrics.recordRequest("submit", 201, LATENCY_MICROS);
+        metrics.recordRequest("submit", 201, LATENCY_MICROS);
+        metrics.recordRequest("poll", 503, LATENCY_MICROS);
         assertEquals(
                 List.of(
                         "granitepath.request.answers[tag(request=poll), tag(status=503)] 1.0",
@@ -38,7 +38,7 @@
 
     @Test
     void latenciesAreTheSamePercentilesForEachRequest() {
-        metrics.served("poll", 200, 100);
+        metrics.recordRequest("poll", 200, 100);
         assertEquals(
                 List.of(
                         "granitepath.request.micros[tag(percentile=100.0), tag(request=poll)] 100.0",
@@ -51,17 +51,17 @@
     /** The histogram holds up to a minute: what is out of its range counts at its edge and is no failure. */
     @Test
     void latenciesOutOfRangeAreCountedToo() {
-        metrics.served("poll", 200, -1);
-        metrics.served("poll", 200, Long.MAX_VALUE);
+        metrics.recordRequest("poll", 200, -1);
+        metrics.recordRequest("poll", 200, Long.MAX_VALUE);
         assertEquals(4, linesOf("granitepath.request.micros").size());
     }
 
     @Test
     void requestsThatCameSinceTheLastLookAreShown() {
-        metrics.served("poll", 200, LATENCY_MICROS);
+        metrics.recordRequest("poll", 200, LATENCY_MICROS);
         assertEquals(1, linesOf("granitepath.request.answers").size());
-        metrics.served("poll", 200, LATENCY_MICROS);
-        metrics.served("cancel", 200, LATENCY_MICROS);
+        metrics.recordRequest("poll", 200, LATENCY_MICROS);
+        metrics.recordRequest("cancel", 200, LATENCY_MICROS);
         assertEquals(
                 List.of(
                         "granitepath.request.answers[tag(request=cancel), tag(status=200)] 1.0",
@@ -71,8 +71,8 @@
 
     @Test
     void unreadableHeartbeatsAreCounted() {
-        metrics.unreadableHeartbeat("10.1.0.2:9000");
-        metrics.unreadableHeartbeat("10.1.0.3:9000");
+        metrics.recordUnreadableHeartbeat("10.1.0.2:9000");
+        metrics.recordUnreadableHeartbeat("10.1.0.3:9000");
         assertEquals(List.of("granitepath.reports.unreadable[] 2.0"), linesOf("granitepath.reports.unreadable"));
     }
 
