--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -69,12 +69,13 @@
                 new PeerClient(http, settings.peerAddresses()),
                 loop,
                 traceRecovery ? new OpenTelemetryRecoveryTracer(GlobalOpenTelemetry.get()) : RecoveryTracer.NONE);
-        HttpServers.listen(controller, settings.config().limits(), loop, settings.listen(), settings.peerListen());
+        HttpServers.listen(
+                controller, settings.config().limits(), loop, settings.listenAddress(), settings.peerListenAddress());
         controller.start();
         log.info(
                 "{} serves on {}:{}",
                 settings.config().node(),
-                settings.listen().host(),
-                settings.listen().port());
+                settings.listenAddress().host(),
+                settings.listenAddress().port());
     }
 }
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -11,16 +11,16 @@
  * The platform's settings file, checked. Fields that we don't know are left alone.
  *
  * @param config what the decision code needs
- * @param listen where users and workers call
- * @param peerListen where other controllers and operators call
+ * @param listenAddress where users and workers call
+ * @param peerListenAddress where other controllers and operators call
  * @param peerAddresses where to call the other controllers, by name
  * @param cloudAddress where to call the cloud
  * @param storeAddress where to call the key-value store
  */
 record Settings(
         Config config,
-        Address listen,
-        Address peerListen,
+        Address listenAddress,
+        Address peerListenAddress,
         Map<String, String> peerAddresses,
         String cloudAddress,
         String storeAddress) {
