--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -44,7 +44,7 @@
 
     @Test
     void goodSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
-        Settings settings = read(SettingsFixture.GOOD);
+        Settings settings = read(SettingsFixture.VALID_TOML);
         assertEquals(12_500, settings.config().teams().get("t").cpuLimitMillis());
         assertEquals(1.5, settings.config().objectives().get("c").deadlineFactor());
         assertEquals(25_000, settings.config().maxClockOffsetMicros());
@@ -61,7 +61,7 @@
                 "facts.state.next | txn_ops = 8 | `txn_ops = 8\nnext = 3`"
             })
     void aSettingOfTheWrongKindOrRangeIsNamed(String named, String good, String bad) throws IOException {
-        assertRefusedWith(named, SettingsFixture.goodWith(good, bad));
+        assertRefusedWith(named, SettingsFixture.validWith(good, bad));
     }
 
     /** Under these no rule could be kept, whatever the service does. */
@@ -76,18 +76,19 @@
                 "team t | cpus_max = 12.5 | cpus_max = -1.0"
             })
     void impossibleTimesAndTeamsAreNamed(String named, String good, String bad) throws IOException {
-        assertRefusedWith(named, SettingsFixture.goodWith(good, bad));
+        assertRefusedWith(named, SettingsFixture.validWith(good, bad));
     }
 
     @Test
     void tooFewConnectionsAreNamed() throws IOException {
         assertRefusedWith(
-                "facts.resources.max_connections", SettingsFixture.GOOD + "[facts.resources]\nmax_connections = 0\n");
+                "facts.resources.max_connections",
+                SettingsFixture.VALID_TOML + "[facts.resources]\nmax_connections = 0\n");
     }
 
     @Test
     void leastTimesAreAccepted() throws Exception {
-        Settings settings = read(SettingsFixture.goodWith("cancel_s = 30.0", "cancel_s = 14.1"));
+        Settings settings = read(SettingsFixture.validWith("cancel_s = 30.0", "cancel_s = 14.1"));
         assertTrue(settings.config().workers().maxDisconnectedMicros() >= 1_000_000);
     }
 
@@ -97,14 +98,14 @@
 
     /** The good settings with limits that the store will have later. */
     private static String withNextLimits(String limits) {
-        return SettingsFixture.goodWith("txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\n" + limits);
+        return SettingsFixture.validWith("txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\n" + limits);
     }
 
     @Test
     void presentLimitsAreKept() throws Exception {
         assertEquals(
                 new StoreLimits(10, 8192, 8),
-                read(SettingsFixture.GOOD).config().limits().store());
+                read(SettingsFixture.VALID_TOML).config().limits().store());
     }
 
     /** Limits that the store will have later hold from the first start, since they come without notice. */
@@ -135,12 +136,13 @@
     @ParameterizedTest
     @CsvSource({"idle-shar: 2,idle-shar", "patience-share: 0.4,deferral-share"})
     void anUnknownOrRenamedTuningIsNamed(String yaml, String named) throws IOException {
-        String refusal = refusal(file("platform.toml", SettingsFixture.GOOD), file("tuning.yaml", yaml + "\n"), false);
+        String refusal =
+                refusal(file("platform.toml", SettingsFixture.VALID_TOML), file("tuning.yaml", yaml + "\n"), false);
         assertTrue(refusal.contains(named), refusal);
     }
 
     private long recoveryHoldMicros(@Nullable Path tuning, boolean liveFirst) throws Exception {
-        Path platform = file("platform.toml", SettingsFixture.GOOD);
+        Path platform = file("platform.toml", SettingsFixture.VALID_TOML);
         return Settings.read(platform, tuning, liveFirst).config().tuning().recoveryHoldMicros();
     }
 
@@ -151,7 +153,7 @@
 
     @Test
     void theHoldOfARecoveryFollowsFromTheLeases() throws Exception {
-        long leaseMicros = read(SettingsFixture.GOOD).config().workers().leaseMicros();
+        long leaseMicros = read(SettingsFixture.VALID_TOML).config().workers().leaseMicros();
         assertEquals(leaseMicros / 4, recoveryHoldMicros(null, true));
     }
 
@@ -170,7 +172,7 @@
                 "recovery-hold-s: 30\nmax-starvation-s: 20\n"
             })
     void aHoldThatContradictsTheOtherSettingsIsNamed(String yaml) throws IOException {
-        String refusal = refusal(file("platform.toml", SettingsFixture.GOOD), file("tuning.yaml", yaml), true);
+        String refusal = refusal(file("platform.toml", SettingsFixture.VALID_TOML), file("tuning.yaml", yaml), true);
         assertTrue(refusal.contains("recovery-hold-s"), refusal);
     }
 
@@ -184,7 +186,7 @@
 
     @Test
     void goodSettingsPassTheCheck() throws IOException {
-        Path platform = file("platform.toml", SettingsFixture.GOOD);
+        Path platform = file("platform.toml", SettingsFixture.VALID_TOML);
         assertEquals(Command.OK, Main.execute("check-config", "--config", platform.toString()));
     }
 
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -38,7 +38,7 @@
         peerPort = ports.reserve();
         Path file = Files.writeString(
                 dir.resolve("n.toml"),
-                SettingsFixture.GOOD
+                SettingsFixture.VALID_TOML
                                 .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"")
                                 .replace("127.0.0.1:2\"", "127.0.0.1:" + peerPort + "\"")
                         + "[facts.resources]\nmax_connections = " + MAX_CONNECTIONS + "\n");
--- a/src/test/java/org/granitepath/cli/SettingsFixture.java
+++ b/src/test/java/org/granitepath/cli/SettingsFixture.java
@@ -5,7 +5,7 @@
 /** Settings that the tests start from, each changing what it is about. */
 final class SettingsFixture {
     /** Valid settings of a controller without peers; nothing listens where it calls. */
-    static final String GOOD = """
+    static final String VALID_TOML = """
             node_name = "n0"
             site = "z"
             serve_on = "127.0.0.1:1"
@@ -29,8 +29,8 @@
     private SettingsFixture() {}
 
     /** The valid settings with another text in the place of one that they must have. */
-    static String goodWith(String present, String instead) {
-        assertTrue(GOOD.contains(present), () -> "the settings have no " + present);
-        return GOOD.replace(present, instead);
+    static String validWith(String present, String instead) {
+        assertTrue(VALID_TOML.contains(present), () -> "the settings have no " + present);
+        return VALID_TOML.replace(present, instead);
     }
 }
