--- a/src/main/java/org/granitepath/coordination/MachineTypeCatalog.java
+++ b/src/main/java/org/granitepath/coordination/MachineTypeCatalog.java
@@ -9,8 +9,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * The machine types that the cloud offers, by name. They are fetched from the cloud. Until the first fetch succeeds, the
- * types recorded in the store are used instead, so that a controller that starts during an outage of the cloud can
+ * The machine types that the cloud offers, by name. They are fetched from the cloud. Until the first fetch succeeds,
+ * the types recorded in the store are used instead, so that a controller that starts during an outage of the cloud can
  * validate submissions.
  */
 final class MachineTypeCatalog {
@@ -49,7 +49,9 @@
         return types.values();
     }
 
-    /** Fetches the types if none are known and no fetch is in progress. Called while this controller is not the leader. */
+    /**
+     * Fetches the types if none are known and no fetch is in progress. Called while this controller is not the leader.
+     */
     void fetchIfUnknown() {
         if (types.isEmpty() && !fetching) {
             fetch();
@@ -57,8 +59,8 @@
     }
 
     /**
-     * Fetches the types if none are known or a refresh is due, and no fetch is in progress. Called while this controller
-     * is the leader.
+     * Fetches the types if none are known or a refresh is due, and no fetch is in progress. Called while this
+     * controller is the leader.
      */
     void refreshIfDue(long nowMicros) {
         if ((types.isEmpty() || nowMicros >= refreshDueMicros) && !fetching) {
--- a/src/main/java/org/granitepath/coordination/leadership/Campaign.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Campaign.java
@@ -14,8 +14,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * One attempt to become leader. It opens a lease, brings the replica up to date, and commits the transaction that writes
- * the leader key and takes the next fencing token. It ends with exactly one call of its listener.
+ * One attempt to become leader. It opens a lease, brings the replica up to date, and commits the transaction that
+ * writes the leader key and takes the next fencing token. It ends with exactly one call of its listener.
  */
 final class Campaign {
     /** Why this controller may campaign. */
--- a/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
+++ b/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
@@ -7,8 +7,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Decides whether this controller may campaign now: the records are read, they name no leader that may still be running,
- * and no backoff from an earlier campaign or term is in effect.
+ * Decides whether this controller may campaign now: the records are read, they name no leader that may still be
+ * running, and no backoff from an earlier campaign or term is in effect.
  */
 final class CampaignEligibility {
     /** Long enough for the other controllers to campaign first. */
--- a/src/main/java/org/granitepath/coordination/leadership/LeaderLease.java
+++ b/src/main/java/org/granitepath/coordination/leadership/LeaderLease.java
@@ -47,7 +47,9 @@
         this.renewalDueMicros = openedMicros + durationMicros / 3;
     }
 
-    /** Returns the time at which the last request was sent whose answer confirmed that this controller holds the lease. */
+    /**
+     * Returns the time at which the last request was sent whose answer confirmed that this controller holds the lease.
+     */
     long lastConfirmedMicros() {
         return lastConfirmedMicros;
     }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -38,7 +38,9 @@
 
     /** Receives notice when this controller becomes the leader and when it ceases to be. */
     public interface Listener {
-        /** This controller is the leader, and its replica is at least as recent as the write that made it the leader. */
+        /**
+         * This controller is the leader, and its replica is at least as recent as the write that made it the leader.
+         */
         void onElected(Term term);
 
         /** This controller is not the leader any more. */
@@ -120,8 +122,8 @@
     }
 
     /**
-     * Returns the time at which the last request was sent whose answer confirmed that this controller was the leader, or
-     * 0 before its first term.
+     * Returns the time at which the last request was sent whose answer confirmed that this controller was the leader,
+     * or 0 before its first term.
      */
     public long lastConfirmedMicros() {
         return heldTerm == null ? previousTermConfirmedMicros : heldTerm.lease().lastConfirmedMicros();
@@ -133,7 +135,9 @@
         return leader == null ? null : leader.node();
     }
 
-    /** Reacts to a change of the leader record: ends the current term if it was replaced, or campaigns if none leads. */
+    /**
+     * Reacts to a change of the leader record: ends the current term if it was replaced, or campaigns if none leads.
+     */
     public void onLeaderRecordChanged() {
         LeaderRecord leader = replica.leader();
         if (heldTerm != null) {
@@ -269,8 +273,8 @@
     }
 
     /**
-     * Changes the phase among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} according to the time since the
-     * last contact with the store. This method is called whenever the phase is about to be used, not only by the
+     * Changes the phase among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} according to the time since
+     * the last contact with the store. This method is called whenever the phase is about to be used, not only by the
      * timer: after a pause of the process, a heartbeat that was waiting may be processed before the timer runs, in the
      * phase from before the pause, although a successor may have taken over the machines in the meantime.
      */
@@ -290,9 +294,9 @@
     }
 
     /**
-     * Returns the earlier of two times: when the store last confirmed the lease, and when it last answered a read of the
-     * records. Confirmation of the lease is not enough, because a cancellation shows only in the records. Renewals may
-     * succeed while reads fail, and after an outage the first renewal succeeds before the first read.
+     * Returns the earlier of two times: when the store last confirmed the lease, and when it last answered a read of
+     * the records. Confirmation of the lease is not enough, because a cancellation shows only in the records. Renewals
+     * may succeed while reads fail, and after an outage the first renewal succeeds before the first read.
      */
     private long lastContactMicros(LeaderLease lease) {
         return Math.min(lease.lastConfirmedMicros(), replica.lastContactMicros());
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -13,15 +13,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The last known status of the other controllers. A controller that gets no answers from the store cannot know by itself
- * whether the store is down or only unreachable from its own network; the status of a peer that has contact with the
- * store shows which.
+ * The last known status of the other controllers. A controller that gets no answers from the store cannot know by
+ * itself whether the store is down or only unreachable from its own network; the status of a peer that has contact with
+ * the store shows which.
  */
 public final class Peers {
     private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
     /** A status that was received longer ago than this is not used any more. */
     private static final long MAX_STATUS_AGE_MICROS = 3_500_000;
-    /** Added to the time after which an unreachable leader starts no more tasks, so that this time has surely passed. */
+    /**
+     * Added to the time after which an unreachable leader starts no more tasks, so that this time has surely passed.
+     */
     private static final long ANNOUNCEMENT_MARGIN_MICROS = 100_000;
 
     private record LastStatus(PeerStatus status, long receivedMicros) {
@@ -107,11 +109,11 @@
     }
 
     /**
-     * Sends a cancellation that is committed to the store to all peers. {@code then} runs once no task of the job can be
-     * started any more, which is so as soon as the leader has applied the cancellation. If the leader does not confirm
-     * this, {@code then} runs after a timeout. By that time the leader's last contact with the records is too old for it
-     * to start tasks. A status message in which this controller told the leader that it had no contact with the store
-     * either, and which would allow the leader to start tasks all the same, is too old by then as well.
+     * Sends a cancellation that is committed to the store to all peers. {@code then} runs once no task of the job can
+     * be started any more, which is so as soon as the leader has applied the cancellation. If the leader does not
+     * confirm this, {@code then} runs after a timeout. By that time the leader's last contact with the records is too
+     * old for it to start tasks. A status message in which this controller told the leader that it had no contact with
+     * the store either, and which would allow the leader to start tasks all the same, is too old by then as well.
      *
      * @param leader the leader on record, or null if there is none
      */
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -39,7 +39,7 @@
     private long tokensAsOfMicros = Long.MIN_VALUE;
 
     /**
-     * Creates the keeper, which answers no worker by itself.
+     * Creates the keeper for the machines in the zone of this controller.
      *
      * @param jobHasEnded returns whether the job with this id is done or cancelled, as far as this controller knows
      */
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Returns whether the store and the leader are out of reach, directly and through peers, and have been for no longer
-     * than a leader without contact may answer workers.
+     * Returns whether the store and the leader are out of reach, directly and through peers, and have been for no
+     * longer than a leader without contact may answer workers.
      */
     private boolean isCutOffFromLeader() {
         long contactAgeMicros = timers.nowMicros() - replica.lastContactMicros();
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Returns a response that renews the worker's lease under the fencing token that it reported, and stops its tasks of
-     * ended jobs: a cancelled task must end in time here as well.
+     * Returns a response that renews the worker's lease under the fencing token that it reported, and stops its tasks
+     * of ended jobs: a cancelled task must end in time here as well.
      */
     public HeartbeatResponse answer(Heartbeat heartbeat) {
         List<WorkerCommand> stops = new ArrayList<>();
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls to the cloud. Every call returns at once and passes its result to {@code then} exactly once, later, on the event
- * loop.
+ * Calls to the cloud. Every call returns at once and passes its result to {@code then} exactly once, later, on the
+ * event loop.
  */
 public interface CloudPort {
     /** The outcome of a call. */
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -46,7 +46,7 @@
         NONE,
         /** The task has completed. */
         DONE,
-        /** The task was stopped by a command. */
+        /** The task was stopped before it completed. */
         STOPPED,
         /** The task has failed. */
         FAILED,
--- a/src/main/java/org/granitepath/coordination/ports/JobResponse.java
+++ b/src/main/java/org/granitepath/coordination/ports/JobResponse.java
@@ -21,7 +21,7 @@
     record Status(boolean created, String job, JobState state, int finishedTasks, int runningTasks)
             implements JobResponse {}
 
-    /** There is no job with the requested id. */
+    /** No job with the requested id was ever accepted. */
     record NotFound() implements JobResponse {}
 
     /** The job can never run, for the given reason. */
--- a/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
@@ -3,7 +3,7 @@
 /**
  * A command to a worker.
  *
- * @param graceMicros for {@link Verb#STOP}, the time that the task has to save its progress, in microseconds; otherwise 0
+ * @param graceMicros the time that a stopped task has to save its progress, in microseconds; 0 for other commands
  */
 public record WorkerCommand(Verb verb, TaskId task, long attempt, long graceMicros) {
     /** The kind of a command. */
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -93,8 +93,8 @@
 
     /**
      * Answers a heartbeat that is older than the worker's answer to a direct call, which has arrived already. The
-     * heartbeat is not evaluated, but a worker of the current agent epoch is accepted and told which attempts to stop or
-     * clear.
+     * heartbeat contains nothing new, so it is not evaluated. A worker of the current agent epoch is still accepted,
+     * since it reports to the right controller, and is told which attempts to stop or clear.
      */
     private static HeartbeatResponse answerOutdated(Machine machine, Heartbeat heartbeat) {
         machine.contact().clearFence();
--- a/src/main/java/org/granitepath/coordination/term/MachineChecks.java
+++ b/src/main/java/org/granitepath/coordination/term/MachineChecks.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Returns whether the machine's lease has expired and the store has confirmed since then that this controller is the
-     * leader. Without that confirmation the expiry proves nothing: an unknown successor may be renewing the lease.
+     * Returns whether the machine's lease has expired and the store has confirmed since then that this controller is
+     * the leader. Without that confirmation the expiry proves nothing: an unknown successor may be renewing the lease.
      */
     private boolean hasLeaseProvablyExpired(Machine machine) {
         long leaseExpiryMicros = machine.contact().leaseExpiryMicros();
--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -29,7 +29,9 @@
         unreadableParts += parts;
     }
 
-    /** Removes a machine that has sent a heartbeat or is gone, and returns whether it was the last one of its profile. */
+    /**
+     * Removes a machine that has sent a heartbeat or is gone, and returns whether it was the last one of its profile.
+     */
     boolean remove(String machine, MachineProfile profile) {
         int remaining = countByProfile.addTo(profile, -1) - 1;
         ids = ids.minus(machine);
--- a/src/main/java/org/granitepath/recovery/BatchHold.java
+++ b/src/main/java/org/granitepath/recovery/BatchHold.java
@@ -1,8 +1,8 @@
 package org.granitepath.recovery;
 
 /**
- * The time limit for holding batch work back in favour of live work, and the live work that batch work waits for. Whether
- * batch work is held at all depends on the {@link RecoveryPhase}.
+ * The time limit for holding batch work back in favour of live work, and the live work that batch work waits for.
+ * Whether batch work is held at all depends on the {@link RecoveryPhase}.
  */
 final class BatchHold {
     private final long maxHoldMicros;
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -4,7 +4,9 @@
 public enum RecoveryPhase {
     /** The term has been won, and the records are being read up to its start. No commands are sent. */
     READING,
-    /** Heartbeats are compared with the records. Live work may start, each task once it is proved to be on no machine. */
+    /**
+     * Heartbeats are compared with the records. Live work may start, each task once it is proved to be on no machine.
+     */
     RECONCILING,
     /** No task of live work is unconfirmed any more. The tasks for which there is capacity, or will be, are started. */
     RESUMING_LIVE,
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -44,14 +44,17 @@
     }
 
     /**
-     * Adds parts of the inventory that cannot be read. Any machine may be listed in them, so no task that heartbeats have
-     * not listed counts as lost for the rest of this term.
+     * Adds parts of the inventory that cannot be read. Any machine may be listed in them, so no task that heartbeats
+     * have not listed counts as lost for the rest of this term.
      */
     public void takeOverUnreadableParts(int parts) {
         awaited.addUnreadableParts(parts);
     }
 
-    /** Ends the phase {@code READING}: the records are read as of this revision, and heartbeats are evaluated from now on. */
+    /**
+     * Ends the phase {@code READING}: the records are read as of this revision, and heartbeats are evaluated from now
+     * on.
+     */
     public void onRecordsRead(long revisionRead, long nowMicros) {
         revision = revisionRead;
         batchHold.begin(nowMicros);
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -12,8 +12,8 @@
  * @param role whether the controller is the leader, and how certain that is
  * @param leader the node name of the leader that this controller knows of, or null if it knows of none
  * @param reason why the controller reports this role, as text for operators
- * @param recordsAgeMicros the time since the store last answered a read of the records, in microseconds; negative if the
- *     controller has not read them yet
+ * @param recordsAgeMicros the time since the store last answered a read of the records, in microseconds; negative if
+ *     the controller has not read them yet
  * @param unreadableRecords the number of records that cannot be read
  * @param term the recovery in the controller's own term, or null if it is not the leader
  */
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -21,17 +21,18 @@
 
 /** A controller is healthy when it has the data to answer users and no peer is better placed to do so. */
 class ControllerHealthTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final ManualTimers timers = new ManualTimers();
     private final MemoryStore store = new MemoryStore(timers);
-    private final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
-        @Override
-        public void changed(String key, StoredRecord record, long revision) {}
+    private final RecordReplica replica =
+            new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
+                @Override
+                public void changed(String key, StoredRecord record, long revision) {}
 
-        @Override
-        public void loaded() {}
-    });
+                @Override
+                public void loaded() {}
+            });
     private final Peers peers =
             new Peers(TestConfigs.of("c1", "c1-1", "c2"), new UnreachablePeers(), timers, () -> status("c1", 0));
     private final MachineTypeCatalog machineTypes =
@@ -65,7 +66,7 @@
 
     private void readRecords() {
         replica.start();
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
     }
 
     private void learnMachineTypes() {
@@ -102,7 +103,7 @@
         readRecords();
         learnMachineTypes();
         store.unreachable = true;
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         peers.handleStatus(status("c2", peerContactAgeMicros));
         assertEquals(healthy, health.isHealthy());
     }
--- a/src/test/java/org/granitepath/coordination/MachineTypeCatalogTest.java
+++ b/src/test/java/org/granitepath/coordination/MachineTypeCatalogTest.java
@@ -13,7 +13,7 @@
 
 /** Recorded types are used until the cloud has answered once. Only a leader refreshes known types. */
 class MachineTypeCatalogTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final ManualTimers timers = new ManualTimers();
     private final List<Consumer<List<MachineType>>> requests = new ArrayList<>();
@@ -42,7 +42,7 @@
     }
 
     private static List<MachineType> types(String name) {
-        return List.of(new MachineType(name, 1, 0, 1, 1, 1, 1, SECOND, List.of("zone")));
+        return List.of(new MachineType(name, 1, 0, 1, 1, 1, 1, SECOND_MICROS, List.of("zone")));
     }
 
     @Test
@@ -64,7 +64,7 @@
         assertTrue(catalog.isEmpty() && events.isEmpty());
         catalog.fetchIfUnknown();
         requests.get(1).accept(types("fetched"));
-        timers.advance(61 * SECOND);
+        timers.advance(61 * SECOND_MICROS);
         catalog.fetchIfUnknown();
         assertEquals(2, requests.size(), "types that are known are not fetched again");
         catalog.refreshIfDue(timers.nowMicros());
--- a/src/test/java/org/granitepath/coordination/TestConfigs.java
+++ b/src/test/java/org/granitepath/coordination/TestConfigs.java
@@ -16,7 +16,7 @@
 
 /** Configurations for unit tests. */
 public final class TestConfigs {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private TestConfigs() {}
 
@@ -29,9 +29,10 @@
                 new Topology(List.of("zone-" + node), peerZones),
                 Map.of(),
                 Map.of(),
-                new WorkerTiming(SECOND, 10 * SECOND, 30 * SECOND, 10 * SECOND, 5 * SECOND),
+                new WorkerTiming(
+                        SECOND_MICROS, 10 * SECOND_MICROS, 30 * SECOND_MICROS, 10 * SECOND_MICROS, 5 * SECOND_MICROS),
                 new PlatformLimits(100, new StoreLimits(50, 10_000, 20), 5, 100),
-                SECOND / 4,
+                SECOND_MICROS / 4,
                 Tuning.defaults());
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/LeaderLeaseTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeaderLeaseTest.java
@@ -15,14 +15,14 @@
 /** When the leader lease is renewed, and what the answers to renewals mean. */
 class LeaderLeaseTest {
     private static final long LEASE = 17;
-    private static final long DURATION = 12_000_000;
+    private static final long DURATION_MICROS = 12_000_000;
 
     private final ManualTimers timers = new ManualTimers();
     private final ScriptedStore store = new ScriptedStore();
     private final List<String> events = new ArrayList<>();
     private final long openedMicros = timers.nowMicros();
     private final LeaderLease lease =
-            new LeaderLease(store, timers, LEASE, DURATION, openedMicros, new LeaderLease.Listener() {
+            new LeaderLease(store, timers, LEASE, DURATION_MICROS, openedMicros, new LeaderLease.Listener() {
                 @Override
                 public void onRenewed() {
                     events.add("renewed");
@@ -45,7 +45,7 @@
 
     @Test
     void theFirstRenewalIsDueAfterAThirdOfTheDuration() {
-        renewIfDueAfter(DURATION / 3 - 1);
+        renewIfDueAfter(DURATION_MICROS / 3 - 1);
         assertTrue(store.renewals.isEmpty());
         renewIfDueAfter(1);
         assertEquals(LEASE, store.renewals.remove().lease());
@@ -53,9 +53,9 @@
 
     @Test
     void theNextRenewalIsDueAQuarterOfTheDurationAfterTheLastWasSent() {
-        renewIfDueAfter(DURATION / 3);
+        renewIfDueAfter(DURATION_MICROS / 3);
         answer(Outcome.OK);
-        renewIfDueAfter(DURATION / 4 - 1);
+        renewIfDueAfter(DURATION_MICROS / 4 - 1);
         assertTrue(store.renewals.isEmpty());
         renewIfDueAfter(1);
         assertEquals(1, store.renewals.size());
@@ -63,8 +63,8 @@
 
     @Test
     void onlyOneRenewalIsInProgress() {
-        renewIfDueAfter(DURATION / 3);
-        renewIfDueAfter(DURATION);
+        renewIfDueAfter(DURATION_MICROS / 3);
+        renewIfDueAfter(DURATION_MICROS);
         assertEquals(1, store.renewals.size());
     }
 
@@ -75,16 +75,16 @@
 
     @Test
     void aRenewalConfirmsTheLeaseAsOfTheTimeItWasSent() {
-        renewIfDueAfter(DURATION / 3);
-        timers.advance(DURATION / 3);
+        renewIfDueAfter(DURATION_MICROS / 3);
+        timers.advance(DURATION_MICROS / 3);
         answer(Outcome.OK);
-        assertEquals(openedMicros + DURATION / 3, lease.lastConfirmedMicros());
+        assertEquals(openedMicros + DURATION_MICROS / 3, lease.lastConfirmedMicros());
         assertEquals(List.of("renewed"), events);
     }
 
     @Test
     void aLeaseThatTheStoreDoesNotKnowHasExpired() {
-        renewIfDueAfter(DURATION / 3);
+        renewIfDueAfter(DURATION_MICROS / 3);
         answer(Outcome.NOT_FOUND);
         assertEquals(openedMicros, lease.lastConfirmedMicros());
         assertEquals(List.of("expired"), events);
@@ -96,18 +96,18 @@
             mode = EnumSource.Mode.EXCLUDE,
             names = {"OK", "NOT_FOUND"})
     void aRenewalWithoutAnAnswerIsNotReportedAndIsSentAgain(Outcome outcome) {
-        renewIfDueAfter(DURATION / 3);
+        renewIfDueAfter(DURATION_MICROS / 3);
         answer(outcome);
         assertEquals(openedMicros, lease.lastConfirmedMicros());
         assertEquals(List.of(), events);
-        renewIfDueAfter(DURATION / 4);
+        renewIfDueAfter(DURATION_MICROS / 4);
         assertEquals(1, store.renewals.size());
     }
 
     @ParameterizedTest
     @EnumSource
     void anAnswerAfterTheTermHasEndedIsIgnored(Outcome outcome) {
-        renewIfDueAfter(DURATION / 3);
+        renewIfDueAfter(DURATION_MICROS / 3);
         lease.abandon();
         answer(outcome);
         assertEquals(List.of(), events);
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -18,7 +18,7 @@
 
 /** The phases of leader election, with an in-memory store and a manual clock. */
 class LeadershipTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final String NODE = "c1";
 
     private final ManualTimers timers = new ManualTimers();
@@ -29,7 +29,7 @@
 
     private void start() {
         Config config = TestConfigs.of(NODE, "c1-2", "c2");
-        RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
+        RecordReplica replica = new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
             @Override
             public void changed(String key, StoredRecord record, long revision) {
                 if (key.equals(Keys.LEADER)) {
@@ -53,7 +53,7 @@
         });
         replica.start();
         leadership.start();
-        timers.advance(2 * SECOND);
+        timers.advance(2 * SECOND_MICROS);
     }
 
     @Test
@@ -71,7 +71,7 @@
         start();
         assertFalse(leadership.isLeader());
         store.expireLeaseOf(Keys.LEADER);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertEquals(List.of("elected 8"), events, "under the next fencing token");
     }
 
@@ -87,16 +87,16 @@
     void inAnOutageTheLeaderIsDisconnectedThenFencedOffAndLeadsAgainAfterwards() {
         start();
         store.unreachable = true;
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         assertTrue(leadership.canAnswerWorkers() && !leadership.isLeaseConfirmed(), "disconnected");
         assertFalse(leadership.canStartTasks(), "a peer may have confirmed a cancellation");
         peersDisconnected = true;
         assertTrue(leadership.canStartTasks(), "no peer can have confirmed one");
-        timers.advance(15 * SECOND);
+        timers.advance(15 * SECOND_MICROS);
         assertFalse(leadership.canAnswerWorkers() || leadership.canStartTasks(), "fenced off");
         assertTrue(leadership.isLeader(), "the term is not known to be over");
         store.unreachable = false;
-        timers.advance(3 * SECOND);
+        timers.advance(3 * SECOND_MICROS);
         assertTrue(leadership.isLeaseConfirmed());
         assertEquals(List.of("elected 1"), events, "still the same term");
     }
@@ -105,10 +105,10 @@
     void aLeaseThatExpiredInAnOutageEndsTheTerm() {
         start();
         store.unreachable = true;
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         store.expireLeaseOf(Keys.LEADER);
         store.unreachable = false;
-        timers.advance(3 * SECOND);
+        timers.advance(3 * SECOND_MICROS);
         assertEquals(List.of("elected 1", "lost: the leader lease expired", "elected 2"), events);
     }
 
@@ -116,10 +116,10 @@
     void renewalsWithoutReadsKeepTheTermButDoNotConfirmIt() {
         start();
         store.readsWithheld = true;
-        timers.advance(5 * SECOND);
+        timers.advance(5 * SECOND_MICROS);
         assertTrue(leadership.isLeader() && !leadership.isLeaseConfirmed(), "a cancellation shows only in the records");
         store.expireLeaseOf(Keys.LEADER);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertEquals(
                 List.of("elected 1", "lost: the leader lease expired"),
                 events,
@@ -130,9 +130,9 @@
     void aLeaderThatStepsDownLetsOthersCampaignFirst() {
         start();
         leadership.stepDown("the machines cannot reach this controller");
-        timers.advance(14 * SECOND);
+        timers.advance(14 * SECOND_MICROS);
         assertEquals(List.of("elected 1", "lost: the machines cannot reach this controller"), events);
-        timers.advance(2 * SECOND);
+        timers.advance(2 * SECOND_MICROS);
         assertEquals("elected 2", events.get(2));
     }
 
@@ -140,14 +140,14 @@
     void aLateAnswerToARenewalOfAnEarlierTermDoesNotEndTheCurrentTerm() {
         start();
         store.renewalsWithheld = true;
-        timers.advance(3 * SECOND);
+        timers.advance(3 * SECOND_MICROS);
         leadership.stepDown("the machines cannot reach this controller");
         store.renewalsWithheld = false;
-        timers.advance(16 * SECOND);
+        timers.advance(16 * SECOND_MICROS);
         List<String> before = List.of("elected 1", "lost: the machines cannot reach this controller", "elected 2");
         assertEquals(before, events);
         assertEquals(1, store.answerWithheldRenewals());
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertEquals(before, events);
         assertTrue(leadership.isLeaseConfirmed());
     }
@@ -156,10 +156,10 @@
     void theTimeOfTheLastConfirmationIsKeptAfterTheTerm() {
         start();
         assertTrue(leadership.lastConfirmedMicros() > 0);
-        timers.advance(3 * SECOND);
+        timers.advance(3 * SECOND_MICROS);
         long confirmedMicros = leadership.lastConfirmedMicros();
         leadership.stepDown("the machines cannot reach this controller");
-        timers.advance(10 * SECOND);
+        timers.advance(10 * SECOND_MICROS);
         assertEquals(confirmedMicros, leadership.lastConfirmedMicros());
     }
 }
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -14,8 +14,8 @@
 
 /** What a controller concludes from the last status of each peer, and when a cancellation counts as effective. */
 class PeersTest {
-    private static final long SECOND = 1_000_000;
-    private static final long CONTACT = 2_500_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long CONTACT_TIMEOUT_MICROS = 2_500_000;
 
     private final ManualTimers timers = new ManualTimers();
     private final Map<String, Consumer<Boolean>> announcements = new LinkedHashMap<>();
@@ -43,25 +43,25 @@
     void onlyRecentStatusesAreUsed() {
         assertEquals(-1, peers.maxRedirectedMachines(), "no status was received");
         receive("c2", 0, 4);
-        timers.advance(2 * SECOND);
+        timers.advance(2 * SECOND_MICROS);
         receive("c3", 0, 1);
         assertEquals(4, peers.maxRedirectedMachines());
         assertTrue(peers.hasRecentLeaderStatus());
-        timers.advance(2 * SECOND);
+        timers.advance(2 * SECOND_MICROS);
         assertEquals(1, peers.maxRedirectedMachines());
         assertFalse(peers.hasRecentLeaderStatus());
     }
 
     @Test
     void allPeersAreDisconnectedOnlyIfEachReportsIt() {
-        receive("c2", CONTACT + 1, 0);
-        assertFalse(peers.isEveryPeerDisconnected(CONTACT), "no status of c3 was received");
-        receive("c3", CONTACT, 0);
-        assertFalse(peers.isEveryPeerDisconnected(CONTACT));
-        assertTrue(peers.isAnyPeerConnected(CONTACT));
+        receive("c2", CONTACT_TIMEOUT_MICROS + 1, 0);
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT_TIMEOUT_MICROS), "no status of c3 was received");
+        receive("c3", CONTACT_TIMEOUT_MICROS, 0);
+        assertFalse(peers.isEveryPeerDisconnected(CONTACT_TIMEOUT_MICROS));
+        assertTrue(peers.isAnyPeerConnected(CONTACT_TIMEOUT_MICROS));
         receive("c3", -1, 0);
-        assertTrue(peers.isEveryPeerDisconnected(CONTACT), "never in contact");
-        assertFalse(peers.isAnyPeerConnected(CONTACT));
+        assertTrue(peers.isEveryPeerDisconnected(CONTACT_TIMEOUT_MICROS), "never in contact");
+        assertFalse(peers.isAnyPeerConnected(CONTACT_TIMEOUT_MICROS));
     }
 
     @Test
@@ -71,16 +71,16 @@
         announcements.get("c2").accept(false);
         assertEquals(0, effective);
         announcements.get("c2").accept(true);
-        timers.advance(10 * SECOND);
+        timers.advance(10 * SECOND_MICROS);
         assertEquals(1, effective, "the callback does not run again after the timeout");
     }
 
     @Test
     void aCancellationIsEffectiveOnceAnUnreachableLeaderStartsNoTasks() {
         announce("c2");
-        timers.advance(3 * SECOND);
+        timers.advance(3 * SECOND_MICROS);
         assertEquals(0, effective);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertEquals(1, effective);
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -28,7 +28,7 @@
 
 /** Which workers a controller that is cut off with its zone answers on behalf of the leader, and how it answers. */
 class ZoneLeaseKeeperTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final String ZONE = "zone-c1";
     private static final long TERM_TOKEN = 7;
     private static final long OWN_TOKEN = 9;
@@ -38,13 +38,14 @@
     private final Config config = TestConfigs.of("c1", "c1-1", "c2");
     private final ManualTimers timers = new ManualTimers();
     private final MemoryStore store = new MemoryStore(timers);
-    private final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
-        @Override
-        public void changed(String key, StoredRecord record, long revision) {}
-
-        @Override
-        public void loaded() {}
-    });
+    private final RecordReplica replica =
+            new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
+                @Override
+                public void changed(String key, StoredRecord record, long revision) {}
+
+                @Override
+                public void loaded() {}
+            });
     private final Peers peers = new Peers(config, new UnreachablePeers(), timers, () -> null);
     private final ZoneLeaseKeeper keeper =
             new ZoneLeaseKeeper(config, replica, Set.of(ENDED.job())::contains, peers, timers);
@@ -69,7 +70,7 @@
                         new InventoryRecord.Host("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
                 0);
         replica.start();
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
     }
 
     private void loseContactFor(long micros) {
@@ -160,7 +161,7 @@
         assertTrue(mayRenewFirstMachine());
         store.unreachable = false;
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", OWN_TOKEN + 1, OWN_TOKEN + 1), 0);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         assertFalse(mayRenewFirstMachine());
         assertTrue(keeper.canRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
--- a/src/test/java/org/granitepath/recovery/RecoveryFixtures.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryFixtures.java
@@ -6,7 +6,7 @@
 
 /** Machine profiles and jobs for recovery tests. */
 final class RecoveryFixtures {
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
     static final MachineProfile NORTH = new MachineProfile("small", "north", false);
     static final MachineProfile NORTH_SPOT = new MachineProfile("small", "north", true);
     static final MachineProfile SOUTH_SPOT = new MachineProfile("small", "south", true);
@@ -37,7 +37,7 @@
                 false,
                 false,
                 spot,
-                SECOND,
+                SECOND_MICROS,
                 0,
                 0,
                 JobSpec.NO_DEADLINE);
--- a/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPlanTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.recovery;
 
 import static org.granitepath.recovery.RecoveryFixtures.NORTH;
-import static org.granitepath.recovery.RecoveryFixtures.SECOND;
+import static org.granitepath.recovery.RecoveryFixtures.SECOND_MICROS;
 import static org.granitepath.recovery.RecoveryFixtures.SOUTH_SPOT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,7 +19,7 @@
 
 /** Which work may start in each phase of a recovery, and when the phase ends. */
 class RecoveryPlanTest {
-    private static final long HOLD = 5 * SECOND;
+    private static final long HOLD_MICROS = 5 * SECOND_MICROS;
     private static final LiveWorkBacklog UNCONFIRMED_TASK = new LiveWorkBacklog(1, 0, 0, 0);
     private static final LiveWorkBacklog UNACKNOWLEDGED_TASK = new LiveWorkBacklog(0, 0, 1, 0);
 
@@ -27,8 +27,8 @@
             RecoveryFixtures.job(JobSpec.Shape.SERVICE, Priority.CRITICAL, null, null, false);
     private static final JobSpec BATCH = RecoveryFixtures.batch(null, null, true);
 
-    private static RecoveryPlan plan(long hold) {
-        RecoveryPlan plan = new RecoveryPlan(7, hold, RecoveryTracer.NONE);
+    private static RecoveryPlan plan(long holdMicros) {
+        RecoveryPlan plan = new RecoveryPlan(7, holdMicros, RecoveryTracer.NONE);
         plan.takeOverMachine("a", NORTH);
         plan.takeOverMachine("b", SOUTH_SPOT);
         return plan;
@@ -36,7 +36,7 @@
 
     @Test
     void nothingStartsWhileTheRecordsAreRead() {
-        RecoveryPlan plan = plan(HOLD);
+        RecoveryPlan plan = plan(HOLD_MICROS);
         assertEquals(RecoveryPhase.READING, plan.phase());
         assertFalse(plan.canStart(SERVICE));
         assertFalse(plan.canStart(BATCH));
@@ -44,7 +44,7 @@
 
     @Test
     void servicesResumeFirstThenBatchWorkThenTheRecoveryEnds() {
-        RecoveryPlan plan = plan(HOLD);
+        RecoveryPlan plan = plan(HOLD_MICROS);
         plan.onRecordsRead(42, 0);
         assertEquals(RecoveryPhase.RECONCILING, plan.phase());
         assertTrue(plan.canStart(SERVICE));
@@ -74,12 +74,12 @@
     @ParameterizedTest
     @MethodSource("anyBacklog")
     void theHoldEndsInTimeWithAnyBacklog(LiveWorkBacklog backlog) {
-        RecoveryPlan plan = plan(HOLD);
+        RecoveryPlan plan = plan(HOLD_MICROS);
         plan.onRecordsRead(42, 100);
-        plan.endHoldIfDue(100 + HOLD - 1);
+        plan.endHoldIfDue(100 + HOLD_MICROS - 1);
         plan.onCycleEnded(backlog);
         assertFalse(plan.canStart(BATCH));
-        plan.endHoldIfDue(100 + HOLD);
+        plan.endHoldIfDue(100 + HOLD_MICROS);
         assertTrue(plan.canStart(BATCH));
     }
 
@@ -93,7 +93,7 @@
 
     @Test
     void withoutMachinesTheRecoveryEndsAtOnce() {
-        RecoveryPlan plan = new RecoveryPlan(7, HOLD, RecoveryTracer.NONE);
+        RecoveryPlan plan = new RecoveryPlan(7, HOLD_MICROS, RecoveryTracer.NONE);
         plan.onRecordsRead(1, 0);
         assertEquals(RecoveryPhase.RECOVERED, plan.phase());
         assertTrue(plan.canStart(BATCH));
@@ -102,7 +102,7 @@
     /** A task is lost once no awaited machine is left that its job allows, whatever other machines are awaited. */
     @Test
     void onlyMachinesThatTheJobAllowsAreAwaited() {
-        RecoveryPlan plan = plan(HOLD);
+        RecoveryPlan plan = plan(HOLD_MICROS);
         plan.onRecordsRead(42, 0);
         JobSpec southOnly = RecoveryFixtures.batch(null, "south", true);
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
@@ -116,14 +116,14 @@
     /** Any machine may be listed in a part of the inventory that cannot be read. */
     @Test
     void withAnUnreadableInventoryPartAllTasksStayUnconfirmed() {
-        RecoveryPlan plan = plan(HOLD);
+        RecoveryPlan plan = plan(HOLD_MICROS);
         plan.takeOverUnreadableParts(1);
         plan.onRecordsRead(42, 0);
         plan.resolveMachine("a", NORTH, "heard");
         plan.resolveMachine("b", SOUTH_SPOT, "heard");
         assertFalse(plan.isEveryMachineResolved());
         assertEquals(Verdict.UNCONFIRMED, plan.verdictOnUnlistedTask(SERVICE));
-        plan.endHoldIfDue(HOLD);
+        plan.endHoldIfDue(HOLD_MICROS);
         assertEquals(RecoveryPhase.RESUMING_BATCH, plan.phase());
     }
 
@@ -137,15 +137,15 @@
         Random random = new Random(seed);
         for (int run = 0; run < 200; run++) {
             List<RecoveryPhase> phases = new ArrayList<>();
-            RecoveryPlan plan = plan(HOLD);
+            RecoveryPlan plan = plan(HOLD_MICROS);
             plan.onRecordsRead(1, 0);
             List<Runnable> machines = new ArrayList<>(List.of(
                     () -> plan.resolveMachine("a", NORTH, "heard"),
                     () -> plan.resolveMachine("b", SOUTH_SPOT, "heard")));
-            long now = 0;
+            long nowMicros = 0;
             for (int step = 0; step < 40; step++) {
-                now += random.nextInt((int) SECOND / 2);
-                plan.endHoldIfDue(now);
+                nowMicros += random.nextInt((int) SECOND_MICROS / 2);
+                plan.endHoldIfDue(nowMicros);
                 LiveWorkBacklog backlog =
                         new LiveWorkBacklog(random.nextInt(2), random.nextInt(2), random.nextInt(2), random.nextInt(2));
                 plan.onCycleEnded(backlog);
@@ -153,7 +153,7 @@
                     machines.remove(random.nextInt(machines.size())).run();
                 }
                 phases.add(plan.phase());
-                assertTrue(now < HOLD || plan.canStart(BATCH), "held beyond the time limit");
+                assertTrue(nowMicros < HOLD_MICROS || plan.canStart(BATCH), "held beyond the time limit");
                 assertEquals(
                         plan.isEveryMachineResolved() && plan.canStart(BATCH), plan.phase() == RecoveryPhase.RECOVERED);
             }
