--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -45,7 +45,7 @@
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("guards", preconditions);
         body.put("apply", changes);
-        return Json.text(body);
+        return Json.encode(body);
     }
 
     private static Map<String, Object> encodeChange(Change change) {
@@ -79,7 +79,7 @@
     }
 
     /** Reads the changes that a watch brought. */
-    public static Page decodeFollow(Map<String, Object> body) {
+    public static Page decodeEvents(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
         for (Object element : Fields.listOf(body, "events")) {
             Map<String, Object> fields = Fields.requiredObject(element, "events");
@@ -93,8 +93,8 @@
     }
 
     /** The request for a lease. */
-    public static String encodeLease(long lifeMicros) {
-        return Json.text(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
+    public static String encodeLeaseRequest(long lifeMicros) {
+        return Json.encode(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
     }
 
     /** Reads the number of a new lease. */
--- a/src/main/java/org/granitepath/transport/ConnectionPool.java
+++ b/src/main/java/org/granitepath/transport/ConnectionPool.java
@@ -15,7 +15,7 @@
 import org.xnio.StreamConnection;
 
 /**
- * Opens connections to other programs and keeps some that are idle for later calls to the same address. Connections are
+ * Opens connections to other programs and keeps some that are idle for later calls to the same address. ConnectionLimiter are
  * kept only to addresses of the settings, so addresses are never forgotten.
  */
 final class ConnectionPool {
@@ -23,13 +23,13 @@
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final EventLoop loop;
-    private final Connector connector;
+    private final CancellableConnector connector;
     /** By address; the one that was used last is first. */
     private final Map<String, ArrayDeque<ClientConnection>> idle = new HashMap<>();
 
     ConnectionPool(EventLoop loop) {
         this.loop = loop;
-        this.connector = new Connector(loop.thread());
+        this.connector = new CancellableConnector(loop.thread());
     }
 
     /**
@@ -41,7 +41,7 @@
     IoFuture<StreamConnection> open(String address, ClientCallback<ClientConnection> opened) {
         UndertowClient.getInstance()
                 .connect(opened, URI.create("http://" + address), connector, loop.buffers(), OPTIONS);
-        return connector.latest();
+        return connector.latestAttempt();
     }
 
     /** A connection to this address that was kept and is still open; null: there is none. */
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -22,7 +22,7 @@
 
     /** Calls the store at this address. */
     public KeyValueStoreClient(HttpCalls http, String address) {
-        this.store = new JsonClient(http, address, AfterCall.KEEP, TIMEOUT_MICROS);
+        this.store = new JsonClient(http, address, ConnectionPolicy.KEEP_ALIVE, TIMEOUT_MICROS);
     }
 
     @Override
@@ -49,12 +49,12 @@
         store.get(
                 path,
                 waitMicros + TIMEOUT_MICROS,
-                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeFollow)));
+                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeEvents)));
     }
 
     @Override
     public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
-        store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
+        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), answer -> {
             Map<String, Object> body = answer.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
             then.accept(new LeaseResult(outcome(answer.status(), body), lease));
@@ -71,7 +71,7 @@
                 answer -> then.accept(outcome(answer.status(), Map.of())));
     }
 
-    private static Page page(HttpAnswer answer, Function<Map<String, Object>, Page> decoder) {
+    private static Page page(HttpResponse answer, Function<Map<String, Object>, Page> decoder) {
         Map<String, Object> body = answer.json();
         return answer.isOk() && body != null
                 ? decoder.apply(body)
@@ -81,7 +81,7 @@
     /** @param body null when there was none or it is no JSON object: then nothing is known of a success */
     private static Outcome outcome(int status, @Nullable Map<String, Object> body) {
         return switch (status) {
-            case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
+            case HttpStatus.NO_RESPONSE -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
             case HttpStatus.BAD_REQUEST -> Outcome.INVALID;
             case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -26,12 +26,12 @@
                 address,
                 COMMANDS_PATH,
                 WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands),
-                AfterCall.CLOSE);
+                ConnectionPolicy.CLOSE);
         http.call(request, TIMEOUT_MICROS, answer -> then.accept(reply(answer)));
     }
 
     /** A worker that refuses, as it has another fencing token or agent epoch, tells its state all the same. */
-    private static Reply reply(HttpAnswer answer) {
+    private static Reply reply(HttpResponse answer) {
         String text = answer.text();
         boolean hasHeartbeat = answer.isOk() || answer.status() == HttpStatus.CONFLICT;
         return new Reply(answer.isOk(), hasHeartbeat && text != null ? WorkerCodec.decodeHeartbeat(text) : null);
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -87,7 +87,7 @@
 
     /** The order of the fields of an encoded object means nothing and may differ from one process to the next. */
     private static String sorted(String json) {
-        return Json.text(sorted(Json.object(json)));
+        return Json.encode(sorted(Json.decodeObject(json)));
     }
 
     private static Object sorted(Object value) {
@@ -136,7 +136,7 @@
 
             @Override
             public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
-                add(node, "open lease", KeyValueStoreCodec.encodeLease(lifeMicros));
+                add(node, "open lease", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros));
                 port.openLease(lifeMicros, then);
             }
 
@@ -164,7 +164,7 @@
 
             @Override
             public void terminate(List<String> hosts, Consumer<Boolean> then) {
-                add(node, "return", CloudCodec.encodeHosts(hosts));
+                add(node, "return", CloudCodec.encodeTermination(hosts));
                 port.terminate(hosts, then);
             }
 
