--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -11,14 +11,14 @@
 final class AnswerRules {
     private static final long UNANSWERED_MICROS = 75_000_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final Breaches breaches;
     private final JobHistory jobs;
     private final CancellationRules cancellations;
     private final Set<String> unschedulable = new HashSet<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
 
-    AnswerRules(World world, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
+    AnswerRules(SimEnvironment world, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
         this.world = world;
         this.breaches = breaches;
         this.jobs = jobs;
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -30,7 +30,7 @@
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
-    private final World world = new World(1);
+    private final SimEnvironment world = new SimEnvironment(1);
     private final SimStore store = new SimStore(world, MOST_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -10,7 +10,7 @@
     /** For so long after its time is over, each step looks for tasks of a cancelled job. */
     private static final long WATCHED_MICROS = 120_000_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final Breaches breaches;
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
@@ -19,7 +19,7 @@
 
     /** @param cancelMicros for how long tasks may go on once their cancellation is confirmed */
     CancellationRules(
-            World world, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
+            SimEnvironment world, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
         this.world = world;
         this.breaches = breaches;
         this.jobs = jobs;
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -32,16 +32,16 @@
 final class EdgeTrace {
     private static final ThreadLocal<List<EdgeTrace>> COLLECTOR = new ThreadLocal<>();
 
-    private final World world;
+    private final SimEnvironment world;
     private final Hasher hasher = Hashing.sha256().newHasher();
     private long events;
 
-    private EdgeTrace(World world) {
+    private EdgeTrace(SimEnvironment world) {
         this.world = world;
     }
 
     /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
-    static @Nullable EdgeTrace of(World world) {
+    static @Nullable EdgeTrace of(SimEnvironment world) {
         List<EdgeTrace> collector = COLLECTOR.get();
         if (collector == null) {
             return null;
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -16,7 +16,7 @@
     /** Stands for the time of what has not happened: later than any run ends, and safe to subtract from. */
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private final World world;
+    private final SimEnvironment world;
     private final Map<String, JobSpec> submitted = new HashMap<>();
     private final Map<String, Long> submittedAt = new LinkedHashMap<>();
     private final Set<String> accepted = new HashSet<>();
@@ -28,7 +28,7 @@
     private final Map<TaskId, Integer> startsSent = new HashMap<>();
     private final Map<String, Long> startSentAt = new HashMap<>();
 
-    JobHistory(World world) {
+    JobHistory(SimEnvironment world) {
         this.world = world;
     }
 
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -60,8 +60,8 @@
         return (2 + simulation.world.random.nextInt(40)) * SECOND;
     }
 
-    private static World.Cut cut(Simulation simulation) {
-        return simulation.world.random.nextBoolean() ? World.Cut.HOLD : World.Cut.DROP;
+    private static SimEnvironment.Cut cut(Simulation simulation) {
+        return simulation.world.random.nextBoolean() ? SimEnvironment.Cut.HOLD : SimEnvironment.Cut.DROP;
     }
 
     private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -16,7 +16,7 @@
 
 /** The users' rules, checked from what happens on machines and what users are told. Each family is a class. */
 final class Rules {
-    private final World world;
+    private final SimEnvironment world;
     private final Consumer<String> lastTaskDone;
     private final List<String> broken = new ArrayList<>();
     private final JobHistory jobs;
@@ -26,12 +26,12 @@
     private final WaitingRules waiting;
     private final ServedRules served;
 
-    Rules(World world, Map<String, Team> teams, long cancelMicros) {
+    Rules(SimEnvironment world, Map<String, Team> teams, long cancelMicros) {
         this(world, teams, cancelMicros, job -> {});
     }
 
     /** @param lastTaskDone told of each job whose last task has just completed */
-    Rules(World world, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
+    Rules(SimEnvironment world, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
         this.world = world;
         this.lastTaskDone = lastTaskDone;
         jobs = new JobHistory(world);
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -30,7 +30,7 @@
     private static final long RUN_MICROS = 1_000_000;
     private static final long LONG_RUN_MICROS = 300_000_000;
 
-    private final World world = new World(1);
+    private final SimEnvironment world = new SimEnvironment(1);
     private final Rules rules = new Rules(world, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
 
     RulesFixture() {
@@ -39,7 +39,7 @@
         rules.submitting(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
     }
 
-    World world() {
+    SimEnvironment world() {
         return world;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -36,7 +36,7 @@
         }
     }
 
-    private final World world;
+    private final SimEnvironment world;
     private final List<MachineType> types;
     private final int perOffer;
     private final long listLag;
@@ -52,7 +52,7 @@
     private boolean outage;
 
     SimCloud(
-            World world,
+            SimEnvironment world,
             List<MachineType> types,
             int perOffer,
             long listLag,
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -18,14 +18,14 @@
 
     private record Sent(String host, TaskId task, long attempt) {}
 
-    private final World world;
+    private final SimEnvironment world;
     private final Rules rules;
     private final List<Start> starts = new ArrayList<>();
     private final Set<Sent> sent = new HashSet<>();
     private final Map<String, Integer> startsByHost = new HashMap<>();
     private final Set<HeartbeatOfTerm> heartbeats = new HashSet<>();
 
-    SimCommands(World world, Rules rules) {
+    SimCommands(SimEnvironment world, Rules rules) {
         this.world = world;
         this.rules = rules;
     }
--- a/src/test/java/org/granitepath/simulation/World.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -14,7 +14,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Simulated time and network. Everything that happens follows from the seed. */
-final class World {
+final class SimEnvironment {
     private record Event(long at, long order, Runnable action) {}
 
     /** What a cut does with packets under way: keeps them for later, or loses them. */
@@ -43,7 +43,7 @@
     private long now;
     private long order;
 
-    World(long seed) {
+    SimEnvironment(long seed) {
         random = new Random(seed);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -15,7 +15,7 @@
     /** Within this time the tasks notice that one of them is gone. */
     static final long PEER_LOSS_NOTICED = 3_000_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final Rules rules;
     private final Set<TaskId> results;
     private final Map<String, Attempt> attempts = new HashMap<>();
@@ -28,7 +28,7 @@
     private int savedInOrder;
     private int incomplete;
 
-    SimGangs(World world, Rules rules, Set<TaskId> results) {
+    SimGangs(SimEnvironment world, Rules rules, Set<TaskId> results) {
         this.world = world;
         this.rules = rules;
         this.results = results;
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -5,12 +5,12 @@
 
 /** Descriptions of jobs, each with an id of its own. */
 final class SimJobs {
-    private final World world;
+    private final SimEnvironment world;
     private final int perOffer;
     private int submissions;
 
     /** @param perOffer how many machines of each type, zone and kind there are */
-    SimJobs(World world, int perOffer) {
+    SimJobs(SimEnvironment world, int perOffer) {
         this.world = world;
         this.perOffer = perOffer;
     }
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -7,7 +7,7 @@
 
 /** Where one controller runs, one process after the other, with a clock that drifts and a time of day that is off. */
 final class SimNode {
-    private final World world;
+    private final SimEnvironment world;
     private final String name;
     private final Function<SimNode, Controller> newController;
     private final double drift;
@@ -18,7 +18,7 @@
     private @Nullable Controller controller;
 
     /** @param newController makes the controller of a process that starts */
-    SimNode(World world, String name, Function<SimNode, Controller> newController) {
+    SimNode(SimEnvironment world, String name, Function<SimNode, Controller> newController) {
         this.world = world;
         this.name = name;
         this.newController = newController;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -18,7 +18,7 @@
     static final String NAME = "state";
     private static final long EXPIRY_INTERVAL = 50_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final SimStoreKeys keys = new SimStoreKeys();
     private final SimLeases leases = new SimLeases();
     private final SimWatches watches;
@@ -40,7 +40,7 @@
     private int refusals;
     private int writes;
 
-    SimStore(World world, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
+    SimStore(SimEnvironment world, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
         this.world = world;
         this.watches = new SimWatches(world, keys);
         this.rates = new SimRates(requestsPerSecond, writesPerSecond);
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -12,11 +12,11 @@
     private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
     private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
 
-    private final World world;
+    private final SimEnvironment world;
     private final SimStore store;
     private final String node;
 
-    SimStorePort(World world, SimStore store, String node) {
+    SimStorePort(SimEnvironment world, SimStore store, String node) {
         this.world = world;
         this.store = store;
         this.node = node;
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -16,7 +16,7 @@
     /** A task on a faulty machine, or of a broken job, fails after so long. */
     private static final long FAILS_AFTER = 200_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final Rules rules;
     private final SimWorker worker;
     private final Function<String, JobSpec> jobs;
@@ -34,7 +34,7 @@
      * @param failsEverywhere whether every task of a job fails
      */
     SimTaskRunner(
-            World world,
+            SimEnvironment world,
             Rules rules,
             SimWorker worker,
             Function<String, JobSpec> jobs,
--- a/src/test/java/org/granitepath/simulation/SimWatches.java
+++ b/src/test/java/org/granitepath/simulation/SimWatches.java
@@ -20,11 +20,11 @@
         }
     }
 
-    private final World world;
+    private final SimEnvironment world;
     private final SimStoreKeys keys;
     private final List<Watch> waiting = new ArrayList<>();
 
-    SimWatches(World world, SimStoreKeys keys) {
+    SimWatches(SimEnvironment world, SimStoreKeys keys) {
         this.world = world;
         this.keys = keys;
     }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -28,7 +28,7 @@
 
     private static final long ANSWER_TIMEOUT = 4_000_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final SimControllers controllers;
     final String id;
     final MachineType type;
@@ -56,7 +56,7 @@
     private long noticeEnd = -1;
 
     SimWorker(
-            World world,
+            SimEnvironment world,
             Rules rules,
             SimControllers controllers,
             Function<String, JobSpec> jobs,
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -59,7 +59,7 @@
     final Set<String> upgraded = new HashSet<>();
 
     final List<String> names;
-    final World world;
+    final SimEnvironment world;
     /** What leaves the controllers; null when nobody wants to know. */
     private final @Nullable EdgeTrace trace;
 
@@ -101,7 +101,7 @@
     Simulation(long seed, Shape shape) {
         this.shape = shape;
         names = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
-        world = new World(seed);
+        world = new SimEnvironment(seed);
         trace = EdgeTrace.of(world);
         rules = new Rules(world, TEAMS, shape.cancel(), this::endedOnMachines);
         commands = new SimCommands(world, rules);
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -12,13 +12,13 @@
 final class WaitingRules {
     private static final long NEGLECTED_MICROS = 90_000_000;
 
-    private final World world;
+    private final SimEnvironment world;
     private final Breaches breaches;
     private final JobHistory jobs;
     private final Map<String, Team> teams;
     private final Map<String, Long> couldRunSince = new HashMap<>();
 
-    WaitingRules(World world, Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
+    WaitingRules(SimEnvironment world, Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
         this.world = world;
         this.breaches = breaches;
         this.jobs = jobs;
