--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -11,15 +11,15 @@
 final class AnswerRules {
     private static final long UNANSWERED_MICROS = 75_000_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Breaches breaches;
     private final JobHistory jobs;
     private final CancellationRules cancellations;
     private final Set<String> unschedulable = new HashSet<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
 
-    AnswerRules(SimEnvironment world, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
-        this.world = world;
+    AnswerRules(SimEnvironment environment, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
+        this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
         this.cancellations = cancellations;
@@ -50,7 +50,7 @@
             breaches.add("invented", job);
         }
         jobs.accepted(job);
-        answeredAt.put(job, world.now());
+        answeredAt.put(job, environment.now());
         JobState earlier = jobs.finalTold(job);
         if (earlier != null && earlier != state) {
             breaches.add("went_back", job + " was " + earlier + ", is " + state);
@@ -83,7 +83,7 @@
     /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
     void checkKnown(long troublesOver) {
         for (String job : jobs.acceptedJobs()) {
-            long since = world.now() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
+            long since = environment.now() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
             if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
                 breaches.add("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
             }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -30,28 +30,28 @@
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
-    private final SimEnvironment world = new SimEnvironment(1);
-    private final SimStore store = new SimStore(world, MOST_CHANGES, 2048, 1000, 200);
+    private final SimEnvironment environment = new SimEnvironment(1);
+    private final SimStore store = new SimStore(environment, MOST_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
-            return world.now();
+            return environment.now();
         }
 
         @Override
         public long timeOfDayMicros() {
-            return world.now();
+            return environment.now();
         }
 
         @Override
         public void after(long delayMicros, Runnable action) {
-            world.after(delayMicros, action);
+            environment.after(delayMicros, action);
         }
     };
 
     private RecordReplica replica() {
         RecordReplica replica = replicaOf(store, "n");
-        world.run(1_000_000, () -> {});
+        environment.run(1_000_000, () -> {});
         return replica;
     }
 
@@ -80,17 +80,17 @@
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
+            environment.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
-            world.after(
+            environment.after(
                     i * 66_000L,
                     () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
         int before = store.reads();
-        world.run(14_000_000, () -> {});
+        environment.run(14_000_000, () -> {});
 
         assertEquals(2_000, answered.get());
         assertTrue(store.reads() - before <= 10_000_000 / 50_000 * 1.1, store.reads() - before + " reads in 10 s");
@@ -114,17 +114,17 @@
                     },
                     storeRevision -> written.add(key));
         }
-        world.run(3_000_000, () -> {});
+        environment.run(3_000_000, () -> {});
         writeQueue.enqueue(
                 "g/safe",
                 Urgency.SAFETY,
                 0,
                 () -> List.of(Change.write("g/safe", SOME_RECORD)),
                 storeRevision -> written.add("g/safe"));
-        world.run(3_300_000, () -> {});
+        environment.run(3_300_000, () -> {});
 
         assertTrue(written.contains("g/safe"), "an urgent write waits behind progress");
-        world.run(61_000_000, () -> {});
+        environment.run(61_000_000, () -> {});
 
         assertEquals(301, written.size());
         assertTrue(made.get() <= 310, "contents were made " + made + " times");
@@ -133,7 +133,7 @@
     /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
     void requestHandlersYieldToTheLeader() {
-        SimStore tight = new SimStore(world, MOST_CHANGES, 2048, 1000, 18);
+        SimStore tight = new SimStore(environment, MOST_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
             String node = "n" + number;
@@ -145,7 +145,7 @@
             WriteQueue writeQueue = writeQueue(tight, node, replica, writesPerSecond, control);
             for (int i = 0; i < 900; i++) {
                 String key = prefix + i;
-                world.after(
+                environment.after(
                         1_000_000 + i * 60_000L,
                         () -> writeQueue.enqueue(
                                 key,
@@ -155,7 +155,7 @@
                                 storeRevision -> writesOfLeader.addAndGet(leads ? 1 : 0)));
             }
         }
-        world.run(61_000_000, () -> {});
+        environment.run(61_000_000, () -> {});
 
         assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
@@ -181,7 +181,7 @@
                     },
                     storeRevision -> written.add(key));
         }
-        world.run(20_000_000, () -> {});
+        environment.run(20_000_000, () -> {});
 
         assertEquals(11, written.size());
         assertTrue(made.get() <= 8, "sent " + made + " times");
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -60,7 +60,7 @@
             running.set(simulation.rules.running().size());
             simulation.store.refuse(leader, 14 * SECOND);
             jobs.forEach(job -> simulation.users.cancelAt(
-                    others(simulation, leader).get(simulation.world.random.nextInt(4)), job.id()));
+                    others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
                 simulation.store.outage(simulation.shape.cancel() + 15 * SECOND);
                 answeredBefore.set(simulation.heartbeatsAccepted(leader));
@@ -87,8 +87,8 @@
         Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
         longWork(simulation, 6, 6, 100 * SECOND);
 
-        simulation.after(45 * SECOND, () -> simulation.world.heldUp = 0.05);
-        simulation.after(60 * SECOND, () -> simulation.world.heldUp = 0);
+        simulation.after(45 * SECOND, () -> simulation.environment.heldUp = 0.05);
+        simulation.after(60 * SECOND, () -> simulation.environment.heldUp = 0);
         Observation<Integer> toldBefore = new Observation<>();
         Observation<Integer> toldAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -10,7 +10,7 @@
     /** For so long after its time is over, each step looks for tasks of a cancelled job. */
     private static final long WATCHED_MICROS = 120_000_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Breaches breaches;
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
@@ -19,8 +19,8 @@
 
     /** @param cancelMicros for how long tasks may go on once their cancellation is confirmed */
     CancellationRules(
-            SimEnvironment world, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
-        this.world = world;
+            SimEnvironment environment, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
+        this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
         this.placements = placements;
@@ -29,7 +29,7 @@
 
     /** A user was told for the first time that the job is cancelled. */
     void confirmed(String job) {
-        confirmedAt.put(job, world.now());
+        confirmedAt.put(job, environment.now());
     }
 
     /** A controller sends the command to start this task. */
@@ -56,11 +56,11 @@
                 breaches.add("ran_cancelled", task + " is still on " + placements.hostOf(task));
             }
         }
-        confirmedAt.values().removeIf(confirmed -> world.now() > confirmed + cancelMicros + WATCHED_MICROS);
+        confirmedAt.values().removeIf(confirmed -> environment.now() > confirmed + cancelMicros + WATCHED_MICROS);
     }
 
     private boolean isOverdue(TaskId task) {
         Long confirmed = confirmedAt.get(task.job());
-        return confirmed != null && world.now() > confirmed + cancelMicros;
+        return confirmed != null && environment.now() > confirmed + cancelMicros;
     }
 }
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -31,7 +31,7 @@
         for (int i = 0; i < 12; i++) {
             long at = 2 * SECOND + 5L * i * SECOND;
             simulation.after(at, () -> {
-                boolean spot = simulation.world.random.nextBoolean();
+                boolean spot = simulation.environment.random.nextBoolean();
                 simulation.users.submit(
                         simulation.jobs.work(120, 25 * SECOND).onSpot(spot).create());
             });
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -46,10 +46,10 @@
         withJobs(simulation, 30, 60 * SECOND);
         longWork(simulation, 4, 6, 20 * SECOND);
 
-        simulation.after(20 * SECOND, () -> simulation.world.heldUp = 0.03);
+        simulation.after(20 * SECOND, () -> simulation.environment.heldUp = 0.03);
         Observation<Integer> waiting = simulation.observe(
                 60 * SECOND, () -> simulation.users.unfinishedBatches().size());
-        simulation.after(90 * SECOND, () -> simulation.world.heldUp = 0);
+        simulation.after(90 * SECOND, () -> simulation.environment.heldUp = 0);
         simulation.run(100 * SECOND, 700 * SECOND);
 
         assertTrue(waiting.get() > 5, "only " + waiting.get() + " jobs wait");
@@ -230,8 +230,8 @@
         for (int i = 0; i < 11; i++) {
             simulation.after((35 + 11 * i) * SECOND, () -> {
                 String was = simulation.leader();
-                if (simulation.world.random.nextBoolean()) {
-                    simulation.faults.crash(was, 300_000 + simulation.world.random.nextInt(6_000_000));
+                if (simulation.environment.random.nextBoolean()) {
+                    simulation.faults.crash(was, 300_000 + simulation.environment.random.nextInt(6_000_000));
                 } else {
                     simulation.faults.cutFromPeersAndStore(was, SimEnvironment.Cut.HOLD, 9 * SECOND);
                 }
@@ -252,7 +252,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void theOneThatReturnsAtOnceLeadsAfterAllHaveEnded(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
-        simulation.world.lateCopies = 0.1;
+        simulation.environment.lateCopies = 0.1;
 
         simulation.after(40 * SECOND, () -> {
             String first = simulation.leader();
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -32,21 +32,21 @@
 final class EdgeTrace {
     private static final ThreadLocal<List<EdgeTrace>> COLLECTOR = new ThreadLocal<>();
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Hasher hasher = Hashing.sha256().newHasher();
     private long events;
 
-    private EdgeTrace(SimEnvironment world) {
-        this.world = world;
+    private EdgeTrace(SimEnvironment environment) {
+        this.environment = environment;
     }
 
     /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
-    static @Nullable EdgeTrace of(SimEnvironment world) {
+    static @Nullable EdgeTrace of(SimEnvironment environment) {
         List<EdgeTrace> collector = COLLECTOR.get();
         if (collector == null) {
             return null;
         }
-        EdgeTrace trace = new EdgeTrace(world);
+        EdgeTrace trace = new EdgeTrace(environment);
         collector.add(trace);
         return trace;
     }
@@ -79,7 +79,7 @@
 
     private void add(String node, String kind, byte[] detail) {
         events++;
-        hasher.putLong(world.now());
+        hasher.putLong(environment.now());
         hasher.putUnencodedChars(node).putChar('\n');
         hasher.putUnencodedChars(kind).putChar('\n');
         hasher.putInt(detail.length).putBytes(detail);
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -60,11 +60,11 @@
     /** The same in this deployment. Services are cancelled after a minute, other work at times. */
     static Simulation withJobs(Simulation simulation, int jobs, long untilMicros) {
         for (int i = 0; i < jobs; i++) {
-            simulation.after(2 * SECOND + (long) (simulation.world.random.nextDouble() * untilMicros), () -> {
+            simulation.after(2 * SECOND + (long) (simulation.environment.random.nextDouble() * untilMicros), () -> {
                 JobSpec spec = simulation.jobs.randomJob();
                 simulation.users.submit(
                         spec,
-                        spec.service() ? 60 * SECOND : simulation.world.random.nextInt(6) == 0 ? 12 * SECOND : -1);
+                        spec.service() ? 60 * SECOND : simulation.environment.random.nextInt(6) == 0 ? 12 * SECOND : -1);
                 simulation.users.pollUnknownJob();
             });
         }
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -93,7 +93,7 @@
         simulation.after(
                 160 * SECOND,
                 () -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, 300_000 + simulation.world.random.nextInt(4_000_000))));
+                        node -> simulation.faults.crash(node, 300_000 + simulation.environment.random.nextInt(4_000_000))));
         simulation.run(170 * SECOND, 400 * SECOND);
 
         assertEquals(
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -16,7 +16,7 @@
     /** Stands for the time of what has not happened: later than any run ends, and safe to subtract from. */
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Map<String, JobSpec> submitted = new HashMap<>();
     private final Map<String, Long> submittedAt = new LinkedHashMap<>();
     private final Set<String> accepted = new HashSet<>();
@@ -28,15 +28,15 @@
     private final Map<TaskId, Integer> startsSent = new HashMap<>();
     private final Map<String, Long> startSentAt = new HashMap<>();
 
-    JobHistory(SimEnvironment world) {
-        this.world = world;
+    JobHistory(SimEnvironment environment) {
+        this.environment = environment;
     }
 
     // ---- users -------------------------------------------------------------------------------------------------
 
     void submitted(JobSpec spec) {
         submitted.putIfAbsent(spec.id(), spec);
-        submittedAt.putIfAbsent(spec.id(), world.now());
+        submittedAt.putIfAbsent(spec.id(), environment.now());
     }
 
     boolean wasSubmitted(String job) {
@@ -100,7 +100,7 @@
     /** A controller sends the command to start this task. */
     void startSent(TaskId task) {
         startsSent.merge(task, 1, Integer::sum);
-        startSentAt.put(task.job(), world.now());
+        startSentAt.put(task.job(), environment.now());
     }
 
     /** When the last start of the job was sent; zero when none was. */
@@ -117,7 +117,7 @@
 
     /** A task of the job is on a machine. */
     void begun(String job) {
-        begunAt.putIfAbsent(job, world.now());
+        begunAt.putIfAbsent(job, environment.now());
     }
 
     boolean hasBegun(String job) {
@@ -126,7 +126,7 @@
 
     /** From submission to the first start on a machine, or until now. */
     long waitedForBegin(String job) {
-        return begunAt.getOrDefault(job, world.now()) - submittedAt.get(job);
+        return begunAt.getOrDefault(job, environment.now()) - submittedAt.get(job);
     }
 
     /** From submission to the first start on a machine; beyond all bounds when there was none. */
@@ -136,7 +136,7 @@
 
     /** A task has its result. Returns whether it is the last one that its job lacked. */
     boolean completed(TaskId task) {
-        completedAt.put(task.job(), world.now());
+        completedAt.put(task.job(), environment.now());
         Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
         return done.add(task.index())
                 && done.size() == submitted.get(task.job()).tasks();
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -33,8 +33,8 @@
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
             simulation.after((5 + 14 * i) * SECOND, () -> {
-                int tasks = 1 + simulation.world.random.nextInt(8);
-                String team = simulation.world.random.nextBoolean() ? "granted" : "lender";
+                int tasks = 1 + simulation.environment.random.nextInt(8);
+                String team = simulation.environment.random.nextBoolean() ? "granted" : "lender";
                 simulation.users.submit(simulation
                         .jobs
                         .work(tasks, 15 * SECOND)
@@ -45,11 +45,11 @@
         }
         List<Consumer<Simulation>> troubles = troubles();
         for (int i = 0; i < 3; i++) {
-            long at = (30 + 55 * i) * SECOND + simulation.world.random.nextInt(8_000_000);
-            Consumer<Simulation> one = troubles.get(simulation.world.random.nextInt(troubles.size()));
-            Consumer<Simulation> other = troubles.get(simulation.world.random.nextInt(troubles.size()));
+            long at = (30 + 55 * i) * SECOND + simulation.environment.random.nextInt(8_000_000);
+            Consumer<Simulation> one = troubles.get(simulation.environment.random.nextInt(troubles.size()));
+            Consumer<Simulation> other = troubles.get(simulation.environment.random.nextInt(troubles.size()));
             simulation.after(at, () -> one.accept(simulation));
-            simulation.after(at + simulation.world.random.nextInt(6_000_000), () -> other.accept(simulation));
+            simulation.after(at + simulation.environment.random.nextInt(6_000_000), () -> other.accept(simulation));
         }
         simulation.run(250 * SECOND, 650 * SECOND);
 
@@ -57,16 +57,16 @@
     }
 
     private static long time(Simulation simulation) {
-        return (2 + simulation.world.random.nextInt(40)) * SECOND;
+        return (2 + simulation.environment.random.nextInt(40)) * SECOND;
     }
 
     private static SimEnvironment.Cut cut(Simulation simulation) {
-        return simulation.world.random.nextBoolean() ? SimEnvironment.Cut.HOLD : SimEnvironment.Cut.DROP;
+        return simulation.environment.random.nextBoolean() ? SimEnvironment.Cut.HOLD : SimEnvironment.Cut.DROP;
     }
 
     private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
         List<SimWorker> all = simulation.cloud.workers();
-        int every = 2 + simulation.world.random.nextInt(4);
+        int every = 2 + simulation.environment.random.nextInt(4);
         for (int i = 0; i < all.size(); i += every) {
             what.accept(all.get(i));
         }
@@ -82,9 +82,9 @@
     private static List<Consumer<Simulation>> ofControllersAndLinks() {
         return List.of(
                 simulation -> simulation.faults.crash(
-                        simulation.leader(), 200_000 + simulation.world.random.nextInt(6_000_000)),
+                        simulation.leader(), 200_000 + simulation.environment.random.nextInt(6_000_000)),
                 simulation -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, 200_000 + simulation.world.random.nextInt(30_000_000))),
+                        node -> simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
                 simulation -> simulation.store.refuse(simulation.leader(), time(simulation)),
                 simulation -> simulation.store.outage(time(simulation) + simulation.shape.cancel() / 2),
                 simulation ->
@@ -96,7 +96,7 @@
                         simulation.zoneOf(simulation.anyNode()), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.freeze(simulation.leader(), time(simulation)),
                 simulation -> simulation.users.cancelRunning(
-                        6, simulation.world.random.nextBoolean() ? 0 : time(simulation)));
+                        6, simulation.environment.random.nextBoolean() ? 0 : time(simulation)));
     }
 
     private static List<Consumer<Simulation>> ofMessages() {
@@ -110,12 +110,12 @@
                     simulation.after(time(simulation), () -> simulation.store.lateWrites = 0);
                 },
                 simulation -> {
-                    simulation.world.lateCopies = 0.2;
-                    simulation.after(time(simulation), () -> simulation.world.lateCopies = 0);
+                    simulation.environment.lateCopies = 0.2;
+                    simulation.after(time(simulation), () -> simulation.environment.lateCopies = 0);
                 },
                 simulation -> {
-                    simulation.world.heldUp = 0.06;
-                    simulation.after(time(simulation), () -> simulation.world.heldUp = 0);
+                    simulation.environment.heldUp = 0.06;
+                    simulation.after(time(simulation), () -> simulation.environment.heldUp = 0);
                 },
                 simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)));
     }
@@ -129,7 +129,7 @@
                 simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
                 simulation -> someMachines(
                         simulation,
-                        worker -> simulation.after(simulation.world.random.nextInt(3_000_000), worker::die)),
+                        worker -> simulation.after(simulation.environment.random.nextInt(3_000_000), worker::die)),
                 simulation -> simulation.users.oddRequests(time(simulation)),
                 simulation -> simulation.cloud.outage(time(simulation)));
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -84,11 +84,11 @@
         });
         AtomicLong lastVerdict = new AtomicLong(-1);
         simulation.run(RecoveryLoad.RESTART);
-        simulation.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
+        simulation.environment.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
             RecoveryStatus status =
-                    simulation.world.now() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
+                    simulation.environment.now() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
-                lastVerdict.set(simulation.world.now());
+                lastVerdict.set(simulation.environment.now());
             }
         });
         int requests = simulation.store.requests() - requestsBefore.get();
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -82,7 +82,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void resultsOfMeanwhileCountAndHeartbeatsOfBeforeDoNot(long seed) {
         Simulation simulation = busy(seed);
-        simulation.world.lateCopies = 0.2;
+        simulation.environment.lateCopies = 0.2;
 
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
@@ -92,7 +92,7 @@
         simulation.after(
                 RESTART,
                 () -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, down + simulation.world.random.nextInt(1_000_000))));
+                        node -> simulation.faults.crash(node, down + simulation.environment.random.nextInt(1_000_000))));
         for (int i = 0; i < 30; i++) {
             simulation.after(
                     RESTART + down + i * SECOND / 2,
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -109,7 +109,7 @@
             simulation.after(at, () -> simulation.users.submit(spec, spec.service() ? 20 * SECOND : -1));
         }
         simulation.after(
-                RESTART - 100_000 - simulation.world.random.nextInt(400_000),
+                RESTART - 100_000 - simulation.environment.random.nextInt(400_000),
                 () -> simulation.users.cancelRunning(4, 0));
         simulation.after(RESTART, () -> restart(simulation, seed % 2 == 0));
         simulation.run(RESTART + 100 * SECOND, 500 * SECOND);
@@ -190,9 +190,9 @@
     /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
     private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
         AtomicInteger met = new AtomicInteger();
-        simulation.world.run(RESTART + 60 * SECOND, () -> {
+        simulation.environment.run(RESTART + 60 * SECOND, () -> {
             simulation.rules.check();
-            RecoveryStatus status = simulation.world.now() > RESTART ? simulation.recovery(phase) : null;
+            RecoveryStatus status = simulation.environment.now() > RESTART ? simulation.recovery(phase) : null;
             if (status != null && met.get() < 2) {
                 met.incrementAndGet();
                 endReplicas(simulation);
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -16,7 +16,7 @@
 
 /** The users' rules, checked from what happens on machines and what users are told. Each family is a class. */
 final class Rules {
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Consumer<String> lastTaskDone;
     private final List<String> broken = new ArrayList<>();
     private final JobHistory jobs;
@@ -26,25 +26,25 @@
     private final WaitingRules waiting;
     private final ServedRules served;
 
-    Rules(SimEnvironment world, Map<String, Team> teams, long cancelMicros) {
-        this(world, teams, cancelMicros, job -> {});
+    Rules(SimEnvironment environment, Map<String, Team> teams, long cancelMicros) {
+        this(environment, teams, cancelMicros, job -> {});
     }
 
     /** @param lastTaskDone told of each job whose last task has just completed */
-    Rules(SimEnvironment world, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
-        this.world = world;
+    Rules(SimEnvironment environment, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
+        this.environment = environment;
         this.lastTaskDone = lastTaskDone;
-        jobs = new JobHistory(world);
+        jobs = new JobHistory(environment);
         placements = new TaskPlacementRules(this::breach, jobs, teams);
-        cancellations = new CancellationRules(world, this::breach, jobs, placements, cancelMicros);
-        answers = new AnswerRules(world, this::breach, jobs, cancellations);
-        waiting = new WaitingRules(world, this::breach, jobs, teams);
+        cancellations = new CancellationRules(environment, this::breach, jobs, placements, cancelMicros);
+        answers = new AnswerRules(environment, this::breach, jobs, cancellations);
+        waiting = new WaitingRules(environment, this::breach, jobs, teams);
         served = new ServedRules(this::breach, jobs);
     }
 
     /** A rule is broken. */
     void breach(String rule, String what) {
-        broken.add(rule + " at " + world.now() / 1e6 + " s: " + what);
+        broken.add(rule + " at " + environment.now() / 1e6 + " s: " + what);
     }
 
     /** The breaches so far, in order. */
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -30,8 +30,8 @@
     private static final long RUN_MICROS = 1_000_000;
     private static final long LONG_RUN_MICROS = 300_000_000;
 
-    private final SimEnvironment world = new SimEnvironment(1);
-    private final Rules rules = new Rules(world, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
+    private final SimEnvironment environment = new SimEnvironment(1);
+    private final Rules rules = new Rules(environment, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
 
     RulesFixture() {
         rules.submitting(spec(ANYWHERE, TASKS, false, false, RUN_MICROS));
@@ -40,7 +40,7 @@
     }
 
     SimEnvironment world() {
-        return world;
+        return environment;
     }
 
     Rules rules() {
@@ -88,12 +88,12 @@
 
     /** Time passes until then, without a check. */
     void runUntil(long micros) {
-        world.run(micros, () -> {});
+        environment.run(micros, () -> {});
     }
 
     /** The same with the rules checked after each event. */
     void runCheckedUntil(long micros) {
-        world.run(micros, rules::check);
+        environment.run(micros, rules::check);
     }
 
     /** One rule is broken, and its breach begins so. */
@@ -109,12 +109,12 @@
     /** A machine of four CPUs whose heartbeats are accepted, and on which tasks run for minutes. */
     SimWorker worker() {
         return new SimWorker(
-                world,
+                environment,
                 rules,
                 new AcceptingController(),
                 job -> spec(job, TASKS, false, false, LONG_RUN_MICROS),
                 new HashSet<>(),
-                new SimGangs(world, rules, new HashSet<>()),
+                new SimGangs(environment, rules, new HashSet<>()),
                 new SimWorker.Facts(
                         "i-1", new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")), "z", false),
                 new SimWorker.Timing(1_000_000, 20_000_000));
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -36,7 +36,7 @@
         }
     }
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final List<MachineType> types;
     private final int perOffer;
     private final long listLag;
@@ -52,12 +52,12 @@
     private boolean outage;
 
     SimCloud(
-            SimEnvironment world,
+            SimEnvironment environment,
             List<MachineType> types,
             int perOffer,
             long listLag,
             BiFunction<String, CloudPort.ListedMachine, SimWorker> boot) {
-        this.world = world;
+        this.environment = environment;
         this.types = types;
         this.perOffer = perOffer;
         this.listLag = listLag;
@@ -68,7 +68,7 @@
     /** Nobody is served. */
     void outage(long forMicros) {
         outage = true;
-        world.after(forMicros, () -> outage = false);
+        environment.after(forMicros, () -> outage = false);
     }
 
     /** The machines that are up, by id. */
@@ -96,11 +96,11 @@
                 .map(host -> listed(
                         host,
                         host.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
-                        world.now() - host.launched))
+                        environment.now() - host.launched))
                 .toList();
-        snapshots.put(world.now(), list);
-        snapshots.headMap(world.now() - 3 * listLag - 1_000_000).clear();
-        world.after(1_000_000, this::snapshot);
+        snapshots.put(environment.now(), list);
+        snapshots.headMap(environment.now() - 3 * listLag - 1_000_000).clear();
+        environment.after(1_000_000, this::snapshot);
     }
 
     private CloudPort.LaunchResult launch(CloudPort.LaunchRequest request) {
@@ -130,12 +130,12 @@
                 .filter(each -> each.name().equals(request.type()))
                 .findFirst()
                 .orElseThrow();
-        Host host = new Host(String.format("i-%06d", ++created), type, request, world.now());
-        boolean never = world.random.nextInt(30) == 0 || neverUp-- > 0;
+        Host host = new Host(String.format("i-%06d", ++created), type, request, environment.now());
+        boolean never = environment.random.nextInt(30) == 0 || neverUp-- > 0;
         hosts.put(host.id, host);
         if (!never) {
-            long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * world.random.nextDouble()));
-            world.after(bootMicros, () -> {
+            long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * environment.random.nextDouble()));
+            environment.after(bootMicros, () -> {
                 if (hosts.containsKey(host.id)) {
                     host.worker = boot.apply(host.id, listed(host, CloudPort.MachineState.RUNNING, 0));
                 }
@@ -167,7 +167,7 @@
 
     /** What the cloud tells is some seconds old, at times twice as old. */
     private CloudPort.Listing listAfter(String from) {
-        long at = world.now() - listLag - (world.random.nextInt(4) == 0 ? listLag : 0);
+        long at = environment.now() - listLag - (environment.random.nextInt(4) == 0 ? listLag : 0);
         var seen = snapshots.floorEntry(at);
         List<CloudPort.ListedMachine> hosts = seen == null ? List.of() : seen.getValue();
         return new CloudPort.Listing(
@@ -212,7 +212,7 @@
         }
 
         private <T> void call(Supplier<T> serve, @Nullable T unanswered, Consumer<T> then) {
-            world.call(node, NAME, TIMEOUT, serve, answer -> then.accept(answer == null ? unanswered : answer));
+            environment.call(node, NAME, TIMEOUT, serve, answer -> then.accept(answer == null ? unanswered : answer));
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -18,15 +18,15 @@
 
     private record Sent(String host, TaskId task, long attempt) {}
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Rules rules;
     private final List<Start> starts = new ArrayList<>();
     private final Set<Sent> sent = new HashSet<>();
     private final Map<String, Integer> startsByHost = new HashMap<>();
     private final Set<HeartbeatOfTerm> heartbeats = new HashSet<>();
 
-    SimCommands(SimEnvironment world, Rules rules) {
-        this.world = world;
+    SimCommands(SimEnvironment environment, Rules rules) {
+        this.environment = environment;
         this.rules = rules;
     }
 
@@ -50,7 +50,7 @@
 
     private void started(String node, String host, WorkerCommand command) {
         rules.commandSent(command.task());
-        starts.add(new Start(world.now(), node, host, command.task()));
+        starts.add(new Start(environment.now(), node, host, command.task()));
         startsByHost.merge(host, 1, Integer::sum);
         if (!sent.add(new Sent(host, command.task(), command.attempt()))) {
             rules.breach("start_repeated", command.task() + " attempt " + command.attempt() + " to " + host);
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -18,14 +18,14 @@
         SimNode crashed = simulation.nodes.get(node);
         if (crashed.controller() != null) {
             crashed.crash();
-            simulation.world.after(forMicros, crashed::boot);
+            simulation.environment.after(forMicros, crashed::boot);
         }
     }
 
     /** All controllers end at once; each comes back within the given time. */
     void crashAll(long longestDownMicros) {
         simulation.names.forEach(
-                name -> crash(name, 20_000 + (long) (simulation.world.random.nextDouble() * longestDownMicros)));
+                name -> crash(name, 20_000 + (long) (simulation.environment.random.nextDouble() * longestDownMicros)));
     }
 
     /** A controller ends and comes back with the next version, which knows of the next limits. */
@@ -36,14 +36,14 @@
 
     /** A controller stands still while its clocks run on. */
     void freeze(String node, long forMicros) {
-        simulation.world.freeze(node);
-        simulation.world.after(forMicros, () -> simulation.world.thaw(node));
+        simulation.environment.freeze(node);
+        simulation.environment.after(forMicros, () -> simulation.environment.thaw(node));
     }
 
     /** Nothing passes between the two, in either direction. */
     void cut(String one, String other, SimEnvironment.Cut how, long forMicros) {
-        simulation.world.cut(one, other, how);
-        simulation.world.after(forMicros, () -> simulation.world.heal(one, other));
+        simulation.environment.cut(one, other, how);
+        simulation.environment.after(forMicros, () -> simulation.environment.heal(one, other));
     }
 
     /** A controller loses all machines that are up. */
@@ -56,15 +56,15 @@
     /** Its heartbeats arrive, but neither answers nor commands reach it. */
     void deafen(SimWorker worker, long forMicros) {
         for (String name : simulation.names) {
-            simulation.world.block(name, worker.id);
-            simulation.world.after(forMicros, () -> simulation.world.heal(name, worker.id));
+            simulation.environment.block(name, worker.id);
+            simulation.environment.after(forMicros, () -> simulation.environment.heal(name, worker.id));
         }
     }
 
     /** Answers and commands reach it, but its heartbeats are lost. */
     void mute(SimWorker worker, long forMicros) {
         worker.mute(true);
-        simulation.world.after(forMicros, () -> worker.mute(false));
+        simulation.environment.after(forMicros, () -> worker.mute(false));
     }
 
     /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
@@ -105,7 +105,7 @@
             }
             if (node) {
                 simulation.unreachable.add(here);
-                simulation.world.after(forMicros, () -> simulation.unreachable.remove(here));
+                simulation.environment.after(forMicros, () -> simulation.unreachable.remove(here));
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -15,7 +15,7 @@
     /** Within this time the tasks notice that one of them is gone. */
     static final long PEER_LOSS_NOTICED = 3_000_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Rules rules;
     private final Set<TaskId> results;
     private final Map<String, Attempt> attempts = new HashMap<>();
@@ -28,8 +28,8 @@
     private int savedInOrder;
     private int incomplete;
 
-    SimGangs(SimEnvironment world, Rules rules, Set<TaskId> results) {
-        this.world = world;
+    SimGangs(SimEnvironment environment, Rules rules, Set<TaskId> results) {
+        this.environment = environment;
         this.rules = rules;
         this.results = results;
     }
@@ -54,7 +54,7 @@
         private final Attempt attempt;
         private final TaskId task;
         private final BooleanSupplier hangs;
-        private final long since = world.now();
+        private final long since = environment.now();
         private long toldToSaveMicros = -1;
         private ExitCause cause;
         private boolean kept;
@@ -117,7 +117,7 @@
         }
 
         long progress() {
-            return frozenProgress >= 0 ? frozenProgress : progressAtStart + world.now() - startedAt;
+            return frozenProgress >= 0 ? frozenProgress : progressAtStart + environment.now() - startedAt;
         }
 
         void update() {
@@ -136,12 +136,12 @@
             if (whole) {
                 phase = Phase.RUNNING;
                 started++;
-                startedAt = world.now();
+                startedAt = environment.now();
                 progressAtStart = saved.getOrDefault(spec.id(), 0L);
                 return;
             }
             for (Member member : members.values()) {
-                if (member.cause == null && world.now() - member.since > START_TIMEOUT) {
+                if (member.cause == null && environment.now() - member.since > START_TIMEOUT) {
                     member.cause = ExitCause.INCOMPLETE;
                     incomplete++;
                 }
@@ -175,16 +175,16 @@
                     keep(progress() / interval * interval);
                 }
                 frozenProgress = progress();
-                noticedAt = world.now() + world.random.nextInt((int) PEER_LOSS_NOTICED);
+                noticedAt = environment.now() + environment.random.nextInt((int) PEER_LOSS_NOTICED);
             }
-            if (world.now() >= noticedAt) {
+            if (environment.now() >= noticedAt) {
                 end(ExitCause.PEER_GONE, false);
             }
         }
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.saves() && world.now() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member -> member.saves() && environment.now() - member.toldToSaveMicros >= spec.saveMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -192,7 +192,7 @@
                 keep(progress());
                 savedInOrder++;
                 end(ExitCause.STOPPED, true);
-            } else if (world.now() - firstStopAt > PEER_LOSS_NOTICED
+            } else if (environment.now() - firstStopAt > PEER_LOSS_NOTICED
                     && members.values().stream()
                             .anyMatch(member ->
                                     !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_NOTICED)) {
@@ -215,11 +215,11 @@
         void stop(Member member) {
             if (phase == Phase.RUNNING) {
                 phase = Phase.STOPPING;
-                firstStopAt = world.now();
+                firstStopAt = environment.now();
                 frozenProgress = progress();
             }
             if (phase == Phase.STOPPING && !member.saves()) {
-                member.toldToSaveMicros = world.now();
+                member.toldToSaveMicros = environment.now();
             }
         }
 
@@ -231,7 +231,7 @@
     private long total(JobSpec spec) {
         return totals.computeIfAbsent(
                 spec.id(),
-                unknown -> spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros()));
+                unknown -> spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros()));
     }
 
     /** A task has its image and joins the others of its attempt. */
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -5,13 +5,13 @@
 
 /** Descriptions of jobs, each with an id of its own. */
 final class SimJobs {
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final int perOffer;
     private int submissions;
 
     /** @param perOffer how many machines of each type, zone and kind there are */
-    SimJobs(SimEnvironment world, int perOffer) {
-        this.world = world;
+    SimJobs(SimEnvironment environment, int perOffer) {
+        this.environment = environment;
         this.perOffer = perOffer;
     }
 
@@ -51,7 +51,7 @@
 
     /** One of three images, at random. */
     String drawImage() {
-        return "img-" + world.random.nextInt(3);
+        return "img-" + environment.random.nextInt(3);
     }
 
     /** What all full-price machines of a zone have. */
@@ -115,18 +115,18 @@
 
     /** A service or other work, of drawn size, place and length. The order of the draws is part of every scenario. */
     JobSpec randomJob() {
-        boolean service = world.random.nextInt(3) == 0;
-        return new JobBuilder(this, service, 1 + world.random.nextInt(service ? 5 : 12))
+        boolean service = environment.random.nextInt(3) == 0;
+        return new JobBuilder(this, service, 1 + environment.random.nextInt(service ? 5 : 12))
                 .priority(
                         service
                                 ? Priority.CRITICAL
-                                : world.random.nextBoolean() ? Priority.STANDARD : Priority.BEST_EFFORT)
-                .team(world.random.nextInt(3) == 0 ? "tight" : "free")
-                .onSpot(!service && world.random.nextBoolean())
-                .spread(service && world.random.nextBoolean())
-                .inOneZone(!service && world.random.nextInt(4) == 0)
-                .estimate((2 + world.random.nextInt(15)) * Simulation.SECOND)
-                .checkpointEvery(world.random.nextInt(2) * 3L * Simulation.SECOND)
+                                : environment.random.nextBoolean() ? Priority.STANDARD : Priority.BEST_EFFORT)
+                .team(environment.random.nextInt(3) == 0 ? "tight" : "free")
+                .onSpot(!service && environment.random.nextBoolean())
+                .spread(service && environment.random.nextBoolean())
+                .inOneZone(!service && environment.random.nextInt(4) == 0)
+                .estimate((2 + environment.random.nextInt(15)) * Simulation.SECOND)
+                .checkpointEvery(environment.random.nextInt(2) * 3L * Simulation.SECOND)
                 .create();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -7,7 +7,7 @@
 
 /** Where one controller runs, one process after the other, with a clock that drifts and a time of day that is off. */
 final class SimNode {
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final String name;
     private final Function<SimNode, Controller> newController;
     private final double drift;
@@ -18,12 +18,12 @@
     private @Nullable Controller controller;
 
     /** @param newController makes the controller of a process that starts */
-    SimNode(SimEnvironment world, String name, Function<SimNode, Controller> newController) {
-        this.world = world;
+    SimNode(SimEnvironment environment, String name, Function<SimNode, Controller> newController) {
+        this.environment = environment;
         this.name = name;
         this.newController = newController;
-        this.drift = 1 + world.random.nextDouble() * 0.0005;
-        this.skewMicros = world.random.nextInt(500_000) - 250_000L;
+        this.drift = 1 + environment.random.nextDouble() * 0.0005;
+        this.skewMicros = environment.random.nextInt(500_000) - 250_000L;
     }
 
     String name() {
@@ -48,7 +48,7 @@
 
     void boot() {
         life++;
-        world.setDown(name, false);
+        environment.setDown(name, false);
         Controller started = newController.apply(this);
         controller = started;
         started.start();
@@ -57,7 +57,7 @@
     void crash() {
         life++;
         controller = null;
-        world.setDown(name, true);
+        environment.setDown(name, true);
     }
 
     /** The clocks and timers of the present process: what it has asked for ends with it. */
@@ -74,19 +74,19 @@
 
         @Override
         public long nowMicros() {
-            return (long) (world.now() * drift) + 77;
+            return (long) (environment.now() * drift) + 77;
         }
 
         @Override
         public long timeOfDayMicros() {
-            return world.now() + skewMicros;
+            return environment.now() + skewMicros;
         }
 
         @Override
         public void after(long delayMicros, Runnable action) {
-            world.after(
-                    (long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
-                    () -> world.fire(name, () -> {
+            environment.after(
+                    (long) (Math.max(0, delayMicros) / drift) + environment.random.nextInt(2_000),
+                    () -> environment.fire(name, () -> {
                         if (life == process && controller != null) {
                             action.run();
                         }
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -55,7 +55,7 @@
 
         /** A peer that is down does not answer. */
         private <T> void call(String peer, BiConsumer<Controller, Consumer<T>> serve, Consumer<T> then) {
-            simulation.world.<T>callLater(
+            simulation.environment.<T>callLater(
                     node,
                     peer,
                     Simulation.SECOND,
@@ -89,7 +89,7 @@
             simulation.commands.sent(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
             simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
-            simulation.world.<Reply>callLater(
+            simulation.environment.<Reply>callLater(
                     node,
                     address,
                     2 * Simulation.SECOND,
@@ -97,7 +97,7 @@
                         Runnable serve = () -> serveWhenAwake(
                                 address, worker -> worker.commands(fencingToken, agentEpoch, commands), answer);
                         if (starts && simulation.heldStarts > 0) {
-                            simulation.world.after(simulation.heldStarts, serve);
+                            simulation.environment.after(simulation.heldStarts, serve);
                         } else {
                             serve.run();
                         }
@@ -118,7 +118,7 @@
                 return;
             }
             if (worker.hangs()) {
-                simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
+                simulation.environment.after(300_000, () -> serveWhenAwake(address, serve, answer));
             } else {
                 answer.accept(serve.apply(worker));
             }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -18,7 +18,7 @@
     static final String NAME = "state";
     private static final long EXPIRY_INTERVAL = 50_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final SimStoreKeys keys = new SimStoreKeys();
     private final SimLeases leases = new SimLeases();
     private final SimWatches watches;
@@ -40,17 +40,17 @@
     private int refusals;
     private int writes;
 
-    SimStore(SimEnvironment world, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
-        this.world = world;
-        this.watches = new SimWatches(world, keys);
+    SimStore(SimEnvironment environment, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
+        this.environment = environment;
+        this.watches = new SimWatches(environment, keys);
         this.rates = new SimRates(requestsPerSecond, writesPerSecond);
         this.limits = new TransactionLimits(transactionChanges, valueBytes);
-        world.after(EXPIRY_INTERVAL, this::expire);
+        environment.after(EXPIRY_INTERVAL, this::expire);
     }
 
     /** The store as one node reaches it. */
     KeyValueStore portFor(String node) {
-        return new SimStorePort(world, this, node);
+        return new SimStorePort(environment, this, node);
     }
 
     // ---- troubles ----------------------------------------------------------------------------------------------
@@ -64,12 +64,12 @@
     /** Nobody is served, and no lease ends meanwhile. */
     void outage(long forMicros) {
         setOutage(true);
-        world.after(forMicros, () -> setOutage(false));
+        environment.after(forMicros, () -> setOutage(false));
     }
 
     private void setOutage(boolean now) {
         if (outage && !now) {
-            leases.renewAll(world.now());
+            leases.renewAll(environment.now());
         }
         outage = now;
         watches.wake();
@@ -79,7 +79,7 @@
     void refuse(String node, long forMicros) {
         refused.add(node);
         watches.wake();
-        world.after(forMicros, () -> {
+        environment.after(forMicros, () -> {
             refused.remove(node);
             watches.wake();
         });
@@ -88,13 +88,13 @@
     /** This node's transactions are refused, while all else of it is served. */
     void refuseWritesOf(String node, long forMicros) {
         readOnly.add(node);
-        world.after(forMicros, () -> readOnly.remove(node));
+        environment.after(forMicros, () -> readOnly.remove(node));
     }
 
     /** This node's reads get no answer, while all else does. */
     void blindFor(String node, long forMicros) {
         blind.add(node);
-        world.after(forMicros, () -> blind.remove(node));
+        environment.after(forMicros, () -> blind.remove(node));
     }
 
     /** Someone else writes this value. */
@@ -165,8 +165,8 @@
     void commit(String node, Transaction transaction, Consumer<Committed> answer) {
         if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
             answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
-        } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
-            world.after(2_000_000 + world.random.nextInt(10_000_000), () -> commitLate(transaction));
+        } else if (lateWrites > 0 && environment.random.nextDouble() < lateWrites) {
+            environment.after(2_000_000 + environment.random.nextInt(10_000_000), () -> commitLate(transaction));
         } else {
             answer.accept(commit(transaction));
         }
@@ -190,7 +190,7 @@
     Leased openLease(String node, long lifeMicros) {
         return away(node, 0)
                 ? new Leased(Outcome.REFUSED, 0)
-                : new Leased(Outcome.OK, leases.open(world.now(), lifeMicros));
+                : new Leased(Outcome.OK, leases.open(environment.now(), lifeMicros));
     }
 
     Outcome renewLease(String node, long lease) {
@@ -200,7 +200,7 @@
         if (!leases.holds(lease)) {
             return Outcome.NOT_FOUND;
         }
-        leases.renew(lease, world.now());
+        leases.renew(lease, environment.now());
         return Outcome.OK;
     }
 
@@ -211,7 +211,7 @@
     /** Whether this request is not carried out: the store is away, or asked for too much. */
     private boolean away(String node, int changes) {
         requests++;
-        boolean tooFast = !rates.admits(world.now(), changes);
+        boolean tooFast = !rates.admits(environment.now(), changes);
         refusals += tooFast ? 1 : 0;
         return tooFast || outage || refused.contains(node);
     }
@@ -262,11 +262,11 @@
     }
 
     private void expire() {
-        world.after(EXPIRY_INTERVAL, this::expire);
+        environment.after(EXPIRY_INTERVAL, this::expire);
         if (outage) {
             return;
         }
-        leases.removeOver(world.now()).forEach(keys::removeAllOf);
+        leases.removeOver(environment.now()).forEach(keys::removeAllOf);
         watches.wake();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -12,12 +12,12 @@
     private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
     private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final SimStore store;
     private final String node;
 
-    SimStorePort(SimEnvironment world, SimStore store, String node) {
-        this.world = world;
+    SimStorePort(SimEnvironment environment, SimStore store, String node) {
+        this.environment = environment;
         this.store = store;
         this.node = node;
     }
@@ -53,7 +53,7 @@
     }
 
     private <T> void callLater(long timeoutMicros, Consumer<Consumer<T>> serve, T unanswered, Consumer<T> then) {
-        world.<T>callLater(
+        environment.<T>callLater(
                 node, SimStore.NAME, timeoutMicros, serve, answer -> then.accept(answer == null ? unanswered : answer));
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -16,7 +16,7 @@
     /** A task on a faulty machine, or of a broken job, fails after so long. */
     private static final long FAILS_AFTER = 200_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Rules rules;
     private final SimWorker worker;
     private final Function<String, JobSpec> jobs;
@@ -34,14 +34,14 @@
      * @param failsEverywhere whether every task of a job fails
      */
     SimTaskRunner(
-            SimEnvironment world,
+            SimEnvironment environment,
             Rules rules,
             SimWorker worker,
             Function<String, JobSpec> jobs,
             Predicate<String> failsEverywhere,
             Set<TaskId> results,
             SimGangs gangs) {
-        this.world = world;
+        this.environment = environment;
         this.rules = rules;
         this.worker = worker;
         this.jobs = jobs;
@@ -84,7 +84,7 @@
         for (Run run : runs.all()) {
             if (run.member != null) {
                 advanceInGang(run);
-            } else if (run.state != TaskState.EXITED && world.now() >= run.until) {
+            } else if (run.state != TaskState.EXITED && environment.now() >= run.until) {
                 advance(run);
             }
         }
@@ -114,10 +114,10 @@
         }
         run.state = TaskState.RUNNING;
         long runMicros = runMicros(run, spec);
-        run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
+        run.until = spec.service() ? Long.MAX_VALUE : environment.now() + runMicros;
         if (fails(run)) {
             failures++;
-            run.until = world.now() + FAILS_AFTER;
+            run.until = environment.now() + FAILS_AFTER;
         }
     }
 
@@ -125,7 +125,7 @@
     private long runMicros(Run run, JobSpec spec) {
         return results.contains(run.task)
                 ? 0
-                : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
+                : spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros());
     }
 
     private boolean fails(Run run) {
@@ -212,7 +212,7 @@
             run.cause = refusal;
             return;
         }
-        run.until = world.now() + fetchMicros(spec);
+        run.until = environment.now() + fetchMicros(spec);
     }
 
     private long fetchMicros(JobSpec spec) {
@@ -229,7 +229,7 @@
         }
         if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
             run.state = TaskState.SAVING;
-            run.until = world.now() + spec.saveMicros();
+            run.until = environment.now() + spec.saveMicros();
             changed = true;
         } else if (run.state != TaskState.SAVING || graceMicros == 0) {
             end(run, ExitCause.STOPPED);
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -58,7 +58,7 @@
                 .distinct()
                 .limit(8)
                 .toList();
-        chosen.forEach(job -> simulation.world.after(simulation.world.random.nextInt(200_000), () -> cancel(job)));
+        chosen.forEach(job -> simulation.environment.after(simulation.environment.random.nextInt(200_000), () -> cancel(job)));
         simulation.cloud.workers().stream()
                 .filter(worker -> hangMicros > 0 && hosts.contains(worker.id))
                 .forEach(worker -> worker.hangFor(hangMicros));
@@ -68,7 +68,7 @@
     /** Users repeat submissions, cancel what is done, and send jobs that can never run. */
     void oddRequests(long forMicros) {
         for (long at = 0; at < forMicros; at += 700_000) {
-            simulation.world.after(at, () -> {
+            simulation.environment.after(at, () -> {
                 repeatARequest();
                 submitUnschedulable();
             });
@@ -80,7 +80,7 @@
         if (known.isEmpty()) {
             return;
         }
-        JobSpec spec = described.get(known.get(simulation.world.random.nextInt(known.size())));
+        JobSpec spec = described.get(known.get(simulation.environment.random.nextInt(known.size())));
         if (simulation.rules.acceptedJob(spec.id())) {
             ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
         }
@@ -117,11 +117,11 @@
         ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 if (cancelAfter >= 0) {
-                    simulation.world.after(cancelAfter, () -> cancel(spec.id()));
+                    simulation.environment.after(cancelAfter, () -> cancel(spec.id()));
                 }
                 poll(spec.id());
             } else if (!(answer instanceof JobResponse.Unschedulable)) {
-                simulation.world.after(2 * Simulation.SECOND, () -> submit(spec, cancelAfter));
+                simulation.environment.after(2 * Simulation.SECOND, () -> submit(spec, cancelAfter));
             }
         });
     }
@@ -134,13 +134,13 @@
             if (answer instanceof JobResponse.Status) {
                 poll(spec.id());
             } else {
-                simulation.world.after(300_000, () -> submitAt(node, spec));
+                simulation.environment.after(300_000, () -> submitAt(node, spec));
             }
         });
     }
 
     private void poll(String id) {
-        simulation.world.after(
+        simulation.environment.after(
                 5 * Simulation.SECOND,
                 () -> ask(id, (controller, then) -> controller.poll(id, then), answer -> {
                     poll(id);
@@ -160,7 +160,7 @@
         simulation.rules.cancelling(id);
         askAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
             if (!(answer instanceof JobResponse.Status)) {
-                simulation.world.after(2 * Simulation.SECOND, () -> cancel(id));
+                simulation.environment.after(2 * Simulation.SECOND, () -> cancel(id));
             }
         });
     }
@@ -173,11 +173,11 @@
         String user = "user-" + id;
         // Answers are compared only when the question was put after the earlier answer: so one question at a time.
         if (asking.contains(id)) {
-            simulation.world.after(200_000, () -> askAt(node, id, question, then));
+            simulation.environment.after(200_000, () -> askAt(node, id, question, then));
             return;
         }
         asking.add(id);
-        simulation.world.<JobResponse>callLater(
+        simulation.environment.<JobResponse>callLater(
                 user,
                 node,
                 TIMEOUT,
@@ -198,7 +198,7 @@
 
     /** A user asks for a job that nobody has submitted. */
     void pollUnknownJob() {
-        String id = "run-999" + simulation.world.random.nextInt(1000);
+        String id = "run-999" + simulation.environment.random.nextInt(1000);
         ask(id, (controller, then) -> controller.poll(id, then), answer -> {});
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWatches.java
+++ b/src/test/java/org/granitepath/simulation/SimWatches.java
@@ -20,12 +20,12 @@
         }
     }
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final SimStoreKeys keys;
     private final List<Watch> waiting = new ArrayList<>();
 
-    SimWatches(SimEnvironment world, SimStoreKeys keys) {
-        this.world = world;
+    SimWatches(SimEnvironment environment, SimStoreKeys keys) {
+        this.environment = environment;
         this.keys = keys;
     }
 
@@ -35,7 +35,7 @@
         waiting.add(watch);
         answer(watch, waitMicros == 0);
         if (!watch.answered) {
-            world.after(waitMicros, () -> answer(watch, true));
+            environment.after(waitMicros, () -> answer(watch, true));
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -28,7 +28,7 @@
 
     private static final long ANSWER_TIMEOUT = 4_000_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final SimControllers controllers;
     final String id;
     final MachineType type;
@@ -56,7 +56,7 @@
     private long noticeEnd = -1;
 
     SimWorker(
-            SimEnvironment world,
+            SimEnvironment environment,
             Rules rules,
             SimControllers controllers,
             Function<String, JobSpec> jobs,
@@ -64,7 +64,7 @@
             SimGangs gangs,
             Facts facts,
             Timing timing) {
-        this.world = world;
+        this.environment = environment;
         this.controllers = controllers;
         this.id = facts.id;
         this.type = facts.type;
@@ -72,9 +72,9 @@
         this.spot = facts.spot;
         this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
         this.leaseMicros = timing.leaseMicros;
-        this.tasks = new SimTaskRunner(world, rules, this, jobs, controllers::fails, results, gangs);
-        this.leaseFrom = world.now();
-        this.controller = world.random.nextInt(controllers.names().size());
+        this.tasks = new SimTaskRunner(environment, rules, this, jobs, controllers::fails, results, gangs);
+        this.leaseFrom = environment.now();
+        this.controller = environment.random.nextInt(controllers.names().size());
         tick();
     }
 
@@ -138,7 +138,7 @@
         if (!dead) {
             dead = true;
             tasks.killAll();
-            world.setDown(id, true);
+            environment.setDown(id, true);
         }
     }
 
@@ -152,12 +152,12 @@
 
     void hangFor(long micros) {
         hang(true);
-        world.after(micros, () -> hang(false));
+        environment.after(micros, () -> hang(false));
     }
 
     /** The cloud takes it back after this time, and it tells so. */
     void notice(long micros) {
-        noticeEnd = world.now() + micros;
+        noticeEnd = environment.now() + micros;
         changed = true;
     }
 
@@ -172,7 +172,7 @@
         if (dead) {
             return;
         }
-        world.after(heartbeatIntervalMicros / TICKS, this::tick);
+        environment.after(heartbeatIntervalMicros / TICKS, this::tick);
         // A hanging machine executes nothing, and its first act on going on is to see that its lease is over.
         expireIfDue();
         if (hanging) {
@@ -185,10 +185,10 @@
     }
 
     private void expireIfDue() {
-        if (world.now() - leaseFrom > leaseMicros) {
+        if (environment.now() - leaseFrom > leaseMicros) {
             tasks.killAll();
             agentEpoch++;
-            leaseFrom = world.now();
+            leaseFrom = environment.now();
             changed = true;
         }
     }
@@ -196,7 +196,7 @@
     /** After a change a heartbeat goes out earlier. */
     private boolean heartbeatIsDue() {
         boolean early = changed || tasks.changed();
-        return world.now() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
+        return environment.now() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
     // ---- heartbeats --------------------------------------------------------------------------------------------
@@ -211,7 +211,7 @@
                 agentEpoch,
                 ++sequence,
                 fencingToken,
-                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
+                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - environment.now()),
                 runs().statuses());
     }
 
@@ -219,14 +219,14 @@
         awaitsAnswer = true;
         changed = false;
         tasks.resetChanged();
-        long sent = world.now();
+        long sent = environment.now();
         long sentInEpoch = agentEpoch;
         String node = controllers.names().get(controller);
         Heartbeat heartbeat = heartbeat();
         nextHeartbeat =
-                sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
+                sent + heartbeatIntervalMicros * 3 / 4 + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
         latest = heartbeat;
-        world.call(
+        environment.call(
                 id,
                 muted ? "nowhere" : node,
                 ANSWER_TIMEOUT,
@@ -261,12 +261,12 @@
             return;
         }
         controller = next;
-        nextHeartbeat = world.now() + world.random.nextInt(500_000);
+        nextHeartbeat = environment.now() + environment.random.nextInt(500_000);
     }
 
     private void turnToNext() {
         controller = (controller + 1) % controllers.names().size();
-        nextHeartbeat = world.now() + 1_000_000;
+        nextHeartbeat = environment.now() + 1_000_000;
     }
 
     // ---- commands ----------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -59,7 +59,7 @@
     final Set<String> upgraded = new HashSet<>();
 
     final List<String> names;
-    final SimEnvironment world;
+    final SimEnvironment environment;
     /** What leaves the controllers; null when nobody wants to know. */
     private final @Nullable EdgeTrace trace;
 
@@ -101,18 +101,18 @@
     Simulation(long seed, Shape shape) {
         this.shape = shape;
         names = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
-        world = new SimEnvironment(seed);
-        trace = EdgeTrace.of(world);
-        rules = new Rules(world, TEAMS, shape.cancel(), this::endedOnMachines);
-        commands = new SimCommands(world, rules);
-        jobs = new SimJobs(world, shape.perOffer());
-        gangs = new SimGangs(world, rules, results);
+        environment = new SimEnvironment(seed);
+        trace = EdgeTrace.of(environment);
+        rules = new Rules(environment, TEAMS, shape.cancel(), this::endedOnMachines);
+        commands = new SimCommands(environment, rules);
+        jobs = new SimJobs(environment, shape.perOffer());
+        gangs = new SimGangs(environment, rules, results);
         limits = new StoreLimits(
                 shape.limits().writes(),
                 shape.limits().valueBytes(),
                 shape.limits().transactionChanges());
         store = new SimStore(
-                world,
+                environment,
                 shape.limits().transactionChanges(),
                 shape.limits().valueBytes(),
                 shape.limits().requests(),
@@ -120,9 +120,9 @@
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
-        cloud = new SimCloud(world, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
+        cloud = new SimCloud(environment, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
         for (String node : names) {
-            nodes.put(node, new SimNode(world, node, this::newController));
+            nodes.put(node, new SimNode(environment, node, this::newController));
         }
         nodes.values().forEach(SimNode::boot);
     }
@@ -179,7 +179,7 @@
                 .findFirst()
                 .orElseThrow();
         return new SimWorker(
-                world,
+                environment,
                 rules,
                 new WorkersView(),
                 users::describedAs,
@@ -226,7 +226,7 @@
     }
 
     private void endedOnMachines(String job) {
-        if (cancelledAtEnd > 0 && world.random.nextDouble() < cancelledAtEnd) {
+        if (cancelledAtEnd > 0 && environment.random.nextDouble() < cancelledAtEnd) {
             users.cancel(job);
         }
     }
@@ -284,14 +284,14 @@
 
     /** A controller drawn at random. */
     String anyNode() {
-        return names.get(world.random.nextInt(names.size()));
+        return names.get(environment.random.nextInt(names.size()));
     }
 
     /** A machine drawn at random; null while there is none. */
     @Nullable
     SimWorker anyWorker() {
         List<SimWorker> all = cloud.workers();
-        return all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
+        return all.isEmpty() ? null : all.get(environment.random.nextInt(all.size()));
     }
 
     /** Takes a value so much later than now. */
@@ -303,23 +303,23 @@
 
     /** Does this so much later than now: before the run, at this time of it. */
     void after(long delayMicros, Runnable action) {
-        world.after(delayMicros, action);
+        environment.after(delayMicros, action);
     }
 
     /** Runs with the rules checked after each step. */
     void run(long until) {
-        world.run(until, rules::check);
+        environment.run(until, rules::check);
     }
 
     /** The same with the check that every job stays known, from the time on at which the last trouble is over. */
     void run(long troublesOver, long until) {
-        world.after(troublesOver - world.now(), () -> watchKnown(troublesOver));
+        environment.after(troublesOver - environment.now(), () -> watchKnown(troublesOver));
         run(until);
     }
 
     private void watchKnown(long over) {
         rules.checkKnown(over);
         rules.checkWaiting(cloud.workers());
-        world.after(SECOND, () -> watchKnown(over));
+        environment.after(SECOND, () -> watchKnown(over));
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -41,11 +41,11 @@
     @MethodSource("seeds")
     void anyTroublesTogether(long seed) {
         Simulation simulation = withJobs(seed, 40, 200 * SECOND);
-        simulation.world.lateCopies = 0.02;
+        simulation.environment.lateCopies = 0.02;
 
         for (int i = 0; i < 14; i++) {
             simulation.after(
-                    15 * SECOND + (long) (simulation.world.random.nextDouble() * 200 * SECOND),
+                    15 * SECOND + (long) (simulation.environment.random.nextDouble() * 200 * SECOND),
                     () -> trouble(simulation));
         }
         simulation.run(600 * SECOND);
@@ -55,7 +55,7 @@
     }
 
     private static void trouble(Simulation simulation) {
-        var random = simulation.world.random;
+        var random = simulation.environment.random;
         SimEnvironment.Cut how = random.nextBoolean() ? SimEnvironment.Cut.HOLD : SimEnvironment.Cut.DROP;
         long time = (3 + random.nextInt(40)) * SECOND;
         switch (random.nextInt(14)) {
@@ -79,7 +79,7 @@
         if (worker == null) {
             return;
         }
-        switch (simulation.world.random.nextInt(5)) {
+        switch (simulation.environment.random.nextInt(5)) {
             case 0 -> worker.die();
             case 1 -> worker.hangFor(time);
             case 2 -> simulation.faults.cutMachine(worker, how, time);
@@ -96,13 +96,13 @@
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void lateCopiesOfHeartbeatsChangeNothing(long seed) {
         Simulation simulation = withJobs(seed, 35, 120 * SECOND);
-        simulation.world.lateCopies = 0.25;
+        simulation.environment.lateCopies = 0.25;
 
         for (int i = 0; i < 5; i++) {
             simulation.after(
                     (20 + 25 * i) * SECOND,
                     () -> simulation.faults.crash(
-                            simulation.leader(), 300_000 + simulation.world.random.nextInt(5_000_000)));
+                            simulation.leader(), 300_000 + simulation.environment.random.nextInt(5_000_000)));
             simulation.after((32 + 25 * i) * SECOND, () -> machineTrouble(simulation, SimEnvironment.Cut.HOLD, 15 * SECOND));
         }
         simulation.run(180 * SECOND, 420 * SECOND);
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -28,9 +28,9 @@
         Simulation simulation = withJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
             simulation.after(
-                    (20 + 6 * i) * SECOND + simulation.world.random.nextInt(4_000_000),
+                    (20 + 6 * i) * SECOND + simulation.environment.random.nextInt(4_000_000),
                     () -> simulation.faults.crash(
-                            simulation.leader(), 500_000 + simulation.world.random.nextInt(3_000_000)));
+                            simulation.leader(), 500_000 + simulation.environment.random.nextInt(3_000_000)));
         }
         simulation.run(300 * SECOND);
 
@@ -91,18 +91,18 @@
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void backWithinAFractionOfASecond(long seed) {
         Simulation simulation = withJobs(seed, 30, 100 * SECOND);
-        simulation.world.lateCopies = 0.1;
+        simulation.environment.lateCopies = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean leader = i % 3 > 0;
             simulation.after(
-                    20 * SECOND + 2L * i * SECOND + simulation.world.random.nextInt(2_000_000),
+                    20 * SECOND + 2L * i * SECOND + simulation.environment.random.nextInt(2_000_000),
                     () -> simulation.faults.crash(
                             leader ? simulation.leader() : simulation.anyNode(),
-                            20_000 + simulation.world.random.nextInt(400_000)));
+                            20_000 + simulation.environment.random.nextInt(400_000)));
             simulation.after(21 * SECOND + 2L * i * SECOND, () -> {
                 SimWorker worker = simulation.anyWorker();
                 if (worker != null) {
-                    worker.hangFor(100_000 + simulation.world.random.nextInt(800_000));
+                    worker.hangFor(100_000 + simulation.environment.random.nextInt(800_000));
                 }
             });
         }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -12,14 +12,14 @@
 final class WaitingRules {
     private static final long NEGLECTED_MICROS = 90_000_000;
 
-    private final SimEnvironment world;
+    private final SimEnvironment environment;
     private final Breaches breaches;
     private final JobHistory jobs;
     private final Map<String, Team> teams;
     private final Map<String, Long> couldRunSince = new HashMap<>();
 
-    WaitingRules(SimEnvironment world, Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
-        this.world = world;
+    WaitingRules(SimEnvironment environment, Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
+        this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
         this.teams = teams;
@@ -36,8 +36,8 @@
                 continue;
             }
             long since =
-                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> world.now()), jobs.lastStartSentAt(job));
-            if (world.now() - since > NEGLECTED_MICROS) {
+                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.now()), jobs.lastStartSentAt(job));
+            if (environment.now() - since > NEGLECTED_MICROS) {
                 breaches.add(
                         "neglected",
                         job + " of team " + spec.team() + " waits with " + left
