--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -39,7 +39,7 @@
         rules.submitting(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
     }
 
-    SimEnvironment world() {
+    SimEnvironment environment() {
         return environment;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -15,7 +15,7 @@
 
     @Test
     void commandsBeforeTheMachinesHeartbeatAndStartsSentTwice() {
-        SimCommands commands = new SimCommands(fixture.world(), rules);
+        SimCommands commands = new SimCommands(fixture.environment(), rules);
         List<WorkerCommand> start = List.of(WorkerCommand.start(new TaskId(RulesFixture.ANYWHERE, 0), 5));
 
         commands.sent(1, "n0", "a", List.of());
