--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -145,11 +145,11 @@
             simulation.cloud.workers().stream()
                     .filter(worker -> worker.zone.equals(zone))
                     .forEach(worker ->
-                            simulation.faults.cut(simulation.leader(), worker.id, SimEnvironment.Cut.DROP, 60 * SECOND));
+                            simulation.faults.cut(simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
                 told.set(simulation.rules.cancellationsTold());
-                simulation.faults.cutZone(zone, SimEnvironment.Cut.DROP, 50 * SECOND);
+                simulation.faults.cutZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
         simulation.run(125 * SECOND, 900 * SECOND);
@@ -177,7 +177,7 @@
                 assertNotEquals(former, leader);
                 // It can't reach any machine either: only leases can end what the former one keeps alive.
                 others(simulation, former)
-                        .forEach(node -> simulation.faults.cutFromWorkers(node, SimEnvironment.Cut.DROP, 64 * SECOND));
+                        .forEach(node -> simulation.faults.cutFromWorkers(node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
             simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancellationsTold()));
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -48,8 +48,8 @@
     }
 
     /** What a cut does with packets under way, with half of the seeds the one, with half the other. */
-    static SimEnvironment.Cut cutOf(long seed) {
-        return seed % 2 == 0 ? SimEnvironment.Cut.HOLD : SimEnvironment.Cut.DROP;
+    static SimEnvironment.PartitionMode cutOf(long seed) {
+        return seed % 2 == 0 ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
     }
 
     /** A small deployment, to which users submit this many random jobs until this time. */
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -29,11 +29,11 @@
 
         simulation.after(35 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.Cut.HOLD, 120 * SECOND);
+            simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 120 * SECOND);
             // The successors can't reach the workers: only the lease can end the tasks.
             for (String node : simulation.names) {
                 if (!node.equals(leader)) {
-                    simulation.faults.cutFromWorkers(node, SimEnvironment.Cut.DROP, 120 * SECOND);
+                    simulation.faults.cutFromWorkers(node, SimEnvironment.PartitionMode.DROP, 120 * SECOND);
                 }
             }
         });
@@ -72,13 +72,13 @@
 
         simulation.after(40 * SECOND, () -> {
             String former = simulation.leader();
-            simulation.faults.cut(former, SimStore.NAME, SimEnvironment.Cut.HOLD, 4 * SECOND);
+            simulation.faults.cut(former, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 4 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
                 String host = all.get(i).id;
                 simulation.names.stream()
                         .filter(node -> !node.equals(former))
-                        .forEach(node -> simulation.faults.cut(node, host, SimEnvironment.Cut.DROP, 8 * SECOND));
+                        .forEach(node -> simulation.faults.cut(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
             }
             for (int i = 0; i < 12; i++) {
                 simulation.after(
@@ -120,8 +120,8 @@
             String leader = simulation.leader();
             String other = simulation.names.get(1 - simulation.names.indexOf(leader));
             simulation.faults.freeze(leader, 24 * SECOND);
-            simulation.faults.cutFromPeersAndStore(leader, SimEnvironment.Cut.DROP, 70 * SECOND);
-            simulation.faults.cutFromWorkers(other, SimEnvironment.Cut.DROP, 70 * SECOND);
+            simulation.faults.cutFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
+            simulation.faults.cutFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             services.forEach(job -> simulation.users.cancelAt(other, job.id()));
         });
         simulation.run(120 * SECOND, 400 * SECOND);
@@ -163,7 +163,7 @@
         AtomicLong least = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
             before.set(simulation.rules.replicasUp());
-            simulation.faults.cutZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.Cut.HOLD, 22 * SECOND);
+            simulation.faults.cutZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
                 leaderEnds(simulation, 6 * SECOND, 300_000);
             }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -60,8 +60,8 @@
         return (2 + simulation.environment.random.nextInt(40)) * SECOND;
     }
 
-    private static SimEnvironment.Cut cut(Simulation simulation) {
-        return simulation.environment.random.nextBoolean() ? SimEnvironment.Cut.HOLD : SimEnvironment.Cut.DROP;
+    private static SimEnvironment.PartitionMode cut(Simulation simulation) {
+        return simulation.environment.random.nextBoolean() ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
     }
 
     private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -179,7 +179,7 @@
         int unreachable = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
         simulation.cloud.workers().stream()
                 .limit(unreachable)
-                .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.Cut.HOLD, 20 * SECOND));
+                .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
         endReplicas(simulation);
     }
 
@@ -223,8 +223,8 @@
                 .orElseThrow();
         assertEquals(RecoveryStatus.Role.FOLLOWING, simulation.recoveryAt(other).role());
         assertEquals(leader, simulation.recoveryAt(other).leader());
-        simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.Cut.DROP, 60 * SECOND);
-        simulation.faults.cut(other, SimStore.NAME, SimEnvironment.Cut.DROP, 60 * SECOND);
+        simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+        simulation.faults.cut(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         simulation.run(RESTART + 6 * SECOND);
 
         assertEquals(
--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -18,7 +18,7 @@
     private record Event(long at, long order, Runnable action) {}
 
     /** What a cut does with packets under way: keeps them for later, or loses them. */
-    enum Cut {
+    enum PartitionMode {
         HOLD,
         DROP
     }
@@ -26,7 +26,7 @@
     final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (one, other) -> one.at != other.at ? Long.compare(one.at, other.at) : Long.compare(one.order, other.order));
-    private final Map<String, Cut> cuts = new HashMap<>();
+    private final Map<String, PartitionMode> cuts = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> held = new HashMap<>();
     private final Set<String> down = new HashSet<>();
     /** How often each host's process has ended: what one has asked, its successor gets no answer to. */
@@ -73,14 +73,14 @@
     }
 
     /** Both directions. */
-    void cut(String one, String other, Cut how) {
+    void cut(String one, String other, PartitionMode how) {
         cuts.put(link(one, other), how);
         cuts.put(link(other, one), how);
     }
 
     /** One direction only. */
     void block(String from, String to) {
-        cuts.put(link(from, to), Cut.DROP);
+        cuts.put(link(from, to), PartitionMode.DROP);
     }
 
     /** Packets pass again, those first that were kept. */
@@ -109,11 +109,11 @@
 
     /** One packet. It arrives late, once, or not at all. */
     void send(String from, String to, Runnable arrive) {
-        Cut cut = cuts.get(link(from, to));
-        if (down.contains(to) || cut == Cut.DROP) {
+        PartitionMode cut = cuts.get(link(from, to));
+        if (down.contains(to) || cut == PartitionMode.DROP) {
             return;
         }
-        if (cut == Cut.HOLD) {
+        if (cut == PartitionMode.HOLD) {
             held.computeIfAbsent(link(from, to), direction -> new ArrayDeque<>())
                     .add(arrive);
             return;
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -41,13 +41,13 @@
     }
 
     /** Nothing passes between the two, in either direction. */
-    void cut(String one, String other, SimEnvironment.Cut how, long forMicros) {
+    void cut(String one, String other, SimEnvironment.PartitionMode how, long forMicros) {
         simulation.environment.cut(one, other, how);
         simulation.environment.after(forMicros, () -> simulation.environment.heal(one, other));
     }
 
     /** A controller loses all machines that are up. */
-    void cutFromWorkers(String node, SimEnvironment.Cut how, long forMicros) {
+    void cutFromWorkers(String node, SimEnvironment.PartitionMode how, long forMicros) {
         for (SimWorker worker : simulation.cloud.workers()) {
             cut(node, worker.id, how, forMicros);
         }
@@ -81,7 +81,7 @@
     }
 
     /** Loses the store and the other controllers, but not its workers. */
-    void cutFromPeersAndStore(String node, SimEnvironment.Cut how, long forMicros) {
+    void cutFromPeersAndStore(String node, SimEnvironment.PartitionMode how, long forMicros) {
         cut(node, SimStore.NAME, how, forMicros);
         for (String name : simulation.names) {
             if (!name.equals(node)) {
@@ -91,7 +91,7 @@
     }
 
     /** A zone with its controllers and machines is cut off from everything outside. */
-    void cutZone(String zone, SimEnvironment.Cut how, long forMicros) {
+    void cutZone(String zone, SimEnvironment.PartitionMode how, long forMicros) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
         simulation.names.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
@@ -111,7 +111,7 @@
     }
 
     /** A machine loses all controllers. */
-    void cutMachine(SimWorker worker, SimEnvironment.Cut how, long forMicros) {
+    void cutMachine(SimWorker worker, SimEnvironment.PartitionMode how, long forMicros) {
         for (String name : simulation.names) {
             cut(name, worker.id, how, forMicros);
         }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -46,7 +46,7 @@
         Observation<String> cut = new Observation<>();
         simulation.after(50 * SECOND, () -> {
             cut.set(simulation.leader());
-            simulation.faults.cutFromWorkers(cut.get(), SimEnvironment.Cut.DROP, 60 * SECOND);
+            simulation.faults.cutFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         });
         simulation.run(50 * SECOND + Simulation.LEASE);
 
@@ -69,11 +69,11 @@
         submitWork(simulation, 150);
         List<String> cut = new ArrayList<>();
         simulation.after(45 * SECOND, () -> {
-            simulation.faults.cutFromPeersAndStore(simulation.leader(), SimEnvironment.Cut.DROP, 40 * SECOND);
+            simulation.faults.cutFromPeersAndStore(simulation.leader(), SimEnvironment.PartitionMode.DROP, 40 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
-                simulation.faults.cutMachine(all.get(i), SimEnvironment.Cut.HOLD, 25 * SECOND);
+                simulation.faults.cutMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 25 * SECOND);
             }
         });
         simulation.run(100 * SECOND);
