--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -73,7 +73,7 @@
     }
 
     /** Both directions. */
-    void cut(String one, String other, PartitionMode how) {
+    void partition(String one, String other, PartitionMode how) {
         cuts.put(link(one, other), how);
         cuts.put(link(other, one), how);
     }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -42,7 +42,7 @@
 
     /** Nothing passes between the two, in either direction. */
     void cut(String one, String other, SimEnvironment.PartitionMode how, long forMicros) {
-        simulation.environment.cut(one, other, how);
+        simulation.environment.partition(one, other, how);
         simulation.environment.after(forMicros, () -> simulation.environment.heal(one, other));
     }
 
