--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -79,7 +79,7 @@
     }
 
     /** One direction only. */
-    void block(String from, String to) {
+    void blockOneWay(String from, String to) {
         cuts.put(link(from, to), PartitionMode.DROP);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -56,7 +56,7 @@
     /** Its heartbeats arrive, but neither answers nor commands reach it. */
     void deafen(SimWorker worker, long forMicros) {
         for (String name : simulation.names) {
-            simulation.environment.block(name, worker.id);
+            simulation.environment.blockOneWay(name, worker.id);
             simulation.environment.after(forMicros, () -> simulation.environment.heal(name, worker.id));
         }
     }
