--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -50,7 +50,7 @@
             breaches.add("invented", job);
         }
         jobs.accepted(job);
-        answeredAt.put(job, environment.now());
+        answeredAt.put(job, environment.nowMicros());
         JobState earlier = jobs.finalTold(job);
         if (earlier != null && earlier != state) {
             breaches.add("went_back", job + " was " + earlier + ", is " + state);
@@ -83,7 +83,7 @@
     /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
     void checkKnown(long troublesOver) {
         for (String job : jobs.acceptedJobs()) {
-            long since = environment.now() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
+            long since = environment.nowMicros() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
             if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
                 breaches.add("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
             }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -35,12 +35,12 @@
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
-            return environment.now();
+            return environment.nowMicros();
         }
 
         @Override
         public long timeOfDayMicros() {
-            return environment.now();
+            return environment.nowMicros();
         }
 
         @Override
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -29,7 +29,7 @@
 
     /** A user was told for the first time that the job is cancelled. */
     void confirmed(String job) {
-        confirmedAt.put(job, environment.now());
+        confirmedAt.put(job, environment.nowMicros());
     }
 
     /** A controller sends the command to start this task. */
@@ -56,11 +56,11 @@
                 breaches.add("ran_cancelled", task + " is still on " + placements.hostOf(task));
             }
         }
-        confirmedAt.values().removeIf(confirmed -> environment.now() > confirmed + cancelMicros + WATCHED_MICROS);
+        confirmedAt.values().removeIf(confirmed -> environment.nowMicros() > confirmed + cancelMicros + WATCHED_MICROS);
     }
 
     private boolean isOverdue(TaskId task) {
         Long confirmed = confirmedAt.get(task.job());
-        return confirmed != null && environment.now() > confirmed + cancelMicros;
+        return confirmed != null && environment.nowMicros() > confirmed + cancelMicros;
     }
 }
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -79,7 +79,7 @@
 
     private void add(String node, String kind, byte[] detail) {
         events++;
-        hasher.putLong(environment.now());
+        hasher.putLong(environment.nowMicros());
         hasher.putUnencodedChars(node).putChar('\n');
         hasher.putUnencodedChars(kind).putChar('\n');
         hasher.putInt(detail.length).putBytes(detail);
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -78,14 +78,14 @@
     }
 
     void runFor(long micros) {
-        simulation.run(simulation.environment.now() + micros);
+        simulation.run(simulation.environment.nowMicros() + micros);
     }
 
     /** Until each task is on a machine; it may be fetching its image. */
     void runUntilHeld() {
         while (tasksHeld() < spec.tasks()) {
             runFor(SECOND / 10);
-            assertTrue(simulation.environment.now() < LATEST_START, "the gang is not started");
+            assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang is not started");
         }
     }
 
@@ -93,7 +93,7 @@
     void runUntilRunning() {
         while (!simulation.gangs.runs(spec.id())) {
             runFor(SECOND / 10);
-            assertTrue(simulation.environment.now() < LATEST_START, "the gang does not run");
+            assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang does not run");
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -36,7 +36,7 @@
 
     void submitted(JobSpec spec) {
         submitted.putIfAbsent(spec.id(), spec);
-        submittedAt.putIfAbsent(spec.id(), environment.now());
+        submittedAt.putIfAbsent(spec.id(), environment.nowMicros());
     }
 
     boolean wasSubmitted(String job) {
@@ -100,7 +100,7 @@
     /** A controller sends the command to start this task. */
     void startSent(TaskId task) {
         startsSent.merge(task, 1, Integer::sum);
-        startSentAt.put(task.job(), environment.now());
+        startSentAt.put(task.job(), environment.nowMicros());
     }
 
     /** When the last start of the job was sent; zero when none was. */
@@ -117,7 +117,7 @@
 
     /** A task of the job is on a machine. */
     void begun(String job) {
-        begunAt.putIfAbsent(job, environment.now());
+        begunAt.putIfAbsent(job, environment.nowMicros());
     }
 
     boolean hasBegun(String job) {
@@ -126,7 +126,7 @@
 
     /** From submission to the first start on a machine, or until now. */
     long waitedForBegin(String job) {
-        return begunAt.getOrDefault(job, environment.now()) - submittedAt.get(job);
+        return begunAt.getOrDefault(job, environment.nowMicros()) - submittedAt.get(job);
     }
 
     /** From submission to the first start on a machine; beyond all bounds when there was none. */
@@ -136,7 +136,7 @@
 
     /** A task has its result. Returns whether it is the last one that its job lacked. */
     boolean completed(TaskId task) {
-        completedAt.put(task.job(), environment.now());
+        completedAt.put(task.job(), environment.nowMicros());
         Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
         return done.add(task.index())
                 && done.size() == submitted.get(task.job()).tasks();
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -86,9 +86,9 @@
         simulation.run(RecoveryLoad.RESTART);
         simulation.environment.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
             RecoveryStatus status =
-                    simulation.environment.now() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
+                    simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
-                lastVerdict.set(simulation.environment.now());
+                lastVerdict.set(simulation.environment.nowMicros());
             }
         });
         int requests = simulation.store.requests() - requestsBefore.get();
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -44,7 +44,7 @@
 
     /** A rule is broken. */
     void breach(String rule, String what) {
-        broken.add(rule + " at " + environment.now() / 1e6 + " s: " + what);
+        broken.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + what);
     }
 
     /** The breaches so far, in order. */
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -96,10 +96,10 @@
                 .map(host -> listed(
                         host,
                         host.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
-                        environment.now() - host.launched))
+                        environment.nowMicros() - host.launched))
                 .toList();
-        snapshots.put(environment.now(), list);
-        snapshots.headMap(environment.now() - 3 * listLag - 1_000_000).clear();
+        snapshots.put(environment.nowMicros(), list);
+        snapshots.headMap(environment.nowMicros() - 3 * listLag - 1_000_000).clear();
         environment.after(1_000_000, this::snapshot);
     }
 
@@ -130,7 +130,7 @@
                 .filter(each -> each.name().equals(request.type()))
                 .findFirst()
                 .orElseThrow();
-        Host host = new Host(String.format("i-%06d", ++created), type, request, environment.now());
+        Host host = new Host(String.format("i-%06d", ++created), type, request, environment.nowMicros());
         boolean never = environment.random.nextInt(30) == 0 || neverUp-- > 0;
         hosts.put(host.id, host);
         if (!never) {
@@ -167,7 +167,7 @@
 
     /** What the cloud tells is some seconds old, at times twice as old. */
     private CloudPort.Listing listAfter(String from) {
-        long at = environment.now() - listLag - (environment.random.nextInt(4) == 0 ? listLag : 0);
+        long at = environment.nowMicros() - listLag - (environment.random.nextInt(4) == 0 ? listLag : 0);
         var seen = snapshots.floorEntry(at);
         List<CloudPort.ListedMachine> hosts = seen == null ? List.of() : seen.getValue();
         return new CloudPort.Listing(
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -50,7 +50,7 @@
 
     private void started(String node, String host, WorkerCommand command) {
         rules.commandSent(command.task());
-        starts.add(new Start(environment.now(), node, host, command.task()));
+        starts.add(new Start(environment.nowMicros(), node, host, command.task()));
         startsByHost.merge(host, 1, Integer::sum);
         if (!sent.add(new Sent(host, command.task(), command.attempt()))) {
             rules.breach("start_repeated", command.task() + " attempt " + command.attempt() + " to " + host);
--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -40,7 +40,7 @@
     /** Share of packets that are held up for seconds. */
     double heldUp;
 
-    private long now;
+    private long nowMicros;
     private long order;
 
     SimEnvironment(long seed) {
@@ -48,24 +48,24 @@
     }
 
     /** The simulated time, in microseconds. */
-    long now() {
-        return now;
+    long nowMicros() {
+        return nowMicros;
     }
 
     /** Does this so much later than now. */
     void after(long delay, Runnable action) {
-        events.add(new Event(now + Math.max(0, delay), order++, action));
+        events.add(new Event(nowMicros + Math.max(0, delay), order++, action));
     }
 
     /** Runs until {@code end}; {@code check} after each step. */
     void run(long end, Runnable check) {
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
-            now = event.at;
+            nowMicros = event.at;
             event.action.run();
             check.run();
         }
-        now = end;
+        nowMicros = end;
     }
 
     private static String link(String from, String to) {
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -54,7 +54,7 @@
         private final Attempt attempt;
         private final TaskId task;
         private final BooleanSupplier hangs;
-        private final long since = environment.now();
+        private final long since = environment.nowMicros();
         private long toldToSaveMicros = -1;
         private ExitCause cause;
         private boolean kept;
@@ -117,7 +117,7 @@
         }
 
         long progress() {
-            return frozenProgress >= 0 ? frozenProgress : progressAtStart + environment.now() - startedAt;
+            return frozenProgress >= 0 ? frozenProgress : progressAtStart + environment.nowMicros() - startedAt;
         }
 
         void update() {
@@ -136,12 +136,12 @@
             if (whole) {
                 phase = Phase.RUNNING;
                 started++;
-                startedAt = environment.now();
+                startedAt = environment.nowMicros();
                 progressAtStart = saved.getOrDefault(spec.id(), 0L);
                 return;
             }
             for (Member member : members.values()) {
-                if (member.cause == null && environment.now() - member.since > START_TIMEOUT) {
+                if (member.cause == null && environment.nowMicros() - member.since > START_TIMEOUT) {
                     member.cause = ExitCause.INCOMPLETE;
                     incomplete++;
                 }
@@ -175,16 +175,16 @@
                     keep(progress() / interval * interval);
                 }
                 frozenProgress = progress();
-                noticedAt = environment.now() + environment.random.nextInt((int) PEER_LOSS_NOTICED);
+                noticedAt = environment.nowMicros() + environment.random.nextInt((int) PEER_LOSS_NOTICED);
             }
-            if (environment.now() >= noticedAt) {
+            if (environment.nowMicros() >= noticedAt) {
                 end(ExitCause.PEER_GONE, false);
             }
         }
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.saves() && environment.now() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member -> member.saves() && environment.nowMicros() - member.toldToSaveMicros >= spec.saveMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -192,7 +192,7 @@
                 keep(progress());
                 savedInOrder++;
                 end(ExitCause.STOPPED, true);
-            } else if (environment.now() - firstStopAt > PEER_LOSS_NOTICED
+            } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_NOTICED
                     && members.values().stream()
                             .anyMatch(member ->
                                     !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_NOTICED)) {
@@ -215,11 +215,11 @@
         void stop(Member member) {
             if (phase == Phase.RUNNING) {
                 phase = Phase.STOPPING;
-                firstStopAt = environment.now();
+                firstStopAt = environment.nowMicros();
                 frozenProgress = progress();
             }
             if (phase == Phase.STOPPING && !member.saves()) {
-                member.toldToSaveMicros = environment.now();
+                member.toldToSaveMicros = environment.nowMicros();
             }
         }
 
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -74,12 +74,12 @@
 
         @Override
         public long nowMicros() {
-            return (long) (environment.now() * drift) + 77;
+            return (long) (environment.nowMicros() * drift) + 77;
         }
 
         @Override
         public long timeOfDayMicros() {
-            return environment.now() + skewMicros;
+            return environment.nowMicros() + skewMicros;
         }
 
         @Override
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -69,7 +69,7 @@
 
     private void setOutage(boolean now) {
         if (outage && !now) {
-            leases.renewAll(environment.now());
+            leases.renewAll(environment.nowMicros());
         }
         outage = now;
         watches.wake();
@@ -190,7 +190,7 @@
     Leased openLease(String node, long lifeMicros) {
         return away(node, 0)
                 ? new Leased(Outcome.REFUSED, 0)
-                : new Leased(Outcome.OK, leases.open(environment.now(), lifeMicros));
+                : new Leased(Outcome.OK, leases.open(environment.nowMicros(), lifeMicros));
     }
 
     Outcome renewLease(String node, long lease) {
@@ -200,7 +200,7 @@
         if (!leases.holds(lease)) {
             return Outcome.NOT_FOUND;
         }
-        leases.renew(lease, environment.now());
+        leases.renew(lease, environment.nowMicros());
         return Outcome.OK;
     }
 
@@ -211,7 +211,7 @@
     /** Whether this request is not carried out: the store is away, or asked for too much. */
     private boolean away(String node, int changes) {
         requests++;
-        boolean tooFast = !rates.admits(environment.now(), changes);
+        boolean tooFast = !rates.admits(environment.nowMicros(), changes);
         refusals += tooFast ? 1 : 0;
         return tooFast || outage || refused.contains(node);
     }
@@ -266,7 +266,7 @@
         if (outage) {
             return;
         }
-        leases.removeOver(environment.now()).forEach(keys::removeAllOf);
+        leases.removeOver(environment.nowMicros()).forEach(keys::removeAllOf);
         watches.wake();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -84,7 +84,7 @@
         for (Run run : runs.all()) {
             if (run.member != null) {
                 advanceInGang(run);
-            } else if (run.state != TaskState.EXITED && environment.now() >= run.until) {
+            } else if (run.state != TaskState.EXITED && environment.nowMicros() >= run.until) {
                 advance(run);
             }
         }
@@ -114,10 +114,10 @@
         }
         run.state = TaskState.RUNNING;
         long runMicros = runMicros(run, spec);
-        run.until = spec.service() ? Long.MAX_VALUE : environment.now() + runMicros;
+        run.until = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
         if (fails(run)) {
             failures++;
-            run.until = environment.now() + FAILS_AFTER;
+            run.until = environment.nowMicros() + FAILS_AFTER;
         }
     }
 
@@ -212,7 +212,7 @@
             run.cause = refusal;
             return;
         }
-        run.until = environment.now() + fetchMicros(spec);
+        run.until = environment.nowMicros() + fetchMicros(spec);
     }
 
     private long fetchMicros(JobSpec spec) {
@@ -229,7 +229,7 @@
         }
         if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
             run.state = TaskState.SAVING;
-            run.until = environment.now() + spec.saveMicros();
+            run.until = environment.nowMicros() + spec.saveMicros();
             changed = true;
         } else if (run.state != TaskState.SAVING || graceMicros == 0) {
             end(run, ExitCause.STOPPED);
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -73,7 +73,7 @@
         this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
         this.leaseMicros = timing.leaseMicros;
         this.tasks = new SimTaskRunner(environment, rules, this, jobs, controllers::fails, results, gangs);
-        this.leaseFrom = environment.now();
+        this.leaseFrom = environment.nowMicros();
         this.controller = environment.random.nextInt(controllers.names().size());
         tick();
     }
@@ -157,7 +157,7 @@
 
     /** The cloud takes it back after this time, and it tells so. */
     void notice(long micros) {
-        noticeEnd = environment.now() + micros;
+        noticeEnd = environment.nowMicros() + micros;
         changed = true;
     }
 
@@ -185,10 +185,10 @@
     }
 
     private void expireIfDue() {
-        if (environment.now() - leaseFrom > leaseMicros) {
+        if (environment.nowMicros() - leaseFrom > leaseMicros) {
             tasks.killAll();
             agentEpoch++;
-            leaseFrom = environment.now();
+            leaseFrom = environment.nowMicros();
             changed = true;
         }
     }
@@ -196,7 +196,7 @@
     /** After a change a heartbeat goes out earlier. */
     private boolean heartbeatIsDue() {
         boolean early = changed || tasks.changed();
-        return environment.now() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
+        return environment.nowMicros() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
     // ---- heartbeats --------------------------------------------------------------------------------------------
@@ -211,7 +211,7 @@
                 agentEpoch,
                 ++sequence,
                 fencingToken,
-                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - environment.now()),
+                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - environment.nowMicros()),
                 runs().statuses());
     }
 
@@ -219,7 +219,7 @@
         awaitsAnswer = true;
         changed = false;
         tasks.resetChanged();
-        long sent = environment.now();
+        long sent = environment.nowMicros();
         long sentInEpoch = agentEpoch;
         String node = controllers.names().get(controller);
         Heartbeat heartbeat = heartbeat();
@@ -261,12 +261,12 @@
             return;
         }
         controller = next;
-        nextHeartbeat = environment.now() + environment.random.nextInt(500_000);
+        nextHeartbeat = environment.nowMicros() + environment.random.nextInt(500_000);
     }
 
     private void turnToNext() {
         controller = (controller + 1) % controllers.names().size();
-        nextHeartbeat = environment.now() + 1_000_000;
+        nextHeartbeat = environment.nowMicros() + 1_000_000;
     }
 
     // ---- commands ----------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -313,7 +313,7 @@
 
     /** The same with the check that every job stays known, from the time on at which the last trouble is over. */
     void run(long troublesOver, long until) {
-        environment.after(troublesOver - environment.now(), () -> watchKnown(troublesOver));
+        environment.after(troublesOver - environment.nowMicros(), () -> watchKnown(troublesOver));
         run(until);
     }
 
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -36,8 +36,8 @@
                 continue;
             }
             long since =
-                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.now()), jobs.lastStartSentAt(job));
-            if (environment.now() - since > NEGLECTED_MICROS) {
+                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()), jobs.lastStartSentAt(job));
+            if (environment.nowMicros() - since > NEGLECTED_MICROS) {
                 breaches.add(
                         "neglected",
                         job + " of team " + spec.team() + " waits with " + left
