--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -252,7 +252,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void theOneThatReturnsAtOnceLeadsAfterAllHaveEnded(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
-        simulation.environment.lateCopies = 0.1;
+        simulation.environment.duplicateRequestShare = 0.1;
 
         simulation.after(40 * SECOND, () -> {
             String first = simulation.leader();
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -110,8 +110,8 @@
                     simulation.after(time(simulation), () -> simulation.store.lateWrites = 0);
                 },
                 simulation -> {
-                    simulation.environment.lateCopies = 0.2;
-                    simulation.after(time(simulation), () -> simulation.environment.lateCopies = 0);
+                    simulation.environment.duplicateRequestShare = 0.2;
+                    simulation.after(time(simulation), () -> simulation.environment.duplicateRequestShare = 0);
                 },
                 simulation -> {
                     simulation.environment.heldUp = 0.06;
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -82,7 +82,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void resultsOfMeanwhileCountAndHeartbeatsOfBeforeDoNot(long seed) {
         Simulation simulation = busy(seed);
-        simulation.environment.lateCopies = 0.2;
+        simulation.environment.duplicateRequestShare = 0.2;
 
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -36,7 +36,7 @@
 
     private final Map<String, ArrayDeque<Runnable>> frozenTimers = new HashMap<>();
     /** Share of requests of which a copy arrives once more, much later. */
-    double lateCopies;
+    double duplicateRequestShare;
     /** Share of packets that are held up for seconds. */
     double heldUp;
 
@@ -165,7 +165,7 @@
     <T> void callLater(String from, String to, long timeout, Consumer<Consumer<T>> serve, Consumer<T> then) {
         PendingCall<T> call = new PendingCall<>(from, then);
         send(from, to, () -> serve.accept(answer -> send(to, from, () -> call.finish(answer))));
-        if (lateCopies > 0 && random.nextDouble() < lateCopies) {
+        if (duplicateRequestShare > 0 && random.nextDouble() < duplicateRequestShare) {
             after(100_000 + random.nextInt(60_000_000), () -> serve.accept(ignored -> {}));
         }
         after(timeout, () -> fire(from, () -> call.finish(null)));
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -41,7 +41,7 @@
     @MethodSource("seeds")
     void anyTroublesTogether(long seed) {
         Simulation simulation = withJobs(seed, 40, 200 * SECOND);
-        simulation.environment.lateCopies = 0.02;
+        simulation.environment.duplicateRequestShare = 0.02;
 
         for (int i = 0; i < 14; i++) {
             simulation.after(
@@ -96,7 +96,7 @@
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void lateCopiesOfHeartbeatsChangeNothing(long seed) {
         Simulation simulation = withJobs(seed, 35, 120 * SECOND);
-        simulation.environment.lateCopies = 0.25;
+        simulation.environment.duplicateRequestShare = 0.25;
 
         for (int i = 0; i < 5; i++) {
             simulation.after(
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -91,7 +91,7 @@
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void backWithinAFractionOfASecond(long seed) {
         Simulation simulation = withJobs(seed, 30, 100 * SECOND);
-        simulation.environment.lateCopies = 0.1;
+        simulation.environment.duplicateRequestShare = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean leader = i % 3 > 0;
             simulation.after(
