--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -87,8 +87,8 @@
         Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
         longWork(simulation, 6, 6, 100 * SECOND);
 
-        simulation.after(45 * SECOND, () -> simulation.environment.heldUp = 0.05);
-        simulation.after(60 * SECOND, () -> simulation.environment.heldUp = 0);
+        simulation.after(45 * SECOND, () -> simulation.environment.delayedPacketShare = 0.05);
+        simulation.after(60 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         Observation<Integer> toldBefore = new Observation<>();
         Observation<Integer> toldAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -46,10 +46,10 @@
         withJobs(simulation, 30, 60 * SECOND);
         longWork(simulation, 4, 6, 20 * SECOND);
 
-        simulation.after(20 * SECOND, () -> simulation.environment.heldUp = 0.03);
+        simulation.after(20 * SECOND, () -> simulation.environment.delayedPacketShare = 0.03);
         Observation<Integer> waiting = simulation.observe(
                 60 * SECOND, () -> simulation.users.unfinishedBatches().size());
-        simulation.after(90 * SECOND, () -> simulation.environment.heldUp = 0);
+        simulation.after(90 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         simulation.run(100 * SECOND, 700 * SECOND);
 
         assertTrue(waiting.get() > 5, "only " + waiting.get() + " jobs wait");
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -134,13 +134,13 @@
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
         longWork(simulation, 4, 6, 40 * SECOND);
 
-        simulation.after(25 * SECOND, () -> simulation.environment.heldUp = 0.08);
+        simulation.after(25 * SECOND, () -> simulation.environment.delayedPacketShare = 0.08);
         for (int i = 0; i < 6; i++) {
             simulation.after(
                     (35 + 8 * i) * SECOND,
                     () -> simulation.users.cancelRunning(2, 6 * SECOND + simulation.environment.random.nextInt(30_000_000)));
         }
-        simulation.after(85 * SECOND, () -> simulation.environment.heldUp = 0);
+        simulation.after(85 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         simulation.run(125 * SECOND, 500 * SECOND);
 
         assertTrue(simulation.rules.cancellationsTold() > 5);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -114,8 +114,8 @@
                     simulation.after(time(simulation), () -> simulation.environment.duplicateRequestShare = 0);
                 },
                 simulation -> {
-                    simulation.environment.heldUp = 0.06;
-                    simulation.after(time(simulation), () -> simulation.environment.heldUp = 0);
+                    simulation.environment.delayedPacketShare = 0.06;
+                    simulation.after(time(simulation), () -> simulation.environment.delayedPacketShare = 0);
                 },
                 simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)));
     }
--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -38,7 +38,7 @@
     /** Share of requests of which a copy arrives once more, much later. */
     double duplicateRequestShare;
     /** Share of packets that are held up for seconds. */
-    double heldUp;
+    double delayedPacketShare;
 
     private long nowMicros;
     private long order;
@@ -119,7 +119,7 @@
             return;
         }
         long delay = 300L + random.nextInt(4_000) + (random.nextInt(500) == 0 ? 400_000 : 0);
-        long more = heldUp > 0 && random.nextDouble() < heldUp ? 1_000_000L + random.nextInt(9_000_000) : 0;
+        long more = delayedPacketShare > 0 && random.nextDouble() < delayedPacketShare ? 1_000_000L + random.nextInt(9_000_000) : 0;
         after(delay + more, () -> arrive(to, arrive));
     }
 
