--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -141,7 +141,7 @@
     }
 
     /** The host stands still while its clock runs on. */
-    void freeze(String host) {
+    void pause(String host) {
         frozenPackets.putIfAbsent(host, new ArrayDeque<>());
         frozenTimers.putIfAbsent(host, new ArrayDeque<>());
     }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -36,7 +36,7 @@
 
     /** A controller stands still while its clocks run on. */
     void freeze(String node, long forMicros) {
-        simulation.environment.freeze(node);
+        simulation.environment.pause(node);
         simulation.environment.after(forMicros, () -> simulation.environment.thaw(node));
     }
 
