--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -147,7 +147,7 @@
     }
 
     /** What has waited comes at once, packets first: no timer has told the host yet how late it is. */
-    void thaw(String host) {
+    void resume(String host) {
         ArrayDeque<Runnable> packets = frozenPackets.remove(host);
         ArrayDeque<Runnable> timers = frozenTimers.remove(host);
         if (packets != null) {
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -37,7 +37,7 @@
     /** A controller stands still while its clocks run on. */
     void freeze(String node, long forMicros) {
         simulation.environment.pause(node);
-        simulation.environment.after(forMicros, () -> simulation.environment.thaw(node));
+        simulation.environment.after(forMicros, () -> simulation.environment.resume(node));
     }
 
     /** Nothing passes between the two, in either direction. */
