--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -132,7 +132,7 @@
     }
 
     /** A timer of a host: while it stands still, timers are due but do not fire. */
-    void fire(String host, Runnable timer) {
+    void runTimer(String host, Runnable timer) {
         if (frozenTimers.containsKey(host)) {
             frozenTimers.get(host).add(timer);
         } else {
@@ -168,7 +168,7 @@
         if (duplicateRequestShare > 0 && random.nextDouble() < duplicateRequestShare) {
             after(100_000 + random.nextInt(60_000_000), () -> serve.accept(ignored -> {}));
         }
-        after(timeout, () -> fire(from, () -> call.finish(null)));
+        after(timeout, () -> runTimer(from, () -> call.finish(null)));
     }
 
     /** A request of one process: its answer or its timeout counts, whichever is first, unless the process has ended. */
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -86,7 +86,7 @@
         public void after(long delayMicros, Runnable action) {
             environment.after(
                     (long) (Math.max(0, delayMicros) / drift) + environment.random.nextInt(2_000),
-                    () -> environment.fire(name, () -> {
+                    () -> environment.runTimer(name, () -> {
                         if (life == process && controller != null) {
                             action.run();
                         }
