--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -98,7 +98,7 @@
     }
 
     /** The host's process ends, or a new one is there. */
-    void setDown(String host, boolean isDown) {
+    void setProcessDown(String host, boolean isDown) {
         if (isDown) {
             down.add(host);
             ended.merge(host, 1, Integer::sum);
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -48,7 +48,7 @@
 
     void boot() {
         life++;
-        environment.setDown(name, false);
+        environment.setProcessDown(name, false);
         Controller started = newController.apply(this);
         controller = started;
         started.start();
@@ -57,7 +57,7 @@
     void crash() {
         life++;
         controller = null;
-        environment.setDown(name, true);
+        environment.setProcessDown(name, true);
     }
 
     /** The clocks and timers of the present process: what it has asked for ends with it. */
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -138,7 +138,7 @@
         if (!dead) {
             dead = true;
             tasks.killAll();
-            environment.setDown(id, true);
+            environment.setProcessDown(id, true);
         }
     }
 
