--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -158,11 +158,11 @@
 
     /** A request and its answer. {@code then} is told null when nothing came in time. */
     <T> void call(String from, String to, long timeout, Supplier<T> serve, Consumer<T> then) {
-        callLater(from, to, timeout, answer -> answer.accept(serve.get()), then);
+        callAsync(from, to, timeout, answer -> answer.accept(serve.get()), then);
     }
 
     /** The same, where the other side answers when it likes. */
-    <T> void callLater(String from, String to, long timeout, Consumer<Consumer<T>> serve, Consumer<T> then) {
+    <T> void callAsync(String from, String to, long timeout, Consumer<Consumer<T>> serve, Consumer<T> then) {
         PendingCall<T> call = new PendingCall<>(from, then);
         send(from, to, () -> serve.accept(answer -> send(to, from, () -> call.finish(answer))));
         if (duplicateRequestShare > 0 && random.nextDouble() < duplicateRequestShare) {
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -55,7 +55,7 @@
 
         /** A peer that is down does not answer. */
         private <T> void call(String peer, BiConsumer<Controller, Consumer<T>> serve, Consumer<T> then) {
-            simulation.environment.<T>callLater(
+            simulation.environment.<T>callAsync(
                     node,
                     peer,
                     Simulation.SECOND,
@@ -89,7 +89,7 @@
             simulation.commands.sent(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
             simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
-            simulation.environment.<Reply>callLater(
+            simulation.environment.<Reply>callAsync(
                     node,
                     address,
                     2 * Simulation.SECOND,
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -53,7 +53,7 @@
     }
 
     private <T> void callLater(long timeoutMicros, Consumer<Consumer<T>> serve, T unanswered, Consumer<T> then) {
-        environment.<T>callLater(
+        environment.<T>callAsync(
                 node, SimStore.NAME, timeoutMicros, serve, answer -> then.accept(answer == null ? unanswered : answer));
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -177,7 +177,7 @@
             return;
         }
         asking.add(id);
-        simulation.environment.<JobResponse>callLater(
+        simulation.environment.<JobResponse>callAsync(
                 user,
                 node,
                 TIMEOUT,
