--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -12,13 +12,13 @@
     private static final long UNANSWERED_MICROS = 75_000_000;
 
     private final SimEnvironment environment;
-    private final Breaches breaches;
+    private final ViolationReporter breaches;
     private final JobHistory jobs;
     private final CancellationRules cancellations;
     private final Set<String> unschedulable = new HashSet<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
 
-    AnswerRules(SimEnvironment environment, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
+    AnswerRules(SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, CancellationRules cancellations) {
         this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -11,7 +11,7 @@
     private static final long WATCHED_MICROS = 120_000_000;
 
     private final SimEnvironment environment;
-    private final Breaches breaches;
+    private final ViolationReporter breaches;
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
     private final long cancelMicros;
@@ -19,7 +19,7 @@
 
     /** @param cancelMicros for how long tasks may go on once their cancellation is confirmed */
     CancellationRules(
-            SimEnvironment environment, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
+            SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
         this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -11,10 +11,10 @@
 final class ServedRules {
     private static final long BEGIN_MICROS = 240_000_000;
 
-    private final Breaches breaches;
+    private final ViolationReporter breaches;
     private final JobHistory jobs;
 
-    ServedRules(Breaches breaches, JobHistory jobs) {
+    ServedRules(ViolationReporter breaches, JobHistory jobs) {
         this.breaches = breaches;
         this.jobs = jobs;
     }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -14,13 +14,13 @@
 final class TaskPlacementRules {
     private record Place(String host, String zone) {}
 
-    private final Breaches breaches;
+    private final ViolationReporter breaches;
     private final JobHistory jobs;
     private final Map<String, Team> teams;
     private final Map<TaskId, Place> placed = new HashMap<>();
     private int starts;
 
-    TaskPlacementRules(Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
+    TaskPlacementRules(ViolationReporter breaches, JobHistory jobs, Map<String, Team> teams) {
         this.breaches = breaches;
         this.jobs = jobs;
         this.teams = teams;
--- a/src/test/java/org/granitepath/simulation/Breaches.java
+++ b/src/test/java/org/granitepath/simulation/ViolationReporter.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 /** Takes what a rule finds. */
-interface Breaches {
+interface ViolationReporter {
     /**
      * A rule is broken.
      *
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -13,12 +13,12 @@
     private static final long NEGLECTED_MICROS = 90_000_000;
 
     private final SimEnvironment environment;
-    private final Breaches breaches;
+    private final ViolationReporter breaches;
     private final JobHistory jobs;
     private final Map<String, Team> teams;
     private final Map<String, Long> couldRunSince = new HashMap<>();
 
-    WaitingRules(SimEnvironment environment, Breaches breaches, JobHistory jobs, Map<String, Team> teams) {
+    WaitingRules(SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, Map<String, Team> teams) {
         this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
