--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -33,9 +33,9 @@
     /** An answer that a user got. */
     void told(String job, JobResponse answer) {
         if (answer instanceof JobResponse.NotFound && jobs.wasAccepted(job)) {
-            breaches.add("forgotten", job + " is not found");
+            breaches.report("forgotten", job + " is not found");
         } else if (answer instanceof JobResponse.Unschedulable && jobs.wasAccepted(job)) {
-            breaches.add("forgotten", job + " is called impossible");
+            breaches.report("forgotten", job + " is called impossible");
         } else if (answer instanceof JobResponse.Status status) {
             toldStatus(job, status.state());
         }
@@ -43,17 +43,17 @@
 
     private void toldStatus(String job, JobState state) {
         if (unschedulable.contains(job)) {
-            breaches.add("accepted_impossible", job + " can never run");
+            breaches.report("accepted_impossible", job + " can never run");
             return;
         }
         if (!jobs.wasSubmitted(job)) {
-            breaches.add("invented", job);
+            breaches.report("invented", job);
         }
         jobs.accepted(job);
         answeredAt.put(job, environment.nowMicros());
         JobState earlier = jobs.finalTold(job);
         if (earlier != null && earlier != state) {
-            breaches.add("went_back", job + " was " + earlier + ", is " + state);
+            breaches.report("went_back", job + " was " + earlier + ", is " + state);
         }
         if (state == JobState.DONE) {
             toldDone(job);
@@ -66,14 +66,14 @@
         int done = jobs.completedTasks(job);
         int tasks = jobs.spec(job).tasks();
         if (done < tasks) {
-            breaches.add("not_done", job + ": " + done + " of " + tasks);
+            breaches.report("not_done", job + ": " + done + " of " + tasks);
         }
         jobs.finalTold(job, JobState.DONE);
     }
 
     private void toldCancelled(String job) {
         if (!jobs.wasCancellationAsked(job)) {
-            breaches.add("went_back", job + " is cancelled unasked");
+            breaches.report("went_back", job + " is cancelled unasked");
         }
         if (jobs.finalTold(job, JobState.CANCELLED) == null) {
             cancellations.confirmed(job);
@@ -85,7 +85,7 @@
         for (String job : jobs.acceptedJobs()) {
             long since = environment.nowMicros() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
             if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
-                breaches.add("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
+                breaches.report("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -35,14 +35,14 @@
     /** A controller sends the command to start this task. */
     void startSent(TaskId task) {
         if (jobs.finalTold(task.job()) == JobState.CANCELLED) {
-            breaches.add("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
+            breaches.report("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
         }
     }
 
     /** A task is on a machine now. */
     void started(TaskId task) {
         if (isOverdue(task)) {
-            breaches.add("ran_cancelled", task + " starts");
+            breaches.report("ran_cancelled", task + " starts");
         }
     }
 
@@ -53,7 +53,7 @@
         }
         for (TaskId task : placements.tasks()) {
             if (isOverdue(task)) {
-                breaches.add("ran_cancelled", task + " is still on " + placements.hostOf(task));
+                breaches.report("ran_cancelled", task + " is still on " + placements.hostOf(task));
             }
         }
         confirmedAt.values().removeIf(confirmed -> environment.nowMicros() > confirmed + cancelMicros + WATCHED_MICROS);
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -58,7 +58,7 @@
     private void checkHalfServed(String name, List<JobSpec> group) {
         long served = group.stream().filter(this::isServed).count();
         if (served * 2 < group.size()) {
-            breaches.add("unserved", name + ": " + served + " of " + group.size());
+            breaches.report("unserved", name + ": " + served + " of " + group.size());
         }
     }
 
@@ -71,7 +71,7 @@
         for (JobSpec spec : group) {
             long waited = jobs.waitedForBegin(spec.id());
             if (waited > BEGIN_MICROS) {
-                breaches.add("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
+                breaches.report("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -40,13 +40,13 @@
     private void checkNotElsewhere(TaskId task, String host) {
         Place other = placed.get(task);
         if (other != null) {
-            breaches.add("ran_twice", task + " starts on " + host + " while on " + other.host());
+            breaches.report("ran_twice", task + " starts on " + host + " while on " + other.host());
         }
     }
 
     private void checkMachine(TaskId task, JobSpec spec, String type, String zone, boolean spot) {
         if (!spec.allowsType(type) || !spec.allowsZone(zone) || (spot && !spec.spot())) {
-            breaches.add("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
+            breaches.report("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
         }
     }
 
@@ -64,7 +64,7 @@
             }
         }
         if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere > 0)) {
-            breaches.add("wrong_place", task + ": " + here + " of its job in " + zone);
+            breaches.report("wrong_place", task + ": " + here + " of its job in " + zone);
         }
     }
 
@@ -84,7 +84,7 @@
         }
         if ((team.cpuLimitMillis() > 0 && cpu > team.cpuLimitMillis())
                 || (team.gpuLimitMillis() > 0 && gpu > team.gpuLimitMillis())) {
-            breaches.add("quota", "team " + name + " uses " + cpu + " and " + gpu);
+            breaches.report("quota", "team " + name + " uses " + cpu + " and " + gpu);
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/ViolationReporter.java
+++ b/src/test/java/org/granitepath/simulation/ViolationReporter.java
@@ -8,5 +8,5 @@
      * @param rule its short name
      * @param what how it was broken
      */
-    void add(String rule, String what);
+    void report(String rule, String what);
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -38,7 +38,7 @@
             long since =
                     Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()), jobs.lastStartSentAt(job));
             if (environment.nowMicros() - since > NEGLECTED_MICROS) {
-                breaches.add(
+                breaches.report(
                         "neglected",
                         job + " of team " + spec.team() + " waits with " + left
                                 + " tasks while a machine has capacity");
