--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -22,7 +22,7 @@
         fixture.assertNoneBroken();
         fixture.runUntil(76_000_000);
         fixture.rules().checkKnown(5_000_000);
-        assertTrue(fixture.rules().broken().isEmpty(), "troubles were over only 71 s ago");
+        assertTrue(fixture.rules().violations().isEmpty(), "troubles were over only 71 s ago");
 
         fixture.rules().checkKnown(0);
 
--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -61,7 +61,7 @@
 
         fixture.runCheckedUntil(11_100_000);
 
-        List<String> broken = fixture.rules().broken();
+        List<String> broken = fixture.rules().violations();
         assertTrue(broken.get(0).startsWith("ran_cancelled"), broken.toString());
     }
 }
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -70,7 +70,7 @@
 
         assertEquals(
                 List.of(),
-                simulation.rules.broken().stream().distinct().limit(5).toList());
+                simulation.rules.violations().stream().distinct().limit(5).toList());
     }
 
     /** A leader that stands still, a zone cut off with a crash in it, and all controllers down at once. */
@@ -98,11 +98,11 @@
 
         assertEquals(
                 List.of(),
-                simulation.rules.broken().stream().distinct().limit(5).toList());
+                simulation.rules.violations().stream().distinct().limit(5).toList());
         assertTrue(machinesUp.get() >= machines, "only " + machinesUp.get() + " machines");
         assertEquals(List.of(), simulation.users.unfinishedBatches());
         simulation.rules.checkServed();
-        assertEquals(List.of(), simulation.rules.broken());
+        assertEquals(List.of(), simulation.rules.violations());
         assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
         assertTrue(
                 simulation.store.refusals() < simulation.store.requests() / 20,
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -18,7 +18,7 @@
 final class Rules {
     private final SimEnvironment environment;
     private final Consumer<String> lastTaskDone;
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
     private final CancellationRules cancellations;
@@ -44,17 +44,17 @@
 
     /** A rule is broken. */
     void breach(String rule, String what) {
-        broken.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + what);
+        violations.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + what);
     }
 
     /** The breaches so far, in order. */
-    List<String> broken() {
-        return Collections.unmodifiableList(broken);
+    List<String> violations() {
+        return Collections.unmodifiableList(violations);
     }
 
     /** Starts anew, for tests that plant one breach after the other. */
     void forgetBroken() {
-        broken.clear();
+        violations.clear();
     }
 
     // ---- what happens ------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -98,12 +98,12 @@
 
     /** One rule is broken, and its breach begins so. */
     void assertBroken(String beginning) {
-        assertEquals(1, rules.broken().size(), rules.broken().toString());
-        assertTrue(rules.broken().get(0).startsWith(beginning), rules.broken().toString());
+        assertEquals(1, rules.violations().size(), rules.violations().toString());
+        assertTrue(rules.violations().get(0).startsWith(beginning), rules.violations().toString());
     }
 
     void assertNoneBroken() {
-        assertTrue(rules.broken().isEmpty(), rules.broken().toString());
+        assertTrue(rules.violations().isEmpty(), rules.violations().toString());
     }
 
     /** A machine of four CPUs whose heartbeats are accepted, and on which tasks run for minutes. */
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -19,18 +19,18 @@
         List<WorkerCommand> start = List.of(WorkerCommand.start(new TaskId(RulesFixture.ANYWHERE, 0), 5));
 
         commands.sent(1, "n0", "a", List.of());
-        assertEquals(List.of(), rules.broken());
+        assertEquals(List.of(), rules.violations());
 
         commands.sent(1, "n0", "a", start);
         assertTrue(
-                rules.broken().get(0).startsWith("commanded_without_heartbeat"),
-                rules.broken().toString());
+                rules.violations().get(0).startsWith("commanded_without_heartbeat"),
+                rules.violations().toString());
 
         commands.heartbeatReceived(2, "a");
         commands.sent(2, "n0", "a", start);
         assertTrue(
-                rules.broken().get(1).startsWith("start_repeated"),
-                rules.broken().toString());
-        assertEquals(2, rules.broken().size());
+                rules.violations().get(1).startsWith("start_repeated"),
+                rules.violations().toString());
+        assertEquals(2, rules.violations().size());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -29,6 +29,6 @@
     static void assertNoneBroken(Simulation simulation) {
         assertEquals(
                 List.of(),
-                simulation.rules.broken().stream().distinct().limit(MOST_SHOWN).toList());
+                simulation.rules.violations().stream().distinct().limit(MOST_SHOWN).toList());
     }
 }
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -77,7 +77,7 @@
         simulation.run(60 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(List.of(), simulation.rules.broken());
+        assertEquals(List.of(), simulation.rules.violations());
         assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
     }
 
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -19,7 +19,7 @@
         fixture.assertNoneBroken();
         fixture.runUntil(91_000_000);
         fixture.rules().checkWaiting(List.of());
-        assertTrue(fixture.rules().broken().isEmpty(), "no machine is there");
+        assertTrue(fixture.rules().violations().isEmpty(), "no machine is there");
 
         checkEachSecond(92, 183, worker);
 
