--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -35,15 +35,15 @@
         this.environment = environment;
         this.lastTaskDone = lastTaskDone;
         jobs = new JobHistory(environment);
-        placements = new TaskPlacementRules(this::breach, jobs, teams);
-        cancellations = new CancellationRules(environment, this::breach, jobs, placements, cancelMicros);
-        answers = new AnswerRules(environment, this::breach, jobs, cancellations);
-        waiting = new WaitingRules(environment, this::breach, jobs, teams);
-        served = new ServedRules(this::breach, jobs);
+        placements = new TaskPlacementRules(this::reportViolation, jobs, teams);
+        cancellations = new CancellationRules(environment, this::reportViolation, jobs, placements, cancelMicros);
+        answers = new AnswerRules(environment, this::reportViolation, jobs, cancellations);
+        waiting = new WaitingRules(environment, this::reportViolation, jobs, teams);
+        served = new ServedRules(this::reportViolation, jobs);
     }
 
     /** A rule is broken. */
-    void breach(String rule, String what) {
+    void reportViolation(String rule, String what) {
         violations.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + what);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -38,7 +38,7 @@
     /** @param term the fencing token of the term in which the controller commands */
     void sent(long term, String node, String host, List<WorkerCommand> commands) {
         if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatOfTerm(term, host))) {
-            rules.breach(
+            rules.reportViolation(
                     "commanded_without_heartbeat", node + " commands " + host + ", no heartbeat of it in term " + term);
         }
         for (WorkerCommand command : commands) {
@@ -53,7 +53,7 @@
         starts.add(new Start(environment.nowMicros(), node, host, command.task()));
         startsByHost.merge(host, 1, Integer::sum);
         if (!sent.add(new Sent(host, command.task(), command.attempt()))) {
-            rules.breach("start_repeated", command.task() + " attempt " + command.attempt() + " to " + host);
+            rules.reportViolation("start_repeated", command.task() + " attempt " + command.attempt() + " to " + host);
         }
     }
 
