--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -47,11 +47,11 @@
         fixture.rules().told(ANYWHERE, new JobResponse.NotFound());
         fixture.assertBroken("forgotten");
 
-        fixture.rules().forgetBroken();
+        fixture.rules().clearViolations();
         fixture.tell(ANYWHERE, JobState.DONE);
         fixture.assertBroken("not_done");
 
-        fixture.rules().forgetBroken();
+        fixture.rules().clearViolations();
         fixture.tell(ANYWHERE, JobState.RUNNING);
         fixture.assertBroken("went_back");
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -53,7 +53,7 @@
     }
 
     /** Starts anew, for tests that plant one breach after the other. */
-    void forgetBroken() {
+    void clearViolations() {
         violations.clear();
     }
 
