--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -60,7 +60,7 @@
     // ---- what happens ------------------------------------------------------------------------------------------
 
     /** A user submits the job, maybe once more. */
-    void submitting(JobSpec spec) {
+    void recordSubmission(JobSpec spec) {
         jobs.submitted(spec);
     }
 
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -34,9 +34,9 @@
     private final Rules rules = new Rules(environment, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
 
     RulesFixture() {
-        rules.submitting(spec(ANYWHERE, TASKS, false, false, RUN_MICROS));
-        rules.submitting(spec(SPREAD, TASKS, true, false, RUN_MICROS));
-        rules.submitting(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
+        rules.recordSubmission(spec(ANYWHERE, TASKS, false, false, RUN_MICROS));
+        rules.recordSubmission(spec(SPREAD, TASKS, true, false, RUN_MICROS));
+        rules.recordSubmission(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
     }
 
     SimEnvironment environment() {
@@ -73,7 +73,7 @@
 
     /** One more job is submitted now, that may run anywhere. */
     void submit(String id, int tasks) {
-        rules.submitting(spec(id, tasks, false, false, RUN_MICROS));
+        rules.recordSubmission(spec(id, tasks, false, false, RUN_MICROS));
     }
 
     /** A task is on a full-price machine now. */
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -113,7 +113,7 @@
     /** A user submits, polls to the end and may cancel after a while (negative: never). */
     void submit(JobSpec spec, long cancelAfter) {
         described.put(spec.id(), spec);
-        simulation.rules.submitting(spec);
+        simulation.rules.recordSubmission(spec);
         ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 if (cancelAfter >= 0) {
@@ -129,7 +129,7 @@
     /** The same at one controller alone, until it accepts. */
     void submitAt(String node, JobSpec spec) {
         described.put(spec.id(), spec);
-        simulation.rules.submitting(spec);
+        simulation.rules.recordSubmission(spec);
         askAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 poll(spec.id());
