--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -31,7 +31,7 @@
 
     @Test
     void unschedulableJobIsAccepted() {
-        fixture.rules().submittingUnschedulable("run-9");
+        fixture.rules().recordUnschedulableSubmission("run-9");
         fixture.rules().told("run-9", new JobResponse.Unschedulable("too large"));
         fixture.assertNoneBroken();
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -65,7 +65,7 @@
     }
 
     /** A job that fits nowhere: nobody may accept it. */
-    void submittingUnschedulable(String job) {
+    void recordUnschedulableSubmission(String job) {
         answers.submittingUnschedulable(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -93,7 +93,7 @@
     private void submitUnschedulable() {
         JobSpec like = simulation.jobs.batch(3, Simulation.SECOND);
         JobSpec spec = simulation.jobs.withCpu(like, 3, 90_000);
-        simulation.rules.submittingUnschedulable(spec.id());
+        simulation.rules.recordUnschedulableSubmission(spec.id());
         ask(
                 spec.id(),
                 (controller, then) -> controller.submit(spec, then),
