--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -16,7 +16,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     private void cancel(String job) {
-        fixture.rules().cancelling(job);
+        fixture.rules().recordCancellationRequest(job);
         fixture.tell(job, JobState.CANCELLED);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -70,7 +70,7 @@
     }
 
     /** A user asks to cancel the job, maybe in vain so far. */
-    void cancelling(String job) {
+    void recordCancellationRequest(String job) {
         jobs.cancellationAsked(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -157,7 +157,7 @@
 
     /** The same at one controller first. */
     void cancelAt(String node, String id) {
-        simulation.rules.cancelling(id);
+        simulation.rules.recordCancellationRequest(id);
         askAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
             if (!(answer instanceof JobResponse.Status)) {
                 simulation.environment.after(2 * Simulation.SECOND, () -> cancel(id));
