--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -32,7 +32,7 @@
     @Test
     void unschedulableJobIsAccepted() {
         fixture.rules().recordUnschedulableSubmission("run-9");
-        fixture.rules().told("run-9", new JobResponse.Unschedulable("too large"));
+        fixture.rules().recordResponse("run-9", new JobResponse.Unschedulable("too large"));
         fixture.assertNoneBroken();
 
         fixture.tell("run-9", JobState.PENDING);
@@ -44,7 +44,7 @@
     @Test
     void wrongAnswers() {
         fixture.tell(ANYWHERE, JobState.PENDING);
-        fixture.rules().told(ANYWHERE, new JobResponse.NotFound());
+        fixture.rules().recordResponse(ANYWHERE, new JobResponse.NotFound());
         fixture.assertBroken("forgotten");
 
         fixture.rules().clearViolations();
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -75,7 +75,7 @@
     }
 
     /** An answer that a user got, by its time of arrival; asked after every earlier answer had arrived. */
-    void told(String job, JobResponse answer) {
+    void recordResponse(String job, JobResponse answer) {
         answers.told(job, answer);
     }
 
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -83,7 +83,7 @@
 
     /** A user is told this of the job. */
     void tell(String job, JobState state) {
-        rules.told(job, new JobResponse.Status(false, job, state, 0, 0));
+        rules.recordResponse(job, new JobResponse.Status(false, job, state, 0, 0));
     }
 
     /** Time passes until then, without a check. */
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -190,7 +190,7 @@
                 answer -> {
                     asking.remove(id);
                     if (answer != null) {
-                        simulation.rules.told(id, answer);
+                        simulation.rules.recordResponse(id, answer);
                     }
                     then.accept(answer);
                 });
