--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -36,11 +36,11 @@
 
     @Test
     void startIsSentAfterACancellation() {
-        fixture.rules().commandSent(new TaskId(ANYWHERE, 0));
+        fixture.rules().recordStartSent(new TaskId(ANYWHERE, 0));
         cancel(ANYWHERE);
         fixture.assertNoneBroken();
 
-        fixture.rules().commandSent(new TaskId(ANYWHERE, 1));
+        fixture.rules().recordStartSent(new TaskId(ANYWHERE, 1));
 
         fixture.assertBroken("started_cancelled");
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -80,7 +80,7 @@
     }
 
     /** A controller gives the command to start this task. */
-    void commandSent(TaskId task) {
+    void recordStartSent(TaskId task) {
         jobs.startSent(task);
         cancellations.startSent(task);
     }
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -49,7 +49,7 @@
     }
 
     private void started(String node, String host, WorkerCommand command) {
-        rules.commandSent(command.task());
+        rules.recordStartSent(command.task());
         starts.add(new Start(environment.nowMicros(), node, host, command.task()));
         startsByHost.merge(host, 1, Integer::sum);
         if (!sent.add(new Sent(host, command.task(), command.attempt()))) {
