--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -86,7 +86,7 @@
     }
 
     /** A task is on a machine now. */
-    void started(TaskId task, String host, String type, String zone, boolean spot) {
+    void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
         jobs.begun(task.job());
         placements.started(task, host, type, zone, spot);
         cancellations.started(task);
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -78,7 +78,7 @@
 
     /** A task is on a full-price machine now. */
     void start(String job, int index, String host, String zone) {
-        rules.started(new TaskId(job, index), host, "m", zone, false);
+        rules.recordTaskStarted(new TaskId(job, index), host, "m", zone, false);
     }
 
     /** A user is told this of the job. */
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -105,7 +105,7 @@
     private void begin(Run run) {
         JobSpec spec = jobs.apply(run.task.job());
         images.add(spec.image());
-        rules.started(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
+        rules.recordTaskStarted(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
         if (spec.gang() && !results.contains(run.task) && !fails(run)) {
             run.state = TaskState.WAITING;
             run.until = Long.MAX_VALUE;
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -32,7 +32,7 @@
 
     @Test
     void spotMachineNotAllowed() {
-        fixture.rules().started(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
+        fixture.rules().recordTaskStarted(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
 
         fixture.assertBroken("wrong_place");
     }
