--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -93,7 +93,7 @@
     }
 
     /** A task is no longer on the machine. */
-    void left(TaskId task, String host) {
+    void recordTaskRemoved(TaskId task, String host) {
         placements.left(task, host);
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -38,8 +38,8 @@
         fixture.start(job, 1, "b", "z");
         fixture.rules().completed(new TaskId(job, 0));
         fixture.rules().completed(new TaskId(job, 1));
-        fixture.rules().left(new TaskId(job, 0), "a");
-        fixture.rules().left(new TaskId(job, 1), "b");
+        fixture.rules().recordTaskRemoved(new TaskId(job, 0), "a");
+        fixture.rules().recordTaskRemoved(new TaskId(job, 1), "b");
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -172,7 +172,7 @@
     /** A task that is on the machine is so no longer. */
     private void leave(Run run) {
         if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
-            rules.left(run.task, worker.id);
+            rules.recordTaskRemoved(run.task, worker.id);
         }
         if (run.member != null) {
             run.member.leave();
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -14,7 +14,7 @@
     @Test
     void keptRulesAreNotCalledBroken() {
         fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.rules().left(new TaskId(ANYWHERE, 0), "a");
+        fixture.rules().recordTaskRemoved(new TaskId(ANYWHERE, 0), "a");
         fixture.start(ANYWHERE, 0, "b", "z");
         fixture.start(SPREAD, 0, "a", "z");
         fixture.start(SPREAD, 1, "b", "y");
