--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -98,7 +98,7 @@
     }
 
     /** A task has its result. */
-    void completed(TaskId task) {
+    void recordTaskCompleted(TaskId task) {
         if (jobs.completed(task)) {
             lastTaskDone.accept(task.job());
         }
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -36,8 +36,8 @@
     private void runBothTasks(String job) {
         fixture.start(job, 0, "a", "y");
         fixture.start(job, 1, "b", "z");
-        fixture.rules().completed(new TaskId(job, 0));
-        fixture.rules().completed(new TaskId(job, 1));
+        fixture.rules().recordTaskCompleted(new TaskId(job, 0));
+        fixture.rules().recordTaskCompleted(new TaskId(job, 1));
         fixture.rules().recordTaskRemoved(new TaskId(job, 0), "a");
         fixture.rules().recordTaskRemoved(new TaskId(job, 1), "b");
     }
@@ -49,7 +49,7 @@
         fixture.runUntil(241_000_000);
         for (int i = 0; i < 3; i++) {
             fixture.start("run-4", i, "a", "z");
-            fixture.rules().completed(new TaskId("run-4", i));
+            fixture.rules().recordTaskCompleted(new TaskId("run-4", i));
         }
 
         fixture.rules().checkServed();
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -154,7 +154,7 @@
             } else if (progress() >= total(spec)) {
                 for (int i = 0; i < spec.tasks(); i++) {
                     results.add(new TaskId(spec.id(), i));
-                    rules.completed(new TaskId(spec.id(), i));
+                    rules.recordTaskCompleted(new TaskId(spec.id(), i));
                 }
                 end(ExitCause.DONE, false);
             }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -156,7 +156,7 @@
         leave(run);
         if (cause == ExitCause.DONE) {
             results.add(run.task);
-            rules.completed(run.task);
+            rules.recordTaskCompleted(run.task);
         }
         run.state = TaskState.EXITED;
         run.cause = cause;
