--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -129,7 +129,7 @@
     // ---- questions of scenarios --------------------------------------------------------------------------------
 
     /** How many tasks began on machines so far, each attempt counted. */
-    int starts() {
+    int startedTaskCount() {
         return placements.starts();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -14,7 +14,7 @@
     /** No rule is broken, and something ran. */
     static void assertRules(Simulation simulation) {
         assertNoneBroken(simulation);
-        assertTrue(simulation.rules.starts() > 0, "nothing ran");
+        assertTrue(simulation.rules.startedTaskCount() > 0, "nothing ran");
         assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
         assertEquals(0, simulation.store.unfenced(), "a claim that is not tied to a leader's term");
     }
