--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -180,7 +180,7 @@
         simulation.run(200 * SECOND);
 
         assertRules(simulation);
-        int most = simulation.rules.mostStartsOfATask();
+        int most = simulation.rules.maxStartsPerTask();
         assertTrue(most > 1 && most <= MOST_STARTS, "one task was started " + most + " times");
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -134,7 +134,7 @@
     }
 
     /** How often the task that was started most often was. */
-    int mostStartsOfATask() {
+    int maxStartsPerTask() {
         return jobs.mostStartsOfATask();
     }
 
