--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -57,7 +57,7 @@
         Observation<Integer> answeredAfter = new Observation<>();
         simulation.after(70 * SECOND, () -> {
             String leader = simulation.leader();
-            running.set(simulation.rules.running().size());
+            running.set(simulation.rules.runningJobs().size());
             simulation.store.refuse(leader, 14 * SECOND);
             jobs.forEach(job -> simulation.users.cancelAt(
                     others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
@@ -248,7 +248,7 @@
             simulation.after((30 + 6 * i) * SECOND, () -> {
                 String leader = simulation.leader();
                 simulation.store.blindFor(leader, 2_500_000);
-                simulation.rules.running().stream()
+                simulation.rules.runningJobs().stream()
                         .limit(6)
                         .forEach(job -> simulation.users.cancelAt(
                                 others(simulation, leader).get(0), job));
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -125,7 +125,7 @@
         Observation<Integer> cut = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             List<SimWorker> machines =
-                    machinesOf(simulation, simulation.rules.running().stream().limit(3));
+                    machinesOf(simulation, simulation.rules.runningJobs().stream().limit(3));
             cut.set(machines.size());
             machines.forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
@@ -149,7 +149,7 @@
                         node -> simulation.faults.crash(node, simulation.shape.lease() + 5 * SECOND)));
         Observation<Integer> left = simulation.observe(
                 54 * SECOND + simulation.shape.lease(),
-                () -> simulation.rules.running().size());
+                () -> simulation.rules.runningJobs().size());
         simulation.run(57 * SECOND + simulation.shape.lease(), 400 * SECOND);
 
         assertEquals(0, left.get(), "every lease ran out");
@@ -199,7 +199,7 @@
 
         Observation<Boolean> atLimit = new Observation<>();
         simulation.after(55 * SECOND, () -> {
-            List<SimWorker> machines = machinesOf(simulation, simulation.rules.running().stream());
+            List<SimWorker> machines = machinesOf(simulation, simulation.rules.runningJobs().stream());
             atLimit.set(simulation.rules.usedBy("tight") == 12_000 && !machines.isEmpty());
             machines.stream()
                     .limit(2)
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -139,7 +139,7 @@
     }
 
     /** Jobs with a task on a machine, that nobody has asked to cancel. */
-    List<String> running() {
+    List<String> runningJobs() {
         return placements.running();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -52,7 +52,7 @@
 
     /** Users cancel so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
     List<String> cancelRunning(int count, long hangMicros) {
-        List<String> chosen = simulation.rules.running().stream().limit(count).toList();
+        List<String> chosen = simulation.rules.runningJobs().stream().limit(count).toList();
         List<String> hosts = chosen.stream()
                 .flatMap(job -> simulation.rules.hostsOf(job).stream())
                 .distinct()
