--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -51,7 +51,7 @@
         SimWorker worker = fixture.worker();
         worker.commands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
         fixture.runCheckedUntil(1_000_000);
-        assertEquals(1, fixture.rules().usedBy(TEAM) / 1_000);
+        assertEquals(1, fixture.rules().usedCpuMillis(TEAM) / 1_000);
         cancel(ANYWHERE);
         worker.hang(true);
         fixture.runCheckedUntil(5_000_000);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -200,7 +200,7 @@
         Observation<Boolean> atLimit = new Observation<>();
         simulation.after(55 * SECOND, () -> {
             List<SimWorker> machines = machinesOf(simulation, simulation.rules.runningJobs().stream());
-            atLimit.set(simulation.rules.usedBy("tight") == 12_000 && !machines.isEmpty());
+            atLimit.set(simulation.rules.usedCpuMillis("tight") == 12_000 && !machines.isEmpty());
             machines.stream()
                     .limit(2)
                     .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -37,7 +37,7 @@
         }
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            usedBefore.set(simulation.rules.usedBy("free"));
+            usedBefore.set(simulation.rules.usedCpuMillis("free"));
             if (seed % 2 == 1) {
                 simulation.faults.crash(simulation.leader(), 300_000);
             }
@@ -50,8 +50,8 @@
         Observation<Long> usedAfter = new Observation<>();
         for (long i = 1; i <= within; i++) {
             simulation.after((60 + i) * SECOND, () -> {
-                mostGranted.accumulateAndGet(simulation.rules.usedBy("granted"), Math::max);
-                usedAfter.set(simulation.rules.usedBy("free"));
+                mostGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
+                usedAfter.set(simulation.rules.usedCpuMillis("free"));
             });
         }
         simulation.run(80 * SECOND, 900 * SECOND);
@@ -81,7 +81,7 @@
                 .create());
         Observation<Long> usedByLender = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            usedByLender.set(simulation.rules.usedBy("lender"));
+            usedByLender.set(simulation.rules.usedCpuMillis("lender"));
             simulation.users.submit(wide(simulation, "free", 40, 300 * SECOND));
         });
         simulation.after(75 * SECOND, () -> simulation.users.submit(wide(simulation, "granted", 8, 60 * SECOND)));
@@ -89,8 +89,8 @@
         AtomicLong mostGranted = new AtomicLong();
         for (long i = 1; i <= 12; i++) {
             simulation.after((75 + i) * SECOND, () -> {
-                leastLeft.accumulateAndGet(simulation.rules.usedBy("lender"), Math::min);
-                mostGranted.accumulateAndGet(simulation.rules.usedBy("granted"), Math::max);
+                leastLeft.accumulateAndGet(simulation.rules.usedCpuMillis("lender"), Math::min);
+                mostGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
             });
         }
         simulation.run(90 * SECOND);
@@ -148,11 +148,11 @@
         JobSpec urgent = guaranteed ? job : simulation.jobs.ofClass(job, Simulation.PROMPT);
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            usedBefore.set(simulation.rules.usedBy("free"));
+            usedBefore.set(simulation.rules.usedCpuMillis("free"));
             simulation.users.submit(urgent);
         });
         Observation<Long> usedAfter =
-                simulation.observe(80 * SECOND, () -> simulation.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
+                simulation.observe(80 * SECOND, () -> simulation.rules.usedCpuMillis("free") - (guaranteed ? 0 : 4_000));
         simulation.run(90 * SECOND);
 
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -144,7 +144,7 @@
     }
 
     /** Thousandths of CPUs that a team's tasks use. */
-    long usedBy(String team) {
+    long usedCpuMillis(String team) {
         return placements.usedBy(team);
     }
 
