--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -44,7 +44,7 @@
         Observation<Long> running = new Observation<>();
         Observation<Integer> refusalsBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
-            running.set(simulation.rules.tasksUp());
+            running.set(simulation.rules.runningTaskCount());
             refusalsBefore.set(simulation.store.refusals());
             simulation.faults.crashAll(SECOND);
         });
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -154,7 +154,7 @@
     }
 
     /** Tasks that are on a machine. */
-    long tasksUp() {
+    long runningTaskCount() {
         return placements.tasks().size();
     }
 
