--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -162,14 +162,14 @@
         Observation<Long> before = new Observation<>();
         AtomicLong least = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
-            before.set(simulation.rules.replicasUp());
+            before.set(simulation.rules.runningReplicaCount());
             simulation.faults.cutZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
                 leaderEnds(simulation, 6 * SECOND, 300_000);
             }
         });
         for (int i = 0; i < 30; i++) {
-            simulation.after((50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.replicasUp(), Math::min));
+            simulation.after((50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
         }
         simulation.run(82 * SECOND, 400 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -159,7 +159,7 @@
     }
 
     /** Tasks of services that are on a machine. */
-    long replicasUp() {
+    long runningReplicaCount() {
         return placements.replicas();
     }
 
