--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -31,7 +31,7 @@
 
         simulation.run(100 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancellationsTold() > 2);
+        assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancelledJobCount() > 2);
         assertTrue(
                 simulation.users.unschedulableRefused() > 20,
                 simulation.users.unschedulableRefused() + " jobs that can't run were refused");
@@ -66,7 +66,7 @@
                 answeredBefore.set(simulation.heartbeatsAccepted(leader));
             });
             simulation.after(9 * SECOND, () -> {
-                confirmed.set(simulation.rules.cancellationsTold());
+                confirmed.set(simulation.rules.cancelledJobCount());
                 answeredAfter.set(simulation.heartbeatsAccepted(leader));
             });
         });
@@ -93,13 +93,13 @@
         Observation<Integer> toldAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             simulation.store.refuse(simulation.leader(), 12 * SECOND);
-            toldBefore.set(simulation.rules.cancellationsTold());
+            toldBefore.set(simulation.rules.cancelledJobCount());
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
             simulation.store.outage(simulation.shape.cancel() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
-            toldAfter.set(simulation.rules.cancellationsTold());
+            toldAfter.set(simulation.rules.cancelledJobCount());
         });
         simulation.run(70 * SECOND + simulation.shape.cancel() + 6 * SECOND, 600 * SECOND);
 
@@ -122,7 +122,7 @@
                         simulation.shape.lease() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         Observation<Integer> told =
-                simulation.observe(50 * SECOND + simulation.shape.lease(), simulation.rules::cancellationsTold);
+                simulation.observe(50 * SECOND + simulation.shape.lease(), simulation.rules::cancelledJobCount);
         simulation.run(65 * SECOND + simulation.shape.lease(), 500 * SECOND);
 
         assertTrue(told.get() > 0, "nothing was cancelled in the cut");
@@ -148,7 +148,7 @@
                             simulation.faults.cut(simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
-                told.set(simulation.rules.cancellationsTold());
+                told.set(simulation.rules.cancelledJobCount());
                 simulation.faults.cutZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
@@ -180,7 +180,7 @@
                         .forEach(node -> simulation.faults.cutFromWorkers(node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
-            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancellationsTold()));
+            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
         });
         simulation.run(135 * SECOND, 900 * SECOND);
 
@@ -209,7 +209,7 @@
         });
         simulation.run(60 * SECOND + 2 * simulation.shape.cancel(), 300 * SECOND);
 
-        assertTrue(simulation.rules.cancellationsTold() >= 10);
+        assertTrue(simulation.rules.cancelledJobCount() >= 10);
         assertRules(simulation);
     }
 
@@ -256,7 +256,7 @@
         }
         simulation.run(85 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.rules.cancellationsTold() > 10, simulation.rules.cancellationsTold() + " cancellations");
+        assertTrue(simulation.rules.cancelledJobCount() > 10, simulation.rules.cancelledJobCount() + " cancellations");
         assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -143,7 +143,7 @@
         simulation.after(85 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         simulation.run(125 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.rules.cancellationsTold() > 5);
+        assertTrue(simulation.rules.cancelledJobCount() > 5);
         assertRulesAndAllDone(simulation);
     }
 
@@ -162,13 +162,13 @@
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
             simulation.heldStarts = 7 * SECOND;
-            toldBefore.set(simulation.rules.cancellationsTold());
+            toldBefore.set(simulation.rules.cancelledJobCount());
         });
         for (int i = 0; i < 12; i++) {
             simulation.after((41 + i) * SECOND, () -> simulation.users.cancelRunning(1, 0));
         }
         simulation.after(55 * SECOND, () -> simulation.heldStarts = 0);
-        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancellationsTold);
+        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
         simulation.run(65 * SECOND, 500 * SECOND);
 
         int told = toldAfter.get() - toldBefore.get();
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -115,7 +115,7 @@
         simulation.run(RESTART + 100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertTrue(simulation.rules.cancellationsTold() > 0);
+        assertTrue(simulation.rules.cancelledJobCount() > 0);
         assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.acceptedJob(spec.id())));
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -164,7 +164,7 @@
     }
 
     /** Jobs of which users were told that they are cancelled, so far. */
-    int cancellationsTold() {
+    int cancelledJobCount() {
         return jobs.cancellationsTold();
     }
 
