--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -196,7 +196,7 @@
 
         assertRules(simulation);
         assertNull(simulation.rules.finalTold(wide.id()));
-        assertTrue(!simulation.rules.acceptedJob(wide.id()), "accepted, though it can't run");
+        assertTrue(!simulation.rules.isAccepted(wide.id()), "accepted, though it can't run");
         assertEquals(JobState.DONE, simulation.rules.finalTold(narrow.id()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -116,7 +116,7 @@
 
         assertRulesAndAllDone(simulation);
         assertTrue(simulation.rules.cancelledJobCount() > 0);
-        assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.acceptedJob(spec.id())));
+        assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.isAccepted(spec.id())));
     }
 
     // ---- troubles meanwhile ------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -168,7 +168,7 @@
         return jobs.cancellationsTold();
     }
 
-    boolean acceptedJob(String job) {
+    boolean isAccepted(String job) {
         return jobs.wasAccepted(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -81,7 +81,7 @@
             return;
         }
         JobSpec spec = described.get(known.get(simulation.environment.random.nextInt(known.size())));
-        if (simulation.rules.acceptedJob(spec.id())) {
+        if (simulation.rules.isAccepted(spec.id())) {
             ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
         }
         if (simulation.rules.finalTold(spec.id()) == JobState.DONE) {
@@ -207,7 +207,7 @@
         List<String> list = new ArrayList<>();
         for (JobSpec spec : described.values()) {
             if (!spec.service()
-                    && simulation.rules.acceptedJob(spec.id())
+                    && simulation.rules.isAccepted(spec.id())
                     && simulation.rules.finalTold(spec.id()) == null) {
                 list.add(spec.id());
             }
