--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -181,7 +181,7 @@
 
         assertRulesAndAllDone(simulation);
         long inTime = jobs.stream()
-                .filter(job -> simulation.rules.finishedAfter(job.id()) <= job.deadlineMicros())
+                .filter(job -> simulation.rules.finishDelayMicros(job.id()) <= job.deadlineMicros())
                 .count();
         assertTrue(inTime >= 4, inTime + " of " + jobs.size() + " in time");
     }
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -51,8 +51,8 @@
         }
         for (JobSpec job : jobs) {
             assertTrue(
-                    simulation.rules.finishedAfter(job.id()) < 60 * SECOND,
-                    "done after " + simulation.rules.finishedAfter(job.id()) / 1e6);
+                    simulation.rules.finishDelayMicros(job.id()) < 60 * SECOND,
+                    "done after " + simulation.rules.finishDelayMicros(job.id()) / 1e6);
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -173,7 +173,7 @@
     }
 
     /** From submission to the last task that completed so far. */
-    long finishedAfter(String job) {
+    long finishDelayMicros(String job) {
         return jobs.finishedAfter(job);
     }
 
