--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -107,7 +107,7 @@
 
         assertRules(simulation);
         long prompt = late.stream()
-                .filter(job -> simulation.rules.begunAfter(job.id()) < 5 * SECOND)
+                .filter(job -> simulation.rules.startDelayMicros(job.id()) < 5 * SECOND)
                 .count();
         assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
     }
@@ -161,8 +161,8 @@
 
         assertRules(simulation);
         assertTrue(
-                simulation.rules.begunAfter(job.id()) < 45 * SECOND,
-                "begun after " + simulation.rules.begunAfter(job.id()) / SECOND + " s");
+                simulation.rules.startDelayMicros(job.id()) < 45 * SECOND,
+                "begun after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
     }
 
     /** On a full site the jobs that can be in time together are, instead of all being late together. */
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -292,7 +292,7 @@
         simulation.after(60 * SECOND, () -> simulation.users.submit(late));
         simulation.run(20 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.rules.begunAfter(late.id()) > 30 * SECOND, "it found capacity at once");
+        assertTrue(simulation.rules.startDelayMicros(late.id()) > 30 * SECOND, "it found capacity at once");
         assertRules(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -121,8 +121,8 @@
         assertRules(simulation);
         for (JobSpec job : granted) {
             assertTrue(
-                    simulation.rules.begunAfter(job.id()) < 6 * SECOND,
-                    "begun after " + simulation.rules.begunAfter(job.id()) / 1e6 + " s");
+                    simulation.rules.startDelayMicros(job.id()) < 6 * SECOND,
+                    "begun after " + simulation.rules.startDelayMicros(job.id()) / 1e6 + " s");
         }
     }
 
@@ -158,8 +158,8 @@
         assertRules(simulation);
         assertEquals(usedBefore.get(), usedAfter.get(), "what the others use");
         assertTrue(
-                simulation.rules.begunAfter(urgent.id()) < 6 * SECOND,
-                "begun after " + simulation.rules.begunAfter(urgent.id()) / 1e6 + " s");
+                simulation.rules.startDelayMicros(urgent.id()) < 6 * SECOND,
+                "begun after " + simulation.rules.startDelayMicros(urgent.id()) / 1e6 + " s");
     }
 
     /**
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -178,7 +178,7 @@
     }
 
     /** From submission to the first task's start. */
-    long begunAfter(String job) {
+    long startDelayMicros(String job) {
         return jobs.begunAfter(job);
     }
 
