--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -142,7 +142,7 @@
         gang.runFor(60 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.CANCELLED, simulation.rules.finalTold(gang.job()));
+        assertEquals(JobState.CANCELLED, simulation.rules.finalState(gang.job()));
         assertEquals(0, gang.tasksHeld());
     }
 
@@ -166,7 +166,7 @@
         simulation.run(110 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.DONE, simulation.rules.finalTold(spec.id()), "the gang waits");
+        assertEquals(JobState.DONE, simulation.rules.finalState(spec.id()), "the gang waits");
     }
 
     /** There is capacity for one of them at a time: neither holds what the other needs. */
@@ -195,8 +195,8 @@
         simulation.run(60 * SECOND);
 
         assertRules(simulation);
-        assertNull(simulation.rules.finalTold(wide.id()));
+        assertNull(simulation.rules.finalState(wide.id()));
         assertTrue(!simulation.rules.isAccepted(wide.id()), "accepted, though it can't run");
-        assertEquals(JobState.DONE, simulation.rules.finalTold(narrow.id()));
+        assertEquals(JobState.DONE, simulation.rules.finalState(narrow.id()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -184,7 +184,7 @@
 
     /** The final state that users were told; null while they were told none. */
     @Nullable
-    JobState finalTold(String job) {
+    JobState finalState(String job) {
         return jobs.finalTold(job);
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -84,7 +84,7 @@
         if (simulation.rules.isAccepted(spec.id())) {
             ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
         }
-        if (simulation.rules.finalTold(spec.id()) == JobState.DONE) {
+        if (simulation.rules.finalState(spec.id()) == JobState.DONE) {
             cancel(spec.id());
         }
     }
@@ -208,7 +208,7 @@
         for (JobSpec spec : described.values()) {
             if (!spec.service()
                     && simulation.rules.isAccepted(spec.id())
-                    && simulation.rules.finalTold(spec.id()) == null) {
+                    && simulation.rules.finalState(spec.id()) == null) {
                 list.add(spec.id());
             }
         }
