--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -18,13 +18,13 @@
         fixture.tell(SPREAD, JobState.PENDING);
         fixture.runUntil(70_000_000);
         fixture.tell(SPREAD, JobState.PENDING);
-        fixture.rules().checkKnown(0);
+        fixture.rules().checkAnswered(0);
         fixture.assertNoneBroken();
         fixture.runUntil(76_000_000);
-        fixture.rules().checkKnown(5_000_000);
+        fixture.rules().checkAnswered(5_000_000);
         assertTrue(fixture.rules().violations().isEmpty(), "troubles were over only 71 s ago");
 
-        fixture.rules().checkKnown(0);
+        fixture.rules().checkAnswered(0);
 
         fixture.assertBroken("forgotten");
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -112,7 +112,7 @@
     }
 
     /** Once troubles are over: see {@link AnswerRules#checkKnown}. */
-    void checkKnown(long troublesOver) {
+    void checkAnswered(long troublesOver) {
         answers.checkKnown(troublesOver);
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -318,7 +318,7 @@
     }
 
     private void watchKnown(long over) {
-        rules.checkKnown(over);
+        rules.checkAnswered(over);
         rules.checkWaiting(cloud.workers());
         environment.after(SECOND, () -> watchKnown(over));
     }
