--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -117,7 +117,7 @@
     }
 
     /** Once troubles are over, again and again: see {@link WaitingRules#check}. */
-    void checkWaiting(Collection<SimWorker> machines) {
+    void checkNotStarved(Collection<SimWorker> machines) {
         waiting.check(machines);
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -319,7 +319,7 @@
 
     private void watchKnown(long over) {
         rules.checkAnswered(over);
-        rules.checkWaiting(cloud.workers());
+        rules.checkNotStarved(cloud.workers());
         environment.after(SECOND, () -> watchKnown(over));
     }
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -18,7 +18,7 @@
         checkEachSecond(0, 89, worker);
         fixture.assertNoneBroken();
         fixture.runUntil(91_000_000);
-        fixture.rules().checkWaiting(List.of());
+        fixture.rules().checkNotStarved(List.of());
         assertTrue(fixture.rules().violations().isEmpty(), "no machine is there");
 
         checkEachSecond(92, 183, worker);
@@ -29,7 +29,7 @@
     private void checkEachSecond(long from, long to, SimWorker worker) {
         for (long at = from; at <= to; at++) {
             fixture.runUntil(at * 1_000_000);
-            fixture.rules().checkWaiting(List.of(worker));
+            fixture.rules().checkNotStarved(List.of(worker));
         }
     }
 }
