--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -26,7 +26,7 @@
     }
 
     /** A job that fits nowhere: nobody may accept it. */
-    void submittingUnschedulable(String job) {
+    void recordUnschedulableSubmission(String job) {
         unschedulable.add(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -66,7 +66,7 @@
 
     /** A job that fits nowhere: nobody may accept it. */
     void recordUnschedulableSubmission(String job) {
-        answers.submittingUnschedulable(job);
+        answers.recordUnschedulableSubmission(job);
     }
 
     /** A user asks to cancel the job, maybe in vain so far. */
