--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -31,7 +31,7 @@
     }
 
     /** An answer that a user got. */
-    void told(String job, JobResponse answer) {
+    void recordResponse(String job, JobResponse answer) {
         if (answer instanceof JobResponse.NotFound && jobs.wasAccepted(job)) {
             breaches.report("forgotten", job + " is not found");
         } else if (answer instanceof JobResponse.Unschedulable && jobs.wasAccepted(job)) {
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -76,7 +76,7 @@
 
     /** An answer that a user got, by its time of arrival; asked after every earlier answer had arrived. */
     void recordResponse(String job, JobResponse answer) {
-        answers.told(job, answer);
+        answers.recordResponse(job, answer);
     }
 
     /** A controller gives the command to start this task. */
