--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -81,7 +81,7 @@
     }
 
     /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
-    void checkKnown(long troublesOver) {
+    void checkAnswered(long troublesOver) {
         for (String job : jobs.acceptedJobs()) {
             long since = environment.nowMicros() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
             if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -113,7 +113,7 @@
 
     /** Once troubles are over: see {@link AnswerRules#checkKnown}. */
     void checkAnswered(long troublesOver) {
-        answers.checkKnown(troublesOver);
+        answers.checkAnswered(troublesOver);
     }
 
     /** Once troubles are over, again and again: see {@link WaitingRules#check}. */
