--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -76,7 +76,7 @@
             breaches.report("went_back", job + " is cancelled unasked");
         }
         if (jobs.finalTold(job, JobState.CANCELLED) == null) {
-            cancellations.confirmed(job);
+            cancellations.recordConfirmation(job);
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -28,7 +28,7 @@
     }
 
     /** A user was told for the first time that the job is cancelled. */
-    void confirmed(String job) {
+    void recordConfirmation(String job) {
         confirmedAt.put(job, environment.nowMicros());
     }
 
