--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -82,7 +82,7 @@
     /** A controller gives the command to start this task. */
     void recordStartSent(TaskId task) {
         jobs.startSent(task);
-        cancellations.startSent(task);
+        cancellations.recordStartSent(task);
     }
 
     /** A task is on a machine now. */
