--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -40,7 +40,7 @@
     }
 
     /** A task is on a machine now. */
-    void started(TaskId task) {
+    void recordTaskStarted(TaskId task) {
         if (isOverdue(task)) {
             breaches.report("ran_cancelled", task + " starts");
         }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -89,7 +89,7 @@
     void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
         jobs.begun(task.job());
         placements.started(task, host, type, zone, spot);
-        cancellations.started(task);
+        cancellations.recordTaskStarted(task);
     }
 
     /** A task is no longer on the machine. */
