--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -27,7 +27,7 @@
     }
 
     /** A task is on a machine now. */
-    void started(TaskId task, String host, String type, String zone, boolean spot) {
+    void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
         starts++;
         JobSpec spec = jobs.spec(task.job());
         checkNotElsewhere(task, host);
