--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -94,7 +94,7 @@
 
     /** A task is no longer on the machine. */
     void recordTaskRemoved(TaskId task, String host) {
-        placements.left(task, host);
+        placements.recordTaskRemoved(task, host);
     }
 
     /** A task has its result. */
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -89,7 +89,7 @@
     }
 
     /** A task is no longer on the machine. */
-    void left(TaskId task, String host) {
+    void recordTaskRemoved(TaskId task, String host) {
         Place place = placed.get(task);
         if (place != null && place.host().equals(host)) {
             placed.remove(task);
