--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -130,7 +130,7 @@
 
     /** How many tasks began on machines so far, each attempt counted. */
     int startedTaskCount() {
-        return placements.starts();
+        return placements.startedTaskCount();
     }
 
     /** How often the task that was started most often was. */
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -18,7 +18,7 @@
     private final JobHistory jobs;
     private final Map<String, Team> teams;
     private final Map<TaskId, Place> placed = new HashMap<>();
-    private int starts;
+    private int startedTaskCount;
 
     TaskPlacementRules(ViolationReporter breaches, JobHistory jobs, Map<String, Team> teams) {
         this.breaches = breaches;
@@ -28,7 +28,7 @@
 
     /** A task is on a machine now. */
     void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
-        starts++;
+        startedTaskCount++;
         JobSpec spec = jobs.spec(task.job());
         checkNotElsewhere(task, host);
         placed.put(task, new Place(host, zone));
@@ -97,8 +97,8 @@
     }
 
     /** How many tasks began on machines so far, each attempt counted. */
-    int starts() {
-        return starts;
+    int startedTaskCount() {
+        return startedTaskCount;
     }
 
     /** The tasks that are on a machine. */
