--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -140,7 +140,7 @@
 
     /** Jobs with a task on a machine, that nobody has asked to cancel. */
     List<String> runningJobs() {
-        return placements.running();
+        return placements.runningJobs();
     }
 
     /** Thousandths of CPUs that a team's tasks use. */
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -112,7 +112,7 @@
     }
 
     /** Jobs with a task on a machine, that nobody has asked to cancel. */
-    List<String> running() {
+    List<String> runningJobs() {
         return placed.keySet().stream()
                 .map(TaskId::job)
                 .filter(job -> !jobs.wasCancellationAsked(job))
