--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -145,7 +145,7 @@
 
     /** Thousandths of CPUs that a team's tasks use. */
     long usedCpuMillis(String team) {
-        return placements.usedBy(team);
+        return placements.usedCpuMillis(team);
     }
 
     /** The machines that hold tasks of a job. */
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -122,7 +122,7 @@
     }
 
     /** Thousandths of CPUs that a team's tasks use. */
-    long usedBy(String team) {
+    long usedCpuMillis(String team) {
         return placed.keySet().stream()
                 .map(task -> jobs.spec(task.job()))
                 .filter(job -> job.team().equals(team))
