--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -160,7 +160,7 @@
 
     /** Tasks of services that are on a machine. */
     long runningReplicaCount() {
-        return placements.replicas();
+        return placements.runningReplicaCount();
     }
 
     /** Jobs of which users were told that they are cancelled, so far. */
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -142,7 +142,7 @@
     }
 
     /** How many tasks of services are on a machine. */
-    long replicas() {
+    long runningReplicaCount() {
         return placed.keySet().stream()
                 .filter(task -> jobs.spec(task.job()).service())
                 .count();
