--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -34,7 +34,7 @@
 
     // ---- users -------------------------------------------------------------------------------------------------
 
-    void submitted(JobSpec spec) {
+    void recordSubmission(JobSpec spec) {
         submitted.putIfAbsent(spec.id(), spec);
         submittedAt.putIfAbsent(spec.id(), environment.nowMicros());
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -61,7 +61,7 @@
 
     /** A user submits the job, maybe once more. */
     void recordSubmission(JobSpec spec) {
-        jobs.submitted(spec);
+        jobs.recordSubmission(spec);
     }
 
     /** A job that fits nowhere: nobody may accept it. */
