--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -49,7 +49,7 @@
         if (!jobs.wasSubmitted(job)) {
             breaches.report("invented", job);
         }
-        jobs.accepted(job);
+        jobs.recordAcceptance(job);
         answeredAt.put(job, environment.nowMicros());
         JobState earlier = jobs.finalTold(job);
         if (earlier != null && earlier != state) {
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -56,7 +56,7 @@
         return submittedAt.get(job);
     }
 
-    void accepted(String job) {
+    void recordAcceptance(String job) {
         accepted.add(job);
     }
 
