--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -68,7 +68,7 @@
         return Collections.unmodifiableSet(accepted);
     }
 
-    void cancellationAsked(String job) {
+    void recordCancellationRequest(String job) {
         cancellationAsked.add(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -71,7 +71,7 @@
 
     /** A user asks to cancel the job, maybe in vain so far. */
     void recordCancellationRequest(String job) {
-        jobs.cancellationAsked(job);
+        jobs.recordCancellationRequest(job);
     }
 
     /** An answer that a user got, by its time of arrival; asked after every earlier answer had arrived. */
