--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -72,7 +72,7 @@
     }
 
     private void toldCancelled(String job) {
-        if (!jobs.wasCancellationAsked(job)) {
+        if (!jobs.isCancellationRequested(job)) {
             breaches.report("went_back", job + " is cancelled unasked");
         }
         if (jobs.finalTold(job, JobState.CANCELLED) == null) {
@@ -84,7 +84,7 @@
     void checkAnswered(long troublesOver) {
         for (String job : jobs.acceptedJobs()) {
             long since = environment.nowMicros() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
-            if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
+            if (!jobs.isCancellationRequested(job) && since > UNANSWERED_MICROS) {
                 breaches.report("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
             }
         }
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -72,7 +72,7 @@
         cancellationAsked.add(job);
     }
 
-    boolean wasCancellationAsked(String job) {
+    boolean isCancellationRequested(String job) {
         return cancellationAsked.contains(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -115,7 +115,7 @@
     List<String> runningJobs() {
         return placed.keySet().stream()
                 .map(TaskId::job)
-                .filter(job -> !jobs.wasCancellationAsked(job))
+                .filter(job -> !jobs.isCancellationRequested(job))
                 .distinct()
                 .sorted()
                 .toList();
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -47,7 +47,7 @@
     }
 
     private boolean couldRun(JobSpec spec, int left, HeldTasks held, Collection<SimWorker> machines) {
-        return !jobs.wasCancellationAsked(spec.id())
+        return !jobs.isCancellationRequested(spec.id())
                 && jobs.finalTold(spec.id()) == null
                 && withinLimit(spec, held)
                 && (!spec.gang() || wholeGangFits(spec, left, held, machines))
