--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -46,7 +46,7 @@
             breaches.report("accepted_impossible", job + " can never run");
             return;
         }
-        if (!jobs.wasSubmitted(job)) {
+        if (!jobs.isSubmitted(job)) {
             breaches.report("invented", job);
         }
         jobs.recordAcceptance(job);
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -39,7 +39,7 @@
         submittedAt.putIfAbsent(spec.id(), environment.nowMicros());
     }
 
-    boolean wasSubmitted(String job) {
+    boolean isSubmitted(String job) {
         return submitted.containsKey(job);
     }
 
