--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -32,9 +32,9 @@
 
     /** An answer that a user got. */
     void recordResponse(String job, JobResponse answer) {
-        if (answer instanceof JobResponse.NotFound && jobs.wasAccepted(job)) {
+        if (answer instanceof JobResponse.NotFound && jobs.isAccepted(job)) {
             breaches.report("forgotten", job + " is not found");
-        } else if (answer instanceof JobResponse.Unschedulable && jobs.wasAccepted(job)) {
+        } else if (answer instanceof JobResponse.Unschedulable && jobs.isAccepted(job)) {
             breaches.report("forgotten", job + " is called impossible");
         } else if (answer instanceof JobResponse.Status status) {
             toldStatus(job, status.state());
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -60,7 +60,7 @@
         accepted.add(job);
     }
 
-    boolean wasAccepted(String job) {
+    boolean isAccepted(String job) {
         return accepted.contains(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -169,7 +169,7 @@
     }
 
     boolean isAccepted(String job) {
-        return jobs.wasAccepted(job);
+        return jobs.isAccepted(job);
     }
 
     /** From submission to the last task that completed so far. */
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -45,7 +45,7 @@
     }
 
     private boolean isToBeServed(JobSpec spec) {
-        return (jobs.wasAccepted(spec.id()) && !jobs.isCancellationRequested(spec.id()))
+        return (jobs.isAccepted(spec.id()) && !jobs.isCancellationRequested(spec.id()))
                 || (spec.service() && jobs.hasBegun(spec.id()));
     }
 
