--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -68,14 +68,14 @@
         if (done < tasks) {
             breaches.report("not_done", job + ": " + done + " of " + tasks);
         }
-        jobs.finalTold(job, JobState.DONE);
+        jobs.recordFinalState(job, JobState.DONE);
     }
 
     private void toldCancelled(String job) {
         if (!jobs.isCancellationRequested(job)) {
             breaches.report("went_back", job + " is cancelled unasked");
         }
-        if (jobs.finalTold(job, JobState.CANCELLED) == null) {
+        if (jobs.recordFinalState(job, JobState.CANCELLED) == null) {
             cancellations.recordConfirmation(job);
         }
     }
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -78,7 +78,7 @@
 
     /** A user was told this final state; returns what was told before. */
     @Nullable
-    JobState finalTold(String job, JobState state) {
+    JobState recordFinalState(String job, JobState state) {
         return finalTold.put(job, state);
     }
 
