--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -51,7 +51,7 @@
         }
         jobs.recordAcceptance(job);
         answeredAt.put(job, environment.nowMicros());
-        JobState earlier = jobs.finalTold(job);
+        JobState earlier = jobs.finalState(job);
         if (earlier != null && earlier != state) {
             breaches.report("went_back", job + " was " + earlier + ", is " + state);
         }
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -34,7 +34,7 @@
 
     /** A controller sends the command to start this task. */
     void recordStartSent(TaskId task) {
-        if (jobs.finalTold(task.job()) == JobState.CANCELLED) {
+        if (jobs.finalState(task.job()) == JobState.CANCELLED) {
             breaches.report("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
         }
     }
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -84,7 +84,7 @@
 
     /** The final state that users were told last; null while they were told none. */
     @Nullable
-    JobState finalTold(String job) {
+    JobState finalState(String job) {
         return finalTold.get(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -185,6 +185,6 @@
     /** The final state that users were told; null while they were told none. */
     @Nullable
     JobState finalState(String job) {
-        return jobs.finalTold(job);
+        return jobs.finalState(job);
     }
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -48,7 +48,7 @@
 
     private boolean couldRun(JobSpec spec, int left, HeldTasks held, Collection<SimWorker> machines) {
         return !jobs.isCancellationRequested(spec.id())
-                && jobs.finalTold(spec.id()) == null
+                && jobs.finalState(spec.id()) == null
                 && withinLimit(spec, held)
                 && (!spec.gang() || wholeGangFits(spec, left, held, machines))
                 && machines.stream().anyMatch(machine -> couldRunOn(machine, spec, held));
