--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -89,7 +89,7 @@
     }
 
     /** How many jobs users believe to be cancelled. */
-    int cancellationsTold() {
+    int cancelledJobCount() {
         return (int) finalTold.values().stream()
                 .filter(state -> state == JobState.CANCELLED)
                 .count();
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -165,7 +165,7 @@
 
     /** Jobs of which users were told that they are cancelled, so far. */
     int cancelledJobCount() {
-        return jobs.cancellationsTold();
+        return jobs.cancelledJobCount();
     }
 
     boolean isAccepted(String job) {
