--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -98,7 +98,7 @@
     // ---- controllers -------------------------------------------------------------------------------------------
 
     /** A controller sends the command to start this task. */
-    void startSent(TaskId task) {
+    void recordStartSent(TaskId task) {
         startsSent.merge(task, 1, Integer::sum);
         startSentAt.put(task.job(), environment.nowMicros());
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -81,7 +81,7 @@
 
     /** A controller gives the command to start this task. */
     void recordStartSent(TaskId task) {
-        jobs.startSent(task);
+        jobs.recordStartSent(task);
         cancellations.recordStartSent(task);
     }
 
