--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -104,7 +104,7 @@
     }
 
     /** When the last start of the job was sent; zero when none was. */
-    long lastStartSentAt(String job) {
+    long lastStartSentMicros(String job) {
         return startSentAt.getOrDefault(job, 0L);
     }
 
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -36,7 +36,7 @@
                 continue;
             }
             long since =
-                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()), jobs.lastStartSentAt(job));
+                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()), jobs.lastStartSentMicros(job));
             if (environment.nowMicros() - since > NEGLECTED_MICROS) {
                 breaches.report(
                         "neglected",
