--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -109,7 +109,7 @@
     }
 
     /** How often the start of the task that was started most often was sent. */
-    int mostStartsOfATask() {
+    int maxStartsPerTask() {
         return startsSent.values().stream().max(Integer::compare).orElse(0);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -135,7 +135,7 @@
 
     /** How often the task that was started most often was. */
     int maxStartsPerTask() {
-        return jobs.mostStartsOfATask();
+        return jobs.maxStartsPerTask();
     }
 
     /** Jobs with a task on a machine, that nobody has asked to cancel. */
