--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -116,7 +116,7 @@
     // ---- machines ----------------------------------------------------------------------------------------------
 
     /** A task of the job is on a machine. */
-    void begun(String job) {
+    void recordTaskStarted(String job) {
         begunAt.putIfAbsent(job, environment.nowMicros());
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -87,7 +87,7 @@
 
     /** A task is on a machine now. */
     void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
-        jobs.begun(task.job());
+        jobs.recordTaskStarted(task.job());
         placements.recordTaskStarted(task, host, type, zone, spot);
         cancellations.recordTaskStarted(task);
     }
