--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -120,7 +120,7 @@
         begunAt.putIfAbsent(job, environment.nowMicros());
     }
 
-    boolean hasBegun(String job) {
+    boolean hasStarted(String job) {
         return begunAt.containsKey(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -46,7 +46,7 @@
 
     private boolean isToBeServed(JobSpec spec) {
         return (jobs.isAccepted(spec.id()) && !jobs.isCancellationRequested(spec.id()))
-                || (spec.service() && jobs.hasBegun(spec.id()));
+                || (spec.service() && jobs.hasStarted(spec.id()));
     }
 
     private static List<JobSpec> largestQuarter(List<JobSpec> group) {
@@ -64,7 +64,7 @@
 
     /** A service is served when a task of it has run; other work when it is done. */
     private boolean isServed(JobSpec spec) {
-        return spec.service() ? jobs.hasBegun(spec.id()) : jobs.completedTasks(spec.id()) == spec.tasks();
+        return spec.service() ? jobs.hasStarted(spec.id()) : jobs.completedTasks(spec.id()) == spec.tasks();
     }
 
     private void checkBegun(String name, List<JobSpec> group) {
