--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -125,7 +125,7 @@
     }
 
     /** From submission to the first start on a machine, or until now. */
-    long waitedForBegin(String job) {
+    long waitMicros(String job) {
         return begunAt.getOrDefault(job, environment.nowMicros()) - submittedAt.get(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -69,7 +69,7 @@
 
     private void checkBegun(String name, List<JobSpec> group) {
         for (JobSpec spec : group) {
-            long waited = jobs.waitedForBegin(spec.id());
+            long waited = jobs.waitMicros(spec.id());
             if (waited > BEGIN_MICROS) {
                 breaches.report("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
             }
