--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -130,7 +130,7 @@
     }
 
     /** From submission to the first start on a machine; beyond all bounds when there was none. */
-    long begunAfter(String job) {
+    long startDelayMicros(String job) {
         return begunAt.getOrDefault(job, NEVER) - submittedAt.get(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -179,7 +179,7 @@
 
     /** From submission to the first task's start. */
     long startDelayMicros(String job) {
-        return jobs.begunAfter(job);
+        return jobs.startDelayMicros(job);
     }
 
     /** The final state that users were told; null while they were told none. */
