--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -135,7 +135,7 @@
     }
 
     /** A task has its result. Returns whether it is the last one that its job lacked. */
-    boolean completed(TaskId task) {
+    boolean recordTaskCompleted(TaskId task) {
         completedAt.put(task.job(), environment.nowMicros());
         Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
         return done.add(task.index())
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -99,7 +99,7 @@
 
     /** A task has its result. */
     void recordTaskCompleted(TaskId task) {
-        if (jobs.completed(task)) {
+        if (jobs.recordTaskCompleted(task)) {
             lastTaskDone.accept(task.job());
         }
     }
