--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -63,7 +63,7 @@
     }
 
     private void toldDone(String job) {
-        int done = jobs.completedTasks(job);
+        int done = jobs.completedTaskCount(job);
         int tasks = jobs.spec(job).tasks();
         if (done < tasks) {
             breaches.report("not_done", job + ": " + done + " of " + tasks);
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -143,7 +143,7 @@
     }
 
     /** How many tasks of the job have their result. */
-    int completedTasks(String job) {
+    int completedTaskCount(String job) {
         return completed.getOrDefault(job, Set.of()).size();
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -64,7 +64,7 @@
 
     /** A service is served when a task of it has run; other work when it is done. */
     private boolean isServed(JobSpec spec) {
-        return spec.service() ? jobs.hasStarted(spec.id()) : jobs.completedTasks(spec.id()) == spec.tasks();
+        return spec.service() ? jobs.hasStarted(spec.id()) : jobs.completedTaskCount(spec.id()) == spec.tasks();
     }
 
     private void checkBegun(String name, List<JobSpec> group) {
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -30,7 +30,7 @@
         HeldTasks held = heldBy(machines);
         for (String job : jobs.acceptedJobs()) {
             JobSpec spec = jobs.spec(job);
-            int left = spec.tasks() - jobs.completedTasks(job) - held.tasksOf(job);
+            int left = spec.tasks() - jobs.completedTaskCount(job) - held.tasksOf(job);
             if (left <= 0 || !couldRun(spec, left, held, machines)) {
                 couldRunSince.remove(job);
                 continue;
