--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -148,7 +148,7 @@
     }
 
     /** From submission to the last result so far; beyond all bounds when there is none. */
-    long finishedAfter(String job) {
+    long finishDelayMicros(String job) {
         return completedAt.getOrDefault(job, NEVER) - submittedAt.get(job);
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -174,7 +174,7 @@
 
     /** From submission to the last task that completed so far. */
     long finishDelayMicros(String job) {
-        return jobs.finishedAfter(job);
+        return jobs.finishDelayMicros(job);
     }
 
     /** From submission to the first task's start. */
