--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -18,7 +18,7 @@
 
     private final SimEnvironment environment;
     private final Map<String, JobSpec> submitted = new HashMap<>();
-    private final Map<String, Long> submittedAt = new LinkedHashMap<>();
+    private final Map<String, Long> submittedAtMicros = new LinkedHashMap<>();
     private final Set<String> accepted = new HashSet<>();
     private final Set<String> cancellationAsked = new HashSet<>();
     private final Map<String, JobState> finalTold = new HashMap<>();
@@ -36,7 +36,7 @@
 
     void recordSubmission(JobSpec spec) {
         submitted.putIfAbsent(spec.id(), spec);
-        submittedAt.putIfAbsent(spec.id(), environment.nowMicros());
+        submittedAtMicros.putIfAbsent(spec.id(), environment.nowMicros());
     }
 
     boolean isSubmitted(String job) {
@@ -49,11 +49,11 @@
 
     /** All submitted jobs, in the order of their submission. */
     Set<String> submittedJobs() {
-        return Collections.unmodifiableSet(submittedAt.keySet());
+        return Collections.unmodifiableSet(submittedAtMicros.keySet());
     }
 
-    long submittedAt(String job) {
-        return submittedAt.get(job);
+    long submittedAtMicros(String job) {
+        return submittedAtMicros.get(job);
     }
 
     void recordAcceptance(String job) {
@@ -126,12 +126,12 @@
 
     /** From submission to the first start on a machine, or until now. */
     long waitMicros(String job) {
-        return begunAt.getOrDefault(job, environment.nowMicros()) - submittedAt.get(job);
+        return begunAt.getOrDefault(job, environment.nowMicros()) - submittedAtMicros.get(job);
     }
 
     /** From submission to the first start on a machine; beyond all bounds when there was none. */
     long startDelayMicros(String job) {
-        return begunAt.getOrDefault(job, NEVER) - submittedAt.get(job);
+        return begunAt.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 
     /** A task has its result. Returns whether it is the last one that its job lacked. */
@@ -149,6 +149,6 @@
 
     /** From submission to the last result so far; beyond all bounds when there is none. */
     long finishDelayMicros(String job) {
-        return completedAt.getOrDefault(job, NEVER) - submittedAt.get(job);
+        return completedAt.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 }
