--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -72,7 +72,7 @@
     }
 
     /** One more job is submitted now, that may run anywhere. */
-    void submit(String id, int tasks) {
+    void submitJob(String id, int tasks) {
         rules.recordSubmission(spec(id, tasks, false, false, RUN_MICROS));
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -25,8 +25,8 @@
         fixture.assertNoneBroken();
 
         fixture.runUntil(241_000_000);
-        fixture.submit("run-0", 2);
-        fixture.submit("run-4", 3);
+        fixture.submitJob("run-0", 2);
+        fixture.submitJob("run-4", 3);
         fixture.tell("run-4", JobState.PENDING);
         fixture.rules().checkServed();
 
@@ -44,7 +44,7 @@
 
     @Test
     void largestBeginsLate() {
-        fixture.submit("run-4", 3);
+        fixture.submitJob("run-4", 3);
         fixture.tell("run-4", JobState.PENDING);
         fixture.runUntil(241_000_000);
         for (int i = 0; i < 3; i++) {
