--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void cancelledTaskOverstays() {
-        fixture.start(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 0, "a", "z");
         cancel(ANYWHERE);
         fixture.runUntil(10_000_000);
         fixture.rules().check();
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -77,7 +77,7 @@
     }
 
     /** A task is on a full-price machine now. */
-    void start(String job, int index, String host, String zone) {
+    void startTask(String job, int index, String host, String zone) {
         rules.recordTaskStarted(new TaskId(job, index), host, "m", zone, false);
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -34,8 +34,8 @@
     }
 
     private void runBothTasks(String job) {
-        fixture.start(job, 0, "a", "y");
-        fixture.start(job, 1, "b", "z");
+        fixture.startTask(job, 0, "a", "y");
+        fixture.startTask(job, 1, "b", "z");
         fixture.rules().recordTaskCompleted(new TaskId(job, 0));
         fixture.rules().recordTaskCompleted(new TaskId(job, 1));
         fixture.rules().recordTaskRemoved(new TaskId(job, 0), "a");
@@ -48,7 +48,7 @@
         fixture.tell("run-4", JobState.PENDING);
         fixture.runUntil(241_000_000);
         for (int i = 0; i < 3; i++) {
-            fixture.start("run-4", i, "a", "z");
+            fixture.startTask("run-4", i, "a", "z");
             fixture.rules().recordTaskCompleted(new TaskId("run-4", i));
         }
 
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -13,19 +13,19 @@
 
     @Test
     void keptRulesAreNotCalledBroken() {
-        fixture.start(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 0, "a", "z");
         fixture.rules().recordTaskRemoved(new TaskId(ANYWHERE, 0), "a");
-        fixture.start(ANYWHERE, 0, "b", "z");
-        fixture.start(SPREAD, 0, "a", "z");
-        fixture.start(SPREAD, 1, "b", "y");
+        fixture.startTask(ANYWHERE, 0, "b", "z");
+        fixture.startTask(SPREAD, 0, "a", "z");
+        fixture.startTask(SPREAD, 1, "b", "y");
 
         fixture.assertNoneBroken();
     }
 
     @Test
     void sameTaskOnTwoMachines() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.start(ANYWHERE, 0, "b", "z");
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 0, "b", "z");
 
         fixture.assertBroken("ran_twice");
     }
@@ -39,28 +39,28 @@
 
     @Test
     void spreadJobInOneZone() {
-        fixture.start(SPREAD, 0, "a", "z");
-        fixture.start(SPREAD, 1, "b", "z");
+        fixture.startTask(SPREAD, 0, "a", "z");
+        fixture.startTask(SPREAD, 1, "b", "z");
 
         fixture.assertBroken("wrong_place");
     }
 
     @Test
     void oneZoneJobInTwoZones() {
-        fixture.start(ONE_ZONE, 0, "a", "z");
-        fixture.start(ONE_ZONE, 1, "b", "y");
+        fixture.startTask(ONE_ZONE, 0, "a", "z");
+        fixture.startTask(ONE_ZONE, 1, "b", "y");
 
         fixture.assertBroken("wrong_place");
     }
 
     @Test
     void teamOverItsLimit() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.start(ANYWHERE, 1, "a", "z");
-        fixture.start(ONE_ZONE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 1, "a", "z");
+        fixture.startTask(ONE_ZONE, 0, "a", "z");
         fixture.assertNoneBroken();
 
-        fixture.start(ONE_ZONE, 1, "a", "z");
+        fixture.startTask(ONE_ZONE, 1, "a", "z");
 
         fixture.assertBroken("quota");
     }
