--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -14,10 +14,10 @@
 
     @Test
     void noAnswerForLong() {
-        fixture.tell(ANYWHERE, JobState.PENDING);
-        fixture.tell(SPREAD, JobState.PENDING);
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(SPREAD, JobState.PENDING);
         fixture.runUntil(70_000_000);
-        fixture.tell(SPREAD, JobState.PENDING);
+        fixture.deliverStatus(SPREAD, JobState.PENDING);
         fixture.rules().checkAnswered(0);
         fixture.assertNoneBroken();
         fixture.runUntil(76_000_000);
@@ -35,7 +35,7 @@
         fixture.rules().recordResponse("run-9", new JobResponse.Unschedulable("too large"));
         fixture.assertNoneBroken();
 
-        fixture.tell("run-9", JobState.PENDING);
+        fixture.deliverStatus("run-9", JobState.PENDING);
 
         fixture.assertBroken("accepted_impossible");
     }
@@ -43,16 +43,16 @@
     /** An accepted job is not found; then it is called done before it is; then it is called running again. */
     @Test
     void wrongAnswers() {
-        fixture.tell(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         fixture.rules().recordResponse(ANYWHERE, new JobResponse.NotFound());
         fixture.assertBroken("forgotten");
 
         fixture.rules().clearViolations();
-        fixture.tell(ANYWHERE, JobState.DONE);
+        fixture.deliverStatus(ANYWHERE, JobState.DONE);
         fixture.assertBroken("not_done");
 
         fixture.rules().clearViolations();
-        fixture.tell(ANYWHERE, JobState.RUNNING);
+        fixture.deliverStatus(ANYWHERE, JobState.RUNNING);
         fixture.assertBroken("went_back");
     }
 }
--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -17,7 +17,7 @@
 
     private void cancel(String job) {
         fixture.rules().recordCancellationRequest(job);
-        fixture.tell(job, JobState.CANCELLED);
+        fixture.deliverStatus(job, JobState.CANCELLED);
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -82,7 +82,7 @@
     }
 
     /** A user is told this of the job. */
-    void tell(String job, JobState state) {
+    void deliverStatus(String job, JobState state) {
         rules.recordResponse(job, new JobResponse.Status(false, job, state, 0, 0));
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -15,9 +15,9 @@
 
     @Test
     void jobsNotServed() {
-        fixture.tell(ANYWHERE, JobState.PENDING);
-        fixture.tell(SPREAD, JobState.PENDING);
-        fixture.tell(ONE_ZONE, JobState.PENDING);
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(SPREAD, JobState.PENDING);
+        fixture.deliverStatus(ONE_ZONE, JobState.PENDING);
         for (String job : List.of(ANYWHERE, SPREAD)) {
             runBothTasks(job);
         }
@@ -27,7 +27,7 @@
         fixture.runUntil(241_000_000);
         fixture.submitJob("run-0", 2);
         fixture.submitJob("run-4", 3);
-        fixture.tell("run-4", JobState.PENDING);
+        fixture.deliverStatus("run-4", JobState.PENDING);
         fixture.rules().checkServed();
 
         fixture.assertBroken("unserved at 241.0 s: largest of class c: 0 of 1");
@@ -45,7 +45,7 @@
     @Test
     void largestBeginsLate() {
         fixture.submitJob("run-4", 3);
-        fixture.tell("run-4", JobState.PENDING);
+        fixture.deliverStatus("run-4", JobState.PENDING);
         fixture.runUntil(241_000_000);
         for (int i = 0; i < 3; i++) {
             fixture.startTask("run-4", i, "a", "z");
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -14,7 +14,7 @@
     @Test
     void jobIsLeftWaiting() {
         SimWorker worker = fixture.worker();
-        fixture.tell(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         checkEachSecond(0, 89, worker);
         fixture.assertNoneBroken();
         fixture.runUntil(91_000_000);
