--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -50,16 +50,16 @@
     void cancelledTaskGoesOnAfterItsMachineHung() {
         SimWorker worker = fixture.worker();
         worker.commands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
-        fixture.runCheckedUntil(1_000_000);
+        fixture.runUntilWithChecks(1_000_000);
         assertEquals(1, fixture.rules().usedCpuMillis(TEAM) / 1_000);
         cancel(ANYWHERE);
         worker.hang(true);
-        fixture.runCheckedUntil(5_000_000);
+        fixture.runUntilWithChecks(5_000_000);
         worker.hang(false);
-        fixture.runCheckedUntil(10_900_000);
+        fixture.runUntilWithChecks(10_900_000);
         fixture.assertNoneBroken();
 
-        fixture.runCheckedUntil(11_100_000);
+        fixture.runUntilWithChecks(11_100_000);
 
         List<String> broken = fixture.rules().violations();
         assertTrue(broken.get(0).startsWith("ran_cancelled"), broken.toString());
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -92,7 +92,7 @@
     }
 
     /** The same with the rules checked after each event. */
-    void runCheckedUntil(long micros) {
+    void runUntilWithChecks(long micros) {
         environment.run(micros, rules::check);
     }
 
