--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -26,7 +26,7 @@
 
         fixture.rules().checkAnswered(0);
 
-        fixture.assertBroken("forgotten");
+        fixture.assertViolation("forgotten");
     }
 
     @Test
@@ -37,7 +37,7 @@
 
         fixture.deliverStatus("run-9", JobState.PENDING);
 
-        fixture.assertBroken("accepted_impossible");
+        fixture.assertViolation("accepted_impossible");
     }
 
     /** An accepted job is not found; then it is called done before it is; then it is called running again. */
@@ -45,14 +45,14 @@
     void wrongAnswers() {
         fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         fixture.rules().recordResponse(ANYWHERE, new JobResponse.NotFound());
-        fixture.assertBroken("forgotten");
+        fixture.assertViolation("forgotten");
 
         fixture.rules().clearViolations();
         fixture.deliverStatus(ANYWHERE, JobState.DONE);
-        fixture.assertBroken("not_done");
+        fixture.assertViolation("not_done");
 
         fixture.rules().clearViolations();
         fixture.deliverStatus(ANYWHERE, JobState.RUNNING);
-        fixture.assertBroken("went_back");
+        fixture.assertViolation("went_back");
     }
 }
--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -31,7 +31,7 @@
         fixture.runUntil(10_000_001);
         fixture.rules().check();
 
-        fixture.assertBroken("ran_cancelled");
+        fixture.assertViolation("ran_cancelled");
     }
 
     @Test
@@ -42,7 +42,7 @@
 
         fixture.rules().recordStartSent(new TaskId(ANYWHERE, 1));
 
-        fixture.assertBroken("started_cancelled");
+        fixture.assertViolation("started_cancelled");
     }
 
     /** A cancelled task on a machine that hung goes on with it. */
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -97,7 +97,7 @@
     }
 
     /** One rule is broken, and its breach begins so. */
-    void assertBroken(String beginning) {
+    void assertViolation(String beginning) {
         assertEquals(1, rules.violations().size(), rules.violations().toString());
         assertTrue(rules.violations().get(0).startsWith(beginning), rules.violations().toString());
     }
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -30,7 +30,7 @@
         fixture.deliverStatus("run-4", JobState.PENDING);
         fixture.rules().checkServed();
 
-        fixture.assertBroken("unserved at 241.0 s: largest of class c: 0 of 1");
+        fixture.assertViolation("unserved at 241.0 s: largest of class c: 0 of 1");
     }
 
     private void runBothTasks(String job) {
@@ -54,6 +54,6 @@
 
         fixture.rules().checkServed();
 
-        fixture.assertBroken("unserved at 241.0 s: largest of class c: run-4 begins after 241 s");
+        fixture.assertViolation("unserved at 241.0 s: largest of class c: run-4 begins after 241 s");
     }
 }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -27,14 +27,14 @@
         fixture.startTask(ANYWHERE, 0, "a", "z");
         fixture.startTask(ANYWHERE, 0, "b", "z");
 
-        fixture.assertBroken("ran_twice");
+        fixture.assertViolation("ran_twice");
     }
 
     @Test
     void spotMachineNotAllowed() {
         fixture.rules().recordTaskStarted(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
@@ -42,7 +42,7 @@
         fixture.startTask(SPREAD, 0, "a", "z");
         fixture.startTask(SPREAD, 1, "b", "z");
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
@@ -50,7 +50,7 @@
         fixture.startTask(ONE_ZONE, 0, "a", "z");
         fixture.startTask(ONE_ZONE, 1, "b", "y");
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
@@ -62,6 +62,6 @@
 
         fixture.startTask(ONE_ZONE, 1, "a", "z");
 
-        fixture.assertBroken("quota");
+        fixture.assertViolation("quota");
     }
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -23,7 +23,7 @@
 
         checkEachSecond(92, 183, worker);
 
-        fixture.assertBroken("neglected");
+        fixture.assertViolation("neglected");
     }
 
     private void checkEachSecond(long from, long to, SimWorker worker) {
