--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -19,7 +19,7 @@
         fixture.runUntil(70_000_000);
         fixture.deliverStatus(SPREAD, JobState.PENDING);
         fixture.rules().checkAnswered(0);
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
         fixture.runUntil(76_000_000);
         fixture.rules().checkAnswered(5_000_000);
         assertTrue(fixture.rules().violations().isEmpty(), "troubles were over only 71 s ago");
@@ -33,7 +33,7 @@
     void unschedulableJobIsAccepted() {
         fixture.rules().recordUnschedulableSubmission("run-9");
         fixture.rules().recordResponse("run-9", new JobResponse.Unschedulable("too large"));
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.deliverStatus("run-9", JobState.PENDING);
 
--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -26,7 +26,7 @@
         cancel(ANYWHERE);
         fixture.runUntil(10_000_000);
         fixture.rules().check();
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.runUntil(10_000_001);
         fixture.rules().check();
@@ -38,7 +38,7 @@
     void startIsSentAfterACancellation() {
         fixture.rules().recordStartSent(new TaskId(ANYWHERE, 0));
         cancel(ANYWHERE);
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.rules().recordStartSent(new TaskId(ANYWHERE, 1));
 
@@ -57,7 +57,7 @@
         fixture.runUntilWithChecks(5_000_000);
         worker.hang(false);
         fixture.runUntilWithChecks(10_900_000);
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.runUntilWithChecks(11_100_000);
 
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -102,7 +102,7 @@
         assertTrue(rules.violations().get(0).startsWith(beginning), rules.violations().toString());
     }
 
-    void assertNoneBroken() {
+    void assertNoViolations() {
         assertTrue(rules.violations().isEmpty(), rules.violations().toString());
     }
 
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -22,7 +22,7 @@
             runBothTasks(job);
         }
         fixture.rules().checkServed();
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.runUntil(241_000_000);
         fixture.submitJob("run-0", 2);
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -19,7 +19,7 @@
         fixture.startTask(SPREAD, 0, "a", "z");
         fixture.startTask(SPREAD, 1, "b", "y");
 
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
     }
 
     @Test
@@ -58,7 +58,7 @@
         fixture.startTask(ANYWHERE, 0, "a", "z");
         fixture.startTask(ANYWHERE, 1, "a", "z");
         fixture.startTask(ONE_ZONE, 0, "a", "z");
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.startTask(ONE_ZONE, 1, "a", "z");
 
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -16,7 +16,7 @@
         SimWorker worker = fixture.worker();
         fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         checkEachSecond(0, 89, worker);
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
         fixture.runUntil(91_000_000);
         fixture.rules().checkNotStarved(List.of());
         assertTrue(fixture.rules().violations().isEmpty(), "no machine is there");
