--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -13,7 +13,7 @@
 
     /** No rule is broken, and something ran. */
     static void assertRules(Simulation simulation) {
-        assertNoneBroken(simulation);
+        assertNoViolations(simulation);
         assertTrue(simulation.rules.startedTaskCount() > 0, "nothing ran");
         assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
         assertEquals(0, simulation.store.unfenced(), "a claim that is not tied to a leader's term");
@@ -26,7 +26,7 @@
     }
 
     /** No rule is broken. */
-    static void assertNoneBroken(Simulation simulation) {
+    static void assertNoViolations(Simulation simulation) {
         assertEquals(
                 List.of(),
                 simulation.rules.violations().stream().distinct().limit(MOST_SHOWN).toList());
