--- a/src/test/java/org/granitepath/simulation/SimRates.java
+++ b/src/test/java/org/granitepath/simulation/SimRateLimiter.java
@@ -1,14 +1,14 @@
 package org.granitepath.simulation;
 
 /** What the store admits: requests and changes a second, with bursts of one second's worth. */
-final class SimRates {
+final class SimRateLimiter {
     private final double requestsPerSecond;
     private double writesPerSecond;
     private double requestTokens;
     private double writeTokens;
     private long tokensAt;
 
-    SimRates(double requestsPerSecond, double writesPerSecond) {
+    SimRateLimiter(double requestsPerSecond, double writesPerSecond) {
         this.requestsPerSecond = requestsPerSecond;
         this.writesPerSecond = writesPerSecond;
         this.requestTokens = requestsPerSecond;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -22,7 +22,7 @@
     private final SimStoreKeys keys = new SimStoreKeys();
     private final SimLeases leases = new SimLeases();
     private final SimWatches watches;
-    private final SimRates rates;
+    private final SimRateLimiter rates;
     private final Set<String> refused = new HashSet<>();
     private final Set<String> blind = new HashSet<>();
     private final Set<String> readOnly = new HashSet<>();
@@ -43,7 +43,7 @@
     SimStore(SimEnvironment environment, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
         this.environment = environment;
         this.watches = new SimWatches(environment, keys);
-        this.rates = new SimRates(requestsPerSecond, writesPerSecond);
+        this.rates = new SimRateLimiter(requestsPerSecond, writesPerSecond);
         this.limits = new TransactionLimits(transactionChanges, valueBytes);
         environment.after(EXPIRY_INTERVAL, this::expire);
     }
