--- a/src/test/java/org/granitepath/simulation/SimRateLimiter.java
+++ b/src/test/java/org/granitepath/simulation/SimRateLimiter.java
@@ -20,7 +20,7 @@
     }
 
     /** Whether a request with so many changes is admitted now; if so, it counts. */
-    boolean admits(long now, int changes) {
+    boolean tryAcquire(long now, int changes) {
         double passed = (now - tokensAt) / 1e6;
         tokensAt = now;
         requestTokens = Math.min(requestsPerSecond, requestTokens + passed * requestsPerSecond) - 1;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -211,7 +211,7 @@
     /** Whether this request is not carried out: the store is away, or asked for too much. */
     private boolean away(String node, int changes) {
         requests++;
-        boolean tooFast = !rates.admits(environment.nowMicros(), changes);
+        boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
         refusals += tooFast ? 1 : 0;
         return tooFast || outage || refused.contains(node);
     }
