--- a/src/test/java/org/granitepath/simulation/SimRateLimiter.java
+++ b/src/test/java/org/granitepath/simulation/SimRateLimiter.java
@@ -15,7 +15,7 @@
         this.writeTokens = writesPerSecond;
     }
 
-    void lowerWrites(double nextPerSecond) {
+    void setWritesPerSecond(double nextPerSecond) {
         writesPerSecond = nextPerSecond;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -58,7 +58,7 @@
     /** The limits change without notice; what is stored stays readable. */
     void lowerLimits(StoreLimits next) {
         limits = new TransactionLimits(next.transactionChanges(), next.valueBytes());
-        rates.lowerWrites(next.writesPerSecond());
+        rates.setWritesPerSecond(next.writesPerSecond());
     }
 
     /** Nobody is served, and no lease ends meanwhile. */
