--- a/src/test/java/org/granitepath/simulation/SimLeases.java
+++ b/src/test/java/org/granitepath/simulation/SimLeases.java
@@ -17,7 +17,7 @@
         return opened;
     }
 
-    boolean holds(long lease) {
+    boolean exists(long lease) {
         return ends.containsKey(lease);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -197,7 +197,7 @@
         if (away(node, 0)) {
             return Outcome.REFUSED;
         }
-        if (!leases.holds(lease)) {
+        if (!leases.exists(lease)) {
             return Outcome.NOT_FOUND;
         }
         leases.renew(lease, environment.nowMicros());
@@ -239,7 +239,7 @@
         if (!failed.isEmpty()) {
             return committed(Outcome.CONFLICT, failed);
         }
-        if (transaction.changes().stream().anyMatch(change -> change.lease() != 0 && !leases.holds(change.lease()))) {
+        if (transaction.changes().stream().anyMatch(change -> change.lease() != 0 && !leases.exists(change.lease()))) {
             return committed(Outcome.REFUSED, List.of());
         }
         keys.apply(transaction.changes());
