--- a/src/test/java/org/granitepath/simulation/SimLeases.java
+++ b/src/test/java/org/granitepath/simulation/SimLeases.java
@@ -30,7 +30,7 @@
     }
 
     /** Those whose time is over, in order: they are leases no longer. */
-    List<Long> removeOver(long now) {
+    List<Long> removeExpired(long now) {
         List<Long> over = ends.entrySet().stream()
                 .filter(entry -> entry.getValue() < now)
                 .map(Map.Entry::getKey)
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -266,7 +266,7 @@
         if (outage) {
             return;
         }
-        leases.removeOver(environment.nowMicros()).forEach(keys::removeAllOf);
+        leases.removeExpired(environment.nowMicros()).forEach(keys::removeAllOf);
         watches.wake();
     }
 }
