--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -72,16 +72,16 @@
             leases.renewAll(environment.nowMicros());
         }
         outage = now;
-        watches.wake();
+        watches.notifyWatches();
     }
 
     /** This node alone is not served. */
     void refuse(String node, long forMicros) {
         refused.add(node);
-        watches.wake();
+        watches.notifyWatches();
         environment.after(forMicros, () -> {
             refused.remove(node);
-            watches.wake();
+            watches.notifyWatches();
         });
     }
 
@@ -100,7 +100,7 @@
     /** Someone else writes this value. */
     void plant(String key, String json) {
         keys.plant(key, json);
-        watches.wake();
+        watches.notifyWatches();
     }
 
     // ---- questions of scenarios --------------------------------------------------------------------------------
@@ -244,7 +244,7 @@
         }
         keys.apply(transaction.changes());
         writes += transaction.changes().size();
-        watches.wake();
+        watches.notifyWatches();
         return committed(Outcome.OK, List.of());
     }
 
@@ -267,6 +267,6 @@
             return;
         }
         leases.removeExpired(environment.nowMicros()).forEach(keys::removeAllOf);
-        watches.wake();
+        watches.notifyWatches();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimWatches.java
+++ b/src/test/java/org/granitepath/simulation/SimWatches.java
@@ -40,7 +40,7 @@
     }
 
     /** Keys have changed: who waits for them is answered. */
-    void wake() {
+    void notifyWatches() {
         for (Watch watch : List.copyOf(waiting)) {
             answer(watch, false);
         }
