--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -62,7 +62,7 @@
             jobs.forEach(job -> simulation.users.cancelAt(
                     others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
-                simulation.store.outage(simulation.shape.cancel() + 15 * SECOND);
+                simulation.store.startOutage(simulation.shape.cancel() + 15 * SECOND);
                 answeredBefore.set(simulation.heartbeatsAccepted(leader));
             });
             simulation.after(9 * SECOND, () -> {
@@ -97,7 +97,7 @@
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
-            simulation.store.outage(simulation.shape.cancel() + 6 * SECOND);
+            simulation.store.startOutage(simulation.shape.cancel() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
             toldAfter.set(simulation.rules.cancelledJobCount());
         });
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -42,7 +42,7 @@
         leaderEnds(simulation, 45 * SECOND, 4 * SECOND);
         leaderEnds(simulation, 49 * SECOND, 300_000);
         simulation.after(70 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
-        simulation.after(75 * SECOND, () -> simulation.store.outage(10 * SECOND));
+        simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
         simulation.run(100 * SECOND, 300 * SECOND);
 
         assertTrue(machines.get() > 150, "only " + machines.get() + " machines");
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -240,7 +240,7 @@
                 simulation.users.cancelRunning(1, 0);
             });
         }
-        simulation.after(90 * SECOND, () -> simulation.store.outage(20 * SECOND));
+        simulation.after(90 * SECOND, () -> simulation.store.startOutage(20 * SECOND));
         simulation.run(160 * SECOND, 600 * SECOND);
 
         assertTrue(changes.get() >= 5, changes + " changes of leader");
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -138,7 +138,7 @@
         simulation.users.submit(simulation.jobs.service(2));
 
         // In an outage no successor is found, and the leader is the leader still when all goes on.
-        simulation.after(60 * SECOND, () -> simulation.store.outage(12_900_000));
+        simulation.after(60 * SECOND, () -> simulation.store.startOutage(12_900_000));
         simulation.after(61 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 12 * SECOND));
         simulation.run(85 * SECOND, 200 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -62,7 +62,7 @@
     }
 
     /** Nobody is served, and no lease ends meanwhile. */
-    void outage(long forMicros) {
+    void startOutage(long forMicros) {
         setOutage(true);
         environment.after(forMicros, () -> setOutage(false));
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -65,7 +65,7 @@
                 simulation.names.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
             case 3 -> simulation.faults.cut(simulation.leader(), SimStore.NAME, how, time);
             case 4 -> simulation.faults.cutFromWorkers(simulation.leader(), how, time);
-            case 5 -> simulation.store.outage(time);
+            case 5 -> simulation.store.startOutage(time);
             case 6 -> simulation.cloud.outage(time);
             case 7 -> simulation.store.refuse(simulation.leader(), time);
             case 8 -> simulation.faults.cutZone(simulation.zoneOf(simulation.anyNode()), how, time);
