--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -58,7 +58,7 @@
         simulation.after(70 * SECOND, () -> {
             String leader = simulation.leader();
             running.set(simulation.rules.runningJobs().size());
-            simulation.store.refuse(leader, 14 * SECOND);
+            simulation.store.refuseRequestsOf(leader, 14 * SECOND);
             jobs.forEach(job -> simulation.users.cancelAt(
                     others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
@@ -92,7 +92,7 @@
         Observation<Integer> toldBefore = new Observation<>();
         Observation<Integer> toldAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            simulation.store.refuse(simulation.leader(), 12 * SECOND);
+            simulation.store.refuseRequestsOf(simulation.leader(), 12 * SECOND);
             toldBefore.set(simulation.rules.cancelledJobCount());
             simulation.users.cancelRunning(4, 0);
         });
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -85,7 +85,7 @@
                         simulation.leader(), 200_000 + simulation.environment.random.nextInt(6_000_000)),
                 simulation -> simulation.names.forEach(
                         node -> simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
-                simulation -> simulation.store.refuse(simulation.leader(), time(simulation)),
+                simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
                 simulation -> simulation.store.startOutage(time(simulation) + simulation.shape.cancel() / 2),
                 simulation ->
                         simulation.faults.cutFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -131,7 +131,7 @@
             switch ((int) seed % 3) {
                 case 0 -> simulation.store.startOutage(8 * SECOND);
                 case 1 ->
-                    simulation.names.stream().limit(2).forEach(node -> simulation.store.refuse(node, 15 * SECOND));
+                    simulation.names.stream().limit(2).forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
                 default -> simulation.names.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
             }
             simulation.store.lateWrites = 0.1;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -76,7 +76,7 @@
     }
 
     /** This node alone is not served. */
-    void refuse(String node, long forMicros) {
+    void refuseRequestsOf(String node, long forMicros) {
         refused.add(node);
         watches.notifyWatches();
         environment.after(forMicros, () -> {
