--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -201,7 +201,7 @@
 
         simulation.after(60 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.store.blindFor(leader, 2 * simulation.shape.cancel());
+            simulation.store.dropReadsOf(leader, 2 * simulation.shape.cancel());
             simulation.after(
                     2 * SECOND,
                     () -> jobs.forEach(job ->
@@ -247,7 +247,7 @@
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
                 String leader = simulation.leader();
-                simulation.store.blindFor(leader, 2_500_000);
+                simulation.store.dropReadsOf(leader, 2_500_000);
                 simulation.rules.runningJobs().stream()
                         .limit(6)
                         .forEach(job -> simulation.users.cancelAt(
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -117,7 +117,7 @@
                     simulation.environment.delayedPacketShare = 0.06;
                     simulation.after(time(simulation), () -> simulation.environment.delayedPacketShare = 0);
                 },
-                simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)));
+                simulation -> simulation.store.dropReadsOf(simulation.leader(), time(simulation)));
     }
 
     private static List<Consumer<Simulation>> ofMachines() {
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -92,7 +92,7 @@
     }
 
     /** This node's reads get no answer, while all else does. */
-    void blindFor(String node, long forMicros) {
+    void dropReadsOf(String node, long forMicros) {
         blind.add(node);
         environment.after(forMicros, () -> blind.remove(node));
     }
