--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -41,7 +41,7 @@
         Observation<Long> before = new Observation<>();
         simulation.after(RESTART, () -> {
             restart(simulation, false);
-            simulation.store.plant(key, garbage);
+            simulation.store.writeExternally(key, garbage);
             before.set(running(simulation, job));
         });
         simulation.run(RESTART + 100 * SECOND);
@@ -78,7 +78,7 @@
         String key = Keys.INVENTORY + "0";
         simulation.after(RESTART, () -> {
             restart(simulation, false);
-            simulation.store.plant(key, "{\"hosts\":[7]}");
+            simulation.store.writeExternally(key, "{\"hosts\":[7]}");
         });
         simulation.run(RESTART + 60 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -98,7 +98,7 @@
     }
 
     /** Someone else writes this value. */
-    void plant(String key, String json) {
+    void writeExternally(String key, String json) {
         keys.plant(key, json);
         watches.notifyWatches();
     }
