--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -52,7 +52,7 @@
                 simulation.commands.startsSince(RESTART).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
-        assertTrue(simulation.store.holds(key, garbage), "it was written over");
+        assertTrue(simulation.store.hasValue(key, garbage), "it was written over");
         assertTrue(simulation.recovery().unreadableRecords() > 0);
         simulation.run(400 * SECOND);
 
@@ -85,7 +85,7 @@
         RecoveryStatus status = simulation.recovery();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
-        assertTrue(simulation.store.holds(key, "{\"hosts\":[7]}"), "it was written over");
+        assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "it was written over");
         simulation.run(300 * SECOND);
 
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -106,7 +106,7 @@
     // ---- questions of scenarios --------------------------------------------------------------------------------
 
     /** Whether the value is still the one that was planted. */
-    boolean holds(String key, String json) {
+    boolean hasValue(String key, String json) {
         return keys.holds(key, json);
     }
 
