--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -131,7 +131,7 @@
         simulation.run(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        int drawn = simulation.store.writesOf(Keys.FENCING_TOKEN);
+        int drawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -76,14 +76,14 @@
         Observation<Integer> heldBack = new Observation<>();
         Observation<Integer> tokensDrawn = new Observation<>();
         simulation.after(45 * SECOND, () -> {
-            int fencingTokens = simulation.store.writesOf(Keys.FENCING_TOKEN);
+            int fencingTokens = simulation.store.writeCount(Keys.FENCING_TOKEN);
             String former = simulation.leader();
             List<Heartbeat> held =
                     simulation.cloud.workers().stream().map(SimWorker::latest).toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
                 heldBack.set(held.size());
-                tokensDrawn.set(simulation.store.writesOf(Keys.FENCING_TOKEN) - fencingTokens);
+                tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
                 held.forEach(heartbeat -> simulation.names.forEach(node -> simulation.faults.deliver(node, heartbeat)));
             });
             simulation.after(3 * simulation.shape.lease(), () -> held.forEach(simulation.faults::deliver));
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -111,7 +111,7 @@
     }
 
     /** Changes of a key so far. */
-    int writesOf(String key) {
+    int writeCount(String key) {
         return keys.writesOf(key);
     }
 
