--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -116,7 +116,7 @@
     }
 
     /** The largest value that is stored. */
-    int largestValue() {
+    int largestValueLength() {
         return keys.largestValue();
     }
 
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -45,7 +45,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void bothVersionsServeAndTheLimitsChange(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION);
-        Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValue);
+        Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValueLength);
         for (int i = 0; i < simulation.names.size(); i++) {
             String node = simulation.names.get((int) (seed + i) % simulation.names.size());
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
@@ -61,7 +61,7 @@
 
         assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(simulation);
-        assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
+        assertTrue(simulation.store.largestValueLength() <= NEXT.valueBytes(), simulation.store.largestValueLength() + " bytes");
     }
 
     /** The limits change while large values of the former version are still there. */
@@ -78,7 +78,7 @@
 
         assertRulesAndAllDone(simulation);
         assertEquals(List.of(), simulation.rules.violations());
-        assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
+        assertTrue(simulation.store.largestValueLength() <= NEXT.valueBytes(), simulation.store.largestValueLength() + " bytes");
     }
 
     /** Values that hold more than one transaction may spread: they stay as they are, and work goes on beside them. */
