--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -174,11 +174,11 @@
         for (int i = 0; i < 4; i++) {
             simulation.after((28 + 9 * i) * SECOND, () -> {
                 leaders.add(simulation.leader());
-                simulation.store.lateWrites = 0.2;
+                simulation.store.lateCommitShare = 0.2;
                 simulation.faults.crash(simulation.leader(), 5 * SECOND);
             });
         }
-        simulation.after(65 * SECOND, () -> simulation.store.lateWrites = 0);
+        simulation.after(65 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.run(78 * SECOND, 300 * SECOND);
 
         assertTrue(leaders.size() > 1, "one leader throughout");
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -24,14 +24,14 @@
     void lateTransactionsDoNotOverwriteNewerOnes(long seed) {
         Simulation simulation = withJobs(simulation(seed), 40, 100 * SECOND);
 
-        simulation.after(10 * SECOND, () -> simulation.store.lateWrites = 0.3);
+        simulation.after(10 * SECOND, () -> simulation.store.lateCommitShare = 0.3);
         for (int i = 0; i < 4; i++) {
             simulation.after(
                     (30 + 20 * i) * SECOND,
                     () -> simulation.faults.crash(
                             simulation.leader(), 300_000 + simulation.environment.random.nextInt(4_000_000)));
         }
-        simulation.after(120 * SECOND, () -> simulation.store.lateWrites = 0);
+        simulation.after(120 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.run(135 * SECOND, 500 * SECOND);
 
         assertTrue(simulation.store.lateSuccesses() > 0, "no late transaction went in");
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -106,8 +106,8 @@
                     simulation.after(time(simulation), () -> simulation.cancelledAtEnd = 0);
                 },
                 simulation -> {
-                    simulation.store.lateWrites = 0.3;
-                    simulation.after(time(simulation), () -> simulation.store.lateWrites = 0);
+                    simulation.store.lateCommitShare = 0.3;
+                    simulation.after(time(simulation), () -> simulation.store.lateCommitShare = 0);
                 },
                 simulation -> {
                     simulation.environment.duplicateRequestShare = 0.2;
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -134,8 +134,8 @@
                     simulation.names.stream().limit(2).forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
                 default -> simulation.names.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
             }
-            simulation.store.lateWrites = 0.1;
-            simulation.after(20 * SECOND, () -> simulation.store.lateWrites = 0);
+            simulation.store.lateCommitShare = 0.1;
+            simulation.after(20 * SECOND, () -> simulation.store.lateCommitShare = 0);
         });
         simulation.run(RESTART + 30 * SECOND, 500 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -30,7 +30,7 @@
     private boolean outage;
 
     /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
-    double lateWrites;
+    double lateCommitShare;
 
     private int lateSuccesses;
     private int oversized;
@@ -165,7 +165,7 @@
     void commit(String node, Transaction transaction, Consumer<Committed> answer) {
         if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
             answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
-        } else if (lateWrites > 0 && environment.random.nextDouble() < lateWrites) {
+        } else if (lateCommitShare > 0 && environment.random.nextDouble() < lateCommitShare) {
             environment.after(2_000_000 + environment.random.nextInt(10_000_000), () -> commitLate(transaction));
         } else {
             answer.accept(commit(transaction));
