--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -34,7 +34,7 @@
         simulation.after(120 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.run(135 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.store.lateSuccesses() > 0, "no late transaction went in");
+        assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction went in");
         assertRulesAndAllDone(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -32,7 +32,7 @@
     /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
     double lateCommitShare;
 
-    private int lateSuccesses;
+    private int lateCommitCount;
     private int oversized;
     private int unfenced;
     private int reads;
@@ -121,8 +121,8 @@
     }
 
     /** Transactions that changed something although they were carried out late. */
-    int lateSuccesses() {
-        return lateSuccesses;
+    int lateCommitCount() {
+        return lateCommitCount;
     }
 
     /** Transactions over a limit. */
@@ -220,7 +220,7 @@
 
     private void commitLate(Transaction transaction) {
         if (!outage && commit(transaction).outcome() == Outcome.OK) {
-            lateSuccesses++;
+            lateCommitCount++;
         }
     }
 
