--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -65,7 +65,7 @@
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
-        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
+        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         simulation.run(RecoveryLoad.RESTART + 90 * SECOND);
 
         assertEquals(
@@ -103,7 +103,7 @@
         assertEquals(List.of(), simulation.users.unfinishedBatches());
         simulation.rules.checkServed();
         assertEquals(List.of(), simulation.rules.violations());
-        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
+        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         assertTrue(
                 simulation.store.refusals() < simulation.store.requests() / 20,
                 simulation.store.refusals() + " of " + simulation.store.requests() + " requests came too fast");
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -33,7 +33,7 @@
     double lateCommitShare;
 
     private int lateCommitCount;
-    private int oversized;
+    private int oversizedTransactionCount;
     private int unfenced;
     private int reads;
     private int requests;
@@ -126,8 +126,8 @@
     }
 
     /** Transactions over a limit. */
-    int oversized() {
-        return oversized;
+    int oversizedTransactionCount() {
+        return oversizedTransactionCount;
     }
 
     /** Acceptances that would hold whoever the leader is by then. */
@@ -226,7 +226,7 @@
 
     private Committed commit(Transaction transaction) {
         if (limits.exceededBy(transaction)) {
-            oversized++;
+            oversizedTransactionCount++;
             return committed(Outcome.REJECTED, List.of());
         }
         if (acceptsAJob(transaction) && !isTiedToTheLeader(transaction)) {
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -15,7 +15,7 @@
     static void assertRules(Simulation simulation) {
         assertNoViolations(simulation);
         assertTrue(simulation.rules.startedTaskCount() > 0, "nothing ran");
-        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
+        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         assertEquals(0, simulation.store.unfenced(), "a claim that is not tied to a leader's term");
     }
 
