--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -34,7 +34,7 @@
 
     private int lateCommitCount;
     private int oversizedTransactionCount;
-    private int unfenced;
+    private int unfencedAcceptanceCount;
     private int reads;
     private int requests;
     private int refusals;
@@ -131,8 +131,8 @@
     }
 
     /** Acceptances that would hold whoever the leader is by then. */
-    int unfenced() {
-        return unfenced;
+    int unfencedAcceptanceCount() {
+        return unfencedAcceptanceCount;
     }
 
     /** Requests to follow changes, long polls included, whether they arrived or not. */
@@ -230,7 +230,7 @@
             return committed(Outcome.REJECTED, List.of());
         }
         if (acceptsAJob(transaction) && !isTiedToTheLeader(transaction)) {
-            unfenced++;
+            unfencedAcceptanceCount++;
         }
         List<String> failed = transaction.preconditions().stream()
                 .filter(precondition -> keys.revisionOf(precondition.key()) != precondition.revision())
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -16,7 +16,7 @@
         assertNoViolations(simulation);
         assertTrue(simulation.rules.startedTaskCount() > 0, "nothing ran");
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
-        assertEquals(0, simulation.store.unfenced(), "a claim that is not tied to a leader's term");
+        assertEquals(0, simulation.store.unfencedAcceptanceCount(), "a claim that is not tied to a leader's term");
     }
 
     /** The same, and all accepted work that can end has ended: it must go on once the troubles are over. */
