--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -89,11 +89,11 @@
                     () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
-        int before = store.reads();
+        int before = store.followRequestCount();
         environment.run(14_000_000, () -> {});
 
         assertEquals(2_000, answered.get());
-        assertTrue(store.reads() - before <= 10_000_000 / 50_000 * 1.1, store.reads() - before + " reads in 10 s");
+        assertTrue(store.followRequestCount() - before <= 10_000_000 / 50_000 * 1.1, store.followRequestCount() - before + " reads in 10 s");
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -35,7 +35,7 @@
     private int lateCommitCount;
     private int oversizedTransactionCount;
     private int unfencedAcceptanceCount;
-    private int reads;
+    private int followRequestCount;
     private int requests;
     private int refusals;
     private int writes;
@@ -136,8 +136,8 @@
     }
 
     /** Requests to follow changes, long polls included, whether they arrived or not. */
-    int reads() {
-        return reads;
+    int followRequestCount() {
+        return followRequestCount;
     }
 
     /** All requests that arrived. */
@@ -159,7 +159,7 @@
 
     /** A request to read is sent, whether it arrives or not. */
     void countRead() {
-        reads++;
+        followRequestCount++;
     }
 
     void commit(String node, Transaction transaction, Consumer<Committed> answer) {
