--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -158,7 +158,7 @@
     // ---- requests of nodes -------------------------------------------------------------------------------------
 
     /** A request to read is sent, whether it arrives or not. */
-    void countRead() {
+    void countFollowRequest() {
         followRequestCount++;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -34,7 +34,7 @@
 
     @Override
     public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-        store.countRead();
+        store.countFollowRequest();
         callLater(TIMEOUT + waitMicros, answer -> store.follow(node, prefix, from, waitMicros, answer), NO_PAGE, then);
     }
 
