--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -105,8 +105,8 @@
         assertEquals(List.of(), simulation.rules.violations());
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         assertTrue(
-                simulation.store.refusals() < simulation.store.requests() / 20,
-                simulation.store.refusals() + " of " + simulation.store.requests() + " requests came too fast");
+                simulation.store.refusals() < simulation.store.requestCount() / 20,
+                simulation.store.refusals() + " of " + simulation.store.requestCount() + " requests came too fast");
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -71,7 +71,7 @@
         Observation<Integer> requestsBefore = new Observation<>();
         Observation<Integer> writesBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
-            requestsBefore.set(simulation.store.requests());
+            requestsBefore.set(simulation.store.requestCount());
             writesBefore.set(simulation.store.writes());
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
@@ -91,7 +91,7 @@
                 lastVerdict.set(simulation.environment.nowMicros());
             }
         });
-        int requests = simulation.store.requests() - requestsBefore.get();
+        int requests = simulation.store.requestCount() - requestsBefore.get();
         int writes = simulation.store.writes() - writesBefore.get();
         simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -36,7 +36,7 @@
     private int oversizedTransactionCount;
     private int unfencedAcceptanceCount;
     private int followRequestCount;
-    private int requests;
+    private int requestCount;
     private int refusals;
     private int writes;
 
@@ -141,8 +141,8 @@
     }
 
     /** All requests that arrived. */
-    int requests() {
-        return requests;
+    int requestCount() {
+        return requestCount;
     }
 
     /** Requests that were refused because they came too fast. */
@@ -210,7 +210,7 @@
 
     /** Whether this request is not carried out: the store is away, or asked for too much. */
     private boolean away(String node, int changes) {
-        requests++;
+        requestCount++;
         boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
         refusals += tooFast ? 1 : 0;
         return tooFast || outage || refused.contains(node);
