--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -45,7 +45,7 @@
         Observation<Integer> refusalsBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
             running.set(simulation.rules.runningTaskCount());
-            refusalsBefore.set(simulation.store.refusals());
+            refusalsBefore.set(simulation.store.rateLimitedRequestCount());
             simulation.faults.crashAll(SECOND);
         });
         simulation.run(RecoveryLoad.RESTART + 30 * SECOND);
@@ -60,7 +60,7 @@
         assertTrue(
                 status.term().comparisonCount() < 12L * running.get(),
                 status.term().comparisonCount() + " comparisons of " + running.get() + " tasks");
-        int refusals = simulation.store.refusals() - refusalsBefore.get();
+        int refusals = simulation.store.rateLimitedRequestCount() - refusalsBefore.get();
         assertTrue(refusals < 150, refusals + " requests came too fast");
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
@@ -105,8 +105,8 @@
         assertEquals(List.of(), simulation.rules.violations());
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         assertTrue(
-                simulation.store.refusals() < simulation.store.requestCount() / 20,
-                simulation.store.refusals() + " of " + simulation.store.requestCount() + " requests came too fast");
+                simulation.store.rateLimitedRequestCount() < simulation.store.requestCount() / 20,
+                simulation.store.rateLimitedRequestCount() + " of " + simulation.store.requestCount() + " requests came too fast");
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -37,7 +37,7 @@
     private int unfencedAcceptanceCount;
     private int followRequestCount;
     private int requestCount;
-    private int refusals;
+    private int rateLimitedRequestCount;
     private int writes;
 
     SimStore(SimEnvironment environment, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
@@ -146,8 +146,8 @@
     }
 
     /** Requests that were refused because they came too fast. */
-    int refusals() {
-        return refusals;
+    int rateLimitedRequestCount() {
+        return rateLimitedRequestCount;
     }
 
     /** Changes made so far. */
@@ -212,7 +212,7 @@
     private boolean away(String node, int changes) {
         requestCount++;
         boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
-        refusals += tooFast ? 1 : 0;
+        rateLimitedRequestCount += tooFast ? 1 : 0;
         return tooFast || outage || refused.contains(node);
     }
 
