--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -72,7 +72,7 @@
         Observation<Integer> writesBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
             requestsBefore.set(simulation.store.requestCount());
-            writesBefore.set(simulation.store.writes());
+            writesBefore.set(simulation.store.changeCount());
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
@@ -92,7 +92,7 @@
             }
         });
         int requests = simulation.store.requestCount() - requestsBefore.get();
-        int writes = simulation.store.writes() - writesBefore.get();
+        int writes = simulation.store.changeCount() - writesBefore.get();
         simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
         List<Long> live = times(simulation, starts, true);
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -38,7 +38,7 @@
     private int followRequestCount;
     private int requestCount;
     private int rateLimitedRequestCount;
-    private int writes;
+    private int changeCount;
 
     SimStore(SimEnvironment environment, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
         this.environment = environment;
@@ -151,8 +151,8 @@
     }
 
     /** Changes made so far. */
-    int writes() {
-        return writes;
+    int changeCount() {
+        return changeCount;
     }
 
     // ---- requests of nodes -------------------------------------------------------------------------------------
@@ -243,7 +243,7 @@
             return committed(Outcome.REFUSED, List.of());
         }
         keys.apply(transaction.changes());
-        writes += transaction.changes().size();
+        changeCount += transaction.changes().size();
         watches.notifyWatches();
         return committed(Outcome.OK, List.of());
     }
