--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -99,7 +99,7 @@
 
     /** Someone else writes this value. */
     void writeExternally(String key, String json) {
-        keys.plant(key, json);
+        keys.writeExternally(key, json);
         watches.notifyWatches();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -53,7 +53,7 @@
     }
 
     /** Someone else writes this value. */
-    void plant(String key, String json) {
+    void writeExternally(String key, String json) {
         revision++;
         write(key, json, 0);
     }
