--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -107,7 +107,7 @@
 
     /** Whether the value is still the one that was planted. */
     boolean hasValue(String key, String json) {
-        return keys.holds(key, json);
+        return keys.hasValue(key, json);
     }
 
     /** Changes of a key so far. */
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -48,7 +48,7 @@
                 .orElse(0);
     }
 
-    boolean holds(String key, String json) {
+    boolean hasValue(String key, String json) {
         return keys.containsKey(key) && keys.get(key).json().equals(json);
     }
 
