--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -112,7 +112,7 @@
 
     /** Changes of a key so far. */
     int writeCount(String key) {
-        return keys.writesOf(key);
+        return keys.writeCount(key);
     }
 
     /** The largest value that is stored. */
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -36,7 +36,7 @@
     }
 
     /** How often transactions have changed this key. */
-    int writesOf(String key) {
+    int writeCount(String key) {
         return writesByKey.getOrDefault(key, 0);
     }
 
