--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -117,7 +117,7 @@
 
     /** The largest value that is stored. */
     int largestValueLength() {
-        return keys.largestValue();
+        return keys.largestValueLength();
     }
 
     /** Transactions that changed something although they were carried out late. */
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -41,7 +41,7 @@
     }
 
     /** The size of the largest value, in characters. */
-    int largestValue() {
+    int largestValueLength() {
         return keys.values().stream()
                 .mapToInt(stored -> stored.json().length())
                 .max()
