--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -266,7 +266,7 @@
         if (outage) {
             return;
         }
-        leases.removeExpired(environment.nowMicros()).forEach(keys::removeAllOf);
+        leases.removeExpired(environment.nowMicros()).forEach(keys::removeKeysOfLease);
         watches.notifyWatches();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -72,7 +72,7 @@
     }
 
     /** A lease is over: its keys go away, each under a revision of its own. */
-    void removeAllOf(long lease) {
+    void removeKeysOfLease(long lease) {
         List<String> gone = keys.entrySet().stream()
                 .filter(entry -> entry.getValue().lease() == lease)
                 .map(Map.Entry::getKey)
