--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -225,7 +225,7 @@
     }
 
     private Committed commit(Transaction transaction) {
-        if (limits.exceededBy(transaction)) {
+        if (limits.isExceededBy(transaction)) {
             oversizedTransactionCount++;
             return committed(Outcome.REJECTED, List.of());
         }
--- a/src/test/java/org/granitepath/simulation/TransactionLimits.java
+++ b/src/test/java/org/granitepath/simulation/TransactionLimits.java
@@ -8,7 +8,7 @@
 record TransactionLimits(int changes, int valueBytes) {
     private static final int PRECONDITIONS_PER_CHANGE = 4;
 
-    boolean exceededBy(KeyValueStore.Transaction transaction) {
+    boolean isExceededBy(KeyValueStore.Transaction transaction) {
         return transaction.changes().size() > changes
                 || transaction.preconditions().size() > PRECONDITIONS_PER_CHANGE * changes
                 || transaction.changes().stream().anyMatch(this::isTooLarge);
