--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -66,7 +66,7 @@
             if (change.record() == null) {
                 remove(change.key());
             } else {
-                write(change.key(), TransactionLimits.json(change), change.lease());
+                write(change.key(), TransactionLimits.encodedValue(change), change.lease());
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/TransactionLimits.java
+++ b/src/test/java/org/granitepath/simulation/TransactionLimits.java
@@ -15,11 +15,11 @@
     }
 
     private boolean isTooLarge(KeyValueStore.Change change) {
-        return change.record() != null && json(change).length() > valueBytes;
+        return change.record() != null && encodedValue(change).length() > valueBytes;
     }
 
     /** The value as the store keeps it. */
-    static String json(KeyValueStore.Change change) {
+    static String encodedValue(KeyValueStore.Change change) {
         return Json.text(StoredRecordCodec.encode(change.record()));
     }
 }
