--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -131,6 +131,6 @@
                         simulation,
                         worker -> simulation.after(simulation.environment.random.nextInt(3_000_000), worker::die)),
                 simulation -> simulation.users.oddRequests(time(simulation)),
-                simulation -> simulation.cloud.outage(time(simulation)));
+                simulation -> simulation.cloud.startOutage(time(simulation)));
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -66,7 +66,7 @@
     }
 
     /** Nobody is served. */
-    void outage(long forMicros) {
+    void startOutage(long forMicros) {
         outage = true;
         environment.after(forMicros, () -> outage = false);
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -66,7 +66,7 @@
             case 3 -> simulation.faults.cut(simulation.leader(), SimStore.NAME, how, time);
             case 4 -> simulation.faults.cutFromWorkers(simulation.leader(), how, time);
             case 5 -> simulation.store.startOutage(time);
-            case 6 -> simulation.cloud.outage(time);
+            case 6 -> simulation.cloud.startOutage(time);
             case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), time);
             case 8 -> simulation.faults.cutZone(simulation.zoneOf(simulation.anyNode()), how, time);
             case 9 -> simulation.faults.freeze(simulation.leader(), time);
