--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -110,7 +110,7 @@
         assertTrue(
                 simulation.mostCalls <= simulation.shape.connections() / 6,
                 simulation.mostCalls + " calls to machines at once");
-        int busy = simulation.cloud.terminatedBusy().size();
+        int busy = simulation.cloud.terminatedWhileBusy().size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -143,7 +143,7 @@
         simulation.run(85 * SECOND, 200 * SECOND);
 
         assertRules(simulation);
-        assertEquals(List.of(), simulation.cloud.terminatedBusy(), "returned with tasks on them");
+        assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
     }
 
     /**
@@ -176,6 +176,6 @@
         assertRulesAndAllDone(simulation);
         assertEquals(60, before.get());
         assertTrue(least.get() >= 57, "only " + least + " of " + before.get() + " replicas up");
-        assertEquals(List.of(), simulation.cloud.terminatedBusy(), "returned with tasks on them");
+        assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -44,7 +44,7 @@
     private final Map<String, List<String>> launchCount = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final TreeMap<Long, List<CloudPort.ListedMachine>> snapshots = new TreeMap<>();
-    private final List<String> terminatedBusy = new ArrayList<>();
+    private final List<String> terminatedWhileBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
     int neverUp;
 
@@ -87,8 +87,8 @@
     }
 
     /** The machines that were terminated with tasks running on them, in order. */
-    List<String> terminatedBusy() {
-        return Collections.unmodifiableList(terminatedBusy);
+    List<String> terminatedWhileBusy() {
+        return Collections.unmodifiableList(terminatedWhileBusy);
     }
 
     private void snapshot() {
@@ -152,7 +152,7 @@
         Host host = hosts.remove(id);
         if (host != null && host.worker != null) {
             if (host.worker.alive() && host.worker.runs().busy()) {
-                terminatedBusy.add(id);
+                terminatedWhileBusy.add(id);
             }
             host.worker.die();
         }
