--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -154,7 +154,7 @@
     @ValueSource(longs = {77, 78, 79})
     void lateBootsAreNotWaitedFor(long seed) {
         Simulation simulation = new Simulation(seed, 3, 5);
-        simulation.cloud.neverUp = 2;
+        simulation.cloud.remainingBootFailures = 2;
         JobSpec job = simulation.jobs.service(4);
         simulation.users.submit(job);
         simulation.run(90 * SECOND);
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -46,7 +46,7 @@
     private final TreeMap<Long, List<CloudPort.ListedMachine>> snapshots = new TreeMap<>();
     private final List<String> terminatedWhileBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
-    int neverUp;
+    int remainingBootFailures;
 
     private int created;
     private boolean outage;
@@ -131,7 +131,7 @@
                 .findFirst()
                 .orElseThrow();
         Host host = new Host(String.format("i-%06d", ++created), type, request, environment.nowMicros());
-        boolean never = environment.random.nextInt(30) == 0 || neverUp-- > 0;
+        boolean never = environment.random.nextInt(30) == 0 || remainingBootFailures-- > 0;
         hosts.put(host.id, host);
         if (!never) {
             long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * environment.random.nextDouble()));
