--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -79,7 +79,7 @@
             int fencingTokens = simulation.store.writeCount(Keys.FENCING_TOKEN);
             String former = simulation.leader();
             List<Heartbeat> held =
-                    simulation.cloud.workers().stream().map(SimWorker::latest).toList();
+                    simulation.cloud.workers().stream().map(SimWorker::lastHeartbeat).toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
                 heldBack.set(held.size());
@@ -107,7 +107,7 @@
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
                 SimWorker worker = simulation.anyWorker();
-                Heartbeat old = worker == null ? null : worker.latest();
+                Heartbeat old = worker == null ? null : worker.lastHeartbeat();
                 if (old == null) {
                     return;
                 }
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -99,7 +99,7 @@
         simulation.after(40 * SECOND, () -> {
             SimWorker worker = simulation.anyWorker();
             gone.set(worker);
-            Heartbeat late = worker.latest();
+            Heartbeat late = worker.lastHeartbeat();
             worker.die();
             simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startsOf(worker.id)));
             for (int i = 31; i < 60; i += 7) {
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -52,7 +52,7 @@
     private boolean dead;
     private boolean hanging;
     private boolean muted;
-    private @Nullable Heartbeat latest;
+    private @Nullable Heartbeat lastHeartbeat;
     private long noticeEnd = -1;
 
     SimWorker(
@@ -82,8 +82,8 @@
 
     /** The heartbeat that it sent last; null before the first one. */
     @Nullable
-    Heartbeat latest() {
-        return latest;
+    Heartbeat lastHeartbeat() {
+        return lastHeartbeat;
     }
 
     /** What is on the machine, exited attempts included. */
@@ -225,7 +225,7 @@
         Heartbeat heartbeat = heartbeat();
         nextHeartbeat =
                 sent + heartbeatIntervalMicros * 3 / 4 + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
-        latest = heartbeat;
+        lastHeartbeat = heartbeat;
         environment.call(
                 id,
                 muted ? "nowhere" : node,
