--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -52,7 +52,7 @@
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream()
-                        .filter(worker -> worker.runs().busy())
+                        .filter(worker -> worker.attempts().busy())
                         .limit(6)
                         .forEach(worker -> {
                             muted.incrementAndGet();
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -95,7 +95,7 @@
             restart(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             all.stream()
-                    .filter(worker -> worker.runs().live().stream()
+                    .filter(worker -> worker.attempts().live().stream()
                             .anyMatch(run ->
                                     simulation.users.describedAs(run.task.job()).service()))
                     .limit(2)
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -44,11 +44,11 @@
 
         Planted planted = observed.get();
         for (TaskId task : planted.forbidden) {
-            assertNull(planted.host.runs().get(task, 3), task + " is not stopped and cleared");
+            assertNull(planted.host.attempts().get(task, 3), task + " is not stopped and cleared");
         }
         TaskId held = planted.held;
         long attempts = simulation.cloud.workers().stream()
-                .flatMap(worker -> worker.runs().live().stream())
+                .flatMap(worker -> worker.attempts().live().stream())
                 .filter(run -> run.task.equals(held))
                 .count();
         assertTrue(attempts <= 1, held + " runs " + attempts + " times");
@@ -64,16 +64,16 @@
     /** Plants these tasks, one beyond the end of a job, and one that another machine holds, under two attempts. */
     private static Planted plant(Simulation simulation, TaskId... tasks) {
         List<SimWorker> atWork = simulation.cloud.workers().stream()
-                .filter(worker -> worker.runs().busy())
+                .filter(worker -> worker.attempts().busy())
                 .toList();
         SimWorker busy = atWork.get(0);
-        TaskId held = busy.runs().live().get(0).task;
+        TaskId held = busy.attempts().live().get(0).task;
         SimWorker other = atWork.get(1);
         List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
         forbidden.add(new TaskId(held.job(), 99));
-        forbidden.forEach(task -> other.runs().plant(task, 3));
-        other.runs().plant(held, 3);
-        busy.runs().plant(held, 5);
+        forbidden.forEach(task -> other.attempts().plant(task, 3));
+        other.attempts().plant(held, 3);
+        busy.attempts().plant(held, 5);
         return new Planted(other, forbidden, held);
     }
 
@@ -141,7 +141,7 @@
                 simulation.faults.cutZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND);
             } else {
                 simulation.cloud.workers().stream()
-                        .filter(worker -> worker.runs().busy())
+                        .filter(worker -> worker.attempts().busy())
                         .findFirst()
                         .ifPresent(SimWorker::die);
             }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -66,7 +66,7 @@
 
     private static long running(Simulation simulation, JobSpec job) {
         return simulation.cloud.workers().stream()
-                .flatMap(worker -> worker.runs().live().stream())
+                .flatMap(worker -> worker.attempts().live().stream())
                 .filter(run -> run.task.job().equals(job.id()))
                 .count();
     }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -151,7 +151,7 @@
     private void remove(String id) {
         Host host = hosts.remove(id);
         if (host != null && host.worker != null) {
-            if (host.worker.alive() && host.worker.runs().busy()) {
+            if (host.worker.alive() && host.worker.attempts().busy()) {
                 terminatedWhileBusy.add(id);
             }
             host.worker.die();
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -87,7 +87,7 @@
     }
 
     /** What is on the machine, exited attempts included. */
-    SimRuns runs() {
+    SimRuns attempts() {
         return tasks.runs();
     }
 
@@ -106,7 +106,7 @@
 
     /** How many such tasks fit here now, and could start. */
     int slots(JobSpec spec) {
-        return wouldTake(spec) ? runs().slots(spec) : 0;
+        return wouldTake(spec) ? attempts().slots(spec) : 0;
     }
 
     /** Whether one more such task fits here now, and could start. */
@@ -115,7 +115,7 @@
                 && !hanging
                 && !tasks.faulty()
                 && noticeEnd < 0
-                && runs().hasCapacityFor(spec, null)
+                && attempts().hasCapacityFor(spec, null)
                 && spec.allowsType(type.name())
                 && spec.allowsZone(zone)
                 && (spec.spot() || !spot);
@@ -212,7 +212,7 @@
                 ++sequence,
                 fencingToken,
                 noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - environment.nowMicros()),
-                runs().statuses());
+                attempts().statuses());
     }
 
     private void sendHeartbeat() {
