--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -42,12 +42,12 @@
         simulation.run(220 * SECOND);
 
         assertRules(simulation);
-        int failures = faulty.stream().mapToInt(SimWorker::failures).sum();
+        int failures = faulty.stream().mapToInt(SimWorker::failedTaskCount).sum();
         assertTrue(failures >= FAULTY_MACHINES / 2, failures + " failures");
         for (SimWorker worker : faulty) {
             assertTrue(
-                    worker.failures() <= MOST_FAILURES_OF_A_MACHINE,
-                    worker.failures() + " tasks failed on " + worker.id);
+                    worker.failedTaskCount() <= MOST_FAILURES_OF_A_MACHINE,
+                    worker.failedTaskCount() + " tasks failed on " + worker.id);
         }
         for (JobSpec job : jobs) {
             assertTrue(
@@ -77,7 +77,7 @@
 
         assertRules(simulation);
         int failures = simulation.cloud.workers().stream()
-                .mapToInt(SimWorker::failures)
+                .mapToInt(SimWorker::failedTaskCount)
                 .sum();
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
         long left = before.stream().filter(worker -> !worker.alive()).count();
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -92,7 +92,7 @@
     }
 
     /** How many tasks have failed here. */
-    int failures() {
+    int failedTaskCount() {
         return tasks.failures();
     }
 
