--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -80,7 +80,7 @@
                 .mapToInt(SimWorker::failedTaskCount)
                 .sum();
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
-        long left = before.stream().filter(worker -> !worker.alive()).count();
+        long left = before.stream().filter(worker -> !worker.isAlive()).count();
         assertTrue(left <= 2, left + " of " + before.size() + " machines were given up");
     }
 }
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -58,7 +58,7 @@
         simulation.run(200 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertFalse(observed.get().worker().alive(), "it is to be returned");
+        assertFalse(observed.get().worker().isAlive(), "it is to be returned");
         observed.get().assertFilledAtMostTwice(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -74,7 +74,7 @@
     /** The machines that are up, by id. */
     List<SimWorker> workers() {
         return hosts.values().stream()
-                .filter(host -> host.worker != null && host.worker.alive())
+                .filter(host -> host.worker != null && host.worker.isAlive())
                 .map(host -> host.worker)
                 .toList();
     }
@@ -83,7 +83,7 @@
     @Nullable
     SimWorker worker(String id) {
         Host host = hosts.get(id);
-        return host == null || host.worker == null || !host.worker.alive() ? null : host.worker;
+        return host == null || host.worker == null || !host.worker.isAlive() ? null : host.worker;
     }
 
     /** The machines that were terminated with tasks running on them, in order. */
@@ -151,7 +151,7 @@
     private void remove(String id) {
         Host host = hosts.remove(id);
         if (host != null && host.worker != null) {
-            if (host.worker.alive() && host.worker.attempts().busy()) {
+            if (host.worker.isAlive() && host.worker.attempts().busy()) {
                 terminatedWhileBusy.add(id);
             }
             host.worker.die();
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -96,7 +96,7 @@
         return tasks.failures();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return !dead;
     }
 
