--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -117,7 +117,7 @@
             if (worker == null) {
                 return;
             }
-            if (worker.hangs()) {
+            if (worker.isHanging()) {
                 simulation.environment.after(300_000, () -> serveWhenAwake(address, serve, answer));
             } else {
                 answer.accept(serve.apply(worker));
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -100,7 +100,7 @@
         return !dead;
     }
 
-    boolean hangs() {
+    boolean isHanging() {
         return hanging;
     }
 
