--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -106,11 +106,11 @@
 
     /** How many such tasks fit here now, and could start. */
     int slots(JobSpec spec) {
-        return wouldTake(spec) ? attempts().slots(spec) : 0;
+        return canStart(spec) ? attempts().slots(spec) : 0;
     }
 
     /** Whether one more such task fits here now, and could start. */
-    boolean wouldTake(JobSpec spec) {
+    boolean canStart(JobSpec spec) {
         return !dead
                 && !hanging
                 && !tasks.faulty()
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -62,7 +62,7 @@
     }
 
     private static boolean couldRunOn(SimWorker machine, JobSpec spec, HeldTasks held) {
-        return machine.wouldTake(spec)
+        return machine.canStart(spec)
                 && (!spec.oneZone() || Set.of(machine.zone).containsAll(held.zonesOf(spec.id())))
                 && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
     }
