--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -63,8 +63,8 @@
 
     /** Answers and commands reach it, but its heartbeats are lost. */
     void mute(SimWorker worker, long forMicros) {
-        worker.mute(true);
-        simulation.environment.after(forMicros, () -> worker.mute(false));
+        worker.setHeartbeatsDropped(true);
+        simulation.environment.after(forMicros, () -> worker.setHeartbeatsDropped(false));
     }
 
     /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -124,7 +124,7 @@
     // ---- troubles ----------------------------------------------------------------------------------------------
 
     /** Its heartbeats are lost on the way; it is reached all the same. */
-    void mute(boolean now) {
+    void setHeartbeatsDropped(boolean now) {
         muted = now;
     }
 
