--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -53,9 +53,9 @@
         fixture.runUntilWithChecks(1_000_000);
         assertEquals(1, fixture.rules().usedCpuMillis(TEAM) / 1_000);
         cancel(ANYWHERE);
-        worker.hang(true);
+        worker.setHanging(true);
         fixture.runUntilWithChecks(5_000_000);
-        worker.hang(false);
+        worker.setHanging(false);
         fixture.runUntilWithChecks(10_900_000);
         fixture.assertNoViolations();
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -143,7 +143,7 @@
     }
 
     /** While it hangs it does nothing, but its clock runs on. */
-    void hang(boolean now) {
+    void setHanging(boolean now) {
         hanging = now;
         if (!now && !dead) {
             expireIfDue();
@@ -151,8 +151,8 @@
     }
 
     void hangFor(long micros) {
-        hang(true);
-        environment.after(micros, () -> hang(false));
+        setHanging(true);
+        environment.after(micros, () -> setHanging(false));
     }
 
     /** The cloud takes it back after this time, and it tells so. */
