--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -87,7 +87,7 @@
 
         gang.runFor(5 * SECOND);
         SimWorker taken = gang.holders().get(0);
-        taken.notice(8 * SECOND);
+        taken.announceTermination(8 * SECOND);
         simulation.after(8 * SECOND, taken::die);
         gang.runFor(150 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -156,7 +156,7 @@
     }
 
     /** The cloud takes it back after this time, and it tells so. */
-    void notice(long micros) {
+    void announceTermination(long micros) {
         noticeEnd = environment.nowMicros() + micros;
         changed = true;
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -84,7 +84,7 @@
             case 1 -> worker.hangFor(time);
             case 2 -> simulation.faults.cutMachine(worker, how, time);
             case 3 -> {
-                worker.notice(8 * SECOND);
+                worker.announceTermination(8 * SECOND);
                 simulation.after(8 * SECOND, worker::die);
             }
             default -> worker.becomeFaulty();
