--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -49,7 +49,7 @@
     @Test
     void cancelledTaskGoesOnAfterItsMachineHung() {
         SimWorker worker = fixture.worker();
-        worker.commands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
+        worker.handleCommands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
         fixture.runUntilWithChecks(1_000_000);
         assertEquals(1, fixture.rules().usedCpuMillis(TEAM) / 1_000);
         cancel(ANYWHERE);
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -95,7 +95,7 @@
                     2 * Simulation.SECOND,
                     answer -> {
                         Runnable serve = () -> serveWhenAwake(
-                                address, worker -> worker.commands(fencingToken, agentEpoch, commands), answer);
+                                address, worker -> worker.handleCommands(fencingToken, agentEpoch, commands), answer);
                         if (starts && simulation.heldStarts > 0) {
                             simulation.environment.after(simulation.heldStarts, serve);
                         } else {
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -272,7 +272,7 @@
     // ---- commands ----------------------------------------------------------------------------------------------
 
     /** Commands of a direct call; they are carried out only under a present fencing token and agent epoch. */
-    WorkerPort.Reply commands(long withToken, long withAgentEpoch, List<WorkerCommand> commands) {
+    WorkerPort.Reply handleCommands(long withToken, long withAgentEpoch, List<WorkerCommand> commands) {
         expireIfDue();
         boolean accepted = withToken >= fencingToken && withAgentEpoch == agentEpoch;
         if (accepted) {
