--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -115,7 +115,7 @@
                 job -> spec(job, TASKS, false, false, LONG_RUN_MICROS),
                 new HashSet<>(),
                 new SimGangs(environment, rules, new HashSet<>()),
-                new SimWorker.Facts(
+                new SimWorker.MachineFacts(
                         "i-1", new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")), "z", false),
                 new SimWorker.Timing(1_000_000, 20_000_000));
     }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -18,7 +18,7 @@
 /** A stand-in for a machine's worker, as the protocol describes it: heartbeats, leases and agent epochs. */
 final class SimWorker {
     /** What the cloud has said of the machine. */
-    record Facts(String id, MachineType type, String zone, boolean spot) {}
+    record MachineFacts(String id, MachineType type, String zone, boolean spot) {}
 
     /** How often it sends a heartbeat, and how long its tasks outlive the last answer. */
     record Timing(long heartbeatIntervalMicros, long leaseMicros) {}
@@ -62,7 +62,7 @@
             Function<String, JobSpec> jobs,
             Set<TaskId> results,
             SimGangs gangs,
-            Facts facts,
+            MachineFacts facts,
             Timing timing) {
         this.environment = environment;
         this.controllers = controllers;
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -185,7 +185,7 @@
                 users::describedAs,
                 results,
                 gangs,
-                new SimWorker.Facts(id, type, host.zone(), host.spot()),
+                new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
                 new SimWorker.Timing(shape.heartbeatInterval(), shape.lease()));
     }
 
