--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -23,7 +23,7 @@
     private final Predicate<String> failsEverywhere;
     private final Set<TaskId> results;
     private final SimGangs gangs;
-    private final SimRuns runs;
+    private final SimRuns attempts;
     private final Set<String> images = new HashSet<>();
     private boolean changed;
     private boolean faulty;
@@ -48,12 +48,12 @@
         this.failsEverywhere = failsEverywhere;
         this.results = results;
         this.gangs = gangs;
-        this.runs = new SimRuns(worker.type, jobs);
+        this.attempts = new SimRuns(worker.type, jobs);
     }
 
     /** What is on the machine, exited attempts included. */
-    SimRuns runs() {
-        return runs;
+    SimRuns attempts() {
+        return attempts;
     }
 
     /** From now on every task fails here. */
@@ -81,7 +81,7 @@
 
     /** Each task does what is due now. */
     void advance() {
-        for (Run run : runs.all()) {
+        for (Run run : attempts.all()) {
             if (run.member != null) {
                 advanceInGang(run);
             } else if (run.state != TaskState.EXITED && environment.nowMicros() >= run.until) {
@@ -147,7 +147,7 @@
 
     /** All tasks whose jobs fit are over, each for this reason. */
     void end(Predicate<JobSpec> which, ExitCause cause) {
-        runs.live().stream()
+        attempts.live().stream()
                 .filter(run -> which.test(jobs.apply(run.task.job())))
                 .forEach(run -> end(run, cause));
     }
@@ -165,8 +165,8 @@
 
     /** All tasks are gone without a word. */
     void killAll() {
-        runs.all().forEach(this::leave);
-        runs.clear();
+        attempts.all().forEach(this::leave);
+        attempts.clear();
     }
 
     /** A task that is on the machine is so no longer. */
@@ -181,7 +181,7 @@
     }
 
     void execute(WorkerCommand command) {
-        Run run = runs.get(command.task(), command.attempt());
+        Run run = attempts.get(command.task(), command.attempt());
         switch (command.verb()) {
             case START -> {
                 if (run == null) {
@@ -195,7 +195,7 @@
             }
             case CLEAR -> {
                 if (run != null && run.state == TaskState.EXITED) {
-                    runs.remove(run);
+                    attempts.remove(run);
                 }
             }
         }
@@ -205,8 +205,8 @@
         changed = true;
         Run run = new Run(command.task(), command.attempt());
         JobSpec spec = jobs.apply(command.task().job());
-        runs.add(run);
-        ExitCause refusal = runs.refusal(spec, run);
+        attempts.add(run);
+        ExitCause refusal = attempts.refusal(spec, run);
         if (refusal != ExitCause.NONE) {
             run.state = TaskState.EXITED;
             run.cause = refusal;
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -88,7 +88,7 @@
 
     /** What is on the machine, exited attempts included. */
     SimRuns attempts() {
-        return tasks.runs();
+        return tasks.attempts();
     }
 
     /** How many tasks have failed here. */
