--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -27,7 +27,7 @@
     private final Set<String> images = new HashSet<>();
     private boolean changed;
     private boolean faulty;
-    private int failures;
+    private int failedTaskCount;
 
     /**
      * @param results tasks that have their result, on whichever machine
@@ -66,8 +66,8 @@
     }
 
     /** How many tasks have failed here. */
-    int failures() {
-        return failures;
+    int failedTaskCount() {
+        return failedTaskCount;
     }
 
     /** Whether a task has changed its state since {@link #resetChanged}. */
@@ -116,7 +116,7 @@
         long runMicros = runMicros(run, spec);
         run.until = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
         if (fails(run)) {
-            failures++;
+            failedTaskCount++;
             run.until = environment.nowMicros() + FAILS_AFTER;
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -93,7 +93,7 @@
 
     /** How many tasks have failed here. */
     int failedTaskCount() {
-        return tasks.failures();
+        return tasks.failedTaskCount();
     }
 
     boolean isAlive() {
