--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -61,7 +61,7 @@
         faulty = true;
     }
 
-    boolean faulty() {
+    boolean isFaulty() {
         return faulty;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -113,7 +113,7 @@
     boolean canStart(JobSpec spec) {
         return !dead
                 && !hanging
-                && !tasks.faulty()
+                && !tasks.isFaulty()
                 && noticeEnd < 0
                 && attempts().hasCapacityFor(spec, null)
                 && spec.allowsType(type.name())
