--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -71,7 +71,7 @@
     }
 
     /** Whether a task has changed its state since {@link #resetChanged}. */
-    boolean changed() {
+    boolean hasChanged() {
         return changed;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -195,7 +195,7 @@
 
     /** After a change a heartbeat goes out earlier. */
     private boolean heartbeatIsDue() {
-        boolean early = changed || tasks.changed();
+        boolean early = changed || tasks.hasChanged();
         return environment.nowMicros() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
