--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -75,7 +75,7 @@
         return changed;
     }
 
-    void resetChanged() {
+    void clearChanged() {
         changed = false;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -218,7 +218,7 @@
     private void sendHeartbeat() {
         awaitsAnswer = true;
         changed = false;
-        tasks.resetChanged();
+        tasks.clearChanged();
         long sent = environment.nowMicros();
         long sentInEpoch = agentEpoch;
         String node = controllers.names().get(controller);
