--- a/src/test/java/org/granitepath/simulation/SimRuns.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -14,7 +14,7 @@
 import org.granitepath.storage.MachineType;
 
 /** The attempts that a stand-in worker knows, exited ones included, and the capacity that they leave. */
-final class SimRuns {
+final class SimTaskAttempts {
     /** One attempt of a task. */
     static final class Run {
         final TaskId task;
@@ -38,7 +38,7 @@
     private final MachineType type;
     private final Function<String, JobSpec> jobs;
 
-    SimRuns(MachineType type, Function<String, JobSpec> jobs) {
+    SimTaskAttempts(MachineType type, Function<String, JobSpec> jobs) {
         this.type = type;
         this.jobs = jobs;
     }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
-import org.granitepath.simulation.SimRuns.Run;
+import org.granitepath.simulation.SimTaskAttempts.Run;
 import org.granitepath.storage.JobSpec;
 
 /** Runs the tasks of one simulated machine: fetches images, starts, saves and ends tasks, and tells the rules. */
@@ -23,7 +23,7 @@
     private final Predicate<String> failsEverywhere;
     private final Set<TaskId> results;
     private final SimGangs gangs;
-    private final SimRuns attempts;
+    private final SimTaskAttempts attempts;
     private final Set<String> images = new HashSet<>();
     private boolean changed;
     private boolean faulty;
@@ -48,11 +48,11 @@
         this.failsEverywhere = failsEverywhere;
         this.results = results;
         this.gangs = gangs;
-        this.attempts = new SimRuns(worker.type, jobs);
+        this.attempts = new SimTaskAttempts(worker.type, jobs);
     }
 
     /** What is on the machine, exited attempts included. */
-    SimRuns attempts() {
+    SimTaskAttempts attempts() {
         return attempts;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -87,7 +87,7 @@
     }
 
     /** What is on the machine, exited attempts included. */
-    SimRuns attempts() {
+    SimTaskAttempts attempts() {
         return tasks.attempts();
     }
 
