--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -16,7 +16,7 @@
 /** The attempts that a stand-in worker knows, exited ones included, and the capacity that they leave. */
 final class SimTaskAttempts {
     /** One attempt of a task. */
-    static final class Run {
+    static final class TaskAttempt {
         final TaskId task;
         final long attempt;
         TaskState state = TaskState.FETCHING;
@@ -26,7 +26,7 @@
         /** Of a gang, once it has its image. */
         SimGangs.Member member;
 
-        Run(TaskId task, long attempt) {
+        TaskAttempt(TaskId task, long attempt) {
             this.task = task;
             this.attempt = attempt;
         }
@@ -34,7 +34,7 @@
 
     private record Key(TaskId task, long attempt) {}
 
-    private final Map<Key, Run> runs = new LinkedHashMap<>();
+    private final Map<Key, TaskAttempt> runs = new LinkedHashMap<>();
     private final MachineType type;
     private final Function<String, JobSpec> jobs;
 
@@ -44,20 +44,20 @@
     }
 
     /** All attempts, in the order in which they came. */
-    Collection<Run> all() {
+    Collection<TaskAttempt> all() {
         return runs.values();
     }
 
     /** The attempt; null when it is not known here. */
-    Run get(TaskId task, long attempt) {
+    TaskAttempt get(TaskId task, long attempt) {
         return runs.get(new Key(task, attempt));
     }
 
-    void add(Run run) {
+    void add(TaskAttempt run) {
         runs.put(new Key(run.task, run.attempt), run);
     }
 
-    void remove(Run run) {
+    void remove(TaskAttempt run) {
         runs.remove(new Key(run.task, run.attempt));
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** The attempts that have not exited. */
-    List<Run> live() {
+    List<TaskAttempt> live() {
         return runs.values().stream()
                 .filter(run -> run.state != TaskState.EXITED)
                 .toList();
@@ -81,7 +81,7 @@
 
     /** An attempt that no present controller knows of runs here. The rules are not told: nobody may start it. */
     void plant(TaskId task, long attempt) {
-        Run run = new Run(task, attempt);
+        TaskAttempt run = new TaskAttempt(task, attempt);
         run.state = TaskState.RUNNING;
         run.until = Long.MAX_VALUE;
         add(run);
@@ -93,13 +93,13 @@
     }
 
     /** Whether another attempt of the same task is here. */
-    boolean holdsOther(Run run) {
+    boolean holdsOther(TaskAttempt run) {
         return runs.values().stream()
                 .anyMatch(other -> other != run && other.state != TaskState.EXITED && other.task.equals(run.task));
     }
 
     /** Why a start is refused; {@code NONE}: it is not. */
-    ExitCause refusal(JobSpec spec, Run run) {
+    ExitCause refusal(JobSpec spec, TaskAttempt run) {
         if (spec == null || run.task.index() >= spec.tasks()) {
             return ExitCause.UNKNOWN_JOB;
         }
@@ -118,7 +118,7 @@
     }
 
     /** Whether such a task fits beside all that is here, {@code itself} aside. */
-    boolean hasCapacityFor(JobSpec spec, Run itself) {
+    boolean hasCapacityFor(JobSpec spec, TaskAttempt itself) {
         return slots(spec, itself) > 0;
     }
 
@@ -127,10 +127,10 @@
         return slots(spec, null);
     }
 
-    private int slots(JobSpec spec, Run without) {
+    private int slots(JobSpec spec, TaskAttempt without) {
         long cpu = type.cpuMillis();
         long memory = type.memoryMillis();
-        for (Run run : runs.values()) {
+        for (TaskAttempt run : runs.values()) {
             if (run != without && run.state != TaskState.EXITED) {
                 JobSpec other = jobs.apply(run.task.job());
                 cpu -= other.cpuMillis();
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
-import org.granitepath.simulation.SimTaskAttempts.Run;
+import org.granitepath.simulation.SimTaskAttempts.TaskAttempt;
 import org.granitepath.storage.JobSpec;
 
 /** Runs the tasks of one simulated machine: fetches images, starts, saves and ends tasks, and tells the rules. */
@@ -81,7 +81,7 @@
 
     /** Each task does what is due now. */
     void advance() {
-        for (Run run : attempts.all()) {
+        for (TaskAttempt run : attempts.all()) {
             if (run.member != null) {
                 advanceInGang(run);
             } else if (run.state != TaskState.EXITED && environment.nowMicros() >= run.until) {
@@ -90,7 +90,7 @@
         }
     }
 
-    private void advance(Run run) {
+    private void advance(TaskAttempt run) {
         changed = true;
         if (run.state == TaskState.FETCHING) {
             begin(run);
@@ -102,7 +102,7 @@
     }
 
     /** The image is here: the task runs, or waits for the others of its gang. */
-    private void begin(Run run) {
+    private void begin(TaskAttempt run) {
         JobSpec spec = jobs.apply(run.task.job());
         images.add(spec.image());
         rules.recordTaskStarted(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
@@ -122,17 +122,17 @@
     }
 
     /** Half of what was estimated to half as much again; nothing is left to do where the result is there already. */
-    private long runMicros(Run run, JobSpec spec) {
+    private long runMicros(TaskAttempt run, JobSpec spec) {
         return results.contains(run.task)
                 ? 0
                 : spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros());
     }
 
-    private boolean fails(Run run) {
+    private boolean fails(TaskAttempt run) {
         return faulty || failsEverywhere.test(run.task.job());
     }
 
-    private void advanceInGang(Run run) {
+    private void advanceInGang(TaskAttempt run) {
         ExitCause cause = run.member.exit();
         if (cause != null) {
             run.saved = run.member.kept();
@@ -152,7 +152,7 @@
                 .forEach(run -> end(run, cause));
     }
 
-    private void end(Run run, ExitCause cause) {
+    private void end(TaskAttempt run, ExitCause cause) {
         leave(run);
         if (cause == ExitCause.DONE) {
             results.add(run.task);
@@ -170,7 +170,7 @@
     }
 
     /** A task that is on the machine is so no longer. */
-    private void leave(Run run) {
+    private void leave(TaskAttempt run) {
         if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
             rules.recordTaskRemoved(run.task, worker.id);
         }
@@ -181,7 +181,7 @@
     }
 
     void execute(WorkerCommand command) {
-        Run run = attempts.get(command.task(), command.attempt());
+        TaskAttempt run = attempts.get(command.task(), command.attempt());
         switch (command.verb()) {
             case START -> {
                 if (run == null) {
@@ -203,7 +203,7 @@
 
     private void start(WorkerCommand command) {
         changed = true;
-        Run run = new Run(command.task(), command.attempt());
+        TaskAttempt run = new TaskAttempt(command.task(), command.attempt());
         JobSpec spec = jobs.apply(command.task().job());
         attempts.add(run);
         ExitCause refusal = attempts.refusal(spec, run);
@@ -219,7 +219,7 @@
         return images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
     }
 
-    private void stop(Run run, long graceMicros) {
+    private void stop(TaskAttempt run, long graceMicros) {
         JobSpec spec = jobs.apply(run.task.job());
         boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
