--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -18,7 +18,7 @@
     /** One attempt of a task. */
     static final class TaskAttempt {
         final TaskId task;
-        final long attempt;
+        final long number;
         TaskState state = TaskState.FETCHING;
         ExitCause cause = ExitCause.NONE;
         boolean saved;
@@ -28,7 +28,7 @@
 
         TaskAttempt(TaskId task, long attempt) {
             this.task = task;
-            this.attempt = attempt;
+            this.number = attempt;
         }
     }
 
@@ -54,11 +54,11 @@
     }
 
     void add(TaskAttempt run) {
-        runs.put(new Key(run.task, run.attempt), run);
+        runs.put(new Key(run.task, run.number), run);
     }
 
     void remove(TaskAttempt run) {
-        runs.remove(new Key(run.task, run.attempt));
+        runs.remove(new Key(run.task, run.number));
     }
 
     void clear() {
@@ -68,7 +68,7 @@
     /** What a heartbeat tells of them. */
     List<TaskStatus> statuses() {
         return runs.values().stream()
-                .map(run -> new TaskStatus(run.task, run.attempt, run.state, run.cause, run.saved))
+                .map(run -> new TaskStatus(run.task, run.number, run.state, run.cause, run.saved))
                 .toList();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -109,7 +109,7 @@
         if (spec.gang() && !results.contains(run.task) && !fails(run)) {
             run.state = TaskState.WAITING;
             run.until = Long.MAX_VALUE;
-            run.member = gangs.join(spec, run.task, run.attempt, worker::isHanging);
+            run.member = gangs.join(spec, run.task, run.number, worker::isHanging);
             return;
         }
         run.state = TaskState.RUNNING;
