--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -80,8 +80,8 @@
     }
 
     /** An attempt that no present controller knows of runs here. The rules are not told: nobody may start it. */
-    void plant(TaskId task, long attempt) {
-        TaskAttempt run = new TaskAttempt(task, attempt);
+    void plant(TaskId task, long number) {
+        TaskAttempt run = new TaskAttempt(task, number);
         run.state = TaskState.RUNNING;
         run.until = Long.MAX_VALUE;
         add(run);
