--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -96,8 +96,8 @@
             List<SimWorker> all = simulation.cloud.workers();
             all.stream()
                     .filter(worker -> worker.attempts().live().stream()
-                            .anyMatch(run ->
-                                    simulation.users.describedAs(run.task.job()).service()))
+                            .anyMatch(attempt ->
+                                    simulation.users.describedAs(attempt.task.job()).service()))
                     .limit(2)
                     .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
             all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -49,7 +49,7 @@
         TaskId held = planted.held;
         long attempts = simulation.cloud.workers().stream()
                 .flatMap(worker -> worker.attempts().live().stream())
-                .filter(run -> run.task.equals(held))
+                .filter(attempt -> attempt.task.equals(held))
                 .count();
         assertTrue(attempts <= 1, held + " runs " + attempts + " times");
         Map<Verdict, Integer> tasks = simulation.recovery().taskCountsByVerdict();
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -67,7 +67,7 @@
     private static long running(Simulation simulation, JobSpec job) {
         return simulation.cloud.workers().stream()
                 .flatMap(worker -> worker.attempts().live().stream())
-                .filter(run -> run.task.job().equals(job.id()))
+                .filter(attempt -> attempt.task.job().equals(job.id()))
                 .count();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -53,12 +53,12 @@
         return runs.get(new Key(task, attempt));
     }
 
-    void add(TaskAttempt run) {
-        runs.put(new Key(run.task, run.number), run);
+    void add(TaskAttempt attempt) {
+        runs.put(new Key(attempt.task, attempt.number), attempt);
     }
 
-    void remove(TaskAttempt run) {
-        runs.remove(new Key(run.task, run.number));
+    void remove(TaskAttempt attempt) {
+        runs.remove(new Key(attempt.task, attempt.number));
     }
 
     void clear() {
@@ -68,52 +68,52 @@
     /** What a heartbeat tells of them. */
     List<TaskStatus> statuses() {
         return runs.values().stream()
-                .map(run -> new TaskStatus(run.task, run.number, run.state, run.cause, run.saved))
+                .map(attempt -> new TaskStatus(attempt.task, attempt.number, attempt.state, attempt.cause, attempt.saved))
                 .toList();
     }
 
     /** The attempts that have not exited. */
     List<TaskAttempt> live() {
         return runs.values().stream()
-                .filter(run -> run.state != TaskState.EXITED)
+                .filter(attempt -> attempt.state != TaskState.EXITED)
                 .toList();
     }
 
     /** An attempt that no present controller knows of runs here. The rules are not told: nobody may start it. */
     void plant(TaskId task, long number) {
-        TaskAttempt run = new TaskAttempt(task, number);
-        run.state = TaskState.RUNNING;
-        run.until = Long.MAX_VALUE;
-        add(run);
+        TaskAttempt attempt = new TaskAttempt(task, number);
+        attempt.state = TaskState.RUNNING;
+        attempt.until = Long.MAX_VALUE;
+        add(attempt);
     }
 
     /** Whether any task runs. */
     boolean busy() {
-        return runs.values().stream().anyMatch(run -> run.state == TaskState.RUNNING);
+        return runs.values().stream().anyMatch(attempt -> attempt.state == TaskState.RUNNING);
     }
 
     /** Whether another attempt of the same task is here. */
-    boolean holdsOther(TaskAttempt run) {
+    boolean holdsOther(TaskAttempt attempt) {
         return runs.values().stream()
-                .anyMatch(other -> other != run && other.state != TaskState.EXITED && other.task.equals(run.task));
+                .anyMatch(other -> other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
     }
 
     /** Why a start is refused; {@code NONE}: it is not. */
-    ExitCause refusal(JobSpec spec, TaskAttempt run) {
-        if (spec == null || run.task.index() >= spec.tasks()) {
+    ExitCause refusal(JobSpec spec, TaskAttempt attempt) {
+        if (spec == null || attempt.task.index() >= spec.tasks()) {
             return ExitCause.UNKNOWN_JOB;
         }
-        return holdsOther(run)
+        return holdsOther(attempt)
                 ? ExitCause.BUSY
-                : hasCapacityFor(spec, run) ? ExitCause.NONE : ExitCause.INSUFFICIENT_CAPACITY;
+                : hasCapacityFor(spec, attempt) ? ExitCause.NONE : ExitCause.INSUFFICIENT_CAPACITY;
     }
 
     /** Tasks that are here or on their way, by job. */
     Map<String, Integer> held() {
         Map<String, Integer> held = new HashMap<>();
         runs.values().stream()
-                .filter(run -> run.state != TaskState.EXITED)
-                .forEach(run -> held.merge(run.task.job(), 1, Integer::sum));
+                .filter(attempt -> attempt.state != TaskState.EXITED)
+                .forEach(attempt -> held.merge(attempt.task.job(), 1, Integer::sum));
         return held;
     }
 
@@ -130,9 +130,9 @@
     private int slots(JobSpec spec, TaskAttempt without) {
         long cpu = type.cpuMillis();
         long memory = type.memoryMillis();
-        for (TaskAttempt run : runs.values()) {
-            if (run != without && run.state != TaskState.EXITED) {
-                JobSpec other = jobs.apply(run.task.job());
+        for (TaskAttempt attempt : runs.values()) {
+            if (attempt != without && attempt.state != TaskState.EXITED) {
+                JobSpec other = jobs.apply(attempt.task.job());
                 cpu -= other.cpuMillis();
                 memory -= other.memoryMillis();
             }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -81,85 +81,85 @@
 
     /** Each task does what is due now. */
     void advance() {
-        for (TaskAttempt run : attempts.all()) {
-            if (run.member != null) {
-                advanceInGang(run);
-            } else if (run.state != TaskState.EXITED && environment.nowMicros() >= run.until) {
-                advance(run);
+        for (TaskAttempt attempt : attempts.all()) {
+            if (attempt.member != null) {
+                advanceInGang(attempt);
+            } else if (attempt.state != TaskState.EXITED && environment.nowMicros() >= attempt.until) {
+                advance(attempt);
             }
         }
     }
 
-    private void advance(TaskAttempt run) {
+    private void advance(TaskAttempt attempt) {
         changed = true;
-        if (run.state == TaskState.FETCHING) {
-            begin(run);
+        if (attempt.state == TaskState.FETCHING) {
+            begin(attempt);
             return;
         }
-        boolean saving = run.state == TaskState.SAVING;
-        end(run, saving ? ExitCause.STOPPED : fails(run) ? ExitCause.FAILED : ExitCause.DONE);
-        run.saved = saving;
+        boolean saving = attempt.state == TaskState.SAVING;
+        end(attempt, saving ? ExitCause.STOPPED : fails(attempt) ? ExitCause.FAILED : ExitCause.DONE);
+        attempt.saved = saving;
     }
 
     /** The image is here: the task runs, or waits for the others of its gang. */
-    private void begin(TaskAttempt run) {
-        JobSpec spec = jobs.apply(run.task.job());
+    private void begin(TaskAttempt attempt) {
+        JobSpec spec = jobs.apply(attempt.task.job());
         images.add(spec.image());
-        rules.recordTaskStarted(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
-        if (spec.gang() && !results.contains(run.task) && !fails(run)) {
-            run.state = TaskState.WAITING;
-            run.until = Long.MAX_VALUE;
-            run.member = gangs.join(spec, run.task, run.number, worker::isHanging);
+        rules.recordTaskStarted(attempt.task, worker.id, worker.type.name(), worker.zone, worker.spot);
+        if (spec.gang() && !results.contains(attempt.task) && !fails(attempt)) {
+            attempt.state = TaskState.WAITING;
+            attempt.until = Long.MAX_VALUE;
+            attempt.member = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
             return;
         }
-        run.state = TaskState.RUNNING;
-        long runMicros = runMicros(run, spec);
-        run.until = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
-        if (fails(run)) {
+        attempt.state = TaskState.RUNNING;
+        long runMicros = runMicros(attempt, spec);
+        attempt.until = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
+        if (fails(attempt)) {
             failedTaskCount++;
-            run.until = environment.nowMicros() + FAILS_AFTER;
+            attempt.until = environment.nowMicros() + FAILS_AFTER;
         }
     }
 
     /** Half of what was estimated to half as much again; nothing is left to do where the result is there already. */
-    private long runMicros(TaskAttempt run, JobSpec spec) {
-        return results.contains(run.task)
+    private long runMicros(TaskAttempt attempt, JobSpec spec) {
+        return results.contains(attempt.task)
                 ? 0
                 : spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros());
     }
 
-    private boolean fails(TaskAttempt run) {
-        return faulty || failsEverywhere.test(run.task.job());
+    private boolean fails(TaskAttempt attempt) {
+        return faulty || failsEverywhere.test(attempt.task.job());
     }
 
-    private void advanceInGang(TaskAttempt run) {
-        ExitCause cause = run.member.exit();
+    private void advanceInGang(TaskAttempt attempt) {
+        ExitCause cause = attempt.member.exit();
         if (cause != null) {
-            run.saved = run.member.kept();
-            end(run, cause);
+            attempt.saved = attempt.member.kept();
+            end(attempt, cause);
             return;
         }
         TaskState state =
-                run.member.saves() ? TaskState.SAVING : run.member.running() ? TaskState.RUNNING : TaskState.WAITING;
-        changed |= state != run.state;
-        run.state = state;
+                attempt.member.saves() ? TaskState.SAVING : attempt.member.running() ? TaskState.RUNNING : TaskState.WAITING;
+        changed |= state != attempt.state;
+        attempt.state = state;
     }
 
     /** All tasks whose jobs fit are over, each for this reason. */
     void end(Predicate<JobSpec> which, ExitCause cause) {
         attempts.live().stream()
-                .filter(run -> which.test(jobs.apply(run.task.job())))
-                .forEach(run -> end(run, cause));
+                .filter(attempt -> which.test(jobs.apply(attempt.task.job())))
+                .forEach(attempt -> end(attempt, cause));
     }
 
-    private void end(TaskAttempt run, ExitCause cause) {
-        leave(run);
+    private void end(TaskAttempt attempt, ExitCause cause) {
+        leave(attempt);
         if (cause == ExitCause.DONE) {
-            results.add(run.task);
-            rules.recordTaskCompleted(run.task);
+            results.add(attempt.task);
+            rules.recordTaskCompleted(attempt.task);
         }
-        run.state = TaskState.EXITED;
-        run.cause = cause;
+        attempt.state = TaskState.EXITED;
+        attempt.cause = cause;
         changed = true;
     }
 
@@ -170,32 +170,32 @@
     }
 
     /** A task that is on the machine is so no longer. */
-    private void leave(TaskAttempt run) {
-        if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
-            rules.recordTaskRemoved(run.task, worker.id);
+    private void leave(TaskAttempt attempt) {
+        if (attempt.state == TaskState.WAITING || attempt.state == TaskState.RUNNING || attempt.state == TaskState.SAVING) {
+            rules.recordTaskRemoved(attempt.task, worker.id);
         }
-        if (run.member != null) {
-            run.member.leave();
-            run.member = null;
+        if (attempt.member != null) {
+            attempt.member.leave();
+            attempt.member = null;
         }
     }
 
     void execute(WorkerCommand command) {
-        TaskAttempt run = attempts.get(command.task(), command.attempt());
+        TaskAttempt attempt = attempts.get(command.task(), command.attempt());
         switch (command.verb()) {
             case START -> {
-                if (run == null) {
+                if (attempt == null) {
                     start(command);
                 }
             }
             case STOP -> {
-                if (run != null && run.state != TaskState.EXITED) {
-                    stop(run, command.graceMicros());
+                if (attempt != null && attempt.state != TaskState.EXITED) {
+                    stop(attempt, command.graceMicros());
                 }
             }
             case CLEAR -> {
-                if (run != null && run.state == TaskState.EXITED) {
-                    attempts.remove(run);
+                if (attempt != null && attempt.state == TaskState.EXITED) {
+                    attempts.remove(attempt);
                 }
             }
         }
@@ -203,36 +203,36 @@
 
     private void start(WorkerCommand command) {
         changed = true;
-        TaskAttempt run = new TaskAttempt(command.task(), command.attempt());
+        TaskAttempt attempt = new TaskAttempt(command.task(), command.attempt());
         JobSpec spec = jobs.apply(command.task().job());
-        attempts.add(run);
-        ExitCause refusal = attempts.refusal(spec, run);
+        attempts.add(attempt);
+        ExitCause refusal = attempts.refusal(spec, attempt);
         if (refusal != ExitCause.NONE) {
-            run.state = TaskState.EXITED;
-            run.cause = refusal;
+            attempt.state = TaskState.EXITED;
+            attempt.cause = refusal;
             return;
         }
-        run.until = environment.nowMicros() + fetchMicros(spec);
+        attempt.until = environment.nowMicros() + fetchMicros(spec);
     }
 
     private long fetchMicros(JobSpec spec) {
         return images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
     }
 
-    private void stop(TaskAttempt run, long graceMicros) {
-        JobSpec spec = jobs.apply(run.task.job());
-        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
+    private void stop(TaskAttempt attempt, long graceMicros) {
+        JobSpec spec = jobs.apply(attempt.task.job());
+        boolean savesInGang = attempt.member != null && attempt.member.running() && spec.checkpointMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
-            run.member.stop();
+            attempt.member.stop();
             changed = true;
             return;
         }
-        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
-            run.state = TaskState.SAVING;
-            run.until = environment.nowMicros() + spec.saveMicros();
+        if (attempt.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
+            attempt.state = TaskState.SAVING;
+            attempt.until = environment.nowMicros() + spec.saveMicros();
             changed = true;
-        } else if (run.state != TaskState.SAVING || graceMicros == 0) {
-            end(run, ExitCause.STOPPED);
+        } else if (attempt.state != TaskState.SAVING || graceMicros == 0) {
+            end(attempt, ExitCause.STOPPED);
         }
     }
 }
