--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -22,7 +22,7 @@
         TaskState state = TaskState.FETCHING;
         ExitCause cause = ExitCause.NONE;
         boolean saved;
-        long until;
+        long stateEndMicros;
         /** Of a gang, once it has its image. */
         SimGangs.Member member;
 
@@ -83,7 +83,7 @@
     void plant(TaskId task, long number) {
         TaskAttempt attempt = new TaskAttempt(task, number);
         attempt.state = TaskState.RUNNING;
-        attempt.until = Long.MAX_VALUE;
+        attempt.stateEndMicros = Long.MAX_VALUE;
         add(attempt);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -84,7 +84,7 @@
         for (TaskAttempt attempt : attempts.all()) {
             if (attempt.member != null) {
                 advanceInGang(attempt);
-            } else if (attempt.state != TaskState.EXITED && environment.nowMicros() >= attempt.until) {
+            } else if (attempt.state != TaskState.EXITED && environment.nowMicros() >= attempt.stateEndMicros) {
                 advance(attempt);
             }
         }
@@ -108,16 +108,16 @@
         rules.recordTaskStarted(attempt.task, worker.id, worker.type.name(), worker.zone, worker.spot);
         if (spec.gang() && !results.contains(attempt.task) && !fails(attempt)) {
             attempt.state = TaskState.WAITING;
-            attempt.until = Long.MAX_VALUE;
+            attempt.stateEndMicros = Long.MAX_VALUE;
             attempt.member = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
             return;
         }
         attempt.state = TaskState.RUNNING;
         long runMicros = runMicros(attempt, spec);
-        attempt.until = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
+        attempt.stateEndMicros = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
         if (fails(attempt)) {
             failedTaskCount++;
-            attempt.until = environment.nowMicros() + FAILS_AFTER;
+            attempt.stateEndMicros = environment.nowMicros() + FAILS_AFTER;
         }
     }
 
@@ -212,7 +212,7 @@
             attempt.cause = refusal;
             return;
         }
-        attempt.until = environment.nowMicros() + fetchMicros(spec);
+        attempt.stateEndMicros = environment.nowMicros() + fetchMicros(spec);
     }
 
     private long fetchMicros(JobSpec spec) {
@@ -229,7 +229,7 @@
         }
         if (attempt.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
             attempt.state = TaskState.SAVING;
-            attempt.until = environment.nowMicros() + spec.saveMicros();
+            attempt.stateEndMicros = environment.nowMicros() + spec.saveMicros();
             changed = true;
         } else if (attempt.state != TaskState.SAVING || graceMicros == 0) {
             end(attempt, ExitCause.STOPPED);
