--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -21,7 +21,7 @@
         final long number;
         TaskState state = TaskState.FETCHING;
         ExitCause cause = ExitCause.NONE;
-        boolean saved;
+        boolean progressSaved;
         long stateEndMicros;
         /** Of a gang, once it has its image. */
         SimGangs.Member member;
@@ -68,7 +68,7 @@
     /** What a heartbeat tells of them. */
     List<TaskStatus> statuses() {
         return runs.values().stream()
-                .map(attempt -> new TaskStatus(attempt.task, attempt.number, attempt.state, attempt.cause, attempt.saved))
+                .map(attempt -> new TaskStatus(attempt.task, attempt.number, attempt.state, attempt.cause, attempt.progressSaved))
                 .toList();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -98,7 +98,7 @@
         }
         boolean saving = attempt.state == TaskState.SAVING;
         end(attempt, saving ? ExitCause.STOPPED : fails(attempt) ? ExitCause.FAILED : ExitCause.DONE);
-        attempt.saved = saving;
+        attempt.progressSaved = saving;
     }
 
     /** The image is here: the task runs, or waits for the others of its gang. */
@@ -135,7 +135,7 @@
     private void advanceInGang(TaskAttempt attempt) {
         ExitCause cause = attempt.member.exit();
         if (cause != null) {
-            attempt.saved = attempt.member.kept();
+            attempt.progressSaved = attempt.member.kept();
             end(attempt, cause);
             return;
         }
