--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -24,7 +24,7 @@
         boolean progressSaved;
         long stateEndMicros;
         /** Of a gang, once it has its image. */
-        SimGangs.Member member;
+        SimGangs.Member gangMember;
 
         TaskAttempt(TaskId task, long attempt) {
             this.task = task;
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -82,7 +82,7 @@
     /** Each task does what is due now. */
     void advance() {
         for (TaskAttempt attempt : attempts.all()) {
-            if (attempt.member != null) {
+            if (attempt.gangMember != null) {
                 advanceInGang(attempt);
             } else if (attempt.state != TaskState.EXITED && environment.nowMicros() >= attempt.stateEndMicros) {
                 advance(attempt);
@@ -109,7 +109,7 @@
         if (spec.gang() && !results.contains(attempt.task) && !fails(attempt)) {
             attempt.state = TaskState.WAITING;
             attempt.stateEndMicros = Long.MAX_VALUE;
-            attempt.member = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
+            attempt.gangMember = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
             return;
         }
         attempt.state = TaskState.RUNNING;
@@ -133,14 +133,14 @@
     }
 
     private void advanceInGang(TaskAttempt attempt) {
-        ExitCause cause = attempt.member.exit();
+        ExitCause cause = attempt.gangMember.exit();
         if (cause != null) {
-            attempt.progressSaved = attempt.member.kept();
+            attempt.progressSaved = attempt.gangMember.kept();
             end(attempt, cause);
             return;
         }
         TaskState state =
-                attempt.member.saves() ? TaskState.SAVING : attempt.member.running() ? TaskState.RUNNING : TaskState.WAITING;
+                attempt.gangMember.saves() ? TaskState.SAVING : attempt.gangMember.running() ? TaskState.RUNNING : TaskState.WAITING;
         changed |= state != attempt.state;
         attempt.state = state;
     }
@@ -174,9 +174,9 @@
         if (attempt.state == TaskState.WAITING || attempt.state == TaskState.RUNNING || attempt.state == TaskState.SAVING) {
             rules.recordTaskRemoved(attempt.task, worker.id);
         }
-        if (attempt.member != null) {
-            attempt.member.leave();
-            attempt.member = null;
+        if (attempt.gangMember != null) {
+            attempt.gangMember.leave();
+            attempt.gangMember = null;
         }
     }
 
@@ -221,9 +221,9 @@
 
     private void stop(TaskAttempt attempt, long graceMicros) {
         JobSpec spec = jobs.apply(attempt.task.job());
-        boolean savesInGang = attempt.member != null && attempt.member.running() && spec.checkpointMicros() > 0;
+        boolean savesInGang = attempt.gangMember != null && attempt.gangMember.running() && spec.checkpointMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
-            attempt.member.stop();
+            attempt.gangMember.stop();
             changed = true;
             return;
         }
