--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -34,7 +34,7 @@
 
     private record Key(TaskId task, long attempt) {}
 
-    private final Map<Key, TaskAttempt> runs = new LinkedHashMap<>();
+    private final Map<Key, TaskAttempt> attempts = new LinkedHashMap<>();
     private final MachineType type;
     private final Function<String, JobSpec> jobs;
 
@@ -45,36 +45,36 @@
 
     /** All attempts, in the order in which they came. */
     Collection<TaskAttempt> all() {
-        return runs.values();
+        return attempts.values();
     }
 
     /** The attempt; null when it is not known here. */
     TaskAttempt get(TaskId task, long attempt) {
-        return runs.get(new Key(task, attempt));
+        return attempts.get(new Key(task, attempt));
     }
 
     void add(TaskAttempt attempt) {
-        runs.put(new Key(attempt.task, attempt.number), attempt);
+        attempts.put(new Key(attempt.task, attempt.number), attempt);
     }
 
     void remove(TaskAttempt attempt) {
-        runs.remove(new Key(attempt.task, attempt.number));
+        attempts.remove(new Key(attempt.task, attempt.number));
     }
 
     void clear() {
-        runs.clear();
+        attempts.clear();
     }
 
     /** What a heartbeat tells of them. */
     List<TaskStatus> statuses() {
-        return runs.values().stream()
+        return attempts.values().stream()
                 .map(attempt -> new TaskStatus(attempt.task, attempt.number, attempt.state, attempt.cause, attempt.progressSaved))
                 .toList();
     }
 
     /** The attempts that have not exited. */
     List<TaskAttempt> live() {
-        return runs.values().stream()
+        return attempts.values().stream()
                 .filter(attempt -> attempt.state != TaskState.EXITED)
                 .toList();
     }
@@ -89,12 +89,12 @@
 
     /** Whether any task runs. */
     boolean busy() {
-        return runs.values().stream().anyMatch(attempt -> attempt.state == TaskState.RUNNING);
+        return attempts.values().stream().anyMatch(attempt -> attempt.state == TaskState.RUNNING);
     }
 
     /** Whether another attempt of the same task is here. */
     boolean holdsOther(TaskAttempt attempt) {
-        return runs.values().stream()
+        return attempts.values().stream()
                 .anyMatch(other -> other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
     }
 
@@ -111,7 +111,7 @@
     /** Tasks that are here or on their way, by job. */
     Map<String, Integer> held() {
         Map<String, Integer> held = new HashMap<>();
-        runs.values().stream()
+        attempts.values().stream()
                 .filter(attempt -> attempt.state != TaskState.EXITED)
                 .forEach(attempt -> held.merge(attempt.task.job(), 1, Integer::sum));
         return held;
@@ -130,7 +130,7 @@
     private int slots(JobSpec spec, TaskAttempt without) {
         long cpu = type.cpuMillis();
         long memory = type.memoryMillis();
-        for (TaskAttempt attempt : runs.values()) {
+        for (TaskAttempt attempt : attempts.values()) {
             if (attempt != without && attempt.state != TaskState.EXITED) {
                 JobSpec other = jobs.apply(attempt.task.job());
                 cpu -= other.cpuMillis();
