--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -95,7 +95,7 @@
             restart(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             all.stream()
-                    .filter(worker -> worker.attempts().live().stream()
+                    .filter(worker -> worker.attempts().active().stream()
                             .anyMatch(attempt ->
                                     simulation.users.describedAs(attempt.task.job()).service()))
                     .limit(2)
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -48,7 +48,7 @@
         }
         TaskId held = planted.held;
         long attempts = simulation.cloud.workers().stream()
-                .flatMap(worker -> worker.attempts().live().stream())
+                .flatMap(worker -> worker.attempts().active().stream())
                 .filter(attempt -> attempt.task.equals(held))
                 .count();
         assertTrue(attempts <= 1, held + " runs " + attempts + " times");
@@ -67,7 +67,7 @@
                 .filter(worker -> worker.attempts().busy())
                 .toList();
         SimWorker busy = atWork.get(0);
-        TaskId held = busy.attempts().live().get(0).task;
+        TaskId held = busy.attempts().active().get(0).task;
         SimWorker other = atWork.get(1);
         List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
         forbidden.add(new TaskId(held.job(), 99));
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -66,7 +66,7 @@
 
     private static long running(Simulation simulation, JobSpec job) {
         return simulation.cloud.workers().stream()
-                .flatMap(worker -> worker.attempts().live().stream())
+                .flatMap(worker -> worker.attempts().active().stream())
                 .filter(attempt -> attempt.task.job().equals(job.id()))
                 .count();
     }
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -73,7 +73,7 @@
     }
 
     /** The attempts that have not exited. */
-    List<TaskAttempt> live() {
+    List<TaskAttempt> active() {
         return attempts.values().stream()
                 .filter(attempt -> attempt.state != TaskState.EXITED)
                 .toList();
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -147,7 +147,7 @@
 
     /** All tasks whose jobs fit are over, each for this reason. */
     void end(Predicate<JobSpec> which, ExitCause cause) {
-        attempts.live().stream()
+        attempts.active().stream()
                 .filter(attempt -> which.test(jobs.apply(attempt.task.job())))
                 .forEach(attempt -> end(attempt, cause));
     }
