--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -71,9 +71,9 @@
         SimWorker other = atWork.get(1);
         List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
         forbidden.add(new TaskId(held.job(), 99));
-        forbidden.forEach(task -> other.attempts().plant(task, 3));
-        other.attempts().plant(held, 3);
-        busy.attempts().plant(held, 5);
+        forbidden.forEach(task -> other.attempts().addUnknown(task, 3));
+        other.attempts().addUnknown(held, 3);
+        busy.attempts().addUnknown(held, 5);
         return new Planted(other, forbidden, held);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -80,7 +80,7 @@
     }
 
     /** An attempt that no present controller knows of runs here. The rules are not told: nobody may start it. */
-    void plant(TaskId task, long number) {
+    void addUnknown(TaskId task, long number) {
         TaskAttempt attempt = new TaskAttempt(task, number);
         attempt.state = TaskState.RUNNING;
         attempt.stateEndMicros = Long.MAX_VALUE;
