--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -98,7 +98,7 @@
             simulation.after((35 + 4 * i) * SECOND, () -> {
                 SimWorker worker = simulation.anyWorker();
                 if (worker != null) {
-                    lostAtWork.addAndGet(worker.attempts().busy() ? 1 : 0);
+                    lostAtWork.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
                     worker.die();
                 }
             });
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -52,7 +52,7 @@
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream()
-                        .filter(worker -> worker.attempts().busy())
+                        .filter(worker -> worker.attempts().hasRunningTask())
                         .limit(6)
                         .forEach(worker -> {
                             muted.incrementAndGet();
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -64,7 +64,7 @@
     /** Plants these tasks, one beyond the end of a job, and one that another machine holds, under two attempts. */
     private static Planted plant(Simulation simulation, TaskId... tasks) {
         List<SimWorker> atWork = simulation.cloud.workers().stream()
-                .filter(worker -> worker.attempts().busy())
+                .filter(worker -> worker.attempts().hasRunningTask())
                 .toList();
         SimWorker busy = atWork.get(0);
         TaskId held = busy.attempts().active().get(0).task;
@@ -141,7 +141,7 @@
                 simulation.faults.cutZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND);
             } else {
                 simulation.cloud.workers().stream()
-                        .filter(worker -> worker.attempts().busy())
+                        .filter(worker -> worker.attempts().hasRunningTask())
                         .findFirst()
                         .ifPresent(SimWorker::die);
             }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -151,7 +151,7 @@
     private void remove(String id) {
         Host host = hosts.remove(id);
         if (host != null && host.worker != null) {
-            if (host.worker.isAlive() && host.worker.attempts().busy()) {
+            if (host.worker.isAlive() && host.worker.attempts().hasRunningTask()) {
                 terminatedWhileBusy.add(id);
             }
             host.worker.die();
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -88,7 +88,7 @@
     }
 
     /** Whether any task runs. */
-    boolean busy() {
+    boolean hasRunningTask() {
         return attempts.values().stream().anyMatch(attempt -> attempt.state == TaskState.RUNNING);
     }
 
