--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -93,7 +93,7 @@
     }
 
     /** Whether another attempt of the same task is here. */
-    boolean holdsOther(TaskAttempt attempt) {
+    boolean hasOtherAttempt(TaskAttempt attempt) {
         return attempts.values().stream()
                 .anyMatch(other -> other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
     }
@@ -103,7 +103,7 @@
         if (spec == null || attempt.task.index() >= spec.tasks()) {
             return ExitCause.UNKNOWN_JOB;
         }
-        return holdsOther(attempt)
+        return hasOtherAttempt(attempt)
                 ? ExitCause.BUSY
                 : hasCapacityFor(spec, attempt) ? ExitCause.NONE : ExitCause.INSUFFICIENT_CAPACITY;
     }
