--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -99,7 +99,7 @@
     }
 
     /** Why a start is refused; {@code NONE}: it is not. */
-    ExitCause refusal(JobSpec spec, TaskAttempt attempt) {
+    ExitCause refusalCause(JobSpec spec, TaskAttempt attempt) {
         if (spec == null || attempt.task.index() >= spec.tasks()) {
             return ExitCause.UNKNOWN_JOB;
         }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -206,7 +206,7 @@
         TaskAttempt attempt = new TaskAttempt(command.task(), command.attempt());
         JobSpec spec = jobs.apply(command.task().job());
         attempts.add(attempt);
-        ExitCause refusal = attempts.refusal(spec, attempt);
+        ExitCause refusal = attempts.refusalCause(spec, attempt);
         if (refusal != ExitCause.NONE) {
             attempt.state = TaskState.EXITED;
             attempt.cause = refusal;
