--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -62,13 +62,13 @@
     /** The machines that hold tasks of the gang, on their way or at work. */
     List<SimWorker> holders() {
         return simulation.cloud.workers().stream()
-                .filter(worker -> worker.attempts().held().containsKey(spec.id()))
+                .filter(worker -> worker.attempts().taskCountsByJob().containsKey(spec.id()))
                 .toList();
     }
 
     int tasksHeld() {
         return holders().stream()
-                .mapToInt(worker -> worker.attempts().held().get(spec.id()))
+                .mapToInt(worker -> worker.attempts().taskCountsByJob().get(spec.id()))
                 .sum();
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -109,7 +109,7 @@
     }
 
     /** Tasks that are here or on their way, by job. */
-    Map<String, Integer> held() {
+    Map<String, Integer> taskCountsByJob() {
         Map<String, Integer> held = new HashMap<>();
         attempts.values().stream()
                 .filter(attempt -> attempt.state != TaskState.EXITED)
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -78,7 +78,7 @@
     private HeldTasks heldBy(Collection<SimWorker> machines) {
         HeldTasks held = new HeldTasks();
         for (SimWorker machine : machines) {
-            machine.attempts().held().forEach((job, count) -> held.add(jobs.spec(job), machine.zone, count));
+            machine.attempts().taskCountsByJob().forEach((job, count) -> held.add(jobs.spec(job), machine.zone, count));
         }
         return held;
     }
