--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -11,7 +11,7 @@
 /** What the tasks of gangs know of each other, and how far each gang's work has come. Checkpoints outlive machines. */
 final class SimGangs {
     /** How long a task waits for the others. */
-    static final long START_TIMEOUT = 12_000_000;
+    static final long START_TIMEOUT_MICROS = 12_000_000;
     /** Within this time the tasks notice that one of them is gone. */
     static final long PEER_LOSS_NOTICED = 3_000_000;
 
@@ -141,7 +141,7 @@
                 return;
             }
             for (Member member : members.values()) {
-                if (member.cause == null && environment.nowMicros() - member.since > START_TIMEOUT) {
+                if (member.cause == null && environment.nowMicros() - member.since > START_TIMEOUT_MICROS) {
                     member.cause = ExitCause.INCOMPLETE;
                     incomplete++;
                 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -153,7 +153,7 @@
                         shape.heartbeatInterval(),
                         shape.lease(),
                         shape.cancel(),
-                        SimGangs.START_TIMEOUT,
+                        SimGangs.START_TIMEOUT_MICROS,
                         SimGangs.PEER_LOSS_NOTICED),
                 new PlatformLimits(
                         shape.limits().requests(),
