--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -13,7 +13,7 @@
     /** How long a task waits for the others. */
     static final long START_TIMEOUT_MICROS = 12_000_000;
     /** Within this time the tasks notice that one of them is gone. */
-    static final long PEER_LOSS_NOTICED = 3_000_000;
+    static final long PEER_LOSS_DETECTION_MICROS = 3_000_000;
 
     private final SimEnvironment environment;
     private final Rules rules;
@@ -175,7 +175,7 @@
                     keep(progress() / interval * interval);
                 }
                 frozenProgress = progress();
-                noticedAt = environment.nowMicros() + environment.random.nextInt((int) PEER_LOSS_NOTICED);
+                noticedAt = environment.nowMicros() + environment.random.nextInt((int) PEER_LOSS_DETECTION_MICROS);
             }
             if (environment.nowMicros() >= noticedAt) {
                 end(ExitCause.PEER_GONE, false);
@@ -192,10 +192,10 @@
                 keep(progress());
                 savedInOrder++;
                 end(ExitCause.STOPPED, true);
-            } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_NOTICED
+            } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_DETECTION_MICROS
                     && members.values().stream()
                             .anyMatch(member ->
-                                    !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_NOTICED)) {
+                                    !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_DETECTION_MICROS)) {
                 noticeLoss();
             }
         }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -154,7 +154,7 @@
                         shape.lease(),
                         shape.cancel(),
                         SimGangs.START_TIMEOUT_MICROS,
-                        SimGangs.PEER_LOSS_NOTICED),
+                        SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
                         shape.limits().requests(),
                         upgraded.contains(name) ? limits.strictest(nextLimits) : limits,
