--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -30,7 +30,7 @@
         simulation.run(200 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(12, simulation.gangs.started(), "each gang starts once");
+        assertEquals(12, simulation.gangs.startedAttemptCount(), "each gang starts once");
         assertEquals(0, simulation.gangs.incomplete(), "tasks that waited in vain");
     }
 
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -24,7 +24,7 @@
     /** How long each job runs in all. */
     private final Map<String, Long> totals = new HashMap<>();
 
-    private int started;
+    private int startedAttemptCount;
     private int savedInOrder;
     private int incomplete;
 
@@ -35,8 +35,8 @@
     }
 
     /** How many attempts have started. */
-    int started() {
-        return started;
+    int startedAttemptCount() {
+        return startedAttemptCount;
     }
 
     /** How many attempts ended by a stop for which all tasks saved their progress. */
@@ -135,7 +135,7 @@
                             .noneMatch(member -> member.hangs.getAsBoolean() || member.cause != null);
             if (whole) {
                 phase = Phase.RUNNING;
-                started++;
+                startedAttemptCount++;
                 startedAt = environment.nowMicros();
                 progressAtStart = saved.getOrDefault(spec.id(), 0L);
                 return;
