--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -92,7 +92,7 @@
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(1, simulation.gangs.savedInOrder(), "its progress was not saved");
+        assertEquals(1, simulation.gangs.savedAttemptCount(), "its progress was not saved");
     }
 
     /** Whatever the gang does when the leader ends, the next leader carries the same attempt on. */
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -25,7 +25,7 @@
     private final Map<String, Long> totals = new HashMap<>();
 
     private int startedAttemptCount;
-    private int savedInOrder;
+    private int savedAttemptCount;
     private int incomplete;
 
     SimGangs(SimEnvironment environment, Rules rules, Set<TaskId> results) {
@@ -40,8 +40,8 @@
     }
 
     /** How many attempts ended by a stop for which all tasks saved their progress. */
-    int savedInOrder() {
-        return savedInOrder;
+    int savedAttemptCount() {
+        return savedAttemptCount;
     }
 
     /** How many tasks waited for the others in vain. */
@@ -190,7 +190,7 @@
                 noticeLoss();
             } else if (saves == spec.tasks()) {
                 keep(progress());
-                savedInOrder++;
+                savedAttemptCount++;
                 end(ExitCause.STOPPED, true);
             } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_DETECTION_MICROS
                     && members.values().stream()
