--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -31,7 +31,7 @@
 
         assertRulesAndAllDone(simulation);
         assertEquals(12, simulation.gangs.startedAttemptCount(), "each gang starts once");
-        assertEquals(0, simulation.gangs.incomplete(), "tasks that waited in vain");
+        assertEquals(0, simulation.gangs.startTimeoutCount(), "tasks that waited in vain");
     }
 
     /** Its machine dies while it fetches its image: the others wait, and another task joins them. */
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -26,7 +26,7 @@
 
     private int startedAttemptCount;
     private int savedAttemptCount;
-    private int incomplete;
+    private int startTimeoutCount;
 
     SimGangs(SimEnvironment environment, Rules rules, Set<TaskId> results) {
         this.environment = environment;
@@ -45,8 +45,8 @@
     }
 
     /** How many tasks waited for the others in vain. */
-    int incomplete() {
-        return incomplete;
+    int startTimeoutCount() {
+        return startTimeoutCount;
     }
 
     /** A task of a gang that has its image, on its machine. */
@@ -143,7 +143,7 @@
             for (Member member : members.values()) {
                 if (member.cause == null && environment.nowMicros() - member.since > START_TIMEOUT_MICROS) {
                     member.cause = ExitCause.INCOMPLETE;
-                    incomplete++;
+                    startTimeoutCount++;
                 }
             }
         }
