--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -74,7 +74,7 @@
 
     /** How many attempts there have been. */
     long attempts() {
-        return simulation.gangs.attemptsOf(spec.id());
+        return simulation.gangs.attemptCount(spec.id());
     }
 
     void runFor(long micros) {
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -246,7 +246,7 @@
     }
 
     /** How many attempts of a job there have been. */
-    long attemptsOf(String job) {
+    long attemptCount(String job) {
         return attempts.values().stream()
                 .filter(attempt -> attempt.spec.id().equals(job))
                 .count();
