--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -91,7 +91,7 @@
 
     /** Until the gang works. */
     void runUntilRunning() {
-        while (!simulation.gangs.runs(spec.id())) {
+        while (!simulation.gangs.isRunning(spec.id())) {
             runFor(SECOND / 10);
             assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang does not run");
         }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -253,7 +253,7 @@
     }
 
     /** Whether all tasks of the job run, as far as they know. */
-    boolean runs(String job) {
+    boolean isRunning(String job) {
         return attempts.values().stream()
                 .anyMatch(attempt -> attempt.spec.id().equals(job) && attempt.phase == Phase.RUNNING);
     }
