--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -65,7 +65,7 @@
             this.hangs = hangs;
         }
 
-        boolean running() {
+        boolean isRunning() {
             return attempt.phase != Phase.FORMING;
         }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -140,7 +140,7 @@
             return;
         }
         TaskState state =
-                attempt.gangMember.saves() ? TaskState.SAVING : attempt.gangMember.running() ? TaskState.RUNNING : TaskState.WAITING;
+                attempt.gangMember.saves() ? TaskState.SAVING : attempt.gangMember.isRunning() ? TaskState.RUNNING : TaskState.WAITING;
         changed |= state != attempt.state;
         attempt.state = state;
     }
@@ -221,7 +221,7 @@
 
     private void stop(TaskAttempt attempt, long graceMicros) {
         JobSpec spec = jobs.apply(attempt.task.job());
-        boolean savesInGang = attempt.gangMember != null && attempt.gangMember.running() && spec.checkpointMicros() > 0;
+        boolean savesInGang = attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
             attempt.gangMember.stop();
             changed = true;
