--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -69,7 +69,7 @@
             return attempt.phase != Phase.FORMING;
         }
 
-        boolean saves() {
+        boolean isSaving() {
             return toldToSaveMicros >= 0;
         }
 
@@ -184,7 +184,7 @@
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.saves() && environment.nowMicros() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member -> member.isSaving() && environment.nowMicros() - member.toldToSaveMicros >= spec.saveMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -195,7 +195,7 @@
             } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_DETECTION_MICROS
                     && members.values().stream()
                             .anyMatch(member ->
-                                    !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_DETECTION_MICROS)) {
+                                    !member.isSaving() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_DETECTION_MICROS)) {
                 noticeLoss();
             }
         }
@@ -218,7 +218,7 @@
                 firstStopAt = environment.nowMicros();
                 frozenProgress = progress();
             }
-            if (phase == Phase.STOPPING && !member.saves()) {
+            if (phase == Phase.STOPPING && !member.isSaving()) {
                 member.toldToSaveMicros = environment.nowMicros();
             }
         }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -140,7 +140,7 @@
             return;
         }
         TaskState state =
-                attempt.gangMember.saves() ? TaskState.SAVING : attempt.gangMember.isRunning() ? TaskState.RUNNING : TaskState.WAITING;
+                attempt.gangMember.isSaving() ? TaskState.SAVING : attempt.gangMember.isRunning() ? TaskState.RUNNING : TaskState.WAITING;
         changed |= state != attempt.state;
         attempt.state = state;
     }
