--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -74,7 +74,7 @@
         }
 
         /** Why it is to exit, or null. */
-        ExitCause exit() {
+        ExitCause updateAndGetExitCause() {
             attempt.update();
             return cause;
         }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -133,7 +133,7 @@
     }
 
     private void advanceInGang(TaskAttempt attempt) {
-        ExitCause cause = attempt.gangMember.exit();
+        ExitCause cause = attempt.gangMember.updateAndGetExitCause();
         if (cause != null) {
             attempt.progressSaved = attempt.gangMember.kept();
             end(attempt, cause);
