--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -57,7 +57,7 @@
         private final long since = environment.nowMicros();
         private long toldToSaveMicros = -1;
         private ExitCause cause;
-        private boolean kept;
+        private boolean progressSaved;
 
         private Member(Attempt attempt, TaskId task, BooleanSupplier hangs) {
             this.attempt = attempt;
@@ -80,8 +80,8 @@
         }
 
         /** Whether its progress was saved. */
-        boolean kept() {
-            return kept;
+        boolean progressSaved() {
+            return progressSaved;
         }
 
         /** It is told to stop with enough time to save. */
@@ -208,7 +208,7 @@
             phase = Phase.OVER;
             for (Member member : members.values()) {
                 member.cause = cause;
-                member.kept = kept;
+                member.progressSaved = kept;
             }
         }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -135,7 +135,7 @@
     private void advanceInGang(TaskAttempt attempt) {
         ExitCause cause = attempt.gangMember.updateAndGetExitCause();
         if (cause != null) {
-            attempt.progressSaved = attempt.gangMember.kept();
+            attempt.progressSaved = attempt.gangMember.progressSaved();
             end(attempt, cause);
             return;
         }
