--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -36,7 +36,7 @@
     }
 
     /** @param term the fencing token of the term in which the controller commands */
-    void sent(long term, String node, String host, List<WorkerCommand> commands) {
+    void recordCommands(long term, String node, String host, List<WorkerCommand> commands) {
         if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatOfTerm(term, host))) {
             rules.reportViolation(
                     "commanded_without_heartbeat", node + " commands " + host + ", no heartbeat of it in term " + term);
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -18,16 +18,16 @@
         SimCommands commands = new SimCommands(fixture.environment(), rules);
         List<WorkerCommand> start = List.of(WorkerCommand.start(new TaskId(RulesFixture.ANYWHERE, 0), 5));
 
-        commands.sent(1, "n0", "a", List.of());
+        commands.recordCommands(1, "n0", "a", List.of());
         assertEquals(List.of(), rules.violations());
 
-        commands.sent(1, "n0", "a", start);
+        commands.recordCommands(1, "n0", "a", start);
         assertTrue(
                 rules.violations().get(0).startsWith("commanded_without_heartbeat"),
                 rules.violations().toString());
 
         commands.heartbeatReceived(2, "a");
-        commands.sent(2, "n0", "a", start);
+        commands.recordCommands(2, "n0", "a", start);
         assertTrue(
                 rules.violations().get(1).startsWith("start_repeated"),
                 rules.violations().toString());
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -86,7 +86,7 @@
                 List<WorkerCommand> commands,
                 Consumer<Reply> then) {
             long term = simulation.controllerAt(node).fencingToken();
-            simulation.commands.sent(term, node, address, commands);
+            simulation.commands.recordCommands(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
             simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
             simulation.environment.<Reply>callAsync(
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -208,7 +208,7 @@
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
                 if (controller.isLeader()) {
                     commands.heartbeatReceived(controller.fencingToken(), heartbeat.machineId());
-                    commands.sent(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
+                    commands.recordCommands(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
             }
             return answer;
