--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -31,7 +31,7 @@
     }
 
     /** The leader of this term knows what is on the machine. */
-    void heartbeatReceived(long term, String host) {
+    void recordHeartbeat(long term, String host) {
         heartbeats.add(new HeartbeatOfTerm(term, host));
     }
 
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -26,7 +26,7 @@
                 rules.violations().get(0).startsWith("commanded_without_heartbeat"),
                 rules.violations().toString());
 
-        commands.heartbeatReceived(2, "a");
+        commands.recordHeartbeat(2, "a");
         commands.recordCommands(2, "n0", "a", start);
         assertTrue(
                 rules.violations().get(1).startsWith("start_repeated"),
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -105,7 +105,7 @@
                     reply -> {
                         calls--;
                         if (reply != null) {
-                            simulation.commands.heartbeatReceived(term, address);
+                            simulation.commands.recordHeartbeat(term, address);
                         }
                         then.accept(reply == null ? new Reply(false, null) : reply);
                     });
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -207,7 +207,7 @@
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 heartbeatsAccepted.merge(node, 1, Integer::sum);
                 if (controller.isLeader()) {
-                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.machineId());
+                    commands.recordHeartbeat(controller.fencingToken(), heartbeat.machineId());
                     commands.recordCommands(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
             }
