--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -22,12 +22,12 @@
     /** A machine that is about to be isolated, and how many starts were sent to it before. */
     private record FilledMachine(SimWorker worker, int startsBefore) {
         static FilledMachine now(Simulation simulation, SimWorker worker) {
-            return new FilledMachine(worker, simulation.commands.startsOf(worker.id));
+            return new FilledMachine(worker, simulation.commands.startCount(worker.id));
         }
 
         void assertFilledAtMostTwice(Simulation simulation) {
             int slots = (int) (worker.type.cpuMillis() / TASK_CPU_MILLIS);
-            int filled = simulation.commands.startsOf(worker.id) - startsBefore;
+            int filled = simulation.commands.startCount(worker.id) - startsBefore;
             assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
         }
     }
@@ -101,7 +101,7 @@
             gone.set(worker);
             Heartbeat late = worker.lastHeartbeat();
             worker.die();
-            simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startsOf(worker.id)));
+            simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startCount(worker.id)));
             for (int i = 31; i < 60; i += 7) {
                 simulation.after(i * SECOND, () -> simulation.faults.deliver(late));
             }
@@ -111,7 +111,7 @@
         assertRules(simulation);
         assertEquals(
                 startsBefore.get(),
-                simulation.commands.startsOf(gone.get().id),
+                simulation.commands.startCount(gone.get().id),
                 "work was placed on a machine that is gone");
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -58,7 +58,7 @@
     }
 
     /** How many starts this machine was ever sent, arrived or not. */
-    int startsOf(String host) {
+    int startCount(String host) {
         return startsByHost.getOrDefault(host, 0);
     }
 
