--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -110,7 +110,7 @@
         return starts.stream()
                 .filter(start ->
                         simulation.users.describedAs(start.task().job()).service() == services)
-                .map(SimCommands.Start::at)
+                .map(SimCommands.Start::sentMicros)
                 .toList();
     }
 
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -109,8 +109,8 @@
                 .toList();
         assertFalse(batch.isEmpty(), "batch work waits for unresponsive machines");
         assertTrue(
-                batch.get(0).at() < RESTART + HOLD + 12 * SECOND,
-                "the first batch task started " + (batch.get(0).at() - RESTART) / 1e6 + " s after the restart");
+                batch.get(0).sentMicros() < RESTART + HOLD + 12 * SECOND,
+                "the first batch task started " + (batch.get(0).sentMicros() - RESTART) / 1e6 + " s after the restart");
 
         simulation.run(RESTART + 90 * SECOND, 500 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -12,7 +12,7 @@
 /** What controllers command, in order, and whether they may: no machine before its own heartbeat, no start twice. */
 final class SimCommands {
     /** A start that was sent, arrived or not. */
-    record Start(long at, String node, String host, TaskId task) {}
+    record Start(long sentMicros, String node, String host, TaskId task) {}
 
     private record HeartbeatOfTerm(long term, String host) {}
 
@@ -64,6 +64,6 @@
 
     /** The starts sent from this time on, in order. */
     List<Start> startsSince(long micros) {
-        return starts.stream().filter(start -> start.at() >= micros).toList();
+        return starts.stream().filter(start -> start.sentMicros() >= micros).toList();
     }
 }
