--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -6,7 +6,7 @@
 
 /** How the controllers answer a heartbeat that has reached one of them. */
 interface SimControllers {
-    List<String> names();
+    List<String> nodeNames();
 
     HeartbeatResponse heartbeat(String node, Heartbeat heartbeat);
 
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -74,7 +74,7 @@
         this.leaseMicros = timing.leaseMicros;
         this.tasks = new SimTaskRunner(environment, rules, this, jobs, controllers::fails, results, gangs);
         this.leaseFrom = environment.nowMicros();
-        this.controller = environment.random.nextInt(controllers.names().size());
+        this.controller = environment.random.nextInt(controllers.nodeNames().size());
         tick();
     }
 
@@ -221,7 +221,7 @@
         tasks.clearChanged();
         long sent = environment.nowMicros();
         long sentInEpoch = agentEpoch;
-        String node = controllers.names().get(controller);
+        String node = controllers.nodeNames().get(controller);
         Heartbeat heartbeat = heartbeat();
         nextHeartbeat =
                 sent + heartbeatIntervalMicros * 3 / 4 + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
@@ -255,7 +255,7 @@
 
     /** To the controller that was named, if there is one and it is another. */
     private void turnTo(@Nullable String named) {
-        int next = named == null ? -1 : controllers.names().indexOf(named);
+        int next = named == null ? -1 : controllers.nodeNames().indexOf(named);
         if (next < 0 || next == controller) {
             turnToNext();
             return;
@@ -265,7 +265,7 @@
     }
 
     private void turnToNext() {
-        controller = (controller + 1) % controllers.names().size();
+        controller = (controller + 1) % controllers.nodeNames().size();
         nextHeartbeat = environment.nowMicros() + 1_000_000;
     }
 
