--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -192,7 +192,7 @@
     /** The controllers as machines see them. */
     private final class WorkersView implements SimControllers {
         @Override
-        public List<String> names() {
+        public List<String> nodeNames() {
             return names;
         }
 
