--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -122,7 +122,7 @@
 
     private static final class AcceptingController implements SimControllers {
         @Override
-        public List<String> names() {
+        public List<String> nodeNames() {
             return List.of("n");
         }
 
