--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -8,7 +8,7 @@
 interface SimControllers {
     List<String> nodeNames();
 
-    HeartbeatResponse heartbeat(String node, Heartbeat heartbeat);
+    HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat);
 
     /** Whether every task of this job fails, wherever it runs. */
     boolean fails(String job);
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -230,7 +230,7 @@
                 id,
                 muted ? "nowhere" : node,
                 ANSWER_TIMEOUT,
-                () -> muted ? null : controllers.heartbeat(node, heartbeat),
+                () -> muted ? null : controllers.handleHeartbeat(node, heartbeat),
                 answer -> heartbeatAnswered(answer, sent, sentInEpoch));
     }
 
