--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -197,7 +197,7 @@
         }
 
         @Override
-        public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
+        public HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat) {
             Controller controller = controllerAt(node);
             HeartbeatResponse answer =
                     controller == null ? new HeartbeatResponse.Unavailable() : controller.handleHeartbeat(heartbeat);
