--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
+        public HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat) {
             return new HeartbeatResponse.Accepted(1, List.of());
         }
 
