--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -11,5 +11,5 @@
     HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat);
 
     /** Whether every task of this job fails, wherever it runs. */
-    boolean fails(String job);
+    boolean failsEverywhere(String job);
 }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -72,7 +72,7 @@
         this.spot = facts.spot;
         this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
         this.leaseMicros = timing.leaseMicros;
-        this.tasks = new SimTaskRunner(environment, rules, this, jobs, controllers::fails, results, gangs);
+        this.tasks = new SimTaskRunner(environment, rules, this, jobs, controllers::failsEverywhere, results, gangs);
         this.leaseFrom = environment.nowMicros();
         this.controller = environment.random.nextInt(controllers.nodeNames().size());
         tick();
