--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -215,7 +215,7 @@
         }
 
         @Override
-        public boolean fails(String job) {
+        public boolean failsEverywhere(String job) {
             return brokenJobs.contains(job);
         }
     }
