--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -132,7 +132,7 @@
         }
 
         @Override
-        public boolean fails(String job) {
+        public boolean failsEverywhere(String job) {
             return false;
         }
     }
