--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -37,7 +37,7 @@
 final class Simulation {
     static final long SECOND = 1_000_000;
     /** A class of batch jobs that is expected to start sooner than any machine boots. */
-    static final String PROMPT = "prompt";
+    static final String URGENT_CLASS = "prompt";
 
     private static final List<String> ZONES = List.of("north", "south");
     private static final Map<String, Team> TEAMS = Map.of(
@@ -148,7 +148,7 @@
                 new ControllerIdentity(name, node.incarnation(), zoneOf(name)),
                 new Topology(ZONES, zonesOfPeers),
                 TEAMS,
-                Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
+                Map.of("svc", new Objective(8 * SECOND, 1, 0), URGENT_CLASS, new Objective(4 * SECOND, 1, 0)),
                 new WorkerTiming(
                         shape.heartbeatInterval(),
                         shape.lease(),
