--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -132,7 +132,7 @@
             spot.forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
             simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
         });
-        simulation.run(RESTART + Simulation.LEASE);
+        simulation.run(RESTART + Simulation.LEASE_MICROS);
 
         RecoveryStatus status = simulation.recovery();
         assertNotNull(status);
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -88,7 +88,7 @@
         simulation.after(
                 RESTART - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
         // Half of the machines run into the end of their lease before anybody is back.
-        long down = seed % 2 == 0 ? SECOND : Simulation.LEASE + 2 * SECOND;
+        long down = seed % 2 == 0 ? SECOND : Simulation.LEASE_MICROS + 2 * SECOND;
         simulation.after(
                 RESTART,
                 () -> simulation.names.forEach(
--- a/src/test/java/org/granitepath/simulation/Shape.java
+++ b/src/test/java/org/granitepath/simulation/Shape.java
@@ -16,7 +16,7 @@
 
     /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
     static Shape small() {
-        return new Shape(3, 5, new Times(SECOND, Simulation.LEASE, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
+        return new Shape(3, 5, new Times(SECOND, Simulation.LEASE_MICROS, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
     }
 
     Shape withControllers(int count) {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -46,7 +46,7 @@
             "granted", new Team("granted", 16_000, 24_000, 0, 0),
             "lender", new Team("lender", 16_000, 0, 0, 0));
 
-    static final long LEASE = 11 * SECOND;
+    static final long LEASE_MICROS = 11 * SECOND;
 
     final Shape shape;
     final SimGangs gangs;
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -48,7 +48,7 @@
             cut.set(simulation.leader());
             simulation.faults.cutFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         });
-        simulation.run(50 * SECOND + Simulation.LEASE);
+        simulation.run(50 * SECOND + Simulation.LEASE_MICROS);
 
         assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
         // Their heartbeats end one after the other; the first are not to be given up before the rest tell what it is.
