--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -41,7 +41,7 @@
                 simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
         leaderEnds(simulation, 45 * SECOND, 4 * SECOND);
         leaderEnds(simulation, 49 * SECOND, 300_000);
-        simulation.after(70 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
         simulation.run(100 * SECOND, 300 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -145,7 +145,7 @@
 
         simulation.after(
                 50 * SECOND,
-                () -> simulation.names.forEach(
+                () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, simulation.shape.lease() + 5 * SECOND)));
         Observation<Integer> left = simulation.observe(
                 54 * SECOND + simulation.shape.lease(),
@@ -260,7 +260,7 @@
             leaderEnds(simulation, 6 * SECOND, 200_000);
             simulation.after(
                     12 * SECOND,
-                    () -> simulation.names.forEach(
+                    () -> simulation.nodeNames.forEach(
                             node -> simulation.faults.crash(node, node.equals(first) ? 100_000 : 25 * SECOND)));
             simulation.after(20 * SECOND, () -> assertEquals(first, simulation.leader()));
         });
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -84,7 +84,7 @@
             simulation.after(9 * SECOND, () -> {
                 heldBack.set(held.size());
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
-                held.forEach(heartbeat -> simulation.names.forEach(node -> simulation.faults.deliver(node, heartbeat)));
+                held.forEach(heartbeat -> simulation.nodeNames.forEach(node -> simulation.faults.deliver(node, heartbeat)));
             });
             simulation.after(3 * simulation.shape.lease(), () -> held.forEach(simulation.faults::deliver));
         });
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -103,7 +103,7 @@
 
     /** The controllers but this one. */
     static List<String> others(Simulation simulation, String node) {
-        return simulation.names.stream().filter(other -> !other.equals(node)).toList();
+        return simulation.nodeNames.stream().filter(other -> !other.equals(node)).toList();
     }
 
     private FaultScenarios() {}
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -92,7 +92,7 @@
         leaderEnds(simulation, 118 * SECOND, 300_000);
         simulation.after(
                 160 * SECOND,
-                () -> simulation.names.forEach(
+                () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, 300_000 + simulation.environment.random.nextInt(4_000_000))));
         simulation.run(170 * SECOND, 400 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -31,7 +31,7 @@
             String leader = simulation.leader();
             simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 120 * SECOND);
             // The successors can't reach the workers: only the lease can end the tasks.
-            for (String node : simulation.names) {
+            for (String node : simulation.nodeNames) {
                 if (!node.equals(leader)) {
                     simulation.faults.cutFromWorkers(node, SimEnvironment.PartitionMode.DROP, 120 * SECOND);
                 }
@@ -76,7 +76,7 @@
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
                 String host = all.get(i).id;
-                simulation.names.stream()
+                simulation.nodeNames.stream()
                         .filter(node -> !node.equals(former))
                         .forEach(node -> simulation.faults.cut(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
             }
@@ -118,7 +118,7 @@
 
         simulation.after(45 * SECOND, () -> {
             String leader = simulation.leader();
-            String other = simulation.names.get(1 - simulation.names.indexOf(leader));
+            String other = simulation.nodeNames.get(1 - simulation.nodeNames.indexOf(leader));
             simulation.faults.freeze(leader, 24 * SECOND);
             simulation.faults.cutFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             simulation.faults.cutFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -83,7 +83,7 @@
         return List.of(
                 simulation -> simulation.faults.crash(
                         simulation.leader(), 200_000 + simulation.environment.random.nextInt(6_000_000)),
-                simulation -> simulation.names.forEach(
+                simulation -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
                 simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
                 simulation -> simulation.store.startOutage(time(simulation) + simulation.shape.cancel() / 2),
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -91,7 +91,7 @@
         long down = seed % 2 == 0 ? SECOND : Simulation.LEASE_MICROS + 2 * SECOND;
         simulation.after(
                 RESTART,
-                () -> simulation.names.forEach(
+                () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, down + simulation.environment.random.nextInt(1_000_000))));
         for (int i = 0; i < 30; i++) {
             simulation.after(
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -131,8 +131,8 @@
             switch ((int) seed % 3) {
                 case 0 -> simulation.store.startOutage(8 * SECOND);
                 case 1 ->
-                    simulation.names.stream().limit(2).forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
-                default -> simulation.names.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
+                    simulation.nodeNames.stream().limit(2).forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
+                default -> simulation.nodeNames.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
             }
             simulation.store.lateCommitShare = 0.1;
             simulation.after(20 * SECOND, () -> simulation.store.lateCommitShare = 0);
@@ -217,7 +217,7 @@
         simulation.run(RESTART);
         String leader = simulation.leader();
         assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryAt(leader).role());
-        String other = simulation.names.stream()
+        String other = simulation.nodeNames.stream()
                 .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -24,7 +24,7 @@
 
     /** All controllers end at once; each comes back within the given time. */
     void crashAll(long longestDownMicros) {
-        simulation.names.forEach(
+        simulation.nodeNames.forEach(
                 name -> crash(name, 20_000 + (long) (simulation.environment.random.nextDouble() * longestDownMicros)));
     }
 
@@ -55,7 +55,7 @@
 
     /** Its heartbeats arrive, but neither answers nor commands reach it. */
     void deafen(SimWorker worker, long forMicros) {
-        for (String name : simulation.names) {
+        for (String name : simulation.nodeNames) {
             simulation.environment.blockOneWay(name, worker.id);
             simulation.environment.after(forMicros, () -> simulation.environment.heal(name, worker.id));
         }
@@ -83,7 +83,7 @@
     /** Loses the store and the other controllers, but not its workers. */
     void cutFromPeersAndStore(String node, SimEnvironment.PartitionMode how, long forMicros) {
         cut(node, SimStore.NAME, how, forMicros);
-        for (String name : simulation.names) {
+        for (String name : simulation.nodeNames) {
             if (!name.equals(node)) {
                 cut(node, name, how, forMicros);
             }
@@ -94,12 +94,12 @@
     void cutZone(String zone, SimEnvironment.PartitionMode how, long forMicros) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
-        simulation.names.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
+        simulation.nodeNames.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
         simulation.cloud.workers().forEach(worker -> (worker.zone.equals(zone) ? inside : outside).add(worker.id));
         for (String here : inside) {
-            boolean node = simulation.names.contains(here);
+            boolean node = simulation.nodeNames.contains(here);
             for (String there : outside) {
-                if (node || simulation.names.contains(there)) {
+                if (node || simulation.nodeNames.contains(there)) {
                     cut(here, there, how, forMicros);
                 }
             }
@@ -112,7 +112,7 @@
 
     /** A machine loses all controllers. */
     void cutMachine(SimWorker worker, SimEnvironment.PartitionMode how, long forMicros) {
-        for (String name : simulation.names) {
+        for (String name : simulation.nodeNames) {
             cut(name, worker.id, how, forMicros);
         }
     }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -58,7 +58,7 @@
 
     final Set<String> upgraded = new HashSet<>();
 
-    final List<String> names;
+    final List<String> nodeNames;
     final SimEnvironment environment;
     /** What leaves the controllers; null when nobody wants to know. */
     private final @Nullable EdgeTrace trace;
@@ -100,7 +100,7 @@
 
     Simulation(long seed, Shape shape) {
         this.shape = shape;
-        names = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
+        nodeNames = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
         trace = EdgeTrace.of(environment);
         rules = new Rules(environment, TEAMS, shape.cancel(), this::endedOnMachines);
@@ -121,7 +121,7 @@
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
         cloud = new SimCloud(environment, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
-        for (String node : names) {
+        for (String node : nodeNames) {
             nodes.put(node, new SimNode(environment, node, this::newController));
         }
         nodes.values().forEach(SimNode::boot);
@@ -141,7 +141,7 @@
 
     private Config configOf(SimNode node) {
         String name = node.name();
-        Map<String, String> zonesOfPeers = names.stream()
+        Map<String, String> zonesOfPeers = nodeNames.stream()
                 .filter(other -> !other.equals(name))
                 .collect(Collectors.toMap(other -> other, this::zoneOf));
         return new Config(
@@ -193,7 +193,7 @@
     private final class WorkersView implements SimControllers {
         @Override
         public List<String> nodeNames() {
-            return names;
+            return nodeNames;
         }
 
         @Override
@@ -222,7 +222,7 @@
 
     /** The zone in which a controller stands. */
     String zoneOf(String node) {
-        return ZONES.get(names.indexOf(node) % ZONES.size());
+        return ZONES.get(nodeNames.indexOf(node) % ZONES.size());
     }
 
     private void endedOnMachines(String job) {
@@ -233,7 +233,7 @@
 
     /** The controller that takes itself for the leader, or the first of all while none does. */
     String leader() {
-        return leadersOtherThan(null).findFirst().orElse(names.get(0));
+        return leadersOtherThan(null).findFirst().orElse(nodeNames.get(0));
     }
 
     /** The leader other than this one, which may not know yet that it was replaced. */
@@ -284,7 +284,7 @@
 
     /** A controller drawn at random. */
     String anyNode() {
-        return names.get(environment.random.nextInt(names.size()));
+        return nodeNames.get(environment.random.nextInt(nodeNames.size()));
     }
 
     /** A machine drawn at random; null while there is none. */
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -46,8 +46,8 @@
     void bothVersionsServeAndTheLimitsChange(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION);
         Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValueLength);
-        for (int i = 0; i < simulation.names.size(); i++) {
-            String node = simulation.names.get((int) (seed + i) % simulation.names.size());
+        for (int i = 0; i < simulation.nodeNames.size(); i++) {
+            String node = simulation.nodeNames.get((int) (seed + i) % simulation.nodeNames.size());
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
         }
         // One that dies before its turn comes back as it was, and may lead the others meanwhile.
@@ -56,7 +56,7 @@
         simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(NEXT));
         leaderEnds(simulation, 115 * SECOND, 2 * SECOND);
         simulation.after(
-                130 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
+                130 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
         simulation.run(140 * SECOND, 400 * SECOND);
 
         assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
@@ -70,7 +70,7 @@
     void largeValuesLeftByTheFormerVersion(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION);
         simulation.after(40 * SECOND, () -> {
-            simulation.names.forEach(node -> simulation.faults.upgrade(node, SECOND));
+            simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
             simulation.store.lowerLimits(NEXT);
         });
         leaderEnds(simulation, 46 * SECOND, SECOND);
@@ -87,11 +87,11 @@
     void valuesTooLargeToBeSplitAtOnce(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION.withPerOffer(60).withValueBytes(12 * 1024));
         simulation.after(40 * SECOND, () -> {
-            simulation.names.forEach(node -> simulation.faults.upgrade(node, SECOND));
+            simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
             simulation.store.lowerLimits(NEXT);
         });
         leaderEnds(simulation, 60 * SECOND, SECOND);
-        simulation.after(80 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(80 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.run(90 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
