--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -62,7 +62,7 @@
             jobs.forEach(job -> simulation.users.cancelAt(
                     others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
-                simulation.store.startOutage(simulation.shape.cancel() + 15 * SECOND);
+                simulation.store.startOutage(simulation.config.cancel() + 15 * SECOND);
                 answeredBefore.set(simulation.heartbeatsAccepted(leader));
             });
             simulation.after(9 * SECOND, () -> {
@@ -70,7 +70,7 @@
                 answeredAfter.set(simulation.heartbeatsAccepted(leader));
             });
         });
-        simulation.run(70 * SECOND + simulation.shape.cancel() + 20 * SECOND, 400 * SECOND);
+        simulation.run(70 * SECOND + simulation.config.cancel() + 20 * SECOND, 400 * SECOND);
 
         assertTrue(
                 running.get() >= 10 && confirmed.get() >= 10,
@@ -97,11 +97,11 @@
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
-            simulation.store.startOutage(simulation.shape.cancel() + 6 * SECOND);
+            simulation.store.startOutage(simulation.config.cancel() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
             toldAfter.set(simulation.rules.cancelledJobCount());
         });
-        simulation.run(70 * SECOND + simulation.shape.cancel() + 6 * SECOND, 600 * SECOND);
+        simulation.run(70 * SECOND + simulation.config.cancel() + 6 * SECOND, 600 * SECOND);
 
         assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
         assertRulesAndAllDone(simulation);
@@ -119,11 +119,11 @@
                 () -> simulation.faults.cutZone(
                         seed % 3 == 0 ? simulation.zoneOf(simulation.leader()) : "south",
                         cutOf(seed),
-                        simulation.shape.lease() + 12 * SECOND));
+                        simulation.config.lease() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         Observation<Integer> told =
-                simulation.observe(50 * SECOND + simulation.shape.lease(), simulation.rules::cancelledJobCount);
-        simulation.run(65 * SECOND + simulation.shape.lease(), 500 * SECOND);
+                simulation.observe(50 * SECOND + simulation.config.lease(), simulation.rules::cancelledJobCount);
+        simulation.run(65 * SECOND + simulation.config.lease(), 500 * SECOND);
 
         assertTrue(told.get() > 0, "nothing was cancelled in the cut");
         assertRulesAndAllDone(simulation);
@@ -201,13 +201,13 @@
 
         simulation.after(60 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.store.dropReadsOf(leader, 2 * simulation.shape.cancel());
+            simulation.store.dropReadsOf(leader, 2 * simulation.config.cancel());
             simulation.after(
                     2 * SECOND,
                     () -> jobs.forEach(job ->
                             simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
         });
-        simulation.run(60 * SECOND + 2 * simulation.shape.cancel(), 300 * SECOND);
+        simulation.run(60 * SECOND + 2 * simulation.config.cancel(), 300 * SECOND);
 
         assertTrue(simulation.rules.cancelledJobCount() >= 10);
         assertRules(simulation);
@@ -222,11 +222,11 @@
 
         Observation<Integer> hung = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            long hangMicros = seed < 3 ? 8 * SECOND : simulation.shape.lease() + 6 * SECOND;
+            long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.lease() + 6 * SECOND;
             hung.set(simulation.users.cancelRunning(8, hangMicros).size());
             leaderEnds(simulation, SECOND, 300_000);
         });
-        simulation.run(75 * SECOND + simulation.shape.lease(), 800 * SECOND);
+        simulation.run(75 * SECOND + simulation.config.lease(), 800 * SECOND);
 
         assertTrue(hung.get() > 4);
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -146,11 +146,11 @@
         simulation.after(
                 50 * SECOND,
                 () -> simulation.nodeNames.forEach(
-                        node -> simulation.faults.crash(node, simulation.shape.lease() + 5 * SECOND)));
+                        node -> simulation.faults.crash(node, simulation.config.lease() + 5 * SECOND)));
         Observation<Integer> left = simulation.observe(
-                54 * SECOND + simulation.shape.lease(),
+                54 * SECOND + simulation.config.lease(),
                 () -> simulation.rules.runningJobs().size());
-        simulation.run(57 * SECOND + simulation.shape.lease(), 400 * SECOND);
+        simulation.run(57 * SECOND + simulation.config.lease(), 400 * SECOND);
 
         assertEquals(0, left.get(), "every lease ran out");
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -56,11 +56,11 @@
                         .limit(6)
                         .forEach(worker -> {
                             muted.incrementAndGet();
-                            simulation.faults.mute(worker, simulation.shape.lease() + 10 * SECOND);
+                            simulation.faults.mute(worker, simulation.config.lease() + 10 * SECOND);
                         }));
         leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
-        simulation.run(60 * SECOND + simulation.shape.lease(), 400 * SECOND);
+        simulation.run(60 * SECOND + simulation.config.lease(), 400 * SECOND);
 
         assertTrue(muted.get() > 2, muted + " machines at work fell mute");
         assertRulesAndAllDone(simulation);
@@ -86,9 +86,9 @@
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
                 held.forEach(heartbeat -> simulation.nodeNames.forEach(node -> simulation.faults.deliver(node, heartbeat)));
             });
-            simulation.after(3 * simulation.shape.lease(), () -> held.forEach(simulation.faults::deliver));
+            simulation.after(3 * simulation.config.lease(), () -> held.forEach(simulation.faults::deliver));
         });
-        simulation.run(50 * SECOND + 3 * simulation.shape.lease(), 400 * SECOND);
+        simulation.run(50 * SECOND + 3 * simulation.config.lease(), 400 * SECOND);
 
         assertTrue(
                 heldBack.get() > 2 && tokensDrawn.get() > 0,
@@ -111,9 +111,9 @@
                 if (old == null) {
                     return;
                 }
-                worker.hangFor(simulation.shape.lease() + 3 * SECOND);
+                worker.hangFor(simulation.config.lease() + 3 * SECOND);
                 for (int halfLeases = 1; halfLeases < 5; halfLeases++) {
-                    simulation.after(halfLeases * simulation.shape.lease() / 2, () -> {
+                    simulation.after(halfLeases * simulation.config.lease() / 2, () -> {
                         delivered.incrementAndGet();
                         simulation.faults.deliver(old);
                     });
@@ -121,7 +121,7 @@
             });
         }
         leaderEnds(simulation, 60 * SECOND, 300_000);
-        simulation.run(80 * SECOND + 2 * simulation.shape.lease(), 500 * SECOND);
+        simulation.run(80 * SECOND + 2 * simulation.config.lease(), 500 * SECOND);
 
         assertTrue(delivered.get() > 10, delivered + " old heartbeats");
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -48,7 +48,7 @@
 
     static final long LEASE_MICROS = 11 * SECOND;
 
-    final Shape shape;
+    final Shape config;
     final SimGangs gangs;
     /** What the settings say of the limits of the store. */
     private final StoreLimits limits;
@@ -99,7 +99,7 @@
     }
 
     Simulation(long seed, Shape shape) {
-        this.shape = shape;
+        this.config = shape;
         nodeNames = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
         trace = EdgeTrace.of(environment);
@@ -150,16 +150,16 @@
                 TEAMS,
                 Map.of("svc", new Objective(8 * SECOND, 1, 0), URGENT_CLASS, new Objective(4 * SECOND, 1, 0)),
                 new WorkerTiming(
-                        shape.heartbeatInterval(),
-                        shape.lease(),
-                        shape.cancel(),
+                        config.heartbeatInterval(),
+                        config.lease(),
+                        config.cancel(),
                         SimGangs.START_TIMEOUT_MICROS,
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
-                        shape.limits().requests(),
+                        config.limits().requests(),
                         upgraded.contains(name) ? limits.strictest(nextLimits) : limits,
                         5,
-                        shape.connections()),
+                        config.connections()),
                 250_000,
                 Tuning.defaults().withRecoveryHold(recoveryHold));
     }
@@ -186,7 +186,7 @@
                 results,
                 gangs,
                 new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
-                new SimWorker.Timing(shape.heartbeatInterval(), shape.lease()));
+                new SimWorker.Timing(config.heartbeatInterval(), config.lease()));
     }
 
     /** The controllers as machines see them. */
