--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -54,7 +54,7 @@
     private final StoreLimits limits;
     /** What controllers keep to once they are upgraded; null: nothing changes. */
     @Nullable
-    StoreLimits nextLimits;
+    StoreLimits upgradedLimits;
 
     final Set<String> upgraded = new HashSet<>();
 
@@ -157,7 +157,7 @@
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
                         config.limits().requests(),
-                        upgraded.contains(name) ? limits.strictest(nextLimits) : limits,
+                        upgraded.contains(name) ? limits.strictest(upgradedLimits) : limits,
                         5,
                         config.connections()),
                 250_000,
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -31,7 +31,7 @@
 
     private static Simulation busyDeployment(long seed, Shape shape) {
         Simulation simulation = new Simulation(seed, shape);
-        simulation.nextLimits = NEXT;
+        simulation.upgradedLimits = NEXT;
         submitServices(simulation, 60, 6);
         for (int i = 0; i < 12; i++) {
             simulation.after(
