--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -30,7 +30,7 @@
 
     /** A controller ends and comes back with the next version, which knows of the next limits. */
     void upgrade(String node, long downMicros) {
-        simulation.upgraded.add(node);
+        simulation.upgradedNodes.add(node);
         crash(node, downMicros);
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -56,7 +56,7 @@
     @Nullable
     StoreLimits upgradedLimits;
 
-    final Set<String> upgraded = new HashSet<>();
+    final Set<String> upgradedNodes = new HashSet<>();
 
     final List<String> nodeNames;
     final SimEnvironment environment;
@@ -157,7 +157,7 @@
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
                         config.limits().requests(),
-                        upgraded.contains(name) ? limits.strictest(upgradedLimits) : limits,
+                        upgradedNodes.contains(name) ? limits.strictest(upgradedLimits) : limits,
                         5,
                         config.connections()),
                 250_000,
