--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -104,8 +104,8 @@
                 }
             }
             if (node) {
-                simulation.unreachable.add(here);
-                simulation.environment.after(forMicros, () -> simulation.unreachable.remove(here));
+                simulation.nodesUnreachableByUsers.add(here);
+                simulation.environment.after(forMicros, () -> simulation.nodesUnreachableByUsers.remove(here));
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -183,7 +183,7 @@
                 TIMEOUT,
                 answer -> {
                     Controller controller = simulation.controllerAt(node);
-                    if (controller != null && !simulation.unreachable.contains(node)) {
+                    if (controller != null && !simulation.nodesUnreachableByUsers.contains(node)) {
                         question.ask(controller, simulation.traced(node, user, answer));
                     }
                 },
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -75,7 +75,7 @@
     private final Set<TaskId> results = new HashSet<>();
     private final Map<String, Integer> heartbeatsAccepted = new HashMap<>();
     /** Controllers that users don't get to. */
-    final Set<String> unreachable = new HashSet<>();
+    final Set<String> nodesUnreachableByUsers = new HashSet<>();
     /** For how long direct calls that start tasks are held up on their way; others overtake them. */
     long heldStarts;
     /** How long a recovery holds other work for services, for controllers that start from now on. */
