--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -161,13 +161,13 @@
         Observation<Integer> toldBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
-            simulation.heldStarts = 7 * SECOND;
+            simulation.directStartDelayMicros = 7 * SECOND;
             toldBefore.set(simulation.rules.cancelledJobCount());
         });
         for (int i = 0; i < 12; i++) {
             simulation.after((41 + i) * SECOND, () -> simulation.users.cancelRunning(1, 0));
         }
-        simulation.after(55 * SECOND, () -> simulation.heldStarts = 0);
+        simulation.after(55 * SECOND, () -> simulation.directStartDelayMicros = 0);
         Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
         simulation.run(65 * SECOND, 500 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -96,8 +96,8 @@
                     answer -> {
                         Runnable serve = () -> serveWhenAwake(
                                 address, worker -> worker.handleCommands(fencingToken, agentEpoch, commands), answer);
-                        if (starts && simulation.heldStarts > 0) {
-                            simulation.environment.after(simulation.heldStarts, serve);
+                        if (starts && simulation.directStartDelayMicros > 0) {
+                            simulation.environment.after(simulation.directStartDelayMicros, serve);
                         } else {
                             serve.run();
                         }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -77,7 +77,7 @@
     /** Controllers that users don't get to. */
     final Set<String> nodesUnreachableByUsers = new HashSet<>();
     /** For how long direct calls that start tasks are held up on their way; others overtake them. */
-    long heldStarts;
+    long directStartDelayMicros;
     /** How long a recovery holds other work for services, for controllers that start from now on. */
     long recoveryHold;
     /** Peers never pass cancellations on: what is safe must be safe without. */
