--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -67,7 +67,7 @@
     /** A tenth of the machines lose their tasks while nobody leads. */
     private static Figures measure(long seed, RecoveryLoad.Size size, boolean machinesDie, long hold) {
         Simulation simulation = RecoveryLoad.fleet(seed, size);
-        simulation.recoveryHold = hold;
+        simulation.recoveryHoldMicros = hold;
         Observation<Integer> requestsBefore = new Observation<>();
         Observation<Integer> writesBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART, () -> {
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -71,7 +71,7 @@
         int mixed = 0;
         for (long seed = 1; seed <= 6; seed++) {
             Simulation simulation = busy(seed);
-            simulation.recoveryHold = 0;
+            simulation.recoveryHoldMicros = 0;
             simulation.after(RESTART, () -> {
                 simulation.faults.crashAll(SECOND);
                 endAllWork(simulation);
--- a/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
@@ -16,7 +16,7 @@
     /** Services and half-finished batch work on some seventy machines. */
     static Simulation busy(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
-        simulation.recoveryHold = HOLD;
+        simulation.recoveryHoldMicros = HOLD;
         submitServices(simulation, 6, 6);
         submitBatches(simulation, 8, 60, 20 * SECOND);
         return simulation;
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -128,7 +128,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void gangsWithAPartUnresponsiveEndAndStartWhole(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
-        simulation.recoveryHold = HOLD;
+        simulation.recoveryHoldMicros = HOLD;
         for (int i = 0; i < 5; i++) {
             simulation.users.submit(
                     simulation.jobs.work(9, 40 * SECOND).inOneZone(i % 2 == 0).create());
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -161,7 +161,7 @@
     void endedAgainInEachPhase(RecoveryPhase phase) {
         for (Trouble trouble : Trouble.values()) {
             Simulation simulation = busy(trouble.seed);
-            simulation.recoveryHold = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
+            simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
             simulation.after(RESTART, () -> restartAndLoseReplicas(simulation, phase));
 
             int met = strikeTwice(simulation, phase, trouble);
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -79,7 +79,7 @@
     /** For how long direct calls that start tasks are held up on their way; others overtake them. */
     long directStartDelayMicros;
     /** How long a recovery holds other work for services, for controllers that start from now on. */
-    long recoveryHold;
+    long recoveryHoldMicros;
     /** Peers never pass cancellations on: what is safe must be safe without. */
     boolean peersSendNoCancellations;
     /** Share of jobs that are cancelled at the very moment at which their last task ends. */
@@ -161,7 +161,7 @@
                         5,
                         config.connections()),
                 250_000,
-                Tuning.defaults().withRecoveryHold(recoveryHold));
+                Tuning.defaults().withRecoveryHold(recoveryHoldMicros));
     }
 
     private <P> P traced(P port, UnaryOperator<P> tracing) {
