--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -48,7 +48,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledTasksEndWhenTheLeaderIsRefusedBeforeAnOutage(long seed) {
         Simulation simulation = simulation(seed);
-        simulation.peersSendNoCancellations = seed > 2;
+        simulation.dropPeerCancellations = seed > 2;
         List<JobSpec> jobs = longWork(simulation, 6, 8, 300 * SECOND);
 
         Observation<Integer> running = new Observation<>();
@@ -196,7 +196,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndWhenRenewalsGetThroughAndReadsDoNot(long seed) {
         Simulation simulation = simulation(seed);
-        simulation.peersSendNoCancellations = true;
+        simulation.dropPeerCancellations = true;
         List<JobSpec> jobs = longWork(simulation, 6, 6, 300 * SECOND);
 
         simulation.after(60 * SECOND, () -> {
@@ -241,7 +241,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void nothingCancelledStartsWhileTheLeadersReadsLag(long seed) {
         Simulation simulation = crowded(seed);
-        simulation.peersSendNoCancellations = seed % 2 == 1;
+        simulation.dropPeerCancellations = seed % 2 == 1;
         longWork(simulation, 1, 40, 3 * SECOND);
 
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -45,7 +45,7 @@
             this.<Boolean>call(
                     peer,
                     (controller, answer) -> {
-                        if (!simulation.peersSendNoCancellations) {
+                        if (!simulation.dropPeerCancellations) {
                             controller.handleCancellationNotice(notice);
                             answer.accept(true);
                         }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -81,7 +81,7 @@
     /** How long a recovery holds other work for services, for controllers that start from now on. */
     long recoveryHoldMicros;
     /** Peers never pass cancellations on: what is safe must be safe without. */
-    boolean peersSendNoCancellations;
+    boolean dropPeerCancellations;
     /** Share of jobs that are cancelled at the very moment at which their last task ends. */
     double cancelledAtEnd;
     /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
