--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -26,7 +26,7 @@
     @ValueSource(longs = {1, 2})
     void jobsCancelledAtTheirEndHaveOneOutcome(long seed) {
         Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
-        simulation.cancelledAtEnd = 0.6;
+        simulation.cancelAtCompletionShare = 0.6;
         simulation.users.oddRequests(100 * SECOND);
 
         simulation.run(100 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -102,8 +102,8 @@
     private static List<Consumer<Simulation>> ofMessages() {
         return List.of(
                 simulation -> {
-                    simulation.cancelledAtEnd = 0.5;
-                    simulation.after(time(simulation), () -> simulation.cancelledAtEnd = 0);
+                    simulation.cancelAtCompletionShare = 0.5;
+                    simulation.after(time(simulation), () -> simulation.cancelAtCompletionShare = 0);
                 },
                 simulation -> {
                     simulation.store.lateCommitShare = 0.3;
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -96,7 +96,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledAndSubmittedJustBefore(long seed) {
         Simulation simulation = busy(seed);
-        simulation.cancelledAtEnd = 0.3;
+        simulation.cancelAtCompletionShare = 0.3;
         List<JobSpec> shortJobs = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             long at = RESTART - SECOND + i * 50_000L;
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -83,7 +83,7 @@
     /** Peers never pass cancellations on: what is safe must be safe without. */
     boolean dropPeerCancellations;
     /** Share of jobs that are cancelled at the very moment at which their last task ends. */
-    double cancelledAtEnd;
+    double cancelAtCompletionShare;
     /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
     final Set<String> brokenJobs = new HashSet<>();
     /** The most direct calls to machines that one controller had under way at once. */
@@ -226,7 +226,7 @@
     }
 
     private void endedOnMachines(String job) {
-        if (cancelledAtEnd > 0 && environment.random.nextDouble() < cancelledAtEnd) {
+        if (cancelAtCompletionShare > 0 && environment.random.nextDouble() < cancelAtCompletionShare) {
             users.cancel(job);
         }
     }
