--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -88,7 +88,7 @@
             long term = simulation.controllerAt(node).fencingToken();
             simulation.commands.recordCommands(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
-            simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
+            simulation.maxConcurrentCalls = Math.max(simulation.maxConcurrentCalls, ++calls);
             simulation.environment.<Reply>callAsync(
                     node,
                     address,
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -87,7 +87,7 @@
     /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
     final Set<String> brokenJobs = new HashSet<>();
     /** The most direct calls to machines that one controller had under way at once. */
-    int mostCalls;
+    int maxConcurrentCalls;
 
     Simulation(long seed) {
         this(seed, Shape.small());
