--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -50,7 +50,7 @@
         });
         simulation.run(RecoveryLoad.RESTART + 30 * SECOND);
 
-        RecoveryStatus status = simulation.recovery();
+        RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(RecoveryPhase.RECOVERED, status.phase());
         assertTrue(
                 status.term().machines().takenOver() >= 4_000,
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -86,7 +86,7 @@
         simulation.run(RecoveryLoad.RESTART);
         simulation.environment.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
             RecoveryStatus status =
-                    simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
+                    simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recoveryStatus() : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
                 lastVerdict.set(simulation.environment.nowMicros());
             }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -134,7 +134,7 @@
         });
         simulation.run(RESTART + Simulation.LEASE_MICROS);
 
-        RecoveryStatus status = simulation.recovery();
+        RecoveryStatus status = simulation.recoveryStatus();
         assertNotNull(status);
         assertTrue(status.awaitedMachineCount() > 0, "no machine is unresponsive");
         long replicas = simulation.commands.startsSince(RESTART).stream()
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -52,7 +52,7 @@
                 .filter(attempt -> attempt.task.equals(held))
                 .count();
         assertTrue(attempts <= 1, held + " runs " + attempts + " times");
-        Map<Verdict, Integer> tasks = simulation.recovery().taskCountsByVerdict();
+        Map<Verdict, Integer> tasks = simulation.recoveryStatus().taskCountsByVerdict();
         assertTrue(tasks.get(Verdict.UNKNOWN_JOB) >= 2, tasks.toString());
         assertTrue(tasks.get(Verdict.STALE) >= 3, tasks.toString());
         assertTrue(tasks.get(Verdict.ADOPTED) > 0, tasks.toString());
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -53,7 +53,7 @@
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
         assertTrue(simulation.store.hasValue(key, garbage), "it was written over");
-        assertTrue(simulation.recovery().unreadableRecords() > 0);
+        assertTrue(simulation.recoveryStatus().unreadableRecords() > 0);
         simulation.run(400 * SECOND);
 
         assertRules(simulation);
@@ -82,7 +82,7 @@
         });
         simulation.run(RESTART + 60 * SECOND);
 
-        RecoveryStatus status = simulation.recovery();
+        RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
         assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "it was written over");
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -258,7 +258,7 @@
 
     /** What the leader tells of its recovery; null while nobody leads. */
     @Nullable
-    RecoveryStatus recovery() {
+    RecoveryStatus recoveryStatus() {
         SimNode leader = nodes.get(leader());
         return leader.leads() ? recoveryAt(leader.name()) : null;
     }
