--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -192,7 +192,7 @@
         AtomicInteger met = new AtomicInteger();
         simulation.environment.run(RESTART + 60 * SECOND, () -> {
             simulation.rules.check();
-            RecoveryStatus status = simulation.environment.nowMicros() > RESTART ? simulation.recovery(phase) : null;
+            RecoveryStatus status = simulation.environment.nowMicros() > RESTART ? simulation.recoveryStatusInPhase(phase) : null;
             if (status != null && met.get() < 2) {
                 met.incrementAndGet();
                 endReplicas(simulation);
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -265,7 +265,7 @@
 
     /** What a controller tells whose recovery is in this phase; null when there is none. */
     @Nullable
-    RecoveryStatus recovery(RecoveryPhase phase) {
+    RecoveryStatus recoveryStatusInPhase(RecoveryPhase phase) {
         return nodes.values().stream()
                 .map(SimNode::controller)
                 .filter(controller -> controller != null && controller.fencingToken() > 0)
