--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -216,21 +216,21 @@
         Simulation simulation = busy(3);
         simulation.run(RESTART);
         String leader = simulation.leader();
-        assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryAt(leader).role());
+        assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryStatusAt(leader).role());
         String other = simulation.nodeNames.stream()
                 .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(RecoveryStatus.Role.FOLLOWING, simulation.recoveryAt(other).role());
-        assertEquals(leader, simulation.recoveryAt(other).leader());
+        assertEquals(RecoveryStatus.Role.FOLLOWING, simulation.recoveryStatusAt(other).role());
+        assertEquals(leader, simulation.recoveryStatusAt(other).leader());
         simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         simulation.faults.cut(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         simulation.run(RESTART + 6 * SECOND);
 
         assertEquals(
                 RecoveryStatus.Role.LEADING_UNCONFIRMED,
-                simulation.recoveryAt(leader).role());
-        assertEquals(RecoveryStatus.Role.UNKNOWN, simulation.recoveryAt(other).role());
-        assertEquals(null, simulation.recoveryAt(other).phase());
+                simulation.recoveryStatusAt(leader).role());
+        assertEquals(RecoveryStatus.Role.UNKNOWN, simulation.recoveryStatusAt(other).role());
+        assertEquals(null, simulation.recoveryStatusAt(other).phase());
     }
 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -260,7 +260,7 @@
     @Nullable
     RecoveryStatus recoveryStatus() {
         SimNode leader = nodes.get(leader());
-        return leader.leads() ? recoveryAt(leader.name()) : null;
+        return leader.leads() ? recoveryStatusAt(leader.name()) : null;
     }
 
     /** What a controller tells whose recovery is in this phase; null when there is none. */
@@ -277,7 +277,7 @@
 
     /** What this controller tells of recoveries; null while it is down. */
     @Nullable
-    RecoveryStatus recoveryAt(String node) {
+    RecoveryStatus recoveryStatusAt(String node) {
         Controller controller = controllerAt(node);
         return controller == null ? null : controller.recoveryStatus();
     }
