--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -93,7 +93,7 @@
                         simulation.faults.cut(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
                 simulation -> simulation.faults.cutFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.cutZone(
-                        simulation.zoneOf(simulation.anyNode()), cut(simulation), time(simulation)),
+                        simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.freeze(simulation.leader(), time(simulation)),
                 simulation -> simulation.users.cancelRunning(
                         6, simulation.environment.random.nextBoolean() ? 0 : time(simulation)));
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -152,7 +152,7 @@
 
     /** A user calls the job off, at any controller until one has confirmed it. */
     void cancel(String id) {
-        cancelAt(simulation.anyNode(), id);
+        cancelAt(simulation.randomNode(), id);
     }
 
     /** The same at one controller first. */
@@ -166,7 +166,7 @@
     }
 
     private void ask(String id, Question question, Consumer<JobResponse> then) {
-        askAt(simulation.anyNode(), id, question, then);
+        askAt(simulation.randomNode(), id, question, then);
     }
 
     private void askAt(String node, String id, Question question, Consumer<JobResponse> then) {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -283,7 +283,7 @@
     }
 
     /** A controller drawn at random. */
-    String anyNode() {
+    String randomNode() {
         return nodeNames.get(environment.random.nextInt(nodeNames.size()));
     }
 
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -60,7 +60,7 @@
         long time = (3 + random.nextInt(40)) * SECOND;
         switch (random.nextInt(14)) {
             case 0 -> simulation.faults.crash(simulation.leader(), 300_000 + random.nextInt(6_000_000));
-            case 1 -> simulation.faults.crash(simulation.anyNode(), 300_000 + random.nextInt(6_000_000));
+            case 1 -> simulation.faults.crash(simulation.randomNode(), 300_000 + random.nextInt(6_000_000));
             case 2 ->
                 simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
             case 3 -> simulation.faults.cut(simulation.leader(), SimStore.NAME, how, time);
@@ -68,7 +68,7 @@
             case 5 -> simulation.store.startOutage(time);
             case 6 -> simulation.cloud.startOutage(time);
             case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), time);
-            case 8 -> simulation.faults.cutZone(simulation.zoneOf(simulation.anyNode()), how, time);
+            case 8 -> simulation.faults.cutZone(simulation.zoneOf(simulation.randomNode()), how, time);
             case 9 -> simulation.faults.freeze(simulation.leader(), time);
             default -> machineTrouble(simulation, how, time);
         }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -97,7 +97,7 @@
             simulation.after(
                     20 * SECOND + 2L * i * SECOND + simulation.environment.random.nextInt(2_000_000),
                     () -> simulation.faults.crash(
-                            leader ? simulation.leader() : simulation.anyNode(),
+                            leader ? simulation.leader() : simulation.randomNode(),
                             20_000 + simulation.environment.random.nextInt(400_000)));
             simulation.after(21 * SECOND + 2L * i * SECOND, () -> {
                 SimWorker worker = simulation.anyWorker();
