--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -96,7 +96,7 @@
         AtomicInteger lostAtWork = new AtomicInteger();
         for (int i = 0; i < 6; i++) {
             simulation.after((35 + 4 * i) * SECOND, () -> {
-                SimWorker worker = simulation.anyWorker();
+                SimWorker worker = simulation.randomWorker();
                 if (worker != null) {
                     lostAtWork.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
                     worker.die();
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -106,7 +106,7 @@
         AtomicInteger delivered = new AtomicInteger();
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
-                SimWorker worker = simulation.anyWorker();
+                SimWorker worker = simulation.randomWorker();
                 Heartbeat old = worker == null ? null : worker.lastHeartbeat();
                 if (old == null) {
                     return;
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -47,7 +47,7 @@
         }
         Observation<FilledMachine> observed = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            SimWorker worker = simulation.anyWorker();
+            SimWorker worker = simulation.randomWorker();
             observed.set(FilledMachine.now(simulation, worker));
             if (seed % 2 == 0) {
                 simulation.faults.deafen(worker, 150 * SECOND);
@@ -97,7 +97,7 @@
         Observation<SimWorker> gone = new Observation<>();
         Observation<Integer> startsBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            SimWorker worker = simulation.anyWorker();
+            SimWorker worker = simulation.randomWorker();
             gone.set(worker);
             Heartbeat late = worker.lastHeartbeat();
             worker.die();
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -289,7 +289,7 @@
 
     /** A machine drawn at random; null while there is none. */
     @Nullable
-    SimWorker anyWorker() {
+    SimWorker randomWorker() {
         List<SimWorker> all = cloud.workers();
         return all.isEmpty() ? null : all.get(environment.random.nextInt(all.size()));
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -75,7 +75,7 @@
     }
 
     private static void machineTrouble(Simulation simulation, SimEnvironment.PartitionMode how, long time) {
-        SimWorker worker = simulation.anyWorker();
+        SimWorker worker = simulation.randomWorker();
         if (worker == null) {
             return;
         }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -100,7 +100,7 @@
                             leader ? simulation.leader() : simulation.randomNode(),
                             20_000 + simulation.environment.random.nextInt(400_000)));
             simulation.after(21 * SECOND + 2L * i * SECOND, () -> {
-                SimWorker worker = simulation.anyWorker();
+                SimWorker worker = simulation.randomWorker();
                 if (worker != null) {
                     worker.hangFor(100_000 + simulation.environment.random.nextInt(800_000));
                 }
