--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -63,11 +63,11 @@
                     others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
                 simulation.store.startOutage(simulation.config.cancel() + 15 * SECOND);
-                answeredBefore.set(simulation.heartbeatsAccepted(leader));
+                answeredBefore.set(simulation.acceptedHeartbeatCount(leader));
             });
             simulation.after(9 * SECOND, () -> {
                 confirmed.set(simulation.rules.cancelledJobCount());
-                answeredAfter.set(simulation.heartbeatsAccepted(leader));
+                answeredAfter.set(simulation.acceptedHeartbeatCount(leader));
             });
         });
         simulation.run(70 * SECOND + simulation.config.cancel() + 20 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -73,7 +73,7 @@
     private final SimPorts ports = new SimPorts(this);
     final Map<String, SimNode> nodes = new LinkedHashMap<>();
     private final Set<TaskId> results = new HashSet<>();
-    private final Map<String, Integer> heartbeatsAccepted = new HashMap<>();
+    private final Map<String, Integer> acceptedHeartbeatCount = new HashMap<>();
     /** Controllers that users don't get to. */
     final Set<String> nodesUnreachableByUsers = new HashSet<>();
     /** For how long direct calls that start tasks are held up on their way; others overtake them. */
@@ -205,7 +205,7 @@
                 trace.heartbeatAnswered(node, heartbeat.machineId(), answer);
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
-                heartbeatsAccepted.merge(node, 1, Integer::sum);
+                acceptedHeartbeatCount.merge(node, 1, Integer::sum);
                 if (controller.isLeader()) {
                     commands.recordHeartbeat(controller.fencingToken(), heartbeat.machineId());
                     commands.recordCommands(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
@@ -246,8 +246,8 @@
     }
 
     /** How many heartbeats this controller answered so far as one that may. */
-    int heartbeatsAccepted(String node) {
-        return heartbeatsAccepted.getOrDefault(node, 0);
+    int acceptedHeartbeatCount(String node) {
+        return acceptedHeartbeatCount.getOrDefault(node, 0);
     }
 
     /** The controller that runs here now; null while it is down. */
