--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -29,7 +29,7 @@
         simulation.cancelAtCompletionShare = 0.6;
         simulation.users.oddRequests(100 * SECOND);
 
-        simulation.run(100 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(100 * SECOND, 400 * SECOND);
 
         assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancelledJobCount() > 2);
         assertTrue(
@@ -70,7 +70,7 @@
                 answeredAfter.set(simulation.acceptedHeartbeatCount(leader));
             });
         });
-        simulation.run(70 * SECOND + simulation.config.cancel() + 20 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancel() + 20 * SECOND, 400 * SECOND);
 
         assertTrue(
                 running.get() >= 10 && confirmed.get() >= 10,
@@ -101,7 +101,7 @@
             simulation.users.cancelRunning(3, 0);
             toldAfter.set(simulation.rules.cancelledJobCount());
         });
-        simulation.run(70 * SECOND + simulation.config.cancel() + 6 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancel() + 6 * SECOND, 600 * SECOND);
 
         assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
         assertRulesAndAllDone(simulation);
@@ -123,7 +123,7 @@
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         Observation<Integer> told =
                 simulation.observe(50 * SECOND + simulation.config.lease(), simulation.rules::cancelledJobCount);
-        simulation.run(65 * SECOND + simulation.config.lease(), 500 * SECOND);
+        simulation.runWithLivenessChecks(65 * SECOND + simulation.config.lease(), 500 * SECOND);
 
         assertTrue(told.get() > 0, "nothing was cancelled in the cut");
         assertRulesAndAllDone(simulation);
@@ -152,7 +152,7 @@
                 simulation.faults.cutZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
-        simulation.run(125 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(125 * SECOND, 900 * SECOND);
 
         assertEquals(10, told.get(), "cancellations confirmed before the cut");
         assertRulesAndAllDone(simulation);
@@ -182,7 +182,7 @@
             });
             simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
         });
-        simulation.run(135 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(135 * SECOND, 900 * SECOND);
 
         assertEquals(9, told.get(), "cancellations confirmed by the new leader");
         assertRulesAndAllDone(simulation);
@@ -207,7 +207,7 @@
                     () -> jobs.forEach(job ->
                             simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
         });
-        simulation.run(60 * SECOND + 2 * simulation.config.cancel(), 300 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND + 2 * simulation.config.cancel(), 300 * SECOND);
 
         assertTrue(simulation.rules.cancelledJobCount() >= 10);
         assertRules(simulation);
@@ -226,7 +226,7 @@
             hung.set(simulation.users.cancelRunning(8, hangMicros).size());
             leaderEnds(simulation, SECOND, 300_000);
         });
-        simulation.run(75 * SECOND + simulation.config.lease(), 800 * SECOND);
+        simulation.runWithLivenessChecks(75 * SECOND + simulation.config.lease(), 800 * SECOND);
 
         assertTrue(hung.get() > 4);
         assertRulesAndAllDone(simulation);
@@ -254,7 +254,7 @@
                                 others(simulation, leader).get(0), job));
             });
         }
-        simulation.run(85 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(85 * SECOND, 500 * SECOND);
 
         assertTrue(simulation.rules.cancelledJobCount() > 10, simulation.rules.cancelledJobCount() + " cancellations");
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -43,7 +43,7 @@
         leaderEnds(simulation, 49 * SECOND, 300_000);
         simulation.after(70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
-        simulation.run(100 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(100 * SECOND, 300 * SECOND);
 
         assertTrue(machines.get() > 150, "only " + machines.get() + " machines");
         assertRulesAndAllDone(simulation);
@@ -68,7 +68,7 @@
                 }
             });
         }
-        simulation.run(310 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(310 * SECOND, 900 * SECOND);
 
         simulation.rules.checkServed();
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -50,7 +50,7 @@
         Observation<Integer> waiting = simulation.observe(
                 60 * SECOND, () -> simulation.users.unfinishedBatches().size());
         simulation.after(90 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
-        simulation.run(100 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(100 * SECOND, 700 * SECOND);
 
         assertTrue(waiting.get() > 5, "only " + waiting.get() + " jobs wait");
         assertRulesAndAllDone(simulation);
@@ -79,7 +79,7 @@
             simulation.faults.crash(former.get(), 20 * SECOND);
         });
         simulation.after(60 * SECOND, () -> assertNotEquals(former.get(), simulation.leader()));
-        simulation.run(95 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(95 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -104,7 +104,7 @@
             });
         }
         leaderEnds(simulation, 45 * SECOND, 300_000);
-        simulation.run(60 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND, 400 * SECOND);
 
         assertTrue(lostAtWork.get() > 0, "no machine at work was lost");
         assertRulesAndAllDone(simulation);
@@ -130,7 +130,7 @@
             machines.forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
         });
-        simulation.run(60 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND, 700 * SECOND);
 
         assertTrue(cut.get() > 2, cut.get() + " machines were cut off");
         assertRulesAndAllDone(simulation);
@@ -150,7 +150,7 @@
         Observation<Integer> left = simulation.observe(
                 54 * SECOND + simulation.config.lease(),
                 () -> simulation.rules.runningJobs().size());
-        simulation.run(57 * SECOND + simulation.config.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(57 * SECOND + simulation.config.lease(), 400 * SECOND);
 
         assertEquals(0, left.get(), "every lease ran out");
         assertRulesAndAllDone(simulation);
@@ -179,7 +179,7 @@
             });
         }
         simulation.after(65 * SECOND, () -> simulation.store.lateCommitShare = 0);
-        simulation.run(78 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(78 * SECOND, 300 * SECOND);
 
         assertTrue(leaders.size() > 1, "one leader throughout");
         assertRulesAndAllDone(simulation);
@@ -213,7 +213,7 @@
                         () -> simulation.users.submit(simulation.jobs.limitedBatch(3, 20 * SECOND)));
             }
         });
-        simulation.run(80 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND, 600 * SECOND);
 
         assertTrue(atLimit.get(), "the team was not at its limit");
         assertRulesAndAllDone(simulation);
@@ -241,7 +241,7 @@
             });
         }
         simulation.after(90 * SECOND, () -> simulation.store.startOutage(20 * SECOND));
-        simulation.run(160 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(160 * SECOND, 600 * SECOND);
 
         assertTrue(changes.get() >= 5, changes + " changes of leader");
         assertRulesAndAllDone(simulation);
@@ -264,7 +264,7 @@
                             node -> simulation.faults.crash(node, node.equals(first) ? 100_000 : 25 * SECOND)));
             simulation.after(20 * SECOND, () -> assertEquals(first, simulation.leader()));
         });
-        simulation.run(80 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -290,7 +290,7 @@
                 .create();
 
         simulation.after(60 * SECOND, () -> simulation.users.submit(late));
-        simulation.run(20 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(20 * SECOND, 400 * SECOND);
 
         assertTrue(simulation.rules.startDelayMicros(late.id()) > 30 * SECOND, "it found capacity at once");
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -32,7 +32,7 @@
                             simulation.leader(), 300_000 + simulation.environment.random.nextInt(4_000_000)));
         }
         simulation.after(120 * SECOND, () -> simulation.store.lateCommitShare = 0);
-        simulation.run(135 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(135 * SECOND, 500 * SECOND);
 
         assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction went in");
         assertRulesAndAllDone(simulation);
@@ -60,7 +60,7 @@
                         }));
         leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
-        simulation.run(60 * SECOND + simulation.config.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND + simulation.config.lease(), 400 * SECOND);
 
         assertTrue(muted.get() > 2, muted + " machines at work fell mute");
         assertRulesAndAllDone(simulation);
@@ -88,7 +88,7 @@
             });
             simulation.after(3 * simulation.config.lease(), () -> held.forEach(simulation.faults::deliver));
         });
-        simulation.run(50 * SECOND + 3 * simulation.config.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.lease(), 400 * SECOND);
 
         assertTrue(
                 heldBack.get() > 2 && tokensDrawn.get() > 0,
@@ -121,7 +121,7 @@
             });
         }
         leaderEnds(simulation, 60 * SECOND, 300_000);
-        simulation.run(80 * SECOND + 2 * simulation.config.lease(), 500 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND + 2 * simulation.config.lease(), 500 * SECOND);
 
         assertTrue(delivered.get() > 10, delivered + " old heartbeats");
         assertRulesAndAllDone(simulation);
@@ -141,7 +141,7 @@
                     () -> simulation.users.cancelRunning(2, 6 * SECOND + simulation.environment.random.nextInt(30_000_000)));
         }
         simulation.after(85 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
-        simulation.run(125 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(125 * SECOND, 500 * SECOND);
 
         assertTrue(simulation.rules.cancelledJobCount() > 5);
         assertRulesAndAllDone(simulation);
@@ -169,7 +169,7 @@
         }
         simulation.after(55 * SECOND, () -> simulation.directStartDelayMicros = 0);
         Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
-        simulation.run(65 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(65 * SECOND, 500 * SECOND);
 
         int told = toldAfter.get() - toldBefore.get();
         assertTrue(told > 3, told + " cancellations");
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -94,7 +94,7 @@
                 160 * SECOND,
                 () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, 300_000 + simulation.environment.random.nextInt(4_000_000))));
-        simulation.run(170 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(170 * SECOND, 400 * SECOND);
 
         assertEquals(
                 List.of(),
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -54,7 +54,7 @@
                 usedAfter.set(simulation.rules.usedCpuMillis("free"));
             });
         }
-        simulation.run(80 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND, 900 * SECOND);
 
         assertTrue(usedBefore.get() > 20_000, "the others use only " + usedBefore.get());
         assertTrue(mostGranted.get() >= 16_000, "the guaranteed team uses " + mostGranted);
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -56,7 +56,7 @@
         simulation.after(
                 32 * SECOND,
                 () -> simulation.faults.cutFromPeersAndStore(simulation.leader(), cutOf(seed), 70 * SECOND));
-        simulation.run(110 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(110 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -87,7 +87,7 @@
                                 former, simulation.jobs.work(5, 20 * SECOND).create()));
             }
         });
-        simulation.run(60 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -124,7 +124,7 @@
             simulation.faults.cutFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             services.forEach(job -> simulation.users.cancelAt(other, job.id()));
         });
-        simulation.run(120 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(120 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -140,7 +140,7 @@
         // In an outage no successor is found, and the leader is the leader still when all goes on.
         simulation.after(60 * SECOND, () -> simulation.store.startOutage(12_900_000));
         simulation.after(61 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 12 * SECOND));
-        simulation.run(85 * SECOND, 200 * SECOND);
+        simulation.runWithLivenessChecks(85 * SECOND, 200 * SECOND);
 
         assertRules(simulation);
         assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
@@ -171,7 +171,7 @@
         for (int i = 0; i < 30; i++) {
             simulation.after((50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
         }
-        simulation.run(82 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(82 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertEquals(60, before.get());
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -55,7 +55,7 @@
                 simulation.faults.mute(worker, 150 * SECOND);
             }
         });
-        simulation.run(200 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(200 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertFalse(observed.get().worker().isAlive(), "it is to be returned");
@@ -83,7 +83,7 @@
 
         deaf.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
 
-        simulation.run(130 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(130 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -51,7 +51,7 @@
             simulation.after(at, () -> one.accept(simulation));
             simulation.after(at + simulation.environment.random.nextInt(6_000_000), () -> other.accept(simulation));
         }
-        simulation.run(250 * SECOND, 650 * SECOND);
+        simulation.runWithLivenessChecks(250 * SECOND, 650 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -32,7 +32,7 @@
             restart(simulation, seed % 2 == 0);
             endAllWork(simulation);
         });
-        simulation.run(RESTART + 30 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 30 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART);
@@ -112,7 +112,7 @@
                 batch.get(0).sentMicros() < RESTART + HOLD + 12 * SECOND,
                 "the first batch task started " + (batch.get(0).sentMicros() - RESTART) / 1e6 + " s after the restart");
 
-        simulation.run(RESTART + 90 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 90 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -144,7 +144,7 @@
                 .count();
         assertEquals(6 * 6, replicas, "replicas that wait for machines which can't hold them");
 
-        simulation.run(RESTART + 60 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 60 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -98,7 +98,7 @@
                     RESTART + down + i * SECOND / 2,
                     () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliver));
         }
-        simulation.run(RESTART + 40 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 40 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -118,7 +118,7 @@
                 all.get(i).die();
             }
         });
-        simulation.run(RESTART + 5 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 5 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -146,7 +146,7 @@
                         .ifPresent(SimWorker::die);
             }
         });
-        simulation.run(75 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(75 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -112,7 +112,7 @@
                 RESTART - 100_000 - simulation.environment.random.nextInt(400_000),
                 () -> simulation.users.cancelRunning(4, 0));
         simulation.after(RESTART, () -> restart(simulation, seed % 2 == 0));
-        simulation.run(RESTART + 100 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertTrue(simulation.rules.cancelledJobCount() > 0);
@@ -137,7 +137,7 @@
             simulation.store.lateCommitShare = 0.1;
             simulation.after(20 * SECOND, () -> simulation.store.lateCommitShare = 0);
         });
-        simulation.run(RESTART + 30 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART + 30 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -169,7 +169,7 @@
             // Where no machine has capacity for what goes first, its phase is over within one step.
             int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
             assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
-            simulation.run(RESTART + 70 * SECOND, 500 * SECOND);
+            simulation.runWithLivenessChecks(RESTART + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
     }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -312,7 +312,7 @@
     }
 
     /** The same with the check that every job stays known, from the time on at which the last trouble is over. */
-    void run(long troublesOver, long until) {
+    void runWithLivenessChecks(long troublesOver, long until) {
         environment.after(troublesOver - environment.nowMicros(), () -> watchKnown(troublesOver));
         run(until);
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -105,7 +105,7 @@
                             simulation.leader(), 300_000 + simulation.environment.random.nextInt(5_000_000)));
             simulation.after((32 + 25 * i) * SECOND, () -> machineTrouble(simulation, SimEnvironment.PartitionMode.HOLD, 15 * SECOND));
         }
-        simulation.run(180 * SECOND, 420 * SECOND);
+        simulation.runWithLivenessChecks(180 * SECOND, 420 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -53,7 +53,7 @@
         assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
         // Their heartbeats end one after the other; the first are not to be given up before the rest tell what it is.
         assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
-        simulation.run(120 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(120 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -81,7 +81,7 @@
         List<String> healthy = new ArrayList<>(simulation.cloud.terminatedWhileBusy());
         healthy.removeAll(cut);
         assertEquals(List.of(), healthy, "returned with tasks on them");
-        simulation.run(100 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -106,7 +106,7 @@
                 }
             });
         }
-        simulation.run(110 * SECOND, 330 * SECOND);
+        simulation.runWithLivenessChecks(110 * SECOND, 330 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -57,7 +57,7 @@
         leaderEnds(simulation, 115 * SECOND, 2 * SECOND);
         simulation.after(
                 130 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
-        simulation.run(140 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(140 * SECOND, 400 * SECOND);
 
         assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(simulation);
@@ -74,7 +74,7 @@
             simulation.store.lowerLimits(NEXT);
         });
         leaderEnds(simulation, 46 * SECOND, SECOND);
-        simulation.run(60 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertEquals(List.of(), simulation.rules.violations());
@@ -92,7 +92,7 @@
         });
         leaderEnds(simulation, 60 * SECOND, SECOND);
         simulation.after(80 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
-        simulation.run(90 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(90 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
