--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -119,7 +119,7 @@
         simulation.after(45 * SECOND, () -> {
             String leader = simulation.leader();
             String other = simulation.nodeNames.get(1 - simulation.nodeNames.indexOf(leader));
-            simulation.faults.freeze(leader, 24 * SECOND);
+            simulation.faults.pause(leader, 24 * SECOND);
             simulation.faults.cutFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             simulation.faults.cutFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             services.forEach(job -> simulation.users.cancelAt(other, job.id()));
@@ -139,7 +139,7 @@
 
         // In an outage no successor is found, and the leader is the leader still when all goes on.
         simulation.after(60 * SECOND, () -> simulation.store.startOutage(12_900_000));
-        simulation.after(61 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 12 * SECOND));
+        simulation.after(61 * SECOND, () -> simulation.faults.pause(simulation.leader(), 12 * SECOND));
         simulation.runWithLivenessChecks(85 * SECOND, 200 * SECOND);
 
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -94,7 +94,7 @@
                 simulation -> simulation.faults.cutFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.cutZone(
                         simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
-                simulation -> simulation.faults.freeze(simulation.leader(), time(simulation)),
+                simulation -> simulation.faults.pause(simulation.leader(), time(simulation)),
                 simulation -> simulation.users.cancelRunning(
                         6, simulation.environment.random.nextBoolean() ? 0 : time(simulation)));
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -206,7 +206,7 @@
         switch (trouble) {
             case ALL_END -> simulation.faults.crashAll(SECOND);
             case LEADER_ENDS -> simulation.faults.crash(leader, 100_000);
-            case LEADER_STANDS_STILL -> simulation.faults.freeze(leader, 6 * SECOND);
+            case LEADER_STANDS_STILL -> simulation.faults.pause(leader, 6 * SECOND);
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -35,7 +35,7 @@
     }
 
     /** A controller stands still while its clocks run on. */
-    void freeze(String node, long forMicros) {
+    void pause(String node, long forMicros) {
         simulation.environment.pause(node);
         simulation.environment.after(forMicros, () -> simulation.environment.resume(node));
     }
