--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -145,7 +145,7 @@
             simulation.cloud.workers().stream()
                     .filter(worker -> worker.zone.equals(zone))
                     .forEach(worker ->
-                            simulation.faults.cut(simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
+                            simulation.faults.partition(simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
                 told.set(simulation.rules.cancelledJobCount());
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -29,7 +29,7 @@
 
         simulation.after(35 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 120 * SECOND);
+            simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 120 * SECOND);
             // The successors can't reach the workers: only the lease can end the tasks.
             for (String node : simulation.nodeNames) {
                 if (!node.equals(leader)) {
@@ -72,13 +72,13 @@
 
         simulation.after(40 * SECOND, () -> {
             String former = simulation.leader();
-            simulation.faults.cut(former, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 4 * SECOND);
+            simulation.faults.partition(former, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 4 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
                 String host = all.get(i).id;
                 simulation.nodeNames.stream()
                         .filter(node -> !node.equals(former))
-                        .forEach(node -> simulation.faults.cut(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
+                        .forEach(node -> simulation.faults.partition(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
             }
             for (int i = 0; i < 12; i++) {
                 simulation.after(
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -90,7 +90,7 @@
                 simulation ->
                         simulation.faults.cutFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
                 simulation ->
-                        simulation.faults.cut(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
+                        simulation.faults.partition(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
                 simulation -> simulation.faults.cutFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.cutZone(
                         simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -223,8 +223,8 @@
                 .orElseThrow();
         assertEquals(RecoveryStatus.Role.FOLLOWING, simulation.recoveryStatusAt(other).role());
         assertEquals(leader, simulation.recoveryStatusAt(other).leader());
-        simulation.faults.cut(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
-        simulation.faults.cut(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+        simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+        simulation.faults.partition(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         simulation.run(RESTART + 6 * SECOND);
 
         assertEquals(
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -41,7 +41,7 @@
     }
 
     /** Nothing passes between the two, in either direction. */
-    void cut(String one, String other, SimEnvironment.PartitionMode how, long forMicros) {
+    void partition(String one, String other, SimEnvironment.PartitionMode how, long forMicros) {
         simulation.environment.partition(one, other, how);
         simulation.environment.after(forMicros, () -> simulation.environment.heal(one, other));
     }
@@ -49,7 +49,7 @@
     /** A controller loses all machines that are up. */
     void cutFromWorkers(String node, SimEnvironment.PartitionMode how, long forMicros) {
         for (SimWorker worker : simulation.cloud.workers()) {
-            cut(node, worker.id, how, forMicros);
+            partition(node, worker.id, how, forMicros);
         }
     }
 
@@ -82,10 +82,10 @@
 
     /** Loses the store and the other controllers, but not its workers. */
     void cutFromPeersAndStore(String node, SimEnvironment.PartitionMode how, long forMicros) {
-        cut(node, SimStore.NAME, how, forMicros);
+        partition(node, SimStore.NAME, how, forMicros);
         for (String name : simulation.nodeNames) {
             if (!name.equals(node)) {
-                cut(node, name, how, forMicros);
+                partition(node, name, how, forMicros);
             }
         }
     }
@@ -100,7 +100,7 @@
             boolean node = simulation.nodeNames.contains(here);
             for (String there : outside) {
                 if (node || simulation.nodeNames.contains(there)) {
-                    cut(here, there, how, forMicros);
+                    partition(here, there, how, forMicros);
                 }
             }
             if (node) {
@@ -113,7 +113,7 @@
     /** A machine loses all controllers. */
     void cutMachine(SimWorker worker, SimEnvironment.PartitionMode how, long forMicros) {
         for (String name : simulation.nodeNames) {
-            cut(name, worker.id, how, forMicros);
+            partition(name, worker.id, how, forMicros);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -63,7 +63,7 @@
             case 1 -> simulation.faults.crash(simulation.randomNode(), 300_000 + random.nextInt(6_000_000));
             case 2 ->
                 simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
-            case 3 -> simulation.faults.cut(simulation.leader(), SimStore.NAME, how, time);
+            case 3 -> simulation.faults.partition(simulation.leader(), SimStore.NAME, how, time);
             case 4 -> simulation.faults.cutFromWorkers(simulation.leader(), how, time);
             case 5 -> simulation.store.startOutage(time);
             case 6 -> simulation.cloud.startOutage(time);
