--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -177,7 +177,7 @@
                 assertNotEquals(former, leader);
                 // It can't reach any machine either: only leases can end what the former one keeps alive.
                 others(simulation, former)
-                        .forEach(node -> simulation.faults.cutFromWorkers(node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
+                        .forEach(node -> simulation.faults.partitionFromWorkers(node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
             simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -33,7 +33,7 @@
             // The successors can't reach the workers: only the lease can end the tasks.
             for (String node : simulation.nodeNames) {
                 if (!node.equals(leader)) {
-                    simulation.faults.cutFromWorkers(node, SimEnvironment.PartitionMode.DROP, 120 * SECOND);
+                    simulation.faults.partitionFromWorkers(node, SimEnvironment.PartitionMode.DROP, 120 * SECOND);
                 }
             }
         });
@@ -121,7 +121,7 @@
             String other = simulation.nodeNames.get(1 - simulation.nodeNames.indexOf(leader));
             simulation.faults.pause(leader, 24 * SECOND);
             simulation.faults.cutFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
-            simulation.faults.cutFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
+            simulation.faults.partitionFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             services.forEach(job -> simulation.users.cancelAt(other, job.id()));
         });
         simulation.runWithLivenessChecks(120 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -91,7 +91,7 @@
                         simulation.faults.cutFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
                 simulation ->
                         simulation.faults.partition(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
-                simulation -> simulation.faults.cutFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.cutZone(
                         simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.pause(simulation.leader(), time(simulation)),
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -47,7 +47,7 @@
     }
 
     /** A controller loses all machines that are up. */
-    void cutFromWorkers(String node, SimEnvironment.PartitionMode how, long forMicros) {
+    void partitionFromWorkers(String node, SimEnvironment.PartitionMode how, long forMicros) {
         for (SimWorker worker : simulation.cloud.workers()) {
             partition(node, worker.id, how, forMicros);
         }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -64,7 +64,7 @@
             case 2 ->
                 simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
             case 3 -> simulation.faults.partition(simulation.leader(), SimStore.NAME, how, time);
-            case 4 -> simulation.faults.cutFromWorkers(simulation.leader(), how, time);
+            case 4 -> simulation.faults.partitionFromWorkers(simulation.leader(), how, time);
             case 5 -> simulation.store.startOutage(time);
             case 6 -> simulation.cloud.startOutage(time);
             case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), time);
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -46,7 +46,7 @@
         Observation<String> cut = new Observation<>();
         simulation.after(50 * SECOND, () -> {
             cut.set(simulation.leader());
-            simulation.faults.cutFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+            simulation.faults.partitionFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         });
         simulation.run(50 * SECOND + Simulation.LEASE_MICROS);
 
