--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -73,7 +73,7 @@
                 if (i % 3 == 0) {
                     simulation.faults.cutMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 40 * SECOND);
                 } else if (i % 3 == 1) {
-                    simulation.faults.deafen(all.get(i), 25 * SECOND);
+                    simulation.faults.dropMessagesTo(all.get(i), 25 * SECOND);
                 }
             }
             simulation.faults.crash(former.get(), 20 * SECOND);
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -50,7 +50,7 @@
             SimWorker worker = simulation.randomWorker();
             observed.set(FilledMachine.now(simulation, worker));
             if (seed % 2 == 0) {
-                simulation.faults.deafen(worker, 150 * SECOND);
+                simulation.faults.dropMessagesTo(worker, 150 * SECOND);
             } else {
                 simulation.faults.mute(worker, 150 * SECOND);
             }
@@ -77,7 +77,7 @@
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream().limit(5).forEach(worker -> {
                     deaf.add(FilledMachine.now(simulation, worker));
-                    simulation.faults.deafen(worker, 80 * SECOND);
+                    simulation.faults.dropMessagesTo(worker, 80 * SECOND);
                 }));
         simulation.run(125 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -54,7 +54,7 @@
     }
 
     /** Its heartbeats arrive, but neither answers nor commands reach it. */
-    void deafen(SimWorker worker, long forMicros) {
+    void dropMessagesTo(SimWorker worker, long forMicros) {
         for (String name : simulation.nodeNames) {
             simulation.environment.blockOneWay(name, worker.id);
             simulation.environment.after(forMicros, () -> simulation.environment.heal(name, worker.id));
