--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -56,7 +56,7 @@
                         .limit(6)
                         .forEach(worker -> {
                             muted.incrementAndGet();
-                            simulation.faults.mute(worker, simulation.config.lease() + 10 * SECOND);
+                            simulation.faults.dropHeartbeatsFrom(worker, simulation.config.lease() + 10 * SECOND);
                         }));
         leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -52,7 +52,7 @@
             if (seed % 2 == 0) {
                 simulation.faults.dropMessagesTo(worker, 150 * SECOND);
             } else {
-                simulation.faults.mute(worker, 150 * SECOND);
+                simulation.faults.dropHeartbeatsFrom(worker, 150 * SECOND);
             }
         });
         simulation.runWithLivenessChecks(200 * SECOND, 700 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -123,7 +123,7 @@
     private static List<Consumer<Simulation>> ofMachines() {
         return List.of(
                 simulation -> someMachines(simulation, worker -> simulation.faults.dropMessagesTo(worker, time(simulation))),
-                simulation -> someMachines(simulation, worker -> simulation.faults.mute(worker, time(simulation))),
+                simulation -> someMachines(simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, time(simulation))),
                 simulation -> someMachines(
                         simulation, worker -> simulation.faults.cutMachine(worker, cut(simulation), time(simulation))),
                 simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -62,7 +62,7 @@
     }
 
     /** Answers and commands reach it, but its heartbeats are lost. */
-    void mute(SimWorker worker, long forMicros) {
+    void dropHeartbeatsFrom(SimWorker worker, long forMicros) {
         worker.setHeartbeatsDropped(true);
         simulation.environment.after(forMicros, () -> worker.setHeartbeatsDropped(false));
     }
