--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -84,9 +84,9 @@
             simulation.after(9 * SECOND, () -> {
                 heldBack.set(held.size());
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
-                held.forEach(heartbeat -> simulation.nodeNames.forEach(node -> simulation.faults.deliver(node, heartbeat)));
+                held.forEach(heartbeat -> simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
             });
-            simulation.after(3 * simulation.config.lease(), () -> held.forEach(simulation.faults::deliver));
+            simulation.after(3 * simulation.config.lease(), () -> held.forEach(simulation.faults::deliverHeartbeat));
         });
         simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.lease(), 400 * SECOND);
 
@@ -115,7 +115,7 @@
                 for (int halfLeases = 1; halfLeases < 5; halfLeases++) {
                     simulation.after(halfLeases * simulation.config.lease() / 2, () -> {
                         delivered.incrementAndGet();
-                        simulation.faults.deliver(old);
+                        simulation.faults.deliverHeartbeat(old);
                     });
                 }
             });
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -103,7 +103,7 @@
             worker.die();
             simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startCount(worker.id)));
             for (int i = 31; i < 60; i += 7) {
-                simulation.after(i * SECOND, () -> simulation.faults.deliver(late));
+                simulation.after(i * SECOND, () -> simulation.faults.deliverHeartbeat(late));
             }
         });
         simulation.run(110 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -96,7 +96,7 @@
         for (int i = 0; i < 30; i++) {
             simulation.after(
                     RESTART + down + i * SECOND / 2,
-                    () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliver));
+                    () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliverHeartbeat));
         }
         simulation.runWithLivenessChecks(RESTART + 40 * SECOND, 500 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -68,12 +68,12 @@
     }
 
     /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
-    void deliver(Heartbeat late) {
-        deliver(simulation.leader(), late);
+    void deliverHeartbeat(Heartbeat late) {
+        deliverHeartbeat(simulation.leader(), late);
     }
 
     /** The same at one controller. */
-    void deliver(String node, Heartbeat late) {
+    void deliverHeartbeat(String node, Heartbeat late) {
         Controller controller = simulation.controllerAt(node);
         if (controller != null) {
             controller.handleHeartbeat(late);
