--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -171,7 +171,7 @@
         Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
-            simulation.faults.cutFromPeersAndStore(former, cutOf(seed), 70 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(former, cutOf(seed), 70 * SECOND);
             simulation.after(6 * SECOND, () -> {
                 String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -233,7 +233,7 @@
                 if (simulation.environment.random.nextBoolean()) {
                     simulation.faults.crash(was, 300_000 + simulation.environment.random.nextInt(6_000_000));
                 } else {
-                    simulation.faults.cutFromPeersAndStore(was, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
+                    simulation.faults.partitionFromPeersAndStore(was, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
                 }
                 simulation.after(
                         10 * SECOND, () -> changes.addAndGet(simulation.leader().equals(was) ? 0 : 1));
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -55,7 +55,7 @@
 
         simulation.after(
                 32 * SECOND,
-                () -> simulation.faults.cutFromPeersAndStore(simulation.leader(), cutOf(seed), 70 * SECOND));
+                () -> simulation.faults.partitionFromPeersAndStore(simulation.leader(), cutOf(seed), 70 * SECOND));
         simulation.runWithLivenessChecks(110 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -120,7 +120,7 @@
             String leader = simulation.leader();
             String other = simulation.nodeNames.get(1 - simulation.nodeNames.indexOf(leader));
             simulation.faults.pause(leader, 24 * SECOND);
-            simulation.faults.cutFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             simulation.faults.partitionFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             services.forEach(job -> simulation.users.cancelAt(other, job.id()));
         });
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -88,7 +88,7 @@
                 simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
                 simulation -> simulation.store.startOutage(time(simulation) + simulation.config.cancel() / 2),
                 simulation ->
-                        simulation.faults.cutFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
+                        simulation.faults.partitionFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
                 simulation ->
                         simulation.faults.partition(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
                 simulation -> simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -81,7 +81,7 @@
     }
 
     /** Loses the store and the other controllers, but not its workers. */
-    void cutFromPeersAndStore(String node, SimEnvironment.PartitionMode how, long forMicros) {
+    void partitionFromPeersAndStore(String node, SimEnvironment.PartitionMode how, long forMicros) {
         partition(node, SimStore.NAME, how, forMicros);
         for (String name : simulation.nodeNames) {
             if (!name.equals(node)) {
