--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -116,7 +116,7 @@
 
         simulation.after(
                 50 * SECOND,
-                () -> simulation.faults.cutZone(
+                () -> simulation.faults.partitionZone(
                         seed % 3 == 0 ? simulation.zoneOf(simulation.leader()) : "south",
                         cutOf(seed),
                         simulation.config.lease() + 12 * SECOND));
@@ -149,7 +149,7 @@
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
                 told.set(simulation.rules.cancelledJobCount());
-                simulation.faults.cutZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
+                simulation.faults.partitionZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
         simulation.runWithLivenessChecks(125 * SECOND, 900 * SECOND);
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -88,7 +88,7 @@
         Observation<Integer> machinesUp =
                 simulation.observe(70 * SECOND, () -> simulation.cloud.workers().size());
         simulation.after(70 * SECOND, () -> simulation.faults.pause(simulation.leader(), 33 * SECOND));
-        simulation.after(112 * SECOND, () -> simulation.faults.cutZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND));
+        simulation.after(112 * SECOND, () -> simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND));
         leaderEnds(simulation, 118 * SECOND, 300_000);
         simulation.after(
                 160 * SECOND,
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -163,7 +163,7 @@
         AtomicLong least = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
             before.set(simulation.rules.runningReplicaCount());
-            simulation.faults.cutZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
+            simulation.faults.partitionZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
                 leaderEnds(simulation, 6 * SECOND, 300_000);
             }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -92,7 +92,7 @@
                 simulation ->
                         simulation.faults.partition(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
                 simulation -> simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
-                simulation -> simulation.faults.cutZone(
+                simulation -> simulation.faults.partitionZone(
                         simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.pause(simulation.leader(), time(simulation)),
                 simulation -> simulation.users.cancelRunning(
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -138,7 +138,7 @@
         simulation.after(40 * SECOND, () -> {
             restart(simulation, false);
             if (seed % 2 == 0) {
-                simulation.faults.cutZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND);
+                simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND);
             } else {
                 simulation.cloud.workers().stream()
                         .filter(worker -> worker.attempts().hasRunningTask())
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -91,7 +91,7 @@
     }
 
     /** A zone with its controllers and machines is cut off from everything outside. */
-    void cutZone(String zone, SimEnvironment.PartitionMode how, long forMicros) {
+    void partitionZone(String zone, SimEnvironment.PartitionMode how, long forMicros) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
         simulation.nodeNames.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -68,7 +68,7 @@
             case 5 -> simulation.store.startOutage(time);
             case 6 -> simulation.cloud.startOutage(time);
             case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), time);
-            case 8 -> simulation.faults.cutZone(simulation.zoneOf(simulation.randomNode()), how, time);
+            case 8 -> simulation.faults.partitionZone(simulation.zoneOf(simulation.randomNode()), how, time);
             case 9 -> simulation.faults.pause(simulation.leader(), time);
             default -> machineTrouble(simulation, how, time);
         }
