--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -71,7 +71,7 @@
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i++) {
                 if (i % 3 == 0) {
-                    simulation.faults.cutMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 40 * SECOND);
+                    simulation.faults.partitionMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 40 * SECOND);
                 } else if (i % 3 == 1) {
                     simulation.faults.dropMessagesTo(all.get(i), 25 * SECOND);
                 }
@@ -127,7 +127,7 @@
             List<SimWorker> machines =
                     machinesOf(simulation, simulation.rules.runningJobs().stream().limit(3));
             cut.set(machines.size());
-            machines.forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
+            machines.forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
         });
         simulation.runWithLivenessChecks(60 * SECOND, 700 * SECOND);
@@ -203,7 +203,7 @@
             atLimit.set(simulation.rules.usedCpuMillis("tight") == 12_000 && !machines.isEmpty());
             machines.stream()
                     .limit(2)
-                    .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
+                    .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
             simulation.faults.crash(simulation.leader(), 10 * SECOND);
             simulation.after(2 * SECOND, () -> simulation.users.cancelRunning(2, 0));
             // Accepted in the new leader's own term, so nothing but the limit holds them back.
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -121,7 +121,7 @@
         gang.runUntilHeld();
 
         gang.runFor(seed * SECOND);
-        simulation.faults.cutMachine(gang.holders().get(0), cutOf(seed), 20 * SECOND);
+        simulation.faults.partitionMachine(gang.holders().get(0), cutOf(seed), 20 * SECOND);
         simulation.faults.crash(simulation.leader(), SECOND);
         leaderEnds(simulation, 7 * SECOND, SECOND);
         gang.runFor(200 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -125,7 +125,7 @@
                 simulation -> someMachines(simulation, worker -> simulation.faults.dropMessagesTo(worker, time(simulation))),
                 simulation -> someMachines(simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, time(simulation))),
                 simulation -> someMachines(
-                        simulation, worker -> simulation.faults.cutMachine(worker, cut(simulation), time(simulation))),
+                        simulation, worker -> simulation.faults.partitionMachine(worker, cut(simulation), time(simulation))),
                 simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
                 simulation -> someMachines(
                         simulation,
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -58,7 +58,7 @@
         simulation.cloud.workers().stream()
                 .filter(worker -> !worker.spot)
                 .limit(1)
-                .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.DROP, 9 * SECOND));
+                .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 9 * SECOND));
     }
 
     private static boolean isService(Simulation simulation, SimCommands.Start start) {
@@ -99,7 +99,7 @@
                             .anyMatch(attempt ->
                                     simulation.users.describedAs(attempt.task.job()).service()))
                     .limit(2)
-                    .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
+                    .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
             all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
         });
         simulation.run(RESTART + 30 * SECOND);
@@ -129,7 +129,7 @@
                     .filter(worker -> worker.spot)
                     .toList();
             assertFalse(spot.isEmpty());
-            spot.forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
+            spot.forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
             simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
         });
         simulation.run(RESTART + Simulation.LEASE_MICROS);
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -179,7 +179,7 @@
         int unreachable = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
         simulation.cloud.workers().stream()
                 .limit(unreachable)
-                .forEach(worker -> simulation.faults.cutMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
+                .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
         endReplicas(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -111,7 +111,7 @@
     }
 
     /** A machine loses all controllers. */
-    void cutMachine(SimWorker worker, SimEnvironment.PartitionMode how, long forMicros) {
+    void partitionMachine(SimWorker worker, SimEnvironment.PartitionMode how, long forMicros) {
         for (String name : simulation.nodeNames) {
             partition(name, worker.id, how, forMicros);
         }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -82,7 +82,7 @@
         switch (simulation.environment.random.nextInt(5)) {
             case 0 -> worker.die();
             case 1 -> worker.hangFor(time);
-            case 2 -> simulation.faults.cutMachine(worker, how, time);
+            case 2 -> simulation.faults.partitionMachine(worker, how, time);
             case 3 -> {
                 worker.announceTermination(8 * SECOND);
                 simulation.after(8 * SECOND, worker::die);
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -73,7 +73,7 @@
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
-                simulation.faults.cutMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 25 * SECOND);
+                simulation.faults.partitionMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 25 * SECOND);
             }
         });
         simulation.run(100 * SECOND);
