--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether the node is up and takes itself for the leader. */
-    boolean leads() {
+    boolean isLeader() {
         return controller != null && controller.isLeader();
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -242,7 +242,7 @@
     }
 
     private Stream<String> leadersOtherThan(@Nullable String one) {
-        return nodes.values().stream().filter(SimNode::leads).map(SimNode::name).filter(node -> !node.equals(one));
+        return nodes.values().stream().filter(SimNode::isLeader).map(SimNode::name).filter(node -> !node.equals(one));
     }
 
     /** How many heartbeats this controller answered so far as one that may. */
@@ -260,7 +260,7 @@
     @Nullable
     RecoveryStatus recoveryStatus() {
         SimNode leader = nodes.get(leader());
-        return leader.leads() ? recoveryStatusAt(leader.name()) : null;
+        return leader.isLeader() ? recoveryStatusAt(leader.name()) : null;
     }
 
     /** What a controller tells whose recovery is in this phase; null when there is none. */
