--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -109,7 +109,7 @@
     private static List<Long> times(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
         return starts.stream()
                 .filter(start ->
-                        simulation.users.describedAs(start.task().job()).service() == services)
+                        simulation.users.specOf(start.task().job()).service() == services)
                 .map(SimCommands.Start::sentMicros)
                 .toList();
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -62,7 +62,7 @@
     }
 
     private static boolean isService(Simulation simulation, SimCommands.Start start) {
-        return simulation.users.describedAs(start.task().job()).service();
+        return simulation.users.specOf(start.task().job()).service();
     }
 
     /** Without a hold the same restart starts batch work first: what the test above shows is the hold's doing. */
@@ -97,7 +97,7 @@
             all.stream()
                     .filter(worker -> worker.attempts().active().stream()
                             .anyMatch(attempt ->
-                                    simulation.users.describedAs(attempt.task.job()).service()))
+                                    simulation.users.specOf(attempt.task.job()).service()))
                     .limit(2)
                     .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
             all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -36,7 +36,7 @@
 
     /** The description of this job, or null when nobody has made one known. */
     @Nullable
-    JobSpec describedAs(String job) {
+    JobSpec specOf(String job) {
         return described.get(job);
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -182,7 +182,7 @@
                 environment,
                 rules,
                 new WorkersView(),
-                users::describedAs,
+                users::specOf,
                 results,
                 gangs,
                 new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
