--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -23,7 +23,7 @@
     }
 
     private final Simulation simulation;
-    private final Map<String, JobSpec> described = new LinkedHashMap<>();
+    private final Map<String, JobSpec> specs = new LinkedHashMap<>();
     /** Jobs for which a question is under way. */
     private final Set<String> asking = new HashSet<>();
 
@@ -37,7 +37,7 @@
     /** The description of this job, or null when nobody has made one known. */
     @Nullable
     JobSpec specOf(String job) {
-        return described.get(job);
+        return specs.get(job);
     }
 
     /** How often a job that can never run was refused as such. */
@@ -76,11 +76,11 @@
     }
 
     private void repeatARequest() {
-        List<String> known = List.copyOf(described.keySet());
+        List<String> known = List.copyOf(specs.keySet());
         if (known.isEmpty()) {
             return;
         }
-        JobSpec spec = described.get(known.get(simulation.environment.random.nextInt(known.size())));
+        JobSpec spec = specs.get(known.get(simulation.environment.random.nextInt(known.size())));
         if (simulation.rules.isAccepted(spec.id())) {
             ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
         }
@@ -102,7 +102,7 @@
 
     /** Workers find the description of this job, although no user has submitted it to a controller. */
     void describe(JobSpec spec) {
-        described.put(spec.id(), spec);
+        specs.put(spec.id(), spec);
     }
 
     /** A user submits and polls to the end. */
@@ -112,7 +112,7 @@
 
     /** A user submits, polls to the end and may cancel after a while (negative: never). */
     void submit(JobSpec spec, long cancelAfter) {
-        described.put(spec.id(), spec);
+        specs.put(spec.id(), spec);
         simulation.rules.recordSubmission(spec);
         ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
@@ -128,7 +128,7 @@
 
     /** The same at one controller alone, until it accepts. */
     void submitAt(String node, JobSpec spec) {
-        described.put(spec.id(), spec);
+        specs.put(spec.id(), spec);
         simulation.rules.recordSubmission(spec);
         askAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
@@ -205,7 +205,7 @@
     /** Accepted jobs, services aside, of which no user was told the end. */
     List<String> unfinishedBatches() {
         List<String> list = new ArrayList<>();
-        for (JobSpec spec : described.values()) {
+        for (JobSpec spec : specs.values()) {
             if (!spec.service()
                     && simulation.rules.isAccepted(spec.id())
                     && simulation.rules.finalState(spec.id()) == null) {
