--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -33,8 +33,8 @@
 
         assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancelledJobCount() > 2);
         assertTrue(
-                simulation.users.unschedulableRefused() > 20,
-                simulation.users.unschedulableRefused() + " jobs that can't run were refused");
+                simulation.users.unschedulableRejectionCount() > 20,
+                simulation.users.unschedulableRejectionCount() + " jobs that can't run were refused");
         assertRulesAndAllDone(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -27,7 +27,7 @@
     /** Jobs for which a question is under way. */
     private final Set<String> asking = new HashSet<>();
 
-    private int unschedulableRefused;
+    private int unschedulableRejectionCount;
     private int doneTold;
 
     SimUsers(Simulation simulation) {
@@ -41,8 +41,8 @@
     }
 
     /** How often a job that can never run was refused as such. */
-    int unschedulableRefused() {
-        return unschedulableRefused;
+    int unschedulableRejectionCount() {
+        return unschedulableRejectionCount;
     }
 
     /** How often users were told that a job is done. */
@@ -97,7 +97,7 @@
         ask(
                 spec.id(),
                 (controller, then) -> controller.submit(spec, then),
-                answer -> unschedulableRefused += answer instanceof JobResponse.Unschedulable ? 1 : 0);
+                answer -> unschedulableRejectionCount += answer instanceof JobResponse.Unschedulable ? 1 : 0);
     }
 
     /** Workers find the description of this job, although no user has submitted it to a controller. */
