--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -31,7 +31,7 @@
 
         simulation.runWithLivenessChecks(100 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancelledJobCount() > 2);
+        assertTrue(simulation.users.doneResponseCount() > 2 && simulation.rules.cancelledJobCount() > 2);
         assertTrue(
                 simulation.users.unschedulableRejectionCount() > 20,
                 simulation.users.unschedulableRejectionCount() + " jobs that can't run were refused");
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -28,7 +28,7 @@
     private final Set<String> asking = new HashSet<>();
 
     private int unschedulableRejectionCount;
-    private int doneTold;
+    private int doneResponseCount;
 
     SimUsers(Simulation simulation) {
         this.simulation = simulation;
@@ -46,8 +46,8 @@
     }
 
     /** How often users were told that a job is done. */
-    int doneTold() {
-        return doneTold;
+    int doneResponseCount() {
+        return doneResponseCount;
     }
 
     /** Users cancel so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
@@ -145,7 +145,7 @@
                 () -> ask(id, (controller, then) -> controller.poll(id, then), answer -> {
                     poll(id);
                     if (answer instanceof JobResponse.Status status && status.state() == JobState.DONE) {
-                        doneTold++;
+                        doneResponseCount++;
                     }
                 }));
     }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -34,7 +34,7 @@
         simulation.run(240 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertTrue(simulation.users.doneTold() > 5);
+        assertTrue(simulation.users.doneResponseCount() > 5);
     }
 
     @ParameterizedTest
