--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -27,7 +27,7 @@
     void jobsCancelledAtTheirEndHaveOneOutcome(long seed) {
         Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
         simulation.cancelAtCompletionShare = 0.6;
-        simulation.users.oddRequests(100 * SECOND);
+        simulation.users.sendUnusualRequests(100 * SECOND);
 
         simulation.runWithLivenessChecks(100 * SECOND, 400 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -130,7 +130,7 @@
                 simulation -> someMachines(
                         simulation,
                         worker -> simulation.after(simulation.environment.random.nextInt(3_000_000), worker::die)),
-                simulation -> simulation.users.oddRequests(time(simulation)),
+                simulation -> simulation.users.sendUnusualRequests(time(simulation)),
                 simulation -> simulation.cloud.startOutage(time(simulation)));
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -66,7 +66,7 @@
     }
 
     /** Users repeat submissions, cancel what is done, and send jobs that can never run. */
-    void oddRequests(long forMicros) {
+    void sendUnusualRequests(long forMicros) {
         for (long at = 0; at < forMicros; at += 700_000) {
             simulation.environment.after(at, () -> {
                 repeatARequest();
