--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -32,7 +32,7 @@
         JobSpec unknown = simulation.jobs.batch(3, SECOND);
         simulation.users.submit(done);
         simulation.users.submit(cancelled, 30 * SECOND);
-        simulation.users.describe(unknown);
+        simulation.users.addSpec(unknown);
 
         Observation<Planted> observed = new Observation<>();
         simulation.after(RESTART, () -> {
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -101,7 +101,7 @@
     }
 
     /** Workers find the description of this job, although no user has submitted it to a controller. */
-    void describe(JobSpec spec) {
+    void addSpec(JobSpec spec) {
         specs.put(spec.id(), spec);
     }
 
