--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -48,7 +48,7 @@
 
         simulation.after(20 * SECOND, () -> simulation.environment.delayedPacketShare = 0.03);
         Observation<Integer> waiting = simulation.observe(
-                60 * SECOND, () -> simulation.users.unfinishedBatches().size());
+                60 * SECOND, () -> simulation.users.unfinishedBatchJobs().size());
         simulation.after(90 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         simulation.runWithLivenessChecks(100 * SECOND, 700 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -100,7 +100,7 @@
                 List.of(),
                 simulation.rules.violations().stream().distinct().limit(5).toList());
         assertTrue(machinesUp.get() >= machines, "only " + machinesUp.get() + " machines");
-        assertEquals(List.of(), simulation.users.unfinishedBatches());
+        assertEquals(List.of(), simulation.users.unfinishedBatchJobs());
         simulation.rules.checkServed();
         assertEquals(List.of(), simulation.rules.violations());
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -59,7 +59,7 @@
         assertRules(simulation);
         assertEquals(
                 List.of(),
-                simulation.users.unfinishedBatches().stream()
+                simulation.users.unfinishedBatchJobs().stream()
                         .filter(id -> !id.equals(job.id()))
                         .toList());
     }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -203,7 +203,7 @@
     }
 
     /** Accepted jobs, services aside, of which no user was told the end. */
-    List<String> unfinishedBatches() {
+    List<String> unfinishedBatchJobs() {
         List<String> list = new ArrayList<>();
         for (JobSpec spec : specs.values()) {
             if (!spec.service()
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -22,7 +22,7 @@
     /** The same, and all accepted work that can end has ended: it must go on once the troubles are over. */
     static void assertRulesAndAllDone(Simulation simulation) {
         assertRules(simulation);
-        assertEquals(List.of(), simulation.users.unfinishedBatches());
+        assertEquals(List.of(), simulation.users.unfinishedBatchJobs());
     }
 
     /** No rule is broken. */
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -51,7 +51,7 @@
         simulation.run(600 * SECOND);
 
         assertRules(simulation);
-        assertEquals(List.of(), simulation.users.unfinishedBatches(), "work must go on once the troubles are over");
+        assertEquals(List.of(), simulation.users.unfinishedBatchJobs(), "work must go on once the troubles are over");
     }
 
     private static void trouble(Simulation simulation) {
