--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -33,7 +33,7 @@
             simulation.after(at, () -> {
                 boolean spot = simulation.environment.random.nextBoolean();
                 simulation.users.submit(
-                        simulation.jobs.work(120, 25 * SECOND).onSpot(spot).create());
+                        simulation.jobs.batchBuilder(120, 25 * SECOND).onSpot(spot).create());
             });
             simulation.after(at, () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
@@ -76,7 +76,7 @@
 
     private static JobSpec standardJob(Simulation simulation, int number) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(number % 10 == 3 ? 60 : 16, 15 * SECOND)
+        return jobs.batchBuilder(number % 10 == 3 ? 60 : 16, 15 * SECOND)
                 .team(number % 7 == 0 ? "tight" : "free")
                 .onSpot()
                 .create();
@@ -84,7 +84,7 @@
 
     private static JobSpec bestEffortJob(Simulation simulation, int number) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(number % 8 == 0 ? 40 : 6, 12 * SECOND)
+        return jobs.batchBuilder(number % 8 == 0 ? 40 : 6, 12 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .checkpointEvery(3 * SECOND)
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -278,12 +278,12 @@
     void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
         Simulation simulation =
                 new Simulation(seed, shapeOf(seed).withControllers(3).withPerOffer(1));
-        JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
+        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).create();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         SimJobs jobs = simulation.jobs;
-        JobSpec late = jobs.work(2, 20 * SECOND)
+        JobSpec late = jobs.batchBuilder(2, 20 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .withoutDeadline()
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -21,7 +21,7 @@
     /** A gang of work for the team without limits. */
     static JobSpec gang(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(tasks, runMicros)
+        return jobs.batchBuilder(tasks, runMicros)
                 .onSpot(spot)
                 .inOneZone()
                 .checkpointEvery(checkpointMicros)
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -21,7 +21,7 @@
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(tasks, runMicros).team(team).onSpot().withoutDeadline().create();
+        return jobs.batchBuilder(tasks, runMicros).team(team).onSpot().withoutDeadline().create();
     }
 
     /**
@@ -73,7 +73,7 @@
         // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
         // once.
         SimJobs jobs = simulation.jobs;
-        simulation.users.submit(jobs.work(10, 300 * SECOND)
+        simulation.users.submit(jobs.batchBuilder(10, 300 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .team("lender")
                 .onSpot()
@@ -135,13 +135,13 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
-        JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
+        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).create();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         simulation.users.submit(
                 wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
         boolean guaranteed = seed % 2 == 1;
         SimJobs jobs = simulation.jobs;
-        JobSpec job = jobs.work(2, 300 * SECOND)
+        JobSpec job = jobs.batchBuilder(2, 300 * SECOND)
                 .team(guaranteed ? "granted" : "free")
                 .onSpot()
                 .create();
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -37,7 +37,7 @@
                 String team = simulation.environment.random.nextBoolean() ? "granted" : "lender";
                 simulation.users.submit(simulation
                         .jobs
-                        .work(tasks, 15 * SECOND)
+                        .batchBuilder(tasks, 15 * SECOND)
                         .team(team)
                         .onSpot()
                         .create());
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -131,7 +131,7 @@
         simulation.recoveryHoldMicros = HOLD;
         for (int i = 0; i < 5; i++) {
             simulation.users.submit(
-                    simulation.jobs.work(9, 40 * SECOND).inOneZone(i % 2 == 0).create());
+                    simulation.jobs.batchBuilder(9, 40 * SECOND).inOneZone(i % 2 == 0).create());
             simulation.users.submit(simulation.jobs.service(4));
         }
 
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -16,7 +16,7 @@
     }
 
     /** Work whose tasks are expected to run for so long; for the team without limits, on full-price machines. */
-    JobBuilder work(int tasks, long runMicros) {
+    JobBuilder batchBuilder(int tasks, long runMicros) {
         return new JobBuilder(this, false, tasks).estimate(runMicros);
     }
 
@@ -27,17 +27,17 @@
 
     /** Work that may use spot machines and do without checkpoints, of a team without limits. */
     JobSpec batch(int tasks, long runMicros) {
-        return work(tasks, runMicros).onSpot().create();
+        return batchBuilder(tasks, runMicros).onSpot().create();
     }
 
     /** The same, all in one zone. */
     JobSpec oneZoneBatch(int tasks, long runMicros) {
-        return work(tasks, runMicros).onSpot().inOneZone().create();
+        return batchBuilder(tasks, runMicros).onSpot().inOneZone().create();
     }
 
     /** The same as {@link #batch}, of the team that has a limit. */
     JobSpec limitedBatch(int tasks, long runMicros) {
-        return work(tasks, runMicros).onSpot().team("tight").create();
+        return batchBuilder(tasks, runMicros).onSpot().team("tight").create();
     }
 
     /** A service whose replicas are spread over the zones, on full-price machines. */
