--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -119,7 +119,7 @@
     @Test
     void cleanupOfMachinesWithManyTasksIsRare() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.replicas(31).create();
+        JobSpec like = simulation.jobs.serviceBuilder(31).create();
         for (int i = 0; i < 4; i++) {
             simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
         }
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -28,7 +28,7 @@
     void whatMayNotRunIsStoppedAndCleared(long seed) {
         Simulation simulation = busy(seed);
         JobSpec done = simulation.jobs.batch(3, SECOND);
-        JobSpec cancelled = simulation.jobs.replicas(2).create();
+        JobSpec cancelled = simulation.jobs.serviceBuilder(2).create();
         JobSpec unknown = simulation.jobs.batch(3, SECOND);
         simulation.users.submit(done);
         simulation.users.submit(cancelled, 30 * SECOND);
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -21,7 +21,7 @@
     }
 
     /** A critical service; for the team without limits, on full-price machines. */
-    JobBuilder replicas(int count) {
+    JobBuilder serviceBuilder(int count) {
         return new JobBuilder(this, true, count);
     }
 
@@ -42,7 +42,7 @@
 
     /** A service whose replicas are spread over the zones, on full-price machines. */
     JobSpec service(int replicas) {
-        return replicas(replicas).spread(true).create();
+        return serviceBuilder(replicas).spread(true).create();
     }
 
     String nextId() {
