--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -116,7 +116,7 @@
         if (service) {
             return JobSpec.Shape.SERVICE;
         }
-        boolean fits = !oneZone || tasks * WORK_CPU_MILLIS <= jobs.fullPriceCpuMillisOfAZone() / 2;
+        boolean fits = !oneZone || tasks * WORK_CPU_MILLIS <= jobs.onDemandCpuMillisPerZone() / 2;
         return tasks % 5 == 4 && fits ? JobSpec.Shape.GANG : JobSpec.Shape.BATCH;
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -55,7 +55,7 @@
     }
 
     /** What all full-price machines of a zone have. */
-    long fullPriceCpuMillisOfAZone() {
+    long onDemandCpuMillisPerZone() {
         return perOffer * (4_000L + 16_000);
     }
 
