--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -145,7 +145,7 @@
                 .team(guaranteed ? "granted" : "free")
                 .onSpot()
                 .create();
-        JobSpec urgent = guaranteed ? job : simulation.jobs.ofClass(job, Simulation.URGENT_CLASS);
+        JobSpec urgent = guaranteed ? job : simulation.jobs.withJobClass(job, Simulation.URGENT_CLASS);
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             usedBefore.set(simulation.rules.usedCpuMillis("free"));
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -77,7 +77,7 @@
     }
 
     /** The same job, of another class. */
-    JobSpec ofClass(JobSpec like, String jobClass) {
+    JobSpec withJobClass(JobSpec like, String jobClass) {
         return like(
                 like, like.id(), jobClass, like.tasks(), like.cpuMillis(), like.memoryMillis(), like.deadlineMicros());
     }
