--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -98,7 +98,7 @@
                 service ? REPLICA_CPU_MILLIS : WORK_CPU_MILLIS,
                 0,
                 MEMORY_MILLIS,
-                jobs.drawImage(),
+                jobs.randomImage(),
                 1.0,
                 null,
                 null,
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -50,7 +50,7 @@
     }
 
     /** One of three images, at random. */
-    String drawImage() {
+    String randomImage() {
         return "img-" + environment.random.nextInt(3);
     }
 
