--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -33,7 +33,7 @@
             simulation.after(at, () -> {
                 boolean spot = simulation.environment.random.nextBoolean();
                 simulation.users.submit(
-                        simulation.jobs.batchBuilder(120, 25 * SECOND).onSpot(spot).create());
+                        simulation.jobs.batchBuilder(120, 25 * SECOND).onSpot(spot).build());
             });
             simulation.after(at, () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
@@ -79,7 +79,7 @@
         return jobs.batchBuilder(number % 10 == 3 ? 60 : 16, 15 * SECOND)
                 .team(number % 7 == 0 ? "tight" : "free")
                 .onSpot()
-                .create();
+                .build();
     }
 
     private static JobSpec bestEffortJob(Simulation simulation, int number) {
@@ -88,7 +88,7 @@
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .checkpointEvery(3 * SECOND)
-                .create();
+                .build();
     }
 
     /** Services keep arriving: for most of them there is capacity already when they come. */
@@ -119,7 +119,7 @@
     @Test
     void cleanupOfMachinesWithManyTasksIsRare() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.serviceBuilder(31).create();
+        JobSpec like = simulation.jobs.serviceBuilder(31).build();
         for (int i = 0; i < 4; i++) {
             simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
         }
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -278,7 +278,7 @@
     void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
         Simulation simulation =
                 new Simulation(seed, shapeOf(seed).withControllers(3).withPerOffer(1));
-        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).create();
+        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
@@ -287,7 +287,7 @@
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .withoutDeadline()
-                .create();
+                .build();
 
         simulation.after(60 * SECOND, () -> simulation.users.submit(late));
         simulation.runWithLivenessChecks(20 * SECOND, 400 * SECOND);
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -25,7 +25,7 @@
                 .onSpot(spot)
                 .inOneZone()
                 .checkpointEvery(checkpointMicros)
-                .create();
+                .build();
     }
 
     /** A gang that may use spot machines, with capacity for another attempt elsewhere. */
@@ -42,7 +42,7 @@
         Simulation simulation = new Simulation(seed);
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(
-                    simulation.jobs.withCpu(simulation.jobs.serviceBuilder(1).create(), 1, 11_000));
+                    simulation.jobs.withCpu(simulation.jobs.serviceBuilder(1).build(), 1, 11_000));
         }
         simulation.run(30 * SECOND);
         JobSpec spec = gang(simulation, tasks, false, runMicros, 3 * SECOND);
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -149,7 +149,7 @@
     /** A gang that fills a whole large machine of this deployment. */
     private static JobSpec gangForALargeMachine(Simulation simulation) {
         return simulation.jobs.withCpu(
-                simulation.jobs.batchBuilder(SIZE, 8 * SECOND).inOneZone().create(), SIZE, 4_000);
+                simulation.jobs.batchBuilder(SIZE, 8 * SECOND).inOneZone().build(), SIZE, 4_000);
     }
 
     /** Small work that never ends must not take for ever the capacity that a gang needs: a whole large machine. */
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -21,7 +21,7 @@
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
         SimJobs jobs = simulation.jobs;
-        return jobs.batchBuilder(tasks, runMicros).team(team).onSpot().withoutDeadline().create();
+        return jobs.batchBuilder(tasks, runMicros).team(team).onSpot().withoutDeadline().build();
     }
 
     /**
@@ -78,7 +78,7 @@
                 .team("lender")
                 .onSpot()
                 .withoutDeadline()
-                .create());
+                .build());
         Observation<Long> usedByLender = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             usedByLender.set(simulation.rules.usedCpuMillis("lender"));
@@ -135,7 +135,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
-        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).create();
+        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         simulation.users.submit(
                 wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
@@ -144,7 +144,7 @@
         JobSpec job = jobs.batchBuilder(2, 300 * SECOND)
                 .team(guaranteed ? "granted" : "free")
                 .onSpot()
-                .create();
+                .build();
         JobSpec urgent = guaranteed ? job : simulation.jobs.withJobClass(job, Simulation.URGENT_CLASS);
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -86,7 +86,7 @@
     }
 
     /** The description, under an id of its own and with an image that is drawn now. */
-    JobSpec create() {
+    JobSpec build() {
         String id = jobs.nextId();
         return new JobSpec(
                 id,
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -84,7 +84,7 @@
                 simulation.after(
                         3_800_000 + i * 30_000L,
                         () -> simulation.users.submitAt(
-                                former, simulation.jobs.batchBuilder(5, 20 * SECOND).create()));
+                                former, simulation.jobs.batchBuilder(5, 20 * SECOND).build()));
             }
         });
         simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -40,7 +40,7 @@
                         .batchBuilder(tasks, 15 * SECOND)
                         .team(team)
                         .onSpot()
-                        .create());
+                        .build());
             });
         }
         List<Consumer<Simulation>> troubles = troubles();
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -28,7 +28,7 @@
     void whatMayNotRunIsStoppedAndCleared(long seed) {
         Simulation simulation = busy(seed);
         JobSpec done = simulation.jobs.batch(3, SECOND);
-        JobSpec cancelled = simulation.jobs.serviceBuilder(2).create();
+        JobSpec cancelled = simulation.jobs.serviceBuilder(2).build();
         JobSpec unknown = simulation.jobs.batch(3, SECOND);
         simulation.users.submit(done);
         simulation.users.submit(cancelled, 30 * SECOND);
@@ -131,7 +131,7 @@
         simulation.recoveryHoldMicros = HOLD;
         for (int i = 0; i < 5; i++) {
             simulation.users.submit(
-                    simulation.jobs.batchBuilder(9, 40 * SECOND).inOneZone(i % 2 == 0).create());
+                    simulation.jobs.batchBuilder(9, 40 * SECOND).inOneZone(i % 2 == 0).build());
             simulation.users.submit(simulation.jobs.service(4));
         }
 
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -104,7 +104,7 @@
                     .estimate(5 * SECOND)
                     .priority(Priority.STANDARD)
                     .onSpot()
-                    .create();
+                    .build();
             shortJobs.add(spec);
             simulation.after(at, () -> simulation.users.submit(spec, spec.service() ? 20 * SECOND : -1));
         }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -27,22 +27,22 @@
 
     /** Work that may use spot machines and do without checkpoints, of a team without limits. */
     JobSpec batch(int tasks, long runMicros) {
-        return batchBuilder(tasks, runMicros).onSpot().create();
+        return batchBuilder(tasks, runMicros).onSpot().build();
     }
 
     /** The same, all in one zone. */
     JobSpec oneZoneBatch(int tasks, long runMicros) {
-        return batchBuilder(tasks, runMicros).onSpot().inOneZone().create();
+        return batchBuilder(tasks, runMicros).onSpot().inOneZone().build();
     }
 
     /** The same as {@link #batch}, of the team that has a limit. */
     JobSpec limitedBatch(int tasks, long runMicros) {
-        return batchBuilder(tasks, runMicros).onSpot().team("tight").create();
+        return batchBuilder(tasks, runMicros).onSpot().team("tight").build();
     }
 
     /** A service whose replicas are spread over the zones, on full-price machines. */
     JobSpec service(int replicas) {
-        return serviceBuilder(replicas).spread(true).create();
+        return serviceBuilder(replicas).spread(true).build();
     }
 
     String nextId() {
@@ -127,6 +127,6 @@
                 .inOneZone(!service && environment.random.nextInt(4) == 0)
                 .estimate((2 + environment.random.nextInt(15)) * Simulation.SECOND)
                 .checkpointEvery(environment.random.nextInt(2) * 3L * Simulation.SECOND)
-                .create();
+                .build();
     }
 }
