--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -9,7 +9,7 @@
     static final long SECOND = Simulation.SECOND;
 
     /** Long leases, little time beside them for what a cancellation takes, and few writes. */
-    static final Shape LONG_LEASES = Shape.small()
+    static final SimulationConfig LONG_LEASES = SimulationConfig.small()
             .withControllers(5)
             .withPerOffer(4)
             .withHeartbeatInterval(3 * SECOND)
@@ -21,7 +21,7 @@
             .withConnections(1_500);
 
     /** Short leases, and heartbeats that come often. */
-    static final Shape SHORT_LEASES = Shape.small()
+    static final SimulationConfig SHORT_LEASES = SimulationConfig.small()
             .withControllers(5)
             .withPerOffer(4)
             .withHeartbeatInterval(2 * SECOND)
@@ -38,7 +38,7 @@
     }
 
     /** The times and limits that go with a seed. */
-    static Shape shapeOf(long seed) {
+    static SimulationConfig shapeOf(long seed) {
         return seed % 2 == 0 ? LONG_LEASES : SHORT_LEASES;
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -48,7 +48,7 @@
 
     static final long LEASE_MICROS = 11 * SECOND;
 
-    final Shape config;
+    final SimulationConfig config;
     final SimGangs gangs;
     /** What the settings say of the limits of the store. */
     private final StoreLimits limits;
@@ -90,15 +90,15 @@
     int maxConcurrentCalls;
 
     Simulation(long seed) {
-        this(seed, Shape.small());
+        this(seed, SimulationConfig.small());
     }
 
     /** @param perOffer how many machines of each type, zone and kind there are */
     Simulation(long seed, int controllers, int perOffer) {
-        this(seed, Shape.small().withControllers(controllers).withPerOffer(perOffer));
+        this(seed, SimulationConfig.small().withControllers(controllers).withPerOffer(perOffer));
     }
 
-    Simulation(long seed, Shape shape) {
+    Simulation(long seed, SimulationConfig shape) {
         this.config = shape;
         nodeNames = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
--- a/src/test/java/org/granitepath/simulation/Shape.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -5,7 +5,7 @@
  *
  * @param perOffer how many machines of each type, zone and kind there are
  */
-record Shape(int controllers, int perOffer, Times times, Limits limits) {
+record SimulationConfig(int controllers, int perOffer, Times times, Limits limits) {
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
@@ -15,60 +15,60 @@
     record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
 
     /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
-    static Shape small() {
-        return new Shape(3, 5, new Times(SECOND, Simulation.LEASE_MICROS, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
+    static SimulationConfig small() {
+        return new SimulationConfig(3, 5, new Times(SECOND, Simulation.LEASE_MICROS, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
     }
 
-    Shape withControllers(int count) {
-        return new Shape(count, perOffer, times, limits);
+    SimulationConfig withControllers(int count) {
+        return new SimulationConfig(count, perOffer, times, limits);
     }
 
-    Shape withPerOffer(int machines) {
-        return new Shape(controllers, machines, times, limits);
+    SimulationConfig withPerOffer(int machines) {
+        return new SimulationConfig(controllers, machines, times, limits);
     }
 
-    Shape withHeartbeatInterval(long micros) {
+    SimulationConfig withHeartbeatInterval(long micros) {
         return withTimes(new Times(micros, times.lease, times.cancel));
     }
 
-    Shape withLease(long micros) {
+    SimulationConfig withLease(long micros) {
         return withTimes(new Times(times.heartbeatInterval, micros, times.cancel));
     }
 
-    Shape withCancel(long micros) {
+    SimulationConfig withCancel(long micros) {
         return withTimes(new Times(times.heartbeatInterval, times.lease, micros));
     }
 
-    Shape withRequestsPerSecond(double requests) {
+    SimulationConfig withRequestsPerSecond(double requests) {
         return withLimits(
                 new Limits(requests, limits.writes, limits.valueBytes, limits.transactionChanges, limits.connections));
     }
 
-    Shape withWritesPerSecond(double writes) {
+    SimulationConfig withWritesPerSecond(double writes) {
         return withLimits(
                 new Limits(limits.requests, writes, limits.valueBytes, limits.transactionChanges, limits.connections));
     }
 
-    Shape withValueBytes(int bytes) {
+    SimulationConfig withValueBytes(int bytes) {
         return withLimits(
                 new Limits(limits.requests, limits.writes, bytes, limits.transactionChanges, limits.connections));
     }
 
-    Shape withTransactionChanges(int changes) {
+    SimulationConfig withTransactionChanges(int changes) {
         return withLimits(new Limits(limits.requests, limits.writes, limits.valueBytes, changes, limits.connections));
     }
 
-    Shape withConnections(int connections) {
+    SimulationConfig withConnections(int connections) {
         return withLimits(
                 new Limits(limits.requests, limits.writes, limits.valueBytes, limits.transactionChanges, connections));
     }
 
-    private Shape withTimes(Times changed) {
-        return new Shape(controllers, perOffer, changed, limits);
+    private SimulationConfig withTimes(Times changed) {
+        return new SimulationConfig(controllers, perOffer, changed, limits);
     }
 
-    private Shape withLimits(Limits changed) {
-        return new Shape(controllers, perOffer, times, changed);
+    private SimulationConfig withLimits(Limits changed) {
+        return new SimulationConfig(controllers, perOffer, times, changed);
     }
 
     long heartbeatInterval() {
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -21,7 +21,7 @@
     private static final long SECOND = Simulation.SECOND;
     private static final StoreLimits NEXT = new StoreLimits(15, 2 * 1024, 4);
     /** As many machines to a value as the version in production puts there, whose rows and values are longer. */
-    private static final Shape PRODUCTION = FaultScenarios.SHORT_LEASES
+    private static final SimulationConfig PRODUCTION = FaultScenarios.SHORT_LEASES
             .withPerOffer(40)
             .withRequestsPerSecond(150)
             .withWritesPerSecond(20)
@@ -29,7 +29,7 @@
             .withTransactionChanges(8)
             .withConnections(1_500);
 
-    private static Simulation busyDeployment(long seed, Shape shape) {
+    private static Simulation busyDeployment(long seed, SimulationConfig shape) {
         Simulation simulation = new Simulation(seed, shape);
         simulation.upgradedLimits = NEXT;
         submitServices(simulation, 60, 6);
