--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -5,18 +5,18 @@
  *
  * @param perOffer how many machines of each type, zone and kind there are
  */
-record SimulationConfig(int controllers, int perOffer, Times times, Limits limits) {
+record SimulationConfig(int controllers, int perOffer, Timing times, Limits limits) {
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
-    record Times(long heartbeatInterval, long lease, long cancel) {}
+    record Timing(long heartbeatInterval, long lease, long cancel) {}
 
     /** What the store takes, and how many connections a controller may hold. */
     record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
 
     /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
     static SimulationConfig small() {
-        return new SimulationConfig(3, 5, new Times(SECOND, Simulation.LEASE_MICROS, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
+        return new SimulationConfig(3, 5, new Timing(SECOND, Simulation.LEASE_MICROS, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
     }
 
     SimulationConfig withControllers(int count) {
@@ -28,15 +28,15 @@
     }
 
     SimulationConfig withHeartbeatInterval(long micros) {
-        return withTimes(new Times(micros, times.lease, times.cancel));
+        return withTimes(new Timing(micros, times.lease, times.cancel));
     }
 
     SimulationConfig withLease(long micros) {
-        return withTimes(new Times(times.heartbeatInterval, micros, times.cancel));
+        return withTimes(new Timing(times.heartbeatInterval, micros, times.cancel));
     }
 
     SimulationConfig withCancel(long micros) {
-        return withTimes(new Times(times.heartbeatInterval, times.lease, micros));
+        return withTimes(new Timing(times.heartbeatInterval, times.lease, micros));
     }
 
     SimulationConfig withRequestsPerSecond(double requests) {
@@ -63,7 +63,7 @@
                 new Limits(limits.requests, limits.writes, limits.valueBytes, limits.transactionChanges, connections));
     }
 
-    private SimulationConfig withTimes(Times changed) {
+    private SimulationConfig withTimes(Timing changed) {
         return new SimulationConfig(controllers, perOffer, changed, limits);
     }
 
