--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -9,7 +9,7 @@
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
-    record Timing(long heartbeatInterval, long lease, long cancel) {}
+    record Timing(long heartbeatIntervalMicros, long lease, long cancel) {}
 
     /** What the store takes, and how many connections a controller may hold. */
     record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
@@ -32,11 +32,11 @@
     }
 
     SimulationConfig withLease(long micros) {
-        return withTimes(new Timing(times.heartbeatInterval, micros, times.cancel));
+        return withTimes(new Timing(times.heartbeatIntervalMicros, micros, times.cancel));
     }
 
     SimulationConfig withCancel(long micros) {
-        return withTimes(new Timing(times.heartbeatInterval, times.lease, micros));
+        return withTimes(new Timing(times.heartbeatIntervalMicros, times.lease, micros));
     }
 
     SimulationConfig withRequestsPerSecond(double requests) {
@@ -72,7 +72,7 @@
     }
 
     long heartbeatInterval() {
-        return times.heartbeatInterval;
+        return times.heartbeatIntervalMicros;
     }
 
     long lease() {
