--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -9,7 +9,7 @@
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
-    record Timing(long heartbeatIntervalMicros, long lease, long cancel) {}
+    record Timing(long heartbeatIntervalMicros, long leaseMicros, long cancel) {}
 
     /** What the store takes, and how many connections a controller may hold. */
     record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
@@ -28,7 +28,7 @@
     }
 
     SimulationConfig withHeartbeatInterval(long micros) {
-        return withTimes(new Timing(micros, times.lease, times.cancel));
+        return withTimes(new Timing(micros, times.leaseMicros, times.cancel));
     }
 
     SimulationConfig withLease(long micros) {
@@ -36,7 +36,7 @@
     }
 
     SimulationConfig withCancel(long micros) {
-        return withTimes(new Timing(times.heartbeatIntervalMicros, times.lease, micros));
+        return withTimes(new Timing(times.heartbeatIntervalMicros, times.leaseMicros, micros));
     }
 
     SimulationConfig withRequestsPerSecond(double requests) {
@@ -76,7 +76,7 @@
     }
 
     long lease() {
-        return times.lease;
+        return times.leaseMicros;
     }
 
     long cancel() {
