--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -9,7 +9,7 @@
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
-    record Timing(long heartbeatIntervalMicros, long leaseMicros, long cancel) {}
+    record Timing(long heartbeatIntervalMicros, long leaseMicros, long cancellationTimeoutMicros) {}
 
     /** What the store takes, and how many connections a controller may hold. */
     record Limits(double requests, double writes, int valueBytes, int transactionChanges, int connections) {}
@@ -28,11 +28,11 @@
     }
 
     SimulationConfig withHeartbeatInterval(long micros) {
-        return withTimes(new Timing(micros, times.leaseMicros, times.cancel));
+        return withTimes(new Timing(micros, times.leaseMicros, times.cancellationTimeoutMicros));
     }
 
     SimulationConfig withLease(long micros) {
-        return withTimes(new Timing(times.heartbeatIntervalMicros, micros, times.cancel));
+        return withTimes(new Timing(times.heartbeatIntervalMicros, micros, times.cancellationTimeoutMicros));
     }
 
     SimulationConfig withCancel(long micros) {
@@ -80,7 +80,7 @@
     }
 
     long cancel() {
-        return times.cancel;
+        return times.cancellationTimeoutMicros;
     }
 
     int connections() {
