--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -5,7 +5,7 @@
  *
  * @param perOffer how many machines of each type, zone and kind there are
  */
-record SimulationConfig(int controllers, int perOffer, Timing times, Limits limits) {
+record SimulationConfig(int controllers, int perOffer, Timing timing, Limits limits) {
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
@@ -20,23 +20,23 @@
     }
 
     SimulationConfig withControllers(int count) {
-        return new SimulationConfig(count, perOffer, times, limits);
+        return new SimulationConfig(count, perOffer, timing, limits);
     }
 
     SimulationConfig withPerOffer(int machines) {
-        return new SimulationConfig(controllers, machines, times, limits);
+        return new SimulationConfig(controllers, machines, timing, limits);
     }
 
     SimulationConfig withHeartbeatInterval(long micros) {
-        return withTimes(new Timing(micros, times.leaseMicros, times.cancellationTimeoutMicros));
+        return withTimes(new Timing(micros, timing.leaseMicros, timing.cancellationTimeoutMicros));
     }
 
     SimulationConfig withLease(long micros) {
-        return withTimes(new Timing(times.heartbeatIntervalMicros, micros, times.cancellationTimeoutMicros));
+        return withTimes(new Timing(timing.heartbeatIntervalMicros, micros, timing.cancellationTimeoutMicros));
     }
 
     SimulationConfig withCancel(long micros) {
-        return withTimes(new Timing(times.heartbeatIntervalMicros, times.leaseMicros, micros));
+        return withTimes(new Timing(timing.heartbeatIntervalMicros, timing.leaseMicros, micros));
     }
 
     SimulationConfig withRequestsPerSecond(double requests) {
@@ -68,19 +68,19 @@
     }
 
     private SimulationConfig withLimits(Limits changed) {
-        return new SimulationConfig(controllers, perOffer, times, changed);
+        return new SimulationConfig(controllers, perOffer, timing, changed);
     }
 
     long heartbeatInterval() {
-        return times.heartbeatIntervalMicros;
+        return timing.heartbeatIntervalMicros;
     }
 
     long lease() {
-        return times.leaseMicros;
+        return timing.leaseMicros;
     }
 
     long cancel() {
-        return times.cancellationTimeoutMicros;
+        return timing.cancellationTimeoutMicros;
     }
 
     int connections() {
