--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -105,7 +105,7 @@
         trace = EdgeTrace.of(environment);
         rules = new Rules(environment, TEAMS, shape.cancel(), this::endedOnMachines);
         commands = new SimCommands(environment, rules);
-        jobs = new SimJobs(environment, shape.perOffer());
+        jobs = new SimJobs(environment, shape.machinesPerOffer());
         gangs = new SimGangs(environment, rules, results);
         limits = new StoreLimits(
                 shape.limits().writes(),
@@ -120,7 +120,7 @@
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
-        cloud = new SimCloud(environment, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
+        cloud = new SimCloud(environment, types, shape.machinesPerOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
         for (String node : nodeNames) {
             nodes.put(node, new SimNode(environment, node, this::newController));
         }
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -5,7 +5,7 @@
  *
  * @param perOffer how many machines of each type, zone and kind there are
  */
-record SimulationConfig(int controllers, int perOffer, Timing timing, Limits limits) {
+record SimulationConfig(int controllers, int machinesPerOffer, Timing timing, Limits limits) {
     private static final long SECOND = Simulation.SECOND;
 
     /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
@@ -20,7 +20,7 @@
     }
 
     SimulationConfig withControllers(int count) {
-        return new SimulationConfig(count, perOffer, timing, limits);
+        return new SimulationConfig(count, machinesPerOffer, timing, limits);
     }
 
     SimulationConfig withPerOffer(int machines) {
@@ -64,11 +64,11 @@
     }
 
     private SimulationConfig withTimes(Timing changed) {
-        return new SimulationConfig(controllers, perOffer, changed, limits);
+        return new SimulationConfig(controllers, machinesPerOffer, changed, limits);
     }
 
     private SimulationConfig withLimits(Limits changed) {
-        return new SimulationConfig(controllers, perOffer, timing, changed);
+        return new SimulationConfig(controllers, machinesPerOffer, timing, changed);
     }
 
     long heartbeatInterval() {
