--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -150,7 +150,7 @@
                 TEAMS,
                 Map.of("svc", new Objective(8 * SECOND, 1, 0), URGENT_CLASS, new Objective(4 * SECOND, 1, 0)),
                 new WorkerTiming(
-                        config.heartbeatInterval(),
+                        config.heartbeatIntervalMicros(),
                         config.lease(),
                         config.cancel(),
                         SimGangs.START_TIMEOUT_MICROS,
@@ -186,7 +186,7 @@
                 results,
                 gangs,
                 new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
-                new SimWorker.Timing(config.heartbeatInterval(), config.lease()));
+                new SimWorker.Timing(config.heartbeatIntervalMicros(), config.lease()));
     }
 
     /** The controllers as machines see them. */
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -71,7 +71,7 @@
         return new SimulationConfig(controllers, machinesPerOffer, timing, changed);
     }
 
-    long heartbeatInterval() {
+    long heartbeatIntervalMicros() {
         return timing.heartbeatIntervalMicros;
     }
 
