--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -119,11 +119,11 @@
                 () -> simulation.faults.partitionZone(
                         seed % 3 == 0 ? simulation.zoneOf(simulation.leader()) : "south",
                         cutOf(seed),
-                        simulation.config.lease() + 12 * SECOND));
+                        simulation.config.leaseMicros() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         Observation<Integer> told =
-                simulation.observe(50 * SECOND + simulation.config.lease(), simulation.rules::cancelledJobCount);
-        simulation.runWithLivenessChecks(65 * SECOND + simulation.config.lease(), 500 * SECOND);
+                simulation.observe(50 * SECOND + simulation.config.leaseMicros(), simulation.rules::cancelledJobCount);
+        simulation.runWithLivenessChecks(65 * SECOND + simulation.config.leaseMicros(), 500 * SECOND);
 
         assertTrue(told.get() > 0, "nothing was cancelled in the cut");
         assertRulesAndAllDone(simulation);
@@ -222,11 +222,11 @@
 
         Observation<Integer> hung = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.lease() + 6 * SECOND;
+            long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.leaseMicros() + 6 * SECOND;
             hung.set(simulation.users.cancelRunning(8, hangMicros).size());
             leaderEnds(simulation, SECOND, 300_000);
         });
-        simulation.runWithLivenessChecks(75 * SECOND + simulation.config.lease(), 800 * SECOND);
+        simulation.runWithLivenessChecks(75 * SECOND + simulation.config.leaseMicros(), 800 * SECOND);
 
         assertTrue(hung.get() > 4);
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -146,11 +146,11 @@
         simulation.after(
                 50 * SECOND,
                 () -> simulation.nodeNames.forEach(
-                        node -> simulation.faults.crash(node, simulation.config.lease() + 5 * SECOND)));
+                        node -> simulation.faults.crash(node, simulation.config.leaseMicros() + 5 * SECOND)));
         Observation<Integer> left = simulation.observe(
-                54 * SECOND + simulation.config.lease(),
+                54 * SECOND + simulation.config.leaseMicros(),
                 () -> simulation.rules.runningJobs().size());
-        simulation.runWithLivenessChecks(57 * SECOND + simulation.config.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(57 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
         assertEquals(0, left.get(), "every lease ran out");
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -56,11 +56,11 @@
                         .limit(6)
                         .forEach(worker -> {
                             muted.incrementAndGet();
-                            simulation.faults.dropHeartbeatsFrom(worker, simulation.config.lease() + 10 * SECOND);
+                            simulation.faults.dropHeartbeatsFrom(worker, simulation.config.leaseMicros() + 10 * SECOND);
                         }));
         leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
-        simulation.runWithLivenessChecks(60 * SECOND + simulation.config.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
         assertTrue(muted.get() > 2, muted + " machines at work fell mute");
         assertRulesAndAllDone(simulation);
@@ -86,9 +86,9 @@
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
                 held.forEach(heartbeat -> simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
             });
-            simulation.after(3 * simulation.config.lease(), () -> held.forEach(simulation.faults::deliverHeartbeat));
+            simulation.after(3 * simulation.config.leaseMicros(), () -> held.forEach(simulation.faults::deliverHeartbeat));
         });
-        simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.leaseMicros(), 400 * SECOND);
 
         assertTrue(
                 heldBack.get() > 2 && tokensDrawn.get() > 0,
@@ -111,9 +111,9 @@
                 if (old == null) {
                     return;
                 }
-                worker.hangFor(simulation.config.lease() + 3 * SECOND);
+                worker.hangFor(simulation.config.leaseMicros() + 3 * SECOND);
                 for (int halfLeases = 1; halfLeases < 5; halfLeases++) {
-                    simulation.after(halfLeases * simulation.config.lease() / 2, () -> {
+                    simulation.after(halfLeases * simulation.config.leaseMicros() / 2, () -> {
                         delivered.incrementAndGet();
                         simulation.faults.deliverHeartbeat(old);
                     });
@@ -121,7 +121,7 @@
             });
         }
         leaderEnds(simulation, 60 * SECOND, 300_000);
-        simulation.runWithLivenessChecks(80 * SECOND + 2 * simulation.config.lease(), 500 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND + 2 * simulation.config.leaseMicros(), 500 * SECOND);
 
         assertTrue(delivered.get() > 10, delivered + " old heartbeats");
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -151,7 +151,7 @@
                 Map.of("svc", new Objective(8 * SECOND, 1, 0), URGENT_CLASS, new Objective(4 * SECOND, 1, 0)),
                 new WorkerTiming(
                         config.heartbeatIntervalMicros(),
-                        config.lease(),
+                        config.leaseMicros(),
                         config.cancel(),
                         SimGangs.START_TIMEOUT_MICROS,
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
@@ -186,7 +186,7 @@
                 results,
                 gangs,
                 new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
-                new SimWorker.Timing(config.heartbeatIntervalMicros(), config.lease()));
+                new SimWorker.Timing(config.heartbeatIntervalMicros(), config.leaseMicros()));
     }
 
     /** The controllers as machines see them. */
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -75,7 +75,7 @@
         return timing.heartbeatIntervalMicros;
     }
 
-    long lease() {
+    long leaseMicros() {
         return timing.leaseMicros;
     }
 
