--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -62,7 +62,7 @@
             jobs.forEach(job -> simulation.users.cancelAt(
                     others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
-                simulation.store.startOutage(simulation.config.cancel() + 15 * SECOND);
+                simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 15 * SECOND);
                 answeredBefore.set(simulation.acceptedHeartbeatCount(leader));
             });
             simulation.after(9 * SECOND, () -> {
@@ -70,7 +70,7 @@
                 answeredAfter.set(simulation.acceptedHeartbeatCount(leader));
             });
         });
-        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancel() + 20 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancellationTimeoutMicros() + 20 * SECOND, 400 * SECOND);
 
         assertTrue(
                 running.get() >= 10 && confirmed.get() >= 10,
@@ -97,11 +97,11 @@
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
-            simulation.store.startOutage(simulation.config.cancel() + 6 * SECOND);
+            simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
             toldAfter.set(simulation.rules.cancelledJobCount());
         });
-        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancel() + 6 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancellationTimeoutMicros() + 6 * SECOND, 600 * SECOND);
 
         assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
         assertRulesAndAllDone(simulation);
@@ -201,13 +201,13 @@
 
         simulation.after(60 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.store.dropReadsOf(leader, 2 * simulation.config.cancel());
+            simulation.store.dropReadsOf(leader, 2 * simulation.config.cancellationTimeoutMicros());
             simulation.after(
                     2 * SECOND,
                     () -> jobs.forEach(job ->
                             simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
         });
-        simulation.runWithLivenessChecks(60 * SECOND + 2 * simulation.config.cancel(), 300 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND + 2 * simulation.config.cancellationTimeoutMicros(), 300 * SECOND);
 
         assertTrue(simulation.rules.cancelledJobCount() >= 10);
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -86,7 +86,7 @@
                 simulation -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
                 simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
-                simulation -> simulation.store.startOutage(time(simulation) + simulation.config.cancel() / 2),
+                simulation -> simulation.store.startOutage(time(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
                 simulation ->
                         simulation.faults.partitionFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
                 simulation ->
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -103,7 +103,7 @@
         nodeNames = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
         trace = EdgeTrace.of(environment);
-        rules = new Rules(environment, TEAMS, shape.cancel(), this::endedOnMachines);
+        rules = new Rules(environment, TEAMS, shape.cancellationTimeoutMicros(), this::endedOnMachines);
         commands = new SimCommands(environment, rules);
         jobs = new SimJobs(environment, shape.machinesPerOffer());
         gangs = new SimGangs(environment, rules, results);
@@ -152,7 +152,7 @@
                 new WorkerTiming(
                         config.heartbeatIntervalMicros(),
                         config.leaseMicros(),
-                        config.cancel(),
+                        config.cancellationTimeoutMicros(),
                         SimGangs.START_TIMEOUT_MICROS,
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -79,7 +79,7 @@
         return timing.leaseMicros;
     }
 
-    long cancel() {
+    long cancellationTimeoutMicros() {
         return timing.cancellationTimeoutMicros;
     }
 
