--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -63,7 +63,7 @@
         int refusals = simulation.store.rateLimitedRequestCount() - refusalsBefore.get();
         assertTrue(refusals < 150, refusals + " requests came too fast");
         assertTrue(
-                simulation.maxConcurrentCalls <= simulation.config.connections() / 6,
+                simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
                 simulation.maxConcurrentCalls + " calls to machines at once");
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         simulation.run(RecoveryLoad.RESTART + 90 * SECOND);
@@ -108,7 +108,7 @@
                 simulation.store.rateLimitedRequestCount() < simulation.store.requestCount() / 20,
                 simulation.store.rateLimitedRequestCount() + " of " + simulation.store.requestCount() + " requests came too fast");
         assertTrue(
-                simulation.maxConcurrentCalls <= simulation.config.connections() / 6,
+                simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
                 simulation.maxConcurrentCalls + " calls to machines at once");
         int busy = simulation.cloud.terminatedWhileBusy().size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -159,7 +159,7 @@
                         config.limits().requests(),
                         upgradedNodes.contains(name) ? limits.strictest(upgradedLimits) : limits,
                         5,
-                        config.connections()),
+                        config.maxConnections()),
                 250_000,
                 Tuning.defaults().withRecoveryHold(recoveryHoldMicros));
     }
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -83,7 +83,7 @@
         return timing.cancellationTimeoutMicros;
     }
 
-    int connections() {
+    int maxConnections() {
         return limits.connections;
     }
 }
