--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -115,7 +115,7 @@
                 environment,
                 shape.limits().transactionChanges(),
                 shape.limits().valueBytes(),
-                shape.limits().requests(),
+                shape.limits().requestsPerSecond(),
                 shape.limits().writes());
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
@@ -156,7 +156,7 @@
                         SimGangs.START_TIMEOUT_MICROS,
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
-                        config.limits().requests(),
+                        config.limits().requestsPerSecond(),
                         upgradedNodes.contains(name) ? limits.strictest(upgradedLimits) : limits,
                         5,
                         config.maxConnections()),
