--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -108,7 +108,7 @@
         jobs = new SimJobs(environment, shape.machinesPerOffer());
         gangs = new SimGangs(environment, rules, results);
         limits = new StoreLimits(
-                shape.limits().writes(),
+                shape.limits().writesPerSecond(),
                 shape.limits().valueBytes(),
                 shape.limits().transactionChanges());
         store = new SimStore(
@@ -116,7 +116,7 @@
                 shape.limits().transactionChanges(),
                 shape.limits().valueBytes(),
                 shape.limits().requestsPerSecond(),
-                shape.limits().writes());
+                shape.limits().writesPerSecond());
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -12,7 +12,7 @@
     record Timing(long heartbeatIntervalMicros, long leaseMicros, long cancellationTimeoutMicros) {}
 
     /** What the store takes, and how many connections a controller may hold. */
-    record Limits(double requestsPerSecond, double writes, int valueBytes, int transactionChanges, int connections) {}
+    record Limits(double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionChanges, int connections) {}
 
     /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
     static SimulationConfig small() {
@@ -41,7 +41,7 @@
 
     SimulationConfig withRequestsPerSecond(double requests) {
         return withLimits(
-                new Limits(requests, limits.writes, limits.valueBytes, limits.transactionChanges, limits.connections));
+                new Limits(requests, limits.writesPerSecond, limits.valueBytes, limits.transactionChanges, limits.connections));
     }
 
     SimulationConfig withWritesPerSecond(double writes) {
@@ -51,16 +51,16 @@
 
     SimulationConfig withValueBytes(int bytes) {
         return withLimits(
-                new Limits(limits.requestsPerSecond, limits.writes, bytes, limits.transactionChanges, limits.connections));
+                new Limits(limits.requestsPerSecond, limits.writesPerSecond, bytes, limits.transactionChanges, limits.connections));
     }
 
     SimulationConfig withTransactionChanges(int changes) {
-        return withLimits(new Limits(limits.requestsPerSecond, limits.writes, limits.valueBytes, changes, limits.connections));
+        return withLimits(new Limits(limits.requestsPerSecond, limits.writesPerSecond, limits.valueBytes, changes, limits.connections));
     }
 
     SimulationConfig withConnections(int connections) {
         return withLimits(
-                new Limits(limits.requestsPerSecond, limits.writes, limits.valueBytes, limits.transactionChanges, connections));
+                new Limits(limits.requestsPerSecond, limits.writesPerSecond, limits.valueBytes, limits.transactionChanges, connections));
     }
 
     private SimulationConfig withTimes(Timing changed) {
