--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -12,7 +12,7 @@
     record Timing(long heartbeatIntervalMicros, long leaseMicros, long cancellationTimeoutMicros) {}
 
     /** What the store takes, and how many connections a controller may hold. */
-    record Limits(double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionChanges, int connections) {}
+    record Limits(double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionChanges, int maxConnections) {}
 
     /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
     static SimulationConfig small() {
@@ -41,21 +41,21 @@
 
     SimulationConfig withRequestsPerSecond(double requests) {
         return withLimits(
-                new Limits(requests, limits.writesPerSecond, limits.valueBytes, limits.transactionChanges, limits.connections));
+                new Limits(requests, limits.writesPerSecond, limits.valueBytes, limits.transactionChanges, limits.maxConnections));
     }
 
     SimulationConfig withWritesPerSecond(double writes) {
         return withLimits(
-                new Limits(limits.requestsPerSecond, writes, limits.valueBytes, limits.transactionChanges, limits.connections));
+                new Limits(limits.requestsPerSecond, writes, limits.valueBytes, limits.transactionChanges, limits.maxConnections));
     }
 
     SimulationConfig withValueBytes(int bytes) {
         return withLimits(
-                new Limits(limits.requestsPerSecond, limits.writesPerSecond, bytes, limits.transactionChanges, limits.connections));
+                new Limits(limits.requestsPerSecond, limits.writesPerSecond, bytes, limits.transactionChanges, limits.maxConnections));
     }
 
     SimulationConfig withTransactionChanges(int changes) {
-        return withLimits(new Limits(limits.requestsPerSecond, limits.writesPerSecond, limits.valueBytes, changes, limits.connections));
+        return withLimits(new Limits(limits.requestsPerSecond, limits.writesPerSecond, limits.valueBytes, changes, limits.maxConnections));
     }
 
     SimulationConfig withConnections(int connections) {
@@ -84,6 +84,6 @@
     }
 
     int maxConnections() {
-        return limits.connections;
+        return limits.maxConnections;
     }
 }
