--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -277,7 +277,7 @@
     @ValueSource(longs = {1, 2})
     void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
         Simulation simulation =
-                new Simulation(seed, shapeOf(seed).withControllers(3).withPerOffer(1));
+                new Simulation(seed, shapeOf(seed).withControllers(3).withMachinesPerOffer(1));
         JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -11,7 +11,7 @@
     /** Long leases, little time beside them for what a cancellation takes, and few writes. */
     static final SimulationConfig LONG_LEASES = SimulationConfig.small()
             .withControllers(5)
-            .withPerOffer(4)
+            .withMachinesPerOffer(4)
             .withHeartbeatInterval(3 * SECOND)
             .withLease(27 * SECOND)
             .withCancel(52 * SECOND)
@@ -23,7 +23,7 @@
     /** Short leases, and heartbeats that come often. */
     static final SimulationConfig SHORT_LEASES = SimulationConfig.small()
             .withControllers(5)
-            .withPerOffer(4)
+            .withMachinesPerOffer(4)
             .withHeartbeatInterval(2 * SECOND)
             .withLease(13 * SECOND)
             .withCancel(33 * SECOND)
@@ -44,7 +44,7 @@
 
     /** Five controllers and a few machines, too few for much work. */
     static Simulation crowded(long seed) {
-        return new Simulation(seed, shapeOf(seed).withControllers(5).withPerOffer(1));
+        return new Simulation(seed, shapeOf(seed).withControllers(5).withMachinesPerOffer(1));
     }
 
     /** What a cut does with packets under way, with half of the seeds the one, with half the other. */
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -22,7 +22,7 @@
                 new Simulation(
                         1,
                         FaultScenarios.LONG_LEASES
-                                .withPerOffer(213)
+                                .withMachinesPerOffer(213)
                                 .withHeartbeatInterval(5 * SECOND)
                                 .withConnections(1_519)),
                 1_500);
@@ -31,7 +31,7 @@
     /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
     void sevenHundredMachinesWithFrequentHeartbeats() {
-        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withPerOffer(97).withConnections(2_257)), 700);
+        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withConnections(2_257)), 700);
     }
 
     /**
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -157,7 +157,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void aGangIsNotStarvedBySmallWork(long seed) {
         Simulation simulation =
-                new Simulation(seed, SimulationConfig.small().withControllers(3).withPerOffer(1));
+                new Simulation(seed, SimulationConfig.small().withControllers(3).withMachinesPerOffer(1));
         for (int i = 0; i < 130; i++) {
             simulation.after(SECOND * i, () -> simulation.users.submit(simulation.jobs.batch(8, 8 * SECOND)));
         }
@@ -174,7 +174,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void twoGangsThatNeedTheSameCapacity(long seed) {
         Simulation simulation =
-                new Simulation(seed, SimulationConfig.small().withControllers(3).withPerOffer(1));
+                new Simulation(seed, SimulationConfig.small().withControllers(3).withMachinesPerOffer(1));
         for (int i = 0; i < 6; i++) {
             JobSpec spec = gangForALargeMachine(simulation);
             simulation.after(2 * SECOND, () -> simulation.users.submit(spec));
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -134,7 +134,7 @@
     @ValueSource(longs = {105, 106})
     void aPauseIsNotAFailure(long seed) {
         Simulation simulation =
-                new Simulation(seed, SimulationConfig.small().withPerOffer(1).withHeartbeatInterval(5 * SECOND));
+                new Simulation(seed, SimulationConfig.small().withMachinesPerOffer(1).withHeartbeatInterval(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
 
         // In an outage no successor is found, and the leader is the leader still when all goes on.
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -34,7 +34,7 @@
         Simulation simulation = new Simulation(
                 seed,
                 FaultScenarios.LONG_LEASES
-                        .withPerOffer(size.machines / OFFERS + size.machines / 100)
+                        .withMachinesPerOffer(size.machines / OFFERS + size.machines / 100)
                         .withHeartbeatInterval(5 * SECOND)
                         .withConnections(Math.max(1_000, size.machines)));
         for (int i = 0; i < size.services; i++) {
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -95,7 +95,7 @@
 
     /** @param perOffer how many machines of each type, zone and kind there are */
     Simulation(long seed, int controllers, int perOffer) {
-        this(seed, SimulationConfig.small().withControllers(controllers).withPerOffer(perOffer));
+        this(seed, SimulationConfig.small().withControllers(controllers).withMachinesPerOffer(perOffer));
     }
 
     Simulation(long seed, SimulationConfig shape) {
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -23,7 +23,7 @@
         return new SimulationConfig(count, machinesPerOffer, timing, limits);
     }
 
-    SimulationConfig withPerOffer(int machines) {
+    SimulationConfig withMachinesPerOffer(int machines) {
         return new SimulationConfig(controllers, machines, timing, limits);
     }
 
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -22,7 +22,7 @@
     private static final StoreLimits NEXT = new StoreLimits(15, 2 * 1024, 4);
     /** As many machines to a value as the version in production puts there, whose rows and values are longer. */
     private static final SimulationConfig PRODUCTION = FaultScenarios.SHORT_LEASES
-            .withPerOffer(40)
+            .withMachinesPerOffer(40)
             .withRequestsPerSecond(150)
             .withWritesPerSecond(20)
             .withValueBytes(6 * 1024)
@@ -85,7 +85,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void valuesTooLargeToBeSplitAtOnce(long seed) {
-        Simulation simulation = busyDeployment(seed, PRODUCTION.withPerOffer(60).withValueBytes(12 * 1024));
+        Simulation simulation = busyDeployment(seed, PRODUCTION.withMachinesPerOffer(60).withValueBytes(12 * 1024));
         simulation.after(40 * SECOND, () -> {
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
             simulation.store.lowerLimits(NEXT);
