--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -107,7 +107,7 @@
                         .withControllers(2)
                         .withHeartbeatInterval(2 * SECOND)
                         .withLease(27 * SECOND)
-                        .withCancel(46 * SECOND));
+                        .withCancellationTimeout(46 * SECOND));
         List<JobSpec> services = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             JobSpec service = simulation.jobs.service(4);
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -35,7 +35,7 @@
         return withTimes(new Timing(timing.heartbeatIntervalMicros, micros, timing.cancellationTimeoutMicros));
     }
 
-    SimulationConfig withCancel(long micros) {
+    SimulationConfig withCancellationTimeout(long micros) {
         return withTimes(new Timing(timing.heartbeatIntervalMicros, timing.leaseMicros, micros));
     }
 
