--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -18,7 +18,7 @@
             .withRequestsPerSecond(150)
             .withWritesPerSecond(18)
             .withValueBytes(8 * 1024)
-            .withConnections(1_500);
+            .withMaxConnections(1_500);
 
     /** Short leases, and heartbeats that come often. */
     static final SimulationConfig SHORT_LEASES = SimulationConfig.small()
@@ -31,7 +31,7 @@
             .withWritesPerSecond(90)
             .withValueBytes(32 * 1024)
             .withTransactionChanges(16)
-            .withConnections(2_000);
+            .withMaxConnections(2_000);
 
     static Simulation simulation(long seed) {
         return new Simulation(seed, shapeOf(seed));
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -24,14 +24,14 @@
                         FaultScenarios.LONG_LEASES
                                 .withMachinesPerOffer(213)
                                 .withHeartbeatInterval(5 * SECOND)
-                                .withConnections(1_519)),
+                                .withMaxConnections(1_519)),
                 1_500);
     }
 
     /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
     void sevenHundredMachinesWithFrequentHeartbeats() {
-        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withConnections(2_257)), 700);
+        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withMaxConnections(2_257)), 700);
     }
 
     /**
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -36,7 +36,7 @@
                 FaultScenarios.LONG_LEASES
                         .withMachinesPerOffer(size.machines / OFFERS + size.machines / 100)
                         .withHeartbeatInterval(5 * SECOND)
-                        .withConnections(Math.max(1_000, size.machines)));
+                        .withMaxConnections(Math.max(1_000, size.machines)));
         for (int i = 0; i < size.services; i++) {
             simulation.users.submit(simulation.jobs.service(SERVICE_REPLICAS));
         }
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -58,7 +58,7 @@
         return withLimits(new Limits(limits.requestsPerSecond, limits.writesPerSecond, limits.valueBytes, changes, limits.maxConnections));
     }
 
-    SimulationConfig withConnections(int connections) {
+    SimulationConfig withMaxConnections(int connections) {
         return withLimits(
                 new Limits(limits.requestsPerSecond, limits.writesPerSecond, limits.valueBytes, limits.transactionChanges, connections));
     }
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -27,7 +27,7 @@
             .withWritesPerSecond(20)
             .withValueBytes(6 * 1024)
             .withTransactionChanges(8)
-            .withConnections(1_500);
+            .withMaxConnections(1_500);
 
     private static Simulation busyDeployment(long seed, SimulationConfig shape) {
         Simulation simulation = new Simulation(seed, shape);
