--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.RecoveryScenarios.HOLD;
-import static org.granitepath.simulation.RecoveryScenarios.RESTART;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busy;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -28,14 +28,14 @@
     void servicesResumeBeforeBatchWork(long seed) {
         Simulation simulation = busy(seed);
 
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, seed % 2 == 0);
             endAllWork(simulation);
         });
-        simulation.runWithLivenessChecks(RESTART + 30 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 30 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART);
+        List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART_MICROS);
         List<Boolean> liveWorkBacklog =
                 starts.stream().map(start -> isService(simulation, start)).toList();
         int firstBatch = liveWorkBacklog.indexOf(false);
@@ -72,12 +72,12 @@
         for (long seed = 1; seed <= 6; seed++) {
             Simulation simulation = busy(seed);
             simulation.recoveryHoldMicros = 0;
-            simulation.after(RESTART, () -> {
+            simulation.after(RESTART_MICROS, () -> {
                 simulation.faults.crashAll(SECOND);
                 endAllWork(simulation);
             });
-            simulation.run(RESTART + 30 * SECOND);
-            List<Boolean> services = simulation.commands.startsSince(RESTART).stream()
+            simulation.run(RESTART_MICROS + 30 * SECOND);
+            List<Boolean> services = simulation.commands.startsSince(RESTART_MICROS).stream()
                     .map(start -> isService(simulation, start))
                     .toList();
             mixed += services.indexOf(false) < services.lastIndexOf(true) ? 1 : 0;
@@ -91,7 +91,7 @@
     void unresponsiveMachinesHoldNobodyBeyondTheBound(long seed) {
         Simulation simulation = busy(seed);
 
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             all.stream()
@@ -102,17 +102,17 @@
                     .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
             all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
         });
-        simulation.run(RESTART + 30 * SECOND);
+        simulation.run(RESTART_MICROS + 30 * SECOND);
 
-        List<SimCommands.Start> batch = simulation.commands.startsSince(RESTART).stream()
+        List<SimCommands.Start> batch = simulation.commands.startsSince(RESTART_MICROS).stream()
                 .filter(start -> !isService(simulation, start))
                 .toList();
         assertFalse(batch.isEmpty(), "batch work waits for unresponsive machines");
         assertTrue(
-                batch.get(0).sentMicros() < RESTART + HOLD + 12 * SECOND,
-                "the first batch task started " + (batch.get(0).sentMicros() - RESTART) / 1e6 + " s after the restart");
+                batch.get(0).sentMicros() < RESTART_MICROS + HOLD + 12 * SECOND,
+                "the first batch task started " + (batch.get(0).sentMicros() - RESTART_MICROS) / 1e6 + " s after the restart");
 
-        simulation.runWithLivenessChecks(RESTART + 90 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 90 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -123,7 +123,7 @@
     void servicesDoNotWaitForUnresponsiveSpotMachines(long seed) {
         Simulation simulation = busy(seed);
 
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             List<SimWorker> spot = simulation.cloud.workers().stream()
                     .filter(worker -> worker.spot)
@@ -132,19 +132,19 @@
             spot.forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
             simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
         });
-        simulation.run(RESTART + Simulation.LEASE_MICROS);
+        simulation.run(RESTART_MICROS + Simulation.LEASE_MICROS);
 
         RecoveryStatus status = simulation.recoveryStatus();
         assertNotNull(status);
         assertTrue(status.awaitedMachineCount() > 0, "no machine is unresponsive");
-        long replicas = simulation.commands.startsSince(RESTART).stream()
+        long replicas = simulation.commands.startsSince(RESTART_MICROS).stream()
                 .filter(start -> isService(simulation, start))
                 .map(SimCommands.Start::task)
                 .distinct()
                 .count();
         assertEquals(6 * 6, replicas, "replicas that wait for machines which can't hold them");
 
-        simulation.runWithLivenessChecks(RESTART + 60 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 60 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
@@ -7,7 +7,7 @@
 final class RecoveryScenarios {
     private static final long SECOND = Simulation.SECOND;
     /** When the controllers end. */
-    static final long RESTART = 60 * SECOND;
+    static final long RESTART_MICROS = 60 * SECOND;
     /** For how long a recovery holds other work back for services. */
     static final long HOLD = 15 * SECOND;
 
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.RecoveryScenarios.HOLD;
-import static org.granitepath.simulation.RecoveryScenarios.RESTART;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busy;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -35,12 +35,12 @@
         simulation.users.addSpec(unknown);
 
         Observation<Planted> observed = new Observation<>();
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             observed.set(plant(
                     simulation, new TaskId(done.id(), 0), new TaskId(cancelled.id(), 1), new TaskId(unknown.id(), 2)));
         });
-        simulation.run(RESTART + 20 * SECOND);
+        simulation.run(RESTART_MICROS + 20 * SECOND);
 
         Planted planted = observed.get();
         for (TaskId task : planted.forbidden) {
@@ -86,19 +86,19 @@
 
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
-                RESTART - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
+                RESTART_MICROS - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
         // Half of the machines run into the end of their lease before anybody is back.
         long down = seed % 2 == 0 ? SECOND : Simulation.LEASE_MICROS + 2 * SECOND;
         simulation.after(
-                RESTART,
+                RESTART_MICROS,
                 () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, down + simulation.environment.random.nextInt(1_000_000))));
         for (int i = 0; i < 30; i++) {
             simulation.after(
-                    RESTART + down + i * SECOND / 2,
+                    RESTART_MICROS + down + i * SECOND / 2,
                     () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliverHeartbeat));
         }
-        simulation.runWithLivenessChecks(RESTART + 40 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 40 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -111,14 +111,14 @@
 
         // The restart comes while machines boot, so that some are on no record yet.
         simulation.after(4 * SECOND, () -> restart(simulation, seed % 2 == 0));
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 5) {
                 all.get(i).die();
             }
         });
-        simulation.runWithLivenessChecks(RESTART + 5 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 5 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.RecoveryScenarios.HOLD;
-import static org.granitepath.simulation.RecoveryScenarios.RESTART;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busy;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
@@ -39,17 +39,17 @@
         String key = prefix + job.id();
         String garbage = "{\"spec\":7,\"done\":\"x\",\"how\":[],\"claimed\":6}";
         Observation<Long> before = new Observation<>();
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             simulation.store.writeExternally(key, garbage);
             before.set(running(simulation, job));
         });
-        simulation.run(RESTART + 100 * SECOND);
+        simulation.run(RESTART_MICROS + 100 * SECOND);
 
         assertTrue(before.get() > 0, "the job does not run");
         assertEquals(before.get(), running(simulation, job), "tasks of a job that can't be judged were stopped");
         assertTrue(
-                simulation.commands.startsSince(RESTART).stream()
+                simulation.commands.startsSince(RESTART_MICROS).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
         assertTrue(simulation.store.hasValue(key, garbage), "it was written over");
@@ -76,11 +76,11 @@
     void aPartOfTheInventoryThatCannotBeRead() {
         Simulation simulation = busy(2);
         String key = Keys.INVENTORY + "0";
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             simulation.store.writeExternally(key, "{\"hosts\":[7]}");
         });
-        simulation.run(RESTART + 60 * SECOND);
+        simulation.run(RESTART_MICROS + 60 * SECOND);
 
         RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
@@ -99,7 +99,7 @@
         simulation.cancelAtCompletionShare = 0.3;
         List<JobSpec> shortJobs = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            long at = RESTART - SECOND + i * 50_000L;
+            long at = RESTART_MICROS - SECOND + i * 50_000L;
             JobSpec spec = new JobBuilder(simulation.jobs, i % 4 == 0, 4)
                     .estimate(5 * SECOND)
                     .priority(Priority.STANDARD)
@@ -109,10 +109,10 @@
             simulation.after(at, () -> simulation.users.submit(spec, spec.service() ? 20 * SECOND : -1));
         }
         simulation.after(
-                RESTART - 100_000 - simulation.environment.random.nextInt(400_000),
+                RESTART_MICROS - 100_000 - simulation.environment.random.nextInt(400_000),
                 () -> simulation.users.cancelRunning(4, 0));
-        simulation.after(RESTART, () -> restart(simulation, seed % 2 == 0));
-        simulation.runWithLivenessChecks(RESTART + 100 * SECOND, 500 * SECOND);
+        simulation.after(RESTART_MICROS, () -> restart(simulation, seed % 2 == 0));
+        simulation.runWithLivenessChecks(RESTART_MICROS + 100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertTrue(simulation.rules.cancelledJobCount() > 0);
@@ -126,7 +126,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void theStoreIsAwayOrSlow(long seed) {
         Simulation simulation = busy(seed);
-        simulation.after(RESTART, () -> {
+        simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             switch ((int) seed % 3) {
                 case 0 -> simulation.store.startOutage(8 * SECOND);
@@ -137,7 +137,7 @@
             simulation.store.lateCommitShare = 0.1;
             simulation.after(20 * SECOND, () -> simulation.store.lateCommitShare = 0);
         });
-        simulation.runWithLivenessChecks(RESTART + 30 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 30 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -162,14 +162,14 @@
         for (Trouble trouble : Trouble.values()) {
             Simulation simulation = busy(trouble.seed);
             simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
-            simulation.after(RESTART, () -> restartAndLoseReplicas(simulation, phase));
+            simulation.after(RESTART_MICROS, () -> restartAndLoseReplicas(simulation, phase));
 
             int met = strikeTwice(simulation, phase, trouble);
 
             // Where no machine has capacity for what goes first, its phase is over within one step.
             int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
             assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
-            simulation.runWithLivenessChecks(RESTART + 70 * SECOND, 500 * SECOND);
+            simulation.runWithLivenessChecks(RESTART_MICROS + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
     }
@@ -190,9 +190,9 @@
     /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
     private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
         AtomicInteger met = new AtomicInteger();
-        simulation.environment.run(RESTART + 60 * SECOND, () -> {
+        simulation.environment.run(RESTART_MICROS + 60 * SECOND, () -> {
             simulation.rules.check();
-            RecoveryStatus status = simulation.environment.nowMicros() > RESTART ? simulation.recoveryStatusInPhase(phase) : null;
+            RecoveryStatus status = simulation.environment.nowMicros() > RESTART_MICROS ? simulation.recoveryStatusInPhase(phase) : null;
             if (status != null && met.get() < 2) {
                 met.incrementAndGet();
                 endReplicas(simulation);
@@ -214,7 +214,7 @@
     @Test
     void controllersThatCannotTellSaySo() {
         Simulation simulation = busy(3);
-        simulation.run(RESTART);
+        simulation.run(RESTART_MICROS);
         String leader = simulation.leader();
         assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryStatusAt(leader).role());
         String other = simulation.nodeNames.stream()
@@ -225,7 +225,7 @@
         assertEquals(leader, simulation.recoveryStatusAt(other).leader());
         simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         simulation.faults.partition(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
-        simulation.run(RESTART + 6 * SECOND);
+        simulation.run(RESTART_MICROS + 6 * SECOND);
 
         assertEquals(
                 RecoveryStatus.Role.LEADING_UNCONFIRMED,
