--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.RecoveryScenarios.HOLD;
+import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busy;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
@@ -109,7 +109,7 @@
                 .toList();
         assertFalse(batch.isEmpty(), "batch work waits for unresponsive machines");
         assertTrue(
-                batch.get(0).sentMicros() < RESTART_MICROS + HOLD + 12 * SECOND,
+                batch.get(0).sentMicros() < RESTART_MICROS + RECOVERY_HOLD_MICROS + 12 * SECOND,
                 "the first batch task started " + (batch.get(0).sentMicros() - RESTART_MICROS) / 1e6 + " s after the restart");
 
         simulation.runWithLivenessChecks(RESTART_MICROS + 90 * SECOND, 500 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
@@ -9,14 +9,14 @@
     /** When the controllers end. */
     static final long RESTART_MICROS = 60 * SECOND;
     /** For how long a recovery holds other work back for services. */
-    static final long HOLD = 15 * SECOND;
+    static final long RECOVERY_HOLD_MICROS = 15 * SECOND;
 
     private RecoveryScenarios() {}
 
     /** Services and half-finished batch work on some seventy machines. */
     static Simulation busy(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
-        simulation.recoveryHoldMicros = HOLD;
+        simulation.recoveryHoldMicros = RECOVERY_HOLD_MICROS;
         submitServices(simulation, 6, 6);
         submitBatches(simulation, 8, 60, 20 * SECOND);
         return simulation;
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.RecoveryScenarios.HOLD;
+import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busy;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
@@ -128,7 +128,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void gangsWithAPartUnresponsiveEndAndStartWhole(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
-        simulation.recoveryHoldMicros = HOLD;
+        simulation.recoveryHoldMicros = RECOVERY_HOLD_MICROS;
         for (int i = 0; i < 5; i++) {
             simulation.users.submit(
                     simulation.jobs.batchBuilder(9, 40 * SECOND).inOneZone(i % 2 == 0).build());
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.RecoveryScenarios.HOLD;
+import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busy;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
@@ -161,7 +161,7 @@
     void endedAgainInEachPhase(RecoveryPhase phase) {
         for (Trouble trouble : Trouble.values()) {
             Simulation simulation = busy(trouble.seed);
-            simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
+            simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : RECOVERY_HOLD_MICROS;
             simulation.after(RESTART_MICROS, () -> restartAndLoseReplicas(simulation, phase));
 
             int met = strikeTwice(simulation, phase, trouble);
