--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
-import static org.granitepath.simulation.RecoveryScenarios.busy;
+import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -26,7 +26,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void servicesResumeBeforeBatchWork(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
             restart(simulation, seed % 2 == 0);
@@ -70,7 +70,7 @@
     void withoutAHoldBatchWorkStartsAmongThem() {
         int mixed = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            Simulation simulation = busy(seed);
+            Simulation simulation = busyDeployment(seed);
             simulation.recoveryHoldMicros = 0;
             simulation.after(RESTART_MICROS, () -> {
                 simulation.faults.crashAll(SECOND);
@@ -89,7 +89,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void unresponsiveMachinesHoldNobodyBeyondTheBound(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
@@ -121,7 +121,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void servicesDoNotWaitForUnresponsiveSpotMachines(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
--- a/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
@@ -14,7 +14,7 @@
     private RecoveryScenarios() {}
 
     /** Services and half-finished batch work on some seventy machines. */
-    static Simulation busy(long seed) {
+    static Simulation busyDeployment(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
         simulation.recoveryHoldMicros = RECOVERY_HOLD_MICROS;
         submitServices(simulation, 6, 6);
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
-import static org.granitepath.simulation.RecoveryScenarios.busy;
+import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -26,7 +26,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void whatMayNotRunIsStoppedAndCleared(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
         JobSpec done = simulation.jobs.batch(3, SECOND);
         JobSpec cancelled = simulation.jobs.serviceBuilder(2).build();
         JobSpec unknown = simulation.jobs.batch(3, SECOND);
@@ -81,7 +81,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void resultsOfMeanwhileCountAndHeartbeatsOfBeforeDoNot(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
         simulation.environment.duplicateRequestShare = 0.2;
 
         List<Heartbeat> before = new ArrayList<>();
@@ -107,7 +107,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workIsDoneWhenMachinesComeAndGoMeanwhile(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
         // The restart comes while machines boot, so that some are on no record yet.
         simulation.after(4 * SECOND, () -> restart(simulation, seed % 2 == 0));
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
-import static org.granitepath.simulation.RecoveryScenarios.busy;
+import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
 import static org.granitepath.simulation.RecoveryScenarios.restart;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -33,7 +33,7 @@
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB, Keys.PROGRESS, Keys.FINAL})
     void recordsThatCannotBeRead(String prefix) {
-        Simulation simulation = busy(1);
+        Simulation simulation = busyDeployment(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
         simulation.users.submit(job);
         String key = prefix + job.id();
@@ -74,7 +74,7 @@
     /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
     @Test
     void aPartOfTheInventoryThatCannotBeRead() {
-        Simulation simulation = busy(2);
+        Simulation simulation = busyDeployment(2);
         String key = Keys.INVENTORY + "0";
         simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
@@ -95,7 +95,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledAndSubmittedJustBefore(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
         simulation.cancelAtCompletionShare = 0.3;
         List<JobSpec> shortJobs = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -125,7 +125,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void theStoreIsAwayOrSlow(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
         simulation.after(RESTART_MICROS, () -> {
             restart(simulation, false);
             switch ((int) seed % 3) {
@@ -160,7 +160,7 @@
     @EnumSource(RecoveryPhase.class)
     void endedAgainInEachPhase(RecoveryPhase phase) {
         for (Trouble trouble : Trouble.values()) {
-            Simulation simulation = busy(trouble.seed);
+            Simulation simulation = busyDeployment(trouble.seed);
             simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : RECOVERY_HOLD_MICROS;
             simulation.after(RESTART_MICROS, () -> restartAndLoseReplicas(simulation, phase));
 
@@ -213,7 +213,7 @@
     /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
     @Test
     void controllersThatCannotTellSaySo() {
-        Simulation simulation = busy(3);
+        Simulation simulation = busyDeployment(3);
         simulation.run(RESTART_MICROS);
         String leader = simulation.leader();
         assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryStatusAt(leader).role());
