--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
-import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.RecoveryScenarios.restartControllers;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -29,7 +29,7 @@
         Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, seed % 2 == 0);
+            restartControllers(simulation, seed % 2 == 0);
             endAllWork(simulation);
         });
         simulation.runWithLivenessChecks(RESTART_MICROS + 30 * SECOND, 400 * SECOND);
@@ -92,7 +92,7 @@
         Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             all.stream()
                     .filter(worker -> worker.attempts().active().stream()
@@ -124,7 +124,7 @@
         Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             List<SimWorker> spot = simulation.cloud.workers().stream()
                     .filter(worker -> worker.spot)
                     .toList();
--- a/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
@@ -23,7 +23,7 @@
     }
 
     /** Each controller is back within a second, or one at once and the others much later. */
-    static void restart(Simulation simulation, boolean apart) {
+    static void restartControllers(Simulation simulation, boolean apart) {
         if (apart) {
             simulation.faults.crash(simulation.nodeNames.get(0), 200_000);
             simulation.nodeNames.stream().skip(1).forEach(node -> simulation.faults.crash(node, 25 * SECOND));
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
-import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.RecoveryScenarios.restartControllers;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -36,7 +36,7 @@
 
         Observation<Planted> observed = new Observation<>();
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             observed.set(plant(
                     simulation, new TaskId(done.id(), 0), new TaskId(cancelled.id(), 1), new TaskId(unknown.id(), 2)));
         });
@@ -110,9 +110,9 @@
         Simulation simulation = busyDeployment(seed);
 
         // The restart comes while machines boot, so that some are on no record yet.
-        simulation.after(4 * SECOND, () -> restart(simulation, seed % 2 == 0));
+        simulation.after(4 * SECOND, () -> restartControllers(simulation, seed % 2 == 0));
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 5) {
                 all.get(i).die();
@@ -136,7 +136,7 @@
         }
 
         simulation.after(40 * SECOND, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             if (seed % 2 == 0) {
                 simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND);
             } else {
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
 import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
-import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.RecoveryScenarios.restartControllers;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -40,7 +40,7 @@
         String garbage = "{\"spec\":7,\"done\":\"x\",\"how\":[],\"claimed\":6}";
         Observation<Long> before = new Observation<>();
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             simulation.store.writeExternally(key, garbage);
             before.set(running(simulation, job));
         });
@@ -77,7 +77,7 @@
         Simulation simulation = busyDeployment(2);
         String key = Keys.INVENTORY + "0";
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             simulation.store.writeExternally(key, "{\"hosts\":[7]}");
         });
         simulation.run(RESTART_MICROS + 60 * SECOND);
@@ -111,7 +111,7 @@
         simulation.after(
                 RESTART_MICROS - 100_000 - simulation.environment.random.nextInt(400_000),
                 () -> simulation.users.cancelRunning(4, 0));
-        simulation.after(RESTART_MICROS, () -> restart(simulation, seed % 2 == 0));
+        simulation.after(RESTART_MICROS, () -> restartControllers(simulation, seed % 2 == 0));
         simulation.runWithLivenessChecks(RESTART_MICROS + 100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -127,7 +127,7 @@
     void theStoreIsAwayOrSlow(long seed) {
         Simulation simulation = busyDeployment(seed);
         simulation.after(RESTART_MICROS, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             switch ((int) seed % 3) {
                 case 0 -> simulation.store.startOutage(8 * SECOND);
                 case 1 ->
@@ -175,7 +175,7 @@
     }
 
     private static void restartAndLoseReplicas(Simulation simulation, RecoveryPhase phase) {
-        restart(simulation, false);
+        restartControllers(simulation, false);
         int unreachable = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
         simulation.cloud.workers().stream()
                 .limit(unreachable)
