--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -43,12 +43,12 @@
         Simulation simulation = RecoveryLoad.fleet(3, RecoveryLoad.Size.LARGE);
         Observation<Long> running = new Observation<>();
         Observation<Integer> refusalsBefore = new Observation<>();
-        simulation.after(RecoveryLoad.RESTART, () -> {
+        simulation.after(RecoveryLoad.RESTART_MICROS, () -> {
             running.set(simulation.rules.runningTaskCount());
             refusalsBefore.set(simulation.store.rateLimitedRequestCount());
             simulation.faults.crashAll(SECOND);
         });
-        simulation.run(RecoveryLoad.RESTART + 30 * SECOND);
+        simulation.run(RecoveryLoad.RESTART_MICROS + 30 * SECOND);
 
         RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(RecoveryPhase.RECOVERED, status.phase());
@@ -66,7 +66,7 @@
                 simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
                 simulation.maxConcurrentCalls + " calls to machines at once");
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
-        simulation.run(RecoveryLoad.RESTART + 90 * SECOND);
+        simulation.run(RecoveryLoad.RESTART_MICROS + 90 * SECOND);
 
         assertEquals(
                 List.of(),
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -3,7 +3,7 @@
 /** Fleets of three sizes with services and batch work, for what a cold restart costs. */
 final class RecoveryLoad {
     static final long SECOND = Simulation.SECOND;
-    static final long RESTART = 90 * SECOND;
+    static final long RESTART_MICROS = 90 * SECOND;
     private static final int SERVICE_REPLICAS = 6;
     private static final long BATCH_CPU_MILLIS = 4_000;
     private static final long BATCH_RUN = 120 * SECOND;
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -70,7 +70,7 @@
         simulation.recoveryHoldMicros = hold;
         Observation<Integer> requestsBefore = new Observation<>();
         Observation<Integer> writesBefore = new Observation<>();
-        simulation.after(RecoveryLoad.RESTART, () -> {
+        simulation.after(RecoveryLoad.RESTART_MICROS, () -> {
             requestsBefore.set(simulation.store.requestCount());
             writesBefore.set(simulation.store.changeCount());
             simulation.faults.crashAll(SECOND);
@@ -83,8 +83,8 @@
             }
         });
         AtomicLong lastVerdict = new AtomicLong(-1);
-        simulation.run(RecoveryLoad.RESTART);
-        simulation.environment.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
+        simulation.run(RecoveryLoad.RESTART_MICROS);
+        simulation.environment.run(RecoveryLoad.RESTART_MICROS + 30 * SECOND, () -> {
             RecoveryStatus status =
                     simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recoveryStatus() : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
@@ -93,8 +93,8 @@
         });
         int requests = simulation.store.requestCount() - requestsBefore.get();
         int writes = simulation.store.changeCount() - writesBefore.get();
-        simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
-        List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
+        simulation.run(RecoveryLoad.RESTART_MICROS + 60 * SECOND);
+        List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART_MICROS);
         List<Long> live = times(simulation, starts, true);
         List<Long> batch = times(simulation, starts, false);
         return new Figures(
@@ -116,6 +116,6 @@
 
     /** Since the restart; not a number when it did not come. */
     private static double seconds(long at) {
-        return at < 0 ? Double.NaN : (at - RecoveryLoad.RESTART) / 1e6;
+        return at < 0 ? Double.NaN : (at - RecoveryLoad.RESTART_MICROS) / 1e6;
     }
 }
