--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -13,7 +13,7 @@
     /** How many machines there are, and how much work. */
     enum Size {
         SMALL(40, 6, 1),
-        MIDDLE(400, 40, 4),
+        MEDIUM(400, 40, 4),
         LARGE(4_000, 300, 40);
 
         final int machines;
