--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -4,7 +4,7 @@
 import static org.granitepath.simulation.FaultScenarios.crowded;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
-import static org.granitepath.simulation.FaultScenarios.shapeOf;
+import static org.granitepath.simulation.FaultScenarios.configOf;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
@@ -277,7 +277,7 @@
     @ValueSource(longs = {1, 2})
     void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
         Simulation simulation =
-                new Simulation(seed, shapeOf(seed).withControllers(3).withMachinesPerOffer(1));
+                new Simulation(seed, configOf(seed).withControllers(3).withMachinesPerOffer(1));
         JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -34,17 +34,17 @@
             .withMaxConnections(2_000);
 
     static Simulation simulation(long seed) {
-        return new Simulation(seed, shapeOf(seed));
+        return new Simulation(seed, configOf(seed));
     }
 
     /** The times and limits that go with a seed. */
-    static SimulationConfig shapeOf(long seed) {
+    static SimulationConfig configOf(long seed) {
         return seed % 2 == 0 ? LONG_LEASES : SHORT_LEASES;
     }
 
     /** Five controllers and a few machines, too few for much work. */
     static Simulation crowded(long seed) {
-        return new Simulation(seed, shapeOf(seed).withControllers(5).withMachinesPerOffer(1));
+        return new Simulation(seed, configOf(seed).withControllers(5).withMachinesPerOffer(1));
     }
 
     /** What a cut does with packets under way, with half of the seeds the one, with half the other. */
