--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.crowded;
-import static org.granitepath.simulation.FaultScenarios.cutOf;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.others;
@@ -118,7 +118,7 @@
                 50 * SECOND,
                 () -> simulation.faults.partitionZone(
                         seed % 3 == 0 ? simulation.zoneOf(simulation.leader()) : "south",
-                        cutOf(seed),
+                        partitionModeOf(seed),
                         simulation.config.leaseMicros() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         Observation<Integer> told =
@@ -171,7 +171,7 @@
         Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
-            simulation.faults.partitionFromPeersAndStore(former, cutOf(seed), 70 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(former, partitionModeOf(seed), 70 * SECOND);
             simulation.after(6 * SECOND, () -> {
                 String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -48,7 +48,7 @@
     }
 
     /** What a cut does with packets under way, with half of the seeds the one, with half the other. */
-    static SimEnvironment.PartitionMode cutOf(long seed) {
+    static SimEnvironment.PartitionMode partitionModeOf(long seed) {
         return seed % 2 == 0 ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
     }
 
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.cutOf;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -121,7 +121,7 @@
         gang.runUntilHeld();
 
         gang.runFor(seed * SECOND);
-        simulation.faults.partitionMachine(gang.holders().get(0), cutOf(seed), 20 * SECOND);
+        simulation.faults.partitionMachine(gang.holders().get(0), partitionModeOf(seed), 20 * SECOND);
         simulation.faults.crash(simulation.leader(), SECOND);
         leaderEnds(simulation, 7 * SECOND, SECOND);
         gang.runFor(200 * SECOND);
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.cutOf;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.withJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
@@ -55,7 +55,7 @@
 
         simulation.after(
                 32 * SECOND,
-                () -> simulation.faults.partitionFromPeersAndStore(simulation.leader(), cutOf(seed), 70 * SECOND));
+                () -> simulation.faults.partitionFromPeersAndStore(simulation.leader(), partitionModeOf(seed), 70 * SECOND));
         simulation.runWithLivenessChecks(110 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
