--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.crowded;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
@@ -240,7 +240,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void nothingCancelledStartsWhileTheLeadersReadsLag(long seed) {
-        Simulation simulation = crowded(seed);
+        Simulation simulation = withFewMachines(seed);
         simulation.dropPeerCancellations = seed % 2 == 1;
         longWork(simulation, 1, 40, 3 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.crowded;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.configOf;
@@ -42,7 +42,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void overloadOverSlowLinksLeavesNobodyUnserved(long seed) {
-        Simulation simulation = crowded(seed);
+        Simulation simulation = withFewMachines(seed);
         withJobs(simulation, 30, 60 * SECOND);
         longWork(simulation, 4, 6, 20 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.crowded;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
@@ -155,7 +155,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void answersOfLaterCallsAreNotTakenForThoseOfHeldStarts(long seed) {
-        Simulation simulation = crowded(seed);
+        Simulation simulation = withFewMachines(seed);
         longWork(simulation, 2, 16, 25 * SECOND);
 
         Observation<Integer> toldBefore = new Observation<>();
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -43,7 +43,7 @@
     }
 
     /** Five controllers and a few machines, too few for much work. */
-    static Simulation crowded(long seed) {
+    static Simulation withFewMachines(long seed) {
         return new Simulation(seed, configOf(seed).withControllers(5).withMachinesPerOffer(1));
     }
 
