--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -7,7 +7,7 @@
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.others;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -25,7 +25,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsCancelledAtTheirEndHaveOneOutcome(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 40, 60 * SECOND);
         simulation.cancelAtCompletionShare = 0.6;
         simulation.users.sendUnusualRequests(100 * SECOND);
 
@@ -84,7 +84,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsHoldWhileTheStoreIsSlowThenRefusesThenIsAway(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 100 * SECOND);
         longWork(simulation, 6, 6, 100 * SECOND);
 
         simulation.after(45 * SECOND, () -> simulation.environment.delayedPacketShare = 0.05);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -6,7 +6,7 @@
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.configOf;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -43,7 +43,7 @@
     @ValueSource(longs = {1, 2})
     void overloadOverSlowLinksLeavesNobodyUnserved(long seed) {
         Simulation simulation = withFewMachines(seed);
-        withJobs(simulation, 30, 60 * SECOND);
+        withRandomJobs(simulation, 30, 60 * SECOND);
         longWork(simulation, 4, 6, 20 * SECOND);
 
         simulation.after(20 * SECOND, () -> simulation.environment.delayedPacketShare = 0.03);
@@ -223,7 +223,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workIsDoneUnderTenLeadersInTwoMinutes(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 120 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 120 * SECOND);
         longWork(simulation, 6, 4, 60 * SECOND);
 
         AtomicInteger changes = new AtomicInteger();
@@ -251,7 +251,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void theOneThatReturnsAtOnceLeadsAfterAllHaveEnded(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 80 * SECOND);
         simulation.environment.duplicateRequestShare = 0.1;
 
         simulation.after(40 * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -5,7 +5,7 @@
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,7 +22,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void lateTransactionsDoNotOverwriteNewerOnes(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 40, 100 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 40, 100 * SECOND);
 
         simulation.after(10 * SECOND, () -> simulation.store.lateCommitShare = 0.3);
         for (int i = 0; i < 4; i++) {
@@ -131,7 +131,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void commandsHeldUpWhileMachinesHangStartNothingTwice(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 80 * SECOND);
         longWork(simulation, 4, 6, 40 * SECOND);
 
         simulation.after(25 * SECOND, () -> simulation.environment.delayedPacketShare = 0.08);
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -53,12 +53,12 @@
     }
 
     /** A small deployment, to which users submit this many random jobs until this time. */
-    static Simulation withJobs(long seed, int jobs, long untilMicros) {
-        return withJobs(new Simulation(seed), jobs, untilMicros);
+    static Simulation withRandomJobs(long seed, int jobs, long untilMicros) {
+        return withRandomJobs(new Simulation(seed), jobs, untilMicros);
     }
 
     /** The same in this deployment. Services are cancelled after a minute, other work at times. */
-    static Simulation withJobs(Simulation simulation, int jobs, long untilMicros) {
+    static Simulation withRandomJobs(Simulation simulation, int jobs, long untilMicros) {
         for (int i = 0; i < jobs; i++) {
             simulation.after(2 * SECOND + (long) (simulation.environment.random.nextDouble() * untilMicros), () -> {
                 JobSpec spec = simulation.jobs.randomJob();
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -48,7 +48,7 @@
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
     void cancelledTasksEndWhenTheLeaderKeepsOnlyItsWorkers(long seed) {
-        Simulation simulation = withJobs(seed, 25, 80 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 25, 80 * SECOND);
         for (int i = 0; i < 3; i++) {
             simulation.users.submit(simulation.jobs.service(4), (30 + 6 * i) * SECOND);
         }
@@ -68,7 +68,7 @@
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
     void jobAcceptedByAReplacedLeaderIsItsSuccessors(long seed) {
-        Simulation simulation = withJobs(seed, 10, 30 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 10, 30 * SECOND);
 
         simulation.after(40 * SECOND, () -> {
             String former = simulation.leader();
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 
 import java.util.List;
@@ -28,7 +28,7 @@
     @ParameterizedTest
     @MethodSource("pairs")
     void anyTwoTroublesMeet(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 35, 150 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 35, 150 * SECOND);
         longWork(simulation, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -29,7 +29,7 @@
 
     @Test
     void quietDayFinishesItsWork() {
-        Simulation simulation = withJobs(1, 25, 90 * SECOND);
+        Simulation simulation = withRandomJobs(1, 25, 90 * SECOND);
 
         simulation.run(240 * SECOND);
 
@@ -40,7 +40,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void anyTroublesTogether(long seed) {
-        Simulation simulation = withJobs(seed, 40, 200 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 40, 200 * SECOND);
         simulation.environment.duplicateRequestShare = 0.02;
 
         for (int i = 0; i < 14; i++) {
@@ -95,7 +95,7 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void lateCopiesOfHeartbeatsChangeNothing(long seed) {
-        Simulation simulation = withJobs(seed, 35, 120 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 35, 120 * SECOND);
         simulation.environment.duplicateRequestShare = 0.25;
 
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -25,7 +25,7 @@
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
     void leadersCrashDuringTakeover(long seed) {
-        Simulation simulation = withJobs(seed, 30, 120 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
             simulation.after(
                     (20 + 6 * i) * SECOND + simulation.environment.random.nextInt(4_000_000),
@@ -90,7 +90,7 @@
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void backWithinAFractionOfASecond(long seed) {
-        Simulation simulation = withJobs(seed, 30, 100 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 30, 100 * SECOND);
         simulation.environment.duplicateRequestShare = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean leader = i % 3 > 0;
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.FaultScenarios.leaderEnds;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -37,7 +37,7 @@
             simulation.after(
                     (3 + 2L * i) * SECOND, () -> simulation.users.submit(simulation.jobs.batch(60, 25 * SECOND)));
         }
-        return withJobs(simulation, 20, 150 * SECOND);
+        return withRandomJobs(simulation, 20, 150 * SECOND);
     }
 
     /** One controller after the other, then the limits change, and leaders that have to split values end as well. */
