--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.others;
 import static org.granitepath.simulation.FaultScenarios.simulation;
@@ -224,7 +224,7 @@
         simulation.after(60 * SECOND, () -> {
             long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.leaseMicros() + 6 * SECOND;
             hung.set(simulation.users.cancelRunning(8, hangMicros).size());
-            leaderEnds(simulation, SECOND, 300_000);
+            crashLeaderAfter(simulation, SECOND, 300_000);
         });
         simulation.runWithLivenessChecks(75 * SECOND + simulation.config.leaseMicros(), 800 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -39,8 +39,8 @@
         }
         Observation<Integer> machines =
                 simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
-        leaderEnds(simulation, 45 * SECOND, 4 * SECOND);
-        leaderEnds(simulation, 49 * SECOND, 300_000);
+        crashLeaderAfter(simulation, 45 * SECOND, 4 * SECOND);
+        crashLeaderAfter(simulation, 49 * SECOND, 300_000);
         simulation.after(70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
         simulation.runWithLivenessChecks(100 * SECOND, 300 * SECOND);
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.withFewMachines;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.configOf;
 import static org.granitepath.simulation.FaultScenarios.simulation;
@@ -103,7 +103,7 @@
                 }
             });
         }
-        leaderEnds(simulation, 45 * SECOND, 300_000);
+        crashLeaderAfter(simulation, 45 * SECOND, 300_000);
         simulation.runWithLivenessChecks(60 * SECOND, 400 * SECOND);
 
         assertTrue(lostAtWork.get() > 0, "no machine at work was lost");
@@ -257,7 +257,7 @@
         simulation.after(40 * SECOND, () -> {
             String first = simulation.leader();
             simulation.faults.crash(first, 400_000);
-            leaderEnds(simulation, 6 * SECOND, 200_000);
+            crashLeaderAfter(simulation, 6 * SECOND, 200_000);
             simulation.after(
                     12 * SECOND,
                     () -> simulation.nodeNames.forEach(
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -2,7 +2,7 @@
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.withFewMachines;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
@@ -58,7 +58,7 @@
                             muted.incrementAndGet();
                             simulation.faults.dropHeartbeatsFrom(worker, simulation.config.leaseMicros() + 10 * SECOND);
                         }));
-        leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
+        crashLeaderAfter(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
         simulation.runWithLivenessChecks(60 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
@@ -120,7 +120,7 @@
                 }
             });
         }
-        leaderEnds(simulation, 60 * SECOND, 300_000);
+        crashLeaderAfter(simulation, 60 * SECOND, 300_000);
         simulation.runWithLivenessChecks(80 * SECOND + 2 * simulation.config.leaseMicros(), 500 * SECOND);
 
         assertTrue(delivered.get() > 10, delivered + " old heartbeats");
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -84,7 +84,7 @@
     }
 
     /** So much later than now whoever leads then ends, and comes back after a while. */
-    static void leaderEnds(Simulation simulation, long delayMicros, long downMicros) {
+    static void crashLeaderAfter(Simulation simulation, long delayMicros, long downMicros) {
         simulation.after(delayMicros, () -> simulation.faults.crash(simulation.leader(), downMicros));
     }
 
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -89,7 +89,7 @@
                 simulation.observe(70 * SECOND, () -> simulation.cloud.workers().size());
         simulation.after(70 * SECOND, () -> simulation.faults.pause(simulation.leader(), 33 * SECOND));
         simulation.after(112 * SECOND, () -> simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND));
-        leaderEnds(simulation, 118 * SECOND, 300_000);
+        crashLeaderAfter(simulation, 118 * SECOND, 300_000);
         simulation.after(
                 160 * SECOND,
                 () -> simulation.nodeNames.forEach(
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -105,7 +105,7 @@
 
         gang.runFor(millis * 1_000);
         simulation.faults.crash(simulation.leader(), 3 * SECOND);
-        leaderEnds(simulation, 5 * SECOND, 400_000);
+        crashLeaderAfter(simulation, 5 * SECOND, 400_000);
         gang.runFor(120 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -123,7 +123,7 @@
         gang.runFor(seed * SECOND);
         simulation.faults.partitionMachine(gang.holders().get(0), partitionModeOf(seed), 20 * SECOND);
         simulation.faults.crash(simulation.leader(), SECOND);
-        leaderEnds(simulation, 7 * SECOND, SECOND);
+        crashLeaderAfter(simulation, 7 * SECOND, SECOND);
         gang.runFor(200 * SECOND);
 
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -165,7 +165,7 @@
             before.set(simulation.rules.runningReplicaCount());
             simulation.faults.partitionZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
-                leaderEnds(simulation, 6 * SECOND, 300_000);
+                crashLeaderAfter(simulation, 6 * SECOND, 300_000);
             }
         });
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -51,10 +51,10 @@
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
         }
         // One that dies before its turn comes back as it was, and may lead the others meanwhile.
-        leaderEnds(simulation, 53 * SECOND, 200_000);
-        leaderEnds(simulation, 64 * SECOND, SECOND);
+        crashLeaderAfter(simulation, 53 * SECOND, 200_000);
+        crashLeaderAfter(simulation, 64 * SECOND, SECOND);
         simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(NEXT));
-        leaderEnds(simulation, 115 * SECOND, 2 * SECOND);
+        crashLeaderAfter(simulation, 115 * SECOND, 2 * SECOND);
         simulation.after(
                 130 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
         simulation.runWithLivenessChecks(140 * SECOND, 400 * SECOND);
@@ -73,7 +73,7 @@
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
             simulation.store.lowerLimits(NEXT);
         });
-        leaderEnds(simulation, 46 * SECOND, SECOND);
+        crashLeaderAfter(simulation, 46 * SECOND, SECOND);
         simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -90,7 +90,7 @@
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
             simulation.store.lowerLimits(NEXT);
         });
-        leaderEnds(simulation, 60 * SECOND, SECOND);
+        crashLeaderAfter(simulation, 60 * SECOND, SECOND);
         simulation.after(80 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.runWithLivenessChecks(90 * SECOND, 400 * SECOND);
 
