--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -4,7 +4,7 @@
 import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
-import static org.granitepath.simulation.FaultScenarios.longWork;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.others;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
@@ -49,7 +49,7 @@
     void cancelledTasksEndWhenTheLeaderIsRefusedBeforeAnOutage(long seed) {
         Simulation simulation = simulation(seed);
         simulation.dropPeerCancellations = seed > 2;
-        List<JobSpec> jobs = longWork(simulation, 6, 8, 300 * SECOND);
+        List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 8, 300 * SECOND);
 
         Observation<Integer> running = new Observation<>();
         Observation<Integer> confirmed = new Observation<>();
@@ -85,7 +85,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsHoldWhileTheStoreIsSlowThenRefusesThenIsAway(long seed) {
         Simulation simulation = withRandomJobs(simulation(seed), 30, 100 * SECOND);
-        longWork(simulation, 6, 6, 100 * SECOND);
+        submitLongRunningJobs(simulation, 6, 6, 100 * SECOND);
 
         simulation.after(45 * SECOND, () -> simulation.environment.delayedPacketShare = 0.05);
         simulation.after(60 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
@@ -112,7 +112,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledTasksEndInAZoneCutOffForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 6, 8, 70 * SECOND);
+        submitLongRunningJobs(simulation, 6, 8, 70 * SECOND);
 
         simulation.after(
                 50 * SECOND,
@@ -137,7 +137,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksCancelledBeforeTheirZoneIsCutOffEnd(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 6, 8, 200 * SECOND);
+        submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
         Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
@@ -166,7 +166,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksCancelledThroughTheNewLeaderEndAtTheFormerOne(long seed) {
         Simulation simulation = simulation(seed);
-        List<JobSpec> jobs = longWork(simulation, 6, 8, 200 * SECOND);
+        List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
         Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
@@ -197,7 +197,7 @@
     void cancelledTasksEndWhenRenewalsGetThroughAndReadsDoNot(long seed) {
         Simulation simulation = simulation(seed);
         simulation.dropPeerCancellations = true;
-        List<JobSpec> jobs = longWork(simulation, 6, 6, 300 * SECOND);
+        List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 6, 300 * SECOND);
 
         simulation.after(60 * SECOND, () -> {
             String leader = simulation.leader();
@@ -218,7 +218,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndOnMachinesThatHang(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 6, 8, 200 * SECOND);
+        submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
         Observation<Integer> hung = new Observation<>();
         simulation.after(60 * SECOND, () -> {
@@ -242,7 +242,7 @@
     void nothingCancelledStartsWhileTheLeadersReadsLag(long seed) {
         Simulation simulation = withFewMachines(seed);
         simulation.dropPeerCancellations = seed % 2 == 1;
-        longWork(simulation, 1, 40, 3 * SECOND);
+        submitLongRunningJobs(simulation, 1, 40, 3 * SECOND);
 
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
-import static org.granitepath.simulation.FaultScenarios.longWork;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.configOf;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
@@ -44,7 +44,7 @@
     void overloadOverSlowLinksLeavesNobodyUnserved(long seed) {
         Simulation simulation = withFewMachines(seed);
         withRandomJobs(simulation, 30, 60 * SECOND);
-        longWork(simulation, 4, 6, 20 * SECOND);
+        submitLongRunningJobs(simulation, 4, 6, 20 * SECOND);
 
         simulation.after(20 * SECOND, () -> simulation.environment.delayedPacketShare = 0.03);
         Observation<Integer> waiting = simulation.observe(
@@ -63,7 +63,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void workIsDoneWhenALeaderEndsWhileMachinesAreCutOrDeaf(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 8, 60 * SECOND);
+        submitLongRunningJobs(simulation, 5, 8, 60 * SECOND);
 
         Observation<String> former = new Observation<>();
         simulation.after(50 * SECOND, () -> {
@@ -141,7 +141,7 @@
     @ValueSource(longs = {1, 2})
     void workGoesOnAfterAllControllersWereAwayForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 6, 70 * SECOND);
+        submitLongRunningJobs(simulation, 5, 6, 70 * SECOND);
 
         simulation.after(
                 50 * SECOND,
@@ -224,7 +224,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void workIsDoneUnderTenLeadersInTwoMinutes(long seed) {
         Simulation simulation = withRandomJobs(simulation(seed), 30, 120 * SECOND);
-        longWork(simulation, 6, 4, 60 * SECOND);
+        submitLongRunningJobs(simulation, 6, 4, 60 * SECOND);
 
         AtomicInteger changes = new AtomicInteger();
         for (int i = 0; i < 11; i++) {
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -3,7 +3,7 @@
 import static org.granitepath.simulation.FaultScenarios.SECOND;
 import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
-import static org.granitepath.simulation.FaultScenarios.longWork;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -46,7 +46,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void workOfMuteMachinesIsDoneUnderANewLeader(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 8, 40 * SECOND);
+        submitLongRunningJobs(simulation, 5, 8, 40 * SECOND);
 
         AtomicInteger muted = new AtomicInteger();
         simulation.after(
@@ -71,7 +71,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfBeforeProveNothingToTheNewLeader(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 8, 20 * SECOND);
+        submitLongRunningJobs(simulation, 5, 8, 20 * SECOND);
 
         Observation<Integer> heldBack = new Observation<>();
         Observation<Integer> tokensDrawn = new Observation<>();
@@ -101,7 +101,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfEarlierAgentEpochsAndAttemptsProveNothing(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 10, 15 * SECOND);
+        submitLongRunningJobs(simulation, 5, 10, 15 * SECOND);
 
         AtomicInteger delivered = new AtomicInteger();
         for (int i = 0; i < 8; i++) {
@@ -132,7 +132,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void commandsHeldUpWhileMachinesHangStartNothingTwice(long seed) {
         Simulation simulation = withRandomJobs(simulation(seed), 30, 80 * SECOND);
-        longWork(simulation, 4, 6, 40 * SECOND);
+        submitLongRunningJobs(simulation, 4, 6, 40 * SECOND);
 
         simulation.after(25 * SECOND, () -> simulation.environment.delayedPacketShare = 0.08);
         for (int i = 0; i < 6; i++) {
@@ -156,7 +156,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void answersOfLaterCallsAreNotTakenForThoseOfHeldStarts(long seed) {
         Simulation simulation = withFewMachines(seed);
-        longWork(simulation, 2, 16, 25 * SECOND);
+        submitLongRunningJobs(simulation, 2, 16, 25 * SECOND);
 
         Observation<Integer> toldBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -89,7 +89,7 @@
     }
 
     /** Services and wide jobs with long tasks, so that whatever happens meets work that runs. */
-    static List<JobSpec> longWork(Simulation simulation, int services, int batches, long runMicros) {
+    static List<JobSpec> submitLongRunningJobs(Simulation simulation, int services, int batches, long runMicros) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < services; i++) {
             jobs.add(simulation.jobs.service(4));
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.longWork;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -29,7 +29,7 @@
     @MethodSource("pairs")
     void anyTwoTroublesMeet(long seed) {
         Simulation simulation = withRandomJobs(simulation(seed), 35, 150 * SECOND);
-        longWork(simulation, 4, 4, 60 * SECOND);
+        submitLongRunningJobs(simulation, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
             simulation.after((5 + 14 * i) * SECOND, () -> {
