--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -5,7 +5,7 @@
 import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
-import static org.granitepath.simulation.FaultScenarios.others;
+import static org.granitepath.simulation.FaultScenarios.otherNodes;
 import static org.granitepath.simulation.FaultScenarios.simulation;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
@@ -60,7 +60,7 @@
             running.set(simulation.rules.runningJobs().size());
             simulation.store.refuseRequestsOf(leader, 14 * SECOND);
             jobs.forEach(job -> simulation.users.cancelAt(
-                    others(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
+                    otherNodes(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
                 simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 15 * SECOND);
                 answeredBefore.set(simulation.acceptedHeartbeatCount(leader));
@@ -176,7 +176,7 @@
                 String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
                 // It can't reach any machine either: only leases can end what the former one keeps alive.
-                others(simulation, former)
+                otherNodes(simulation, former)
                         .forEach(node -> simulation.faults.partitionFromWorkers(node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
@@ -205,7 +205,7 @@
             simulation.after(
                     2 * SECOND,
                     () -> jobs.forEach(job ->
-                            simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
+                            simulation.users.cancelAt(otherNodes(simulation, leader).get(0), job.id())));
         });
         simulation.runWithLivenessChecks(60 * SECOND + 2 * simulation.config.cancellationTimeoutMicros(), 300 * SECOND);
 
@@ -251,7 +251,7 @@
                 simulation.rules.runningJobs().stream()
                         .limit(6)
                         .forEach(job -> simulation.users.cancelAt(
-                                others(simulation, leader).get(0), job));
+                                otherNodes(simulation, leader).get(0), job));
             });
         }
         simulation.runWithLivenessChecks(85 * SECOND, 500 * SECOND);
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -102,7 +102,7 @@
     }
 
     /** The controllers but this one. */
-    static List<String> others(Simulation simulation, String node) {
+    static List<String> otherNodes(Simulation simulation, String node) {
         return simulation.nodeNames.stream().filter(other -> !other.equals(node)).toList();
     }
 
