--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -60,14 +60,14 @@
     }
 
     /** The machines that hold tasks of the gang, on their way or at work. */
-    List<SimWorker> holders() {
+    List<SimWorker> workersWithTasks() {
         return simulation.cloud.workers().stream()
                 .filter(worker -> worker.attempts().taskCountsByJob().containsKey(spec.id()))
                 .toList();
     }
 
     int tasksHeld() {
-        return holders().stream()
+        return workersWithTasks().stream()
                 .mapToInt(worker -> worker.attempts().taskCountsByJob().get(spec.id()))
                 .sum();
     }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -40,9 +40,9 @@
     void aTaskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, SIZE, 10 * SECOND);
         gang.runUntilHeld();
-        assertTrue(gang.holders().size() > 1, "all on one machine");
+        assertTrue(gang.workersWithTasks().size() > 1, "all on one machine");
 
-        gang.holders().get(0).die();
+        gang.workersWithTasks().get(0).die();
         gang.runFor(60 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
@@ -57,7 +57,7 @@
         gang.runUntilRunning();
 
         gang.runFor(2 * SECOND);
-        gang.holders().get(0).die();
+        gang.workersWithTasks().get(0).die();
         gang.runFor(100 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
@@ -71,7 +71,7 @@
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 20 * SECOND);
         gang.runUntilRunning();
 
-        gang.holders().get(0).hangFor(9 * SECOND);
+        gang.workersWithTasks().get(0).hangFor(9 * SECOND);
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
@@ -86,7 +86,7 @@
         gang.runUntilRunning();
 
         gang.runFor(5 * SECOND);
-        SimWorker taken = gang.holders().get(0);
+        SimWorker taken = gang.workersWithTasks().get(0);
         taken.announceTermination(8 * SECOND);
         simulation.after(8 * SECOND, taken::die);
         gang.runFor(150 * SECOND);
@@ -121,7 +121,7 @@
         gang.runUntilHeld();
 
         gang.runFor(seed * SECOND);
-        simulation.faults.partitionMachine(gang.holders().get(0), partitionModeOf(seed), 20 * SECOND);
+        simulation.faults.partitionMachine(gang.workersWithTasks().get(0), partitionModeOf(seed), 20 * SECOND);
         simulation.faults.crash(simulation.leader(), SECOND);
         crashLeaderAfter(simulation, 7 * SECOND, SECOND);
         gang.runFor(200 * SECOND);
