--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -66,7 +66,7 @@
                 .toList();
     }
 
-    int tasksHeld() {
+    int heldTaskCount() {
         return workersWithTasks().stream()
                 .mapToInt(worker -> worker.attempts().taskCountsByJob().get(spec.id()))
                 .sum();
@@ -83,7 +83,7 @@
 
     /** Until each task is on a machine; it may be fetching its image. */
     void runUntilHeld() {
-        while (tasksHeld() < spec.tasks()) {
+        while (heldTaskCount() < spec.tasks()) {
             runFor(SECOND / 10);
             assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang is not started");
         }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -143,7 +143,7 @@
 
         assertRules(simulation);
         assertEquals(JobState.CANCELLED, simulation.rules.finalState(gang.job()));
-        assertEquals(0, gang.tasksHeld());
+        assertEquals(0, gang.heldTaskCount());
     }
 
     /** A gang that fills a whole large machine of this deployment. */
