--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -73,7 +73,7 @@
     }
 
     /** How many attempts there have been. */
-    long attempts() {
+    long attemptCount() {
         return simulation.gangs.attemptCount(spec.id());
     }
 
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -46,7 +46,7 @@
         gang.runFor(60 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
-        assertEquals(1, gang.attempts());
+        assertEquals(1, gang.attemptCount());
     }
 
     /** Nothing starts before the old attempt is gone, and the next one goes on from the last checkpoint. */
@@ -61,7 +61,7 @@
         gang.runFor(100 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
-        assertEquals(2, gang.attempts());
+        assertEquals(2, gang.attemptCount());
     }
 
     /** A hanging machine may go on later: no task of it is started elsewhere before its lease is over. */
@@ -109,7 +109,7 @@
         gang.runFor(120 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(1, gang.attempts());
+        assertEquals(1, gang.attemptCount());
     }
 
     /** A machine can't be reached while the leader changes: no other attempt starts beside what may run there. */
