--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -82,7 +82,7 @@
     }
 
     /** Until each task is on a machine; it may be fetching its image. */
-    void runUntilHeld() {
+    void runUntilPlaced() {
         while (heldTaskCount() < spec.tasks()) {
             runFor(SECOND / 10);
             assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang is not started");
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -39,7 +39,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void aTaskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, SIZE, 10 * SECOND);
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
         assertTrue(gang.workersWithTasks().size() > 1, "all on one machine");
 
         gang.workersWithTasks().get(0).die();
@@ -101,7 +101,7 @@
     void aTakeoverCarriesTheAttemptOn(long millis) {
         GangScenario gang = GangScenario.onSeveralMachines(millis + 1, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
 
         gang.runFor(millis * 1_000);
         simulation.faults.crash(simulation.leader(), 3 * SECOND);
@@ -118,7 +118,7 @@
     void aTakeoverWithAnUnresponsiveMachine(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
 
         gang.runFor(seed * SECOND);
         simulation.faults.partitionMachine(gang.workersWithTasks().get(0), partitionModeOf(seed), 20 * SECOND);
@@ -134,7 +134,7 @@
     void aCancellationEndsAGangInAnyState(long millis) {
         GangScenario gang = GangScenario.onSeveralMachines(millis + 7, 9, 30 * SECOND);
         Simulation simulation = gang.simulation();
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
 
         gang.runFor(millis * 1_000);
         simulation.users.cancel(gang.job());
