--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -19,7 +19,7 @@
     }
 
     /** A gang of work for the team without limits. */
-    static JobSpec gang(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
+    static JobSpec gangSpec(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
         SimJobs jobs = simulation.jobs;
         return jobs.batchBuilder(tasks, runMicros)
                 .onSpot(spot)
@@ -31,7 +31,7 @@
     /** A gang that may use spot machines, with capacity for another attempt elsewhere. */
     static GangScenario onSpotMachines(long seed, int tasks, long runMicros, long checkpointMicros) {
         Simulation simulation = new Simulation(seed);
-        JobSpec spec = gang(simulation, tasks, true, runMicros, checkpointMicros);
+        JobSpec spec = gangSpec(simulation, tasks, true, runMicros, checkpointMicros);
         simulation.run(SECOND);
         simulation.users.submit(spec);
         return new GangScenario(simulation, spec);
@@ -45,7 +45,7 @@
                     simulation.jobs.withCpu(simulation.jobs.serviceBuilder(1).build(), 1, 11_000));
         }
         simulation.run(30 * SECOND);
-        JobSpec spec = gang(simulation, tasks, false, runMicros, 3 * SECOND);
+        JobSpec spec = gangSpec(simulation, tasks, false, runMicros, 3 * SECOND);
         simulation.users.submit(spec);
         return new GangScenario(simulation, spec);
     }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -24,7 +24,7 @@
     void gangsStartWholeAndFinish(long seed) {
         Simulation simulation = new Simulation(seed);
         for (int i = 0; i < 12; i++) {
-            JobSpec spec = GangScenario.gang(simulation, i % 3 == 0 ? 9 : SIZE, i % 2 == 0, 10 * SECOND, 3 * SECOND);
+            JobSpec spec = GangScenario.gangSpec(simulation, i % 3 == 0 ? 9 : SIZE, i % 2 == 0, 10 * SECOND, 3 * SECOND);
             simulation.after((2 + 3 * i) * SECOND, () -> simulation.users.submit(spec));
         }
         simulation.run(200 * SECOND);
