--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -55,7 +55,7 @@
     }
 
     /** The id of the gang's job. */
-    String job() {
+    String jobId() {
         return spec.id();
     }
 
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -137,12 +137,12 @@
         gang.runUntilPlaced();
 
         gang.runFor(millis * 1_000);
-        simulation.users.cancel(gang.job());
+        simulation.users.cancel(gang.jobId());
         simulation.faults.crash(simulation.leader(), SECOND);
         gang.runFor(60 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.CANCELLED, simulation.rules.finalState(gang.job()));
+        assertEquals(JobState.CANCELLED, simulation.rules.finalState(gang.jobId()));
         assertEquals(0, gang.heldTaskCount());
     }
 
