--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -41,7 +41,7 @@
     }
 
     /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
-    static @Nullable EdgeTrace of(SimEnvironment environment) {
+    static @Nullable EdgeTrace createIfCollecting(SimEnvironment environment) {
         List<EdgeTrace> collector = COLLECTOR.get();
         if (collector == null) {
             return null;
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -102,7 +102,7 @@
         this.config = shape;
         nodeNames = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
-        trace = EdgeTrace.of(environment);
+        trace = EdgeTrace.createIfCollecting(environment);
         rules = new Rules(environment, TEAMS, shape.cancellationTimeoutMicros(), this::endedOnMachines);
         commands = new SimCommands(environment, rules);
         jobs = new SimJobs(environment, shape.machinesPerOffer());
