--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -106,7 +106,7 @@
     }
 
     /** Passes the answer on and keeps it in the trace. */
-    Consumer<JobResponse> userAnswers(String node, String user, Consumer<JobResponse> then) {
+    Consumer<JobResponse> tracingUserResponses(String node, String user, Consumer<JobResponse> then) {
         return answer -> {
             String retry = answer instanceof JobResponse.RetryLater later ? " " + later.afterSeconds() : "";
             add(node, user + " " + SubmissionCodec.httpStatus(answer) + retry, SubmissionCodec.encode(answer));
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -170,7 +170,7 @@
 
     /** The answer of a controller to a user, as the trace keeps it. */
     Consumer<JobResponse> traced(String node, String user, Consumer<JobResponse> then) {
-        return trace == null ? then : trace.userAnswers(node, user, then);
+        return trace == null ? then : trace.tracingUserResponses(node, user, then);
     }
 
     private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
