--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -101,7 +101,7 @@
                 : value;
     }
 
-    void heartbeatAnswered(String node, String host, HeartbeatResponse answer) {
+    void recordHeartbeatResponse(String node, String host, HeartbeatResponse answer) {
         add(node, "heartbeat " + host + " " + WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
     }
 
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -202,7 +202,7 @@
             HeartbeatResponse answer =
                     controller == null ? new HeartbeatResponse.Unavailable() : controller.handleHeartbeat(heartbeat);
             if (trace != null) {
-                trace.heartbeatAnswered(node, heartbeat.machineId(), answer);
+                trace.recordHeartbeatResponse(node, heartbeat.machineId(), answer);
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
                 acceptedHeartbeatCount.merge(node, 1, Integer::sum);
