--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -34,7 +34,7 @@
 
     private final SimEnvironment environment;
     private final Hasher hasher = Hashing.sha256().newHasher();
-    private long events;
+    private long eventCount;
 
     private EdgeTrace(SimEnvironment environment) {
         this.environment = environment;
@@ -64,8 +64,8 @@
     }
 
     /** How many calls and answers the trace holds. */
-    long events() {
-        return events;
+    long eventCount() {
+        return eventCount;
     }
 
     /** The hash of the whole trace, in hexadecimal. Nothing can be added afterwards. */
@@ -78,7 +78,7 @@
     }
 
     private void add(String node, String kind, byte[] detail) {
-        events++;
+        eventCount++;
         hasher.putLong(environment.nowMicros());
         hasher.putUnencodedChars(node).putChar('\n');
         hasher.putUnencodedChars(kind).putChar('\n');
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -35,7 +35,7 @@
         StringBuilder digests = new StringBuilder();
         long events = 0;
         for (EdgeTrace trace : traces) {
-            events += trace.events();
+            events += trace.eventCount();
             digests.append(trace.digest());
         }
         System.out.printf(
