--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -18,7 +18,8 @@
     private final Set<String> unschedulable = new HashSet<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
 
-    AnswerRules(SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, CancellationRules cancellations) {
+    AnswerRules(
+            SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, CancellationRules cancellations) {
         this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -93,7 +93,9 @@
         environment.run(14_000_000, () -> {});
 
         assertEquals(2_000, answered.get());
-        assertTrue(store.followRequestCount() - before <= 10_000_000 / 50_000 * 1.1, store.followRequestCount() - before + " reads in 10 s");
+        assertTrue(
+                store.followRequestCount() - before <= 10_000_000 / 50_000 * 1.1,
+                store.followRequestCount() - before + " reads in 10 s");
     }
 
     @Test
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -1,12 +1,12 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.withFewMachines;
-import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
-import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.otherNodes;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.simulation;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -70,7 +70,8 @@
                 answeredAfter.set(simulation.acceptedHeartbeatCount(leader));
             });
         });
-        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancellationTimeoutMicros() + 20 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(
+                70 * SECOND + simulation.config.cancellationTimeoutMicros() + 20 * SECOND, 400 * SECOND);
 
         assertTrue(
                 running.get() >= 10 && confirmed.get() >= 10,
@@ -101,7 +102,8 @@
             simulation.users.cancelRunning(3, 0);
             toldAfter.set(simulation.rules.cancelledJobCount());
         });
-        simulation.runWithLivenessChecks(70 * SECOND + simulation.config.cancellationTimeoutMicros() + 6 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(
+                70 * SECOND + simulation.config.cancellationTimeoutMicros() + 6 * SECOND, 600 * SECOND);
 
         assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
         assertRulesAndAllDone(simulation);
@@ -144,8 +146,8 @@
             String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
             simulation.cloud.workers().stream()
                     .filter(worker -> worker.zone.equals(zone))
-                    .forEach(worker ->
-                            simulation.faults.partition(simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
+                    .forEach(worker -> simulation.faults.partition(
+                            simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
                 told.set(simulation.rules.cancelledJobCount());
@@ -177,7 +179,8 @@
                 assertNotEquals(former, leader);
                 // It can't reach any machine either: only leases can end what the former one keeps alive.
                 otherNodes(simulation, former)
-                        .forEach(node -> simulation.faults.partitionFromWorkers(node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
+                        .forEach(node -> simulation.faults.partitionFromWorkers(
+                                node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
             simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
@@ -204,8 +207,8 @@
             simulation.store.dropReadsOf(leader, 2 * simulation.config.cancellationTimeoutMicros());
             simulation.after(
                     2 * SECOND,
-                    () -> jobs.forEach(job ->
-                            simulation.users.cancelAt(otherNodes(simulation, leader).get(0), job.id())));
+                    () -> jobs.forEach(job -> simulation.users.cancelAt(
+                            otherNodes(simulation, leader).get(0), job.id())));
         });
         simulation.runWithLivenessChecks(60 * SECOND + 2 * simulation.config.cancellationTimeoutMicros(), 300 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -19,7 +19,11 @@
 
     /** @param cancelMicros for how long tasks may go on once their cancellation is confirmed */
     CancellationRules(
-            SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
+            SimEnvironment environment,
+            ViolationReporter breaches,
+            JobHistory jobs,
+            TaskPlacementRules placements,
+            long cancelMicros) {
         this.environment = environment;
         this.breaches = breaches;
         this.jobs = jobs;
@@ -35,7 +39,8 @@
     /** A controller sends the command to start this task. */
     void recordStartSent(TaskId task) {
         if (jobs.finalState(task.job()) == JobState.CANCELLED) {
-            breaches.report("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
+            breaches.report(
+                    "started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -32,8 +32,11 @@
             long at = 2 * SECOND + 5L * i * SECOND;
             simulation.after(at, () -> {
                 boolean spot = simulation.environment.random.nextBoolean();
-                simulation.users.submit(
-                        simulation.jobs.batchBuilder(120, 25 * SECOND).onSpot(spot).build());
+                simulation.users.submit(simulation
+                        .jobs
+                        .batchBuilder(120, 25 * SECOND)
+                        .onSpot(spot)
+                        .build());
             });
             simulation.after(at, () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
@@ -41,7 +44,8 @@
                 simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
         crashLeaderAfter(simulation, 45 * SECOND, 4 * SECOND);
         crashLeaderAfter(simulation, 49 * SECOND, 300_000);
-        simulation.after(70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(
+                70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
         simulation.runWithLivenessChecks(100 * SECOND, 300 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -1,11 +1,11 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.withFewMachines;
-import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
-import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.configOf;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.simulation;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -124,10 +124,11 @@
 
         Observation<Integer> cut = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            List<SimWorker> machines =
-                    machinesOf(simulation, simulation.rules.runningJobs().stream().limit(3));
+            List<SimWorker> machines = machinesOf(
+                    simulation, simulation.rules.runningJobs().stream().limit(3));
             cut.set(machines.size());
-            machines.forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
+            machines.forEach(worker ->
+                    simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
         });
         simulation.runWithLivenessChecks(60 * SECOND, 700 * SECOND);
@@ -203,7 +204,8 @@
             atLimit.set(simulation.rules.usedCpuMillis("tight") == 12_000 && !machines.isEmpty());
             machines.stream()
                     .limit(2)
-                    .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
+                    .forEach(worker ->
+                            simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
             simulation.faults.crash(simulation.leader(), 10 * SECOND);
             simulation.after(2 * SECOND, () -> simulation.users.cancelRunning(2, 0));
             // Accepted in the new leader's own term, so nothing but the limit holds them back.
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -1,10 +1,10 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
-import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.simulation;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -78,15 +78,18 @@
         simulation.after(45 * SECOND, () -> {
             int fencingTokens = simulation.store.writeCount(Keys.FENCING_TOKEN);
             String former = simulation.leader();
-            List<Heartbeat> held =
-                    simulation.cloud.workers().stream().map(SimWorker::lastHeartbeat).toList();
+            List<Heartbeat> held = simulation.cloud.workers().stream()
+                    .map(SimWorker::lastHeartbeat)
+                    .toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
                 heldBack.set(held.size());
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
-                held.forEach(heartbeat -> simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
+                held.forEach(heartbeat ->
+                        simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
             });
-            simulation.after(3 * simulation.config.leaseMicros(), () -> held.forEach(simulation.faults::deliverHeartbeat));
+            simulation.after(
+                    3 * simulation.config.leaseMicros(), () -> held.forEach(simulation.faults::deliverHeartbeat));
         });
         simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.leaseMicros(), 400 * SECOND);
 
@@ -138,7 +141,8 @@
         for (int i = 0; i < 6; i++) {
             simulation.after(
                     (35 + 8 * i) * SECOND,
-                    () -> simulation.users.cancelRunning(2, 6 * SECOND + simulation.environment.random.nextInt(30_000_000)));
+                    () -> simulation.users.cancelRunning(
+                            2, 6 * SECOND + simulation.environment.random.nextInt(30_000_000)));
         }
         simulation.after(85 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         simulation.runWithLivenessChecks(125 * SECOND, 500 * SECOND);
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -64,7 +64,9 @@
                 JobSpec spec = simulation.jobs.randomJob();
                 simulation.users.submit(
                         spec,
-                        spec.service() ? 60 * SECOND : simulation.environment.random.nextInt(6) == 0 ? 12 * SECOND : -1);
+                        spec.service()
+                                ? 60 * SECOND
+                                : simulation.environment.random.nextInt(6) == 0 ? 12 * SECOND : -1);
                 simulation.users.pollUnknownJob();
             });
         }
@@ -103,7 +105,9 @@
 
     /** The controllers but this one. */
     static List<String> otherNodes(Simulation simulation, String node) {
-        return simulation.nodeNames.stream().filter(other -> !other.equals(node)).toList();
+        return simulation.nodeNames.stream()
+                .filter(other -> !other.equals(node))
+                .toList();
     }
 
     private FaultScenarios() {}
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -31,7 +31,10 @@
     /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
     void sevenHundredMachinesWithFrequentHeartbeats() {
-        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withMaxConnections(2_257)), 700);
+        day(
+                new Simulation(
+                        2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withMaxConnections(2_257)),
+                700);
     }
 
     /**
@@ -88,12 +91,14 @@
         Observation<Integer> machinesUp =
                 simulation.observe(70 * SECOND, () -> simulation.cloud.workers().size());
         simulation.after(70 * SECOND, () -> simulation.faults.pause(simulation.leader(), 33 * SECOND));
-        simulation.after(112 * SECOND, () -> simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND));
+        simulation.after(
+                112 * SECOND,
+                () -> simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND));
         crashLeaderAfter(simulation, 118 * SECOND, 300_000);
         simulation.after(
                 160 * SECOND,
-                () -> simulation.nodeNames.forEach(
-                        node -> simulation.faults.crash(node, 300_000 + simulation.environment.random.nextInt(4_000_000))));
+                () -> simulation.nodeNames.forEach(node ->
+                        simulation.faults.crash(node, 300_000 + simulation.environment.random.nextInt(4_000_000))));
         simulation.runWithLivenessChecks(170 * SECOND, 400 * SECOND);
 
         assertEquals(
@@ -106,7 +111,8 @@
         assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         assertTrue(
                 simulation.store.rateLimitedRequestCount() < simulation.store.requestCount() / 20,
-                simulation.store.rateLimitedRequestCount() + " of " + simulation.store.requestCount() + " requests came too fast");
+                simulation.store.rateLimitedRequestCount() + " of " + simulation.store.requestCount()
+                        + " requests came too fast");
         assertTrue(
                 simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
                 simulation.maxConcurrentCalls + " calls to machines at once");
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,7 +24,8 @@
     void gangsStartWholeAndFinish(long seed) {
         Simulation simulation = new Simulation(seed);
         for (int i = 0; i < 12; i++) {
-            JobSpec spec = GangScenario.gangSpec(simulation, i % 3 == 0 ? 9 : SIZE, i % 2 == 0, 10 * SECOND, 3 * SECOND);
+            JobSpec spec =
+                    GangScenario.gangSpec(simulation, i % 3 == 0 ? 9 : SIZE, i % 2 == 0, 10 * SECOND, 3 * SECOND);
             simulation.after((2 + 3 * i) * SECOND, () -> simulation.users.submit(spec));
         }
         simulation.run(200 * SECOND);
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -21,7 +21,11 @@
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
         SimJobs jobs = simulation.jobs;
-        return jobs.batchBuilder(tasks, runMicros).team(team).onSpot().withoutDeadline().build();
+        return jobs.batchBuilder(tasks, runMicros)
+                .team(team)
+                .onSpot()
+                .withoutDeadline()
+                .build();
     }
 
     /**
@@ -151,8 +155,8 @@
             usedBefore.set(simulation.rules.usedCpuMillis("free"));
             simulation.users.submit(urgent);
         });
-        Observation<Long> usedAfter =
-                simulation.observe(80 * SECOND, () -> simulation.rules.usedCpuMillis("free") - (guaranteed ? 0 : 4_000));
+        Observation<Long> usedAfter = simulation.observe(
+                80 * SECOND, () -> simulation.rules.usedCpuMillis("free") - (guaranteed ? 0 : 4_000));
         simulation.run(90 * SECOND);
 
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -55,7 +55,8 @@
 
         simulation.after(
                 32 * SECOND,
-                () -> simulation.faults.partitionFromPeersAndStore(simulation.leader(), partitionModeOf(seed), 70 * SECOND));
+                () -> simulation.faults.partitionFromPeersAndStore(
+                        simulation.leader(), partitionModeOf(seed), 70 * SECOND));
         simulation.runWithLivenessChecks(110 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -78,13 +79,15 @@
                 String host = all.get(i).id;
                 simulation.nodeNames.stream()
                         .filter(node -> !node.equals(former))
-                        .forEach(node -> simulation.faults.partition(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
+                        .forEach(node ->
+                                simulation.faults.partition(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
             }
             for (int i = 0; i < 12; i++) {
                 simulation.after(
                         3_800_000 + i * 30_000L,
                         () -> simulation.users.submitAt(
-                                former, simulation.jobs.batchBuilder(5, 20 * SECOND).build()));
+                                former,
+                                simulation.jobs.batchBuilder(5, 20 * SECOND).build()));
             }
         });
         simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
@@ -133,8 +136,8 @@
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
     void aPauseIsNotAFailure(long seed) {
-        Simulation simulation =
-                new Simulation(seed, SimulationConfig.small().withMachinesPerOffer(1).withHeartbeatInterval(5 * SECOND));
+        Simulation simulation = new Simulation(
+                seed, SimulationConfig.small().withMachinesPerOffer(1).withHeartbeatInterval(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
 
         // In an outage no successor is found, and the leader is the leader still when all goes on.
@@ -163,13 +166,15 @@
         AtomicLong least = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
             before.set(simulation.rules.runningReplicaCount());
-            simulation.faults.partitionZone(seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
+            simulation.faults.partitionZone(
+                    seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
                 crashLeaderAfter(simulation, 6 * SECOND, 300_000);
             }
         });
         for (int i = 0; i < 30; i++) {
-            simulation.after((50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
+            simulation.after(
+                    (50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
         }
         simulation.runWithLivenessChecks(82 * SECOND, 400 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -1,8 +1,8 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.simulation;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
 import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 
@@ -61,7 +61,9 @@
     }
 
     private static SimEnvironment.PartitionMode cut(Simulation simulation) {
-        return simulation.environment.random.nextBoolean() ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
+        return simulation.environment.random.nextBoolean()
+                ? SimEnvironment.PartitionMode.HOLD
+                : SimEnvironment.PartitionMode.DROP;
     }
 
     private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
@@ -83,15 +85,17 @@
         return List.of(
                 simulation -> simulation.faults.crash(
                         simulation.leader(), 200_000 + simulation.environment.random.nextInt(6_000_000)),
-                simulation -> simulation.nodeNames.forEach(
-                        node -> simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
+                simulation -> simulation.nodeNames.forEach(node ->
+                        simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
                 simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
-                simulation -> simulation.store.startOutage(time(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
-                simulation ->
-                        simulation.faults.partitionFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
+                simulation -> simulation.store.startOutage(
+                        time(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
+                simulation -> simulation.faults.partitionFromPeersAndStore(
+                        simulation.leader(), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.partition(
+                        simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
                 simulation ->
-                        simulation.faults.partition(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
-                simulation -> simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
+                        simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.partitionZone(
                         simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
                 simulation -> simulation.faults.pause(simulation.leader(), time(simulation)),
@@ -122,10 +126,13 @@
 
     private static List<Consumer<Simulation>> ofMachines() {
         return List.of(
-                simulation -> someMachines(simulation, worker -> simulation.faults.dropMessagesTo(worker, time(simulation))),
-                simulation -> someMachines(simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, time(simulation))),
+                simulation ->
+                        someMachines(simulation, worker -> simulation.faults.dropMessagesTo(worker, time(simulation))),
+                simulation -> someMachines(
+                        simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, time(simulation))),
                 simulation -> someMachines(
-                        simulation, worker -> simulation.faults.partitionMachine(worker, cut(simulation), time(simulation))),
+                        simulation,
+                        worker -> simulation.faults.partitionMachine(worker, cut(simulation), time(simulation))),
                 simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
                 simulation -> someMachines(
                         simulation,
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -85,8 +85,9 @@
         AtomicLong lastVerdict = new AtomicLong(-1);
         simulation.run(RecoveryLoad.RESTART_MICROS);
         simulation.environment.run(RecoveryLoad.RESTART_MICROS + 30 * SECOND, () -> {
-            RecoveryStatus status =
-                    simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recoveryStatus() : null;
+            RecoveryStatus status = simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0
+                    ? simulation.recoveryStatus()
+                    : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
                 lastVerdict.set(simulation.environment.nowMicros());
             }
@@ -108,8 +109,7 @@
 
     private static List<Long> times(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
         return starts.stream()
-                .filter(start ->
-                        simulation.users.specOf(start.task().job()).service() == services)
+                .filter(start -> simulation.users.specOf(start.task().job()).service() == services)
                 .map(SimCommands.Start::sentMicros)
                 .toList();
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -58,7 +58,8 @@
         simulation.cloud.workers().stream()
                 .filter(worker -> !worker.spot)
                 .limit(1)
-                .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 9 * SECOND));
+                .forEach(worker ->
+                        simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 9 * SECOND));
     }
 
     private static boolean isService(Simulation simulation, SimCommands.Start start) {
@@ -99,7 +100,8 @@
                             .anyMatch(attempt ->
                                     simulation.users.specOf(attempt.task.job()).service()))
                     .limit(2)
-                    .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
+                    .forEach(worker ->
+                            simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
             all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
         });
         simulation.run(RESTART_MICROS + 30 * SECOND);
@@ -110,7 +112,8 @@
         assertFalse(batch.isEmpty(), "batch work waits for unresponsive machines");
         assertTrue(
                 batch.get(0).sentMicros() < RESTART_MICROS + RECOVERY_HOLD_MICROS + 12 * SECOND,
-                "the first batch task started " + (batch.get(0).sentMicros() - RESTART_MICROS) / 1e6 + " s after the restart");
+                "the first batch task started " + (batch.get(0).sentMicros() - RESTART_MICROS) / 1e6
+                        + " s after the restart");
 
         simulation.runWithLivenessChecks(RESTART_MICROS + 90 * SECOND, 500 * SECOND);
 
@@ -129,7 +132,8 @@
                     .filter(worker -> worker.spot)
                     .toList();
             assertFalse(spot.isEmpty());
-            spot.forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
+            spot.forEach(worker ->
+                    simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
             simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
         });
         simulation.run(RESTART_MICROS + Simulation.LEASE_MICROS);
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -86,17 +86,20 @@
 
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
-                RESTART_MICROS - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
+                RESTART_MICROS - 3 * SECOND,
+                () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
         // Half of the machines run into the end of their lease before anybody is back.
         long down = seed % 2 == 0 ? SECOND : Simulation.LEASE_MICROS + 2 * SECOND;
         simulation.after(
                 RESTART_MICROS,
-                () -> simulation.nodeNames.forEach(
-                        node -> simulation.faults.crash(node, down + simulation.environment.random.nextInt(1_000_000))));
+                () -> simulation.nodeNames.forEach(node ->
+                        simulation.faults.crash(node, down + simulation.environment.random.nextInt(1_000_000))));
         for (int i = 0; i < 30; i++) {
             simulation.after(
                     RESTART_MICROS + down + i * SECOND / 2,
-                    () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliverHeartbeat));
+                    () -> before.stream()
+                            .filter(heartbeat -> heartbeat != null)
+                            .forEach(simulation.faults::deliverHeartbeat));
         }
         simulation.runWithLivenessChecks(RESTART_MICROS + 40 * SECOND, 500 * SECOND);
 
@@ -130,8 +133,11 @@
         Simulation simulation = new Simulation(seed, 3, 10);
         simulation.recoveryHoldMicros = RECOVERY_HOLD_MICROS;
         for (int i = 0; i < 5; i++) {
-            simulation.users.submit(
-                    simulation.jobs.batchBuilder(9, 40 * SECOND).inOneZone(i % 2 == 0).build());
+            simulation.users.submit(simulation
+                    .jobs
+                    .batchBuilder(9, 40 * SECOND)
+                    .inOneZone(i % 2 == 0)
+                    .build());
             simulation.users.submit(simulation.jobs.service(4));
         }
 
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -131,7 +131,9 @@
             switch ((int) seed % 3) {
                 case 0 -> simulation.store.startOutage(8 * SECOND);
                 case 1 ->
-                    simulation.nodeNames.stream().limit(2).forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
+                    simulation.nodeNames.stream()
+                            .limit(2)
+                            .forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
                 default -> simulation.nodeNames.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
             }
             simulation.store.lateCommitShare = 0.1;
@@ -179,7 +181,8 @@
         int unreachable = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
         simulation.cloud.workers().stream()
                 .limit(unreachable)
-                .forEach(worker -> simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
+                .forEach(worker ->
+                        simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
         endReplicas(simulation);
     }
 
@@ -192,7 +195,9 @@
         AtomicInteger met = new AtomicInteger();
         simulation.environment.run(RESTART_MICROS + 60 * SECOND, () -> {
             simulation.rules.check();
-            RecoveryStatus status = simulation.environment.nowMicros() > RESTART_MICROS ? simulation.recoveryStatusInPhase(phase) : null;
+            RecoveryStatus status = simulation.environment.nowMicros() > RESTART_MICROS
+                    ? simulation.recoveryStatusInPhase(phase)
+                    : null;
             if (status != null && met.get() < 2) {
                 met.incrementAndGet();
                 endReplicas(simulation);
@@ -216,12 +221,15 @@
         Simulation simulation = busyDeployment(3);
         simulation.run(RESTART_MICROS);
         String leader = simulation.leader();
-        assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryStatusAt(leader).role());
+        assertEquals(
+                RecoveryStatus.Role.LEADING, simulation.recoveryStatusAt(leader).role());
         String other = simulation.nodeNames.stream()
                 .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(RecoveryStatus.Role.FOLLOWING, simulation.recoveryStatusAt(other).role());
+        assertEquals(
+                RecoveryStatus.Role.FOLLOWING,
+                simulation.recoveryStatusAt(other).role());
         assertEquals(leader, simulation.recoveryStatusAt(other).leader());
         simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         simulation.faults.partition(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
@@ -230,7 +238,8 @@
         assertEquals(
                 RecoveryStatus.Role.LEADING_UNCONFIRMED,
                 simulation.recoveryStatusAt(leader).role());
-        assertEquals(RecoveryStatus.Role.UNKNOWN, simulation.recoveryStatusAt(other).role());
+        assertEquals(
+                RecoveryStatus.Role.UNKNOWN, simulation.recoveryStatusAt(other).role());
         assertEquals(null, simulation.recoveryStatusAt(other).phase());
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -111,7 +111,7 @@
         cancellations.check();
     }
 
-    /** Once troubles are over: see {@link AnswerRules#checkKnown}. */
+    /** Once troubles are over: see {@link AnswerRules#checkAnswered}. */
     void checkAnswered(long troublesOver) {
         answers.checkAnswered(troublesOver);
     }
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -99,7 +99,9 @@
     /** One rule is broken, and its breach begins so. */
     void assertViolation(String beginning) {
         assertEquals(1, rules.violations().size(), rules.violations().toString());
-        assertTrue(rules.violations().get(0).startsWith(beginning), rules.violations().toString());
+        assertTrue(
+                rules.violations().get(0).startsWith(beginning),
+                rules.violations().toString());
     }
 
     void assertNoViolations() {
--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -119,7 +119,9 @@
             return;
         }
         long delay = 300L + random.nextInt(4_000) + (random.nextInt(500) == 0 ? 400_000 : 0);
-        long more = delayedPacketShare > 0 && random.nextDouble() < delayedPacketShare ? 1_000_000L + random.nextInt(9_000_000) : 0;
+        long more = delayedPacketShare > 0 && random.nextDouble() < delayedPacketShare
+                ? 1_000_000L + random.nextInt(9_000_000)
+                : 0;
         after(delay + more, () -> arrive(to, arrive));
     }
 
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -184,7 +184,8 @@
 
         private void stopping() {
             long saves = members.values().stream()
-                    .filter(member -> member.isSaving() && environment.nowMicros() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member ->
+                            member.isSaving() && environment.nowMicros() - member.toldToSaveMicros >= spec.saveMicros())
                     .count();
             if (hasLostATask()) {
                 noticeLoss();
@@ -194,8 +195,8 @@
                 end(ExitCause.STOPPED, true);
             } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_DETECTION_MICROS
                     && members.values().stream()
-                            .anyMatch(member ->
-                                    !member.isSaving() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_DETECTION_MICROS)) {
+                            .anyMatch(member -> !member.isSaving()
+                                    || member.toldToSaveMicros - firstStopAt > PEER_LOSS_DETECTION_MICROS)) {
                 noticeLoss();
             }
         }
@@ -231,7 +232,8 @@
     private long total(JobSpec spec) {
         return totals.computeIfAbsent(
                 spec.id(),
-                unknown -> spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros()));
+                unknown ->
+                        spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros()));
     }
 
     /** A task has its image and joins the others of its attempt. */
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -40,7 +40,12 @@
     private int rateLimitedRequestCount;
     private int changeCount;
 
-    SimStore(SimEnvironment environment, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
+    SimStore(
+            SimEnvironment environment,
+            int transactionChanges,
+            int valueBytes,
+            double requestsPerSecond,
+            double writesPerSecond) {
         this.environment = environment;
         this.watches = new SimWatches(environment, keys);
         this.rates = new SimRateLimiter(requestsPerSecond, writesPerSecond);
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -68,7 +68,8 @@
     /** What a heartbeat tells of them. */
     List<TaskStatus> statuses() {
         return attempts.values().stream()
-                .map(attempt -> new TaskStatus(attempt.task, attempt.number, attempt.state, attempt.cause, attempt.progressSaved))
+                .map(attempt -> new TaskStatus(
+                        attempt.task, attempt.number, attempt.state, attempt.cause, attempt.progressSaved))
                 .toList();
     }
 
@@ -95,7 +96,8 @@
     /** Whether another attempt of the same task is here. */
     boolean hasOtherAttempt(TaskAttempt attempt) {
         return attempts.values().stream()
-                .anyMatch(other -> other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
+                .anyMatch(other ->
+                        other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
     }
 
     /** Why a start is refused; {@code NONE}: it is not. */
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -70,7 +70,7 @@
         return failedTaskCount;
     }
 
-    /** Whether a task has changed its state since {@link #resetChanged}. */
+    /** Whether a task has changed its state since {@link #clearChanged}. */
     boolean hasChanged() {
         return changed;
     }
@@ -139,8 +139,9 @@
             end(attempt, cause);
             return;
         }
-        TaskState state =
-                attempt.gangMember.isSaving() ? TaskState.SAVING : attempt.gangMember.isRunning() ? TaskState.RUNNING : TaskState.WAITING;
+        TaskState state = attempt.gangMember.isSaving()
+                ? TaskState.SAVING
+                : attempt.gangMember.isRunning() ? TaskState.RUNNING : TaskState.WAITING;
         changed |= state != attempt.state;
         attempt.state = state;
     }
@@ -171,7 +172,9 @@
 
     /** A task that is on the machine is so no longer. */
     private void leave(TaskAttempt attempt) {
-        if (attempt.state == TaskState.WAITING || attempt.state == TaskState.RUNNING || attempt.state == TaskState.SAVING) {
+        if (attempt.state == TaskState.WAITING
+                || attempt.state == TaskState.RUNNING
+                || attempt.state == TaskState.SAVING) {
             rules.recordTaskRemoved(attempt.task, worker.id);
         }
         if (attempt.gangMember != null) {
@@ -221,7 +224,8 @@
 
     private void stop(TaskAttempt attempt, long graceMicros) {
         JobSpec spec = jobs.apply(attempt.task.job());
-        boolean savesInGang = attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointMicros() > 0;
+        boolean savesInGang =
+                attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointMicros() > 0;
         if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
             attempt.gangMember.stop();
             changed = true;
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -52,13 +52,15 @@
 
     /** Users cancel so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
     List<String> cancelRunning(int count, long hangMicros) {
-        List<String> chosen = simulation.rules.runningJobs().stream().limit(count).toList();
+        List<String> chosen =
+                simulation.rules.runningJobs().stream().limit(count).toList();
         List<String> hosts = chosen.stream()
                 .flatMap(job -> simulation.rules.hostsOf(job).stream())
                 .distinct()
                 .limit(8)
                 .toList();
-        chosen.forEach(job -> simulation.environment.after(simulation.environment.random.nextInt(200_000), () -> cancel(job)));
+        chosen.forEach(
+                job -> simulation.environment.after(simulation.environment.random.nextInt(200_000), () -> cancel(job)));
         simulation.cloud.workers().stream()
                 .filter(worker -> hangMicros > 0 && hosts.contains(worker.id))
                 .forEach(worker -> worker.hangFor(hangMicros));
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -223,8 +223,9 @@
         long sentInEpoch = agentEpoch;
         String node = controllers.nodeNames().get(controller);
         Heartbeat heartbeat = heartbeat();
-        nextHeartbeat =
-                sent + heartbeatIntervalMicros * 3 / 4 + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
+        nextHeartbeat = sent
+                + heartbeatIntervalMicros * 3 / 4
+                + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
         lastHeartbeat = heartbeat;
         environment.call(
                 id,
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -100,7 +100,8 @@
 
     Simulation(long seed, SimulationConfig shape) {
         this.config = shape;
-        nodeNames = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
+        nodeNames =
+                IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
         trace = EdgeTrace.createIfCollecting(environment);
         rules = new Rules(environment, TEAMS, shape.cancellationTimeoutMicros(), this::endedOnMachines);
@@ -120,7 +121,8 @@
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
-        cloud = new SimCloud(environment, types, shape.machinesPerOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
+        cloud = new SimCloud(
+                environment, types, shape.machinesPerOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
         for (String node : nodeNames) {
             nodes.put(node, new SimNode(environment, node, this::newController));
         }
@@ -208,7 +210,8 @@
                 acceptedHeartbeatCount.merge(node, 1, Integer::sum);
                 if (controller.isLeader()) {
                     commands.recordHeartbeat(controller.fencingToken(), heartbeat.machineId());
-                    commands.recordCommands(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
+                    commands.recordCommands(
+                            controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
             }
             return answer;
@@ -242,7 +245,10 @@
     }
 
     private Stream<String> leadersOtherThan(@Nullable String one) {
-        return nodes.values().stream().filter(SimNode::isLeader).map(SimNode::name).filter(node -> !node.equals(one));
+        return nodes.values().stream()
+                .filter(SimNode::isLeader)
+                .map(SimNode::name)
+                .filter(node -> !node.equals(one));
     }
 
     /** How many heartbeats this controller answered so far as one that may. */
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -29,6 +29,9 @@
     static void assertNoViolations(Simulation simulation) {
         assertEquals(
                 List.of(),
-                simulation.rules.violations().stream().distinct().limit(MOST_SHOWN).toList());
+                simulation.rules.violations().stream()
+                        .distinct()
+                        .limit(MOST_SHOWN)
+                        .toList());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -56,7 +56,8 @@
 
     private static void trouble(Simulation simulation) {
         var random = simulation.environment.random;
-        SimEnvironment.PartitionMode how = random.nextBoolean() ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
+        SimEnvironment.PartitionMode how =
+                random.nextBoolean() ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
         long time = (3 + random.nextInt(40)) * SECOND;
         switch (random.nextInt(14)) {
             case 0 -> simulation.faults.crash(simulation.leader(), 300_000 + random.nextInt(6_000_000));
@@ -103,7 +104,9 @@
                     (20 + 25 * i) * SECOND,
                     () -> simulation.faults.crash(
                             simulation.leader(), 300_000 + simulation.environment.random.nextInt(5_000_000)));
-            simulation.after((32 + 25 * i) * SECOND, () -> machineTrouble(simulation, SimEnvironment.PartitionMode.HOLD, 15 * SECOND));
+            simulation.after(
+                    (32 + 25 * i) * SECOND,
+                    () -> machineTrouble(simulation, SimEnvironment.PartitionMode.HOLD, 15 * SECOND));
         }
         simulation.runWithLivenessChecks(180 * SECOND, 420 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -69,7 +69,8 @@
         submitWork(simulation, 150);
         List<String> cut = new ArrayList<>();
         simulation.after(45 * SECOND, () -> {
-            simulation.faults.partitionFromPeersAndStore(simulation.leader(), SimEnvironment.PartitionMode.DROP, 40 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(
+                    simulation.leader(), SimEnvironment.PartitionMode.DROP, 40 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -61,7 +61,9 @@
 
         assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(simulation);
-        assertTrue(simulation.store.largestValueLength() <= NEXT.valueBytes(), simulation.store.largestValueLength() + " bytes");
+        assertTrue(
+                simulation.store.largestValueLength() <= NEXT.valueBytes(),
+                simulation.store.largestValueLength() + " bytes");
     }
 
     /** The limits change while large values of the former version are still there. */
@@ -78,20 +80,24 @@
 
         assertRulesAndAllDone(simulation);
         assertEquals(List.of(), simulation.rules.violations());
-        assertTrue(simulation.store.largestValueLength() <= NEXT.valueBytes(), simulation.store.largestValueLength() + " bytes");
+        assertTrue(
+                simulation.store.largestValueLength() <= NEXT.valueBytes(),
+                simulation.store.largestValueLength() + " bytes");
     }
 
     /** Values that hold more than one transaction may spread: they stay as they are, and work goes on beside them. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void valuesTooLargeToBeSplitAtOnce(long seed) {
-        Simulation simulation = busyDeployment(seed, PRODUCTION.withMachinesPerOffer(60).withValueBytes(12 * 1024));
+        Simulation simulation =
+                busyDeployment(seed, PRODUCTION.withMachinesPerOffer(60).withValueBytes(12 * 1024));
         simulation.after(40 * SECOND, () -> {
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
             simulation.store.lowerLimits(NEXT);
         });
         crashLeaderAfter(simulation, 60 * SECOND, SECOND);
-        simulation.after(80 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(
+                80 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
         simulation.runWithLivenessChecks(90 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -35,8 +35,9 @@
                 couldRunSince.remove(job);
                 continue;
             }
-            long since =
-                    Math.max(couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()), jobs.lastStartSentMicros(job));
+            long since = Math.max(
+                    couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()),
+                    jobs.lastStartSentMicros(job));
             if (environment.nowMicros() - since > NEGLECTED_MICROS) {
                 breaches.report(
                         "neglected",
