--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -9,19 +9,22 @@
 
 /** What users are told: an accepted job stays known, is done only when all its tasks are, and has one final state. */
 final class AnswerRules {
-    private static final long UNANSWERED_MICROS = 75_000_000;
+    private static final long MAX_UNANSWERED_MICROS = 75_000_000;
 
     private final SimEnvironment environment;
-    private final ViolationReporter breaches;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
     private final CancellationRules cancellations;
     private final Set<String> unschedulable = new HashSet<>();
-    private final Map<String, Long> answeredAt = new HashMap<>();
+    private final Map<String, Long> answeredAtMicros = new HashMap<>();
 
     AnswerRules(
-            SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, CancellationRules cancellations) {
+            SimEnvironment environment,
+            ViolationReporter violations,
+            JobHistory jobs,
+            CancellationRules cancellations) {
         this.environment = environment;
-        this.breaches = breaches;
+        this.violations = violations;
         this.jobs = jobs;
         this.cancellations = cancellations;
     }
@@ -34,47 +37,47 @@
     /** An answer that a user got. */
     void recordResponse(String job, JobResponse answer) {
         if (answer instanceof JobResponse.NotFound && jobs.isAccepted(job)) {
-            breaches.report("forgotten", job + " is not found");
+            violations.report("forgotten", job + " is not found");
         } else if (answer instanceof JobResponse.Unschedulable && jobs.isAccepted(job)) {
-            breaches.report("forgotten", job + " is called impossible");
+            violations.report("forgotten", job + " is called impossible");
         } else if (answer instanceof JobResponse.Status status) {
-            toldStatus(job, status.state());
+            recordStatus(job, status.state());
         }
     }
 
-    private void toldStatus(String job, JobState state) {
+    private void recordStatus(String job, JobState state) {
         if (unschedulable.contains(job)) {
-            breaches.report("accepted_impossible", job + " can never run");
+            violations.report("accepted_impossible", job + " can never run");
             return;
         }
         if (!jobs.isSubmitted(job)) {
-            breaches.report("invented", job);
+            violations.report("invented", job);
         }
         jobs.recordAcceptance(job);
-        answeredAt.put(job, environment.nowMicros());
+        answeredAtMicros.put(job, environment.nowMicros());
         JobState earlier = jobs.finalState(job);
         if (earlier != null && earlier != state) {
-            breaches.report("went_back", job + " was " + earlier + ", is " + state);
+            violations.report("went_back", job + " was " + earlier + ", is " + state);
         }
         if (state == JobState.DONE) {
-            toldDone(job);
+            recordDone(job);
         } else if (state == JobState.CANCELLED) {
-            toldCancelled(job);
+            recordCancelled(job);
         }
     }
 
-    private void toldDone(String job) {
+    private void recordDone(String job) {
         int done = jobs.completedTaskCount(job);
         int tasks = jobs.spec(job).tasks();
         if (done < tasks) {
-            breaches.report("not_done", job + ": " + done + " of " + tasks);
+            violations.report("not_done", job + ": " + done + " of " + tasks);
         }
         jobs.recordFinalState(job, JobState.DONE);
     }
 
-    private void toldCancelled(String job) {
+    private void recordCancelled(String job) {
         if (!jobs.isCancellationRequested(job)) {
-            breaches.report("went_back", job + " is cancelled unasked");
+            violations.report("went_back", job + " is cancelled unasked");
         }
         if (jobs.recordFinalState(job, JobState.CANCELLED) == null) {
             cancellations.recordConfirmation(job);
@@ -82,11 +85,11 @@
     }
 
     /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
-    void checkAnswered(long troublesOver) {
+    void checkAnswered(long faultsEndMicros) {
         for (String job : jobs.acceptedJobs()) {
-            long since = environment.nowMicros() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
-            if (!jobs.isCancellationRequested(job) && since > UNANSWERED_MICROS) {
-                breaches.report("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
+            long since = environment.nowMicros() - Math.max(faultsEndMicros, answeredAtMicros.getOrDefault(job, 0L));
+            if (!jobs.isCancellationRequested(job) && since > MAX_UNANSWERED_MICROS) {
+                violations.report("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -30,7 +30,7 @@
  * same hash behave alike in that simulation.
  */
 final class EdgeTrace {
-    private static final ThreadLocal<List<EdgeTrace>> COLLECTOR = new ThreadLocal<>();
+    private static final ThreadLocal<List<EdgeTrace>> ACTIVE_COLLECTOR = new ThreadLocal<>();
 
     private final SimEnvironment environment;
     private final Hasher hasher = Hashing.sha256().newHasher();
@@ -42,7 +42,7 @@
 
     /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
     static @Nullable EdgeTrace createIfCollecting(SimEnvironment environment) {
-        List<EdgeTrace> collector = COLLECTOR.get();
+        List<EdgeTrace> collector = ACTIVE_COLLECTOR.get();
         if (collector == null) {
             return null;
         }
@@ -54,11 +54,11 @@
     /** Runs a scenario and returns the traces of the simulations that it makes, in order. */
     static List<EdgeTrace> collect(Runnable scenario) {
         List<EdgeTrace> traces = new ArrayList<>();
-        COLLECTOR.set(traces);
+        ACTIVE_COLLECTOR.set(traces);
         try {
             scenario.run();
         } finally {
-            COLLECTOR.remove();
+            ACTIVE_COLLECTOR.remove();
         }
         return traces;
     }
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -53,22 +53,23 @@
     }
 
     /** A small deployment, to which users submit this many random jobs until this time. */
-    static Simulation withRandomJobs(long seed, int jobs, long untilMicros) {
-        return withRandomJobs(new Simulation(seed), jobs, untilMicros);
+    static Simulation withRandomJobs(long seed, int jobs, long submissionPeriodMicros) {
+        return withRandomJobs(new Simulation(seed), jobs, submissionPeriodMicros);
     }
 
     /** The same in this deployment. Services are cancelled after a minute, other work at times. */
-    static Simulation withRandomJobs(Simulation simulation, int jobs, long untilMicros) {
+    static Simulation withRandomJobs(Simulation simulation, int jobs, long submissionPeriodMicros) {
         for (int i = 0; i < jobs; i++) {
-            simulation.after(2 * SECOND + (long) (simulation.environment.random.nextDouble() * untilMicros), () -> {
-                JobSpec spec = simulation.jobs.randomJob();
-                simulation.users.submit(
-                        spec,
-                        spec.service()
-                                ? 60 * SECOND
-                                : simulation.environment.random.nextInt(6) == 0 ? 12 * SECOND : -1);
-                simulation.users.pollUnknownJob();
-            });
+            simulation.after(
+                    2 * SECOND + (long) (simulation.environment.random.nextDouble() * submissionPeriodMicros), () -> {
+                        JobSpec spec = simulation.jobs.randomJob();
+                        simulation.users.submit(
+                                spec,
+                                spec.service()
+                                        ? 60 * SECOND
+                                        : simulation.environment.random.nextInt(6) == 0 ? 12 * SECOND : -1);
+                        simulation.users.pollUnknownJob();
+                    });
         }
         return simulation;
     }
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -8,7 +8,7 @@
 /** A small deployment to which one gang is submitted, and the moments at which troubles may strike it. */
 final class GangScenario {
     private static final long SECOND = Simulation.SECOND;
-    private static final long LATEST_START = 120 * SECOND;
+    private static final long LATEST_START_MICROS = 120 * SECOND;
 
     private final Simulation simulation;
     private final JobSpec spec;
@@ -85,7 +85,7 @@
     void runUntilPlaced() {
         while (heldTaskCount() < spec.tasks()) {
             runFor(SECOND / 10);
-            assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang is not started");
+            assertTrue(simulation.environment.nowMicros() < LATEST_START_MICROS, "the gang is not started");
         }
     }
 
@@ -93,7 +93,7 @@
     void runUntilRunning() {
         while (!simulation.gangs.isRunning(spec.id())) {
             runFor(SECOND / 10);
-            assertTrue(simulation.environment.nowMicros() < LATEST_START, "the gang does not run");
+            assertTrue(simulation.environment.nowMicros() < LATEST_START_MICROS, "the gang does not run");
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -17,16 +17,16 @@
     private static final long NEVER = Long.MAX_VALUE / 2;
 
     private final SimEnvironment environment;
-    private final Map<String, JobSpec> submitted = new HashMap<>();
+    private final Map<String, JobSpec> submittedSpecs = new HashMap<>();
     private final Map<String, Long> submittedAtMicros = new LinkedHashMap<>();
-    private final Set<String> accepted = new HashSet<>();
-    private final Set<String> cancellationAsked = new HashSet<>();
-    private final Map<String, JobState> finalTold = new HashMap<>();
-    private final Map<String, Set<Integer>> completed = new HashMap<>();
-    private final Map<String, Long> begunAt = new HashMap<>();
-    private final Map<String, Long> completedAt = new HashMap<>();
-    private final Map<TaskId, Integer> startsSent = new HashMap<>();
-    private final Map<String, Long> startSentAt = new HashMap<>();
+    private final Set<String> acceptedJobs = new HashSet<>();
+    private final Set<String> jobsWithCancellationRequest = new HashSet<>();
+    private final Map<String, JobState> finalStates = new HashMap<>();
+    private final Map<String, Set<Integer>> completedTasks = new HashMap<>();
+    private final Map<String, Long> startedAtMicros = new HashMap<>();
+    private final Map<String, Long> lastCompletionMicros = new HashMap<>();
+    private final Map<TaskId, Integer> startCounts = new HashMap<>();
+    private final Map<String, Long> lastStartSentMicrosByJob = new HashMap<>();
 
     JobHistory(SimEnvironment environment) {
         this.environment = environment;
@@ -35,16 +35,16 @@
     // ---- users -------------------------------------------------------------------------------------------------
 
     void recordSubmission(JobSpec spec) {
-        submitted.putIfAbsent(spec.id(), spec);
+        submittedSpecs.putIfAbsent(spec.id(), spec);
         submittedAtMicros.putIfAbsent(spec.id(), environment.nowMicros());
     }
 
     boolean isSubmitted(String job) {
-        return submitted.containsKey(job);
+        return submittedSpecs.containsKey(job);
     }
 
     JobSpec spec(String job) {
-        return submitted.get(job);
+        return submittedSpecs.get(job);
     }
 
     /** All submitted jobs, in the order of their submission. */
@@ -57,40 +57,40 @@
     }
 
     void recordAcceptance(String job) {
-        accepted.add(job);
+        acceptedJobs.add(job);
     }
 
     boolean isAccepted(String job) {
-        return accepted.contains(job);
+        return acceptedJobs.contains(job);
     }
 
     Set<String> acceptedJobs() {
-        return Collections.unmodifiableSet(accepted);
+        return Collections.unmodifiableSet(acceptedJobs);
     }
 
     void recordCancellationRequest(String job) {
-        cancellationAsked.add(job);
+        jobsWithCancellationRequest.add(job);
     }
 
     boolean isCancellationRequested(String job) {
-        return cancellationAsked.contains(job);
+        return jobsWithCancellationRequest.contains(job);
     }
 
     /** A user was told this final state; returns what was told before. */
     @Nullable
     JobState recordFinalState(String job, JobState state) {
-        return finalTold.put(job, state);
+        return finalStates.put(job, state);
     }
 
     /** The final state that users were told last; null while they were told none. */
     @Nullable
     JobState finalState(String job) {
-        return finalTold.get(job);
+        return finalStates.get(job);
     }
 
     /** How many jobs users believe to be cancelled. */
     int cancelledJobCount() {
-        return (int) finalTold.values().stream()
+        return (int) finalStates.values().stream()
                 .filter(state -> state == JobState.CANCELLED)
                 .count();
     }
@@ -99,56 +99,56 @@
 
     /** A controller sends the command to start this task. */
     void recordStartSent(TaskId task) {
-        startsSent.merge(task, 1, Integer::sum);
-        startSentAt.put(task.job(), environment.nowMicros());
+        startCounts.merge(task, 1, Integer::sum);
+        lastStartSentMicrosByJob.put(task.job(), environment.nowMicros());
     }
 
     /** When the last start of the job was sent; zero when none was. */
     long lastStartSentMicros(String job) {
-        return startSentAt.getOrDefault(job, 0L);
+        return lastStartSentMicrosByJob.getOrDefault(job, 0L);
     }
 
     /** How often the start of the task that was started most often was sent. */
     int maxStartsPerTask() {
-        return startsSent.values().stream().max(Integer::compare).orElse(0);
+        return startCounts.values().stream().max(Integer::compare).orElse(0);
     }
 
     // ---- machines ----------------------------------------------------------------------------------------------
 
     /** A task of the job is on a machine. */
     void recordTaskStarted(String job) {
-        begunAt.putIfAbsent(job, environment.nowMicros());
+        startedAtMicros.putIfAbsent(job, environment.nowMicros());
     }
 
     boolean hasStarted(String job) {
-        return begunAt.containsKey(job);
+        return startedAtMicros.containsKey(job);
     }
 
     /** From submission to the first start on a machine, or until now. */
     long waitMicros(String job) {
-        return begunAt.getOrDefault(job, environment.nowMicros()) - submittedAtMicros.get(job);
+        return startedAtMicros.getOrDefault(job, environment.nowMicros()) - submittedAtMicros.get(job);
     }
 
     /** From submission to the first start on a machine; beyond all bounds when there was none. */
     long startDelayMicros(String job) {
-        return begunAt.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
+        return startedAtMicros.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 
     /** A task has its result. Returns whether it is the last one that its job lacked. */
     boolean recordTaskCompleted(TaskId task) {
-        completedAt.put(task.job(), environment.nowMicros());
-        Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
+        lastCompletionMicros.put(task.job(), environment.nowMicros());
+        Set<Integer> done = completedTasks.computeIfAbsent(task.job(), job -> new HashSet<>());
         return done.add(task.index())
-                && done.size() == submitted.get(task.job()).tasks();
+                && done.size() == submittedSpecs.get(task.job()).tasks();
     }
 
     /** How many tasks of the job have their result. */
     int completedTaskCount(String job) {
-        return completed.getOrDefault(job, Set.of()).size();
+        return completedTasks.getOrDefault(job, Set.of()).size();
     }
 
     /** From submission to the last result so far; beyond all bounds when there is none. */
     long finishDelayMicros(String job) {
-        return completedAt.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
+        return lastCompletionMicros.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 }
--- a/src/test/java/org/granitepath/simulation/Observation.java
+++ b/src/test/java/org/granitepath/simulation/Observation.java
@@ -7,8 +7,8 @@
 final class Observation<T> {
     private @Nullable T value;
 
-    void set(T now) {
-        value = now;
+    void set(T observed) {
+        value = observed;
     }
 
     /** Fails when that moment never came. */
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -6,9 +6,9 @@
     static final long RESTART_MICROS = 90 * SECOND;
     private static final int SERVICE_REPLICAS = 6;
     private static final long BATCH_CPU_MILLIS = 4_000;
-    private static final long BATCH_RUN = 120 * SECOND;
+    private static final long BATCH_RUN_MICROS = 120 * SECOND;
     /** Offers of the simulated cloud: two types in two zones, spot or not. */
-    private static final int OFFERS = 8;
+    private static final int OFFER_COUNT = 8;
 
     /** How many machines there are, and how much work. */
     enum Size {
@@ -34,7 +34,7 @@
         Simulation simulation = new Simulation(
                 seed,
                 FaultScenarios.LONG_LEASES
-                        .withMachinesPerOffer(size.machines / OFFERS + size.machines / 100)
+                        .withMachinesPerOffer(size.machines / OFFER_COUNT + size.machines / 100)
                         .withHeartbeatInterval(5 * SECOND)
                         .withMaxConnections(Math.max(1_000, size.machines)));
         for (int i = 0; i < size.services; i++) {
@@ -43,7 +43,7 @@
         int tasks = size.machines * 3 / size.batchJobs;
         for (int i = 0; i < size.batchJobs; i++) {
             simulation.after((3 + i) * SECOND / 2, () -> {
-                var any = simulation.jobs.batch(5, BATCH_RUN);
+                var any = simulation.jobs.batch(5, BATCH_RUN_MICROS);
                 simulation.users.submit(simulation.jobs.withCpu(any, tasks, BATCH_CPU_MILLIS));
             });
         }
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -15,19 +15,24 @@
  */
 class RecoveryMeasurement {
     private static final long SECOND = Simulation.SECOND;
-    private static final int RUNS = 3;
+    private static final int SEED_COUNT = 3;
     /** By default a quarter of the lease of {@link RecoveryLoad}. */
-    private static final long HOLD = 27 * SECOND / 4;
+    private static final long HOLD_MICROS = 27 * SECOND / 4;
 
     private record Figures(
-            double firstLive, double lastLive, double firstBatch, double lastVerdict, int requests, int writes) {}
+            double firstServiceStart,
+            double lastServiceStart,
+            double firstBatchStart,
+            double lastMachineResolved,
+            int requests,
+            int changes) {}
 
     /** Nothing is lost but replicas on machines that go on; then, beside that, one machine in a hundred. */
     @ParameterizedTest
     @EnumSource(RecoveryLoad.Size.class)
     void coldRestart(RecoveryLoad.Size size) {
         for (boolean machinesDie : new boolean[] {false, true}) {
-            for (long hold : new long[] {0, HOLD}) {
+            for (long hold : new long[] {0, HOLD_MICROS}) {
                 measure(size, machinesDie, hold);
             }
         }
@@ -35,7 +40,7 @@
 
     private static void measure(RecoveryLoad.Size size, boolean machinesDie, long hold) {
         List<Figures> all = new ArrayList<>();
-        for (long seed = 1; seed <= RUNS; seed++) {
+        for (long seed = 1; seed <= SEED_COUNT; seed++) {
             all.add(measure(seed, size, machinesDie, hold));
         }
         System.out.printf(
@@ -45,16 +50,18 @@
                 size.machines,
                 machinesDie ? "one in a hundred dies" : "none dies",
                 hold / 1e6,
-                RUNS,
-                spread(all.stream().map(Figures::firstLive).toList()),
-                spread(all.stream().map(Figures::lastLive).toList()),
-                spread(all.stream().map(Figures::firstBatch).toList()),
-                spread(all.stream().map(Figures::lastVerdict).toList()),
-                spread(all.stream().map(figures -> (double) figures.requests()).toList()),
-                spread(all.stream().map(figures -> (double) figures.writes()).toList()));
+                SEED_COUNT,
+                medianAndRange(all.stream().map(Figures::firstServiceStart).toList()),
+                medianAndRange(all.stream().map(Figures::lastServiceStart).toList()),
+                medianAndRange(all.stream().map(Figures::firstBatchStart).toList()),
+                medianAndRange(all.stream().map(Figures::lastMachineResolved).toList()),
+                medianAndRange(
+                        all.stream().map(figures -> (double) figures.requests()).toList()),
+                medianAndRange(
+                        all.stream().map(figures -> (double) figures.changes()).toList()));
     }
 
-    private static String spread(List<Double> values) {
+    private static String medianAndRange(List<Double> values) {
         List<Double> sorted = values.stream().sorted().toList();
         return String.format(
                 Locale.ROOT,
@@ -69,10 +76,10 @@
         Simulation simulation = RecoveryLoad.fleet(seed, size);
         simulation.recoveryHoldMicros = hold;
         Observation<Integer> requestsBefore = new Observation<>();
-        Observation<Integer> writesBefore = new Observation<>();
+        Observation<Integer> changesBefore = new Observation<>();
         simulation.after(RecoveryLoad.RESTART_MICROS, () -> {
             requestsBefore.set(simulation.store.requestCount());
-            writesBefore.set(simulation.store.changeCount());
+            changesBefore.set(simulation.store.changeCount());
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
@@ -82,32 +89,32 @@
                 workers.get(i).die();
             }
         });
-        AtomicLong lastVerdict = new AtomicLong(-1);
+        AtomicLong lastMachineResolvedMicros = new AtomicLong(-1);
         simulation.run(RecoveryLoad.RESTART_MICROS);
         simulation.environment.run(RecoveryLoad.RESTART_MICROS + 30 * SECOND, () -> {
-            RecoveryStatus status = simulation.environment.nowMicros() % 20 == 0 && lastVerdict.get() < 0
+            RecoveryStatus status = simulation.environment.nowMicros() % 20 == 0 && lastMachineResolvedMicros.get() < 0
                     ? simulation.recoveryStatus()
                     : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
-                lastVerdict.set(simulation.environment.nowMicros());
+                lastMachineResolvedMicros.set(simulation.environment.nowMicros());
             }
         });
         int requests = simulation.store.requestCount() - requestsBefore.get();
-        int writes = simulation.store.changeCount() - writesBefore.get();
+        int changes = simulation.store.changeCount() - changesBefore.get();
         simulation.run(RecoveryLoad.RESTART_MICROS + 60 * SECOND);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART_MICROS);
-        List<Long> live = times(simulation, starts, true);
-        List<Long> batch = times(simulation, starts, false);
+        List<Long> serviceStarts = startTimes(simulation, starts, true);
+        List<Long> batchStarts = startTimes(simulation, starts, false);
         return new Figures(
-                seconds(live.isEmpty() ? -1 : live.get(0)),
-                seconds(live.isEmpty() ? -1 : live.get(live.size() - 1)),
-                seconds(batch.isEmpty() ? -1 : batch.get(0)),
-                seconds(lastVerdict.get()),
+                secondsSinceRestart(serviceStarts.isEmpty() ? -1 : serviceStarts.get(0)),
+                secondsSinceRestart(serviceStarts.isEmpty() ? -1 : serviceStarts.get(serviceStarts.size() - 1)),
+                secondsSinceRestart(batchStarts.isEmpty() ? -1 : batchStarts.get(0)),
+                secondsSinceRestart(lastMachineResolvedMicros.get()),
                 requests,
-                writes);
+                changes);
     }
 
-    private static List<Long> times(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
+    private static List<Long> startTimes(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
         return starts.stream()
                 .filter(start -> simulation.users.specOf(start.task().job()).service() == services)
                 .map(SimCommands.Start::sentMicros)
@@ -115,7 +122,7 @@
     }
 
     /** Since the restart; not a number when it did not come. */
-    private static double seconds(long at) {
+    private static double secondsSinceRestart(long at) {
         return at < 0 ? Double.NaN : (at - RecoveryLoad.RESTART_MICROS) / 1e6;
     }
 }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -17,7 +17,7 @@
 /** The users' rules, checked from what happens on machines and what users are told. Each family is a class. */
 final class Rules {
     private final SimEnvironment environment;
-    private final Consumer<String> lastTaskDone;
+    private final Consumer<String> onJobCompleted;
     private final List<String> violations = new ArrayList<>();
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
@@ -26,25 +26,30 @@
     private final WaitingRules waiting;
     private final ServedRules served;
 
-    Rules(SimEnvironment environment, Map<String, Team> teams, long cancelMicros) {
-        this(environment, teams, cancelMicros, job -> {});
+    Rules(SimEnvironment environment, Map<String, Team> teams, long cancellationTimeoutMicros) {
+        this(environment, teams, cancellationTimeoutMicros, job -> {});
     }
 
-    /** @param lastTaskDone told of each job whose last task has just completed */
-    Rules(SimEnvironment environment, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
+    /** @param onJobCompleted told of each job whose last task has just completed */
+    Rules(
+            SimEnvironment environment,
+            Map<String, Team> teams,
+            long cancellationTimeoutMicros,
+            Consumer<String> onJobCompleted) {
         this.environment = environment;
-        this.lastTaskDone = lastTaskDone;
+        this.onJobCompleted = onJobCompleted;
         jobs = new JobHistory(environment);
         placements = new TaskPlacementRules(this::reportViolation, jobs, teams);
-        cancellations = new CancellationRules(environment, this::reportViolation, jobs, placements, cancelMicros);
+        cancellations =
+                new CancellationRules(environment, this::reportViolation, jobs, placements, cancellationTimeoutMicros);
         answers = new AnswerRules(environment, this::reportViolation, jobs, cancellations);
         waiting = new WaitingRules(environment, this::reportViolation, jobs, teams);
         served = new ServedRules(this::reportViolation, jobs);
     }
 
     /** A rule is broken. */
-    void reportViolation(String rule, String what) {
-        violations.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + what);
+    void reportViolation(String rule, String description) {
+        violations.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + description);
     }
 
     /** The breaches so far, in order. */
@@ -100,7 +105,7 @@
     /** A task has its result. */
     void recordTaskCompleted(TaskId task) {
         if (jobs.recordTaskCompleted(task)) {
-            lastTaskDone.accept(task.job());
+            onJobCompleted.accept(task.job());
         }
     }
 
@@ -112,8 +117,8 @@
     }
 
     /** Once troubles are over: see {@link AnswerRules#checkAnswered}. */
-    void checkAnswered(long troublesOver) {
-        answers.checkAnswered(troublesOver);
+    void checkAnswered(long faultsEndMicros) {
+        answers.checkAnswered(faultsEndMicros);
     }
 
     /** Once troubles are over, again and again: see {@link WaitingRules#check}. */
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -9,13 +9,13 @@
 
 /** At least half of each class, of each team and of a class's largest jobs is served, and the largest begin in time. */
 final class ServedRules {
-    private static final long BEGIN_MICROS = 240_000_000;
+    private static final long MAX_START_DELAY_MICROS = 240_000_000;
 
-    private final ViolationReporter breaches;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
 
-    ServedRules(ViolationReporter breaches, JobHistory jobs) {
-        this.breaches = breaches;
+    ServedRules(ViolationReporter violations, JobHistory jobs) {
+        this.violations = violations;
         this.jobs = jobs;
     }
 
@@ -24,7 +24,7 @@
         Map<String, List<JobSpec>> groups = new TreeMap<>();
         for (String job : jobs.submittedJobs()) {
             JobSpec spec = jobs.spec(job);
-            if (isToBeServed(spec)) {
+            if (mustBeServed(spec)) {
                 groups.computeIfAbsent("class " + spec.jobClass(), unknown -> new ArrayList<>())
                         .add(spec);
                 groups.computeIfAbsent("team " + spec.team(), unknown -> new ArrayList<>())
@@ -39,12 +39,12 @@
         groups.forEach((name, group) -> {
             checkHalfServed(name, group);
             if (name.startsWith("largest")) {
-                checkBegun(name, group);
+                checkStartDelay(name, group);
             }
         });
     }
 
-    private boolean isToBeServed(JobSpec spec) {
+    private boolean mustBeServed(JobSpec spec) {
         return (jobs.isAccepted(spec.id()) && !jobs.isCancellationRequested(spec.id()))
                 || (spec.service() && jobs.hasStarted(spec.id()));
     }
@@ -58,7 +58,7 @@
     private void checkHalfServed(String name, List<JobSpec> group) {
         long served = group.stream().filter(this::isServed).count();
         if (served * 2 < group.size()) {
-            breaches.report("unserved", name + ": " + served + " of " + group.size());
+            violations.report("unserved", name + ": " + served + " of " + group.size());
         }
     }
 
@@ -67,11 +67,12 @@
         return spec.service() ? jobs.hasStarted(spec.id()) : jobs.completedTaskCount(spec.id()) == spec.tasks();
     }
 
-    private void checkBegun(String name, List<JobSpec> group) {
+    private void checkStartDelay(String name, List<JobSpec> group) {
         for (JobSpec spec : group) {
-            long waited = jobs.waitMicros(spec.id());
-            if (waited > BEGIN_MICROS) {
-                breaches.report("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
+            long waitedMicros = jobs.waitMicros(spec.id());
+            if (waitedMicros > MAX_START_DELAY_MICROS) {
+                violations.report(
+                        "unserved", name + ": " + spec.id() + " begins after " + waitedMicros / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -16,64 +16,64 @@
 /** A stand-in for the cloud. */
 final class SimCloud {
     static final String NAME = "cloud";
-    private static final long TIMEOUT = 5_000_000;
+    private static final long TIMEOUT_MICROS = 5_000_000;
 
-    private static final class Host {
+    private static final class Machine {
         private final String id;
         private final MachineType type;
         private final String zone;
         private final boolean spot;
-        private final long launched;
+        private final long launchedAtMicros;
         /** What runs there; null until the machine is up. */
         private @Nullable SimWorker worker;
 
-        Host(String id, MachineType type, CloudPort.LaunchRequest request, long launched) {
+        Machine(String id, MachineType type, CloudPort.LaunchRequest request, long launchedAtMicros) {
             this.id = id;
             this.type = type;
             this.zone = request.zone();
             this.spot = request.spot();
-            this.launched = launched;
+            this.launchedAtMicros = launchedAtMicros;
         }
     }
 
     private final SimEnvironment environment;
     private final List<MachineType> types;
-    private final int perOffer;
-    private final long listLag;
-    private final BiFunction<String, CloudPort.ListedMachine, SimWorker> boot;
-    private final Map<String, List<String>> launchCount = new HashMap<>();
-    private final TreeMap<String, Host> hosts = new TreeMap<>();
+    private final int machinesPerOffer;
+    private final long listLagMicros;
+    private final BiFunction<String, CloudPort.ListedMachine, SimWorker> workerFactory;
+    private final Map<String, List<String>> launchedIdsByKey = new HashMap<>();
+    private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final TreeMap<Long, List<CloudPort.ListedMachine>> snapshots = new TreeMap<>();
     private final List<String> terminatedWhileBusy = new ArrayList<>();
     /** How many of the next machines never come up. */
     int remainingBootFailures;
 
-    private int created;
-    private boolean outage;
+    private int launchedMachines;
+    private boolean outageActive;
 
     SimCloud(
             SimEnvironment environment,
             List<MachineType> types,
-            int perOffer,
-            long listLag,
-            BiFunction<String, CloudPort.ListedMachine, SimWorker> boot) {
+            int machinesPerOffer,
+            long listLagMicros,
+            BiFunction<String, CloudPort.ListedMachine, SimWorker> workerFactory) {
         this.environment = environment;
         this.types = types;
-        this.perOffer = perOffer;
-        this.listLag = listLag;
-        this.boot = boot;
-        snapshot();
+        this.machinesPerOffer = machinesPerOffer;
+        this.listLagMicros = listLagMicros;
+        this.workerFactory = workerFactory;
+        recordSnapshot();
     }
 
     /** Nobody is served. */
-    void startOutage(long forMicros) {
-        outage = true;
-        environment.after(forMicros, () -> outage = false);
+    void startOutage(long durationMicros) {
+        outageActive = true;
+        environment.after(durationMicros, () -> outageActive = false);
     }
 
     /** The machines that are up, by id. */
     List<SimWorker> workers() {
-        return hosts.values().stream()
+        return machines.values().stream()
                 .filter(host -> host.worker != null && host.worker.isAlive())
                 .map(host -> host.worker)
                 .toList();
@@ -82,7 +82,7 @@
     /** The machine with this id; null when it is not up. */
     @Nullable
     SimWorker worker(String id) {
-        Host host = hosts.get(id);
+        Machine host = machines.get(id);
         return host == null || host.worker == null || !host.worker.isAlive() ? null : host.worker;
     }
 
@@ -91,65 +91,68 @@
         return Collections.unmodifiableList(terminatedWhileBusy);
     }
 
-    private void snapshot() {
-        List<CloudPort.ListedMachine> list = hosts.values().stream()
-                .map(host -> listed(
+    private void recordSnapshot() {
+        List<CloudPort.ListedMachine> list = machines.values().stream()
+                .map(host -> toListedMachine(
                         host,
                         host.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
-                        environment.nowMicros() - host.launched))
+                        environment.nowMicros() - host.launchedAtMicros))
                 .toList();
         snapshots.put(environment.nowMicros(), list);
-        snapshots.headMap(environment.nowMicros() - 3 * listLag - 1_000_000).clear();
-        environment.after(1_000_000, this::snapshot);
+        snapshots
+                .headMap(environment.nowMicros() - 3 * listLagMicros - 1_000_000)
+                .clear();
+        environment.after(1_000_000, this::recordSnapshot);
     }
 
     private CloudPort.LaunchResult launch(CloudPort.LaunchRequest request) {
-        if (launchCount.containsKey(request.idempotencyKey())) {
-            return new CloudPort.LaunchResult(CloudPort.Outcome.OK, launchCount.get(request.idempotencyKey()));
+        if (launchedIdsByKey.containsKey(request.idempotencyKey())) {
+            return new CloudPort.LaunchResult(CloudPort.Outcome.OK, launchedIdsByKey.get(request.idempotencyKey()));
         }
-        long there = hosts.values().stream()
+        long existing = machines.values().stream()
                 .filter(host -> host.type.name().equals(request.type())
                         && host.zone.equals(request.zone())
                         && host.spot == request.spot())
                 .count();
-        int count = (int) Math.min(request.count(), perOffer - there);
+        int count = (int) Math.min(request.count(), machinesPerOffer - existing);
         if (count <= 0) {
             return new CloudPort.LaunchResult(CloudPort.Outcome.NO_CAPACITY, List.of());
         }
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            ids.add(launchOne(request).id);
+            ids.add(launchMachine(request).id);
         }
-        launchCount.put(request.idempotencyKey(), ids);
+        launchedIdsByKey.put(request.idempotencyKey(), ids);
         return new CloudPort.LaunchResult(CloudPort.Outcome.OK, ids);
     }
 
     /** One of thirty never comes up, the others earlier or later than their type promises. */
-    private Host launchOne(CloudPort.LaunchRequest request) {
+    private Machine launchMachine(CloudPort.LaunchRequest request) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(request.type()))
                 .findFirst()
                 .orElseThrow();
-        Host host = new Host(String.format("i-%06d", ++created), type, request, environment.nowMicros());
-        boolean never = environment.random.nextInt(30) == 0 || remainingBootFailures-- > 0;
-        hosts.put(host.id, host);
-        if (!never) {
+        Machine host = new Machine(String.format("i-%06d", ++launchedMachines), type, request, environment.nowMicros());
+        boolean neverBoots = environment.random.nextInt(30) == 0 || remainingBootFailures-- > 0;
+        machines.put(host.id, host);
+        if (!neverBoots) {
             long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * environment.random.nextDouble()));
             environment.after(bootMicros, () -> {
-                if (hosts.containsKey(host.id)) {
-                    host.worker = boot.apply(host.id, listed(host, CloudPort.MachineState.RUNNING, 0));
+                if (machines.containsKey(host.id)) {
+                    host.worker =
+                            workerFactory.apply(host.id, toListedMachine(host, CloudPort.MachineState.RUNNING, 0));
                 }
             });
         }
         return host;
     }
 
-    private static CloudPort.ListedMachine listed(Host host, CloudPort.MachineState state, long ageMicros) {
+    private static CloudPort.ListedMachine toListedMachine(Machine host, CloudPort.MachineState state, long ageMicros) {
         return new CloudPort.ListedMachine(host.id, host.id, host.type.name(), host.zone, host.spot, state, ageMicros);
     }
 
     private void remove(String id) {
-        Host host = hosts.remove(id);
+        Machine host = machines.remove(id);
         if (host != null && host.worker != null) {
             if (host.worker.isAlive() && host.worker.attempts().hasRunningTask()) {
                 terminatedWhileBusy.add(id);
@@ -159,19 +162,20 @@
     }
 
     private boolean terminate(List<String> ids) {
-        if (!outage) {
+        if (!outageActive) {
             ids.forEach(this::remove);
         }
-        return !outage;
+        return !outageActive;
     }
 
     /** What the cloud tells is some seconds old, at times twice as old. */
     private CloudPort.Listing listAfter(String from) {
-        long at = environment.nowMicros() - listLag - (environment.random.nextInt(4) == 0 ? listLag : 0);
-        var seen = snapshots.floorEntry(at);
-        List<CloudPort.ListedMachine> hosts = seen == null ? List.of() : seen.getValue();
+        long snapshotMicros =
+                environment.nowMicros() - listLagMicros - (environment.random.nextInt(4) == 0 ? listLagMicros : 0);
+        var snapshot = snapshots.floorEntry(snapshotMicros);
+        List<CloudPort.ListedMachine> hosts = snapshot == null ? List.of() : snapshot.getValue();
         return new CloudPort.Listing(
-                outage ? CloudPort.Outcome.REFUSED : CloudPort.Outcome.OK,
+                outageActive ? CloudPort.Outcome.REFUSED : CloudPort.Outcome.OK,
                 hosts.stream().filter(host -> host.id().compareTo(from) > 0).toList(),
                 false);
     }
@@ -190,13 +194,13 @@
 
         @Override
         public void fetchMachineTypes(Consumer<List<MachineType>> then) {
-            call(() -> outage ? null : types, null, then);
+            call(() -> outageActive ? null : types, null, then);
         }
 
         @Override
         public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
             call(
-                    () -> outage ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
+                    () -> outageActive ? new LaunchResult(Outcome.REFUSED, List.of()) : SimCloud.this.launch(request),
                     new LaunchResult(Outcome.UNKNOWN, List.of()),
                     then);
         }
@@ -212,7 +216,8 @@
         }
 
         private <T> void call(Supplier<T> serve, @Nullable T unanswered, Consumer<T> then) {
-            environment.call(node, NAME, TIMEOUT, serve, answer -> then.accept(answer == null ? unanswered : answer));
+            environment.call(
+                    node, NAME, TIMEOUT_MICROS, serve, answer -> then.accept(answer == null ? unanswered : answer));
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -17,21 +17,21 @@
 
     private final SimEnvironment environment;
     private final Rules rules;
-    private final Set<TaskId> results;
+    private final Set<TaskId> completedTasks;
     private final Map<String, Attempt> attempts = new HashMap<>();
     /** Progress of each job that is safe. */
-    private final Map<String, Long> saved = new HashMap<>();
+    private final Map<String, Long> savedProgressMicros = new HashMap<>();
     /** How long each job runs in all. */
-    private final Map<String, Long> totals = new HashMap<>();
+    private final Map<String, Long> totalRunMicrosByJob = new HashMap<>();
 
     private int startedAttemptCount;
     private int savedAttemptCount;
     private int startTimeoutCount;
 
-    SimGangs(SimEnvironment environment, Rules rules, Set<TaskId> results) {
+    SimGangs(SimEnvironment environment, Rules rules, Set<TaskId> completedTasks) {
         this.environment = environment;
         this.rules = rules;
-        this.results = results;
+        this.completedTasks = completedTasks;
     }
 
     /** How many attempts have started. */
@@ -53,16 +53,16 @@
     final class Member {
         private final Attempt attempt;
         private final TaskId task;
-        private final BooleanSupplier hangs;
-        private final long since = environment.nowMicros();
-        private long toldToSaveMicros = -1;
-        private ExitCause cause;
+        private final BooleanSupplier machineHangs;
+        private final long joinedMicros = environment.nowMicros();
+        private long stopRequestMicros = -1;
+        private ExitCause exitCause;
         private boolean progressSaved;
 
         private Member(Attempt attempt, TaskId task, BooleanSupplier hangs) {
             this.attempt = attempt;
             this.task = task;
-            this.hangs = hangs;
+            this.machineHangs = hangs;
         }
 
         boolean isRunning() {
@@ -70,13 +70,13 @@
         }
 
         boolean isSaving() {
-            return toldToSaveMicros >= 0;
+            return stopRequestMicros >= 0;
         }
 
         /** Why it is to exit, or null. */
         ExitCause updateAndGetExitCause() {
             attempt.update();
-            return cause;
+            return exitCause;
         }
 
         /** Whether its progress was saved. */
@@ -99,61 +99,63 @@
         FORMING,
         RUNNING,
         STOPPING,
-        OVER
+        ENDED
     }
 
     private final class Attempt {
         final JobSpec spec;
         final Map<Integer, Member> members = new HashMap<>();
         Phase phase = Phase.FORMING;
-        long startedAt;
-        long progressAtStart;
-        long firstStopAt = -1;
-        long frozenProgress = -1;
-        long noticedAt = Long.MAX_VALUE;
+        long startedMicros;
+        long initialProgressMicros;
+        long firstStopMicros = -1;
+        long finalProgressMicros = -1;
+        long lossDetectedMicros = Long.MAX_VALUE;
 
         Attempt(JobSpec spec) {
             this.spec = spec;
         }
 
-        long progress() {
-            return frozenProgress >= 0 ? frozenProgress : progressAtStart + environment.nowMicros() - startedAt;
+        long progressMicros() {
+            return finalProgressMicros >= 0
+                    ? finalProgressMicros
+                    : initialProgressMicros + environment.nowMicros() - startedMicros;
         }
 
         void update() {
             switch (phase) {
-                case FORMING -> forming();
-                case RUNNING -> running();
-                case STOPPING -> stopping();
-                case OVER -> {}
+                case FORMING -> updateForming();
+                case RUNNING -> updateRunning();
+                case STOPPING -> updateStopping();
+                case ENDED -> {}
             }
         }
 
-        private void forming() {
-            boolean whole = members.size() == spec.tasks()
+        private void updateForming() {
+            boolean isComplete = members.size() == spec.tasks()
                     && members.values().stream()
-                            .noneMatch(member -> member.hangs.getAsBoolean() || member.cause != null);
-            if (whole) {
+                            .noneMatch(member -> member.machineHangs.getAsBoolean() || member.exitCause != null);
+            if (isComplete) {
                 phase = Phase.RUNNING;
                 startedAttemptCount++;
-                startedAt = environment.nowMicros();
-                progressAtStart = saved.getOrDefault(spec.id(), 0L);
+                startedMicros = environment.nowMicros();
+                initialProgressMicros = savedProgressMicros.getOrDefault(spec.id(), 0L);
                 return;
             }
             for (Member member : members.values()) {
-                if (member.cause == null && environment.nowMicros() - member.since > START_TIMEOUT_MICROS) {
-                    member.cause = ExitCause.INCOMPLETE;
+                if (member.exitCause == null && environment.nowMicros() - member.joinedMicros > START_TIMEOUT_MICROS) {
+                    member.exitCause = ExitCause.INCOMPLETE;
                     startTimeoutCount++;
                 }
             }
         }
 
-        private void running() {
-            if (hasLostATask()) {
-                noticeLoss();
-            } else if (progress() >= total(spec)) {
+        private void updateRunning() {
+            if (hasLostTask()) {
+                handleTaskLoss();
+            } else if (progressMicros() >= totalRunMicros(spec)) {
                 for (int i = 0; i < spec.tasks(); i++) {
-                    results.add(new TaskId(spec.id(), i));
+                    completedTasks.add(new TaskId(spec.id(), i));
                     rules.recordTaskCompleted(new TaskId(spec.id(), i));
                 }
                 end(ExitCause.DONE, false);
@@ -161,54 +163,55 @@
         }
 
         /** Whether a task is gone or its machine hangs, or one was: what the others have noticed is final. */
-        private boolean hasLostATask() {
-            return noticedAt != Long.MAX_VALUE
+        private boolean hasLostTask() {
+            return lossDetectedMicros != Long.MAX_VALUE
                     || members.size() < spec.tasks()
-                    || members.values().stream().anyMatch(member -> member.hangs.getAsBoolean());
+                    || members.values().stream().anyMatch(member -> member.machineHangs.getAsBoolean());
         }
 
         /** The save fails, or the others exit a while after one is gone; what was made since the checkpoint is lost. */
-        private void noticeLoss() {
-            if (noticedAt == Long.MAX_VALUE) {
+        private void handleTaskLoss() {
+            if (lossDetectedMicros == Long.MAX_VALUE) {
                 long interval = spec.checkpointMicros();
                 if (interval > 0) {
-                    keep(progress() / interval * interval);
+                    saveProgress(progressMicros() / interval * interval);
                 }
-                frozenProgress = progress();
-                noticedAt = environment.nowMicros() + environment.random.nextInt((int) PEER_LOSS_DETECTION_MICROS);
+                finalProgressMicros = progressMicros();
+                lossDetectedMicros =
+                        environment.nowMicros() + environment.random.nextInt((int) PEER_LOSS_DETECTION_MICROS);
             }
-            if (environment.nowMicros() >= noticedAt) {
+            if (environment.nowMicros() >= lossDetectedMicros) {
                 end(ExitCause.PEER_GONE, false);
             }
         }
 
-        private void stopping() {
+        private void updateStopping() {
             long saves = members.values().stream()
-                    .filter(member ->
-                            member.isSaving() && environment.nowMicros() - member.toldToSaveMicros >= spec.saveMicros())
+                    .filter(member -> member.isSaving()
+                            && environment.nowMicros() - member.stopRequestMicros >= spec.saveMicros())
                     .count();
-            if (hasLostATask()) {
-                noticeLoss();
+            if (hasLostTask()) {
+                handleTaskLoss();
             } else if (saves == spec.tasks()) {
-                keep(progress());
+                saveProgress(progressMicros());
                 savedAttemptCount++;
                 end(ExitCause.STOPPED, true);
-            } else if (environment.nowMicros() - firstStopAt > PEER_LOSS_DETECTION_MICROS
+            } else if (environment.nowMicros() - firstStopMicros > PEER_LOSS_DETECTION_MICROS
                     && members.values().stream()
                             .anyMatch(member -> !member.isSaving()
-                                    || member.toldToSaveMicros - firstStopAt > PEER_LOSS_DETECTION_MICROS)) {
-                noticeLoss();
+                                    || member.stopRequestMicros - firstStopMicros > PEER_LOSS_DETECTION_MICROS)) {
+                handleTaskLoss();
             }
         }
 
-        private void keep(long progress) {
-            saved.merge(spec.id(), progress, Math::max);
+        private void saveProgress(long progress) {
+            savedProgressMicros.merge(spec.id(), progress, Math::max);
         }
 
         private void end(ExitCause cause, boolean kept) {
-            phase = Phase.OVER;
+            phase = Phase.ENDED;
             for (Member member : members.values()) {
-                member.cause = cause;
+                member.exitCause = cause;
                 member.progressSaved = kept;
             }
         }
@@ -216,11 +219,11 @@
         void stop(Member member) {
             if (phase == Phase.RUNNING) {
                 phase = Phase.STOPPING;
-                firstStopAt = environment.nowMicros();
-                frozenProgress = progress();
+                firstStopMicros = environment.nowMicros();
+                finalProgressMicros = progressMicros();
             }
             if (phase == Phase.STOPPING && !member.isSaving()) {
-                member.toldToSaveMicros = environment.nowMicros();
+                member.stopRequestMicros = environment.nowMicros();
             }
         }
 
@@ -229,8 +232,8 @@
         }
     }
 
-    private long total(JobSpec spec) {
-        return totals.computeIfAbsent(
+    private long totalRunMicros(JobSpec spec) {
+        return totalRunMicrosByJob.computeIfAbsent(
                 spec.id(),
                 unknown ->
                         spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros()));
@@ -241,7 +244,7 @@
         Attempt attempt = attempts.computeIfAbsent(spec.id() + "#" + number, unknown -> new Attempt(spec));
         Member member = new Member(attempt, task, hangs);
         if (attempt.phase != Phase.FORMING) {
-            member.cause = ExitCause.PEER_GONE;
+            member.exitCause = ExitCause.PEER_GONE;
         }
         attempt.members.put(task.index(), member);
         return member;
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -6,13 +6,13 @@
 /** Descriptions of jobs, each with an id of its own. */
 final class SimJobs {
     private final SimEnvironment environment;
-    private final int perOffer;
-    private int submissions;
+    private final int machinesPerOffer;
+    private int lastJobNumber;
 
-    /** @param perOffer how many machines of each type, zone and kind there are */
-    SimJobs(SimEnvironment environment, int perOffer) {
+    /** @param machinesPerOffer how many machines of each type, zone and kind there are */
+    SimJobs(SimEnvironment environment, int machinesPerOffer) {
         this.environment = environment;
-        this.perOffer = perOffer;
+        this.machinesPerOffer = machinesPerOffer;
     }
 
     /** Work whose tasks are expected to run for so long; for the team without limits, on full-price machines. */
@@ -46,7 +46,7 @@
     }
 
     String nextId() {
-        return String.format("run-%06d", ++submissions);
+        return String.format("run-%06d", ++lastJobNumber);
     }
 
     /** One of three images, at random. */
@@ -56,17 +56,17 @@
 
     /** What all full-price machines of a zone have. */
     long onDemandCpuMillisPerZone() {
-        return perOffer * (4_000L + 16_000);
+        return machinesPerOffer * (4_000L + 16_000);
     }
 
     /** Another job like this one, of so many tasks that take so little. */
     JobSpec withCpu(JobSpec like, int tasks, long cpuMillis) {
-        return like(like, nextId(), like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
+        return copy(like, nextId(), like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
     }
 
     /** The same job, without a deadline. */
     JobSpec withoutDeadline(JobSpec like) {
-        return like(
+        return copy(
                 like,
                 like.id(),
                 like.jobClass(),
@@ -78,11 +78,11 @@
 
     /** The same job, of another class. */
     JobSpec withJobClass(JobSpec like, String jobClass) {
-        return like(
+        return copy(
                 like, like.id(), jobClass, like.tasks(), like.cpuMillis(), like.memoryMillis(), like.deadlineMicros());
     }
 
-    private static JobSpec like(
+    private static JobSpec copy(
             JobSpec like,
             String id,
             String jobClass,
--- a/src/test/java/org/granitepath/simulation/SimLeases.java
+++ b/src/test/java/org/granitepath/simulation/SimLeases.java
@@ -6,37 +6,37 @@
 
 /** The leases of the store. */
 final class SimLeases {
-    private final Map<Long, Long> ends = new HashMap<>();
-    private final Map<Long, Long> lives = new HashMap<>();
-    private long opened;
+    private final Map<Long, Long> expiryMicros = new HashMap<>();
+    private final Map<Long, Long> durationMicros = new HashMap<>();
+    private long lastLeaseId;
 
-    long open(long now, long lifeMicros) {
-        opened++;
-        lives.put(opened, lifeMicros);
-        ends.put(opened, now + lifeMicros);
-        return opened;
+    long open(long now, long leaseMicros) {
+        lastLeaseId++;
+        durationMicros.put(lastLeaseId, leaseMicros);
+        expiryMicros.put(lastLeaseId, now + leaseMicros);
+        return lastLeaseId;
     }
 
     boolean exists(long lease) {
-        return ends.containsKey(lease);
+        return expiryMicros.containsKey(lease);
     }
 
     void renew(long lease, long now) {
-        ends.put(lease, now + lives.get(lease));
+        expiryMicros.put(lease, now + durationMicros.get(lease));
     }
 
     void renewAll(long now) {
-        ends.replaceAll((lease, end) -> now + lives.get(lease));
+        expiryMicros.replaceAll((lease, end) -> now + durationMicros.get(lease));
     }
 
     /** Those whose time is over, in order: they are leases no longer. */
     List<Long> removeExpired(long now) {
-        List<Long> over = ends.entrySet().stream()
+        List<Long> expired = expiryMicros.entrySet().stream()
                 .filter(entry -> entry.getValue() < now)
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
-        over.forEach(ends::remove);
-        return over;
+        expired.forEach(expiryMicros::remove);
+        return expired;
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -9,21 +9,21 @@
 final class SimNode {
     private final SimEnvironment environment;
     private final String name;
-    private final Function<SimNode, Controller> newController;
-    private final double drift;
-    private final long skewMicros;
+    private final Function<SimNode, Controller> controllerFactory;
+    private final double clockRate;
+    private final long clockOffsetMicros;
     /** Counts starts and ends, so that a process can tell whether it is the present one. */
-    private int life;
+    private int processGeneration;
 
     private @Nullable Controller controller;
 
-    /** @param newController makes the controller of a process that starts */
-    SimNode(SimEnvironment environment, String name, Function<SimNode, Controller> newController) {
+    /** @param controllerFactory makes the controller of a process that starts */
+    SimNode(SimEnvironment environment, String name, Function<SimNode, Controller> controllerFactory) {
         this.environment = environment;
         this.name = name;
-        this.newController = newController;
-        this.drift = 1 + environment.random.nextDouble() * 0.0005;
-        this.skewMicros = environment.random.nextInt(500_000) - 250_000L;
+        this.controllerFactory = controllerFactory;
+        this.clockRate = 1 + environment.random.nextDouble() * 0.0005;
+        this.clockOffsetMicros = environment.random.nextInt(500_000) - 250_000L;
     }
 
     String name() {
@@ -32,7 +32,7 @@
 
     /** The name of the present process, which no other one has. */
     String incarnation() {
-        return name + "-" + life;
+        return name + "-" + processGeneration;
     }
 
     /** The controller of the present process; null while the node is down. */
@@ -47,47 +47,47 @@
     }
 
     void boot() {
-        life++;
+        processGeneration++;
         environment.setProcessDown(name, false);
-        Controller started = newController.apply(this);
-        controller = started;
-        started.start();
+        Controller booted = controllerFactory.apply(this);
+        controller = booted;
+        booted.start();
     }
 
     void crash() {
-        life++;
+        processGeneration++;
         controller = null;
         environment.setProcessDown(name, true);
     }
 
     /** The clocks and timers of the present process: what it has asked for ends with it. */
     Timers timers() {
-        return new ProcessTimers(life);
+        return new ProcessTimers(processGeneration);
     }
 
     private final class ProcessTimers implements Timers {
-        private final int process;
+        private final int generation;
 
-        ProcessTimers(int process) {
-            this.process = process;
+        ProcessTimers(int generation) {
+            this.generation = generation;
         }
 
         @Override
         public long nowMicros() {
-            return (long) (environment.nowMicros() * drift) + 77;
+            return (long) (environment.nowMicros() * clockRate) + 77;
         }
 
         @Override
         public long timeOfDayMicros() {
-            return environment.nowMicros() + skewMicros;
+            return environment.nowMicros() + clockOffsetMicros;
         }
 
         @Override
         public void after(long delayMicros, Runnable action) {
             environment.after(
-                    (long) (Math.max(0, delayMicros) / drift) + environment.random.nextInt(2_000),
+                    (long) (Math.max(0, delayMicros) / clockRate) + environment.random.nextInt(2_000),
                     () -> environment.runTimer(name, () -> {
-                        if (life == process && controller != null) {
+                        if (processGeneration == generation && controller != null) {
                             action.run();
                         }
                     }));
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -72,7 +72,7 @@
     /** Calls of one controller to machines. */
     private final class DirectCalls implements WorkerPort {
         private final String node;
-        private int calls;
+        private int callsInFlight;
 
         DirectCalls(String node) {
             this.node = node;
@@ -88,13 +88,13 @@
             long term = simulation.controllerAt(node).fencingToken();
             simulation.commands.recordCommands(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
-            simulation.maxConcurrentCalls = Math.max(simulation.maxConcurrentCalls, ++calls);
+            simulation.maxConcurrentCalls = Math.max(simulation.maxConcurrentCalls, ++callsInFlight);
             simulation.environment.<Reply>callAsync(
                     node,
                     address,
                     2 * Simulation.SECOND,
                     answer -> {
-                        Runnable serve = () -> serveWhenAwake(
+                        Runnable serve = () -> serveWhenResponsive(
                                 address, worker -> worker.handleCommands(fencingToken, agentEpoch, commands), answer);
                         if (starts && simulation.directStartDelayMicros > 0) {
                             simulation.environment.after(simulation.directStartDelayMicros, serve);
@@ -103,7 +103,7 @@
                         }
                     },
                     reply -> {
-                        calls--;
+                        callsInFlight--;
                         if (reply != null) {
                             simulation.commands.recordHeartbeat(term, address);
                         }
@@ -112,13 +112,13 @@
         }
 
         /** A hanging machine carries commands out when it goes on. */
-        private void serveWhenAwake(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
+        private void serveWhenResponsive(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
             SimWorker worker = simulation.cloud.worker(address);
             if (worker == null) {
                 return;
             }
             if (worker.isHanging()) {
-                simulation.environment.after(300_000, () -> serveWhenAwake(address, serve, answer));
+                simulation.environment.after(300_000, () -> serveWhenResponsive(address, serve, answer));
             } else {
                 answer.accept(serve.apply(worker));
             }
--- a/src/test/java/org/granitepath/simulation/SimRateLimiter.java
+++ b/src/test/java/org/granitepath/simulation/SimRateLimiter.java
@@ -6,7 +6,7 @@
     private double writesPerSecond;
     private double requestTokens;
     private double writeTokens;
-    private long tokensAt;
+    private long lastRefillMicros;
 
     SimRateLimiter(double requestsPerSecond, double writesPerSecond) {
         this.requestsPerSecond = requestsPerSecond;
@@ -21,10 +21,10 @@
 
     /** Whether a request with so many changes is admitted now; if so, it counts. */
     boolean tryAcquire(long now, int changes) {
-        double passed = (now - tokensAt) / 1e6;
-        tokensAt = now;
-        requestTokens = Math.min(requestsPerSecond, requestTokens + passed * requestsPerSecond) - 1;
-        writeTokens = Math.min(writesPerSecond, writeTokens + passed * writesPerSecond) - changes;
+        double elapsedSeconds = (now - lastRefillMicros) / 1e6;
+        lastRefillMicros = now;
+        requestTokens = Math.min(requestsPerSecond, requestTokens + elapsedSeconds * requestsPerSecond) - 1;
+        writeTokens = Math.min(writesPerSecond, writeTokens + elapsedSeconds * writesPerSecond) - changes;
         boolean tooFast = requestTokens < 0 || writeTokens < 0;
         if (tooFast) {
             requestTokens += 1;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -16,18 +16,18 @@
 /** A stand-in for the store: what it serves and refuses, its limits, its troubles, and counts of what was asked. */
 final class SimStore {
     static final String NAME = "state";
-    private static final long EXPIRY_INTERVAL = 50_000;
+    private static final long EXPIRY_INTERVAL_MICROS = 50_000;
 
     private final SimEnvironment environment;
     private final SimStoreKeys keys = new SimStoreKeys();
     private final SimLeases leases = new SimLeases();
     private final SimWatches watches;
     private final SimRateLimiter rates;
-    private final Set<String> refused = new HashSet<>();
-    private final Set<String> blind = new HashSet<>();
-    private final Set<String> readOnly = new HashSet<>();
+    private final Set<String> refusedNodes = new HashSet<>();
+    private final Set<String> nodesWithoutReads = new HashSet<>();
+    private final Set<String> readOnlyNodes = new HashSet<>();
     private TransactionLimits limits;
-    private boolean outage;
+    private boolean outageActive;
 
     /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
     double lateCommitShare;
@@ -50,7 +50,7 @@
         this.watches = new SimWatches(environment, keys);
         this.rates = new SimRateLimiter(requestsPerSecond, writesPerSecond);
         this.limits = new TransactionLimits(transactionChanges, valueBytes);
-        environment.after(EXPIRY_INTERVAL, this::expire);
+        environment.after(EXPIRY_INTERVAL_MICROS, this::expireLeases);
     }
 
     /** The store as one node reaches it. */
@@ -67,39 +67,39 @@
     }
 
     /** Nobody is served, and no lease ends meanwhile. */
-    void startOutage(long forMicros) {
+    void startOutage(long durationMicros) {
         setOutage(true);
-        environment.after(forMicros, () -> setOutage(false));
+        environment.after(durationMicros, () -> setOutage(false));
     }
 
-    private void setOutage(boolean now) {
-        if (outage && !now) {
+    private void setOutage(boolean active) {
+        if (outageActive && !active) {
             leases.renewAll(environment.nowMicros());
         }
-        outage = now;
+        outageActive = active;
         watches.notifyWatches();
     }
 
     /** This node alone is not served. */
-    void refuseRequestsOf(String node, long forMicros) {
-        refused.add(node);
+    void refuseRequestsOf(String node, long durationMicros) {
+        refusedNodes.add(node);
         watches.notifyWatches();
-        environment.after(forMicros, () -> {
-            refused.remove(node);
+        environment.after(durationMicros, () -> {
+            refusedNodes.remove(node);
             watches.notifyWatches();
         });
     }
 
     /** This node's transactions are refused, while all else of it is served. */
-    void refuseWritesOf(String node, long forMicros) {
-        readOnly.add(node);
-        environment.after(forMicros, () -> readOnly.remove(node));
+    void refuseWritesOf(String node, long durationMicros) {
+        readOnlyNodes.add(node);
+        environment.after(durationMicros, () -> readOnlyNodes.remove(node));
     }
 
     /** This node's reads get no answer, while all else does. */
-    void dropReadsOf(String node, long forMicros) {
-        blind.add(node);
-        environment.after(forMicros, () -> blind.remove(node));
+    void dropReadsOf(String node, long durationMicros) {
+        nodesWithoutReads.add(node);
+        environment.after(durationMicros, () -> nodesWithoutReads.remove(node));
     }
 
     /** Someone else writes this value. */
@@ -168,7 +168,7 @@
     }
 
     void commit(String node, Transaction transaction, Consumer<Committed> answer) {
-        if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
+        if (refuseIfUnavailable(node, transaction.changes().size()) || readOnlyNodes.contains(node)) {
             answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
         } else if (lateCommitShare > 0 && environment.random.nextDouble() < lateCommitShare) {
             environment.after(2_000_000 + environment.random.nextInt(10_000_000), () -> commitLate(transaction));
@@ -178,28 +178,28 @@
     }
 
     Page list(String node, String prefix, String from, int limit) {
-        return away(node, 0) ? refusedPage() : keys.list(prefix, from, limit);
+        return refuseIfUnavailable(node, 0) ? refusedPage() : keys.list(prefix, from, limit);
     }
 
     void follow(String node, String prefix, long from, long waitMicros, Consumer<Page> answer) {
-        if (blind.contains(node)) {
+        if (nodesWithoutReads.contains(node)) {
             return;
         }
-        if (away(node, 0)) {
+        if (refuseIfUnavailable(node, 0)) {
             answer.accept(refusedPage());
             return;
         }
         watches.follow(prefix, from, waitMicros, answer);
     }
 
-    Leased openLease(String node, long lifeMicros) {
-        return away(node, 0)
+    Leased openLease(String node, long leaseMicros) {
+        return refuseIfUnavailable(node, 0)
                 ? new Leased(Outcome.REFUSED, 0)
-                : new Leased(Outcome.OK, leases.open(environment.nowMicros(), lifeMicros));
+                : new Leased(Outcome.OK, leases.open(environment.nowMicros(), leaseMicros));
     }
 
     Outcome renewLease(String node, long lease) {
-        if (away(node, 0)) {
+        if (refuseIfUnavailable(node, 0)) {
             return Outcome.REFUSED;
         }
         if (!leases.exists(lease)) {
@@ -214,17 +214,17 @@
     }
 
     /** Whether this request is not carried out: the store is away, or asked for too much. */
-    private boolean away(String node, int changes) {
+    private boolean refuseIfUnavailable(String node, int changes) {
         requestCount++;
         boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
         rateLimitedRequestCount += tooFast ? 1 : 0;
-        return tooFast || outage || refused.contains(node);
+        return tooFast || outageActive || refusedNodes.contains(node);
     }
 
     // ---- transactions and leases -------------------------------------------------------------------------------
 
     private void commitLate(Transaction transaction) {
-        if (!outage && commit(transaction).outcome() == Outcome.OK) {
+        if (!outageActive && commit(transaction).outcome() == Outcome.OK) {
             lateCommitCount++;
         }
     }
@@ -234,7 +234,7 @@
             oversizedTransactionCount++;
             return committed(Outcome.REJECTED, List.of());
         }
-        if (acceptsAJob(transaction) && !isTiedToTheLeader(transaction)) {
+        if (acceptsJob(transaction) && !requiresLeaderKey(transaction)) {
             unfencedAcceptanceCount++;
         }
         List<String> failed = transaction.preconditions().stream()
@@ -253,11 +253,11 @@
         return committed(Outcome.OK, List.of());
     }
 
-    private static boolean acceptsAJob(Transaction transaction) {
+    private static boolean acceptsJob(Transaction transaction) {
         return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB));
     }
 
-    private static boolean isTiedToTheLeader(Transaction transaction) {
+    private static boolean requiresLeaderKey(Transaction transaction) {
         return transaction.preconditions().stream()
                 .anyMatch(precondition -> precondition.key().equals(Keys.LEADER));
     }
@@ -266,9 +266,9 @@
         return new Committed(outcome, keys.revision(), failed);
     }
 
-    private void expire() {
-        environment.after(EXPIRY_INTERVAL, this::expire);
-        if (outage) {
+    private void expireLeases() {
+        environment.after(EXPIRY_INTERVAL_MICROS, this::expireLeases);
+        if (outageActive) {
             return;
         }
         leases.removeExpired(environment.nowMicros()).forEach(keys::removeKeysOfLease);
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -11,16 +11,16 @@
 
 /** The keys of the simulated store and its latest changes. Values are kept as JSON text, as they go over the wire. */
 final class SimStoreKeys {
-    private static final int CHANGES_KEPT = 400;
-    private static final int MOST_LISTED = 20;
+    private static final int MAX_LOGGED_CHANGES = 400;
+    private static final int MAX_PAGE_SIZE = 20;
 
-    private record Stored(String json, long revision, long lease) {}
+    private record StoredValue(String json, long revision, long lease) {}
 
     /** @param json the new value; null when the key was removed */
-    private record Logged(String key, @Nullable String json, long revision) {}
+    private record LoggedChange(String key, @Nullable String json, long revision) {}
 
-    private final TreeMap<String, Stored> keys = new TreeMap<>();
-    private final List<Logged> log = new ArrayList<>();
+    private final TreeMap<String, StoredValue> values = new TreeMap<>();
+    private final List<LoggedChange> log = new ArrayList<>();
     private final Map<String, Integer> writesByKey = new HashMap<>();
     private long revision;
 
@@ -31,7 +31,7 @@
 
     /** The revision of the key's last change; zero when it does not exist. */
     long revisionOf(String key) {
-        Stored stored = keys.get(key);
+        StoredValue stored = values.get(key);
         return stored == null ? 0 : stored.revision();
     }
 
@@ -42,14 +42,14 @@
 
     /** The size of the largest value, in characters. */
     int largestValueLength() {
-        return keys.values().stream()
+        return values.values().stream()
                 .mapToInt(stored -> stored.json().length())
                 .max()
                 .orElse(0);
     }
 
     boolean hasValue(String key, String json) {
-        return keys.containsKey(key) && keys.get(key).json().equals(json);
+        return values.containsKey(key) && values.get(key).json().equals(json);
     }
 
     /** Someone else writes this value. */
@@ -73,35 +73,35 @@
 
     /** A lease is over: its keys go away, each under a revision of its own. */
     void removeKeysOfLease(long lease) {
-        List<String> gone = keys.entrySet().stream()
+        List<String> expiredKeys = values.entrySet().stream()
                 .filter(entry -> entry.getValue().lease() == lease)
                 .map(Map.Entry::getKey)
                 .toList();
-        for (String key : gone) {
+        for (String key : expiredKeys) {
             revision++;
             remove(key);
         }
     }
 
     private void write(String key, String json, long lease) {
-        keys.put(key, new Stored(json, revision, lease));
-        log.add(new Logged(key, json, revision));
+        values.put(key, new StoredValue(json, revision, lease));
+        log.add(new LoggedChange(key, json, revision));
     }
 
     private void remove(String key) {
-        keys.remove(key);
-        log.add(new Logged(key, null, revision));
+        values.remove(key);
+        log.add(new LoggedChange(key, null, revision));
     }
 
     /** The keys with this prefix, in their order, after {@code from}, or from the first one when that is empty. */
     KeyValueStore.Page list(String prefix, String from, int limit) {
         List<KeyValueStore.Item> items = new ArrayList<>();
         boolean first = from.isEmpty();
-        for (var entry : keys.tailMap(first ? prefix : from, first).entrySet()) {
+        for (var entry : values.tailMap(first ? prefix : from, first).entrySet()) {
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
-            if (items.size() == Math.min(limit, MOST_LISTED)) {
+            if (items.size() == Math.min(limit, MAX_PAGE_SIZE)) {
                 return page(items, true);
             }
             items.add(item(
@@ -112,14 +112,14 @@
 
     /** The changes of keys with this prefix after a revision; {@code GONE} when not all of them are kept any more. */
     KeyValueStore.Page changes(String prefix, long from) {
-        if (log.size() > CHANGES_KEPT) {
-            log.subList(0, log.size() - CHANGES_KEPT).clear();
+        if (log.size() > MAX_LOGGED_CHANGES) {
+            log.subList(0, log.size() - MAX_LOGGED_CHANGES).clear();
         }
         if (from < revision && !log.isEmpty() && log.get(0).revision() > from + 1) {
             return new KeyValueStore.Page(KeyValueStore.Outcome.GONE, List.of(), false, revision);
         }
         List<KeyValueStore.Item> items = new ArrayList<>();
-        for (Logged logged : log) {
+        for (LoggedChange logged : log) {
             if (logged.revision() > from && logged.key().startsWith(prefix)) {
                 items.add(item(logged.key(), logged.json(), logged.revision()));
             }
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -7,10 +7,10 @@
 
 /** The simulated store as one controller reaches it: over links that delay, lose and cut. */
 final class SimStorePort implements KeyValueStore {
-    private static final long TIMEOUT = 2_000_000;
-    private static final Committed NO_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
-    private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
-    private static final Leased NO_LEASE = new Leased(Outcome.UNKNOWN, 0);
+    private static final long TIMEOUT_MICROS = 2_000_000;
+    private static final Committed UNKNOWN_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
+    private static final Page UNKNOWN_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
+    private static final Leased UNKNOWN_LEASE = new Leased(Outcome.UNKNOWN, 0);
 
     private final SimEnvironment environment;
     private final SimStore store;
@@ -24,28 +24,32 @@
 
     @Override
     public void commit(Transaction transaction, Consumer<Committed> then) {
-        callLater(TIMEOUT, answer -> store.commit(node, transaction, answer), NO_COMMIT, then);
+        callLater(TIMEOUT_MICROS, answer -> store.commit(node, transaction, answer), UNKNOWN_COMMIT, then);
     }
 
     @Override
     public void list(String prefix, String from, int limit, Consumer<Page> then) {
-        call(TIMEOUT, () -> store.list(node, prefix, from, limit), NO_PAGE, then);
+        call(TIMEOUT_MICROS, () -> store.list(node, prefix, from, limit), UNKNOWN_PAGE, then);
     }
 
     @Override
     public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
         store.countFollowRequest();
-        callLater(TIMEOUT + waitMicros, answer -> store.follow(node, prefix, from, waitMicros, answer), NO_PAGE, then);
+        callLater(
+                TIMEOUT_MICROS + waitMicros,
+                answer -> store.follow(node, prefix, from, waitMicros, answer),
+                UNKNOWN_PAGE,
+                then);
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
-        call(TIMEOUT, () -> store.openLease(node, lifeMicros), NO_LEASE, then);
+    public void openLease(long leaseMicros, Consumer<Leased> then) {
+        call(TIMEOUT_MICROS, () -> store.openLease(node, leaseMicros), UNKNOWN_LEASE, then);
     }
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> then) {
-        call(TIMEOUT / 2, () -> store.renewLease(node, lease), Outcome.UNKNOWN, then);
+        call(TIMEOUT_MICROS / 2, () -> store.renewLease(node, lease), Outcome.UNKNOWN, then);
     }
 
     private <T> void call(long timeoutMicros, Supplier<T> serve, T unanswered, Consumer<T> then) {
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -120,8 +120,8 @@
     }
 
     /** Whether such a task fits beside all that is here, {@code itself} aside. */
-    boolean hasCapacityFor(JobSpec spec, TaskAttempt itself) {
-        return slots(spec, itself) > 0;
+    boolean hasCapacityFor(JobSpec spec, TaskAttempt excluded) {
+        return slots(spec, excluded) > 0;
     }
 
     /** How many such tasks fit beside all that is here. */
@@ -129,11 +129,11 @@
         return slots(spec, null);
     }
 
-    private int slots(JobSpec spec, TaskAttempt without) {
+    private int slots(JobSpec spec, TaskAttempt excluded) {
         long cpu = type.cpuMillis();
         long memory = type.memoryMillis();
         for (TaskAttempt attempt : attempts.values()) {
-            if (attempt != without && attempt.state != TaskState.EXITED) {
+            if (attempt != excluded && attempt.state != TaskState.EXITED) {
                 JobSpec other = jobs.apply(attempt.task.job());
                 cpu -= other.cpuMillis();
                 memory -= other.memoryMillis();
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -14,23 +14,23 @@
 /** Runs the tasks of one simulated machine: fetches images, starts, saves and ends tasks, and tells the rules. */
 final class SimTaskRunner {
     /** A task on a faulty machine, or of a broken job, fails after so long. */
-    private static final long FAILS_AFTER = 200_000;
+    private static final long FAILURE_DELAY_MICROS = 200_000;
 
     private final SimEnvironment environment;
     private final Rules rules;
     private final SimWorker worker;
     private final Function<String, JobSpec> jobs;
     private final Predicate<String> failsEverywhere;
-    private final Set<TaskId> results;
+    private final Set<TaskId> completedTasks;
     private final SimGangs gangs;
     private final SimTaskAttempts attempts;
-    private final Set<String> images = new HashSet<>();
+    private final Set<String> cachedImages = new HashSet<>();
     private boolean changed;
     private boolean faulty;
     private int failedTaskCount;
 
     /**
-     * @param results tasks that have their result, on whichever machine
+     * @param completedTasks tasks that have their result, on whichever machine
      * @param failsEverywhere whether every task of a job fails
      */
     SimTaskRunner(
@@ -39,14 +39,14 @@
             SimWorker worker,
             Function<String, JobSpec> jobs,
             Predicate<String> failsEverywhere,
-            Set<TaskId> results,
+            Set<TaskId> completedTasks,
             SimGangs gangs) {
         this.environment = environment;
         this.rules = rules;
         this.worker = worker;
         this.jobs = jobs;
         this.failsEverywhere = failsEverywhere;
-        this.results = results;
+        this.completedTasks = completedTasks;
         this.gangs = gangs;
         this.attempts = new SimTaskAttempts(worker.type, jobs);
     }
@@ -93,42 +93,42 @@
     private void advance(TaskAttempt attempt) {
         changed = true;
         if (attempt.state == TaskState.FETCHING) {
-            begin(attempt);
+            onImageFetched(attempt);
             return;
         }
         boolean saving = attempt.state == TaskState.SAVING;
-        end(attempt, saving ? ExitCause.STOPPED : fails(attempt) ? ExitCause.FAILED : ExitCause.DONE);
+        end(attempt, saving ? ExitCause.STOPPED : mustFail(attempt) ? ExitCause.FAILED : ExitCause.DONE);
         attempt.progressSaved = saving;
     }
 
     /** The image is here: the task runs, or waits for the others of its gang. */
-    private void begin(TaskAttempt attempt) {
+    private void onImageFetched(TaskAttempt attempt) {
         JobSpec spec = jobs.apply(attempt.task.job());
-        images.add(spec.image());
+        cachedImages.add(spec.image());
         rules.recordTaskStarted(attempt.task, worker.id, worker.type.name(), worker.zone, worker.spot);
-        if (spec.gang() && !results.contains(attempt.task) && !fails(attempt)) {
+        if (spec.gang() && !completedTasks.contains(attempt.task) && !mustFail(attempt)) {
             attempt.state = TaskState.WAITING;
             attempt.stateEndMicros = Long.MAX_VALUE;
             attempt.gangMember = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
             return;
         }
         attempt.state = TaskState.RUNNING;
-        long runMicros = runMicros(attempt, spec);
+        long runMicros = runTimeMicros(attempt, spec);
         attempt.stateEndMicros = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
-        if (fails(attempt)) {
+        if (mustFail(attempt)) {
             failedTaskCount++;
-            attempt.stateEndMicros = environment.nowMicros() + FAILS_AFTER;
+            attempt.stateEndMicros = environment.nowMicros() + FAILURE_DELAY_MICROS;
         }
     }
 
     /** Half of what was estimated to half as much again; nothing is left to do where the result is there already. */
-    private long runMicros(TaskAttempt attempt, JobSpec spec) {
-        return results.contains(attempt.task)
+    private long runTimeMicros(TaskAttempt attempt, JobSpec spec) {
+        return completedTasks.contains(attempt.task)
                 ? 0
                 : spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros());
     }
 
-    private boolean fails(TaskAttempt attempt) {
+    private boolean mustFail(TaskAttempt attempt) {
         return faulty || failsEverywhere.test(attempt.task.job());
     }
 
@@ -154,9 +154,9 @@
     }
 
     private void end(TaskAttempt attempt, ExitCause cause) {
-        leave(attempt);
+        removeFromMachine(attempt);
         if (cause == ExitCause.DONE) {
-            results.add(attempt.task);
+            completedTasks.add(attempt.task);
             rules.recordTaskCompleted(attempt.task);
         }
         attempt.state = TaskState.EXITED;
@@ -166,12 +166,12 @@
 
     /** All tasks are gone without a word. */
     void killAll() {
-        attempts.all().forEach(this::leave);
+        attempts.all().forEach(this::removeFromMachine);
         attempts.clear();
     }
 
     /** A task that is on the machine is so no longer. */
-    private void leave(TaskAttempt attempt) {
+    private void removeFromMachine(TaskAttempt attempt) {
         if (attempt.state == TaskState.WAITING
                 || attempt.state == TaskState.RUNNING
                 || attempt.state == TaskState.SAVING) {
@@ -219,14 +219,14 @@
     }
 
     private long fetchMicros(JobSpec spec) {
-        return images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
+        return cachedImages.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
     }
 
     private void stop(TaskAttempt attempt, long graceMicros) {
         JobSpec spec = jobs.apply(attempt.task.job());
-        boolean savesInGang =
+        boolean canSaveInGang =
                 attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointMicros() > 0;
-        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
+        if (canSaveInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
             attempt.gangMember.stop();
             changed = true;
             return;
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -15,17 +15,17 @@
 
 /** Users who submit jobs, ask for them until they are over, and call some off. */
 final class SimUsers {
-    private static final long TIMEOUT = 5 * Simulation.SECOND;
+    private static final long TIMEOUT_MICROS = 5 * Simulation.SECOND;
 
     /** What a user asks of a controller, and where the answer goes. */
-    private interface Question {
-        void ask(Controller controller, Consumer<JobResponse> then);
+    private interface JobRequest {
+        void send(Controller controller, Consumer<JobResponse> then);
     }
 
     private final Simulation simulation;
     private final Map<String, JobSpec> specs = new LinkedHashMap<>();
     /** Jobs for which a question is under way. */
-    private final Set<String> asking = new HashSet<>();
+    private final Set<String> jobsWithRequestInFlight = new HashSet<>();
 
     private int unschedulableRejectionCount;
     private int doneResponseCount;
@@ -68,23 +68,23 @@
     }
 
     /** Users repeat submissions, cancel what is done, and send jobs that can never run. */
-    void sendUnusualRequests(long forMicros) {
-        for (long at = 0; at < forMicros; at += 700_000) {
+    void sendUnusualRequests(long durationMicros) {
+        for (long at = 0; at < durationMicros; at += 700_000) {
             simulation.environment.after(at, () -> {
-                repeatARequest();
+                repeatRequest();
                 submitUnschedulable();
             });
         }
     }
 
-    private void repeatARequest() {
+    private void repeatRequest() {
         List<String> known = List.copyOf(specs.keySet());
         if (known.isEmpty()) {
             return;
         }
         JobSpec spec = specs.get(known.get(simulation.environment.random.nextInt(known.size())));
         if (simulation.rules.isAccepted(spec.id())) {
-            ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
+            request(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
         }
         if (simulation.rules.finalState(spec.id()) == JobState.DONE) {
             cancel(spec.id());
@@ -96,7 +96,7 @@
         JobSpec like = simulation.jobs.batch(3, Simulation.SECOND);
         JobSpec spec = simulation.jobs.withCpu(like, 3, 90_000);
         simulation.rules.recordUnschedulableSubmission(spec.id());
-        ask(
+        request(
                 spec.id(),
                 (controller, then) -> controller.submit(spec, then),
                 answer -> unschedulableRejectionCount += answer instanceof JobResponse.Unschedulable ? 1 : 0);
@@ -113,17 +113,17 @@
     }
 
     /** A user submits, polls to the end and may cancel after a while (negative: never). */
-    void submit(JobSpec spec, long cancelAfter) {
+    void submit(JobSpec spec, long cancelAfterMicros) {
         specs.put(spec.id(), spec);
         simulation.rules.recordSubmission(spec);
-        ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
+        request(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
-                if (cancelAfter >= 0) {
-                    simulation.environment.after(cancelAfter, () -> cancel(spec.id()));
+                if (cancelAfterMicros >= 0) {
+                    simulation.environment.after(cancelAfterMicros, () -> cancel(spec.id()));
                 }
                 poll(spec.id());
             } else if (!(answer instanceof JobResponse.Unschedulable)) {
-                simulation.environment.after(2 * Simulation.SECOND, () -> submit(spec, cancelAfter));
+                simulation.environment.after(2 * Simulation.SECOND, () -> submit(spec, cancelAfterMicros));
             }
         });
     }
@@ -132,7 +132,7 @@
     void submitAt(String node, JobSpec spec) {
         specs.put(spec.id(), spec);
         simulation.rules.recordSubmission(spec);
-        askAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
+        requestAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 poll(spec.id());
             } else {
@@ -144,7 +144,7 @@
     private void poll(String id) {
         simulation.environment.after(
                 5 * Simulation.SECOND,
-                () -> ask(id, (controller, then) -> controller.poll(id, then), answer -> {
+                () -> request(id, (controller, then) -> controller.poll(id, then), answer -> {
                     poll(id);
                     if (answer instanceof JobResponse.Status status && status.state() == JobState.DONE) {
                         doneResponseCount++;
@@ -160,37 +160,37 @@
     /** The same at one controller first. */
     void cancelAt(String node, String id) {
         simulation.rules.recordCancellationRequest(id);
-        askAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
+        requestAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
             if (!(answer instanceof JobResponse.Status)) {
                 simulation.environment.after(2 * Simulation.SECOND, () -> cancel(id));
             }
         });
     }
 
-    private void ask(String id, Question question, Consumer<JobResponse> then) {
-        askAt(simulation.randomNode(), id, question, then);
+    private void request(String id, JobRequest request, Consumer<JobResponse> then) {
+        requestAt(simulation.randomNode(), id, request, then);
     }
 
-    private void askAt(String node, String id, Question question, Consumer<JobResponse> then) {
+    private void requestAt(String node, String id, JobRequest request, Consumer<JobResponse> then) {
         String user = "user-" + id;
         // Answers are compared only when the question was put after the earlier answer: so one question at a time.
-        if (asking.contains(id)) {
-            simulation.environment.after(200_000, () -> askAt(node, id, question, then));
+        if (jobsWithRequestInFlight.contains(id)) {
+            simulation.environment.after(200_000, () -> requestAt(node, id, request, then));
             return;
         }
-        asking.add(id);
+        jobsWithRequestInFlight.add(id);
         simulation.environment.<JobResponse>callAsync(
                 user,
                 node,
-                TIMEOUT,
+                TIMEOUT_MICROS,
                 answer -> {
                     Controller controller = simulation.controllerAt(node);
                     if (controller != null && !simulation.nodesUnreachableByUsers.contains(node)) {
-                        question.ask(controller, simulation.traced(node, user, answer));
+                        request.send(controller, simulation.traced(node, user, answer));
                     }
                 },
                 answer -> {
-                    asking.remove(id);
+                    jobsWithRequestInFlight.remove(id);
                     if (answer != null) {
                         simulation.rules.recordResponse(id, answer);
                     }
@@ -201,7 +201,7 @@
     /** A user asks for a job that nobody has submitted. */
     void pollUnknownJob() {
         String id = "run-999" + simulation.environment.random.nextInt(1000);
-        ask(id, (controller, then) -> controller.poll(id, then), answer -> {});
+        request(id, (controller, then) -> controller.poll(id, then), answer -> {});
     }
 
     /** Accepted jobs, services aside, of which no user was told the end. */
--- a/src/test/java/org/granitepath/simulation/SimWatches.java
+++ b/src/test/java/org/granitepath/simulation/SimWatches.java
@@ -9,20 +9,20 @@
 final class SimWatches {
     private static final class Watch {
         private final String prefix;
-        private final long from;
-        private final Consumer<KeyValueStore.Page> answer;
+        private final long fromRevision;
+        private final Consumer<KeyValueStore.Page> callback;
         private boolean answered;
 
-        Watch(String prefix, long from, Consumer<KeyValueStore.Page> answer) {
+        Watch(String prefix, long fromRevision, Consumer<KeyValueStore.Page> callback) {
             this.prefix = prefix;
-            this.from = from;
-            this.answer = answer;
+            this.fromRevision = fromRevision;
+            this.callback = callback;
         }
     }
 
     private final SimEnvironment environment;
     private final SimStoreKeys keys;
-    private final List<Watch> waiting = new ArrayList<>();
+    private final List<Watch> watches = new ArrayList<>();
 
     SimWatches(SimEnvironment environment, SimStoreKeys keys) {
         this.environment = environment;
@@ -30,9 +30,9 @@
     }
 
     /** Answers with the changes after a revision as soon as there are some, or with none when the wait is over. */
-    void follow(String prefix, long from, long waitMicros, Consumer<KeyValueStore.Page> answer) {
-        Watch watch = new Watch(prefix, from, answer);
-        waiting.add(watch);
+    void follow(String prefix, long fromRevision, long waitMicros, Consumer<KeyValueStore.Page> callback) {
+        Watch watch = new Watch(prefix, fromRevision, callback);
+        watches.add(watch);
         answer(watch, waitMicros == 0);
         if (!watch.answered) {
             environment.after(waitMicros, () -> answer(watch, true));
@@ -41,20 +41,20 @@
 
     /** Keys have changed: who waits for them is answered. */
     void notifyWatches() {
-        for (Watch watch : List.copyOf(waiting)) {
+        for (Watch watch : List.copyOf(watches)) {
             answer(watch, false);
         }
     }
 
-    private void answer(Watch watch, boolean evenEmpty) {
+    private void answer(Watch watch, boolean allowEmpty) {
         if (watch.answered) {
             return;
         }
-        KeyValueStore.Page page = keys.changes(watch.prefix, watch.from);
-        if (evenEmpty || !page.items().isEmpty()) {
+        KeyValueStore.Page page = keys.changes(watch.prefix, watch.fromRevision);
+        if (allowEmpty || !page.items().isEmpty()) {
             watch.answered = true;
-            waiting.remove(watch);
-            watch.answer.accept(page);
+            watches.remove(watch);
+            watch.callback.accept(page);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -24,9 +24,9 @@
     record Timing(long heartbeatIntervalMicros, long leaseMicros) {}
 
     /** A worker looks at its tasks this many times between two heartbeats. */
-    private static final int TICKS = 10;
+    private static final int TICKS_PER_HEARTBEAT = 10;
 
-    private static final long ANSWER_TIMEOUT = 4_000_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
     private final SimEnvironment environment;
     private final SimControllers controllers;
@@ -40,27 +40,27 @@
     private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseFrom;
-    private long nextHeartbeat;
+    private long leaseStartMicros;
+    private long nextHeartbeatMicros;
     /** The controller to which heartbeats go, by its place in the list of their names. */
-    private int controller;
+    private int controllerIndex;
 
-    private boolean awaitsAnswer;
+    private boolean awaitingResponse;
     /** Something beside the tasks has changed since the last heartbeat. */
     private boolean changed;
 
     private boolean dead;
     private boolean hanging;
-    private boolean muted;
+    private boolean heartbeatsDropped;
     private @Nullable Heartbeat lastHeartbeat;
-    private long noticeEnd = -1;
+    private long terminationMicros = -1;
 
     SimWorker(
             SimEnvironment environment,
             Rules rules,
             SimControllers controllers,
             Function<String, JobSpec> jobs,
-            Set<TaskId> results,
+            Set<TaskId> completedTasks,
             SimGangs gangs,
             MachineFacts facts,
             Timing timing) {
@@ -72,9 +72,11 @@
         this.spot = facts.spot;
         this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
         this.leaseMicros = timing.leaseMicros;
-        this.tasks = new SimTaskRunner(environment, rules, this, jobs, controllers::failsEverywhere, results, gangs);
-        this.leaseFrom = environment.nowMicros();
-        this.controller = environment.random.nextInt(controllers.nodeNames().size());
+        this.tasks =
+                new SimTaskRunner(environment, rules, this, jobs, controllers::failsEverywhere, completedTasks, gangs);
+        this.leaseStartMicros = environment.nowMicros();
+        this.controllerIndex =
+                environment.random.nextInt(controllers.nodeNames().size());
         tick();
     }
 
@@ -114,7 +116,7 @@
         return !dead
                 && !hanging
                 && !tasks.isFaulty()
-                && noticeEnd < 0
+                && terminationMicros < 0
                 && attempts().hasCapacityFor(spec, null)
                 && spec.allowsType(type.name())
                 && spec.allowsZone(zone)
@@ -124,8 +126,8 @@
     // ---- troubles ----------------------------------------------------------------------------------------------
 
     /** Its heartbeats are lost on the way; it is reached all the same. */
-    void setHeartbeatsDropped(boolean now) {
-        muted = now;
+    void setHeartbeatsDropped(boolean dropped) {
+        heartbeatsDropped = dropped;
     }
 
     /** From now on every task fails here. */
@@ -143,10 +145,10 @@
     }
 
     /** While it hangs it does nothing, but its clock runs on. */
-    void setHanging(boolean now) {
-        hanging = now;
-        if (!now && !dead) {
-            expireIfDue();
+    void setHanging(boolean shouldHang) {
+        hanging = shouldHang;
+        if (!shouldHang && !dead) {
+            expireLeaseIfDue();
         }
     }
 
@@ -157,7 +159,7 @@
 
     /** The cloud takes it back after this time, and it tells so. */
     void announceTermination(long micros) {
-        noticeEnd = environment.nowMicros() + micros;
+        terminationMicros = environment.nowMicros() + micros;
         changed = true;
     }
 
@@ -172,23 +174,23 @@
         if (dead) {
             return;
         }
-        environment.after(heartbeatIntervalMicros / TICKS, this::tick);
+        environment.after(heartbeatIntervalMicros / TICKS_PER_HEARTBEAT, this::tick);
         // A hanging machine executes nothing, and its first act on going on is to see that its lease is over.
-        expireIfDue();
+        expireLeaseIfDue();
         if (hanging) {
             return;
         }
         tasks.advance();
-        if (!awaitsAnswer && heartbeatIsDue()) {
+        if (!awaitingResponse && heartbeatIsDue()) {
             sendHeartbeat();
         }
     }
 
-    private void expireIfDue() {
-        if (environment.nowMicros() - leaseFrom > leaseMicros) {
+    private void expireLeaseIfDue() {
+        if (environment.nowMicros() - leaseStartMicros > leaseMicros) {
             tasks.killAll();
             agentEpoch++;
-            leaseFrom = environment.nowMicros();
+            leaseStartMicros = environment.nowMicros();
             changed = true;
         }
     }
@@ -196,12 +198,12 @@
     /** After a change a heartbeat goes out earlier. */
     private boolean heartbeatIsDue() {
         boolean early = changed || tasks.hasChanged();
-        return environment.nowMicros() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
+        return environment.nowMicros() >= nextHeartbeatMicros - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
     // ---- heartbeats --------------------------------------------------------------------------------------------
 
-    private Heartbeat heartbeat() {
+    private Heartbeat createHeartbeat() {
         return new Heartbeat(
                 id,
                 id,
@@ -211,79 +213,79 @@
                 agentEpoch,
                 ++sequence,
                 fencingToken,
-                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - environment.nowMicros()),
+                terminationMicros < 0 ? -1 : Math.max(0, terminationMicros - environment.nowMicros()),
                 attempts().statuses());
     }
 
     private void sendHeartbeat() {
-        awaitsAnswer = true;
+        awaitingResponse = true;
         changed = false;
         tasks.clearChanged();
-        long sent = environment.nowMicros();
-        long sentInEpoch = agentEpoch;
-        String node = controllers.nodeNames().get(controller);
-        Heartbeat heartbeat = heartbeat();
-        nextHeartbeat = sent
+        long sentMicros = environment.nowMicros();
+        long sentEpoch = agentEpoch;
+        String node = controllers.nodeNames().get(controllerIndex);
+        Heartbeat heartbeat = createHeartbeat();
+        nextHeartbeatMicros = sentMicros
                 + heartbeatIntervalMicros * 3 / 4
                 + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
         lastHeartbeat = heartbeat;
         environment.call(
                 id,
-                muted ? "nowhere" : node,
-                ANSWER_TIMEOUT,
-                () -> muted ? null : controllers.handleHeartbeat(node, heartbeat),
-                answer -> heartbeatAnswered(answer, sent, sentInEpoch));
+                heartbeatsDropped ? "nowhere" : node,
+                RESPONSE_TIMEOUT_MICROS,
+                () -> heartbeatsDropped ? null : controllers.handleHeartbeat(node, heartbeat),
+                answer -> onHeartbeatResponse(answer, sentMicros, sentEpoch));
     }
 
     /** A hanging machine reads its answers when it goes on, and drops those that are too old. */
-    private void heartbeatAnswered(@Nullable HeartbeatResponse answer, long sent, long sentInEpoch) {
-        awaitsAnswer = false;
+    private void onHeartbeatResponse(@Nullable HeartbeatResponse response, long sentMicros, long sentEpoch) {
+        awaitingResponse = false;
         if (dead) {
             return;
         }
-        if (!hanging && answer instanceof HeartbeatResponse.Accepted accepted) {
-            if (sentInEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
-                takeFencingToken(accepted.fencingToken());
-                leaseFrom = Math.max(leaseFrom, sent);
+        if (!hanging && response instanceof HeartbeatResponse.Accepted accepted) {
+            if (sentEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
+                updateFencingToken(accepted.fencingToken());
+                leaseStartMicros = Math.max(leaseStartMicros, sentMicros);
                 execute(accepted.commands());
             }
-        } else if (!hanging && answer instanceof HeartbeatResponse.Redirect redirect) {
-            turnTo(redirect.node());
+        } else if (!hanging && response instanceof HeartbeatResponse.Redirect redirect) {
+            switchToNamedController(redirect.node());
         } else {
-            turnToNext();
+            switchToNextController();
         }
     }
 
     /** To the controller that was named, if there is one and it is another. */
-    private void turnTo(@Nullable String named) {
+    private void switchToNamedController(@Nullable String named) {
         int next = named == null ? -1 : controllers.nodeNames().indexOf(named);
-        if (next < 0 || next == controller) {
-            turnToNext();
+        if (next < 0 || next == controllerIndex) {
+            switchToNextController();
             return;
         }
-        controller = next;
-        nextHeartbeat = environment.nowMicros() + environment.random.nextInt(500_000);
+        controllerIndex = next;
+        nextHeartbeatMicros = environment.nowMicros() + environment.random.nextInt(500_000);
     }
 
-    private void turnToNext() {
-        controller = (controller + 1) % controllers.nodeNames().size();
-        nextHeartbeat = environment.nowMicros() + 1_000_000;
+    private void switchToNextController() {
+        controllerIndex = (controllerIndex + 1) % controllers.nodeNames().size();
+        nextHeartbeatMicros = environment.nowMicros() + 1_000_000;
     }
 
     // ---- commands ----------------------------------------------------------------------------------------------
 
     /** Commands of a direct call; they are carried out only under a present fencing token and agent epoch. */
-    WorkerPort.Reply handleCommands(long withToken, long withAgentEpoch, List<WorkerCommand> commands) {
-        expireIfDue();
-        boolean accepted = withToken >= fencingToken && withAgentEpoch == agentEpoch;
+    WorkerPort.Reply handleCommands(long commandToken, long commandAgentEpoch, List<WorkerCommand> commands) {
+        expireLeaseIfDue();
+        boolean accepted = commandToken >= fencingToken && commandAgentEpoch == agentEpoch;
         if (accepted) {
-            takeFencingToken(withToken);
+            updateFencingToken(commandToken);
             execute(commands);
         }
-        return new WorkerPort.Reply(accepted, heartbeat());
+        return new WorkerPort.Reply(accepted, createHeartbeat());
     }
 
-    private void takeFencingToken(long token) {
+    private void updateFencingToken(long token) {
         changed |= token > fencingToken;
         fencingToken = token;
     }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -51,7 +51,7 @@
     final SimulationConfig config;
     final SimGangs gangs;
     /** What the settings say of the limits of the store. */
-    private final StoreLimits limits;
+    private final StoreLimits storeLimits;
     /** What controllers keep to once they are upgraded; null: nothing changes. */
     @Nullable
     StoreLimits upgradedLimits;
@@ -72,7 +72,7 @@
     final SimFaults faults = new SimFaults(this);
     private final SimPorts ports = new SimPorts(this);
     final Map<String, SimNode> nodes = new LinkedHashMap<>();
-    private final Set<TaskId> results = new HashSet<>();
+    private final Set<TaskId> completedTasks = new HashSet<>();
     private final Map<String, Integer> acceptedHeartbeatCount = new HashMap<>();
     /** Controllers that users don't get to. */
     final Set<String> nodesUnreachableByUsers = new HashSet<>();
@@ -93,46 +93,46 @@
         this(seed, SimulationConfig.small());
     }
 
-    /** @param perOffer how many machines of each type, zone and kind there are */
-    Simulation(long seed, int controllers, int perOffer) {
-        this(seed, SimulationConfig.small().withControllers(controllers).withMachinesPerOffer(perOffer));
+    /** @param machinesPerOffer how many machines of each type, zone and kind there are */
+    Simulation(long seed, int controllers, int machinesPerOffer) {
+        this(seed, SimulationConfig.small().withControllers(controllers).withMachinesPerOffer(machinesPerOffer));
     }
 
-    Simulation(long seed, SimulationConfig shape) {
-        this.config = shape;
+    Simulation(long seed, SimulationConfig config) {
+        this.config = config;
         nodeNames =
-                IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
+                IntStream.range(0, config.controllers()).mapToObj(i -> "n" + i).toList();
         environment = new SimEnvironment(seed);
         trace = EdgeTrace.createIfCollecting(environment);
-        rules = new Rules(environment, TEAMS, shape.cancellationTimeoutMicros(), this::endedOnMachines);
+        rules = new Rules(environment, TEAMS, config.cancellationTimeoutMicros(), this::onJobCompleted);
         commands = new SimCommands(environment, rules);
-        jobs = new SimJobs(environment, shape.machinesPerOffer());
-        gangs = new SimGangs(environment, rules, results);
-        limits = new StoreLimits(
-                shape.limits().writesPerSecond(),
-                shape.limits().valueBytes(),
-                shape.limits().transactionChanges());
+        jobs = new SimJobs(environment, config.machinesPerOffer());
+        gangs = new SimGangs(environment, rules, completedTasks);
+        storeLimits = new StoreLimits(
+                config.limits().writesPerSecond(),
+                config.limits().valueBytes(),
+                config.limits().transactionChanges());
         store = new SimStore(
                 environment,
-                shape.limits().transactionChanges(),
-                shape.limits().valueBytes(),
-                shape.limits().requestsPerSecond(),
-                shape.limits().writesPerSecond());
+                config.limits().transactionChanges(),
+                config.limits().valueBytes(),
+                config.limits().requestsPerSecond(),
+                config.limits().writesPerSecond());
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
         cloud = new SimCloud(
-                environment, types, shape.machinesPerOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
+                environment, types, config.machinesPerOffer(), 4 * SECOND, (id, host) -> createWorker(types, id, host));
         for (String node : nodeNames) {
-            nodes.put(node, new SimNode(environment, node, this::newController));
+            nodes.put(node, new SimNode(environment, node, this::createController));
         }
         nodes.values().forEach(SimNode::boot);
     }
 
-    private Controller newController(SimNode node) {
+    private Controller createController(SimNode node) {
         String name = node.name();
         return new Controller(
-                configOf(node),
+                controllerConfig(node),
                 traced(store.portFor(name), port -> trace.tracing(name, port)),
                 traced(cloud.portFor(name), port -> trace.tracing(name, port)),
                 traced(ports.workerPort(name), port -> trace.tracing(name, port)),
@@ -141,7 +141,7 @@
                 RecoveryTracer.NONE);
     }
 
-    private Config configOf(SimNode node) {
+    private Config controllerConfig(SimNode node) {
         String name = node.name();
         Map<String, String> zonesOfPeers = nodeNames.stream()
                 .filter(other -> !other.equals(name))
@@ -159,7 +159,7 @@
                         SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
                         config.limits().requestsPerSecond(),
-                        upgradedNodes.contains(name) ? limits.strictest(upgradedLimits) : limits,
+                        upgradedNodes.contains(name) ? storeLimits.strictest(upgradedLimits) : storeLimits,
                         5,
                         config.maxConnections()),
                 250_000,
@@ -175,7 +175,7 @@
         return trace == null ? then : trace.tracingUserResponses(node, user, then);
     }
 
-    private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
+    private SimWorker createWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(host.type()))
                 .findFirst()
@@ -183,16 +183,16 @@
         return new SimWorker(
                 environment,
                 rules,
-                new WorkersView(),
+                new WorkerFacingControllers(),
                 users::specOf,
-                results,
+                completedTasks,
                 gangs,
                 new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
                 new SimWorker.Timing(config.heartbeatIntervalMicros(), config.leaseMicros()));
     }
 
     /** The controllers as machines see them. */
-    private final class WorkersView implements SimControllers {
+    private final class WorkerFacingControllers implements SimControllers {
         @Override
         public List<String> nodeNames() {
             return nodeNames;
@@ -228,7 +228,7 @@
         return ZONES.get(nodeNames.indexOf(node) % ZONES.size());
     }
 
-    private void endedOnMachines(String job) {
+    private void onJobCompleted(String job) {
         if (cancelAtCompletionShare > 0 && environment.random.nextDouble() < cancelAtCompletionShare) {
             users.cancel(job);
         }
@@ -313,19 +313,19 @@
     }
 
     /** Runs with the rules checked after each step. */
-    void run(long until) {
-        environment.run(until, rules::check);
+    void run(long endMicros) {
+        environment.run(endMicros, rules::check);
     }
 
     /** The same with the check that every job stays known, from the time on at which the last trouble is over. */
-    void runWithLivenessChecks(long troublesOver, long until) {
-        environment.after(troublesOver - environment.nowMicros(), () -> watchKnown(troublesOver));
-        run(until);
+    void runWithLivenessChecks(long faultsEndMicros, long endMicros) {
+        environment.after(faultsEndMicros - environment.nowMicros(), () -> runLivenessChecks(faultsEndMicros));
+        run(endMicros);
     }
 
-    private void watchKnown(long over) {
-        rules.checkAnswered(over);
+    private void runLivenessChecks(long faultsEndMicros) {
+        rules.checkAnswered(faultsEndMicros);
         rules.checkNotStarved(cloud.workers());
-        environment.after(SECOND, () -> watchKnown(over));
+        environment.after(SECOND, () -> runLivenessChecks(faultsEndMicros));
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -7,7 +7,7 @@
 
 /** What every scenario has to show at its end. */
 final class SimulationAssertions {
-    private static final int MOST_SHOWN = 5;
+    private static final int MAX_SHOWN = 5;
 
     private SimulationAssertions() {}
 
@@ -31,7 +31,7 @@
                 List.of(),
                 simulation.rules.violations().stream()
                         .distinct()
-                        .limit(MOST_SHOWN)
+                        .limit(MAX_SHOWN)
                         .toList());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -34,15 +34,15 @@
     }
 
     SimulationConfig withHeartbeatInterval(long micros) {
-        return withTimes(new Timing(micros, timing.leaseMicros, timing.cancellationTimeoutMicros));
+        return withTiming(new Timing(micros, timing.leaseMicros, timing.cancellationTimeoutMicros));
     }
 
     SimulationConfig withLease(long micros) {
-        return withTimes(new Timing(timing.heartbeatIntervalMicros, micros, timing.cancellationTimeoutMicros));
+        return withTiming(new Timing(timing.heartbeatIntervalMicros, micros, timing.cancellationTimeoutMicros));
     }
 
     SimulationConfig withCancellationTimeout(long micros) {
-        return withTimes(new Timing(timing.heartbeatIntervalMicros, timing.leaseMicros, micros));
+        return withTiming(new Timing(timing.heartbeatIntervalMicros, timing.leaseMicros, micros));
     }
 
     SimulationConfig withRequestsPerSecond(double requests) {
@@ -78,12 +78,12 @@
                 connections));
     }
 
-    private SimulationConfig withTimes(Timing changed) {
-        return new SimulationConfig(controllers, machinesPerOffer, changed, limits);
+    private SimulationConfig withTiming(Timing newTiming) {
+        return new SimulationConfig(controllers, machinesPerOffer, newTiming, limits);
     }
 
-    private SimulationConfig withLimits(Limits changed) {
-        return new SimulationConfig(controllers, machinesPerOffer, timing, changed);
+    private SimulationConfig withLimits(Limits newLimits) {
+        return new SimulationConfig(controllers, machinesPerOffer, timing, newLimits);
     }
 
     long heartbeatIntervalMicros() {
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -12,16 +12,16 @@
 
 /** No task runs twice, each runs where its job may, and no team uses more than its limit. */
 final class TaskPlacementRules {
-    private record Place(String host, String zone) {}
+    private record Location(String host, String zone) {}
 
-    private final ViolationReporter breaches;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
     private final Map<String, Team> teams;
-    private final Map<TaskId, Place> placed = new HashMap<>();
+    private final Map<TaskId, Location> locations = new HashMap<>();
     private int startedTaskCount;
 
-    TaskPlacementRules(ViolationReporter breaches, JobHistory jobs, Map<String, Team> teams) {
-        this.breaches = breaches;
+    TaskPlacementRules(ViolationReporter violations, JobHistory jobs, Map<String, Team> teams) {
+        this.violations = violations;
         this.jobs = jobs;
         this.teams = teams;
     }
@@ -30,33 +30,33 @@
     void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
         startedTaskCount++;
         JobSpec spec = jobs.spec(task.job());
-        checkNotElsewhere(task, host);
-        placed.put(task, new Place(host, zone));
-        checkMachine(task, spec, type, zone, spot);
-        checkZonesOfJob(task, spec, zone);
+        checkRunsOnce(task, host);
+        locations.put(task, new Location(host, zone));
+        checkMachineAllowed(task, spec, type, zone, spot);
+        checkZoneConstraints(task, spec, zone);
         checkQuota(spec.team());
     }
 
-    private void checkNotElsewhere(TaskId task, String host) {
-        Place other = placed.get(task);
+    private void checkRunsOnce(TaskId task, String host) {
+        Location other = locations.get(task);
         if (other != null) {
-            breaches.report("ran_twice", task + " starts on " + host + " while on " + other.host());
+            violations.report("ran_twice", task + " starts on " + host + " while on " + other.host());
         }
     }
 
-    private void checkMachine(TaskId task, JobSpec spec, String type, String zone, boolean spot) {
+    private void checkMachineAllowed(TaskId task, JobSpec spec, String type, String zone, boolean spot) {
         if (!spec.allowsType(type) || !spec.allowsZone(zone) || (spot && !spec.spot())) {
-            breaches.report("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
+            violations.report("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
         }
     }
 
-    private void checkZonesOfJob(TaskId task, JobSpec spec, String zone) {
+    private void checkZoneConstraints(TaskId task, JobSpec spec, String zone) {
         if (!spec.spread() && !spec.oneZone()) {
             return;
         }
         int here = 0;
         int elsewhere = 0;
-        for (var entry : placed.entrySet()) {
+        for (var entry : locations.entrySet()) {
             if (entry.getKey().job().equals(task.job())) {
                 boolean sameZone = entry.getValue().zone().equals(zone);
                 here += sameZone ? 1 : 0;
@@ -64,7 +64,7 @@
             }
         }
         if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere > 0)) {
-            breaches.report("wrong_place", task + ": " + here + " of its job in " + zone);
+            violations.report("wrong_place", task + ": " + here + " of its job in " + zone);
         }
     }
 
@@ -75,7 +75,7 @@
         }
         long cpu = 0;
         long gpu = 0;
-        for (TaskId task : placed.keySet()) {
+        for (TaskId task : locations.keySet()) {
             JobSpec running = jobs.spec(task.job());
             if (running.team().equals(name)) {
                 cpu += running.cpuMillis();
@@ -84,15 +84,15 @@
         }
         if ((team.cpuLimitMillis() > 0 && cpu > team.cpuLimitMillis())
                 || (team.gpuLimitMillis() > 0 && gpu > team.gpuLimitMillis())) {
-            breaches.report("quota", "team " + name + " uses " + cpu + " and " + gpu);
+            violations.report("quota", "team " + name + " uses " + cpu + " and " + gpu);
         }
     }
 
     /** A task is no longer on the machine. */
     void recordTaskRemoved(TaskId task, String host) {
-        Place place = placed.get(task);
+        Location place = locations.get(task);
         if (place != null && place.host().equals(host)) {
-            placed.remove(task);
+            locations.remove(task);
         }
     }
 
@@ -103,17 +103,17 @@
 
     /** The tasks that are on a machine. */
     Set<TaskId> tasks() {
-        return Collections.unmodifiableSet(placed.keySet());
+        return Collections.unmodifiableSet(locations.keySet());
     }
 
     /** The machine of a task that is on one. */
     String hostOf(TaskId task) {
-        return placed.get(task).host();
+        return locations.get(task).host();
     }
 
     /** Jobs with a task on a machine, that nobody has asked to cancel. */
     List<String> runningJobs() {
-        return placed.keySet().stream()
+        return locations.keySet().stream()
                 .map(TaskId::job)
                 .filter(job -> !jobs.isCancellationRequested(job))
                 .distinct()
@@ -123,7 +123,7 @@
 
     /** Thousandths of CPUs that a team's tasks use. */
     long usedCpuMillis(String team) {
-        return placed.keySet().stream()
+        return locations.keySet().stream()
                 .map(task -> jobs.spec(task.job()))
                 .filter(job -> job.team().equals(team))
                 .mapToLong(JobSpec::cpuMillis)
@@ -133,7 +133,7 @@
     /** The machines that hold tasks of a job. */
     Set<String> hostsOf(String job) {
         Set<String> hosts = new TreeSet<>();
-        placed.forEach((task, place) -> {
+        locations.forEach((task, place) -> {
             if (task.job().equals(job)) {
                 hosts.add(place.host());
             }
@@ -143,7 +143,7 @@
 
     /** How many tasks of services are on a machine. */
     long runningReplicaCount() {
-        return placed.keySet().stream()
+        return locations.keySet().stream()
                 .filter(task -> jobs.spec(task.job()).service())
                 .count();
     }
--- a/src/test/java/org/granitepath/simulation/ViolationReporter.java
+++ b/src/test/java/org/granitepath/simulation/ViolationReporter.java
@@ -6,7 +6,7 @@
      * A rule is broken.
      *
      * @param rule its short name
-     * @param what how it was broken
+     * @param description how it was broken
      */
-    void report(String rule, String what);
+    void report(String rule, String description);
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -10,73 +10,75 @@
 
 /** No job is left waiting while a machine would take one of its tasks and its team is under its limit. */
 final class WaitingRules {
-    private static final long NEGLECTED_MICROS = 90_000_000;
+    private static final long MAX_WAIT_MICROS = 90_000_000;
 
     private final SimEnvironment environment;
-    private final ViolationReporter breaches;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
     private final Map<String, Team> teams;
-    private final Map<String, Long> couldRunSince = new HashMap<>();
+    private final Map<String, Long> startableSinceMicros = new HashMap<>();
 
-    WaitingRules(SimEnvironment environment, ViolationReporter breaches, JobHistory jobs, Map<String, Team> teams) {
+    WaitingRules(SimEnvironment environment, ViolationReporter violations, JobHistory jobs, Map<String, Team> teams) {
         this.environment = environment;
-        this.breaches = breaches;
+        this.violations = violations;
         this.jobs = jobs;
         this.teams = teams;
     }
 
     /** Called again and again; a job of which a start is sent begins to wait anew. */
     void check(Collection<SimWorker> machines) {
-        HeldTasks held = heldBy(machines);
+        HeldTasks held = collectHeldTasks(machines);
         for (String job : jobs.acceptedJobs()) {
             JobSpec spec = jobs.spec(job);
-            int left = spec.tasks() - jobs.completedTaskCount(job) - held.tasksOf(job);
-            if (left <= 0 || !couldRun(spec, left, held, machines)) {
-                couldRunSince.remove(job);
+            int remainingTasks = spec.tasks() - jobs.completedTaskCount(job) - held.tasksOf(job);
+            if (remainingTasks <= 0 || !canStartMoreTasks(spec, remainingTasks, held, machines)) {
+                startableSinceMicros.remove(job);
                 continue;
             }
-            long since = Math.max(
-                    couldRunSince.computeIfAbsent(job, unknown -> environment.nowMicros()),
+            long waitingSinceMicros = Math.max(
+                    startableSinceMicros.computeIfAbsent(job, unknown -> environment.nowMicros()),
                     jobs.lastStartSentMicros(job));
-            if (environment.nowMicros() - since > NEGLECTED_MICROS) {
-                breaches.report(
+            if (environment.nowMicros() - waitingSinceMicros > MAX_WAIT_MICROS) {
+                violations.report(
                         "neglected",
-                        job + " of team " + spec.team() + " waits with " + left
+                        job + " of team " + spec.team() + " waits with " + remainingTasks
                                 + " tasks while a machine has capacity");
             }
         }
     }
 
-    private boolean couldRun(JobSpec spec, int left, HeldTasks held, Collection<SimWorker> machines) {
+    private boolean canStartMoreTasks(
+            JobSpec spec, int remainingTasks, HeldTasks held, Collection<SimWorker> machines) {
         return !jobs.isCancellationRequested(spec.id())
                 && jobs.finalState(spec.id()) == null
-                && withinLimit(spec, held)
-                && (!spec.gang() || wholeGangFits(spec, left, held, machines))
-                && machines.stream().anyMatch(machine -> couldRunOn(machine, spec, held));
+                && isWithinTeamLimit(spec, held)
+                && (!spec.gang() || hasCapacityForGang(spec, remainingTasks, held, machines))
+                && machines.stream().anyMatch(machine -> canStartOn(machine, spec, held));
     }
 
-    private boolean withinLimit(JobSpec spec, HeldTasks held) {
+    private boolean isWithinTeamLimit(JobSpec spec, HeldTasks held) {
         long limit = teams.get(spec.team()).cpuLimitMillis();
         // What starting more of the job takes of the limit, at least.
         long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
-        return limit == 0 || held.cpuOf(spec.team()) + needed <= limit;
+        return limit == 0 || held.cpuMillisOf(spec.team()) + needed <= limit;
     }
 
-    private static boolean couldRunOn(SimWorker machine, JobSpec spec, HeldTasks held) {
+    private static boolean canStartOn(SimWorker machine, JobSpec spec, HeldTasks held) {
         return machine.canStart(spec)
                 && (!spec.oneZone() || Set.of(machine.zone).containsAll(held.zonesOf(spec.id())))
                 && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
     }
 
     /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
-    private static boolean wholeGangFits(JobSpec spec, int left, HeldTasks held, Collection<SimWorker> machines) {
+    private static boolean hasCapacityForGang(
+            JobSpec spec, int remainingTasks, HeldTasks held, Collection<SimWorker> machines) {
         Map<String, Integer> slots = new HashMap<>();
         machines.forEach(
                 machine -> slots.merge(spec.oneZone() ? machine.zone : "any", machine.slots(spec), Integer::sum));
-        return held.tasksOf(spec.id()) == 0 && slots.values().stream().anyMatch(count -> count >= left);
+        return held.tasksOf(spec.id()) == 0 && slots.values().stream().anyMatch(count -> count >= remainingTasks);
     }
 
-    private HeldTasks heldBy(Collection<SimWorker> machines) {
+    private HeldTasks collectHeldTasks(Collection<SimWorker> machines) {
         HeldTasks held = new HeldTasks();
         for (SimWorker machine : machines) {
             machine.attempts().taskCountsByJob().forEach((job, count) -> held.add(jobs.spec(job), machine.zone, count));
@@ -88,32 +90,32 @@
     private static final class HeldTasks {
         private record JobInZone(String job, String zone) {}
 
-        private final Map<String, Integer> tasks = new HashMap<>();
-        private final Map<String, Set<String>> zones = new HashMap<>();
-        private final Map<JobInZone, Integer> tasksInZone = new HashMap<>();
-        private final Map<String, Long> teamCpu = new HashMap<>();
+        private final Map<String, Integer> tasksByJob = new HashMap<>();
+        private final Map<String, Set<String>> zonesByJob = new HashMap<>();
+        private final Map<JobInZone, Integer> tasksByJobAndZone = new HashMap<>();
+        private final Map<String, Long> teamCpuMillis = new HashMap<>();
 
         void add(JobSpec spec, String zone, int count) {
-            tasks.merge(spec.id(), count, Integer::sum);
-            zones.computeIfAbsent(spec.id(), unknown -> new HashSet<>()).add(zone);
-            tasksInZone.merge(new JobInZone(spec.id(), zone), count, Integer::sum);
-            teamCpu.merge(spec.team(), count * spec.cpuMillis(), Long::sum);
+            tasksByJob.merge(spec.id(), count, Integer::sum);
+            zonesByJob.computeIfAbsent(spec.id(), unknown -> new HashSet<>()).add(zone);
+            tasksByJobAndZone.merge(new JobInZone(spec.id(), zone), count, Integer::sum);
+            teamCpuMillis.merge(spec.team(), count * spec.cpuMillis(), Long::sum);
         }
 
         int tasksOf(String job) {
-            return tasks.getOrDefault(job, 0);
+            return tasksByJob.getOrDefault(job, 0);
         }
 
         Set<String> zonesOf(String job) {
-            return zones.getOrDefault(job, Set.of());
+            return zonesByJob.getOrDefault(job, Set.of());
         }
 
         int tasksIn(String job, String zone) {
-            return tasksInZone.getOrDefault(new JobInZone(job, zone), 0);
+            return tasksByJobAndZone.getOrDefault(new JobInZone(job, zone), 0);
         }
 
-        long cpuOf(String team) {
-            return teamCpu.getOrDefault(team, 0L);
+        long cpuMillisOf(String team) {
+            return teamCpuMillis.getOrDefault(team, 0L);
         }
     }
 }
