--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -4,8 +4,8 @@
 import org.granitepath.storage.Priority;
 
 /**
- * A job that is being described: of the team without limits, anywhere on full-price machines and without checkpoints,
- * unless something else is said.
+ * Builds the spec of a job. By default it belongs to the team without limits, runs on on-demand machines in any zone and
+ * has no checkpoints; a batch job has a deadline.
  */
 final class JobBuilder {
     private static final long WORK_CPU_MILLIS = 2_000;
@@ -42,7 +42,7 @@
         return this;
     }
 
-    /** It may use spot machines. */
+    /** Allows spot machines. */
     JobBuilder onSpot() {
         return onSpot(true);
     }
@@ -52,13 +52,13 @@
         return this;
     }
 
-    /** Its tasks are spread over the zones. */
+    /** Sets whether the tasks must be spread over the zones. */
     JobBuilder spread(boolean wanted) {
         spread = wanted;
         return this;
     }
 
-    /** All its tasks run in one zone, whichever. */
+    /** Requires that all tasks run in one zone, whichever it is. */
     JobBuilder inOneZone() {
         return inOneZone(true);
     }
@@ -68,13 +68,13 @@
         return this;
     }
 
-    /** How long a task is expected to run; the deadline follows from it. */
+    /** Sets the expected run time of a task; the deadline is twice this time and 30 s. */
     JobBuilder estimate(long micros) {
         estimateMicros = micros;
         return this;
     }
 
-    /** Its tasks save their progress this often; zero: never. */
+    /** Sets how often tasks save their progress; zero if they never do. */
     JobBuilder checkpointEvery(long micros) {
         checkpointMicros = micros;
         return this;
@@ -85,7 +85,7 @@
         return this;
     }
 
-    /** The description, under an id of its own and with an image that is drawn now. */
+    /** Creates the spec with a new id and a random image. */
     JobSpec build() {
         String id = jobs.nextId();
         return new JobSpec(
@@ -111,7 +111,10 @@
                 deadline ? 2 * estimateMicros + 30 * Simulation.SECOND : JobSpec.NO_DEADLINE);
     }
 
-    /** Some sizes are gangs, unless a zone of this deployment, services beside them, could never hold one whole. */
+    /**
+     * Makes every fifth size of batch jobs a gang, unless it must run in one zone and takes more than half of the zone's
+     * on-demand CPU: beside services, it might never start.
+     */
     private JobSpec.Shape shape() {
         if (service) {
             return JobSpec.Shape.SERVICE;
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -14,7 +14,10 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** The users' rules, checked from what happens on machines and what users are told. Each family is a class. */
+/**
+ * Checks the guarantees to users against the events on machines and the responses to users. Each group of rules has a
+ * class of its own.
+ */
 final class Rules {
     private final SimEnvironment environment;
     private final Consumer<String> onJobCompleted;
@@ -30,7 +33,7 @@
         this(environment, teams, cancellationTimeoutMicros, job -> {});
     }
 
-    /** @param onJobCompleted told of each job whose last task has just completed */
+    /** @param onJobCompleted receives the id of each job whose last task has just completed */
     Rules(
             SimEnvironment environment,
             Map<String, Team> teams,
@@ -47,128 +50,125 @@
         served = new ServedRules(this::reportViolation, jobs);
     }
 
-    /** A rule is broken. */
+    /** Records the violation of a rule. */
     void reportViolation(String rule, String description) {
         violations.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + description);
     }
 
-    /** The breaches so far, in order. */
+    /** Descriptions of the violations so far, in order. */
     List<String> violations() {
         return Collections.unmodifiableList(violations);
     }
 
-    /** Starts anew, for tests that plant one breach after the other. */
+    /** Removes all violations, for tests that provoke one after the other. */
     void clearViolations() {
         violations.clear();
     }
 
-    // ---- what happens ------------------------------------------------------------------------------------------
-
-    /** A user submits the job, maybe once more. */
+    /** Records that a user submits a job, possibly repeatedly. */
     void recordSubmission(JobSpec spec) {
         jobs.recordSubmission(spec);
     }
 
-    /** A job that fits nowhere: nobody may accept it. */
+    /** Records the submission of a job that fits on no machine type, which no controller may accept. */
     void recordUnschedulableSubmission(String job) {
         answers.recordUnschedulableSubmission(job);
     }
 
-    /** A user asks to cancel the job, maybe in vain so far. */
+    /** Records that a user asks to cancel a job, whether or not a controller has received the request. */
     void recordCancellationRequest(String job) {
         jobs.recordCancellationRequest(job);
     }
 
-    /** An answer that a user got, by its time of arrival; asked after every earlier answer had arrived. */
+    /**
+     * Records a response at the time of its arrival at the user. The request must have been sent after every earlier
+     * response about the job had arrived.
+     */
     void recordResponse(String job, JobResponse answer) {
         answers.recordResponse(job, answer);
     }
 
-    /** A controller gives the command to start this task. */
+    /** Records that a controller sends the command to start a task. */
     void recordStartSent(TaskId task) {
         jobs.recordStartSent(task);
         cancellations.recordStartSent(task);
     }
 
-    /** A task is on a machine now. */
+    /** Records that a task has started on a machine. */
     void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
         jobs.recordTaskStarted(task.job());
         placements.recordTaskStarted(task, host, type, zone, spot);
         cancellations.recordTaskStarted(task);
     }
 
-    /** A task is no longer on the machine. */
+    /** Records that a task is no longer on a machine. */
     void recordTaskRemoved(TaskId task, String host) {
         placements.recordTaskRemoved(task, host);
     }
 
-    /** A task has its result. */
+    /** Records that a task has its result. */
     void recordTaskCompleted(TaskId task) {
         if (jobs.recordTaskCompleted(task)) {
             onJobCompleted.accept(task.job());
         }
     }
 
-    // ---- checks ------------------------------------------------------------------------------------------------
-
-    /** After each step: nothing of a cancelled job may be left when its time is over. */
+    /** Checks after each event that no task of a cancelled job runs beyond the cancellation timeout. */
     void check() {
         cancellations.check();
     }
 
-    /** Once troubles are over: see {@link AnswerRules#checkAnswered}. */
+    /** Checks repeatedly after the last fault; see {@link AnswerRules#checkAnswered}. */
     void checkAnswered(long faultsEndMicros) {
         answers.checkAnswered(faultsEndMicros);
     }
 
-    /** Once troubles are over, again and again: see {@link WaitingRules#check}. */
+    /** Checks repeatedly after the last fault; see {@link WaitingRules#check}. */
     void checkNotStarved(Collection<SimWorker> machines) {
         waiting.check(machines);
     }
 
-    /** At the end: see {@link ServedRules#check}. */
+    /** Checks at the end of a run; see {@link ServedRules#check}. */
     void checkServed() {
         served.check();
     }
 
-    // ---- questions of scenarios --------------------------------------------------------------------------------
-
-    /** How many tasks began on machines so far, each attempt counted. */
+    /** How many attempts of tasks have started on machines so far. */
     int startedTaskCount() {
         return placements.startedTaskCount();
     }
 
-    /** How often the task that was started most often was. */
+    /** The highest number of start commands that were sent for one task. */
     int maxStartsPerTask() {
         return jobs.maxStartsPerTask();
     }
 
-    /** Jobs with a task on a machine, that nobody has asked to cancel. */
+    /** Ids of the jobs with a task on a machine that no user has asked to cancel, sorted. */
     List<String> runningJobs() {
         return placements.runningJobs();
     }
 
-    /** Thousandths of CPUs that a team's tasks use. */
+    /** The CPU that the running tasks of a team use, in thousandths of a CPU. */
     long usedCpuMillis(String team) {
         return placements.usedCpuMillis(team);
     }
 
-    /** The machines that hold tasks of a job. */
+    /** Ids of the machines that run tasks of a job. */
     Set<String> hostsOf(String job) {
         return placements.hostsOf(job);
     }
 
-    /** Tasks that are on a machine. */
+    /** How many tasks are on a machine. */
     long runningTaskCount() {
         return placements.tasks().size();
     }
 
-    /** Tasks of services that are on a machine. */
+    /** How many tasks of services are on a machine. */
     long runningReplicaCount() {
         return placements.runningReplicaCount();
     }
 
-    /** Jobs of which users were told that they are cancelled, so far. */
+    /** How many jobs were last reported to users as cancelled. */
     int cancelledJobCount() {
         return jobs.cancelledJobCount();
     }
@@ -177,17 +177,17 @@
         return jobs.isAccepted(job);
     }
 
-    /** From submission to the last task that completed so far. */
+    /** The time from submission to the last task that completed so far; very large if there is none. */
     long finishDelayMicros(String job) {
         return jobs.finishDelayMicros(job);
     }
 
-    /** From submission to the first task's start. */
+    /** The time from submission to the start of the first task; very large if none has started. */
     long startDelayMicros(String job) {
         return jobs.startDelayMicros(job);
     }
 
-    /** The final state that users were told; null while they were told none. */
+    /** The final state that was last reported to users; null if there is none. */
     @Nullable
     JobState finalState(String job) {
         return jobs.finalState(job);
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -17,8 +17,8 @@
 import org.granitepath.storage.Priority;
 
 /**
- * The rules of one team of three CPUs, whose cancelled tasks may go on for ten seconds. Three jobs of two tasks are
- * submitted: one that may run anywhere, one that is spread over zones, and one that stays in a zone.
+ * The rules for one team with a limit of three CPUs and a cancellation timeout of ten seconds. Three jobs of two tasks
+ * are submitted: one that may run anywhere, one that is spread over zones, and one that must run in one zone.
  */
 final class RulesFixture {
     static final String ANYWHERE = "run-1";
@@ -71,32 +71,32 @@
                 JobSpec.NO_DEADLINE);
     }
 
-    /** One more job is submitted now, that may run anywhere. */
+    /** Submits another job that may run anywhere. */
     void submitJob(String id, int tasks) {
         rules.recordSubmission(spec(id, tasks, false, false, RUN_MICROS));
     }
 
-    /** A task is on a full-price machine now. */
+    /** Records that a task has started on an on-demand machine. */
     void startTask(String job, int index, String host, String zone) {
         rules.recordTaskStarted(new TaskId(job, index), host, "m", zone, false);
     }
 
-    /** A user is told this of the job. */
+    /** Delivers a status response about a job to a user. */
     void deliverStatus(String job, JobState state) {
         rules.recordResponse(job, new JobResponse.Status(false, job, state, 0, 0));
     }
 
-    /** Time passes until then, without a check. */
+    /** Advances the simulated time without checks. */
     void runUntil(long micros) {
         environment.run(micros, () -> {});
     }
 
-    /** The same with the rules checked after each event. */
+    /** Advances the simulated time and checks the rules after each event. */
     void runUntilWithChecks(long micros) {
         environment.run(micros, rules::check);
     }
 
-    /** One rule is broken, and its breach begins so. */
+    /** Asserts that there is exactly one violation and that its description begins like this. */
     void assertViolation(String beginning) {
         assertEquals(1, rules.violations().size(), rules.violations().toString());
         assertTrue(
@@ -108,7 +108,7 @@
         assertTrue(rules.violations().isEmpty(), rules.violations().toString());
     }
 
-    /** A machine of four CPUs whose heartbeats are accepted, and on which tasks run for minutes. */
+    /** A worker with four CPUs whose heartbeats are accepted and whose tasks are estimated to run for five minutes. */
     SimWorker worker() {
         return new SimWorker(
                 environment,
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** A stand-in for the cloud. */
+/** A simulated cloud: machines that boot after a while or never, limited capacity, and listings that lag behind. */
 final class SimCloud {
     static final String NAME = "cloud";
     private static final long TIMEOUT_MICROS = 5_000_000;
@@ -24,7 +24,7 @@
         private final String zone;
         private final boolean spot;
         private final long launchedAtMicros;
-        /** What runs there; null until the machine is up. */
+        /** The worker process; null until the machine is up. */
         private @Nullable SimWorker worker;
 
         Machine(String id, MachineType type, CloudPort.LaunchRequest request, long launchedAtMicros) {
@@ -45,7 +45,7 @@
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final TreeMap<Long, List<CloudPort.ListedMachine>> snapshots = new TreeMap<>();
     private final List<String> terminatedWhileBusy = new ArrayList<>();
-    /** How many of the next machines never come up. */
+    /** How many of the next launched machines never come up, beside the random failures. */
     int remainingBootFailures;
 
     private int launchedMachines;
@@ -65,13 +65,13 @@
         recordSnapshot();
     }
 
-    /** Nobody is served. */
+    /** Refuses all requests for a while. */
     void startOutage(long durationMicros) {
         outageActive = true;
         environment.after(durationMicros, () -> outageActive = false);
     }
 
-    /** The machines that are up, by id. */
+    /** The live workers, ordered by machine id. */
     List<SimWorker> workers() {
         return machines.values().stream()
                 .filter(host -> host.worker != null && host.worker.isAlive())
@@ -79,14 +79,14 @@
                 .toList();
     }
 
-    /** The machine with this id; null when it is not up. */
+    /** The live worker on the machine with this id; null if the machine is not up. */
     @Nullable
     SimWorker worker(String id) {
         Machine host = machines.get(id);
         return host == null || host.worker == null || !host.worker.isAlive() ? null : host.worker;
     }
 
-    /** The machines that were terminated with tasks running on them, in order. */
+    /** The ids of the machines that controllers terminated while tasks ran on them, in order. */
     List<String> terminatedWhileBusy() {
         return Collections.unmodifiableList(terminatedWhileBusy);
     }
@@ -126,7 +126,7 @@
         return new CloudPort.LaunchResult(CloudPort.Outcome.OK, ids);
     }
 
-    /** One of thirty never comes up, the others earlier or later than their type promises. */
+    /** One machine in thirty never comes up; the others take 0.1 to 1.5 times the boot time of their type. */
     private Machine launchMachine(CloudPort.LaunchRequest request) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(request.type()))
@@ -168,7 +168,7 @@
         return !outageActive;
     }
 
-    /** What the cloud tells is some seconds old, at times twice as old. */
+    /** Lists machines as of one list lag ago, and of twice the lag in one of four requests. */
     private CloudPort.Listing listAfter(String from) {
         long snapshotMicros =
                 environment.nowMicros() - listLagMicros - (environment.random.nextInt(4) == 0 ? listLagMicros : 0);
@@ -180,7 +180,7 @@
                 false);
     }
 
-    /** The cloud as one node reaches it. */
+    /** The connection of a node to the cloud. */
     CloudPort portFor(String node) {
         return new Port(node);
     }
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -9,9 +9,12 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 
-/** What controllers command, in order, and whether they may: no machine before its own heartbeat, no start twice. */
+/**
+ * Records the commands that controllers send, in order, and reports a command to a machine of which the leader has had
+ * no heartbeat in its term, and a start command that is sent twice for the same attempt.
+ */
 final class SimCommands {
-    /** A start that was sent, arrived or not. */
+    /** A start command that was sent, whether it arrived or not. */
     record Start(long sentMicros, String node, String host, TaskId task) {}
 
     private record HeartbeatInTerm(long term, String host) {}
@@ -30,12 +33,12 @@
         this.rules = rules;
     }
 
-    /** The leader of this term knows what is on the machine. */
+    /** Records that the leader of a term has received the state of a machine. */
     void recordHeartbeat(long term, String host) {
         heartbeats.add(new HeartbeatInTerm(term, host));
     }
 
-    /** @param term the fencing token of the term in which the controller commands */
+    /** @param term the fencing token of the term in which the controller sends the commands */
     void recordCommands(long term, String node, String host, List<WorkerCommand> commands) {
         if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatInTerm(term, host))) {
             rules.reportViolation(
@@ -57,12 +60,12 @@
         }
     }
 
-    /** How many starts this machine was ever sent, arrived or not. */
+    /** How many start commands were sent to this machine, whether they arrived or not. */
     int startCount(String host) {
         return startCountsByHost.getOrDefault(host, 0);
     }
 
-    /** The starts sent from this time on, in order. */
+    /** The start commands that were sent at this time or later, in order. */
     List<Start> startsSince(long micros) {
         return starts.stream().filter(start -> start.sentMicros() >= micros).toList();
     }
--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -4,12 +4,14 @@
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 
-/** How the controllers answer a heartbeat that has reached one of them. */
+/** The controllers as simulated machines reach them. */
 interface SimControllers {
+    /** The names of all controllers, in a fixed order. */
     List<String> nodeNames();
 
+    /** The response of a controller to a heartbeat that has arrived there. */
     HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat);
 
-    /** Whether every task of this job fails, wherever it runs. */
+    /** Whether every task of this job fails on every machine. */
     boolean failsEverywhere(String job);
 }
--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -13,11 +13,14 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 
-/** Simulated time and network. Everything that happens follows from the seed. */
+/**
+ * A discrete-event simulation of time and of the network between hosts, single-threaded. The seed determines every
+ * delay, loss and draw. All times are in microseconds.
+ */
 final class SimEnvironment {
     private record Event(long atMicros, long sequence, Runnable action) {}
 
-    /** What a cut does with packets under way: keeps them for later, or loses them. */
+    /** Whether a partition keeps the packets that are sent during it until it heals, or drops them. */
     enum PartitionMode {
         HOLD,
         DROP
@@ -30,15 +33,16 @@
     private final Map<String, PartitionMode> partitions = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> heldPackets = new HashMap<>();
     private final Set<String> downHosts = new HashSet<>();
-    /** How often each host's process has ended: what one has asked, its successor gets no answer to. */
+    /** How many processes of each host have ended: a process does not receive answers to calls of an earlier one. */
     private final Map<String, Integer> processEnds = new HashMap<>();
-    /** Hosts that stand still while their clocks run on, each with the packets and the timers that wait. */
+    /** Packets that have arrived at each host whose process is paused. */
     private final Map<String, ArrayDeque<Runnable>> packetsOfPausedHosts = new HashMap<>();
 
+    /** Timers that have expired at each host whose process is paused. */
     private final Map<String, ArrayDeque<Runnable>> timersOfPausedHosts = new HashMap<>();
-    /** Share of requests of which a copy arrives once more, much later. */
+    /** Probability that a copy of a request arrives again 0.1 to 60.1 s after it was sent. */
     double duplicateRequestShare;
-    /** Share of packets that are held up for seconds. */
+    /** Probability that a packet is delayed by a further 1 to 10 s. */
     double delayedPacketShare;
 
     private long nowMicros;
@@ -53,12 +57,12 @@
         return nowMicros;
     }
 
-    /** Does this so much later than now. */
+    /** Runs an action after a delay; a negative delay counts as zero. */
     void after(long delayMicros, Runnable action) {
         events.add(new Event(nowMicros + Math.max(0, delayMicros), nextSequence++, action));
     }
 
-    /** Runs until {@code end}; {@code check} after each step. */
+    /** Runs all events up to and including a time, and a check after each of them. */
     void run(long endMicros, Runnable check) {
         while (!events.isEmpty() && events.peek().atMicros <= endMicros) {
             Event event = events.poll();
@@ -73,18 +77,18 @@
         return from + ">" + to;
     }
 
-    /** Both directions. */
+    /** Cuts the connection between two hosts in both directions until {@link #heal}. */
     void partition(String one, String other, PartitionMode mode) {
         partitions.put(link(one, other), mode);
         partitions.put(link(other, one), mode);
     }
 
-    /** One direction only. */
+    /** Drops all packets in one direction until {@link #heal}. */
     void blockOneWay(String from, String to) {
         partitions.put(link(from, to), PartitionMode.DROP);
     }
 
-    /** Packets pass again, those first that were kept. */
+    /** Restores both directions between two hosts and delivers the packets that the partition kept. */
     void heal(String one, String other) {
         for (String direction : List.of(link(one, other), link(other, one))) {
             partitions.remove(direction);
@@ -98,7 +102,7 @@
         }
     }
 
-    /** The host's process ends, or a new one is there. */
+    /** Records that the process of a host has ended, or that a new one has started. */
     void setProcessDown(String host, boolean isDown) {
         if (isDown) {
             downHosts.add(host);
@@ -108,7 +112,7 @@
         }
     }
 
-    /** One packet. It arrives late, once, or not at all. */
+    /** Sends one packet, which arrives once after a random delay, or is lost if the receiver is down or cut off. */
     void send(String from, String to, Runnable packet) {
         PartitionMode partition = partitions.get(link(from, to));
         if (downHosts.contains(to) || partition == PartitionMode.DROP) {
@@ -135,7 +139,7 @@
         }
     }
 
-    /** A timer of a host: while it stands still, timers are due but do not fire. */
+    /** Runs an expired timer of a host, or defers it until the host resumes while its process is paused. */
     void runTimer(String host, Runnable timer) {
         if (timersOfPausedHosts.containsKey(host)) {
             timersOfPausedHosts.get(host).add(timer);
@@ -144,13 +148,16 @@
         }
     }
 
-    /** The host stands still while its clock runs on. */
+    /** Pauses the process of a host while its clock runs on. */
     void pause(String host) {
         packetsOfPausedHosts.putIfAbsent(host, new ArrayDeque<>());
         timersOfPausedHosts.putIfAbsent(host, new ArrayDeque<>());
     }
 
-    /** What has waited comes at once, packets first: no timer has told the host yet how late it is. */
+    /**
+     * Resumes a paused host. Deferred packets arrive before deferred timers, so that the process handles messages
+     * before any timer can show it how late it is.
+     */
     void resume(String host) {
         ArrayDeque<Runnable> packets = packetsOfPausedHosts.remove(host);
         ArrayDeque<Runnable> timers = timersOfPausedHosts.remove(host);
@@ -160,12 +167,12 @@
         }
     }
 
-    /** A request and its answer. {@code then} is told null when nothing came in time. */
+    /** Sends a request and passes its answer, or null after the timeout, to the callback. */
     <T> void call(String from, String to, long timeoutMicros, Supplier<T> serve, Consumer<T> callback) {
         callAsync(from, to, timeoutMicros, answer -> answer.accept(serve.get()), callback);
     }
 
-    /** The same, where the other side answers when it likes. */
+    /** Sends a request that the receiver may answer later; the callback gets null after the timeout. */
     <T> void callAsync(String from, String to, long timeoutMicros, Consumer<Consumer<T>> serve, Consumer<T> callback) {
         PendingCall<T> call = new PendingCall<>(from, callback);
         send(from, to, () -> serve.accept(answer -> send(to, from, () -> call.finish(answer))));
@@ -175,7 +182,10 @@
         after(timeoutMicros, () -> runTimer(from, () -> call.finish(null)));
     }
 
-    /** A request of one process: its answer or its timeout counts, whichever is first, unless the process has ended. */
+    /**
+     * A call of one process. The answer or the timeout completes it, whichever comes first; nothing does once the
+     * process that made the call has ended.
+     */
     private final class PendingCall<T> {
         private final String from;
         private final int endedProcessesAtStart;
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -5,7 +5,7 @@
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.Heartbeat;
 
-/** Troubles of controllers, machines and the network. Those of the store and the cloud are theirs. */
+/** Injects faults of controllers, machines and the network. {@link SimStore} and {@link SimCloud} have their own. */
 final class SimFaults {
     private final Simulation simulation;
 
@@ -13,7 +13,7 @@
         this.simulation = simulation;
     }
 
-    /** A controller that is up ends and comes back after a while. */
+    /** Crashes a controller, if it is up, and boots it again after the given time. */
     void crash(String node, long downMicros) {
         SimNode crashed = simulation.nodes.get(node);
         if (crashed.controller() != null) {
@@ -22,38 +22,38 @@
         }
     }
 
-    /** All controllers end at once; each comes back within the given time. */
+    /** Crashes all controllers at once; each boots again 20 ms to 20 ms plus the given time later. */
     void crashAll(long maxDownMicros) {
         simulation.nodeNames.forEach(
                 name -> crash(name, 20_000 + (long) (simulation.environment.random.nextDouble() * maxDownMicros)));
     }
 
-    /** A controller ends and comes back with the next version, which knows of the next limits. */
+    /** Restarts a controller with the next version, which respects {@link Simulation#upgradedLimits}. */
     void upgrade(String node, long downMicros) {
         simulation.upgradedNodes.add(node);
         crash(node, downMicros);
     }
 
-    /** A controller stands still while its clocks run on. */
+    /** Pauses the process of a controller while its clocks run on. */
     void pause(String node, long durationMicros) {
         simulation.environment.pause(node);
         simulation.environment.after(durationMicros, () -> simulation.environment.resume(node));
     }
 
-    /** Nothing passes between the two, in either direction. */
+    /** Partitions two hosts in both directions. */
     void partition(String one, String other, SimEnvironment.PartitionMode mode, long durationMicros) {
         simulation.environment.partition(one, other, mode);
         simulation.environment.after(durationMicros, () -> simulation.environment.heal(one, other));
     }
 
-    /** A controller loses all machines that are up. */
+    /** Partitions a controller from all machines that are up. */
     void partitionFromWorkers(String node, SimEnvironment.PartitionMode mode, long durationMicros) {
         for (SimWorker worker : simulation.cloud.workers()) {
             partition(node, worker.id, mode, durationMicros);
         }
     }
 
-    /** Its heartbeats arrive, but neither answers nor commands reach it. */
+    /** Drops responses and commands to a machine, whose heartbeats still arrive. */
     void dropMessagesTo(SimWorker worker, long durationMicros) {
         for (String name : simulation.nodeNames) {
             simulation.environment.blockOneWay(name, worker.id);
@@ -61,18 +61,18 @@
         }
     }
 
-    /** Answers and commands reach it, but its heartbeats are lost. */
+    /** Drops the heartbeats of a machine, which still receives commands. */
     void dropHeartbeatsFrom(SimWorker worker, long durationMicros) {
         worker.setHeartbeatsDropped(true);
         simulation.environment.after(durationMicros, () -> worker.setHeartbeatsDropped(false));
     }
 
-    /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
+    /** Delivers a copy of a heartbeat to the leader and drops the response. */
     void deliverHeartbeat(Heartbeat heartbeat) {
         deliverHeartbeat(simulation.leader(), heartbeat);
     }
 
-    /** The same at one controller. */
+    /** Delivers a copy of a heartbeat to one controller, if it is up, and drops the response. */
     void deliverHeartbeat(String node, Heartbeat heartbeat) {
         Controller controller = simulation.controllerAt(node);
         if (controller != null) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Loses the store and the other controllers, but not its workers. */
+    /** Partitions a controller from the store and the other controllers, but not from machines. */
     void partitionFromPeersAndStore(String node, SimEnvironment.PartitionMode mode, long durationMicros) {
         partition(node, SimStore.NAME, mode, durationMicros);
         for (String name : simulation.nodeNames) {
@@ -90,7 +90,10 @@
         }
     }
 
-    /** A zone with its controllers and machines is cut off from everything outside. */
+    /**
+     * Partitions the controllers and machines of a zone from the controllers and machines of other zones, the store and
+     * the cloud. Users get no answers from the controllers of the zone meanwhile.
+     */
     void partitionZone(String zone, SimEnvironment.PartitionMode mode, long durationMicros) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
@@ -110,7 +113,7 @@
         }
     }
 
-    /** A machine loses all controllers. */
+    /** Partitions a machine from all controllers. */
     void partitionMachine(SimWorker worker, SimEnvironment.PartitionMode mode, long durationMicros) {
         for (String name : simulation.nodeNames) {
             partition(name, worker.id, mode, durationMicros);
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -8,20 +8,23 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.storage.JobSpec;
 
-/** What the tasks of gangs know of each other, and how far each gang's work has come. Checkpoints outlive machines. */
+/**
+ * Simulates how the tasks of each gang wait for each other, save their progress together and notice the loss of a task.
+ * Checkpoints are kept when machines are lost. Progress and times are in microseconds.
+ */
 final class SimGangs {
-    /** How long a task waits for the others. */
+    /** How long a task waits for the other tasks of its gang. */
     static final long START_TIMEOUT_MICROS = 12_000_000;
-    /** Within this time the tasks notice that one of them is gone. */
+    /** The tasks of a gang notice within this time that one of them is gone. */
     static final long PEER_LOSS_DETECTION_MICROS = 3_000_000;
 
     private final SimEnvironment environment;
     private final Rules rules;
     private final Set<TaskId> completedTasks;
     private final Map<String, Attempt> attempts = new HashMap<>();
-    /** Progress of each job that is safe. */
+    /** The progress of each job that a checkpoint keeps, by job id. */
     private final Map<String, Long> savedProgressMicros = new HashMap<>();
-    /** How long each job runs in all. */
+    /** The total run time of each job, by job id. */
     private final Map<String, Long> totalRunMicrosByJob = new HashMap<>();
 
     private int startedAttemptCount;
@@ -34,22 +37,22 @@
         this.completedTasks = completedTasks;
     }
 
-    /** How many attempts have started. */
+    /** How many gang attempts have started to run. */
     int startedAttemptCount() {
         return startedAttemptCount;
     }
 
-    /** How many attempts ended by a stop for which all tasks saved their progress. */
+    /** How many gang attempts were stopped after all their tasks had saved their progress. */
     int savedAttemptCount() {
         return savedAttemptCount;
     }
 
-    /** How many tasks waited for the others in vain. */
+    /** How many tasks exited because the other tasks of their gang did not start in time. */
     int startTimeoutCount() {
         return startTimeoutCount;
     }
 
-    /** A task of a gang that has its image, on its machine. */
+    /** A task of a gang attempt that has its image. */
     final class Member {
         private final Attempt attempt;
         private final TaskId task;
@@ -73,23 +76,23 @@
             return stopRequestMicros >= 0;
         }
 
-        /** Why it is to exit, or null. */
+        /** Advances the gang attempt; returns the cause with which this task exits now, or null. */
         ExitCause updateAndGetExitCause() {
             attempt.update();
             return exitCause;
         }
 
-        /** Whether its progress was saved. */
+        /** Whether the progress of the task was saved before it exited. */
         boolean progressSaved() {
             return progressSaved;
         }
 
-        /** It is told to stop with enough time to save. */
+        /** Stops the task, which has enough time to save its progress. */
         void stop() {
             attempt.stop(this);
         }
 
-        /** It is on its machine no longer. */
+        /** Removes the task, which is no longer on its machine, from the gang attempt. */
         void leave() {
             attempt.leave(this);
         }
@@ -162,14 +165,17 @@
             }
         }
 
-        /** Whether a task is gone or its machine hangs, or one was: what the others have noticed is final. */
+        /** Whether a task is gone or its machine hangs. Once this was the case, it stays so. */
         private boolean hasLostTask() {
             return lossDetectedMicros != Long.MAX_VALUE
                     || members.size() < spec.tasks()
                     || members.values().stream().anyMatch(member -> member.machineHangs.getAsBoolean());
         }
 
-        /** The save fails, or the others exit a while after one is gone; what was made since the checkpoint is lost. */
+        /**
+         * Handles the loss of a task: the others exit after up to {@link #PEER_LOSS_DETECTION_MICROS}, a save under way
+         * fails, and the progress since the last checkpoint is lost.
+         */
         private void handleTaskLoss() {
             if (lossDetectedMicros == Long.MAX_VALUE) {
                 long interval = spec.checkpointMicros();
@@ -239,7 +245,7 @@
                         spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros()));
     }
 
-    /** A task has its image and joins the others of its attempt. */
+    /** Adds a task that has its image to a gang attempt; it exits at once if the attempt is no longer forming. */
     Member join(JobSpec spec, TaskId task, long number, BooleanSupplier hangs) {
         Attempt attempt = attempts.computeIfAbsent(spec.id() + "#" + number, unknown -> new Attempt(spec));
         Member member = new Member(attempt, task, hangs);
@@ -250,14 +256,14 @@
         return member;
     }
 
-    /** How many attempts of a job there have been. */
+    /** How many gang attempts of a job there have been. */
     long attemptCount(String job) {
         return attempts.values().stream()
                 .filter(attempt -> attempt.spec.id().equals(job))
                 .count();
     }
 
-    /** Whether all tasks of the job run, as far as they know. */
+    /** Whether a gang attempt of the job is running; its tasks may not have noticed the loss of one yet. */
     boolean isRunning(String job) {
         return attempts.values().stream()
                 .anyMatch(attempt -> attempt.spec.id().equals(job) && attempt.phase == Phase.RUNNING);
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -3,44 +3,44 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.Priority;
 
-/** Descriptions of jobs, each with an id of its own. */
+/** Creates job specs, each with a unique id, with defaults and random draws for the simulation. */
 final class SimJobs {
     private final SimEnvironment environment;
     private final int machinesPerOffer;
     private int lastJobNumber;
 
-    /** @param machinesPerOffer how many machines of each type, zone and kind there are */
+    /** @param machinesPerOffer the capacity of the cloud, in machines per type, zone and price model */
     SimJobs(SimEnvironment environment, int machinesPerOffer) {
         this.environment = environment;
         this.machinesPerOffer = machinesPerOffer;
     }
 
-    /** Work whose tasks are expected to run for so long; for the team without limits, on full-price machines. */
+    /** A builder of a batch job with this estimate per task, for the team without limits, on on-demand machines. */
     JobBuilder batchBuilder(int tasks, long runMicros) {
         return new JobBuilder(this, false, tasks).estimate(runMicros);
     }
 
-    /** A critical service; for the team without limits, on full-price machines. */
+    /** A builder of a critical service, for the team without limits, on on-demand machines. */
     JobBuilder serviceBuilder(int count) {
         return new JobBuilder(this, true, count);
     }
 
-    /** Work that may use spot machines and do without checkpoints, of a team without limits. */
+    /** A batch job of the team without limits that may use spot machines and has no checkpoints. */
     JobSpec batch(int tasks, long runMicros) {
         return batchBuilder(tasks, runMicros).onSpot().build();
     }
 
-    /** The same, all in one zone. */
+    /** A job like {@link #batch} whose tasks must all run in one zone. */
     JobSpec oneZoneBatch(int tasks, long runMicros) {
         return batchBuilder(tasks, runMicros).onSpot().inOneZone().build();
     }
 
-    /** The same as {@link #batch}, of the team that has a limit. */
+    /** A job like {@link #batch} of the team with a CPU limit. */
     JobSpec limitedBatch(int tasks, long runMicros) {
         return batchBuilder(tasks, runMicros).onSpot().team("tight").build();
     }
 
-    /** A service whose replicas are spread over the zones, on full-price machines. */
+    /** A service whose replicas are spread over the zones, on on-demand machines. */
     JobSpec service(int replicas) {
         return serviceBuilder(replicas).spread(true).build();
     }
@@ -49,22 +49,22 @@
         return String.format("run-%06d", ++lastJobNumber);
     }
 
-    /** One of three images, at random. */
+    /** One of three images, drawn at random. */
     String randomImage() {
         return "img-" + environment.random.nextInt(3);
     }
 
-    /** What all full-price machines of a zone have. */
+    /** The CPU of all on-demand machines that a zone can have, in thousandths of a CPU. */
     long onDemandCpuMillisPerZone() {
         return machinesPerOffer * (4_000L + 16_000);
     }
 
-    /** Another job like this one, of so many tasks that take so little. */
+    /** A copy of a job with a new id and other numbers of tasks and CPU, and 0.1 units of memory per task. */
     JobSpec withCpu(JobSpec like, int tasks, long cpuMillis) {
         return copy(like, nextId(), like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
     }
 
-    /** The same job, without a deadline. */
+    /** The same job without a deadline. */
     JobSpec withoutDeadline(JobSpec like) {
         return copy(
                 like,
@@ -76,7 +76,7 @@
                 JobSpec.NO_DEADLINE);
     }
 
-    /** The same job, of another class. */
+    /** The same job with another class. */
     JobSpec withJobClass(JobSpec like, String jobClass) {
         return copy(
                 like, like.id(), jobClass, like.tasks(), like.cpuMillis(), like.memoryMillis(), like.deadlineMicros());
@@ -113,7 +113,10 @@
                 deadlineMicros);
     }
 
-    /** A service or other work, of drawn size, place and length. The order of the draws is part of every scenario. */
+    /**
+     * A service or batch job with random size, constraints and estimate. The order of the draws must not change, because
+     * the events of every scenario depend on it.
+     */
     JobSpec randomJob() {
         boolean service = environment.random.nextInt(3) == 0;
         return new JobBuilder(this, service, 1 + environment.random.nextInt(service ? 5 : 12))
--- a/src/test/java/org/granitepath/simulation/SimLeases.java
+++ b/src/test/java/org/granitepath/simulation/SimLeases.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The leases of the store. */
+/** The leases of the simulated store. Ids are counted up from one; all times are in microseconds. */
 final class SimLeases {
     private final Map<Long, Long> expiryMicros = new HashMap<>();
     private final Map<Long, Long> durationMicros = new HashMap<>();
@@ -29,7 +29,7 @@
         expiryMicros.replaceAll((lease, end) -> now + durationMicros.get(lease));
     }
 
-    /** Those whose time is over, in order: they are leases no longer. */
+    /** Removes the leases that have expired and returns their ids in ascending order. */
     List<Long> removeExpired(long now) {
         List<Long> expired = expiryMicros.entrySet().stream()
                 .filter(entry -> entry.getValue() < now)
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -5,19 +5,19 @@
 import org.granitepath.storage.Timers;
 import org.jspecify.annotations.Nullable;
 
-/** Where one controller runs, one process after the other, with a clock that drifts and a time of day that is off. */
+/** The host of one controller, with successive processes, a drifting monotonic clock and an offset wall clock. */
 final class SimNode {
     private final SimEnvironment environment;
     private final String name;
     private final Function<SimNode, Controller> controllerFactory;
     private final double clockRate;
     private final long clockOffsetMicros;
-    /** Counts starts and ends, so that a process can tell whether it is the present one. */
+    /** Counts boots and crashes, so that timers of an earlier process can be recognized. */
     private int processGeneration;
 
     private @Nullable Controller controller;
 
-    /** @param controllerFactory makes the controller of a process that starts */
+    /** @param controllerFactory creates the controller when a process starts */
     SimNode(SimEnvironment environment, String name, Function<SimNode, Controller> controllerFactory) {
         this.environment = environment;
         this.name = name;
@@ -30,18 +30,18 @@
         return name;
     }
 
-    /** The name of the present process, which no other one has. */
+    /** The unique name of the current process. */
     String incarnation() {
         return name + "-" + processGeneration;
     }
 
-    /** The controller of the present process; null while the node is down. */
+    /** The controller of the current process; null while the node is down. */
     @Nullable
     Controller controller() {
         return controller;
     }
 
-    /** Whether the node is up and takes itself for the leader. */
+    /** Whether the node is up and its controller considers itself the leader. */
     boolean isLeader() {
         return controller != null && controller.isLeader();
     }
@@ -60,7 +60,7 @@
         environment.setProcessDown(name, true);
     }
 
-    /** The clocks and timers of the present process: what it has asked for ends with it. */
+    /** The clocks and timers of the current process; its timers do not fire after it has ended. */
     Timers timers() {
         return new ProcessTimers(processGeneration);
     }
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.coordination.ports.WorkerPort;
 
-/** How controllers reach one another and the machines. */
+/** The simulated connections of controllers to each other and to machines. */
 final class SimPorts {
     private final Simulation simulation;
 
@@ -17,17 +17,17 @@
         this.simulation = simulation;
     }
 
-    /** How this controller reaches the others. */
+    /** The connection of a controller to its peers. */
     PeerPort peerPort(String node) {
         return new PeerCalls(node);
     }
 
-    /** How this controller calls machines. */
+    /** The connection of a controller to machines. */
     WorkerPort workerPort(String node) {
         return new DirectCalls(node);
     }
 
-    /** Calls of one controller to others. */
+    /** Calls from one controller to its peers. */
     private final class PeerCalls implements PeerPort {
         private final String node;
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Calls of one controller to machines. */
+    /** Calls from one controller to machines. */
     private final class DirectCalls implements WorkerPort {
         private final String node;
         private int callsInFlight;
@@ -111,7 +111,7 @@
                     });
         }
 
-        /** A hanging machine carries commands out when it goes on. */
+        /** Serves a call, or retries every 0.3 s while the machine hangs; a machine that is gone does not answer. */
         private void serveWhenResponsive(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
             SimWorker worker = simulation.cloud.worker(address);
             if (worker == null) {
--- a/src/test/java/org/granitepath/simulation/SimRateLimiter.java
+++ b/src/test/java/org/granitepath/simulation/SimRateLimiter.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-/** What the store admits: requests and changes a second, with bursts of one second's worth. */
+/** Limits requests and changes per second with token buckets that allow bursts of one second. */
 final class SimRateLimiter {
     private final double requestsPerSecond;
     private double writesPerSecond;
@@ -19,7 +19,7 @@
         writesPerSecond = nextPerSecond;
     }
 
-    /** Whether a request with so many changes is admitted now; if so, it counts. */
+    /** Takes the tokens of a request with this many changes; returns false and takes none if there are too few. */
     boolean tryAcquire(long now, int changes) {
         double elapsedSeconds = (now - lastRefillMicros) / 1e6;
         lastRefillMicros = now;
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.KeyValueStore.Transaction;
 import org.granitepath.storage.Keys;
 
-/** A stand-in for the store: what it serves and refuses, its limits, its troubles, and counts of what was asked. */
+/** A simulated key-value store with rate and size limits, injected faults, and counters of its requests. */
 final class SimStore {
     static final String NAME = "state";
     private static final long EXPIRY_INTERVAL_MICROS = 50_000;
@@ -29,7 +29,7 @@
     private TransactionLimits limits;
     private boolean outageActive;
 
-    /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
+    /** Probability that a transaction gets no answer and is applied 2 to 12 s later, after newer ones. */
     double lateCommitShare;
 
     private int lateCommitCount;
@@ -53,20 +53,18 @@
         environment.after(EXPIRY_INTERVAL_MICROS, this::expireLeases);
     }
 
-    /** The store as one node reaches it. */
+    /** The connection of a node to this store. */
     KeyValueStore portFor(String node) {
         return new SimStorePort(environment, this, node);
     }
 
-    // ---- troubles ----------------------------------------------------------------------------------------------
-
-    /** The limits change without notice; what is stored stays readable. */
+    /** Lowers the limits without notice; stored values that exceed them stay readable. */
     void lowerLimits(StoreLimits next) {
         limits = new TransactionLimits(next.transactionChanges(), next.valueBytes());
         rates.setWritesPerSecond(next.writesPerSecond());
     }
 
-    /** Nobody is served, and no lease ends meanwhile. */
+    /** Refuses all requests for a while. Leases do not expire meanwhile and are renewed at the end. */
     void startOutage(long durationMicros) {
         setOutage(true);
         environment.after(durationMicros, () -> setOutage(false));
@@ -80,7 +78,7 @@
         watches.notifyWatches();
     }
 
-    /** This node alone is not served. */
+    /** Refuses all requests of one node for a while. */
     void refuseRequestsOf(String node, long durationMicros) {
         refusedNodes.add(node);
         watches.notifyWatches();
@@ -90,79 +88,75 @@
         });
     }
 
-    /** This node's transactions are refused, while all else of it is served. */
+    /** Refuses the transactions of one node for a while and serves its other requests. */
     void refuseWritesOf(String node, long durationMicros) {
         readOnlyNodes.add(node);
         environment.after(durationMicros, () -> readOnlyNodes.remove(node));
     }
 
-    /** This node's reads get no answer, while all else does. */
+    /** Leaves the follow requests of one node unanswered for a while and serves its other requests. */
     void dropReadsOf(String node, long durationMicros) {
         nodesWithoutReads.add(node);
         environment.after(durationMicros, () -> nodesWithoutReads.remove(node));
     }
 
-    /** Someone else writes this value. */
+    /** Writes a value as a client other than the controllers. */
     void writeExternally(String key, String json) {
         keys.writeExternally(key, json);
         watches.notifyWatches();
     }
 
-    // ---- questions of scenarios --------------------------------------------------------------------------------
-
-    /** Whether the value is still the one that was planted. */
+    /** Whether the value of the key is exactly this JSON text. */
     boolean hasValue(String key, String json) {
         return keys.hasValue(key, json);
     }
 
-    /** Changes of a key so far. */
+    /** How many changes transactions have made to a key so far. */
     int writeCount(String key) {
         return keys.writeCount(key);
     }
 
-    /** The largest value that is stored. */
+    /** The length of the largest stored value in characters; 0 if there is none. */
     int largestValueLength() {
         return keys.largestValueLength();
     }
 
-    /** Transactions that changed something although they were carried out late. */
+    /** How many late transactions (see {@link #lateCommitShare}) were applied successfully. */
     int lateCommitCount() {
         return lateCommitCount;
     }
 
-    /** Transactions over a limit. */
+    /** How many transactions exceeded a size limit. */
     int oversizedTransactionCount() {
         return oversizedTransactionCount;
     }
 
-    /** Acceptances that would hold whoever the leader is by then. */
+    /** How many transactions wrote a job without a precondition on the leader key, which fences former leaders. */
     int unfencedAcceptanceCount() {
         return unfencedAcceptanceCount;
     }
 
-    /** Requests to follow changes, long polls included, whether they arrived or not. */
+    /** How many follow requests were sent, long polls included, whether they arrived or not. */
     int followRequestCount() {
         return followRequestCount;
     }
 
-    /** All requests that arrived. */
+    /** How many requests have arrived, except the follow requests that {@link #dropReadsOf} leaves unanswered. */
     int requestCount() {
         return requestCount;
     }
 
-    /** Requests that were refused because they came too fast. */
+    /** How many requests were refused because they exceeded the rate limits. */
     int rateLimitedRequestCount() {
         return rateLimitedRequestCount;
     }
 
-    /** Changes made so far. */
+    /** How many changes transactions have made so far. */
     int changeCount() {
         return changeCount;
     }
 
-    // ---- requests of nodes -------------------------------------------------------------------------------------
-
-    /** A request to read is sent, whether it arrives or not. */
+    /** Counts a follow request when it is sent, whether it arrives or not. */
     void countFollowRequest() {
         followRequestCount++;
     }
@@ -213,7 +207,7 @@
         return new Page(Outcome.REFUSED, List.of(), false, 0);
     }
 
-    /** Whether this request is not carried out: the store is away, or asked for too much. */
+    /** Counts the request. Returns whether it is refused because of its rate, an outage or a fault of this node. */
     private boolean refuseIfUnavailable(String node, int changes) {
         requestCount++;
         boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
@@ -221,8 +215,6 @@
         return tooFast || outageActive || refusedNodes.contains(node);
     }
 
-    // ---- transactions and leases -------------------------------------------------------------------------------
-
     private void commitLate(Transaction transaction) {
         if (!outageActive && commit(transaction).outcome() == Outcome.OK) {
             lateCommitCount++;
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -9,14 +9,14 @@
 import org.granitepath.storage.KeyValueStore;
 import org.jspecify.annotations.Nullable;
 
-/** The keys of the simulated store and its latest changes. Values are kept as JSON text, as they go over the wire. */
+/** The keys of the simulated store and its latest changes. Values are kept as JSON text, as on the wire. */
 final class SimStoreKeys {
     private static final int MAX_LOGGED_CHANGES = 400;
     private static final int MAX_PAGE_SIZE = 20;
 
     private record StoredValue(String json, long revision, long lease) {}
 
-    /** @param json the new value; null when the key was removed */
+    /** @param json the new value; null if the key was removed */
     private record LoggedChange(String key, @Nullable String json, long revision) {}
 
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
@@ -24,23 +24,23 @@
     private final Map<String, Integer> writesByKey = new HashMap<>();
     private long revision;
 
-    /** The revision of the whole store. */
+    /** The revision of the latest change of the store. */
     long revision() {
         return revision;
     }
 
-    /** The revision of the key's last change; zero when it does not exist. */
+    /** The revision of the latest change of a key; zero if the key does not exist. */
     long revisionOf(String key) {
         StoredValue stored = values.get(key);
         return stored == null ? 0 : stored.revision();
     }
 
-    /** How often transactions have changed this key. */
+    /** How many changes transactions have made to a key so far. */
     int writeCount(String key) {
         return writesByKey.getOrDefault(key, 0);
     }
 
-    /** The size of the largest value, in characters. */
+    /** The length of the largest value in characters; 0 if there is none. */
     int largestValueLength() {
         return values.values().stream()
                 .mapToInt(stored -> stored.json().length())
@@ -52,13 +52,13 @@
         return values.containsKey(key) && values.get(key).json().equals(json);
     }
 
-    /** Someone else writes this value. */
+    /** Writes a value as a client other than the controllers, under a revision of its own. */
     void writeExternally(String key, String json) {
         revision++;
         write(key, json, 0);
     }
 
-    /** The changes of one transaction, under one revision. */
+    /** Applies the changes of one transaction under one revision. */
     void apply(List<KeyValueStore.Change> changes) {
         revision++;
         for (KeyValueStore.Change change : changes) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A lease is over: its keys go away, each under a revision of its own. */
+    /** Removes the keys of an expired lease, each under a revision of its own. */
     void removeKeysOfLease(long lease) {
         List<String> expiredKeys = values.entrySet().stream()
                 .filter(entry -> entry.getValue().lease() == lease)
@@ -93,7 +93,11 @@
         log.add(new LoggedChange(key, null, revision));
     }
 
-    /** The keys with this prefix, in their order, after {@code from}, or from the first one when that is empty. */
+    /**
+     * The keys with this prefix in ascending order, at most 20 a page.
+     *
+     * @param from the key after which the page begins; empty for the first page
+     */
     KeyValueStore.Page list(String prefix, String from, int limit) {
         List<KeyValueStore.Item> items = new ArrayList<>();
         boolean first = from.isEmpty();
@@ -110,7 +114,7 @@
         return page(items, false);
     }
 
-    /** The changes of keys with this prefix after a revision; {@code GONE} when not all of them are kept any more. */
+    /** The changes of keys with a prefix after a revision; {@code GONE} if some of them are no longer kept. */
     KeyValueStore.Page changes(String prefix, long from) {
         if (log.size() > MAX_LOGGED_CHANGES) {
             log.subList(0, log.size() - MAX_LOGGED_CHANGES).clear();
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import org.granitepath.storage.KeyValueStore;
 
-/** The simulated store as one controller reaches it: over links that delay, lose and cut. */
+/** The connection of one controller to the simulated store, over the simulated network. */
 final class SimStorePort implements KeyValueStore {
     private static final long TIMEOUT_MICROS = 2_000_000;
     private static final Committed UNKNOWN_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.MachineType;
 
-/** The attempts that a stand-in worker knows, exited ones included, and the capacity that they leave. */
+/** The task attempts on a simulated machine, exited ones included, and the capacity that they leave. */
 final class SimTaskAttempts {
     /** One attempt of a task. */
     static final class TaskAttempt {
@@ -23,7 +23,7 @@
         ExitCause cause = ExitCause.NONE;
         boolean progressSaved;
         long stateEndMicros;
-        /** Of a gang, once it has its image. */
+        /** The membership in a gang attempt; null unless the job is a gang and the image has been fetched. */
         SimGangs.Member gangMember;
 
         TaskAttempt(TaskId task, long attempt) {
@@ -43,12 +43,12 @@
         this.jobs = jobs;
     }
 
-    /** All attempts, in the order in which they came. */
+    /** All attempts, in order of arrival. */
     Collection<TaskAttempt> all() {
         return attempts.values();
     }
 
-    /** The attempt; null when it is not known here. */
+    /** An attempt of a task; null if the machine does not know it. */
     TaskAttempt get(TaskId task, long attempt) {
         return attempts.get(new Key(task, attempt));
     }
@@ -65,7 +65,7 @@
         attempts.clear();
     }
 
-    /** What a heartbeat tells of them. */
+    /** The statuses of all attempts for a heartbeat. */
     List<TaskStatus> statuses() {
         return attempts.values().stream()
                 .map(attempt -> new TaskStatus(
@@ -80,7 +80,10 @@
                 .toList();
     }
 
-    /** An attempt that no present controller knows of runs here. The rules are not told: nobody may start it. */
+    /**
+     * Adds a running attempt that no current controller knows. It is not reported to the rules, because no controller
+     * may start it.
+     */
     void addUnknown(TaskId task, long number) {
         TaskAttempt attempt = new TaskAttempt(task, number);
         attempt.state = TaskState.RUNNING;
@@ -88,19 +91,19 @@
         add(attempt);
     }
 
-    /** Whether any task runs. */
+    /** Whether any task is running. */
     boolean hasRunningTask() {
         return attempts.values().stream().anyMatch(attempt -> attempt.state == TaskState.RUNNING);
     }
 
-    /** Whether another attempt of the same task is here. */
+    /** Whether another attempt of the same task is on the machine and has not exited. */
     boolean hasOtherAttempt(TaskAttempt attempt) {
         return attempts.values().stream()
                 .anyMatch(other ->
                         other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
     }
 
-    /** Why a start is refused; {@code NONE}: it is not. */
+    /** Why the machine refuses to start an attempt, {@code NONE} if it does not; the spec of an unknown job is null. */
     ExitCause refusalCause(JobSpec spec, TaskAttempt attempt) {
         if (spec == null || attempt.task.index() >= spec.tasks()) {
             return ExitCause.UNKNOWN_JOB;
@@ -110,7 +113,7 @@
                 : hasCapacityFor(spec, attempt) ? ExitCause.NONE : ExitCause.INSUFFICIENT_CAPACITY;
     }
 
-    /** Tasks that are here or on their way, by job. */
+    /** How many tasks of each job are on the machine and have not exited, by job id. */
     Map<String, Integer> taskCountsByJob() {
         Map<String, Integer> held = new HashMap<>();
         attempts.values().stream()
@@ -119,12 +122,12 @@
         return held;
     }
 
-    /** Whether such a task fits beside all that is here, {@code itself} aside. */
+    /** Whether a task of a job fits beside all attempts that have not exited, apart from one. */
     boolean hasCapacityFor(JobSpec spec, TaskAttempt excluded) {
         return slots(spec, excluded) > 0;
     }
 
-    /** How many such tasks fit beside all that is here. */
+    /** How many tasks of a job fit beside all attempts that have not exited. */
     int slots(JobSpec spec) {
         return slots(spec, null);
     }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -11,9 +11,9 @@
 import org.granitepath.simulation.SimTaskAttempts.TaskAttempt;
 import org.granitepath.storage.JobSpec;
 
-/** Runs the tasks of one simulated machine: fetches images, starts, saves and ends tasks, and tells the rules. */
+/** Runs the tasks of one simulated machine, from image fetch to exit, and reports starts and ends to the rules. */
 final class SimTaskRunner {
-    /** A task on a faulty machine, or of a broken job, fails after so long. */
+    /** How long a task runs before it fails, on a faulty machine or if its job fails everywhere. */
     private static final long FAILURE_DELAY_MICROS = 200_000;
 
     private final SimEnvironment environment;
@@ -30,8 +30,8 @@
     private int failedTaskCount;
 
     /**
-     * @param completedTasks tasks that have their result, on whichever machine
-     * @param failsEverywhere whether every task of a job fails
+     * @param completedTasks the tasks that have a result, shared by all machines
+     * @param failsEverywhere whether every task of a job fails, by job id
      */
     SimTaskRunner(
             SimEnvironment environment,
@@ -51,12 +51,12 @@
         this.attempts = new SimTaskAttempts(worker.type, jobs);
     }
 
-    /** What is on the machine, exited attempts included. */
+    /** The task attempts on this machine, exited ones included. */
     SimTaskAttempts attempts() {
         return attempts;
     }
 
-    /** From now on every task fails here. */
+    /** Makes tasks fail on this machine from now on. */
     void becomeFaulty() {
         faulty = true;
     }
@@ -65,12 +65,12 @@
         return faulty;
     }
 
-    /** How many tasks have failed here. */
+    /** How many tasks have failed on this machine. */
     int failedTaskCount() {
         return failedTaskCount;
     }
 
-    /** Whether a task has changed its state since {@link #clearChanged}. */
+    /** Whether a task has changed state since {@link #clearChanged}. */
     boolean hasChanged() {
         return changed;
     }
@@ -79,7 +79,7 @@
         changed = false;
     }
 
-    /** Each task does what is due now. */
+    /** Performs the state changes of tasks that are due. */
     void advance() {
         for (TaskAttempt attempt : attempts.all()) {
             if (attempt.gangMember != null) {
@@ -101,7 +101,7 @@
         attempt.progressSaved = saving;
     }
 
-    /** The image is here: the task runs, or waits for the others of its gang. */
+    /** Starts a task whose image has been fetched, or lets it wait for the other tasks of its gang. */
     private void onImageFetched(TaskAttempt attempt) {
         JobSpec spec = jobs.apply(attempt.task.job());
         cachedImages.add(spec.image());
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Half of what was estimated to half as much again; nothing is left to do where the result is there already. */
+    /** The run time: 0.5 to 1.5 times the estimate, or zero if the task already has its result. */
     private long runTimeMicros(TaskAttempt attempt, JobSpec spec) {
         return completedTasks.contains(attempt.task)
                 ? 0
@@ -146,7 +146,7 @@
         attempt.state = state;
     }
 
-    /** All tasks whose jobs fit are over, each for this reason. */
+    /** Ends all tasks whose jobs match, with the given cause. */
     void end(Predicate<JobSpec> which, ExitCause cause) {
         attempts.active().stream()
                 .filter(attempt -> which.test(jobs.apply(attempt.task.job())))
@@ -164,13 +164,13 @@
         changed = true;
     }
 
-    /** All tasks are gone without a word. */
+    /** Removes all attempts, exited ones included, without reporting their exit. */
     void killAll() {
         attempts.all().forEach(this::removeFromMachine);
         attempts.clear();
     }
 
-    /** A task that is on the machine is so no longer. */
+    /** Records that a task no longer runs on this machine and removes it from its gang. */
     private void removeFromMachine(TaskAttempt attempt) {
         if (attempt.state == TaskState.WAITING
                 || attempt.state == TaskState.RUNNING
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -13,18 +13,18 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** Users who submit jobs, ask for them until they are over, and call some off. */
+/** Simulated users, who submit jobs, poll their status, retry, and cancel some of them. */
 final class SimUsers {
     private static final long TIMEOUT_MICROS = 5 * Simulation.SECOND;
 
-    /** What a user asks of a controller, and where the answer goes. */
+    /** A request of a user to a controller. */
     private interface JobRequest {
         void send(Controller controller, Consumer<JobResponse> then);
     }
 
     private final Simulation simulation;
     private final Map<String, JobSpec> specs = new LinkedHashMap<>();
-    /** Jobs for which a question is under way. */
+    /** Ids of the jobs for which a request is under way. */
     private final Set<String> jobsWithRequestInFlight = new HashSet<>();
 
     private int unschedulableRejectionCount;
@@ -34,23 +34,28 @@
         this.simulation = simulation;
     }
 
-    /** The description of this job, or null when nobody has made one known. */
+    /** The spec of a job; null if it is unknown. */
     @Nullable
     JobSpec specOf(String job) {
         return specs.get(job);
     }
 
-    /** How often a job that can never run was refused as such. */
+    /** How many jobs that can never run were rejected as unschedulable. */
     int unschedulableRejectionCount() {
         return unschedulableRejectionCount;
     }
 
-    /** How often users were told that a job is done. */
+    /** How many responses reported a job as done. */
     int doneResponseCount() {
         return doneResponseCount;
     }
 
-    /** Users cancel so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
+    /**
+     * Cancels this many running jobs, each within 0.2 s, and lets up to eight of their machines hang for a while.
+     *
+     * @param hangMicros how long the machines hang; zero if they do not
+     * @return the ids of the jobs
+     */
     List<String> cancelRunning(int count, long hangMicros) {
         List<String> chosen =
                 simulation.rules.runningJobs().stream().limit(count).toList();
@@ -67,7 +72,10 @@
         return chosen;
     }
 
-    /** Users repeat submissions, cancel what is done, and send jobs that can never run. */
+    /**
+     * Every 0.7 s, takes a random known job, submits it again if it was accepted and cancels it if it is done; also
+     * submits a job that can never run.
+     */
     void sendUnusualRequests(long durationMicros) {
         for (long at = 0; at < durationMicros; at += 700_000) {
             simulation.environment.after(at, () -> {
@@ -91,7 +99,7 @@
         }
     }
 
-    /** Each task takes more than the largest machine has. */
+    /** Submits a job whose tasks each take more CPU than the largest machine has. */
     private void submitUnschedulable() {
         JobSpec like = simulation.jobs.batch(3, Simulation.SECOND);
         JobSpec spec = simulation.jobs.withCpu(like, 3, 90_000);
@@ -102,17 +110,17 @@
                 answer -> unschedulableRejectionCount += answer instanceof JobResponse.Unschedulable ? 1 : 0);
     }
 
-    /** Workers find the description of this job, although no user has submitted it to a controller. */
+    /** Makes the spec of a job known to workers, although no user has submitted it to a controller. */
     void addSpec(JobSpec spec) {
         specs.put(spec.id(), spec);
     }
 
-    /** A user submits and polls to the end. */
+    /** Submits a job, retries until a controller accepts or rejects it, and polls its status. */
     void submit(JobSpec spec) {
         submit(spec, -1);
     }
 
-    /** A user submits, polls to the end and may cancel after a while (negative: never). */
+    /** Submits and polls a job, and cancels it this long after its acceptance; never if the delay is negative. */
     void submit(JobSpec spec, long cancelAfterMicros) {
         specs.put(spec.id(), spec);
         simulation.rules.recordSubmission(spec);
@@ -128,7 +136,7 @@
         });
     }
 
-    /** The same at one controller alone, until it accepts. */
+    /** Submits a job to one controller only, retries until it accepts, and polls the status of the job. */
     void submitAt(String node, JobSpec spec) {
         specs.put(spec.id(), spec);
         simulation.rules.recordSubmission(spec);
@@ -152,12 +160,12 @@
                 }));
     }
 
-    /** A user calls the job off, at any controller until one has confirmed it. */
+    /** Cancels a job at a random controller; retries until a controller has confirmed the cancellation. */
     void cancel(String id) {
         cancelAt(simulation.randomNode(), id);
     }
 
-    /** The same at one controller first. */
+    /** Cancels a job at one controller first; retries at random controllers until one has confirmed it. */
     void cancelAt(String node, String id) {
         simulation.rules.recordCancellationRequest(id);
         requestAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
@@ -173,7 +181,7 @@
 
     private void requestAt(String node, String id, JobRequest request, Consumer<JobResponse> then) {
         String user = "user-" + id;
-        // Answers are compared only when the question was put after the earlier answer: so one question at a time.
+        // The rules compare a response only with responses that arrived before the request, so requests do not overlap.
         if (jobsWithRequestInFlight.contains(id)) {
             simulation.environment.after(200_000, () -> requestAt(node, id, request, then));
             return;
@@ -198,13 +206,13 @@
                 });
     }
 
-    /** A user asks for a job that nobody has submitted. */
+    /** Polls the status of a job that nobody has submitted. */
     void pollUnknownJob() {
         String id = "run-999" + simulation.environment.random.nextInt(1000);
         request(id, (controller, then) -> controller.poll(id, then), answer -> {});
     }
 
-    /** Accepted jobs, services aside, of which no user was told the end. */
+    /** Ids of the accepted jobs other than services for which no response reported a final state. */
     List<String> unfinishedBatchJobs() {
         List<String> list = new ArrayList<>();
         for (JobSpec spec : specs.values()) {
--- a/src/test/java/org/granitepath/simulation/SimWatches.java
+++ b/src/test/java/org/granitepath/simulation/SimWatches.java
@@ -29,7 +29,7 @@
         this.keys = keys;
     }
 
-    /** Answers with the changes after a revision as soon as there are some, or with none when the wait is over. */
+    /** Answers with the changes after a revision as soon as there are some, or with none after the wait. */
     void follow(String prefix, long fromRevision, long waitMicros, Consumer<KeyValueStore.Page> callback) {
         Watch watch = new Watch(prefix, fromRevision, callback);
         watches.add(watch);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Keys have changed: who waits for them is answered. */
+    /** Answers the long polls for which there are changes by now. */
     void notifyWatches() {
         for (Watch watch : List.copyOf(watches)) {
             answer(watch, false);
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -15,15 +15,15 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** A stand-in for a machine's worker, as the protocol describes it: heartbeats, leases and agent epochs. */
+/** A simulated worker on one machine that follows the protocol of heartbeats, leases and agent epochs. */
 final class SimWorker {
-    /** What the cloud has said of the machine. */
+    /** The description of the machine by the cloud. */
     record MachineFacts(String id, MachineType type, String zone, boolean spot) {}
 
-    /** How often it sends a heartbeat, and how long its tasks outlive the last answer. */
+    /** The heartbeat interval, and how long tasks may run after the last accepted heartbeat was sent. */
     record Timing(long heartbeatIntervalMicros, long leaseMicros) {}
 
-    /** A worker looks at its tasks this many times between two heartbeats. */
+    /** How many times a worker advances its tasks per heartbeat interval. */
     private static final int TICKS_PER_HEARTBEAT = 10;
 
     private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
@@ -42,11 +42,11 @@
     private long fencingToken;
     private long leaseStartMicros;
     private long nextHeartbeatMicros;
-    /** The controller to which heartbeats go, by its place in the list of their names. */
+    /** The index of the controller that receives the heartbeats, in the list of controller names. */
     private int controllerIndex;
 
     private boolean awaitingResponse;
-    /** Something beside the tasks has changed since the last heartbeat. */
+    /** Whether the state of the worker, apart from its tasks, has changed since the last heartbeat. */
     private boolean changed;
 
     private boolean dead;
@@ -80,20 +80,18 @@
         tick();
     }
 
-    // ---- what is asked of it by scenarios and rules ------------------------------------------------------------
-
-    /** The heartbeat that it sent last; null before the first one. */
+    /** The heartbeat that was sent last; null before the first one. */
     @Nullable
     Heartbeat lastHeartbeat() {
         return lastHeartbeat;
     }
 
-    /** What is on the machine, exited attempts included. */
+    /** The task attempts on this machine, exited ones included. */
     SimTaskAttempts attempts() {
         return tasks.attempts();
     }
 
-    /** How many tasks have failed here. */
+    /** How many tasks have failed on this machine. */
     int failedTaskCount() {
         return tasks.failedTaskCount();
     }
@@ -106,12 +104,12 @@
         return hanging;
     }
 
-    /** How many such tasks fit here now, and could start. */
+    /** How many tasks of a job could start on this machine now. */
     int slots(JobSpec spec) {
         return canStart(spec) ? attempts().slots(spec) : 0;
     }
 
-    /** Whether one more such task fits here now, and could start. */
+    /** Whether another task of a job could start on this machine now. */
     boolean canStart(JobSpec spec) {
         return !dead
                 && !hanging
@@ -123,19 +121,17 @@
                 && (spec.spot() || !spot);
     }
 
-    // ---- troubles ----------------------------------------------------------------------------------------------
-
-    /** Its heartbeats are lost on the way; it is reached all the same. */
+    /** Sets whether heartbeats are lost; commands still reach the worker. */
     void setHeartbeatsDropped(boolean dropped) {
         heartbeatsDropped = dropped;
     }
 
-    /** From now on every task fails here. */
+    /** Makes tasks fail on this machine from now on. */
     void becomeFaulty() {
         tasks.becomeFaulty();
     }
 
-    /** It is gone for good, with all that runs on it. */
+    /** Ends the machine and all tasks on it for good. */
     void die() {
         if (!dead) {
             dead = true;
@@ -144,7 +140,7 @@
         }
     }
 
-    /** While it hangs it does nothing, but its clock runs on. */
+    /** Sets whether the machine hangs: it executes nothing while its clock runs on. */
     void setHanging(boolean shouldHang) {
         hanging = shouldHang;
         if (!shouldHang && !dead) {
@@ -157,25 +153,23 @@
         environment.after(micros, () -> setHanging(false));
     }
 
-    /** The cloud takes it back after this time, and it tells so. */
+    /** Announces that the cloud will reclaim the machine after this time; the worker reports it in heartbeats. */
     void announceTermination(long micros) {
         terminationMicros = environment.nowMicros() + micros;
         changed = true;
     }
 
-    /** All tasks here that fit are over, each for this reason. */
+    /** Ends all tasks on this machine whose jobs match, with the given cause. */
     void endTasks(Predicate<JobSpec> which, ExitCause cause) {
         tasks.end(which, cause);
     }
 
-    // ---- time passes -------------------------------------------------------------------------------------------
-
     private void tick() {
         if (dead) {
             return;
         }
         environment.after(heartbeatIntervalMicros / TICKS_PER_HEARTBEAT, this::tick);
-        // A hanging machine executes nothing, and its first act on going on is to see that its lease is over.
+        // A hanging machine executes nothing. When it resumes, it checks first whether its lease has expired.
         expireLeaseIfDue();
         if (hanging) {
             return;
@@ -195,14 +189,12 @@
         }
     }
 
-    /** After a change a heartbeat goes out earlier. */
+    /** Whether a heartbeat is due; after a change it is due half an interval earlier. */
     private boolean heartbeatIsDue() {
         boolean early = changed || tasks.hasChanged();
         return environment.nowMicros() >= nextHeartbeatMicros - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
-    // ---- heartbeats --------------------------------------------------------------------------------------------
-
     private Heartbeat createHeartbeat() {
         return new Heartbeat(
                 id,
@@ -237,7 +229,11 @@
                 answer -> onHeartbeatResponse(answer, sentMicros, sentEpoch));
     }
 
-    /** A hanging machine reads its answers when it goes on, and drops those that are too old. */
+    /**
+     * Applies an accepted heartbeat's response, unless its heartbeat was sent in an earlier agent epoch or its fencing
+     * token is lower than the worker's. After any other response, or none, or one that arrives while the machine hangs,
+     * the next heartbeat goes to another controller.
+     */
     private void onHeartbeatResponse(@Nullable HeartbeatResponse response, long sentMicros, long sentEpoch) {
         awaitingResponse = false;
         if (dead) {
@@ -256,7 +252,7 @@
         }
     }
 
-    /** To the controller that was named, if there is one and it is another. */
+    /** Switches to the named controller, or to the next one if the name is null, unknown or the current one. */
     private void switchToNamedController(@Nullable String named) {
         int next = named == null ? -1 : controllers.nodeNames().indexOf(named);
         if (next < 0 || next == controllerIndex) {
@@ -272,9 +268,10 @@
         nextHeartbeatMicros = environment.nowMicros() + 1_000_000;
     }
 
-    // ---- commands ----------------------------------------------------------------------------------------------
-
-    /** Commands of a direct call; they are carried out only under a present fencing token and agent epoch. */
+    /**
+     * Handles the commands of a direct call. The worker executes them only if the fencing token is not lower than its
+     * own and the agent epoch is the current one.
+     */
     WorkerPort.Reply handleCommands(long commandToken, long commandAgentEpoch, List<WorkerCommand> commands) {
         expireLeaseIfDue();
         boolean accepted = commandToken >= fencingToken && commandAgentEpoch == agentEpoch;
@@ -292,7 +289,7 @@
 
     private void execute(List<WorkerCommand> commands) {
         for (WorkerCommand command : commands) {
-            // Through the wire's words and back, as between real processes.
+            // Encodes the command to check that it has a wire format; tasks get the command itself.
             assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(command)) != null;
             tasks.execute(command);
         }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -33,10 +33,10 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** Controllers with stand-ins for all around them, users included, in simulated time from a seed. */
+/** A deployment of real controllers with a simulated store, cloud, network, machines and users, driven by a seed. */
 final class Simulation {
     static final long SECOND = 1_000_000;
-    /** A class of batch jobs that is expected to start sooner than any machine boots. */
+    /** A class of batch jobs whose objective is to start sooner than any machine boots. */
     static final String URGENT_CLASS = "prompt";
 
     private static final List<String> ZONES = List.of("north", "south");
@@ -50,9 +50,9 @@
 
     final SimulationConfig config;
     final SimGangs gangs;
-    /** What the settings say of the limits of the store. */
+    /** The limits of the store according to the settings of the controllers. */
     private final StoreLimits storeLimits;
-    /** What controllers keep to once they are upgraded; null: nothing changes. */
+    /** The limits that controllers additionally respect once they are upgraded; null if the limits do not change. */
     @Nullable
     StoreLimits upgradedLimits;
 
@@ -60,7 +60,7 @@
 
     final List<String> nodeNames;
     final SimEnvironment environment;
-    /** What leaves the controllers; null when nobody wants to know. */
+    /** Records the calls and answers of the controllers; null unless traces are collected. */
     private final @Nullable EdgeTrace trace;
 
     final Rules rules;
@@ -74,26 +74,26 @@
     final Map<String, SimNode> nodes = new LinkedHashMap<>();
     private final Set<TaskId> completedTasks = new HashSet<>();
     private final Map<String, Integer> acceptedHeartbeatCount = new HashMap<>();
-    /** Controllers that users don't get to. */
+    /** Controllers whose users get no answers. */
     final Set<String> nodesUnreachableByUsers = new HashSet<>();
-    /** For how long direct calls that start tasks are held up on their way; others overtake them. */
+    /** The extra delay in microseconds of direct calls that start tasks; other calls overtake them. */
     long directStartDelayMicros;
-    /** How long a recovery holds other work for services, for controllers that start from now on. */
+    /** How long a recovery holds back batch work for services; applies to controllers that start from now on. */
     long recoveryHoldMicros;
-    /** Peers never pass cancellations on: what is safe must be safe without. */
+    /** Drops the cancellations that peers pass on, because safety must not depend on them. */
     boolean dropPeerCancellations;
-    /** Share of jobs that are cancelled at the very moment at which their last task ends. */
+    /** Probability that a job is cancelled at the moment at which its last task completes. */
     double cancelAtCompletionShare;
-    /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
+    /** Ids of the jobs whose tasks fail on every machine. */
     final Set<String> brokenJobs = new HashSet<>();
-    /** The most direct calls to machines that one controller had under way at once. */
+    /** The highest number of concurrent direct calls from one controller to machines so far. */
     int maxConcurrentCalls;
 
     Simulation(long seed) {
         this(seed, SimulationConfig.small());
     }
 
-    /** @param machinesPerOffer how many machines of each type, zone and kind there are */
+    /** @param machinesPerOffer the capacity of the cloud, in machines per type, zone and price model */
     Simulation(long seed, int controllers, int machinesPerOffer) {
         this(seed, SimulationConfig.small().withControllers(controllers).withMachinesPerOffer(machinesPerOffer));
     }
@@ -170,7 +170,7 @@
         return trace == null ? port : tracing.apply(port);
     }
 
-    /** The answer of a controller to a user, as the trace keeps it. */
+    /** Wraps the callback for a response to a user so that the trace records the response. */
     Consumer<JobResponse> traced(String node, String user, Consumer<JobResponse> then) {
         return trace == null ? then : trace.tracingUserResponses(node, user, then);
     }
@@ -191,7 +191,7 @@
                 new SimWorker.Timing(config.heartbeatIntervalMicros(), config.leaseMicros()));
     }
 
-    /** The controllers as machines see them. */
+    /** Passes heartbeats of machines to the controllers. */
     private final class WorkerFacingControllers implements SimControllers {
         @Override
         public List<String> nodeNames() {
@@ -223,7 +223,7 @@
         }
     }
 
-    /** The zone in which a controller stands. */
+    /** The zone of a controller. */
     String zoneOf(String node) {
         return ZONES.get(nodeNames.indexOf(node) % ZONES.size());
     }
@@ -234,12 +234,12 @@
         }
     }
 
-    /** The controller that takes itself for the leader, or the first of all while none does. */
+    /** The first controller that considers itself the leader, or the first of all controllers if none does. */
     String leader() {
         return leadersOtherThan(null).findFirst().orElse(nodeNames.get(0));
     }
 
-    /** The leader other than this one, which may not know yet that it was replaced. */
+    /** The leader other than the former one, which may not have noticed yet that it was replaced. */
     String leaderOtherThan(String former) {
         return leadersOtherThan(former).findFirst().orElse(former);
     }
@@ -251,25 +251,25 @@
                 .filter(node -> !node.equals(one));
     }
 
-    /** How many heartbeats this controller answered so far as one that may. */
+    /** How many heartbeats this controller has accepted so far. */
     int acceptedHeartbeatCount(String node) {
         return acceptedHeartbeatCount.getOrDefault(node, 0);
     }
 
-    /** The controller that runs here now; null while it is down. */
+    /** The controller that runs on this node; null while the node is down. */
     @Nullable
     Controller controllerAt(String node) {
         return nodes.get(node).controller();
     }
 
-    /** What the leader tells of its recovery; null while nobody leads. */
+    /** The recovery status of the leader; null while there is no leader. */
     @Nullable
     RecoveryStatus recoveryStatus() {
         SimNode leader = nodes.get(leader());
         return leader.isLeader() ? recoveryStatusAt(leader.name()) : null;
     }
 
-    /** What a controller tells whose recovery is in this phase; null when there is none. */
+    /** The status of the first controller with a fencing token whose recovery is in a phase; null if there is none. */
     @Nullable
     RecoveryStatus recoveryStatusInPhase(RecoveryPhase phase) {
         return nodes.values().stream()
@@ -281,43 +281,46 @@
                 .orElse(null);
     }
 
-    /** What this controller tells of recoveries; null while it is down. */
+    /** The recovery status of this controller; null while its node is down. */
     @Nullable
     RecoveryStatus recoveryStatusAt(String node) {
         Controller controller = controllerAt(node);
         return controller == null ? null : controller.recoveryStatus();
     }
 
-    /** A controller drawn at random. */
+    /** The name of a random controller. */
     String randomNode() {
         return nodeNames.get(environment.random.nextInt(nodeNames.size()));
     }
 
-    /** A machine drawn at random; null while there is none. */
+    /** A random live machine; null if there is none. */
     @Nullable
     SimWorker randomWorker() {
         List<SimWorker> all = cloud.workers();
         return all.isEmpty() ? null : all.get(environment.random.nextInt(all.size()));
     }
 
-    /** Takes a value so much later than now. */
+    /** Records a value after a delay; see {@link Observation}. */
     <T> Observation<T> observe(long delayMicros, Supplier<T> value) {
         Observation<T> observation = new Observation<>();
         after(delayMicros, () -> observation.set(value.get()));
         return observation;
     }
 
-    /** Does this so much later than now: before the run, at this time of it. */
+    /** Runs an action after a delay; before the first run, that is the simulated time of the action. */
     void after(long delayMicros, Runnable action) {
         environment.after(delayMicros, action);
     }
 
-    /** Runs with the rules checked after each step. */
+    /** Runs the simulation up to a time and checks the safety rules after each event. */
     void run(long endMicros) {
         environment.run(endMicros, rules::check);
     }
 
-    /** The same with the check that every job stays known, from the time on at which the last trouble is over. */
+    /**
+     * Runs the simulation up to a time. From the end of the last fault on, also checks each second that users get
+     * answers about accepted jobs and that no job starves.
+     */
     void runWithLivenessChecks(long faultsEndMicros, long endMicros) {
         environment.after(faultsEndMicros - environment.nowMicros(), () -> runLivenessChecks(faultsEndMicros));
         run(endMicros);
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -10,7 +10,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.storage.JobSpec;
 
-/** No task runs twice, each runs where its job may, and no team uses more than its limit. */
+/** Checks that no task runs twice, that tasks run only where their jobs allow, and that teams stay within limits. */
 final class TaskPlacementRules {
     private record Location(String host, String zone) {}
 
@@ -26,7 +26,7 @@
         this.teams = teams;
     }
 
-    /** A task is on a machine now. */
+    /** Records that a task has started on a machine, and checks the rules. */
     void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
         startedTaskCount++;
         JobSpec spec = jobs.spec(task.job());
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A task is no longer on the machine. */
+    /** Records that a task is no longer on a machine; has no effect if it runs on another one. */
     void recordTaskRemoved(TaskId task, String host) {
         Location place = locations.get(task);
         if (place != null && place.host().equals(host)) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** How many tasks began on machines so far, each attempt counted. */
+    /** How many attempts of tasks have started on machines so far. */
     int startedTaskCount() {
         return startedTaskCount;
     }
@@ -106,12 +106,12 @@
         return Collections.unmodifiableSet(locations.keySet());
     }
 
-    /** The machine of a task that is on one. */
+    /** The id of the machine that runs a task, which must be on one. */
     String hostOf(TaskId task) {
         return locations.get(task).host();
     }
 
-    /** Jobs with a task on a machine, that nobody has asked to cancel. */
+    /** Ids of the jobs with a task on a machine that no user has asked to cancel, sorted. */
     List<String> runningJobs() {
         return locations.keySet().stream()
                 .map(TaskId::job)
@@ -121,7 +121,7 @@
                 .toList();
     }
 
-    /** Thousandths of CPUs that a team's tasks use. */
+    /** The CPU that the running tasks of a team use, in thousandths of a CPU. */
     long usedCpuMillis(String team) {
         return locations.keySet().stream()
                 .map(task -> jobs.spec(task.job()))
@@ -130,7 +130,7 @@
                 .sum();
     }
 
-    /** The machines that hold tasks of a job. */
+    /** Ids of the machines that run tasks of a job, sorted. */
     Set<String> hostsOf(String job) {
         Set<String> hosts = new TreeSet<>();
         locations.forEach((task, place) -> {
--- a/src/test/java/org/granitepath/simulation/TransactionLimits.java
+++ b/src/test/java/org/granitepath/simulation/TransactionLimits.java
@@ -4,7 +4,12 @@
 import org.granitepath.storage.KeyValueStore;
 import org.granitepath.storage.StoredRecordCodec;
 
-/** How large a transaction the simulated store takes: its changes, its preconditions and each of its values. */
+/**
+ * The size limits of a transaction in the simulated store.
+ *
+ * @param maxChanges how many changes a transaction may have; it may have four times as many preconditions
+ * @param maxValueBytes how long each encoded value may be, in characters
+ */
 record TransactionLimits(int maxChanges, int maxValueBytes) {
     private static final int PRECONDITIONS_PER_CHANGE = 4;
 
@@ -18,7 +23,7 @@
         return change.record() != null && encodedValue(change).length() > maxValueBytes;
     }
 
-    /** The value as the store keeps it. */
+    /** The JSON text of the record of a change, as the store keeps it. */
     static String encodedValue(KeyValueStore.Change change) {
         return Json.text(StoredRecordCodec.encode(change.record()));
     }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -8,7 +8,10 @@
 import org.granitepath.coordination.config.Team;
 import org.granitepath.storage.JobSpec;
 
-/** No job is left waiting while a machine would take one of its tasks and its team is under its limit. */
+/**
+ * Checks that no job starves: waits for more than 90 s while a machine could start one of its tasks, or machines its
+ * whole gang, and its team is within its limit.
+ */
 final class WaitingRules {
     private static final long MAX_WAIT_MICROS = 90_000_000;
 
@@ -25,7 +28,7 @@
         this.teams = teams;
     }
 
-    /** Called again and again; a job of which a start is sent begins to wait anew. */
+    /** Checks all accepted jobs; to be called repeatedly. The wait of a job begins again when a start of it is sent. */
     void check(Collection<SimWorker> machines) {
         HeldTasks held = collectHeldTasks(machines);
         for (String job : jobs.acceptedJobs()) {
@@ -58,7 +61,7 @@
 
     private boolean isWithinTeamLimit(JobSpec spec, HeldTasks held) {
         long limit = teams.get(spec.team()).cpuLimitMillis();
-        // What starting more of the job takes of the limit, at least.
+        // The least CPU that another start needs: a gang starts all its tasks at once.
         long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
         return limit == 0 || held.cpuMillisOf(spec.team()) + needed <= limit;
     }
@@ -69,7 +72,7 @@
                 && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
     }
 
-    /** Whether no task of the gang is on a machine, and all would find capacity, in one zone if they have to. */
+    /** Whether no task of the gang is on a machine and all find capacity, in one zone if the job requires it. */
     private static boolean hasCapacityForGang(
             JobSpec spec, int remainingTasks, HeldTasks held, Collection<SimWorker> machines) {
         Map<String, Integer> slots = new HashMap<>();
@@ -86,7 +89,7 @@
         return held;
     }
 
-    /** What machines hold: tasks of each job, a job's zones, its tasks in each of them, and the CPUs of each team. */
+    /** Totals of the tasks on machines: by job, by job and zone, and the CPU by team, in thousandths of a CPU. */
     private static final class HeldTasks {
         private record JobInZone(String job, String zone) {}
 
