--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -7,7 +7,10 @@
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.JobResponse.JobState;
 
-/** What users are told: an accepted job stays known, is done only when all its tasks are, and has one final state. */
+/**
+ * Checks the responses to users: an accepted job stays known, is reported as done only after all its tasks have a
+ * result, and has one final state.
+ */
 final class AnswerRules {
     private static final long MAX_UNANSWERED_MICROS = 75_000_000;
 
@@ -29,17 +32,17 @@
         this.cancellations = cancellations;
     }
 
-    /** A job that fits nowhere: nobody may accept it. */
+    /** Records the submission of a job that fits on no machine type, which no controller may accept. */
     void recordUnschedulableSubmission(String job) {
         unschedulable.add(job);
     }
 
-    /** An answer that a user got. */
+    /** Checks and records a response that has arrived at a user. */
     void recordResponse(String job, JobResponse answer) {
         if (answer instanceof JobResponse.NotFound && jobs.isAccepted(job)) {
             violations.report("forgotten", job + " is not found");
         } else if (answer instanceof JobResponse.Unschedulable && jobs.isAccepted(job)) {
-            violations.report("forgotten", job + " is called impossible");
+            violations.report("forgotten", job + " is rejected as unschedulable");
         } else if (answer instanceof JobResponse.Status status) {
             recordStatus(job, status.state());
         }
@@ -77,19 +80,23 @@
 
     private void recordCancelled(String job) {
         if (!jobs.isCancellationRequested(job)) {
-            violations.report("went_back", job + " is cancelled unasked");
+            violations.report("went_back", job + " is cancelled without a request");
         }
         if (jobs.recordFinalState(job, JobState.CANCELLED) == null) {
             cancellations.recordConfirmation(job);
         }
     }
 
-    /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
+    /**
+     * Checks that no accepted job that nobody asked to cancel has been without a status response for more than 75 s.
+     *
+     * @param faultsEndMicros the end of the last fault; time before it does not count
+     */
     void checkAnswered(long faultsEndMicros) {
         for (String job : jobs.acceptedJobs()) {
             long since = environment.nowMicros() - Math.max(faultsEndMicros, answeredAtMicros.getOrDefault(job, 0L));
             if (!jobs.isCancellationRequested(job) && since > MAX_UNANSWERED_MICROS) {
-                violations.report("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
+                violations.report("forgotten", job + ": no status response for " + since / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -5,9 +5,12 @@
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.granitepath.coordination.ports.TaskId;
 
-/** After a confirmed cancellation no start is sent, and what runs ends within the time that the settings allow. */
+/**
+ * Checks that controllers send no start command for a job after its cancellation was confirmed, and that its tasks end
+ * within the cancellation timeout of the settings.
+ */
 final class CancellationRules {
-    /** For so long after its time is over, each step looks for tasks of a cancelled job. */
+    /** How long after the cancellation timeout each check looks for tasks of a cancelled job. */
     private static final long WATCH_PERIOD_MICROS = 120_000_000;
 
     private final SimEnvironment environment;
@@ -17,7 +20,7 @@
     private final long cancellationTimeoutMicros;
     private final Map<String, Long> confirmedAtMicros = new TreeMap<>();
 
-    /** @param cancellationTimeoutMicros for how long tasks may go on once their cancellation is confirmed */
+    /** @param cancellationTimeoutMicros how long tasks may run after their cancellation was confirmed */
     CancellationRules(
             SimEnvironment environment,
             ViolationReporter violations,
@@ -31,27 +34,27 @@
         this.cancellationTimeoutMicros = cancellationTimeoutMicros;
     }
 
-    /** A user was told for the first time that the job is cancelled. */
+    /** Records the first response that confirms the cancellation of a job. */
     void recordConfirmation(String job) {
         confirmedAtMicros.put(job, environment.nowMicros());
     }
 
-    /** A controller sends the command to start this task. */
+    /** Checks a start command that a controller sends. */
     void recordStartSent(TaskId task) {
         if (jobs.finalState(task.job()) == JobState.CANCELLED) {
             violations.report(
-                    "started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
+                    "started_cancelled", "the start of " + task + " was sent after its cancellation was confirmed");
         }
     }
 
-    /** A task is on a machine now. */
+    /** Checks a task that has started on a machine. */
     void recordTaskStarted(TaskId task) {
         if (isOverdue(task)) {
-            violations.report("ran_cancelled", task + " starts");
+            violations.report("ran_cancelled", task + " started");
         }
     }
 
-    /** Nothing of a cancelled job may be left when its time is over. */
+    /** Checks that no task of a cancelled job is on a machine after the cancellation timeout. */
     void check() {
         if (confirmedAtMicros.isEmpty()) {
             return;
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -25,9 +25,9 @@
 
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
- * and peers, and answers to workers and users, each with its simulated time and encoded as it goes over the wire. Log
- * text takes no part; the names of the kinds of calls do, and so stay as they are. Two versions of the program with the
- * same hash behave alike in that simulation.
+ * and peers, and responses to workers and users, each with its simulated time and encoded as on the wire. Log messages
+ * are not hashed. The names of the kinds of calls are, so they must not change. Two versions of the program with the
+ * same hash have the same external behaviour in that simulation.
  */
 final class EdgeTrace {
     private static final ThreadLocal<List<EdgeTrace>> ACTIVE_COLLECTOR = new ThreadLocal<>();
@@ -40,7 +40,7 @@
         this.environment = environment;
     }
 
-    /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
+    /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests have no overhead. */
     static @Nullable EdgeTrace createIfCollecting(SimEnvironment environment) {
         List<EdgeTrace> collector = ACTIVE_COLLECTOR.get();
         if (collector == null) {
@@ -51,7 +51,7 @@
         return trace;
     }
 
-    /** Runs a scenario and returns the traces of the simulations that it makes, in order. */
+    /** Runs a scenario and returns the traces of the simulations that it creates, in order. */
     static List<EdgeTrace> collect(Runnable scenario) {
         List<EdgeTrace> traces = new ArrayList<>();
         ACTIVE_COLLECTOR.set(traces);
@@ -63,12 +63,12 @@
         return traces;
     }
 
-    /** How many calls and answers the trace holds. */
+    /** How many calls and responses were added to the trace. */
     long eventCount() {
         return eventCount;
     }
 
-    /** The hash of the whole trace, in hexadecimal. Nothing can be added afterwards. */
+    /** The SHA-256 hash of the whole trace in hexadecimal. No event can be added afterwards. */
     String digest() {
         return hasher.hash().toString();
     }
@@ -85,7 +85,7 @@
         hasher.putInt(detail.length).putBytes(detail);
     }
 
-    /** The order of the fields of an encoded object means nothing and may differ from one process to the next. */
+    /** Sorts the fields of objects, because their order has no meaning and may differ between processes. */
     private static String sorted(String json) {
         return Json.text(sorted(Json.object(json)));
     }
@@ -105,7 +105,7 @@
         add(node, "heartbeat " + host + " " + WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
     }
 
-    /** Passes the answer on and keeps it in the trace. */
+    /** Wraps the callback for responses to a user so that the trace records each response. */
     Consumer<JobResponse> tracingUserResponses(String node, String user, Consumer<JobResponse> then) {
         return answer -> {
             String retry = answer instanceof JobResponse.RetryLater later ? " " + later.afterSeconds() : "";
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import org.granitepath.storage.JobSpec;
 
-/** Deployments, long work and helpers that the tests of faults share. */
+/** Deployments, workloads and helpers that the fault tests share. */
 final class FaultScenarios {
     static final long SECOND = Simulation.SECOND;
 
-    /** Long leases, little time beside them for what a cancellation takes, and few writes. */
+    /** Long leases, a cancellation timeout that leaves little time beside them, and few writes per second. */
     static final SimulationConfig LONG_LEASES = SimulationConfig.small()
             .withControllers(5)
             .withMachinesPerOffer(4)
@@ -20,7 +20,7 @@
             .withValueBytes(8 * 1024)
             .withMaxConnections(1_500);
 
-    /** Short leases, and heartbeats that come often. */
+    /** Short leases and frequent heartbeats. */
     static final SimulationConfig SHORT_LEASES = SimulationConfig.small()
             .withControllers(5)
             .withMachinesPerOffer(4)
@@ -37,27 +37,30 @@
         return new Simulation(seed, configOf(seed));
     }
 
-    /** The times and limits that go with a seed. */
+    /** The timing and limits for a seed: long leases for even seeds, short ones for odd seeds. */
     static SimulationConfig configOf(long seed) {
         return seed % 2 == 0 ? LONG_LEASES : SHORT_LEASES;
     }
 
-    /** Five controllers and a few machines, too few for much work. */
+    /** Five controllers with one machine per offer, which is too few for much work. */
     static Simulation withFewMachines(long seed) {
         return new Simulation(seed, configOf(seed).withControllers(5).withMachinesPerOffer(1));
     }
 
-    /** What a cut does with packets under way, with half of the seeds the one, with half the other. */
+    /** The partition mode for a seed: packets are held for even seeds and dropped for odd ones. */
     static SimEnvironment.PartitionMode partitionModeOf(long seed) {
         return seed % 2 == 0 ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
     }
 
-    /** A small deployment, to which users submit this many random jobs until this time. */
+    /** A small deployment to which users submit random jobs, from 2 s on and for the given period. */
     static Simulation withRandomJobs(long seed, int jobs, long submissionPeriodMicros) {
         return withRandomJobs(new Simulation(seed), jobs, submissionPeriodMicros);
     }
 
-    /** The same in this deployment. Services are cancelled after a minute, other work at times. */
+    /**
+     * Lets users submit random jobs to a deployment, from 2 s on and for the given period. They cancel services 60 s
+     * after acceptance, and one of six other jobs after 12 s.
+     */
     static Simulation withRandomJobs(Simulation simulation, int jobs, long submissionPeriodMicros) {
         for (int i = 0; i < jobs; i++) {
             simulation.after(
@@ -86,12 +89,12 @@
         }
     }
 
-    /** So much later than now whoever leads then ends, and comes back after a while. */
+    /** Crashes, after a delay, the controller that leads by then, and boots it again after the given time. */
     static void crashLeaderAfter(Simulation simulation, long delayMicros, long downMicros) {
         simulation.after(delayMicros, () -> simulation.faults.crash(simulation.leader(), downMicros));
     }
 
-    /** Services and wide jobs with long tasks, so that whatever happens meets work that runs. */
+    /** Submits services and batch jobs of ten long tasks, so that faults meet running work. */
     static List<JobSpec> submitLongRunningJobs(Simulation simulation, int services, int batches, long runMicros) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < services; i++) {
@@ -104,7 +107,7 @@
         return jobs;
     }
 
-    /** The controllers but this one. */
+    /** The names of all controllers except one. */
     static List<String> otherNodes(Simulation simulation, String node) {
         return simulation.nodeNames.stream()
                 .filter(other -> !other.equals(node))
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.granitepath.storage.JobSpec;
 
-/** A small deployment to which one gang is submitted, and the moments at which troubles may strike it. */
+/** A small deployment with one gang job, which tests run up to the moment at which they inject a fault. */
 final class GangScenario {
     private static final long SECOND = Simulation.SECOND;
     private static final long LATEST_START_MICROS = 120 * SECOND;
@@ -18,7 +18,7 @@
         this.spec = spec;
     }
 
-    /** A gang of work for the team without limits. */
+    /** The spec of a gang job in one zone, of the team without limits. */
     static JobSpec gangSpec(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
         SimJobs jobs = simulation.jobs;
         return jobs.batchBuilder(tasks, runMicros)
@@ -28,7 +28,7 @@
                 .build();
     }
 
-    /** A gang that may use spot machines, with capacity for another attempt elsewhere. */
+    /** A gang that may use spot machines, with capacity for another attempt on other machines. */
     static GangScenario onSpotMachines(long seed, int tasks, long runMicros, long checkpointMicros) {
         Simulation simulation = new Simulation(seed);
         JobSpec spec = gangSpec(simulation, tasks, true, runMicros, checkpointMicros);
@@ -37,7 +37,10 @@
         return new GangScenario(simulation, spec);
     }
 
-    /** Small gangs fit one machine: a service that fills most of each makes the gang take several. */
+    /**
+     * A gang on several machines. A small gang would fit on one machine, so services first take most of the capacity of
+     * each.
+     */
     static GangScenario onSeveralMachines(long seed, int tasks, long runMicros) {
         Simulation simulation = new Simulation(seed);
         for (int i = 0; i < 8; i++) {
@@ -59,7 +62,7 @@
         return spec.id();
     }
 
-    /** The machines that hold tasks of the gang, on their way or at work. */
+    /** The workers with tasks of the gang that have not exited. */
     List<SimWorker> workersWithTasks() {
         return simulation.cloud.workers().stream()
                 .filter(worker -> worker.attempts().taskCountsByJob().containsKey(spec.id()))
@@ -72,7 +75,7 @@
                 .sum();
     }
 
-    /** How many attempts there have been. */
+    /** How many attempts of the gang there have been. */
     long attemptCount() {
         return simulation.gangs.attemptCount(spec.id());
     }
@@ -81,7 +84,7 @@
         simulation.run(simulation.environment.nowMicros() + micros);
     }
 
-    /** Until each task is on a machine; it may be fetching its image. */
+    /** Runs until each task of the gang is on a machine, possibly still fetching its image. */
     void runUntilPlaced() {
         while (heldTaskCount() < spec.tasks()) {
             runFor(SECOND / 10);
@@ -89,7 +92,7 @@
         }
     }
 
-    /** Until the gang works. */
+    /** Runs until all tasks of the gang run. */
     void runUntilRunning() {
         while (!simulation.gangs.isRunning(spec.id())) {
             runFor(SECOND / 10);
--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -4,8 +4,8 @@
 import org.granitepath.storage.Priority;
 
 /**
- * Builds the spec of a job. By default it belongs to the team without limits, runs on on-demand machines in any zone and
- * has no checkpoints; a batch job has a deadline.
+ * Builds the spec of a job. By default it belongs to the team without limits, runs on on-demand machines in any zone
+ * and has no checkpoints; a batch job has a deadline.
  */
 final class JobBuilder {
     private static final long WORK_CPU_MILLIS = 2_000;
@@ -68,7 +68,7 @@
         return this;
     }
 
-    /** Sets the expected run time of a task; the deadline is twice this time and 30 s. */
+    /** Sets the expected run time of a task; the deadline is twice this time plus 30 s. */
     JobBuilder estimate(long micros) {
         estimateMicros = micros;
         return this;
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Makes every fifth size of batch jobs a gang, unless it must run in one zone and takes more than half of the zone's
-     * on-demand CPU: beside services, it might never start.
+     * Makes every fifth size of batch jobs a gang, unless the gang must run in one zone and takes more than half of the
+     * zone's on-demand CPU: beside services, it might never start.
      */
     private JobSpec.Shape shape() {
         if (service) {
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -11,9 +11,9 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** What users sent and were told of each job, and what machines did for it. Each rule compares parts of it. */
+/** Records, for each job, the requests of users, the responses to them, and the events on machines, for the rules. */
 final class JobHistory {
-    /** Stands for the time of what has not happened: later than any run ends, and safe to subtract from. */
+    /** The time of an event that has not happened: after the end of every run, and small enough to subtract from. */
     private static final long NEVER = Long.MAX_VALUE / 2;
 
     private final SimEnvironment environment;
@@ -32,8 +32,7 @@
         this.environment = environment;
     }
 
-    // ---- users -------------------------------------------------------------------------------------------------
-
+    /** Records a submission by a user; only the first one of a job counts. */
     void recordSubmission(JobSpec spec) {
         submittedSpecs.putIfAbsent(spec.id(), spec);
         submittedAtMicros.putIfAbsent(spec.id(), environment.nowMicros());
@@ -47,7 +46,7 @@
         return submittedSpecs.get(job);
     }
 
-    /** All submitted jobs, in the order of their submission. */
+    /** The ids of all submitted jobs, in the order of their submission. */
     Set<String> submittedJobs() {
         return Collections.unmodifiableSet(submittedAtMicros.keySet());
     }
@@ -56,6 +55,7 @@
         return submittedAtMicros.get(job);
     }
 
+    /** Records that a user knows that a controller has accepted the job. */
     void recordAcceptance(String job) {
         acceptedJobs.add(job);
     }
@@ -68,6 +68,7 @@
         return Collections.unmodifiableSet(acceptedJobs);
     }
 
+    /** Records that a user asks to cancel the job. */
     void recordCancellationRequest(String job) {
         jobsWithCancellationRequest.add(job);
     }
@@ -76,46 +77,42 @@
         return jobsWithCancellationRequest.contains(job);
     }
 
-    /** A user was told this final state; returns what was told before. */
+    /** Records that a response reported a final state; returns the one reported before, or null. */
     @Nullable
     JobState recordFinalState(String job, JobState state) {
         return finalStates.put(job, state);
     }
 
-    /** The final state that users were told last; null while they were told none. */
+    /** The final state that was last reported to users; null if there is none. */
     @Nullable
     JobState finalState(String job) {
         return finalStates.get(job);
     }
 
-    /** How many jobs users believe to be cancelled. */
+    /** How many jobs were last reported to users as cancelled. */
     int cancelledJobCount() {
         return (int) finalStates.values().stream()
                 .filter(state -> state == JobState.CANCELLED)
                 .count();
     }
 
-    // ---- controllers -------------------------------------------------------------------------------------------
-
-    /** A controller sends the command to start this task. */
+    /** Records that a controller sends the command to start a task. */
     void recordStartSent(TaskId task) {
         startCounts.merge(task, 1, Integer::sum);
         lastStartSentMicrosByJob.put(task.job(), environment.nowMicros());
     }
 
-    /** When the last start of the job was sent; zero when none was. */
+    /** When the last start command for the job was sent; zero if there was none. */
     long lastStartSentMicros(String job) {
         return lastStartSentMicrosByJob.getOrDefault(job, 0L);
     }
 
-    /** How often the start of the task that was started most often was sent. */
+    /** The highest number of start commands that were sent for one task. */
     int maxStartsPerTask() {
         return startCounts.values().stream().max(Integer::compare).orElse(0);
     }
 
-    // ---- machines ----------------------------------------------------------------------------------------------
-
-    /** A task of the job is on a machine. */
+    /** Records that a task of the job has started on a machine. */
     void recordTaskStarted(String job) {
         startedAtMicros.putIfAbsent(job, environment.nowMicros());
     }
@@ -124,17 +121,17 @@
         return startedAtMicros.containsKey(job);
     }
 
-    /** From submission to the first start on a machine, or until now. */
+    /** The time from submission to the first start on a machine, or until now if there was none. */
     long waitMicros(String job) {
         return startedAtMicros.getOrDefault(job, environment.nowMicros()) - submittedAtMicros.get(job);
     }
 
-    /** From submission to the first start on a machine; beyond all bounds when there was none. */
+    /** The time from submission to the first start on a machine; very large if there was none. */
     long startDelayMicros(String job) {
         return startedAtMicros.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 
-    /** A task has its result. Returns whether it is the last one that its job lacked. */
+    /** Records that a task has its result; returns whether this result completes its job. */
     boolean recordTaskCompleted(TaskId task) {
         lastCompletionMicros.put(task.job(), environment.nowMicros());
         Set<Integer> done = completedTasks.computeIfAbsent(task.job(), job -> new HashSet<>());
@@ -142,12 +139,12 @@
                 && done.size() == submittedSpecs.get(task.job()).tasks();
     }
 
-    /** How many tasks of the job have their result. */
+    /** How many tasks of the job have a result. */
     int completedTaskCount(String job) {
         return completedTasks.getOrDefault(job, Set.of()).size();
     }
 
-    /** From submission to the last result so far; beyond all bounds when there is none. */
+    /** The time from submission to the last result so far; very large if there is none. */
     long finishDelayMicros(String job) {
         return lastCompletionMicros.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
--- a/src/test/java/org/granitepath/simulation/Observation.java
+++ b/src/test/java/org/granitepath/simulation/Observation.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** A value that a scenario takes at one moment of the simulated time, and looks at after the run. */
+/** A value that a scenario records at one simulated time and checks after the run. */
 final class Observation<T> {
     private @Nullable T value;
 
@@ -11,8 +11,12 @@
         value = observed;
     }
 
-    /** Fails when that moment never came. */
+    /**
+     * The recorded value.
+     *
+     * @throws NullPointerException if no value was recorded
+     */
     T get() {
-        return Objects.requireNonNull(value, "the moment to look never came");
+        return Objects.requireNonNull(value, "no value was recorded during the run");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -1,16 +1,16 @@
 package org.granitepath.simulation;
 
-/** Fleets of three sizes with services and batch work, for what a cold restart costs. */
+/** Deployments of three sizes with services and batch jobs, to measure cold restarts. */
 final class RecoveryLoad {
     static final long SECOND = Simulation.SECOND;
     static final long RESTART_MICROS = 90 * SECOND;
     private static final int SERVICE_REPLICAS = 6;
     private static final long BATCH_CPU_MILLIS = 4_000;
     private static final long BATCH_RUN_MICROS = 120 * SECOND;
-    /** Offers of the simulated cloud: two types in two zones, spot or not. */
+    /** The number of offers of the simulated cloud: two types in two zones, each spot or on-demand. */
     private static final int OFFER_COUNT = 8;
 
-    /** How many machines there are, and how much work. */
+    /** The number of machines, services and batch jobs. */
     enum Size {
         SMALL(40, 6, 1),
         MEDIUM(400, 40, 4),
@@ -29,7 +29,7 @@
 
     private RecoveryLoad() {}
 
-    /** The deployment's limits do not grow with the fleet, but for the sockets. */
+    /** Creates a deployment. Its limits do not grow with the fleet, except the number of connections. */
     static Simulation fleet(long seed, Size size) {
         Simulation simulation = new Simulation(
                 seed,
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -10,13 +10,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What a cold restart costs, with and without the hold, on the same seeds. Simulated time; not part of the build, since
- * its name is no test's: {@code mvn -B test -Dtest=RecoveryMeasurement}.
+ * Measures the recovery after a cold restart in simulated time, with and without a recovery hold, on the same seeds.
+ * The class name does not match the test patterns of the build, so run it with
+ * {@code mvn -B test -Dtest=RecoveryMeasurement}.
  */
 class RecoveryMeasurement {
     private static final long SECOND = Simulation.SECOND;
     private static final int SEED_COUNT = 3;
-    /** By default a quarter of the lease of {@link RecoveryLoad}. */
+    /** The default hold: a quarter of the lease of {@link RecoveryLoad}. */
     private static final long HOLD_MICROS = 27 * SECOND / 4;
 
     private record Figures(
@@ -27,7 +28,7 @@
             int requests,
             int changes) {}
 
-    /** Nothing is lost but replicas on machines that go on; then, beside that, one machine in a hundred. */
+    /** First only tasks on machines that stay up are lost, then one machine in a hundred is lost as well. */
     @ParameterizedTest
     @EnumSource(RecoveryLoad.Size.class)
     void coldRestart(RecoveryLoad.Size size) {
@@ -45,8 +46,8 @@
         }
         System.out.printf(
                 Locale.ROOT,
-                "%d machines, %s, hold %.2f s, median (least to most) of %d: first live order %s, last live order %s,"
-                        + " first batch order %s, last verdict %s; in 30 s %s requests, %s changes%n",
+                "%d machines, %s, hold %.2f s, median (min to max) of %d: first service start %s,"
+                        + " last service start %s, first batch start %s, last machine resolved %s; in 30 s %s requests, %s changes%n",
                 size.machines,
                 machinesDie ? "one in a hundred dies" : "none dies",
                 hold / 1e6,
@@ -71,7 +72,7 @@
                 sorted.get(sorted.size() - 1));
     }
 
-    /** A tenth of the machines lose their tasks while nobody leads. */
+    /** Measures one run, in which every tenth machine loses its tasks while there is no leader. */
     private static Figures measure(long seed, RecoveryLoad.Size size, boolean machinesDie, long hold) {
         Simulation simulation = RecoveryLoad.fleet(seed, size);
         simulation.recoveryHoldMicros = hold;
@@ -121,7 +122,7 @@
                 .toList();
     }
 
-    /** Since the restart; not a number when it did not come. */
+    /** The time from the restart to an instant; NaN if the instant is negative, which means that it never came. */
     private static double secondsSinceRestart(long at) {
         return at < 0 ? Double.NaN : (at - RecoveryLoad.RESTART_MICROS) / 1e6;
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryScenarios.java
@@ -3,17 +3,17 @@
 import static org.granitepath.simulation.FaultScenarios.submitBatches;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
 
-/** A deployment at work, all of whose controllers end and come back while the machines go on. */
+/** Scenarios in which all controllers of a busy deployment restart while the machines keep running. */
 final class RecoveryScenarios {
     private static final long SECOND = Simulation.SECOND;
-    /** When the controllers end. */
+    /** When the controllers crash. */
     static final long RESTART_MICROS = 60 * SECOND;
-    /** For how long a recovery holds other work back for services. */
+    /** How long a recovery holds back batch work for services. */
     static final long RECOVERY_HOLD_MICROS = 15 * SECOND;
 
     private RecoveryScenarios() {}
 
-    /** Services and half-finished batch work on some seventy machines. */
+    /** A deployment with services and half-finished batch jobs on about seventy machines. */
     static Simulation busyDeployment(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
         simulation.recoveryHoldMicros = RECOVERY_HOLD_MICROS;
@@ -22,7 +22,12 @@
         return simulation;
     }
 
-    /** Each controller is back within a second, or one at once and the others much later. */
+    /**
+     * Crashes all controllers.
+     *
+     * @param apart whether the first one boots again after 0.2 s and the others after 25 s; otherwise each boots again
+     *     within about a second
+     */
     static void restartControllers(Simulation simulation, boolean apart) {
         if (apart) {
             simulation.faults.crash(simulation.nodeNames.get(0), 200_000);
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -7,7 +7,10 @@
 import java.util.TreeMap;
 import org.granitepath.storage.JobSpec;
 
-/** At least half of each class, of each team and of a class's largest jobs is served, and the largest begin in time. */
+/**
+ * Checks that at least half of the jobs of each class, of each team, and of the largest quarter of each class are
+ * served, and that no job of the largest quarters waits for its first start for more than 240 s.
+ */
 final class ServedRules {
     private static final long MAX_START_DELAY_MICROS = 240_000_000;
 
@@ -19,7 +22,7 @@
         this.jobs = jobs;
     }
 
-    /** At the end of a run. */
+    /** Checks the jobs at the end of a run. */
     void check() {
         Map<String, List<JobSpec>> groups = new TreeMap<>();
         for (String job : jobs.submittedJobs()) {
@@ -62,7 +65,7 @@
         }
     }
 
-    /** A service is served when a task of it has run; other work when it is done. */
+    /** Whether a service has started a task, or a batch job has completed all its tasks. */
     private boolean isServed(JobSpec spec) {
         return spec.service() ? jobs.hasStarted(spec.id()) : jobs.completedTaskCount(spec.id()) == spec.tasks();
     }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -59,7 +59,7 @@
         return machinesPerOffer * (4_000L + 16_000);
     }
 
-    /** A copy of a job with a new id and other numbers of tasks and CPU, and 0.1 units of memory per task. */
+    /** A copy of a job with a new id, this many tasks, this much CPU per task, and 0.1 GB of memory per task. */
     JobSpec withCpu(JobSpec like, int tasks, long cpuMillis) {
         return copy(like, nextId(), like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
     }
@@ -114,8 +114,8 @@
     }
 
     /**
-     * A service or batch job with random size, constraints and estimate. The order of the draws must not change, because
-     * the events of every scenario depend on it.
+     * A service or batch job with random size, constraints and estimate. The order of the draws must not change,
+     * because the events of every scenario depend on it.
      */
     JobSpec randomJob() {
         boolean service = environment.random.nextInt(3) == 0;
--- a/src/test/java/org/granitepath/simulation/SimulationAssertions.java
+++ b/src/test/java/org/granitepath/simulation/SimulationAssertions.java
@@ -5,27 +5,33 @@
 
 import java.util.List;
 
-/** What every scenario has to show at its end. */
+/** Assertions at the end of every scenario. */
 final class SimulationAssertions {
     private static final int MAX_SHOWN = 5;
 
     private SimulationAssertions() {}
 
-    /** No rule is broken, and something ran. */
+    /**
+     * Asserts that no rule is violated, a task ran, no transaction exceeded a limit, and every job was accepted under a
+     * precondition on the leader key.
+     */
     static void assertRules(Simulation simulation) {
         assertNoViolations(simulation);
         assertTrue(simulation.rules.startedTaskCount() > 0, "nothing ran");
-        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
-        assertEquals(0, simulation.store.unfencedAcceptanceCount(), "a claim that is not tied to a leader's term");
+        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value exceeded its limit");
+        assertEquals(
+                0,
+                simulation.store.unfencedAcceptanceCount(),
+                "a job was accepted without a precondition on the leader key");
     }
 
-    /** The same, and all accepted work that can end has ended: it must go on once the troubles are over. */
+    /** Asserts the rules, and that all accepted batch jobs have ended: they must make progress after the last fault. */
     static void assertRulesAndAllDone(Simulation simulation) {
         assertRules(simulation);
         assertEquals(List.of(), simulation.users.unfinishedBatchJobs());
     }
 
-    /** No rule is broken. */
+    /** Asserts that no rule is violated. */
     static void assertNoViolations(Simulation simulation) {
         assertEquals(
                 List.of(),
--- a/src/test/java/org/granitepath/simulation/SimulationConfig.java
+++ b/src/test/java/org/granitepath/simulation/SimulationConfig.java
@@ -1,17 +1,24 @@
 package org.granitepath.simulation;
 
 /**
- * A deployment that is simulated. Whoever needs another one takes {@link #small} and names what differs.
+ * The size, timing and limits of a simulated deployment. Scenarios start with {@link #small} and change what they need.
  *
- * @param machinesPerOffer how many machines of each type, zone and kind there are
+ * @param controllers how many controllers there are
+ * @param machinesPerOffer the capacity of the cloud, in machines per type, zone and price model
  */
 record SimulationConfig(int controllers, int machinesPerOffer, Timing timing, Limits limits) {
     private static final long SECOND = Simulation.SECOND;
 
-    /** How often machines send heartbeats, how long their leases are, and how long cancelled tasks may go on. */
+    /** The heartbeat interval and the lease of machines, and how long tasks may run after a confirmed cancellation. */
     record Timing(long heartbeatIntervalMicros, long leaseMicros, long cancellationTimeoutMicros) {}
 
-    /** What the store takes, and how many connections a controller may hold. */
+    /**
+     * The limits of the store and of controllers.
+     *
+     * @param valueBytes the size limit of a value in the store
+     * @param transactionChanges how many changes a transaction may have
+     * @param maxConnections how many connections a controller may hold
+     */
     record Limits(
             double requestsPerSecond,
             double writesPerSecond,
@@ -19,7 +26,7 @@
             int transactionChanges,
             int maxConnections) {}
 
-    /** Three controllers, a few machines that send a heartbeat every second, and a store with capacity to spare. */
+    /** Three controllers, a few machines with a heartbeat interval of one second, and a store with spare capacity. */
     static SimulationConfig small() {
         return new SimulationConfig(
                 3, 5, new Timing(SECOND, Simulation.LEASE_MICROS, 31 * SECOND), new Limits(1000, 200, 2048, 8, 1_000));
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Prints one digest a scenario of everything that leaves the controllers (see {@link EdgeTrace}), to show that a change
- * of the code changes nothing that it does. The scenarios are those of the tests, their assertions included. Not part
- * of the build, since its name is no test's: {@code mvn -B test -Dtest=TraceDigest}.
+ * Prints a digest of everything that leaves the controllers (see {@link EdgeTrace}) for each scenario and seed. Equal
+ * digests before and after a change of the code show that it keeps the external behaviour. The scenarios are those of
+ * the tests, including their assertions. The class name does not match the test patterns of the build, so run it with
+ * {@code mvn -B test -Dtest=TraceDigest}.
  */
 class TraceDigest {
     private record Scenario(String name, LongConsumer run, List<Long> seeds) {
--- a/src/test/java/org/granitepath/simulation/ViolationReporter.java
+++ b/src/test/java/org/granitepath/simulation/ViolationReporter.java
@@ -1,12 +1,12 @@
 package org.granitepath.simulation;
 
-/** Takes what a rule finds. */
+/** Receives the violations that rules find. */
 interface ViolationReporter {
     /**
-     * A rule is broken.
+     * Reports the violation of a rule.
      *
-     * @param rule its short name
-     * @param description how it was broken
+     * @param rule the short name of the rule
+     * @param description how the rule was violated
      */
     void report(String rule, String description);
 }
