--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -1,11 +1,11 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.crowded;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
-import static org.granitepath.simulation.FaultScenarios.longWork;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,19 +22,19 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void lateTransactionsDoNotOverwriteNewerOnes(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 40, 100 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 40, 100 * SECOND);
 
-        simulation.after(10 * SECOND, () -> simulation.store.lateWrites = 0.3);
+        simulation.after(10 * SECOND, () -> simulation.store.lateCommitShare = 0.3);
         for (int i = 0; i < 4; i++) {
             simulation.after(
                     (30 + 20 * i) * SECOND,
                     () -> simulation.faults.crash(
-                            simulation.leader(), 300_000 + simulation.world.random.nextInt(4_000_000)));
+                            simulation.leader(), 300_000 + simulation.environment.random.nextInt(4_000_000)));
         }
-        simulation.after(120 * SECOND, () -> simulation.store.lateWrites = 0);
-        simulation.run(135 * SECOND, 500 * SECOND);
+        simulation.after(120 * SECOND, () -> simulation.store.lateCommitShare = 0);
+        simulation.runWithLivenessChecks(135 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.store.lateSuccesses() > 0, "no late transaction went in");
+        assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction went in");
         assertRulesAndAllDone(simulation);
     }
 
@@ -46,21 +46,21 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void workOfMuteMachinesIsDoneUnderANewLeader(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 8, 40 * SECOND);
+        submitLongRunningJobs(simulation, 5, 8, 40 * SECOND);
 
         AtomicInteger muted = new AtomicInteger();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream()
-                        .filter(worker -> worker.runs().busy())
+                        .filter(worker -> worker.attempts().hasRunningTask())
                         .limit(6)
                         .forEach(worker -> {
                             muted.incrementAndGet();
-                            simulation.faults.mute(worker, simulation.shape.lease() + 10 * SECOND);
+                            simulation.faults.dropHeartbeatsFrom(worker, simulation.config.leaseMicros() + 10 * SECOND);
                         }));
-        leaderEnds(simulation, 48 * SECOND, 5 * SECOND);
+        crashLeaderAfter(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
-        simulation.run(60 * SECOND + simulation.shape.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
         assertTrue(muted.get() > 2, muted + " machines at work fell mute");
         assertRulesAndAllDone(simulation);
@@ -71,24 +71,27 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfBeforeProveNothingToTheNewLeader(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 8, 20 * SECOND);
+        submitLongRunningJobs(simulation, 5, 8, 20 * SECOND);
 
         Observation<Integer> heldBack = new Observation<>();
         Observation<Integer> tokensDrawn = new Observation<>();
         simulation.after(45 * SECOND, () -> {
-            int fencingTokens = simulation.store.writesOf(Keys.FENCING_TOKEN);
+            int fencingTokens = simulation.store.writeCount(Keys.FENCING_TOKEN);
             String former = simulation.leader();
-            List<Heartbeat> held =
-                    simulation.cloud.workers().stream().map(SimWorker::latest).toList();
+            List<Heartbeat> held = simulation.cloud.workers().stream()
+                    .map(SimWorker::lastHeartbeat)
+                    .toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
                 heldBack.set(held.size());
-                tokensDrawn.set(simulation.store.writesOf(Keys.FENCING_TOKEN) - fencingTokens);
-                held.forEach(heartbeat -> simulation.names.forEach(node -> simulation.faults.deliver(node, heartbeat)));
+                tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
+                held.forEach(heartbeat ->
+                        simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
             });
-            simulation.after(3 * simulation.shape.lease(), () -> held.forEach(simulation.faults::deliver));
+            simulation.after(
+                    3 * simulation.config.leaseMicros(), () -> held.forEach(simulation.faults::deliverHeartbeat));
         });
-        simulation.run(50 * SECOND + 3 * simulation.shape.lease(), 400 * SECOND);
+        simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.leaseMicros(), 400 * SECOND);
 
         assertTrue(
                 heldBack.get() > 2 && tokensDrawn.get() > 0,
@@ -101,27 +104,27 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfEarlierAgentEpochsAndAttemptsProveNothing(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 10, 15 * SECOND);
+        submitLongRunningJobs(simulation, 5, 10, 15 * SECOND);
 
         AtomicInteger delivered = new AtomicInteger();
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
-                SimWorker worker = simulation.anyWorker();
-                Heartbeat old = worker == null ? null : worker.latest();
+                SimWorker worker = simulation.randomWorker();
+                Heartbeat old = worker == null ? null : worker.lastHeartbeat();
                 if (old == null) {
                     return;
                 }
-                worker.hangFor(simulation.shape.lease() + 3 * SECOND);
+                worker.hangFor(simulation.config.leaseMicros() + 3 * SECOND);
                 for (int halfLeases = 1; halfLeases < 5; halfLeases++) {
-                    simulation.after(halfLeases * simulation.shape.lease() / 2, () -> {
+                    simulation.after(halfLeases * simulation.config.leaseMicros() / 2, () -> {
                         delivered.incrementAndGet();
-                        simulation.faults.deliver(old);
+                        simulation.faults.deliverHeartbeat(old);
                     });
                 }
             });
         }
-        leaderEnds(simulation, 60 * SECOND, 300_000);
-        simulation.run(80 * SECOND + 2 * simulation.shape.lease(), 500 * SECOND);
+        crashLeaderAfter(simulation, 60 * SECOND, 300_000);
+        simulation.runWithLivenessChecks(80 * SECOND + 2 * simulation.config.leaseMicros(), 500 * SECOND);
 
         assertTrue(delivered.get() > 10, delivered + " old heartbeats");
         assertRulesAndAllDone(simulation);
@@ -131,19 +134,20 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void commandsHeldUpWhileMachinesHangStartNothingTwice(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
-        longWork(simulation, 4, 6, 40 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 80 * SECOND);
+        submitLongRunningJobs(simulation, 4, 6, 40 * SECOND);
 
-        simulation.after(25 * SECOND, () -> simulation.world.heldUp = 0.08);
+        simulation.after(25 * SECOND, () -> simulation.environment.delayedPacketShare = 0.08);
         for (int i = 0; i < 6; i++) {
             simulation.after(
                     (35 + 8 * i) * SECOND,
-                    () -> simulation.users.cancelRunning(2, 6 * SECOND + simulation.world.random.nextInt(30_000_000)));
+                    () -> simulation.users.cancelRunning(
+                            2, 6 * SECOND + simulation.environment.random.nextInt(30_000_000)));
         }
-        simulation.after(85 * SECOND, () -> simulation.world.heldUp = 0);
-        simulation.run(125 * SECOND, 500 * SECOND);
+        simulation.after(85 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
+        simulation.runWithLivenessChecks(125 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.rules.cancellationsTold() > 5);
+        assertTrue(simulation.rules.cancelledJobCount() > 5);
         assertRulesAndAllDone(simulation);
     }
 
@@ -155,21 +159,21 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void answersOfLaterCallsAreNotTakenForThoseOfHeldStarts(long seed) {
-        Simulation simulation = crowded(seed);
-        longWork(simulation, 2, 16, 25 * SECOND);
+        Simulation simulation = withFewMachines(seed);
+        submitLongRunningJobs(simulation, 2, 16, 25 * SECOND);
 
         Observation<Integer> toldBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
-            simulation.heldStarts = 7 * SECOND;
-            toldBefore.set(simulation.rules.cancellationsTold());
+            simulation.directStartDelayMicros = 7 * SECOND;
+            toldBefore.set(simulation.rules.cancelledJobCount());
         });
         for (int i = 0; i < 12; i++) {
             simulation.after((41 + i) * SECOND, () -> simulation.users.cancelRunning(1, 0));
         }
-        simulation.after(55 * SECOND, () -> simulation.heldStarts = 0);
-        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancellationsTold);
-        simulation.run(65 * SECOND, 500 * SECOND);
+        simulation.after(55 * SECOND, () -> simulation.directStartDelayMicros = 0);
+        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
+        simulation.runWithLivenessChecks(65 * SECOND, 500 * SECOND);
 
         int told = toldAfter.get() - toldBefore.get();
         assertTrue(told > 3, told + " cancellations");
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -25,50 +25,50 @@
 
 /**
  * A hash of everything that leaves the controllers of one simulation, in order: calls to the store, the cloud, workers
- * and peers, and answers to workers and users, each with its simulated time and encoded as it goes over the wire. Log
- * text takes no part; the names of the kinds of calls do, and so stay as they are. Two versions of the program with the
- * same hash behave alike in that simulation.
+ * and peers, and responses to workers and users, each with its simulated time and encoded as on the wire. Log messages
+ * are not hashed. The names of the kinds of calls are, so they must not change. Two versions of the program with the
+ * same hash have the same external behaviour in that simulation.
  */
 final class EdgeTrace {
-    private static final ThreadLocal<List<EdgeTrace>> COLLECTOR = new ThreadLocal<>();
+    private static final ThreadLocal<List<EdgeTrace>> ACTIVE_COLLECTOR = new ThreadLocal<>();
 
-    private final World world;
+    private final SimEnvironment environment;
     private final Hasher hasher = Hashing.sha256().newHasher();
-    private long events;
+    private long eventCount;
 
-    private EdgeTrace(World world) {
-        this.world = world;
+    private EdgeTrace(SimEnvironment environment) {
+        this.environment = environment;
     }
 
-    /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests pay nothing. */
-    static @Nullable EdgeTrace of(World world) {
-        List<EdgeTrace> collector = COLLECTOR.get();
+    /** The trace of a new simulation; null unless {@link #collect} is running, so that other tests have no overhead. */
+    static @Nullable EdgeTrace createIfCollecting(SimEnvironment environment) {
+        List<EdgeTrace> collector = ACTIVE_COLLECTOR.get();
         if (collector == null) {
             return null;
         }
-        EdgeTrace trace = new EdgeTrace(world);
+        EdgeTrace trace = new EdgeTrace(environment);
         collector.add(trace);
         return trace;
     }
 
-    /** Runs a scenario and returns the traces of the simulations that it makes, in order. */
+    /** Runs a scenario and returns the traces of the simulations that it creates, in order. */
     static List<EdgeTrace> collect(Runnable scenario) {
         List<EdgeTrace> traces = new ArrayList<>();
-        COLLECTOR.set(traces);
+        ACTIVE_COLLECTOR.set(traces);
         try {
             scenario.run();
         } finally {
-            COLLECTOR.remove();
+            ACTIVE_COLLECTOR.remove();
         }
         return traces;
     }
 
-    /** How many calls and answers the trace holds. */
-    long events() {
-        return events;
+    /** How many calls and responses were added to the trace. */
+    long eventCount() {
+        return eventCount;
     }
 
-    /** The hash of the whole trace, in hexadecimal. Nothing can be added afterwards. */
+    /** The SHA-256 hash of the whole trace in hexadecimal. No event can be added afterwards. */
     String digest() {
         return hasher.hash().toString();
     }
@@ -78,14 +78,14 @@
     }
 
     private void add(String node, String kind, byte[] detail) {
-        events++;
-        hasher.putLong(world.now());
+        eventCount++;
+        hasher.putLong(environment.nowMicros());
         hasher.putUnencodedChars(node).putChar('\n');
         hasher.putUnencodedChars(kind).putChar('\n');
         hasher.putInt(detail.length).putBytes(detail);
     }
 
-    /** The order of the fields of an encoded object means nothing and may differ from one process to the next. */
+    /** Sorts the fields of objects, because their order has no meaning and may differ between processes. */
     private static String sorted(String json) {
         return Json.encode(sorted(Json.decodeObject(json)));
     }
@@ -101,12 +101,12 @@
                 : value;
     }
 
-    void heartbeatAnswered(String node, String host, HeartbeatResponse answer) {
+    void recordHeartbeatResponse(String node, String host, HeartbeatResponse answer) {
         add(node, "heartbeat " + host + " " + WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
     }
 
-    /** Passes the answer on and keeps it in the trace. */
-    Consumer<JobResponse> userAnswers(String node, String user, Consumer<JobResponse> then) {
+    /** Wraps the callback for responses to a user so that the trace records each response. */
+    Consumer<JobResponse> tracingUserResponses(String node, String user, Consumer<JobResponse> then) {
         return answer -> {
             String retry = answer instanceof JobResponse.RetryLater later ? " " + later.afterSeconds() : "";
             add(node, user + " " + SubmissionCodec.httpStatus(answer) + retry, SubmissionCodec.encode(answer));
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -10,24 +10,30 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What a cold restart costs, with and without the hold, on the same seeds. Simulated time; not part of the build, since
- * its name is no test's: {@code mvn -B test -Dtest=RecoveryMeasurement}.
+ * Measures the recovery after a cold restart in simulated time, with and without a recovery hold, on the same seeds.
+ * The class name does not match the test patterns of the build, so run it with
+ * {@code mvn -B test -Dtest=RecoveryMeasurement}.
  */
 class RecoveryMeasurement {
     private static final long SECOND = Simulation.SECOND;
-    private static final int RUNS = 3;
-    /** By default a quarter of the lease of {@link RecoveryLoad}. */
-    private static final long HOLD = 27 * SECOND / 4;
+    private static final int SEED_COUNT = 3;
+    /** The default hold: a quarter of the lease of {@link RecoveryLoad}. */
+    private static final long HOLD_MICROS = 27 * SECOND / 4;
 
     private record Figures(
-            double firstLive, double lastLive, double firstBatch, double lastVerdict, int requests, int writes) {}
+            double firstServiceStart,
+            double lastServiceStart,
+            double firstBatchStart,
+            double lastMachineResolved,
+            int requests,
+            int changes) {}
 
-    /** Nothing is lost but replicas on machines that go on; then, beside that, one machine in a hundred. */
+    /** First only tasks on machines that stay up are lost, then one machine in a hundred is lost as well. */
     @ParameterizedTest
     @EnumSource(RecoveryLoad.Size.class)
     void coldRestart(RecoveryLoad.Size size) {
         for (boolean machinesDie : new boolean[] {false, true}) {
-            for (long hold : new long[] {0, HOLD}) {
+            for (long hold : new long[] {0, HOLD_MICROS}) {
                 measure(size, machinesDie, hold);
             }
         }
@@ -35,26 +41,28 @@
 
     private static void measure(RecoveryLoad.Size size, boolean machinesDie, long hold) {
         List<Figures> all = new ArrayList<>();
-        for (long seed = 1; seed <= RUNS; seed++) {
+        for (long seed = 1; seed <= SEED_COUNT; seed++) {
             all.add(measure(seed, size, machinesDie, hold));
         }
         System.out.printf(
                 Locale.ROOT,
-                "%d machines, %s, hold %.2f s, median (least to most) of %d: first live order %s, last live order %s,"
-                        + " first batch order %s, last verdict %s; in 30 s %s requests, %s changes%n",
+                "%d machines, %s, hold %.2f s, median (min to max) of %d: first service start %s,"
+                        + " last service start %s, first batch start %s, last machine resolved %s; in 30 s %s requests, %s changes%n",
                 size.machines,
                 machinesDie ? "one in a hundred dies" : "none dies",
                 hold / 1e6,
-                RUNS,
-                spread(all.stream().map(Figures::firstLive).toList()),
-                spread(all.stream().map(Figures::lastLive).toList()),
-                spread(all.stream().map(Figures::firstBatch).toList()),
-                spread(all.stream().map(Figures::lastVerdict).toList()),
-                spread(all.stream().map(figures -> (double) figures.requests()).toList()),
-                spread(all.stream().map(figures -> (double) figures.writes()).toList()));
+                SEED_COUNT,
+                medianAndRange(all.stream().map(Figures::firstServiceStart).toList()),
+                medianAndRange(all.stream().map(Figures::lastServiceStart).toList()),
+                medianAndRange(all.stream().map(Figures::firstBatchStart).toList()),
+                medianAndRange(all.stream().map(Figures::lastMachineResolved).toList()),
+                medianAndRange(
+                        all.stream().map(figures -> (double) figures.requests()).toList()),
+                medianAndRange(
+                        all.stream().map(figures -> (double) figures.changes()).toList()));
     }
 
-    private static String spread(List<Double> values) {
+    private static String medianAndRange(List<Double> values) {
         List<Double> sorted = values.stream().sorted().toList();
         return String.format(
                 Locale.ROOT,
@@ -64,15 +72,15 @@
                 sorted.get(sorted.size() - 1));
     }
 
-    /** A tenth of the machines lose their tasks while nobody leads. */
+    /** Measures one run, in which every tenth machine loses its tasks while there is no leader. */
     private static Figures measure(long seed, RecoveryLoad.Size size, boolean machinesDie, long hold) {
         Simulation simulation = RecoveryLoad.fleet(seed, size);
-        simulation.recoveryHold = hold;
+        simulation.recoveryHoldMicros = hold;
         Observation<Integer> requestsBefore = new Observation<>();
-        Observation<Integer> writesBefore = new Observation<>();
-        simulation.after(RecoveryLoad.RESTART, () -> {
-            requestsBefore.set(simulation.store.requests());
-            writesBefore.set(simulation.store.writes());
+        Observation<Integer> changesBefore = new Observation<>();
+        simulation.after(RecoveryLoad.RESTART_MICROS, () -> {
+            requestsBefore.set(simulation.store.requestCount());
+            changesBefore.set(simulation.store.changeCount());
             simulation.faults.crashAll(SECOND);
             List<SimWorker> workers = simulation.cloud.workers();
             for (int i = 0; i < workers.size(); i += 10) {
@@ -82,40 +90,40 @@
                 workers.get(i).die();
             }
         });
-        AtomicLong lastVerdict = new AtomicLong(-1);
-        simulation.run(RecoveryLoad.RESTART);
-        simulation.world.run(RecoveryLoad.RESTART + 30 * SECOND, () -> {
-            RecoveryStatus status =
-                    simulation.world.now() % 20 == 0 && lastVerdict.get() < 0 ? simulation.recovery() : null;
+        AtomicLong lastMachineResolvedMicros = new AtomicLong(-1);
+        simulation.run(RecoveryLoad.RESTART_MICROS);
+        simulation.environment.run(RecoveryLoad.RESTART_MICROS + 30 * SECOND, () -> {
+            RecoveryStatus status = simulation.environment.nowMicros() % 20 == 0 && lastMachineResolvedMicros.get() < 0
+                    ? simulation.recoveryStatus()
+                    : null;
             if (status != null && status.term().fencingToken() > 1 && status.awaitedMachineCount() == 0) {
-                lastVerdict.set(simulation.world.now());
+                lastMachineResolvedMicros.set(simulation.environment.nowMicros());
             }
         });
-        int requests = simulation.store.requests() - requestsBefore.get();
-        int writes = simulation.store.writes() - writesBefore.get();
-        simulation.run(RecoveryLoad.RESTART + 60 * SECOND);
-        List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART);
-        List<Long> live = times(simulation, starts, true);
-        List<Long> batch = times(simulation, starts, false);
+        int requests = simulation.store.requestCount() - requestsBefore.get();
+        int changes = simulation.store.changeCount() - changesBefore.get();
+        simulation.run(RecoveryLoad.RESTART_MICROS + 60 * SECOND);
+        List<SimCommands.Start> starts = simulation.commands.startsSince(RecoveryLoad.RESTART_MICROS);
+        List<Long> serviceStarts = startTimes(simulation, starts, true);
+        List<Long> batchStarts = startTimes(simulation, starts, false);
         return new Figures(
-                seconds(live.isEmpty() ? -1 : live.get(0)),
-                seconds(live.isEmpty() ? -1 : live.get(live.size() - 1)),
-                seconds(batch.isEmpty() ? -1 : batch.get(0)),
-                seconds(lastVerdict.get()),
+                secondsSinceRestart(serviceStarts.isEmpty() ? -1 : serviceStarts.get(0)),
+                secondsSinceRestart(serviceStarts.isEmpty() ? -1 : serviceStarts.get(serviceStarts.size() - 1)),
+                secondsSinceRestart(batchStarts.isEmpty() ? -1 : batchStarts.get(0)),
+                secondsSinceRestart(lastMachineResolvedMicros.get()),
                 requests,
-                writes);
+                changes);
     }
 
-    private static List<Long> times(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
+    private static List<Long> startTimes(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
         return starts.stream()
-                .filter(start ->
-                        simulation.users.describedAs(start.task().job()).isService() == services)
-                .map(SimCommands.Start::at)
+                .filter(start -> simulation.users.specOf(start.task().job()).isService() == services)
+                .map(SimCommands.Start::sentMicros)
                 .toList();
     }
 
-    /** Since the restart; not a number when it did not come. */
-    private static double seconds(long at) {
-        return at < 0 ? Double.NaN : (at - RecoveryLoad.RESTART) / 1e6;
+    /** The time from the restart to an instant; NaN if the instant is negative, which means that it never came. */
+    private static double secondsSinceRestart(long at) {
+        return at < 0 ? Double.NaN : (at - RecoveryLoad.RESTART_MICROS) / 1e6;
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -1,9 +1,9 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.RecoveryScenarios.HOLD;
-import static org.granitepath.simulation.RecoveryScenarios.RESTART;
-import static org.granitepath.simulation.RecoveryScenarios.busy;
-import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
+import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
+import static org.granitepath.simulation.RecoveryScenarios.restartControllers;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -33,59 +33,59 @@
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB_PREFIX, Keys.PROGRESS_PREFIX, Keys.FINAL_PREFIX})
     void recordsThatCannotBeRead(String prefix) {
-        Simulation simulation = busy(1);
+        Simulation simulation = busyDeployment(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
         simulation.users.submit(job);
         String key = prefix + job.id();
         String garbage = "{\"spec\":7,\"done\":\"x\",\"how\":[],\"claimed\":6}";
         Observation<Long> before = new Observation<>();
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
-            simulation.store.plant(key, garbage);
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
+            simulation.store.writeExternally(key, garbage);
             before.set(running(simulation, job));
         });
-        simulation.run(RESTART + 100 * SECOND);
+        simulation.run(RESTART_MICROS + 100 * SECOND);
 
         assertTrue(before.get() > 0, "the job does not run");
         assertEquals(before.get(), running(simulation, job), "tasks of a job that can't be judged were stopped");
         assertTrue(
-                simulation.commands.startsSince(RESTART).stream()
+                simulation.commands.startsSince(RESTART_MICROS).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
-        assertTrue(simulation.store.holds(key, garbage), "it was written over");
-        assertTrue(simulation.recovery().unreadableRecords() > 0);
+        assertTrue(simulation.store.hasValue(key, garbage), "it was written over");
+        assertTrue(simulation.recoveryStatus().unreadableRecords() > 0);
         simulation.run(400 * SECOND);
 
         assertRules(simulation);
         assertEquals(
                 List.of(),
-                simulation.users.unfinishedBatches().stream()
+                simulation.users.unfinishedBatchJobs().stream()
                         .filter(id -> !id.equals(job.id()))
                         .toList());
     }
 
     private static long running(Simulation simulation, JobSpec job) {
         return simulation.cloud.workers().stream()
-                .flatMap(worker -> worker.runs().live().stream())
-                .filter(run -> run.task.job().equals(job.id()))
+                .flatMap(worker -> worker.attempts().active().stream())
+                .filter(attempt -> attempt.task.job().equals(job.id()))
                 .count();
     }
 
     /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
     @Test
     void aPartOfTheInventoryThatCannotBeRead() {
-        Simulation simulation = busy(2);
+        Simulation simulation = busyDeployment(2);
         String key = Keys.INVENTORY_PREFIX + "0";
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
-            simulation.store.plant(key, "{\"hosts\":[7]}");
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
+            simulation.store.writeExternally(key, "{\"hosts\":[7]}");
         });
-        simulation.run(RESTART + 60 * SECOND);
+        simulation.run(RESTART_MICROS + 60 * SECOND);
 
-        RecoveryStatus status = simulation.recovery();
+        RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
-        assertTrue(simulation.store.holds(key, "{\"hosts\":[7]}"), "it was written over");
+        assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "it was written over");
         simulation.run(300 * SECOND);
 
         assertRules(simulation);
@@ -95,28 +95,28 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledAndSubmittedJustBefore(long seed) {
-        Simulation simulation = busy(seed);
-        simulation.cancelledAtEnd = 0.3;
+        Simulation simulation = busyDeployment(seed);
+        simulation.cancelAtCompletionShare = 0.3;
         List<JobSpec> shortJobs = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            long at = RESTART - SECOND + i * 50_000L;
+            long at = RESTART_MICROS - SECOND + i * 50_000L;
             JobSpec spec = new JobBuilder(simulation.jobs, i % 4 == 0, 4)
                     .estimate(5 * SECOND)
                     .priority(Priority.STANDARD)
                     .onSpot()
-                    .create();
+                    .build();
             shortJobs.add(spec);
             simulation.after(at, () -> simulation.users.submit(spec, spec.isService() ? 20 * SECOND : -1));
         }
         simulation.after(
-                RESTART - 100_000 - simulation.world.random.nextInt(400_000),
+                RESTART_MICROS - 100_000 - simulation.environment.random.nextInt(400_000),
                 () -> simulation.users.cancelRunning(4, 0));
-        simulation.after(RESTART, () -> restart(simulation, seed % 2 == 0));
-        simulation.run(RESTART + 100 * SECOND, 500 * SECOND);
+        simulation.after(RESTART_MICROS, () -> restartControllers(simulation, seed % 2 == 0));
+        simulation.runWithLivenessChecks(RESTART_MICROS + 100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertTrue(simulation.rules.cancellationsTold() > 0);
-        assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.acceptedJob(spec.id())));
+        assertTrue(simulation.rules.cancelledJobCount() > 0);
+        assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.isAccepted(spec.id())));
     }
 
     // ---- troubles meanwhile ------------------------------------------------------------------------------------
@@ -125,19 +125,21 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void theStoreIsAwayOrSlow(long seed) {
-        Simulation simulation = busy(seed);
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
+        Simulation simulation = busyDeployment(seed);
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
             switch ((int) seed % 3) {
-                case 0 -> simulation.store.outage(8 * SECOND);
+                case 0 -> simulation.store.startOutage(8 * SECOND);
                 case 1 ->
-                    simulation.names.stream().limit(2).forEach(node -> simulation.store.refuse(node, 15 * SECOND));
-                default -> simulation.names.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
+                    simulation.nodeNames.stream()
+                            .limit(2)
+                            .forEach(node -> simulation.store.refuseRequestsOf(node, 15 * SECOND));
+                default -> simulation.nodeNames.forEach(node -> simulation.store.refuseWritesOf(node, 4 * SECOND));
             }
-            simulation.store.lateWrites = 0.1;
-            simulation.after(20 * SECOND, () -> simulation.store.lateWrites = 0);
+            simulation.store.lateCommitShare = 0.1;
+            simulation.after(20 * SECOND, () -> simulation.store.lateCommitShare = 0);
         });
-        simulation.run(RESTART + 30 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 30 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -160,26 +162,27 @@
     @EnumSource(RecoveryPhase.class)
     void endedAgainInEachPhase(RecoveryPhase phase) {
         for (Trouble trouble : Trouble.values()) {
-            Simulation simulation = busy(trouble.seed);
-            simulation.recoveryHold = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
-            simulation.after(RESTART, () -> restartAndLoseReplicas(simulation, phase));
+            Simulation simulation = busyDeployment(trouble.seed);
+            simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : RECOVERY_HOLD_MICROS;
+            simulation.after(RESTART_MICROS, () -> restartAndLoseReplicas(simulation, phase));
 
             int met = strikeTwice(simulation, phase, trouble);
 
             // Where no machine has capacity for what goes first, its phase is over within one step.
             int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
             assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
-            simulation.run(RESTART + 70 * SECOND, 500 * SECOND);
+            simulation.runWithLivenessChecks(RESTART_MICROS + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
     }
 
     private static void restartAndLoseReplicas(Simulation simulation, RecoveryPhase phase) {
-        restart(simulation, false);
+        restartControllers(simulation, false);
         int unreachable = phase == RecoveryPhase.RESUMING_LIVE ? 0 : 2;
         simulation.cloud.workers().stream()
                 .limit(unreachable)
-                .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 20 * SECOND));
+                .forEach(worker ->
+                        simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
         endReplicas(simulation);
     }
 
@@ -190,9 +193,11 @@
     /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
     private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
         AtomicInteger met = new AtomicInteger();
-        simulation.world.run(RESTART + 60 * SECOND, () -> {
+        simulation.environment.run(RESTART_MICROS + 60 * SECOND, () -> {
             simulation.rules.check();
-            RecoveryStatus status = simulation.world.now() > RESTART ? simulation.recovery(phase) : null;
+            RecoveryStatus status = simulation.environment.nowMicros() > RESTART_MICROS
+                    ? simulation.recoveryStatusInPhase(phase)
+                    : null;
             if (status != null && met.get() < 2) {
                 met.incrementAndGet();
                 endReplicas(simulation);
@@ -206,31 +211,35 @@
         switch (trouble) {
             case ALL_END -> simulation.faults.crashAll(SECOND);
             case LEADER_ENDS -> simulation.faults.crash(leader, 100_000);
-            case LEADER_STANDS_STILL -> simulation.faults.freeze(leader, 6 * SECOND);
+            case LEADER_STANDS_STILL -> simulation.faults.pause(leader, 6 * SECOND);
         }
     }
 
     /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
     @Test
     void controllersThatCannotTellSaySo() {
-        Simulation simulation = busy(3);
-        simulation.run(RESTART);
+        Simulation simulation = busyDeployment(3);
+        simulation.run(RESTART_MICROS);
         String leader = simulation.leader();
-        assertEquals(RecoveryStatus.Role.LEADING, simulation.recoveryAt(leader).role());
-        String other = simulation.names.stream()
+        assertEquals(
+                RecoveryStatus.Role.LEADING, simulation.recoveryStatusAt(leader).role());
+        String other = simulation.nodeNames.stream()
                 .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(RecoveryStatus.Role.FOLLOWING, simulation.recoveryAt(other).role());
-        assertEquals(leader, simulation.recoveryAt(other).leader());
-        simulation.faults.cut(leader, SimStore.NAME, World.Cut.DROP, 60 * SECOND);
-        simulation.faults.cut(other, SimStore.NAME, World.Cut.DROP, 60 * SECOND);
-        simulation.run(RESTART + 6 * SECOND);
+        assertEquals(
+                RecoveryStatus.Role.FOLLOWING,
+                simulation.recoveryStatusAt(other).role());
+        assertEquals(leader, simulation.recoveryStatusAt(other).leader());
+        simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+        simulation.faults.partition(other, SimStore.NAME, SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+        simulation.run(RESTART_MICROS + 6 * SECOND);
 
         assertEquals(
                 RecoveryStatus.Role.LEADING_UNCONFIRMED,
-                simulation.recoveryAt(leader).role());
-        assertEquals(RecoveryStatus.Role.UNKNOWN, simulation.recoveryAt(other).role());
-        assertEquals(null, simulation.recoveryAt(other).phase());
+                simulation.recoveryStatusAt(leader).role());
+        assertEquals(
+                RecoveryStatus.Role.UNKNOWN, simulation.recoveryStatusAt(other).role());
+        assertEquals(null, simulation.recoveryStatusAt(other).phase());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.coordination.ports.WorkerPort;
 
-/** How controllers reach one another and the machines. */
+/** The simulated connections of controllers to each other and to machines. */
 final class SimPorts {
     private final Simulation simulation;
 
@@ -17,17 +17,17 @@
         this.simulation = simulation;
     }
 
-    /** How this controller reaches the others. */
+    /** The connection of a controller to its peers. */
     PeerPort peerPort(String node) {
         return new PeerCalls(node);
     }
 
-    /** How this controller calls machines. */
+    /** The connection of a controller to machines. */
     WorkerPort workerPort(String node) {
         return new DirectCalls(node);
     }
 
-    /** Calls of one controller to others. */
+    /** Calls from one controller to its peers. */
     private final class PeerCalls implements PeerPort {
         private final String node;
 
@@ -45,7 +45,7 @@
             this.<Boolean>call(
                     peer,
                     (controller, answer) -> {
-                        if (!simulation.peersSendNoCancellations) {
+                        if (!simulation.dropPeerCancellations) {
                             controller.handleCancellationNotice(notice);
                             answer.accept(true);
                         }
@@ -55,7 +55,7 @@
 
         /** A peer that is down does not answer. */
         private <T> void call(String peer, BiConsumer<Controller, Consumer<T>> serve, Consumer<T> then) {
-            simulation.world.<T>callLater(
+            simulation.environment.<T>callAsync(
                     node,
                     peer,
                     Simulation.SECOND,
@@ -69,10 +69,10 @@
         }
     }
 
-    /** Calls of one controller to machines. */
+    /** Calls from one controller to machines. */
     private final class DirectCalls implements WorkerPort {
         private final String node;
-        private int calls;
+        private int callsInFlight;
 
         DirectCalls(String node) {
             this.node = node;
@@ -86,39 +86,39 @@
                 List<WorkerCommand> commands,
                 Consumer<Reply> then) {
             long term = simulation.controllerAt(node).fencingToken();
-            simulation.commands.sent(term, node, address, commands);
+            simulation.commands.recordCommands(term, node, address, commands);
             boolean starts = commands.stream().anyMatch(command -> command.verb() == WorkerCommand.Verb.START);
-            simulation.mostCalls = Math.max(simulation.mostCalls, ++calls);
-            simulation.world.<Reply>callLater(
+            simulation.maxConcurrentCalls = Math.max(simulation.maxConcurrentCalls, ++callsInFlight);
+            simulation.environment.<Reply>callAsync(
                     node,
                     address,
                     2 * Simulation.SECOND,
                     answer -> {
-                        Runnable serve = () -> serveWhenAwake(
-                                address, worker -> worker.commands(fencingToken, agentEpoch, commands), answer);
-                        if (starts && simulation.heldStarts > 0) {
-                            simulation.world.after(simulation.heldStarts, serve);
+                        Runnable serve = () -> serveWhenResponsive(
+                                address, worker -> worker.handleCommands(fencingToken, agentEpoch, commands), answer);
+                        if (starts && simulation.directStartDelayMicros > 0) {
+                            simulation.environment.after(simulation.directStartDelayMicros, serve);
                         } else {
                             serve.run();
                         }
                     },
                     reply -> {
-                        calls--;
+                        callsInFlight--;
                         if (reply != null) {
-                            simulation.commands.heartbeatReceived(term, address);
+                            simulation.commands.recordHeartbeat(term, address);
                         }
                         then.accept(reply == null ? new Reply(false, null) : reply);
                     });
         }
 
-        /** A hanging machine carries commands out when it goes on. */
-        private void serveWhenAwake(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
+        /** Serves a call, or retries every 0.3 s while the machine hangs; a machine that is gone does not answer. */
+        private void serveWhenResponsive(String address, Function<SimWorker, Reply> serve, Consumer<Reply> answer) {
             SimWorker worker = simulation.cloud.worker(address);
             if (worker == null) {
                 return;
             }
-            if (worker.hangs()) {
-                simulation.world.after(300_000, () -> serveWhenAwake(address, serve, answer));
+            if (worker.isHanging()) {
+                simulation.environment.after(300_000, () -> serveWhenResponsive(address, serve, answer));
             } else {
                 answer.accept(serve.apply(worker));
             }
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -13,194 +13,193 @@
 import org.granitepath.storage.KeyValueStore.Transaction;
 import org.granitepath.storage.Keys;
 
-/** A stand-in for the store: what it serves and refuses, its limits, its troubles, and counts of what was asked. */
+/** A simulated key-value store with rate and size limits, injected faults, and counters of its requests. */
 final class SimStore {
     static final String NAME = "state";
-    private static final long EXPIRY_INTERVAL = 50_000;
+    private static final long EXPIRY_INTERVAL_MICROS = 50_000;
 
-    private final World world;
+    private final SimEnvironment environment;
     private final SimStoreKeys keys = new SimStoreKeys();
     private final SimLeases leases = new SimLeases();
     private final SimWatches watches;
-    private final SimRates rates;
-    private final Set<String> refused = new HashSet<>();
-    private final Set<String> blind = new HashSet<>();
-    private final Set<String> readOnly = new HashSet<>();
+    private final SimRateLimiter rates;
+    private final Set<String> refusedNodes = new HashSet<>();
+    private final Set<String> nodesWithoutReads = new HashSet<>();
+    private final Set<String> readOnlyNodes = new HashSet<>();
     private TransactionLimits limits;
-    private boolean outage;
-
-    /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
-    double lateWrites;
-
-    private int lateSuccesses;
-    private int oversized;
-    private int unfenced;
-    private int reads;
-    private int requests;
-    private int refusals;
-    private int writes;
-
-    SimStore(World world, int transactionChanges, int valueBytes, double requestsPerSecond, double writesPerSecond) {
-        this.world = world;
-        this.watches = new SimWatches(world, keys);
-        this.rates = new SimRates(requestsPerSecond, writesPerSecond);
+    private boolean outageActive;
+
+    /** Probability that a transaction gets no answer and is applied 2 to 12 s later, after newer ones. */
+    double lateCommitShare;
+
+    private int lateCommitCount;
+    private int oversizedTransactionCount;
+    private int unfencedAcceptanceCount;
+    private int followRequestCount;
+    private int requestCount;
+    private int rateLimitedRequestCount;
+    private int changeCount;
+
+    SimStore(
+            SimEnvironment environment,
+            int transactionChanges,
+            int valueBytes,
+            double requestsPerSecond,
+            double writesPerSecond) {
+        this.environment = environment;
+        this.watches = new SimWatches(environment, keys);
+        this.rates = new SimRateLimiter(requestsPerSecond, writesPerSecond);
         this.limits = new TransactionLimits(transactionChanges, valueBytes);
-        world.after(EXPIRY_INTERVAL, this::expire);
+        environment.after(EXPIRY_INTERVAL_MICROS, this::expireLeases);
     }
 
-    /** The store as one node reaches it. */
+    /** The connection of a node to this store. */
     KeyValueStore portFor(String node) {
-        return new SimStorePort(world, this, node);
+        return new SimStorePort(environment, this, node);
     }
 
-    // ---- troubles ----------------------------------------------------------------------------------------------
-
-    /** The limits change without notice; what is stored stays readable. */
+    /** Lowers the limits without notice; stored values that exceed them stay readable. */
     void lowerLimits(StoreLimits next) {
         limits = new TransactionLimits(next.transactionChanges(), next.valueBytes());
-        rates.lowerWrites(next.writesPerSecond());
+        rates.setWritesPerSecond(next.writesPerSecond());
     }
 
-    /** Nobody is served, and no lease ends meanwhile. */
-    void outage(long forMicros) {
+    /** Refuses all requests for a while. Leases do not expire meanwhile and are renewed at the end. */
+    void startOutage(long durationMicros) {
         setOutage(true);
-        world.after(forMicros, () -> setOutage(false));
+        environment.after(durationMicros, () -> setOutage(false));
     }
 
-    private void setOutage(boolean now) {
-        if (outage && !now) {
-            leases.renewAll(world.now());
+    private void setOutage(boolean active) {
+        if (outageActive && !active) {
+            leases.renewAll(environment.nowMicros());
         }
-        outage = now;
-        watches.wake();
+        outageActive = active;
+        watches.notifyWatches();
     }
 
-    /** This node alone is not served. */
-    void refuse(String node, long forMicros) {
-        refused.add(node);
-        watches.wake();
-        world.after(forMicros, () -> {
-            refused.remove(node);
-            watches.wake();
+    /** Refuses all requests of one node for a while. */
+    void refuseRequestsOf(String node, long durationMicros) {
+        refusedNodes.add(node);
+        watches.notifyWatches();
+        environment.after(durationMicros, () -> {
+            refusedNodes.remove(node);
+            watches.notifyWatches();
         });
     }
 
-    /** This node's transactions are refused, while all else of it is served. */
-    void refuseWritesOf(String node, long forMicros) {
-        readOnly.add(node);
-        world.after(forMicros, () -> readOnly.remove(node));
+    /** Refuses the transactions of one node for a while and serves its other requests. */
+    void refuseWritesOf(String node, long durationMicros) {
+        readOnlyNodes.add(node);
+        environment.after(durationMicros, () -> readOnlyNodes.remove(node));
     }
 
-    /** This node's reads get no answer, while all else does. */
-    void blindFor(String node, long forMicros) {
-        blind.add(node);
-        world.after(forMicros, () -> blind.remove(node));
+    /** Leaves the follow requests of one node unanswered for a while and serves its other requests. */
+    void dropReadsOf(String node, long durationMicros) {
+        nodesWithoutReads.add(node);
+        environment.after(durationMicros, () -> nodesWithoutReads.remove(node));
     }
 
-    /** Someone else writes this value. */
-    void plant(String key, String json) {
-        keys.plant(key, json);
-        watches.wake();
+    /** Writes a value as a client other than the controllers. */
+    void writeExternally(String key, String json) {
+        keys.writeExternally(key, json);
+        watches.notifyWatches();
     }
 
-    // ---- questions of scenarios --------------------------------------------------------------------------------
-
-    /** Whether the value is still the one that was planted. */
-    boolean holds(String key, String json) {
-        return keys.holds(key, json);
+    /** Whether the value of the key is exactly this JSON text. */
+    boolean hasValue(String key, String json) {
+        return keys.hasValue(key, json);
     }
 
-    /** Changes of a key so far. */
-    int writesOf(String key) {
-        return keys.writesOf(key);
+    /** How many changes transactions have made to a key so far. */
+    int writeCount(String key) {
+        return keys.writeCount(key);
     }
 
-    /** The largest value that is stored. */
-    int largestValue() {
-        return keys.largestValue();
+    /** The length of the largest stored value in characters; 0 if there is none. */
+    int largestValueLength() {
+        return keys.largestValueLength();
     }
 
-    /** Transactions that changed something although they were carried out late. */
-    int lateSuccesses() {
-        return lateSuccesses;
+    /** How many late transactions (see {@link #lateCommitShare}) were applied successfully. */
+    int lateCommitCount() {
+        return lateCommitCount;
     }
 
-    /** Transactions over a limit. */
-    int oversized() {
-        return oversized;
+    /** How many transactions exceeded a size limit. */
+    int oversizedTransactionCount() {
+        return oversizedTransactionCount;
     }
 
-    /** Acceptances that would hold whoever the leader is by then. */
-    int unfenced() {
-        return unfenced;
+    /** How many transactions wrote a job without a precondition on the leader key, which fences former leaders. */
+    int unfencedAcceptanceCount() {
+        return unfencedAcceptanceCount;
     }
 
-    /** Requests to follow changes, long polls included, whether they arrived or not. */
-    int reads() {
-        return reads;
+    /** How many follow requests were sent, long polls included, whether they arrived or not. */
+    int followRequestCount() {
+        return followRequestCount;
     }
 
-    /** All requests that arrived. */
-    int requests() {
-        return requests;
+    /** How many requests have arrived, except the follow requests that {@link #dropReadsOf} leaves unanswered. */
+    int requestCount() {
+        return requestCount;
     }
 
-    /** Requests that were refused because they came too fast. */
-    int refusals() {
-        return refusals;
+    /** How many requests were refused because they exceeded the rate limits. */
+    int rateLimitedRequestCount() {
+        return rateLimitedRequestCount;
     }
 
-    /** Changes made so far. */
-    int writes() {
-        return writes;
+    /** How many changes transactions have made so far. */
+    int changeCount() {
+        return changeCount;
     }
 
-    // ---- requests of nodes -------------------------------------------------------------------------------------
-
-    /** A request to read is sent, whether it arrives or not. */
-    void countRead() {
-        reads++;
+    /** Counts a follow request when it is sent, whether it arrives or not. */
+    void countFollowRequest() {
+        followRequestCount++;
     }
 
     void commit(String node, Transaction transaction, Consumer<CommitResult> answer) {
-        if (away(node, transaction.changes().size()) || readOnly.contains(node)) {
+        if (refuseIfUnavailable(node, transaction.changes().size()) || readOnlyNodes.contains(node)) {
             answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of()));
-        } else if (lateWrites > 0 && world.random.nextDouble() < lateWrites) {
-            world.after(2_000_000 + world.random.nextInt(10_000_000), () -> commitLate(transaction));
+        } else if (lateCommitShare > 0 && environment.random.nextDouble() < lateCommitShare) {
+            environment.after(2_000_000 + environment.random.nextInt(10_000_000), () -> commitLate(transaction));
         } else {
             answer.accept(commit(transaction));
         }
     }
 
     Page list(String node, String prefix, String from, int limit) {
-        return away(node, 0) ? refusedPage() : keys.list(prefix, from, limit);
+        return refuseIfUnavailable(node, 0) ? refusedPage() : keys.list(prefix, from, limit);
     }
 
     void follow(String node, String prefix, long from, long waitMicros, Consumer<Page> answer) {
-        if (blind.contains(node)) {
+        if (nodesWithoutReads.contains(node)) {
             return;
         }
-        if (away(node, 0)) {
+        if (refuseIfUnavailable(node, 0)) {
             answer.accept(refusedPage());
             return;
         }
         watches.follow(prefix, from, waitMicros, answer);
     }
 
-    LeaseResult openLease(String node, long lifeMicros) {
-        return away(node, 0)
+    LeaseResult openLease(String node, long leaseMicros) {
+        return refuseIfUnavailable(node, 0)
                 ? new LeaseResult(Outcome.REFUSED, 0)
-                : new LeaseResult(Outcome.OK, leases.open(world.now(), lifeMicros));
+                : new LeaseResult(Outcome.OK, leases.open(environment.nowMicros(), leaseMicros));
     }
 
     Outcome renewLease(String node, long lease) {
-        if (away(node, 0)) {
+        if (refuseIfUnavailable(node, 0)) {
             return Outcome.REFUSED;
         }
-        if (!leases.holds(lease)) {
+        if (!leases.exists(lease)) {
             return Outcome.NOT_FOUND;
         }
-        leases.renew(lease, world.now());
+        leases.renew(lease, environment.nowMicros());
         return Outcome.OK;
     }
 
@@ -208,29 +207,27 @@
         return new Page(Outcome.REFUSED, List.of(), false, 0);
     }
 
-    /** Whether this request is not carried out: the store is away, or asked for too much. */
-    private boolean away(String node, int changes) {
-        requests++;
-        boolean tooFast = !rates.admits(world.now(), changes);
-        refusals += tooFast ? 1 : 0;
-        return tooFast || outage || refused.contains(node);
+    /** Counts the request. Returns whether it is refused because of its rate, an outage or a fault of this node. */
+    private boolean refuseIfUnavailable(String node, int changes) {
+        requestCount++;
+        boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
+        rateLimitedRequestCount += tooFast ? 1 : 0;
+        return tooFast || outageActive || refusedNodes.contains(node);
     }
 
-    // ---- transactions and leases -------------------------------------------------------------------------------
-
     private void commitLate(Transaction transaction) {
-        if (!outage && commit(transaction).outcome() == Outcome.OK) {
-            lateSuccesses++;
+        if (!outageActive && commit(transaction).outcome() == Outcome.OK) {
+            lateCommitCount++;
         }
     }
 
     private CommitResult commit(Transaction transaction) {
-        if (limits.exceededBy(transaction)) {
-            oversized++;
+        if (limits.isExceededBy(transaction)) {
+            oversizedTransactionCount++;
             return committed(Outcome.INVALID, List.of());
         }
-        if (acceptsAJob(transaction) && !isTiedToTheLeader(transaction)) {
-            unfenced++;
+        if (acceptsJob(transaction) && !requiresLeaderKey(transaction)) {
+            unfencedAcceptanceCount++;
         }
         List<String> failed = transaction.preconditions().stream()
                 .filter(precondition -> keys.revisionOf(precondition.key()) != precondition.revision())
@@ -240,20 +237,20 @@
             return committed(Outcome.CONFLICT, failed);
         }
         if (transaction.changes().stream()
-                .anyMatch(change -> change.leaseId() != 0 && !leases.holds(change.leaseId()))) {
+                .anyMatch(change -> change.leaseId() != 0 && !leases.exists(change.leaseId()))) {
             return committed(Outcome.REFUSED, List.of());
         }
         keys.apply(transaction.changes());
-        writes += transaction.changes().size();
-        watches.wake();
+        changeCount += transaction.changes().size();
+        watches.notifyWatches();
         return committed(Outcome.OK, List.of());
     }
 
-    private static boolean acceptsAJob(Transaction transaction) {
+    private static boolean acceptsJob(Transaction transaction) {
         return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB_PREFIX));
     }
 
-    private static boolean isTiedToTheLeader(Transaction transaction) {
+    private static boolean requiresLeaderKey(Transaction transaction) {
         return transaction.preconditions().stream()
                 .anyMatch(precondition -> precondition.key().equals(Keys.LEADER));
     }
@@ -262,12 +259,12 @@
         return new CommitResult(outcome, keys.revision(), failed);
     }
 
-    private void expire() {
-        world.after(EXPIRY_INTERVAL, this::expire);
-        if (outage) {
+    private void expireLeases() {
+        environment.after(EXPIRY_INTERVAL_MICROS, this::expireLeases);
+        if (outageActive) {
             return;
         }
-        leases.removeOver(world.now()).forEach(keys::removeAllOf);
-        watches.wake();
+        leases.removeExpired(environment.nowMicros()).forEach(keys::removeKeysOfLease);
+        watches.notifyWatches();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -15,20 +15,20 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** A stand-in for a machine's worker, as the protocol describes it: heartbeats, leases and agent epochs. */
+/** A simulated worker on one machine that follows the protocol of heartbeats, leases and agent epochs. */
 final class SimWorker {
-    /** What the cloud has said of the machine. */
-    record Facts(String id, MachineType type, String zone, boolean spot) {}
+    /** The description of the machine by the cloud. */
+    record MachineFacts(String id, MachineType type, String zone, boolean spot) {}
 
-    /** How often it sends a heartbeat, and how long its tasks outlive the last answer. */
+    /** The heartbeat interval, and how long tasks may run after the last accepted heartbeat was sent. */
     record Timing(long heartbeatIntervalMicros, long leaseMicros) {}
 
-    /** A worker looks at its tasks this many times between two heartbeats. */
-    private static final int TICKS = 10;
+    /** How many times a worker advances its tasks per heartbeat interval. */
+    private static final int TICKS_PER_HEARTBEAT = 10;
 
-    private static final long ANSWER_TIMEOUT = 4_000_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
-    private final World world;
+    private final SimEnvironment environment;
     private final SimControllers controllers;
     final String id;
     final MachineType type;
@@ -40,31 +40,31 @@
     private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseFrom;
-    private long nextHeartbeat;
-    /** The controller to which heartbeats go, by its place in the list of their names. */
-    private int controller;
+    private long leaseStartMicros;
+    private long nextHeartbeatMicros;
+    /** The index of the controller that receives the heartbeats, in the list of controller names. */
+    private int controllerIndex;
 
-    private boolean awaitsAnswer;
-    /** Something beside the tasks has changed since the last heartbeat. */
+    private boolean awaitingResponse;
+    /** Whether the state of the worker, apart from its tasks, has changed since the last heartbeat. */
     private boolean changed;
 
     private boolean dead;
     private boolean hanging;
-    private boolean muted;
-    private @Nullable Heartbeat latest;
-    private long noticeEnd = -1;
+    private boolean heartbeatsDropped;
+    private @Nullable Heartbeat lastHeartbeat;
+    private long terminationMicros = -1;
 
     SimWorker(
-            World world,
+            SimEnvironment environment,
             Rules rules,
             SimControllers controllers,
             Function<String, JobSpec> jobs,
-            Set<TaskId> results,
+            Set<TaskId> completedTasks,
             SimGangs gangs,
-            Facts facts,
+            MachineFacts facts,
             Timing timing) {
-        this.world = world;
+        this.environment = environment;
         this.controllers = controllers;
         this.id = facts.id;
         this.type = facts.type;
@@ -72,136 +72,130 @@
         this.spot = facts.spot;
         this.heartbeatIntervalMicros = timing.heartbeatIntervalMicros;
         this.leaseMicros = timing.leaseMicros;
-        this.tasks = new SimTaskRunner(world, rules, this, jobs, controllers::fails, results, gangs);
-        this.leaseFrom = world.now();
-        this.controller = world.random.nextInt(controllers.names().size());
+        this.tasks =
+                new SimTaskRunner(environment, rules, this, jobs, controllers::failsEverywhere, completedTasks, gangs);
+        this.leaseStartMicros = environment.nowMicros();
+        this.controllerIndex =
+                environment.random.nextInt(controllers.nodeNames().size());
         tick();
     }
 
-    // ---- what is asked of it by scenarios and rules ------------------------------------------------------------
-
-    /** The heartbeat that it sent last; null before the first one. */
+    /** The heartbeat that was sent last; null before the first one. */
     @Nullable
-    Heartbeat latest() {
-        return latest;
+    Heartbeat lastHeartbeat() {
+        return lastHeartbeat;
     }
 
-    /** What is on the machine, exited attempts included. */
-    SimRuns runs() {
-        return tasks.runs();
+    /** The task attempts on this machine, exited ones included. */
+    SimTaskAttempts attempts() {
+        return tasks.attempts();
     }
 
-    /** How many tasks have failed here. */
-    int failures() {
-        return tasks.failures();
+    /** How many tasks have failed on this machine. */
+    int failedTaskCount() {
+        return tasks.failedTaskCount();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return !dead;
     }
 
-    boolean hangs() {
+    boolean isHanging() {
         return hanging;
     }
 
-    /** How many such tasks fit here now, and could start. */
+    /** How many tasks of a job could start on this machine now. */
     int slots(JobSpec spec) {
-        return wouldTake(spec) ? runs().slots(spec) : 0;
+        return canStart(spec) ? attempts().slots(spec) : 0;
     }
 
-    /** Whether one more such task fits here now, and could start. */
-    boolean wouldTake(JobSpec spec) {
+    /** Whether another task of a job could start on this machine now. */
+    boolean canStart(JobSpec spec) {
         return !dead
                 && !hanging
-                && !tasks.faulty()
-                && noticeEnd < 0
-                && runs().hasCapacityFor(spec, null)
+                && !tasks.isFaulty()
+                && terminationMicros < 0
+                && attempts().hasCapacityFor(spec, null)
                 && spec.isTypeAllowed(type.name())
                 && spec.isZoneAllowed(zone)
                 && (spec.spotAllowed() || !spot);
     }
 
-    // ---- troubles ----------------------------------------------------------------------------------------------
-
-    /** Its heartbeats are lost on the way; it is reached all the same. */
-    void mute(boolean now) {
-        muted = now;
+    /** Sets whether heartbeats are lost; commands still reach the worker. */
+    void setHeartbeatsDropped(boolean dropped) {
+        heartbeatsDropped = dropped;
     }
 
-    /** From now on every task fails here. */
+    /** Makes tasks fail on this machine from now on. */
     void becomeFaulty() {
         tasks.becomeFaulty();
     }
 
-    /** It is gone for good, with all that runs on it. */
+    /** Ends the machine and all tasks on it for good. */
     void die() {
         if (!dead) {
             dead = true;
             tasks.killAll();
-            world.setDown(id, true);
+            environment.setProcessDown(id, true);
         }
     }
 
-    /** While it hangs it does nothing, but its clock runs on. */
-    void hang(boolean now) {
-        hanging = now;
-        if (!now && !dead) {
-            expireIfDue();
+    /** Sets whether the machine hangs: it executes nothing while its clock runs on. */
+    void setHanging(boolean shouldHang) {
+        hanging = shouldHang;
+        if (!shouldHang && !dead) {
+            expireLeaseIfDue();
         }
     }
 
     void hangFor(long micros) {
-        hang(true);
-        world.after(micros, () -> hang(false));
+        setHanging(true);
+        environment.after(micros, () -> setHanging(false));
     }
 
-    /** The cloud takes it back after this time, and it tells so. */
-    void notice(long micros) {
-        noticeEnd = world.now() + micros;
+    /** Announces that the cloud will reclaim the machine after this time; the worker reports it in heartbeats. */
+    void announceTermination(long micros) {
+        terminationMicros = environment.nowMicros() + micros;
         changed = true;
     }
 
-    /** All tasks here that fit are over, each for this reason. */
+    /** Ends all tasks on this machine whose jobs match, with the given cause. */
     void endTasks(Predicate<JobSpec> which, ExitCause cause) {
         tasks.end(which, cause);
     }
 
-    // ---- time passes -------------------------------------------------------------------------------------------
-
     private void tick() {
         if (dead) {
             return;
         }
-        world.after(heartbeatIntervalMicros / TICKS, this::tick);
-        // A hanging machine executes nothing, and its first act on going on is to see that its lease is over.
-        expireIfDue();
+        environment.after(heartbeatIntervalMicros / TICKS_PER_HEARTBEAT, this::tick);
+        // A hanging machine executes nothing. When it resumes, it checks first whether its lease has expired.
+        expireLeaseIfDue();
         if (hanging) {
             return;
         }
         tasks.advance();
-        if (!awaitsAnswer && heartbeatIsDue()) {
+        if (!awaitingResponse && heartbeatIsDue()) {
             sendHeartbeat();
         }
     }
 
-    private void expireIfDue() {
-        if (world.now() - leaseFrom > leaseMicros) {
+    private void expireLeaseIfDue() {
+        if (environment.nowMicros() - leaseStartMicros > leaseMicros) {
             tasks.killAll();
             agentEpoch++;
-            leaseFrom = world.now();
+            leaseStartMicros = environment.nowMicros();
             changed = true;
         }
     }
 
-    /** After a change a heartbeat goes out earlier. */
+    /** Whether a heartbeat is due; after a change it is due half an interval earlier. */
     private boolean heartbeatIsDue() {
-        boolean early = changed || tasks.changed();
-        return world.now() >= nextHeartbeat - (early ? heartbeatIntervalMicros / 2 : 0);
+        boolean early = changed || tasks.hasChanged();
+        return environment.nowMicros() >= nextHeartbeatMicros - (early ? heartbeatIntervalMicros / 2 : 0);
     }
 
-    // ---- heartbeats --------------------------------------------------------------------------------------------
-
-    private Heartbeat heartbeat() {
+    private Heartbeat createHeartbeat() {
         return new Heartbeat(
                 id,
                 id,
@@ -211,85 +205,91 @@
                 agentEpoch,
                 ++sequence,
                 fencingToken,
-                noticeEnd < 0 ? -1 : Math.max(0, noticeEnd - world.now()),
-                runs().statuses());
+                terminationMicros < 0 ? -1 : Math.max(0, terminationMicros - environment.nowMicros()),
+                attempts().statuses());
     }
 
     private void sendHeartbeat() {
-        awaitsAnswer = true;
+        awaitingResponse = true;
         changed = false;
-        tasks.resetChanged();
-        long sent = world.now();
-        long sentInEpoch = agentEpoch;
-        String node = controllers.names().get(controller);
-        Heartbeat heartbeat = heartbeat();
-        nextHeartbeat =
-                sent + heartbeatIntervalMicros * 3 / 4 + world.random.nextInt((int) (heartbeatIntervalMicros / 2));
-        latest = heartbeat;
-        world.call(
+        tasks.clearChanged();
+        long sentMicros = environment.nowMicros();
+        long sentEpoch = agentEpoch;
+        String node = controllers.nodeNames().get(controllerIndex);
+        Heartbeat heartbeat = createHeartbeat();
+        nextHeartbeatMicros = sentMicros
+                + heartbeatIntervalMicros * 3 / 4
+                + environment.random.nextInt((int) (heartbeatIntervalMicros / 2));
+        lastHeartbeat = heartbeat;
+        environment.call(
                 id,
-                muted ? "nowhere" : node,
-                ANSWER_TIMEOUT,
-                () -> muted ? null : controllers.heartbeat(node, heartbeat),
-                answer -> heartbeatAnswered(answer, sent, sentInEpoch));
+                heartbeatsDropped ? "nowhere" : node,
+                RESPONSE_TIMEOUT_MICROS,
+                () -> heartbeatsDropped ? null : controllers.handleHeartbeat(node, heartbeat),
+                answer -> onHeartbeatResponse(answer, sentMicros, sentEpoch));
     }
 
-    /** A hanging machine reads its answers when it goes on, and drops those that are too old. */
-    private void heartbeatAnswered(@Nullable HeartbeatResponse answer, long sent, long sentInEpoch) {
-        awaitsAnswer = false;
+    /**
+     * Applies an accepted heartbeat's response, unless its heartbeat was sent in an earlier agent epoch or its fencing
+     * token is lower than the worker's. After any other response, or none, or one that arrives while the machine hangs,
+     * the next heartbeat goes to another controller.
+     */
+    private void onHeartbeatResponse(@Nullable HeartbeatResponse response, long sentMicros, long sentEpoch) {
+        awaitingResponse = false;
         if (dead) {
             return;
         }
-        if (!hanging && answer instanceof HeartbeatResponse.Accepted accepted) {
-            if (sentInEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
-                takeFencingToken(accepted.fencingToken());
-                leaseFrom = Math.max(leaseFrom, sent);
+        if (!hanging && response instanceof HeartbeatResponse.Accepted accepted) {
+            if (sentEpoch == agentEpoch && accepted.fencingToken() >= fencingToken) {
+                updateFencingToken(accepted.fencingToken());
+                leaseStartMicros = Math.max(leaseStartMicros, sentMicros);
                 execute(accepted.commands());
             }
-        } else if (!hanging && answer instanceof HeartbeatResponse.Redirect redirect) {
-            turnTo(redirect.node());
+        } else if (!hanging && response instanceof HeartbeatResponse.Redirect redirect) {
+            switchToNamedController(redirect.node());
         } else {
-            turnToNext();
+            switchToNextController();
         }
     }
 
-    /** To the controller that was named, if there is one and it is another. */
-    private void turnTo(@Nullable String named) {
-        int next = named == null ? -1 : controllers.names().indexOf(named);
-        if (next < 0 || next == controller) {
-            turnToNext();
+    /** Switches to the named controller, or to the next one if the name is null, unknown or the current one. */
+    private void switchToNamedController(@Nullable String named) {
+        int next = named == null ? -1 : controllers.nodeNames().indexOf(named);
+        if (next < 0 || next == controllerIndex) {
+            switchToNextController();
             return;
         }
-        controller = next;
-        nextHeartbeat = world.now() + world.random.nextInt(500_000);
+        controllerIndex = next;
+        nextHeartbeatMicros = environment.nowMicros() + environment.random.nextInt(500_000);
     }
 
-    private void turnToNext() {
-        controller = (controller + 1) % controllers.names().size();
-        nextHeartbeat = world.now() + 1_000_000;
+    private void switchToNextController() {
+        controllerIndex = (controllerIndex + 1) % controllers.nodeNames().size();
+        nextHeartbeatMicros = environment.nowMicros() + 1_000_000;
     }
 
-    // ---- commands ----------------------------------------------------------------------------------------------
-
-    /** Commands of a direct call; they are carried out only under a present fencing token and agent epoch. */
-    WorkerPort.Reply commands(long withToken, long withAgentEpoch, List<WorkerCommand> commands) {
-        expireIfDue();
-        boolean accepted = withToken >= fencingToken && withAgentEpoch == agentEpoch;
+    /**
+     * Handles the commands of a direct call. The worker executes them only if the fencing token is not lower than its
+     * own and the agent epoch is the current one.
+     */
+    WorkerPort.Reply handleCommands(long commandToken, long commandAgentEpoch, List<WorkerCommand> commands) {
+        expireLeaseIfDue();
+        boolean accepted = commandToken >= fencingToken && commandAgentEpoch == agentEpoch;
         if (accepted) {
-            takeFencingToken(withToken);
+            updateFencingToken(commandToken);
             execute(commands);
         }
-        return new WorkerPort.Reply(accepted, heartbeat());
+        return new WorkerPort.Reply(accepted, createHeartbeat());
     }
 
-    private void takeFencingToken(long token) {
+    private void updateFencingToken(long token) {
         changed |= token > fencingToken;
         fencingToken = token;
     }
 
     private void execute(List<WorkerCommand> commands) {
         for (WorkerCommand command : commands) {
-            // Through the wire's words and back, as between real processes.
+            // Encodes the command to check that it has a wire format; tasks get the command itself.
             assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(command)) != null;
             tasks.execute(command);
         }
