--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -13,7 +13,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void noAnswerForLong() {
+    void acceptedJobWithoutLaterAnswerIsReported() {
         fixture.tell(ANYWHERE, JobState.PENDING);
         fixture.tell(SPREAD, JobState.PENDING);
         fixture.runUntil(70_000_000);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void unschedulableJobIsAccepted() {
+    void acceptanceOfUnschedulableJobIsReported() {
         fixture.rules().submittingUnschedulable("run-9");
         fixture.rules().told("run-9", new JobResponse.Unschedulable("too large"));
         fixture.assertNoneBroken();
@@ -42,7 +42,7 @@
 
     /** An accepted job is not found; then it is called done before it is; then it is called running again. */
     @Test
-    void wrongAnswers() {
+    void contradictoryAnswersAreReported() {
         fixture.tell(ANYWHERE, JobState.PENDING);
         fixture.rules().told(ANYWHERE, new JobResponse.NotFound());
         fixture.assertBroken("forgotten");
