--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/BudgetTest.java
@@ -75,7 +75,7 @@
 
     /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
     @Test
-    void manyQuestionsShareFewReads() {
+    void barriersAndLongPollsShareTheReadRate() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void urgentWritesOvertakeAndWaitingOnesCostNothing() {
+    void safetyWriteOvertakesQueuedWritesThatAreNotRebuilt() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 10, RateControl.FIXED);
         List<String> written = new ArrayList<>();
@@ -132,7 +132,7 @@
 
     /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
-    void requestHandlersYieldToTheLeader() {
+    void adaptiveWritersYieldToTheLeader() {
         SimStore tight = new SimStore(world, MOST_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
@@ -162,7 +162,7 @@
 
     /** What the store will never take is given up, once, and all else is written. */
     @Test
-    void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
+    void rejectedWriteIsAbandonedAndDelaysNoOtherWrite() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         List<String> written = new ArrayList<>();
@@ -189,7 +189,7 @@
 
     /** A job of which finished and open tasks alternate: its progress still fits, with the longest ranges. */
     @Test
-    void progressFitsItsValue() {
+    void progressRecordIsReducedToTheValueLimit() {
         RangeSet<Integer> done = TreeRangeSet.create();
         for (int task = 0; task < 2_000; task += 2) {
             ProgressRecord.addTask(done, task);
@@ -205,7 +205,7 @@
 
     /** Whatever a record holds, its size is not underrated. */
     @Test
-    void sizesAreNotUnderrated() {
+    void recordSizeIsAnUpperBound() {
         StoredRecord record = new UnknownRecord(
                 Map.of("a\"\\/", List.of(1, 2.5, true, "\u0001\u00e9\u4e2d"), "b", Map.of("c", List.of(), "d", -17L)));
         int bytes = Json.text(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
