--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -24,7 +24,7 @@
     /** Cancellations, questions and repeated submissions meet the end of a job's last task. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void jobsCancelledAtTheirEndHaveOneOutcome(long seed) {
+    void jobsCancelledAsTheyCompleteHaveOneOutcome(long seed) {
         Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
         simulation.cancelledAtEnd = 0.6;
         simulation.users.oddRequests(100 * SECOND);
@@ -46,7 +46,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void cancelledTasksEndWhenTheLeaderIsRefusedBeforeAnOutage(long seed) {
+    void cancelledTasksEndWhenStoreRefusesLeaderBeforeOutage(long seed) {
         Simulation simulation = simulation(seed);
         simulation.peersSendNoCancellations = seed > 2;
         List<JobSpec> jobs = longWork(simulation, 6, 8, 300 * SECOND);
@@ -83,7 +83,7 @@
     /** The store answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancellationsHoldWhileTheStoreIsSlowThenRefusesThenIsAway(long seed) {
+    void cancellationsHoldWhileStoreIsSlowThenRefusesLeaderThenIsDown(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
         longWork(simulation, 6, 6, 100 * SECOND);
 
@@ -110,7 +110,7 @@
     /** A zone with workers and a controller is cut off for longer than a lease, and jobs are cancelled meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void cancelledTasksEndInAZoneCutOffForLongerThanALease(long seed) {
+    void cancelledTasksEndInZoneCutOffForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 70 * SECOND);
 
@@ -135,7 +135,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void tasksCancelledBeforeTheirZoneIsCutOffEnd(long seed) {
+    void tasksCancelledBeforeTheirZoneIsCutOffAreStopped(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 200 * SECOND);
 
@@ -164,7 +164,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void tasksCancelledThroughTheNewLeaderEndAtTheFormerOne(long seed) {
+    void tasksOfReplacedLeaderEndWhenNewLeaderCancelsThem(long seed) {
         Simulation simulation = simulation(seed);
         List<JobSpec> jobs = longWork(simulation, 6, 8, 200 * SECOND);
 
@@ -194,7 +194,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancelledTasksEndWhenRenewalsGetThroughAndReadsDoNot(long seed) {
+    void cancelledTasksEndWhenLeaderRenewsItsLeaseButCannotRead(long seed) {
         Simulation simulation = simulation(seed);
         simulation.peersSendNoCancellations = true;
         List<JobSpec> jobs = longWork(simulation, 6, 6, 300 * SECOND);
@@ -216,7 +216,7 @@
     /** Machines hang with tasks of cancelled jobs, for less and for more than a lease, and the leader ends. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancelledTasksEndOnMachinesThatHang(long seed) {
+    void cancelledTasksEndOnHangingMachines(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 6, 8, 200 * SECOND);
 
@@ -239,7 +239,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void nothingCancelledStartsWhileTheLeadersReadsLag(long seed) {
+    void cancelledJobsStartNoTaskWhileLeaderReadsLag(long seed) {
         Simulation simulation = crowded(seed);
         simulation.peersSendNoCancellations = seed % 2 == 1;
         longWork(simulation, 1, 40, 3 * SECOND);
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -63,19 +63,19 @@
                 new Scenario("overload over slow links", combined::overloadOverSlowLinksLeavesNobodyUnserved, 1),
                 new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneStayThereWhenTheyLoseMachines, 1, 2),
                 new Scenario(
-                        "zone cut off for long", cancellation::cancelledTasksEndInAZoneCutOffForLongerThanALease, 1, 2),
+                        "zone cut off for long", cancellation::cancelledTasksEndInZoneCutOffForLongerThanALease, 1, 2),
                 new Scenario("team at its limit", combined::aTeamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
                 new Scenario("writes carried out late", delayed::lateTransactionsDoNotOverwriteNewerOnes, 1, 2),
                 new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeProveNothingToTheNewLeader, 1, 2),
                 new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHangStartNothingTwice, 1),
                 new Scenario("starts held up", delayed::answersOfLaterCallsAreNotTakenForThoseOfHeldStarts, 1),
-                new Scenario("cancelled at the end", cancellation::jobsCancelledAtTheirEndHaveOneOutcome, 1),
+                new Scenario("cancelled at the end", cancellation::jobsCancelledAsTheyCompleteHaveOneOutcome, 1),
                 new Scenario(
                         "cancelled through the new leader",
-                        cancellation::tasksCancelledThroughTheNewLeaderEndAtTheFormerOne,
+                        cancellation::tasksOfReplacedLeaderEndWhenNewLeaderCancelsThem,
                         1,
                         2),
-                new Scenario("cancelled on hanging machines", cancellation::cancelledTasksEndOnMachinesThatHang, 1));
+                new Scenario("cancelled on hanging machines", cancellation::cancelledTasksEndOnHangingMachines, 1));
     }
 
     private static List<Scenario> gangsAndGuarantees() {
