--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void cancelledTaskOverstays() {
+    void cancelledTaskRunningPastItsBoundIsReported() {
         fixture.start(ANYWHERE, 0, "a", "z");
         cancel(ANYWHERE);
         fixture.runUntil(10_000_000);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void startIsSentAfterACancellation() {
+    void startSentAfterCancellationIsReported() {
         fixture.rules().commandSent(new TaskId(ANYWHERE, 0));
         cancel(ANYWHERE);
         fixture.assertNoneBroken();
@@ -47,7 +47,7 @@
 
     /** A cancelled task on a machine that hung goes on with it. */
     @Test
-    void cancelledTaskGoesOnAfterItsMachineHung() {
+    void cancelledTaskRunningOnAfterItsMachineHungIsReported() {
         SimWorker worker = fixture.worker();
         worker.commands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
         fixture.runCheckedUntil(1_000_000);
