--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -26,7 +26,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
-    void fiveControllersAndHundredsOfMachines(long seed) {
+    void workCompletesWhenLeadersOfHundredsOfMachinesCrash(long seed) {
         Simulation simulation = new Simulation(seed, 5, 30);
         for (int i = 0; i < 12; i++) {
             long at = 2 * SECOND + 5L * i * SECOND;
@@ -56,7 +56,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
-    void overloadStarvesNobody(long seed) {
+    void noKindOfJobStarvesUnderOverload(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 60; i++) {
             int number = i;
@@ -93,7 +93,7 @@
 
     /** Services keep arriving: for most of them there is capacity already when they come. */
     @Test
-    void headroomForServicesToCome() {
+    void arrivingServicesFindHeadroom() {
         Simulation simulation = new Simulation(75, 3, 10);
         List<JobSpec> late = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -117,7 +117,7 @@
      * cleared, are drawn now and then for all together, and never for what runs.
      */
     @Test
-    void cleanupOfMachinesWithManyTasksIsRare() {
+    void cleanupOfMachinesWithManyTasksDrawsFewFencingTokens() {
         Simulation simulation = new Simulation(85, 3, 3);
         JobSpec like = simulation.jobs.replicas(31).create();
         for (int i = 0; i < 4; i++) {
@@ -137,7 +137,7 @@
 
     /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
     @Test
-    void machinesForServicesAreLaunchedAsAClass() {
+    void servicesOfAClassShareLargeMachines() {
         Simulation simulation = new Simulation(76, 3, 20);
         submitServices(simulation, 40, 4);
         simulation.run(30 * SECOND);
@@ -152,7 +152,7 @@
     /** Machines that never come up are not waited for until they are given back. */
     @ParameterizedTest
     @ValueSource(longs = {77, 78, 79})
-    void lateBootsAreNotWaitedFor(long seed) {
+    void machinesThatNeverBootAreReplacedEarly(long seed) {
         Simulation simulation = new Simulation(seed, 3, 5);
         simulation.cloud.neverUp = 2;
         JobSpec job = simulation.jobs.service(4);
@@ -168,7 +168,7 @@
     /** On a full site the jobs that can be in time together are, instead of all being late together. */
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83})
-    void someInTimeRatherThanAllLate(long seed) {
+    void someJobsMeetTheirDeadlinesWhenNotAllCan(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         simulation.users.submit(simulation.jobs.batch(120, 8 * SECOND));
         List<JobSpec> jobs = new ArrayList<>();
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -115,10 +115,10 @@
         CapacityTest capacity = new CapacityTest();
         FleetTest fleet = new FleetTest();
         return List.of(
-                new Scenario("hundreds of machines", capacity::fiveControllersAndHundredsOfMachines, 61),
-                new Scenario("overload", capacity::overloadStarvesNobody, 71),
-                new Scenario("headroom for services", seed -> capacity.headroomForServicesToCome(), 0),
-                new Scenario("late boots", capacity::lateBootsAreNotWaitedFor, 77),
+                new Scenario("hundreds of machines", capacity::workCompletesWhenLeadersOfHundredsOfMachinesCrash, 61),
+                new Scenario("overload", capacity::noKindOfJobStarvesUnderOverload, 71),
+                new Scenario("headroom for services", seed -> capacity.arrivingServicesFindHeadroom(), 0),
+                new Scenario("late boots", capacity::machinesThatNeverBootAreReplacedEarly, 77),
                 new Scenario("seven hundred machines", seed -> fleet.sevenHundredMachinesWithFrequentHeartbeats(), 0),
                 new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesAfterAColdRestart(), 0));
     }
