--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -41,7 +41,7 @@
     /** More work than capacity, urgent and not, over links on which packets are held up. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void overloadOverSlowLinksLeavesNobodyUnserved(long seed) {
+    void noKindOfJobStarvesUnderOverloadOverSlowLinks(long seed) {
         Simulation simulation = crowded(seed);
         withJobs(simulation, 30, 60 * SECOND);
         longWork(simulation, 4, 6, 20 * SECOND);
@@ -61,7 +61,7 @@
     /** A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answers. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workIsDoneWhenALeaderEndsWhileMachinesAreCutOrDeaf(long seed) {
+    void workCompletesWhenLeaderCrashesWhileMachinesAreCutOff(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 60 * SECOND);
 
@@ -87,7 +87,7 @@
     /** Jobs bound to one zone, arrays too, lose machines. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneStayThereWhenTheyLoseMachines(long seed) {
+    void oneZoneJobsStayInTheirZoneWhenTheyLoseMachines(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 12; i++) {
             simulation.users.submit(simulation.jobs.oneZoneBatch(3 + i % 5, 25 * SECOND));
@@ -116,7 +116,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneStayThereWhileTheyAreUnconfirmed(long seed) {
+    void oneZoneJobsStayInTheirZoneWhileItIsUnconfirmed(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 6; i++) {
             simulation.users.submit(simulation.jobs.oneZoneBatch(21, 40 * SECOND));
@@ -139,7 +139,7 @@
     /** All controllers are away for longer than a lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void workGoesOnAfterAllControllersWereAwayForLongerThanALease(long seed) {
+    void workResumesAfterAllControllersWereDownForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 6, 70 * SECOND);
 
@@ -164,7 +164,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsAreDoneWhenTheirTasksEndFarApart(long seed) {
+    void jobsCompleteWhenTheirTasksEndUnderDifferentLeaders(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 15; i++) {
             simulation.users.submit(simulation.jobs.batch(2 + i % 2, (10 + 4 * i) * SECOND));
@@ -191,7 +191,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aTeamStaysWithinItsLimitWhenTheLeaderChanges(long seed) {
+    void teamStaysWithinItsLimitWhenTheLeaderChanges(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(simulation.jobs.limitedBatch(6, 40 * SECOND));
@@ -222,7 +222,7 @@
     /** Ten leaders in two minutes, also with an outage among them, and cancellations all the time. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workIsDoneUnderTenLeadersInTwoMinutes(long seed) {
+    void workCompletesUnderTenLeadersInTwoMinutes(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 120 * SECOND);
         longWork(simulation, 6, 4, 60 * SECOND);
 
@@ -250,7 +250,7 @@
     /** Controllers hand over and back, all end, and one returns, also within a second. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void theOneThatReturnsAtOnceLeadsAfterAllHaveEnded(long seed) {
+    void firstControllerToRestartLeadsAfterAllHaveCrashed(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
         simulation.world.lateCopies = 0.1;
 
@@ -275,7 +275,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
+    void deferrableWorkEventuallyUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation =
                 new Simulation(seed, shapeOf(seed).withControllers(3).withPerOffer(1));
         JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -60,11 +60,12 @@
                 new Scenario("any two troubles meet", new RandomFaultPairsTest()::anyTwoTroublesMeet, 0, 1, 2, 3, 4, 5),
                 new Scenario("faulty machines", new FaultyMachinesTest()::faultyMachinesAreFoundAfterFewFailures, 1),
                 new Scenario("faulty jobs", new FaultyMachinesTest()::jobsThatFailEverywhereTakeNoMachines, 11),
-                new Scenario("overload over slow links", combined::overloadOverSlowLinksLeavesNobodyUnserved, 1),
-                new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneStayThereWhenTheyLoseMachines, 1, 2),
+                new Scenario("overload over slow links", combined::noKindOfJobStarvesUnderOverloadOverSlowLinks, 1),
+                new Scenario(
+                        "one-zone jobs lose machines", combined::oneZoneJobsStayInTheirZoneWhenTheyLoseMachines, 1, 2),
                 new Scenario(
                         "zone cut off for long", cancellation::cancelledTasksEndInZoneCutOffForLongerThanALease, 1, 2),
-                new Scenario("team at its limit", combined::aTeamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
+                new Scenario("team at its limit", combined::teamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
                 new Scenario("writes carried out late", delayed::lateTransactionsDoNotOverwriteNewerOnes, 1, 2),
                 new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeProveNothingToTheNewLeader, 1, 2),
                 new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHangStartNothingTwice, 1),
