--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -44,7 +44,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workOfMuteMachinesIsDoneUnderANewLeader(long seed) {
+    void workCompletesOnMachinesThatCannotSendHeartbeats(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 40 * SECOND);
 
@@ -69,7 +69,7 @@
     /** Heartbeats are held back until a new leader has acted, and then arrive there and at the former one. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void heartbeatsOfBeforeProveNothingToTheNewLeader(long seed) {
+    void heartbeatsSentBeforeTakeoverProveNothingToTheNewLeader(long seed) {
         Simulation simulation = simulation(seed);
         longWork(simulation, 5, 8, 20 * SECOND);
 
@@ -130,7 +130,7 @@
     /** Commands and their answers are held up for seconds, machines hang and go on, and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void commandsHeldUpWhileMachinesHangStartNothingTwice(long seed) {
+    void delayedCommandsToHangingMachinesStartNothingTwice(long seed) {
         Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
         longWork(simulation, 4, 6, 40 * SECOND);
 
@@ -154,7 +154,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void answersOfLaterCallsAreNotTakenForThoseOfHeldStarts(long seed) {
+    void answersToLaterCallsAreNotTakenForAnswersToDelayedStarts(long seed) {
         Simulation simulation = crowded(seed);
         longWork(simulation, 2, 16, 25 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -67,9 +67,10 @@
                         "zone cut off for long", cancellation::cancelledTasksEndInZoneCutOffForLongerThanALease, 1, 2),
                 new Scenario("team at its limit", combined::teamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
                 new Scenario("writes carried out late", delayed::lateTransactionsDoNotOverwriteNewerOnes, 1, 2),
-                new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeProveNothingToTheNewLeader, 1, 2),
-                new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHangStartNothingTwice, 1),
-                new Scenario("starts held up", delayed::answersOfLaterCallsAreNotTakenForThoseOfHeldStarts, 1),
+                new Scenario(
+                        "heartbeats of before", delayed::heartbeatsSentBeforeTakeoverProveNothingToTheNewLeader, 1, 2),
+                new Scenario("commands held up", delayed::delayedCommandsToHangingMachinesStartNothingTwice, 1),
+                new Scenario("starts held up", delayed::answersToLaterCallsAreNotTakenForAnswersToDelayedStarts, 1),
                 new Scenario("cancelled at the end", cancellation::jobsCancelledAsTheyCompleteHaveOneOutcome, 1),
                 new Scenario(
                         "cancelled through the new leader",
