--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -23,7 +23,7 @@
     /** Many machines fail at once: each is found after a few tasks, and no job is made to wait for it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void faultyMachinesAreFoundAfterFewFailures(long seed) {
+    void faultyMachinesAreDetectedAfterFewFailures(long seed) {
         Simulation simulation = new Simulation(seed, 3, 4);
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -59,7 +59,7 @@
     /** Jobs that fail everywhere are tried less and less often, and no machine is given up for them. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void jobsThatFailEverywhereTakeNoMachines(long seed) {
+    void jobsThatFailEverywhereCostNoMachines(long seed) {
         Simulation simulation = new Simulation(seed, 3, 2);
         for (int i = 0; i < 45; i++) {
             simulation.after(4L * i * SECOND, () -> simulation.users.submit(job(simulation, 8)));
