--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/FleetTest.java
@@ -17,7 +17,7 @@
 
     /** Many machines, a heartbeat every five seconds, few writes. */
     @Test
-    void aThousandAndSevenHundredMachines() {
+    void rulesHoldWithSeventeenHundredMachines() {
         day(
                 new Simulation(
                         1,
@@ -30,7 +30,7 @@
 
     /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
-    void sevenHundredMachinesWithFrequentHeartbeats() {
+    void rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats() {
         day(new Simulation(2, FaultScenarios.SHORT_LEASES.withPerOffer(97).withConnections(2_257)), 700);
     }
 
@@ -39,7 +39,7 @@
      * the store is asked no more than it allows.
      */
     @Test
-    void fourThousandMachinesAfterAColdRestart() {
+    void fourThousandMachinesRecoverAfterColdRestart() {
         Simulation simulation = RecoveryLoad.fleet(3, RecoveryLoad.Size.LARGE);
         Observation<Long> running = new Observation<>();
         Observation<Integer> refusalsBefore = new Observation<>();
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -121,7 +121,10 @@
                 new Scenario("overload", capacity::noKindOfJobStarvesUnderOverload, 71),
                 new Scenario("headroom for services", seed -> capacity.arrivingServicesFindHeadroom(), 0),
                 new Scenario("late boots", capacity::machinesThatNeverBootAreReplacedEarly, 77),
-                new Scenario("seven hundred machines", seed -> fleet.sevenHundredMachinesWithFrequentHeartbeats(), 0),
-                new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesAfterAColdRestart(), 0));
+                new Scenario(
+                        "seven hundred machines",
+                        seed -> fleet.rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats(),
+                        0),
+                new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesRecoverAfterColdRestart(), 0));
     }
 }
