--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -37,7 +37,7 @@
     /** Its machine dies while it fetches its image: the others wait, and another task joins them. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aTaskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
+    void taskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, SIZE, 10 * SECOND);
         gang.runUntilHeld();
         assertTrue(gang.holders().size() > 1, "all on one machine");
@@ -52,7 +52,7 @@
     /** Nothing starts before the old attempt is gone, and the next one goes on from the last checkpoint. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aTaskLostWhileRunningEndsTheAttempt(long seed) {
+    void taskLostWhileRunningEndsTheAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 10 * SECOND);
         gang.runUntilRunning();
 
@@ -67,7 +67,7 @@
     /** A hanging machine may go on later: no task of it is started elsewhere before its lease is over. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aMachineThatHangsHoldsItsTask(long seed) {
+    void hangingMachineKeepsItsTaskUntilItsLeaseExpires(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 20 * SECOND);
         gang.runUntilRunning();
 
@@ -80,7 +80,7 @@
     /** The cloud takes one machine back: all tasks save together, and nothing is lost. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void allTasksSaveWhenOneMachineIsTakenBack(long seed) {
+    void allTasksSaveWhenOneMachineIsPreempted(long seed) {
         GangScenario gang = GangScenario.onSpotMachines(seed, SIZE, 40 * SECOND, 30 * SECOND);
         Simulation simulation = gang.simulation();
         gang.runUntilRunning();
@@ -98,7 +98,7 @@
     /** Whatever the gang does when the leader ends, the next leader carries the same attempt on. */
     @ParameterizedTest
     @ValueSource(longs = {0, 300, 800, 1_500, 2_200, 3_000, 5_000, 8_000, 12_000})
-    void aTakeoverCarriesTheAttemptOn(long millis) {
+    void newLeaderContinuesTheAttempt(long millis) {
         GangScenario gang = GangScenario.onSeveralMachines(millis + 1, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
         gang.runUntilHeld();
@@ -115,7 +115,7 @@
     /** A machine can't be reached while the leader changes: no other attempt starts beside what may run there. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aTakeoverWithAnUnresponsiveMachine(long seed) {
+    void takeoverWithUnresponsiveMachineStartsNoConcurrentAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
         gang.runUntilHeld();
@@ -131,7 +131,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1_500, 2_500, 4_000, 9_000})
-    void aCancellationEndsAGangInAnyState(long millis) {
+    void cancellationEndsGangInAnyState(long millis) {
         GangScenario gang = GangScenario.onSeveralMachines(millis + 7, 9, 30 * SECOND);
         Simulation simulation = gang.simulation();
         gang.runUntilHeld();
@@ -155,7 +155,7 @@
     /** Small work that never ends must not take for ever the capacity that a gang needs: a whole large machine. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aGangIsNotStarvedBySmallWork(long seed) {
+    void gangIsNotStarvedBySmallJobs(long seed) {
         Simulation simulation =
                 new Simulation(seed, Shape.small().withControllers(3).withPerOffer(1));
         for (int i = 0; i < 130; i++) {
@@ -172,7 +172,7 @@
     /** There is capacity for one of them at a time: neither holds what the other needs. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void twoGangsThatNeedTheSameCapacity(long seed) {
+    void gangsThatNeedTheSameCapacityAllComplete(long seed) {
         Simulation simulation =
                 new Simulation(seed, Shape.small().withControllers(3).withPerOffer(1));
         for (int i = 0; i < 6; i++) {
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aGangBeyondItsTeamsLimitIsRefused() {
+    void gangBeyondItsTeamLimitIsRefused() {
         Simulation simulation = new Simulation(5);
         JobSpec wide = simulation.jobs.limitedBatch(9, SECOND);
         JobSpec narrow = simulation.jobs.limitedBatch(SIZE, SECOND);
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -85,11 +85,15 @@
         GuaranteeTest guarantees = new GuaranteeTest();
         return List.of(
                 new Scenario("gangs start whole", gangs::gangsStartWholeAndFinish, 1, 2, 3),
-                new Scenario("gang task lost early", gangs::aTaskLostBeforeTheStartIsReplacedInTheSameAttempt, 1),
-                new Scenario("gang task lost late", gangs::aTaskLostWhileRunningEndsTheAttempt, 1),
-                new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsTakenBack, 1),
-                new Scenario("gang across a failover", gangs::aTakeoverWithAnUnresponsiveMachine, 1, 2),
-                new Scenario("gang beside small work", gangs::aGangIsNotStarvedBySmallWork, 1),
+                new Scenario("gang task lost early", gangs::taskLostBeforeTheStartIsReplacedInTheSameAttempt, 1),
+                new Scenario("gang task lost late", gangs::taskLostWhileRunningEndsTheAttempt, 1),
+                new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsPreempted, 1),
+                new Scenario(
+                        "gang across a failover",
+                        gangs::takeoverWithUnresponsiveMachineStartsNoConcurrentAttempt,
+                        1,
+                        2),
+                new Scenario("gang beside small work", gangs::gangIsNotStarvedBySmallJobs, 1),
                 new Scenario("borrowed capacity", guarantees::borrowedCapacityIsReclaimed, 1, 2),
                 new Scenario("borrowed capacity, bounded", guarantees::nobodyGivesBackMoreThanItBorrowed, 1),
                 new Scenario("a swarm of jobs", guarantees::aSwarmDoesNotStarveOthers, 1),
