--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -67,7 +67,7 @@
     /** A job that goes beyond its team's guarantee is borrowed in part: no more than that part is taken back. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void nobodyGivesBackMoreThanItBorrowed(long seed) {
+    void teamsGiveBackNoMoreThanTheyBorrowed(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
         // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
@@ -105,7 +105,7 @@
     /** A team with many jobs at once: guaranteed work of another does not wait behind the swarm. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aSwarmDoesNotStarveOthers(long seed) {
+    void manyJobsOfOneTeamDoNotStarveGuaranteedWork(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 40; i++) {
             simulation.users.submit(wide(simulation, "free", 5, 12 * SECOND));
@@ -133,7 +133,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
+    void urgentWorkUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
@@ -168,7 +168,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void tasksAreNotStoppedOverAndOver(long seed) {
+    void tasksAreNotStoppedRepeatedlyForGuaranteedWork(long seed) {
         Simulation simulation = new Simulation(seed, 3, 3);
         for (int i = 0; i < 30; i++) {
             simulation.users.submit(wide(simulation, "free", 20, 60 * SECOND));
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -95,9 +95,9 @@
                         2),
                 new Scenario("gang beside small work", gangs::gangIsNotStarvedBySmallJobs, 1),
                 new Scenario("borrowed capacity", guarantees::borrowedCapacityIsReclaimed, 1, 2),
-                new Scenario("borrowed capacity, bounded", guarantees::nobodyGivesBackMoreThanItBorrowed, 1),
-                new Scenario("a swarm of jobs", guarantees::aSwarmDoesNotStarveOthers, 1),
-                new Scenario("urgent beside full price", guarantees::urgentWorkDoesNotWaitBesideFullPriceCapacity, 1));
+                new Scenario("borrowed capacity, bounded", guarantees::teamsGiveBackNoMoreThanTheyBorrowed, 1),
+                new Scenario("a swarm of jobs", guarantees::manyJobsOfOneTeamDoNotStarveGuaranteedWork, 1),
+                new Scenario("urgent beside full price", guarantees::urgentWorkUsesIdleFullPriceCapacity, 1));
     }
 
     private static List<Scenario> changesOfLeader() {
