--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -22,7 +22,7 @@
     /** Leader cut from the store alone: it must be fenced off before tasks overstay whose cancellation it can't see. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancellationReachesTasksOfALeaderCutFromTheStore(long seed) {
+    void cancelledTasksEndWhenTheLeaderIsCutOffFromTheStore(long seed) {
         Simulation simulation = new Simulation(seed);
         JobSpec service = simulation.jobs.service(4);
         simulation.users.submit(service, 40 * SECOND);
@@ -47,7 +47,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
-    void cancelledTasksEndWhenTheLeaderKeepsOnlyItsWorkers(long seed) {
+    void cancelledTasksEndWhenTheLeaderReachesOnlyItsWorkers(long seed) {
         Simulation simulation = withJobs(seed, 25, 80 * SECOND);
         for (int i = 0; i < 3; i++) {
             simulation.users.submit(simulation.jobs.service(4), (30 + 6 * i) * SECOND);
@@ -67,7 +67,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
-    void jobAcceptedByAReplacedLeaderIsItsSuccessors(long seed) {
+    void jobAcceptedByReplacedLeaderBelongsToItsSuccessor(long seed) {
         Simulation simulation = withJobs(seed, 10, 30 * SECOND);
 
         simulation.after(40 * SECOND, () -> {
@@ -100,7 +100,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
-    void leaderThatStoodStillKeepsNoCancelledTaskAlive(long seed) {
+    void pausedLeaderKeepsNoCancelledTaskAlive(long seed) {
         Simulation simulation = new Simulation(
                 seed,
                 Shape.small()
@@ -132,7 +132,7 @@
     /** A pause of the leader's own does not make its few machines unresponsive: none is given back for it. */
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
-    void aPauseIsNotAFailure(long seed) {
+    void leaderPauseReturnsNoMachines(long seed) {
         Simulation simulation =
                 new Simulation(seed, Shape.small().withPerOffer(1).withHeartbeatInterval(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
@@ -152,7 +152,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {111, 112, 113, 114})
-    void workGoesOnInAZoneThatIsCutOff(long seed) {
+    void workContinuesInZoneThatIsCutOff(long seed) {
         Simulation simulation = new Simulation(seed, 5, 5);
         for (int i = 0; i < 10; i++) {
             simulation.users.submit(simulation.jobs.service(6));
