--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -38,7 +38,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
-    void machineCutInOneDirectionIsGivenBack(long seed) {
+    void machineCutOffInOneDirectionIsReturned(long seed) {
         Simulation simulation = new Simulation(seed, 3, 2);
 
         for (int i = 0; i < 12; i++) {
@@ -68,7 +68,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {16, 17})
-    void machinesThatStopHearingAreNotFilledAgain(long seed) {
+    void machinesThatReceiveNothingAreNotFilledAgain(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         submitBatches(simulation, 8, 200, 8 * SECOND);
 
@@ -90,7 +90,7 @@
 
     /** A heartbeat of a machine that is gone arrives once more, much later: nothing is placed there. */
     @Test
-    void lateHeartbeatOfAMachineThatIsGoneBringsItNoWork() {
+    void lateHeartbeatOfLostMachineBringsItNoWork() {
         Simulation simulation = new Simulation(15, 3, 1);
 
         simulation.after(2 * SECOND, () -> simulation.users.submit(simulation.jobs.batch(900, 8 * SECOND)));
