--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -27,7 +27,7 @@
     /** Any two troubles close in time, three times over. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void anyTwoTroublesMeet(long seed) {
+    void rulesHoldUnderAnyTwoFaults(long seed) {
         Simulation simulation = withJobs(simulation(seed), 35, 150 * SECOND);
         longWork(simulation, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -57,7 +57,15 @@
         CancellationFaultsTest cancellation = new CancellationFaultsTest();
         return List.of(
                 new Scenario("any troubles together", simulation::anyTroublesTogether, 0, 1, 2, 3, 4, 129, 553),
-                new Scenario("any two troubles meet", new RandomFaultPairsTest()::anyTwoTroublesMeet, 0, 1, 2, 3, 4, 5),
+                new Scenario(
+                        "any two troubles meet",
+                        new RandomFaultPairsTest()::rulesHoldUnderAnyTwoFaults,
+                        0,
+                        1,
+                        2,
+                        3,
+                        4,
+                        5),
                 new Scenario("faulty machines", new FaultyMachinesTest()::faultyMachinesAreDetectedAfterFewFailures, 1),
                 new Scenario("faulty jobs", new FaultyMachinesTest()::jobsThatFailEverywhereCostNoMachines, 11),
                 new Scenario("overload over slow links", combined::noKindOfJobStarvesUnderOverloadOverSlowLinks, 1),
