--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -67,7 +67,7 @@
 
     /** Without a hold the same restart starts batch work first: what the test above shows is the hold's doing. */
     @Test
-    void withoutAHoldBatchWorkStartsAmongThem() {
+    void batchWorkStartsAmongServicesWithoutHold() {
         int mixed = 0;
         for (long seed = 1; seed <= 6; seed++) {
             Simulation simulation = busy(seed);
@@ -88,7 +88,7 @@
     /** Machines that stay unresponsive keep other work back no longer than the hold, and live work not at all. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void unresponsiveMachinesHoldNobodyBeyondTheBound(long seed) {
+    void unresponsiveMachinesDelayBatchWorkNoLongerThanTheHold(long seed) {
         Simulation simulation = busy(seed);
 
         simulation.after(RESTART, () -> {
