--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -25,7 +25,7 @@
     /** Runs of jobs that are done, cancelled or unknown, of tasks held elsewhere, here under another attempt. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void whatMayNotRunIsStoppedAndCleared(long seed) {
+    void forbiddenTasksAreStoppedAndCleared(long seed) {
         Simulation simulation = busy(seed);
         JobSpec done = simulation.jobs.batch(3, SECOND);
         JobSpec cancelled = simulation.jobs.replicas(2).create();
@@ -80,7 +80,7 @@
     /** Results that came while nobody led count; first heartbeats come twice, late, and from an earlier agent epoch. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void resultsOfMeanwhileCountAndHeartbeatsOfBeforeDoNot(long seed) {
+    void resultsDuringDowntimeCountAndStaleHeartbeatsDoNot(long seed) {
         Simulation simulation = busy(seed);
         simulation.world.lateCopies = 0.2;
 
@@ -106,7 +106,7 @@
     /** Machines that boot, are terminated by the cloud or die while nobody leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workIsDoneWhenMachinesComeAndGoMeanwhile(long seed) {
+    void workCompletesWhenMachinesComeAndGoDuringDowntime(long seed) {
         Simulation simulation = busy(seed);
 
         // The restart comes while machines boot, so that some are on no record yet.
@@ -126,7 +126,7 @@
     /** A gang of which one machine is gone, or one zone cut off, ends as a whole and starts as a whole. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void gangsWithAPartUnresponsiveEndAndStartWhole(long seed) {
+    void gangsWithUnresponsiveMachinesEndAndStartWhole(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
         simulation.recoveryHold = HOLD;
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -118,8 +118,8 @@
                 new Scenario("leader cut from workers", takeover::leaderCutFromItsWorkersStepsDown, 41, 42),
                 new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
                 new Scenario("cold restart", new RecoveryOrderTest()::servicesResumeBeforeBatchWork, 1, 2),
-                new Scenario("cold restart, forbidden work", recovery::whatMayNotRunIsStoppedAndCleared, 1),
-                new Scenario("cold restart, gangs", recovery::gangsWithAPartUnresponsiveEndAndStartWhole, 1),
+                new Scenario("cold restart, forbidden work", recovery::forbiddenTasksAreStoppedAndCleared, 1),
+                new Scenario("cold restart, gangs", recovery::gangsWithUnresponsiveMachinesEndAndStartWhole, 1),
                 new Scenario("cold restart, store away", troubles::theStoreIsAwayOrSlow, 1, 2),
                 new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
                 new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
