--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
@@ -32,7 +32,7 @@
     /** What can't be read frees nothing, is not written over, and does not stop the rest. */
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB, Keys.PROGRESS, Keys.FINAL})
-    void recordsThatCannotBeRead(String prefix) {
+    void unreadableRecordIsKeptAndAffectsOnlyItsJob(String prefix) {
         Simulation simulation = busy(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
         simulation.users.submit(job);
@@ -73,7 +73,7 @@
 
     /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
     @Test
-    void aPartOfTheInventoryThatCannotBeRead() {
+    void unreadableInventoryPartKeepsRecoveryIncomplete() {
         Simulation simulation = busy(2);
         String key = Keys.INVENTORY + "0";
         simulation.after(RESTART, () -> {
@@ -94,7 +94,7 @@
     /** Cancelled at the very moment, submitted at the very moment: what was confirmed holds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void cancelledAndSubmittedJustBefore(long seed) {
+    void answersGivenJustBeforeTheRestartHold(long seed) {
         Simulation simulation = busy(seed);
         simulation.cancelledAtEnd = 0.3;
         List<JobSpec> shortJobs = new ArrayList<>();
@@ -124,7 +124,7 @@
     /** The store is away, refuses one controller, or answers late while all restart. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
-    void theStoreIsAwayOrSlow(long seed) {
+    void workCompletesWhenStoreIsDownOrSlowDuringRestart(long seed) {
         Simulation simulation = busy(seed);
         simulation.after(RESTART, () -> {
             restart(simulation, false);
@@ -158,7 +158,7 @@
     /** In each phase of a recovery everybody ends once more, or the leader alone, or it stands still. */
     @ParameterizedTest
     @EnumSource(RecoveryPhase.class)
-    void endedAgainInEachPhase(RecoveryPhase phase) {
+    void workCompletesWhenFaultsStrikeInEachPhase(RecoveryPhase phase) {
         for (Trouble trouble : Trouble.values()) {
             Simulation simulation = busy(trouble.seed);
             simulation.recoveryHold = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : HOLD;
@@ -212,7 +212,7 @@
 
     /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
     @Test
-    void controllersThatCannotTellSaySo() {
+    void controllersReportTheirRoleAndWhenItIsUnconfirmed() {
         Simulation simulation = busy(3);
         simulation.run(RESTART);
         String leader = simulation.leader();
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -120,7 +120,8 @@
                 new Scenario("cold restart", new RecoveryOrderTest()::servicesResumeBeforeBatchWork, 1, 2),
                 new Scenario("cold restart, forbidden work", recovery::forbiddenTasksAreStoppedAndCleared, 1),
                 new Scenario("cold restart, gangs", recovery::gangsWithUnresponsiveMachinesEndAndStartWhole, 1),
-                new Scenario("cold restart, store away", troubles::theStoreIsAwayOrSlow, 1, 2),
+                new Scenario(
+                        "cold restart, store away", troubles::workCompletesWhenStoreIsDownOrSlowDuringRestart, 1, 2),
                 new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
                 new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
     }
