--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -14,7 +14,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void jobsNotServed() {
+    void unservedJobsAreReported() {
         fixture.tell(ANYWHERE, JobState.PENDING);
         fixture.tell(SPREAD, JobState.PENDING);
         fixture.tell(ONE_ZONE, JobState.PENDING);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void largestBeginsLate() {
+    void lateStartOfLargestJobIsReported() {
         fixture.submit("run-4", 3);
         fixture.tell("run-4", JobState.PENDING);
         fixture.runUntil(241_000_000);
