--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -14,7 +14,7 @@
     private final Rules rules = fixture.rules();
 
     @Test
-    void commandsBeforeTheMachinesHeartbeatAndStartsSentTwice() {
+    void commandsBeforeHeartbeatAndRepeatedStartsAreReported() {
         SimCommands commands = new SimCommands(fixture.world(), rules);
         List<WorkerCommand> start = List.of(WorkerCommand.start(new TaskId(RulesFixture.ANYWHERE, 0), 5));
 
