--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void quietDayFinishesItsWork() {
+    void workCompletesWithoutFaults() {
         Simulation simulation = withJobs(1, 25, 90 * SECOND);
 
         simulation.run(240 * SECOND);
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void anyTroublesTogether(long seed) {
+    void rulesHoldUnderRandomFaults(long seed) {
         Simulation simulation = withJobs(seed, 40, 200 * SECOND);
         simulation.world.lateCopies = 0.02;
 
@@ -94,7 +94,7 @@
     /** Copies of heartbeats and requests, seconds to several leases late, while leaders and machines come and go. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-    void lateCopiesOfHeartbeatsChangeNothing(long seed) {
+    void lateCopiesOfMessagesChangeNothing(long seed) {
         Simulation simulation = withJobs(seed, 35, 120 * SECOND);
         simulation.world.lateCopies = 0.25;
 
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -56,7 +56,7 @@
         DelayedMessagesTest delayed = new DelayedMessagesTest();
         CancellationFaultsTest cancellation = new CancellationFaultsTest();
         return List.of(
-                new Scenario("any troubles together", simulation::anyTroublesTogether, 0, 1, 2, 3, 4, 129, 553),
+                new Scenario("any troubles together", simulation::rulesHoldUnderRandomFaults, 0, 1, 2, 3, 4, 129, 553),
                 new Scenario(
                         "any two troubles meet",
                         new RandomFaultPairsTest()::rulesHoldUnderAnyTwoFaults,
