--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -24,7 +24,7 @@
     /** Repeated crashes of whoever owns the machines, in the middle of each takeover. */
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
-    void leadersCrashDuringTakeover(long seed) {
+    void workCompletesWhenLeadersCrashDuringTakeover(long seed) {
         Simulation simulation = withJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
             simulation.after(
@@ -40,7 +40,7 @@
     /** A leader that alone has lost the machines hands them over before their leases run out. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
-    void leaderCutFromItsWorkersStepsDown(long seed) {
+    void leaderCutOffFromItsWorkersStepsDown(long seed) {
         Simulation simulation = new Simulation(seed, 5, 12);
         submitWork(simulation, 100);
         Observation<String> cut = new Observation<>();
@@ -89,7 +89,7 @@
     /** Back within a fraction of a second: controllers, at any moment of an election, and machines. */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
-    void backWithinAFractionOfASecond(long seed) {
+    void workCompletesAfterRestartsWithinAFractionOfASecond(long seed) {
         Simulation simulation = withJobs(seed, 30, 100 * SECOND);
         simulation.world.lateCopies = 0.1;
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -114,9 +114,11 @@
         RecoveryTroublesTest troubles = new RecoveryTroublesTest();
         UpgradeTest upgrade = new UpgradeTest();
         return List.of(
-                new Scenario("leaders crash during takeover", takeover::leadersCrashDuringTakeover, 5, 6),
-                new Scenario("leader cut from workers", takeover::leaderCutFromItsWorkersStepsDown, 41, 42),
-                new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
+                new Scenario(
+                        "leaders crash during takeover", takeover::workCompletesWhenLeadersCrashDuringTakeover, 5, 6),
+                new Scenario("leader cut from workers", takeover::leaderCutOffFromItsWorkersStepsDown, 41, 42),
+                new Scenario(
+                        "back within a second", takeover::workCompletesAfterRestartsWithinAFractionOfASecond, 51, 52),
                 new Scenario("cold restart", new RecoveryOrderTest()::servicesResumeBeforeBatchWork, 1, 2),
                 new Scenario("cold restart, forbidden work", recovery::forbiddenTasksAreStoppedAndCleared, 1),
                 new Scenario("cold restart, gangs", recovery::gangsWithUnresponsiveMachinesEndAndStartWhole, 1),
