--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -12,7 +12,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void keptRulesAreNotCalledBroken() {
+    void validPlacementsAreNotReported() {
         fixture.start(ANYWHERE, 0, "a", "z");
         fixture.rules().left(new TaskId(ANYWHERE, 0), "a");
         fixture.start(ANYWHERE, 0, "b", "z");
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void sameTaskOnTwoMachines() {
+    void sameTaskOnTwoMachinesIsReported() {
         fixture.start(ANYWHERE, 0, "a", "z");
         fixture.start(ANYWHERE, 0, "b", "z");
 
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void spotMachineNotAllowed() {
+    void forbiddenSpotMachineIsReported() {
         fixture.rules().started(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
 
         fixture.assertBroken("wrong_place");
     }
 
     @Test
-    void spreadJobInOneZone() {
+    void spreadJobInOneZoneIsReported() {
         fixture.start(SPREAD, 0, "a", "z");
         fixture.start(SPREAD, 1, "b", "z");
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void oneZoneJobInTwoZones() {
+    void oneZoneJobInTwoZonesIsReported() {
         fixture.start(ONE_ZONE, 0, "a", "z");
         fixture.start(ONE_ZONE, 1, "b", "y");
 
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void teamOverItsLimit() {
+    void teamOverItsLimitIsReported() {
         fixture.start(ANYWHERE, 0, "a", "z");
         fixture.start(ANYWHERE, 1, "a", "z");
         fixture.start(ONE_ZONE, 0, "a", "z");
