--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -124,8 +124,9 @@
                 new Scenario("cold restart, gangs", recovery::gangsWithUnresponsiveMachinesEndAndStartWhole, 1),
                 new Scenario(
                         "cold restart, store away", troubles::workCompletesWhenStoreIsDownOrSlowDuringRestart, 1, 2),
-                new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
-                new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
+                new Scenario(
+                        "upgrade and new limits", upgrade::workCompletesWhileBothVersionsServeAndLimitsChange, 1, 2),
+                new Scenario("large values of before", upgrade::largeValuesOfTheFormerVersionAreSplit, 1));
     }
 
     private static List<Scenario> fleets() {
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -43,7 +43,7 @@
     /** One controller after the other, then the limits change, and leaders that have to split values end as well. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void bothVersionsServeAndTheLimitsChange(long seed) {
+    void workCompletesWhileBothVersionsServeAndLimitsChange(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION);
         Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValue);
         for (int i = 0; i < simulation.names.size(); i++) {
@@ -67,7 +67,7 @@
     /** The limits change while large values of the former version are still there. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void largeValuesLeftByTheFormerVersion(long seed) {
+    void largeValuesOfTheFormerVersionAreSplit(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION);
         simulation.after(40 * SECOND, () -> {
             simulation.names.forEach(node -> simulation.faults.upgrade(node, SECOND));
@@ -84,7 +84,7 @@
     /** Values that hold more than one transaction may spread: they stay as they are, and work goes on beside them. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void valuesTooLargeToBeSplitAtOnce(long seed) {
+    void workCompletesWithValuesTooLargeToSplitAtOnce(long seed) {
         Simulation simulation = busyDeployment(seed, PRODUCTION.withPerOffer(60).withValueBytes(12 * 1024));
         simulation.after(40 * SECOND, () -> {
             simulation.names.forEach(node -> simulation.faults.upgrade(node, SECOND));
