--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -12,7 +12,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void jobIsLeftWaiting() {
+    void jobWaitingDespiteFreeCapacityIsReported() {
         SimWorker worker = fixture.worker();
         fixture.tell(ANYWHERE, JobState.PENDING);
         checkEachSecond(0, 89, worker);
