--- a/src/test/java/org/granitepath/LogTextsTest.java
+++ b/src/test/java/org/granitepath/LogTextsTest.java
@@ -36,7 +36,7 @@
                 "drained",
                 "READY (too late)"
             })
-    void formatsWithReasonsAndStatesAreLogged(String quoted) {
+    void formatsWithReasonsAndStatesAreFound(String quoted) {
         assertTrue(LOGGED.has(quoted));
     }
 
@@ -52,7 +52,7 @@
                 "a label",
                 "…"
             })
-    void otherTextsAreNot(String quoted) {
+    void otherTextsAreNotFound(String quoted) {
         assertFalse(LOGGED.has(quoted));
     }
 }
