--- a/src/test/java/org/granitepath/LayersTest.java
+++ b/src/test/java/org/granitepath/LayersTest.java
@@ -65,7 +65,7 @@
 
     /** The check itself: each kind of breach, planted in a tree with subpackages, is found. */
     @Test
-    void plantedBreachesAreFound(@TempDir Path tree) throws IOException {
+    void plantedViolationsAreFound(@TempDir Path tree) throws IOException {
         List<String> order = List.of("upper", "upper.part", "lower.deep", "lower");
         plant(tree, "upper/Fine.java", "import org.granitepath.lower.deep.Clean;");
         plant(tree, "lower/deep/Up.java", "import org.granitepath.upper.part.Other;");
@@ -140,7 +140,7 @@
 
     /** Only what is written as a name of the root package is seen, so every import must be. */
     @Test
-    void rootPackageIsWhatThePatternLooksFor() {
+    void patternMatchesTheRootPackage() {
         assertTrue(OURS.pattern().startsWith(ROOT_PACKAGE.replace(".", "\\.")));
     }
 }
