--- a/src/test/java/org/granitepath/DocumentedClassesTest.java
+++ b/src/test/java/org/granitepath/DocumentedClassesTest.java
@@ -70,7 +70,7 @@
 
     /** The check itself: each kind of name that no source has is found, and nothing else is. */
     @Test
-    void plantedNamesAreFound() {
+    void unknownNamesAreFound() {
         SourceNames sources = SourceNames.of(Map.of(
                 "org/granitepath/storage/WriteQueue.java",
                 """
@@ -109,7 +109,7 @@
 
     /** A name that no page has any longer, or that the sources have after all, is not left on the list. */
     @Test
-    void everyOutsideNameIsNeeded() throws IOException {
+    void everyExternalNameIsNeeded() throws IOException {
         SourceNames sources = SourceNames.in(SOURCES);
         Set<String> onPages = Stream.of(PAGES.toArray(String[]::new))
                 .flatMap(page -> namesOf(read(page)).stream())
