--- a/src/test/java/org/granitepath/loopback/HistoryTest.java
+++ b/src/test/java/org/granitepath/loopback/HistoryTest.java
@@ -10,7 +10,7 @@
     private final History history = new History();
 
     @Test
-    void aTaskOnTwoMachinesIsAViolation() {
+    void taskOnTwoMachinesIsAViolation() {
         history.begun("a", "run-1/0", 1);
         history.left("a", "run-1/0", 1, false);
         history.begun("b", "run-1/0", 2);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aStartOrderedTwiceInAnAgentEpochIsAViolation() {
+    void repeatedStartInAnAgentEpochIsAViolation() {
         history.startCommanded("a", 1, "run-1/0", 1);
         history.startCommanded("a", 2, "run-1/0", 1);
         history.startCommanded("a", 1, "run-1/0", 2);
