--- a/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
+++ b/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void areDistinctAndBelowThoseThatTheSystemChooses() throws IOException {
+    void portsAreDistinctAndBelowTheEphemeralRange() throws IOException {
         List<Integer> reserved = reserve(new LoopbackPorts(), 200);
 
         assertEquals(200, new HashSet<>(reserved).size());
@@ -34,7 +34,7 @@
 
     /** The stand-ins listen on ports of the system's choice while the controllers' ports wait for their processes. */
     @Test
-    void areNotTakenByServersOnPortsOfTheSystemsChoice() throws IOException {
+    void portsAreNotTakenByServersOnEphemeralPorts() throws IOException {
         Set<Integer> reserved = new HashSet<>(reserve(new LoopbackPorts(), 6));
 
         for (int i = 0; i < 500; i++) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void portsInUseAreLeftOut() throws IOException {
+    void portsInUseAreSkipped() throws IOException {
         LoopbackPorts ports = new LoopbackPorts();
         int before = ports.reserve();
         int following = before + 1 < LoopbackPorts.END ? before + 1 : LoopbackPorts.FIRST;
