--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void allControllersEndAtOnce(@TempDir Path dir) throws Exception {
+    void servicesStartFirstAfterAllControllersAreKilled(@TempDir Path dir) throws Exception {
         Files.createDirectories(dir);
         try (Cluster cluster = new Cluster(dir, WORKERS)) {
             bringUp(cluster);
@@ -142,7 +142,7 @@
 
     /** The store is away when they come back, and all end once more in the middle of the recovery. */
     @Test
-    void allEndOnceMoreWhileTheyRecover(@TempDir Path dir) throws Exception {
+    void servicesStartFirstAfterSecondKillDuringRecovery(@TempDir Path dir) throws Exception {
         try (Cluster cluster = new Cluster(dir, WORKERS)) {
             bringUp(cluster);
 
