--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of writes, or of reads, when the store allows few. */
-class BudgetTest {
+class StoreLimitsTest {
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
