--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/LargeFleetTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The largest fleets: the rules throughout, and what is asked of others as counts. */
-class FleetTest {
+class LargeFleetTest {
     private static final long SECOND = Simulation.SECOND;
 
     /** Many machines, a heartbeat every five seconds, few writes. */
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -131,7 +131,7 @@
 
     private static List<Scenario> fleets() {
         CapacityTest capacity = new CapacityTest();
-        FleetTest fleet = new FleetTest();
+        LargeFleetTest fleet = new LargeFleetTest();
         return List.of(
                 new Scenario("hundreds of machines", capacity::workCompletesWhenLeadersOfHundredsOfMachinesCrash, 61),
                 new Scenario("overload", capacity::noKindOfJobStarvesUnderOverload, 71),
