--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** All controllers end and come back while records can't be read, other troubles strike, or they end once more. */
-class RecoveryTroublesTest {
+class RecoveryFaultsTest {
     private static final long SECOND = Simulation.SECOND;
 
     // ---- records ----------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -111,7 +111,7 @@
     private static List<Scenario> changesOfLeader() {
         TakeoverTest takeover = new TakeoverTest();
         RecoveryTest recovery = new RecoveryTest();
-        RecoveryTroublesTest troubles = new RecoveryTroublesTest();
+        RecoveryFaultsTest troubles = new RecoveryFaultsTest();
         UpgradeTest upgrade = new UpgradeTest();
         return List.of(
                 new Scenario(
