--- a/src/test/java/org/granitepath/loopback/CloudStandIn.java
+++ b/src/test/java/org/granitepath/loopback/CloudStandIn.java
@@ -8,7 +8,7 @@
 import org.granitepath.storage.Fields;
 
 /** A stand-in for a cloud with a fixed set of machines, all of one type: nothing more is to be had. */
-final class CloudStandIn extends HttpStandIn {
+final class CloudStandIn extends FakeHttpServer {
     static final String TYPE = "box";
     static final String ZONE = "here";
     static final int CPUS = 4;
--- a/src/test/java/org/granitepath/loopback/HttpStandIn.java
+++ b/src/test/java/org/granitepath/loopback/FakeHttpServer.java
@@ -15,7 +15,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A small server on loopback, on a port of the system's choice, that answers with JSON. */
-abstract class HttpStandIn implements AutoCloseable {
+abstract class FakeHttpServer implements AutoCloseable {
     /** An answer: a status and a JSON object. */
     record Answer(int status, Map<String, Object> body) {
         static Answer ok(Map<String, Object> body) {
@@ -29,7 +29,7 @@
 
     private final HttpServer server;
 
-    HttpStandIn(Executor executor) {
+    FakeHttpServer(Executor executor) {
         try {
             server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         } catch (IOException e) {
