--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -57,7 +57,7 @@
             .build();
     final History history = new History();
     final StoreStandIn store = new StoreStandIn(executor);
-    final CloudStandIn cloud = new CloudStandIn(executor);
+    final FakeCloud cloud = new FakeCloud(executor);
     final List<WorkerStandIn> workers = new ArrayList<>();
     final List<ControllerProcess> controllers = new ArrayList<>();
     private final Map<String, Job> jobs = new ConcurrentHashMap<>();
@@ -121,11 +121,7 @@
                 rps = 5.0
                 list_lag_s = 1.0
                 """.formatted(
-                                cloud.address(),
-                                store.address(),
-                                CloudStandIn.ZONE,
-                                HEARTBEAT_MILLIS / 1e3,
-                                LEASE_MILLIS / 1e3))
+                        cloud.address(), store.address(), FakeCloud.ZONE, HEARTBEAT_MILLIS / 1e3, LEASE_MILLIS / 1e3))
                 .toString();
     }
 
--- a/src/test/java/org/granitepath/loopback/CloudStandIn.java
+++ b/src/test/java/org/granitepath/loopback/FakeCloud.java
@@ -8,7 +8,7 @@
 import org.granitepath.storage.Fields;
 
 /** A stand-in for a cloud with a fixed set of machines, all of one type: nothing more is to be had. */
-final class CloudStandIn extends FakeHttpServer {
+final class FakeCloud extends FakeHttpServer {
     static final String TYPE = "box";
     static final String ZONE = "here";
     static final int CPUS = 4;
@@ -17,7 +17,7 @@
 
     private final Map<String, WorkerStandIn> machines = new LinkedHashMap<>();
 
-    CloudStandIn(Executor executor) {
+    FakeCloud(Executor executor) {
         super(executor);
         listen();
     }
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/WorkerStandIn.java
@@ -202,8 +202,8 @@
         Map<String, Object> heartbeat = new LinkedHashMap<>();
         heartbeat.put("host", id);
         heartbeat.put("address", address());
-        heartbeat.put("model", CloudStandIn.TYPE);
-        heartbeat.put("site", CloudStandIn.ZONE);
+        heartbeat.put("model", FakeCloud.TYPE);
+        heartbeat.put("site", FakeCloud.ZONE);
         heartbeat.put("loaner", false);
         heartbeat.put("shift", agentEpoch);
         heartbeat.put("tally", ++sequence);
