--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -56,7 +56,7 @@
             .version(HttpClient.Version.HTTP_1_1)
             .build();
     final History history = new History();
-    final StoreStandIn store = new StoreStandIn(executor);
+    final FakeStore store = new FakeStore(executor);
     final FakeCloud cloud = new FakeCloud(executor);
     final List<WorkerStandIn> workers = new ArrayList<>();
     final List<ControllerProcess> controllers = new ArrayList<>();
--- a/src/test/java/org/granitepath/loopback/StoreStandIn.java
+++ b/src/test/java/org/granitepath/loopback/FakeStore.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A stand-in for the store: transactions on preconditions, leases that expire, long polls. It has no limits. */
-final class StoreStandIn extends FakeHttpServer {
+final class FakeStore extends FakeHttpServer {
     private record Stored(Object value, long revision, long lease) {}
 
     /** @param value the new value; null when the key was removed */
@@ -37,7 +37,7 @@
     private long leaseCount;
     private boolean away;
 
-    StoreStandIn(Executor executor) {
+    FakeStore(Executor executor) {
         super(executor);
         listen();
     }
