--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -58,7 +58,7 @@
     final History history = new History();
     final FakeStore store = new FakeStore(executor);
     final FakeCloud cloud = new FakeCloud(executor);
-    final List<WorkerStandIn> workers = new ArrayList<>();
+    final List<FakeWorker> workers = new ArrayList<>();
     final List<ControllerProcess> controllers = new ArrayList<>();
     private final Map<String, Job> jobs = new ConcurrentHashMap<>();
 
@@ -76,9 +76,9 @@
             controllers.add(new ControllerProcess(
                     addresses.get(node), peerAddresses.get(node), client, config, tuning, dir.resolve(node + ".log")));
         }
-        WorkerStandIn.Deployment deployment = new WorkerStandIn.Deployment(HEARTBEAT_MILLIS, LEASE_MILLIS, addresses);
+        FakeWorker.Deployment deployment = new FakeWorker.Deployment(HEARTBEAT_MILLIS, LEASE_MILLIS, addresses);
         for (int i = 0; i < workerCount; i++) {
-            WorkerStandIn worker = new WorkerStandIn(
+            FakeWorker worker = new FakeWorker(
                     String.format("i-%06d", i + 1), executor, client, deployment, this::runMillis, history);
             workers.add(worker);
             cloud.add(worker);
@@ -152,7 +152,7 @@
     }
 
     void startWorkers() {
-        workers.forEach(WorkerStandIn::start);
+        workers.forEach(FakeWorker::start);
     }
 
     boolean isService(String job) {
@@ -192,7 +192,7 @@
     @Override
     public void close() {
         controllers.forEach(ControllerProcess::close);
-        workers.forEach(WorkerStandIn::close);
+        workers.forEach(FakeWorker::close);
         cloud.close();
         store.close();
         executor.shutdownNow();
--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -76,7 +76,7 @@
 
     /** Half of the workers that hold replicas lose them. Which workers hold any differs from run to run. */
     private static void loseReplicas(Cluster cluster) {
-        List<WorkerStandIn> holders = cluster.workers.stream()
+        List<FakeWorker> holders = cluster.workers.stream()
                 .filter(worker -> worker.holds(cluster::isService))
                 .toList();
         holders.stream().limit((holders.size() + 1) / 2).forEach(worker -> worker.endTasks(cluster::isService));
--- a/src/test/java/org/granitepath/loopback/FakeCloud.java
+++ b/src/test/java/org/granitepath/loopback/FakeCloud.java
@@ -15,14 +15,14 @@
     /** Idle machines are kept for a part of the time that a new one takes to boot: no test lasts that long. */
     private static final int BOOT_SECONDS = 1_200;
 
-    private final Map<String, WorkerStandIn> machines = new LinkedHashMap<>();
+    private final Map<String, FakeWorker> machines = new LinkedHashMap<>();
 
     FakeCloud(Executor executor) {
         super(executor);
         listen();
     }
 
-    synchronized void add(WorkerStandIn worker) {
+    synchronized void add(FakeWorker worker) {
         machines.put(worker.id(), worker);
     }
 
@@ -41,7 +41,7 @@
 
     private void terminate(List<?> ids) {
         for (Object id : ids) {
-            WorkerStandIn worker = machines.remove(String.valueOf(id));
+            FakeWorker worker = machines.remove(String.valueOf(id));
             if (worker != null) {
                 worker.close();
             }
@@ -64,7 +64,7 @@
 
     private List<Object> rows(String from) {
         List<Object> rows = new ArrayList<>();
-        for (WorkerStandIn worker : machines.values()) {
+        for (FakeWorker worker : machines.values()) {
             if (worker.id().compareTo(from) > 0) {
                 rows.add(row(worker));
             }
@@ -72,7 +72,7 @@
         return rows;
     }
 
-    private static Map<String, Object> row(WorkerStandIn worker) {
+    private static Map<String, Object> row(FakeWorker worker) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("uid", worker.id());
         row.put("address", worker.address());
--- a/src/test/java/org/granitepath/loopback/WorkerStandIn.java
+++ b/src/test/java/org/granitepath/loopback/FakeWorker.java
@@ -19,7 +19,7 @@
  * A stand-in for a machine's worker over real sockets: heartbeats, agent epochs, leases, fencing tokens and commands
  * as the protocol has them. Images are there at once, and nothing is saved.
  */
-final class WorkerStandIn extends FakeHttpServer {
+final class FakeWorker extends FakeHttpServer {
     /** How long tasks of a job run; negative: until they are stopped. */
     interface RunTimes {
         long millisOf(String job);
@@ -57,7 +57,7 @@
     private boolean changed;
     private boolean closed;
 
-    WorkerStandIn(
+    FakeWorker(
             String id,
             Executor executor,
             HttpClient client,
