--- a/src/test/java/org/granitepath/DocumentedClassesTest.java
+++ b/src/test/java/org/granitepath/DocumentedClassesTest.java
@@ -18,9 +18,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every class, method and constant that the pages name in backticks is one of the sources, so a renaming that forgets a
- * page fails the build. Checked are names in the form of Java's: {@code ClassName}, {@code ClassName.member}, a package
- * before the class, {@code methodName}, {@code CONSTANT_NAME}, and the classes of {@code -Dtest=}.
+ * Checks that every class, method and constant that the documentation pages name in backticks exists in the sources, so
+ * that a rename which leaves out a page fails the build. It checks names in the form that Java's names have:
+ * {@code ClassName}, {@code ClassName.member}, a package before the class, {@code methodName}, {@code CONSTANT_NAME},
+ * and the classes listed after {@code -Dtest=}.
  */
 class DocumentedClassesTest {
     private static final List<String> PAGES = List.of(
@@ -33,21 +34,21 @@
             "docs/failure-modes.md");
     private static final List<Path> SOURCES = List.of(Path.of("src/main/java"), Path.of("src/test/java"));
 
-    /** Words in the form of Java's names that are none of these sources. */
-    private static final Set<String> OUTSIDE_NAMES = Set.of(
-            // of JSpecify and of the JDK
+    /** Words on the pages that have the form of Java's names, but that these sources do not declare. */
+    private static final Set<String> EXTERNAL_NAMES = Set.of(
+            // names of JSpecify and of the JDK
             "Nullable",
             "Objects.requireNonNull",
-            // how names end
+            // a suffix of names
             "Micros",
-            // a word of a log line, a variable of the environment, a directory in an example
+            // a word of a log line, an environment variable, a directory in an example
             "LATE",
             "LOG_LEVEL",
             "SDK");
 
-    private static final Pattern QUOTED = Pattern.compile("`([^`]+)`");
+    private static final Pattern IN_BACKTICKS = Pattern.compile("`([^`]+)`");
     private static final Pattern TESTS_TO_RUN = Pattern.compile("-Dtest='?([\\w,]+)");
-    /** A package or nothing, a class, and members or nested types of it. */
+    /** An optional package, a class, and optional members or nested types of the class. */
     private static final Pattern CLASS_NAME =
             Pattern.compile("@?((?:[a-z][a-z0-9]*\\.)*)([A-Z]\\w*[a-z]\\w*)((?:\\.\\w+)*)(?:\\(.*\\))?");
 
@@ -61,14 +62,14 @@
         int checked = 0;
         for (String page : PAGES) {
             String text = Files.readString(Path.of(page));
-            checked += namesOf(text).size();
+            checked += namesOn(text).size();
             unknown.addAll(unknownNames(page, text, sources));
         }
         assertTrue(checked >= 300, "the pages name only " + checked + " classes, methods and constants");
-        assertEquals("", String.join("\n", unknown), "named on a page, but in no source file:");
+        assertEquals("", String.join("\n", unknown), "named on a page, but not found in any source file:");
     }
 
-    /** The check itself: each kind of name that no source has is found, and nothing else is. */
+    /** Tests the check itself: it finds each kind of name that no source has, and nothing else. */
     @Test
     void unknownNamesAreFound() {
         SourceNames sources = SourceNames.of(Map.of(
@@ -107,17 +108,17 @@
                 unknownNames("page.md", page, sources));
     }
 
-    /** A name that no page has any longer, or that the sources have after all, is not left on the list. */
+    /** Fails when a listed external name no longer stands on any page, or has become a name of the sources. */
     @Test
     void everyExternalNameIsNeeded() throws IOException {
         SourceNames sources = SourceNames.in(SOURCES);
         Set<String> onPages = Stream.of(PAGES.toArray(String[]::new))
-                .flatMap(page -> namesOf(read(page)).stream())
+                .flatMap(page -> namesOn(read(page)).stream())
                 .map(named -> named.name().replace("@", ""))
                 .collect(Collectors.toSet());
         assertEquals(
                 List.of(),
-                OUTSIDE_NAMES.stream()
+                EXTERNAL_NAMES.stream()
                         .filter(name -> !onPages.contains(name) || sources.has(name))
                         .sorted()
                         .toList());
@@ -131,18 +132,19 @@
         }
     }
 
-    /** A name on a page, in the form of Java's. */
+    /** A name on a page that has the form of a Java name, with its line number. */
     private record NameOnPage(int line, String name) {}
 
-    private static List<NameOnPage> namesOf(String text) {
+    private static List<NameOnPage> namesOn(String text) {
         List<NameOnPage> names = new ArrayList<>();
         List<String> lines = text.lines().toList();
         for (int at = 0; at < lines.size(); at++) {
             int line = at + 1;
-            QUOTED.matcher(lines.get(at))
+            IN_BACKTICKS
+                    .matcher(lines.get(at))
                     .results()
                     .map(result -> result.group(1))
-                    .filter(DocumentedClassesTest::looksLikeJava)
+                    .filter(DocumentedClassesTest::looksLikeJavaName)
                     .forEach(name -> names.add(new NameOnPage(line, name)));
             TESTS_TO_RUN
                     .matcher(lines.get(at))
@@ -153,31 +155,31 @@
         return names;
     }
 
-    private static boolean looksLikeJava(String quoted) {
+    private static boolean looksLikeJavaName(String quoted) {
         return Stream.of(CLASS_NAME, CONSTANT_NAME, METHOD_NAME)
                 .anyMatch(form -> form.matcher(quoted).matches());
     }
 
     private static List<String> unknownNames(String page, String text, SourceNames sources) {
-        return namesOf(text).stream()
-                .filter(named -> !OUTSIDE_NAMES.contains(named.name().replace("@", "")))
+        return namesOn(text).stream()
+                .filter(named -> !EXTERNAL_NAMES.contains(named.name().replace("@", "")))
                 .filter(named -> !sources.has(named.name()))
                 .map(named -> page + ":" + named.line() + ": " + named.name())
                 .toList();
     }
 
-    /** The names of the sources; those in comments and texts do not count. */
+    /** The names that the sources contain, other than in comments and string literals. */
     private static final class SourceNames {
-        private static final Pattern COMMENT_OR_TEXT = Pattern.compile(
+        private static final Pattern COMMENT_OR_LITERAL = Pattern.compile(
                 "\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\n])*\"|'(?:\\\\.|[^'\\\\\n])+'|//[^\n]*|/\\*.*?\\*/",
                 Pattern.DOTALL);
         private static final Pattern TYPE = Pattern.compile("\\b(?:class|interface|enum|record)\\s+([A-Z]\\w*)");
         private static final Pattern WORD = Pattern.compile("\\b[A-Za-z]\\w*");
 
-        /** The words of each source file, by its path below the root of the sources. */
-        private final Map<String, Set<String>> words = new HashMap<>();
-        /** The files that declare a type of this name. */
-        private final Map<String, List<String>> filesOfTypes = new HashMap<>();
+        /** The words of each source file, by the file's path below its source root. */
+        private final Map<String, Set<String>> wordsByFile = new HashMap<>();
+        /** The files that declare a type, by the type's simple name. */
+        private final Map<String, List<String>> filesByType = new HashMap<>();
 
         static SourceNames in(List<Path> roots) throws IOException {
             Map<String, String> sources = new HashMap<>();
@@ -195,8 +197,8 @@
         static SourceNames of(Map<String, String> sources) {
             SourceNames names = new SourceNames();
             sources.forEach((file, text) -> {
-                String code = COMMENT_OR_TEXT.matcher(text).replaceAll(" ");
-                names.words.put(
+                String code = COMMENT_OR_LITERAL.matcher(text).replaceAll(" ");
+                names.wordsByFile.put(
                         file,
                         WORD.matcher(code)
                                 .results()
@@ -204,33 +206,33 @@
                                 .collect(Collectors.toSet()));
                 TYPE.matcher(code)
                         .results()
-                        .forEach(result -> names.filesOfTypes
+                        .forEach(result -> names.filesByType
                                 .computeIfAbsent(result.group(1), type -> new ArrayList<>())
                                 .add(file));
             });
             return names;
         }
 
-        /** Whether a type of that name, its members, or otherwise a word of any file, is in the sources. */
+        /** Whether the sources have the named type with its members or, for any other name, a file with that word. */
         boolean has(String name) {
-            Matcher ofClass = CLASS_NAME.matcher(name);
-            if (ofClass.matches()) {
-                List<String> members = Stream.of(ofClass.group(3).split("\\."))
+            Matcher classMatcher = CLASS_NAME.matcher(name);
+            if (classMatcher.matches()) {
+                List<String> members = Stream.of(classMatcher.group(3).split("\\."))
                         .filter(member -> !member.isEmpty())
                         .toList();
-                return filesOfTypes.getOrDefault(ofClass.group(2), List.of()).stream()
-                        .filter(file -> isInPackage(file, ofClass.group(1)))
-                        .anyMatch(file -> words.get(file).containsAll(members));
+                return filesByType.getOrDefault(classMatcher.group(2), List.of()).stream()
+                        .filter(file -> isInPackage(file, classMatcher.group(1)))
+                        .anyMatch(file -> wordsByFile.get(file).containsAll(members));
             }
-            Matcher ofMethod = METHOD_NAME.matcher(name);
-            String word = ofMethod.matches() ? ofMethod.group(1) : name;
-            return words.values().stream().anyMatch(ofFile -> ofFile.contains(word));
+            Matcher methodMatcher = METHOD_NAME.matcher(name);
+            String word = methodMatcher.matches() ? methodMatcher.group(1) : name;
+            return wordsByFile.values().stream().anyMatch(fileWords -> fileWords.contains(word));
         }
 
-        /** Whether the file's package ends with that part, which is empty or ends with a dot. */
-        private static boolean isInPackage(String file, String part) {
-            String ofFile = "/" + file.substring(0, file.lastIndexOf('/') + 1);
-            return ofFile.endsWith("/" + part.replace('.', '/'));
+        /** Whether the file's package ends with this suffix, which is empty or ends with a dot. */
+        private static boolean isInPackage(String file, String packageSuffix) {
+            String directory = "/" + file.substring(0, file.lastIndexOf('/') + 1);
+            return directory.endsWith("/" + packageSuffix.replace('.', '/'));
         }
     }
 }
--- a/src/test/java/org/granitepath/LayersTest.java
+++ b/src/test/java/org/granitepath/LayersTest.java
@@ -15,14 +15,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A package uses only those below it, so there are no circles among packages, and decision code does neither I/O nor
- * threads. All folders below the root are walked; one that is not listed here is an error.
+ * Checks that each package uses only packages below it, so that there are no cycles among packages, and that decision
+ * code does no I/O and starts no threads. The test walks all directories below the root; a package that is not listed
+ * here is an error.
  */
 class LayersTest {
     private static final String ROOT_PACKAGE = "org.granitepath";
     private static final Path SOURCES = Path.of("src/main/java/org/granitepath");
-    /** All packages, each above those that it may use. */
-    private static final List<String> DOWNWARDS = List.of(
+    /** All packages, from the highest to the lowest: each may use only those after it. */
+    private static final List<String> PACKAGES_TOP_DOWN = List.of(
             "cli",
             "transport",
             "protocol",
@@ -41,41 +42,42 @@
             "coordination.config",
             "recovery",
             "storage");
-    /** This package and all below it decide only: no I/O, no threads, no clock but the one handed in. */
-    private static final String FIRST_PURE = "coordination";
+    /** This package and all below it only make decisions: no I/O, no threads, no clock but the one passed in. */
+    private static final String HIGHEST_PURE_PACKAGE = "coordination";
 
-    private static final Pattern OURS =
+    private static final Pattern PROJECT_TYPE =
             Pattern.compile("org\\.granitepath((?:\\.[a-z][a-z0-9]*)+)\\.(?:[A-Z]\\w*|\\*)");
-    private static final Pattern IMPURE =
+    private static final Pattern IMPURE_LINE =
             Pattern.compile("import (static )?(java\\.(io|net|nio|util\\.concurrent)|io\\.undertow|org\\.xnio)\\b.*"
                     + "|.*System\\.(nano|current).*|.*\\bnew Thread\\b.*");
 
     @Test
     void packagesUseOnlyLowerOnes() throws IOException {
-        assertEquals(List.of(), breaches(SOURCES, DOWNWARDS));
+        assertEquals(List.of(), violations(SOURCES, PACKAGES_TOP_DOWN));
     }
 
-    /** Whoever adds a package decides where it stands; one that is gone is not left in the list. */
+    /** Fails when a listed package no longer exists. The developer who adds a package decides on its place. */
     @Test
     void everyListedPackageExists() throws IOException {
-        List<String> present =
-                files(SOURCES).stream().map(file -> packageOf(SOURCES, file)).toList();
-        assertTrue(present.containsAll(DOWNWARDS), "listed packages without sources");
+        List<String> present = sourceFiles(SOURCES).stream()
+                .map(file -> packageOf(SOURCES, file))
+                .toList();
+        assertTrue(present.containsAll(PACKAGES_TOP_DOWN), "listed packages without sources");
     }
 
-    /** The check itself: each kind of breach, planted in a tree with subpackages, is found. */
+    /** Tests the check itself: it finds each kind of violation in a source tree with subpackages. */
     @Test
     void plantedViolationsAreFound(@TempDir Path tree) throws IOException {
         List<String> order = List.of("upper", "upper.part", "lower.deep", "lower");
-        plant(tree, "upper/Fine.java", "import org.granitepath.lower.deep.Clean;");
-        plant(tree, "lower/deep/Up.java", "import org.granitepath.upper.part.Other;");
-        plant(tree, "lower/deep/Static.java", "import static org.granitepath.upper.Fine.CONSTANT;");
-        plant(tree, "lower/Sideways.java", "    private org.granitepath.lower.deep.Up field;");
-        plant(tree, "lower/Unknown.java", "import org.granitepath.elsewhere.Thing;");
-        plant(tree, "unlisted/part/Alien.java", "class Alien {}");
-        plant(tree, "coordination/Clock.java", "long now = System.nanoTime();");
-        List<String> withPure = new ArrayList<>(order);
-        withPure.add(FIRST_PURE);
+        writeSource(tree, "upper/Fine.java", "import org.granitepath.lower.deep.Clean;");
+        writeSource(tree, "lower/deep/Up.java", "import org.granitepath.upper.part.Other;");
+        writeSource(tree, "lower/deep/Static.java", "import static org.granitepath.upper.Fine.CONSTANT;");
+        writeSource(tree, "lower/Sideways.java", "    private org.granitepath.lower.deep.Up field;");
+        writeSource(tree, "lower/Unknown.java", "import org.granitepath.elsewhere.Thing;");
+        writeSource(tree, "unlisted/part/Alien.java", "class Alien {}");
+        writeSource(tree, "coordination/Clock.java", "long now = System.nanoTime();");
+        List<String> orderWithPurePackage = new ArrayList<>(order);
+        orderWithPurePackage.add(HIGHEST_PURE_PACKAGE);
         assertEquals(
                 List.of(
                         "coordination/Clock.java: long now = System.nanoTime();",
@@ -84,53 +86,54 @@
                         "lower/deep/Static.java: import static org.granitepath.upper.Fine.CONSTANT;",
                         "lower/deep/Up.java: import org.granitepath.upper.part.Other;",
                         "unlisted/part/Alien.java: its package is not listed in LayersTest"),
-                breaches(tree, withPure));
+                violations(tree, orderWithPurePackage));
     }
 
-    private static void plant(Path tree, String file, String line) throws IOException {
+    private static void writeSource(Path tree, String file, String line) throws IOException {
         Path path = tree.resolve(file);
         Files.createDirectories(path.getParent());
         Files.writeString(path, line + "\n");
     }
 
-    private static List<String> breaches(Path sources, List<String> downwards) throws IOException {
-        List<String> breaches = new ArrayList<>();
-        for (Path file : files(sources)) {
+    private static List<String> violations(Path sources, List<String> packagesTopDown) throws IOException {
+        List<String> violations = new ArrayList<>();
+        for (Path file : sourceFiles(sources)) {
             String name = sources.relativize(file) + ": ";
-            int layer = downwards.indexOf(packageOf(sources, file));
+            int layer = packagesTopDown.indexOf(packageOf(sources, file));
             if (layer < 0) {
-                breaches.add(name + "its package is not listed in LayersTest");
+                violations.add(name + "its package is not listed in LayersTest");
                 continue;
             }
-            boolean pure = layer >= downwards.indexOf(FIRST_PURE) && downwards.contains(FIRST_PURE);
+            boolean pure = layer >= packagesTopDown.indexOf(HIGHEST_PURE_PACKAGE)
+                    && packagesTopDown.contains(HIGHEST_PURE_PACKAGE);
             for (String line : Files.readAllLines(file)) {
-                if (usesHigher(line, layer, downwards)
-                        || (pure && IMPURE.matcher(line).matches())) {
-                    breaches.add(name + line.strip());
+                if (usesHigherPackage(line, layer, packagesTopDown)
+                        || (pure && IMPURE_LINE.matcher(line).matches())) {
+                    violations.add(name + line.strip());
                 }
             }
         }
-        return breaches;
+        return violations;
     }
 
-    /** A package that is not listed counts as higher than all others. */
-    private static boolean usesHigher(String line, int layer, List<String> downwards) {
-        Matcher names = OURS.matcher(line);
-        while (names.find()) {
-            if (downwards.indexOf(names.group(1).substring(1)) < layer) {
+    /** Whether the line names a package above this layer. An unlisted package counts as higher than all others. */
+    private static boolean usesHigherPackage(String line, int layer, List<String> packagesTopDown) {
+        Matcher projectTypes = PROJECT_TYPE.matcher(line);
+        while (projectTypes.find()) {
+            if (packagesTopDown.indexOf(projectTypes.group(1).substring(1)) < layer) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The package of a source file, without the part that all share. */
+    /** The package of a source file, without the root package. */
     private static String packageOf(Path sources, Path file) {
         return sources.relativize(file.getParent()).toString().replace('/', '.');
     }
 
-    /** All source files of the tree; the root holds none. */
-    private static List<Path> files(Path tree) throws IOException {
+    /** All source files of the tree. The root directory itself holds none. */
+    private static List<Path> sourceFiles(Path tree) throws IOException {
         try (Stream<Path> all = Files.walk(tree)) {
             return all.filter(file -> file.toString().endsWith(".java"))
                     .sorted()
@@ -138,9 +141,9 @@
         }
     }
 
-    /** Only what is written as a name of the root package is seen, so every import must be. */
+    /** The pattern sees only names below the root package, so it has to begin with that package. */
     @Test
     void patternMatchesTheRootPackage() {
-        assertTrue(OURS.pattern().startsWith(ROOT_PACKAGE.replace(".", "\\.")));
+        assertTrue(PROJECT_TYPE.pattern().startsWith(ROOT_PACKAGE.replace(".", "\\.")));
     }
 }
--- a/src/test/java/org/granitepath/LogTexts.java
+++ b/src/test/java/org/granitepath/LogTexts.java
@@ -11,38 +11,40 @@
 import java.util.regex.Pattern;
 
 /**
- * What the program can log, read from its sources: the formats of logging calls, the reasons that methods are told for
- * what they log, and the names of states. A page may quote any part of what these make up.
+ * The messages that the program can log, read from its sources: the formats of logging calls, the reasons that are
+ * passed to methods which log them, and the names of states. A page may quote any part of a message that these form.
  */
 final class LogTexts {
-    /** Stands in a template for whatever a variable holds. */
+    /** The character that stands in a template for the value of a variable. */
     private static final char VARIABLE = '\u0000';
 
+    /** On a page, stands for any text. */
     private static final char ANY_TEXT = '…';
-    /** On the page, any number. */
+
+    /** On a page, stands for any number. */
     private static final String ANY_NUMBER = "N";
 
-    /** A call whose message comes out: of the logger, or the error that ends the start. */
-    private static final Pattern MESSAGE =
+    /** A call whose message is logged: one of the logger, or the exception that aborts the startup. */
+    private static final Pattern MESSAGE_CALL =
             Pattern.compile("\\bLOG\\.(?:info|warn|error|debug)\\(|\\bnew InvalidSettingException\\(");
-    /** A method that is told the reason for what it logs. */
-    private static final Pattern TAKES_REASON =
+    /** A method with a parameter for the reason of what it logs. */
+    private static final Pattern METHOD_WITH_REASON =
             Pattern.compile("\\bvoid (\\w+)\\([^)]*\\bString (?:why|reason|cause)\\b");
 
     private static final Pattern ENUM = Pattern.compile("\\benum \\w+[^{]*\\{([^;}]*)");
-    /** Reasons that are constants, each with its text: the transitions that they are given to log it. */
+    /** An enum of reasons, each constant with its text. The state transitions that receive a constant log its text. */
     private static final Pattern REASON_ENUM = Pattern.compile("\\benum \\w*Reason[^{]*\\{([^;}]*)");
 
-    private static final Pattern TEXT = Pattern.compile("\"((?:\\\\.|[^\"\\\\\n])*)\"");
+    private static final Pattern LITERAL = Pattern.compile("\"((?:\\\\.|[^\"\\\\\n])*)\"");
     private static final Pattern CONSTANT = Pattern.compile("\\b[A-Z][A-Z_0-9]+\\b");
-    private static final Pattern COMMENT_OR_TEXT = Pattern.compile(
+    private static final Pattern COMMENT_OR_LITERAL = Pattern.compile(
             "(\"(?:\\\\.|[^\"\\\\\n])*\"|'(?:\\\\.|[^'\\\\\n])+')|//[^\n]*|/\\*.*?\\*/", Pattern.DOTALL);
 
     private final List<String> templates = new ArrayList<>();
     private final List<String> reasons = new ArrayList<>();
     private final List<String> states = new ArrayList<>();
 
-    /** What can be logged by the program whose sources are below this folder. */
+    /** The messages of the program whose sources are below this directory. */
     static LogTexts in(Path sources) throws IOException {
         try (var files = Files.walk(sources)) {
             List<String> code = new ArrayList<>();
@@ -54,55 +56,55 @@
         }
     }
 
-    /** What can be logged by the program that has these source files. */
+    /** The messages of the program that has these source files. */
     static LogTexts of(List<String> sources) {
         LogTexts texts = new LogTexts();
         List<String> code = sources.stream().map(LogTexts::withoutComments).toList();
         code.forEach(texts::addStates);
         code.forEach(texts::addReasonConstants);
         code.forEach(texts::addTemplates);
-        Set<String> methods = methodsThatTakeReasons(code);
+        Set<String> methods = methodsWithReason(code);
         if (!methods.isEmpty()) {
             Pattern call = Pattern.compile("\\b(?:" + String.join("|", methods) + ")\\(");
-            code.forEach(file -> texts.addReasonsGivenTo(call, file));
+            code.forEach(file -> texts.addReasonsPassedTo(call, file));
         }
         return texts;
     }
 
     private void addStates(String file) {
-        for (String constants : groupsOf(ENUM, file)) {
+        for (String constants : firstGroups(ENUM, file)) {
             CONSTANT.matcher(constants).results().forEach(constant -> states.add(constant.group()));
         }
     }
 
     private void addReasonConstants(String file) {
-        groupsOf(REASON_ENUM, file).forEach(constants -> reasons.addAll(groupsOf(TEXT, constants)));
+        firstGroups(REASON_ENUM, file).forEach(constants -> reasons.addAll(firstGroups(LITERAL, constants)));
     }
 
     private void addTemplates(String file) {
-        for (List<String> arguments : callsOf(MESSAGE, file)) {
+        for (List<String> arguments : callsOf(MESSAGE_CALL, file)) {
             alternatives(arguments.get(0)).forEach(text -> templates.add(text.replace("{}", "" + VARIABLE)));
         }
     }
 
-    private void addReasonsGivenTo(Pattern call, String file) {
+    private void addReasonsPassedTo(Pattern call, String file) {
         for (List<String> arguments : callsOf(call, file)) {
             arguments.forEach(argument -> reasons.addAll(alternatives(argument)));
         }
     }
 
-    private static Set<String> methodsThatTakeReasons(List<String> code) {
+    private static Set<String> methodsWithReason(List<String> code) {
         Set<String> methods = new TreeSet<>();
-        code.forEach(file -> methods.addAll(groupsOf(TAKES_REASON, file)));
+        code.forEach(file -> methods.addAll(firstGroups(METHOD_WITH_REASON, file)));
         return methods;
     }
 
-    /** The first group of each match. */
-    private static List<String> groupsOf(Pattern pattern, String code) {
+    /** The first group of each match of the pattern. */
+    private static List<String> firstGroups(Pattern pattern, String code) {
         return pattern.matcher(code).results().map(result -> result.group(1)).toList();
     }
 
-    /** Whether some message has this text of the page as a part of it. */
+    /** Whether some message contains this text, which a page quotes. */
     boolean has(String quoted) {
         return quoted.chars().anyMatch(Character::isLetter)
                 && (templates.stream().anyMatch(template -> isPartOf(quoted, template))
@@ -118,7 +120,7 @@
         return false;
     }
 
-    /** Whether the message can begin with the quoted text. */
+    /** Whether a message of this template can begin with the quoted text. */
     private boolean begins(String quoted, String template) {
         if (quoted.isEmpty()) {
             return true;
@@ -142,12 +144,12 @@
     }
 
     private static String withoutComments(String code) {
-        return COMMENT_OR_TEXT
+        return COMMENT_OR_LITERAL
                 .matcher(code)
                 .replaceAll(result -> result.group(1) == null ? " " : Matcher.quoteReplacement(result.group(1)));
     }
 
-    /** The arguments of each call. */
+    /** The arguments of each matching call. */
     private static List<List<String>> callsOf(Pattern call, String code) {
         return call.matcher(code)
                 .results()
@@ -155,7 +157,7 @@
                 .toList();
     }
 
-    /** The texts that an argument can be: one for each branch of a condition, none when no literal is in it. */
+    /** The texts that an argument can have: one for each branch of a conditional that contains a string literal. */
     private static List<String> alternatives(String argument) {
         return split(argument, "?:").stream()
                 .filter(branch -> branch.contains("\""))
@@ -172,21 +174,21 @@
         return text.toString();
     }
 
-    /** The parts of an expression between these signs, up to the bracket that closes what is around it. */
-    private static List<String> split(String expression, String signs) {
+    /** The parts of an expression between these separators, up to the closing bracket of the enclosing expression. */
+    private static List<String> split(String expression, String separators) {
         List<String> parts = new ArrayList<>();
         int depth = 0;
         int start = 0;
         int at = 0;
         for (; at < expression.length() && depth >= 0; at++) {
-            char sign = expression.charAt(at);
-            if (sign == '"' || sign == '\'') {
-                at = endOfText(expression, at);
-            } else if ("([{".indexOf(sign) >= 0) {
+            char character = expression.charAt(at);
+            if (character == '"' || character == '\'') {
+                at = endOfLiteral(expression, at);
+            } else if ("([{".indexOf(character) >= 0) {
                 depth++;
-            } else if (")]}".indexOf(sign) >= 0) {
+            } else if (")]}".indexOf(character) >= 0) {
                 depth--;
-            } else if (depth == 0 && signs.indexOf(sign) >= 0) {
+            } else if (depth == 0 && separators.indexOf(character) >= 0) {
                 parts.add(expression.substring(start, at).strip());
                 start = at + 1;
             }
@@ -195,7 +197,7 @@
         return parts;
     }
 
-    private static int endOfText(String code, int start) {
+    private static int endOfLiteral(String code, int start) {
         int at = start + 1;
         while (code.charAt(at) != code.charAt(start)) {
             at += code.charAt(at) == '\\' ? 2 : 1;
--- a/src/test/java/org/granitepath/LogTextsTest.java
+++ b/src/test/java/org/granitepath/LogTextsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The scanner finds what a small source file can log, with variables filled in, and nothing beyond. */
+/** Tests that {@link LogTexts} finds the messages that a small source file can log, and no others. */
 class LogTextsTest {
-    private static final LogTexts LOGGED = LogTexts.of(List.of("""
+    private static final LogTexts LOG_TEXTS = LogTexts.of(List.of("""
             enum Phase { READY, DRAINING; }
             enum StopReason { LATE("too late"), IDLE("has no work"); }
             enum Label { OTHER("a label"); }
@@ -37,7 +37,7 @@
                 "READY (too late)"
             })
     void formatsWithReasonsAndStatesAreFound(String quoted) {
-        assertTrue(LOGGED.has(quoted));
+        assertTrue(LOG_TEXTS.has(quoted));
     }
 
     @ParameterizedTest
@@ -53,6 +53,6 @@
                 "…"
             })
     void otherTextsAreNotFound(String quoted) {
-        assertFalse(LOGGED.has(quoted));
+        assertFalse(LOG_TEXTS.has(quoted));
     }
 }
--- a/src/test/java/org/granitepath/RunbookTest.java
+++ b/src/test/java/org/granitepath/RunbookTest.java
@@ -13,16 +13,16 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Every log text that the table of symptoms in docs/operations.md quotes is one that the program can log. */
+/** Checks that the program can log every log text that the table of symptoms in docs/operations.md quotes. */
 class RunbookTest {
     private static final Path PAGE = Path.of("docs/operations.md");
     private static final Path SOURCES = Path.of("src/main/java/org/granitepath");
     private static final String SECTION = "## Symptoms";
     private static final List<String> COLUMNS = List.of("symptom", "look for");
 
-    /** What the table quotes that is no log text. Whatever else is quoted there has to be logged. */
-    private static final Set<String> NO_LOG_TEXT = Set.of(
-            // settings, and fields of the platform's file
+    /** Texts quoted in the table that are not log texts. The program must be able to log every other quoted text. */
+    private static final Set<String> OTHER_QUOTED_TEXTS = Set.of(
+            // settings, and fields of the platform's configuration file
             "cancel_s",
             "lease_s",
             "report_s",
@@ -35,7 +35,7 @@
             "headroom-share",
             "gang-hold-s",
             "claim-block",
-            // paths that an operator asks for
+            // paths that an operator requests
             "/up",
             "/metrics",
             "/recovery");
@@ -49,14 +49,14 @@
         LogTexts logged = LogTexts.in(SOURCES);
 
         List<String> unlogged = quoted.stream()
-                .filter(text -> !NO_LOG_TEXT.contains(text))
+                .filter(text -> !OTHER_QUOTED_TEXTS.contains(text))
                 .filter(text -> !logged.has(text))
                 .toList();
 
         assertEquals(
                 "",
                 String.join("\n", unlogged),
-                "quoted under \"" + SECTION + "\" of " + PAGE + " as log text, but no logging call has it:");
+                "quoted under \"" + SECTION + "\" of " + PAGE + " as a log text, but no logging call produces it:");
     }
 
     @Test
@@ -76,7 +76,7 @@
         assertEquals(List.of("one", "two", "three | four"), quotedIn(page));
     }
 
-    /** What stands in backticks in the columns of the table, in its order. */
+    /** The texts in backticks in the columns {@link #COLUMNS} of the table, in the table's order. */
     private static List<String> quotedIn(String page) {
         List<String> quoted = new ArrayList<>();
         List<Integer> columns = List.of();
--- a/src/test/java/org/granitepath/loopback/Cluster.java
+++ b/src/test/java/org/granitepath/loopback/Cluster.java
@@ -14,14 +14,14 @@
 import org.granitepath.loopback.ControllerProcess.Reply;
 import org.granitepath.protocol.Json;
 
-/** Three controller processes and stand-in workers, with a store and a cloud of our own, on loopback. */
+/** Three controller processes, fake workers, a fake store and a fake cloud, connected over the loopback interface. */
 final class Cluster implements AutoCloseable {
     private static final int CONTROLLERS = 3;
     private static final long HEARTBEAT_MILLIS = 1_000;
-    /** Long enough for a machine under load to send its heartbeats in time. */
+    /** Long enough for a fake worker to send its heartbeats in time when the test machine is under load. */
     private static final long LEASE_MILLIS = 20_000;
 
-    /** A job that a user submits: how many tasks, whether they run on, and how long they take otherwise. */
+    /** A job that a user submits. The tasks of a service run until they are stopped, others for {@code runMillis}. */
     record Job(String id, boolean service, int tasks, int cpus, long runMillis) {
         String submission() {
             Map<String, Object> fields = new LinkedHashMap<>();
@@ -130,24 +130,24 @@
         return known == null || known.service() ? -1 : known.runMillis();
     }
 
-    /** All controllers start, without waiting for them. */
+    /** Starts all controllers, and does not wait until they are ready. */
     void startControllers() throws IOException {
         for (ControllerProcess controller : controllers) {
             controller.start();
         }
     }
 
-    /** All controllers end without a warning, and are gone. */
+    /** Kills all controllers without a warning, and waits until their processes have ended. */
     void killControllers() throws InterruptedException {
         for (ControllerProcess controller : controllers) {
             controller.kill();
         }
     }
 
-    /** Fails if a controller that was started has ended without being told to, for example for want of its port. */
-    void checkControllersRun() {
+    /** Fails if a controller that was started has exited by itself, for example because its port was taken. */
+    void assertControllersRun() {
         for (ControllerProcess controller : controllers) {
-            controller.checkRuns();
+            controller.assertRunning();
         }
     }
 
@@ -159,7 +159,7 @@
         return jobs.get(job).service();
     }
 
-    /** Submits a job, at one controller after the other until one has accepted it. */
+    /** Submits a job to one controller after the other until one has accepted it. */
     void submit(Job job) throws InterruptedException {
         jobs.put(job.id(), job);
         String body = job.submission();
@@ -172,13 +172,13 @@
                 return;
             }
             if (status == 400 || status == 422) {
-                throw new IllegalStateException("submission refused: " + status);
+                throw new IllegalStateException("submission rejected with status " + status);
             }
             Thread.sleep(200);
         }
     }
 
-    /** Whether some controller tells the user that this job is done. */
+    /** Whether the first controller that knows the job's state reports it as done. */
     boolean isDone(String job) throws InterruptedException {
         for (ControllerProcess controller : controllers) {
             Reply reply = controller.get("/submissions/" + job);
--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three controllers from the packaged jar and forty stand-in workers, over real sockets. All controllers end at once
- * while services run and batch work is half done, and start again. What is asserted is order and counts; times only
- * bound how long the test waits before it gives up.
+ * Runs three controllers from the packaged jar and forty fake workers over real sockets. All controllers are killed at
+ * once while services run and batch work is partly done, and are started again. The assertions cover order and counts;
+ * times only bound how long the test waits before it fails.
  */
 class ColdRestartIT {
     private static final int WORKERS = 40;
@@ -28,19 +28,19 @@
     private static final int BATCH_JOBS = 4;
     private static final int BATCH_TASKS = 80;
     private static final long BATCH_MILLIS = 3_000;
-    private static final long GIVE_UP_MILLIS = 150_000;
+    private static final long TIMEOUT_MILLIS = 150_000;
 
     private interface Condition {
         boolean holds() throws InterruptedException;
     }
 
     private static void await(Cluster cluster, String what, Condition condition) throws InterruptedException {
-        long end = System.nanoTime() + GIVE_UP_MILLIS * 1_000_000;
+        long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
         while (!condition.holds()) {
             if (System.nanoTime() - end > 0) {
-                fail("gave up waiting: " + what);
+                fail("timed out waiting until " + what);
             }
-            cluster.checkControllersRun();
+            cluster.assertControllersRun();
             Thread.sleep(50);
         }
     }
@@ -56,7 +56,7 @@
                 .toList();
     }
 
-    /** All services run, and of the batch work about a third is done. */
+    /** Starts the cluster and waits until all services run and about a third of the batch work is done. */
     private static void bringUp(Cluster cluster) throws Exception {
         cluster.startControllers();
         cluster.startWorkers();
@@ -74,7 +74,7 @@
                 () -> cluster.history.completed(job -> !cluster.isService(job)) > third);
     }
 
-    /** Half of the workers that hold replicas lose them. Which workers hold any differs from run to run. */
+    /** Ends the replicas on half of the workers that hold any. Which workers hold replicas differs from run to run. */
     private static void loseReplicas(Cluster cluster) {
         List<FakeWorker> holders = cluster.workers.stream()
                 .filter(worker -> worker.holds(cluster::isService))
@@ -103,17 +103,17 @@
         }
     }
 
-    /** The first commands to resume services come before the first command to start batch work. */
+    /** Asserts that each lost replica is commanded to start before any batch task is. */
     private static void assertServicesFirst(Cluster cluster, List<Event> events) {
         Set<String> lost = new HashSet<>();
         List<String> commanded = new ArrayList<>();
         int firstBatch = -1;
         for (Event event : events) {
-            if (event.kind() == Kind.LEFT && cluster.isService(event.job())) {
+            if (event.kind() == Kind.STOPPED && cluster.isService(event.job())) {
                 lost.add(event.task());
-            } else if (event.kind() == Kind.START_COMMANDED && cluster.isService(event.job())) {
+            } else if (event.kind() == Kind.START_RECEIVED && cluster.isService(event.job())) {
                 commanded.add(event.task());
-            } else if (event.kind() == Kind.START_COMMANDED && firstBatch < 0) {
+            } else if (event.kind() == Kind.START_RECEIVED && firstBatch < 0) {
                 firstBatch = commanded.size();
             }
         }
@@ -140,24 +140,24 @@
         }
     }
 
-    /** The store is away when they come back, and all end once more in the middle of the recovery. */
+    /** The store is unavailable when the controllers restart, and all are killed once more during the recovery. */
     @Test
     void servicesStartFirstAfterSecondKillDuringRecovery(@TempDir Path dir) throws Exception {
         try (Cluster cluster = new Cluster(dir, WORKERS)) {
             bringUp(cluster);
 
             cluster.killControllers();
-            cluster.store.setAway(true);
+            cluster.store.setUnavailable(true);
             int restart = cluster.history.position();
             loseReplicas(cluster);
             cluster.startControllers();
             Thread.sleep(1_000);
-            cluster.store.setAway(false);
+            cluster.store.setUnavailable(false);
             await(
                     cluster,
-                    "a start command of the new leader",
+                    "the new leader has sent a start command",
                     () -> cluster.history.since(restart).stream()
-                            .anyMatch(event -> event.kind() == Kind.START_COMMANDED));
+                            .anyMatch(event -> event.kind() == Kind.START_RECEIVED));
             cluster.killControllers();
             cluster.startControllers();
             awaitAllWorkDone(cluster);
--- a/src/test/java/org/granitepath/loopback/ControllerProcess.java
+++ b/src/test/java/org/granitepath/loopback/ControllerProcess.java
@@ -14,12 +14,12 @@
 import java.util.Map;
 import org.granitepath.protocol.Json;
 
-/** A controller in a process of its own, from the packaged jar. */
+/** A controller that runs from the packaged jar in a process of its own. */
 final class ControllerProcess implements AutoCloseable {
     private static final Path JAR = Path.of("target", "granitepath.jar");
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(6);
 
-    /** An answer of a controller; status 0: none came. */
+    /** An answer of a controller. The status is 0 if no answer came. */
     record Reply(int status, Map<String, Object> body) {}
 
     private final String address;
@@ -63,17 +63,17 @@
         killed = false;
     }
 
-    /** Ends it without a warning, and waits until it is gone. */
+    /** Kills the process without a warning, and waits until it has ended. */
     void kill() throws InterruptedException {
         killed = true;
         process.destroyForcibly();
         process.waitFor();
     }
 
-    /** Fails if it has ended by itself; its log says why. */
-    void checkRuns() {
+    /** Fails if the process has ended by itself, with the last line of its log, which gives the reason. */
+    void assertRunning() {
         if (process != null && !killed && !process.isAlive()) {
-            fail(log.getFileName() + ": ended by itself with status " + process.exitValue() + ": " + lastLine());
+            fail(log.getFileName() + ": exited by itself with status " + process.exitValue() + ": " + lastLine());
         }
     }
 
--- a/src/test/java/org/granitepath/loopback/FakeCloud.java
+++ b/src/test/java/org/granitepath/loopback/FakeCloud.java
@@ -7,12 +7,15 @@
 import java.util.concurrent.Executor;
 import org.granitepath.storage.Fields;
 
-/** A stand-in for a cloud with a fixed set of machines, all of one type: nothing more is to be had. */
+/** A fake cloud with a fixed set of machines, all of one type. It refuses to launch more. */
 final class FakeCloud extends FakeHttpServer {
     static final String TYPE = "box";
     static final String ZONE = "here";
     static final int CPUS = 4;
-    /** Idle machines are kept for a part of the time that a new one takes to boot: no test lasts that long. */
+    /**
+     * The boot time of a machine. A controller keeps idle machines for a fraction of it; with this value that is longer
+     * than any test runs.
+     */
     private static final int BOOT_SECONDS = 1_200;
 
     private final Map<String, FakeWorker> machines = new LinkedHashMap<>();
--- a/src/test/java/org/granitepath/loopback/FakeHttpServer.java
+++ b/src/test/java/org/granitepath/loopback/FakeHttpServer.java
@@ -14,7 +14,7 @@
 import org.granitepath.protocol.Json;
 import org.jspecify.annotations.Nullable;
 
-/** A small server on loopback, on a port of the system's choice, that answers with JSON. */
+/** An HTTP server on the loopback interface that answers with JSON and listens on a port chosen by the system. */
 abstract class FakeHttpServer implements AutoCloseable {
     /** An answer: a status and a JSON object. */
     record Answer(int status, Map<String, Object> body) {
@@ -77,6 +77,6 @@
         return query;
     }
 
-    /** Answers one request; called on a thread of the executor. */
+    /** Answers a request. It is called on a thread of the executor. */
     abstract Answer answer(String method, String path, Map<String, String> query, Map<String, Object> body);
 }
--- a/src/test/java/org/granitepath/loopback/FakeStore.java
+++ b/src/test/java/org/granitepath/loopback/FakeStore.java
@@ -10,11 +10,13 @@
 import org.granitepath.storage.Fields;
 import org.jspecify.annotations.Nullable;
 
-/** A stand-in for the store: transactions on preconditions, leases that expire, long polls. It has no limits. */
+/**
+ * A fake store with conditional transactions, leases that expire, and long polls. It limits neither rates nor sizes.
+ */
 final class FakeStore extends FakeHttpServer {
     private record Stored(Object value, long revision, long lease) {}
 
-    /** @param value the new value; null when the key was removed */
+    /** @param value the new value, or null if the key was removed */
     private record Change(String key, @Nullable Object value, long revision) {}
 
     private static final class Lease {
@@ -25,7 +27,7 @@
             this.lifeNanos = lifeNanos;
         }
 
-        void touch() {
+        void renew() {
             endNanos = System.nanoTime() + lifeNanos;
         }
     }
@@ -35,40 +37,40 @@
     private final Map<Long, Lease> leases = new HashMap<>();
     private long storeRevision;
     private long leaseCount;
-    private boolean away;
+    private boolean unavailable;
 
     FakeStore(Executor executor) {
         super(executor);
         listen();
     }
 
-    /** While away, all that is asked is refused, and no lease ends. */
-    synchronized void setAway(boolean nowAway) {
-        if (away && !nowAway) {
-            leases.values().forEach(Lease::touch);
+    /** While the store is unavailable, it refuses all requests and no lease expires. */
+    synchronized void setUnavailable(boolean nowUnavailable) {
+        if (unavailable && !nowUnavailable) {
+            leases.values().forEach(Lease::renew);
         }
-        away = nowAway;
+        unavailable = nowUnavailable;
         notifyAll();
     }
 
     @Override
     synchronized Answer answer(String method, String path, Map<String, String> query, Map<String, Object> body) {
-        if (away) {
+        if (unavailable) {
             return Answer.error(503, "outage");
         }
-        expire();
+        expireLeases();
         return switch (path) {
             case "/keys" -> list(query);
             case "/commit" -> commit(body);
             case "/follow" -> follow(query);
-            case "/leases" -> openLease(body);
+            case "/leases" -> grantLease(body);
             default -> path.startsWith("/leases/") ? renewLease(path) : Answer.error(400, "unknown request");
         };
     }
 
-    private Answer openLease(Map<String, Object> body) {
+    private Answer grantLease(Map<String, Object> body) {
         Lease lease = new Lease(Fields.longOf(body, "life_ms", 0) * 1_000_000);
-        lease.touch();
+        lease.renew();
         leases.put(++leaseCount, lease);
         return Answer.ok(Map.of("permit", leaseCount));
     }
@@ -79,11 +81,11 @@
         if (lease == null) {
             return Answer.error(404, "no such lease");
         }
-        lease.touch();
+        lease.renew();
         return Answer.ok(Map.of());
     }
 
-    private void expire() {
+    private void expireLeases() {
         long now = System.nanoTime();
         leases.values().removeIf(lease -> lease.endNanos - now < 0);
         for (String key : List.copyOf(keys.keySet())) {
@@ -94,7 +96,7 @@
         }
     }
 
-    /** @param value null: the key is removed */
+    /** @param value the new value, or null to remove the key */
     private void apply(String key, @Nullable Object value, long lease, long revision) {
         if (value == null) {
             keys.remove(key);
@@ -175,16 +177,16 @@
         long end = System.nanoTime() + Long.parseLong(query.getOrDefault("wait_ms", "0")) * 1_000_000;
         List<Object> events = eventsSince(prefix, from);
         try {
-            // Leases end while nothing else happens: the wait is short and repeated.
-            while (events.isEmpty() && !away && System.nanoTime() - end < 0) {
+            // Leases expire without any request, so the loop waits briefly and checks them again.
+            while (events.isEmpty() && !unavailable && System.nanoTime() - end < 0) {
                 wait(50);
-                expire();
+                expireLeases();
                 events = eventsSince(prefix, from);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return away ? Answer.error(503, "outage") : Answer.ok(Map.of("epoch", storeRevision, "events", events));
+        return unavailable ? Answer.error(503, "outage") : Answer.ok(Map.of("epoch", storeRevision, "events", events));
     }
 
     private List<Object> eventsSince(String prefix, long from) {
--- a/src/test/java/org/granitepath/loopback/FakeWorker.java
+++ b/src/test/java/org/granitepath/loopback/FakeWorker.java
@@ -16,16 +16,16 @@
 import org.granitepath.storage.Fields;
 
 /**
- * A stand-in for a machine's worker over real sockets: heartbeats, agent epochs, leases, fencing tokens and commands
- * as the protocol has them. Images are there at once, and nothing is saved.
+ * A fake worker of a machine over real sockets. It implements the protocol's heartbeats, agent epochs, leases, fencing
+ * tokens and commands. Images are available at once, and tasks save no checkpoints.
  */
 final class FakeWorker extends FakeHttpServer {
-    /** How long tasks of a job run; negative: until they are stopped. */
+    /** How long the tasks of a job run. A negative time means until they are stopped. */
     interface RunTimes {
         long millisOf(String job);
     }
 
-    /** The times of the workers, and the controllers they know by name. */
+    /** The heartbeat interval and the lease of the workers, and the addresses of the controllers by name. */
     record Deployment(long heartbeatMillis, long leaseMillis, Map<String, String> controllers) {}
 
     private record Key(String task, long attempt) {}
@@ -36,11 +36,11 @@
         long endNanos;
     }
 
-    private static final long LEAST_SPACING_MILLIS = 500;
-    /** How often it checks whether a task has ended. */
-    private static final long CHECK_MILLIS = 100;
+    private static final long MIN_HEARTBEAT_SPACING_MILLIS = 500;
+    /** The interval between checks whether a task has ended. */
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
-    private static final long NEXT_CONTROLLER_MILLIS = 1_000;
+    private static final long NEXT_CONTROLLER_DELAY_MILLIS = 1_000;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
 
     private final String id;
@@ -48,12 +48,12 @@
     private final RunTimes runTimes;
     private final History history;
     private final HttpClient client;
-    private final Thread heartbeats;
+    private final Thread heartbeatThread;
     private final Map<Key, Run> runs = new LinkedHashMap<>();
     private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseFromNanos = System.nanoTime();
+    private long leaseStartNanos = System.nanoTime();
     private boolean changed;
     private boolean closed;
 
@@ -70,13 +70,13 @@
         this.deployment = deployment;
         this.runTimes = runTimes;
         this.history = history;
-        this.heartbeats = new Thread(this::sendHeartbeats, "worker " + id);
+        this.heartbeatThread = new Thread(this::sendHeartbeats, "worker " + id);
         listen();
     }
 
     void start() {
-        heartbeats.setDaemon(true);
-        heartbeats.start();
+        heartbeatThread.setDaemon(true);
+        heartbeatThread.start();
     }
 
     String id() {
@@ -89,18 +89,18 @@
             closed = true;
             killAll();
         }
-        heartbeats.interrupt();
+        heartbeatThread.interrupt();
         super.close();
     }
 
-    /** Whether a task of such a job is here and has not ended. */
+    /** Whether a task of a matching job runs here. */
     synchronized boolean holds(Predicate<String> jobs) {
         return runs.entrySet().stream()
                 .anyMatch(entry -> entry.getValue().cause == null
                         && jobs.test(History.jobOf(entry.getKey().task())));
     }
 
-    /** Tasks of such jobs end here, stopped by nobody who is there any more. */
+    /** Ends the tasks of matching jobs, as if a controller had stopped them that is no longer there. */
     synchronized void endTasks(Predicate<String> jobs) {
         runs.forEach((key, run) -> {
             if (run.cause == null && jobs.test(History.jobOf(key.task()))) {
@@ -109,48 +109,46 @@
         });
     }
 
-    // ---- heartbeats --------------------------------------------------------------------------------------------
-
     private void sendHeartbeats() {
         List<String> names = List.copyOf(deployment.controllers().keySet());
         int at = Math.floorMod(id.hashCode(), names.size());
         try {
             while (true) {
-                String named = sendHeartbeatTo(names.get(at));
-                if (named != null && names.get(at).equals(named)) {
-                    await();
-                } else if (named != null && names.contains(named)) {
-                    at = names.indexOf(named);
+                String leader = sendHeartbeatTo(names.get(at));
+                if (leader != null && names.get(at).equals(leader)) {
+                    awaitNextHeartbeat();
+                } else if (leader != null && names.contains(leader)) {
+                    at = names.indexOf(leader);
                 } else {
                     at = (at + 1) % names.size();
-                    Thread.sleep(NEXT_CONTROLLER_MILLIS);
+                    Thread.sleep(NEXT_CONTROLLER_DELAY_MILLIS);
                 }
             }
         } catch (InterruptedException e) {
-            // closed
+            // The worker was closed, so the thread ends.
         }
     }
 
-    /** Until the next heartbeat is due, or something has changed, but not at once. */
-    private synchronized void await() throws InterruptedException {
+    /** Waits until the next heartbeat is due, or until a change has to be reported after the least spacing. */
+    private synchronized void awaitNextHeartbeat() throws InterruptedException {
         long now = System.nanoTime();
-        long earliest = now + LEAST_SPACING_MILLIS * 1_000_000;
+        long earliest = now + MIN_HEARTBEAT_SPACING_MILLIS * 1_000_000;
         long due = now + deployment.heartbeatMillis() * 1_000_000;
         while (System.nanoTime() - (changed ? earliest : due) < 0) {
-            wait(CHECK_MILLIS);
+            wait(CHECK_INTERVAL_MILLIS);
             advance();
         }
     }
 
-    /** The controller to send the next heartbeat to: this one, one it names, or null when it had no answer for us. */
+    /** Returns the controller for the next heartbeat: this one, the leader that it names, or null without an answer. */
     private String sendHeartbeatTo(String node) throws InterruptedException {
         long sent = System.nanoTime();
-        long ofAgentEpoch;
+        long sentAgentEpoch;
         String body;
         synchronized (this) {
             advance();
             changed = false;
-            ofAgentEpoch = agentEpoch;
+            sentAgentEpoch = agentEpoch;
             body = Json.text(heartbeat());
         }
         HttpRequest request = HttpRequest.newBuilder(
@@ -162,7 +160,7 @@
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             Map<String, Object> answer = Json.object(response.body());
             if (response.statusCode() == 200 && answer != null) {
-                accept(answer, ofAgentEpoch, sent);
+                accept(answer, sentAgentEpoch, sent);
                 return node;
             }
             return response.statusCode() == 421 && answer != null ? Fields.textOf(answer, "supervisor") : null;
@@ -171,18 +169,18 @@
         }
     }
 
-    private synchronized void accept(Map<String, Object> answer, long ofAgentEpoch, long sentNanos) {
+    private synchronized void accept(Map<String, Object> answer, long sentAgentEpoch, long sentNanos) {
         advance();
         long token = Fields.longOf(answer, "baton", 0);
-        if (closed || ofAgentEpoch != agentEpoch || token < fencingToken) {
+        if (closed || sentAgentEpoch != agentEpoch || token < fencingToken) {
             return;
         }
-        raise(token);
-        leaseFromNanos = Math.max(leaseFromNanos, sentNanos);
+        raiseFencingToken(token);
+        leaseStartNanos = Math.max(leaseStartNanos, sentNanos);
         execute(Fields.listOf(answer, "orders"));
     }
 
-    private void raise(long token) {
+    private void raiseFencingToken(long token) {
         changed |= token > fencingToken;
         fencingToken = token;
     }
@@ -212,15 +210,13 @@
         return heartbeat;
     }
 
-    // ---- tasks -------------------------------------------------------------------------------------------------
-
-    /** What the time that has passed brings: the end of the lease, and of tasks. */
+    /** Applies the passage of time: the expiry of the lease and the completion of tasks. */
     private void advance() {
         long now = System.nanoTime();
-        if (now - leaseFromNanos > deployment.leaseMillis() * 1_000_000) {
+        if (now - leaseStartNanos > deployment.leaseMillis() * 1_000_000) {
             killAll();
             agentEpoch++;
-            leaseFromNanos = now;
+            leaseStartNanos = now;
             changed = true;
         }
         runs.forEach((key, run) -> {
@@ -233,7 +229,7 @@
     private void killAll() {
         runs.forEach((key, run) -> {
             if (run.cause == null) {
-                history.left(id, key.task(), key.attempt(), false);
+                history.ended(id, key.task(), key.attempt(), false);
             }
         });
         runs.clear();
@@ -243,7 +239,7 @@
         run.status = "ended";
         run.cause = cause;
         changed = true;
-        history.left(id, key.task(), key.attempt(), cause.equals("done"));
+        history.ended(id, key.task(), key.attempt(), cause.equals("done"));
     }
 
     @SuppressWarnings("unchecked")
@@ -269,42 +265,40 @@
     }
 
     private void start(Key key, Run known) {
-        history.startCommanded(id, agentEpoch, key.task(), key.attempt());
+        history.startReceived(id, agentEpoch, key.task(), key.attempt());
         if (known != null) {
             return;
         }
         Run run = new Run();
-        boolean inUse = runs.entrySet().stream()
+        boolean otherAttemptRuns = runs.entrySet().stream()
                 .anyMatch(entry -> entry.getKey().task().equals(key.task()) && entry.getValue().cause == null);
         runs.put(key, run);
         changed = true;
-        if (inUse) {
+        if (otherAttemptRuns) {
             run.status = "ended";
             run.cause = "in_use";
             return;
         }
-        history.begun(id, key.task(), key.attempt());
+        history.started(id, key.task(), key.attempt());
         long millis = history.wasCompleted(key.task()) ? 0 : runTimes.millisOf(History.jobOf(key.task()));
         run.endNanos = millis < 0 ? 0 : System.nanoTime() + millis * 1_000_000;
     }
 
-    // ---- direct commands ---------------------------------------------------------------------------------------
-
     @Override
     synchronized Answer answer(String method, String path, Map<String, String> query, Map<String, Object> body) {
         advance();
         if (!path.equals("/orders")) {
-            return Answer.error(404, "a worker takes commands only");
+            return Answer.error(404, "a worker accepts only commands");
         }
         if (closed) {
             return Answer.ok(heartbeat());
         }
         long token = Fields.longOf(body, "baton", 0);
-        boolean holds = token >= fencingToken && Fields.longOf(body, "shift", 0) == agentEpoch;
-        if (holds) {
-            raise(token);
+        boolean accepted = token >= fencingToken && Fields.longOf(body, "shift", 0) == agentEpoch;
+        if (accepted) {
+            raiseFencingToken(token);
             execute(Fields.listOf(body, "orders"));
         }
-        return new Answer(holds ? 200 : 409, heartbeat());
+        return new Answer(accepted ? 200 : 409, heartbeat());
     }
 }
--- a/src/test/java/org/granitepath/loopback/History.java
+++ b/src/test/java/org/granitepath/loopback/History.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What happened on all machines, in one order, and what of it must not happen. */
+/** The events of tasks on all machines, in one order, and the violations found among them. */
 final class History {
-    /** What happened to a task. */
+    /** Kinds of task events. */
     enum Kind {
-        START_COMMANDED,
-        BEGUN,
+        START_RECEIVED,
+        STARTED,
         COMPLETED,
-        LEFT
+        STOPPED
     }
 
-    /** One event. */
+    /** An event of a task's attempt on a machine. */
     record Event(Kind kind, String host, String task, long attempt) {
         String job() {
             return jobOf(task);
@@ -30,40 +30,40 @@
     private final List<Event> events = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
     private final Set<ReceivedStart> receivedStarts = new HashSet<>();
-    /** The machine on which each task runs. */
+    /** The machine on which each running task runs. */
     private final Map<String, String> hostsOfTasks = new HashMap<>();
 
     private final Set<String> completed = new HashSet<>();
 
-    /** The job of a task, by the task's name. */
+    /** The job that a task belongs to, taken from the task's name. */
     static String jobOf(String task) {
         return task.substring(0, task.lastIndexOf('/'));
     }
 
-    /** A worker takes a start in: at most once for each attempt in an agent epoch. */
-    synchronized void startCommanded(String host, long agentEpoch, String task, long attempt) {
+    /** Records that a worker received a start command; each attempt's may be received once in an agent epoch. */
+    synchronized void startReceived(String host, long agentEpoch, String task, long attempt) {
         if (!receivedStarts.add(new ReceivedStart(host, agentEpoch, task, attempt))) {
             violations.add("commanded to start twice: " + task + " attempt " + attempt + " on " + host);
         }
-        add(new Event(Kind.START_COMMANDED, host, task, attempt));
+        add(new Event(Kind.START_RECEIVED, host, task, attempt));
     }
 
-    /** A task runs on a machine now: on no other at the same time. */
-    synchronized void begun(String host, String task, long attempt) {
+    /** Records that a task started on a machine. It may not run on another one at the same time. */
+    synchronized void started(String host, String task, long attempt) {
         String other = hostsOfTasks.put(task, host);
         if (other != null) {
             violations.add("runs twice: " + task + " on " + other + " and " + host);
         }
-        add(new Event(Kind.BEGUN, host, task, attempt));
+        add(new Event(Kind.STARTED, host, task, attempt));
     }
 
-    /** A task no longer runs on a machine. */
-    synchronized void left(String host, String task, long attempt, boolean done) {
+    /** Records that a task no longer runs on a machine. */
+    synchronized void ended(String host, String task, long attempt, boolean hasCompleted) {
         hostsOfTasks.remove(task, host);
-        if (done) {
+        if (hasCompleted) {
             completed.add(task);
         }
-        add(new Event(done ? Kind.COMPLETED : Kind.LEFT, host, task, attempt));
+        add(new Event(hasCompleted ? Kind.COMPLETED : Kind.STOPPED, host, task, attempt));
     }
 
     private void add(Event event) {
@@ -71,12 +71,12 @@
         notifyAll();
     }
 
-    /** How many events there have been; see {@link #since}. */
+    /** The number of events so far, as an argument for {@link #since}. */
     synchronized int position() {
         return events.size();
     }
 
-    /** The events from a position on, in order. */
+    /** The events from this position on, in order. */
     synchronized List<Event> since(int position) {
         return List.copyOf(events.subList(position, events.size()));
     }
--- a/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
+++ b/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Ports that nobody else takes before the controllers of a loopback test start. */
+/** Tests that no other server takes the reserved ports before the controllers of a loopback test start. */
 class LoopbackPortsTest {
     private static List<Integer> reserve(LoopbackPorts ports, int count) throws IOException {
         List<Integer> reserved = new ArrayList<>();
@@ -32,14 +32,14 @@
         assertTrue(reserved.stream().allMatch(port -> port >= LoopbackPorts.FIRST && port < LoopbackPorts.END));
     }
 
-    /** The stand-ins listen on ports of the system's choice while the controllers' ports wait for their processes. */
+    /** The fake servers listen on ports that the system chooses before the controllers listen on their reserved ports. */
     @Test
     void portsAreNotTakenByServersOnEphemeralPorts() throws IOException {
         Set<Integer> reserved = new HashSet<>(reserve(new LoopbackPorts(), 6));
 
         for (int i = 0; i < 500; i++) {
-            try (ServerSocket standIn = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                assertFalse(reserved.contains(standIn.getLocalPort()));
+            try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                assertFalse(reserved.contains(server.getLocalPort()));
             }
         }
     }
