--- a/src/test/java/org/granitepath/loopback/LoopbackPorts.java
+++ b/src/test/java/org/granitepath/loopback/LoopbackPorts.java
@@ -8,14 +8,16 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Reserves ports for servers that are started later, in processes of their own. The ports lie below the ephemeral range,
- * from which the system chooses ports for outgoing connections and for servers that ask for port 0: a port of that range
- * that is free now may be in use by the time the server starts.
+ * Reserves ports for servers that are started later, in processes of their own. The ports lie below the ephemeral
+ * range, from which the system chooses ports for outgoing connections and for servers that ask for port 0: a port of
+ * that range that is free now may be in use by the time the server starts.
  */
 public final class LoopbackPorts {
     /** The lowest port that may be reserved. */
     static final int FIRST = 20_000;
-    /** The first port above those that may be reserved: Linux's ephemeral range begins here, other systems' above it. */
+    /**
+     * The first port above those that may be reserved: Linux's ephemeral range begins here, other systems' above it.
+     */
     static final int END = 32_768;
 
     private final Set<Integer> reserved = new LinkedHashSet<>();
--- a/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
+++ b/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
@@ -32,7 +32,9 @@
         assertTrue(reserved.stream().allMatch(port -> port >= LoopbackPorts.FIRST && port < LoopbackPorts.END));
     }
 
-    /** The fake servers listen on ports that the system chooses before the controllers listen on their reserved ports. */
+    /**
+     * The fake servers listen on ports that the system chooses before the controllers listen on their reserved ports.
+     */
     @Test
     void portsAreNotTakenByServersOnEphemeralPorts() throws IOException {
         Set<Integer> reserved = new HashSet<>(reserve(new LoopbackPorts(), 6));
