--- a/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
+++ b/src/test/java/org/granitepath/loopback/LoopbackPortsTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Ports that nobody else takes before the controllers of a loopback test start. */
+/** Tests that no other server takes the reserved ports before the controllers of a loopback test start. */
 class LoopbackPortsTest {
     private static List<Integer> reserve(LoopbackPorts ports, int count) throws IOException {
         List<Integer> reserved = new ArrayList<>();
@@ -25,27 +25,29 @@
     }
 
     @Test
-    void areDistinctAndBelowThoseThatTheSystemChooses() throws IOException {
+    void portsAreDistinctAndBelowTheEphemeralRange() throws IOException {
         List<Integer> reserved = reserve(new LoopbackPorts(), 200);
 
         assertEquals(200, new HashSet<>(reserved).size());
         assertTrue(reserved.stream().allMatch(port -> port >= LoopbackPorts.FIRST && port < LoopbackPorts.END));
     }
 
-    /** The stand-ins listen on ports of the system's choice while the controllers' ports wait for their processes. */
+    /**
+     * The fake servers listen on ports that the system chooses before the controllers listen on their reserved ports.
+     */
     @Test
-    void areNotTakenByServersOnPortsOfTheSystemsChoice() throws IOException {
+    void portsAreNotTakenByServersOnEphemeralPorts() throws IOException {
         Set<Integer> reserved = new HashSet<>(reserve(new LoopbackPorts(), 6));
 
         for (int i = 0; i < 500; i++) {
-            try (ServerSocket standIn = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                assertFalse(reserved.contains(standIn.getLocalPort()));
+            try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                assertFalse(reserved.contains(server.getLocalPort()));
             }
         }
     }
 
     @Test
-    void portsInUseAreLeftOut() throws IOException {
+    void portsInUseAreSkipped() throws IOException {
         LoopbackPorts ports = new LoopbackPorts();
         int before = ports.reserve();
         int following = before + 1 < LoopbackPorts.END ? before + 1 : LoopbackPorts.FIRST;
--- a/src/test/java/org/granitepath/simulation/FleetTest.java
+++ b/src/test/java/org/granitepath/simulation/LargeFleetTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The largest fleets: the rules throughout, and what is asked of others as counts. */
-class FleetTest {
+class LargeFleetTest {
     private static final long SECOND = Simulation.SECOND;
 
     /** Many machines, a heartbeat every five seconds, few writes. */
     @Test
-    void aThousandAndSevenHundredMachines() {
+    void rulesHoldWithSeventeenHundredMachines() {
         day(
                 new Simulation(
                         1,
@@ -30,7 +30,7 @@
 
     /** Fewer machines that heartbeat every two seconds, and short leases. */
     @Test
-    void sevenHundredMachinesWithFrequentHeartbeats() {
+    void rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats() {
         day(
                 new Simulation(
                         2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withMaxConnections(2_257)),
@@ -42,7 +42,7 @@
      * the store is asked no more than it allows.
      */
     @Test
-    void fourThousandMachinesAfterAColdRestart() {
+    void fourThousandMachinesRecoverAfterColdRestart() {
         Simulation simulation = RecoveryLoad.fleet(3, RecoveryLoad.Size.LARGE);
         Observation<Long> running = new Observation<>();
         Observation<Integer> refusalsBefore = new Observation<>();
--- a/src/test/java/org/granitepath/simulation/RecoveryTroublesTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** All controllers end and come back while records can't be read, other troubles strike, or they end once more. */
-class RecoveryTroublesTest {
+class RecoveryFaultsTest {
     private static final long SECOND = Simulation.SECOND;
 
     // ---- records ----------------------------------------------------------------------------------------------
@@ -32,7 +32,7 @@
     /** What can't be read frees nothing, is not written over, and does not stop the rest. */
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB_PREFIX, Keys.PROGRESS_PREFIX, Keys.FINAL_PREFIX})
-    void recordsThatCannotBeRead(String prefix) {
+    void unreadableRecordIsKeptAndAffectsOnlyItsJob(String prefix) {
         Simulation simulation = busyDeployment(1);
         JobSpec job = simulation.jobs.batch(6, 300 * SECOND);
         simulation.users.submit(job);
@@ -73,7 +73,7 @@
 
     /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
     @Test
-    void aPartOfTheInventoryThatCannotBeRead() {
+    void unreadableInventoryPartKeepsRecoveryIncomplete() {
         Simulation simulation = busyDeployment(2);
         String key = Keys.INVENTORY_PREFIX + "0";
         simulation.after(RESTART_MICROS, () -> {
@@ -94,7 +94,7 @@
     /** Cancelled at the very moment, submitted at the very moment: what was confirmed holds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void cancelledAndSubmittedJustBefore(long seed) {
+    void answersGivenJustBeforeTheRestartHold(long seed) {
         Simulation simulation = busyDeployment(seed);
         simulation.cancelAtCompletionShare = 0.3;
         List<JobSpec> shortJobs = new ArrayList<>();
@@ -124,7 +124,7 @@
     /** The store is away, refuses one controller, or answers late while all restart. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
-    void theStoreIsAwayOrSlow(long seed) {
+    void workCompletesWhenStoreIsDownOrSlowDuringRestart(long seed) {
         Simulation simulation = busyDeployment(seed);
         simulation.after(RESTART_MICROS, () -> {
             restartControllers(simulation, false);
@@ -160,7 +160,7 @@
     /** In each phase of a recovery everybody ends once more, or the leader alone, or it stands still. */
     @ParameterizedTest
     @EnumSource(RecoveryPhase.class)
-    void endedAgainInEachPhase(RecoveryPhase phase) {
+    void workCompletesWhenFaultsStrikeInEachPhase(RecoveryPhase phase) {
         for (Trouble trouble : Trouble.values()) {
             Simulation simulation = busyDeployment(trouble.seed);
             simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : RECOVERY_HOLD_MICROS;
@@ -217,7 +217,7 @@
 
     /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
     @Test
-    void controllersThatCannotTellSaySo() {
+    void controllersReportTheirRoleAndWhenItIsUnconfirmed() {
         Simulation simulation = busyDeployment(3);
         simulation.run(RESTART_MICROS);
         String leader = simulation.leader();
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -12,7 +12,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void keptRulesAreNotCalledBroken() {
+    void validPlacementsAreNotReported() {
         fixture.startTask(ANYWHERE, 0, "a", "z");
         fixture.rules().recordTaskRemoved(new TaskId(ANYWHERE, 0), "a");
         fixture.startTask(ANYWHERE, 0, "b", "z");
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void sameTaskOnTwoMachines() {
+    void sameTaskOnTwoMachinesIsReported() {
         fixture.startTask(ANYWHERE, 0, "a", "z");
         fixture.startTask(ANYWHERE, 0, "b", "z");
 
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void spotMachineNotAllowed() {
+    void forbiddenSpotMachineIsReported() {
         fixture.rules().recordTaskStarted(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
 
         fixture.assertViolation("wrong_place");
     }
 
     @Test
-    void spreadJobInOneZone() {
+    void spreadJobInOneZoneIsReported() {
         fixture.startTask(SPREAD, 0, "a", "z");
         fixture.startTask(SPREAD, 1, "b", "z");
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void oneZoneJobInTwoZones() {
+    void oneZoneJobInTwoZonesIsReported() {
         fixture.startTask(ONE_ZONE, 0, "a", "z");
         fixture.startTask(ONE_ZONE, 1, "b", "y");
 
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void teamOverItsLimit() {
+    void teamOverItsLimitIsReported() {
         fixture.startTask(ANYWHERE, 0, "a", "z");
         fixture.startTask(ANYWHERE, 1, "a", "z");
         fixture.startTask(ONE_ZONE, 0, "a", "z");
