--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -15,14 +15,14 @@
  *
  * <p>A failure makes the machine a suspect. A suspect gets one task at a time, of a job that has not failed there. It
  * is cleared by a task that started after the failure and ran to its end or for {@link #HEALTHY_RUN_MICROS}. A second
- * job that fails there makes the machine faulty. A job proves to be healthy when any task of it ran that long. Until
+ * job that fails there makes the machine faulty. A job is proven healthy once any of its tasks ran that long. Until
  * then its failures on several machines, none of which is known to be faulty, count against the job: it is retried at
  * growing intervals, one task at a time, and its failures make no further machine a suspect.
  */
 public final class FaultTracker {
     /** A task that has run for this long is healthy, and so is the machine on which it started. */
     public static final long HEALTHY_RUN_MICROS = 5_000_000;
-    /** A job that has not proven to be healthy and failed on this many machines may itself be faulty. */
+    /** A job that is not proven healthy and has failed on this many machines is itself a suspect. */
     private static final int MIN_MACHINES_OF_SUSPECT_JOB = 3;
     /** A machine on which this many jobs failed, with no success in between, is faulty. */
     private static final int MIN_JOBS_OF_FAULTY_MACHINE = 2;
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -40,12 +40,12 @@
         this.loop = loop;
     }
 
-    /** Returns whether the job was claimed for a later term that this controller does not know of yet. */
+    /** Returns whether the first claim on the job is for a later term that this controller does not know of yet. */
     boolean isClaimedBySuccessor(JobRecord record) {
         return record.term() > term.fencingToken();
     }
 
-    /** Returns whether the job was claimed for this term from the first, so no previous leader has started it. */
+    /** Returns whether the first claim on the job is for this term, so no previous leader has started it. */
     boolean isClaimedByThisTerm(JobRecord record) {
         return record.term() == term.fencingToken();
     }
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Sends a stop again that has not taken effect yet. */
+    /** Sends again a stop that has not taken effect yet. */
     public void resendStop(Placement placement) {
         commands.enqueue(placement.machine());
     }
@@ -157,7 +157,7 @@
         placement.free(why);
         placement.machine().remove(placement, timers.nowMicros());
         teamLimits.removeTask(placement.job().spec());
-        // An adopted task may come from an old heartbeat. That it is gone here says nothing about awaited machines.
+        // An adopted task may come from an old heartbeat. If it is gone here, it may still be on an awaited machine.
         boolean maybeElsewhere = !placement.isOnlyOnThisMachine() && recovery.canRunOnAwaitedMachine(placement.job());
         placement.job().removePlacement(placement, maybeElsewhere);
         if (gangs.removeTask(placement, maybeElsewhere, timers.nowMicros())) {
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -97,15 +97,19 @@
     }
 
     /**
-     * Returns whether this controller may answer workers: it is the leader, and has not been out of contact for so long
-     * that a cancellation could have been missed for too long.
+     * Returns whether this controller may answer workers: it is the leader, and has been out of contact with the store
+     * for no longer than {@code WorkerTiming.maxDisconnectedMicros}. After that time a cancellation that it has missed
+     * would take effect too late.
      */
     public boolean canAnswerWorkers() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING || phase == LeadershipPhase.DISCONNECTED;
     }
 
-    /** Returns whether the store has recently confirmed that this controller is the leader. */
+    /**
+     * Returns whether the store has recently confirmed that this controller is the leader, and has recently answered a
+     * read of the records.
+     */
     public boolean isLeaseConfirmed() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING;
@@ -275,8 +279,8 @@
     /**
      * Changes the phase among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} according to the time since
      * the last contact with the store. This method is called whenever the phase is about to be used, not only by the
-     * timer: after a pause of the process, a heartbeat that was waiting may be processed before the timer runs, in the
-     * phase from before the pause, although a successor may have taken over the machines in the meantime.
+     * timer. After a pause of the process, a heartbeat that was waiting may be processed before the timer runs. The
+     * phase would then be that from before the pause, although a successor may have taken over the machines since.
      */
     private void refreshPhase() {
         if (heldTerm == null) {
--- a/src/main/java/org/granitepath/coordination/leadership/LeadershipPhase.java
+++ b/src/main/java/org/granitepath/coordination/leadership/LeadershipPhase.java
@@ -17,8 +17,8 @@
      */
     DISCONNECTED,
     /**
-     * Out of contact for so long that a cancellation might have been missed for too long. Workers are not answered any
-     * more, so their leases expire.
+     * Out of contact for so long that a cancellation that this controller has missed would take effect too late.
+     * Workers are not answered any more, so their leases expire.
      */
     FENCED_OFF;
 
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -112,8 +112,9 @@
      * Sends a cancellation that is committed to the store to all peers. {@code then} runs once no task of the job can
      * be started any more, which is so as soon as the leader has applied the cancellation. If the leader does not
      * confirm this, {@code then} runs after a timeout. By that time the leader's last contact with the records is too
-     * old for it to start tasks. A status message in which this controller told the leader that it had no contact with
-     * the store either, and which would allow the leader to start tasks all the same, is too old by then as well.
+     * old for it to start tasks. A leader without contact may also start tasks if all peers have reported that they
+     * have no contact either. If this controller has sent the leader such a report, the report is too old by then as
+     * well.
      *
      * @param leader the leader on record, or null if there is none
      */
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -35,7 +35,7 @@
     /** The fencing token of each recorded machine, as of the contact at {@link #tokensAsOfMicros}. */
     private final Object2LongOpenHashMap<String> fencingTokens = new Object2LongOpenHashMap<>();
 
-    /** The time of the last contact with the store when the tokens were read from the replica. */
+    /** The value of {@link RecordReplica#lastContactMicros} when the tokens were read from the replica. */
     private long tokensAsOfMicros = Long.MIN_VALUE;
 
     /**
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -157,7 +157,7 @@
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
-    /** Returns the number of tasks that are claimed in the store; tasks with lower numbers belong to this leader. */
+    /** Returns how many tasks are claimed in the store. They are the lowest numbers, and belong to this leader. */
     public int claimedTasks() {
         return numbers.claimedTasks();
     }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJobs.java
@@ -17,8 +17,8 @@
     /**
      * Creates an empty set of jobs.
      *
-     * @param maxClockOffsetMicros the largest clock offset of a machine; the times of day of two machines differ by
-     *     less than twice this
+     * @param maxClockOffsetMicros bound on the offset of a machine's time of day from the true time; the times of day
+     *     of any two machines differ by less than twice this
      * @param removalListener is called with each job that is removed
      */
     public ActiveJobs(long maxClockOffsetMicros, Timers timers, Consumer<ActiveJob> removalListener) {
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Returns the time since the job was accepted, in microseconds. The time of day is reduced by the largest clock
-     * offset, and the result is never less than the time since this leader learned of the job.
+     * Returns the time since the job was accepted, in microseconds. It is computed from the times of day, less the
+     * largest clock offset, and is never less than the time since this leader learned of the job.
      */
     public long ageMicros(ActiveJob job, long nowMicros) {
         return Math.max(
--- a/src/main/java/org/granitepath/coordination/model/Fleet.java
+++ b/src/main/java/org/granitepath/coordination/model/Fleet.java
@@ -131,7 +131,7 @@
      * Returns whether most machines have become unresponsive to this leader while a peer receives their heartbeats. The
      * peer should then become the leader before the machines' leases expire.
      *
-     * @param redirectedByPeer the number of machines whose heartbeats reached the peer, which redirected them
+     * @param redirectedByPeer the highest number of redirected machines that any peer reports; negative: unknown
      */
     public boolean isPartitionedFromWorkers(int redirectedByPeer) {
         long nowMicros = timers.nowMicros();
--- a/src/main/java/org/granitepath/coordination/model/GangAttempt.java
+++ b/src/main/java/org/granitepath/coordination/model/GangAttempt.java
@@ -134,7 +134,8 @@
      * long, or it could not start before the waiting tasks give up.
      *
      * @param maxIncompleteMicros how long a task may be missing
-     * @param maxWaitMicros how long a task may have waited for a start of another one to be still worth sending
+     * @param maxWaitMicros once a task has waited for longer than this, it would give up before a replacement that is
+     *     sent now could start
      */
     public boolean shouldBeAbandoned(long nowMicros, long maxIncompleteMicros, long maxWaitMicros) {
         return canAddTasks()
--- a/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
+++ b/src/main/java/org/granitepath/coordination/model/InventoryEntry.java
@@ -10,12 +10,12 @@
     private boolean needsNewToken;
     private boolean needsTokenForCleanup;
 
-    /** Sets the fencing token with which a machine is commanded that joins the fleet. */
+    /** Sets the fencing token of a machine that joins the fleet. */
     void joinFleet(long token) {
         fencingToken = token;
     }
 
-    /** Returns the fencing token with which the machine is commanded. */
+    /** Returns the fencing token with which commands are sent to the machine. */
     public long fencingToken() {
         return fencingToken;
     }
--- a/src/main/java/org/granitepath/coordination/model/Machine.java
+++ b/src/main/java/org/granitepath/coordination/model/Machine.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A machine of the leader's inventory: its life cycle, the state of its worker, the fencing token with which it is
- * commanded, and the tasks placed on it. The state changes only through the methods of this class.
+ * A machine of the leader's inventory: its life cycle, the state of its worker, the fencing token of the commands
+ * sent to it, and the tasks placed on it. The state changes only through the methods of this class.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -211,7 +211,7 @@
         return awaitingFirstHeartbeat;
     }
 
-    /** Sets the fencing token with which the machine is commanded, after its first heartbeat. */
+    /** Sets the machine's fencing token after its first heartbeat. */
     void joinFleet(long token, long nowMicros) {
         inventory.joinFleet(token);
         launchedMicros = nowMicros;
@@ -226,7 +226,7 @@
         return inventory;
     }
 
-    /** Returns the fencing token with which the machine is commanded. */
+    /** Returns the fencing token with which commands are sent to the machine. */
     public long fencingToken() {
         return inventory.fencingToken();
     }
@@ -322,7 +322,10 @@
 
     // ---- idle time and charged time ----------------------------------------------------------------------------
 
-    /** Returns the time since which the machine has had no placement, or could not have had one. */
+    /**
+     * Returns the time since which the machine has had no placement. It starts anew when the machine responds again,
+     * because an unresponsive machine cannot receive work.
+     */
     public long idleSinceMicros() {
         return idleSinceMicros;
     }
--- a/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
+++ b/src/main/java/org/granitepath/coordination/model/MachineCapacity.java
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Returns whether the image is among the 16 images most recently used on the machine. */
+    /** Returns whether the image is among those that tasks on the machine used most recently. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
--- a/src/main/java/org/granitepath/coordination/model/Placement.java
+++ b/src/main/java/org/granitepath/coordination/model/Placement.java
@@ -244,7 +244,7 @@
 
     // ---- stop --------------------------------------------------------------------------------------------------
 
-    /** Marks the attempt as to be stopped by its machine, with the given time to save its progress. */
+    /** Marks the attempt as stopping. The task gets the given time to save its progress. */
     public void stop(long maxGraceMicros, String why) {
         graceMicros = maxGraceMicros;
         transition(Phase.STOPPING, why);
--- a/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingClass.java
@@ -1,9 +1,9 @@
 package org.granitepath.coordination.model;
 
 /**
- * The class of a job, by which jobs are ordered before their shares count. Live services come first, then work within
- * the guarantee of its team. Of the rest, jobs that can all meet their deadlines together come before jobs that can
- * meet the largest multiple of their deadline that the objectives name; jobs that will be late anyway or have no
+ * The class of a job. Jobs are ordered by class first, whatever their shares. Live services come first, then work
+ * within the guarantee of its team. Of the rest, jobs that can all meet their deadlines together come before jobs that
+ * can meet the largest multiple of their deadline that the objectives name; jobs that will be late anyway or have no
  * deadline come last.
  */
 public enum SchedulingClass {
--- a/src/main/java/org/granitepath/coordination/model/SchedulingState.java
+++ b/src/main/java/org/granitepath/coordination/model/SchedulingState.java
@@ -13,7 +13,7 @@
     private long lastStartMicros = NEVER;
     private long waitingSinceMicros = NEVER;
 
-    /** Returns the class by which the job is ordered before its share counts. */
+    /** Returns the class of the job. Jobs are ordered by class first, whatever their shares. */
     public SchedulingClass schedulingClass() {
         return schedulingClass;
     }
--- a/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
+++ b/src/main/java/org/granitepath/coordination/model/TaskNumbers.java
@@ -71,7 +71,7 @@
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
-    /** Returns the number of tasks claimed in the store, which are those with lower numbers. */
+    /** Returns how many tasks are claimed in the store. They are the ones with the lowest numbers. */
     int claimedTasks() {
         return claimedTasks;
     }
--- a/src/main/java/org/granitepath/coordination/model/WorkerContact.java
+++ b/src/main/java/org/granitepath/coordination/model/WorkerContact.java
@@ -98,8 +98,8 @@
     // ---- lease -------------------------------------------------------------------------------------------------
 
     /**
-     * Returns the time from which on no other controller can have kept the worker's lease alive, provided that this
-     * controller does not extend it either, or 0 if the lease has expired.
+     * Returns the time at which the worker's lease expires at the latest, whichever controller has extended it, unless
+     * this controller extends it again. Returns 0 if the lease has expired.
      */
     public long leaseExpiryMicros() {
         return leaseExpiryMicros;
@@ -122,9 +122,9 @@
     }
 
     /**
-     * Returns whether a fencing token is stored that was drawn after the worker's latest heartbeat and was never sent
-     * to the worker. No controller in contact with the store then lets the worker continue under the token it has. The
-     * worker is not called while this holds.
+     * Returns whether the store holds a fencing token for the machine that was drawn after the worker's latest
+     * heartbeat and was never sent to the worker. The worker then still has an older token, under which no controller
+     * in contact with the store renews its lease. The worker is not called while this holds.
      */
     public boolean isFenced() {
         return fenced;
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Notes that a direct call begins. The worker may receive the fencing token by it, and a lease keeper that knows
-     * the token may then let the worker continue, so the fence ends.
+     * Notes that a direct call begins, which ends the fence: the worker may receive the fencing token with the call. A
+     * {@code ZoneLeaseKeeper} that knows this token may then renew the worker's lease.
      */
     public void beginCall(long nowMicros) {
         callInFlight = true;
--- a/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
+++ b/src/main/java/org/granitepath/coordination/ports/Heartbeat.java
@@ -9,7 +9,7 @@
  * @param address the address at which the worker accepts direct calls
  * @param type the name of the machine type
  * @param spot whether the machine is a spot instance
- * @param agentEpoch increased by the worker when it has ended all its tasks, as it does when its lease expires
+ * @param agentEpoch increased by the worker whenever it has ended all its tasks, for example because its lease expired
  * @param sequence increased by the worker with each heartbeat
  * @param fencingToken the highest fencing token that the worker has accepted
  * @param terminationNoticeMicros the time until the cloud takes the machine back, in microseconds; negative while the
--- a/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
@@ -12,7 +12,7 @@
         START,
         /** Stops an attempt. */
         STOP,
-        /** Removes an attempt that has exited from the heartbeats. */
+        /** Makes the worker stop listing an exited attempt in its heartbeats. */
         CLEAR
     }
 
@@ -26,7 +26,7 @@
         return new WorkerCommand(Verb.STOP, task, attempt, graceMicros);
     }
 
-    /** Returns a command that removes an exited attempt from the heartbeats. */
+    /** Returns a command that makes the worker stop listing an exited attempt in its heartbeats. */
     public static WorkerCommand clear(TaskId task, long attempt) {
         return new WorkerCommand(Verb.CLEAR, task, attempt, 0);
     }
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -79,7 +79,8 @@
 
     /**
      * Rejects a heartbeat that reports a higher fencing token than the one known here. Either a new leader has replaced
-     * this one, or a higher token of this leader is not yet known here; reading the records tells which.
+     * this one, or a higher token that this leader has requested for the machine is not confirmed here yet. Reading the
+     * records tells which.
      */
     private HeartbeatResponse rejectHigherToken(Machine machine, Heartbeat heartbeat) {
         LOG.info(
--- a/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTerm.java
@@ -12,7 +12,7 @@
 /**
  * The leader's work during one term, as the controller uses it. A new term starts from the records alone. Tasks that an
  * earlier leader may have started stay unconfirmed until each machine of the inventory has sent a message under the new
- * fencing token or is proved gone. Created by {@link LeaderTermFactory}.
+ * fencing token or is proven to be gone. Created by {@link LeaderTermFactory}.
  */
 public final class LeaderTerm {
     private final TermEnd termEnd;
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -72,7 +72,7 @@
     private final Fleet fleet;
     private final TeamLimits teamLimits;
 
-    // jobs: the lifecycle of jobs and tasks
+    // jobs: the life cycle of jobs and tasks
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final FaultTracker faults = new FaultTracker();
     private final ArrivalRate arrivalRate = new ArrivalRate();
@@ -82,7 +82,7 @@
     private final TaskLifecycle tasks;
     private final JobLifecycle jobs;
 
-    // fleet: the lifecycle of machines
+    // fleet: the life cycle of machines
     private final MachineInventory inventory;
     private final MachineLifecycle machines;
     private final TokenRaiseHandler tokenRaiseHandler;
--- a/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
+++ b/src/main/java/org/granitepath/coordination/term/TermMachineTypes.java
@@ -45,7 +45,7 @@
         MachineTypesRecord typesRecord = new MachineTypesRecord(types);
         if (replica.has(Keys.TYPES)
                 || RecordSize.of(typesRecord) > config.limits().store().valueBytes()) {
-            return; // with a part of the types on record, controllers would reject jobs that can run
+            return; // a partial record would make controllers reject jobs that can run
         }
         writeQueue.enqueue(
                 Keys.TYPES,
--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -6,8 +6,8 @@
 import org.pcollections.PSet;
 
 /**
- * The machines taken over that have neither sent a heartbeat under the current fencing token nor are proved gone. They
- * are counted by profile, so that the check whether a task may be on one of them takes as many steps as there are
+ * The machines taken over that have neither sent a heartbeat under the current fencing token nor are proven to be gone.
+ * They are counted by profile, so that the check whether a task may be on one of them takes as many steps as there are
  * profiles, not machines.
  */
 final class AwaitedMachines {
--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -5,14 +5,14 @@
     /** The term has been won, and the records are being read up to its start. No commands are sent. */
     READING,
     /**
-     * Heartbeats are compared with the records. Live work may start, each task once it is proved to be on no machine.
+     * Heartbeats are compared with the records. Live work may start, each task once it is proven to be on no machine.
      */
     RECONCILING,
     /** No task of live work is unconfirmed any more. The tasks for which there is capacity, or will be, are started. */
     RESUMING_LIVE,
-    /** All work may start, each task once it is proved to be on no machine. Some machines may still be awaited. */
+    /** All work may start, each task once it is proven to be on no machine. Some machines may still be awaited. */
     RESUMING_BATCH,
-    /** Every machine taken over has sent a heartbeat or is proved gone. */
+    /** Every machine taken over has sent a heartbeat or is proven to be gone. */
     RECOVERED;
 
     /** Returns whether batch work, which is resumed after live work, may start. */
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -8,7 +8,7 @@
 
 /**
  * The recovery in one term of leadership: its progress, and which work may start. A task of live work may start once it
- * is proved to be on no machine. All other work is batch work; it is held back until live work is placed, but no longer
+ * is proven to be on no machine. All other work is batch work; it is held back until live work is placed, but no longer
  * than a time limit.
  */
 public final class RecoveryPlan {
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Adds parts of the inventory that cannot be read. Any machine may be listed in them, so no task that heartbeats
-     * have not listed counts as lost for the rest of this term.
+     * Adds parts of the inventory that cannot be read. Any machine may be listed in them. For the rest of this term, a
+     * task therefore never counts as lost only because no heartbeat has listed it.
      */
     public void takeOverUnreadableParts(int parts) {
         awaited.addUnreadableParts(parts);
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Removes a machine from the awaited machines, because it has sent a heartbeat or is proved gone.
+     * Removes a machine from the awaited machines, because it has sent a heartbeat or is proven to be gone.
      *
      * @param proof what the machine has sent, or how it is known to be gone
      * @return whether the verdict on unconfirmed tasks may have changed: it was the last machine of its profile
@@ -152,8 +152,8 @@
     }
 
     /**
-     * Returns whether every machine taken over has sent a heartbeat or is proved gone. Never true if a part of the
-     * inventory cannot be read.
+     * Returns whether every machine taken over has sent a heartbeat or is proven to be gone. Never true if a part of
+     * the inventory cannot be read.
      */
     public boolean isEveryMachineResolved() {
         return awaited.isEmpty();
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -59,7 +59,7 @@
      * The machines that the term began with.
      *
      * @param takenOver the number of machines in the inventory when the term began
-     * @param awaited the ids of the machines that have neither sent a heartbeat nor are proved gone
+     * @param awaited the ids of the machines that have neither sent a heartbeat nor are proven to be gone
      * @param unreadableInventoryParts the number of inventory parts that cannot be read; any machine may be in them
      */
     public record Machines(int takenOver, PSet<String> awaited, int unreadableInventoryParts) {
--- a/src/main/java/org/granitepath/recovery/RecoveryTracer.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryTracer.java
@@ -1,8 +1,8 @@
 package org.granitepath.recovery;
 
 /**
- * Receives the events of a recovery for metrics and traces. It makes no decisions. Events take place at the time of the
- * call, by the caller's monotonic clock.
+ * Receives the events of a recovery for metrics and traces. No decision depends on it. An event happens at the time of
+ * the call, on the caller's monotonic clock.
  */
 public interface RecoveryTracer {
     /** Ignores all events. */
--- a/src/main/java/org/granitepath/recovery/Verdict.java
+++ b/src/main/java/org/granitepath/recovery/Verdict.java
@@ -18,7 +18,7 @@
     UNKNOWN_JOB,
     /** The attempt has exited without a new result. It is cleared when the protocol allows it. */
     EXITED,
-    /** The task is proved to be on no machine. It may start again. */
+    /** The task is proven to be on no machine. It may start again. */
     LOST,
     /** The task may still be running. No action is taken on it until there is proof. */
     UNCONFIRMED
