--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -99,7 +99,7 @@
         "60000000, true", // no controller is in contact with the store
         "-1, true",
     })
-    void withoutTheStoreIsHealthyOnlyIfNoPeerHasContact(long peerContactAgeMicros, boolean healthy) {
+    void isHealthyWithoutTheStoreOnlyIfNoPeerHasContact(long peerContactAgeMicros, boolean healthy) {
         readRecords();
         learnMachineTypes();
         store.unreachable = true;
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -102,7 +102,11 @@
         return placement;
     }
 
-    /** Adopts a running task that a heartbeat lists and a previous leader started. */
+    /**
+     * Adopts a running task that a heartbeat lists and a previous leader started.
+     *
+     * @param onlyOnThisMachine false for an old heartbeat: the task may be on another machine by now
+     */
     Placement adopt(ActiveJob job, int index, Machine machine, long attempt, boolean onlyOnThisMachine) {
         Heartbeat.TaskStatus status = new Heartbeat.TaskStatus(
                 new TaskId(job.spec().id(), index),
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -94,7 +94,7 @@
         assertTrue(leadership.canStartTasks(), "no peer can have confirmed one");
         timers.advance(15 * SECOND_MICROS);
         assertFalse(leadership.canAnswerWorkers() || leadership.canStartTasks(), "fenced off");
-        assertTrue(leadership.isLeader(), "the term is not known to be over");
+        assertTrue(leadership.isLeader(), "the term is not known to have ended");
         store.unreachable = false;
         timers.advance(3 * SECOND_MICROS);
         assertTrue(leadership.isLeaseConfirmed());
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -83,7 +83,7 @@
         return new Heartbeat(machine, machine + ":1", "g8", zone, false, 1, 1, fencingToken, -1, List.of(tasks));
     }
 
-    private boolean mayRenewFirstMachine() {
+    private boolean canRenewFirstMachine() {
         return keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN));
     }
 
@@ -94,21 +94,21 @@
     @Test
     void inContactWithTheStoreNoMachineIsAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS - 1);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
     void aControllerThatIsCutOffAnswersMachinesOfItsZone() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
     }
 
     @Test
     void machinesAreAnsweredAsLongAsALeaderWithoutContactMayAnswer() {
         loseContactFor(config.workers().maxDisconnectedMicros());
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
         timers.advance(1);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
@@ -121,21 +121,21 @@
     void withARecentStatusOfTheLeaderTheControllerIsNotCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(-1, true);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
     void withAPeerInContactTheControllerIsNotCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(0, false);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
     void withAPeerOutOfContactTheControllerIsStillCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(Config.CONTACT_TIMEOUT_MICROS + 1, false);
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
     }
 
     @Test
@@ -158,12 +158,12 @@
     @Test
     void tokensAreReadAgainAfterEachContact() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
         store.unreachable = false;
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", OWN_TOKEN + 1, OWN_TOKEN + 1), 0);
         timers.advance(SECOND_MICROS);
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
         assertTrue(keeper.canRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
     }
 
