--- a/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
+++ b/src/main/java/org/granitepath/coordination/jobs/FaultTracker.java
@@ -33,7 +33,7 @@
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
     private static final int MAX_DOUBLINGS = 8;
 
-    /** A machine on which tasks have failed since it last proved to be healthy. */
+    /** A machine on which tasks have failed since it was last proven healthy. */
     private static final class Suspect {
         private final Set<ActiveJob> failedJobs = new HashSet<>();
         private long failedMicros;
@@ -112,7 +112,7 @@
         return suspects.containsKey(placement.machine()) || !healthyJobs.contains(placement.job());
     }
 
-    /** Returns whether tasks have failed on the machine since it last proved to be healthy. */
+    /** Returns whether tasks have failed on the machine since it was last proven healthy. */
     public boolean isSuspect(Machine machine) {
         return suspects.containsKey(machine);
     }
--- a/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
+++ b/src/test/java/org/granitepath/coordination/term/HeartbeatHandlerTest.java
@@ -27,7 +27,7 @@
 /** The leader's response to heartbeats of machines in its fleet, and of machines that are not. */
 class HeartbeatHandlerTest {
     private static final HeartbeatResponse UNAVAILABLE = new HeartbeatResponse.Unavailable();
-    private static final TaskId ORPHAN = new TaskId("nobody's", 0);
+    private static final TaskId ORPHAN = new TaskId("unrecorded-job", 0);
     private static final WorkerCommand STOP_ORPHAN = WorkerCommand.stop(ORPHAN, 5, 0);
 
     private final FleetFixture fixture = new FleetFixture();
--- a/src/test/java/org/granitepath/recovery/VerdictCountsTest.java
+++ b/src/test/java/org/granitepath/recovery/VerdictCountsTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The counts of verdicts and comparisonCount in a term. */
+/** The counts of verdicts and of comparisons in a term. */
 class VerdictCountsTest {
     private final VerdictCounts counts = new VerdictCounts();
 
