--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -88,7 +88,8 @@
     @Test
     void machines() throws MalformedRecordException {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
-        InventoryRecord record = (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.decodeObject(json));
+        InventoryRecord record =
+                (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.decodeObject(json));
         assertEquals(
                 new InventoryRecord.MachineRow("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.machines().get(0));
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -193,8 +193,7 @@
 
         private void updateStopping() {
             long saves = members.values().stream()
-                    .filter(member ->
-                            member.isSaving()
+                    .filter(member -> member.isSaving()
                             && environment.nowMicros() - member.stopRequestMicros >= spec.saveDurationMicros())
                     .count();
             if (hasLostTask()) {
@@ -242,8 +241,8 @@
     private long totalRunMicros(JobSpec spec) {
         return totalRunMicrosByJob.computeIfAbsent(
                 spec.id(),
-                unknown ->
-                        spec.estimatedRunMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimatedRunMicros()));
+                unknown -> spec.estimatedRunMicros() / 2
+                        + (long) (environment.random.nextDouble() * spec.estimatedRunMicros()));
     }
 
     /** Adds a task that has its image to a gang attempt; it exits at once if the attempt is no longer forming. */
