--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -106,7 +106,7 @@
             onCompleted(placement, nowMicros);
         } else if (status.cause() == ExitCause.FAILED) {
             LOG.info(
-                    "job {}, machine {}: task {} attempt {} failed",
+                    "a task of job {} failed on machine {}: task {} attempt {}",
                     job.spec().id(),
                     machine.id(),
                     status.task(),
