--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -9,7 +9,7 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Keeps capacity free on full-price machines for the next gang, if there are gangs that {@linkplain
+ * Leaves capacity of on-demand machines free for the next gang, while the active jobs include gangs that {@linkplain
  * BatchPlanner#needsImmediateStart need an immediate start}, sooner than a machine boots. In the zone with the most
  * free capacity on such machines, batch tasks that can use spot machines leave as much CPU free as the largest of these
  * gangs needs. A batch job that has waited for {@link StartDelay#MAX_WITH_FREE_CAPACITY_MICROS} can use the headroom
--- a/src/main/java/org/granitepath/coordination/gang/LostTaskRestarter.java
+++ b/src/main/java/org/granitepath/coordination/gang/LostTaskRestarter.java
@@ -19,7 +19,7 @@
      * Heartbeat intervals that are subtracted from the wait timeout of a worker. The worker measures its wait itself;
      * the controller learns of the start and of the end of the wait only from heartbeats, each up to one interval late.
      */
-    private static final int HEARTBEATS_PER_WAIT = 2;
+    private static final int WAIT_MARGIN_HEARTBEATS = 2;
 
     private final Config config;
     private final PlacementRules rules;
@@ -42,7 +42,7 @@
         }
         restartLostTasks(job, attempt, machinesWithCapacity, nowMicros);
         long longestWaitMicros = config.workers().gangWaitTimeoutMicros()
-                - HEARTBEATS_PER_WAIT * config.workers().heartbeatIntervalMicros();
+                - WAIT_MARGIN_HEARTBEATS * config.workers().heartbeatIntervalMicros();
         if (job.waitingTasks() > 0
                 && attempt.shouldBeAbandoned(nowMicros, config.tuning().gangHoldMicros(), longestWaitMicros)) {
             tasks.stop(job.placements().iterator().next(), 0, "its gang can't be completed in time");
--- a/src/main/java/org/granitepath/coordination/gang/ReservationFinder.java
+++ b/src/main/java/org/granitepath/coordination/gang/ReservationFinder.java
@@ -10,7 +10,10 @@
 import org.granitepath.coordination.placement.ZoneFilter;
 import org.granitepath.storage.JobSpec;
 
-/** Finds the machines to reserve for a gang that does not fit yet: those that will hold most of its tasks soonest. */
+/**
+ * Finds the machines to reserve for a gang that does not fit yet: the set that will hold most of its tasks. Among equal
+ * sets, it prefers the one on which most of the tasks fit now.
+ */
 final class ReservationFinder {
     /** Maximum share of all machines that is reserved at a time, so that gangs do not starve other jobs. */
     private static final double MAX_RESERVED_SHARE = 0.34;
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -7,9 +7,9 @@
 import org.granitepath.coordination.model.Fleet;
 
 /**
- * Compares the waiting batch work with the current capacity: which jobs can still meet their deadlines, all together,
- * and which can wait for cheap capacity. Evaluates all jobs together a few times a second, not at each scheduling
- * decision.
+ * Compares the waiting batch work with the current capacity, to determine the largest set of jobs that can all meet
+ * their deadlines and the jobs that can wait for cheap capacity. Evaluates all jobs together a few times a second, not
+ * at each scheduling decision.
  */
 public final class BatchPlanner {
     private static final long INTERVAL_MICROS = 250_000;
--- a/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeadlineClassifier.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.model.ActiveJobs;
 import org.granitepath.coordination.model.SchedulingClass;
 
-/** Assigns each job its scheduling class, depending on which jobs can still meet their deadlines all together. */
+/** Assigns each job its scheduling class. Jobs with deadlines are selected so that all selected ones can meet them. */
 final class DeadlineClassifier {
     /**
      * The usable share of the capacity. The rest is lost to imperfect packing and to tasks on machines to be drained.
@@ -45,7 +45,7 @@
 
     /** Assigns each job its class, without regard to guaranteed quotas. */
     void classify(long nowMicros) {
-        List<DeadlineJob> feasible = new ArrayList<>();
+        List<DeadlineJob> candidates = new ArrayList<>();
         List<DeadlineJob> late = new ArrayList<>();
         for (ActiveJob job : activeJobs.all()) {
             if (job.runningTasks() > 0) {
@@ -56,13 +56,13 @@
             if (independentClass == SchedulingClass.OTHER && mustCompleteInTime(job)) {
                 DeadlineJob due = deadlineJob(job, nowMicros);
                 boolean possible = runtimeEstimator.expectedTaskMicros(job) <= due.timeLeftMicros();
-                List<DeadlineJob> jobs = possible ? feasible : late;
+                List<DeadlineJob> jobs = possible ? candidates : late;
                 jobs.add(due);
             }
         }
-        double selectedWork = selectFeasible(feasible, late, SchedulingClass.MEETS_DEADLINE, 0);
-        List<DeadlineJob> feasibleIfExtended = withExtendedDeadlines(late);
-        selectFeasible(feasibleIfExtended, new ArrayList<>(), SchedulingClass.MEETS_EXTENDED_DEADLINE, selectedWork);
+        double selectedWork = selectFeasible(candidates, late, SchedulingClass.MEETS_DEADLINE, 0);
+        List<DeadlineJob> extendedCandidates = withExtendedDeadlines(late);
+        selectFeasible(extendedCandidates, new ArrayList<>(), SchedulingClass.MEETS_EXTENDED_DEADLINE, selectedWork);
     }
 
     /** Returns the class of a job whose class does not depend on a deadline; {@code OTHER} for all other jobs. */
--- a/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
@@ -58,11 +58,11 @@
         long waitedMicros =
                 job.scheduling().isWaiting() ? nowMicros - job.scheduling().waitingSinceMicros() : 0;
         return waitedMicros + workload.completionOnCheapCapacityMicros(pendingCpuMillis)
-                <= latestStartMicros(job, objective) * tuning.deferralShare();
+                <= maxWaitMicros(job, objective) * tuning.deferralShare();
     }
 
     /** Returns how many microseconds the job's tasks can wait for their start and still meet the objective. */
-    private double latestStartMicros(ActiveJob job, Objective objective) {
+    private double maxWaitMicros(ActiveJob job, Objective objective) {
         double byWait = objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros();
         double byFinish = objective.finishMicros() == 0
                 ? Double.MAX_VALUE
--- a/src/main/java/org/granitepath/coordination/placement/ImageFetchTime.java
+++ b/src/main/java/org/granitepath/coordination/placement/ImageFetchTime.java
@@ -25,6 +25,6 @@
 
     /** Returns the type of a machine that accepts tasks. Throws a NullPointerException if it is not known. */
     static MachineType knownType(Machine machine) {
-        return Objects.requireNonNull(machine.type(), "a machine that takes tasks has a known type");
+        return Objects.requireNonNull(machine.type(), "a machine that accepts tasks must have a known type");
     }
 }
--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -60,7 +60,7 @@
     /**
      * Returns whether the job allows the machine's type, zone and price model, and no failed task on the machine
      * excludes the job (see {@link FaultTracker}), regardless of the state of the machine. A deferrable job does not
-     * use a full-price machine that no service needs, so that the machine can be terminated, unless its tasks end
+     * use an on-demand machine that no service needs, so that the machine can be terminated, unless its tasks end
      * before a termination could save any cost.
      */
     public boolean satisfiesConstraints(Machine machine, ActiveJob job, long nowMicros) {
--- a/src/main/java/org/granitepath/coordination/placement/WorkloadTotals.java
+++ b/src/main/java/org/granitepath/coordination/placement/WorkloadTotals.java
@@ -25,8 +25,8 @@
 
     private double cpuMillis;
     /**
-     * The part of {@link #cpuMillis} on spot machines, which are cheap, and beside services, which is paid for in any
-     * case.
+     * The part of {@link #cpuMillis} on spot machines, which are cheap, and on machines that host services, which are
+     * paid for in any case.
      */
     private double cheapCpuMillis;
 
@@ -93,7 +93,7 @@
         return batchWork / Math.max(1, cheapCpuMillis + additionalCpuMillis);
     }
 
-    /** The same for the batch work that has a deadline. */
+    /** Like {@link #completionOnCheapCapacityMicros}, but only for the batch work that has a deadline. */
     double deadlineWorkCompletionOnCheapCapacityMicros(double additionalCpuMillis) {
         return deadlineWork / Math.max(1, cheapCpuMillis + additionalCpuMillis);
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Collects the responsive machines that accept tasks and have the smallest CPU and memory amounts free that any
-     * queued job asks for, and updates the gang headroom.
+     * Collects the responsive machines that accept tasks and on which the smallest CPU request and the smallest memory
+     * request of all queued jobs would fit, and updates the gang headroom.
      */
     void beginCycle(CandidateQueue candidates, long nowMicros) {
         long cpuMillis = smallest(candidates, JobSpec::cpuMillis);
@@ -55,7 +55,10 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Returns the machines that accepted tasks and had free capacity when the cycle began, as a live view. */
+    /**
+     * Returns the machines that accepted tasks and had free capacity when the cycle began. The list is a view that
+     * changes when the next cycle begins.
+     */
     List<Machine> machinesWithCapacity() {
         return machinesWithCapacityView;
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/RelocationPlan.java
@@ -11,7 +11,7 @@
 
 /** Plans to which fuller machines replicas move in one round of consolidation. */
 final class RelocationPlan {
-    /** A replica does not move to a machine where fetching its image would keep it down for this long or longer. */
+    /** A replica must not be down for this long or longer, while its image is fetched, only because it is moved. */
     private static final double MAX_FETCH_SECONDS = 2;
 
     private final Fleet fleet;
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -65,7 +65,11 @@
         recovery.onCycleEnd(scheduleAll(nowMicros));
     }
 
-    /** Returns how many tasks of live work have no capacity yet while other tasks are being stopped for them. */
+    /**
+     * Starts tasks until no candidate is left.
+     *
+     * @return how many tasks of live work have no capacity yet while other tasks are being stopped for them
+     */
     private int scheduleAll(long nowMicros) {
         batchPlanner.updateIfDue(nowMicros);
         gangScheduler.releaseEndedReservations(nowMicros);
--- a/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void deferrableJobDoesNotUseFullPriceMachine() {
+    void deferrableJobDoesNotUseOnDemandMachine() {
         batch.scheduling().setDeferrable(true);
         long minimumChargeOver = NOW + Machine.MINIMUM_CHARGE_MICROS;
         assertFalse(fixture.rules.satisfiesConstraints(machine, batch, minimumChargeOver));
