--- a/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Autoscaler.java
@@ -16,8 +16,8 @@
 
 /**
  * Launches machines for waiting work and terminates the machines that no work needs. A stale leader does no harm here:
- * the present leader finds the machines that it did not request in the cloud's list or by their heartbeats, and uses or
- * terminates them.
+ * the current leader learns of machines that it did not launch from the cloud's list or from their heartbeats, and uses
+ * or terminates them.
  */
 public final class Autoscaler {
     private static final long TICK_MICROS = 1_000_000;
--- a/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/Launcher.java
@@ -67,11 +67,11 @@
     /**
      * Sends a request for the planned machines, at most for as many as one request may launch.
      *
-     * @param drainSeconds how long the present batch work takes, for the log
+     * @param batchCompletionSeconds how long the present batch work takes to complete, for the log
      * @param onAnswer called with the time of the answer in microseconds, when another launch may follow; not called
      *     if the launcher gives up after the last retry
      */
-    void launch(PlannedLaunch launch, long drainSeconds, LongConsumer onAnswer) {
+    void launch(PlannedLaunch launch, long batchCompletionSeconds, LongConsumer onAnswer) {
         requestInFlight = true;
         Offer offer = launch.offer();
         int count = Math.min(launch.count(), MAX_MACHINES_PER_REQUEST);
@@ -79,7 +79,7 @@
         ActiveJob job = offer.job();
         LOG.info(
                 "launch {}: requesting {} machines of type {} in zone {}{}, first for job {} (class {}, {} tasks wait);"
-                        + " batch work drains in {} s",
+                        + " batch work completes in {} s",
                 idempotencyKey,
                 count,
                 offer.type().name(),
@@ -88,7 +88,7 @@
                 job.spec().id(),
                 job.spec().jobClass(),
                 job.waitingTasks(),
-                drainSeconds);
+                batchCompletionSeconds);
         CloudPort.LaunchRequest request =
                 new CloudPort.LaunchRequest(idempotencyKey, offer.type().name(), offer.zone(), offer.spot(), count);
         send(request, offer, 0, onAnswer);
--- a/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/MachineLister.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lists the cloud's machines periodically, page by page, to find booting machines that a former leader launched or that
- * a launch started whose answer was lost.
+ * Lists the cloud's machines periodically, page by page, to find booting machines that a former leader launched, and
+ * those whose launch request was carried out although its answer was lost.
  */
 final class MachineLister {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLister.class);
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOut.java
@@ -65,7 +65,7 @@
         spareHeadroom.update(plan.spareHeadroomCpuMillis());
         PlannedLaunch first = plan.firstLaunch();
         if (first != null && requestBudget.tryAcquire(nowMicros)) {
-            launcher.launch(first, Math.round(plan.batchDrainMicros() / MICROS_PER_SECOND), this::launch);
+            launcher.launch(first, Math.round(plan.batchCompletionMicros() / MICROS_PER_SECOND), this::launch);
         }
     }
 
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -107,8 +107,8 @@
         return headroomPlan.spareCpuMillis();
     }
 
-    /** Returns how long the present batch work takes on the present, the pending and the planned machines. */
-    double batchDrainMicros() {
+    /** Returns how many microseconds the present batch work takes on the present, pending and planned machines. */
+    double batchCompletionMicros() {
         return batchPlanner.batchCompletionMicros(plannedCapacity.batchCpuMillis());
     }
 
--- a/src/main/java/org/granitepath/coordination/autoscaling/SpareHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/SpareHeadroom.java
@@ -1,8 +1,8 @@
 package org.granitepath.coordination.autoscaling;
 
 /**
- * Capacity that live services could take beyond the headroom wanted for them. Idle machines that have
- * up to this capacity together may be terminated.
+ * Capacity that live services could take beyond the headroom wanted for them. Idle machines with up to this capacity in
+ * total may be terminated.
  */
 final class SpareHeadroom {
     /** In thousandths of a CPU; unlimited before the first plan, when no headroom is wanted. */
--- a/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/MachineFailuresTest.java
@@ -27,7 +27,7 @@
             new FailureDetector(config, fleet, new Peers(config, null, timers, () -> null));
     private final MachineFailures failures = new MachineFailures(config.workers(), failureDetector);
 
-    private Machine machine(String id, String zone) {
+    private Machine addMachine(String id, String zone) {
         Machine machine = new Machine(id, id + ":1", "type", zone, false);
         machine.inventory().markRecorded();
         machine.recordHeartbeat(false, startMicros);
@@ -38,7 +38,7 @@
 
     private void addMachines(String zone, int count) {
         for (int number = 0; number < count; number++) {
-            machine(zone + number, zone);
+            addMachine(zone + number, zone);
         }
     }
 
@@ -51,14 +51,14 @@
 
     @Test
     void failsWithoutHeartbeatForMoreThanLease() {
-        Machine machine = machine("m", OWN_ZONE);
+        Machine machine = addMachine("m", OWN_ZONE);
         assertNull(reasonAfter(machine, leaseMicros));
         assertEquals(TerminationReason.UNRESPONSIVE, reasonAfter(machine, leaseMicros + 1));
     }
 
     @Test
     void failsSoonerIfItDoesNotAnswerCallsEither() {
-        Machine machine = machine("m", OWN_ZONE);
+        Machine machine = addMachine("m", OWN_ZONE);
         machine.contact().beginCall(startMicros + 1);
         machine.contact().endCall();
         machine.contact().recordCallResult(false);
@@ -97,7 +97,7 @@
 
     @Test
     void failsIfAnswersHaveNotReachedItForLease() {
-        Machine machine = machine("m", OWN_ZONE);
+        Machine machine = addMachine("m", OWN_ZONE);
         machine.markUnconfirmed(startMicros, "test");
         machine.recordHeartbeat(false, startMicros + leaseMicros);
         assertNull(reasonAfter(machine, leaseMicros));
--- a/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
@@ -30,8 +30,8 @@
     }
 
     @Override
-    public void terminate(List<String> hosts, Consumer<Boolean> then) {
-        terminations.add(hosts);
+    public void terminate(List<String> machineIds, Consumer<Boolean> then) {
+        terminations.add(machineIds);
         unansweredTermination = then;
     }
 
@@ -49,7 +49,7 @@
         unansweredTermination.accept(done);
     }
 
-    void answerList(Outcome outcome, boolean more, ListedMachine... hosts) {
-        unansweredList.accept(new Listing(outcome, List.of(hosts), more));
+    void answerList(Outcome outcome, boolean hasMore, ListedMachine... machines) {
+        unansweredList.accept(new Listing(outcome, List.of(machines), hasMore));
     }
 }
