--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -27,7 +27,9 @@
     private static final double FEW_OVERDUE_SHARE = 0.2;
 
     private static final int FEW_OVERDUE_MACHINES = 2;
+    /** How many heartbeats in a row a machine may miss before it is declared failed. */
     private static final int MAX_MISSED_HEARTBEATS = 2;
+
     private static final long RESPONSE_MARGIN_MICROS = 1_000_000;
 
     private final Config config;
@@ -113,7 +115,7 @@
     }
 
     /**
-     * Whether this zone alone was found to be partitioned from this controller within the last worker lease duration.
+     * Returns whether this zone alone was found to be partitioned from this controller within the last worker lease duration.
      * No machines are launched in such a zone.
      */
     public boolean isZonePartitioned(String zone, long nowMicros) {
@@ -123,7 +125,7 @@
     }
 
     /**
-     * Whether this machine is in a partitioned zone together with a peer controller, which can keep renewing its lease
+     * Returns whether this machine is in a partitioned zone together with a peer controller, which can keep renewing its lease
      * so that its tasks go on running. In other partitioned zones the tasks end with the lease, and they complete
      * sooner on another machine.
      */
@@ -134,9 +136,9 @@
     /**
      * Returns how old the last heartbeat of a machine that does not respond to calls may become, in microseconds,
      * before the machine is declared failed. The timeout is one heartbeat interval longer when many machines of the
-     * zone are overdue: when the machine that was the last to send a heartbeat before a partition becomes overdue, the
-     * heartbeat of the machine that was the first to send is older by up to one interval. Without the longer timeout,
-     * the machines that sent first were terminated together with all their tasks.
+     * zone are overdue: the last heartbeats before a partition are spread over one interval, so when the last machine
+     * becomes overdue and the partition shows, the heartbeat of the first one is up to one interval older. Without the
+     * longer timeout, the first machines were terminated together with all their tasks.
      */
     public long unresponsiveTimeoutMicros(Machine machine) {
         boolean suspected = suspectedZones.contains(machine.zone());
@@ -145,7 +147,7 @@
     }
 
     /**
-     * Whether missed heartbeats indicate failures of the machines themselves. When many machines are overdue at once,
+     * Returns whether missed heartbeats indicate failures of the machines themselves. When many machines are overdue at once,
      * this controller may be the one that is partitioned, unless a peer does not receive their heartbeats either.
      */
     public boolean canTrustMissedHeartbeats() {
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Whether the machine is not gone, and the message is newer than the last one and carries no higher token than the
+     * Returns whether the machine is not gone, and the message is newer than the last one and carries no higher token than the
      * machine's current one.
      */
     private static boolean isRelevant(Machine machine, Heartbeat heartbeat) {
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryLayout.java
@@ -172,7 +172,7 @@
         return pendingSplits.peek();
     }
 
-    /** Whether a split is pending and the parts that it adds follow the stored parts without a gap. */
+    /** Returns whether a split is pending and the parts that it adds follow the stored parts without a gap. */
     boolean canWriteNextSplit() {
         List<Integer> split = pendingSplits.peek();
         return split != null && (split.size() == 1 || split.get(1) <= storedPartCount);
@@ -183,12 +183,12 @@
         pendingSplits.remove();
     }
 
-    /** Whether this part belongs to a pending split and may only be written together with it. */
+    /** Returns whether this part belongs to a pending split and may only be written together with it. */
     boolean isInPendingSplit(int part) {
         return pendingSplits.stream().anyMatch(split -> split.contains(part));
     }
 
-    /** Whether this part exceeds the size limit and can't be split, so that it can't be written. */
+    /** Returns whether this part exceeds the size limit and can't be split, so that it can't be written. */
     boolean isUnsplittable(int part) {
         return unsplittableParts.contains(part);
     }
@@ -215,7 +215,7 @@
         return machineIds(part).stream().map(machineById).toList();
     }
 
-    /** Whether the store holds the part, though possibly not with its current machines. */
+    /** Returns whether the store holds the part, though possibly not with its current machines. */
     boolean isStored(int part) {
         return part < storedPartCount;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryPart.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryPart.java
@@ -6,7 +6,7 @@
 
 /** One part of the machine inventory: the machines whose rows it holds, and the maximum size of these rows. */
 final class InventoryPart {
-    /** The size of a part without rows, in bytes. */
+    /** The size of a part without rows, in bytes: the encoding around the rows. */
     static final int EMPTY_BYTES = 64;
 
     /** The ids of the machines, in the order of their rows. */
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -63,7 +63,7 @@
         return newToken;
     }
 
-    /** Whether this transaction writes a split. */
+    /** Returns whether this transaction writes a split. */
     boolean isSplit() {
         return isSplit;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TakeoverCalls.java
@@ -57,12 +57,12 @@
         }
     }
 
-    /** Whether another call may be made now; a third of the concurrent calls is reserved for commands. */
+    /** Returns whether another call may be made now; a third of the concurrent calls is reserved for commands. */
     private boolean canCall() {
         return callsInFlight < config.limits().maxConcurrentCalls() * 2 / 3;
     }
 
-    /** Whether the machine has not confirmed the current fencing token yet and is not fenced against calls. */
+    /** Returns whether the machine has not confirmed the current fencing token yet and is not fenced against calls. */
     private static boolean isAwaited(Machine machine) {
         return machine.isAwaitingFirstHeartbeat()
                 && machine.phase() == Machine.Phase.UNCONFIRMED
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -139,7 +139,7 @@
     }
 
     /**
-     * Whether the start command went out in a heartbeat response that did not reach the worker: the worker's agent
+     * Returns whether the start command went out in a heartbeat response that did not reach the worker: the worker's agent
      * epoch is the one that the command was meant for, and no message has listed the attempt.
      */
     private static boolean wasStartLostInResponse(Placement placement, Heartbeat heartbeat) {
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -123,7 +123,7 @@
         loop.markCycleNeeded();
     }
 
-    /** Whether the task has completed; a task of a service never counts as completed, however it exits. */
+    /** Returns whether the task has completed; a task of a service never counts as completed, however it exits. */
     private static boolean hasCompleted(ActiveJob job, TaskStatus status) {
         return status.cause() == ExitCause.DONE && !job.spec().service();
     }
@@ -149,7 +149,7 @@
     }
 
     /**
-     * Whether the run time of a completed task can be used for estimates: this leader started the task, has seen it
+     * Returns whether the run time of a completed task can be used for estimates: this leader started the task, has seen it
      * run, and knows that it ran on no other machine.
      */
     private static boolean isRuntimeKnown(Placement placement) {
@@ -170,7 +170,7 @@
     }
 
     /**
-     * Marks a task as done that an attempt not held by this leader has completed, and stops any other attempt of it.
+     * Marks a task as done because an attempt without a placement has completed it, and stops any other attempt.
      */
     void markCompletedElsewhere(ActiveJob job, int task) {
         Placement placement = job.placement(task);
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -44,12 +44,12 @@
         this.termEnded = termEnded;
     }
 
-    /** Whether the limit on concurrent calls allows another call now. */
+    /** Returns whether the limit on concurrent calls allows another call now. */
     boolean canCall() {
         return callsInFlight < config.limits().maxConcurrentCalls();
     }
 
-    /** Whether another call without commands may be made now; half of the concurrent calls is reserved for commands. */
+    /** Returns whether another call without commands may be made now; half of the concurrent calls is reserved for commands. */
     boolean canProbe() {
         return callsInFlight < config.limits().maxConcurrentCalls() / 2;
     }
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Whether a worker that refused a call may accept the current fencing token in another call: its machine is
+     * Returns whether a worker that refused a call may accept the current fencing token in another call: its machine is
      * unconfirmed, and the worker has seen no higher token.
      */
     private static boolean canAcceptCurrentToken(Machine machine, Heartbeat heartbeat) {
--- a/src/main/java/org/granitepath/coordination/fleet/ZoneCounts.java
+++ b/src/main/java/org/granitepath/coordination/fleet/ZoneCounts.java
@@ -20,14 +20,14 @@
     private static final double MAX_OVERDUE_SHARE_ELSEWHERE = 0.3;
     private static final double SUSPECTED_SHARE = 0.2;
 
-    /** Whether the heartbeats of this zone fail to arrive while those of the other zones arrive. */
+    /** Returns whether the heartbeats of this zone fail to arrive while those of the other zones arrive. */
     boolean isPartitioned() {
         return machines >= MIN_MACHINES
                 && overdue >= PARTITIONED_SHARE * machines
                 && overdueElsewhere < MAX_OVERDUE_SHARE_ELSEWHERE * machinesElsewhere;
     }
 
-    /** Whether many machines of this zone are overdue, which may be the beginning of a partition. */
+    /** Returns whether many machines of this zone are overdue, which may be the beginning of a partition. */
     boolean isPartitionSuspected() {
         return overdue > SUSPECTED_SHARE * machines;
     }
--- a/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskReconcilerTest.java
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void directStartWithoutResponseIsNotFreed() {
+    void directStartThatMayStillBeExecutedIsNotFreed() {
         Machine machine = fixture.readyMachine("m");
         Placement placement = fixture.startDirectly(fixture.job(JobSpec.Shape.BATCH), machine);
         receive(machine, nextHeartbeat(machine));
