--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -80,10 +80,10 @@
     }
 
     /**
-     * Returns whether the worker may forget this exited attempt. Its outcome must be durable. An attempt that a direct command
-     * started must also stay listed until the fencing token has been raised, because a delayed copy of that command
-     * would start the attempt again once the worker has forgotten it. Once no command can start the attempt any more,
-     * this method also drops the record of its direct start.
+     * Returns whether the worker may forget this exited attempt. Its outcome must be durable. An attempt that a direct
+     * command started must also stay listed until the fencing token has been raised, because a delayed copy of that
+     * command would start the attempt again once the worker has forgotten it. Once no command can start the attempt any
+     * more, this method also drops the record of its direct start.
      */
     private boolean canClear(Machine machine, TaskStatus status) {
         if (machine.contact().canBeStartedAgain(status.attempt(), machine.fencingToken())) {
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Returns whether the store holds the outcome of the attempt. Only a completed task of an open job has an outcome that has
-     * to be stored.
+     * Returns whether the store holds the outcome of the attempt. Only a completed task of an open job has an outcome
+     * that has to be stored.
      */
     private boolean isOutcomeDurable(TaskStatus status) {
         if (status.cause() != ExitCause.DONE || jobIndex.openJob(status.task().job()) == null) {
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -102,7 +102,9 @@
         }
     }
 
-    /** Returns whether heartbeats arrive and the store holds the machine's token, but no heartbeat has carried it yet. */
+    /**
+     * Returns whether heartbeats arrive and the store holds the machine's token, but no heartbeat has carried it yet.
+     */
     private boolean hasUnacknowledgedToken(Machine machine, long nowMicros) {
         return machine.phase() == Machine.Phase.UNCONFIRMED
                 && !machine.isAwaitingFirstHeartbeat()
--- a/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/granitepath/coordination/fleet/FailureDetector.java
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Returns whether this zone alone was found to be partitioned from this controller within the last worker lease duration.
-     * No machines are launched in such a zone.
+     * Returns whether this zone alone was found to be partitioned from this controller within the last worker lease
+     * duration. No machines are launched in such a zone.
      */
     public boolean isZonePartitioned(String zone, long nowMicros) {
         Long partitionedMicros = lastPartitionedMicros.get(zone);
@@ -125,9 +125,9 @@
     }
 
     /**
-     * Returns whether this machine is in a partitioned zone together with a peer controller, which can keep renewing its lease
-     * so that its tasks go on running. In other partitioned zones the tasks end with the lease, and they complete
-     * sooner on another machine.
+     * Returns whether this machine is in a partitioned zone together with a peer controller, which can keep renewing
+     * its lease so that its tasks go on running. In other partitioned zones the tasks end with the lease, and they
+     * complete sooner on another machine.
      */
     public boolean isPartitionedWithPeer(Machine machine, long nowMicros) {
         return isZonePartitioned(machine.zone(), nowMicros) && config.topology().hasPeerIn(machine.zone());
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Returns whether missed heartbeats indicate failures of the machines themselves. When many machines are overdue at once,
-     * this controller may be the one that is partitioned, unless a peer does not receive their heartbeats either.
+     * Returns whether missed heartbeats indicate failures of the machines themselves. When many machines are overdue at
+     * once, this controller may be the one that is partitioned, unless a peer does not receive their heartbeats either.
      */
     public boolean canTrustMissedHeartbeats() {
         int machines = fleet.machines().size();
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Returns whether the machine is not gone, and the message is newer than the last one and carries no higher token than the
-     * machine's current one.
+     * Returns whether the machine is not gone, and the message is newer than the last one and carries no higher token
+     * than the machine's current one.
      */
     private static boolean isRelevant(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
--- a/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskReconciler.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Returns whether the start command went out in a heartbeat response that did not reach the worker: the worker's agent
-     * epoch is the one that the command was meant for, and no message has listed the attempt.
+     * Returns whether the start command went out in a heartbeat response that did not reach the worker: the worker's
+     * agent epoch is the one that the command was meant for, and no message has listed the attempt.
      */
     private static boolean wasStartLostInResponse(Placement placement, Heartbeat heartbeat) {
         return !placement.hasBeenListed()
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Returns whether the run time of a completed task can be used for estimates: this leader started the task, has seen it
-     * run, and knows that it ran on no other machine.
+     * Returns whether the run time of a completed task can be used for estimates: this leader started the task, has
+     * seen it run, and knows that it ran on no other machine.
      */
     private static boolean isRuntimeKnown(Placement placement) {
         return placement.hasRun() && placement.isOnlyOnThisMachine() && !placement.isAdopted();
--- a/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
+++ b/src/main/java/org/granitepath/coordination/fleet/WorkerCalls.java
@@ -49,7 +49,10 @@
         return callsInFlight < config.limits().maxConcurrentCalls();
     }
 
-    /** Returns whether another call without commands may be made now; half of the concurrent calls is reserved for commands. */
+    /**
+     * Returns whether another call without commands may be made now; half of the concurrent calls is reserved for
+     * commands.
+     */
     boolean canProbe() {
         return callsInFlight < config.limits().maxConcurrentCalls() / 2;
     }
