--- a/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/GangPlan.java
@@ -98,7 +98,7 @@
 
     private void addNewMachine(Offer offer) {
         JobSpec spec = offer.job().spec();
-        plannedCapacity.countNewMachine();
+        plannedCapacity.countNewMachineAttempt();
         PlannedMachine machine = PlannedMachine.of(offer);
         for (int task = 0; task < spec.tasks(); task++) {
             machine.reserve(spec);
--- a/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/PlannedCapacity.java
@@ -20,7 +20,7 @@
     private final Map<String, PlannedLaunch> launches = new LinkedHashMap<>();
 
     private double batchCpuMillis;
-    private int newMachineCount;
+    private int newMachineAttempts;
 
     /** Returns all machines, the pending ones first. */
     List<PlannedMachine> machines() {
@@ -59,15 +59,16 @@
     /**
      * Returns whether the plan may have one more new machine.
      *
-     * @param uncounted how many new machines the caller has found but not yet counted with {@link #countNewMachine}
+     * @param uncounted how many new machines the caller has found but not yet counted with {@link
+     *     #countNewMachineAttempt}
      */
     boolean canPlanNewMachine(int uncounted) {
-        return newMachineCount + uncounted < MAX_NEW_MACHINES;
+        return newMachineAttempts + uncounted < MAX_NEW_MACHINES;
     }
 
-    /** Counts one search for a new machine against the maximum, whether the search finds an offer or not. */
-    void countNewMachine() {
-        newMachineCount++;
+    /** Counts one attempt to find an offer for a new machine against the maximum, whether it succeeds or not. */
+    void countNewMachineAttempt() {
+        newMachineAttempts++;
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -146,7 +146,7 @@
     private void planNewMachines(ActiveJob job, int tasks, int equivalentTasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
         while (left > 0 && plannedCapacity.canPlanNewMachine(0)) {
-            plannedCapacity.countNewMachine();
+            plannedCapacity.countNewMachineAttempt();
             Offer offer = market.cheapestOffer(new OfferRequest(
                     job, !isDeferrable(job), left + equivalentTasks, tasksByZone, ZoneFilter.ANY_ZONE));
             if (offer == null) {
--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -66,7 +66,7 @@
             confirm(machine);
         }
         if (heartbeat.terminationNoticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
-            machines.drainBeforePreemption(machine, heartbeat.terminationNoticeMicros());
+            machines.drainOnTerminationNotice(machine, heartbeat.terminationNoticeMicros());
         }
         return true;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -72,7 +72,7 @@
      *
      * @param noticeMicros the time until the cloud reclaims the machine
      */
-    void drainBeforePreemption(Machine machine, long noticeMicros) {
+    void drainOnTerminationNotice(Machine machine, long noticeMicros) {
         drain(machine, "the cloud reclaims it in " + noticeMicros / 1_000_000 + " s");
         tasks.evacuate(machine, noticeMicros);
     }
