--- a/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
+++ b/src/main/java/org/granitepath/coordination/fleet/HeartbeatReconciler.java
@@ -66,14 +66,14 @@
             confirm(machine);
         }
         if (heartbeat.terminationNoticeMicros() >= 0 && machine.phase() == Machine.Phase.READY) {
-            machines.drainBeforePreemption(machine, heartbeat.terminationNoticeMicros());
+            machines.drainOnTerminationNotice(machine, heartbeat.terminationNoticeMicros());
         }
         return true;
     }
 
     /**
-     * Whether the machine is not gone, and the message is newer than the last one and carries no higher token than the
-     * machine's current one.
+     * Returns whether the machine is not gone, and the message is newer than the last one and carries no higher token
+     * than the machine's current one.
      */
     private static boolean isRelevant(Machine machine, Heartbeat heartbeat) {
         return !machine.isGone()
