--- a/src/main/java/org/granitepath/coordination/admission/AdmissionRules.java
+++ b/src/main/java/org/granitepath/coordination/admission/AdmissionRules.java
@@ -10,23 +10,29 @@
 import org.granitepath.storage.MachineType;
 import org.granitepath.storage.RecordSize;
 
-/** Why a job can never run. Such a job is refused at once, instead of waiting for capacity that can't exist. */
+/**
+ * Finds out whether a submitted job can never run. Such a job is rejected at once, instead of waiting for capacity that
+ * cannot exist.
+ */
 final class AdmissionRules {
     private final Config config;
     private final Supplier<Collection<MachineType>> machineTypes;
 
-    /** @param machineTypes the types that the cloud launches; none while they are not known */
+    /** @param machineTypes supplies the machine types that the cloud launches; empty while they are not known */
     AdmissionRules(Config config, Supplier<Collection<MachineType>> machineTypes) {
         this.config = config;
         this.machineTypes = machineTypes;
     }
 
-    /** Whether it is known on which machines jobs can run; before, no job can be accepted. */
-    boolean machineTypesKnown() {
+    /** Returns whether the machine types are known. Before that, no job can be accepted. */
+    boolean areMachineTypesKnown() {
         return !machineTypes.get().isEmpty();
     }
 
-    /** The first reason for which the job can never run; empty when none is known. */
+    /**
+     * Returns the first reason found why the job can never run, in the words of the answer to the user; empty if there
+     * is none.
+     */
     Optional<String> unschedulableReason(JobSpec spec) {
         Team team = config.teams().get(spec.team());
         if (team == null) {
@@ -49,7 +55,10 @@
         return Optional.empty();
     }
 
-    /** The tasks of a service or a gang run all at once; of other jobs one task at a time is enough to go on. */
+    /**
+     * Returns whether the job exceeds a limit of the team. All tasks of a service or a gang run at the same time; any
+     * other job makes progress even if only one task runs at a time. A limit of 0 means that there is none.
+     */
     private static boolean exceedsLimit(Team team, JobSpec spec) {
         int concurrentTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
         return (team.cpuLimitMillis() > 0 && spec.cpuMillis() * concurrentTasks > team.cpuLimitMillis())
@@ -57,10 +66,13 @@
     }
 
     private boolean fitsNoMachineType(JobSpec spec) {
-        return machineTypesKnown() && machineTypes.get().stream().noneMatch(type -> type.canFit(spec));
+        return areMachineTypesKnown() && machineTypes.get().stream().noneMatch(type -> type.canFit(spec));
     }
 
-    /** The record with its longest numbers, since the true ones are not known before the write. */
+    /**
+     * Returns the job's record with the longest possible numbers, since the actual numbers are not known before the
+     * write.
+     */
     private static JobRecord longestRecord(JobSpec spec) {
         return new JobRecord(spec, Long.MAX_VALUE, Integer.MAX_VALUE, Long.MAX_VALUE);
     }
--- a/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
+++ b/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
@@ -6,7 +6,10 @@
 import org.granitepath.storage.RecordReplica;
 import org.granitepath.storage.Timers;
 
-/** Requests that wait for a read barrier, so that their answers miss nothing that was on record when they came. */
+/**
+ * Delays requests until a read barrier completes, so that their answers include everything that was on record when the
+ * requests arrived.
+ */
 final class BarrierReads {
     private static final long TIMEOUT_MICROS = 1_600_000;
     private static final String STORE_UNAVAILABLE = "the state service does not answer";
@@ -21,17 +24,20 @@
         this.timers = timers;
     }
 
-    /** Runs the action once the replica is as new as this moment, or answers that it can't be told now. */
-    void whenFresh(Consumer<JobResponse> then, Runnable action) {
+    /**
+     * Runs the action once the replica includes everything committed before this call. Calls back with a retry answer
+     * instead if too many requests wait, if the barrier fails or if it takes longer than {@link #TIMEOUT_MICROS}.
+     */
+    void runAfterBarrier(Consumer<JobResponse> callback, Runnable action) {
         if (waitingRequests.isFull()) {
-            then.accept(JobAnswers.retryLater("too many requests wait"));
+            callback.accept(JobAnswers.retryLater("too many requests wait"));
             return;
         }
         waitingRequests.add();
-        OneShot outcome = new OneShot();
-        Runnable unanswered = () -> then.accept(JobAnswers.retryLater(STORE_UNAVAILABLE));
-        outcome.fireAfter(timers, TIMEOUT_MICROS, () -> finish(unanswered));
-        replica.requestBarrier(fresh -> outcome.fire(() -> finish(fresh ? action : unanswered)));
+        OneShot firstOutcome = new OneShot();
+        Runnable answerUnavailable = () -> callback.accept(JobAnswers.retryLater(STORE_UNAVAILABLE));
+        firstOutcome.fireAfter(timers, TIMEOUT_MICROS, () -> finish(answerUnavailable));
+        replica.requestBarrier(fresh -> firstOutcome.fire(() -> finish(fresh ? action : answerUnavailable)));
     }
 
     private void finish(Runnable action) {
--- a/src/main/java/org/granitepath/coordination/admission/CancellationAnnouncer.java
+++ b/src/main/java/org/granitepath/coordination/admission/CancellationAnnouncer.java
@@ -2,8 +2,11 @@
 
 import org.granitepath.coordination.ports.PeerPort;
 
-/** Tells the other controllers of cancellations, since the leader may be unable to read them from the store. */
+/** Notifies the other controllers of cancellations, because the leader may be unable to read them from the store. */
 public interface CancellationAnnouncer {
-    /** Announces a cancellation that is on record; runs {@code then} once no task of the job is started any more. */
-    void announce(PeerPort.CancellationNotice notice, Runnable then);
+    /**
+     * Announces a cancellation that is on record. Runs {@code onConfirmed} once no task of the job will be started any
+     * more.
+     */
+    void announce(PeerPort.CancellationNotice notice, Runnable onConfirmed);
 }
--- a/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
@@ -11,9 +11,12 @@
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 
-/** Puts cancellations on record and answers those who asked for them once no task of the job is started any more. */
+/** Records cancellations and answers the users who requested them once no task of the job will be started any more. */
 final class CancellationWriter {
-    /** A cancellation may have to wait for a leader that is out of reach; users wait for five seconds. */
+    /**
+     * A cancellation may have to wait for a leader that cannot be reached. Users wait for five seconds, so the answer
+     * must be sent before that.
+     */
     private static final long TIMEOUT_MICROS = 4_700_000;
 
     private final RecordReplica replica;
@@ -39,19 +42,22 @@
         this.pending = new PendingAnswers(waitingRequests, timers, TIMEOUT_MICROS);
     }
 
-    /** Whether the cancellation is on record, but whoever asked for it has no answer yet. */
+    /** Returns whether the cancellation is on record, but the requests for it have not been answered yet. */
     boolean isBeingConfirmed(String jobId) {
         return jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED && pending.isAwaited(jobId);
     }
 
-    /** Lets a request wait for a cancellation that is being confirmed. */
-    void joinConfirmation(String jobId, Consumer<JobResponse> then) {
-        pending.join(jobId, then);
+    /** Adds a request to those that wait until the recorded cancellation is confirmed. */
+    void joinConfirmation(String jobId, Consumer<JobResponse> callback) {
+        pending.join(jobId, callback);
     }
 
-    /** Records the cancellation, unless that is under way for an earlier request, which this one then joins. */
-    void record(String jobId, Consumer<JobResponse> then) {
-        boolean first = pending.join(jobId, then);
+    /**
+     * Enqueues the write of the cancellation. If an earlier request has done so already, this request waits for the
+     * same outcome.
+     */
+    void record(String jobId, Consumer<JobResponse> callback) {
+        boolean first = pending.join(jobId, callback);
         if (!first) {
             return;
         }
@@ -59,12 +65,15 @@
                 Keys.finalRecord(jobId),
                 WriteQueue.Urgency.SAFETY,
                 0,
-                () -> cancellation(jobId),
+                () -> cancellationChange(jobId),
                 storeRevision -> confirm(jobId));
     }
 
-    /** What to write when the turn of the job comes: nothing when it is over by then or nobody waits any more. */
-    private List<Change> cancellation(String jobId) {
+    /**
+     * Returns the change to write when the queue reaches this job: none if the job has ended by then or no request
+     * waits any more.
+     */
+    private List<Change> cancellationChange(String jobId) {
         if (jobIndex.hasEnded(jobId)) {
             confirm(jobId);
             return List.of();
@@ -75,8 +84,9 @@
     }
 
     /**
-     * It is on record how the job ended. The answer to a cancellation promises that no task starts any more, and the
-     * leader may be out of contact with the records: so it is told first.
+     * Answers the waiting requests once the outcome of the job is on record. The answer to a cancellation promises that
+     * no further task is started. The leader may be unable to read the records, so the cancellation is announced to it
+     * first.
      */
     private void confirm(String jobId) {
         if (jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED) {
--- a/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobAnswers.java
@@ -5,7 +5,7 @@
 import org.granitepath.storage.FinalRecord;
 import org.granitepath.storage.ProgressRecord;
 
-/** Words what users are told of a job, from its records. */
+/** Builds the answers that users receive about a job, from the job's records. */
 final class JobAnswers {
     private static final int RETRY_SECONDS = 2;
 
@@ -15,17 +15,20 @@
         this.jobIndex = jobIndex;
     }
 
-    /** The request can't be answered now. */
+    /**
+     * Returns the answer to a request that cannot be answered now. It asks the user to retry after
+     * {@link #RETRY_SECONDS}.
+     */
     static JobResponse retryLater(String reason) {
         return new JobResponse.RetryLater(reason, RETRY_SECONDS);
     }
 
-    /** The state of a job, for the request that made it known. */
+    /** Returns the state of a job, as the answer to the submission that created it. */
     JobResponse createdJob(String jobId) {
         return status(jobId, true);
     }
 
-    /** The state of a job that was known before the request. */
+    /** Returns the state of a job that was known before the request. */
     JobResponse knownJob(String jobId) {
         return status(jobId, false);
     }
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -13,22 +13,25 @@
 import org.granitepath.storage.UnknownRecord;
 import org.jspecify.annotations.Nullable;
 
-/** All jobs as the store has them; every controller keeps this and answers users from it. */
+/**
+ * Index of all jobs, built from their records in the store. Every controller keeps one and answers users' requests from
+ * it.
+ */
 public final class JobIndex {
-    /** Told when the records of a job change. */
+    /** Receives the changes of the records of jobs. */
     public interface Listener {
-        /** A job was accepted. */
+        /** Called when a job has been accepted. */
         void onJobAccepted(JobRecord job);
 
-        /** More of a job is claimed or done. */
+        /** Called when more tasks of a job have been claimed or have finished. */
         void onProgressRecorded(String id, ProgressRecord progress);
 
-        /** A job is over. */
+        /** Called when a job has ended. */
         void onJobEnded(String id, FinalRecord.Outcome outcome);
     }
 
-    /** Stands for a listener while there is none. */
-    private static final Listener NOBODY = new Listener() {
+    /** Ignores all changes; used while no listener is set. */
+    private static final Listener NO_LISTENER = new Listener() {
         @Override
         public void onJobAccepted(JobRecord job) {}
 
@@ -39,73 +42,73 @@
         public void onJobEnded(String id, FinalRecord.Outcome outcome) {}
     };
 
-    /** What can't be read of a job; each value includes those before it. */
+    /** The part of a job that cannot be read. Each value includes those before it. */
     private enum Unreadable {
-        /** How far it has come: users are told what else is known, but no leader decides about the job. */
+        /** The progress. Users receive answers from the other records, but no leader decides about the job. */
         PROGRESS,
-        /** Its description or its end: not even whether it exists or is over can be told. */
+        /** The description or the outcome. It is not known whether the job exists or has ended. */
         STATUS
     }
 
     private final Map<String, JobRecord> openJobs = new Object2ObjectLinkedOpenHashMap<>();
     private final Map<String, ProgressRecord> progressByJob = new Object2ObjectLinkedOpenHashMap<>();
     private final Map<String, FinalRecord.Outcome> outcomes = new Object2ObjectLinkedOpenHashMap<>();
-    /** Jobs of which some record can't be read, and what is not known of them for that reason. */
+    /** Jobs with at least one unreadable record, and the part of the job that is unknown for that reason. */
     private final Map<String, Unreadable> unreadableJobs = new HashMap<>();
 
-    private Listener listener = NOBODY;
+    private Listener listener = NO_LISTENER;
 
-    /** Tells this one from now on, and no other. */
+    /** Sets the listener that receives all changes from now on, replacing any earlier one. */
     public void setListener(Listener next) {
         listener = next;
     }
 
-    /** Tells nobody from now on. */
+    /** Removes the listener. */
     public void clearListener() {
-        listener = NOBODY;
+        listener = NO_LISTENER;
     }
 
-    /** All accepted jobs that are not over. */
+    /** Returns all accepted jobs that have not ended. */
     public Collection<JobRecord> openJobs() {
         return openJobs.values();
     }
 
-    /** The accepted job of this name if it is not over, or null. */
+    /** Returns the accepted job with this id, or null if there is none or it has ended. */
     public @Nullable JobRecord openJob(String id) {
         return openJobs.get(id);
     }
 
-    /** How the job ended, or null if it has not. */
+    /** Returns how the job ended, or null if it has not ended as far as this controller knows. */
     public FinalRecord.@Nullable Outcome outcomeOf(String id) {
         return outcomes.get(id);
     }
 
-    /** Whether the job is done or cancelled, as far as this controller knows. */
+    /** Returns whether the job is done or cancelled, as far as this controller knows. */
     public boolean hasEnded(String id) {
         return outcomes.containsKey(id);
     }
 
-    /** Whether the job was ever accepted, as far as this controller knows. */
+    /** Returns whether the job was ever accepted, as far as this controller knows. */
     boolean isKnown(String id) {
         return openJobs.containsKey(id) || hasEnded(id);
     }
 
-    /** How far the job has come; nothing done and nothing claimed when no record tells. */
+    /** Returns the progress of the job, which is {@link ProgressRecord#empty()} if no progress record is known. */
     public ProgressRecord progressOf(String id) {
         return progressByJob.getOrDefault(id, ProgressRecord.empty());
     }
 
-    /** Whether a record of the job can't be read. */
+    /** Returns whether any record of the job cannot be read. */
     public boolean isUnreadable(String id) {
         return unreadableJobs.containsKey(id);
     }
 
-    /** Whether users can't be told of the job, since its description or its end can't be read. */
+    /** Returns whether the status of the job is unknown because its description or its outcome cannot be read. */
     boolean isStatusUnknown(String id) {
         return unreadableJobs.get(id) == Unreadable.STATUS && !hasEnded(id);
     }
 
-    /** What the records say of a task of a job that no leader here has open. */
+    /** Returns what the records say about the tasks of a job that no leader on this controller has open. */
     public RecordedTaskState recordedTaskState(String id) {
         FinalRecord.Outcome outcome = outcomes.get(id);
         if (outcome != null) {
@@ -116,24 +119,26 @@
                 : RecordedTaskState.UNKNOWN_JOB;
     }
 
-    /** Takes a changed record in. Removals don't occur among jobs. */
+    /**
+     * Applies the change of a record; a record that belongs to no job is ignored. Records of jobs are never removed.
+     */
     public void applyRecord(String key, @Nullable StoredRecord record) {
         Keys.parseJobKey(key).ifPresent(jobKey -> applyRecord(jobKey, record));
     }
 
     private void applyRecord(Keys.JobKey key, @Nullable StoredRecord record) {
         if (record instanceof JobRecord job) {
-            jobChanged(key.jobId(), job);
-        } else if (record instanceof ProgressRecord jobProgress) {
-            progressChanged(key.jobId(), jobProgress);
-        } else if (record instanceof FinalRecord end) {
-            ended(key.jobId(), end.outcome());
+            applyJob(key.jobId(), job);
+        } else if (record instanceof ProgressRecord progress) {
+            applyProgress(key.jobId(), progress);
+        } else if (record instanceof FinalRecord finalRecord) {
+            applyOutcome(key.jobId(), finalRecord.outcome());
         } else if (record instanceof UnknownRecord) {
-            cannotRead(key);
+            applyUnreadable(key);
         }
     }
 
-    private void cannotRead(Keys.JobKey key) {
+    private void applyUnreadable(Keys.JobKey key) {
         markUnreadable(
                 key.jobId(), key.kind() == Keys.JobRecordKind.PROGRESS ? Unreadable.PROGRESS : Unreadable.STATUS);
     }
@@ -142,7 +147,7 @@
         unreadableJobs.merge(id, part, (known, added) -> known == Unreadable.STATUS ? known : added);
     }
 
-    private void jobChanged(String id, JobRecord record) {
+    private void applyJob(String id, JobRecord record) {
         if (isKnown(id)) {
             return;
         }
@@ -150,7 +155,7 @@
         listener.onJobAccepted(record);
     }
 
-    private void progressChanged(String id, ProgressRecord record) {
+    private void applyProgress(String id, ProgressRecord record) {
         if (hasEnded(id)) {
             return;
         }
@@ -158,7 +163,7 @@
         listener.onProgressRecorded(id, record);
     }
 
-    private void ended(String id, FinalRecord.Outcome outcome) {
+    private void applyOutcome(String id, FinalRecord.Outcome outcome) {
         outcomes.put(id, outcome);
         openJobs.remove(id);
         progressByJob.remove(id);
--- a/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobRequestHandler.java
@@ -19,14 +19,17 @@
 import org.granitepath.storage.WriteQueue;
 
 /**
- * Submissions, polls and cancellations, on any controller. Nothing is promised before it is on record, and nothing
- * that is not final is told without a read barrier.
+ * Handles submissions, polls and cancellations on any controller. Nothing is promised to a user before it is on record,
+ * and a state that is not final is only reported after a read barrier.
  */
 public final class JobRequestHandler {
-    /** This controller's share of the changes; the shares of all add up to more than there is. */
+    /**
+     * The part of the store's write budget that this controller uses for users' requests. The parts of all controllers
+     * add up to more than the budget, so the queue adapts its rate.
+     */
     private static final double WRITE_SHARE = 0.5;
 
-    private static final String UNREADABLE = "a record of the job can't be read";
+    private static final String UNREADABLE_RECORD = "a record of the job can't be read";
 
     private final RecordReplica replica;
     private final JobIndex jobIndex;
@@ -38,10 +41,10 @@
     private final CancellationWriter cancellations;
 
     /**
-     * Answers from the replica and the index; writes through a queue of its own.
+     * Creates a handler that answers from the replica and the index, and writes through a queue of its own.
      *
-     * @param machineTypes the types that the cloud launches; none while they are not known
-     * @param announcer told of each cancellation that this controller finds or puts on record for a user
+     * @param machineTypes supplies the machine types that the cloud launches; empty while they are not known
+     * @param announcer notified of each cancellation that this controller finds or puts on record for a user
      */
     public JobRequestHandler(
             Config config,
@@ -72,35 +75,40 @@
                 limits.transactionChanges(),
                 limits.writesPerSecond() * WRITE_SHARE,
                 RateControl.ADAPTIVE,
-                // An acceptance claims tasks for the leader that we know of: it must be the leader still.
+                // The record of an accepted job claims tasks for the leader known here: it must still be the leader.
                 () -> List.of(new Precondition(Keys.LEADER, replica.revision(Keys.LEADER))),
                 () -> true);
     }
 
-    /** Takes a submission; answered once it is on record, or at once when it can never run. */
-    public void submit(JobSpec spec, Consumer<JobResponse> then) {
+    /**
+     * Handles a submission. Calls back once the job is on record, or without a write if the job can never run, is known
+     * already or cannot be accepted now.
+     */
+    public void submit(JobSpec spec, Consumer<JobResponse> callback) {
         Optional<JobResponse> immediate = answerBeforeValidation(spec.id());
         if (immediate.isPresent()) {
-            then.accept(immediate.get());
+            callback.accept(immediate.get());
             return;
         }
         if (jobIndex.openJob(spec.id()) != null) {
-            poll(spec.id(), then);
+            poll(spec.id(), callback);
             return;
         }
         Optional<String> reason = rules.unschedulableReason(spec);
         if (reason.isPresent()) {
-            refuseUnlessKnown(spec.id(), reason.get(), then);
+            rejectUnlessKnown(spec.id(), reason.get(), callback);
             return;
         }
-        if (!rules.machineTypesKnown()) {
-            then.accept(JobAnswers.retryLater("machine types are not known yet"));
+        if (!rules.areMachineTypesKnown()) {
+            callback.accept(JobAnswers.retryLater("machine types are not known yet"));
             return;
         }
-        submissions.record(spec, then);
+        submissions.record(spec, callback);
     }
 
-    /** The answer that does not depend on the description; empty when that has to be validated. */
+    /**
+     * Returns the answer if it does not depend on the job's description; empty if the description has to be validated.
+     */
     private Optional<JobResponse> answerBeforeValidation(String jobId) {
         if (jobIndex.hasEnded(jobId)) {
             return Optional.of(answers.knownJob(jobId));
@@ -111,48 +119,59 @@
         if (waitingRequests.isFull()) {
             return Optional.of(JobAnswers.retryLater("too many requests wait"));
         }
-        return jobIndex.isStatusUnknown(jobId) ? Optional.of(JobAnswers.retryLater(UNREADABLE)) : Optional.empty();
+        return jobIndex.isStatusUnknown(jobId)
+                ? Optional.of(JobAnswers.retryLater(UNREADABLE_RECORD))
+                : Optional.empty();
     }
 
-    /** Another controller may know the job already, under a description that can run. */
-    private void refuseUnlessKnown(String jobId, String reason, Consumer<JobResponse> then) {
-        barrierReads.whenFresh(
-                then,
-                () -> then.accept(
+    /**
+     * Rejects the job unless a read barrier shows that it is known: another controller may have accepted the same job
+     * under a description that can run.
+     */
+    private void rejectUnlessKnown(String jobId, String reason, Consumer<JobResponse> callback) {
+        barrierReads.runAfterBarrier(
+                callback,
+                () -> callback.accept(
                         jobIndex.isKnown(jobId) ? answers.knownJob(jobId) : new JobResponse.Unschedulable(reason)));
     }
 
-    /** Tells the state of a job, after a read barrier unless it is final. */
-    public void poll(String jobId, Consumer<JobResponse> then) {
+    /** Handles a poll. Calls back with the state of the job, after a read barrier unless the state is final. */
+    public void poll(String jobId, Consumer<JobResponse> callback) {
         if (cancellations.isBeingConfirmed(jobId)) {
-            then.accept(JobAnswers.retryLater("its cancellation is being confirmed"));
+            callback.accept(JobAnswers.retryLater("its cancellation is being confirmed"));
             return;
         }
-        answerUnlessOpen(jobId, then, () -> then.accept(answers.knownJob(jobId)));
+        answerUnlessOpen(jobId, callback, () -> callback.accept(answers.knownJob(jobId)));
     }
 
-    /** Records a cancellation; answered once no task of the job is started any more. */
-    public void cancel(String jobId, Consumer<JobResponse> then) {
+    /**
+     * Handles a cancellation. Calls back once the cancellation is on record and no task of the job will be started any
+     * more.
+     */
+    public void cancel(String jobId, Consumer<JobResponse> callback) {
         if (cancellations.isBeingConfirmed(jobId)) {
-            cancellations.joinConfirmation(jobId, then);
+            cancellations.joinConfirmation(jobId, callback);
             return;
         }
-        answerUnlessOpen(jobId, then, () -> cancellations.record(jobId, then));
+        answerUnlessOpen(jobId, callback, () -> cancellations.record(jobId, callback));
     }
 
-    /** Answers for a job that is over, not known or can't be read; otherwise leaves the answer to the action. */
-    private void answerUnlessOpen(String jobId, Consumer<JobResponse> then, Runnable whenOpen) {
+    /**
+     * Answers if the job has ended, is not known or cannot be read; otherwise runs {@code whenOpen}, which has to
+     * answer.
+     */
+    private void answerUnlessOpen(String jobId, Consumer<JobResponse> callback, Runnable whenOpen) {
         if (jobIndex.hasEnded(jobId)) {
-            then.accept(answers.knownJob(jobId));
+            callback.accept(answers.knownJob(jobId));
             return;
         }
-        barrierReads.whenFresh(then, () -> {
+        barrierReads.runAfterBarrier(callback, () -> {
             if (jobIndex.isStatusUnknown(jobId)) {
-                then.accept(JobAnswers.retryLater(UNREADABLE));
+                callback.accept(JobAnswers.retryLater(UNREADABLE_RECORD));
             } else if (!jobIndex.isKnown(jobId)) {
-                then.accept(new JobResponse.NotFound());
+                callback.accept(new JobResponse.NotFound());
             } else if (jobIndex.hasEnded(jobId)) {
-                then.accept(answers.knownJob(jobId));
+                callback.accept(answers.knownJob(jobId));
             } else {
                 whenOpen.run();
             }
--- a/src/main/java/org/granitepath/coordination/admission/PendingAnswers.java
+++ b/src/main/java/org/granitepath/coordination/admission/PendingAnswers.java
@@ -9,17 +9,17 @@
 import org.granitepath.storage.Timers;
 
 /**
- * The answers owed to requests of one kind. Requests are idempotent: whoever repeats one for the same job joins those
- * that wait already, and all get the same answer.
+ * Holds the requests of one kind that wait for an answer. Requests are idempotent: a repeated request for the same job
+ * joins those that wait already, and all get the same answer.
  */
 final class PendingAnswers {
     private final WaitingRequests waitingRequests;
     private final Timers timers;
     private final long timeoutMicros;
-    /** Never holds an empty list: a list that was answered or timed out as a whole has been removed. */
+    /** Never contains an empty list: a list whose requests have all been answered or have timed out is removed. */
     private final Map<String, List<Consumer<JobResponse>>> waitingByJob = new LinkedHashMap<>();
 
-    /** @param timeoutMicros after this long a request that has no answer is told to come again */
+    /** @param timeoutMicros time after which a request without an answer is told to retry */
     PendingAnswers(WaitingRequests waitingRequests, Timers timers, long timeoutMicros) {
         this.waitingRequests = waitingRequests;
         this.timers = timers;
@@ -27,43 +27,43 @@
     }
 
     /**
-     * Lets a request wait for the outcome.
+     * Adds a request that waits for the outcome.
      *
-     * @return whether it is the first, so that the caller has to bring the outcome about
+     * @return whether it is the first one, so that the caller has to start the operation
      */
-    boolean join(String jobId, Consumer<JobResponse> then) {
+    boolean join(String jobId, Consumer<JobResponse> callback) {
         List<Consumer<JobResponse>> waiting = waitingByJob.computeIfAbsent(jobId, id -> new ArrayList<>());
-        waiting.add(then);
+        waiting.add(callback);
         waitingRequests.add();
-        timers.after(timeoutMicros, () -> timeOut(jobId, waiting, then));
+        timers.after(timeoutMicros, () -> timeOut(jobId, waiting, callback));
         return waiting.size() == 1;
     }
 
-    /** Whether some request waits for the outcome. */
+    /** Returns whether any request waits for the outcome. */
     boolean isAwaited(String jobId) {
         return waitingByJob.containsKey(jobId);
     }
 
-    /** Answers all that wait for the outcome. */
+    /** Answers all requests that wait for the outcome. */
     void resolve(String jobId, JobResponse answer) {
         List<Consumer<JobResponse>> waiting = waitingByJob.remove(jobId);
         if (waiting == null) {
             return;
         }
         List<Consumer<JobResponse>> answered = List.copyOf(waiting);
-        waiting.clear(); // their timeouts find nothing left to answer
+        waiting.clear(); // so that the timeouts find no request left to answer
         waitingRequests.remove(answered.size());
-        answered.forEach(then -> then.accept(answer));
+        answered.forEach(callback -> callback.accept(answer));
     }
 
-    private void timeOut(String jobId, List<Consumer<JobResponse>> waiting, Consumer<JobResponse> then) {
-        if (!waiting.remove(then)) {
+    private void timeOut(String jobId, List<Consumer<JobResponse>> waiting, Consumer<JobResponse> callback) {
+        if (!waiting.remove(callback)) {
             return;
         }
         waitingRequests.remove(1);
         if (waiting.isEmpty()) {
             waitingByJob.remove(jobId);
         }
-        then.accept(JobAnswers.retryLater("not on record yet"));
+        callback.accept(JobAnswers.retryLater("not on record yet"));
     }
 }
--- a/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
@@ -13,7 +13,7 @@
 import org.granitepath.storage.Timers;
 import org.granitepath.storage.WriteQueue;
 
-/** Puts accepted jobs on record and answers their submitters once that is done. */
+/** Records accepted jobs and answers their submitters once the records are committed. */
 final class SubmissionWriter {
     private static final long TIMEOUT_MICROS = 4_000_000;
 
@@ -42,9 +42,12 @@
         this.pending = new PendingAnswers(waitingRequests, timers, TIMEOUT_MICROS);
     }
 
-    /** Records the job, unless that is under way for an earlier submission, which this one then joins. */
-    void record(JobSpec spec, Consumer<JobResponse> then) {
-        boolean first = pending.join(spec.id(), then);
+    /**
+     * Enqueues the write of the job. If an earlier submission has done so already, this submission waits for the same
+     * outcome.
+     */
+    void record(JobSpec spec, Consumer<JobResponse> callback) {
+        boolean first = pending.join(spec.id(), callback);
         if (!first) {
             return;
         }
@@ -52,12 +55,15 @@
                 Keys.job(spec.id()),
                 WriteQueue.Urgency.WORK,
                 0,
-                () -> acceptance(spec),
+                () -> acceptanceChange(spec),
                 storeRevision -> pending.resolve(spec.id(), answers.createdJob(spec.id())));
     }
 
-    /** What to write when the turn of the job comes: nothing when it is known by then or nobody waits any more. */
-    private List<Change> acceptance(JobSpec spec) {
+    /**
+     * Returns the change to write when the queue reaches this job: none if the job is known by then or no request waits
+     * any more.
+     */
+    private List<Change> acceptanceChange(JobSpec spec) {
         if (jobIndex.isKnown(spec.id())) {
             pending.resolve(spec.id(), answers.knownJob(spec.id()));
             return List.of();
@@ -65,7 +71,10 @@
         return pending.isAwaited(spec.id()) ? List.of(Change.write(Keys.job(spec.id()), acceptedJob(spec))) : List.of();
     }
 
-    /** The record claims the first tasks for the leader, which can then start them without a write of its own. */
+    /**
+     * Returns the job's record. If there is a leader, the record claims the first tasks for it, so that the leader can
+     * start them without a write of its own.
+     */
     private JobRecord acceptedJob(JobSpec spec) {
         LeaderRecord leader = replica.leader();
         return leader == null
--- a/src/main/java/org/granitepath/coordination/admission/WaitingRequests.java
+++ b/src/main/java/org/granitepath/coordination/admission/WaitingRequests.java
@@ -1,13 +1,17 @@
 package org.granitepath.coordination.admission;
 
-/** How many users' requests wait for an answer. It is bounded, so that an outage does not fill the memory. */
+/**
+ * Counts the users' requests that wait for an answer. The number is bounded, so that requests do not fill the memory
+ * during an outage.
+ */
 final class WaitingRequests {
-    private static final int LIMIT = 2_000;
+    private static final int MAX_WAITING_REQUESTS = 2_000;
 
     private int count;
 
+    /** Returns whether the limit is reached, so that no further request may wait. */
     boolean isFull() {
-        return count >= LIMIT;
+        return count >= MAX_WAITING_REQUESTS;
     }
 
     void add() {
--- a/src/main/java/org/granitepath/storage/FencingTokenRecord.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecord.java
@@ -3,10 +3,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The shared counter of fencing tokens: all machines of the inventory belong to {@code leader} under the token
- * {@code term}, but for those whose row names a higher one. It outlives the leader's lease, so no machine is ever
- * without exactly one leader.
+ * The shared counter of fencing tokens. All machines of the inventory belong to {@code leader} under the fencing token
+ * {@code term}, except for those whose row names a higher one. The record outlives the leader's lease, so that every
+ * machine always belongs to exactly one leader.
  *
- * @param lastIssuedToken the highest token drawn so far
+ * @param leader the controller that the machines belong to, or null if the record names none
+ * @param term the fencing token of that leader's term
+ * @param lastIssuedToken the highest token issued so far
  */
 public record FencingTokenRecord(@Nullable String leader, long term, long lastIssuedToken) implements StoredRecord {}
--- a/src/main/java/org/granitepath/storage/FencingTokenRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecordCodec.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The counter of fencing tokens as a JSON object. {@code owner} is the leader. */
+/** Encodes the counter of fencing tokens as a JSON object. The stored field {@code owner} is the leader. */
 final class FencingTokenRecordCodec {
     private static final String OWNER = "owner";
     private static final String TERM = "term";
--- a/src/main/java/org/granitepath/storage/Fields.java
+++ b/src/main/java/org/granitepath/storage/Fields.java
@@ -5,72 +5,81 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Typed access to a decoded JSON object. The {@code ...Of} methods read fields that may be missing, the
- * {@code required...} methods those that every version writes: without them a record is malformed.
+ * Typed access to the fields of a decoded JSON object. The {@code ...Of} methods read fields that may be missing. The
+ * {@code required...} methods read fields that every version writes and without which a record is malformed.
  */
 public final class Fields {
     private Fields() {}
 
-    /** A whole number, or {@code otherwise} when the field is missing or no number. */
-    public static long longOf(Map<String, Object> map, String name, long otherwise) {
-        return map.get(name) instanceof Number number ? number.longValue() : otherwise;
+    /**
+     * Returns a number as a long, or {@code defaultValue} if the field is missing or not a number. Fractions are cut
+     * off.
+     */
+    public static long longOf(Map<String, Object> map, String name, long defaultValue) {
+        return map.get(name) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    /** A whole number of the range of {@code int}, or {@code otherwise} when the field is missing or no number. */
-    public static int intOf(Map<String, Object> map, String name, int otherwise) {
-        return (int) longOf(map, name, otherwise);
+    /**
+     * Returns a number as an int, or {@code defaultValue} if the field is missing or not a number. The number must be
+     * in the range of {@code int}; fractions are cut off.
+     */
+    public static int intOf(Map<String, Object> map, String name, int defaultValue) {
+        return (int) longOf(map, name, defaultValue);
     }
 
-    /** A number, or {@code otherwise} when the field is missing or no number. */
-    public static double doubleOf(Map<String, Object> map, String name, double otherwise) {
-        return map.get(name) instanceof Number number ? number.doubleValue() : otherwise;
+    /** Returns a number as a double, or {@code defaultValue} if the field is missing or not a number. */
+    public static double doubleOf(Map<String, Object> map, String name, double defaultValue) {
+        return map.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** True only when the field is true. */
+    /** Returns true only if the field is true. */
     public static boolean boolOf(Map<String, Object> map, String name) {
         return Boolean.TRUE.equals(map.get(name));
     }
 
-    /** A text, or null when the field is missing or no text. */
+    /** Returns a text, or null if the field is missing or not a text. */
     public static @Nullable String textOf(Map<String, Object> map, String name) {
         return map.get(name) instanceof String text ? text : null;
     }
 
-    /** A text, or {@code otherwise} when the field is missing or no text. */
-    public static String textOf(Map<String, Object> map, String name, String otherwise) {
-        return map.get(name) instanceof String text ? text : otherwise;
+    /** Returns a text, or {@code defaultValue} if the field is missing or not a text. */
+    public static String textOf(Map<String, Object> map, String name, String defaultValue) {
+        return map.get(name) instanceof String text ? text : defaultValue;
     }
 
-    /** An object, or null when the field is missing or no object. */
+    /** Returns an object, or null if the field is missing or not an object. */
     public static @Nullable Map<String, Object> mapOf(Map<String, Object> map, String name) {
         return objectOrNull(map.get(name));
     }
 
-    /** A list, or an empty one when the field is missing or no list. */
+    /** Returns a list, or an empty one if the field is missing or not a list. */
     public static List<?> listOf(Map<String, Object> map, String name) {
         return map.get(name) instanceof List<?> list ? list : List.of();
     }
 
-    /** A list of texts, or an empty one when the field is missing or no list. Other elements are read as texts. */
+    /**
+     * Returns a list of texts, or an empty one if the field is missing or not a list. Elements of other types are
+     * converted to text.
+     */
     public static List<String> textsOf(Map<String, Object> map, String name) {
         return texts(listOf(map, name));
     }
 
-    /** Whether the field is there and a number. */
+    /** Returns whether the field exists and is a number. */
     public static boolean isNumber(Map<String, Object> map, String name) {
         return map.get(name) instanceof Number;
     }
 
-    /** A decoded JSON value as an object, or null when it is none. */
-    @SuppressWarnings("unchecked") // the names of the fields of a decoded JSON object are texts
+    /** Returns a decoded JSON value as an object, or null if it is not an object. */
+    @SuppressWarnings("unchecked") // the field names of a decoded JSON object are strings
     public static @Nullable Map<String, Object> objectOrNull(@Nullable Object value) {
         return value instanceof Map<?, ?> map ? (Map<String, Object>) map : null;
     }
 
     /**
-     * An element of the list {@code listName}, as an object.
+     * Returns an element of the list {@code listName} as an object.
      *
-     * @throws MalformedFieldException when it is none
+     * @throws MalformedFieldException if the element is not an object
      */
     public static Map<String, Object> requiredObject(@Nullable Object element, String listName) {
         Map<String, Object> object = objectOrNull(element);
@@ -80,15 +89,19 @@
         return object;
     }
 
-    /** @throws MalformedFieldException when the field is missing or no object */
+    /**
+     * Returns an object.
+     *
+     * @throws MalformedFieldException if the field is missing or not an object
+     */
     static Map<String, Object> requiredMap(Map<String, Object> map, String name) {
         return requiredObject(map.get(name), name);
     }
 
     /**
-     * A text that must be there.
+     * Returns a text.
      *
-     * @throws MalformedFieldException when the field is missing or no text
+     * @throws MalformedFieldException if the field is missing or not a text
      */
     public static String requiredText(Map<String, Object> map, String name) {
         if (map.get(name) instanceof String text) {
@@ -97,17 +110,30 @@
         throw new MalformedFieldException(name, "a text", map.get(name));
     }
 
-    /** @throws MalformedFieldException when the field is missing or no number */
+    /**
+     * Returns a number as an int.
+     *
+     * @throws MalformedFieldException if the field is missing or not a number
+     */
     static int requiredInt(Map<String, Object> map, String name) {
         return requiredNumber(map.get(name), name).intValue();
     }
 
-    /** @throws MalformedFieldException when the field is missing or no list */
+    /**
+     * Returns a list.
+     *
+     * @throws MalformedFieldException if the field is missing or not a list
+     */
     static List<?> requiredList(Map<String, Object> map, String name) {
         return requiredList(map.get(name), name);
     }
 
-    /** @throws MalformedFieldException when the value, that of the field {@code name} or within it, is no list */
+    /**
+     * Returns a value as a list.
+     *
+     * @param name the field that has this value or contains it
+     * @throws MalformedFieldException if the value is not a list
+     */
     static List<?> requiredList(@Nullable Object value, String name) {
         if (value instanceof List<?> list) {
             return list;
@@ -115,7 +141,12 @@
         throw new MalformedFieldException(name, "a list", value);
     }
 
-    /** @throws MalformedFieldException when the value, that of the field {@code name} or within it, is no number */
+    /**
+     * Returns a value as a number.
+     *
+     * @param name the field that has this value or contains it
+     * @throws MalformedFieldException if the value is not a number
+     */
     static Number requiredNumber(@Nullable Object value, String name) {
         if (value instanceof Number number) {
             return number;
@@ -123,7 +154,7 @@
         throw new MalformedFieldException(name, "a number", value);
     }
 
-    /** The elements as texts. */
+    /** Returns the elements converted to text. */
     static List<String> texts(List<?> elements) {
         return elements.stream().map(String::valueOf).toList();
     }
--- a/src/main/java/org/granitepath/storage/FinalRecord.java
+++ b/src/main/java/org/granitepath/storage/FinalRecord.java
@@ -1,12 +1,15 @@
 package org.granitepath.storage;
 
-/** How a job ended. Written once and never changed, so a job is either done or cancelled, whoever is first. */
+/**
+ * How a job ended. The record is written once and never changed, so a job is either done or cancelled, whichever is
+ * recorded first.
+ */
 public record FinalRecord(Outcome outcome) implements StoredRecord {
-    /** The two ways in which a job ends. */
+    /** The two ways in which a job can end. */
     public enum Outcome {
-        /** All its tasks are complete. */
+        /** All tasks of the job are complete. */
         DONE,
-        /** A user cancelled it. */
+        /** A user cancelled the job. */
         CANCELLED
     }
 }
--- a/src/main/java/org/granitepath/storage/FinalRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/FinalRecordCodec.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.granitepath.storage.FinalRecord.Outcome;
 
-/** Final records as JSON objects. {@code how} is the outcome, as a code. */
+/** Encodes final records as JSON objects. The stored field {@code how} is the outcome, as a code. */
 final class FinalRecordCodec {
     private static final String HOW = "how";
 
@@ -13,13 +13,13 @@
 
     private FinalRecordCodec() {}
 
-    static Map<String, Object> encode(FinalRecord end) {
+    static Map<String, Object> encode(FinalRecord finalRecord) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        fields.put(HOW, code(end.outcome()));
+        fields.put(HOW, code(finalRecord.outcome()));
         return fields;
     }
 
-    /** @throws MalformedFieldException when the outcome is missing or no number */
+    /** @throws MalformedFieldException if the outcome is missing or not a number */
     static FinalRecord decode(Map<String, Object> fields) {
         return new FinalRecord(outcome(Fields.requiredInt(fields, HOW)));
     }
@@ -31,7 +31,7 @@
         };
     }
 
-    /** A code that is not known counts as done: the job is over all the same. */
+    /** Returns the outcome of a code. An unknown code counts as done, because the job has ended in any case. */
     private static Outcome outcome(int code) {
         return code == CODE_CANCELLED ? Outcome.CANCELLED : Outcome.DONE;
     }
--- a/src/main/java/org/granitepath/storage/InventoryRecord.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecord.java
@@ -3,24 +3,29 @@
 import java.util.List;
 
 /**
- * Which machines there are; one value holds many. Whose they are says the leader's record; {@code fencingToken}
- * matters only where it is higher than the one there: this machine's own, drawn when a command to it had no answer.
+ * One part of the inventory of machines; a single value holds many machines. The {@link FencingTokenRecord} names the
+ * leader that the machines belong to.
  */
 public record InventoryRecord(List<MachineRow> machines) implements StoredRecord {
-    /** More tokens than will ever be drawn. */
+    /** Larger than any token that will ever be issued. */
     private static final long LARGEST_TOKEN = 999_999_999_999L;
 
-    /** Keeps a copy of the list. */
+    /** Copies the list. */
     public InventoryRecord {
         machines = List.copyOf(machines);
     }
 
-    /** One machine; {@code fencingToken} is its own when higher than that of the leader's term. */
+    /**
+     * The row of one machine.
+     *
+     * @param fencingToken the machine's own token, issued when a command to it had no answer. It only matters if it is
+     *     higher than the token of the leader's term in the {@link FencingTokenRecord}.
+     */
     public record MachineRow(String id, String address, String type, String zone, boolean spot, long fencingToken) {
-        /** The bytes that this machine's row takes, whatever its token may be later. */
+        /** Returns the largest number of bytes that this row takes, whatever token the machine gets later. */
         public int maxRowBytes() {
-            MachineRow latest = new MachineRow(id, address, type, zone, spot, LARGEST_TOKEN);
-            return RecordSize.ofValue(InventoryRecordCodec.encodeRow(latest)) + 1;
+            MachineRow longestRow = new MachineRow(id, address, type, zone, spot, LARGEST_TOKEN);
+            return RecordSize.ofValue(InventoryRecordCodec.encodeRow(longestRow)) + 1;
         }
     }
 }
--- a/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Inventory records as JSON objects. A machine is a row without field names, as thousands stand in the store: id,
- * address, type, zone, 1 for a spot machine or else 0, fencing token.
+ * Encodes inventory records as JSON objects. A machine is a row without field names, because the store holds thousands
+ * of machines. The columns are id, address, type, zone, 1 for a spot machine or 0 for any other, fencing token.
  */
 final class InventoryRecordCodec {
     private static final String HOSTS = "hosts";
@@ -29,25 +29,25 @@
 
     static Map<String, Object> encode(InventoryRecord inventory) {
         List<Object> rows = new ArrayList<>();
-        for (MachineRow host : inventory.machines()) {
-            rows.add(encodeRow(host));
+        for (MachineRow machine : inventory.machines()) {
+            rows.add(encodeRow(machine));
         }
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(HOSTS, rows);
         return fields;
     }
 
-    static List<Object> encodeRow(MachineRow host) {
+    static List<Object> encodeRow(MachineRow machine) {
         return List.of(
-                host.id(),
-                host.address(),
-                host.type(),
-                host.zone(),
-                host.spot() ? CODE_SPOT : CODE_FULL_PRICE,
-                host.fencingToken());
+                machine.id(),
+                machine.address(),
+                machine.type(),
+                machine.zone(),
+                machine.spot() ? CODE_SPOT : CODE_FULL_PRICE,
+                machine.fencingToken());
     }
 
-    /** @throws MalformedFieldException when a row is none, is too short or has a value of another type */
+    /** @throws MalformedFieldException if a row is not a list, is too short or has a value of another type */
     static InventoryRecord decode(Map<String, Object> fields) {
         List<MachineRow> hosts = new ArrayList<>();
         for (Object row : Fields.requiredList(fields, HOSTS)) {
@@ -69,7 +69,10 @@
                 Fields.requiredNumber(row.get(FENCING_TOKEN), HOSTS).longValue());
     }
 
-    /** A null, which no version writes, is let pass as an empty text; anything else must be a text. */
+    /**
+     * Returns a column as text. A null, which no version writes, is accepted as an empty text; a value of any other
+     * type is malformed.
+     */
     private static String textOf(@Nullable Object value) {
         if (value == null) {
             return "";
--- a/src/main/java/org/granitepath/storage/JobRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/JobRecordCodec.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Job records as JSON objects. {@code at} is the time of acceptance. */
+/** Encodes job records as JSON objects. The stored field {@code at} is the time of acceptance. */
 final class JobRecordCodec {
     private static final String SPEC = "spec";
     private static final String AT = "at";
@@ -21,7 +21,7 @@
         return fields;
     }
 
-    /** @throws MalformedFieldException when a field that has to be there is missing or of another type */
+    /** @throws MalformedFieldException if a required field is missing or of another type */
     static JobRecord decode(Map<String, Object> fields) {
         return new JobRecord(
                 JobSpecCodec.decode(Fields.requiredMap(fields, SPEC)),
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -6,9 +6,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Descriptions of jobs as JSON objects, within stored records. The names of the fields and their order are fixed.
+ * Encodes descriptions of jobs as JSON objects, within stored records. The names of the fields and their order are
+ * fixed.
  *
- * <p>Words of stored records: {@code rank} is our priority, {@code mem} memory, {@code estimate}, {@code checkpoint},
+ * <p>In stored records, {@code rank} is the priority and {@code mem} the memory; {@code estimate}, {@code checkpoint},
  * {@code save} and {@code deadline} are times in microseconds.
  */
 public final class JobSpecCodec {
@@ -44,7 +45,7 @@
 
     private JobSpecCodec() {}
 
-    /** The description as a JSON object. */
+    /** Returns the description as a JSON object. */
     public static Map<String, Object> encode(JobSpec spec) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(ID, spec.id());
@@ -75,9 +76,9 @@
     }
 
     /**
-     * Reads the description.
+     * Returns the description that a JSON object contains.
      *
-     * @throws MalformedFieldException when the id, the class or the team is missing or no text
+     * @throws MalformedFieldException if the id, the class or the team is missing or not a text
      */
     public static JobSpec decode(Map<String, Object> fields) {
         @Nullable List<String> types = fields.get(TYPES) instanceof List<?> list ? Fields.texts(list) : null;
@@ -112,7 +113,7 @@
         };
     }
 
-    /** Independent tasks for a code that is not known. */
+    /** Returns the shape for a code; {@link JobSpec.Shape#BATCH} for an unknown code. */
     private static JobSpec.Shape shape(int code) {
         return switch (code) {
             case CODE_GANG -> JobSpec.Shape.GANG;
@@ -130,7 +131,7 @@
         };
     }
 
-    /** The lowest for a code that is not known. */
+    /** Returns the priority for a code; the lowest one for an unknown code. */
     private static Priority priority(int code) {
         return switch (code) {
             case CODE_CRITICAL -> Priority.CRITICAL;
--- a/src/main/java/org/granitepath/storage/KeyValueStore.java
+++ b/src/main/java/org/granitepath/storage/KeyValueStore.java
@@ -5,70 +5,87 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** The store as the decision code sees it. Every call answers exactly once, later, on the event loop. */
+/**
+ * The store that all controllers share, as the coordination code uses it. Every call invokes its callback exactly once,
+ * later, on the event loop.
+ */
 public interface KeyValueStore {
 
-    /** How a call ended. */
+    /** The outcome of a call. */
     enum Outcome {
-        /** Carried out. */
+        /** The store carried out the request. */
         OK,
-        /** Not carried out: a precondition does not hold. */
+        /** The store did not carry out the transaction because a precondition does not hold. */
         CONFLICT,
-        /** There is no such key or lease. */
+        /** The key or the lease does not exist. */
         NOT_FOUND,
-        /** The changes that were asked for are no longer kept. */
+        /** The store no longer keeps the requested changes. */
         GONE,
-        /** Not carried out: not now. */
+        /** The store did not carry out the request now; a later attempt may succeed. */
         REFUSED,
-        /** Not carried out, and never will be as it stands. */
+        /** The store did not carry out the request and never will as it stands. */
         INVALID,
-        /** No answer, so it may have been carried out, or may yet be. */
+        /** There was no answer: the store may have carried out the request or may still do so. */
         UNKNOWN
     }
 
-    /** The condition that a key has this revision; 0: that it does not exist. */
+    /** The condition that a key has this revision; revision 0 means that the key does not exist. */
     record Precondition(String key, long revision) {}
 
-    /** A write, or a removal when {@code record} is null. {@code lease} 0: attached to none. */
+    /**
+     * A write of a record, or a removal if {@code record} is null. With {@code leaseId} 0, the record is attached to no
+     * lease.
+     */
     record Change(String key, @Nullable StoredRecord record, long leaseId) {
-        /** A write of a record that belongs to no lease. */
+        /** Returns a write of a record that is attached to no lease. */
         public static Change write(String key, StoredRecord record) {
             return new Change(key, record, 0);
         }
 
-        /** A removal. */
+        /** Returns the removal of a record. */
         public static Change remove(String key) {
             return new Change(key, null, 0);
         }
     }
 
-    /** Changes that are made together, if all preconditions hold, or not at all. */
+    /** Changes that are made all together if all preconditions hold, and otherwise not at all. */
     record Transaction(List<Precondition> preconditions, List<Change> changes) {}
 
-    /** How a transaction ended: the new revision, or the keys whose preconditions do not hold. */
+    /** The result of a transaction: the store's new revision, or the keys whose preconditions do not hold. */
     record CommitResult(Outcome outcome, long storeRevision, List<String> failedKeys) {}
 
-    /** One key as read or followed; {@code value} null: removed. */
+    /** A record as listed or followed; {@code value} is null if the record was removed. */
     record Item(String key, @Nullable Map<String, Object> value, long revision) {}
 
-    /** Records as listed or followed, as of the revision {@code storeRevision}. */
+    /**
+     * A page of records as listed or followed, as of the store's revision {@code storeRevision}. If {@code hasMore} is
+     * true, a listing continues after the last item.
+     */
     record Page(Outcome outcome, List<Item> items, boolean hasMore, long storeRevision) {}
 
-    /** A new lease, when {@code outcome} is OK. */
+    /** The result of opening a lease; {@code leaseId} is valid only if {@code outcome} is {@link Outcome#OK}. */
     record LeaseResult(Outcome outcome, long leaseId) {}
 
     /** Commits a transaction. */
-    void commit(Transaction transaction, Consumer<CommitResult> then);
-
-    /** Lists keys in order, beginning after {@code from}. */
-    void list(String prefix, String from, int limit, Consumer<Page> then);
-
-    /** Waits for changes after the revision {@code from}, for this long at most. */
-    void follow(String prefix, long from, long waitMicros, Consumer<Page> then);
-
-    /** Opens a lease. */
-    void openLease(long lifeMicros, Consumer<LeaseResult> then);
-
-    /** Renews a lease; {@code NOT_FOUND} when it has ended. */
-    void renewLease(long lease, Consumer<Outcome> then);
+    void commit(Transaction transaction, Consumer<CommitResult> callback);
+
+    /**
+     * Lists records in the order of their keys, beginning after the key {@code afterKey}.
+     *
+     * @param limit the largest number of records on the page
+     */
+    void list(String prefix, String afterKey, int limit, Consumer<Page> callback);
+
+    /**
+     * Waits for changes after a revision, and calls back with them.
+     *
+     * @param waitMicros the longest time to wait; 0 to call back at once
+     */
+    void follow(String prefix, long afterRevision, long waitMicros, Consumer<Page> callback);
+
+    /** Opens a lease that ends unless it is renewed within {@code ttlMicros}. */
+    void openLease(long ttlMicros, Consumer<LeaseResult> callback);
+
+    /** Renews a lease. The outcome is {@link Outcome#NOT_FOUND} if the lease has ended. */
+    void renewLease(long leaseId, Consumer<Outcome> callback);
 }
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -2,32 +2,32 @@
 
 import java.util.Optional;
 
-/** Keys of the records in the store. They are fixed: running controllers of other versions use them. */
+/** Keys of the records in the store. The keys are fixed, because running controllers of other versions use them. */
 public final class Keys {
-    /** Prefix of all our records. */
+    /** Prefix of all records of the controllers. */
     public static final String ROOT_PREFIX = "g/";
-    /** Prefix of the records of accepted jobs; the job's id follows. */
+    /** Prefix of the records of accepted jobs, followed by the job's id. */
     public static final String JOB_PREFIX = "g/j/";
-    /** Prefix of the records of the progress of jobs; the job's id follows. */
+    /** Prefix of the records of the progress of jobs, followed by the job's id. */
     public static final String PROGRESS_PREFIX = "g/p/";
-    /** Prefix of the records of how jobs ended; the job's id follows. */
+    /** Prefix of the records of how jobs ended, followed by the job's id. */
     public static final String FINAL_PREFIX = "g/f/";
-    /** Prefix of the parts of the machine inventory; the number of the part follows, from 0. */
+    /** Prefix of the parts of the machine inventory, followed by the number of the part, from 0. */
     public static final String INVENTORY_PREFIX = "g/roster/";
-    /** The leader. */
+    /** The key of the leader's record. */
     public static final String LEADER = "g/leader";
-    /** The shared counter of fencing tokens. */
+    /** The key of the shared counter of fencing tokens. */
     public static final String FENCING_TOKEN = "g/baton";
-    /** The machine types that the cloud launches. */
+    /** The key of the machine types that the cloud launches. */
     public static final String MACHINE_TYPES = "g/types";
 
-    /** The records that are kept of a job. */
+    /** The kinds of records that the store holds for a job. */
     public enum JobRecordKind {
-        /** Its description: a {@link JobRecord}. */
+        /** The job's description: a {@link JobRecord}. */
         JOB(Keys.JOB_PREFIX),
-        /** How far it has come: a {@link ProgressRecord}. */
+        /** The job's progress: a {@link ProgressRecord}. */
         PROGRESS(Keys.PROGRESS_PREFIX),
-        /** How it ended: a {@link FinalRecord}. */
+        /** The job's outcome: a {@link FinalRecord}. */
         FINAL(Keys.FINAL_PREFIX);
 
         private final String prefix;
@@ -37,12 +37,12 @@
         }
     }
 
-    /** What a key says of a job's record: which one it is, and of which job. */
+    /** The parsed key of a job's record: its kind and the id of the job. */
     public record JobKey(JobRecordKind kind, String jobId) {}
 
     private Keys() {}
 
-    /** Takes the key of a job's record apart; empty for a key of another kind. */
+    /** Parses the key of a job's record; returns empty for a key of any other record. */
     public static Optional<JobKey> parseJobKey(String key) {
         for (JobRecordKind kind : JobRecordKind.values()) {
             if (key.startsWith(kind.prefix)) {
@@ -52,22 +52,22 @@
         return Optional.empty();
     }
 
-    /** The key of an accepted job. */
+    /** Returns the key of the record of an accepted job. */
     public static String job(String jobId) {
         return JOB_PREFIX + jobId;
     }
 
-    /** The key of the progress of a job. */
+    /** Returns the key of the record of a job's progress. */
     public static String progress(String jobId) {
         return PROGRESS_PREFIX + jobId;
     }
 
-    /** The key of how a job ended. */
+    /** Returns the key of the record of how a job ended. */
     public static String finalRecord(String jobId) {
         return FINAL_PREFIX + jobId;
     }
 
-    /** The key of a part of the machine inventory. */
+    /** Returns the key of a part of the machine inventory. Parts are numbered from 0. */
     public static String inventoryPart(int part) {
         return INVENTORY_PREFIX + part;
     }
--- a/src/main/java/org/granitepath/storage/LeaderRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/LeaderRecordCodec.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The leader record as a JSON object. {@code baton} is the fencing token. */
+/** Encodes the leader's record as a JSON object. The stored field {@code baton} is the fencing token. */
 final class LeaderRecordCodec {
     private static final String NODE = "node";
     private static final String INCARNATION = "incarnation";
@@ -19,7 +19,7 @@
         return fields;
     }
 
-    /** @throws MalformedFieldException when the controller or its incarnation is missing or no text */
+    /** @throws MalformedFieldException if the controller or its incarnation is missing or not a text */
     static LeaderRecord decode(Map<String, Object> fields) {
         return new LeaderRecord(
                 Fields.requiredText(fields, NODE),
--- a/src/main/java/org/granitepath/storage/MachineTypeCodec.java
+++ b/src/main/java/org/granitepath/storage/MachineTypeCodec.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Machine types as JSON objects, within stored records. The names of the fields and their order are fixed. */
+/** Encodes machine types as JSON objects, within stored records. The names of the fields and their order are fixed. */
 public final class MachineTypeCodec {
     private static final String NAME = "name";
     private static final String CPU = "cpu";
@@ -17,7 +17,7 @@
 
     private MachineTypeCodec() {}
 
-    /** The type as a JSON object. */
+    /** Returns the machine type as a JSON object. */
     public static Map<String, Object> encode(MachineType type) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(NAME, type.name());
@@ -32,7 +32,7 @@
         return fields;
     }
 
-    /** Reads the type. */
+    /** Returns the machine type that a JSON object contains. Missing fields get default values. */
     public static MachineType decode(Map<String, Object> fields) {
         return new MachineType(
                 Fields.textOf(fields, NAME, ""),
--- a/src/main/java/org/granitepath/storage/MachineTypesRecord.java
+++ b/src/main/java/org/granitepath/storage/MachineTypesRecord.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** The machine types that the cloud launches, for controllers that start while it is away. */
+/** The machine types that the cloud launches, kept for controllers that start while the cloud is unavailable. */
 public record MachineTypesRecord(List<MachineType> types) implements StoredRecord {
-    /** Keeps a copy of the list. */
+    /** Copies the list. */
     public MachineTypesRecord {
         types = List.copyOf(types);
     }
--- a/src/main/java/org/granitepath/storage/MachineTypesRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/MachineTypesRecordCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The record of machine types as a JSON object. */
+/** Encodes the record of machine types as a JSON object. */
 final class MachineTypesRecordCodec {
     private static final String TYPES = "types";
 
@@ -19,7 +19,7 @@
         return fields;
     }
 
-    /** @throws MalformedFieldException when a type is no object */
+    /** @throws MalformedFieldException if a type is not an object */
     static MachineTypesRecord decode(Map<String, Object> fields) {
         List<MachineType> types = new ArrayList<>();
         for (Object type : Fields.listOf(fields, TYPES)) {
--- a/src/main/java/org/granitepath/storage/MalformedFieldException.java
+++ b/src/main/java/org/granitepath/storage/MalformedFieldException.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A field of a decoded JSON object that is missing or of another type than every version writes. */
+/** Thrown when a field of a decoded JSON object is missing or of another type than every version writes. */
 public final class MalformedFieldException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -14,7 +14,7 @@
         this.field = field;
     }
 
-    /** The name of the field. */
+    /** Returns the name of the field. */
     public String field() {
         return field;
     }
--- a/src/main/java/org/granitepath/storage/MalformedRecordException.java
+++ b/src/main/java/org/granitepath/storage/MalformedRecordException.java
@@ -1,6 +1,6 @@
 package org.granitepath.storage;
 
-/** A record in the store that can't be read. */
+/** Thrown when a record in the store cannot be read. */
 public final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -11,7 +11,7 @@
         this.key = key;
     }
 
-    /** The name of the record. */
+    /** Returns the key of the record. */
     public String key() {
         return key;
     }
--- a/src/main/java/org/granitepath/storage/OneShot.java
+++ b/src/main/java/org/granitepath/storage/OneShot.java
@@ -1,10 +1,10 @@
 package org.granitepath.storage;
 
-/** One outcome for which several events race, such as an answer and its timeout: the first decides. */
+/** Runs only the first of several competing actions, such as the handling of an answer and of its timeout. */
 public final class OneShot {
     private boolean fired;
 
-    /** Runs the action, unless an earlier event has decided already. */
+    /** Runs the action, unless an earlier action has run already. */
     public void fire(Runnable action) {
         if (!fired) {
             fired = true;
@@ -12,7 +12,7 @@
         }
     }
 
-    /** Sets a timeout: fires with this action after the delay, unless another event is first. */
+    /** Sets a timeout: runs the action after the delay, unless another action has run before. */
     public void fireAfter(Timers timers, long delayMicros, Runnable action) {
         timers.after(delayMicros, () -> fire(action));
     }
--- a/src/main/java/org/granitepath/storage/PendingWrites.java
+++ b/src/main/java/org/granitepath/storage/PendingWrites.java
@@ -9,15 +9,21 @@
 import org.granitepath.storage.KeyValueStore.Change;
 import org.granitepath.storage.WriteQueue.Urgency;
 
-/** Writes that wait to be sent, by name, in the order in which they were first asked for. */
+/** Writes that wait to be sent, by name, in the order in which each name was first enqueued. */
 final class PendingWrites {
-    /** One thing to be written: a few changes that belong together. */
-    record Write(Urgency urgency, Supplier<List<Change>> content, LongConsumer committed, long dueMicros) {}
+    /**
+     * One write: a few changes that belong together.
+     *
+     * @param content produces the changes when the transaction is built; none withdraws the write
+     * @param onCommitted called with the store's revision after the commit
+     * @param dueMicros the steady time from which the write should be sent
+     */
+    record Write(Urgency urgency, Supplier<List<Change>> content, LongConsumer onCommitted, long dueMicros) {}
 
     private final Map<String, Write> writes = new LinkedHashMap<>();
     private final int transactionChanges;
 
-    /** @param transactionChanges the most changes that the store takes in a transaction */
+    /** @param transactionChanges the largest number of changes that the store accepts in a transaction */
     PendingWrites(int transactionChanges) {
         this.transactionChanges = transactionChanges;
     }
@@ -26,7 +32,7 @@
         return writes.isEmpty();
     }
 
-    /** Replaces an earlier write of the same name, but neither puts it off nor makes it less urgent. */
+    /** Adds a write. It replaces an earlier write of the same name, but neither delays it nor makes it less urgent. */
     void add(String name, Write write) {
         Write earlier = writes.get(name);
         writes.put(name, earlier == null ? write : merged(earlier, write));
@@ -36,11 +42,13 @@
         return new Write(
                 later.urgency().compareTo(earlier.urgency()) < 0 ? later.urgency() : earlier.urgency(),
                 later.content(),
-                later.committed(),
+                later.onCommitted(),
                 Math.min(later.dueMicros(), earlier.dueMicros()));
     }
 
-    /** Puts back what was sent in vain, unless the same was asked for again meanwhile. */
+    /**
+     * Puts back writes of a transaction that was not committed, except for those that have been enqueued again since.
+     */
     void restore(Map<String, Write> sent) {
         sent.forEach(writes::putIfAbsent);
     }
@@ -49,7 +57,7 @@
         writes.keySet().removeAll(sent.keySet());
     }
 
-    /** How long until the first write is due; 0 or less: now. */
+    /** Returns the time until the first write is due; 0 or less if one is due now. */
     long microsUntilDue(long nowMicros) {
         long wait = Long.MAX_VALUE;
         for (Write write : writes.values()) {
@@ -58,25 +66,27 @@
         return wait;
     }
 
-    /** How many writes wait that do more than tell of progress. */
-    long countWithoutProgress() {
+    /** Returns the number of waiting writes, without those of urgency {@link Urgency#PROGRESS_ONLY}. */
+    long countExcludingProgress() {
         return writes.values().stream()
                 .filter(write -> write.urgency() != Urgency.PROGRESS_ONLY)
                 .count();
     }
 
     /**
-     * Fills one transaction, most urgent first. Contents are made only while there is capacity: hundreds may wait.
-     * Writes whose content is empty are withdrawn; what goes into the transaction stays pending until it is removed.
+     * Fills one transaction, most urgent writes first. Contents are only produced while the transaction has capacity,
+     * because hundreds of writes may wait. A write whose content is empty is withdrawn. The writes of the transaction
+     * stay pending until they are removed.
      *
-     * @param most the most changes, but for a single write that has more
-     * @param mostForProgress from how many changes on no write that only tells of progress is added
+     * @param maxChanges the largest number of changes, unless a single write has more
+     * @param maxChangesWithProgress the number of changes from which on no write of urgency
+     *     {@link Urgency#PROGRESS_ONLY} is added
      */
-    WriteBatch gather(long nowMicros, int most, int mostForProgress) {
-        WriteBatch batch = new WriteBatch(most);
+    WriteBatch gather(long nowMicros, int maxChanges, int maxChangesWithProgress) {
+        WriteBatch batch = new WriteBatch(maxChanges);
         List<String> withdrawn = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
-            int capacity = urgency == Urgency.PROGRESS_ONLY ? mostForProgress : most;
+            int capacity = urgency == Urgency.PROGRESS_ONLY ? maxChangesWithProgress : maxChanges;
             for (var named : writes.entrySet()) {
                 if (batch.size() >= capacity) {
                     break;
@@ -97,7 +107,10 @@
         return batch;
     }
 
-    /** What is not due yet goes along only while there is plenty of capacity. */
+    /**
+     * Returns whether the transaction is half full. Writes that are not due yet are only added to a transaction with
+     * less.
+     */
     private boolean isHalfFull(WriteBatch batch) {
         return batch.size() * 2 >= transactionChanges;
     }
--- a/src/main/java/org/granitepath/storage/Priority.java
+++ b/src/main/java/org/granitepath/storage/Priority.java
@@ -1,17 +1,17 @@
 package org.granitepath.storage;
 
-/** Priority of a job, highest first. */
+/** The priority of a job, highest first. */
 public enum Priority {
-    /** Goes before all other work. */
+    /** Takes precedence over all other work. */
     CRITICAL,
-    /** Goes before standard work. */
+    /** Takes precedence over standard and best-effort work. */
     HIGH,
-    /** Goes before best-effort work. */
+    /** Takes precedence over best-effort work. */
     STANDARD,
-    /** Runs where there is capacity to spare. */
+    /** Runs where capacity is left over. */
     BEST_EFFORT;
 
-    /** Whether work of this priority goes before, and may stop, work of the other. */
+    /** Returns whether work of this priority takes precedence over work of the other, and may stop it. */
     public boolean isHigherThan(Priority other) {
         return compareTo(other) < 0;
     }
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -11,22 +11,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
- * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
+ * The progress of a job.
+ *
+ * @param leader the controller that the claimed tasks belong to, which alone may start them
+ * @param claimedTasks tasks with numbers below this one belong to {@code leader}
+ * @param doneTasks the numbers of the finished tasks, as ranges, so that 100,000 finished tasks take little space
+ * @param runningTasks the number of running tasks to report to users
  */
 public record ProgressRecord(@Nullable String leader, int claimedTasks, RangeSet<Integer> doneTasks, int runningTasks)
         implements StoredRecord {
-    /** Keeps a copy of the finished tasks: the leader goes on adding to its own. */
+    /** Copies the set of finished tasks, because the leader goes on adding to its own. */
     public ProgressRecord {
         doneTasks = ImmutableRangeSet.copyOf(doneTasks);
     }
 
     /**
-     * This record, if need be with fewer finished tasks, so that it takes at most so many bytes. The ranges that hold
-     * the most tasks stay. What is left out would only be started again and be found complete.
+     * Returns this record, if necessary with fewer finished tasks so that it takes at most {@code maxBytes} bytes. The
+     * ranges with the most tasks are kept. A task that is left out is only started again and then found to be complete.
      */
-    public ProgressRecord truncatedTo(int bytes) {
-        int spare = bytes - RecordSize.of(this);
+    public ProgressRecord truncatedTo(int maxBytes) {
+        int spare = maxBytes - RecordSize.of(this);
         if (spare >= 0) {
             return this;
         }
@@ -41,7 +45,7 @@
         return new ProgressRecord(leader, claimedTasks, kept, runningTasks);
     }
 
-    /** Of a job of which nothing is on record yet. */
+    /** Returns the progress of a job without a progress record: no task is claimed, finished or running. */
     public static ProgressRecord empty() {
         return new ProgressRecord("", 0, TreeRangeSet.create(), 0);
     }
@@ -51,12 +55,12 @@
         set.add(Range.closedOpen(task, task + 1));
     }
 
-    /** Adds all task numbers below {@code count}. */
+    /** Adds all task numbers below {@code count} to a set of ranges. */
     public static void addTasksBelow(RangeSet<Integer> set, int count) {
         set.add(Range.closedOpen(0, count));
     }
 
-    /** How many task numbers a set of ranges holds. */
+    /** Returns how many task numbers a set of ranges contains. */
     public static int count(RangeSet<Integer> set) {
         int count = 0;
         for (Range<Integer> range : set.asRanges()) {
--- a/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecordCodec.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Progress records as JSON objects; finished tasks are a flat list of the two ends of each range. */
+/**
+ * Encodes progress records as JSON objects. The finished tasks are a flat list with the two ends of each range. The
+ * stored field {@code owner} is the leader.
+ */
 final class ProgressRecordCodec {
     private static final String OWNER = "owner";
     private static final String CLAIMED = "claimed";
@@ -31,7 +34,7 @@
         return fields;
     }
 
-    /** @throws MalformedFieldException when a field that has to be there is missing or of another type */
+    /** @throws MalformedFieldException if a required field is missing or of another type */
     static ProgressRecord decode(Map<String, Object> fields) {
         RangeSet<Integer> done = TreeRangeSet.create();
         List<?> ends = Fields.requiredList(fields, DONE);
--- a/src/main/java/org/granitepath/storage/RateControl.java
+++ b/src/main/java/org/granitepath/storage/RateControl.java
@@ -1,12 +1,12 @@
 package org.granitepath.storage;
 
-/** What a write queue does with its rate when the store refuses its writes. */
+/** How a write queue controls its rate when the store refuses its writes. */
 public enum RateControl {
-    /** Keeps to its share: for writes that must not suffer from those of others. */
+    /** Keeps a fixed rate, for writes that must not suffer from the writes of others. */
     FIXED,
     /**
-     * Writes less when the store refuses, and more again when it does not (additive increase, multiplicative decrease):
-     * for shares that add up to more than there is, so that one alone can use it.
+     * Writes less when the store refuses writes, and more again when it accepts them (additive increase, multiplicative
+     * decrease). This suits shares that add up to more than the budget, so that a single queue can use all of it.
      */
     ADAPTIVE
 }
--- a/src/main/java/org/granitepath/storage/ReadBarrier.java
+++ b/src/main/java/org/granitepath/storage/ReadBarrier.java
@@ -6,9 +6,9 @@
 import org.granitepath.storage.KeyValueStore.Outcome;
 
 /**
- * Brings the replica up to date on request. A barrier is a follow begun after the question arrived: whatever any
- * controller committed before is in the replica when it ends. Questions that come while one is under way share the
- * next.
+ * Brings the replica up to date on request. A barrier is a read of the changes that begins after the request arrived:
+ * when it ends, the replica includes everything that any controller committed before the request. Requests that arrive
+ * during a barrier share the next one.
  */
 final class ReadBarrier {
     private final KeyValueStore store;
@@ -17,10 +17,10 @@
     private final ReplicaPosition position;
     private boolean running;
     private boolean scheduled;
-    private long lastBegunMicros = Long.MIN_VALUE / 2;
-    private List<Consumer<Boolean>> waiting = new ArrayList<>();
+    private long lastStartMicros = Long.MIN_VALUE / 2;
+    private List<Consumer<Boolean>> waitingCallbacks = new ArrayList<>();
 
-    /** @param spacingMicros least time between the beginnings of two barriers */
+    /** @param spacingMicros the shortest time between the starts of two barriers */
     ReadBarrier(KeyValueStore store, Timers timers, long spacingMicros, ReplicaPosition position) {
         this.store = store;
         this.timers = timers;
@@ -28,53 +28,56 @@
         this.position = position;
     }
 
-    /** When the last barrier began; long ago when there was none. */
-    long lastBegunMicros() {
-        return lastBegunMicros;
+    /** Returns when the last barrier started; a time in the distant past if there was none. */
+    long lastStartMicros() {
+        return lastStartMicros;
     }
 
-    /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
-    void request(Consumer<Boolean> then) {
-        if (!position.following()) {
-            then.accept(false);
+    /**
+     * Calls back with true once the replica includes everything committed before this call, or with false if that
+     * cannot be reached now.
+     */
+    void request(Consumer<Boolean> callback) {
+        if (!position.isFollowing()) {
+            callback.accept(false);
             return;
         }
-        waiting.add(then);
-        beginIfDue();
+        waitingCallbacks.add(callback);
+        startIfDue();
     }
 
-    private void beginIfDue() {
-        if (running || scheduled || waiting.isEmpty()) {
+    private void startIfDue() {
+        if (running || scheduled || waitingCallbacks.isEmpty()) {
             return;
         }
-        long dueMicros = lastBegunMicros + spacingMicros;
+        long dueMicros = lastStartMicros + spacingMicros;
         long nowMicros = timers.nowMicros();
         if (dueMicros > nowMicros) {
             scheduled = true;
             timers.after(dueMicros - nowMicros, () -> {
                 scheduled = false;
-                beginIfDue();
+                startIfDue();
             });
             return;
         }
-        begin(nowMicros);
+        start(nowMicros);
     }
 
-    private void begin(long nowMicros) {
+    private void start(long nowMicros) {
         running = true;
-        lastBegunMicros = nowMicros;
-        List<Consumer<Boolean>> served = waiting;
-        waiting = new ArrayList<>();
+        lastStartMicros = nowMicros;
+        List<Consumer<Boolean>> barrierCallbacks = waitingCallbacks;
+        waitingCallbacks = new ArrayList<>();
         store.follow(Keys.ROOT_PREFIX, position.storeRevision(), 0, page -> {
-            boolean fresh = page.outcome() == Outcome.OK && position.following();
-            if (fresh) {
+            boolean upToDate = page.outcome() == Outcome.OK && position.isFollowing();
+            if (upToDate) {
                 position.advance(page, nowMicros);
             }
             running = false;
-            for (Consumer<Boolean> then : served) {
-                then.accept(fresh);
+            for (Consumer<Boolean> callback : barrierCallbacks) {
+                callback.accept(upToDate);
             }
-            beginIfDue();
+            startIfDue();
         });
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordFollower.java
+++ b/src/main/java/org/granitepath/storage/RecordFollower.java
@@ -4,16 +4,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows the changes of records by long polls, while read barriers do not bring them often enough. */
+/** Follows the changes of records by long polls, unless read barriers bring the changes often enough. */
 final class RecordFollower {
     private static final Logger LOG = LoggerFactory.getLogger(RecordFollower.class);
     private static final long LONG_POLL_MICROS = 20_000_000;
     private static final long RETRY_MICROS = 400_000;
     /**
-     * While barriers follow one another faster than this many spacings, they bring the changes and no long poll
-     * waits.
+     * If the last barrier started less than this many spacings ago, barriers bring the changes and no long poll is
+     * sent.
      */
-    private static final int BARRIERS_SUFFICE = 3;
+    private static final int RECENT_BARRIER_SPACINGS = 3;
 
     private final KeyValueStore store;
     private final Timers timers;
@@ -22,7 +22,7 @@
     private final ReadBarrier barrier;
     private final Runnable reload;
 
-    /** @param reload called when the store no longer has the changes that are next */
+    /** @param reload called when the store no longer has the next changes */
     RecordFollower(
             KeyValueStore store,
             Timers timers,
@@ -38,23 +38,23 @@
         this.reload = reload;
     }
 
-    /** Begins to follow, until a reload is needed. */
+    /** Starts to follow the changes, until all records have to be loaded again. */
     void follow() {
-        if (!position.following()) {
+        if (!position.isFollowing()) {
             return;
         }
         long sentMicros = timers.nowMicros();
-        if (sentMicros - barrier.lastBegunMicros() < BARRIERS_SUFFICE * spacingMicros) {
+        if (sentMicros - barrier.lastStartMicros() < RECENT_BARRIER_SPACINGS * spacingMicros) {
             timers.after(spacingMicros, this::follow);
             return;
         }
         store.follow(Keys.ROOT_PREFIX, position.storeRevision(), LONG_POLL_MICROS, page -> {
-            if (!position.following()) {
+            if (!position.isFollowing()) {
                 return;
             }
             if (page.outcome() == Outcome.GONE) {
                 LOG.info(
-                        "the store no longer has the changes since {}: reading all records again",
+                        "store no longer has the changes after revision {}: reading all records again",
                         position.storeRevision());
                 reload.run();
             } else if (page.outcome() == Outcome.OK) {
--- a/src/main/java/org/granitepath/storage/RecordLoader.java
+++ b/src/main/java/org/granitepath/storage/RecordLoader.java
@@ -6,19 +6,20 @@
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
 
-/** Reads all records, page by page. One load is under way at a time. */
+/** Reads all records, page by page. Only one load runs at a time. */
 final class RecordLoader {
     private static final long RETRY_MICROS = 400_000;
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
 
-    /** Told once all records have been read. */
+    /** Receives the end of a load. */
     interface Completion {
         /**
-         * All records have been read.
+         * Called when all records have been read.
          *
-         * @param revision that of the first page: later changes may or may not have been seen
+         * @param revision the store's revision as of the first page; the load may have missed changes after it
+         * @param lastRequestMicros when the last page was requested, in steady time
          */
-        void loaded(long revision, long lastRequestMicros);
+        void onLoaded(long revision, long lastRequestMicros);
     }
 
     private final KeyValueStore store;
@@ -33,44 +34,44 @@
         this.completion = completion;
     }
 
-    /** Begins to read all records. The one before must be complete. */
+    /** Starts to read all records. An earlier load must be complete. */
     void load() {
         new Load().requestPage("");
     }
 
-    /** One reading of all records: what was listed so far, and as of when. */
+    /** One load of all records: the keys listedKeys so far, and the revision of the load. */
     private final class Load {
-        private final Set<String> listed = new HashSet<>();
-        /** That of the first page; 0 until it has come. */
+        private final Set<String> listedKeys = new HashSet<>();
+        /** The store's revision as of the first page; 0 until the first page has arrived. */
         private long loadRevision;
 
-        private void requestPage(String from) {
+        private void requestPage(String afterKey) {
             long sentMicros = timers.nowMicros();
-            store.list(Keys.ROOT_PREFIX, from, PAGE, page -> {
+            store.list(Keys.ROOT_PREFIX, afterKey, PAGE_SIZE, page -> {
                 if (page.outcome() == Outcome.OK) {
-                    takePage(page, from, sentMicros);
+                    applyPage(page, afterKey, sentMicros);
                 } else {
-                    timers.after(RETRY_MICROS, () -> requestPage(from));
+                    timers.after(RETRY_MICROS, () -> requestPage(afterKey));
                 }
             });
         }
 
-        private void takePage(Page page, String from, long sentMicros) {
+        private void applyPage(Page page, String afterKey, long sentMicros) {
             if (loadRevision == 0) {
                 loadRevision = page.storeRevision();
             }
-            String last = from;
+            String lastKey = afterKey;
             for (Item item : page.items()) {
-                listed.add(item.key());
+                listedKeys.add(item.key());
                 records.apply(item);
-                last = item.key();
+                lastKey = item.key();
             }
             if (page.hasMore()) {
-                requestPage(last);
+                requestPage(lastKey);
                 return;
             }
-            records.removeAllBut(listed, loadRevision);
-            completion.loaded(loadRevision, sentMicros);
+            records.removeAllExcept(listedKeys, loadRevision);
+            completion.onLoaded(loadRevision, sentMicros);
         }
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -4,17 +4,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A copy of our records, kept by following the store: all are read once by {@link RecordLoader}, then their changes by
- * {@link RecordFollower}, and on request by {@link ReadBarrier}.
+ * A copy of all records, kept up to date by following the store. {@link RecordLoader} reads all records once,
+ * {@link RecordFollower} callback follows their changes, and {@link ReadBarrier} reads the changes on request.
  */
 public final class RecordReplica {
 
-    /** Told of every change of a record, in order; {@code record} null: removed. */
+    /** Receives every change of a record, in order. */
     public interface Listener {
-        /** A record was written, or removed when {@code record} is null. */
+        /**
+         * Called when a record was written, or removed if {@code record} is null.
+         *
+         * @param revision the revision of the change
+         */
         void onRecordChanged(String key, @Nullable StoredRecord record, long revision);
 
-        /** All records have been read for the first time. */
+        /** Called when all records have been read for the first time. */
         void onLoaded();
     }
 
@@ -26,57 +30,60 @@
     private final RecordLoader loader;
     private boolean loadedOnce;
 
-    /** @param spacingMicros least time between two reads of one kind, from this controller's share of requests */
+    /**
+     * @param spacingMicros the shortest time between two reads of one kind, which follows from this controller's share
+     *     of requests
+     */
     public RecordReplica(KeyValueStore store, Timers timers, long spacingMicros, Listener listener) {
         this.listener = listener;
         this.records = new ReplicaRecords(listener);
         this.position = new ReplicaPosition(records, timers.nowMicros());
         this.requestBarrier = new ReadBarrier(store, timers, spacingMicros, position);
-        this.follower = new RecordFollower(store, timers, spacingMicros, position, requestBarrier, this::load);
-        this.loader = new RecordLoader(store, timers, records, this::loadCompleted);
+        this.follower = new RecordFollower(store, timers, spacingMicros, position, requestBarrier, this::startLoad);
+        this.loader = new RecordLoader(store, timers, records, this::onLoadCompleted);
     }
 
-    /** Begins to read all records and to follow their changes. */
+    /** Starts to read all records and callback to follow their changes. */
     public void start() {
-        load();
+        startLoad();
     }
 
-    /** Whether all records have been read once. */
+    /** Returns whether all records have been read at least once. */
     public boolean isLoaded() {
         return loadedOnce;
     }
 
-    /** When the last request was sent whose answer brought the replica up to date. */
+    /** Returns when the last request was sent whose answer brought the replica up to date, in steady time. */
     public long lastContactMicros() {
         return position.lastContactMicros();
     }
 
-    /** The revision up to which the records are known. */
+    /** Returns the store's revision up to which the records are known. */
     public long storeRevision() {
         return position.storeRevision();
     }
 
-    /** How many records could not be read so far. */
+    /** Returns how many times a record could not be decoded so far. */
     public long malformedRecordCount() {
-        return records.malformed();
+        return records.malformedCount();
     }
 
-    /** Whether there is a record of this name. */
+    /** Returns whether there is a record with this key. */
     public boolean has(String key) {
         return records.has(key);
     }
 
-    /** The leader on record, or null. */
+    /** Returns the leader's record, or null if there is none. */
     public @Nullable LeaderRecord leader() {
         return records.record(Keys.LEADER, LeaderRecord.class);
     }
 
-    /** The counter of fencing tokens, or null when none was drawn yet. */
+    /** Returns the counter of fencing tokens, or null if no token has been issued yet. */
     public @Nullable FencingTokenRecord fencingToken() {
         return records.record(Keys.FENCING_TOKEN, FencingTokenRecord.class);
     }
 
-    /** How many parts the machine inventory has, those that can't be read included. */
+    /** Returns how many parts the machine inventory has, including those that cannot be read. */
     public int inventoryPartCount() {
         int parts = 0;
         while (has(Keys.inventoryPart(parts))) {
@@ -85,38 +92,41 @@
         return parts;
     }
 
-    /** A part of the machine inventory, or null when it has fewer or this one can't be read. */
+    /** Returns a part of the machine inventory, or null if there is no such part or it cannot be read. */
     public @Nullable InventoryRecord inventoryPart(int part) {
         return records.record(Keys.inventoryPart(part), InventoryRecord.class);
     }
 
-    /** The revision of the last change of a record, for preconditions; 0 when there is no such record. */
+    /** Returns the revision of the last change of a record, for use in preconditions; 0 if there is no such record. */
     public long revision(String key) {
         return records.revision(key);
     }
 
-    /** Drops a record that nobody reads or writes any more. */
+    /** Removes a record from the replica that no component reads or writes any more. The store keeps it. */
     public void evict(String key) {
-        records.forget(key);
+        records.evict(key);
     }
 
-    /** Records our own committed write at once, before the follow brings it. */
+    /** Applies a write that this controller has committed, before the change arrives from the store. */
     public void applyCommitted(String key, @Nullable StoredRecord record, long revision) {
         records.apply(key, record, revision);
     }
 
-    /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
-    public void requestBarrier(Consumer<Boolean> then) {
-        requestBarrier.request(then);
+    /**
+     * Calls back with true once the replica includes everything committed before this call, or with false if that
+     * cannot be reached now.
+     */
+    public void requestBarrier(Consumer<Boolean> callback) {
+        requestBarrier.request(callback);
     }
 
-    private void load() {
-        position.loading();
+    private void startLoad() {
+        position.startLoading();
         loader.load();
     }
 
-    private void loadCompleted(long revision, long sentMicros) {
-        position.loaded(revision, sentMicros);
+    private void onLoadCompleted(long revision, long sentMicros) {
+        position.finishLoading(revision, sentMicros);
         if (!loadedOnce) {
             loadedOnce = true;
             listener.onLoaded();
--- a/src/main/java/org/granitepath/storage/RecordSize.java
+++ b/src/main/java/org/granitepath/storage/RecordSize.java
@@ -2,22 +2,25 @@
 
 import java.util.Map;
 
-/** How many bytes a record takes as JSON. The store refuses values beyond a limit. */
+/** Computes how many bytes a record takes as JSON. The store rejects values beyond a limit. */
 public final class RecordSize {
-    /** A character that may need an escape, or is not ASCII: at most as many bytes as an escape sequence. */
-    private static final int LONGEST_CHARACTER = 6;
+    /**
+     * The largest number of bytes of a character that may need an escape or is not ASCII: the length of an escape
+     * sequence.
+     */
+    private static final int MAX_CHARACTER_BYTES = 6;
 
     private static final char FIRST_PRINTABLE = ' ';
     private static final char LAST_ASCII = '~';
 
     private RecordSize() {}
 
-    /** The bytes of a record, never fewer than it takes. */
+    /** Returns the bytes of a record, never fewer than it takes. */
     public static int of(StoredRecord record) {
         return ofValue(StoredRecordCodec.encode(record));
     }
 
-    /** The bytes of a JSON value, never fewer than it takes. */
+    /** Returns the bytes of a JSON value, never fewer than it takes. */
     static int ofValue(Object value) {
         if (value instanceof Map<?, ?> map) {
             int bytes = 2;
@@ -48,7 +51,7 @@
                     && character != '"'
                     && character != '\\'
                     && character != '/';
-            bytes += plain ? 1 : LONGEST_CHARACTER;
+            bytes += plain ? 1 : MAX_CHARACTER_BYTES;
         }
         return bytes;
     }
--- a/src/main/java/org/granitepath/storage/ReplicaPosition.java
+++ b/src/main/java/org/granitepath/storage/ReplicaPosition.java
@@ -6,13 +6,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How far a replica has come: its phase, the revision up to which it knows the records, and when it was last in
+ * The state of a replica: its phase, the store's revision up to which it knows the records, and the time of its last
  * contact with the store.
  */
 final class ReplicaPosition {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaPosition.class);
 
-    /** Whether all records have been read, so that changes alone are followed. */
+    /** Whether the records are still being loaded, or have all been read so that only their changes are followed. */
     private enum Phase {
         LOADING,
         FOLLOWING
@@ -28,32 +28,42 @@
         this.lastContactMicros = nowMicros;
     }
 
-    boolean following() {
+    /** Returns whether all records have been read and their changes are followed. */
+    boolean isFollowing() {
         return phase == Phase.FOLLOWING;
     }
 
-    /** The revision up to which the records are known. */
+    /** Returns the store's revision up to which the records are known. */
     long storeRevision() {
         return storeRevision;
     }
 
-    /** When the last request was sent whose answer brought the replica up to date. */
+    /** Returns when the last request was sent whose answer brought the replica up to date, in steady time. */
     long lastContactMicros() {
         return lastContactMicros;
     }
 
-    void loading() {
+    /** Marks the records as being loaded. */
+    void startLoading() {
         transition(Phase.LOADING);
     }
 
-    /** All records have been read, as of this revision. */
-    void loaded(long revision, long sentMicros) {
+    /**
+     * Marks all records as read, as of this revision.
+     *
+     * @param sentMicros when the last request of the load was sent
+     */
+    void finishLoading(long revision, long sentMicros) {
         storeRevision = revision;
         lastContactMicros = Math.max(lastContactMicros, sentMicros);
         transition(Phase.FOLLOWING);
     }
 
-    /** Takes in the changes that a request sent at this time brought. */
+    /**
+     * Applies the changes of a page.
+     *
+     * @param sentMicros when the request for the page was sent
+     */
     void advance(Page page, long sentMicros) {
         for (Item item : page.items()) {
             if (item.revision() > storeRevision) {
@@ -66,7 +76,7 @@
 
     private void transition(Phase next) {
         if (phase != next) {
-            LOG.debug("replica {} -> {}", phase, next);
+            LOG.debug("replica phase changed: {} -> {}", phase, next);
             phase = next;
         }
     }
--- a/src/main/java/org/granitepath/storage/ReplicaRecords.java
+++ b/src/main/java/org/granitepath/storage/ReplicaRecords.java
@@ -9,55 +9,63 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The records of a replica, each with the revision of its last change. They only move forward by revision. */
+/**
+ * The records of a replica, each with the revision of its last change. A record is only replaced by one of a later
+ * revision.
+ */
 final class ReplicaRecords {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaRecords.class);
 
-    /** {@code record} null: removed at this revision. */
+    /** A record with its revision; {@code record} is null if the record was removed at this revision. */
     private record Entry(@Nullable StoredRecord record, long revision) {}
 
     private final RecordReplica.Listener listener;
     private final Map<String, Entry> entries = new HashMap<>();
-    private long malformed;
+    private long malformedCount;
 
     ReplicaRecords(RecordReplica.Listener listener) {
         this.listener = listener;
     }
 
+    /** Returns whether there is a record with this key. */
     boolean has(String key) {
         Entry entry = entries.get(key);
         return entry != null && entry.record() != null;
     }
 
-    /** The record, or null when there is none or it is of another type. */
+    /** Returns the record, or null if there is none or it is of another type. */
     <T extends StoredRecord> @Nullable T record(String key, Class<T> type) {
         Entry entry = entries.get(key);
         return entry != null && type.isInstance(entry.record()) ? type.cast(entry.record()) : null;
     }
 
-    /** The revision of the last change of a record; 0 when there is no such record. */
+    /** Returns the revision of the last change of a record; 0 if there is no such record. */
     long revision(String key) {
         Entry entry = entries.get(key);
         return entry == null || entry.record() == null ? 0 : entry.revision();
     }
 
-    /** How many records could not be read so far. */
-    long malformed() {
-        return malformed;
+    /** Returns how many times a record could not be decoded so far. */
+    long malformedCount() {
+        return malformedCount;
     }
 
-    void forget(String key) {
+    /** Removes a record without notifying the listener. */
+    void evict(String key) {
         entries.remove(key);
     }
 
-    /** Takes in what was read. Our own writes come back this way, and are known: they are not decoded again. */
+    /**
+     * Applies a record as read from the store, unless this revision or a later one is knownEntry. The controller's own
+     * writes arrive this way too; they are already knownEntry and are not decoded again.
+     */
     void apply(Item item) {
         if (isNewer(item.key(), item.revision())) {
             apply(item.key(), decode(item), item.revision());
         }
     }
 
-    /** Takes in a change, {@code record} null for a removal, unless a later one is known. */
+    /** Applies a change, unless this revision or a later one is knownEntry; {@code record} is null for a removal. */
     void apply(String key, @Nullable StoredRecord record, long revision) {
         if (isNewer(key, revision)) {
             entries.put(key, new Entry(record, revision));
@@ -65,20 +73,23 @@
         }
     }
 
-    /** Removes the records that a complete listing as of this revision does not hold: they were removed meanwhile. */
-    void removeAllBut(Set<String> listed, long revision) {
-        // A copy, as the listener may have records forgotten.
+    /**
+     * Removes the records that a complete listing as of this revision does not contain, since they have been removed
+     * from the store. Records changed at or after this revision stay.
+     */
+    void removeAllExcept(Set<String> listedKeys, long revision) {
+        // The loop iterates over a copy because the listener may evict records.
         for (String key : new ArrayList<>(entries.keySet())) {
             Entry entry = entries.get(key);
-            if (entry != null && entry.record() != null && !listed.contains(key) && entry.revision() < revision) {
+            if (entry != null && entry.record() != null && !listedKeys.contains(key) && entry.revision() < revision) {
                 apply(key, null, revision);
             }
         }
     }
 
     private boolean isNewer(String key, long revision) {
-        Entry known = entries.get(key);
-        return known == null || known.revision() < revision;
+        Entry knownEntry = entries.get(key);
+        return knownEntry == null || knownEntry.revision() < revision;
     }
 
     private @Nullable StoredRecord decode(Item item) {
@@ -89,8 +100,8 @@
         try {
             return StoredRecordCodec.decode(item.key(), fields);
         } catch (MalformedRecordException e) {
-            malformed++;
-            LOG.error("{} ({} so far)", e.getMessage(), malformed);
+            malformedCount++;
+            LOG.error("{} ({} malformed records so far)", e.getMessage(), malformedCount);
             return new UnknownRecord(fields);
         }
     }
--- a/src/main/java/org/granitepath/storage/StoredRecord.java
+++ b/src/main/java/org/granitepath/storage/StoredRecord.java
@@ -1,6 +1,6 @@
 package org.granitepath.storage;
 
-/** A record in the store. Immutable: what was read or written stays as it was. */
+/** A record in the store. All records are immutable. */
 public sealed interface StoredRecord
         permits FencingTokenRecord,
                 FinalRecord,
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -3,21 +3,22 @@
 import java.util.Map;
 
 /**
- * Stored records as JSON objects, each kind by a codec of its own, which alone knows the names of its fields. These and
- * their order are fixed: the store holds records that other versions wrote, and other versions read ours.
+ * Encodes stored records as JSON objects. Each kind of record has its own codec, and only that codec knows the names of
+ * the fields. The names and their order are fixed, because the store contains records written by other versions, and
+ * other versions read the records written by this one.
  */
 public final class StoredRecordCodec {
     private StoredRecordCodec() {}
 
-    /** The record as a JSON object. */
+    /** Returns the record as a JSON object. */
     public static Map<String, Object> encode(StoredRecord record) {
-        // One branch for each permitted type: a test goes through all of them.
+        // One branch for each permitted type; a test covers all of them.
         if (record instanceof ProgressRecord progress) {
             return ProgressRecordCodec.encode(progress);
         } else if (record instanceof JobRecord job) {
             return JobRecordCodec.encode(job);
-        } else if (record instanceof FinalRecord end) {
-            return FinalRecordCodec.encode(end);
+        } else if (record instanceof FinalRecord finalRecord) {
+            return FinalRecordCodec.encode(finalRecord);
         } else if (record instanceof InventoryRecord inventory) {
             return InventoryRecordCodec.encode(inventory);
         } else if (record instanceof LeaderRecord leader) {
@@ -29,14 +30,15 @@
         } else if (record instanceof UnknownRecord unknown) {
             return unknown.fields();
         }
-        throw new IllegalStateException("no encoding of " + record.getClass());
+        throw new IllegalStateException("no codec for record type " + record.getClass());
     }
 
     /**
-     * Reads a record.
+     * Returns the record that a JSON object contains.
      *
-     * @param key its name, which tells its kind; kinds that a newer version may have are {@link UnknownRecord}s
-     * @throws MalformedRecordException when a field that has to be there is missing or of another type
+     * @param key the key of the record, which determines its kind; a kind that this version does not know is returned
+     *     as an {@link UnknownRecord}
+     * @throws MalformedRecordException if a required field is missing or of another type
      */
     public static StoredRecord decode(String key, Map<String, Object> fields) throws MalformedRecordException {
         try {
--- a/src/main/java/org/granitepath/storage/Timers.java
+++ b/src/main/java/org/granitepath/storage/Timers.java
@@ -1,13 +1,13 @@
 package org.granitepath.storage;
 
-/** The steady clock and what is to happen later, all on the event loop. */
+/** The clocks and the delayed actions of the event loop. */
 public interface Timers {
-    /** Steady clock; only differences mean anything. */
+    /** Returns the time of the steady clock, in microseconds; only differences between two times have a meaning. */
     long nowMicros();
 
-    /** Time of day, within the platform's stated bound. */
+    /** Returns the time of day, in microseconds, accurate to the bound that the platform states. */
     long timeOfDayMicros();
 
-    /** Runs the action once, after this long. */
+    /** Runs the action once on the event loop, after the delay. */
     void after(long delayMicros, Runnable action);
 }
--- a/src/main/java/org/granitepath/storage/TokenBucket.java
+++ b/src/main/java/org/granitepath/storage/TokenBucket.java
@@ -2,17 +2,20 @@
 
 import org.granitepath.storage.KeyValueStore.Outcome;
 
-/** Limits the rate of changes: each takes a token, and tokens come at the present rate, up to one second's worth. */
+/**
+ * Limits the rate of changes. Each change takes a token; tokens arrive at the present rate, and the bucket holds at
+ * most the tokens of one second.
+ */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Least part of the share that an adaptive bucket falls back to. */
-    private static final double LEAST_RATE = 0.03;
-    /** Part of the share that an adaptive bucket takes up again with each answer that is no refusal. */
-    private static final double RATE_STEP = 0.01;
+    /** The lowest rate of an adaptive bucket, as a part of its share. */
+    private static final double MIN_RATE_FRACTION = 0.03;
+    /** The part of its share by which an adaptive bucket raises its rate after each answer other than a refusal. */
+    private static final double RATE_STEP_FRACTION = 0.01;
 
     private final double sharePerSecond;
     private final RateControl control;
-    /** Tokens a second at present. */
+    /** The present rate, in tokens per second. */
     private double rate;
 
     private double tokens;
@@ -26,41 +29,43 @@
         this.refilledMicros = nowMicros;
     }
 
-    /** The highest rate. */
+    /** Returns the highest rate, in tokens per second. */
     double sharePerSecond() {
         return sharePerSecond;
     }
 
-    /** Whole and partial tokens as of the last refill. */
+    /** Returns the tokens as of the last refill, including fractions. */
     double tokens() {
         return tokens;
     }
 
+    /** Adds the tokens that have arrived since the last refill. */
     void refill(long nowMicros) {
         tokens = Math.min(Math.max(1, rate), tokens + (nowMicros - refilledMicros) * rate / MICROS_PER_SECOND);
         refilledMicros = nowMicros;
     }
 
-    /** Whether there is a token for a change. */
-    boolean allowsOne() {
+    /** Returns whether there is a token for a change. */
+    boolean hasToken() {
         return tokens >= 1;
     }
 
-    /** How long from the last refill until there is a token, when there is none. */
-    long microsUntilOne() {
+    /** Returns the time from the last refill until there is a token; to be called only when there is none. */
+    long microsUntilToken() {
         return (long) ((1 - tokens) * MICROS_PER_SECOND / rate) + 1;
     }
 
+    /** Takes one token for each change. The number of tokens may become negative. */
     void take(int changes) {
         tokens -= changes;
     }
 
-    /** Adapts the rate to how a transaction ended. */
-    void adapt(Outcome outcome) {
+    /** Adapts the rate to the outcome of a transaction, if the rate control is {@link RateControl#ADAPTIVE}. */
+    void adaptRate(Outcome outcome) {
         if (control == RateControl.ADAPTIVE) {
             rate = outcome == Outcome.REFUSED
-                    ? Math.max(LEAST_RATE * sharePerSecond, rate / 2)
-                    : Math.min(sharePerSecond, rate + RATE_STEP * sharePerSecond);
+                    ? Math.max(MIN_RATE_FRACTION * sharePerSecond, rate / 2)
+                    : Math.min(sharePerSecond, rate + RATE_STEP_FRACTION * sharePerSecond);
         }
     }
 }
--- a/src/main/java/org/granitepath/storage/WriteBatch.java
+++ b/src/main/java/org/granitepath/storage/WriteBatch.java
@@ -11,34 +11,35 @@
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
     private static final int CHANGE_OVERHEAD_BYTES = 100;
 
-    private final int most;
+    private final int maxChanges;
     private final List<Change> changes = new ArrayList<>();
     private final Map<String, PendingWrites.Write> writes = new LinkedHashMap<>();
     private int bytes;
 
-    /** @param most the most changes, but for a single write that has more */
-    WriteBatch(int most) {
-        this.most = most;
+    /** @param maxChanges the largest number of changes, unless a single write has more */
+    WriteBatch(int maxChanges) {
+        this.maxChanges = maxChanges;
     }
 
-    /** How many changes there are. */
+    /** Returns the number of changes. */
     int size() {
         return changes.size();
     }
 
+    /** Returns the changes of all writes, in the order in which they were added. */
     List<Change> changes() {
         return changes;
     }
 
-    /** The writes that the changes belong to, by name. */
+    /** Returns the writes that the changes belong to, by name. */
     Map<String, PendingWrites.Write> writes() {
         return writes;
     }
 
-    /** Adds a write with its changes, unless there are others and it would be too much with them. */
+    /** Adds a write with its changes, unless the transaction has other writes and would become too large. */
     void addIfFits(String name, PendingWrites.Write write, List<Change> content) {
-        int size = content.stream().mapToInt(WriteBatch::roughBytes).sum();
-        boolean fits = changes.size() + content.size() <= most && bytes + size <= MAX_TRANSACTION_BYTES;
+        int size = content.stream().mapToInt(WriteBatch::estimatedBytes).sum();
+        boolean fits = changes.size() + content.size() <= maxChanges && bytes + size <= MAX_TRANSACTION_BYTES;
         if (changes.isEmpty() || fits) {
             changes.addAll(content);
             bytes += size;
@@ -46,8 +47,8 @@
         }
     }
 
-    /** The bytes that a change takes in a transaction, never fewer than it does. */
-    static int roughBytes(Change change) {
+    /** Returns an estimate of the bytes that a change takes in a transaction, never fewer than it takes. */
+    static int estimatedBytes(Change change) {
         return CHANGE_OVERHEAD_BYTES + (change.record() == null ? 0 : RecordSize.of(change.record()));
     }
 }
--- a/src/main/java/org/granitepath/storage/WritePace.java
+++ b/src/main/java/org/granitepath/storage/WritePace.java
@@ -3,76 +3,82 @@
 import org.granitepath.storage.KeyValueStore.Outcome;
 
 /**
- * How fast a queue writes: how much of its share of the write budget is left, and the timer that wakes it when there
- * may be something to send.
+ * Controls how fast a queue writes. It keeps the queue's share of the write budget, and the timer that wakes the queue
+ * when there may be a write to send.
  */
 final class WritePace {
-    /** Part of a second's share that writes of mere progress leave free. */
-    private static final double RESERVED_FROM_PROGRESS = 0.3;
-    /** A queue that needs longer than this for what waits is behind. */
+    /** The part of one second's share of the budget that progress writes leave free. */
+    private static final double RESERVED_FROM_PROGRESS_FRACTION = 0.3;
+    /** A queue is behind if it needs longer than this for the writes that wait. */
     private static final int BEHIND_SECONDS = 3;
 
     private final Timers timers;
     private final TokenBucket budget;
-    private final Runnable wake;
+    private final Runnable wakeAction;
     private boolean wakeScheduled;
 
-    /** @param wake called when a wait set by {@link #wakeAfter} is over */
-    WritePace(Timers timers, TokenBucket budget, Runnable wake) {
+    /** @param wakeAction called when a delay set by {@link #wakeAfter} has passed */
+    WritePace(Timers timers, TokenBucket budget, Runnable wakeAction) {
         this.timers = timers;
         this.budget = budget;
-        this.wake = wake;
+        this.wakeAction = wakeAction;
     }
 
-    /** The share of the write budget, in changes a second. */
+    /** Returns the share of the write budget, in changes per second. */
     double sharePerSecond() {
         return budget.sharePerSecond();
     }
 
     /**
-     * How long until a write may be sent; 0 or less: now.
+     * Returns the time until a write may be sent; 0 or less if one may be sent now.
      *
-     * @param untilDueMicros how long until a write is due; 0 or less: now
+     * @param untilDueMicros the time until a write is due; 0 or less if one is due now
      */
     long microsUntilAllowed(long untilDueMicros) {
         budget.refill(timers.nowMicros());
-        return untilDueMicros <= 0 && !budget.allowsOne() ? budget.microsUntilOne() : untilDueMicros;
+        return untilDueMicros <= 0 && !budget.hasToken() ? budget.microsUntilToken() : untilDueMicros;
     }
 
-    /** The most changes that the budget allows now, and at least one. */
-    int mostChanges(int largestTransaction) {
+    /** Returns the largest number of changes that the budget allows now, at least one. */
+    int maxChanges(int largestTransaction) {
         return Math.min(largestTransaction, Math.max(1, (int) budget.tokens()));
     }
 
-    /** Progress leaves part of the budget free, so that what is urgent need not wait for it. */
-    int mostProgressChanges(int mostChanges) {
-        return Math.min(mostChanges, (int) (budget.tokens() - budget.sharePerSecond() * RESERVED_FROM_PROGRESS));
+    /**
+     * Returns the number of changes from which on no progress write is added. Progress writes leave part of the budget
+     * free, so that urgent writes need not wait for them.
+     */
+    int maxProgressChanges(int mostChanges) {
+        return Math.min(
+                mostChanges, (int) (budget.tokens() - budget.sharePerSecond() * RESERVED_FROM_PROGRESS_FRACTION));
     }
 
-    /** Whether so many writes are more than can be sent in a few seconds. */
+    /** Returns whether so many waiting writes are more than the queue can send within a few seconds. */
     boolean isBehind(long waitingWrites) {
         return waitingWrites > BEHIND_SECONDS * budget.sharePerSecond();
     }
 
-    /** A transaction with so many changes goes out. */
-    void sent(int changes) {
+    /** Charges the budget for a transaction that is sent with this many changes. */
+    void recordSent(int changes) {
         budget.take(changes);
     }
 
-    /** A transaction ended so. */
-    void answered(Outcome outcome) {
-        budget.adapt(outcome);
+    /** Adapts the rate to the outcome of a transaction. */
+    void recordOutcome(Outcome outcome) {
+        budget.adaptRate(outcome);
     }
 
-    /** Wakes the queue after this long, or earlier to look again; does nothing while an earlier wait is not over. */
+    /**
+     * Wakes the queue after the delay, or earlier to check again. Does nothing while an earlier delay has not passed.
+     */
     void wakeAfter(long delayMicros) {
         if (wakeScheduled) {
             return;
         }
         wakeScheduled = true;
-        timers.after(Math.min(delayMicros, RetryPolicy.RETRY_MICROS), () -> {
+        timers.after(Math.min(delayMicros, RetryPolicy.RETRY_DELAY_MICROS), () -> {
             wakeScheduled = false;
-            wake.run();
+            wakeAction.run();
         });
     }
 }
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -14,20 +14,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes of one controller, gathered into transactions within its share of the write budget. One transaction is under
- * way at a time; each change is guarded by the revision that the replica has of its key, so a late copy of a
- * transaction fails. Contents are produced when the transaction is built, so what goes out is always the latest.
+ * Gathers the writes of one controller into transactions, within its share of the write budget. Only one transaction is
+ * in progress at a time. Each change has the precondition that its key has the revision known to the replica, so that a
+ * late duplicate of a transaction fails. The contents of writes are produced when the transaction is built, so that it
+ * always contains the latest state.
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
 
-    /** What goes first when the budget is short: what keeps work safe, what lets it start, what merely tells of it. */
+    /**
+     * The order of writes when the budget is short: first those that keep work safe, then those that let work start or
+     * end, last those that only report progress.
+     */
     public enum Urgency {
-        /** Keeps work safe. */
+        /** The write keeps work safe. */
         SAFETY,
-        /** Lets work start or end. */
+        /** The write lets work start or end. */
         WORK,
-        /** Merely tells of progress. */
+        /** The write only reports progress. */
         PROGRESS_ONLY
     }
 
@@ -35,21 +39,21 @@
     private final RecordReplica replica;
     private final Timers timers;
     private final Supplier<List<Precondition>> fence;
-    private final BooleanSupplier open;
+    private final BooleanSupplier isOpen;
     private final PendingWrites pending;
     private final WritePace pace;
     private final RetryPolicy retryPolicy;
-    /** Whether a transaction is under way, or a failed one is waited out. */
+    /** Whether a transaction is in progress, or the delay after a failed one has not passed. */
     private boolean busy;
 
     private boolean isBehind;
 
     /**
-     * @param transactionChanges the most changes that the store takes in a transaction
-     * @param writesPerSecond the share of the write budget, in changes a second
-     * @param rateControl whether to write less when the store refuses
-     * @param fence preconditions of every transaction
-     * @param open whether to write at all; once false, false for ever
+     * @param transactionChanges the largest number of changes that the store accepts in a transaction
+     * @param writesPerSecond the share of the write budget, in changes per second
+     * @param rateControl whether to write less when the store refuses writes
+     * @param fence the preconditions of every transaction
+     * @param isOpen whether the queue may write; once false, it stays false for ever
      */
     public WriteQueue(
             KeyValueStore store,
@@ -59,41 +63,48 @@
             double writesPerSecond,
             RateControl rateControl,
             Supplier<List<Precondition>> fence,
-            BooleanSupplier open) {
+            BooleanSupplier isOpen) {
         this.store = store;
         this.replica = replica;
         this.timers = timers;
         this.fence = fence;
-        this.open = open;
+        this.isOpen = isOpen;
         this.pending = new PendingWrites(transactionChanges);
         TokenBucket budget = new TokenBucket(writesPerSecond, rateControl, timers.nowMicros());
         this.pace = new WritePace(timers, budget, this::sendIfDue);
         this.retryPolicy = new RetryPolicy(transactionChanges, rateControl);
     }
 
-    /** The share of the write budget that this queue keeps to. */
+    /** Returns the share of the write budget that this queue keeps to, in changes per second. */
     public double writesPerSecond() {
         return pace.sharePerSecond();
     }
 
-    /** Whether more waits, mere progress aside, than can be written in a few seconds. */
+    /**
+     * Returns whether more writes wait, progress writes aside, than the queue can send within a few seconds. The value
+     * is determined whenever a transaction is sent.
+     */
     public boolean isBehind() {
         return isBehind;
     }
 
     /**
-     * Asks for a write. A later one under the same name replaces an earlier one, but never puts it off. An empty
-     * content withdraws it.
+     * Enqueues a write. A later write replaces an earlier one of the same name but never delays it. If the content is
+     * empty, the write is withdrawn.
+     *
+     * @param delayMicros time after which the write is due; it may be sent earlier
+     * @param content produces the changes when the transaction is built
+     * @param onCommitted called with the store's revision after the commit
      */
     public void enqueue(
-            String name, Urgency urgency, long delayMicros, Supplier<List<Change>> content, LongConsumer committed) {
+            String name, Urgency urgency, long delayMicros, Supplier<List<Change>> content, LongConsumer onCommitted) {
         long dueMicros = timers.nowMicros() + delayMicros;
-        pending.add(name, new PendingWrites.Write(urgency, content, committed, dueMicros));
+        pending.add(name, new PendingWrites.Write(urgency, content, onCommitted, dueMicros));
         sendIfDue();
     }
 
     private void sendIfDue() {
-        if (busy || pending.isEmpty() || !open.getAsBoolean()) {
+        if (busy || pending.isEmpty() || !isOpen.getAsBoolean()) {
             return;
         }
         long nowMicros = timers.nowMicros();
@@ -104,28 +115,28 @@
         }
         WriteBatch batch = gather(nowMicros);
         if (batch.size() == 0) {
-            // All withdrawn, or only progress, for which the budget is too short.
-            pace.wakeAfter(RetryPolicy.RETRY_MICROS);
+            // All writes were withdrawn, or only progress writes wait and the budget is too short for them.
+            pace.wakeAfter(RetryPolicy.RETRY_DELAY_MICROS);
             return;
         }
         send(batch);
     }
 
     private WriteBatch gather(long nowMicros) {
-        int most = pace.mostChanges(retryPolicy.largestTransaction());
-        return pending.gather(nowMicros, most, pace.mostProgressChanges(most));
+        int maxChanges = pace.maxChanges(retryPolicy.maxChanges());
+        return pending.gather(nowMicros, maxChanges, pace.maxProgressChanges(maxChanges));
     }
 
     private void send(WriteBatch batch) {
-        Transaction transaction = guarded(batch);
+        Transaction transaction = transactionFor(batch);
         busy = true;
-        pace.sent(batch.size());
+        pace.recordSent(batch.size());
         pending.remove(batch.writes());
-        isBehind = pace.isBehind(pending.countWithoutProgress());
-        store.commit(transaction, answer -> answered(batch, answer));
+        isBehind = pace.isBehind(pending.countExcludingProgress());
+        store.commit(transaction, result -> onAnswer(batch, result));
     }
 
-    private Transaction guarded(WriteBatch batch) {
+    private Transaction transactionFor(WriteBatch batch) {
         List<Precondition> preconditions = new ArrayList<>(fence.get());
         for (Change change : batch.changes()) {
             preconditions.add(new Precondition(change.key(), replica.revision(change.key())));
@@ -133,39 +144,43 @@
         return new Transaction(preconditions, batch.changes());
     }
 
-    private void answered(WriteBatch batch, CommitResult answer) {
-        pace.answered(answer.outcome());
-        if (answer.outcome() == Outcome.OK) {
-            committed(batch, answer.storeRevision());
+    private void onAnswer(WriteBatch batch, CommitResult result) {
+        pace.recordOutcome(result.outcome());
+        if (result.outcome() == Outcome.OK) {
+            onCommitted(batch, result.storeRevision());
         } else {
-            LOG.debug("transaction on {} ended {} {}", batch.writes().keySet(), answer.outcome(), answer.failedKeys());
-            failed(batch, answer.outcome());
+            LOG.debug(
+                    "writes {}: transaction ended with {}, failed preconditions {}",
+                    batch.writes().keySet(),
+                    result.outcome(),
+                    result.failedKeys());
+            onFailed(batch, result.outcome());
         }
     }
 
-    private void committed(WriteBatch batch, long storeRevision) {
+    private void onCommitted(WriteBatch batch, long storeRevision) {
         for (Change change : batch.changes()) {
             replica.applyCommitted(change.key(), change.record(), storeRevision);
         }
         busy = false;
-        retryPolicy.committed();
+        retryPolicy.onCommitted();
         for (PendingWrites.Write write : batch.writes().values()) {
-            write.committed().accept(storeRevision);
+            write.onCommitted().accept(storeRevision);
         }
         sendIfDue();
     }
 
-    private void failed(WriteBatch batch, Outcome outcome) {
+    private void onFailed(WriteBatch batch, Outcome outcome) {
         RetryPolicy.Decision decision =
-                retryPolicy.failed(outcome, batch.writes().size(), batch.size());
+                retryPolicy.onFailed(outcome, batch.writes().size(), batch.size());
         switch (decision.action()) {
             case ABANDON -> {
                 logAbandoned(batch);
-                goOnAfter(decision.delayMicros());
+                resumeAfter(decision.delayMicros());
             }
             case SEND_AGAIN -> {
                 pending.restore(batch.writes());
-                goOnAfter(decision.delayMicros());
+                resumeAfter(decision.delayMicros());
             }
             case READ_BACK -> {
                 pending.restore(batch.writes());
@@ -174,22 +189,25 @@
         }
     }
 
-    /** What the store will never take is not sent again as it stands; a later write may have other contents. */
+    /**
+     * Logs writes that the store will never accept. They are not sent again; a later write of the same name may have
+     * other contents.
+     */
     private static void logAbandoned(WriteBatch batch) {
         for (Change change : batch.changes()) {
             LOG.error(
-                    "the store rejects the write of {} ({} bytes, {} changes together): it is abandoned",
+                    "record {} ({} bytes, {} changes in the write): store rejected the write as invalid; abandoning the write",
                     change.key(),
-                    WriteBatch.roughBytes(change),
+                    WriteBatch.estimatedBytes(change),
                     batch.size());
         }
     }
 
-    private void goOnAfter(long delayMicros) {
-        timers.after(delayMicros, this::goOn);
+    private void resumeAfter(long delayMicros) {
+        timers.after(delayMicros, this::resume);
     }
 
-    private void goOn() {
+    private void resume() {
         busy = false;
         sendIfDue();
     }
@@ -197,14 +215,14 @@
     private void readBackAfter(long delayMicros) {
         timers.after(
                 delayMicros,
-                () -> replica.requestBarrier(fresh -> {
-                    if (!open.getAsBoolean()) {
+                () -> replica.requestBarrier(upToDate -> {
+                    if (!isOpen.getAsBoolean()) {
                         return;
                     }
-                    if (fresh) {
-                        goOn();
+                    if (upToDate) {
+                        resume();
                     } else {
-                        readBackAfter(RetryPolicy.RETRY_MICROS);
+                        readBackAfter(RetryPolicy.RETRY_DELAY_MICROS);
                     }
                 }));
     }
--- a/src/main/java/org/granitepath/storage/package-info.java
+++ b/src/main/java/org/granitepath/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Records kept in the store, the local replica of them, and the interface to the store itself. */
+/** The records in the store, the local replica of these records, and the interface to the store itself. */
 package org.granitepath.storage;
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -17,11 +17,11 @@
 import org.granitepath.storage.StoredRecord;
 import org.granitepath.storage.WriteQueue;
 
-/** What answers users' requests for the one job {@link #SPEC}, over a store in memory. */
+/** The components that answer users' requests for the job {@link #SPEC}, with a store in memory. */
 final class AdmissionFixture {
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
     static final JobSpec SPEC = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
-    static final String JOB = SPEC.id();
+    static final String JOB_ID = SPEC.id();
 
     final ManualTimers timers = new ManualTimers();
     final MemoryStore store = new MemoryStore(timers);
@@ -29,7 +29,7 @@
     final JobIndex jobIndex = new JobIndex();
     final JobAnswers answers = new JobAnswers(jobIndex);
     final WaitingRequests waitingRequests = new WaitingRequests();
-    final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
+    final RecordReplica replica = new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
         @Override
         public void onRecordChanged(String key, StoredRecord record, long revision) {
             jobIndex.applyRecord(key, record);
@@ -48,25 +48,25 @@
             () -> List.of(new Precondition(Keys.LEADER, replica.revision(Keys.LEADER))),
             () -> true);
 
-    /** A controller of this fencing token leads by record. */
-    void putLeader(long fencingToken) {
+    /** Writes a leader's record with this fencing token to the store. */
+    void writeLeader(long fencingToken) {
         store.put(Keys.LEADER, new LeaderRecord("c2", "c2-1", fencingToken), 0);
     }
 
-    /** The job is on record, accepted by another controller. */
-    void putJob() {
-        store.put(Keys.job(JOB), new JobRecord(SPEC, 0, 0, 0), 0);
+    /** Writes the job's record to the store, as another controller that accepted the job does. */
+    void writeJob() {
+        store.put(Keys.job(JOB_ID), new JobRecord(SPEC, 0, 0, 0), 0);
     }
 
-    /** It is on record how the job ended. */
-    void putEnd(FinalRecord.Outcome outcome) {
-        store.put(Keys.finalRecord(JOB), new FinalRecord(outcome), 0);
+    /** Writes the job's outcome to the store. */
+    void writeOutcome(FinalRecord.Outcome outcome) {
+        store.put(Keys.finalRecord(JOB_ID), new FinalRecord(outcome), 0);
     }
 
-    /** Reads what is on record so far. */
+    /** Starts the replica and lets it read all records. */
     AdmissionFixture readRecords() {
         replica.start();
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         return this;
     }
 }
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which jobs are refused since they can never run. Each job has ten tasks of one CPU. */
+/** Checks which jobs are rejected because they can never run. Each job has ten tasks of one CPU. */
 class AdmissionRulesTest {
     private static final JobSpec BATCH = Fixtures.spec(JobSpec.Shape.BATCH, false, false);
     private static final Team UNLIMITED = new Team("team", 0, 0, 0, 0);
-    private static final MachineType HALF_A_CPU =
+    private static final MachineType HALF_CPU_TYPE =
             new MachineType("half", 500, 0, 8_000, 1, 0.1, 0.05, 1, List.of("north"));
 
     private static Config config(Team... teams) {
@@ -31,43 +31,45 @@
     }
 
     @Test
-    void aJobThatFitsIsNotRefused() {
+    void aJobThatFitsIsAccepted() {
         assertEquals(Optional.empty(), reason(BATCH, config(UNLIMITED), Fixtures.TYPE));
     }
 
     @Test
-    void aJobOfAnUnknownTeamIsRefused() {
+    void aJobOfAnUnknownTeamIsRejected() {
         assertEquals(Optional.of("unknown team team"), reason(BATCH, config(), Fixtures.TYPE));
     }
 
     @ParameterizedTest
     @CsvSource({
-        "BATCH, 1000, false", // one task at a time is enough to go on
+        "BATCH, 1000, false", // the job makes progress with one task at a time
         "BATCH, 999, true",
         "GANG, 10000, false",
         "GANG, 9999, true",
         "SERVICE, 10000, false",
         "SERVICE, 9999, true",
     })
-    void aTeamsLimitMustHoldTheTasksThatRunTogether(JobSpec.Shape shape, long cpuLimitMillis, boolean refused) {
+    void theTasksThatRunAtTheSameTimeMustStayWithinTheTeamsLimit(
+            JobSpec.Shape shape, long cpuLimitMillis, boolean rejected) {
         Config config = config(new Team("team", 0, cpuLimitMillis, 0, 0));
         Optional<String> reason = reason(Fixtures.spec(shape, false, false), config, Fixtures.TYPE);
-        assertEquals(refused ? Optional.of("more than the limit of team team") : Optional.empty(), reason);
+        assertEquals(rejected ? Optional.of("more than the limit of team team") : Optional.empty(), reason);
     }
 
     @Test
-    void aTaskMustFitOneOfTheTypes() {
-        assertEquals(Optional.of("a task fits no allowed machine type"), reason(BATCH, config(UNLIMITED), HALF_A_CPU));
-        assertEquals(Optional.empty(), reason(BATCH, config(UNLIMITED), HALF_A_CPU, Fixtures.TYPE));
+    void aTaskMustFitAtLeastOneMachineType() {
+        assertEquals(
+                Optional.of("a task fits no allowed machine type"), reason(BATCH, config(UNLIMITED), HALF_CPU_TYPE));
+        assertEquals(Optional.empty(), reason(BATCH, config(UNLIMITED), HALF_CPU_TYPE, Fixtures.TYPE));
     }
 
     @Test
-    void noJobIsRefusedForItsSizeBeforeTheTypesAreKnown() {
+    void noJobIsRejectedForItsSizeWhileMachineTypesAreUnknown() {
         assertEquals(Optional.empty(), reason(BATCH, config(UNLIMITED)));
     }
 
     @Test
-    void aDescriptionThatExceedsAValueOfTheStoreIsRefused() {
+    void aDescriptionLargerThanAValueOfTheStoreIsRejected() {
         JobSpec longImage = withImage("i".repeat(10_000));
         Optional<String> reason = reason(longImage, config(UNLIMITED), Fixtures.TYPE);
         assertTrue(reason.isPresent() && reason.get().startsWith("its description takes more than the 10000 bytes"));
@@ -99,11 +101,11 @@
 
     @ParameterizedTest
     @CsvSource({"true, true, true", "true, false, false", "false, true, false"})
-    void tasksCannotBeSpreadAndInOneZone(boolean oneZone, boolean spread, boolean refused) {
+    void tasksThatMustBeSpreadAndInOneZoneAreRejected(boolean oneZone, boolean spread, boolean rejected) {
         JobSpec spec = Fixtures.spec(JobSpec.Shape.BATCH, oneZone, spread);
         Optional<String> reason = reason(spec, config(UNLIMITED), Fixtures.TYPE);
         assertEquals(
-                refused ? Optional.of("its tasks must be spread over zones and be in one zone") : Optional.empty(),
+                rejected ? Optional.of("its tasks must be spread over zones and be in one zone") : Optional.empty(),
                 reason);
     }
 }
--- a/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.admission;
 
-import static org.granitepath.coordination.admission.AdmissionFixture.JOB;
-import static org.granitepath.coordination.admission.AdmissionFixture.SECOND;
+import static org.granitepath.coordination.admission.AdmissionFixture.JOB_ID;
+import static org.granitepath.coordination.admission.AdmissionFixture.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A cancellation goes on record, then to the leader, and only then is the user answered. */
+/** A cancellation is recorded first and then announced to the leader; the user is answered last. */
 class CancellationWriterTest {
-    private static final JobResponse CANCELLED = new JobResponse.Status(false, JOB, JobState.CANCELLED, 0, 0);
+    private static final JobResponse CANCELLED = new JobResponse.Status(false, JOB_ID, JobState.CANCELLED, 0, 0);
 
     private final AdmissionFixture fixture = new AdmissionFixture();
     private final List<CancellationNotice> notices = new ArrayList<>();
-    private final List<Runnable> announced = new ArrayList<>();
+    private final List<Runnable> confirmations = new ArrayList<>();
     private final List<JobResponse> answers = new ArrayList<>();
     private final CancellationWriter cancellations = new CancellationWriter(
             fixture.replica,
@@ -31,62 +31,63 @@
             fixture.timers,
             fixture.writeQueue,
             fixture.waitingRequests,
-            (notice, then) -> {
+            (notice, onConfirmed) -> {
                 notices.add(notice);
-                announced.add(then);
+                confirmations.add(onConfirmed);
             });
 
     @BeforeEach
-    void openTheJob() {
-        fixture.putJob();
+    void recordTheJob() {
+        fixture.writeJob();
         fixture.readRecords();
     }
 
     private void cancelAndWait() {
-        cancellations.record(JOB, answers::add);
-        fixture.timers.advance(SECOND);
+        cancellations.record(JOB_ID, answers::add);
+        fixture.timers.advance(SECOND_MICROS);
     }
 
     @Test
     void aCancellationIsAnnouncedWithTheRevisionOfItsRecord() {
         cancelAndWait();
-        assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.outcomeOf(JOB));
-        assertEquals(List.of(new CancellationNotice(JOB, fixture.replica.revision(Keys.finalRecord(JOB)))), notices);
+        assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.outcomeOf(JOB_ID));
+        assertEquals(
+                List.of(new CancellationNotice(JOB_ID, fixture.replica.revision(Keys.finalRecord(JOB_ID)))), notices);
     }
 
     @Test
-    void theUserIsAnsweredOnceTheLeaderIsTold() {
+    void theUserIsAnsweredOnceTheAnnouncementIsConfirmed() {
         cancelAndWait();
-        assertTrue(cancellations.isBeingConfirmed(JOB));
+        assertTrue(cancellations.isBeingConfirmed(JOB_ID));
         assertEquals(List.of(), answers);
-        announced.get(0).run();
-        assertFalse(cancellations.isBeingConfirmed(JOB));
+        confirmations.get(0).run();
+        assertFalse(cancellations.isBeingConfirmed(JOB_ID));
         assertEquals(List.of(CANCELLED), answers);
     }
 
     @Test
-    void repeatedRequestsAreAnsweredTogether() {
+    void repeatedRequestsGetTheSameAnswer() {
         cancelAndWait();
-        cancellations.joinConfirmation(JOB, answers::add);
-        cancellations.record(JOB, answers::add);
-        assertEquals(1, announced.size());
-        announced.get(0).run();
+        cancellations.joinConfirmation(JOB_ID, answers::add);
+        cancellations.record(JOB_ID, answers::add);
+        assertEquals(1, confirmations.size());
+        confirmations.get(0).run();
         assertEquals(List.of(CANCELLED, CANCELLED, CANCELLED), answers);
     }
 
     @Test
-    void aJobThatIsDoneMeanwhileIsNotCancelled() {
-        fixture.putEnd(FinalRecord.Outcome.DONE);
+    void aJobThatIsDoneBeforeTheWriteIsNotCancelled() {
+        fixture.writeOutcome(FinalRecord.Outcome.DONE);
         cancelAndWait();
         assertEquals(List.of(), notices);
-        assertEquals(List.of(new JobResponse.Status(false, JOB, JobState.DONE, 0, 0)), answers);
+        assertEquals(List.of(new JobResponse.Status(false, JOB_ID, JobState.DONE, 0, 0)), answers);
     }
 
     @Test
-    void whileTheLeaderCannotBeToldTheUserIsAskedToComeAgain() {
+    void withoutConfirmationTheUserIsToldToRetry() {
         cancelAndWait();
-        fixture.timers.advance(4 * SECOND);
+        fixture.timers.advance(4 * SECOND_MICROS);
         assertEquals(List.of(JobAnswers.retryLater("not on record yet")), answers);
-        assertFalse(cancellations.isBeingConfirmed(JOB));
+        assertFalse(cancellations.isBeingConfirmed(JOB_ID));
     }
 }
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.storage.UnknownRecord;
 import org.junit.jupiter.api.Test;
 
-/** What is known of a job of which a record can't be read. */
+/** What the index knows about a job with an unreadable record. */
 class JobIndexTest {
     private static final UnknownRecord UNREADABLE = new UnknownRecord(Map.of());
 
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void withAnUnreadableDescriptionTheStatusStaysUnknownWhateverElseCantBeRead() {
+    void theStatusStaysUnknownIfProgressIsUnreadableAfterTheDescription() {
         jobIndex.applyRecord(Keys.job("a"), UNREADABLE);
         jobIndex.applyRecord(Keys.progress("a"), UNREADABLE);
         assertTrue(jobIndex.isStatusUnknown("a"));
     }
 
     @Test
-    void theEndOfAJobIsKnownWithoutItsDescription() {
+    void theOutcomeOfAJobIsKnownWithoutItsDescription() {
         jobIndex.applyRecord(Keys.job("a"), UNREADABLE);
         jobIndex.applyRecord(Keys.finalRecord("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         assertFalse(jobIndex.isStatusUnknown("a"));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aJobOfWhichNothingIsOnRecordIsNotKnown() {
+    void aJobWithoutRecordsIsNotKnown() {
         assertFalse(jobIndex.isKnown("a") || jobIndex.isUnreadable("a") || jobIndex.isStatusUnknown("a"));
         assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recordedTaskState("a"));
     }
--- a/src/test/java/org/granitepath/coordination/admission/PendingAnswersTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/PendingAnswersTest.java
@@ -10,36 +10,36 @@
 import org.granitepath.coordination.ports.JobResponse;
 import org.junit.jupiter.api.Test;
 
-/** Repeated requests join, and each gets exactly one answer. */
+/** Repeated requests for a job wait together, and each gets exactly one answer. */
 class PendingAnswersTest {
-    private static final long TIMEOUT = 4_000_000;
+    private static final long TIMEOUT_MICROS = 4_000_000;
     private static final JobResponse ANSWER = new JobResponse.NotFound();
 
     private final ManualTimers timers = new ManualTimers();
-    private final PendingAnswers pending = new PendingAnswers(new WaitingRequests(), timers, TIMEOUT);
-    private final List<JobResponse> first = new ArrayList<>();
-    private final List<JobResponse> second = new ArrayList<>();
+    private final PendingAnswers pending = new PendingAnswers(new WaitingRequests(), timers, TIMEOUT_MICROS);
+    private final List<JobResponse> firstAnswers = new ArrayList<>();
+    private final List<JobResponse> secondAnswers = new ArrayList<>();
 
     @Test
-    void onlyTheFirstRequestBringsTheOutcomeAboutAndAllGetIt() {
-        assertTrue(pending.join("job", first::add));
-        assertFalse(pending.join("job", second::add));
+    void onlyTheFirstRequestStartsTheOperationAndAllGetTheAnswer() {
+        assertTrue(pending.join("job", firstAnswers::add));
+        assertFalse(pending.join("job", secondAnswers::add));
         pending.resolve("job", ANSWER);
-        timers.advance(TIMEOUT);
-        assertEquals(List.of(ANSWER), first);
-        assertEquals(List.of(ANSWER), second);
+        timers.advance(TIMEOUT_MICROS);
+        assertEquals(List.of(ANSWER), firstAnswers);
+        assertEquals(List.of(ANSWER), secondAnswers);
     }
 
     @Test
-    void eachRequestHasATimeoutOfItsOwn() {
-        pending.join("job", first::add);
-        timers.advance(TIMEOUT / 2);
-        pending.join("job", second::add);
-        timers.advance(TIMEOUT / 2);
-        assertEquals(List.of(JobAnswers.retryLater("not on record yet")), first);
-        assertTrue(pending.isAwaited("job") && second.isEmpty());
-        timers.advance(TIMEOUT / 2);
+    void eachRequestHasItsOwnTimeout() {
+        pending.join("job", firstAnswers::add);
+        timers.advance(TIMEOUT_MICROS / 2);
+        pending.join("job", secondAnswers::add);
+        timers.advance(TIMEOUT_MICROS / 2);
+        assertEquals(List.of(JobAnswers.retryLater("not on record yet")), firstAnswers);
+        assertTrue(pending.isAwaited("job") && secondAnswers.isEmpty());
+        timers.advance(TIMEOUT_MICROS / 2);
         assertFalse(pending.isAwaited("job"));
-        assertEquals(first, second);
+        assertEquals(firstAnswers, secondAnswers);
     }
 }
--- a/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.coordination.admission;
 
-import static org.granitepath.coordination.admission.AdmissionFixture.JOB;
-import static org.granitepath.coordination.admission.AdmissionFixture.SECOND;
+import static org.granitepath.coordination.admission.AdmissionFixture.JOB_ID;
+import static org.granitepath.coordination.admission.AdmissionFixture.SECOND_MICROS;
 import static org.granitepath.coordination.admission.AdmissionFixture.SPEC;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,10 +14,13 @@
 import org.granitepath.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
-/** Accepted jobs go on record once, with a first block for the leader, and then all submitters are answered. */
+/**
+ * Each accepted job is recorded once, with a first block of tasks claimed for the leader. All submitters are answered
+ * afterwards.
+ */
 class SubmissionWriterTest {
-    private static final long TOKEN = 7;
-    private static final JobResponse CREATED = new JobResponse.Status(true, JOB, JobState.PENDING, 0, 0);
+    private static final long FENCING_TOKEN = 7;
+    private static final JobResponse CREATED = new JobResponse.Status(true, JOB_ID, JobState.PENDING, 0, 0);
 
     private final AdmissionFixture fixture = new AdmissionFixture();
     private final SubmissionWriter submissions = new SubmissionWriter(
@@ -30,8 +33,8 @@
             fixture.waitingRequests);
     private final List<JobResponse> answers = new ArrayList<>();
 
-    private JobRecord recorded() {
-        return fixture.jobIndex.openJob(JOB);
+    private JobRecord jobRecord() {
+        return fixture.jobIndex.openJob(JOB_ID);
     }
 
     @Test
@@ -39,38 +42,38 @@
         fixture.readRecords();
         submissions.record(SPEC, answers::add);
         assertTrue(answers.isEmpty(), "not on record yet");
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(CREATED), answers);
-        assertEquals(SPEC, recorded().spec());
+        assertEquals(SPEC, jobRecord().spec());
     }
 
     @Test
-    void theRecordClaimsAFirstBlockForTheLeader() {
-        fixture.putLeader(TOKEN);
+    void theRecordClaimsAFirstBlockOfTasksForTheLeader() {
+        fixture.writeLeader(FENCING_TOKEN);
         fixture.readRecords();
         submissions.record(SPEC, answers::add);
-        fixture.timers.advance(SECOND);
-        assertEquals(TOKEN, recorded().term());
+        fixture.timers.advance(SECOND_MICROS);
+        assertEquals(FENCING_TOKEN, jobRecord().term());
         assertEquals(
-                fixture.config.tuning().firstClaimBlockSize(SPEC), recorded().claimedTasks());
+                fixture.config.tuning().firstClaimBlockSize(SPEC), jobRecord().claimedTasks());
     }
 
     @Test
-    void withoutALeaderOnRecordNothingIsClaimed() {
+    void noTasksAreClaimedWithoutALeaderOnRecord() {
         fixture.readRecords();
         submissions.record(SPEC, answers::add);
-        fixture.timers.advance(SECOND);
-        assertEquals(0, recorded().claimedTasks());
+        fixture.timers.advance(SECOND_MICROS);
+        assertEquals(0, jobRecord().claimedTasks());
     }
 
     @Test
-    void nothingIsClaimedForALeaderThatWasReplacedMeanwhile() {
-        fixture.putLeader(TOKEN);
+    void tasksAreClaimedForTheNewLeaderIfTheLeaderWasReplaced() {
+        fixture.writeLeader(FENCING_TOKEN);
         fixture.readRecords();
-        fixture.putLeader(TOKEN + 1);
+        fixture.writeLeader(FENCING_TOKEN + 1);
         submissions.record(SPEC, answers::add);
-        fixture.timers.advance(SECOND);
-        assertEquals(TOKEN + 1, recorded().term());
+        fixture.timers.advance(SECOND_MICROS);
+        assertEquals(FENCING_TOKEN + 1, jobRecord().term());
     }
 
     @Test
@@ -78,17 +81,17 @@
         fixture.readRecords();
         submissions.record(SPEC, answers::add);
         submissions.record(SPEC, answers::add);
-        fixture.timers.advance(SECOND);
+        fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(CREATED, CREATED), answers);
     }
 
     @Test
-    void aJobThatHasEndedMeanwhileIsNotWrittenAgain() {
+    void aJobThatHasEndedBeforeTheWriteIsNotWrittenAgain() {
         fixture.readRecords();
-        fixture.putJob();
-        fixture.putEnd(FinalRecord.Outcome.DONE);
+        fixture.writeJob();
+        fixture.writeOutcome(FinalRecord.Outcome.DONE);
         submissions.record(SPEC, answers::add);
-        fixture.timers.advance(SECOND);
-        assertEquals(List.of(new JobResponse.Status(false, JOB, JobState.DONE, 0, 0)), answers);
+        fixture.timers.advance(SECOND_MICROS);
+        assertEquals(List.of(new JobResponse.Status(false, JOB_ID, JobState.DONE, 0, 0)), answers);
     }
 }
--- a/src/test/java/org/granitepath/storage/FieldsTest.java
+++ b/src/test/java/org/granitepath/storage/FieldsTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
+/** Fields are read by type, with defaults for missing fields or with an error that names the field. */
 class FieldsTest {
     private static final Map<String, Object> FIELDS = Map.of(
             "number", 2.5, "text", "t", "flag", true, "object", Map.of("a", 1), "list", Arrays.asList("a", 1, null));
 
     @Test
-    void fieldsThatAreThere() {
+    void existingFieldsAreReadByType() {
         assertEquals(2, Fields.longOf(FIELDS, "number", 7));
         assertEquals(2, Fields.intOf(FIELDS, "number", 7));
         assertEquals(2.5, Fields.doubleOf(FIELDS, "number", 7));
@@ -31,7 +32,7 @@
     }
 
     @Test
-    void fieldsThatAreMissingOrOfAnotherType() {
+    void missingFieldsAndFieldsOfAnotherTypeGetDefaults() {
         for (String name : List.of("none", "object")) {
             assertEquals(7, Fields.longOf(FIELDS, name, 7));
             assertEquals(7, Fields.intOf(FIELDS, name, 7));
--- a/src/test/java/org/granitepath/storage/JobKeyTest.java
+++ b/src/test/java/org/granitepath/storage/JobKeyTest.java
@@ -8,22 +8,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Keys of the records of jobs are put together and taken apart. */
+/** Keys of the records of jobs are built and parsed. */
 class JobKeyTest {
     @Test
-    void aKeyTellsWhichRecordOfWhichJobItNames() {
+    void aParsedKeyContainsTheKindAndTheJob() {
         assertEquals(Optional.of(new Keys.JobKey(Keys.JobRecordKind.JOB, "a/b")), Keys.parseJobKey(Keys.job("a/b")));
     }
 
     @ParameterizedTest
     @CsvSource({"g/j/a, JOB", "g/p/a, PROGRESS", "g/f/a, FINAL"})
-    void eachKindHasAPrefixOfItsOwn(String key, Keys.JobRecordKind kind) {
+    void eachKindHasItsOwnPrefix(String key, Keys.JobRecordKind kind) {
         assertEquals(Optional.of(new Keys.JobKey(kind, "a")), Keys.parseJobKey(key));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {Keys.LEADER, Keys.FENCING_TOKEN, Keys.MACHINE_TYPES, Keys.INVENTORY_PREFIX + "0"})
-    void otherRecordsAreOfNoJob(String key) {
+    void otherKeysBelongToNoJob(String key) {
         assertEquals(Optional.empty(), Keys.parseJobKey(key));
     }
 }
--- a/src/test/java/org/granitepath/storage/OneShotTest.java
+++ b/src/test/java/org/granitepath/storage/OneShotTest.java
@@ -7,51 +7,52 @@
 import org.granitepath.coordination.ManualTimers;
 import org.junit.jupiter.api.Test;
 
+/** Only the first of several competing actions runs. */
 class OneShotTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final ManualTimers timers = new ManualTimers();
-    private final List<String> fired = new ArrayList<>();
+    private final List<String> actionsRun = new ArrayList<>();
     private final OneShot outcome = new OneShot();
 
     @Test
-    void onlyTheFirstEventDecides() {
-        outcome.fire(() -> fired.add("answer"));
-        outcome.fire(() -> fired.add("second answer"));
-        assertEquals(List.of("answer"), fired);
+    void onlyTheFirstActionRuns() {
+        outcome.fire(() -> actionsRun.add("answer"));
+        outcome.fire(() -> actionsRun.add("second answer"));
+        assertEquals(List.of("answer"), actionsRun);
     }
 
     @Test
-    void theTimeoutDecidesAfterItsDelayAndNotBefore() {
-        outcome.fireAfter(timers, SECOND, () -> fired.add("timeout"));
-        timers.advance(SECOND - 1);
-        assertEquals(List.of(), fired);
+    void theTimeoutRunsAfterItsDelayAndNotBefore() {
+        outcome.fireAfter(timers, SECOND_MICROS, () -> actionsRun.add("timeout"));
+        timers.advance(SECOND_MICROS - 1);
+        assertEquals(List.of(), actionsRun);
         timers.advance(1);
-        assertEquals(List.of("timeout"), fired);
+        assertEquals(List.of("timeout"), actionsRun);
     }
 
     @Test
-    void anAnswerInTimeMakesTheTimeoutVoid() {
-        outcome.fireAfter(timers, SECOND, () -> fired.add("timeout"));
-        outcome.fire(() -> fired.add("answer"));
-        timers.advance(2 * SECOND);
-        assertEquals(List.of("answer"), fired);
+    void anAnswerInTimePreventsTheTimeout() {
+        outcome.fireAfter(timers, SECOND_MICROS, () -> actionsRun.add("timeout"));
+        outcome.fire(() -> actionsRun.add("answer"));
+        timers.advance(2 * SECOND_MICROS);
+        assertEquals(List.of("answer"), actionsRun);
     }
 
     @Test
-    void anAnswerAfterTheTimeoutMeansNothing() {
-        outcome.fireAfter(timers, SECOND, () -> fired.add("timeout"));
-        timers.advance(SECOND);
-        outcome.fire(() -> fired.add("answer"));
-        assertEquals(List.of("timeout"), fired);
+    void anAnswerAfterTheTimeoutIsIgnored() {
+        outcome.fireAfter(timers, SECOND_MICROS, () -> actionsRun.add("timeout"));
+        timers.advance(SECOND_MICROS);
+        outcome.fire(() -> actionsRun.add("answer"));
+        assertEquals(List.of("timeout"), actionsRun);
     }
 
     @Test
-    void anEventThatTheFirstOneBringsAboutMeansNothing() {
+    void anActionStartedByTheFirstOneIsIgnored() {
         outcome.fire(() -> {
-            fired.add("answer");
-            outcome.fire(() -> fired.add("from within"));
+            actionsRun.add("answer");
+            outcome.fire(() -> actionsRun.add("from within"));
         });
-        assertEquals(List.of("answer"), fired);
+        assertEquals(List.of("answer"), actionsRun);
     }
 }
--- a/src/test/java/org/granitepath/storage/PendingWritesTest.java
+++ b/src/test/java/org/granitepath/storage/PendingWritesTest.java
@@ -10,6 +10,7 @@
 import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
+/** Pending writes are gatheredNames into transactions by urgency, due time and size. */
 class PendingWritesTest {
     private static final StoredRecord SMALL = new UnknownRecord(Map.of("x", 1));
     private static final StoredRecord LARGE = new UnknownRecord(Map.of("x", "y".repeat(30_000)));
@@ -24,23 +25,24 @@
         pending.add(name, new PendingWrites.Write(urgency, () -> changes, revision -> {}, dueMicros));
     }
 
-    private List<String> gathered(int most, int mostForProgress) {
-        return List.copyOf(pending.gather(0, most, mostForProgress).writes().keySet());
+    private List<String> gatheredNames(int maxChanges, int maxChangesWithProgress) {
+        return List.copyOf(
+                pending.gather(0, maxChanges, maxChangesWithProgress).writes().keySet());
     }
 
     @Test
-    void mostUrgentFirst() {
+    void mostUrgentWritesAreGatheredFirst() {
         add("progress", Urgency.PROGRESS_ONLY, 0, SMALL);
         add("work", Urgency.WORK, 0, SMALL);
         add("safety", Urgency.SAFETY, 0, SMALL);
-        assertEquals(List.of("safety", "work", "progress"), gathered(8, 8));
-        assertEquals(List.of("safety", "work"), gathered(8, 2));
-        assertEquals(List.of("safety"), gathered(1, 1));
-        assertEquals(2, pending.countWithoutProgress());
+        assertEquals(List.of("safety", "work", "progress"), gatheredNames(8, 8));
+        assertEquals(List.of("safety", "work"), gatheredNames(8, 2));
+        assertEquals(List.of("safety"), gatheredNames(1, 1));
+        assertEquals(2, pending.countExcludingProgress());
     }
 
     @Test
-    void aLaterWriteNeitherPutsOffNorLowersAnEarlierOne() {
+    void aLaterWriteNeitherDelaysAnEarlierOneNorMakesItLessUrgent() {
         add("a", Urgency.SAFETY, 10, SMALL);
         add("a", Urgency.WORK, 20, SMALL, SMALL);
         assertEquals(10, pending.microsUntilDue(0));
@@ -50,33 +52,33 @@
     }
 
     @Test
-    void whatIsNotDueFillsHalfATransaction() {
+    void writesThatAreNotDueFillAtMostHalfATransaction() {
         for (int i = 0; i < 8; i++) {
             add("later" + i, Urgency.WORK, 1, SMALL);
         }
         add("due", Urgency.WORK, 0, SMALL);
-        assertEquals(List.of("later0", "later1", "later2", "later3", "due"), gathered(8, 8));
+        assertEquals(List.of("later0", "later1", "later2", "later3", "due"), gatheredNames(8, 8));
     }
 
     @Test
-    void emptyContentIsWithdrawn() {
+    void aWriteWithoutContentIsWithdrawn() {
         add("a", Urgency.WORK, 0);
-        assertTrue(gathered(8, 8).isEmpty());
+        assertTrue(gatheredNames(8, 8).isEmpty());
         assertTrue(pending.isEmpty());
     }
 
     @Test
-    void largeWritesGoAlone() {
+    void writesThatExceedTheLimitsTogetherAreSentSeparately() {
         add("a", Urgency.WORK, 0, LARGE);
         add("b", Urgency.WORK, 0, LARGE);
         add("c", Urgency.WORK, 0, SMALL);
-        assertEquals(List.of("a", "c"), gathered(8, 8));
+        assertEquals(List.of("a", "c"), gatheredNames(8, 8));
         add("many", Urgency.SAFETY, 0, SMALL, SMALL, SMALL);
-        assertEquals(List.of("many"), gathered(2, 2));
+        assertEquals(List.of("many"), gatheredNames(2, 2));
     }
 
     @Test
-    void whatWasAskedForAgainIsNotReplacedByWhatWasSent() {
+    void aWriteEnqueuedAgainIsNotReplacedByTheOneThatWasSent() {
         add("a", Urgency.WORK, 0, SMALL);
         add("b", Urgency.WORK, 0, SMALL);
         WriteBatch sent = pending.gather(0, 8, 8);
--- a/src/test/java/org/granitepath/storage/RecordFollowerTest.java
+++ b/src/test/java/org/granitepath/storage/RecordFollowerTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.storage;
 
-import static org.granitepath.storage.ReplicaFixture.SPACING;
+import static org.granitepath.storage.ReplicaFixture.SPACING_MICROS;
 import static org.granitepath.storage.ReplicaFixture.failed;
 import static org.granitepath.storage.ReplicaFixture.page;
 import static org.granitepath.storage.ReplicaFixture.removed;
@@ -14,57 +14,59 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** The follower sends long polls for the changes of records, and causes a reload if changes are missing. */
 class RecordFollowerTest {
     private static final String KEY = "g/test/1";
-    private static final long LONG_POLL = 20_000_000;
-    private static final long RETRY = 400_000;
+    private static final long LONG_POLL_MICROS = 20_000_000;
+    private static final long RETRY_DELAY_MICROS = 400_000;
 
     private final ReplicaFixture replica = new ReplicaFixture();
-    private final ReadBarrier barrier = new ReadBarrier(replica.store, replica.timers, SPACING, replica.position);
+    private final ReadBarrier barrier =
+            new ReadBarrier(replica.store, replica.timers, SPACING_MICROS, replica.position);
     private int reloads;
-    private final RecordFollower follower =
-            new RecordFollower(replica.store, replica.timers, SPACING, replica.position, barrier, () -> reloads++);
+    private final RecordFollower follower = new RecordFollower(
+            replica.store, replica.timers, SPACING_MICROS, replica.position, barrier, () -> reloads++);
 
-    private void answer(KeyValueStore.Page page) {
+    private void answerFollow(KeyValueStore.Page page) {
         replica.store.follows.remove().answer().accept(page);
     }
 
     @Test
-    void itWaitsForChangesAfterTheKnownRevision() {
+    void aPollWaitsForChangesAfterTheKnownRevision() {
         replica.following(7);
         follower.follow();
         ScriptedStore.Follow follow = replica.store.follows.remove();
         assertEquals(7, follow.afterRevision());
-        assertEquals(LONG_POLL, follow.waitMicros());
+        assertEquals(LONG_POLL_MICROS, follow.waitMicros());
     }
 
     @Test
-    void itDoesNothingBeforeTheRecordsAreLoaded() {
+    void noPollIsSentBeforeTheRecordsAreLoaded() {
         follower.follow();
-        replica.timers.advance(LONG_POLL);
+        replica.timers.advance(LONG_POLL_MICROS);
         assertTrue(replica.store.follows.isEmpty());
     }
 
     @Test
-    void changesAreTakenInAndTheNextPollComesAfterTheSpacing() {
+    void changesAreAppliedAndTheNextPollIsSentAfterTheSpacing() {
         replica.following(7);
         follower.follow();
-        answer(page(9, written(KEY, 8), removed(KEY, 9)));
+        answerFollow(page(9, written(KEY, 8), removed(KEY, 9)));
         assertEquals(List.of(KEY + "@8", "-" + KEY + "@9"), replica.changes);
-        replica.timers.advance(SPACING - 1);
+        replica.timers.advance(SPACING_MICROS - 1);
         assertTrue(replica.store.follows.isEmpty());
         replica.timers.advance(1);
         assertEquals(9, replica.store.follows.remove().afterRevision());
     }
 
     @Test
-    void contactCountsFromWhenThePollWasSent() {
+    void lastContactIsTheTimeWhenThePollWasSent() {
         replica.following(7);
-        replica.timers.advance(SPACING);
+        replica.timers.advance(SPACING_MICROS);
         long sentMicros = replica.timers.nowMicros();
         follower.follow();
-        replica.timers.advance(LONG_POLL);
-        answer(page(7));
+        replica.timers.advance(LONG_POLL_MICROS);
+        answerFollow(page(7));
         assertEquals(sentMicros, replica.position.lastContactMicros());
     }
 
@@ -73,11 +75,11 @@
             value = Outcome.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = {"OK", "GONE"})
-    void aPollWithoutAnAnswerIsSentAgainLater(Outcome outcome) {
+    void aFailedPollIsSentAgainAfterTheRetryDelay(Outcome outcome) {
         replica.following(7);
         follower.follow();
-        answer(failed(outcome));
-        replica.timers.advance(RETRY - 1);
+        answerFollow(failed(outcome));
+        replica.timers.advance(RETRY_DELAY_MICROS - 1);
         assertTrue(replica.store.follows.isEmpty());
         replica.timers.advance(1);
         assertEquals(7, replica.store.follows.remove().afterRevision());
@@ -88,10 +90,10 @@
     void changesThatAreNoLongerKeptCauseAReload() {
         replica.following(7);
         follower.follow();
-        answer(failed(Outcome.GONE));
+        answerFollow(failed(Outcome.GONE));
         assertEquals(1, reloads);
-        replica.timers.advance(LONG_POLL);
-        assertTrue(replica.store.follows.isEmpty(), "until the load is complete");
+        replica.timers.advance(LONG_POLL_MICROS);
+        assertTrue(replica.store.follows.isEmpty(), "no poll is sent until the load is complete");
     }
 
     @ParameterizedTest
@@ -101,23 +103,23 @@
     void anAnswerDuringALoadIsIgnored(Outcome outcome) {
         replica.following(7);
         follower.follow();
-        replica.position.loading();
-        answer(new KeyValueStore.Page(outcome, List.of(written(KEY, 8)), false, 9));
-        replica.timers.advance(LONG_POLL);
+        replica.position.startLoading();
+        answerFollow(new KeyValueStore.Page(outcome, List.of(written(KEY, 8)), false, 9));
+        replica.timers.advance(LONG_POLL_MICROS);
         assertEquals(List.of(), replica.changes);
         assertEquals(0, reloads);
         assertTrue(replica.store.follows.isEmpty());
     }
 
     @Test
-    void noPollWaitsWhileBarriersFollowOneAnother() {
+    void noPollIsSentSoonAfterABarrier() {
         replica.following(7);
-        barrier.request(fresh -> {});
-        answer(page(7));
+        barrier.request(upToDate -> {});
+        answerFollow(page(7));
         follower.follow();
-        replica.timers.advance(3 * SPACING - 1);
+        replica.timers.advance(3 * SPACING_MICROS - 1);
         assertTrue(replica.store.follows.isEmpty());
         replica.timers.advance(1);
-        assertEquals(LONG_POLL, replica.store.follows.remove().waitMicros());
+        assertEquals(LONG_POLL_MICROS, replica.store.follows.remove().waitMicros());
     }
 }
--- a/src/test/java/org/granitepath/storage/RecordLoaderTest.java
+++ b/src/test/java/org/granitepath/storage/RecordLoaderTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** The loader reads all records page by page, and removes records that the store no longer lists. */
 class RecordLoaderTest {
-    private static final long RETRY = 400_000;
+    private static final long RETRY_DELAY_MICROS = 400_000;
 
     private record Loaded(long revision, long lastRequestMicros) {}
 
@@ -28,64 +29,64 @@
             replica.records,
             (revision, lastRequestMicros) -> completions.add(new Loaded(revision, lastRequestMicros)));
 
-    private String nextFrom() {
+    private String nextAfterKey() {
         return replica.store.listings.element().afterKey();
     }
 
-    private void answer(KeyValueStore.Page page) {
+    private void answerListing(KeyValueStore.Page page) {
         replica.store.listings.remove().answer().accept(page);
     }
 
     @Test
-    void eachPageBeginsAfterTheLastKeyOfTheOneBefore() {
+    void eachPageStartsAfterTheLastKeyOfTheOneBefore() {
         loader.load();
-        assertEquals("", nextFrom());
-        answer(pageBeforeOthers(9, written("g/a", 3), written("g/b", 2)));
-        assertEquals("g/b", nextFrom());
-        answer(page(9, written("g/c", 4)));
+        assertEquals("", nextAfterKey());
+        answerListing(pageBeforeOthers(9, written("g/a", 3), written("g/b", 2)));
+        assertEquals("g/b", nextAfterKey());
+        answerListing(page(9, written("g/c", 4)));
         assertEquals(List.of("g/a@3", "g/b@2", "g/c@4"), replica.changes);
         assertTrue(replica.store.listings.isEmpty());
     }
 
     @Test
-    void aPageThatHoldsNothingIsFollowedFromTheSameKey() {
+    void theRequestAfterAnEmptyPageStartsAfterTheSameKey() {
         loader.load();
-        answer(pageBeforeOthers(9, written("g/a", 3)));
-        answer(pageBeforeOthers(9));
-        assertEquals("g/a", nextFrom());
+        answerListing(pageBeforeOthers(9, written("g/a", 3)));
+        answerListing(pageBeforeOthers(9));
+        assertEquals("g/a", nextAfterKey());
     }
 
     @Test
-    void itIsCompleteAsOfTheFirstPage() {
+    void theRevisionOfTheLoadIsThatOfTheFirstPage() {
         loader.load();
-        answer(pageBeforeOthers(9, written("g/a", 3)));
+        answerListing(pageBeforeOthers(9, written("g/a", 3)));
         assertEquals(List.of(), completions);
-        answer(page(12, written("g/b", 11)));
+        answerListing(page(12, written("g/b", 11)));
         assertEquals(9, completions.get(0).revision(), "a change of g/a after 9 may not have been seen");
     }
 
     @Test
-    void contactCountsFromWhenTheLastPageWasAskedFor() {
+    void lastContactIsTheTimeWhenTheLastPageWasRequested() {
         loader.load();
         replica.timers.advance(5);
-        answer(pageBeforeOthers(9, written("g/a", 3)));
+        answerListing(pageBeforeOthers(9, written("g/a", 3)));
         long sentMicros = replica.timers.nowMicros();
         replica.timers.advance(7);
-        answer(page(9));
+        answerListing(page(9));
         assertEquals(List.of(new Loaded(9, sentMicros)), completions);
     }
 
     @ParameterizedTest
     @EnumSource(value = Outcome.class, mode = EnumSource.Mode.EXCLUDE, names = "OK")
-    void aPageWithoutAnAnswerIsAskedForAgain(Outcome outcome) {
+    void aFailedPageRequestIsSentAgainAfterTheRetryDelay(Outcome outcome) {
         loader.load();
-        answer(pageBeforeOthers(9, written("g/a", 3)));
-        answer(failed(outcome));
-        replica.timers.advance(RETRY - 1);
+        answerListing(pageBeforeOthers(9, written("g/a", 3)));
+        answerListing(failed(outcome));
+        replica.timers.advance(RETRY_DELAY_MICROS - 1);
         assertTrue(replica.store.listings.isEmpty());
         replica.timers.advance(1);
-        assertEquals("g/a", nextFrom());
-        answer(page(9));
+        assertEquals("g/a", nextAfterKey());
+        answerListing(page(9));
         assertEquals(1, completions.size());
     }
 
@@ -93,34 +94,34 @@
     void recordsThatAreNoLongerListedAreRemoved() {
         replica.records.apply(written("g/old", 2));
         loader.load();
-        answer(page(9, written("g/a", 3)));
+        answerListing(page(9, written("g/a", 3)));
         assertFalse(replica.records.has("g/old"));
         assertTrue(replica.records.has("g/a"));
     }
 
     @Test
-    void recordsOfAnyPageStay() {
+    void recordsListedOnAnyPageStay() {
         loader.load();
-        answer(pageBeforeOthers(9, written("g/a", 3)));
-        answer(page(9, written("g/b", 4)));
+        answerListing(pageBeforeOthers(9, written("g/a", 3)));
+        answerListing(page(9, written("g/b", 4)));
         assertTrue(replica.records.has("g/a") && replica.records.has("g/b"));
     }
 
     @Test
-    void whatWasWrittenAfterTheFirstPageStaysThoughItIsNotListed() {
+    void aRecordWrittenAfterTheFirstPageStaysThoughItIsNotListed() {
         loader.load();
-        answer(pageBeforeOthers(9, written("g/b", 3)));
+        answerListing(pageBeforeOthers(9, written("g/b", 3)));
         replica.records.apply(written("g/a", 10));
-        answer(page(10));
-        assertTrue(replica.records.has("g/a"), "its key was passed already");
+        answerListing(page(10));
+        assertTrue(replica.records.has("g/a"), "the listing had already passed its key");
     }
 
     @Test
-    void aLaterLoadJudgesByItsOwnListing() {
+    void aLaterLoadUsesOnlyItsOwnListing() {
         loader.load();
-        answer(page(9, written("g/a", 3)));
+        answerListing(page(9, written("g/a", 3)));
         loader.load();
-        answer(page(20, written("g/b", 15)));
+        answerListing(page(20, written("g/b", 15)));
         assertFalse(replica.records.has("g/a"));
         assertEquals(20, completions.get(1).revision());
     }
--- a/src/test/java/org/granitepath/storage/RetryPolicyTest.java
+++ b/src/test/java/org/granitepath/storage/RetryPolicyTest.java
@@ -9,44 +9,45 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** The policy abandons, repeats or checks a transaction that was not committed, and limits the size of later ones. */
 class RetryPolicyTest {
     @Test
-    void aSingleRejectedWriteIsAbandoned() {
+    void aSingleInvalidWriteIsAbandoned() {
         RetryPolicy policy = new RetryPolicy(8, RateControl.FIXED);
-        assertEquals(new Decision(Action.ABANDON, 100_000), policy.failed(Outcome.INVALID, 1, 3));
-        assertEquals(8, policy.largestTransaction());
+        assertEquals(new Decision(Action.ABANDON, 100_000), policy.onFailed(Outcome.INVALID, 1, 3));
+        assertEquals(8, policy.maxChanges());
     }
 
     @Test
-    void rejectedWritesAreSentOneByOne() {
+    void writesOfAnInvalidTransactionAreSentOneByOne() {
         RetryPolicy policy = new RetryPolicy(8, RateControl.FIXED);
-        assertEquals(new Decision(Action.SEND_AGAIN, 100_000), policy.failed(Outcome.INVALID, 2, 3));
-        assertEquals(1, policy.largestTransaction());
-        policy.committed();
-        assertEquals(2, policy.largestTransaction());
+        assertEquals(new Decision(Action.SEND_AGAIN, 100_000), policy.onFailed(Outcome.INVALID, 2, 3));
+        assertEquals(1, policy.maxChanges());
+        policy.onCommitted();
+        assertEquals(2, policy.maxChanges());
     }
 
     @ParameterizedTest
     @EnumSource
-    void refusedTransactionsShrink(RateControl control) {
+    void refusedTransactionsReduceTheLimit(RateControl control) {
         RetryPolicy policy = new RetryPolicy(8, control);
         long delayMicros = control == RateControl.ADAPTIVE ? 300_000 : 100_000;
-        assertEquals(new Decision(Action.SEND_AGAIN, delayMicros), policy.failed(Outcome.REFUSED, 2, 8));
-        assertEquals(4, policy.largestTransaction());
-        assertEquals(new Decision(Action.SEND_AGAIN, delayMicros), policy.failed(Outcome.REFUSED, 1, 1));
-        assertEquals(1, policy.largestTransaction());
+        assertEquals(new Decision(Action.SEND_AGAIN, delayMicros), policy.onFailed(Outcome.REFUSED, 2, 8));
+        assertEquals(4, policy.maxChanges());
+        assertEquals(new Decision(Action.SEND_AGAIN, delayMicros), policy.onFailed(Outcome.REFUSED, 1, 1));
+        assertEquals(1, policy.maxChanges());
         for (int i = 0; i < 20; i++) {
-            policy.committed();
+            policy.onCommitted();
         }
-        assertEquals(8, policy.largestTransaction());
+        assertEquals(8, policy.maxChanges());
     }
 
     @ParameterizedTest
     @EnumSource(names = {"CONFLICT", "UNKNOWN", "GONE", "NOT_FOUND"})
-    void whatMayHaveBeenWrittenIsReadBack(Outcome outcome) {
+    void aTransactionThatMayHaveBeenCommittedIsReadBack(Outcome outcome) {
         RetryPolicy policy = new RetryPolicy(8, RateControl.ADAPTIVE);
         long delayMicros = outcome == Outcome.CONFLICT ? 0 : 300_000;
-        assertEquals(new Decision(Action.READ_BACK, delayMicros), policy.failed(outcome, 2, 8));
-        assertEquals(8, policy.largestTransaction());
+        assertEquals(new Decision(Action.READ_BACK, delayMicros), policy.onFailed(outcome, 2, 8));
+        assertEquals(8, policy.maxChanges());
     }
 }
--- a/src/test/java/org/granitepath/storage/ScriptedStore.java
+++ b/src/test/java/org/granitepath/storage/ScriptedStore.java
@@ -4,18 +4,18 @@
 import java.util.Queue;
 import java.util.function.Consumer;
 
-/** A store that keeps what it is asked, in order, until the test answers it. */
+/** A store that keeps the requests that it receives, in order, until the test answers them. */
 public final class ScriptedStore implements KeyValueStore {
-    /** A listing that was asked for. */
+    /** A request for a listing. */
     public record Listing(String afterKey, Consumer<Page> answer) {}
 
-    /** A follow that was asked for. */
+    /** A request to follow changes. */
     public record Follow(long afterRevision, long waitMicros, Consumer<Page> answer) {}
 
     /** A transaction that was sent. */
     public record Commit(Transaction transaction, Consumer<CommitResult> answer) {}
 
-    /** A renewal that was sent. */
+    /** A renewal of a lease that was sent. */
     public record Renewal(long leaseId, Consumer<Outcome> answer) {}
 
     /** Listings that the test has not taken yet. */
@@ -28,27 +28,27 @@
     public final Queue<Renewal> renewals = new ArrayDeque<>();
 
     @Override
-    public void list(String prefix, String from, int limit, Consumer<Page> then) {
-        listings.add(new Listing(from, then));
+    public void list(String prefix, String afterKey, int limit, Consumer<Page> callback) {
+        listings.add(new Listing(afterKey, callback));
     }
 
     @Override
-    public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-        follows.add(new Follow(from, waitMicros, then));
+    public void follow(String prefix, long afterRevision, long waitMicros, Consumer<Page> callback) {
+        follows.add(new Follow(afterRevision, waitMicros, callback));
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<CommitResult> then) {
-        commits.add(new Commit(transaction, then));
+    public void commit(Transaction transaction, Consumer<CommitResult> callback) {
+        commits.add(new Commit(transaction, callback));
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
-        throw new UnsupportedOperationException("no test opens a lease here");
+    public void openLease(long ttlMicros, Consumer<LeaseResult> callback) {
+        throw new UnsupportedOperationException("this store does not open leases");
     }
 
     @Override
-    public void renewLease(long lease, Consumer<Outcome> then) {
-        renewals.add(new Renewal(lease, then));
+    public void renewLease(long leaseId, Consumer<Outcome> callback) {
+        renewals.add(new Renewal(leaseId, callback));
     }
 }
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Every kind of stored record: read back as written, with fields of later versions, and malformed. */
+/**
+ * Every kind of stored record is read back as written, accepts the fields of later versions, and is rejected if it is
+ * malformed.
+ */
 class StoredRecordCodecTest {
     private static final JobSpec SPEC = new JobSpec(
             "run-1",
@@ -70,7 +73,7 @@
         return oneOfEachKind().entrySet().stream().map(entry -> Arguments.of(entry.getKey(), entry.getValue()));
     }
 
-    /** The codec can't be checked for this by the compiler of Java 17. */
+    /** The compiler of Java 17 cannot check that the codec handles every permitted type. */
     @Test
     void everyPermittedTypeIsTested() {
         Set<Class<?>> tested =
@@ -80,7 +83,7 @@
 
     @ParameterizedTest
     @MethodSource("eachKind")
-    void isReadBackAsWritten(String key, StoredRecord record) throws MalformedRecordException {
+    void eachRecordIsReadBackAsWritten(String key, StoredRecord record) throws MalformedRecordException {
         assertEquals(record, StoredRecordCodec.decode(key, StoredRecordCodec.encode(record)));
     }
 
@@ -122,10 +125,10 @@
                 Arguments.of(Keys.MACHINE_TYPES, Map.of("types", List.of("g8")), "types"));
     }
 
-    /** The error says which record and which field. */
+    /** The error names the record and the field. */
     @ParameterizedTest
     @MethodSource("malformedRecords")
-    void malformedRecordsAreRefused(String key, Map<String, Object> fields, String field) {
+    void malformedRecordsAreRejected(String key, Map<String, Object> fields, String field) {
         MalformedRecordException e =
                 assertThrows(MalformedRecordException.class, () -> StoredRecordCodec.decode(key, fields));
         assertEquals(key, e.key());
@@ -135,9 +138,9 @@
         assertTrue(e.getMessage().contains(key) && e.getMessage().contains("field " + field), e.getMessage());
     }
 
-    /** What was read as a default by earlier versions goes on to be. */
+    /** Fields that earlier versions replaced by a default when they were missing still are. */
     @Test
-    void fieldsThatMayBeMissing() throws MalformedRecordException {
+    void optionalFieldsHaveDefaults() throws MalformedRecordException {
         assertEquals(new FencingTokenRecord(null, 0, 0), StoredRecordCodec.decode(Keys.FENCING_TOKEN, Map.of()));
         assertEquals(
                 new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.MACHINE_TYPES, Map.of("types", 1)));
@@ -151,9 +154,9 @@
         assertEquals(JobSpec.NO_DEADLINE, spec.deadlineMicros());
     }
 
-    /** Numbers of kinds that a later version may have. */
+    /** Codes that a later version may have written. */
     @Test
-    void unknownCodes() throws MalformedRecordException {
+    void unknownCodesAreReadAsDefaults() throws MalformedRecordException {
         JobSpec spec =
                 JobSpecCodec.decode(Map.of("id", "run-1", "class", "train", "team", "vision", "shape", 9, "rank", 9));
         assertEquals(JobSpec.Shape.BATCH, spec.shape());
--- a/src/test/java/org/granitepath/storage/TokenBucketTest.java
+++ b/src/test/java/org/granitepath/storage/TokenBucketTest.java
@@ -7,45 +7,46 @@
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.junit.jupiter.api.Test;
 
+/** The bucket refills at its rate, which follows refusals only if the rate control is adaptive. */
 class TokenBucketTest {
-    private static final double SHARE = 10;
+    private static final double SHARE_PER_SECOND = 10;
 
     @Test
-    void holdsOneSecondsWorthAndRefillsAtItsRate() {
-        TokenBucket bucket = new TokenBucket(SHARE, RateControl.FIXED, 0);
+    void theBucketHoldsTheTokensOfOneSecondAndRefillsAtItsRate() {
+        TokenBucket bucket = new TokenBucket(SHARE_PER_SECOND, RateControl.FIXED, 0);
         bucket.take(10);
-        assertFalse(bucket.allowsOne());
-        assertEquals(100_001, bucket.microsUntilOne());
+        assertFalse(bucket.hasToken());
+        assertEquals(100_001, bucket.microsUntilToken());
         bucket.refill(100_001);
-        assertTrue(bucket.allowsOne());
+        assertTrue(bucket.hasToken());
         bucket.refill(60_000_000);
-        assertEquals(SHARE, bucket.tokens());
+        assertEquals(SHARE_PER_SECOND, bucket.tokens());
     }
 
     @Test
-    void adaptiveRateIsHalvedWhenRefusedAndComesBackStepByStep() {
-        TokenBucket bucket = new TokenBucket(SHARE, RateControl.ADAPTIVE, 0);
+    void anAdaptiveRateIsHalvedAfterARefusalAndRisesInSteps() {
+        TokenBucket bucket = new TokenBucket(SHARE_PER_SECOND, RateControl.ADAPTIVE, 0);
         bucket.take(10);
-        bucket.adapt(Outcome.REFUSED);
-        assertEquals(200_001, bucket.microsUntilOne());
-        bucket.adapt(Outcome.OK);
-        assertEquals((long) (1e6 / 5.1) + 1, bucket.microsUntilOne());
+        bucket.adaptRate(Outcome.REFUSED);
+        assertEquals(200_001, bucket.microsUntilToken());
+        bucket.adaptRate(Outcome.OK);
+        assertEquals((long) (1e6 / 5.1) + 1, bucket.microsUntilToken());
         for (int i = 0; i < 100; i++) {
-            bucket.adapt(Outcome.CONFLICT);
+            bucket.adaptRate(Outcome.CONFLICT);
         }
-        assertEquals(100_001, bucket.microsUntilOne());
+        assertEquals(100_001, bucket.microsUntilToken());
         for (int i = 0; i < 100; i++) {
-            bucket.adapt(Outcome.REFUSED);
+            bucket.adaptRate(Outcome.REFUSED);
         }
-        assertEquals((long) (1e6 / 0.3) + 1, bucket.microsUntilOne());
+        assertEquals((long) (1e6 / 0.3) + 1, bucket.microsUntilToken());
     }
 
     @Test
-    void fixedRateStaysWhenRefused() {
-        TokenBucket bucket = new TokenBucket(SHARE, RateControl.FIXED, 0);
+    void aFixedRateStaysTheSameAfterARefusal() {
+        TokenBucket bucket = new TokenBucket(SHARE_PER_SECOND, RateControl.FIXED, 0);
         bucket.take(10);
-        bucket.adapt(Outcome.REFUSED);
-        assertEquals(100_001, bucket.microsUntilOne());
-        assertEquals(SHARE, bucket.sharePerSecond());
+        bucket.adaptRate(Outcome.REFUSED);
+        assertEquals(100_001, bucket.microsUntilToken());
+        assertEquals(SHARE_PER_SECOND, bucket.sharePerSecond());
     }
 }
