--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.storage;
 
-import static org.granitepath.storage.ReplicaFixture.SPACING;
+import static org.granitepath.storage.ReplicaFixture.SPACING_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,9 +21,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is sent to the store, one transaction at a time, and what follows its answer. */
+/** Checks which transactions the queue sends to the store, one at a time, and how it handles each answer. */
 class WriteQueueTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final double WRITES_PER_SECOND = 10;
     private static final int TRANSACTION_CHANGES = 4;
     private static final Precondition FENCE = new Precondition(Keys.LEADER, 3);
@@ -31,15 +31,16 @@
 
     private final ManualTimers timers = new ManualTimers();
     private final ScriptedStore store = new ScriptedStore();
-    private final RecordReplica replica = new RecordReplica(store, timers, SPACING, new RecordReplica.Listener() {
-        @Override
-        public void onRecordChanged(String key, StoredRecord record, long revision) {}
-
-        @Override
-        public void onLoaded() {}
-    });
-    private final List<String> committed = new ArrayList<>();
-    private boolean open = true;
+    private final RecordReplica replica =
+            new RecordReplica(store, timers, SPACING_MICROS, new RecordReplica.Listener() {
+                @Override
+                public void onRecordChanged(String key, StoredRecord record, long revision) {}
+
+                @Override
+                public void onLoaded() {}
+            });
+    private final List<String> committedWrites = new ArrayList<>();
+    private boolean isOpen = true;
     private final WriteQueue queue = new WriteQueue(
             store,
             replica,
@@ -48,9 +49,9 @@
             WRITES_PER_SECOND,
             RateControl.FIXED,
             () -> List.of(FENCE),
-            () -> open);
+            () -> isOpen);
 
-    /** The replica has read all records: one, of revision 5. */
+    /** Lets the replica read all records, which is one record of revision 5. */
     @BeforeEach
     void load() {
         replica.start();
@@ -59,7 +60,7 @@
                 .answer()
                 .accept(new Page(
                         Outcome.OK, List.of(new KeyValueStore.Item("g/test/known", Map.of("x", 0), 5)), false, 7));
-        store.follows.remove(); // the long poll, which is not answered
+        store.follows.remove(); // the test leaves the long poll without an answer
     }
 
     private void write(String name) {
@@ -72,22 +73,22 @@
                 urgency,
                 delayMicros,
                 () -> List.of(Change.write("g/test/" + name, RECORD)),
-                revision -> committed.add(name + "@" + revision));
+                revision -> committedWrites.add(name + "@" + revision));
     }
 
     private void answer(Outcome outcome, long revision) {
         store.commits.remove().answer().accept(new CommitResult(outcome, revision, List.of()));
     }
 
-    /** The names of the writes of the transaction that is under way. */
-    private List<String> underWay() {
+    /** Returns the names of the writes in the transaction that is in progress. */
+    private List<String> writesInProgress() {
         return store.commits.element().transaction().changes().stream()
                 .map(change -> change.key().substring("g/test/".length()))
                 .toList();
     }
 
     @Test
-    void eachChangeIsGuardedByTheFenceAndByTheRevisionOfItsKey() {
+    void eachChangeHasTheFenceAndTheRevisionOfItsKeyAsPreconditions() {
         write("known");
         assertEquals(
                 new Transaction(
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void whatDoesNotExistIsGuardedSo() {
+    void aNewRecordHasThePreconditionThatItsKeyDoesNotExist() {
         write("new");
         assertEquals(
                 List.of(FENCE, new Precondition("g/test/new", 0)),
@@ -105,56 +106,56 @@
     }
 
     @Test
-    void aCommittedWriteIsToldAndIsInTheReplicaAtOnce() {
+    void aCommittedWriteIsReportedAndAppliedToTheReplicaAtOnce() {
         write("a");
         answer(Outcome.OK, 8);
-        assertEquals(List.of("a@8"), committed);
+        assertEquals(List.of("a@8"), committedWrites);
         assertEquals(8, replica.revision("g/test/a"));
     }
 
     @Test
-    void oneTransactionIsUnderWayAtATime() {
+    void oneTransactionIsInProgressAtATime() {
         write("a");
         write("b");
         write("c");
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertEquals(1, store.commits.size());
         answer(Outcome.OK, 8);
-        assertEquals(List.of("b", "c"), underWay());
+        assertEquals(List.of("b", "c"), writesInProgress());
     }
 
     @Test
-    void whatIsNotDueYetWaits() {
-        write("a", Urgency.WORK, SECOND);
-        timers.advance(SECOND - 1);
+    void aWriteThatIsNotDueWaits() {
+        write("a", Urgency.WORK, SECOND_MICROS);
+        timers.advance(SECOND_MICROS - 1);
         assertTrue(store.commits.isEmpty());
         timers.advance(1);
-        assertEquals(List.of("a"), underWay());
+        assertEquals(List.of("a"), writesInProgress());
     }
 
     @Test
     void aClosedQueueSendsNothing() {
-        open = false;
+        isOpen = false;
         write("a");
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertTrue(store.commits.isEmpty());
     }
 
     @Test
-    void withoutBudgetAWriteWaitsUntilThereIsSome() {
+    void aWriteWaitsUntilTheBudgetAllowsIt() {
         for (int sent = 0; sent < WRITES_PER_SECOND; sent++) {
             write("a");
             answer(Outcome.OK, 8 + sent);
         }
         write("b");
-        timers.advance(SECOND / 10);
+        timers.advance(SECOND_MICROS / 10);
         assertTrue(store.commits.isEmpty());
-        timers.advance(SECOND / 100);
-        assertEquals(List.of("b"), underWay());
+        timers.advance(SECOND_MICROS / 100);
+        assertEquals(List.of("b"), writesInProgress());
     }
 
     @Test
-    void progressLeavesPartOfTheBudgetToOtherWrites() {
+    void progressWritesLeavePartOfTheBudgetToOtherWrites() {
         for (int sent = 0; sent < 7; sent++) {
             write("a");
             answer(Outcome.OK, 8 + sent);
@@ -162,7 +163,7 @@
         write("progress", Urgency.PROGRESS_ONLY, 0);
         assertTrue(store.commits.isEmpty());
         write("work");
-        assertEquals(List.of("work"), underWay());
+        assertEquals(List.of("work"), writesInProgress());
     }
 
     @Test
@@ -170,30 +171,30 @@
         write("a");
         answer(Outcome.REFUSED, 0);
         assertTrue(store.commits.isEmpty());
-        timers.advance(SECOND);
-        assertEquals(List.of("a"), underWay());
-        assertEquals(List.of(), committed);
+        timers.advance(SECOND_MICROS);
+        assertEquals(List.of("a"), writesInProgress());
+        assertEquals(List.of(), committedWrites);
     }
 
     @Test
-    void aRejectedWriteIsAbandonedAndTheNextGoesOn() {
+    void anInvalidWriteIsAbandonedAndTheNextOneIsSent() {
         write("a");
         answer(Outcome.INVALID, 0);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertTrue(store.commits.isEmpty());
         write("b");
-        assertEquals(List.of("b"), underWay());
-        assertEquals(List.of(), committed);
+        assertEquals(List.of("b"), writesInProgress());
+        assertEquals(List.of(), committedWrites);
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
             names = {"CONFLICT", "UNKNOWN"})
-    void whatMayHaveBeenWrittenIsGuardedByTheRevisionThatIsReadBack(Outcome outcome) {
+    void aWriteThatMayHaveBeenCommittedIsSentWithTheRevisionThatIsReadBack(Outcome outcome) {
         write("known");
         answer(outcome, 0);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertTrue(store.commits.isEmpty(), "nothing is sent before the records are read");
         store.follows
                 .remove()
@@ -212,41 +213,41 @@
         timers.advance(0);
         store.follows.remove().answer().accept(new Page(Outcome.UNKNOWN, List.of(), false, 0));
         assertTrue(store.commits.isEmpty());
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         store.follows.remove().answer().accept(new Page(Outcome.OK, List.of(), false, 9));
-        assertEquals(List.of("a"), underWay());
+        assertEquals(List.of("a"), writesInProgress());
     }
 
     @Test
-    void aQueueThatWasClosedMeanwhileSendsNothingAgain() {
+    void aQueueClosedDuringReadBackSendsNothing() {
         write("a");
         answer(Outcome.CONFLICT, 0);
         timers.advance(0);
-        open = false;
+        isOpen = false;
         store.follows.remove().answer().accept(new Page(Outcome.OK, List.of(), false, 9));
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertTrue(store.commits.isEmpty());
     }
 
     @Test
-    void aQueueThatWasClosedMeanwhileStopsReadingBack() {
+    void aQueueClosedDuringReadBackDoesNotRepeatIt() {
         write("a");
         answer(Outcome.CONFLICT, 0);
         timers.advance(0);
-        open = false;
+        isOpen = false;
         store.follows.remove().answer().accept(new Page(Outcome.UNKNOWN, List.of(), false, 0));
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         assertTrue(store.follows.isEmpty());
     }
 
     @ParameterizedTest
     @EnumSource
-    void itIsBehindWhenMoreThanMereProgressWaitsForSeconds(Urgency urgency) {
+    void theQueueIsBehindIfOtherWritesThanProgressWaitForSeconds(Urgency urgency) {
         write("first");
         for (int i = 0; i < 3 * WRITES_PER_SECOND + TRANSACTION_CHANGES + 1; i++) {
             write("waits" + i, urgency, 0);
         }
-        assertFalse(queue.isBehind(), "judged when a transaction goes out");
+        assertFalse(queue.isBehind(), "determined when a transaction is sent");
         answer(Outcome.OK, 8);
         assertEquals(urgency != Urgency.PROGRESS_ONLY, queue.isBehind());
     }
