--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -107,8 +107,8 @@
         return headroomPlan.spareCpuMillis();
     }
 
-    /** Returns how long the present batch work takes on the present, the pending and the planned machines. */
-    double batchDrainMicros() {
+    /** Returns how many microseconds the present batch work takes on the present, pending and planned machines. */
+    double batchCompletionMicros() {
         return batchPlanner.batchCompletionMicros(plannedCapacity.batchCpuMillis());
     }
 
@@ -146,7 +146,7 @@
     private void planNewMachines(ActiveJob job, int tasks, int equivalentTasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
         while (left > 0 && plannedCapacity.canPlanNewMachine(0)) {
-            plannedCapacity.countNewMachine();
+            plannedCapacity.countNewMachineAttempt();
             Offer offer = market.cheapestOffer(new OfferRequest(
                     job, !isDeferrable(job), left + equivalentTasks, tasksByZone, ZoneFilter.ANY_ZONE));
             if (offer == null) {
--- a/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
+++ b/src/main/java/org/granitepath/coordination/term/HeartbeatHandler.java
@@ -79,7 +79,8 @@
 
     /**
      * Rejects a heartbeat that reports a higher fencing token than the one known here. Either a new leader has replaced
-     * this one, or a higher token of this leader is not yet known here; reading the records tells which.
+     * this one, or a higher token that this leader has requested for the machine is not confirmed here yet. Reading the
+     * records tells which.
      */
     private HeartbeatResponse rejectHigherToken(Machine machine, Heartbeat heartbeat) {
         LOG.info(
@@ -93,8 +94,8 @@
 
     /**
      * Answers a heartbeat that is older than the worker's answer to a direct call, which has arrived already. The
-     * heartbeat is not evaluated, but a worker of the current agent epoch is accepted and told which attempts to stop or
-     * clear.
+     * heartbeat contains nothing new, so it is not evaluated. A worker of the current agent epoch is still accepted,
+     * since it reports to the right controller, and is told which attempts to stop or clear.
      */
     private static HeartbeatResponse answerOutdated(Machine machine, Heartbeat heartbeat) {
         machine.contact().clearFence();
--- a/src/main/java/org/granitepath/recovery/RecoveryStatus.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryStatus.java
@@ -12,8 +12,8 @@
  * @param role whether the controller is the leader, and how certain that is
  * @param leader the node name of the leader that this controller knows of, or null if it knows of none
  * @param reason why the controller reports this role, as text for operators
- * @param recordsAgeMicros the time since the store last answered a read of the records, in microseconds; negative if the
- *     controller has not read them yet
+ * @param recordsAgeMicros the time since the store last answered a read of the records, in microseconds; negative if
+ *     the controller has not read them yet
  * @param unreadableRecords the number of records that cannot be read
  * @param term the recovery in the controller's own term, or null if it is not the leader
  */
@@ -59,7 +59,7 @@
      * The machines that the term began with.
      *
      * @param takenOver the number of machines in the inventory when the term began
-     * @param awaited the ids of the machines that have neither sent a heartbeat nor are proved gone
+     * @param awaited the ids of the machines that have neither sent a heartbeat nor are proven to be gone
      * @param unreadableInventoryParts the number of inventory parts that cannot be read; any machine may be in them
      */
     public record Machines(int takenOver, PSet<String> awaited, int unreadableInventoryParts) {
--- a/src/main/java/org/granitepath/transport/HttpCall.java
+++ b/src/main/java/org/granitepath/transport/HttpCall.java
@@ -24,14 +24,14 @@
     private final EventLoop loop;
     private final ConnectionPool connections;
     private final OutgoingRequest request;
-    private final Consumer<HttpAnswer> then;
+    private final Consumer<HttpResponse> then;
     private @Nullable IoFuture<StreamConnection> connecting;
     private @Nullable ClientConnection connection;
     private XnioExecutor.@Nullable Key deadline;
     private boolean ended;
 
     /** @param then takes the end of the call, once, on the event loop */
-    HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpAnswer> then) {
+    HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpResponse> then) {
         this.loop = loop;
         this.connections = connections;
         this.request = request;
@@ -71,13 +71,14 @@
         exchange.setResponseListener(step(this::read));
         byte[] body = request.body();
         if (body != null) {
-            new BytesWriter(body).begin(exchange.getRequestChannel());
+            new RequestBodyWriter(body).begin(exchange.getRequestChannel());
         }
     }
 
     private void read(ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
-        new BytesReader(loop.buffers(), body -> succeed(status, body), this::fail).begin(exchange.getResponseChannel());
+        new ResponseBodyReader(loop.buffers(), body -> succeed(status, body), this::fail)
+                .begin(exchange.getResponseChannel());
     }
 
     private void succeed(int status, byte[] body) {
@@ -86,7 +87,7 @@
         }
         end();
         releaseConnection();
-        answer(HttpAnswer.of(status, body));
+        answer(HttpResponse.of(status, body));
     }
 
     private void fail(IOException cause) {
@@ -103,7 +104,7 @@
         if (connecting != null) {
             connecting.cancel();
         }
-        answer(HttpAnswer.MISSING);
+        answer(HttpResponse.NONE);
     }
 
     private void end() {
@@ -117,13 +118,13 @@
         ClientConnection used = connection;
         if (request.sharesConnection() && used != null && used.isOpen()) {
             // Only after the exchange has been closed by the client may the connection take the next request.
-            loop.run(() -> connections.keepIdle(request.address(), used));
+            loop.execute(() -> connections.keepIdle(request.address(), used));
         } else {
             IoUtils.safeClose(used);
         }
     }
 
-    private void answer(HttpAnswer answer) {
+    private void answer(HttpResponse answer) {
         EventLoop.guarded(() -> then.accept(answer)).run();
     }
 
--- a/src/main/java/org/granitepath/transport/HttpAnswer.java
+++ b/src/main/java/org/granitepath/transport/HttpResponse.java
@@ -7,24 +7,24 @@
 import org.jspecify.annotations.Nullable;
 
 /** How a call ended: with a status and a body, or without an answer. The body is decoded on request only. */
-public final class HttpAnswer {
+public final class HttpResponse {
     /** The call failed or timed out; whether the request was carried out is not known. */
-    static final HttpAnswer MISSING = new HttpAnswer(HttpStatus.NO_ANSWER, null);
+    static final HttpResponse NONE = new HttpResponse(HttpStatus.NO_RESPONSE, null);
 
     private final int status;
     private final byte @Nullable [] body;
 
-    private HttpAnswer(int status, byte @Nullable [] body) {
+    private HttpResponse(int status, byte @Nullable [] body) {
         this.status = status;
         this.body = body;
     }
 
     /** An answer that came. The array is not copied. */
-    static HttpAnswer of(int status, byte[] body) {
-        return new HttpAnswer(status, body);
+    static HttpResponse of(int status, byte[] body) {
+        return new HttpResponse(status, body);
     }
 
-    /** The HTTP status; {@link HttpStatus#NO_ANSWER} when there was no answer. */
+    /** The HTTP status; {@link HttpStatus#NO_RESPONSE} when there was no answer. */
     int status() {
         return status;
     }
@@ -34,7 +34,7 @@
     }
 
     boolean isMissing() {
-        return status == HttpStatus.NO_ANSWER;
+        return status == HttpStatus.NO_RESPONSE;
     }
 
     /** The body as it came; null when there was no answer. */
@@ -52,7 +52,7 @@
     @Nullable
     Map<String, Object> json() {
         String text = text();
-        return isMissing() || text == null ? null : Json.object(text);
+        return isMissing() || text == null ? null : Json.decodeObject(text);
     }
 
     /** The body as a JSON object; null when the status is another than OK or the body is no JSON object. */
--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -7,85 +7,96 @@
 import org.granitepath.coordination.ports.JobResponse;
 import org.granitepath.coordination.ports.JobResponse.JobState;
 
-/** What users are told: an accepted job stays known, is done only when all its tasks are, and has one final state. */
+/**
+ * Checks the responses to users: an accepted job stays known, is reported as done only after all its tasks have a
+ * result, and has one final state.
+ */
 final class AnswerRules {
-    private static final long UNANSWERED_MICROS = 75_000_000;
+    private static final long MAX_UNANSWERED_MICROS = 75_000_000;
 
-    private final World world;
-    private final Breaches breaches;
+    private final SimEnvironment environment;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
     private final CancellationRules cancellations;
     private final Set<String> unschedulable = new HashSet<>();
-    private final Map<String, Long> answeredAt = new HashMap<>();
+    private final Map<String, Long> answeredAtMicros = new HashMap<>();
 
-    AnswerRules(World world, Breaches breaches, JobHistory jobs, CancellationRules cancellations) {
-        this.world = world;
-        this.breaches = breaches;
+    AnswerRules(
+            SimEnvironment environment,
+            ViolationReporter violations,
+            JobHistory jobs,
+            CancellationRules cancellations) {
+        this.environment = environment;
+        this.violations = violations;
         this.jobs = jobs;
         this.cancellations = cancellations;
     }
 
-    /** A job that fits nowhere: nobody may accept it. */
-    void submittingUnschedulable(String job) {
+    /** Records the submission of a job that fits on no machine type, which no controller may accept. */
+    void recordUnschedulableSubmission(String job) {
         unschedulable.add(job);
     }
 
-    /** An answer that a user got. */
-    void told(String job, JobResponse answer) {
-        if (answer instanceof JobResponse.NotFound && jobs.wasAccepted(job)) {
-            breaches.add("forgotten", job + " is not found");
-        } else if (answer instanceof JobResponse.Unschedulable && jobs.wasAccepted(job)) {
-            breaches.add("forgotten", job + " is called impossible");
+    /** Checks and records a response that has arrived at a user. */
+    void recordResponse(String job, JobResponse answer) {
+        if (answer instanceof JobResponse.NotFound && jobs.isAccepted(job)) {
+            violations.report("forgotten", job + " is not found");
+        } else if (answer instanceof JobResponse.Unschedulable && jobs.isAccepted(job)) {
+            violations.report("forgotten", job + " is rejected as unschedulable");
         } else if (answer instanceof JobResponse.Status status) {
-            toldStatus(job, status.state());
+            recordStatus(job, status.state());
         }
     }
 
-    private void toldStatus(String job, JobState state) {
+    private void recordStatus(String job, JobState state) {
         if (unschedulable.contains(job)) {
-            breaches.add("accepted_impossible", job + " can never run");
+            violations.report("accepted_impossible", job + " can never run");
             return;
         }
-        if (!jobs.wasSubmitted(job)) {
-            breaches.add("invented", job);
+        if (!jobs.isSubmitted(job)) {
+            violations.report("invented", job);
         }
-        jobs.accepted(job);
-        answeredAt.put(job, world.now());
-        JobState earlier = jobs.finalTold(job);
+        jobs.recordAcceptance(job);
+        answeredAtMicros.put(job, environment.nowMicros());
+        JobState earlier = jobs.finalState(job);
         if (earlier != null && earlier != state) {
-            breaches.add("went_back", job + " was " + earlier + ", is " + state);
+            violations.report("went_back", job + " was " + earlier + ", is " + state);
         }
         if (state == JobState.DONE) {
-            toldDone(job);
+            recordDone(job);
         } else if (state == JobState.CANCELLED) {
-            toldCancelled(job);
+            recordCancelled(job);
         }
     }
 
-    private void toldDone(String job) {
-        int done = jobs.completedTasks(job);
+    private void recordDone(String job) {
+        int done = jobs.completedTaskCount(job);
         int tasks = jobs.spec(job).tasks();
         if (done < tasks) {
-            breaches.add("not_done", job + ": " + done + " of " + tasks);
+            violations.report("not_done", job + ": " + done + " of " + tasks);
         }
-        jobs.finalTold(job, JobState.DONE);
+        jobs.recordFinalState(job, JobState.DONE);
     }
 
-    private void toldCancelled(String job) {
-        if (!jobs.wasCancellationAsked(job)) {
-            breaches.add("went_back", job + " is cancelled unasked");
+    private void recordCancelled(String job) {
+        if (!jobs.isCancellationRequested(job)) {
+            violations.report("went_back", job + " is cancelled without a request");
         }
-        if (jobs.finalTold(job, JobState.CANCELLED) == null) {
-            cancellations.confirmed(job);
+        if (jobs.recordFinalState(job, JobState.CANCELLED) == null) {
+            cancellations.recordConfirmation(job);
         }
     }
 
-    /** Once troubles are over, no accepted job that nobody asked to cancel may go without any answer for so long. */
-    void checkKnown(long troublesOver) {
+    /**
+     * Checks that no accepted job that nobody asked to cancel has been without a status response for more than 75 s.
+     *
+     * @param faultsEndMicros the end of the last fault; time before it does not count
+     */
+    void checkAnswered(long faultsEndMicros) {
         for (String job : jobs.acceptedJobs()) {
-            long since = world.now() - Math.max(troublesOver, answeredAt.getOrDefault(job, 0L));
-            if (!jobs.wasCancellationAsked(job) && since > UNANSWERED_MICROS) {
-                breaches.add("forgotten", job + ": no question answered for " + since / 1_000_000 + " s");
+            long since = environment.nowMicros() - Math.max(faultsEndMicros, answeredAtMicros.getOrDefault(job, 0L));
+            if (!jobs.isCancellationRequested(job) && since > MAX_UNANSWERED_MICROS) {
+                violations.report("forgotten", job + ": no status response for " + since / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -16,52 +16,52 @@
     private final RulesFixture fixture = new RulesFixture();
 
     private void cancel(String job) {
-        fixture.rules().cancelling(job);
-        fixture.tell(job, JobState.CANCELLED);
+        fixture.rules().recordCancellationRequest(job);
+        fixture.deliverStatus(job, JobState.CANCELLED);
     }
 
     @Test
-    void cancelledTaskOverstays() {
-        fixture.start(ANYWHERE, 0, "a", "z");
+    void cancelledTaskRunningPastItsBoundIsReported() {
+        fixture.startTask(ANYWHERE, 0, "a", "z");
         cancel(ANYWHERE);
         fixture.runUntil(10_000_000);
         fixture.rules().check();
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.runUntil(10_000_001);
         fixture.rules().check();
 
-        fixture.assertBroken("ran_cancelled");
+        fixture.assertViolation("ran_cancelled");
     }
 
     @Test
-    void startIsSentAfterACancellation() {
-        fixture.rules().commandSent(new TaskId(ANYWHERE, 0));
+    void startSentAfterCancellationIsReported() {
+        fixture.rules().recordStartSent(new TaskId(ANYWHERE, 0));
         cancel(ANYWHERE);
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
-        fixture.rules().commandSent(new TaskId(ANYWHERE, 1));
+        fixture.rules().recordStartSent(new TaskId(ANYWHERE, 1));
 
-        fixture.assertBroken("started_cancelled");
+        fixture.assertViolation("started_cancelled");
     }
 
     /** A cancelled task on a machine that hung goes on with it. */
     @Test
-    void cancelledTaskGoesOnAfterItsMachineHung() {
+    void cancelledTaskRunningOnAfterItsMachineHungIsReported() {
         SimWorker worker = fixture.worker();
-        worker.commands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
-        fixture.runCheckedUntil(1_000_000);
-        assertEquals(1, fixture.rules().usedBy(TEAM) / 1_000);
+        worker.handleCommands(1, 1, List.of(WorkerCommand.start(new TaskId(ANYWHERE, 0), 7)));
+        fixture.runUntilWithChecks(1_000_000);
+        assertEquals(1, fixture.rules().usedCpuMillis(TEAM) / 1_000);
         cancel(ANYWHERE);
-        worker.hang(true);
-        fixture.runCheckedUntil(5_000_000);
-        worker.hang(false);
-        fixture.runCheckedUntil(10_900_000);
-        fixture.assertNoneBroken();
+        worker.setHanging(true);
+        fixture.runUntilWithChecks(5_000_000);
+        worker.setHanging(false);
+        fixture.runUntilWithChecks(10_900_000);
+        fixture.assertNoViolations();
 
-        fixture.runCheckedUntil(11_100_000);
+        fixture.runUntilWithChecks(11_100_000);
 
-        List<String> broken = fixture.rules().broken();
+        List<String> broken = fixture.rules().violations();
         assertTrue(broken.get(0).startsWith("ran_cancelled"), broken.toString());
     }
 }
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -26,24 +26,28 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
-    void fiveControllersAndHundredsOfMachines(long seed) {
+    void workCompletesWhenLeadersOfHundredsOfMachinesCrash(long seed) {
         Simulation simulation = new Simulation(seed, 5, 30);
         for (int i = 0; i < 12; i++) {
             long at = 2 * SECOND + 5L * i * SECOND;
             simulation.after(at, () -> {
-                boolean spot = simulation.world.random.nextBoolean();
-                simulation.users.submit(
-                        simulation.jobs.work(120, 25 * SECOND).onSpot(spot).create());
+                boolean spot = simulation.environment.random.nextBoolean();
+                simulation.users.submit(simulation
+                        .jobs
+                        .batchBuilder(120, 25 * SECOND)
+                        .onSpot(spot)
+                        .build());
             });
             simulation.after(at, () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
         Observation<Integer> machines =
                 simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
-        leaderEnds(simulation, 45 * SECOND, 4 * SECOND);
-        leaderEnds(simulation, 49 * SECOND, 300_000);
-        simulation.after(70 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
-        simulation.after(75 * SECOND, () -> simulation.store.outage(10 * SECOND));
-        simulation.run(100 * SECOND, 300 * SECOND);
+        crashLeaderAfter(simulation, 45 * SECOND, 4 * SECOND);
+        crashLeaderAfter(simulation, 49 * SECOND, 300_000);
+        simulation.after(
+                70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
+        simulation.runWithLivenessChecks(100 * SECOND, 300 * SECOND);
 
         assertTrue(machines.get() > 150, "only " + machines.get() + " machines");
         assertRulesAndAllDone(simulation);
@@ -56,7 +60,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
-    void overloadStarvesNobody(long seed) {
+    void noKindOfJobStarvesUnderOverload(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 60; i++) {
             int number = i;
@@ -68,7 +72,7 @@
                 }
             });
         }
-        simulation.run(310 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(310 * SECOND, 900 * SECOND);
 
         simulation.rules.checkServed();
         assertRules(simulation);
@@ -76,24 +80,24 @@
 
     private static JobSpec standardJob(Simulation simulation, int number) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(number % 10 == 3 ? 60 : 16, 15 * SECOND)
+        return jobs.batchBuilder(number % 10 == 3 ? 60 : 16, 15 * SECOND)
                 .team(number % 7 == 0 ? "tight" : "free")
                 .onSpot()
-                .create();
+                .build();
     }
 
     private static JobSpec bestEffortJob(Simulation simulation, int number) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(number % 8 == 0 ? 40 : 6, 12 * SECOND)
+        return jobs.batchBuilder(number % 8 == 0 ? 40 : 6, 12 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .checkpointEvery(3 * SECOND)
-                .create();
+                .build();
     }
 
     /** Services keep arriving: for most of them there is capacity already when they come. */
     @Test
-    void headroomForServicesToCome() {
+    void arrivingServicesFindHeadroom() {
         Simulation simulation = new Simulation(75, 3, 10);
         List<JobSpec> late = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -107,7 +111,7 @@
 
         assertRules(simulation);
         long prompt = late.stream()
-                .filter(job -> simulation.rules.begunAfter(job.id()) < 5 * SECOND)
+                .filter(job -> simulation.rules.startDelayMicros(job.id()) < 5 * SECOND)
                 .count();
         assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
     }
@@ -117,9 +121,9 @@
      * cleared, are drawn now and then for all together, and never for what runs.
      */
     @Test
-    void cleanupOfMachinesWithManyTasksIsRare() {
+    void cleanupOfMachinesWithManyTasksDrawsFewFencingTokens() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.replicas(31).create();
+        JobSpec like = simulation.jobs.serviceBuilder(31).build();
         for (int i = 0; i < 4; i++) {
             simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
         }
@@ -131,13 +135,13 @@
         simulation.run(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        int drawn = simulation.store.writesOf(Keys.FENCING_TOKEN);
+        int drawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
     /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
     @Test
-    void machinesForServicesAreLaunchedAsAClass() {
+    void servicesOfAClassShareLargeMachines() {
         Simulation simulation = new Simulation(76, 3, 20);
         submitServices(simulation, 40, 4);
         simulation.run(30 * SECOND);
@@ -152,23 +156,23 @@
     /** Machines that never come up are not waited for until they are given back. */
     @ParameterizedTest
     @ValueSource(longs = {77, 78, 79})
-    void lateBootsAreNotWaitedFor(long seed) {
+    void machinesThatNeverBootAreReplacedEarly(long seed) {
         Simulation simulation = new Simulation(seed, 3, 5);
-        simulation.cloud.neverUp = 2;
+        simulation.cloud.remainingBootFailures = 2;
         JobSpec job = simulation.jobs.service(4);
         simulation.users.submit(job);
         simulation.run(90 * SECOND);
 
         assertRules(simulation);
         assertTrue(
-                simulation.rules.begunAfter(job.id()) < 45 * SECOND,
-                "begun after " + simulation.rules.begunAfter(job.id()) / SECOND + " s");
+                simulation.rules.startDelayMicros(job.id()) < 45 * SECOND,
+                "begun after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
     }
 
     /** On a full site the jobs that can be in time together are, instead of all being late together. */
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83})
-    void someInTimeRatherThanAllLate(long seed) {
+    void someJobsMeetTheirDeadlinesWhenNotAllCan(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         simulation.users.submit(simulation.jobs.batch(120, 8 * SECOND));
         List<JobSpec> jobs = new ArrayList<>();
@@ -181,7 +185,7 @@
 
         assertRulesAndAllDone(simulation);
         long inTime = jobs.stream()
-                .filter(job -> simulation.rules.finishedAfter(job.id()) <= job.deadlineMicros())
+                .filter(job -> simulation.rules.finishDelayMicros(job.id()) <= job.deadlineMicros())
                 .count();
         assertTrue(inTime >= 4, inTime + " of " + jobs.size() + " in time");
     }
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -23,7 +23,7 @@
     /** Many machines fail at once: each is found after a few tasks, and no job is made to wait for it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void faultyMachinesAreFoundAfterFewFailures(long seed) {
+    void faultyMachinesAreDetectedAfterFewFailures(long seed) {
         Simulation simulation = new Simulation(seed, 3, 4);
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -42,24 +42,24 @@
         simulation.run(220 * SECOND);
 
         assertRules(simulation);
-        int failures = faulty.stream().mapToInt(SimWorker::failures).sum();
+        int failures = faulty.stream().mapToInt(SimWorker::failedTaskCount).sum();
         assertTrue(failures >= FAULTY_MACHINES / 2, failures + " failures");
         for (SimWorker worker : faulty) {
             assertTrue(
-                    worker.failures() <= MOST_FAILURES_OF_A_MACHINE,
-                    worker.failures() + " tasks failed on " + worker.id);
+                    worker.failedTaskCount() <= MOST_FAILURES_OF_A_MACHINE,
+                    worker.failedTaskCount() + " tasks failed on " + worker.id);
         }
         for (JobSpec job : jobs) {
             assertTrue(
-                    simulation.rules.finishedAfter(job.id()) < 60 * SECOND,
-                    "done after " + simulation.rules.finishedAfter(job.id()) / 1e6);
+                    simulation.rules.finishDelayMicros(job.id()) < 60 * SECOND,
+                    "done after " + simulation.rules.finishDelayMicros(job.id()) / 1e6);
         }
     }
 
     /** Jobs that fail everywhere are tried less and less often, and no machine is given up for them. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void jobsThatFailEverywhereTakeNoMachines(long seed) {
+    void jobsThatFailEverywhereCostNoMachines(long seed) {
         Simulation simulation = new Simulation(seed, 3, 2);
         for (int i = 0; i < 45; i++) {
             simulation.after(4L * i * SECOND, () -> simulation.users.submit(job(simulation, 8)));
@@ -77,10 +77,10 @@
 
         assertRules(simulation);
         int failures = simulation.cloud.workers().stream()
-                .mapToInt(SimWorker::failures)
+                .mapToInt(SimWorker::failedTaskCount)
                 .sum();
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
-        long left = before.stream().filter(worker -> !worker.alive()).count();
+        long left = before.stream().filter(worker -> !worker.isAlive()).count();
         assertTrue(left <= 2, left + " of " + before.size() + " machines were given up");
     }
 }
--- a/src/test/java/org/granitepath/simulation/JobHistory.java
+++ b/src/test/java/org/granitepath/simulation/JobHistory.java
@@ -11,144 +11,141 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** What users sent and were told of each job, and what machines did for it. Each rule compares parts of it. */
+/** Records, for each job, the requests of users, the responses to them, and the events on machines, for the rules. */
 final class JobHistory {
-    /** Stands for the time of what has not happened: later than any run ends, and safe to subtract from. */
+    /** The time of an event that has not happened: after the end of every run, and small enough to subtract from. */
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private final World world;
-    private final Map<String, JobSpec> submitted = new HashMap<>();
-    private final Map<String, Long> submittedAt = new LinkedHashMap<>();
-    private final Set<String> accepted = new HashSet<>();
-    private final Set<String> cancellationAsked = new HashSet<>();
-    private final Map<String, JobState> finalTold = new HashMap<>();
-    private final Map<String, Set<Integer>> completed = new HashMap<>();
-    private final Map<String, Long> begunAt = new HashMap<>();
-    private final Map<String, Long> completedAt = new HashMap<>();
-    private final Map<TaskId, Integer> startsSent = new HashMap<>();
-    private final Map<String, Long> startSentAt = new HashMap<>();
+    private final SimEnvironment environment;
+    private final Map<String, JobSpec> submittedSpecs = new HashMap<>();
+    private final Map<String, Long> submittedAtMicros = new LinkedHashMap<>();
+    private final Set<String> acceptedJobs = new HashSet<>();
+    private final Set<String> jobsWithCancellationRequest = new HashSet<>();
+    private final Map<String, JobState> finalStates = new HashMap<>();
+    private final Map<String, Set<Integer>> completedTasks = new HashMap<>();
+    private final Map<String, Long> startedAtMicros = new HashMap<>();
+    private final Map<String, Long> lastCompletionMicros = new HashMap<>();
+    private final Map<TaskId, Integer> startCounts = new HashMap<>();
+    private final Map<String, Long> lastStartSentMicrosByJob = new HashMap<>();
 
-    JobHistory(World world) {
-        this.world = world;
+    JobHistory(SimEnvironment environment) {
+        this.environment = environment;
     }
 
-    // ---- users -------------------------------------------------------------------------------------------------
-
-    void submitted(JobSpec spec) {
-        submitted.putIfAbsent(spec.id(), spec);
-        submittedAt.putIfAbsent(spec.id(), world.now());
+    /** Records a submission by a user; only the first one of a job counts. */
+    void recordSubmission(JobSpec spec) {
+        submittedSpecs.putIfAbsent(spec.id(), spec);
+        submittedAtMicros.putIfAbsent(spec.id(), environment.nowMicros());
     }
 
-    boolean wasSubmitted(String job) {
-        return submitted.containsKey(job);
+    boolean isSubmitted(String job) {
+        return submittedSpecs.containsKey(job);
     }
 
     JobSpec spec(String job) {
-        return submitted.get(job);
+        return submittedSpecs.get(job);
     }
 
-    /** All submitted jobs, in the order of their submission. */
+    /** The ids of all submitted jobs, in the order of their submission. */
     Set<String> submittedJobs() {
-        return Collections.unmodifiableSet(submittedAt.keySet());
+        return Collections.unmodifiableSet(submittedAtMicros.keySet());
     }
 
-    long submittedAt(String job) {
-        return submittedAt.get(job);
+    long submittedAtMicros(String job) {
+        return submittedAtMicros.get(job);
     }
 
-    void accepted(String job) {
-        accepted.add(job);
+    /** Records that a user knows that a controller has accepted the job. */
+    void recordAcceptance(String job) {
+        acceptedJobs.add(job);
     }
 
-    boolean wasAccepted(String job) {
-        return accepted.contains(job);
+    boolean isAccepted(String job) {
+        return acceptedJobs.contains(job);
     }
 
     Set<String> acceptedJobs() {
-        return Collections.unmodifiableSet(accepted);
+        return Collections.unmodifiableSet(acceptedJobs);
     }
 
-    void cancellationAsked(String job) {
-        cancellationAsked.add(job);
+    /** Records that a user asks to cancel the job. */
+    void recordCancellationRequest(String job) {
+        jobsWithCancellationRequest.add(job);
     }
 
-    boolean wasCancellationAsked(String job) {
-        return cancellationAsked.contains(job);
+    boolean isCancellationRequested(String job) {
+        return jobsWithCancellationRequest.contains(job);
     }
 
-    /** A user was told this final state; returns what was told before. */
+    /** Records that a response reported a final state; returns the one reported before, or null. */
     @Nullable
-    JobState finalTold(String job, JobState state) {
-        return finalTold.put(job, state);
+    JobState recordFinalState(String job, JobState state) {
+        return finalStates.put(job, state);
     }
 
-    /** The final state that users were told last; null while they were told none. */
+    /** The final state that was last reported to users; null if there is none. */
     @Nullable
-    JobState finalTold(String job) {
-        return finalTold.get(job);
+    JobState finalState(String job) {
+        return finalStates.get(job);
     }
 
-    /** How many jobs users believe to be cancelled. */
-    int cancellationsTold() {
-        return (int) finalTold.values().stream()
+    /** How many jobs were last reported to users as cancelled. */
+    int cancelledJobCount() {
+        return (int) finalStates.values().stream()
                 .filter(state -> state == JobState.CANCELLED)
                 .count();
     }
 
-    // ---- controllers -------------------------------------------------------------------------------------------
-
-    /** A controller sends the command to start this task. */
-    void startSent(TaskId task) {
-        startsSent.merge(task, 1, Integer::sum);
-        startSentAt.put(task.job(), world.now());
+    /** Records that a controller sends the command to start a task. */
+    void recordStartSent(TaskId task) {
+        startCounts.merge(task, 1, Integer::sum);
+        lastStartSentMicrosByJob.put(task.job(), environment.nowMicros());
     }
 
-    /** When the last start of the job was sent; zero when none was. */
-    long lastStartSentAt(String job) {
-        return startSentAt.getOrDefault(job, 0L);
+    /** When the last start command for the job was sent; zero if there was none. */
+    long lastStartSentMicros(String job) {
+        return lastStartSentMicrosByJob.getOrDefault(job, 0L);
     }
 
-    /** How often the start of the task that was started most often was sent. */
-    int mostStartsOfATask() {
-        return startsSent.values().stream().max(Integer::compare).orElse(0);
+    /** The highest number of start commands that were sent for one task. */
+    int maxStartsPerTask() {
+        return startCounts.values().stream().max(Integer::compare).orElse(0);
     }
 
-    // ---- machines ----------------------------------------------------------------------------------------------
-
-    /** A task of the job is on a machine. */
-    void begun(String job) {
-        begunAt.putIfAbsent(job, world.now());
+    /** Records that a task of the job has started on a machine. */
+    void recordTaskStarted(String job) {
+        startedAtMicros.putIfAbsent(job, environment.nowMicros());
     }
 
-    boolean hasBegun(String job) {
-        return begunAt.containsKey(job);
+    boolean hasStarted(String job) {
+        return startedAtMicros.containsKey(job);
     }
 
-    /** From submission to the first start on a machine, or until now. */
-    long waitedForBegin(String job) {
-        return begunAt.getOrDefault(job, world.now()) - submittedAt.get(job);
+    /** The time from submission to the first start on a machine, or until now if there was none. */
+    long waitMicros(String job) {
+        return startedAtMicros.getOrDefault(job, environment.nowMicros()) - submittedAtMicros.get(job);
     }
 
-    /** From submission to the first start on a machine; beyond all bounds when there was none. */
-    long begunAfter(String job) {
-        return begunAt.getOrDefault(job, NEVER) - submittedAt.get(job);
+    /** The time from submission to the first start on a machine; very large if there was none. */
+    long startDelayMicros(String job) {
+        return startedAtMicros.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 
-    /** A task has its result. Returns whether it is the last one that its job lacked. */
-    boolean completed(TaskId task) {
-        completedAt.put(task.job(), world.now());
-        Set<Integer> done = completed.computeIfAbsent(task.job(), job -> new HashSet<>());
+    /** Records that a task has its result; returns whether this result completes its job. */
+    boolean recordTaskCompleted(TaskId task) {
+        lastCompletionMicros.put(task.job(), environment.nowMicros());
+        Set<Integer> done = completedTasks.computeIfAbsent(task.job(), job -> new HashSet<>());
         return done.add(task.index())
-                && done.size() == submitted.get(task.job()).tasks();
+                && done.size() == submittedSpecs.get(task.job()).tasks();
     }
 
-    /** How many tasks of the job have their result. */
-    int completedTasks(String job) {
-        return completed.getOrDefault(job, Set.of()).size();
+    /** How many tasks of the job have a result. */
+    int completedTaskCount(String job) {
+        return completedTasks.getOrDefault(job, Set.of()).size();
     }
 
-    /** From submission to the last result so far; beyond all bounds when there is none. */
-    long finishedAfter(String job) {
-        return completedAt.getOrDefault(job, NEVER) - submittedAt.get(job);
+    /** The time from submission to the last result so far; very large if there is none. */
+    long finishDelayMicros(String job) {
+        return lastCompletionMicros.getOrDefault(job, NEVER) - submittedAtMicros.get(job);
     }
 }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -1,9 +1,9 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.longWork;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 
 import java.util.List;
@@ -27,46 +27,48 @@
     /** Any two troubles close in time, three times over. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void anyTwoTroublesMeet(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 35, 150 * SECOND);
-        longWork(simulation, 4, 4, 60 * SECOND);
+    void rulesHoldUnderAnyTwoFaults(long seed) {
+        Simulation simulation = withRandomJobs(simulation(seed), 35, 150 * SECOND);
+        submitLongRunningJobs(simulation, 4, 4, 60 * SECOND);
         // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
         for (int i = 0; i < 10; i++) {
             simulation.after((5 + 14 * i) * SECOND, () -> {
-                int tasks = 1 + simulation.world.random.nextInt(8);
-                String team = simulation.world.random.nextBoolean() ? "granted" : "lender";
+                int tasks = 1 + simulation.environment.random.nextInt(8);
+                String team = simulation.environment.random.nextBoolean() ? "granted" : "lender";
                 simulation.users.submit(simulation
                         .jobs
-                        .work(tasks, 15 * SECOND)
+                        .batchBuilder(tasks, 15 * SECOND)
                         .team(team)
                         .onSpot()
-                        .create());
+                        .build());
             });
         }
         List<Consumer<Simulation>> troubles = troubles();
         for (int i = 0; i < 3; i++) {
-            long at = (30 + 55 * i) * SECOND + simulation.world.random.nextInt(8_000_000);
-            Consumer<Simulation> one = troubles.get(simulation.world.random.nextInt(troubles.size()));
-            Consumer<Simulation> other = troubles.get(simulation.world.random.nextInt(troubles.size()));
+            long at = (30 + 55 * i) * SECOND + simulation.environment.random.nextInt(8_000_000);
+            Consumer<Simulation> one = troubles.get(simulation.environment.random.nextInt(troubles.size()));
+            Consumer<Simulation> other = troubles.get(simulation.environment.random.nextInt(troubles.size()));
             simulation.after(at, () -> one.accept(simulation));
-            simulation.after(at + simulation.world.random.nextInt(6_000_000), () -> other.accept(simulation));
+            simulation.after(at + simulation.environment.random.nextInt(6_000_000), () -> other.accept(simulation));
         }
-        simulation.run(250 * SECOND, 650 * SECOND);
+        simulation.runWithLivenessChecks(250 * SECOND, 650 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
 
     private static long time(Simulation simulation) {
-        return (2 + simulation.world.random.nextInt(40)) * SECOND;
+        return (2 + simulation.environment.random.nextInt(40)) * SECOND;
     }
 
-    private static World.Cut cut(Simulation simulation) {
-        return simulation.world.random.nextBoolean() ? World.Cut.HOLD : World.Cut.DROP;
+    private static SimEnvironment.PartitionMode cut(Simulation simulation) {
+        return simulation.environment.random.nextBoolean()
+                ? SimEnvironment.PartitionMode.HOLD
+                : SimEnvironment.PartitionMode.DROP;
     }
 
     private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
         List<SimWorker> all = simulation.cloud.workers();
-        int every = 2 + simulation.world.random.nextInt(4);
+        int every = 2 + simulation.environment.random.nextInt(4);
         for (int i = 0; i < all.size(); i += every) {
             what.accept(all.get(i));
         }
@@ -82,55 +84,60 @@
     private static List<Consumer<Simulation>> ofControllersAndLinks() {
         return List.of(
                 simulation -> simulation.faults.crash(
-                        simulation.leader(), 200_000 + simulation.world.random.nextInt(6_000_000)),
-                simulation -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, 200_000 + simulation.world.random.nextInt(30_000_000))),
-                simulation -> simulation.store.refuse(simulation.leader(), time(simulation)),
-                simulation -> simulation.store.outage(time(simulation) + simulation.shape.cancel() / 2),
+                        simulation.leader(), 200_000 + simulation.environment.random.nextInt(6_000_000)),
+                simulation -> simulation.nodeNames.forEach(node ->
+                        simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
+                simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
+                simulation -> simulation.store.startOutage(
+                        time(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
+                simulation -> simulation.faults.partitionFromPeersAndStore(
+                        simulation.leader(), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.partition(
+                        simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
                 simulation ->
-                        simulation.faults.cutFromPeersAndStore(simulation.leader(), cut(simulation), time(simulation)),
-                simulation ->
-                        simulation.faults.cut(simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
-                simulation -> simulation.faults.cutFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
-                simulation -> simulation.faults.cutZone(
-                        simulation.zoneOf(simulation.anyNode()), cut(simulation), time(simulation)),
-                simulation -> simulation.faults.freeze(simulation.leader(), time(simulation)),
+                        simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.partitionZone(
+                        simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
+                simulation -> simulation.faults.pause(simulation.leader(), time(simulation)),
                 simulation -> simulation.users.cancelRunning(
-                        6, simulation.world.random.nextBoolean() ? 0 : time(simulation)));
+                        6, simulation.environment.random.nextBoolean() ? 0 : time(simulation)));
     }
 
     private static List<Consumer<Simulation>> ofMessages() {
         return List.of(
                 simulation -> {
-                    simulation.cancelledAtEnd = 0.5;
-                    simulation.after(time(simulation), () -> simulation.cancelledAtEnd = 0);
+                    simulation.cancelAtCompletionShare = 0.5;
+                    simulation.after(time(simulation), () -> simulation.cancelAtCompletionShare = 0);
                 },
                 simulation -> {
-                    simulation.store.lateWrites = 0.3;
-                    simulation.after(time(simulation), () -> simulation.store.lateWrites = 0);
+                    simulation.store.lateCommitShare = 0.3;
+                    simulation.after(time(simulation), () -> simulation.store.lateCommitShare = 0);
                 },
                 simulation -> {
-                    simulation.world.lateCopies = 0.2;
-                    simulation.after(time(simulation), () -> simulation.world.lateCopies = 0);
+                    simulation.environment.duplicateRequestShare = 0.2;
+                    simulation.after(time(simulation), () -> simulation.environment.duplicateRequestShare = 0);
                 },
                 simulation -> {
-                    simulation.world.heldUp = 0.06;
-                    simulation.after(time(simulation), () -> simulation.world.heldUp = 0);
+                    simulation.environment.delayedPacketShare = 0.06;
+                    simulation.after(time(simulation), () -> simulation.environment.delayedPacketShare = 0);
                 },
-                simulation -> simulation.store.blindFor(simulation.leader(), time(simulation)));
+                simulation -> simulation.store.dropReadsOf(simulation.leader(), time(simulation)));
     }
 
     private static List<Consumer<Simulation>> ofMachines() {
         return List.of(
-                simulation -> someMachines(simulation, worker -> simulation.faults.deafen(worker, time(simulation))),
-                simulation -> someMachines(simulation, worker -> simulation.faults.mute(worker, time(simulation))),
+                simulation ->
+                        someMachines(simulation, worker -> simulation.faults.dropMessagesTo(worker, time(simulation))),
                 simulation -> someMachines(
-                        simulation, worker -> simulation.faults.cutMachine(worker, cut(simulation), time(simulation))),
+                        simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, time(simulation))),
+                simulation -> someMachines(
+                        simulation,
+                        worker -> simulation.faults.partitionMachine(worker, cut(simulation), time(simulation))),
                 simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
                 simulation -> someMachines(
                         simulation,
-                        worker -> simulation.after(simulation.world.random.nextInt(3_000_000), worker::die)),
-                simulation -> simulation.users.oddRequests(time(simulation)),
-                simulation -> simulation.cloud.outage(time(simulation)));
+                        worker -> simulation.after(simulation.environment.random.nextInt(3_000_000), worker::die)),
+                simulation -> simulation.users.sendUnusualRequests(time(simulation)),
+                simulation -> simulation.cloud.startOutage(time(simulation)));
     }
 }
--- a/src/test/java/org/granitepath/simulation/RulesFixture.java
+++ b/src/test/java/org/granitepath/simulation/RulesFixture.java
@@ -17,8 +17,8 @@
 import org.granitepath.storage.Priority;
 
 /**
- * The rules of one team of three CPUs, whose cancelled tasks may go on for ten seconds. Three jobs of two tasks are
- * submitted: one that may run anywhere, one that is spread over zones, and one that stays in a zone.
+ * The rules for one team with a limit of three CPUs and a cancellation timeout of ten seconds. Three jobs of two tasks
+ * are submitted: one that may run anywhere, one that is spread over zones, and one that must run in one zone.
  */
 final class RulesFixture {
     static final String ANYWHERE = "run-1";
@@ -30,17 +30,17 @@
     private static final long RUN_MICROS = 1_000_000;
     private static final long LONG_RUN_MICROS = 300_000_000;
 
-    private final World world = new World(1);
-    private final Rules rules = new Rules(world, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
+    private final SimEnvironment environment = new SimEnvironment(1);
+    private final Rules rules = new Rules(environment, Map.of(TEAM, new Team(TEAM, 0, 3_000, 0, 0)), 10_000_000);
 
     RulesFixture() {
-        rules.submitting(spec(ANYWHERE, TASKS, false, false, RUN_MICROS));
-        rules.submitting(spec(SPREAD, TASKS, true, false, RUN_MICROS));
-        rules.submitting(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
+        rules.recordSubmission(spec(ANYWHERE, TASKS, false, false, RUN_MICROS));
+        rules.recordSubmission(spec(SPREAD, TASKS, true, false, RUN_MICROS));
+        rules.recordSubmission(spec(ONE_ZONE, TASKS, false, true, RUN_MICROS));
     }
 
-    World world() {
-        return world;
+    SimEnvironment environment() {
+        return environment;
     }
 
     Rules rules() {
@@ -71,68 +71,70 @@
                 JobSpec.NO_DEADLINE);
     }
 
-    /** One more job is submitted now, that may run anywhere. */
-    void submit(String id, int tasks) {
-        rules.submitting(spec(id, tasks, false, false, RUN_MICROS));
+    /** Submits another job that may run anywhere. */
+    void submitJob(String id, int tasks) {
+        rules.recordSubmission(spec(id, tasks, false, false, RUN_MICROS));
     }
 
-    /** A task is on a full-price machine now. */
-    void start(String job, int index, String host, String zone) {
-        rules.started(new TaskId(job, index), host, "m", zone, false);
+    /** Records that a task has started on an on-demand machine. */
+    void startTask(String job, int index, String host, String zone) {
+        rules.recordTaskStarted(new TaskId(job, index), host, "m", zone, false);
     }
 
-    /** A user is told this of the job. */
-    void tell(String job, JobState state) {
-        rules.told(job, new JobResponse.Status(false, job, state, 0, 0));
+    /** Delivers a status response about a job to a user. */
+    void deliverStatus(String job, JobState state) {
+        rules.recordResponse(job, new JobResponse.Status(false, job, state, 0, 0));
     }
 
-    /** Time passes until then, without a check. */
+    /** Advances the simulated time without checks. */
     void runUntil(long micros) {
-        world.run(micros, () -> {});
+        environment.run(micros, () -> {});
     }
 
-    /** The same with the rules checked after each event. */
-    void runCheckedUntil(long micros) {
-        world.run(micros, rules::check);
+    /** Advances the simulated time and checks the rules after each event. */
+    void runUntilWithChecks(long micros) {
+        environment.run(micros, rules::check);
     }
 
-    /** One rule is broken, and its breach begins so. */
-    void assertBroken(String beginning) {
-        assertEquals(1, rules.broken().size(), rules.broken().toString());
-        assertTrue(rules.broken().get(0).startsWith(beginning), rules.broken().toString());
+    /** Asserts that there is exactly one violation and that its description begins like this. */
+    void assertViolation(String beginning) {
+        assertEquals(1, rules.violations().size(), rules.violations().toString());
+        assertTrue(
+                rules.violations().get(0).startsWith(beginning),
+                rules.violations().toString());
     }
 
-    void assertNoneBroken() {
-        assertTrue(rules.broken().isEmpty(), rules.broken().toString());
+    void assertNoViolations() {
+        assertTrue(rules.violations().isEmpty(), rules.violations().toString());
     }
 
-    /** A machine of four CPUs whose heartbeats are accepted, and on which tasks run for minutes. */
+    /** A worker with four CPUs whose heartbeats are accepted and whose tasks are estimated to run for five minutes. */
     SimWorker worker() {
         return new SimWorker(
-                world,
+                environment,
                 rules,
                 new AcceptingController(),
                 job -> spec(job, TASKS, false, false, LONG_RUN_MICROS),
                 new HashSet<>(),
-                new SimGangs(world, rules, new HashSet<>()),
-                new SimWorker.Facts(
+                new SimGangs(environment, rules, new HashSet<>()),
+                new SimWorker.MachineFacts(
                         "i-1", new MachineType("m", 4_000, 0, 4_000, 10, 1, 1, 1, List.of("z")), "z", false),
                 new SimWorker.Timing(1_000_000, 20_000_000));
     }
 
     private static final class AcceptingController implements SimControllers {
         @Override
-        public List<String> names() {
+        public List<String> nodeNames() {
             return List.of("n");
         }
 
         @Override
-        public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
+        public HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat) {
             return new HeartbeatResponse.Accepted(1, List.of());
         }
 
         @Override
-        public boolean fails(String job) {
+        public boolean failsEverywhere(String job) {
             return false;
         }
     }
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -7,24 +7,27 @@
 import java.util.TreeMap;
 import org.granitepath.storage.JobSpec;
 
-/** At least half of each class, of each team and of a class's largest jobs is served, and the largest begin in time. */
+/**
+ * Checks that at least half of the jobs of each class, of each team, and of the largest quarter of each class are
+ * served, and that no job of the largest quarters waits for its first start for more than 240 s.
+ */
 final class ServedRules {
-    private static final long BEGIN_MICROS = 240_000_000;
+    private static final long MAX_START_DELAY_MICROS = 240_000_000;
 
-    private final Breaches breaches;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
 
-    ServedRules(Breaches breaches, JobHistory jobs) {
-        this.breaches = breaches;
+    ServedRules(ViolationReporter violations, JobHistory jobs) {
+        this.violations = violations;
         this.jobs = jobs;
     }
 
-    /** At the end of a run. */
+    /** Checks the jobs at the end of a run. */
     void check() {
         Map<String, List<JobSpec>> groups = new TreeMap<>();
         for (String job : jobs.submittedJobs()) {
             JobSpec spec = jobs.spec(job);
-            if (isToBeServed(spec)) {
+            if (mustBeServed(spec)) {
                 groups.computeIfAbsent("class " + spec.jobClass(), unknown -> new ArrayList<>())
                         .add(spec);
                 groups.computeIfAbsent("team " + spec.team(), unknown -> new ArrayList<>())
@@ -39,14 +42,14 @@
         groups.forEach((name, group) -> {
             checkHalfServed(name, group);
             if (name.startsWith("largest")) {
-                checkBegun(name, group);
+                checkStartDelay(name, group);
             }
         });
     }
 
-    private boolean isToBeServed(JobSpec spec) {
-        return (jobs.wasAccepted(spec.id()) && !jobs.wasCancellationAsked(spec.id()))
-                || (spec.isService() && jobs.hasBegun(spec.id()));
+    private boolean mustBeServed(JobSpec spec) {
+        return (jobs.isAccepted(spec.id()) && !jobs.isCancellationRequested(spec.id()))
+                || (spec.isService() && jobs.hasStarted(spec.id()));
     }
 
     private static List<JobSpec> largestQuarter(List<JobSpec> group) {
@@ -58,20 +61,21 @@
     private void checkHalfServed(String name, List<JobSpec> group) {
         long served = group.stream().filter(this::isServed).count();
         if (served * 2 < group.size()) {
-            breaches.add("unserved", name + ": " + served + " of " + group.size());
+            violations.report("unserved", name + ": " + served + " of " + group.size());
         }
     }
 
-    /** A service is served when a task of it has run; other work when it is done. */
+    /** Whether a service has started a task, or a batch job has completed all its tasks. */
     private boolean isServed(JobSpec spec) {
-        return spec.isService() ? jobs.hasBegun(spec.id()) : jobs.completedTasks(spec.id()) == spec.tasks();
+        return spec.isService() ? jobs.hasStarted(spec.id()) : jobs.completedTaskCount(spec.id()) == spec.tasks();
     }
 
-    private void checkBegun(String name, List<JobSpec> group) {
+    private void checkStartDelay(String name, List<JobSpec> group) {
         for (JobSpec spec : group) {
-            long waited = jobs.waitedForBegin(spec.id());
-            if (waited > BEGIN_MICROS) {
-                breaches.add("unserved", name + ": " + spec.id() + " begins after " + waited / 1_000_000 + " s");
+            long waitedMicros = jobs.waitMicros(spec.id());
+            if (waitedMicros > MAX_START_DELAY_MICROS) {
+                violations.report(
+                        "unserved", name + ": " + spec.id() + " begins after " + waitedMicros / 1_000_000 + " s");
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimControllers.java
+++ b/src/test/java/org/granitepath/simulation/SimControllers.java
@@ -4,12 +4,14 @@
 import org.granitepath.coordination.ports.Heartbeat;
 import org.granitepath.coordination.ports.HeartbeatResponse;
 
-/** How the controllers answer a heartbeat that has reached one of them. */
+/** The controllers as simulated machines reach them. */
 interface SimControllers {
-    List<String> names();
+    /** The names of all controllers, in a fixed order. */
+    List<String> nodeNames();
 
-    HeartbeatResponse heartbeat(String node, Heartbeat heartbeat);
+    /** The response of a controller to a heartbeat that has arrived there. */
+    HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat);
 
-    /** Whether every task of this job fails, wherever it runs. */
-    boolean fails(String job);
+    /** Whether every task of this job fails on every machine. */
+    boolean failsEverywhere(String job);
 }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -8,88 +8,91 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.storage.JobSpec;
 
-/** What the tasks of gangs know of each other, and how far each gang's work has come. Checkpoints outlive machines. */
+/**
+ * Simulates how the tasks of each gang wait for each other, save their progress together and notice the loss of a task.
+ * Checkpoints are kept when machines are lost. Progress and times are in microseconds.
+ */
 final class SimGangs {
-    /** How long a task waits for the others. */
-    static final long START_TIMEOUT = 12_000_000;
-    /** Within this time the tasks notice that one of them is gone. */
-    static final long PEER_LOSS_NOTICED = 3_000_000;
+    /** How long a task waits for the other tasks of its gang. */
+    static final long START_TIMEOUT_MICROS = 12_000_000;
+    /** The tasks of a gang notice within this time that one of them is gone. */
+    static final long PEER_LOSS_DETECTION_MICROS = 3_000_000;
 
-    private final World world;
+    private final SimEnvironment environment;
     private final Rules rules;
-    private final Set<TaskId> results;
+    private final Set<TaskId> completedTasks;
     private final Map<String, Attempt> attempts = new HashMap<>();
-    /** Progress of each job that is safe. */
-    private final Map<String, Long> saved = new HashMap<>();
-    /** How long each job runs in all. */
-    private final Map<String, Long> totals = new HashMap<>();
+    /** The progress of each job that a checkpoint keeps, by job id. */
+    private final Map<String, Long> savedProgressMicros = new HashMap<>();
+    /** The total run time of each job, by job id. */
+    private final Map<String, Long> totalRunMicrosByJob = new HashMap<>();
 
-    private int started;
-    private int savedInOrder;
-    private int incomplete;
+    private int startedAttemptCount;
+    private int savedAttemptCount;
+    private int startTimeoutCount;
 
-    SimGangs(World world, Rules rules, Set<TaskId> results) {
-        this.world = world;
+    SimGangs(SimEnvironment environment, Rules rules, Set<TaskId> completedTasks) {
+        this.environment = environment;
         this.rules = rules;
-        this.results = results;
+        this.completedTasks = completedTasks;
     }
 
-    /** How many attempts have started. */
-    int started() {
-        return started;
+    /** How many gang attempts have started to run. */
+    int startedAttemptCount() {
+        return startedAttemptCount;
     }
 
-    /** How many attempts ended by a stop for which all tasks saved their progress. */
-    int savedInOrder() {
-        return savedInOrder;
+    /** How many gang attempts were stopped after all their tasks had saved their progress. */
+    int savedAttemptCount() {
+        return savedAttemptCount;
     }
 
-    /** How many tasks waited for the others in vain. */
-    int incomplete() {
-        return incomplete;
+    /** How many tasks exited because the other tasks of their gang did not start in time. */
+    int startTimeoutCount() {
+        return startTimeoutCount;
     }
 
-    /** A task of a gang that has its image, on its machine. */
+    /** A task of a gang attempt that has its image. */
     final class Member {
         private final Attempt attempt;
         private final TaskId task;
-        private final BooleanSupplier hangs;
-        private final long since = world.now();
-        private long toldToSaveMicros = -1;
-        private ExitCause cause;
-        private boolean kept;
+        private final BooleanSupplier machineHangs;
+        private final long joinedMicros = environment.nowMicros();
+        private long stopRequestMicros = -1;
+        private ExitCause exitCause;
+        private boolean progressSaved;
 
         private Member(Attempt attempt, TaskId task, BooleanSupplier hangs) {
             this.attempt = attempt;
             this.task = task;
-            this.hangs = hangs;
+            this.machineHangs = hangs;
         }
 
-        boolean running() {
+        boolean isRunning() {
             return attempt.phase != Phase.FORMING;
         }
 
-        boolean saves() {
-            return toldToSaveMicros >= 0;
+        boolean isSaving() {
+            return stopRequestMicros >= 0;
         }
 
-        /** Why it is to exit, or null. */
-        ExitCause exit() {
+        /** Advances the gang attempt; returns the cause with which this task exits now, or null. */
+        ExitCause updateAndGetExitCause() {
             attempt.update();
-            return cause;
+            return exitCause;
         }
 
-        /** Whether its progress was saved. */
-        boolean kept() {
-            return kept;
+        /** Whether the progress of the task was saved before it exited. */
+        boolean progressSaved() {
+            return progressSaved;
         }
 
-        /** It is told to stop with enough time to save. */
+        /** Stops the task, which has enough time to save its progress. */
         void stop() {
             attempt.stop(this);
         }
 
-        /** It is on its machine no longer. */
+        /** Removes the task, which is no longer on its machine, from the gang attempt. */
         void leave() {
             attempt.leave(this);
         }
@@ -99,128 +102,134 @@
         FORMING,
         RUNNING,
         STOPPING,
-        OVER
+        ENDED
     }
 
     private final class Attempt {
         final JobSpec spec;
         final Map<Integer, Member> members = new HashMap<>();
         Phase phase = Phase.FORMING;
-        long startedAt;
-        long progressAtStart;
-        long firstStopAt = -1;
-        long frozenProgress = -1;
-        long noticedAt = Long.MAX_VALUE;
+        long startedMicros;
+        long initialProgressMicros;
+        long firstStopMicros = -1;
+        long finalProgressMicros = -1;
+        long lossDetectedMicros = Long.MAX_VALUE;
 
         Attempt(JobSpec spec) {
             this.spec = spec;
         }
 
-        long progress() {
-            return frozenProgress >= 0 ? frozenProgress : progressAtStart + world.now() - startedAt;
+        long progressMicros() {
+            return finalProgressMicros >= 0
+                    ? finalProgressMicros
+                    : initialProgressMicros + environment.nowMicros() - startedMicros;
         }
 
         void update() {
             switch (phase) {
-                case FORMING -> forming();
-                case RUNNING -> running();
-                case STOPPING -> stopping();
-                case OVER -> {}
+                case FORMING -> updateForming();
+                case RUNNING -> updateRunning();
+                case STOPPING -> updateStopping();
+                case ENDED -> {}
             }
         }
 
-        private void forming() {
-            boolean whole = members.size() == spec.tasks()
+        private void updateForming() {
+            boolean isComplete = members.size() == spec.tasks()
                     && members.values().stream()
-                            .noneMatch(member -> member.hangs.getAsBoolean() || member.cause != null);
-            if (whole) {
+                            .noneMatch(member -> member.machineHangs.getAsBoolean() || member.exitCause != null);
+            if (isComplete) {
                 phase = Phase.RUNNING;
-                started++;
-                startedAt = world.now();
-                progressAtStart = saved.getOrDefault(spec.id(), 0L);
+                startedAttemptCount++;
+                startedMicros = environment.nowMicros();
+                initialProgressMicros = savedProgressMicros.getOrDefault(spec.id(), 0L);
                 return;
             }
             for (Member member : members.values()) {
-                if (member.cause == null && world.now() - member.since > START_TIMEOUT) {
-                    member.cause = ExitCause.INCOMPLETE;
-                    incomplete++;
+                if (member.exitCause == null && environment.nowMicros() - member.joinedMicros > START_TIMEOUT_MICROS) {
+                    member.exitCause = ExitCause.INCOMPLETE;
+                    startTimeoutCount++;
                 }
             }
         }
 
-        private void running() {
-            if (hasLostATask()) {
-                noticeLoss();
-            } else if (progress() >= total(spec)) {
+        private void updateRunning() {
+            if (hasLostTask()) {
+                handleTaskLoss();
+            } else if (progressMicros() >= totalRunMicros(spec)) {
                 for (int i = 0; i < spec.tasks(); i++) {
-                    results.add(new TaskId(spec.id(), i));
-                    rules.completed(new TaskId(spec.id(), i));
+                    completedTasks.add(new TaskId(spec.id(), i));
+                    rules.recordTaskCompleted(new TaskId(spec.id(), i));
                 }
                 end(ExitCause.DONE, false);
             }
         }
 
-        /** Whether a task is gone or its machine hangs, or one was: what the others have noticed is final. */
-        private boolean hasLostATask() {
-            return noticedAt != Long.MAX_VALUE
+        /** Whether a task is gone or its machine hangs. Once this was the case, it stays so. */
+        private boolean hasLostTask() {
+            return lossDetectedMicros != Long.MAX_VALUE
                     || members.size() < spec.tasks()
-                    || members.values().stream().anyMatch(member -> member.hangs.getAsBoolean());
+                    || members.values().stream().anyMatch(member -> member.machineHangs.getAsBoolean());
         }
 
-        /** The save fails, or the others exit a while after one is gone; what was made since the checkpoint is lost. */
-        private void noticeLoss() {
-            if (noticedAt == Long.MAX_VALUE) {
+        /**
+         * Handles the loss of a task: the others exit after up to {@link #PEER_LOSS_DETECTION_MICROS}, a save under way
+         * fails, and the progress since the last checkpoint is lost.
+         */
+        private void handleTaskLoss() {
+            if (lossDetectedMicros == Long.MAX_VALUE) {
                 long interval = spec.checkpointIntervalMicros();
                 if (interval > 0) {
-                    keep(progress() / interval * interval);
+                    saveProgress(progressMicros() / interval * interval);
                 }
-                frozenProgress = progress();
-                noticedAt = world.now() + world.random.nextInt((int) PEER_LOSS_NOTICED);
+                finalProgressMicros = progressMicros();
+                lossDetectedMicros =
+                        environment.nowMicros() + environment.random.nextInt((int) PEER_LOSS_DETECTION_MICROS);
             }
-            if (world.now() >= noticedAt) {
+            if (environment.nowMicros() >= lossDetectedMicros) {
                 end(ExitCause.PEER_GONE, false);
             }
         }
 
-        private void stopping() {
+        private void updateStopping() {
             long saves = members.values().stream()
-                    .filter(member ->
-                            member.saves() && world.now() - member.toldToSaveMicros >= spec.saveDurationMicros())
+                    .filter(member -> member.isSaving()
+                            && environment.nowMicros() - member.stopRequestMicros >= spec.saveDurationMicros())
                     .count();
-            if (hasLostATask()) {
-                noticeLoss();
+            if (hasLostTask()) {
+                handleTaskLoss();
             } else if (saves == spec.tasks()) {
-                keep(progress());
-                savedInOrder++;
+                saveProgress(progressMicros());
+                savedAttemptCount++;
                 end(ExitCause.STOPPED, true);
-            } else if (world.now() - firstStopAt > PEER_LOSS_NOTICED
+            } else if (environment.nowMicros() - firstStopMicros > PEER_LOSS_DETECTION_MICROS
                     && members.values().stream()
-                            .anyMatch(member ->
-                                    !member.saves() || member.toldToSaveMicros - firstStopAt > PEER_LOSS_NOTICED)) {
-                noticeLoss();
+                            .anyMatch(member -> !member.isSaving()
+                                    || member.stopRequestMicros - firstStopMicros > PEER_LOSS_DETECTION_MICROS)) {
+                handleTaskLoss();
             }
         }
 
-        private void keep(long progress) {
-            saved.merge(spec.id(), progress, Math::max);
+        private void saveProgress(long progress) {
+            savedProgressMicros.merge(spec.id(), progress, Math::max);
         }
 
         private void end(ExitCause cause, boolean kept) {
-            phase = Phase.OVER;
+            phase = Phase.ENDED;
             for (Member member : members.values()) {
-                member.cause = cause;
-                member.kept = kept;
+                member.exitCause = cause;
+                member.progressSaved = kept;
             }
         }
 
         void stop(Member member) {
             if (phase == Phase.RUNNING) {
                 phase = Phase.STOPPING;
-                firstStopAt = world.now();
-                frozenProgress = progress();
+                firstStopMicros = environment.nowMicros();
+                finalProgressMicros = progressMicros();
             }
-            if (phase == Phase.STOPPING && !member.saves()) {
-                member.toldToSaveMicros = world.now();
+            if (phase == Phase.STOPPING && !member.isSaving()) {
+                member.stopRequestMicros = environment.nowMicros();
             }
         }
 
@@ -229,33 +238,33 @@
         }
     }
 
-    private long total(JobSpec spec) {
-        return totals.computeIfAbsent(
+    private long totalRunMicros(JobSpec spec) {
+        return totalRunMicrosByJob.computeIfAbsent(
                 spec.id(),
-                unknown ->
-                        spec.estimatedRunMicros() / 2 + (long) (world.random.nextDouble() * spec.estimatedRunMicros()));
+                unknown -> spec.estimatedRunMicros() / 2
+                        + (long) (environment.random.nextDouble() * spec.estimatedRunMicros()));
     }
 
-    /** A task has its image and joins the others of its attempt. */
+    /** Adds a task that has its image to a gang attempt; it exits at once if the attempt is no longer forming. */
     Member join(JobSpec spec, TaskId task, long number, BooleanSupplier hangs) {
         Attempt attempt = attempts.computeIfAbsent(spec.id() + "#" + number, unknown -> new Attempt(spec));
         Member member = new Member(attempt, task, hangs);
         if (attempt.phase != Phase.FORMING) {
-            member.cause = ExitCause.PEER_GONE;
+            member.exitCause = ExitCause.PEER_GONE;
         }
         attempt.members.put(task.index(), member);
         return member;
     }
 
-    /** How many attempts of a job there have been. */
-    long attemptsOf(String job) {
+    /** How many gang attempts of a job there have been. */
+    long attemptCount(String job) {
         return attempts.values().stream()
                 .filter(attempt -> attempt.spec.id().equals(job))
                 .count();
     }
 
-    /** Whether all tasks of the job run, as far as they know. */
-    boolean runs(String job) {
+    /** Whether a gang attempt of the job is running; its tasks may not have noticed the loss of one yet. */
+    boolean isRunning(String job) {
         return attempts.values().stream()
                 .anyMatch(attempt -> attempt.spec.id().equals(job) && attempt.phase == Phase.RUNNING);
     }
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -5,47 +5,51 @@
 import java.util.function.Supplier;
 import org.granitepath.storage.KeyValueStore;
 
-/** The simulated store as one controller reaches it: over links that delay, lose and cut. */
+/** The connection of one controller to the simulated store, over the simulated network. */
 final class SimStorePort implements KeyValueStore {
-    private static final long TIMEOUT = 2_000_000;
-    private static final CommitResult NO_COMMIT = new CommitResult(Outcome.UNKNOWN, 0, List.of());
-    private static final Page NO_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
-    private static final LeaseResult NO_LEASE = new LeaseResult(Outcome.UNKNOWN, 0);
+    private static final long TIMEOUT_MICROS = 2_000_000;
+    private static final CommitResult UNKNOWN_COMMIT = new CommitResult(Outcome.UNKNOWN, 0, List.of());
+    private static final Page UNKNOWN_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
+    private static final LeaseResult UNKNOWN_LEASE = new LeaseResult(Outcome.UNKNOWN, 0);
 
-    private final World world;
+    private final SimEnvironment environment;
     private final SimStore store;
     private final String node;
 
-    SimStorePort(World world, SimStore store, String node) {
-        this.world = world;
+    SimStorePort(SimEnvironment environment, SimStore store, String node) {
+        this.environment = environment;
         this.store = store;
         this.node = node;
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<CommitResult> then) {
-        callLater(TIMEOUT, answer -> store.commit(node, transaction, answer), NO_COMMIT, then);
+        callLater(TIMEOUT_MICROS, answer -> store.commit(node, transaction, answer), UNKNOWN_COMMIT, then);
     }
 
     @Override
     public void list(String prefix, String from, int limit, Consumer<Page> then) {
-        call(TIMEOUT, () -> store.list(node, prefix, from, limit), NO_PAGE, then);
+        call(TIMEOUT_MICROS, () -> store.list(node, prefix, from, limit), UNKNOWN_PAGE, then);
     }
 
     @Override
     public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-        store.countRead();
-        callLater(TIMEOUT + waitMicros, answer -> store.follow(node, prefix, from, waitMicros, answer), NO_PAGE, then);
+        store.countFollowRequest();
+        callLater(
+                TIMEOUT_MICROS + waitMicros,
+                answer -> store.follow(node, prefix, from, waitMicros, answer),
+                UNKNOWN_PAGE,
+                then);
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
-        call(TIMEOUT, () -> store.openLease(node, lifeMicros), NO_LEASE, then);
+    public void openLease(long leaseMicros, Consumer<LeaseResult> then) {
+        call(TIMEOUT_MICROS, () -> store.openLease(node, leaseMicros), UNKNOWN_LEASE, then);
     }
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> then) {
-        call(TIMEOUT / 2, () -> store.renewLease(node, lease), Outcome.UNKNOWN, then);
+        call(TIMEOUT_MICROS / 2, () -> store.renewLease(node, lease), Outcome.UNKNOWN, then);
     }
 
     private <T> void call(long timeoutMicros, Supplier<T> serve, T unanswered, Consumer<T> then) {
@@ -53,7 +57,7 @@
     }
 
     private <T> void callLater(long timeoutMicros, Consumer<Consumer<T>> serve, T unanswered, Consumer<T> then) {
-        world.<T>callLater(
+        environment.<T>callAsync(
                 node, SimStore.NAME, timeoutMicros, serve, answer -> then.accept(answer == null ? unanswered : answer));
     }
 }
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -33,11 +33,11 @@
 import org.granitepath.storage.MachineType;
 import org.jspecify.annotations.Nullable;
 
-/** Controllers with stand-ins for all around them, users included, in simulated time from a seed. */
+/** A deployment of real controllers with a simulated store, cloud, network, machines and users, driven by a seed. */
 final class Simulation {
     static final long SECOND = 1_000_000;
-    /** A class of batch jobs that is expected to start sooner than any machine boots. */
-    static final String PROMPT = "prompt";
+    /** A class of batch jobs whose objective is to start sooner than any machine boots. */
+    static final String URGENT_CLASS = "prompt";
 
     private static final List<String> ZONES = List.of("north", "south");
     private static final Map<String, Team> TEAMS = Map.of(
@@ -46,21 +46,21 @@
             "granted", new Team("granted", 16_000, 24_000, 0, 0),
             "lender", new Team("lender", 16_000, 0, 0, 0));
 
-    static final long LEASE = 11 * SECOND;
+    static final long LEASE_MICROS = 11 * SECOND;
 
-    final Shape shape;
+    final SimulationConfig config;
     final SimGangs gangs;
-    /** What the settings say of the limits of the store. */
-    private final StoreLimits limits;
-    /** What controllers keep to once they are upgraded; null: nothing changes. */
+    /** The limits of the store according to the settings of the controllers. */
+    private final StoreLimits storeLimits;
+    /** The limits that controllers additionally respect once they are upgraded; null if the limits do not change. */
     @Nullable
-    StoreLimits nextLimits;
+    StoreLimits upgradedLimits;
 
-    final Set<String> upgraded = new HashSet<>();
+    final Set<String> upgradedNodes = new HashSet<>();
 
-    final List<String> names;
-    final World world;
-    /** What leaves the controllers; null when nobody wants to know. */
+    final List<String> nodeNames;
+    final SimEnvironment environment;
+    /** Records the calls and answers of the controllers; null unless traces are collected. */
     private final @Nullable EdgeTrace trace;
 
     final Rules rules;
@@ -72,65 +72,67 @@
     final SimFaults faults = new SimFaults(this);
     private final SimPorts ports = new SimPorts(this);
     final Map<String, SimNode> nodes = new LinkedHashMap<>();
-    private final Set<TaskId> results = new HashSet<>();
-    private final Map<String, Integer> heartbeatsAccepted = new HashMap<>();
-    /** Controllers that users don't get to. */
-    final Set<String> unreachable = new HashSet<>();
-    /** For how long direct calls that start tasks are held up on their way; others overtake them. */
-    long heldStarts;
-    /** How long a recovery holds other work for services, for controllers that start from now on. */
-    long recoveryHold;
-    /** Peers never pass cancellations on: what is safe must be safe without. */
-    boolean peersSendNoCancellations;
-    /** Share of jobs that are cancelled at the very moment at which their last task ends. */
-    double cancelledAtEnd;
-    /** Jobs submitted with a mistake: each of their tasks fails wherever it runs. */
+    private final Set<TaskId> completedTasks = new HashSet<>();
+    private final Map<String, Integer> acceptedHeartbeatCount = new HashMap<>();
+    /** Controllers whose users get no answers. */
+    final Set<String> nodesUnreachableByUsers = new HashSet<>();
+    /** The extra delay in microseconds of direct calls that start tasks; other calls overtake them. */
+    long directStartDelayMicros;
+    /** How long a recovery holds back batch work for services; applies to controllers that start from now on. */
+    long recoveryHoldMicros;
+    /** Drops the cancellations that peers pass on, because safety must not depend on them. */
+    boolean dropPeerCancellations;
+    /** Probability that a job is cancelled at the moment at which its last task completes. */
+    double cancelAtCompletionShare;
+    /** Ids of the jobs whose tasks fail on every machine. */
     final Set<String> brokenJobs = new HashSet<>();
-    /** The most direct calls to machines that one controller had under way at once. */
-    int mostCalls;
+    /** The highest number of concurrent direct calls from one controller to machines so far. */
+    int maxConcurrentCalls;
 
     Simulation(long seed) {
-        this(seed, Shape.small());
+        this(seed, SimulationConfig.small());
     }
 
-    /** @param perOffer how many machines of each type, zone and kind there are */
-    Simulation(long seed, int controllers, int perOffer) {
-        this(seed, Shape.small().withControllers(controllers).withPerOffer(perOffer));
+    /** @param machinesPerOffer the capacity of the cloud, in machines per type, zone and price model */
+    Simulation(long seed, int controllers, int machinesPerOffer) {
+        this(seed, SimulationConfig.small().withControllers(controllers).withMachinesPerOffer(machinesPerOffer));
     }
 
-    Simulation(long seed, Shape shape) {
-        this.shape = shape;
-        names = IntStream.range(0, shape.controllers()).mapToObj(i -> "n" + i).toList();
-        world = new World(seed);
-        trace = EdgeTrace.of(world);
-        rules = new Rules(world, TEAMS, shape.cancel(), this::endedOnMachines);
-        commands = new SimCommands(world, rules);
-        jobs = new SimJobs(world, shape.perOffer());
-        gangs = new SimGangs(world, rules, results);
-        limits = new StoreLimits(
-                shape.limits().writes(),
-                shape.limits().valueBytes(),
-                shape.limits().transactionChanges());
+    Simulation(long seed, SimulationConfig config) {
+        this.config = config;
+        nodeNames =
+                IntStream.range(0, config.controllers()).mapToObj(i -> "n" + i).toList();
+        environment = new SimEnvironment(seed);
+        trace = EdgeTrace.createIfCollecting(environment);
+        rules = new Rules(environment, TEAMS, config.cancellationTimeoutMicros(), this::onJobCompleted);
+        commands = new SimCommands(environment, rules);
+        jobs = new SimJobs(environment, config.machinesPerOffer());
+        gangs = new SimGangs(environment, rules, completedTasks);
+        storeLimits = new StoreLimits(
+                config.limits().writesPerSecond(),
+                config.limits().valueBytes(),
+                config.limits().transactionChanges());
         store = new SimStore(
-                world,
-                shape.limits().transactionChanges(),
-                shape.limits().valueBytes(),
-                shape.limits().requests(),
-                shape.limits().writes());
+                environment,
+                config.limits().transactionChanges(),
+                config.limits().valueBytes(),
+                config.limits().requestsPerSecond(),
+                config.limits().writesPerSecond());
         List<MachineType> types = List.of(
                 new MachineType("small", 4_000, 0, 16_000, 0.5, 0.24, 0.07, 8 * SECOND, ZONES),
                 new MachineType("large", 16_000, 0, 64_000, 1.0, 1.0, 0.3, 5 * SECOND, ZONES));
-        cloud = new SimCloud(world, types, shape.perOffer(), 4 * SECOND, (id, host) -> newWorker(types, id, host));
-        for (String node : names) {
-            nodes.put(node, new SimNode(world, node, this::newController));
+        cloud = new SimCloud(
+                environment, types, config.machinesPerOffer(), 4 * SECOND, (id, host) -> createWorker(types, id, host));
+        for (String node : nodeNames) {
+            nodes.put(node, new SimNode(environment, node, this::createController));
         }
         nodes.values().forEach(SimNode::boot);
     }
 
-    private Controller newController(SimNode node) {
+    private Controller createController(SimNode node) {
         String name = node.name();
         return new Controller(
-                configOf(node),
+                controllerConfig(node),
                 traced(store.portFor(name), port -> trace.tracing(name, port)),
                 traced(cloud.portFor(name), port -> trace.tracing(name, port)),
                 traced(ports.workerPort(name), port -> trace.tracing(name, port)),
@@ -139,133 +141,137 @@
                 RecoveryTracer.NONE);
     }
 
-    private Config configOf(SimNode node) {
+    private Config controllerConfig(SimNode node) {
         String name = node.name();
-        Map<String, String> zonesOfPeers = names.stream()
+        Map<String, String> zonesOfPeers = nodeNames.stream()
                 .filter(other -> !other.equals(name))
                 .collect(Collectors.toMap(other -> other, this::zoneOf));
         return new Config(
                 new ControllerIdentity(name, node.incarnation(), zoneOf(name)),
                 new Topology(ZONES, zonesOfPeers),
                 TEAMS,
-                Map.of("svc", new Objective(8 * SECOND, 1, 0), PROMPT, new Objective(4 * SECOND, 1, 0)),
+                Map.of("svc", new Objective(8 * SECOND, 1, 0), URGENT_CLASS, new Objective(4 * SECOND, 1, 0)),
                 new WorkerTiming(
-                        shape.heartbeatInterval(),
-                        shape.lease(),
-                        shape.cancel(),
-                        SimGangs.START_TIMEOUT,
-                        SimGangs.PEER_LOSS_NOTICED),
+                        config.heartbeatIntervalMicros(),
+                        config.leaseMicros(),
+                        config.cancellationTimeoutMicros(),
+                        SimGangs.START_TIMEOUT_MICROS,
+                        SimGangs.PEER_LOSS_DETECTION_MICROS),
                 new PlatformLimits(
-                        shape.limits().requests(),
-                        upgraded.contains(name) ? limits.strictest(nextLimits) : limits,
+                        config.limits().requestsPerSecond(),
+                        upgradedNodes.contains(name) ? storeLimits.strictest(upgradedLimits) : storeLimits,
                         5,
-                        shape.connections()),
+                        config.maxConnections()),
                 250_000,
-                Tuning.defaults().withRecoveryHold(recoveryHold));
+                Tuning.defaults().withRecoveryHold(recoveryHoldMicros));
     }
 
     private <P> P traced(P port, UnaryOperator<P> tracing) {
         return trace == null ? port : tracing.apply(port);
     }
 
-    /** The answer of a controller to a user, as the trace keeps it. */
+    /** Wraps the callback for a response to a user so that the trace records the response. */
     Consumer<JobResponse> traced(String node, String user, Consumer<JobResponse> then) {
-        return trace == null ? then : trace.userAnswers(node, user, then);
+        return trace == null ? then : trace.tracingUserResponses(node, user, then);
     }
 
-    private SimWorker newWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
+    private SimWorker createWorker(List<MachineType> types, String id, CloudPort.ListedMachine host) {
         MachineType type = types.stream()
                 .filter(each -> each.name().equals(host.type()))
                 .findFirst()
                 .orElseThrow();
         return new SimWorker(
-                world,
+                environment,
                 rules,
-                new WorkersView(),
-                users::describedAs,
-                results,
+                new WorkerFacingControllers(),
+                users::specOf,
+                completedTasks,
                 gangs,
-                new SimWorker.Facts(id, type, host.zone(), host.spot()),
-                new SimWorker.Timing(shape.heartbeatInterval(), shape.lease()));
+                new SimWorker.MachineFacts(id, type, host.zone(), host.spot()),
+                new SimWorker.Timing(config.heartbeatIntervalMicros(), config.leaseMicros()));
     }
 
-    /** The controllers as machines see them. */
-    private final class WorkersView implements SimControllers {
+    /** Passes heartbeats of machines to the controllers. */
+    private final class WorkerFacingControllers implements SimControllers {
         @Override
-        public List<String> names() {
-            return names;
+        public List<String> nodeNames() {
+            return nodeNames;
         }
 
         @Override
-        public HeartbeatResponse heartbeat(String node, Heartbeat heartbeat) {
+        public HeartbeatResponse handleHeartbeat(String node, Heartbeat heartbeat) {
             Controller controller = controllerAt(node);
             HeartbeatResponse answer =
                     controller == null ? new HeartbeatResponse.Unavailable() : controller.handleHeartbeat(heartbeat);
             if (trace != null) {
-                trace.heartbeatAnswered(node, heartbeat.machineId(), answer);
+                trace.recordHeartbeatResponse(node, heartbeat.machineId(), answer);
             }
             if (answer instanceof HeartbeatResponse.Accepted accepted) {
-                heartbeatsAccepted.merge(node, 1, Integer::sum);
+                acceptedHeartbeatCount.merge(node, 1, Integer::sum);
                 if (controller.isLeader()) {
-                    commands.heartbeatReceived(controller.fencingToken(), heartbeat.machineId());
-                    commands.sent(controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
+                    commands.recordHeartbeat(controller.fencingToken(), heartbeat.machineId());
+                    commands.recordCommands(
+                            controller.fencingToken(), node, heartbeat.machineId(), accepted.commands());
                 }
             }
             return answer;
         }
 
         @Override
-        public boolean fails(String job) {
+        public boolean failsEverywhere(String job) {
             return brokenJobs.contains(job);
         }
     }
 
-    /** The zone in which a controller stands. */
+    /** The zone of a controller. */
     String zoneOf(String node) {
-        return ZONES.get(names.indexOf(node) % ZONES.size());
+        return ZONES.get(nodeNames.indexOf(node) % ZONES.size());
     }
 
-    private void endedOnMachines(String job) {
-        if (cancelledAtEnd > 0 && world.random.nextDouble() < cancelledAtEnd) {
+    private void onJobCompleted(String job) {
+        if (cancelAtCompletionShare > 0 && environment.random.nextDouble() < cancelAtCompletionShare) {
             users.cancel(job);
         }
     }
 
-    /** The controller that takes itself for the leader, or the first of all while none does. */
+    /** The first controller that considers itself the leader, or the first of all controllers if none does. */
     String leader() {
-        return leadersOtherThan(null).findFirst().orElse(names.get(0));
+        return leadersOtherThan(null).findFirst().orElse(nodeNames.get(0));
     }
 
-    /** The leader other than this one, which may not know yet that it was replaced. */
+    /** The leader other than the former one, which may not have noticed yet that it was replaced. */
     String leaderOtherThan(String former) {
         return leadersOtherThan(former).findFirst().orElse(former);
     }
 
     private Stream<String> leadersOtherThan(@Nullable String one) {
-        return nodes.values().stream().filter(SimNode::leads).map(SimNode::name).filter(node -> !node.equals(one));
+        return nodes.values().stream()
+                .filter(SimNode::isLeader)
+                .map(SimNode::name)
+                .filter(node -> !node.equals(one));
     }
 
-    /** How many heartbeats this controller answered so far as one that may. */
-    int heartbeatsAccepted(String node) {
-        return heartbeatsAccepted.getOrDefault(node, 0);
+    /** How many heartbeats this controller has accepted so far. */
+    int acceptedHeartbeatCount(String node) {
+        return acceptedHeartbeatCount.getOrDefault(node, 0);
     }
 
-    /** The controller that runs here now; null while it is down. */
+    /** The controller that runs on this node; null while the node is down. */
     @Nullable
     Controller controllerAt(String node) {
         return nodes.get(node).controller();
     }
 
-    /** What the leader tells of its recovery; null while nobody leads. */
+    /** The recovery status of the leader; null while there is no leader. */
     @Nullable
-    RecoveryStatus recovery() {
+    RecoveryStatus recoveryStatus() {
         SimNode leader = nodes.get(leader());
-        return leader.leads() ? recoveryAt(leader.name()) : null;
+        return leader.isLeader() ? recoveryStatusAt(leader.name()) : null;
     }
 
-    /** What a controller tells whose recovery is in this phase; null when there is none. */
+    /** The status of the first controller with a fencing token whose recovery is in a phase; null if there is none. */
     @Nullable
-    RecoveryStatus recovery(RecoveryPhase phase) {
+    RecoveryStatus recoveryStatusInPhase(RecoveryPhase phase) {
         return nodes.values().stream()
                 .map(SimNode::controller)
                 .filter(controller -> controller != null && controller.fencingToken() > 0)
@@ -275,51 +281,54 @@
                 .orElse(null);
     }
 
-    /** What this controller tells of recoveries; null while it is down. */
+    /** The recovery status of this controller; null while its node is down. */
     @Nullable
-    RecoveryStatus recoveryAt(String node) {
+    RecoveryStatus recoveryStatusAt(String node) {
         Controller controller = controllerAt(node);
         return controller == null ? null : controller.recoveryStatus();
     }
 
-    /** A controller drawn at random. */
-    String anyNode() {
-        return names.get(world.random.nextInt(names.size()));
+    /** The name of a random controller. */
+    String randomNode() {
+        return nodeNames.get(environment.random.nextInt(nodeNames.size()));
     }
 
-    /** A machine drawn at random; null while there is none. */
+    /** A random live machine; null if there is none. */
     @Nullable
-    SimWorker anyWorker() {
+    SimWorker randomWorker() {
         List<SimWorker> all = cloud.workers();
-        return all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
+        return all.isEmpty() ? null : all.get(environment.random.nextInt(all.size()));
     }
 
-    /** Takes a value so much later than now. */
+    /** Records a value after a delay; see {@link Observation}. */
     <T> Observation<T> observe(long delayMicros, Supplier<T> value) {
         Observation<T> observation = new Observation<>();
         after(delayMicros, () -> observation.set(value.get()));
         return observation;
     }
 
-    /** Does this so much later than now: before the run, at this time of it. */
+    /** Runs an action after a delay; before the first run, that is the simulated time of the action. */
     void after(long delayMicros, Runnable action) {
-        world.after(delayMicros, action);
+        environment.after(delayMicros, action);
     }
 
-    /** Runs with the rules checked after each step. */
-    void run(long until) {
-        world.run(until, rules::check);
+    /** Runs the simulation up to a time and checks the safety rules after each event. */
+    void run(long endMicros) {
+        environment.run(endMicros, rules::check);
     }
 
-    /** The same with the check that every job stays known, from the time on at which the last trouble is over. */
-    void run(long troublesOver, long until) {
-        world.after(troublesOver - world.now(), () -> watchKnown(troublesOver));
-        run(until);
+    /**
+     * Runs the simulation up to a time. From the end of the last fault on, also checks each second that users get
+     * answers about accepted jobs and that no job starves.
+     */
+    void runWithLivenessChecks(long faultsEndMicros, long endMicros) {
+        environment.after(faultsEndMicros - environment.nowMicros(), () -> runLivenessChecks(faultsEndMicros));
+        run(endMicros);
     }
 
-    private void watchKnown(long over) {
-        rules.checkKnown(over);
-        rules.checkWaiting(cloud.workers());
-        world.after(SECOND, () -> watchKnown(over));
+    private void runLivenessChecks(long faultsEndMicros) {
+        rules.checkAnswered(faultsEndMicros);
+        rules.checkNotStarved(cloud.workers());
+        environment.after(SECOND, () -> runLivenessChecks(faultsEndMicros));
     }
 }
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -26,32 +26,32 @@
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of writes, or of reads, when the store allows few. */
-class BudgetTest {
+class StoreLimitsTest {
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
-    private final World world = new World(1);
-    private final SimStore store = new SimStore(world, MOST_CHANGES, 2048, 1000, 200);
+    private final SimEnvironment environment = new SimEnvironment(1);
+    private final SimStore store = new SimStore(environment, MOST_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
-            return world.now();
+            return environment.nowMicros();
         }
 
         @Override
         public long timeOfDayMicros() {
-            return world.now();
+            return environment.nowMicros();
         }
 
         @Override
         public void after(long delayMicros, Runnable action) {
-            world.after(delayMicros, action);
+            environment.after(delayMicros, action);
         }
     };
 
     private RecordReplica replica() {
         RecordReplica replica = replicaOf(store, "n");
-        world.run(1_000_000, () -> {});
+        environment.run(1_000_000, () -> {});
         return replica;
     }
 
@@ -75,29 +75,31 @@
 
     /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
     @Test
-    void manyQuestionsShareFewReads() {
+    void barriersAndLongPollsShareTheReadRate() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> replica.requestBarrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
+            environment.after(i * 5_000L, () -> replica.requestBarrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
-            world.after(
+            environment.after(
                     i * 66_000L,
                     () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
-        int before = store.reads();
-        world.run(14_000_000, () -> {});
+        int before = store.followRequestCount();
+        environment.run(14_000_000, () -> {});
 
         assertEquals(2_000, answered.get());
-        assertTrue(store.reads() - before <= 10_000_000 / 50_000 * 1.1, store.reads() - before + " reads in 10 s");
+        assertTrue(
+                store.followRequestCount() - before <= 10_000_000 / 50_000 * 1.1,
+                store.followRequestCount() - before + " reads in 10 s");
     }
 
     @Test
-    void urgentWritesOvertakeAndWaitingOnesCostNothing() {
+    void safetyWriteOvertakesQueuedWritesThatAreNotRebuilt() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 10, RateControl.FIXED);
         List<String> written = new ArrayList<>();
@@ -114,17 +116,17 @@
                     },
                     storeRevision -> written.add(key));
         }
-        world.run(3_000_000, () -> {});
+        environment.run(3_000_000, () -> {});
         writeQueue.enqueue(
                 "g/safe",
                 Urgency.SAFETY,
                 0,
                 () -> List.of(Change.write("g/safe", SOME_RECORD)),
                 storeRevision -> written.add("g/safe"));
-        world.run(3_300_000, () -> {});
+        environment.run(3_300_000, () -> {});
 
         assertTrue(written.contains("g/safe"), "an urgent write waits behind progress");
-        world.run(61_000_000, () -> {});
+        environment.run(61_000_000, () -> {});
 
         assertEquals(301, written.size());
         assertTrue(made.get() <= 310, "contents were made " + made + " times");
@@ -132,8 +134,8 @@
 
     /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
-    void requestHandlersYieldToTheLeader() {
-        SimStore tight = new SimStore(world, MOST_CHANGES, 2048, 1000, 18);
+    void adaptiveWritersYieldToTheLeader() {
+        SimStore tight = new SimStore(environment, MOST_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
             String node = "n" + number;
@@ -145,7 +147,7 @@
             WriteQueue writeQueue = writeQueue(tight, node, replica, writesPerSecond, control);
             for (int i = 0; i < 900; i++) {
                 String key = prefix + i;
-                world.after(
+                environment.after(
                         1_000_000 + i * 60_000L,
                         () -> writeQueue.enqueue(
                                 key,
@@ -155,14 +157,14 @@
                                 storeRevision -> writesOfLeader.addAndGet(leads ? 1 : 0)));
             }
         }
-        world.run(61_000_000, () -> {});
+        environment.run(61_000_000, () -> {});
 
         assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
 
     /** What the store will never take is given up, once, and all else is written. */
     @Test
-    void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
+    void rejectedWriteIsAbandonedAndDelaysNoOtherWrite() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         List<String> written = new ArrayList<>();
@@ -181,7 +183,7 @@
                     },
                     storeRevision -> written.add(key));
         }
-        world.run(20_000_000, () -> {});
+        environment.run(20_000_000, () -> {});
 
         assertEquals(11, written.size());
         assertTrue(made.get() <= 8, "sent " + made + " times");
@@ -189,7 +191,7 @@
 
     /** A job of which finished and open tasks alternate: its progress still fits, with the longest ranges. */
     @Test
-    void progressFitsItsValue() {
+    void progressRecordIsReducedToTheValueLimit() {
         RangeSet<Integer> done = TreeRangeSet.create();
         for (int task = 0; task < 2_000; task += 2) {
             ProgressRecord.addTask(done, task);
@@ -197,7 +199,7 @@
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
         ProgressRecord kept = whole.truncatedTo(2048);
-        assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
+        assertTrue(Json.encode(StoredRecordCodec.encode(kept)).length() <= 2048);
         assertTrue(kept.doneTasks().encloses(Range.closedOpen(3_000, 3_500)));
         assertTrue(ProgressRecord.count(kept.doneTasks()) > 600, ProgressRecord.count(kept.doneTasks()) + " kept");
         assertEquals(whole, whole.truncatedTo(100_000));
@@ -205,10 +207,10 @@
 
     /** Whatever a record holds, its size is not underrated. */
     @Test
-    void sizesAreNotUnderrated() {
+    void recordSizeIsAnUpperBound() {
         StoredRecord record = new UnknownRecord(
                 Map.of("a\"\\/", List.of(1, 2.5, true, "\u0001\u00e9\u4e2d"), "b", Map.of("c", List.of(), "d", -17L)));
-        int bytes = Json.text(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
+        int bytes = Json.encode(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
         assertTrue(RecordSize.of(record) >= bytes, RecordSize.of(record) + " < " + bytes);
     }
 }
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -24,13 +24,13 @@
     /** Repeated crashes of whoever owns the machines, in the middle of each takeover. */
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
-    void leadersCrashDuringTakeover(long seed) {
-        Simulation simulation = withJobs(seed, 30, 120 * SECOND);
+    void workCompletesWhenLeadersCrashDuringTakeover(long seed) {
+        Simulation simulation = withRandomJobs(seed, 30, 120 * SECOND);
         for (int i = 0; i < 12; i++) {
             simulation.after(
-                    (20 + 6 * i) * SECOND + simulation.world.random.nextInt(4_000_000),
+                    (20 + 6 * i) * SECOND + simulation.environment.random.nextInt(4_000_000),
                     () -> simulation.faults.crash(
-                            simulation.leader(), 500_000 + simulation.world.random.nextInt(3_000_000)));
+                            simulation.leader(), 500_000 + simulation.environment.random.nextInt(3_000_000)));
         }
         simulation.run(300 * SECOND);
 
@@ -40,20 +40,20 @@
     /** A leader that alone has lost the machines hands them over before their leases run out. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
-    void leaderCutFromItsWorkersStepsDown(long seed) {
+    void leaderCutOffFromItsWorkersStepsDown(long seed) {
         Simulation simulation = new Simulation(seed, 5, 12);
         submitWork(simulation, 100);
         Observation<String> cut = new Observation<>();
         simulation.after(50 * SECOND, () -> {
             cut.set(simulation.leader());
-            simulation.faults.cutFromWorkers(cut.get(), World.Cut.DROP, 60 * SECOND);
+            simulation.faults.partitionFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         });
-        simulation.run(50 * SECOND + Simulation.LEASE);
+        simulation.run(50 * SECOND + Simulation.LEASE_MICROS);
 
         assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
         // Their heartbeats end one after the other; the first are not to be given up before the rest tell what it is.
-        assertEquals(List.of(), simulation.cloud.terminatedBusy(), "returned with tasks on them");
-        simulation.run(120 * SECOND, 300 * SECOND);
+        assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
+        simulation.runWithLivenessChecks(120 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -69,19 +69,20 @@
         submitWork(simulation, 150);
         List<String> cut = new ArrayList<>();
         simulation.after(45 * SECOND, () -> {
-            simulation.faults.cutFromPeersAndStore(simulation.leader(), World.Cut.DROP, 40 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(
+                    simulation.leader(), SimEnvironment.PartitionMode.DROP, 40 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
                 cut.add(all.get(i).id);
-                simulation.faults.cutMachine(all.get(i), World.Cut.HOLD, 25 * SECOND);
+                simulation.faults.partitionMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 25 * SECOND);
             }
         });
         simulation.run(100 * SECOND);
 
-        List<String> healthy = new ArrayList<>(simulation.cloud.terminatedBusy());
+        List<String> healthy = new ArrayList<>(simulation.cloud.terminatedWhileBusy());
         healthy.removeAll(cut);
         assertEquals(List.of(), healthy, "returned with tasks on them");
-        simulation.run(100 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -89,24 +90,24 @@
     /** Back within a fraction of a second: controllers, at any moment of an election, and machines. */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
-    void backWithinAFractionOfASecond(long seed) {
-        Simulation simulation = withJobs(seed, 30, 100 * SECOND);
-        simulation.world.lateCopies = 0.1;
+    void workCompletesAfterRestartsWithinAFractionOfASecond(long seed) {
+        Simulation simulation = withRandomJobs(seed, 30, 100 * SECOND);
+        simulation.environment.duplicateRequestShare = 0.1;
         for (int i = 0; i < 40; i++) {
             boolean leader = i % 3 > 0;
             simulation.after(
-                    20 * SECOND + 2L * i * SECOND + simulation.world.random.nextInt(2_000_000),
+                    20 * SECOND + 2L * i * SECOND + simulation.environment.random.nextInt(2_000_000),
                     () -> simulation.faults.crash(
-                            leader ? simulation.leader() : simulation.anyNode(),
-                            20_000 + simulation.world.random.nextInt(400_000)));
+                            leader ? simulation.leader() : simulation.randomNode(),
+                            20_000 + simulation.environment.random.nextInt(400_000)));
             simulation.after(21 * SECOND + 2L * i * SECOND, () -> {
-                SimWorker worker = simulation.anyWorker();
+                SimWorker worker = simulation.randomWorker();
                 if (worker != null) {
-                    worker.hangFor(100_000 + simulation.world.random.nextInt(800_000));
+                    worker.hangFor(100_000 + simulation.environment.random.nextInt(800_000));
                 }
             });
         }
-        simulation.run(110 * SECOND, 330 * SECOND);
+        simulation.runWithLivenessChecks(110 * SECOND, 330 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -39,8 +39,9 @@
             long before = descriptors();
             CountDownLatch ended = new CountDownLatch(CALLS);
             List<Integer> statuses = new ArrayList<>();
-            OutgoingRequest request = OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", AfterCall.CLOSE);
-            loop.run(() -> {
+            OutgoingRequest request =
+                    OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", ConnectionPolicy.CLOSE);
+            loop.execute(() -> {
                 for (int i = 0; i < CALLS; i++) {
                     http.call(request, 300_000, answer -> {
                         statuses.add(answer.status());
@@ -55,7 +56,7 @@
             assertEquals(
                     CALLS,
                     statuses.stream()
-                            .filter(status -> status == HttpStatus.NO_ANSWER)
+                            .filter(status -> status == HttpStatus.NO_RESPONSE)
                             .count());
             long held = descriptors() - before;
             assertTrue(held < CALLS / 4, held + " sockets held");
