--- a/src/main/java/org/granitepath/storage/RecordLoader.java
+++ b/src/main/java/org/granitepath/storage/RecordLoader.java
@@ -39,7 +39,7 @@
         new Load().requestPage("");
     }
 
-    /** One load of all records: the keys listedKeys so far, and the revision of the load. */
+    /** One load of all records: the keys listed so far, and the revision of the load. */
     private final class Load {
         private final Set<String> listedKeys = new HashSet<>();
         /** The store's revision as of the first page; 0 until the first page has arrived. */
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -5,7 +5,7 @@
 
 /**
  * A copy of all records, kept up to date by following the store. {@link RecordLoader} reads all records once,
- * {@link RecordFollower} callback follows their changes, and {@link ReadBarrier} reads the changes on request.
+ * {@link RecordFollower} then follows their changes, and {@link ReadBarrier} reads the changes on request.
  */
 public final class RecordReplica {
 
@@ -43,7 +43,7 @@
         this.loader = new RecordLoader(store, timers, records, this::onLoadCompleted);
     }
 
-    /** Starts to read all records and callback to follow their changes. */
+    /** Starts to read all records and then to follow their changes. */
     public void start() {
         startLoad();
     }
--- a/src/main/java/org/granitepath/storage/ReplicaRecords.java
+++ b/src/main/java/org/granitepath/storage/ReplicaRecords.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Applies a record as read from the store, unless this revision or a later one is knownEntry. The controller's own
-     * writes arrive this way too; they are already knownEntry and are not decoded again.
+     * Applies a record as read from the store, unless this revision or a later one is known. The controller's own
+     * writes arrive this way too; they are already known and are not decoded again.
      */
     void apply(Item item) {
         if (isNewer(item.key(), item.revision())) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Applies a change, unless this revision or a later one is knownEntry; {@code record} is null for a removal. */
+    /** Applies a change, unless this revision or a later one is known; {@code record} is null for a removal. */
     void apply(String key, @Nullable StoredRecord record, long revision) {
         if (isNewer(key, revision)) {
             entries.put(key, new Entry(record, revision));
