--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.junit.jupiter.api.Test;
 
-/** Planted wrong answers to users, and answers that do not come, are noticed. */
+/** Tests that {@link AnswerRules} reports wrong and missing answers to users. */
 class AnswerRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
@@ -40,7 +40,7 @@
         fixture.assertBroken("accepted_impossible");
     }
 
-    /** An accepted job is not found; then it is called done before it is; then it is called running again. */
+    /** An accepted job is reported as not found, then as done before it is, then as running again. */
     @Test
     void contradictoryAnswersAreReported() {
         fixture.tell(ANYWHERE, JobState.PENDING);
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cancellations that meet other faults: no task starts or goes on for too long after one is confirmed. */
+/** Cancellations during other faults: no task starts, or runs on for too long, after its cancellation is confirmed. */
 class CancellationFaultsTest {
-    /** Cancellations, questions and repeated submissions meet the end of a job's last task. */
+    /** Cancellations, status requests and repeated submissions arrive just as the last task of a job completes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsCancelledAsTheyCompleteHaveOneOutcome(long seed) {
@@ -39,10 +39,10 @@
     }
 
     /**
-     * The store refuses the leader alone, another controller confirms cancellations, and a second or two
-     * later it is out for everybody for longer than cancel_s, while workers go on sending heartbeats to the leader.
-     * With some seeds nobody tells it of the cancellations: only the bound on the time for which anyone may keep a
-     * lease alive can end the tasks.
+     * The store refuses only the leader, another controller confirms cancellations, and one or two seconds later the
+     * store is down for everybody for longer than cancel_s, while workers go on sending heartbeats to the leader. With
+     * seeds above 2 no controller tells the leader of the cancellations: only the bound on how long any controller may
+     * keep a lease alive can end the tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -80,7 +80,7 @@
         assertRules(simulation);
     }
 
-    /** The store answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
+    /** The store answers slowly, then refuses only the leader, then everybody, while users cancel jobs and poll. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsHoldWhileStoreIsSlowThenRefusesLeaderThenIsDown(long seed) {
@@ -130,8 +130,9 @@
     }
 
     /**
-     * The same, when the leader's stops had not reached the zone's machines before: a zone lease keeper knows of the
-     * cancellations as of its last read, so for it the bound is no help, and it has to stop the tasks itself.
+     * The leader's stop commands have not reached the machines of a zone before the zone is cut off. The zone lease
+     * keeper knows of the cancellations from its last read, so the bound on leases does not help with it: it has to
+     * stop the tasks itself.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -158,10 +159,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /**
-     * A leader loses the store and its peers, not its workers and users; jobs are cancelled through the
-     * new one.
-     */
+    /** A leader loses the store and its peers, but not its workers and users. Jobs are cancelled at the new leader. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksOfReplacedLeaderEndWhenNewLeaderCancelsThem(long seed) {
@@ -175,7 +173,8 @@
             simulation.after(6 * SECOND, () -> {
                 String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
-                // It can't reach any machine either: only leases can end what the former one keeps alive.
+                // The new leader can't reach any machine: only lease expiry can end tasks that the former one keeps
+                // alive.
                 others(simulation, former)
                         .forEach(node -> simulation.faults.cutFromWorkers(node, World.Cut.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
@@ -189,8 +188,8 @@
     }
 
     /**
-     * A leader whose renewals get through while its reads don't can't see cancellations: its word on leases must end
-     * all the same.
+     * A leader can renew its own lease, but not read from the store, so it sees no cancellations. It must nevertheless
+     * stop extending the leases of its workers.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -213,7 +212,7 @@
         assertRules(simulation);
     }
 
-    /** Machines hang with tasks of cancelled jobs, for less and for more than a lease, and the leader ends. */
+    /** Machines with tasks of cancelled jobs hang, for less or for more than a lease, and the leader crashes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndOnHangingMachines(long seed) {
@@ -233,9 +232,9 @@
     }
 
     /**
-     * A leader's reads lag, for less than it takes to count as out of contact, while others confirm cancellations of
-     * jobs that it still starts tasks of. It is told by its peers, or, with odd seeds, the answer waits until it has
-     * to stop.
+     * The leader's reads lag, for less time than it takes to count as out of contact, while other controllers confirm
+     * cancellations of jobs whose tasks it still starts. Its peers tell it of the cancellations; with odd seeds they do
+     * not, and the confirmation waits until the leader has to stop.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRulesTest.java
@@ -11,7 +11,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** Planted tasks of cancelled jobs are noticed. */
+/** Tests that {@link CancellationRules} reports tasks that run on or start after their job's cancellation. */
 class CancellationRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
@@ -45,7 +45,7 @@
         fixture.assertBroken("started_cancelled");
     }
 
-    /** A cancelled task on a machine that hung goes on with it. */
+    /** A task of a cancelled job is on a machine that hangs, and runs on when the machine resumes. */
     @Test
     void cancelledTaskRunningOnAfterItsMachineHungIsReported() {
         SimWorker worker = fixture.worker();
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** More work than capacity, and the machines that are launched for it. */
+/** Scheduling when there is more work than capacity, and the machines that are launched for it. */
 class CapacityTest {
     private static final long SECOND = Simulation.SECOND;
 
     /**
-     * More machines than one transaction could name: the takeover once rewrote every machine inventory, and beyond
-     * some machines nobody could take them over any more. Leaders crash, also in the middle of a takeover, and the
-     * store goes away.
+     * More machines than one transaction could name. A takeover once rewrote every part of the machine inventory, so
+     * that beyond some number of machines no controller could take them over. Here leaders crash, also during a
+     * takeover, and the store has an outage.
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
@@ -52,7 +52,8 @@
     }
 
     /**
-     * Far more work than capacity, for minutes: wide and low jobs begin all the same, and half of every kind is served.
+     * There is far more work than capacity for minutes. Jobs with many tasks or low priority start nevertheless, and
+     * half of the jobs of every kind are served.
      */
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
@@ -91,7 +92,7 @@
                 .create();
     }
 
-    /** Services keep arriving: for most of them there is capacity already when they come. */
+    /** Services keep arriving, and for most of them capacity is free when they arrive. */
     @Test
     void arrivingServicesFindHeadroom() {
         Simulation simulation = new Simulation(75, 3, 10);
@@ -113,8 +114,8 @@
     }
 
     /**
-     * Machines on which many small tasks run and are replaced: new fencing tokens, which let their exited attempts be
-     * cleared, are drawn now and then for all together, and never for what runs.
+     * Many small tasks run on the same machines and are replaced. The new fencing tokens that allow their exited
+     * attempts to be cleared are drawn rarely, one for all of them, and never for running tasks.
      */
     @Test
     void cleanupOfMachinesWithManyTasksDrawsFewFencingTokens() {
@@ -135,7 +136,7 @@
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
-    /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
+    /** Each service by itself would need small machines; together they also fill large ones, which boot faster. */
     @Test
     void servicesOfAClassShareLargeMachines() {
         Simulation simulation = new Simulation(76, 3, 20);
@@ -149,7 +150,7 @@
         assertTrue(large >= 2, large + " large machines");
     }
 
-    /** Machines that never come up are not waited for until they are given back. */
+    /** Some machines never boot. A service does not wait until these have been returned to the cloud. */
     @ParameterizedTest
     @ValueSource(longs = {77, 78, 79})
     void machinesThatNeverBootAreReplacedEarly(long seed) {
@@ -165,7 +166,9 @@
                 "begun after " + simulation.rules.begunAfter(job.id()) / SECOND + " s");
     }
 
-    /** On a full site the jobs that can be in time together are, instead of all being late together. */
+    /**
+     * When all machines are in use, as many jobs as can meet their deadlines together do, instead of all missing them.
+     */
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83})
     void someJobsMeetTheirDeadlinesWhenNotAllCan(long seed) {
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two troubles that meet, one test for each meeting of docs/failure-modes.md. Each shows that its meeting came about,
- * and then that the rules held after each step.
+ * Two faults at the same time, one test for each combination in docs/failure-modes.md. Each test asserts that its
+ * combination occurred, and that the rules held after each step.
  */
 class CombinedFaultsTest {
     /** The machines that are up and hold tasks of these jobs. */
@@ -38,7 +38,7 @@
                 .toList();
     }
 
-    /** More work than capacity, urgent and not, over links on which packets are held up. */
+    /** More work than capacity, urgent and not urgent, over links that delay some packets. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void noKindOfJobStarvesUnderOverloadOverSlowLinks(long seed) {
@@ -58,7 +58,7 @@
         assertRules(simulation);
     }
 
-    /** A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answers. */
+    /** A leader crashes while machines with long tasks can't be reached or receive no answers of the new leader. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWhenLeaderCrashesWhileMachinesAreCutOff(long seed) {
@@ -84,7 +84,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Jobs bound to one zone, arrays too, lose machines. */
+    /** Jobs that have to run in one zone, also those with many tasks, lose machines. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void oneZoneJobsStayInTheirZoneWhenTheyLoseMachines(long seed) {
@@ -111,8 +111,8 @@
     }
 
     /**
-     * The same, when the machines are only cut off, all that hold a job, and the leader changes: its zone is
-     * unconfirmed.
+     * All machines that hold a one-zone job are cut off while the leader changes, so that the job's zone is unconfirmed
+     * for the new leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -136,7 +136,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** All controllers are away for longer than a lease. */
+    /** All controllers are down for longer than a lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void workResumesAfterAllControllersWereDownForLongerThanALease(long seed) {
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Jobs of two or three tasks end far apart, with a change of leader in between, and late progress of the
-     * former one.
+     * The tasks of jobs with two or three tasks end far apart, with a change of leader in between and progress that the
+     * former leader writes late.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -186,8 +186,8 @@
     }
 
     /**
-     * A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls
-     * into that spell: what is cancelled and unconfirmed still counts.
+     * A team is at its limit when the leader changes, some of its machines can't be reached, and jobs are cancelled in
+     * that time. Cancelled tasks whose end is unconfirmed still count against the limit.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -206,7 +206,7 @@
                     .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 20 * SECOND));
             simulation.faults.crash(simulation.leader(), 10 * SECOND);
             simulation.after(2 * SECOND, () -> simulation.users.cancelRunning(2, 0));
-            // Accepted in the new leader's own term, so nothing but the limit holds them back.
+            // These jobs are accepted in the new leader's own term, so nothing but the limit holds them back.
             for (int i = 0; i < 8; i++) {
                 simulation.after(
                         4 * SECOND + i * SECOND / 2,
@@ -219,7 +219,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Ten leaders in two minutes, also with an outage among them, and cancellations all the time. */
+    /** Ten leaders in two minutes, with a store outage and cancellations meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesUnderTenLeadersInTwoMinutes(long seed) {
@@ -247,7 +247,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Controllers hand over and back, all end, and one returns, also within a second. */
+    /** Leadership moves to another controller and back, then all controllers crash and one restarts within a second. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void firstControllerToRestartLeadsAfterAllHaveCrashed(long seed) {
@@ -270,8 +270,8 @@
     }
 
     /**
-     * Work of which nothing is expected leaves full-price machines alone, but not for so long that it is left waiting
-     * beside capacity that nobody else uses.
+     * Best-effort work without a deadline does not use full-price machines at first, but does not wait so long that it
+     * is starved while these machines have capacity that no other work uses.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -280,7 +280,7 @@
                 new Simulation(seed, shapeOf(seed).withControllers(3).withPerOffer(1));
         JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
-        // Fills the spot machines, and asks for no others.
+        // This job fills the spot machines, and launches no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         SimJobs jobs = simulation.jobs;
         JobSpec late = jobs.work(2, 20 * SECOND)
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -18,7 +18,7 @@
 
 /** Heartbeats, commands and transactions that arrive late, twice, or after newer ones. */
 class DelayedMessagesTest {
-    /** Transactions without an answer are carried out late, after newer ones of the same controller. */
+    /** The store applies transactions that got no answer late, after newer ones of the same controller. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void lateTransactionsDoNotOverwriteNewerOnes(long seed) {
@@ -38,10 +38,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /**
-     * Workers can't open connections to any controller, while direct commands still reach them; the leader
-     * changes.
-     */
+    /** Workers can't connect to any controller, but direct commands still reach them, and the leader changes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesOnMachinesThatCannotSendHeartbeats(long seed) {
@@ -66,7 +63,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Heartbeats are held back until a new leader has acted, and then arrive there and at the former one. */
+    /** Heartbeats are delayed until a new leader has acted, and then arrive at the new and at the former leader. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsSentBeforeTakeoverProveNothingToTheNewLeader(long seed) {
@@ -96,7 +93,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Old heartbeats arrive after newer ones, also of earlier agent epochs and attempts. */
+    /** Old heartbeats, also of earlier agent epochs and attempts, arrive after newer ones. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfEarlierAgentEpochsAndAttemptsProveNothing(long seed) {
@@ -127,7 +124,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Commands and their answers are held up for seconds, machines hang and go on, and jobs are cancelled. */
+    /** Commands and their answers are delayed for seconds, machines hang and resume, and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void delayedCommandsToHangingMachinesStartNothingTwice(long seed) {
@@ -148,9 +145,9 @@
     }
 
     /**
-     * Direct starts are held up while the leader's writes are refused, so that it can't draw new fencing tokens, and
-     * jobs are cancelled: later calls to the same machines, which hold stops alone, are answered. Their answers were
-     * once taken for those of the starts.
+     * Direct start commands are delayed while the store refuses the leader's writes, so that it can't draw new fencing
+     * tokens, and jobs are cancelled. Later calls to the same machines contain only stop commands and are answered
+     * first. These answers were once taken for answers to the start commands.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -13,14 +13,16 @@
 class FaultyMachinesTest {
     private static final long SECOND = Simulation.SECOND;
     private static final int FAULTY_MACHINES = 6;
-    /** Two tasks make a machine faulty; more may have been on their way when the second failed. */
+    /** A machine counts as faulty after two failed tasks. More may have been started when the second one failed. */
     private static final int MOST_FAILURES_OF_A_MACHINE = 4;
 
     private static JobSpec job(Simulation simulation, int tasks) {
         return simulation.jobs.withoutDeadline(simulation.jobs.batch(tasks, 15 * SECOND));
     }
 
-    /** Many machines fail at once: each is found after a few tasks, and no job is made to wait for it. */
+    /**
+     * Many machines become faulty at once. Each is detected after a few tasks, and no job is delayed for long by them.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void faultyMachinesAreDetectedAfterFewFailures(long seed) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /** Jobs that fail everywhere are tried less and less often, and no machine is given up for them. */
+    /** Jobs that fail on every machine are retried less and less often, and hardly any machine is returned for them. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void jobsThatFailEverywhereCostNoMachines(long seed) {
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Gangs: all tasks of a job run together or none does, whatever happens to one of them or to the leader. */
+/** Gangs: all tasks of a job run together or none runs, whatever happens to one of them or to the leader. */
 class GangTest {
     private static final long SECOND = Simulation.SECOND;
     private static final int SIZE = 4;
@@ -34,7 +34,7 @@
         assertEquals(0, simulation.gangs.incomplete(), "tasks that waited in vain");
     }
 
-    /** Its machine dies while it fetches its image: the others wait, and another task joins them. */
+    /** A task's machine dies while it pulls its image. The other tasks wait, and a replacement joins them. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void taskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
@@ -49,7 +49,7 @@
         assertEquals(1, gang.attempts());
     }
 
-    /** Nothing starts before the old attempt is gone, and the next one goes on from the last checkpoint. */
+    /** No task starts before the old attempt has ended, and the next attempt resumes from the last checkpoint. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void taskLostWhileRunningEndsTheAttempt(long seed) {
@@ -64,7 +64,7 @@
         assertEquals(2, gang.attempts());
     }
 
-    /** A hanging machine may go on later: no task of it is started elsewhere before its lease is over. */
+    /** A hanging machine may resume later, so its tasks start on no other machine before its lease has expired. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void hangingMachineKeepsItsTaskUntilItsLeaseExpires(long seed) {
@@ -77,7 +77,7 @@
         assertRulesAndAllDone(gang.simulation());
     }
 
-    /** The cloud takes one machine back: all tasks save together, and nothing is lost. */
+    /** The cloud takes back one spot machine. All tasks save a checkpoint together, and no progress is lost. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void allTasksSaveWhenOneMachineIsPreempted(long seed) {
@@ -95,7 +95,7 @@
         assertEquals(1, simulation.gangs.savedInOrder(), "its progress was not saved");
     }
 
-    /** Whatever the gang does when the leader ends, the next leader carries the same attempt on. */
+    /** Whatever state the gang is in when the leader crashes, the next leader continues the same attempt. */
     @ParameterizedTest
     @ValueSource(longs = {0, 300, 800, 1_500, 2_200, 3_000, 5_000, 8_000, 12_000})
     void newLeaderContinuesTheAttempt(long millis) {
@@ -112,7 +112,7 @@
         assertEquals(1, gang.attempts());
     }
 
-    /** A machine can't be reached while the leader changes: no other attempt starts beside what may run there. */
+    /** A machine can't be reached while the leader changes. No other attempt starts while tasks may run there. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void takeoverWithUnresponsiveMachineStartsNoConcurrentAttempt(long seed) {
@@ -146,13 +146,13 @@
         assertEquals(0, gang.tasksHeld());
     }
 
-    /** A gang that fills a whole large machine of this deployment. */
+    /** A gang that needs the whole of a large machine of this deployment. */
     private static JobSpec gangForALargeMachine(Simulation simulation) {
         return simulation.jobs.withCpu(
                 simulation.jobs.work(SIZE, 8 * SECOND).inOneZone().create(), SIZE, 4_000);
     }
 
-    /** Small work that never ends must not take for ever the capacity that a gang needs: a whole large machine. */
+    /** A steady stream of small jobs must not keep a gang from ever getting the whole large machine that it needs. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void gangIsNotStarvedBySmallJobs(long seed) {
@@ -169,7 +169,7 @@
         assertEquals(JobState.DONE, simulation.rules.finalTold(spec.id()), "the gang waits");
     }
 
-    /** There is capacity for one of them at a time: neither holds what the other needs. */
+    /** There is capacity for one gang at a time. No gang keeps a part of the capacity that another one needs. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void gangsThatNeedTheSameCapacityAllComplete(long seed) {
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a team is guaranteed it gets, while others borrow all there is. */
+/** A team gets its guaranteed capacity although other teams borrow all capacity that there is. */
 class GuaranteeTest {
     private static final long SECOND = Simulation.SECOND;
-    /** A task may be stopped for guaranteed work now and then. */
+    /** A task may be stopped and restarted for guaranteed work a few times. */
     private static final int MOST_STARTS = 8;
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
@@ -25,8 +25,8 @@
     }
 
     /**
-     * A full site of borrowed work: the guaranteed job runs whole within seconds, with odd seeds across a change of
-     * leader.
+     * Borrowed work fills all machines. All tasks of the guaranteed job run within seconds, with odd seeds across a
+     * change of leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -42,7 +42,7 @@
                 simulation.faults.crash(simulation.leader(), 300_000);
             }
             simulation.users.submit(wide(simulation, "granted", 8, 30 * SECOND));
-            // Beyond the guarantee it borrows like everybody else: nothing is stopped for that.
+            // Beyond its guarantee the team borrows like the others: no task is stopped for this job.
             simulation.after(SECOND, () -> simulation.users.submit(wide(simulation, "granted", 5, 30 * SECOND)));
         });
         long within = seed % 2 == 1 ? 16 : 10;
@@ -64,14 +64,14 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A job that goes beyond its team's guarantee is borrowed in part: no more than that part is taken back. */
+    /** A job exceeds its team's guarantee, so that a part of it is borrowed. Only that part is reclaimed. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void teamsGiveBackNoMoreThanTheyBorrowed(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
-        // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
-        // once.
+        // The low priority makes this job the cheapest one to stop, and with tasks on all machines many of them could
+        // be stopped at once.
         SimJobs jobs = simulation.jobs;
         simulation.users.submit(jobs.work(10, 300 * SECOND)
                 .priority(Priority.BEST_EFFORT)
@@ -102,7 +102,7 @@
         assertTrue(leastLeft.get() >= 16_000, "the lender was left " + leastLeft);
     }
 
-    /** A team with many jobs at once: guaranteed work of another does not wait behind the swarm. */
+    /** One team submits many jobs at once. Guaranteed work of another team does not wait behind them. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void manyJobsOfOneTeamDoNotStarveGuaranteedWork(long seed) {
@@ -127,9 +127,9 @@
     }
 
     /**
-     * Spot machines are full and a full-price machine has capacity. Jobs that could wait for cheap capacity by their
-     * deadlines take it all the same when they are within their team's guarantee, or of a class that is to start
-     * sooner than a machine boots; nothing is stopped for them.
+     * Spot machines are full and a full-price machine has free capacity. Jobs whose deadlines would let them wait for
+     * cheap capacity use it nevertheless if they are within their team's guarantee, or of a class that has to start
+     * sooner than a machine boots. No task is stopped for them.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -138,7 +138,7 @@
         JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         simulation.users.submit(
-                wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
+                wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and launches no others
         boolean guaranteed = seed % 2 == 1;
         SimJobs jobs = simulation.jobs;
         JobSpec job = jobs.work(2, 300 * SECOND)
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Guaranteed jobs come one after the other to a full site: what they stop is started elsewhere, and must not be
-     * stopped there for the next, over and over.
+     * Guaranteed jobs arrive one after the other while all machines are in use. The tasks that are stopped for one of
+     * them start again on other machines, and must not be stopped there again and again for the next ones.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/org/granitepath/simulation/LargeFleetTest.java
+++ b/src/test/java/org/granitepath/simulation/LargeFleetTest.java
@@ -11,11 +11,11 @@
 import org.granitepath.storage.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** The largest fleets: the rules throughout, and what is asked of others as counts. */
+/** The largest fleets: the rules hold throughout, and the numbers of requests and calls stay within bounds. */
 class LargeFleetTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Many machines, a heartbeat every five seconds, few writes. */
+    /** 1,700 machines with a heartbeat every five seconds, and few writes to the store. */
     @Test
     void rulesHoldWithSeventeenHundredMachines() {
         day(
@@ -28,15 +28,15 @@
                 1_500);
     }
 
-    /** Fewer machines that heartbeat every two seconds, and short leases. */
+    /** Fewer machines, with a heartbeat every two seconds, and short leases. */
     @Test
     void rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats() {
         day(new Simulation(2, FaultScenarios.SHORT_LEASES.withPerOffer(97).withConnections(2_257)), 700);
     }
 
     /**
-     * Four thousand machines and all controllers down at once: each heartbeat is compared once, whatever the fleet, and
-     * the store is asked no more than it allows.
+     * All controllers of four thousand machines crash at once. Each heartbeat is compared with the records once,
+     * whatever the size of the fleet, and the requests to the store stay within its limits.
      */
     @Test
     void fourThousandMachinesRecoverAfterColdRestart() {
@@ -56,7 +56,7 @@
                 status.term().machines().takenOver() >= 4_000,
                 status.term().machines().takenOver() + " machines");
         assertTrue(running.get() >= 10_000, running.get() + " tasks");
-        // Some eight heartbeats of each machine in that time, each listing what runs there.
+        // Each machine sends about eight heartbeats in that time, each of which lists the tasks that run there.
         assertTrue(
                 status.term().comparisonCount() < 12L * running.get(),
                 status.term().comparisonCount() + " comparisons of " + running.get() + " tasks");
@@ -73,7 +73,7 @@
                 simulation.rules.broken().stream().distinct().limit(5).toList());
     }
 
-    /** A leader that stands still, a zone cut off with a crash in it, and all controllers down at once. */
+    /** A leader pauses, a zone is cut off while a leader crashes, and then all controllers crash at once. */
     private static void day(Simulation simulation, int machines) {
         List<JobSpec> services = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -15,11 +15,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leaders that lose the store, their peers or their machines, stand still, or are replaced without knowing. */
+/** Leaders that lose the store, their peers or their workers, pause, or are replaced without noticing. */
 class LeaderIsolationTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Leader cut from the store alone: it must be fenced off before tasks overstay whose cancellation it can't see. */
+    /**
+     * A leader that is cut off only from the store is fenced before tasks run too long whose cancellation it can't see.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndWhenTheLeaderIsCutOffFromTheStore(long seed) {
@@ -30,7 +32,7 @@
         simulation.after(35 * SECOND, () -> {
             String leader = simulation.leader();
             simulation.faults.cut(leader, SimStore.NAME, World.Cut.HOLD, 120 * SECOND);
-            // The successors can't reach the workers: only the lease can end the tasks.
+            // The successors can't reach the workers, so only lease expiry can end the tasks.
             for (String node : simulation.names) {
                 if (!node.equals(leader)) {
                     simulation.faults.cutFromWorkers(node, World.Cut.DROP, 120 * SECOND);
@@ -42,9 +44,7 @@
         assertRules(simulation);
     }
 
-    /**
-     * A cancellation told elsewhere while the leader sees neither the store nor its peers, only its workers.
-     */
+    /** Another controller confirms a cancellation while the leader reaches only its workers, not the store or peers. */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
     void cancelledTasksEndWhenTheLeaderReachesOnlyItsWorkers(long seed) {
@@ -62,8 +62,8 @@
     }
 
     /**
-     * A leader that was replaced without knowing gets a submission on record before it learns of its successor, which
-     * reaches only half of the machines yet: what the acceptance claims is the successor's alone.
+     * A leader that was replaced without noticing records a submission before it learns of its successor, which so far
+     * reaches only half of the machines. The tasks that the acceptance claims belong to the successor alone.
      */
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
@@ -93,10 +93,10 @@
     }
 
     /**
-     * A leader stands still while its clocks run on, longer than it may hold its machines without word from the store,
-     * but not as long as a lease, and is cut off as well. On waking it finds heartbeats that have waited, of
-     * machines that reach nobody else: to answer them would keep tasks of a job alive that another controller has
-     * called cancelled.
+     * A leader's process pauses while its clocks run on, for longer than it may keep its machines without contact to
+     * the store, but for less than a lease, and is also cut off. When it resumes it finds queued heartbeats of machines
+     * that reach no other controller. If it answered them, it would keep tasks alive of jobs that another controller
+     * has confirmed as cancelled.
      */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
@@ -129,7 +129,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A pause of the leader's own does not make its few machines unresponsive: none is given back for it. */
+    /** The leader must not take its own pause for unresponsive machines and return its few machines to the cloud. */
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
     void leaderPauseReturnsNoMachines(long seed) {
@@ -137,7 +137,7 @@
                 new Simulation(seed, Shape.small().withPerOffer(1).withHeartbeatInterval(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
 
-        // In an outage no successor is found, and the leader is the leader still when all goes on.
+        // During the store outage no successor can be elected, so the leader still leads when it resumes.
         simulation.after(60 * SECOND, () -> simulation.store.outage(12_900_000));
         simulation.after(61 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 12 * SECOND));
         simulation.run(85 * SECOND, 200 * SECOND);
@@ -147,8 +147,8 @@
     }
 
     /**
-     * A zone is cut off from everything for longer than a lease, and its leader's place may be on either side: its
-     * machines are not given back, and the controllers inside keep what runs there alive.
+     * A zone is cut off from everything for longer than a lease, with the leader inside or outside of it. Its machines
+     * are not returned to the cloud, and the controllers inside keep the tasks there alive.
      */
     @ParameterizedTest
     @ValueSource(longs = {111, 112, 113, 114})
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -14,12 +14,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines that can't be reached or can't reach anybody, or no longer exist: they are not filled again and again. */
+/**
+ * Machines that can't be reached, can't reach any controller, or no longer exist. Controllers do not place tasks on
+ * them again and again.
+ */
 class MachineIsolationTest {
     private static final long SECOND = Simulation.SECOND;
     private static final long TASK_CPU_MILLIS = 2_000;
 
-    /** A machine that is about to be isolated, and how many starts were sent to it before. */
+    /** A machine that is about to be isolated, and the number of start commands sent to it before. */
     private record FilledMachine(SimWorker worker, int startsBefore) {
         static FilledMachine now(Simulation simulation, SimWorker worker) {
             return new FilledMachine(worker, simulation.commands.startsOf(worker.id));
@@ -33,8 +36,9 @@
     }
 
     /**
-     * One direction only: heartbeats arrive, but answers and commands don't, or the other way round. Such a machine is
-     * not filled again and again, but given back, while work waits all the time that would fit on it.
+     * A machine is cut off in one direction: its heartbeats arrive, but answers and commands don't reach it, or the
+     * other way round. It is returned to the cloud and not filled again and again, although work that would fit on it
+     * waits all the time.
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
@@ -63,8 +67,8 @@
     }
 
     /**
-     * So many machines stop hearing at once that their missing heartbeats are not trusted: they are not filled again
-     * and again either.
+     * So many machines stop receiving messages at once that their missing heartbeats do not count as evidence of a
+     * failure. They are not filled again and again either.
      */
     @ParameterizedTest
     @ValueSource(longs = {16, 17})
@@ -88,7 +92,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A heartbeat of a machine that is gone arrives once more, much later: nothing is placed there. */
+    /** A heartbeat of a lost machine arrives once more, much later. No task is placed on that machine. */
     @Test
     void lateHeartbeatOfLostMachineBringsItNoWork() {
         Simulation simulation = new Simulation(15, 3, 1);
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -13,9 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Any two faults close in time, drawn from a seed. */
+/** Pairs of faults that occur close in time, drawn from a seed. */
 class RandomFaultPairsTest {
-    /** A few seeds in every build; by hand {@code -Dgranitepath.pairs=N} for more, {@code .pair=S} for one alone. */
+    /**
+     * The seeds: 16 from 0 on in every build. {@code -Dgranitepath.pairs=N} and {@code -Dgranitepath.firstpair=S}
+     * select another number and first seed, {@code -Dgranitepath.pair=S} a single seed.
+     */
     static LongStream pairs() {
         Long one = Long.getLong("granitepath.pair");
         long first = Long.getLong("granitepath.firstpair", 0);
@@ -24,13 +27,13 @@
                 : LongStream.range(first, first + Long.getLong("granitepath.pairs", 16));
     }
 
-    /** Any two troubles close in time, three times over. */
+    /** Two random faults occur close in time, three times in a run. */
     @ParameterizedTest
     @MethodSource("pairs")
     void rulesHoldUnderAnyTwoFaults(long seed) {
         Simulation simulation = withJobs(simulation(seed), 35, 150 * SECOND);
         longWork(simulation, 4, 4, 60 * SECOND);
-        // Teams whose guarantees and limits bind: capacity is lent and taken back meanwhile.
+        // The guarantees and limits of these teams take effect: capacity is lent and reclaimed during the faults.
         for (int i = 0; i < 10; i++) {
             simulation.after((5 + 14 * i) * SECOND, () -> {
                 int tasks = 1 + simulation.world.random.nextInt(8);
@@ -72,7 +75,7 @@
         }
     }
 
-    /** All troubles, always in this order: the seed draws from it. */
+    /** All faults. Their order has to stay the same, since a seed selects them by index. */
     private static List<Consumer<Simulation>> troubles() {
         return Stream.of(ofControllersAndLinks(), ofMessages(), ofMachines())
                 .flatMap(List::stream)
--- a/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -23,13 +23,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All controllers end and come back while records can't be read, other troubles strike, or they end once more. */
+/** Restarts of all controllers with unreadable records, during other faults, or with another crash in between. */
 class RecoveryFaultsTest {
     private static final long SECOND = Simulation.SECOND;
 
-    // ---- records ----------------------------------------------------------------------------------------------
-
-    /** What can't be read frees nothing, is not written over, and does not stop the rest. */
+    /** An unreadable record releases no capacity, is not overwritten, and does not block other jobs. */
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB, Keys.PROGRESS, Keys.FINAL})
     void unreadableRecordIsKeptAndAffectsOnlyItsJob(String prefix) {
@@ -71,7 +69,7 @@
                 .count();
     }
 
-    /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
+    /** Any machine may have been in that part, so unseen tasks do not count as lost, and tasks that are seen run on. */
     @Test
     void unreadableInventoryPartKeepsRecoveryIncomplete() {
         Simulation simulation = busy(2);
@@ -91,7 +89,7 @@
         assertRules(simulation);
     }
 
-    /** Cancelled at the very moment, submitted at the very moment: what was confirmed holds. */
+    /** Jobs are cancelled and submitted just before the restart. Whatever was confirmed to users holds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void answersGivenJustBeforeTheRestartHold(long seed) {
@@ -119,9 +117,10 @@
         assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.acceptedJob(spec.id())));
     }
 
-    // ---- troubles meanwhile ------------------------------------------------------------------------------------
-
-    /** The store is away, refuses one controller, or answers late while all restart. */
+    /**
+     * While all controllers restart, the store is down, refuses two controllers, or refuses all writes. It also commits
+     * some writes late.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void workCompletesWhenStoreIsDownOrSlowDuringRestart(long seed) {
@@ -142,7 +141,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** What strikes in the middle of a recovery. */
+    /** A fault during a recovery, with the seed of its runs. */
     private enum Trouble {
         ALL_END(17),
         LEADER_ENDS(18),
@@ -155,7 +154,7 @@
         }
     }
 
-    /** In each phase of a recovery everybody ends once more, or the leader alone, or it stands still. */
+    /** In each phase of a recovery all controllers crash again, or only the leader crashes or pauses. */
     @ParameterizedTest
     @EnumSource(RecoveryPhase.class)
     void workCompletesWhenFaultsStrikeInEachPhase(RecoveryPhase phase) {
@@ -166,7 +165,7 @@
 
             int met = strikeTwice(simulation, phase, trouble);
 
-            // Where no machine has capacity for what goes first, its phase is over within one step.
+            // If no machine has capacity for the work that goes first, its phase ends within one step.
             int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
             assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
             simulation.run(RESTART + 70 * SECOND, 500 * SECOND);
@@ -187,7 +186,7 @@
         simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
     }
 
-    /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
+    /** Runs for a minute and causes the fault the first two times that a recovery is in this phase. */
     private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
         AtomicInteger met = new AtomicInteger();
         simulation.world.run(RESTART + 60 * SECOND, () -> {
@@ -210,7 +209,7 @@
         }
     }
 
-    /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
+    /** Only the leader reports the recovery. Others name the leader, or report that they can't know it. */
     @Test
     void controllersReportTheirRoleAndWhenItIsUnconfirmed() {
         Simulation simulation = busy(3);
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All controllers end and come back while the machines go on: in which order lost work starts again. */
+/** The order in which lost work starts again after all controllers restart while the machines keep running. */
 class RecoveryOrderTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Replicas that ended while nobody led start again before any batch task does, on proof by their machines. */
+    /** Replicas that their machines report as ended during the downtime start again before any batch task does. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void servicesResumeBeforeBatchWork(long seed) {
@@ -47,7 +47,7 @@
         assertEquals(6 * 6, replicas, "replicas started before the first batch task");
     }
 
-    /** All tasks end, new jobs come, and one machine that may hold replicas is reached seconds after the others. */
+    /** Ends all tasks, submits new jobs, and cuts off one machine, which may hold replicas, for a few seconds. */
     private static void endAllWork(Simulation simulation) {
         simulation.after(2 * SECOND, () -> {
             for (int i = 0; i < 3; i++) {
@@ -65,7 +65,7 @@
         return simulation.users.describedAs(start.task().job()).service();
     }
 
-    /** Without a hold the same restart starts batch work first: what the test above shows is the hold's doing. */
+    /** Without a hold the same restart starts batch tasks before some services, so the hold causes the order above. */
     @Test
     void batchWorkStartsAmongServicesWithoutHold() {
         int mixed = 0;
@@ -85,7 +85,7 @@
         assertTrue(mixed > 0, "the order comes by itself");
     }
 
-    /** Machines that stay unresponsive keep other work back no longer than the hold, and live work not at all. */
+    /** Machines that stay unresponsive delay batch work no longer than the hold, and live work not at all. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void unresponsiveMachinesDelayBatchWorkNoLongerThanTheHold(long seed) {
@@ -117,7 +117,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A replica lost on a machine that responds does not wait for unresponsive machines that it may not use. */
+    /** A replica lost on a responsive machine does not wait for unresponsive machines that it may not run on. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void servicesDoNotWaitForUnresponsiveSpotMachines(long seed) {
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All controllers end and come back while the machines go on: what a new leader makes of heartbeats. */
+/** How a new leader evaluates heartbeats after all controllers restart while the machines keep running. */
 class RecoveryTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Runs of jobs that are done, cancelled or unknown, of tasks held elsewhere, here under another attempt. */
+    /** Machines run tasks of jobs that are done, cancelled or unknown, and another attempt of a task held elsewhere. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void forbiddenTasksAreStoppedAndCleared(long seed) {
@@ -58,10 +58,12 @@
         assertTrue(tasks.get(Verdict.ADOPTED) > 0, tasks.toString());
     }
 
-    /** What was planted on a machine: tasks that may not run anywhere, and one that runs elsewhere already. */
+    /** The tasks added to a machine: forbidden ones, and one that another machine already runs. */
     private record Planted(SimWorker host, List<TaskId> forbidden, TaskId held) {}
 
-    /** Plants these tasks, one beyond the end of a job, and one that another machine holds, under two attempts. */
+    /**
+     * Adds these tasks, one with an index beyond its job's tasks, and one that another machine holds as two attempts.
+     */
     private static Planted plant(Simulation simulation, TaskId... tasks) {
         List<SimWorker> atWork = simulation.cloud.workers().stream()
                 .filter(worker -> worker.runs().busy())
@@ -77,7 +79,7 @@
         return new Planted(other, forbidden, held);
     }
 
-    /** Results that came while nobody led count; first heartbeats come twice, late, and from an earlier agent epoch. */
+    /** Results from the downtime count. First heartbeats arrive twice, late, and from an earlier agent epoch. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void resultsDuringDowntimeCountAndStaleHeartbeatsDoNot(long seed) {
@@ -87,7 +89,7 @@
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
                 RESTART - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.latest())));
-        // Half of the machines run into the end of their lease before anybody is back.
+        // With odd seeds the leases of the machines expire before any controller is back.
         long down = seed % 2 == 0 ? SECOND : Simulation.LEASE + 2 * SECOND;
         simulation.after(
                 RESTART,
@@ -103,13 +105,13 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Machines that boot, are terminated by the cloud or die while nobody leads. */
+    /** Machines boot, are terminated by the cloud or die while no controller leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWhenMachinesComeAndGoDuringDowntime(long seed) {
         Simulation simulation = busy(seed);
 
-        // The restart comes while machines boot, so that some are on no record yet.
+        // The restart happens while machines boot, so that some are not on record yet.
         simulation.after(4 * SECOND, () -> restart(simulation, seed % 2 == 0));
         simulation.after(RESTART, () -> {
             restart(simulation, false);
@@ -123,7 +125,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A gang of which one machine is gone, or one zone cut off, ends as a whole and starts as a whole. */
+    /** A gang that loses a machine, or whose zone is cut off, ends as a whole and starts as a whole. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void gangsWithUnresponsiveMachinesEndAndStartWhole(long seed) {
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -9,7 +9,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that are not served, and large jobs that begin late, are noticed. */
+/** Tests that {@link ServedRules} reports jobs that are not served and large jobs that start late. */
 class ServedRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** Commands that may not be sent are noticed. */
+/** Tests that {@link SimCommands} reports commands that a controller may not send. */
 class SimCommandsTest {
     private final RulesFixture fixture = new RulesFixture();
     private final Rules rules = fixture.rules();
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -13,11 +13,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules under troubles, in simulated time from fixed seeds. */
+/** Checks the rules under random faults, in simulated time and with fixed seeds. */
 class SimulationTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** A fixed few for every build; by hand {@code -Dgranitepath.seeds=N} for more, {@code .seed=S} for one alone. */
+    /**
+     * The seeds: 25 from 0 on and six others in every build. {@code -Dgranitepath.seeds=N} selects another number from
+     * 0 on, {@code -Dgranitepath.seed=S} a single seed.
+     */
     static LongStream seeds() {
         Long one = Long.getLong("granitepath.seed");
         return one != null
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Copies of heartbeats and requests, seconds to several leases late, while leaders and machines come and go. */
+    /** Copies of heartbeats and requests arrive seconds to several leases late while leaders and machines fail. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void lateCopiesOfMessagesChangeNothing(long seed) {
--- a/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -25,7 +25,7 @@
 import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of writes, or of reads, when the store allows few. */
+/** Tests that controllers keep within the rates and sizes that the store allows when they need far more of them. */
 class StoreLimitsTest {
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
@@ -73,7 +73,10 @@
                 of.portFor(node), replica, timers, MOST_CHANGES, writesPerSecond, control, List::of, () -> true);
     }
 
-    /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
+    /**
+     * Barriers and long polls share the read rate. They once ran concurrently, each at the full rate, while the records
+     * changed.
+     */
     @Test
     void barriersAndLongPollsShareTheReadRate() {
         RecordReplica replica = replica();
@@ -130,7 +133,7 @@
         assertTrue(made.get() <= 310, "contents were made " + made + " times");
     }
 
-    /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
+    /** Request handlers of five controllers need more writes than the store allows; the leader still gets its rate. */
     @Test
     void adaptiveWritersYieldToTheLeader() {
         SimStore tight = new SimStore(world, MOST_CHANGES, 2048, 1000, 18);
@@ -160,7 +163,7 @@
         assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
 
-    /** What the store will never take is given up, once, and all else is written. */
+    /** A write that the store can never accept is abandoned soon, and all other writes succeed. */
     @Test
     void rejectedWriteIsAbandonedAndDelaysNoOtherWrite() {
         RecordReplica replica = replica();
@@ -187,7 +190,7 @@
         assertTrue(made.get() <= 8, "sent " + made + " times");
     }
 
-    /** A job of which finished and open tasks alternate: its progress still fits, with the longest ranges. */
+    /** Finished and unfinished tasks of a job alternate: its progress record fits, and keeps the longest ranges. */
     @Test
     void progressRecordIsReducedToTheValueLimit() {
         RangeSet<Integer> done = TreeRangeSet.create();
@@ -203,7 +206,7 @@
         assertEquals(whole, whole.atMost(100_000));
     }
 
-    /** Whatever a record holds, its size is not underrated. */
+    /** The estimated size of a record is at least its encoded size, whatever the record holds. */
     @Test
     void recordSizeIsAnUpperBound() {
         StoredRecord record = new UnknownRecord(
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leaders that end, hand over, or come back at once. */
+/** Leaders that crash, hand over, or restart at once. */
 class TakeoverTest {
     private static final long SECOND = Simulation.SECOND;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Repeated crashes of whoever owns the machines, in the middle of each takeover. */
+    /** The current leader crashes again and again, in the middle of each takeover. */
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
     void workCompletesWhenLeadersCrashDuringTakeover(long seed) {
@@ -37,7 +37,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A leader that alone has lost the machines hands them over before their leases run out. */
+    /** A leader that is the only one to have lost the machines hands them over before their leases expire. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
     void leaderCutOffFromItsWorkersStepsDown(long seed) {
@@ -51,7 +51,8 @@
         simulation.run(50 * SECOND + Simulation.LEASE);
 
         assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
-        // Their heartbeats end one after the other; the first are not to be given up before the rest tell what it is.
+        // Their heartbeats stop one after the other. The first machines must not be returned before the others show
+        // that the leader is cut off.
         assertEquals(List.of(), simulation.cloud.terminatedBusy(), "returned with tasks on them");
         simulation.run(120 * SECOND, 300 * SECOND);
 
@@ -59,8 +60,8 @@
     }
 
     /**
-     * A leader cut from the store goes on answering its workers, and some machines can't be reached at all: the
-     * successor must not take those for dead that it has not yet asked, or that still reach the former leader.
+     * A leader that is cut off from the store still answers its workers, and some machines can't be reached at all. The
+     * successor must not treat machines as dead that it has not yet contacted or that still reach the former leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93})
@@ -86,7 +87,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Back within a fraction of a second: controllers, at any moment of an election, and machines. */
+    /** Controllers restart, at any moment of an election, and machines resume within a fraction of a second. */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void workCompletesAfterRestartsWithinAFractionOfASecond(long seed) {
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Planted violations of where tasks may run are noticed. */
+/** Tests that {@link TaskPlacementRules} reports tasks on machines where they may not run. */
 class TaskPlacementRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A new version replaces the one in production while both serve. Records and messages are the same in both, which
- * StoredFormatsTest pins; what differs is that the former keeps to the limits that the store has, and the new
- * one also to those that it will have.
+ * A new version replaces the version in production while both serve. Records and messages are the same in both, as
+ * StoredFormatsTest ensures. The versions differ in the limits that they keep: the former version keeps to the present
+ * limits of the store, the new one also to its future limits.
  */
 class UpgradeTest {
     private static final long SECOND = Simulation.SECOND;
     private static final StoreLimits NEXT = new StoreLimits(15, 2 * 1024, 4);
-    /** As many machines to a value as the version in production puts there, whose rows and values are longer. */
+    /** Puts as many machines into a value as the version in production does, whose rows and values are longer. */
     private static final Shape PRODUCTION = FaultScenarios.SHORT_LEASES
             .withPerOffer(40)
             .withRequestsPerSecond(150)
@@ -40,7 +40,7 @@
         return withJobs(simulation, 20, 150 * SECOND);
     }
 
-    /** One controller after the other, then the limits change, and leaders that have to split values end as well. */
+    /** Controllers are upgraded one by one, then the limits change, and leaders that have to split values crash. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void workCompletesWhileBothVersionsServeAndLimitsChange(long seed) {
@@ -50,7 +50,7 @@
             String node = simulation.names.get((int) (seed + i) % simulation.names.size());
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
         }
-        // One that dies before its turn comes back as it was, and may lead the others meanwhile.
+        // A controller that crashes before its upgrade restarts with the former version, and may become the leader.
         leaderEnds(simulation, 53 * SECOND, 200_000);
         leaderEnds(simulation, 64 * SECOND, SECOND);
         simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(NEXT));
@@ -64,7 +64,7 @@
         assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
     }
 
-    /** The limits change while large values of the former version are still there. */
+    /** The limits change while the store still holds large values of the former version. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void largeValuesOfTheFormerVersionAreSplit(long seed) {
@@ -81,7 +81,7 @@
         assertTrue(simulation.store.largestValue() <= NEXT.valueBytes(), simulation.store.largestValue() + " bytes");
     }
 
-    /** Values that hold more than one transaction may spread: they stay as they are, and work goes on beside them. */
+    /** Values hold more than one transaction may split up. They stay as they are, and work continues nevertheless. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWithValuesTooLargeToSplitAtOnce(long seed) {
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.junit.jupiter.api.Test;
 
-/** A job that waits beside free capacity is noticed. */
+/** Tests that {@link WaitingRules} reports a job that waits although capacity is free. */
 class WaitingRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
