--- a/src/main/java/org/granitepath/coordination/EndedJobEviction.java
+++ b/src/main/java/org/granitepath/coordination/EndedJobEviction.java
@@ -22,11 +22,11 @@
      * the job index was updated.
      */
     void onRecordWritten(String key) {
-        Keys.jobKey(key).map(Keys.JobKey::jobId).filter(jobIndex::hasEnded).ifPresent(this::evict);
+        Keys.parseJobKey(key).map(Keys.JobKey::jobId).filter(jobIndex::hasEnded).ifPresent(this::evict);
     }
 
     private void evict(String jobId) {
-        replica.forget(Keys.job(jobId));
-        replica.forget(Keys.progress(jobId));
+        replica.evict(Keys.job(jobId));
+        replica.evict(Keys.progress(jobId));
     }
 }
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferRequest.java
@@ -27,13 +27,13 @@
 
     /** Returns whether the request allows a machine in this zone. */
     boolean allowsZone(String zone) {
-        return job.spec().allowsZone(zone)
+        return job.spec().isZoneAllowed(zone)
                 && zones.includes(zone)
-                && taskCountIn(zone) < job.spec().zoneCap();
+                && taskCountIn(zone) < job.spec().maxTasksPerZone();
     }
 
     /** Returns whether the request allows a spot instance, or an on-demand machine if {@code spot} is false. */
     boolean allowsPricing(boolean spot) {
-        return spot ? job.spec().spot() : allowsOnDemand;
+        return spot ? job.spec().spotAllowed() : allowsOnDemand;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -31,8 +31,8 @@
      */
     List<Machine> read() {
         List<Machine> machines = new ArrayList<>();
-        for (int part = 0; part < replica.inventoryParts(); part++) {
-            InventoryRecord storedPart = replica.inventory(part);
+        for (int part = 0; part < replica.inventoryPartCount(); part++) {
+            InventoryRecord storedPart = replica.inventoryPart(part);
             if (storedPart == null) {
                 skipUnreadablePart(part);
             } else {
@@ -46,7 +46,7 @@
 
     private List<Machine> toMachines(InventoryRecord storedPart, int part) {
         List<Machine> machines = new ArrayList<>();
-        for (InventoryRecord.Host host : storedPart.hosts()) {
+        for (InventoryRecord.MachineRow host : storedPart.machines()) {
             Machine machine = new Machine(host.id(), host.address(), host.type(), host.zone(), host.spot());
             machine.inventory().restoreFromRecord(part, term.fencingToken());
             machines.add(machine);
@@ -57,7 +57,7 @@
     private void skipUnreadablePart(int part) {
         LOG.error(
                 "record {} can't be read: its machines are unknown, and no task is declared lost during this term",
-                Keys.inventory(part));
+                Keys.inventoryPart(part));
         layout.addUnreadablePart();
         unreadableParts++;
     }
--- a/src/main/java/org/granitepath/coordination/leadership/Leadership.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Leadership.java
@@ -38,7 +38,9 @@
 
     /** Receives notice when this controller becomes the leader and when it ceases to be. */
     public interface Listener {
-        /** This controller is the leader, and its replica is at least as recent as the write that made it the leader. */
+        /**
+         * This controller is the leader, and its replica is at least as recent as the write that made it the leader.
+         */
         void onElected(Term term);
 
         /** This controller is not the leader any more. */
@@ -95,15 +97,19 @@
     }
 
     /**
-     * Returns whether this controller may answer workers: it is the leader, and has not been out of contact for so long
-     * that a cancellation could have been missed for too long.
+     * Returns whether this controller may answer workers: it is the leader, and has been out of contact with the store
+     * for no longer than {@code WorkerTiming.maxDisconnectedMicros}. After that time a cancellation that it has missed
+     * would take effect too late.
      */
     public boolean canAnswerWorkers() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING || phase == LeadershipPhase.DISCONNECTED;
     }
 
-    /** Returns whether the store has recently confirmed that this controller is the leader. */
+    /**
+     * Returns whether the store has recently confirmed that this controller is the leader, and has recently answered a
+     * read of the records.
+     */
     public boolean isLeaseConfirmed() {
         refreshPhase();
         return phase == LeadershipPhase.LEADING;
@@ -120,8 +126,8 @@
     }
 
     /**
-     * Returns the time at which the last request was sent whose answer confirmed that this controller was the leader, or
-     * 0 before its first term.
+     * Returns the time at which the last request was sent whose answer confirmed that this controller was the leader,
+     * or 0 before its first term.
      */
     public long lastConfirmedMicros() {
         return heldTerm == null ? previousTermConfirmedMicros : heldTerm.lease().lastConfirmedMicros();
@@ -133,7 +139,9 @@
         return leader == null ? null : leader.node();
     }
 
-    /** Reacts to a change of the leader record: ends the current term if it was replaced, or campaigns if none leads. */
+    /**
+     * Reacts to a change of the leader record: ends the current term if it was replaced, or campaigns if none leads.
+     */
     public void onLeaderRecordChanged() {
         LeaderRecord leader = replica.leader();
         if (heldTerm != null) {
@@ -223,7 +231,7 @@
         heldTerm = newTerm;
         // Only after heldTerm is set: onLeaderRecordChanged compares the leader record with it.
         for (Change change : campaign.changes()) {
-            replica.applied(change.key(), change.record(), term.leaderRevision());
+            replica.applyCommitted(change.key(), change.record(), term.leaderRevision());
         }
         transition(LeadershipPhase.LEADING, "fencing token " + term.fencingToken());
         announceElection(newTerm);
@@ -256,7 +264,7 @@
      * machine inventory that was created by it. After that write the store rejects all writes of the previous leader.
      */
     private void announceElection(HeldTerm elected) {
-        replica.barrier(fresh -> {
+        replica.requestBarrier(fresh -> {
             if (!elected.equals(heldTerm)) {
                 return;
             }
@@ -269,10 +277,10 @@
     }
 
     /**
-     * Changes the phase among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} according to the time since the
-     * last contact with the store. This method is called whenever the phase is about to be used, not only by the
-     * timer: after a pause of the process, a heartbeat that was waiting may be processed before the timer runs, in the
-     * phase from before the pause, although a successor may have taken over the machines in the meantime.
+     * Changes the phase among {@code LEADING}, {@code DISCONNECTED} and {@code FENCED_OFF} according to the time since
+     * the last contact with the store. This method is called whenever the phase is about to be used, not only by the
+     * timer. After a pause of the process, a heartbeat that was waiting may be processed before the timer runs. The
+     * phase would then be that from before the pause, although a successor may have taken over the machines since.
      */
     private void refreshPhase() {
         if (heldTerm == null) {
@@ -290,9 +298,9 @@
     }
 
     /**
-     * Returns the earlier of two times: when the store last confirmed the lease, and when it last answered a read of the
-     * records. Confirmation of the lease is not enough, because a cancellation shows only in the records. Renewals may
-     * succeed while reads fail, and after an outage the first renewal succeeds before the first read.
+     * Returns the earlier of two times: when the store last confirmed the lease, and when it last answered a read of
+     * the records. Confirmation of the lease is not enough, because a cancellation shows only in the records. Renewals
+     * may succeed while reads fail, and after an outage the first renewal succeeds before the first read.
      */
     private long lastContactMicros(LeaderLease lease) {
         return Math.min(lease.lastConfirmedMicros(), replica.lastContactMicros());
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -59,7 +59,7 @@
         this.spec = record.spec();
         this.acceptedMicros = record.acceptedMicros();
         this.firstSeenMicros = nowMicros;
-        this.numbers = new TaskNumbers(Math.max(record.claimed(), progress.claimed()), progress.done());
+        this.numbers = new TaskNumbers(Math.max(record.claimedTasks(), progress.claimedTasks()), progress.doneTasks());
         this.tasksByZone = new TasksByZone(spec);
     }
 
@@ -83,7 +83,7 @@
      * It is scheduled before all other work.
      */
     public boolean isLiveService() {
-        return spec.service() && !Priority.HIGH.above(spec.priority());
+        return spec.isService() && !Priority.HIGH.isHigherThan(spec.priority());
     }
 
     /** Returns the scheduler's notes on this job. */
@@ -157,7 +157,7 @@
 
     // ---- claims ------------------------------------------------------------------------------------------------
 
-    /** Returns the number of tasks that are claimed in the store; tasks with lower numbers belong to this leader. */
+    /** Returns how many tasks are claimed in the store. They are the lowest numbers, and belong to this leader. */
     public int claimedTasks() {
         return numbers.claimedTasks();
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -61,7 +61,7 @@
      * service, which needs the capacity at once.
      */
     long graceMicros(Placement victim) {
-        return job.isLiveService() ? 0 : victim.job().spec().saveMicros();
+        return job.isLiveService() ? 0 : victim.job().spec().saveDurationMicros();
     }
 
     /**
@@ -69,14 +69,14 @@
      */
     private boolean hasPrecedenceOver(Placement placement) {
         JobSpec victim = placement.job().spec();
-        if (!job.spec().priority().above(victim.priority()) || victim.service()) {
+        if (!job.spec().priority().isHigherThan(victim.priority()) || victim.isService()) {
             return false;
         }
-        if (!job.isLiveService() && victim.gang()) {
+        if (!job.isLiveService() && victim.isGang()) {
             return false; // a gang saves its progress only if all its tasks receive the stop in time
         }
         return job.isLiveService()
-                || (victim.checkpointMicros() > 0
+                || (victim.checkpointIntervalMicros() > 0
                         && placement.hasRun()
                         && placement.runTimeMicros(nowMicros) > MIN_RUNTIME_MICROS);
     }
@@ -85,7 +85,7 @@
     private boolean isBorrowed(Placement placement) {
         String team = placement.job().spec().team();
         return !team.equals(job.spec().team())
-                && !placement.job().spec().service()
+                && !placement.job().spec().isService()
                 && placement.job().scheduling().schedulingClass() != SchedulingClass.GUARANTEED
                 && reclaimableCpu.isAvailableFrom(team);
     }
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -21,13 +21,13 @@
         }
         fields.put("reason", status.reason());
         if (status.recordsAgeMicros() >= 0) {
-            fields.put("records_age_s", Units.seconds(status.recordsAgeMicros()));
+            fields.put("records_age_s", Units.microsToSeconds(status.recordsAgeMicros()));
         }
         fields.put("unreadable_records", status.unreadableRecords());
         if (status.term() != null) {
             putTerm(fields, status.term());
         }
-        return Json.text(fields);
+        return Json.encode(fields);
     }
 
     private static void putTerm(Map<String, Object> fields, RecoveryStatus.Term term) {
@@ -44,7 +44,7 @@
         if (hold != null) {
             fields.put("held_for", hold.waitsFor());
             if (hold.remainingMicros() >= 0) {
-                fields.put("held_at_most_s", Units.seconds(hold.remainingMicros()));
+                fields.put("held_at_most_s", Units.microsToSeconds(hold.remainingMicros()));
             }
         }
     }
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -14,35 +14,35 @@
  * How far a job has come: task numbers below {@code claimed} belong to {@code leader}, which alone may start them;
  * finished tasks are kept as ranges, so that 100,000 of them stay small; {@code running} is the published count.
  */
-public record ProgressRecord(@Nullable String leader, int claimed, RangeSet<Integer> done, int running)
+public record ProgressRecord(@Nullable String leader, int claimedTasks, RangeSet<Integer> doneTasks, int runningTasks)
         implements StoredRecord {
     /** Keeps a copy of the finished tasks: the leader goes on adding to its own. */
     public ProgressRecord {
-        done = ImmutableRangeSet.copyOf(done);
+        doneTasks = ImmutableRangeSet.copyOf(doneTasks);
     }
 
     /**
      * This record, if need be with fewer finished tasks, so that it takes at most so many bytes. The ranges that hold
      * the most tasks stay. What is left out would only be started again and be found complete.
      */
-    public ProgressRecord atMost(int bytes) {
+    public ProgressRecord truncatedTo(int bytes) {
         int spare = bytes - RecordSize.of(this);
         if (spare >= 0) {
             return this;
         }
-        List<Range<Integer>> largestFirst = new ArrayList<>(done.asRanges());
+        List<Range<Integer>> largestFirst = new ArrayList<>(doneTasks.asRanges());
         largestFirst.sort(Comparator.comparingInt(range -> range.lowerEndpoint() - range.upperEndpoint()));
-        RangeSet<Integer> kept = TreeRangeSet.create(done);
+        RangeSet<Integer> kept = TreeRangeSet.create(doneTasks);
         for (int i = largestFirst.size() - 1; i >= 0 && spare < 0; i--) {
             Range<Integer> range = largestFirst.get(i);
             kept.remove(range);
             spare += RecordSize.ofValue(range.lowerEndpoint()) + RecordSize.ofValue(range.upperEndpoint()) + 2;
         }
-        return new ProgressRecord(leader, claimed, kept, running);
+        return new ProgressRecord(leader, claimedTasks, kept, runningTasks);
     }
 
     /** Of a job of which nothing is on record yet. */
-    public static ProgressRecord none() {
+    public static ProgressRecord empty() {
         return new ProgressRecord("", 0, TreeRangeSet.create(), 0);
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** Adds all task numbers below {@code count}. */
-    public static void addTasks(RangeSet<Integer> set, int count) {
+    public static void addTasksBelow(RangeSet<Integer> set, int count) {
         set.add(Range.closedOpen(0, count));
     }
 
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -12,16 +12,16 @@
     /** Told of every change of a record, in order; {@code record} null: removed. */
     public interface Listener {
         /** A record was written, or removed when {@code record} is null. */
-        void changed(String key, @Nullable StoredRecord record, long revision);
+        void onRecordChanged(String key, @Nullable StoredRecord record, long revision);
 
         /** All records have been read for the first time. */
-        void loaded();
+        void onLoaded();
     }
 
     private final Listener listener;
     private final ReplicaRecords records;
     private final ReplicaPosition position;
-    private final ReadBarrier barrier;
+    private final ReadBarrier requestBarrier;
     private final RecordFollower follower;
     private final RecordLoader loader;
     private boolean loadedOnce;
@@ -31,8 +31,8 @@
         this.listener = listener;
         this.records = new ReplicaRecords(listener);
         this.position = new ReplicaPosition(records, timers.nowMicros());
-        this.barrier = new ReadBarrier(store, timers, spacingMicros, position);
-        this.follower = new RecordFollower(store, timers, spacingMicros, position, barrier, this::load);
+        this.requestBarrier = new ReadBarrier(store, timers, spacingMicros, position);
+        this.follower = new RecordFollower(store, timers, spacingMicros, position, requestBarrier, this::load);
         this.loader = new RecordLoader(store, timers, records, this::loadCompleted);
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** Whether all records have been read once. */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return loadedOnce;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** How many records could not be read so far. */
-    public long malformedRecords() {
+    public long malformedRecordCount() {
         return records.malformed();
     }
 
@@ -77,17 +77,17 @@
     }
 
     /** How many parts the machine inventory has, those that can't be read included. */
-    public int inventoryParts() {
+    public int inventoryPartCount() {
         int parts = 0;
-        while (has(Keys.inventory(parts))) {
+        while (has(Keys.inventoryPart(parts))) {
             parts++;
         }
         return parts;
     }
 
     /** A part of the machine inventory, or null when it has fewer or this one can't be read. */
-    public @Nullable InventoryRecord inventory(int part) {
-        return records.record(Keys.inventory(part), InventoryRecord.class);
+    public @Nullable InventoryRecord inventoryPart(int part) {
+        return records.record(Keys.inventoryPart(part), InventoryRecord.class);
     }
 
     /** The revision of the last change of a record, for preconditions; 0 when there is no such record. */
@@ -96,18 +96,18 @@
     }
 
     /** Drops a record that nobody reads or writes any more. */
-    public void forget(String key) {
+    public void evict(String key) {
         records.forget(key);
     }
 
     /** Records our own committed write at once, before the follow brings it. */
-    public void applied(String key, @Nullable StoredRecord record, long revision) {
+    public void applyCommitted(String key, @Nullable StoredRecord record, long revision) {
         records.apply(key, record, revision);
     }
 
     /** Calls back with true once the replica is as new as this moment, false when that can't be had now. */
-    public void barrier(Consumer<Boolean> then) {
-        barrier.request(then);
+    public void requestBarrier(Consumer<Boolean> then) {
+        requestBarrier.request(then);
     }
 
     private void load() {
@@ -119,7 +119,7 @@
         position.loaded(revision, sentMicros);
         if (!loadedOnce) {
             loadedOnce = true;
-            listener.loaded();
+            listener.onLoaded();
         }
         follower.follow();
     }
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -6,7 +6,7 @@
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Precondition;
 import org.granitepath.storage.KeyValueStore.Transaction;
@@ -42,7 +42,7 @@
     /** Whether a transaction is under way, or a failed one is waited out. */
     private boolean busy;
 
-    private boolean behind;
+    private boolean isBehind;
 
     /**
      * @param transactionChanges the most changes that the store takes in a transaction
@@ -77,8 +77,8 @@
     }
 
     /** Whether more waits, mere progress aside, than can be written in a few seconds. */
-    public boolean behind() {
-        return behind;
+    public boolean isBehind() {
+        return isBehind;
     }
 
     /**
@@ -121,7 +121,7 @@
         busy = true;
         pace.sent(batch.size());
         pending.remove(batch.writes());
-        behind = pace.isBehind(pending.countWithoutProgress());
+        isBehind = pace.isBehind(pending.countWithoutProgress());
         store.commit(transaction, answer -> answered(batch, answer));
     }
 
@@ -133,19 +133,19 @@
         return new Transaction(preconditions, batch.changes());
     }
 
-    private void answered(WriteBatch batch, Committed answer) {
+    private void answered(WriteBatch batch, CommitResult answer) {
         pace.answered(answer.outcome());
         if (answer.outcome() == Outcome.OK) {
             committed(batch, answer.storeRevision());
         } else {
-            LOG.debug("transaction on {} ended {} {}", batch.writes().keySet(), answer.outcome(), answer.failed());
+            LOG.debug("transaction on {} ended {} {}", batch.writes().keySet(), answer.outcome(), answer.failedKeys());
             failed(batch, answer.outcome());
         }
     }
 
     private void committed(WriteBatch batch, long storeRevision) {
         for (Change change : batch.changes()) {
-            replica.applied(change.key(), change.record(), storeRevision);
+            replica.applyCommitted(change.key(), change.record(), storeRevision);
         }
         busy = false;
         retryPolicy.committed();
@@ -197,7 +197,7 @@
     private void readBackAfter(long delayMicros) {
         timers.after(
                 delayMicros,
-                () -> replica.barrier(fresh -> {
+                () -> replica.requestBarrier(fresh -> {
                     if (!open.getAsBoolean()) {
                         return;
                     }
--- a/src/main/java/org/granitepath/transport/ServiceServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -14,7 +14,7 @@
 import org.granitepath.protocol.WorkerCodec;
 
 /** What users, workers and health checks talk to. */
-final class ServiceServer {
+final class ApiServer {
     private static final String HEARTBEAT_PATH = "/agent/beat";
     private static final String JOBS_PATH = "/submissions";
     private static final String JOB_PREFIX = JOBS_PATH + "/";
@@ -32,9 +32,9 @@
     private final Controller controller;
     private final Metrics metrics;
     private final EventLoop loop;
-    private final Connections connections;
+    private final ConnectionLimiter connections;
 
-    ServiceServer(Controller controller, Metrics metrics, EventLoop loop, Connections connections) {
+    ApiServer(Controller controller, Metrics metrics, EventLoop loop, ConnectionLimiter connections) {
         this.controller = controller;
         this.metrics = metrics;
         this.loop = loop;
@@ -46,7 +46,7 @@
         String path = exchange.getRequestPath();
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         boolean get = exchange.getRequestMethod().equals(Methods.GET);
-        connections.requested(exchange, path.equals(HEARTBEAT_PATH));
+        connections.onRequest(exchange, path.equals(HEARTBEAT_PATH));
         if (path.equals(HEARTBEAT_PATH) && post) {
             readBody(exchange, text -> heartbeat(exchange, text));
         } else if (path.equals(HEALTH_PATH) && get) {
@@ -91,7 +91,7 @@
     private void measure(HttpServerExchange exchange, String request) {
         long beganMicros = loop.nowMicros();
         exchange.addExchangeCompleteListener((completed, next) -> {
-            metrics.served(request, completed.getStatusCode(), loop.nowMicros() - beganMicros);
+            metrics.recordRequest(request, completed.getStatusCode(), loop.nowMicros() - beganMicros);
             next.proceed();
         });
     }
@@ -99,7 +99,7 @@
     private void submit(HttpServerExchange exchange, String text) {
         try {
             controller.submit(SubmissionCodec.decode(text), response -> answer(exchange, response));
-        } catch (SubmissionCodec.Malformed e) {
+        } catch (SubmissionCodec.MalformedSubmissionException e) {
             reply(exchange, HttpStatus.BAD_REQUEST, SubmissionCodec.encode(e));
         }
     }
@@ -107,7 +107,7 @@
     private void heartbeat(HttpServerExchange exchange, String text) {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
         if (heartbeat == null) {
-            metrics.unreadableHeartbeat(exchange.getSourceAddress().toString());
+            metrics.recordUnreadableHeartbeat(exchange.getSourceAddress().toString());
             reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
--- a/src/main/java/org/granitepath/transport/HttpServers.java
+++ b/src/main/java/org/granitepath/transport/HttpServers.java
@@ -15,12 +15,12 @@
      */
     public static void listen(
             Controller controller, PlatformLimits limits, EventLoop loop, Address service, Address peerInterface) {
-        Connections connections =
-                new Connections(limits.maxPersistentMachineConnections(), limits.maxPersistentConnections());
+        ConnectionLimiter connections =
+                new ConnectionLimiter(limits.maxPersistentMachineConnections(), limits.maxPersistentConnections());
         Metrics metrics = new Metrics(connections, controller::recoveryStatus);
-        ServiceServer serviceServer = new ServiceServer(controller, metrics, loop, connections);
+        ApiServer apiServer = new ApiServer(controller, metrics, loop, connections);
         PeerServer peerServer = new PeerServer(controller, metrics);
         HttpListener.listen(loop, peerInterface, limits.backlog(), peerServer::route);
-        HttpListener.listen(loop, service, limits.backlog(), serviceServer::route);
+        HttpListener.listen(loop, service, limits.backlog(), apiServer::route);
     }
 }
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -19,31 +19,31 @@
 
     @Test
     void unreadableProgressLeavesTheStatusKnown() {
-        jobIndex.changed(Keys.progress("a"), UNREADABLE);
-        assertTrue(jobIndex.unreadable("a"));
-        assertFalse(jobIndex.statusUnknown("a"));
-        assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recorded("a"));
+        jobIndex.applyRecord(Keys.progress("a"), UNREADABLE);
+        assertTrue(jobIndex.isUnreadable("a"));
+        assertFalse(jobIndex.isStatusUnknown("a"));
+        assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recordedTaskState("a"));
     }
 
     @Test
     void withAnUnreadableDescriptionTheStatusStaysUnknownWhateverElseCantBeRead() {
-        jobIndex.changed(Keys.job("a"), UNREADABLE);
-        jobIndex.changed(Keys.progress("a"), UNREADABLE);
-        assertTrue(jobIndex.statusUnknown("a"));
+        jobIndex.applyRecord(Keys.job("a"), UNREADABLE);
+        jobIndex.applyRecord(Keys.progress("a"), UNREADABLE);
+        assertTrue(jobIndex.isStatusUnknown("a"));
     }
 
     @Test
     void theEndOfAJobIsKnownWithoutItsDescription() {
-        jobIndex.changed(Keys.job("a"), UNREADABLE);
-        jobIndex.changed(Keys.finalOf("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
-        assertFalse(jobIndex.statusUnknown("a"));
+        jobIndex.applyRecord(Keys.job("a"), UNREADABLE);
+        jobIndex.applyRecord(Keys.finalRecord("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        assertFalse(jobIndex.isStatusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
-        assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recorded("a"));
+        assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recordedTaskState("a"));
     }
 
     @Test
     void aJobOfWhichNothingIsOnRecordIsNotKnown() {
-        assertFalse(jobIndex.isKnown("a") || jobIndex.unreadable("a") || jobIndex.statusUnknown("a"));
-        assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recorded("a"));
+        assertFalse(jobIndex.isKnown("a") || jobIndex.isUnreadable("a") || jobIndex.isStatusUnknown("a"));
+        assertEquals(RecordedTaskState.UNKNOWN_JOB, jobIndex.recordedTaskState("a"));
     }
 }
--- a/src/test/java/org/granitepath/loopback/FakeWorker.java
+++ b/src/test/java/org/granitepath/loopback/FakeWorker.java
@@ -149,7 +149,7 @@
             advance();
             changed = false;
             sentAgentEpoch = agentEpoch;
-            body = Json.text(heartbeat());
+            body = Json.encode(heartbeat());
         }
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://" + deployment.controllers().get(node) + "/agent/beat"))
@@ -158,7 +158,7 @@
                 .build();
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            Map<String, Object> answer = Json.object(response.body());
+            Map<String, Object> answer = Json.decodeObject(response.body());
             if (response.statusCode() == 200 && answer != null) {
                 accept(answer, sentAgentEpoch, sent);
                 return node;
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -16,7 +16,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.JobSpecCodec;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,13 +30,13 @@
             + "\"due_s\":900.0,\"new_field\":{\"a\":[1]}}";
 
     @Test
-    void submissionIsRead() throws SubmissionCodec.Malformed {
+    void submissionIsRead() throws SubmissionCodec.MalformedSubmissionException {
         JobSpec spec = SubmissionCodec.decode(GOOD);
         assertEquals(8_000, spec.cpuMillis());
         assertEquals(900_000_000, spec.deadlineMicros());
         assertEquals(List.of("g8"), spec.types());
-        assertFalse(spec.service());
-        assertEquals(spec, JobSpecCodec.decode(Json.object(Json.text(JobSpecCodec.encode(spec)))));
+        assertFalse(spec.isService());
+        assertEquals(spec, JobSpecCodec.decode(Json.decodeObject(Json.encode(JobSpecCodec.encode(spec)))));
     }
 
     @ParameterizedTest
@@ -64,7 +64,7 @@
         int at = change.indexOf('>');
         assertTrue(GOOD.contains(change.substring(0, at)), change);
         String body = GOOD.replace(change.substring(0, at), change.substring(at + 1));
-        assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
+        assertThrows(SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
     }
 
     @Test
@@ -115,7 +115,7 @@
 
     @Test
     void commandsAreEncoded() {
-        Map<String, Object> answer = Json.object(WorkerCodec.encode(
+        Map<String, Object> answer = Json.decodeObject(WorkerCodec.encode(
                 new HeartbeatResponse.Accepted(41, List.of(WorkerCommand.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
         assertEquals(
                 Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
@@ -125,12 +125,12 @@
     @Test
     void messagesPassBetweenControllers() {
         PeerPort.PeerStatus status = new PeerPort.PeerStatus("worker-1", 1234, true, 17);
-        assertEquals(status, PeerCodec.decode(PeerCodec.encode(status)));
-        assertNull(PeerCodec.decode(new byte[] {1, 2, 3}));
+        assertEquals(status, PeerCodec.decodeStatus(PeerCodec.encode(status)));
+        assertNull(PeerCodec.decodeStatus(new byte[] {1, 2, 3}));
         PeerPort.CancellationNotice notice = new PeerPort.CancellationNotice("run-000412", 77);
-        assertEquals(notice, PeerCodec.decodeCancelled(PeerCodec.encode(notice)));
-        assertNull(PeerCodec.decodeCancelled(PeerCodec.encode(new PeerPort.CancellationNotice("no job", 77))));
-        assertNull(PeerCodec.decodeCancelled(new byte[] {1, 2, 3}));
+        assertEquals(notice, PeerCodec.decodeCancellation(PeerCodec.encode(notice)));
+        assertNull(PeerCodec.decodeCancellation(PeerCodec.encode(new PeerPort.CancellationNotice("no job", 77))));
+        assertNull(PeerCodec.decodeCancellation(new byte[] {1, 2, 3}));
     }
 
     /** Words that a newer platform may use: the task counts as on its machine, or as exited, and nothing fails. */
@@ -165,27 +165,27 @@
     @Test
     void endOfTransactionsIsRead() {
         assertEquals(
-                new Committed(Outcome.CONFLICT, 12, List.of("g/leader")),
+                new CommitResult(Outcome.CONFLICT, 12, List.of("g/leader")),
                 KeyValueStoreCodec.decodeCommitted(
-                        Outcome.CONFLICT, Json.object("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
+                        Outcome.CONFLICT, Json.decodeObject("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
         assertEquals(
-                new Committed(Outcome.REFUSED, 0, List.of()),
-                KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.object("{\"error\":\"busy\"}")));
+                new CommitResult(Outcome.REFUSED, 0, List.of()),
+                KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.decodeObject("{\"error\":\"busy\"}")));
     }
 
     @Test
     void answersOfTheCloudAreRead() {
-        assertTrue(CloudCodec.isNoCapacity(Json.object("{\"error\":\"no capacity\"}")));
-        assertFalse(CloudCodec.isNoCapacity(Json.object("{\"error\":\"busy\"}")));
+        assertTrue(CloudCodec.isNoCapacity(Json.decodeObject("{\"error\":\"no capacity\"}")));
+        assertFalse(CloudCodec.isNoCapacity(Json.decodeObject("{\"error\":\"busy\"}")));
         assertFalse(CloudCodec.isNoCapacity(Map.of()));
-        assertTrue(CloudCodec.hasMore(Json.object("{\"hosts\":[],\"has_next\":true}")));
-        assertFalse(CloudCodec.hasMore(Json.object("{\"hosts\":[]}")));
+        assertTrue(CloudCodec.hasMore(Json.decodeObject("{\"hosts\":[],\"has_next\":true}")));
+        assertFalse(CloudCodec.hasMore(Json.decodeObject("{\"hosts\":[]}")));
     }
 
     @Test
     void malformedSubmissionsAreAnswered() {
-        SubmissionCodec.Malformed malformed =
-                assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode("[]"));
+        SubmissionCodec.MalformedSubmissionException malformed =
+                assertThrows(SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode("[]"));
         assertEquals("{\"error\":\"not a JSON object\"}", SubmissionCodec.encode(malformed));
     }
 }
--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -14,45 +14,45 @@
 
     @Test
     void acceptedJobWithoutLaterAnswerIsReported() {
-        fixture.tell(ANYWHERE, JobState.PENDING);
-        fixture.tell(SPREAD, JobState.PENDING);
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(SPREAD, JobState.PENDING);
         fixture.runUntil(70_000_000);
-        fixture.tell(SPREAD, JobState.PENDING);
-        fixture.rules().checkKnown(0);
-        fixture.assertNoneBroken();
+        fixture.deliverStatus(SPREAD, JobState.PENDING);
+        fixture.rules().checkAnswered(0);
+        fixture.assertNoViolations();
         fixture.runUntil(76_000_000);
-        fixture.rules().checkKnown(5_000_000);
-        assertTrue(fixture.rules().broken().isEmpty(), "troubles were over only 71 s ago");
+        fixture.rules().checkAnswered(5_000_000);
+        assertTrue(fixture.rules().violations().isEmpty(), "troubles were over only 71 s ago");
 
-        fixture.rules().checkKnown(0);
+        fixture.rules().checkAnswered(0);
 
-        fixture.assertBroken("forgotten");
+        fixture.assertViolation("forgotten");
     }
 
     @Test
     void acceptanceOfUnschedulableJobIsReported() {
-        fixture.rules().submittingUnschedulable("run-9");
-        fixture.rules().told("run-9", new JobResponse.Unschedulable("too large"));
-        fixture.assertNoneBroken();
+        fixture.rules().recordUnschedulableSubmission("run-9");
+        fixture.rules().recordResponse("run-9", new JobResponse.Unschedulable("too large"));
+        fixture.assertNoViolations();
 
-        fixture.tell("run-9", JobState.PENDING);
+        fixture.deliverStatus("run-9", JobState.PENDING);
 
-        fixture.assertBroken("accepted_impossible");
+        fixture.assertViolation("accepted_impossible");
     }
 
     /** An accepted job is reported as not found, then as done before it is, then as running again. */
     @Test
     void contradictoryAnswersAreReported() {
-        fixture.tell(ANYWHERE, JobState.PENDING);
-        fixture.rules().told(ANYWHERE, new JobResponse.NotFound());
-        fixture.assertBroken("forgotten");
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
+        fixture.rules().recordResponse(ANYWHERE, new JobResponse.NotFound());
+        fixture.assertViolation("forgotten");
 
-        fixture.rules().forgetBroken();
-        fixture.tell(ANYWHERE, JobState.DONE);
-        fixture.assertBroken("not_done");
+        fixture.rules().clearViolations();
+        fixture.deliverStatus(ANYWHERE, JobState.DONE);
+        fixture.assertViolation("not_done");
 
-        fixture.rules().forgetBroken();
-        fixture.tell(ANYWHERE, JobState.RUNNING);
-        fixture.assertBroken("went_back");
+        fixture.rules().clearViolations();
+        fixture.deliverStatus(ANYWHERE, JobState.RUNNING);
+        fixture.assertViolation("went_back");
     }
 }
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -1,13 +1,13 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.crowded;
-import static org.granitepath.simulation.FaultScenarios.cutOf;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
-import static org.granitepath.simulation.FaultScenarios.longWork;
-import static org.granitepath.simulation.FaultScenarios.others;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
+import static org.granitepath.simulation.FaultScenarios.otherNodes;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -25,16 +25,16 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsCancelledAsTheyCompleteHaveOneOutcome(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 40, 60 * SECOND);
-        simulation.cancelledAtEnd = 0.6;
-        simulation.users.oddRequests(100 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 40, 60 * SECOND);
+        simulation.cancelAtCompletionShare = 0.6;
+        simulation.users.sendUnusualRequests(100 * SECOND);
 
-        simulation.run(100 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(100 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.users.doneTold() > 2 && simulation.rules.cancellationsTold() > 2);
+        assertTrue(simulation.users.doneResponseCount() > 2 && simulation.rules.cancelledJobCount() > 2);
         assertTrue(
-                simulation.users.unschedulableRefused() > 20,
-                simulation.users.unschedulableRefused() + " jobs that can't run were refused");
+                simulation.users.unschedulableRejectionCount() > 20,
+                simulation.users.unschedulableRejectionCount() + " jobs that can't run were refused");
         assertRulesAndAllDone(simulation);
     }
 
@@ -48,8 +48,8 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledTasksEndWhenStoreRefusesLeaderBeforeOutage(long seed) {
         Simulation simulation = simulation(seed);
-        simulation.peersSendNoCancellations = seed > 2;
-        List<JobSpec> jobs = longWork(simulation, 6, 8, 300 * SECOND);
+        simulation.dropPeerCancellations = seed > 2;
+        List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 8, 300 * SECOND);
 
         Observation<Integer> running = new Observation<>();
         Observation<Integer> confirmed = new Observation<>();
@@ -57,20 +57,21 @@
         Observation<Integer> answeredAfter = new Observation<>();
         simulation.after(70 * SECOND, () -> {
             String leader = simulation.leader();
-            running.set(simulation.rules.running().size());
-            simulation.store.refuse(leader, 14 * SECOND);
+            running.set(simulation.rules.runningJobs().size());
+            simulation.store.refuseRequestsOf(leader, 14 * SECOND);
             jobs.forEach(job -> simulation.users.cancelAt(
-                    others(simulation, leader).get(simulation.world.random.nextInt(4)), job.id()));
+                    otherNodes(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
-                simulation.store.outage(simulation.shape.cancel() + 15 * SECOND);
-                answeredBefore.set(simulation.heartbeatsAccepted(leader));
+                simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 15 * SECOND);
+                answeredBefore.set(simulation.acceptedHeartbeatCount(leader));
             });
             simulation.after(9 * SECOND, () -> {
-                confirmed.set(simulation.rules.cancellationsTold());
-                answeredAfter.set(simulation.heartbeatsAccepted(leader));
+                confirmed.set(simulation.rules.cancelledJobCount());
+                answeredAfter.set(simulation.acceptedHeartbeatCount(leader));
             });
         });
-        simulation.run(70 * SECOND + simulation.shape.cancel() + 20 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(
+                70 * SECOND + simulation.config.cancellationTimeoutMicros() + 20 * SECOND, 400 * SECOND);
 
         assertTrue(
                 running.get() >= 10 && confirmed.get() >= 10,
@@ -84,24 +85,25 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsHoldWhileStoreIsSlowThenRefusesLeaderThenIsDown(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 100 * SECOND);
-        longWork(simulation, 6, 6, 100 * SECOND);
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 100 * SECOND);
+        submitLongRunningJobs(simulation, 6, 6, 100 * SECOND);
 
-        simulation.after(45 * SECOND, () -> simulation.world.heldUp = 0.05);
-        simulation.after(60 * SECOND, () -> simulation.world.heldUp = 0);
+        simulation.after(45 * SECOND, () -> simulation.environment.delayedPacketShare = 0.05);
+        simulation.after(60 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
         Observation<Integer> toldBefore = new Observation<>();
         Observation<Integer> toldAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            simulation.store.refuse(simulation.leader(), 12 * SECOND);
-            toldBefore.set(simulation.rules.cancellationsTold());
+            simulation.store.refuseRequestsOf(simulation.leader(), 12 * SECOND);
+            toldBefore.set(simulation.rules.cancelledJobCount());
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
-            simulation.store.outage(simulation.shape.cancel() + 6 * SECOND);
+            simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
-            toldAfter.set(simulation.rules.cancellationsTold());
+            toldAfter.set(simulation.rules.cancelledJobCount());
         });
-        simulation.run(70 * SECOND + simulation.shape.cancel() + 6 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(
+                70 * SECOND + simulation.config.cancellationTimeoutMicros() + 6 * SECOND, 600 * SECOND);
 
         assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
         assertRulesAndAllDone(simulation);
@@ -112,18 +114,18 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void cancelledTasksEndInZoneCutOffForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 6, 8, 70 * SECOND);
+        submitLongRunningJobs(simulation, 6, 8, 70 * SECOND);
 
         simulation.after(
                 50 * SECOND,
-                () -> simulation.faults.cutZone(
+                () -> simulation.faults.partitionZone(
                         seed % 3 == 0 ? simulation.zoneOf(simulation.leader()) : "south",
-                        cutOf(seed),
-                        simulation.shape.lease() + 12 * SECOND));
+                        partitionModeOf(seed),
+                        simulation.config.leaseMicros() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
         Observation<Integer> told =
-                simulation.observe(50 * SECOND + simulation.shape.lease(), simulation.rules::cancellationsTold);
-        simulation.run(65 * SECOND + simulation.shape.lease(), 500 * SECOND);
+                simulation.observe(50 * SECOND + simulation.config.leaseMicros(), simulation.rules::cancelledJobCount);
+        simulation.runWithLivenessChecks(65 * SECOND + simulation.config.leaseMicros(), 500 * SECOND);
 
         assertTrue(told.get() > 0, "nothing was cancelled in the cut");
         assertRulesAndAllDone(simulation);
@@ -138,22 +140,22 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksCancelledBeforeTheirZoneIsCutOffAreStopped(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 6, 8, 200 * SECOND);
+        submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
         Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
             simulation.cloud.workers().stream()
                     .filter(worker -> worker.zone.equals(zone))
-                    .forEach(worker ->
-                            simulation.faults.cut(simulation.leader(), worker.id, World.Cut.DROP, 60 * SECOND));
+                    .forEach(worker -> simulation.faults.partition(
+                            simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
-                told.set(simulation.rules.cancellationsTold());
-                simulation.faults.cutZone(zone, World.Cut.DROP, 50 * SECOND);
+                told.set(simulation.rules.cancelledJobCount());
+                simulation.faults.partitionZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
-        simulation.run(125 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(125 * SECOND, 900 * SECOND);
 
         assertEquals(10, told.get(), "cancellations confirmed before the cut");
         assertRulesAndAllDone(simulation);
@@ -164,24 +166,25 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksOfReplacedLeaderEndWhenNewLeaderCancelsThem(long seed) {
         Simulation simulation = simulation(seed);
-        List<JobSpec> jobs = longWork(simulation, 6, 8, 200 * SECOND);
+        List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
         Observation<Integer> told = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
-            simulation.faults.cutFromPeersAndStore(former, cutOf(seed), 70 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(former, partitionModeOf(seed), 70 * SECOND);
             simulation.after(6 * SECOND, () -> {
                 String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
                 // The new leader can't reach any machine: only lease expiry can end tasks that the former one keeps
                 // alive.
-                others(simulation, former)
-                        .forEach(node -> simulation.faults.cutFromWorkers(node, World.Cut.DROP, 64 * SECOND));
+                otherNodes(simulation, former)
+                        .forEach(node -> simulation.faults.partitionFromWorkers(
+                                node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
-            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancellationsTold()));
+            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
         });
-        simulation.run(135 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(135 * SECOND, 900 * SECOND);
 
         assertEquals(9, told.get(), "cancellations confirmed by the new leader");
         assertRulesAndAllDone(simulation);
@@ -195,20 +198,20 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndWhenLeaderRenewsItsLeaseButCannotRead(long seed) {
         Simulation simulation = simulation(seed);
-        simulation.peersSendNoCancellations = true;
-        List<JobSpec> jobs = longWork(simulation, 6, 6, 300 * SECOND);
+        simulation.dropPeerCancellations = true;
+        List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 6, 300 * SECOND);
 
         simulation.after(60 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.store.blindFor(leader, 2 * simulation.shape.cancel());
+            simulation.store.dropReadsOf(leader, 2 * simulation.config.cancellationTimeoutMicros());
             simulation.after(
                     2 * SECOND,
-                    () -> jobs.forEach(job ->
-                            simulation.users.cancelAt(others(simulation, leader).get(0), job.id())));
+                    () -> jobs.forEach(job -> simulation.users.cancelAt(
+                            otherNodes(simulation, leader).get(0), job.id())));
         });
-        simulation.run(60 * SECOND + 2 * simulation.shape.cancel(), 300 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND + 2 * simulation.config.cancellationTimeoutMicros(), 300 * SECOND);
 
-        assertTrue(simulation.rules.cancellationsTold() >= 10);
+        assertTrue(simulation.rules.cancelledJobCount() >= 10);
         assertRules(simulation);
     }
 
@@ -217,15 +220,15 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndOnHangingMachines(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 6, 8, 200 * SECOND);
+        submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
         Observation<Integer> hung = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            long hangMicros = seed < 3 ? 8 * SECOND : simulation.shape.lease() + 6 * SECOND;
+            long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.leaseMicros() + 6 * SECOND;
             hung.set(simulation.users.cancelRunning(8, hangMicros).size());
-            leaderEnds(simulation, SECOND, 300_000);
+            crashLeaderAfter(simulation, SECOND, 300_000);
         });
-        simulation.run(75 * SECOND + simulation.shape.lease(), 800 * SECOND);
+        simulation.runWithLivenessChecks(75 * SECOND + simulation.config.leaseMicros(), 800 * SECOND);
 
         assertTrue(hung.get() > 4);
         assertRulesAndAllDone(simulation);
@@ -239,23 +242,23 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledJobsStartNoTaskWhileLeaderReadsLag(long seed) {
-        Simulation simulation = crowded(seed);
-        simulation.peersSendNoCancellations = seed % 2 == 1;
-        longWork(simulation, 1, 40, 3 * SECOND);
+        Simulation simulation = withFewMachines(seed);
+        simulation.dropPeerCancellations = seed % 2 == 1;
+        submitLongRunningJobs(simulation, 1, 40, 3 * SECOND);
 
         for (int i = 0; i < 8; i++) {
             simulation.after((30 + 6 * i) * SECOND, () -> {
                 String leader = simulation.leader();
-                simulation.store.blindFor(leader, 2_500_000);
-                simulation.rules.running().stream()
+                simulation.store.dropReadsOf(leader, 2_500_000);
+                simulation.rules.runningJobs().stream()
                         .limit(6)
                         .forEach(job -> simulation.users.cancelAt(
-                                others(simulation, leader).get(0), job));
+                                otherNodes(simulation, leader).get(0), job));
             });
         }
-        simulation.run(85 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(85 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.rules.cancellationsTold() > 10, simulation.rules.cancellationsTold() + " cancellations");
+        assertTrue(simulation.rules.cancelledJobCount() > 10, simulation.rules.cancelledJobCount() + " cancellations");
         assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/CancellationRules.java
+++ b/src/test/java/org/granitepath/simulation/CancellationRules.java
@@ -5,62 +5,73 @@
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.granitepath.coordination.ports.TaskId;
 
-/** After a confirmed cancellation no start is sent, and what runs ends within the time that the settings allow. */
+/**
+ * Checks that controllers send no start command for a job after its cancellation was confirmed, and that its tasks end
+ * within the cancellation timeout of the settings.
+ */
 final class CancellationRules {
-    /** For so long after its time is over, each step looks for tasks of a cancelled job. */
-    private static final long WATCHED_MICROS = 120_000_000;
+    /** How long after the cancellation timeout each check looks for tasks of a cancelled job. */
+    private static final long WATCH_PERIOD_MICROS = 120_000_000;
 
-    private final World world;
-    private final Breaches breaches;
+    private final SimEnvironment environment;
+    private final ViolationReporter violations;
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
-    private final long cancelMicros;
-    private final Map<String, Long> confirmedAt = new TreeMap<>();
+    private final long cancellationTimeoutMicros;
+    private final Map<String, Long> confirmedAtMicros = new TreeMap<>();
 
-    /** @param cancelMicros for how long tasks may go on once their cancellation is confirmed */
+    /** @param cancellationTimeoutMicros how long tasks may run after their cancellation was confirmed */
     CancellationRules(
-            World world, Breaches breaches, JobHistory jobs, TaskPlacementRules placements, long cancelMicros) {
-        this.world = world;
-        this.breaches = breaches;
+            SimEnvironment environment,
+            ViolationReporter violations,
+            JobHistory jobs,
+            TaskPlacementRules placements,
+            long cancellationTimeoutMicros) {
+        this.environment = environment;
+        this.violations = violations;
         this.jobs = jobs;
         this.placements = placements;
-        this.cancelMicros = cancelMicros;
+        this.cancellationTimeoutMicros = cancellationTimeoutMicros;
     }
 
-    /** A user was told for the first time that the job is cancelled. */
-    void confirmed(String job) {
-        confirmedAt.put(job, world.now());
+    /** Records the first response that confirms the cancellation of a job. */
+    void recordConfirmation(String job) {
+        confirmedAtMicros.put(job, environment.nowMicros());
     }
 
-    /** A controller sends the command to start this task. */
-    void startSent(TaskId task) {
-        if (jobs.finalTold(task.job()) == JobState.CANCELLED) {
-            breaches.add("started_cancelled", "a start of " + task + " is sent after the cancellation was confirmed");
+    /** Checks a start command that a controller sends. */
+    void recordStartSent(TaskId task) {
+        if (jobs.finalState(task.job()) == JobState.CANCELLED) {
+            violations.report(
+                    "started_cancelled", "the start of " + task + " was sent after its cancellation was confirmed");
         }
     }
 
-    /** A task is on a machine now. */
-    void started(TaskId task) {
+    /** Checks a task that has started on a machine. */
+    void recordTaskStarted(TaskId task) {
         if (isOverdue(task)) {
-            breaches.add("ran_cancelled", task + " starts");
+            violations.report("ran_cancelled", task + " started");
         }
     }
 
-    /** Nothing of a cancelled job may be left when its time is over. */
+    /** Checks that no task of a cancelled job is on a machine after the cancellation timeout. */
     void check() {
-        if (confirmedAt.isEmpty()) {
+        if (confirmedAtMicros.isEmpty()) {
             return;
         }
         for (TaskId task : placements.tasks()) {
             if (isOverdue(task)) {
-                breaches.add("ran_cancelled", task + " is still on " + placements.hostOf(task));
+                violations.report("ran_cancelled", task + " is still on " + placements.hostOf(task));
             }
         }
-        confirmedAt.values().removeIf(confirmed -> world.now() > confirmed + cancelMicros + WATCHED_MICROS);
+        confirmedAtMicros
+                .values()
+                .removeIf(confirmedMicros ->
+                        environment.nowMicros() > confirmedMicros + cancellationTimeoutMicros + WATCH_PERIOD_MICROS);
     }
 
     private boolean isOverdue(TaskId task) {
-        Long confirmed = confirmedAt.get(task.job());
-        return confirmed != null && world.now() > confirmed + cancelMicros;
+        Long confirmedMicros = confirmedAtMicros.get(task.job());
+        return confirmedMicros != null && environment.nowMicros() > confirmedMicros + cancellationTimeoutMicros;
     }
 }
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.submitServices;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
@@ -31,19 +31,23 @@
         for (int i = 0; i < 12; i++) {
             long at = 2 * SECOND + 5L * i * SECOND;
             simulation.after(at, () -> {
-                boolean spot = simulation.world.random.nextBoolean();
-                simulation.users.submit(
-                        simulation.jobs.work(120, 25 * SECOND).onSpot(spot).create());
+                boolean spot = simulation.environment.random.nextBoolean();
+                simulation.users.submit(simulation
+                        .jobs
+                        .batchBuilder(120, 25 * SECOND)
+                        .onSpot(spot)
+                        .build());
             });
             simulation.after(at, () -> simulation.users.submit(simulation.jobs.service(6), 120 * SECOND));
         }
         Observation<Integer> machines =
                 simulation.observe(45 * SECOND, () -> simulation.cloud.workers().size());
-        leaderEnds(simulation, 45 * SECOND, 4 * SECOND);
-        leaderEnds(simulation, 49 * SECOND, 300_000);
-        simulation.after(70 * SECOND, () -> simulation.names.forEach(node -> simulation.faults.crash(node, SECOND)));
-        simulation.after(75 * SECOND, () -> simulation.store.outage(10 * SECOND));
-        simulation.run(100 * SECOND, 300 * SECOND);
+        crashLeaderAfter(simulation, 45 * SECOND, 4 * SECOND);
+        crashLeaderAfter(simulation, 49 * SECOND, 300_000);
+        simulation.after(
+                70 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND)));
+        simulation.after(75 * SECOND, () -> simulation.store.startOutage(10 * SECOND));
+        simulation.runWithLivenessChecks(100 * SECOND, 300 * SECOND);
 
         assertTrue(machines.get() > 150, "only " + machines.get() + " machines");
         assertRulesAndAllDone(simulation);
@@ -69,7 +73,7 @@
                 }
             });
         }
-        simulation.run(310 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(310 * SECOND, 900 * SECOND);
 
         simulation.rules.checkServed();
         assertRules(simulation);
@@ -77,19 +81,19 @@
 
     private static JobSpec standardJob(Simulation simulation, int number) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(number % 10 == 3 ? 60 : 16, 15 * SECOND)
+        return jobs.batchBuilder(number % 10 == 3 ? 60 : 16, 15 * SECOND)
                 .team(number % 7 == 0 ? "tight" : "free")
                 .onSpot()
-                .create();
+                .build();
     }
 
     private static JobSpec bestEffortJob(Simulation simulation, int number) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(number % 8 == 0 ? 40 : 6, 12 * SECOND)
+        return jobs.batchBuilder(number % 8 == 0 ? 40 : 6, 12 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .checkpointEvery(3 * SECOND)
-                .create();
+                .build();
     }
 
     /** Services keep arriving, and for most of them capacity is free when they arrive. */
@@ -108,7 +112,7 @@
 
         assertRules(simulation);
         long prompt = late.stream()
-                .filter(job -> simulation.rules.begunAfter(job.id()) < 5 * SECOND)
+                .filter(job -> simulation.rules.startDelayMicros(job.id()) < 5 * SECOND)
                 .count();
         assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
     }
@@ -120,7 +124,7 @@
     @Test
     void cleanupOfMachinesWithManyTasksDrawsFewFencingTokens() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.replicas(31).create();
+        JobSpec like = simulation.jobs.serviceBuilder(31).build();
         for (int i = 0; i < 4; i++) {
             simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
         }
@@ -132,7 +136,7 @@
         simulation.run(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        int drawn = simulation.store.writesOf(Keys.FENCING_TOKEN);
+        int drawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
         assertTrue(drawn < 60, drawn + " fencing tokens drawn");
     }
 
@@ -155,15 +159,15 @@
     @ValueSource(longs = {77, 78, 79})
     void machinesThatNeverBootAreReplacedEarly(long seed) {
         Simulation simulation = new Simulation(seed, 3, 5);
-        simulation.cloud.neverUp = 2;
+        simulation.cloud.remainingBootFailures = 2;
         JobSpec job = simulation.jobs.service(4);
         simulation.users.submit(job);
         simulation.run(90 * SECOND);
 
         assertRules(simulation);
         assertTrue(
-                simulation.rules.begunAfter(job.id()) < 45 * SECOND,
-                "begun after " + simulation.rules.begunAfter(job.id()) / SECOND + " s");
+                simulation.rules.startDelayMicros(job.id()) < 45 * SECOND,
+                "begun after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
     }
 
     /**
@@ -184,7 +188,7 @@
 
         assertRulesAndAllDone(simulation);
         long inTime = jobs.stream()
-                .filter(job -> simulation.rules.finishedAfter(job.id()) <= job.deadlineMicros())
+                .filter(job -> simulation.rules.finishDelayMicros(job.id()) <= job.deadlineMicros())
                 .count();
         assertTrue(inTime >= 4, inTime + " of " + jobs.size() + " in time");
     }
--- a/src/test/java/org/granitepath/simulation/GangScenario.java
+++ b/src/test/java/org/granitepath/simulation/GangScenario.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.granitepath.storage.JobSpec;
 
-/** A small deployment to which one gang is submitted, and the moments at which troubles may strike it. */
+/** A small deployment with one gang job, which tests run up to the moment at which they inject a fault. */
 final class GangScenario {
     private static final long SECOND = Simulation.SECOND;
-    private static final long LATEST_START = 120 * SECOND;
+    private static final long LATEST_START_MICROS = 120 * SECOND;
 
     private final Simulation simulation;
     private final JobSpec spec;
@@ -18,34 +18,37 @@
         this.spec = spec;
     }
 
-    /** A gang of work for the team without limits. */
-    static JobSpec gang(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
+    /** The spec of a gang job in one zone, of the team without limits. */
+    static JobSpec gangSpec(Simulation simulation, int tasks, boolean spot, long runMicros, long checkpointMicros) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(tasks, runMicros)
+        return jobs.batchBuilder(tasks, runMicros)
                 .onSpot(spot)
                 .inOneZone()
                 .checkpointEvery(checkpointMicros)
-                .create();
+                .build();
     }
 
-    /** A gang that may use spot machines, with capacity for another attempt elsewhere. */
+    /** A gang that may use spot machines, with capacity for another attempt on other machines. */
     static GangScenario onSpotMachines(long seed, int tasks, long runMicros, long checkpointMicros) {
         Simulation simulation = new Simulation(seed);
-        JobSpec spec = gang(simulation, tasks, true, runMicros, checkpointMicros);
+        JobSpec spec = gangSpec(simulation, tasks, true, runMicros, checkpointMicros);
         simulation.run(SECOND);
         simulation.users.submit(spec);
         return new GangScenario(simulation, spec);
     }
 
-    /** Small gangs fit one machine: a service that fills most of each makes the gang take several. */
+    /**
+     * A gang on several machines. A small gang would fit on one machine, so services first take most of the capacity of
+     * each.
+     */
     static GangScenario onSeveralMachines(long seed, int tasks, long runMicros) {
         Simulation simulation = new Simulation(seed);
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(
-                    simulation.jobs.withCpu(simulation.jobs.replicas(1).create(), 1, 11_000));
+                    simulation.jobs.withCpu(simulation.jobs.serviceBuilder(1).build(), 1, 11_000));
         }
         simulation.run(30 * SECOND);
-        JobSpec spec = gang(simulation, tasks, false, runMicros, 3 * SECOND);
+        JobSpec spec = gangSpec(simulation, tasks, false, runMicros, 3 * SECOND);
         simulation.users.submit(spec);
         return new GangScenario(simulation, spec);
     }
@@ -55,45 +58,45 @@
     }
 
     /** The id of the gang's job. */
-    String job() {
+    String jobId() {
         return spec.id();
     }
 
-    /** The machines that hold tasks of the gang, on their way or at work. */
-    List<SimWorker> holders() {
+    /** The workers with tasks of the gang that have not exited. */
+    List<SimWorker> workersWithTasks() {
         return simulation.cloud.workers().stream()
-                .filter(worker -> worker.runs().held().containsKey(spec.id()))
+                .filter(worker -> worker.attempts().taskCountsByJob().containsKey(spec.id()))
                 .toList();
     }
 
-    int tasksHeld() {
-        return holders().stream()
-                .mapToInt(worker -> worker.runs().held().get(spec.id()))
+    int heldTaskCount() {
+        return workersWithTasks().stream()
+                .mapToInt(worker -> worker.attempts().taskCountsByJob().get(spec.id()))
                 .sum();
     }
 
-    /** How many attempts there have been. */
-    long attempts() {
-        return simulation.gangs.attemptsOf(spec.id());
+    /** How many attempts of the gang there have been. */
+    long attemptCount() {
+        return simulation.gangs.attemptCount(spec.id());
     }
 
     void runFor(long micros) {
-        simulation.run(simulation.world.now() + micros);
+        simulation.run(simulation.environment.nowMicros() + micros);
     }
 
-    /** Until each task is on a machine; it may be fetching its image. */
-    void runUntilHeld() {
-        while (tasksHeld() < spec.tasks()) {
+    /** Runs until each task of the gang is on a machine, possibly still fetching its image. */
+    void runUntilPlaced() {
+        while (heldTaskCount() < spec.tasks()) {
             runFor(SECOND / 10);
-            assertTrue(simulation.world.now() < LATEST_START, "the gang is not started");
+            assertTrue(simulation.environment.nowMicros() < LATEST_START_MICROS, "the gang is not started");
         }
     }
 
-    /** Until the gang works. */
+    /** Runs until all tasks of the gang run. */
     void runUntilRunning() {
-        while (!simulation.gangs.runs(spec.id())) {
+        while (!simulation.gangs.isRunning(spec.id())) {
             runFor(SECOND / 10);
-            assertTrue(simulation.world.now() < LATEST_START, "the gang does not run");
+            assertTrue(simulation.environment.nowMicros() < LATEST_START_MICROS, "the gang does not run");
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -1,7 +1,7 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.cutOf;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,14 +24,15 @@
     void gangsStartWholeAndFinish(long seed) {
         Simulation simulation = new Simulation(seed);
         for (int i = 0; i < 12; i++) {
-            JobSpec spec = GangScenario.gang(simulation, i % 3 == 0 ? 9 : SIZE, i % 2 == 0, 10 * SECOND, 3 * SECOND);
+            JobSpec spec =
+                    GangScenario.gangSpec(simulation, i % 3 == 0 ? 9 : SIZE, i % 2 == 0, 10 * SECOND, 3 * SECOND);
             simulation.after((2 + 3 * i) * SECOND, () -> simulation.users.submit(spec));
         }
         simulation.run(200 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(12, simulation.gangs.started(), "each gang starts once");
-        assertEquals(0, simulation.gangs.incomplete(), "tasks that waited in vain");
+        assertEquals(12, simulation.gangs.startedAttemptCount(), "each gang starts once");
+        assertEquals(0, simulation.gangs.startTimeoutCount(), "tasks that waited in vain");
     }
 
     /** A task's machine dies while it pulls its image. The other tasks wait, and a replacement joins them. */
@@ -39,14 +40,14 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void taskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, SIZE, 10 * SECOND);
-        gang.runUntilHeld();
-        assertTrue(gang.holders().size() > 1, "all on one machine");
+        gang.runUntilPlaced();
+        assertTrue(gang.workersWithTasks().size() > 1, "all on one machine");
 
-        gang.holders().get(0).die();
+        gang.workersWithTasks().get(0).die();
         gang.runFor(60 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
-        assertEquals(1, gang.attempts());
+        assertEquals(1, gang.attemptCount());
     }
 
     /** No task starts before the old attempt has ended, and the next attempt resumes from the last checkpoint. */
@@ -57,11 +58,11 @@
         gang.runUntilRunning();
 
         gang.runFor(2 * SECOND);
-        gang.holders().get(0).die();
+        gang.workersWithTasks().get(0).die();
         gang.runFor(100 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
-        assertEquals(2, gang.attempts());
+        assertEquals(2, gang.attemptCount());
     }
 
     /** A hanging machine may resume later, so its tasks start on no other machine before its lease has expired. */
@@ -71,7 +72,7 @@
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 20 * SECOND);
         gang.runUntilRunning();
 
-        gang.holders().get(0).hangFor(9 * SECOND);
+        gang.workersWithTasks().get(0).hangFor(9 * SECOND);
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(gang.simulation());
@@ -86,13 +87,13 @@
         gang.runUntilRunning();
 
         gang.runFor(5 * SECOND);
-        SimWorker taken = gang.holders().get(0);
-        taken.notice(8 * SECOND);
+        SimWorker taken = gang.workersWithTasks().get(0);
+        taken.announceTermination(8 * SECOND);
         simulation.after(8 * SECOND, taken::die);
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(1, simulation.gangs.savedInOrder(), "its progress was not saved");
+        assertEquals(1, simulation.gangs.savedAttemptCount(), "its progress was not saved");
     }
 
     /** Whatever state the gang is in when the leader crashes, the next leader continues the same attempt. */
@@ -101,15 +102,15 @@
     void newLeaderContinuesTheAttempt(long millis) {
         GangScenario gang = GangScenario.onSeveralMachines(millis + 1, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
 
         gang.runFor(millis * 1_000);
         simulation.faults.crash(simulation.leader(), 3 * SECOND);
-        leaderEnds(simulation, 5 * SECOND, 400_000);
+        crashLeaderAfter(simulation, 5 * SECOND, 400_000);
         gang.runFor(120 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(1, gang.attempts());
+        assertEquals(1, gang.attemptCount());
     }
 
     /** A machine can't be reached while the leader changes. No other attempt starts while tasks may run there. */
@@ -118,12 +119,12 @@
     void takeoverWithUnresponsiveMachineStartsNoConcurrentAttempt(long seed) {
         GangScenario gang = GangScenario.onSeveralMachines(seed, 9, 10 * SECOND);
         Simulation simulation = gang.simulation();
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
 
         gang.runFor(seed * SECOND);
-        simulation.faults.cutMachine(gang.holders().get(0), cutOf(seed), 20 * SECOND);
+        simulation.faults.partitionMachine(gang.workersWithTasks().get(0), partitionModeOf(seed), 20 * SECOND);
         simulation.faults.crash(simulation.leader(), SECOND);
-        leaderEnds(simulation, 7 * SECOND, SECOND);
+        crashLeaderAfter(simulation, 7 * SECOND, SECOND);
         gang.runFor(200 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -134,22 +135,22 @@
     void cancellationEndsGangInAnyState(long millis) {
         GangScenario gang = GangScenario.onSeveralMachines(millis + 7, 9, 30 * SECOND);
         Simulation simulation = gang.simulation();
-        gang.runUntilHeld();
+        gang.runUntilPlaced();
 
         gang.runFor(millis * 1_000);
-        simulation.users.cancel(gang.job());
+        simulation.users.cancel(gang.jobId());
         simulation.faults.crash(simulation.leader(), SECOND);
         gang.runFor(60 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.CANCELLED, simulation.rules.finalTold(gang.job()));
-        assertEquals(0, gang.tasksHeld());
+        assertEquals(JobState.CANCELLED, simulation.rules.finalState(gang.jobId()));
+        assertEquals(0, gang.heldTaskCount());
     }
 
     /** A gang that needs the whole of a large machine of this deployment. */
     private static JobSpec gangForALargeMachine(Simulation simulation) {
         return simulation.jobs.withCpu(
-                simulation.jobs.work(SIZE, 8 * SECOND).inOneZone().create(), SIZE, 4_000);
+                simulation.jobs.batchBuilder(SIZE, 8 * SECOND).inOneZone().build(), SIZE, 4_000);
     }
 
     /** A steady stream of small jobs must not keep a gang from ever getting the whole large machine that it needs. */
@@ -157,7 +158,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void gangIsNotStarvedBySmallJobs(long seed) {
         Simulation simulation =
-                new Simulation(seed, Shape.small().withControllers(3).withPerOffer(1));
+                new Simulation(seed, SimulationConfig.small().withControllers(3).withMachinesPerOffer(1));
         for (int i = 0; i < 130; i++) {
             simulation.after(SECOND * i, () -> simulation.users.submit(simulation.jobs.batch(8, 8 * SECOND)));
         }
@@ -166,7 +167,7 @@
         simulation.run(110 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.DONE, simulation.rules.finalTold(spec.id()), "the gang waits");
+        assertEquals(JobState.DONE, simulation.rules.finalState(spec.id()), "the gang waits");
     }
 
     /** There is capacity for one gang at a time. No gang keeps a part of the capacity that another one needs. */
@@ -174,7 +175,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void gangsThatNeedTheSameCapacityAllComplete(long seed) {
         Simulation simulation =
-                new Simulation(seed, Shape.small().withControllers(3).withPerOffer(1));
+                new Simulation(seed, SimulationConfig.small().withControllers(3).withMachinesPerOffer(1));
         for (int i = 0; i < 6; i++) {
             JobSpec spec = gangForALargeMachine(simulation);
             simulation.after(2 * SECOND, () -> simulation.users.submit(spec));
@@ -195,8 +196,8 @@
         simulation.run(60 * SECOND);
 
         assertRules(simulation);
-        assertNull(simulation.rules.finalTold(wide.id()));
-        assertTrue(!simulation.rules.acceptedJob(wide.id()), "accepted, though it can't run");
-        assertEquals(JobState.DONE, simulation.rules.finalTold(narrow.id()));
+        assertNull(simulation.rules.finalState(wide.id()));
+        assertTrue(!simulation.rules.isAccepted(wide.id()), "accepted, though it can't run");
+        assertEquals(JobState.DONE, simulation.rules.finalState(narrow.id()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/LargeFleetTest.java
+++ b/src/test/java/org/granitepath/simulation/LargeFleetTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,16 +22,19 @@
                 new Simulation(
                         1,
                         FaultScenarios.LONG_LEASES
-                                .withPerOffer(213)
+                                .withMachinesPerOffer(213)
                                 .withHeartbeatInterval(5 * SECOND)
-                                .withConnections(1_519)),
+                                .withMaxConnections(1_519)),
                 1_500);
     }
 
     /** Fewer machines, with a heartbeat every two seconds, and short leases. */
     @Test
     void rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats() {
-        day(new Simulation(2, FaultScenarios.SHORT_LEASES.withPerOffer(97).withConnections(2_257)), 700);
+        day(
+                new Simulation(
+                        2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withMaxConnections(2_257)),
+                700);
     }
 
     /**
@@ -43,14 +46,14 @@
         Simulation simulation = RecoveryLoad.fleet(3, RecoveryLoad.Size.LARGE);
         Observation<Long> running = new Observation<>();
         Observation<Integer> refusalsBefore = new Observation<>();
-        simulation.after(RecoveryLoad.RESTART, () -> {
-            running.set(simulation.rules.tasksUp());
-            refusalsBefore.set(simulation.store.refusals());
+        simulation.after(RecoveryLoad.RESTART_MICROS, () -> {
+            running.set(simulation.rules.runningTaskCount());
+            refusalsBefore.set(simulation.store.rateLimitedRequestCount());
             simulation.faults.crashAll(SECOND);
         });
-        simulation.run(RecoveryLoad.RESTART + 30 * SECOND);
+        simulation.run(RecoveryLoad.RESTART_MICROS + 30 * SECOND);
 
-        RecoveryStatus status = simulation.recovery();
+        RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(RecoveryPhase.RECOVERED, status.phase());
         assertTrue(
                 status.term().machines().takenOver() >= 4_000,
@@ -60,17 +63,17 @@
         assertTrue(
                 status.term().comparisonCount() < 12L * running.get(),
                 status.term().comparisonCount() + " comparisons of " + running.get() + " tasks");
-        int refusals = simulation.store.refusals() - refusalsBefore.get();
+        int refusals = simulation.store.rateLimitedRequestCount() - refusalsBefore.get();
         assertTrue(refusals < 150, refusals + " requests came too fast");
         assertTrue(
-                simulation.mostCalls <= simulation.shape.connections() / 6,
-                simulation.mostCalls + " calls to machines at once");
-        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
-        simulation.run(RecoveryLoad.RESTART + 90 * SECOND);
+                simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
+                simulation.maxConcurrentCalls + " calls to machines at once");
+        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
+        simulation.run(RecoveryLoad.RESTART_MICROS + 90 * SECOND);
 
         assertEquals(
                 List.of(),
-                simulation.rules.broken().stream().distinct().limit(5).toList());
+                simulation.rules.violations().stream().distinct().limit(5).toList());
     }
 
     /** A leader pauses, a zone is cut off while a leader crashes, and then all controllers crash at once. */
@@ -87,30 +90,33 @@
         }
         Observation<Integer> machinesUp =
                 simulation.observe(70 * SECOND, () -> simulation.cloud.workers().size());
-        simulation.after(70 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 33 * SECOND));
-        simulation.after(112 * SECOND, () -> simulation.faults.cutZone("south", World.Cut.HOLD, 30 * SECOND));
-        leaderEnds(simulation, 118 * SECOND, 300_000);
+        simulation.after(70 * SECOND, () -> simulation.faults.pause(simulation.leader(), 33 * SECOND));
+        simulation.after(
+                112 * SECOND,
+                () -> simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND));
+        crashLeaderAfter(simulation, 118 * SECOND, 300_000);
         simulation.after(
                 160 * SECOND,
-                () -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, 300_000 + simulation.world.random.nextInt(4_000_000))));
-        simulation.run(170 * SECOND, 400 * SECOND);
+                () -> simulation.nodeNames.forEach(node ->
+                        simulation.faults.crash(node, 300_000 + simulation.environment.random.nextInt(4_000_000))));
+        simulation.runWithLivenessChecks(170 * SECOND, 400 * SECOND);
 
         assertEquals(
                 List.of(),
-                simulation.rules.broken().stream().distinct().limit(5).toList());
+                simulation.rules.violations().stream().distinct().limit(5).toList());
         assertTrue(machinesUp.get() >= machines, "only " + machinesUp.get() + " machines");
-        assertEquals(List.of(), simulation.users.unfinishedBatches());
+        assertEquals(List.of(), simulation.users.unfinishedBatchJobs());
         simulation.rules.checkServed();
-        assertEquals(List.of(), simulation.rules.broken());
-        assertEquals(0, simulation.store.oversized(), "a transaction or a value over its limit");
+        assertEquals(List.of(), simulation.rules.violations());
+        assertEquals(0, simulation.store.oversizedTransactionCount(), "a transaction or a value over its limit");
         assertTrue(
-                simulation.store.refusals() < simulation.store.requests() / 20,
-                simulation.store.refusals() + " of " + simulation.store.requests() + " requests came too fast");
+                simulation.store.rateLimitedRequestCount() < simulation.store.requestCount() / 20,
+                simulation.store.rateLimitedRequestCount() + " of " + simulation.store.requestCount()
+                        + " requests came too fast");
         assertTrue(
-                simulation.mostCalls <= simulation.shape.connections() / 6,
-                simulation.mostCalls + " calls to machines at once");
-        int busy = simulation.cloud.terminatedBusy().size();
+                simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
+                simulation.maxConcurrentCalls + " calls to machines at once");
+        int busy = simulation.cloud.terminatedWhileBusy().size();
         assertTrue(busy < machines / 50, busy + " machines returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -1,8 +1,8 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.cutOf;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
+import static org.granitepath.simulation.FaultScenarios.partitionModeOf;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -31,11 +31,11 @@
 
         simulation.after(35 * SECOND, () -> {
             String leader = simulation.leader();
-            simulation.faults.cut(leader, SimStore.NAME, World.Cut.HOLD, 120 * SECOND);
+            simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 120 * SECOND);
             // The successors can't reach the workers, so only lease expiry can end the tasks.
-            for (String node : simulation.names) {
+            for (String node : simulation.nodeNames) {
                 if (!node.equals(leader)) {
-                    simulation.faults.cutFromWorkers(node, World.Cut.DROP, 120 * SECOND);
+                    simulation.faults.partitionFromWorkers(node, SimEnvironment.PartitionMode.DROP, 120 * SECOND);
                 }
             }
         });
@@ -48,15 +48,16 @@
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
     void cancelledTasksEndWhenTheLeaderReachesOnlyItsWorkers(long seed) {
-        Simulation simulation = withJobs(seed, 25, 80 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 25, 80 * SECOND);
         for (int i = 0; i < 3; i++) {
             simulation.users.submit(simulation.jobs.service(4), (30 + 6 * i) * SECOND);
         }
 
         simulation.after(
                 32 * SECOND,
-                () -> simulation.faults.cutFromPeersAndStore(simulation.leader(), cutOf(seed), 70 * SECOND));
-        simulation.run(110 * SECOND, 300 * SECOND);
+                () -> simulation.faults.partitionFromPeersAndStore(
+                        simulation.leader(), partitionModeOf(seed), 70 * SECOND));
+        simulation.runWithLivenessChecks(110 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -68,26 +69,28 @@
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
     void jobAcceptedByReplacedLeaderBelongsToItsSuccessor(long seed) {
-        Simulation simulation = withJobs(seed, 10, 30 * SECOND);
+        Simulation simulation = withRandomJobs(seed, 10, 30 * SECOND);
 
         simulation.after(40 * SECOND, () -> {
             String former = simulation.leader();
-            simulation.faults.cut(former, SimStore.NAME, World.Cut.HOLD, 4 * SECOND);
+            simulation.faults.partition(former, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 4 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 2) {
                 String host = all.get(i).id;
-                simulation.names.stream()
+                simulation.nodeNames.stream()
                         .filter(node -> !node.equals(former))
-                        .forEach(node -> simulation.faults.cut(node, host, World.Cut.DROP, 8 * SECOND));
+                        .forEach(node ->
+                                simulation.faults.partition(node, host, SimEnvironment.PartitionMode.DROP, 8 * SECOND));
             }
             for (int i = 0; i < 12; i++) {
                 simulation.after(
                         3_800_000 + i * 30_000L,
                         () -> simulation.users.submitAt(
-                                former, simulation.jobs.work(5, 20 * SECOND).create()));
+                                former,
+                                simulation.jobs.batchBuilder(5, 20 * SECOND).build()));
             }
         });
-        simulation.run(60 * SECOND, 300 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -103,11 +106,11 @@
     void pausedLeaderKeepsNoCancelledTaskAlive(long seed) {
         Simulation simulation = new Simulation(
                 seed,
-                Shape.small()
+                SimulationConfig.small()
                         .withControllers(2)
                         .withHeartbeatInterval(2 * SECOND)
                         .withLease(27 * SECOND)
-                        .withCancel(46 * SECOND));
+                        .withCancellationTimeout(46 * SECOND));
         List<JobSpec> services = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             JobSpec service = simulation.jobs.service(4);
@@ -118,13 +121,13 @@
 
         simulation.after(45 * SECOND, () -> {
             String leader = simulation.leader();
-            String other = simulation.names.get(1 - simulation.names.indexOf(leader));
-            simulation.faults.freeze(leader, 24 * SECOND);
-            simulation.faults.cutFromPeersAndStore(leader, World.Cut.DROP, 70 * SECOND);
-            simulation.faults.cutFromWorkers(other, World.Cut.DROP, 70 * SECOND);
+            String other = simulation.nodeNames.get(1 - simulation.nodeNames.indexOf(leader));
+            simulation.faults.pause(leader, 24 * SECOND);
+            simulation.faults.partitionFromPeersAndStore(leader, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
+            simulation.faults.partitionFromWorkers(other, SimEnvironment.PartitionMode.DROP, 70 * SECOND);
             services.forEach(job -> simulation.users.cancelAt(other, job.id()));
         });
-        simulation.run(120 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(120 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -133,17 +136,17 @@
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
     void leaderPauseReturnsNoMachines(long seed) {
-        Simulation simulation =
-                new Simulation(seed, Shape.small().withPerOffer(1).withHeartbeatInterval(5 * SECOND));
+        Simulation simulation = new Simulation(
+                seed, SimulationConfig.small().withMachinesPerOffer(1).withHeartbeatInterval(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
 
         // During the store outage no successor can be elected, so the leader still leads when it resumes.
-        simulation.after(60 * SECOND, () -> simulation.store.outage(12_900_000));
-        simulation.after(61 * SECOND, () -> simulation.faults.freeze(simulation.leader(), 12 * SECOND));
-        simulation.run(85 * SECOND, 200 * SECOND);
+        simulation.after(60 * SECOND, () -> simulation.store.startOutage(12_900_000));
+        simulation.after(61 * SECOND, () -> simulation.faults.pause(simulation.leader(), 12 * SECOND));
+        simulation.runWithLivenessChecks(85 * SECOND, 200 * SECOND);
 
         assertRules(simulation);
-        assertEquals(List.of(), simulation.cloud.terminatedBusy(), "returned with tasks on them");
+        assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
     }
 
     /**
@@ -162,20 +165,22 @@
         Observation<Long> before = new Observation<>();
         AtomicLong least = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
-            before.set(simulation.rules.replicasUp());
-            simulation.faults.cutZone(seed % 2 == 0 ? "north" : "south", World.Cut.HOLD, 22 * SECOND);
+            before.set(simulation.rules.runningReplicaCount());
+            simulation.faults.partitionZone(
+                    seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
-                leaderEnds(simulation, 6 * SECOND, 300_000);
+                crashLeaderAfter(simulation, 6 * SECOND, 300_000);
             }
         });
         for (int i = 0; i < 30; i++) {
-            simulation.after((50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.replicasUp(), Math::min));
+            simulation.after(
+                    (50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
         }
-        simulation.run(82 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(82 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertEquals(60, before.get());
         assertTrue(least.get() >= 57, "only " + least + " of " + before.get() + " replicas up");
-        assertEquals(List.of(), simulation.cloud.terminatedBusy(), "returned with tasks on them");
+        assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -25,12 +25,12 @@
     /** A machine that is about to be isolated, and the number of start commands sent to it before. */
     private record FilledMachine(SimWorker worker, int startsBefore) {
         static FilledMachine now(Simulation simulation, SimWorker worker) {
-            return new FilledMachine(worker, simulation.commands.startsOf(worker.id));
+            return new FilledMachine(worker, simulation.commands.startCount(worker.id));
         }
 
         void assertFilledAtMostTwice(Simulation simulation) {
             int slots = (int) (worker.type.cpuMillis() / TASK_CPU_MILLIS);
-            int filled = simulation.commands.startsOf(worker.id) - startsBefore;
+            int filled = simulation.commands.startCount(worker.id) - startsBefore;
             assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
         }
     }
@@ -51,18 +51,18 @@
         }
         Observation<FilledMachine> observed = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            SimWorker worker = simulation.anyWorker();
+            SimWorker worker = simulation.randomWorker();
             observed.set(FilledMachine.now(simulation, worker));
             if (seed % 2 == 0) {
-                simulation.faults.deafen(worker, 150 * SECOND);
+                simulation.faults.dropMessagesTo(worker, 150 * SECOND);
             } else {
-                simulation.faults.mute(worker, 150 * SECOND);
+                simulation.faults.dropHeartbeatsFrom(worker, 150 * SECOND);
             }
         });
-        simulation.run(200 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(200 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertFalse(observed.get().worker().alive(), "it is to be returned");
+        assertFalse(observed.get().worker().isAlive(), "it is to be returned");
         observed.get().assertFilledAtMostTwice(simulation);
     }
 
@@ -81,13 +81,13 @@
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream().limit(5).forEach(worker -> {
                     deaf.add(FilledMachine.now(simulation, worker));
-                    simulation.faults.deafen(worker, 80 * SECOND);
+                    simulation.faults.dropMessagesTo(worker, 80 * SECOND);
                 }));
         simulation.run(125 * SECOND);
 
         deaf.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
 
-        simulation.run(130 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(130 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -101,13 +101,13 @@
         Observation<SimWorker> gone = new Observation<>();
         Observation<Integer> startsBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            SimWorker worker = simulation.anyWorker();
+            SimWorker worker = simulation.randomWorker();
             gone.set(worker);
-            Heartbeat late = worker.latest();
+            Heartbeat late = worker.lastHeartbeat();
             worker.die();
-            simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startsOf(worker.id)));
+            simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startCount(worker.id)));
             for (int i = 31; i < 60; i += 7) {
-                simulation.after(i * SECOND, () -> simulation.faults.deliver(late));
+                simulation.after(i * SECOND, () -> simulation.faults.deliverHeartbeat(late));
             }
         });
         simulation.run(110 * SECOND);
@@ -115,7 +115,7 @@
         assertRules(simulation);
         assertEquals(
                 startsBefore.get(),
-                simulation.commands.startsOf(gone.get().id),
+                simulation.commands.startCount(gone.get().id),
                 "work was placed on a machine that is gone");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryLoad.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryLoad.java
@@ -1,19 +1,19 @@
 package org.granitepath.simulation;
 
-/** Fleets of three sizes with services and batch work, for what a cold restart costs. */
+/** Deployments of three sizes with services and batch jobs, to measure cold restarts. */
 final class RecoveryLoad {
     static final long SECOND = Simulation.SECOND;
-    static final long RESTART = 90 * SECOND;
+    static final long RESTART_MICROS = 90 * SECOND;
     private static final int SERVICE_REPLICAS = 6;
     private static final long BATCH_CPU_MILLIS = 4_000;
-    private static final long BATCH_RUN = 120 * SECOND;
-    /** Offers of the simulated cloud: two types in two zones, spot or not. */
-    private static final int OFFERS = 8;
+    private static final long BATCH_RUN_MICROS = 120 * SECOND;
+    /** The number of offers of the simulated cloud: two types in two zones, each spot or on-demand. */
+    private static final int OFFER_COUNT = 8;
 
-    /** How many machines there are, and how much work. */
+    /** The number of machines, services and batch jobs. */
     enum Size {
         SMALL(40, 6, 1),
-        MIDDLE(400, 40, 4),
+        MEDIUM(400, 40, 4),
         LARGE(4_000, 300, 40);
 
         final int machines;
@@ -29,21 +29,21 @@
 
     private RecoveryLoad() {}
 
-    /** The deployment's limits do not grow with the fleet, but for the sockets. */
+    /** Creates a deployment. Its limits do not grow with the fleet, except the number of connections. */
     static Simulation fleet(long seed, Size size) {
         Simulation simulation = new Simulation(
                 seed,
                 FaultScenarios.LONG_LEASES
-                        .withPerOffer(size.machines / OFFERS + size.machines / 100)
+                        .withMachinesPerOffer(size.machines / OFFER_COUNT + size.machines / 100)
                         .withHeartbeatInterval(5 * SECOND)
-                        .withConnections(Math.max(1_000, size.machines)));
+                        .withMaxConnections(Math.max(1_000, size.machines)));
         for (int i = 0; i < size.services; i++) {
             simulation.users.submit(simulation.jobs.service(SERVICE_REPLICAS));
         }
         int tasks = size.machines * 3 / size.batchJobs;
         for (int i = 0; i < size.batchJobs; i++) {
             simulation.after((3 + i) * SECOND / 2, () -> {
-                var any = simulation.jobs.batch(5, BATCH_RUN);
+                var any = simulation.jobs.batch(5, BATCH_RUN_MICROS);
                 simulation.users.submit(simulation.jobs.withCpu(any, tasks, BATCH_CPU_MILLIS));
             });
         }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -1,9 +1,9 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.RecoveryScenarios.HOLD;
-import static org.granitepath.simulation.RecoveryScenarios.RESTART;
-import static org.granitepath.simulation.RecoveryScenarios.busy;
-import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
+import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
+import static org.granitepath.simulation.RecoveryScenarios.restartControllers;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,16 +26,16 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void servicesResumeBeforeBatchWork(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
-        simulation.after(RESTART, () -> {
-            restart(simulation, seed % 2 == 0);
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, seed % 2 == 0);
             endAllWork(simulation);
         });
-        simulation.run(RESTART + 30 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 30 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART);
+        List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART_MICROS);
         List<Boolean> liveWorkBacklog =
                 starts.stream().map(start -> isService(simulation, start)).toList();
         int firstBatch = liveWorkBacklog.indexOf(false);
@@ -58,11 +58,12 @@
         simulation.cloud.workers().stream()
                 .filter(worker -> !worker.spot)
                 .limit(1)
-                .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.DROP, 9 * SECOND));
+                .forEach(worker ->
+                        simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 9 * SECOND));
     }
 
     private static boolean isService(Simulation simulation, SimCommands.Start start) {
-        return simulation.users.describedAs(start.task().job()).service();
+        return simulation.users.specOf(start.task().job()).isService();
     }
 
     /** Without a hold the same restart starts batch tasks before some services, so the hold causes the order above. */
@@ -70,14 +71,14 @@
     void batchWorkStartsAmongServicesWithoutHold() {
         int mixed = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            Simulation simulation = busy(seed);
-            simulation.recoveryHold = 0;
-            simulation.after(RESTART, () -> {
+            Simulation simulation = busyDeployment(seed);
+            simulation.recoveryHoldMicros = 0;
+            simulation.after(RESTART_MICROS, () -> {
                 simulation.faults.crashAll(SECOND);
                 endAllWork(simulation);
             });
-            simulation.run(RESTART + 30 * SECOND);
-            List<Boolean> services = simulation.commands.startsSince(RESTART).stream()
+            simulation.run(RESTART_MICROS + 30 * SECOND);
+            List<Boolean> services = simulation.commands.startsSince(RESTART_MICROS).stream()
                     .map(start -> isService(simulation, start))
                     .toList();
             mixed += services.indexOf(false) < services.lastIndexOf(true) ? 1 : 0;
@@ -89,30 +90,32 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void unresponsiveMachinesDelayBatchWorkNoLongerThanTheHold(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             all.stream()
-                    .filter(worker -> worker.runs().live().stream()
-                            .anyMatch(run ->
-                                    simulation.users.describedAs(run.task.job()).service()))
+                    .filter(worker -> worker.attempts().active().stream()
+                            .anyMatch(attempt ->
+                                    simulation.users.specOf(attempt.task.job()).isService()))
                     .limit(2)
-                    .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.DROP, 90 * SECOND));
-            all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
+                    .forEach(worker ->
+                            simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
+            all.forEach(worker -> worker.endTasks(spec -> !spec.isService(), ExitCause.STOPPED));
         });
-        simulation.run(RESTART + 30 * SECOND);
+        simulation.run(RESTART_MICROS + 30 * SECOND);
 
-        List<SimCommands.Start> batch = simulation.commands.startsSince(RESTART).stream()
+        List<SimCommands.Start> batch = simulation.commands.startsSince(RESTART_MICROS).stream()
                 .filter(start -> !isService(simulation, start))
                 .toList();
         assertFalse(batch.isEmpty(), "batch work waits for unresponsive machines");
         assertTrue(
-                batch.get(0).at() < RESTART + HOLD + 12 * SECOND,
-                "the first batch task started " + (batch.get(0).at() - RESTART) / 1e6 + " s after the restart");
+                batch.get(0).sentMicros() < RESTART_MICROS + RECOVERY_HOLD_MICROS + 12 * SECOND,
+                "the first batch task started " + (batch.get(0).sentMicros() - RESTART_MICROS) / 1e6
+                        + " s after the restart");
 
-        simulation.run(RESTART + 90 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 90 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -121,30 +124,31 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void servicesDoNotWaitForUnresponsiveSpotMachines(long seed) {
-        Simulation simulation = busy(seed);
+        Simulation simulation = busyDeployment(seed);
 
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
             List<SimWorker> spot = simulation.cloud.workers().stream()
                     .filter(worker -> worker.spot)
                     .toList();
             assertFalse(spot.isEmpty());
-            spot.forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 60 * SECOND));
-            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
+            spot.forEach(worker ->
+                    simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
+            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::isService, ExitCause.STOPPED));
         });
-        simulation.run(RESTART + Simulation.LEASE);
+        simulation.run(RESTART_MICROS + Simulation.LEASE_MICROS);
 
-        RecoveryStatus status = simulation.recovery();
+        RecoveryStatus status = simulation.recoveryStatus();
         assertNotNull(status);
         assertTrue(status.awaitedMachineCount() > 0, "no machine is unresponsive");
-        long replicas = simulation.commands.startsSince(RESTART).stream()
+        long replicas = simulation.commands.startsSince(RESTART_MICROS).stream()
                 .filter(start -> isService(simulation, start))
                 .map(SimCommands.Start::task)
                 .distinct()
                 .count();
         assertEquals(6 * 6, replicas, "replicas that wait for machines which can't hold them");
 
-        simulation.run(RESTART + 60 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 60 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/Rules.java
+++ b/src/test/java/org/granitepath/simulation/Rules.java
@@ -14,11 +14,14 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** The users' rules, checked from what happens on machines and what users are told. Each family is a class. */
+/**
+ * Checks the guarantees to users against the events on machines and the responses to users. Each group of rules has a
+ * class of its own.
+ */
 final class Rules {
-    private final World world;
-    private final Consumer<String> lastTaskDone;
-    private final List<String> broken = new ArrayList<>();
+    private final SimEnvironment environment;
+    private final Consumer<String> onJobCompleted;
+    private final List<String> violations = new ArrayList<>();
     private final JobHistory jobs;
     private final TaskPlacementRules placements;
     private final CancellationRules cancellations;
@@ -26,165 +29,167 @@
     private final WaitingRules waiting;
     private final ServedRules served;
 
-    Rules(World world, Map<String, Team> teams, long cancelMicros) {
-        this(world, teams, cancelMicros, job -> {});
+    Rules(SimEnvironment environment, Map<String, Team> teams, long cancellationTimeoutMicros) {
+        this(environment, teams, cancellationTimeoutMicros, job -> {});
     }
 
-    /** @param lastTaskDone told of each job whose last task has just completed */
-    Rules(World world, Map<String, Team> teams, long cancelMicros, Consumer<String> lastTaskDone) {
-        this.world = world;
-        this.lastTaskDone = lastTaskDone;
-        jobs = new JobHistory(world);
-        placements = new TaskPlacementRules(this::breach, jobs, teams);
-        cancellations = new CancellationRules(world, this::breach, jobs, placements, cancelMicros);
-        answers = new AnswerRules(world, this::breach, jobs, cancellations);
-        waiting = new WaitingRules(world, this::breach, jobs, teams);
-        served = new ServedRules(this::breach, jobs);
+    /** @param onJobCompleted receives the id of each job whose last task has just completed */
+    Rules(
+            SimEnvironment environment,
+            Map<String, Team> teams,
+            long cancellationTimeoutMicros,
+            Consumer<String> onJobCompleted) {
+        this.environment = environment;
+        this.onJobCompleted = onJobCompleted;
+        jobs = new JobHistory(environment);
+        placements = new TaskPlacementRules(this::reportViolation, jobs, teams);
+        cancellations =
+                new CancellationRules(environment, this::reportViolation, jobs, placements, cancellationTimeoutMicros);
+        answers = new AnswerRules(environment, this::reportViolation, jobs, cancellations);
+        waiting = new WaitingRules(environment, this::reportViolation, jobs, teams);
+        served = new ServedRules(this::reportViolation, jobs);
     }
 
-    /** A rule is broken. */
-    void breach(String rule, String what) {
-        broken.add(rule + " at " + world.now() / 1e6 + " s: " + what);
+    /** Records the violation of a rule. */
+    void reportViolation(String rule, String description) {
+        violations.add(rule + " at " + environment.nowMicros() / 1e6 + " s: " + description);
     }
 
-    /** The breaches so far, in order. */
-    List<String> broken() {
-        return Collections.unmodifiableList(broken);
+    /** Descriptions of the violations so far, in order. */
+    List<String> violations() {
+        return Collections.unmodifiableList(violations);
     }
 
-    /** Starts anew, for tests that plant one breach after the other. */
-    void forgetBroken() {
-        broken.clear();
+    /** Removes all violations, for tests that provoke one after the other. */
+    void clearViolations() {
+        violations.clear();
     }
 
-    // ---- what happens ------------------------------------------------------------------------------------------
-
-    /** A user submits the job, maybe once more. */
-    void submitting(JobSpec spec) {
-        jobs.submitted(spec);
+    /** Records that a user submits a job, possibly repeatedly. */
+    void recordSubmission(JobSpec spec) {
+        jobs.recordSubmission(spec);
     }
 
-    /** A job that fits nowhere: nobody may accept it. */
-    void submittingUnschedulable(String job) {
-        answers.submittingUnschedulable(job);
+    /** Records the submission of a job that fits on no machine type, which no controller may accept. */
+    void recordUnschedulableSubmission(String job) {
+        answers.recordUnschedulableSubmission(job);
     }
 
-    /** A user asks to cancel the job, maybe in vain so far. */
-    void cancelling(String job) {
-        jobs.cancellationAsked(job);
+    /** Records that a user asks to cancel a job, whether or not a controller has received the request. */
+    void recordCancellationRequest(String job) {
+        jobs.recordCancellationRequest(job);
     }
 
-    /** An answer that a user got, by its time of arrival; asked after every earlier answer had arrived. */
-    void told(String job, JobResponse answer) {
-        answers.told(job, answer);
+    /**
+     * Records a response at the time of its arrival at the user. The request must have been sent after every earlier
+     * response about the job had arrived.
+     */
+    void recordResponse(String job, JobResponse answer) {
+        answers.recordResponse(job, answer);
     }
 
-    /** A controller gives the command to start this task. */
-    void commandSent(TaskId task) {
-        jobs.startSent(task);
-        cancellations.startSent(task);
+    /** Records that a controller sends the command to start a task. */
+    void recordStartSent(TaskId task) {
+        jobs.recordStartSent(task);
+        cancellations.recordStartSent(task);
     }
 
-    /** A task is on a machine now. */
-    void started(TaskId task, String host, String type, String zone, boolean spot) {
-        jobs.begun(task.job());
-        placements.started(task, host, type, zone, spot);
-        cancellations.started(task);
+    /** Records that a task has started on a machine. */
+    void recordTaskStarted(TaskId task, String host, String type, String zone, boolean spot) {
+        jobs.recordTaskStarted(task.job());
+        placements.recordTaskStarted(task, host, type, zone, spot);
+        cancellations.recordTaskStarted(task);
     }
 
-    /** A task is no longer on the machine. */
-    void left(TaskId task, String host) {
-        placements.left(task, host);
+    /** Records that a task is no longer on a machine. */
+    void recordTaskRemoved(TaskId task, String host) {
+        placements.recordTaskRemoved(task, host);
     }
 
-    /** A task has its result. */
-    void completed(TaskId task) {
-        if (jobs.completed(task)) {
-            lastTaskDone.accept(task.job());
+    /** Records that a task has its result. */
+    void recordTaskCompleted(TaskId task) {
+        if (jobs.recordTaskCompleted(task)) {
+            onJobCompleted.accept(task.job());
         }
     }
 
-    // ---- checks ------------------------------------------------------------------------------------------------
-
-    /** After each step: nothing of a cancelled job may be left when its time is over. */
+    /** Checks after each event that no task of a cancelled job runs beyond the cancellation timeout. */
     void check() {
         cancellations.check();
     }
 
-    /** Once troubles are over: see {@link AnswerRules#checkKnown}. */
-    void checkKnown(long troublesOver) {
-        answers.checkKnown(troublesOver);
+    /** Checks repeatedly after the last fault; see {@link AnswerRules#checkAnswered}. */
+    void checkAnswered(long faultsEndMicros) {
+        answers.checkAnswered(faultsEndMicros);
     }
 
-    /** Once troubles are over, again and again: see {@link WaitingRules#check}. */
-    void checkWaiting(Collection<SimWorker> machines) {
+    /** Checks repeatedly after the last fault; see {@link WaitingRules#check}. */
+    void checkNotStarved(Collection<SimWorker> machines) {
         waiting.check(machines);
     }
 
-    /** At the end: see {@link ServedRules#check}. */
+    /** Checks at the end of a run; see {@link ServedRules#check}. */
     void checkServed() {
         served.check();
     }
 
-    // ---- questions of scenarios --------------------------------------------------------------------------------
-
-    /** How many tasks began on machines so far, each attempt counted. */
-    int starts() {
-        return placements.starts();
+    /** How many attempts of tasks have started on machines so far. */
+    int startedTaskCount() {
+        return placements.startedTaskCount();
     }
 
-    /** How often the task that was started most often was. */
-    int mostStartsOfATask() {
-        return jobs.mostStartsOfATask();
+    /** The highest number of start commands that were sent for one task. */
+    int maxStartsPerTask() {
+        return jobs.maxStartsPerTask();
     }
 
-    /** Jobs with a task on a machine, that nobody has asked to cancel. */
-    List<String> running() {
-        return placements.running();
+    /** Ids of the jobs with a task on a machine that no user has asked to cancel, sorted. */
+    List<String> runningJobs() {
+        return placements.runningJobs();
     }
 
-    /** Thousandths of CPUs that a team's tasks use. */
-    long usedBy(String team) {
-        return placements.usedBy(team);
+    /** The CPU that the running tasks of a team use, in thousandths of a CPU. */
+    long usedCpuMillis(String team) {
+        return placements.usedCpuMillis(team);
     }
 
-    /** The machines that hold tasks of a job. */
+    /** Ids of the machines that run tasks of a job. */
     Set<String> hostsOf(String job) {
         return placements.hostsOf(job);
     }
 
-    /** Tasks that are on a machine. */
-    long tasksUp() {
+    /** How many tasks are on a machine. */
+    long runningTaskCount() {
         return placements.tasks().size();
     }
 
-    /** Tasks of services that are on a machine. */
-    long replicasUp() {
-        return placements.replicas();
+    /** How many tasks of services are on a machine. */
+    long runningReplicaCount() {
+        return placements.runningReplicaCount();
     }
 
-    /** Jobs of which users were told that they are cancelled, so far. */
-    int cancellationsTold() {
-        return jobs.cancellationsTold();
+    /** How many jobs were last reported to users as cancelled. */
+    int cancelledJobCount() {
+        return jobs.cancelledJobCount();
     }
 
-    boolean acceptedJob(String job) {
-        return jobs.wasAccepted(job);
+    boolean isAccepted(String job) {
+        return jobs.isAccepted(job);
     }
 
-    /** From submission to the last task that completed so far. */
-    long finishedAfter(String job) {
-        return jobs.finishedAfter(job);
+    /** The time from submission to the last task that completed so far; very large if there is none. */
+    long finishDelayMicros(String job) {
+        return jobs.finishDelayMicros(job);
     }
 
-    /** From submission to the first task's start. */
-    long begunAfter(String job) {
-        return jobs.begunAfter(job);
+    /** The time from submission to the start of the first task; very large if none has started. */
+    long startDelayMicros(String job) {
+        return jobs.startDelayMicros(job);
     }
 
-    /** The final state that users were told; null while they were told none. */
+    /** The final state that was last reported to users; null if there is none. */
     @Nullable
-    JobState finalTold(String job) {
-        return jobs.finalTold(job);
+    JobState finalState(String job) {
+        return jobs.finalState(job);
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimCommands.java
+++ b/src/test/java/org/granitepath/simulation/SimCommands.java
@@ -9,61 +9,64 @@
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
 
-/** What controllers command, in order, and whether they may: no machine before its own heartbeat, no start twice. */
+/**
+ * Records the commands that controllers send, in order, and reports a command to a machine of which the leader has had
+ * no heartbeat in its term, and a start command that is sent twice for the same attempt.
+ */
 final class SimCommands {
-    /** A start that was sent, arrived or not. */
-    record Start(long at, String node, String host, TaskId task) {}
+    /** A start command that was sent, whether it arrived or not. */
+    record Start(long sentMicros, String node, String host, TaskId task) {}
 
-    private record HeartbeatOfTerm(long term, String host) {}
+    private record HeartbeatInTerm(long term, String host) {}
 
-    private record Sent(String host, TaskId task, long attempt) {}
+    private record SentStart(String host, TaskId task, long attempt) {}
 
-    private final World world;
+    private final SimEnvironment environment;
     private final Rules rules;
     private final List<Start> starts = new ArrayList<>();
-    private final Set<Sent> sent = new HashSet<>();
-    private final Map<String, Integer> startsByHost = new HashMap<>();
-    private final Set<HeartbeatOfTerm> heartbeats = new HashSet<>();
+    private final Set<SentStart> sentStarts = new HashSet<>();
+    private final Map<String, Integer> startCountsByHost = new HashMap<>();
+    private final Set<HeartbeatInTerm> heartbeats = new HashSet<>();
 
-    SimCommands(World world, Rules rules) {
-        this.world = world;
+    SimCommands(SimEnvironment environment, Rules rules) {
+        this.environment = environment;
         this.rules = rules;
     }
 
-    /** The leader of this term knows what is on the machine. */
-    void heartbeatReceived(long term, String host) {
-        heartbeats.add(new HeartbeatOfTerm(term, host));
+    /** Records that the leader of a term has received the state of a machine. */
+    void recordHeartbeat(long term, String host) {
+        heartbeats.add(new HeartbeatInTerm(term, host));
     }
 
-    /** @param term the fencing token of the term in which the controller commands */
-    void sent(long term, String node, String host, List<WorkerCommand> commands) {
-        if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatOfTerm(term, host))) {
-            rules.breach(
+    /** @param term the fencing token of the term in which the controller sends the commands */
+    void recordCommands(long term, String node, String host, List<WorkerCommand> commands) {
+        if (!commands.isEmpty() && !heartbeats.contains(new HeartbeatInTerm(term, host))) {
+            rules.reportViolation(
                     "commanded_without_heartbeat", node + " commands " + host + ", no heartbeat of it in term " + term);
         }
         for (WorkerCommand command : commands) {
             if (command.verb() == WorkerCommand.Verb.START) {
-                started(node, host, command);
+                recordStart(node, host, command);
             }
         }
     }
 
-    private void started(String node, String host, WorkerCommand command) {
-        rules.commandSent(command.task());
-        starts.add(new Start(world.now(), node, host, command.task()));
-        startsByHost.merge(host, 1, Integer::sum);
-        if (!sent.add(new Sent(host, command.task(), command.attempt()))) {
-            rules.breach("start_repeated", command.task() + " attempt " + command.attempt() + " to " + host);
+    private void recordStart(String node, String host, WorkerCommand command) {
+        rules.recordStartSent(command.task());
+        starts.add(new Start(environment.nowMicros(), node, host, command.task()));
+        startCountsByHost.merge(host, 1, Integer::sum);
+        if (!sentStarts.add(new SentStart(host, command.task(), command.attempt()))) {
+            rules.reportViolation("start_repeated", command.task() + " attempt " + command.attempt() + " to " + host);
         }
     }
 
-    /** How many starts this machine was ever sent, arrived or not. */
-    int startsOf(String host) {
-        return startsByHost.getOrDefault(host, 0);
+    /** How many start commands were sent to this machine, whether they arrived or not. */
+    int startCount(String host) {
+        return startCountsByHost.getOrDefault(host, 0);
     }
 
-    /** The starts sent from this time on, in order. */
+    /** The start commands that were sent at this time or later, in order. */
     List<Start> startsSince(long micros) {
-        return starts.stream().filter(start -> start.at() >= micros).toList();
+        return starts.stream().filter(start -> start.sentMicros() >= micros).toList();
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimCommandsTest.java
+++ b/src/test/java/org/granitepath/simulation/SimCommandsTest.java
@@ -15,22 +15,22 @@
 
     @Test
     void commandsBeforeHeartbeatAndRepeatedStartsAreReported() {
-        SimCommands commands = new SimCommands(fixture.world(), rules);
+        SimCommands commands = new SimCommands(fixture.environment(), rules);
         List<WorkerCommand> start = List.of(WorkerCommand.start(new TaskId(RulesFixture.ANYWHERE, 0), 5));
 
-        commands.sent(1, "n0", "a", List.of());
-        assertEquals(List.of(), rules.broken());
+        commands.recordCommands(1, "n0", "a", List.of());
+        assertEquals(List.of(), rules.violations());
 
-        commands.sent(1, "n0", "a", start);
+        commands.recordCommands(1, "n0", "a", start);
         assertTrue(
-                rules.broken().get(0).startsWith("commanded_without_heartbeat"),
-                rules.broken().toString());
+                rules.violations().get(0).startsWith("commanded_without_heartbeat"),
+                rules.violations().toString());
 
-        commands.heartbeatReceived(2, "a");
-        commands.sent(2, "n0", "a", start);
+        commands.recordHeartbeat(2, "a");
+        commands.recordCommands(2, "n0", "a", start);
         assertTrue(
-                rules.broken().get(1).startsWith("start_repeated"),
-                rules.broken().toString());
-        assertEquals(2, rules.broken().size());
+                rules.violations().get(1).startsWith("start_repeated"),
+                rules.violations().toString());
+        assertEquals(2, rules.violations().size());
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -1,6 +1,6 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -32,62 +32,63 @@
 
     @Test
     void workCompletesWithoutFaults() {
-        Simulation simulation = withJobs(1, 25, 90 * SECOND);
+        Simulation simulation = withRandomJobs(1, 25, 90 * SECOND);
 
         simulation.run(240 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertTrue(simulation.users.doneTold() > 5);
+        assertTrue(simulation.users.doneResponseCount() > 5);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldUnderRandomFaults(long seed) {
-        Simulation simulation = withJobs(seed, 40, 200 * SECOND);
-        simulation.world.lateCopies = 0.02;
+        Simulation simulation = withRandomJobs(seed, 40, 200 * SECOND);
+        simulation.environment.duplicateRequestShare = 0.02;
 
         for (int i = 0; i < 14; i++) {
             simulation.after(
-                    15 * SECOND + (long) (simulation.world.random.nextDouble() * 200 * SECOND),
+                    15 * SECOND + (long) (simulation.environment.random.nextDouble() * 200 * SECOND),
                     () -> trouble(simulation));
         }
         simulation.run(600 * SECOND);
 
         assertRules(simulation);
-        assertEquals(List.of(), simulation.users.unfinishedBatches(), "work must go on once the troubles are over");
+        assertEquals(List.of(), simulation.users.unfinishedBatchJobs(), "work must go on once the troubles are over");
     }
 
     private static void trouble(Simulation simulation) {
-        var random = simulation.world.random;
-        World.Cut how = random.nextBoolean() ? World.Cut.HOLD : World.Cut.DROP;
+        var random = simulation.environment.random;
+        SimEnvironment.PartitionMode how =
+                random.nextBoolean() ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
         long time = (3 + random.nextInt(40)) * SECOND;
         switch (random.nextInt(14)) {
             case 0 -> simulation.faults.crash(simulation.leader(), 300_000 + random.nextInt(6_000_000));
-            case 1 -> simulation.faults.crash(simulation.anyNode(), 300_000 + random.nextInt(6_000_000));
+            case 1 -> simulation.faults.crash(simulation.randomNode(), 300_000 + random.nextInt(6_000_000));
             case 2 ->
-                simulation.names.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
-            case 3 -> simulation.faults.cut(simulation.leader(), SimStore.NAME, how, time);
-            case 4 -> simulation.faults.cutFromWorkers(simulation.leader(), how, time);
-            case 5 -> simulation.store.outage(time);
-            case 6 -> simulation.cloud.outage(time);
-            case 7 -> simulation.store.refuse(simulation.leader(), time);
-            case 8 -> simulation.faults.cutZone(simulation.zoneOf(simulation.anyNode()), how, time);
-            case 9 -> simulation.faults.freeze(simulation.leader(), time);
+                simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
+            case 3 -> simulation.faults.partition(simulation.leader(), SimStore.NAME, how, time);
+            case 4 -> simulation.faults.partitionFromWorkers(simulation.leader(), how, time);
+            case 5 -> simulation.store.startOutage(time);
+            case 6 -> simulation.cloud.startOutage(time);
+            case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), time);
+            case 8 -> simulation.faults.partitionZone(simulation.zoneOf(simulation.randomNode()), how, time);
+            case 9 -> simulation.faults.pause(simulation.leader(), time);
             default -> machineTrouble(simulation, how, time);
         }
     }
 
-    private static void machineTrouble(Simulation simulation, World.Cut how, long time) {
-        SimWorker worker = simulation.anyWorker();
+    private static void machineTrouble(Simulation simulation, SimEnvironment.PartitionMode how, long time) {
+        SimWorker worker = simulation.randomWorker();
         if (worker == null) {
             return;
         }
-        switch (simulation.world.random.nextInt(5)) {
+        switch (simulation.environment.random.nextInt(5)) {
             case 0 -> worker.die();
             case 1 -> worker.hangFor(time);
-            case 2 -> simulation.faults.cutMachine(worker, how, time);
+            case 2 -> simulation.faults.partitionMachine(worker, how, time);
             case 3 -> {
-                worker.notice(8 * SECOND);
+                worker.announceTermination(8 * SECOND);
                 simulation.after(8 * SECOND, worker::die);
             }
             default -> worker.becomeFaulty();
@@ -98,17 +99,19 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void lateCopiesOfMessagesChangeNothing(long seed) {
-        Simulation simulation = withJobs(seed, 35, 120 * SECOND);
-        simulation.world.lateCopies = 0.25;
+        Simulation simulation = withRandomJobs(seed, 35, 120 * SECOND);
+        simulation.environment.duplicateRequestShare = 0.25;
 
         for (int i = 0; i < 5; i++) {
             simulation.after(
                     (20 + 25 * i) * SECOND,
                     () -> simulation.faults.crash(
-                            simulation.leader(), 300_000 + simulation.world.random.nextInt(5_000_000)));
-            simulation.after((32 + 25 * i) * SECOND, () -> machineTrouble(simulation, World.Cut.HOLD, 15 * SECOND));
+                            simulation.leader(), 300_000 + simulation.environment.random.nextInt(5_000_000)));
+            simulation.after(
+                    (32 + 25 * i) * SECOND,
+                    () -> machineTrouble(simulation, SimEnvironment.PartitionMode.HOLD, 15 * SECOND));
         }
-        simulation.run(180 * SECOND, 420 * SECOND);
+        simulation.runWithLivenessChecks(180 * SECOND, 420 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -30,38 +30,38 @@
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
-    private final World world = new World(1);
-    private final SimStore store = new SimStore(world, MOST_CHANGES, 2048, 1000, 200);
+    private final SimEnvironment environment = new SimEnvironment(1);
+    private final SimStore store = new SimStore(environment, MOST_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
-            return world.now();
+            return environment.nowMicros();
         }
 
         @Override
         public long timeOfDayMicros() {
-            return world.now();
+            return environment.nowMicros();
         }
 
         @Override
         public void after(long delayMicros, Runnable action) {
-            world.after(delayMicros, action);
+            environment.after(delayMicros, action);
         }
     };
 
     private RecordReplica replica() {
         RecordReplica replica = replicaOf(store, "n");
-        world.run(1_000_000, () -> {});
+        environment.run(1_000_000, () -> {});
         return replica;
     }
 
     private RecordReplica replicaOf(SimStore of, String node) {
         RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {}
+            public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
         replica.start();
         return replica;
@@ -83,20 +83,22 @@
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            world.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
+            environment.after(i * 5_000L, () -> replica.requestBarrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
-            world.after(
+            environment.after(
                     i * 66_000L,
                     () -> writeQueue.enqueue(
                             key, Urgency.WORK, 0, () -> List.of(Change.write(key, SOME_RECORD)), storeRevision -> {}));
         }
-        int before = store.reads();
-        world.run(14_000_000, () -> {});
+        int before = store.followRequestCount();
+        environment.run(14_000_000, () -> {});
 
         assertEquals(2_000, answered.get());
-        assertTrue(store.reads() - before <= 10_000_000 / 50_000 * 1.1, store.reads() - before + " reads in 10 s");
+        assertTrue(
+                store.followRequestCount() - before <= 10_000_000 / 50_000 * 1.1,
+                store.followRequestCount() - before + " reads in 10 s");
     }
 
     @Test
@@ -117,17 +119,17 @@
                     },
                     storeRevision -> written.add(key));
         }
-        world.run(3_000_000, () -> {});
+        environment.run(3_000_000, () -> {});
         writeQueue.enqueue(
                 "g/safe",
                 Urgency.SAFETY,
                 0,
                 () -> List.of(Change.write("g/safe", SOME_RECORD)),
                 storeRevision -> written.add("g/safe"));
-        world.run(3_300_000, () -> {});
+        environment.run(3_300_000, () -> {});
 
         assertTrue(written.contains("g/safe"), "an urgent write waits behind progress");
-        world.run(61_000_000, () -> {});
+        environment.run(61_000_000, () -> {});
 
         assertEquals(301, written.size());
         assertTrue(made.get() <= 310, "contents were made " + made + " times");
@@ -136,7 +138,7 @@
     /** Request handlers of five controllers need more writes than the store allows; the leader still gets its rate. */
     @Test
     void adaptiveWritersYieldToTheLeader() {
-        SimStore tight = new SimStore(world, MOST_CHANGES, 2048, 1000, 18);
+        SimStore tight = new SimStore(environment, MOST_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
             String node = "n" + number;
@@ -148,7 +150,7 @@
             WriteQueue writeQueue = writeQueue(tight, node, replica, writesPerSecond, control);
             for (int i = 0; i < 900; i++) {
                 String key = prefix + i;
-                world.after(
+                environment.after(
                         1_000_000 + i * 60_000L,
                         () -> writeQueue.enqueue(
                                 key,
@@ -158,7 +160,7 @@
                                 storeRevision -> writesOfLeader.addAndGet(leads ? 1 : 0)));
             }
         }
-        world.run(61_000_000, () -> {});
+        environment.run(61_000_000, () -> {});
 
         assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
@@ -184,7 +186,7 @@
                     },
                     storeRevision -> written.add(key));
         }
-        world.run(20_000_000, () -> {});
+        environment.run(20_000_000, () -> {});
 
         assertEquals(11, written.size());
         assertTrue(made.get() <= 8, "sent " + made + " times");
@@ -199,11 +201,11 @@
         }
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
-        ProgressRecord kept = whole.atMost(2048);
-        assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
-        assertTrue(kept.done().encloses(Range.closedOpen(3_000, 3_500)));
-        assertTrue(ProgressRecord.count(kept.done()) > 600, ProgressRecord.count(kept.done()) + " kept");
-        assertEquals(whole, whole.atMost(100_000));
+        ProgressRecord kept = whole.truncatedTo(2048);
+        assertTrue(Json.encode(StoredRecordCodec.encode(kept)).length() <= 2048);
+        assertTrue(kept.doneTasks().encloses(Range.closedOpen(3_000, 3_500)));
+        assertTrue(ProgressRecord.count(kept.doneTasks()) > 600, ProgressRecord.count(kept.doneTasks()) + " kept");
+        assertEquals(whole, whole.truncatedTo(100_000));
     }
 
     /** The estimated size of a record is at least its encoded size, whatever the record holds. */
@@ -211,7 +213,7 @@
     void recordSizeIsAnUpperBound() {
         StoredRecord record = new UnknownRecord(
                 Map.of("a\"\\/", List.of(1, 2.5, true, "\u0001\u00e9\u4e2d"), "b", Map.of("c", List.of(), "d", -17L)));
-        int bytes = Json.text(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
+        int bytes = Json.encode(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
         assertTrue(RecordSize.of(record) >= bytes, RecordSize.of(record) + " < " + bytes);
     }
 }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -13,55 +13,55 @@
 
     @Test
     void validPlacementsAreNotReported() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.rules().left(new TaskId(ANYWHERE, 0), "a");
-        fixture.start(ANYWHERE, 0, "b", "z");
-        fixture.start(SPREAD, 0, "a", "z");
-        fixture.start(SPREAD, 1, "b", "y");
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.rules().recordTaskRemoved(new TaskId(ANYWHERE, 0), "a");
+        fixture.startTask(ANYWHERE, 0, "b", "z");
+        fixture.startTask(SPREAD, 0, "a", "z");
+        fixture.startTask(SPREAD, 1, "b", "y");
 
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
     }
 
     @Test
     void sameTaskOnTwoMachinesIsReported() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.start(ANYWHERE, 0, "b", "z");
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 0, "b", "z");
 
-        fixture.assertBroken("ran_twice");
+        fixture.assertViolation("ran_twice");
     }
 
     @Test
     void forbiddenSpotMachineIsReported() {
-        fixture.rules().started(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
+        fixture.rules().recordTaskStarted(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
     void spreadJobInOneZoneIsReported() {
-        fixture.start(SPREAD, 0, "a", "z");
-        fixture.start(SPREAD, 1, "b", "z");
+        fixture.startTask(SPREAD, 0, "a", "z");
+        fixture.startTask(SPREAD, 1, "b", "z");
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
     void oneZoneJobInTwoZonesIsReported() {
-        fixture.start(ONE_ZONE, 0, "a", "z");
-        fixture.start(ONE_ZONE, 1, "b", "y");
+        fixture.startTask(ONE_ZONE, 0, "a", "z");
+        fixture.startTask(ONE_ZONE, 1, "b", "y");
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
     void teamOverItsLimitIsReported() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.start(ANYWHERE, 1, "a", "z");
-        fixture.start(ONE_ZONE, 0, "a", "z");
-        fixture.assertNoneBroken();
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 1, "a", "z");
+        fixture.startTask(ONE_ZONE, 0, "a", "z");
+        fixture.assertNoViolations();
 
-        fixture.start(ONE_ZONE, 1, "a", "z");
+        fixture.startTask(ONE_ZONE, 1, "a", "z");
 
-        fixture.assertBroken("quota");
+        fixture.assertViolation("quota");
     }
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -14,22 +14,22 @@
     @Test
     void jobWaitingDespiteFreeCapacityIsReported() {
         SimWorker worker = fixture.worker();
-        fixture.tell(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         checkEachSecond(0, 89, worker);
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
         fixture.runUntil(91_000_000);
-        fixture.rules().checkWaiting(List.of());
-        assertTrue(fixture.rules().broken().isEmpty(), "no machine is there");
+        fixture.rules().checkNotStarved(List.of());
+        assertTrue(fixture.rules().violations().isEmpty(), "no machine is there");
 
         checkEachSecond(92, 183, worker);
 
-        fixture.assertBroken("neglected");
+        fixture.assertViolation("neglected");
     }
 
     private void checkEachSecond(long from, long to, SimWorker worker) {
         for (long at = from; at <= to; at++) {
             fixture.runUntil(at * 1_000_000);
-            fixture.rules().checkWaiting(List.of(worker));
+            fixture.rules().checkNotStarved(List.of(worker));
         }
     }
 }
