--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -22,7 +22,7 @@
         fixture.assertNoViolations();
         fixture.runUntil(76_000_000);
         fixture.rules().checkAnswered(5_000_000);
-        assertTrue(fixture.rules().violations().isEmpty(), "troubles were over only 71 s ago");
+        assertTrue(fixture.rules().violations().isEmpty(), "the faults ended only 71 s ago");
 
         fixture.rules().checkAnswered(0);
 
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -90,22 +90,24 @@
 
         simulation.after(45 * SECOND, () -> simulation.environment.delayedPacketShare = 0.05);
         simulation.after(60 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
-        Observation<Integer> toldBefore = new Observation<>();
-        Observation<Integer> toldAfter = new Observation<>();
+        Observation<Integer> confirmedBefore = new Observation<>();
+        Observation<Integer> confirmedAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             simulation.store.refuseRequestsOf(simulation.leader(), 12 * SECOND);
-            toldBefore.set(simulation.rules.cancelledJobCount());
+            confirmedBefore.set(simulation.rules.cancelledJobCount());
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
             simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
-            toldAfter.set(simulation.rules.cancelledJobCount());
+            confirmedAfter.set(simulation.rules.cancelledJobCount());
         });
         simulation.runWithLivenessChecks(
                 70 * SECOND + simulation.config.cancellationTimeoutMicros() + 6 * SECOND, 600 * SECOND);
 
-        assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
+        assertTrue(
+                confirmedAfter.get() > confirmedBefore.get(),
+                "no cancellation was confirmed while the store refused the leader");
         assertRulesAndAllDone(simulation);
     }
 
@@ -123,11 +125,11 @@
                         partitionModeOf(seed),
                         simulation.config.leaseMicros() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
-        Observation<Integer> told =
+        Observation<Integer> confirmed =
                 simulation.observe(50 * SECOND + simulation.config.leaseMicros(), simulation.rules::cancelledJobCount);
         simulation.runWithLivenessChecks(65 * SECOND + simulation.config.leaseMicros(), 500 * SECOND);
 
-        assertTrue(told.get() > 0, "nothing was cancelled in the cut");
+        assertTrue(confirmed.get() > 0, "no cancellation was confirmed while the zone was cut off");
         assertRulesAndAllDone(simulation);
     }
 
@@ -142,7 +144,7 @@
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> told = new Observation<>();
+        Observation<Integer> confirmed = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
             simulation.cloud.workers().stream()
@@ -151,13 +153,13 @@
                             simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
-                told.set(simulation.rules.cancelledJobCount());
+                confirmed.set(simulation.rules.cancelledJobCount());
                 simulation.faults.partitionZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
         simulation.runWithLivenessChecks(125 * SECOND, 900 * SECOND);
 
-        assertEquals(10, told.get(), "cancellations confirmed before the cut");
+        assertEquals(10, confirmed.get(), "cancellations confirmed before the cut");
         assertRulesAndAllDone(simulation);
     }
 
@@ -168,7 +170,7 @@
         Simulation simulation = simulation(seed);
         List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> told = new Observation<>();
+        Observation<Integer> confirmed = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
             simulation.faults.partitionFromPeersAndStore(former, partitionModeOf(seed), 70 * SECOND);
@@ -182,11 +184,11 @@
                                 node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
-            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
+            simulation.after(12 * SECOND, () -> confirmed.set(simulation.rules.cancelledJobCount()));
         });
         simulation.runWithLivenessChecks(135 * SECOND, 900 * SECOND);
 
-        assertEquals(9, told.get(), "cancellations confirmed by the new leader");
+        assertEquals(9, confirmed.get(), "cancellations confirmed by the new leader");
         assertRulesAndAllDone(simulation);
     }
 
@@ -222,15 +224,15 @@
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> hung = new Observation<>();
+        Observation<Integer> hungCount = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.leaseMicros() + 6 * SECOND;
-            hung.set(simulation.users.cancelRunning(8, hangMicros).size());
+            hungCount.set(simulation.users.cancelRunning(8, hangMicros).size());
             crashLeaderAfter(simulation, SECOND, 300_000);
         });
         simulation.runWithLivenessChecks(75 * SECOND + simulation.config.leaseMicros(), 800 * SECOND);
 
-        assertTrue(hung.get() > 4);
+        assertTrue(hungCount.get() > 4);
         assertRulesAndAllDone(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -100,21 +100,23 @@
     @Test
     void arrivingServicesFindHeadroom() {
         Simulation simulation = new Simulation(75, 3, 10);
-        List<JobSpec> late = new ArrayList<>();
+        List<JobSpec> lateServices = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             JobSpec job = simulation.jobs.service(2);
             simulation.after(2 * SECOND + 3L * i * SECOND, () -> simulation.users.submit(job));
             if (i >= 25) {
-                late.add(job);
+                lateServices.add(job);
             }
         }
         simulation.run(200 * SECOND);
 
         assertRules(simulation);
-        long prompt = late.stream()
+        long startedAtOnce = lateServices.stream()
                 .filter(job -> simulation.rules.startDelayMicros(job.id()) < 5 * SECOND)
                 .count();
-        assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
+        assertTrue(
+                startedAtOnce >= lateServices.size() * 0.9,
+                startedAtOnce + " of " + lateServices.size() + " started at once");
     }
 
     /**
@@ -124,9 +126,9 @@
     @Test
     void cleanupOfMachinesWithManyTasksDrawsFewFencingTokens() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.serviceBuilder(31).build();
+        JobSpec template = simulation.jobs.serviceBuilder(31).build();
         for (int i = 0; i < 4; i++) {
-            simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
+            simulation.users.submit(simulation.jobs.withCpu(template, 31, 250));
         }
         JobSpec batch = simulation.jobs.batch(60, 2 * SECOND);
         for (int i = 0; i < 30; i++) {
@@ -136,8 +138,8 @@
         simulation.run(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        int drawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
-        assertTrue(drawn < 60, drawn + " fencing tokens drawn");
+        int fencingTokensDrawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
+        assertTrue(fencingTokensDrawn < 60, fencingTokensDrawn + " fencing tokens drawn");
     }
 
     /** Each service by itself would need small machines; together they also fill large ones, which boot faster. */
@@ -148,10 +150,10 @@
         simulation.run(30 * SECOND);
 
         assertRules(simulation);
-        long large = simulation.cloud.workers().stream()
+        long largeMachines = simulation.cloud.workers().stream()
                 .filter(worker -> worker.type.name().equals("large"))
                 .count();
-        assertTrue(large >= 2, large + " large machines");
+        assertTrue(largeMachines >= 2, largeMachines + " large machines");
     }
 
     /** Some machines never boot. A service does not wait until these have been returned to the cloud. */
@@ -167,7 +169,7 @@
         assertRules(simulation);
         assertTrue(
                 simulation.rules.startDelayMicros(job.id()) < 45 * SECOND,
-                "begun after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
+                "started after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
     }
 
     /**
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -93,12 +93,12 @@
             simulation.users.submit(simulation.jobs.oneZoneBatch(3 + i % 5, 25 * SECOND));
         }
 
-        AtomicInteger lostAtWork = new AtomicInteger();
+        AtomicInteger lostBusyMachines = new AtomicInteger();
         for (int i = 0; i < 6; i++) {
             simulation.after((35 + 4 * i) * SECOND, () -> {
                 SimWorker worker = simulation.randomWorker();
                 if (worker != null) {
-                    lostAtWork.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
+                    lostBusyMachines.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
                     worker.die();
                 }
             });
@@ -106,7 +106,7 @@
         crashLeaderAfter(simulation, 45 * SECOND, 300_000);
         simulation.runWithLivenessChecks(60 * SECOND, 400 * SECOND);
 
-        assertTrue(lostAtWork.get() > 0, "no machine at work was lost");
+        assertTrue(lostBusyMachines.get() > 0, "no lost machine was running tasks");
         assertRulesAndAllDone(simulation);
     }
 
@@ -153,7 +153,7 @@
                 () -> simulation.rules.runningJobs().size());
         simulation.runWithLivenessChecks(57 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
-        assertEquals(0, left.get(), "every lease ran out");
+        assertEquals(0, left.get(), "tasks left after every lease expired");
         assertRulesAndAllDone(simulation);
         simulation.rules.checkServed();
         assertRules(simulation);
@@ -182,7 +182,7 @@
         simulation.after(65 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.runWithLivenessChecks(78 * SECOND, 300 * SECOND);
 
-        assertTrue(leaders.size() > 1, "one leader throughout");
+        assertTrue(leaders.size() > 1, "the leader never changed");
         assertRulesAndAllDone(simulation);
     }
 
@@ -231,14 +231,15 @@
         AtomicInteger changes = new AtomicInteger();
         for (int i = 0; i < 11; i++) {
             simulation.after((35 + 11 * i) * SECOND, () -> {
-                String was = simulation.leader();
+                String formerLeader = simulation.leader();
                 if (simulation.environment.random.nextBoolean()) {
-                    simulation.faults.crash(was, 300_000 + simulation.environment.random.nextInt(6_000_000));
+                    simulation.faults.crash(formerLeader, 300_000 + simulation.environment.random.nextInt(6_000_000));
                 } else {
-                    simulation.faults.partitionFromPeersAndStore(was, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
+                    simulation.faults.partitionFromPeersAndStore(
+                            formerLeader, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
                 }
                 simulation.after(
-                        10 * SECOND, () -> changes.addAndGet(simulation.leader().equals(was) ? 0 : 1));
+                        10 * SECOND, () -> changes.addAndGet(simulation.leader().equals(formerLeader) ? 0 : 1));
                 simulation.users.cancelRunning(1, 0);
             });
         }
@@ -280,21 +281,22 @@
     void deferrableWorkEventuallyUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation =
                 new Simulation(seed, configOf(seed).withControllers(3).withMachinesPerOffer(1));
-        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
-        simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
+        JobSpec template = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
+        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of a full-price machine
         // This job fills the spot machines, and launches no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         SimJobs jobs = simulation.jobs;
-        JobSpec late = jobs.batchBuilder(2, 20 * SECOND)
+        JobSpec deferrableJob = jobs.batchBuilder(2, 20 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .withoutDeadline()
                 .build();
 
-        simulation.after(60 * SECOND, () -> simulation.users.submit(late));
+        simulation.after(60 * SECOND, () -> simulation.users.submit(deferrableJob));
         simulation.runWithLivenessChecks(20 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.rules.startDelayMicros(late.id()) > 30 * SECOND, "it found capacity at once");
+        assertTrue(
+                simulation.rules.startDelayMicros(deferrableJob.id()) > 30 * SECOND, "the job found capacity at once");
         assertRules(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -34,7 +34,7 @@
         simulation.after(120 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.runWithLivenessChecks(135 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction went in");
+        assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction was applied");
         assertRulesAndAllDone(simulation);
     }
 
@@ -45,21 +45,21 @@
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 5, 8, 40 * SECOND);
 
-        AtomicInteger muted = new AtomicInteger();
+        AtomicInteger silentMachines = new AtomicInteger();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream()
                         .filter(worker -> worker.attempts().hasRunningTask())
                         .limit(6)
                         .forEach(worker -> {
-                            muted.incrementAndGet();
+                            silentMachines.incrementAndGet();
                             simulation.faults.dropHeartbeatsFrom(worker, simulation.config.leaseMicros() + 10 * SECOND);
                         }));
         crashLeaderAfter(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
         simulation.runWithLivenessChecks(60 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
-        assertTrue(muted.get() > 2, muted + " machines at work fell mute");
+        assertTrue(silentMachines.get() > 2, silentMachines + " busy machines could not send heartbeats");
         assertRulesAndAllDone(simulation);
     }
 
@@ -70,29 +70,30 @@
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 5, 8, 20 * SECOND);
 
-        Observation<Integer> heldBack = new Observation<>();
+        Observation<Integer> delayedCount = new Observation<>();
         Observation<Integer> tokensDrawn = new Observation<>();
         simulation.after(45 * SECOND, () -> {
             int fencingTokens = simulation.store.writeCount(Keys.FENCING_TOKEN);
             String former = simulation.leader();
-            List<Heartbeat> held = simulation.cloud.workers().stream()
+            List<Heartbeat> delayedHeartbeats = simulation.cloud.workers().stream()
                     .map(SimWorker::lastHeartbeat)
                     .toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
-                heldBack.set(held.size());
+                delayedCount.set(delayedHeartbeats.size());
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
-                held.forEach(heartbeat ->
+                delayedHeartbeats.forEach(heartbeat ->
                         simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
             });
             simulation.after(
-                    3 * simulation.config.leaseMicros(), () -> held.forEach(simulation.faults::deliverHeartbeat));
+                    3 * simulation.config.leaseMicros(),
+                    () -> delayedHeartbeats.forEach(simulation.faults::deliverHeartbeat));
         });
         simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.leaseMicros(), 400 * SECOND);
 
         assertTrue(
-                heldBack.get() > 2 && tokensDrawn.get() > 0,
-                heldBack.get() + " heartbeats held back, " + tokensDrawn.get() + " fencing tokens drawn meanwhile");
+                delayedCount.get() > 2 && tokensDrawn.get() > 0,
+                delayedCount.get() + " heartbeats delayed, " + tokensDrawn.get() + " fencing tokens drawn meanwhile");
         assertRulesAndAllDone(simulation);
     }
 
@@ -159,21 +160,21 @@
         Simulation simulation = withFewMachines(seed);
         submitLongRunningJobs(simulation, 2, 16, 25 * SECOND);
 
-        Observation<Integer> toldBefore = new Observation<>();
+        Observation<Integer> confirmedBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
             simulation.directStartDelayMicros = 7 * SECOND;
-            toldBefore.set(simulation.rules.cancelledJobCount());
+            confirmedBefore.set(simulation.rules.cancelledJobCount());
         });
         for (int i = 0; i < 12; i++) {
             simulation.after((41 + i) * SECOND, () -> simulation.users.cancelRunning(1, 0));
         }
         simulation.after(55 * SECOND, () -> simulation.directStartDelayMicros = 0);
-        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
+        Observation<Integer> confirmedAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
         simulation.runWithLivenessChecks(65 * SECOND, 500 * SECOND);
 
-        int told = toldAfter.get() - toldBefore.get();
-        assertTrue(told > 3, told + " cancellations");
+        int confirmed = confirmedAfter.get() - confirmedBefore.get();
+        assertTrue(confirmed > 3, confirmed + " cancellations");
         assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -14,7 +14,7 @@
     private static final long SECOND = Simulation.SECOND;
     private static final int FAULTY_MACHINES = 6;
     /** A machine counts as faulty after two failed tasks. More may have been started when the second one failed. */
-    private static final int MOST_FAILURES_OF_A_MACHINE = 4;
+    private static final int MAX_FAILURES_PER_MACHINE = 4;
 
     private static JobSpec job(Simulation simulation, int tasks) {
         return simulation.jobs.withoutDeadline(simulation.jobs.batch(tasks, 15 * SECOND));
@@ -48,7 +48,7 @@
         assertTrue(failures >= FAULTY_MACHINES / 2, failures + " failures");
         for (SimWorker worker : faulty) {
             assertTrue(
-                    worker.failedTaskCount() <= MOST_FAILURES_OF_A_MACHINE,
+                    worker.failedTaskCount() <= MAX_FAILURES_PER_MACHINE,
                     worker.failedTaskCount() + " tasks failed on " + worker.id);
         }
         for (JobSpec job : jobs) {
@@ -66,9 +66,9 @@
         for (int i = 0; i < 45; i++) {
             simulation.after(4L * i * SECOND, () -> simulation.users.submit(job(simulation, 8)));
         }
-        List<SimWorker> before = new ArrayList<>();
+        List<SimWorker> machinesBefore = new ArrayList<>();
         simulation.after(40 * SECOND, () -> {
-            before.addAll(simulation.cloud.workers());
+            machinesBefore.addAll(simulation.cloud.workers());
             for (int i = 0; i < 2; i++) {
                 JobSpec broken = job(simulation, 8);
                 simulation.brokenJobs.add(broken.id());
@@ -82,7 +82,8 @@
                 .mapToInt(SimWorker::failedTaskCount)
                 .sum();
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
-        long left = before.stream().filter(worker -> !worker.isAlive()).count();
-        assertTrue(left <= 2, left + " of " + before.size() + " machines were given up");
+        long returned =
+                machinesBefore.stream().filter(worker -> !worker.isAlive()).count();
+        assertTrue(returned <= 2, returned + " of " + machinesBefore.size() + " machines were given up");
     }
 }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -32,7 +32,7 @@
 
         assertRulesAndAllDone(simulation);
         assertEquals(12, simulation.gangs.startedAttemptCount(), "each gang starts once");
-        assertEquals(0, simulation.gangs.startTimeoutCount(), "tasks that waited in vain");
+        assertEquals(0, simulation.gangs.startTimeoutCount(), "tasks that timed out waiting for their gang");
     }
 
     /** A task's machine dies while it pulls its image. The other tasks wait, and a replacement joins them. */
@@ -87,9 +87,9 @@
         gang.runUntilRunning();
 
         gang.runFor(5 * SECOND);
-        SimWorker taken = gang.workersWithTasks().get(0);
-        taken.announceTermination(8 * SECOND);
-        simulation.after(8 * SECOND, taken::die);
+        SimWorker preemptedMachine = gang.workersWithTasks().get(0);
+        preemptedMachine.announceTermination(8 * SECOND);
+        simulation.after(8 * SECOND, preemptedMachine::die);
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
@@ -148,7 +148,7 @@
     }
 
     /** A gang that needs the whole of a large machine of this deployment. */
-    private static JobSpec gangForALargeMachine(Simulation simulation) {
+    private static JobSpec gangOfLargeMachineSize(Simulation simulation) {
         return simulation.jobs.withCpu(
                 simulation.jobs.batchBuilder(SIZE, 8 * SECOND).inOneZone().build(), SIZE, 4_000);
     }
@@ -162,12 +162,12 @@
         for (int i = 0; i < 130; i++) {
             simulation.after(SECOND * i, () -> simulation.users.submit(simulation.jobs.batch(8, 8 * SECOND)));
         }
-        JobSpec spec = gangForALargeMachine(simulation);
+        JobSpec spec = gangOfLargeMachineSize(simulation);
         simulation.after(20 * SECOND, () -> simulation.users.submit(spec));
         simulation.run(110 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.DONE, simulation.rules.finalState(spec.id()), "the gang waits");
+        assertEquals(JobState.DONE, simulation.rules.finalState(spec.id()), "the gang still waits");
     }
 
     /** There is capacity for one gang at a time. No gang keeps a part of the capacity that another one needs. */
@@ -177,7 +177,7 @@
         Simulation simulation =
                 new Simulation(seed, SimulationConfig.small().withControllers(3).withMachinesPerOffer(1));
         for (int i = 0; i < 6; i++) {
-            JobSpec spec = gangForALargeMachine(simulation);
+            JobSpec spec = gangOfLargeMachineSize(simulation);
             simulation.after(2 * SECOND, () -> simulation.users.submit(spec));
         }
         simulation.run(250 * SECOND);
@@ -197,7 +197,7 @@
 
         assertRules(simulation);
         assertNull(simulation.rules.finalState(wide.id()));
-        assertTrue(!simulation.rules.isAccepted(wide.id()), "accepted, though it can't run");
+        assertTrue(!simulation.rules.isAccepted(wide.id()), "a job that can't run was accepted");
         assertEquals(JobState.DONE, simulation.rules.finalState(narrow.id()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -17,9 +17,9 @@
 class GuaranteeTest {
     private static final long SECOND = Simulation.SECOND;
     /** A task may be stopped and restarted for guaranteed work a few times. */
-    private static final int MOST_STARTS = 8;
+    private static final int MAX_STARTS_PER_TASK = 8;
 
-    private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
+    private static JobSpec spotJob(Simulation simulation, String team, int tasks, long runMicros) {
         SimJobs jobs = simulation.jobs;
         return jobs.batchBuilder(tasks, runMicros)
                 .team(team)
@@ -37,7 +37,7 @@
     void borrowedCapacityIsReclaimed(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 2; i++) {
-            simulation.users.submit(wide(simulation, "free", 35, 150 * SECOND));
+            simulation.users.submit(spotJob(simulation, "free", 35, 150 * SECOND));
         }
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
@@ -45,23 +45,23 @@
             if (seed % 2 == 1) {
                 simulation.faults.crash(simulation.leader(), 300_000);
             }
-            simulation.users.submit(wide(simulation, "granted", 8, 30 * SECOND));
+            simulation.users.submit(spotJob(simulation, "granted", 8, 30 * SECOND));
             // Beyond its guarantee the team borrows like the others: no task is stopped for this job.
-            simulation.after(SECOND, () -> simulation.users.submit(wide(simulation, "granted", 5, 30 * SECOND)));
+            simulation.after(SECOND, () -> simulation.users.submit(spotJob(simulation, "granted", 5, 30 * SECOND)));
         });
-        long within = seed % 2 == 1 ? 16 : 10;
-        AtomicLong mostGranted = new AtomicLong();
+        long reclaimSeconds = seed % 2 == 1 ? 16 : 10;
+        AtomicLong maxUsedByGranted = new AtomicLong();
         Observation<Long> usedAfter = new Observation<>();
-        for (long i = 1; i <= within; i++) {
+        for (long i = 1; i <= reclaimSeconds; i++) {
             simulation.after((60 + i) * SECOND, () -> {
-                mostGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
+                maxUsedByGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
                 usedAfter.set(simulation.rules.usedCpuMillis("free"));
             });
         }
         simulation.runWithLivenessChecks(80 * SECOND, 900 * SECOND);
 
         assertTrue(usedBefore.get() > 20_000, "the others use only " + usedBefore.get());
-        assertTrue(mostGranted.get() >= 16_000, "the guaranteed team uses " + mostGranted);
+        assertTrue(maxUsedByGranted.get() >= 16_000, "the guaranteed team uses " + maxUsedByGranted);
         assertTrue(
                 usedAfter.get() >= usedBefore.get() - 20_000,
                 "the others were left " + usedAfter.get() + " of " + usedBefore.get());
@@ -73,7 +73,7 @@
     @ValueSource(longs = {1, 2, 3})
     void teamsGiveBackNoMoreThanTheyBorrowed(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
-        simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
+        simulation.users.submit(spotJob(simulation, "free", 10, 300 * SECOND));
         // The low priority makes this job the cheapest one to stop, and with tasks on all machines many of them could
         // be stopped at once.
         SimJobs jobs = simulation.jobs;
@@ -86,24 +86,24 @@
         Observation<Long> usedByLender = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             usedByLender.set(simulation.rules.usedCpuMillis("lender"));
-            simulation.users.submit(wide(simulation, "free", 40, 300 * SECOND));
+            simulation.users.submit(spotJob(simulation, "free", 40, 300 * SECOND));
         });
-        simulation.after(75 * SECOND, () -> simulation.users.submit(wide(simulation, "granted", 8, 60 * SECOND)));
-        AtomicLong leastLeft = new AtomicLong(Long.MAX_VALUE);
-        AtomicLong mostGranted = new AtomicLong();
+        simulation.after(75 * SECOND, () -> simulation.users.submit(spotJob(simulation, "granted", 8, 60 * SECOND)));
+        AtomicLong minUsedByLender = new AtomicLong(Long.MAX_VALUE);
+        AtomicLong maxUsedByGranted = new AtomicLong();
         for (long i = 1; i <= 12; i++) {
             simulation.after((75 + i) * SECOND, () -> {
-                leastLeft.accumulateAndGet(simulation.rules.usedCpuMillis("lender"), Math::min);
-                mostGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
+                minUsedByLender.accumulateAndGet(simulation.rules.usedCpuMillis("lender"), Math::min);
+                maxUsedByGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
             });
         }
         simulation.run(90 * SECOND);
 
         assertRules(simulation);
         assertTrue(
-                usedByLender.get() == 20_000 && mostGranted.get() >= 16_000,
-                "the lender used " + usedByLender.get() + ", the other got " + mostGranted);
-        assertTrue(leastLeft.get() >= 16_000, "the lender was left " + leastLeft);
+                usedByLender.get() == 20_000 && maxUsedByGranted.get() >= 16_000,
+                "the lender used " + usedByLender.get() + ", the guaranteed team got " + maxUsedByGranted);
+        assertTrue(minUsedByLender.get() >= 16_000, "the lender was left " + minUsedByLender);
     }
 
     /** One team submits many jobs at once. Guaranteed work of another team does not wait behind them. */
@@ -112,11 +112,11 @@
     void manyJobsOfOneTeamDoNotStarveGuaranteedWork(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 40; i++) {
-            simulation.users.submit(wide(simulation, "free", 5, 12 * SECOND));
+            simulation.users.submit(spotJob(simulation, "free", 5, 12 * SECOND));
         }
         List<JobSpec> granted = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            JobSpec job = wide(simulation, "granted", 3, 10 * SECOND);
+            JobSpec job = spotJob(simulation, "granted", 3, 10 * SECOND);
             granted.add(job);
             simulation.after((30 + 12 * i) * SECOND, () -> simulation.users.submit(job));
         }
@@ -139,10 +139,10 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void urgentWorkUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
-        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
-        simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
+        JobSpec template = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
+        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of a full-price machine
         simulation.users.submit(
-                wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and launches no others
+                spotJob(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and launches no others
         boolean guaranteed = seed % 2 == 1;
         SimJobs jobs = simulation.jobs;
         JobSpec job = jobs.batchBuilder(2, 300 * SECOND)
@@ -175,16 +175,16 @@
     void tasksAreNotStoppedRepeatedlyForGuaranteedWork(long seed) {
         Simulation simulation = new Simulation(seed, 3, 3);
         for (int i = 0; i < 30; i++) {
-            simulation.users.submit(wide(simulation, "free", 20, 60 * SECOND));
+            simulation.users.submit(spotJob(simulation, "free", 20, 60 * SECOND));
         }
         for (int i = 0; i < 120; i++) {
-            JobSpec granted = wide(simulation, i % 2 == 0 ? "granted" : "lender", 7, 12 * SECOND);
+            JobSpec granted = spotJob(simulation, i % 2 == 0 ? "granted" : "lender", 7, 12 * SECOND);
             simulation.after(30 * SECOND + 700_000L * i, () -> simulation.users.submit(granted));
         }
         simulation.run(200 * SECOND);
 
         assertRules(simulation);
-        int most = simulation.rules.maxStartsPerTask();
-        assertTrue(most > 1 && most <= MOST_STARTS, "one task was started " + most + " times");
+        int maxStarts = simulation.rules.maxStartsPerTask();
+        assertTrue(maxStarts > 1 && maxStarts <= MAX_STARTS_PER_TASK, "one task was started " + maxStarts + " times");
     }
 }
--- a/src/test/java/org/granitepath/simulation/LargeFleetTest.java
+++ b/src/test/java/org/granitepath/simulation/LargeFleetTest.java
@@ -18,7 +18,7 @@
     /** 1,700 machines with a heartbeat every five seconds, and few writes to the store. */
     @Test
     void rulesHoldWithSeventeenHundredMachines() {
-        day(
+        runThroughFaults(
                 new Simulation(
                         1,
                         FaultScenarios.LONG_LEASES
@@ -31,7 +31,7 @@
     /** Fewer machines, with a heartbeat every two seconds, and short leases. */
     @Test
     void rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats() {
-        day(
+        runThroughFaults(
                 new Simulation(
                         2, FaultScenarios.SHORT_LEASES.withMachinesPerOffer(97).withMaxConnections(2_257)),
                 700);
@@ -64,7 +64,7 @@
                 status.term().comparisonCount() < 12L * running.get(),
                 status.term().comparisonCount() + " comparisons of " + running.get() + " tasks");
         int refusals = simulation.store.rateLimitedRequestCount() - refusalsBefore.get();
-        assertTrue(refusals < 150, refusals + " requests came too fast");
+        assertTrue(refusals < 150, refusals + " requests exceeded the rate limit");
         assertTrue(
                 simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
                 simulation.maxConcurrentCalls + " calls to machines at once");
@@ -77,7 +77,7 @@
     }
 
     /** A leader pauses, a zone is cut off while a leader crashes, and then all controllers crash at once. */
-    private static void day(Simulation simulation, int machines) {
+    private static void runThroughFaults(Simulation simulation, int machines) {
         List<JobSpec> services = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             services.add(simulation.jobs.service(6));
@@ -112,7 +112,7 @@
         assertTrue(
                 simulation.store.rateLimitedRequestCount() < simulation.store.requestCount() / 20,
                 simulation.store.rateLimitedRequestCount() + " of " + simulation.store.requestCount()
-                        + " requests came too fast");
+                        + " requests exceeded the rate limit");
         assertTrue(
                 simulation.maxConcurrentCalls <= simulation.config.maxConnections() / 6,
                 simulation.maxConcurrentCalls + " calls to machines at once");
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -162,10 +162,10 @@
             simulation.users.submit(simulation.jobs.batch(20, 25 * SECOND));
         }
 
-        Observation<Long> before = new Observation<>();
-        AtomicLong least = new AtomicLong(Long.MAX_VALUE);
+        Observation<Long> replicasBefore = new Observation<>();
+        AtomicLong minReplicas = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
-            before.set(simulation.rules.runningReplicaCount());
+            replicasBefore.set(simulation.rules.runningReplicaCount());
             simulation.faults.partitionZone(
                     seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
@@ -174,13 +174,14 @@
         });
         for (int i = 0; i < 30; i++) {
             simulation.after(
-                    (50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
+                    (50 + i) * SECOND,
+                    () -> minReplicas.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
         }
         simulation.runWithLivenessChecks(82 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(60, before.get());
-        assertTrue(least.get() >= 57, "only " + least + " of " + before.get() + " replicas up");
+        assertEquals(60, replicasBefore.get());
+        assertTrue(minReplicas.get() >= 57, "only " + minReplicas + " of " + replicasBefore.get() + " replicas up");
         assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -30,8 +30,8 @@
 
         void assertFilledAtMostTwice(Simulation simulation) {
             int slots = (int) (worker.type.cpuMillis() / TASK_CPU_MILLIS);
-            int filled = simulation.commands.startCount(worker.id) - startsBefore;
-            assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
+            int starts = simulation.commands.startCount(worker.id) - startsBefore;
+            assertTrue(starts <= 2 * slots, "filled again and again: " + starts + " starts on " + slots + " slots");
         }
     }
 
@@ -62,7 +62,7 @@
         simulation.runWithLivenessChecks(200 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertFalse(observed.get().worker().isAlive(), "it is to be returned");
+        assertFalse(observed.get().worker().isAlive(), "the machine was not returned to the cloud");
         observed.get().assertFilledAtMostTwice(simulation);
     }
 
@@ -76,16 +76,16 @@
         Simulation simulation = new Simulation(seed, 3, 1);
         submitBatches(simulation, 8, 200, 8 * SECOND);
 
-        List<FilledMachine> deaf = new ArrayList<>();
+        List<FilledMachine> isolatedMachines = new ArrayList<>();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream().limit(5).forEach(worker -> {
-                    deaf.add(FilledMachine.now(simulation, worker));
+                    isolatedMachines.add(FilledMachine.now(simulation, worker));
                     simulation.faults.dropMessagesTo(worker, 80 * SECOND);
                 }));
         simulation.run(125 * SECOND);
 
-        deaf.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
+        isolatedMachines.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
 
         simulation.runWithLivenessChecks(130 * SECOND, 700 * SECOND);
 
@@ -98,11 +98,11 @@
         Simulation simulation = new Simulation(15, 3, 1);
 
         simulation.after(2 * SECOND, () -> simulation.users.submit(simulation.jobs.batch(900, 8 * SECOND)));
-        Observation<SimWorker> gone = new Observation<>();
+        Observation<SimWorker> lostWorker = new Observation<>();
         Observation<Integer> startsBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             SimWorker worker = simulation.randomWorker();
-            gone.set(worker);
+            lostWorker.set(worker);
             Heartbeat late = worker.lastHeartbeat();
             worker.die();
             simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startCount(worker.id)));
@@ -115,7 +115,7 @@
         assertRules(simulation);
         assertEquals(
                 startsBefore.get(),
-                simulation.commands.startCount(gone.get().id),
-                "work was placed on a machine that is gone");
+                simulation.commands.startCount(lostWorker.get().id),
+                "tasks were placed on a lost machine");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -46,11 +46,11 @@
                         .build());
             });
         }
-        List<Consumer<Simulation>> troubles = troubles();
+        List<Consumer<Simulation>> allFaults = allFaults();
         for (int i = 0; i < 3; i++) {
             long at = (30 + 55 * i) * SECOND + simulation.environment.random.nextInt(8_000_000);
-            Consumer<Simulation> one = troubles.get(simulation.environment.random.nextInt(troubles.size()));
-            Consumer<Simulation> other = troubles.get(simulation.environment.random.nextInt(troubles.size()));
+            Consumer<Simulation> one = allFaults.get(simulation.environment.random.nextInt(allFaults.size()));
+            Consumer<Simulation> other = allFaults.get(simulation.environment.random.nextInt(allFaults.size()));
             simulation.after(at, () -> one.accept(simulation));
             simulation.after(at + simulation.environment.random.nextInt(6_000_000), () -> other.accept(simulation));
         }
@@ -59,7 +59,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    private static long time(Simulation simulation) {
+    private static long randomDuration(Simulation simulation) {
         return (2 + simulation.environment.random.nextInt(40)) * SECOND;
     }
 
@@ -69,78 +69,80 @@
                 : SimEnvironment.PartitionMode.DROP;
     }
 
-    private static void someMachines(Simulation simulation, Consumer<SimWorker> what) {
+    private static void forSomeMachines(Simulation simulation, Consumer<SimWorker> action) {
         List<SimWorker> all = simulation.cloud.workers();
         int every = 2 + simulation.environment.random.nextInt(4);
         for (int i = 0; i < all.size(); i += every) {
-            what.accept(all.get(i));
+            action.accept(all.get(i));
         }
     }
 
     /** All faults. Their order has to stay the same, since a seed selects them by index. */
-    private static List<Consumer<Simulation>> troubles() {
-        return Stream.of(ofControllersAndLinks(), ofMessages(), ofMachines())
+    private static List<Consumer<Simulation>> allFaults() {
+        return Stream.of(controllerAndLinkFaults(), messageFaults(), machineFaults())
                 .flatMap(List::stream)
                 .toList();
     }
 
-    private static List<Consumer<Simulation>> ofControllersAndLinks() {
+    private static List<Consumer<Simulation>> controllerAndLinkFaults() {
         return List.of(
                 simulation -> simulation.faults.crash(
                         simulation.leader(), 200_000 + simulation.environment.random.nextInt(6_000_000)),
                 simulation -> simulation.nodeNames.forEach(node ->
                         simulation.faults.crash(node, 200_000 + simulation.environment.random.nextInt(30_000_000))),
-                simulation -> simulation.store.refuseRequestsOf(simulation.leader(), time(simulation)),
+                simulation -> simulation.store.refuseRequestsOf(simulation.leader(), randomDuration(simulation)),
                 simulation -> simulation.store.startOutage(
-                        time(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
+                        randomDuration(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
                 simulation -> simulation.faults.partitionFromPeersAndStore(
-                        simulation.leader(), cut(simulation), time(simulation)),
+                        simulation.leader(), cut(simulation), randomDuration(simulation)),
                 simulation -> simulation.faults.partition(
-                        simulation.leader(), SimStore.NAME, cut(simulation), time(simulation)),
-                simulation ->
-                        simulation.faults.partitionFromWorkers(simulation.leader(), cut(simulation), time(simulation)),
+                        simulation.leader(), SimStore.NAME, cut(simulation), randomDuration(simulation)),
+                simulation -> simulation.faults.partitionFromWorkers(
+                        simulation.leader(), cut(simulation), randomDuration(simulation)),
                 simulation -> simulation.faults.partitionZone(
-                        simulation.zoneOf(simulation.randomNode()), cut(simulation), time(simulation)),
-                simulation -> simulation.faults.pause(simulation.leader(), time(simulation)),
+                        simulation.zoneOf(simulation.randomNode()), cut(simulation), randomDuration(simulation)),
+                simulation -> simulation.faults.pause(simulation.leader(), randomDuration(simulation)),
                 simulation -> simulation.users.cancelRunning(
-                        6, simulation.environment.random.nextBoolean() ? 0 : time(simulation)));
+                        6, simulation.environment.random.nextBoolean() ? 0 : randomDuration(simulation)));
     }
 
-    private static List<Consumer<Simulation>> ofMessages() {
+    private static List<Consumer<Simulation>> messageFaults() {
         return List.of(
                 simulation -> {
                     simulation.cancelAtCompletionShare = 0.5;
-                    simulation.after(time(simulation), () -> simulation.cancelAtCompletionShare = 0);
+                    simulation.after(randomDuration(simulation), () -> simulation.cancelAtCompletionShare = 0);
                 },
                 simulation -> {
                     simulation.store.lateCommitShare = 0.3;
-                    simulation.after(time(simulation), () -> simulation.store.lateCommitShare = 0);
+                    simulation.after(randomDuration(simulation), () -> simulation.store.lateCommitShare = 0);
                 },
                 simulation -> {
                     simulation.environment.duplicateRequestShare = 0.2;
-                    simulation.after(time(simulation), () -> simulation.environment.duplicateRequestShare = 0);
+                    simulation.after(
+                            randomDuration(simulation), () -> simulation.environment.duplicateRequestShare = 0);
                 },
                 simulation -> {
                     simulation.environment.delayedPacketShare = 0.06;
-                    simulation.after(time(simulation), () -> simulation.environment.delayedPacketShare = 0);
+                    simulation.after(randomDuration(simulation), () -> simulation.environment.delayedPacketShare = 0);
                 },
-                simulation -> simulation.store.dropReadsOf(simulation.leader(), time(simulation)));
+                simulation -> simulation.store.dropReadsOf(simulation.leader(), randomDuration(simulation)));
     }
 
-    private static List<Consumer<Simulation>> ofMachines() {
+    private static List<Consumer<Simulation>> machineFaults() {
         return List.of(
-                simulation ->
-                        someMachines(simulation, worker -> simulation.faults.dropMessagesTo(worker, time(simulation))),
-                simulation -> someMachines(
-                        simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, time(simulation))),
-                simulation -> someMachines(
+                simulation -> forSomeMachines(
+                        simulation, worker -> simulation.faults.dropMessagesTo(worker, randomDuration(simulation))),
+                simulation -> forSomeMachines(
+                        simulation, worker -> simulation.faults.dropHeartbeatsFrom(worker, randomDuration(simulation))),
+                simulation -> forSomeMachines(
                         simulation,
-                        worker -> simulation.faults.partitionMachine(worker, cut(simulation), time(simulation))),
-                simulation -> someMachines(simulation, worker -> worker.hangFor(time(simulation))),
-                simulation -> someMachines(
+                        worker -> simulation.faults.partitionMachine(
+                                worker, cut(simulation), randomDuration(simulation))),
+                simulation -> forSomeMachines(simulation, worker -> worker.hangFor(randomDuration(simulation))),
+                simulation -> forSomeMachines(
                         simulation,
                         worker -> simulation.after(simulation.environment.random.nextInt(3_000_000), worker::die)),
-                simulation -> simulation.users.sendUnusualRequests(time(simulation)),
-                simulation -> simulation.cloud.startOutage(time(simulation)));
+                simulation -> simulation.users.sendUnusualRequests(randomDuration(simulation)),
+                simulation -> simulation.cloud.startOutage(randomDuration(simulation)));
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -45,12 +45,12 @@
         simulation.run(RESTART_MICROS + 100 * SECOND);
 
         assertTrue(before.get() > 0, "the job does not run");
-        assertEquals(before.get(), running(simulation, job), "tasks of a job that can't be judged were stopped");
+        assertEquals(before.get(), running(simulation, job), "tasks of a job with an unreadable record were stopped");
         assertTrue(
                 simulation.commands.startsSince(RESTART_MICROS).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
-        assertTrue(simulation.store.hasValue(key, garbage), "it was written over");
+        assertTrue(simulation.store.hasValue(key, garbage), "the record was overwritten");
         assertTrue(simulation.recoveryStatus().unreadableRecords() > 0);
         simulation.run(400 * SECOND);
 
@@ -83,7 +83,7 @@
         RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
-        assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "it was written over");
+        assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "the record was overwritten");
         simulation.run(300 * SECOND);
 
         assertRules(simulation);
@@ -144,14 +144,14 @@
     }
 
     /** A fault during a recovery, with the seed of its runs. */
-    private enum Trouble {
-        ALL_END(17),
-        LEADER_ENDS(18),
-        LEADER_STANDS_STILL(19);
+    private enum Fault {
+        ALL_CONTROLLERS_CRASH(17),
+        LEADER_CRASHES(18),
+        LEADER_PAUSES(19);
 
         private final long seed;
 
-        Trouble(long seed) {
+        Fault(long seed) {
             this.seed = seed;
         }
     }
@@ -160,16 +160,16 @@
     @ParameterizedTest
     @EnumSource(RecoveryPhase.class)
     void workCompletesWhenFaultsStrikeInEachPhase(RecoveryPhase phase) {
-        for (Trouble trouble : Trouble.values()) {
-            Simulation simulation = busyDeployment(trouble.seed);
+        for (Fault fault : Fault.values()) {
+            Simulation simulation = busyDeployment(fault.seed);
             simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : RECOVERY_HOLD_MICROS;
             simulation.after(RESTART_MICROS, () -> restartAndLoseReplicas(simulation, phase));
 
-            int met = strikeTwice(simulation, phase, trouble);
+            int injected = injectTwice(simulation, phase, fault);
 
             // If no machine has capacity for the work that goes first, its phase ends within one step.
-            int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
-            assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
+            int minInjected = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
+            assertTrue(injected >= minInjected, "recoveries that the fault struck in " + phase + ", " + fault);
             simulation.runWithLivenessChecks(RESTART_MICROS + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
@@ -190,27 +190,27 @@
     }
 
     /** Runs for a minute and causes the fault the first two times that a recovery is in this phase. */
-    private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
-        AtomicInteger met = new AtomicInteger();
+    private static int injectTwice(Simulation simulation, RecoveryPhase phase, Fault fault) {
+        AtomicInteger injected = new AtomicInteger();
         simulation.environment.run(RESTART_MICROS + 60 * SECOND, () -> {
             simulation.rules.check();
             RecoveryStatus status = simulation.environment.nowMicros() > RESTART_MICROS
                     ? simulation.recoveryStatusInPhase(phase)
                     : null;
-            if (status != null && met.get() < 2) {
-                met.incrementAndGet();
+            if (status != null && injected.get() < 2) {
+                injected.incrementAndGet();
                 endReplicas(simulation);
-                strike(simulation, status.node(), trouble);
+                inject(simulation, status.node(), fault);
             }
         });
-        return met.get();
+        return injected.get();
     }
 
-    private static void strike(Simulation simulation, String leader, Trouble trouble) {
-        switch (trouble) {
-            case ALL_END -> simulation.faults.crashAll(SECOND);
-            case LEADER_ENDS -> simulation.faults.crash(leader, 100_000);
-            case LEADER_STANDS_STILL -> simulation.faults.pause(leader, 6 * SECOND);
+    private static void inject(Simulation simulation, String leader, Fault fault) {
+        switch (fault) {
+            case ALL_CONTROLLERS_CRASH -> simulation.faults.crashAll(SECOND);
+            case LEADER_CRASHES -> simulation.faults.crash(leader, 100_000);
+            case LEADER_PAUSES -> simulation.faults.pause(leader, 6 * SECOND);
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -36,10 +36,10 @@
 
         assertRulesAndAllDone(simulation);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART_MICROS);
-        List<Boolean> liveWorkBacklog =
+        List<Boolean> startsOfServices =
                 starts.stream().map(start -> isService(simulation, start)).toList();
-        int firstBatch = liveWorkBacklog.indexOf(false);
-        assertTrue(firstBatch >= 0, "nothing to put in order");
+        int firstBatch = startsOfServices.indexOf(false);
+        assertTrue(firstBatch >= 0, "no batch task was started");
         long replicas = starts.subList(0, firstBatch).stream()
                 .map(SimCommands.Start::task)
                 .distinct()
@@ -69,7 +69,7 @@
     /** Without a hold the same restart starts batch tasks before some services, so the hold causes the order above. */
     @Test
     void batchWorkStartsAmongServicesWithoutHold() {
-        int mixed = 0;
+        int mixedRuns = 0;
         for (long seed = 1; seed <= 6; seed++) {
             Simulation simulation = busyDeployment(seed);
             simulation.recoveryHoldMicros = 0;
@@ -81,9 +81,9 @@
             List<Boolean> services = simulation.commands.startsSince(RESTART_MICROS).stream()
                     .map(start -> isService(simulation, start))
                     .toList();
-            mixed += services.indexOf(false) < services.lastIndexOf(true) ? 1 : 0;
+            mixedRuns += services.indexOf(false) < services.lastIndexOf(true) ? 1 : 0;
         }
-        assertTrue(mixed > 0, "the order comes by itself");
+        assertTrue(mixedRuns > 0, "services start first even without a hold");
     }
 
     /** Machines that stay unresponsive delay batch work no longer than the hold, and live work not at all. */
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -34,19 +34,19 @@
         simulation.users.submit(cancelled, 30 * SECOND);
         simulation.users.addSpec(unknown);
 
-        Observation<Planted> observed = new Observation<>();
+        Observation<AddedTasks> observed = new Observation<>();
         simulation.after(RESTART_MICROS, () -> {
             restartControllers(simulation, false);
-            observed.set(plant(
+            observed.set(addTasks(
                     simulation, new TaskId(done.id(), 0), new TaskId(cancelled.id(), 1), new TaskId(unknown.id(), 2)));
         });
         simulation.run(RESTART_MICROS + 20 * SECOND);
 
-        Planted planted = observed.get();
-        for (TaskId task : planted.forbidden) {
-            assertNull(planted.host.attempts().get(task, 3), task + " is not stopped and cleared");
+        AddedTasks added = observed.get();
+        for (TaskId task : added.forbidden) {
+            assertNull(added.host.attempts().get(task, 3), task + " is not stopped and cleared");
         }
-        TaskId held = planted.held;
+        TaskId held = added.held;
         long attempts = simulation.cloud.workers().stream()
                 .flatMap(worker -> worker.attempts().active().stream())
                 .filter(attempt -> attempt.task.equals(held))
@@ -59,24 +59,24 @@
     }
 
     /** The tasks added to a machine: forbidden ones, and one that another machine already runs. */
-    private record Planted(SimWorker host, List<TaskId> forbidden, TaskId held) {}
+    private record AddedTasks(SimWorker host, List<TaskId> forbidden, TaskId held) {}
 
     /**
      * Adds these tasks, one with an index beyond its job's tasks, and one that another machine holds as two attempts.
      */
-    private static Planted plant(Simulation simulation, TaskId... tasks) {
-        List<SimWorker> atWork = simulation.cloud.workers().stream()
+    private static AddedTasks addTasks(Simulation simulation, TaskId... tasks) {
+        List<SimWorker> busyWorkers = simulation.cloud.workers().stream()
                 .filter(worker -> worker.attempts().hasRunningTask())
                 .toList();
-        SimWorker busy = atWork.get(0);
+        SimWorker busy = busyWorkers.get(0);
         TaskId held = busy.attempts().active().get(0).task;
-        SimWorker other = atWork.get(1);
+        SimWorker other = busyWorkers.get(1);
         List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
         forbidden.add(new TaskId(held.job(), 99));
         forbidden.forEach(task -> other.attempts().addUnknown(task, 3));
         other.attempts().addUnknown(held, 3);
         busy.attempts().addUnknown(held, 5);
-        return new Planted(other, forbidden, held);
+        return new AddedTasks(other, forbidden, held);
     }
 
     /** Results from the downtime count. First heartbeats arrive twice, late, and from an earlier agent epoch. */
--- a/src/test/java/org/granitepath/simulation/SimulationTest.java
+++ b/src/test/java/org/granitepath/simulation/SimulationTest.java
@@ -49,44 +49,46 @@
         for (int i = 0; i < 14; i++) {
             simulation.after(
                     15 * SECOND + (long) (simulation.environment.random.nextDouble() * 200 * SECOND),
-                    () -> trouble(simulation));
+                    () -> injectRandomFault(simulation));
         }
         simulation.run(600 * SECOND);
 
         assertRules(simulation);
-        assertEquals(List.of(), simulation.users.unfinishedBatchJobs(), "work must go on once the troubles are over");
+        assertEquals(
+                List.of(), simulation.users.unfinishedBatchJobs(), "work must complete after the faults have ended");
     }
 
-    private static void trouble(Simulation simulation) {
+    private static void injectRandomFault(Simulation simulation) {
         var random = simulation.environment.random;
-        SimEnvironment.PartitionMode how =
+        SimEnvironment.PartitionMode mode =
                 random.nextBoolean() ? SimEnvironment.PartitionMode.HOLD : SimEnvironment.PartitionMode.DROP;
-        long time = (3 + random.nextInt(40)) * SECOND;
+        long durationMicros = (3 + random.nextInt(40)) * SECOND;
         switch (random.nextInt(14)) {
             case 0 -> simulation.faults.crash(simulation.leader(), 300_000 + random.nextInt(6_000_000));
             case 1 -> simulation.faults.crash(simulation.randomNode(), 300_000 + random.nextInt(6_000_000));
             case 2 ->
                 simulation.nodeNames.forEach(node -> simulation.faults.crash(node, SECOND + random.nextInt(4_000_000)));
-            case 3 -> simulation.faults.partition(simulation.leader(), SimStore.NAME, how, time);
-            case 4 -> simulation.faults.partitionFromWorkers(simulation.leader(), how, time);
-            case 5 -> simulation.store.startOutage(time);
-            case 6 -> simulation.cloud.startOutage(time);
-            case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), time);
-            case 8 -> simulation.faults.partitionZone(simulation.zoneOf(simulation.randomNode()), how, time);
-            case 9 -> simulation.faults.pause(simulation.leader(), time);
-            default -> machineTrouble(simulation, how, time);
+            case 3 -> simulation.faults.partition(simulation.leader(), SimStore.NAME, mode, durationMicros);
+            case 4 -> simulation.faults.partitionFromWorkers(simulation.leader(), mode, durationMicros);
+            case 5 -> simulation.store.startOutage(durationMicros);
+            case 6 -> simulation.cloud.startOutage(durationMicros);
+            case 7 -> simulation.store.refuseRequestsOf(simulation.leader(), durationMicros);
+            case 8 -> simulation.faults.partitionZone(simulation.zoneOf(simulation.randomNode()), mode, durationMicros);
+            case 9 -> simulation.faults.pause(simulation.leader(), durationMicros);
+            default -> injectMachineFault(simulation, mode, durationMicros);
         }
     }
 
-    private static void machineTrouble(Simulation simulation, SimEnvironment.PartitionMode how, long time) {
+    private static void injectMachineFault(
+            Simulation simulation, SimEnvironment.PartitionMode mode, long durationMicros) {
         SimWorker worker = simulation.randomWorker();
         if (worker == null) {
             return;
         }
         switch (simulation.environment.random.nextInt(5)) {
             case 0 -> worker.die();
-            case 1 -> worker.hangFor(time);
-            case 2 -> simulation.faults.partitionMachine(worker, how, time);
+            case 1 -> worker.hangFor(durationMicros);
+            case 2 -> simulation.faults.partitionMachine(worker, mode, durationMicros);
             case 3 -> {
                 worker.announceTermination(8 * SECOND);
                 simulation.after(8 * SECOND, worker::die);
@@ -109,7 +111,7 @@
                             simulation.leader(), 300_000 + simulation.environment.random.nextInt(5_000_000)));
             simulation.after(
                     (32 + 25 * i) * SECOND,
-                    () -> machineTrouble(simulation, SimEnvironment.PartitionMode.HOLD, 15 * SECOND));
+                    () -> injectMachineFault(simulation, SimEnvironment.PartitionMode.HOLD, 15 * SECOND));
         }
         simulation.runWithLivenessChecks(180 * SECOND, 420 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -27,11 +27,11 @@
 
 /** Tests that controllers keep within the rates and sizes that the store allows when they need far more of them. */
 class StoreLimitsTest {
-    private static final int MOST_CHANGES = 8;
+    private static final int MAX_TRANSACTION_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
     private final SimEnvironment environment = new SimEnvironment(1);
-    private final SimStore store = new SimStore(environment, MOST_CHANGES, 2048, 1000, 200);
+    private final SimStore store = new SimStore(environment, MAX_TRANSACTION_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
@@ -70,7 +70,14 @@
     private WriteQueue writeQueue(
             SimStore of, String node, RecordReplica replica, double writesPerSecond, RateControl control) {
         return new WriteQueue(
-                of.portFor(node), replica, timers, MOST_CHANGES, writesPerSecond, control, List::of, () -> true);
+                of.portFor(node),
+                replica,
+                timers,
+                MAX_TRANSACTION_CHANGES,
+                writesPerSecond,
+                control,
+                List::of,
+                () -> true);
     }
 
     /**
@@ -106,7 +113,7 @@
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 10, RateControl.FIXED);
         List<String> written = new ArrayList<>();
-        AtomicInteger made = new AtomicInteger();
+        AtomicInteger buildCount = new AtomicInteger();
         for (int i = 0; i < 300; i++) {
             String key = "g/n/" + i;
             writeQueue.enqueue(
@@ -114,7 +121,7 @@
                     Urgency.PROGRESS_ONLY,
                     0,
                     () -> {
-                        made.incrementAndGet();
+                        buildCount.incrementAndGet();
                         return List.of(Change.write(key, SOME_RECORD));
                     },
                     storeRevision -> written.add(key));
@@ -128,26 +135,26 @@
                 storeRevision -> written.add("g/safe"));
         environment.run(3_300_000, () -> {});
 
-        assertTrue(written.contains("g/safe"), "an urgent write waits behind progress");
+        assertTrue(written.contains("g/safe"), "the urgent write waits behind progress writes");
         environment.run(61_000_000, () -> {});
 
         assertEquals(301, written.size());
-        assertTrue(made.get() <= 310, "contents were made " + made + " times");
+        assertTrue(buildCount.get() <= 310, "the changes were built " + buildCount + " times");
     }
 
     /** Request handlers of five controllers need more writes than the store allows; the leader still gets its rate. */
     @Test
     void adaptiveWritersYieldToTheLeader() {
-        SimStore tight = new SimStore(environment, MOST_CHANGES, 2048, 1000, 18);
+        SimStore limitedStore = new SimStore(environment, MAX_TRANSACTION_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
             String node = "n" + number;
             String prefix = "g/" + number + "/";
             boolean leads = number == 0;
-            RecordReplica replica = replicaOf(tight, node);
+            RecordReplica replica = replicaOf(limitedStore, node);
             double writesPerSecond = leads ? 11.7 : 9;
             RateControl control = leads ? RateControl.FIXED : RateControl.ADAPTIVE;
-            WriteQueue writeQueue = writeQueue(tight, node, replica, writesPerSecond, control);
+            WriteQueue writeQueue = writeQueue(limitedStore, node, replica, writesPerSecond, control);
             for (int i = 0; i < 900; i++) {
                 String key = prefix + i;
                 environment.after(
@@ -171,7 +178,7 @@
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         List<String> written = new ArrayList<>();
-        AtomicInteger made = new AtomicInteger();
+        AtomicInteger buildCount = new AtomicInteger();
         StoredRecord large = new UnknownRecord(Map.of("x", "y".repeat(3_000)));
         for (int i = 0; i < 12; i++) {
             String key = "g/n/" + i;
@@ -181,7 +188,7 @@
                     Urgency.WORK,
                     0,
                     () -> {
-                        made.addAndGet(tooLarge ? 1 : 0);
+                        buildCount.addAndGet(tooLarge ? 1 : 0);
                         return List.of(Change.write(key, tooLarge ? large : SOME_RECORD));
                     },
                     storeRevision -> written.add(key));
@@ -189,7 +196,7 @@
         environment.run(20_000_000, () -> {});
 
         assertEquals(11, written.size());
-        assertTrue(made.get() <= 8, "sent " + made + " times");
+        assertTrue(buildCount.get() <= 8, "sent " + buildCount + " times");
     }
 
     /** Finished and unfinished tasks of a job alternate: its progress record fits, and keeps the longest ranges. */
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -14,9 +14,9 @@
 class TakeoverTest {
     private static final long SECOND = Simulation.SECOND;
 
-    private static void submitWork(Simulation simulation, int tasksOfABatch) {
+    private static void submitWork(Simulation simulation, int tasksPerBatch) {
         for (int i = 0; i < 8; i++) {
-            simulation.users.submit(simulation.jobs.batch(tasksOfABatch, 30 * SECOND));
+            simulation.users.submit(simulation.jobs.batch(tasksPerBatch, 30 * SECOND));
             simulation.users.submit(simulation.jobs.service(6));
         }
     }
@@ -43,14 +43,14 @@
     void leaderCutOffFromItsWorkersStepsDown(long seed) {
         Simulation simulation = new Simulation(seed, 5, 12);
         submitWork(simulation, 100);
-        Observation<String> cut = new Observation<>();
+        Observation<String> cutOff = new Observation<>();
         simulation.after(50 * SECOND, () -> {
-            cut.set(simulation.leader());
-            simulation.faults.partitionFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+            cutOff.set(simulation.leader());
+            simulation.faults.partitionFromWorkers(cutOff.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         });
         simulation.run(50 * SECOND + Simulation.LEASE_MICROS);
 
-        assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
+        assertNotEquals(cutOff.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
         // Their heartbeats stop one after the other. The first machines must not be returned before the others show
         // that the leader is cut off.
         assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
@@ -68,20 +68,20 @@
     void takeoverTerminatesNoHealthyMachine(long seed) {
         Simulation simulation = new Simulation(seed, 5, 20);
         submitWork(simulation, 150);
-        List<String> cut = new ArrayList<>();
+        List<String> cutOff = new ArrayList<>();
         simulation.after(45 * SECOND, () -> {
             simulation.faults.partitionFromPeersAndStore(
                     simulation.leader(), SimEnvironment.PartitionMode.DROP, 40 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
-                cut.add(all.get(i).id);
+                cutOff.add(all.get(i).id);
                 simulation.faults.partitionMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 25 * SECOND);
             }
         });
         simulation.run(100 * SECOND);
 
         List<String> healthy = new ArrayList<>(simulation.cloud.terminatedWhileBusy());
-        healthy.removeAll(cut);
+        healthy.removeAll(cutOff);
         assertEquals(List.of(), healthy, "returned with tasks on them");
         simulation.runWithLivenessChecks(100 * SECOND, 500 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -19,9 +19,9 @@
  */
 class UpgradeTest {
     private static final long SECOND = Simulation.SECOND;
-    private static final StoreLimits NEXT = new StoreLimits(15, 2 * 1024, 4);
+    private static final StoreLimits FUTURE_LIMITS = new StoreLimits(15, 2 * 1024, 4);
     /** Puts as many machines into a value as the version in production does, whose rows and values are longer. */
-    private static final SimulationConfig PRODUCTION = FaultScenarios.SHORT_LEASES
+    private static final SimulationConfig PRODUCTION_CONFIG = FaultScenarios.SHORT_LEASES
             .withMachinesPerOffer(40)
             .withRequestsPerSecond(150)
             .withWritesPerSecond(20)
@@ -31,7 +31,7 @@
 
     private static Simulation busyDeployment(long seed, SimulationConfig shape) {
         Simulation simulation = new Simulation(seed, shape);
-        simulation.upgradedLimits = NEXT;
+        simulation.upgradedLimits = FUTURE_LIMITS;
         submitServices(simulation, 60, 6);
         for (int i = 0; i < 12; i++) {
             simulation.after(
@@ -44,8 +44,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void workCompletesWhileBothVersionsServeAndLimitsChange(long seed) {
-        Simulation simulation = busyDeployment(seed, PRODUCTION);
-        Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValueLength);
+        Simulation simulation = busyDeployment(seed, PRODUCTION_CONFIG);
+        Observation<Integer> largestValueBefore = simulation.observe(39 * SECOND, simulation.store::largestValueLength);
         for (int i = 0; i < simulation.nodeNames.size(); i++) {
             String node = simulation.nodeNames.get((int) (seed + i) % simulation.nodeNames.size());
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
@@ -53,16 +53,18 @@
         // A controller that crashes before its upgrade restarts with the former version, and may become the leader.
         crashLeaderAfter(simulation, 53 * SECOND, 200_000);
         crashLeaderAfter(simulation, 64 * SECOND, SECOND);
-        simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(NEXT));
+        simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(FUTURE_LIMITS));
         crashLeaderAfter(simulation, 115 * SECOND, 2 * SECOND);
         simulation.after(
                 130 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
         simulation.runWithLivenessChecks(140 * SECOND, 400 * SECOND);
 
-        assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
+        assertTrue(
+                largestValueBefore.get() > FUTURE_LIMITS.valueBytes(),
+                "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(simulation);
         assertTrue(
-                simulation.store.largestValueLength() <= NEXT.valueBytes(),
+                simulation.store.largestValueLength() <= FUTURE_LIMITS.valueBytes(),
                 simulation.store.largestValueLength() + " bytes");
     }
 
@@ -70,10 +72,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void largeValuesOfTheFormerVersionAreSplit(long seed) {
-        Simulation simulation = busyDeployment(seed, PRODUCTION);
+        Simulation simulation = busyDeployment(seed, PRODUCTION_CONFIG);
         simulation.after(40 * SECOND, () -> {
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
-            simulation.store.lowerLimits(NEXT);
+            simulation.store.lowerLimits(FUTURE_LIMITS);
         });
         crashLeaderAfter(simulation, 46 * SECOND, SECOND);
         simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
@@ -81,7 +83,7 @@
         assertRulesAndAllDone(simulation);
         assertEquals(List.of(), simulation.rules.violations());
         assertTrue(
-                simulation.store.largestValueLength() <= NEXT.valueBytes(),
+                simulation.store.largestValueLength() <= FUTURE_LIMITS.valueBytes(),
                 simulation.store.largestValueLength() + " bytes");
     }
 
@@ -90,10 +92,10 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWithValuesTooLargeToSplitAtOnce(long seed) {
         Simulation simulation =
-                busyDeployment(seed, PRODUCTION.withMachinesPerOffer(60).withValueBytes(12 * 1024));
+                busyDeployment(seed, PRODUCTION_CONFIG.withMachinesPerOffer(60).withValueBytes(12 * 1024));
         simulation.after(40 * SECOND, () -> {
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
-            simulation.store.lowerLimits(NEXT);
+            simulation.store.lowerLimits(FUTURE_LIMITS);
         });
         crashLeaderAfter(simulation, 60 * SECOND, SECOND);
         simulation.after(
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -19,7 +19,7 @@
         fixture.assertNoViolations();
         fixture.runUntil(91_000_000);
         fixture.rules().checkNotStarved(List.of());
-        assertTrue(fixture.rules().violations().isEmpty(), "no machine is there");
+        assertTrue(fixture.rules().violations().isEmpty(), "no machine is available");
 
         checkEachSecond(92, 183, worker);
 
