--- a/src/test/java/org/granitepath/loopback/ColdRestartIT.java
+++ b/src/test/java/org/granitepath/loopback/ColdRestartIT.java
@@ -76,10 +76,12 @@
 
     /** Ends the replicas on half of the workers that hold any. Which workers hold replicas differs from run to run. */
     private static void loseReplicas(Cluster cluster) {
-        List<FakeWorker> holders = cluster.workers.stream()
+        List<FakeWorker> workersWithReplicas = cluster.workers.stream()
                 .filter(worker -> worker.holds(cluster::isService))
                 .toList();
-        holders.stream().limit((holders.size() + 1) / 2).forEach(worker -> worker.endTasks(cluster::isService));
+        workersWithReplicas.stream()
+                .limit((workersWithReplicas.size() + 1) / 2)
+                .forEach(worker -> worker.endTasks(cluster::isService));
     }
 
     private static void awaitRecovered(Cluster cluster) throws InterruptedException {
--- a/src/test/java/org/granitepath/loopback/FakeWorker.java
+++ b/src/test/java/org/granitepath/loopback/FakeWorker.java
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Waits until the next heartbeat is due, or until a change has to be reported after the least spacing. */
+    /** Waits until the next heartbeat is due, or until a change has to be reported after the minimum spacing. */
     private synchronized void awaitNextHeartbeat() throws InterruptedException {
         long now = System.nanoTime();
         long earliest = now + MIN_HEARTBEAT_SPACING_MILLIS * 1_000_000;
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -40,9 +40,9 @@
 
     /**
      * The store refuses only the leader, another controller confirms cancellations, and one or two seconds later the
-     * store is down for everybody for longer than cancel_s, while workers go on sending heartbeats to the leader. With
-     * seeds above 2 no controller tells the leader of the cancellations: only the bound on how long any controller may
-     * keep a lease alive can end the tasks.
+     * store is down for all controllers for longer than cancel_s, while workers go on sending heartbeats to the leader.
+     * With seeds above 2 no controller tells the leader of the cancellations: only the bound on how long any controller
+     * may keep a lease alive can end the tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -81,7 +81,9 @@
         assertRules(simulation);
     }
 
-    /** The store answers slowly, then refuses only the leader, then everybody, while users cancel jobs and poll. */
+    /**
+     * The store answers slowly, then refuses only the leader, then all controllers, while users cancel jobs and poll.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsHoldWhileStoreIsSlowThenRefusesLeaderThenIsDown(long seed) {
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -148,12 +148,12 @@
                 50 * SECOND,
                 () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, simulation.config.leaseMicros() + 5 * SECOND)));
-        Observation<Integer> left = simulation.observe(
+        Observation<Integer> runningJobs = simulation.observe(
                 54 * SECOND + simulation.config.leaseMicros(),
                 () -> simulation.rules.runningJobs().size());
         simulation.runWithLivenessChecks(57 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
-        assertEquals(0, left.get(), "tasks left after every lease expired");
+        assertEquals(0, runningJobs.get(), "tasks left after every lease expired");
         assertRulesAndAllDone(simulation);
         simulation.rules.checkServed();
         assertRules(simulation);
--- a/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
+++ b/src/test/java/org/granitepath/simulation/FaultyMachinesTest.java
@@ -84,6 +84,6 @@
         assertTrue(failures >= 10 && failures < 50, failures + " failures");
         long returned =
                 machinesBefore.stream().filter(worker -> !worker.isAlive()).count();
-        assertTrue(returned <= 2, returned + " of " + machinesBefore.size() + " machines were given up");
+        assertTrue(returned <= 2, returned + " of " + machinesBefore.size() + " machines were returned to the cloud");
     }
 }
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -126,7 +126,7 @@
         for (JobSpec job : granted) {
             assertTrue(
                     simulation.rules.startDelayMicros(job.id()) < 6 * SECOND,
-                    "begun after " + simulation.rules.startDelayMicros(job.id()) / 1e6 + " s");
+                    "started after " + simulation.rules.startDelayMicros(job.id()) / 1e6 + " s");
         }
     }
 
@@ -163,7 +163,7 @@
         assertEquals(usedBefore.get(), usedAfter.get(), "what the others use");
         assertTrue(
                 simulation.rules.startDelayMicros(urgent.id()) < 6 * SECOND,
-                "begun after " + simulation.rules.startDelayMicros(urgent.id()) / 1e6 + " s");
+                "started after " + simulation.rules.startDelayMicros(urgent.id()) / 1e6 + " s");
     }
 
     /**
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -20,7 +20,8 @@
     private static final long SECOND = Simulation.SECOND;
 
     /**
-     * A leader that is cut off only from the store is fenced before tasks run too long whose cancellation it can't see.
+     * A leader that is cut off only from the store must be fenced before tasks whose cancellation it can't see run for
+     * too long.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -63,7 +63,7 @@
         return (2 + simulation.environment.random.nextInt(40)) * SECOND;
     }
 
-    private static SimEnvironment.PartitionMode cut(Simulation simulation) {
+    private static SimEnvironment.PartitionMode randomPartitionMode(Simulation simulation) {
         return simulation.environment.random.nextBoolean()
                 ? SimEnvironment.PartitionMode.HOLD
                 : SimEnvironment.PartitionMode.DROP;
@@ -94,13 +94,18 @@
                 simulation -> simulation.store.startOutage(
                         randomDuration(simulation) + simulation.config.cancellationTimeoutMicros() / 2),
                 simulation -> simulation.faults.partitionFromPeersAndStore(
-                        simulation.leader(), cut(simulation), randomDuration(simulation)),
+                        simulation.leader(), randomPartitionMode(simulation), randomDuration(simulation)),
                 simulation -> simulation.faults.partition(
-                        simulation.leader(), SimStore.NAME, cut(simulation), randomDuration(simulation)),
+                        simulation.leader(),
+                        SimStore.NAME,
+                        randomPartitionMode(simulation),
+                        randomDuration(simulation)),
                 simulation -> simulation.faults.partitionFromWorkers(
-                        simulation.leader(), cut(simulation), randomDuration(simulation)),
+                        simulation.leader(), randomPartitionMode(simulation), randomDuration(simulation)),
                 simulation -> simulation.faults.partitionZone(
-                        simulation.zoneOf(simulation.randomNode()), cut(simulation), randomDuration(simulation)),
+                        simulation.zoneOf(simulation.randomNode()),
+                        randomPartitionMode(simulation),
+                        randomDuration(simulation)),
                 simulation -> simulation.faults.pause(simulation.leader(), randomDuration(simulation)),
                 simulation -> simulation.users.cancelRunning(
                         6, simulation.environment.random.nextBoolean() ? 0 : randomDuration(simulation)));
@@ -137,7 +142,7 @@
                 simulation -> forSomeMachines(
                         simulation,
                         worker -> simulation.faults.partitionMachine(
-                                worker, cut(simulation), randomDuration(simulation))),
+                                worker, randomPartitionMode(simulation), randomDuration(simulation))),
                 simulation -> forSomeMachines(simulation, worker -> worker.hangFor(randomDuration(simulation))),
                 simulation -> forSomeMachines(
                         simulation,
--- a/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -169,7 +169,7 @@
 
             // If no machine has capacity for the work that goes first, its phase ends within one step.
             int minInjected = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
-            assertTrue(injected >= minInjected, "recoveries that the fault struck in " + phase + ", " + fault);
+            assertTrue(injected >= minInjected, "recoveries with an injected fault in " + phase + ", " + fault);
             simulation.runWithLivenessChecks(RESTART_MICROS + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
--- a/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -172,7 +172,7 @@
         assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
 
-    /** A write that the store can never accept is abandoned soon, and all other writes succeed. */
+    /** A write that the store can never accept is abandoned, and all other writes succeed. */
     @Test
     void rejectedWriteIsAbandonedAndDelaysNoOtherWrite() {
         RecordReplica replica = replica();
