--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two troubles that meet, one test for each meeting of docs/failure-modes.md. Each shows that its meeting came about,
- * and then that the rules held after each step.
+ * Two faults at the same time, one test for each combination in docs/failure-modes.md. Each test asserts that its
+ * combination occurred, and that the rules held after each step.
  */
 class CombinedFaultsTest {
     /** The machines that are up and hold tasks of these jobs. */
@@ -38,7 +38,7 @@
                 .toList();
     }
 
-    /** More work than capacity, urgent and not, over links on which packets are held up. */
+    /** More work than capacity, urgent and not urgent, over links that delay some packets. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void noKindOfJobStarvesUnderOverloadOverSlowLinks(long seed) {
@@ -58,7 +58,7 @@
         assertRules(simulation);
     }
 
-    /** A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answers. */
+    /** A leader crashes while machines with long tasks can't be reached or receive no answers of the new leader. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWhenLeaderCrashesWhileMachinesAreCutOff(long seed) {
@@ -84,7 +84,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Jobs bound to one zone, arrays too, lose machines. */
+    /** Jobs that have to run in one zone, also those with many tasks, lose machines. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void oneZoneJobsStayInTheirZoneWhenTheyLoseMachines(long seed) {
@@ -93,12 +93,12 @@
             simulation.users.submit(simulation.jobs.oneZoneBatch(3 + i % 5, 25 * SECOND));
         }
 
-        AtomicInteger lostAtWork = new AtomicInteger();
+        AtomicInteger lostBusyMachines = new AtomicInteger();
         for (int i = 0; i < 6; i++) {
             simulation.after((35 + 4 * i) * SECOND, () -> {
                 SimWorker worker = simulation.randomWorker();
                 if (worker != null) {
-                    lostAtWork.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
+                    lostBusyMachines.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
                     worker.die();
                 }
             });
@@ -106,13 +106,13 @@
         crashLeaderAfter(simulation, 45 * SECOND, 300_000);
         simulation.runWithLivenessChecks(60 * SECOND, 400 * SECOND);
 
-        assertTrue(lostAtWork.get() > 0, "no machine at work was lost");
+        assertTrue(lostBusyMachines.get() > 0, "no lost machine was running tasks");
         assertRulesAndAllDone(simulation);
     }
 
     /**
-     * The same, when the machines are only cut off, all that hold a job, and the leader changes: its zone is
-     * unconfirmed.
+     * All machines that hold a one-zone job are cut off while the leader changes, so that the job's zone is unconfirmed
+     * for the new leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -137,7 +137,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** All controllers are away for longer than a lease. */
+    /** All controllers are down for longer than a lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void workResumesAfterAllControllersWereDownForLongerThanALease(long seed) {
@@ -148,20 +148,20 @@
                 50 * SECOND,
                 () -> simulation.nodeNames.forEach(
                         node -> simulation.faults.crash(node, simulation.config.leaseMicros() + 5 * SECOND)));
-        Observation<Integer> left = simulation.observe(
+        Observation<Integer> runningJobs = simulation.observe(
                 54 * SECOND + simulation.config.leaseMicros(),
                 () -> simulation.rules.runningJobs().size());
         simulation.runWithLivenessChecks(57 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
-        assertEquals(0, left.get(), "every lease ran out");
+        assertEquals(0, runningJobs.get(), "tasks left after every lease expired");
         assertRulesAndAllDone(simulation);
         simulation.rules.checkServed();
         assertRules(simulation);
     }
 
     /**
-     * Jobs of two or three tasks end far apart, with a change of leader in between, and late progress of the
-     * former one.
+     * The tasks of jobs with two or three tasks end far apart, with a change of leader in between and progress that the
+     * former leader writes late.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -182,13 +182,13 @@
         simulation.after(65 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.runWithLivenessChecks(78 * SECOND, 300 * SECOND);
 
-        assertTrue(leaders.size() > 1, "one leader throughout");
+        assertTrue(leaders.size() > 1, "the leader never changed");
         assertRulesAndAllDone(simulation);
     }
 
     /**
-     * A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls
-     * into that spell: what is cancelled and unconfirmed still counts.
+     * A team is at its limit when the leader changes, some of its machines can't be reached, and jobs are cancelled in
+     * that time. Cancelled tasks whose end is unconfirmed still count against the limit.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -208,7 +208,7 @@
                             simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
             simulation.faults.crash(simulation.leader(), 10 * SECOND);
             simulation.after(2 * SECOND, () -> simulation.users.cancelRunning(2, 0));
-            // Accepted in the new leader's own term, so nothing but the limit holds them back.
+            // These jobs are accepted in the new leader's own term, so nothing but the limit holds them back.
             for (int i = 0; i < 8; i++) {
                 simulation.after(
                         4 * SECOND + i * SECOND / 2,
@@ -221,7 +221,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Ten leaders in two minutes, also with an outage among them, and cancellations all the time. */
+    /** Ten leaders in two minutes, with a store outage and cancellations meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesUnderTenLeadersInTwoMinutes(long seed) {
@@ -231,14 +231,15 @@
         AtomicInteger changes = new AtomicInteger();
         for (int i = 0; i < 11; i++) {
             simulation.after((35 + 11 * i) * SECOND, () -> {
-                String was = simulation.leader();
+                String formerLeader = simulation.leader();
                 if (simulation.environment.random.nextBoolean()) {
-                    simulation.faults.crash(was, 300_000 + simulation.environment.random.nextInt(6_000_000));
+                    simulation.faults.crash(formerLeader, 300_000 + simulation.environment.random.nextInt(6_000_000));
                 } else {
-                    simulation.faults.partitionFromPeersAndStore(was, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
+                    simulation.faults.partitionFromPeersAndStore(
+                            formerLeader, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
                 }
                 simulation.after(
-                        10 * SECOND, () -> changes.addAndGet(simulation.leader().equals(was) ? 0 : 1));
+                        10 * SECOND, () -> changes.addAndGet(simulation.leader().equals(formerLeader) ? 0 : 1));
                 simulation.users.cancelRunning(1, 0);
             });
         }
@@ -249,7 +250,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Controllers hand over and back, all end, and one returns, also within a second. */
+    /** Leadership moves to another controller and back, then all controllers crash and one restarts within a second. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void firstControllerToRestartLeadsAfterAllHaveCrashed(long seed) {
@@ -272,29 +273,30 @@
     }
 
     /**
-     * Work of which nothing is expected leaves full-price machines alone, but not for so long that it is left waiting
-     * beside capacity that nobody else uses.
+     * Best-effort work without a deadline does not use full-price machines at first, but does not wait so long that it
+     * is starved while these machines have capacity that no other work uses.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void deferrableWorkEventuallyUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation =
                 new Simulation(seed, configOf(seed).withControllers(3).withMachinesPerOffer(1));
-        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
-        simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
-        // Fills the spot machines, and asks for no others.
+        JobSpec template = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
+        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of a full-price machine
+        // This job fills the spot machines, and launches no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         SimJobs jobs = simulation.jobs;
-        JobSpec late = jobs.batchBuilder(2, 20 * SECOND)
+        JobSpec deferrableJob = jobs.batchBuilder(2, 20 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .withoutDeadline()
                 .build();
 
-        simulation.after(60 * SECOND, () -> simulation.users.submit(late));
+        simulation.after(60 * SECOND, () -> simulation.users.submit(deferrableJob));
         simulation.runWithLivenessChecks(20 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.rules.startDelayMicros(late.id()) > 30 * SECOND, "it found capacity at once");
+        assertTrue(
+                simulation.rules.startDelayMicros(deferrableJob.id()) > 30 * SECOND, "the job found capacity at once");
         assertRules(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -15,11 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leaders that lose the store, their peers or their machines, stand still, or are replaced without knowing. */
+/** Leaders that lose the store, their peers or their workers, pause, or are replaced without noticing. */
 class LeaderIsolationTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Leader cut from the store alone: it must be fenced off before tasks overstay whose cancellation it can't see. */
+    /**
+     * A leader that is cut off only from the store must be fenced before tasks whose cancellation it can't see run for
+     * too long.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndWhenTheLeaderIsCutOffFromTheStore(long seed) {
@@ -30,7 +33,7 @@
         simulation.after(35 * SECOND, () -> {
             String leader = simulation.leader();
             simulation.faults.partition(leader, SimStore.NAME, SimEnvironment.PartitionMode.HOLD, 120 * SECOND);
-            // The successors can't reach the workers: only the lease can end the tasks.
+            // The successors can't reach the workers, so only lease expiry can end the tasks.
             for (String node : simulation.nodeNames) {
                 if (!node.equals(leader)) {
                     simulation.faults.partitionFromWorkers(node, SimEnvironment.PartitionMode.DROP, 120 * SECOND);
@@ -42,9 +45,7 @@
         assertRules(simulation);
     }
 
-    /**
-     * A cancellation told elsewhere while the leader sees neither the store nor its peers, only its workers.
-     */
+    /** Another controller confirms a cancellation while the leader reaches only its workers, not the store or peers. */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
     void cancelledTasksEndWhenTheLeaderReachesOnlyItsWorkers(long seed) {
@@ -63,8 +64,8 @@
     }
 
     /**
-     * A leader that was replaced without knowing gets a submission on record before it learns of its successor, which
-     * reaches only half of the machines yet: what the acceptance claims is the successor's alone.
+     * A leader that was replaced without noticing records a submission before it learns of its successor, which so far
+     * reaches only half of the machines. The tasks that the acceptance claims belong to the successor alone.
      */
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
@@ -96,10 +97,10 @@
     }
 
     /**
-     * A leader stands still while its clocks run on, longer than it may hold its machines without word from the store,
-     * but not as long as a lease, and is cut off as well. On waking it finds heartbeats that have waited, of
-     * machines that reach nobody else: to answer them would keep tasks of a job alive that another controller has
-     * called cancelled.
+     * A leader's process pauses while its clocks run on, for longer than it may keep its machines without contact to
+     * the store, but for less than a lease, and is also cut off. When it resumes it finds queued heartbeats of machines
+     * that reach no other controller. If it answered them, it would keep tasks alive of jobs that another controller
+     * has confirmed as cancelled.
      */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
@@ -132,7 +133,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A pause of the leader's own does not make its few machines unresponsive: none is given back for it. */
+    /** The leader must not take its own pause for unresponsive machines and return its few machines to the cloud. */
     @ParameterizedTest
     @ValueSource(longs = {105, 106})
     void leaderPauseReturnsNoMachines(long seed) {
@@ -140,7 +141,7 @@
                 seed, SimulationConfig.small().withMachinesPerOffer(1).withHeartbeatInterval(5 * SECOND));
         simulation.users.submit(simulation.jobs.service(2));
 
-        // In an outage no successor is found, and the leader is the leader still when all goes on.
+        // During the store outage no successor can be elected, so the leader still leads when it resumes.
         simulation.after(60 * SECOND, () -> simulation.store.startOutage(12_900_000));
         simulation.after(61 * SECOND, () -> simulation.faults.pause(simulation.leader(), 12 * SECOND));
         simulation.runWithLivenessChecks(85 * SECOND, 200 * SECOND);
@@ -150,8 +151,8 @@
     }
 
     /**
-     * A zone is cut off from everything for longer than a lease, and its leader's place may be on either side: its
-     * machines are not given back, and the controllers inside keep what runs there alive.
+     * A zone is cut off from everything for longer than a lease, with the leader inside or outside of it. Its machines
+     * are not returned to the cloud, and the controllers inside keep the tasks there alive.
      */
     @ParameterizedTest
     @ValueSource(longs = {111, 112, 113, 114})
@@ -162,10 +163,10 @@
             simulation.users.submit(simulation.jobs.batch(20, 25 * SECOND));
         }
 
-        Observation<Long> before = new Observation<>();
-        AtomicLong least = new AtomicLong(Long.MAX_VALUE);
+        Observation<Long> replicasBefore = new Observation<>();
+        AtomicLong minReplicas = new AtomicLong(Long.MAX_VALUE);
         simulation.after(50 * SECOND, () -> {
-            before.set(simulation.rules.runningReplicaCount());
+            replicasBefore.set(simulation.rules.runningReplicaCount());
             simulation.faults.partitionZone(
                     seed % 2 == 0 ? "north" : "south", SimEnvironment.PartitionMode.HOLD, 22 * SECOND);
             if (seed > 112) {
@@ -174,13 +175,14 @@
         });
         for (int i = 0; i < 30; i++) {
             simulation.after(
-                    (50 + i) * SECOND, () -> least.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
+                    (50 + i) * SECOND,
+                    () -> minReplicas.accumulateAndGet(simulation.rules.runningReplicaCount(), Math::min));
         }
         simulation.runWithLivenessChecks(82 * SECOND, 400 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertEquals(60, before.get());
-        assertTrue(least.get() >= 57, "only " + least + " of " + before.get() + " replicas up");
+        assertEquals(60, replicasBefore.get());
+        assertTrue(minReplicas.get() >= 57, "only " + minReplicas + " of " + replicasBefore.get() + " replicas up");
         assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -23,13 +23,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All controllers end and come back while records can't be read, other troubles strike, or they end once more. */
+/** Restarts of all controllers with unreadable records, during other faults, or with another crash in between. */
 class RecoveryFaultsTest {
     private static final long SECOND = Simulation.SECOND;
 
-    // ---- records ----------------------------------------------------------------------------------------------
-
-    /** What can't be read frees nothing, is not written over, and does not stop the rest. */
+    /** An unreadable record releases no capacity, is not overwritten, and does not block other jobs. */
     @ParameterizedTest
     @ValueSource(strings = {Keys.JOB_PREFIX, Keys.PROGRESS_PREFIX, Keys.FINAL_PREFIX})
     void unreadableRecordIsKeptAndAffectsOnlyItsJob(String prefix) {
@@ -47,12 +45,12 @@
         simulation.run(RESTART_MICROS + 100 * SECOND);
 
         assertTrue(before.get() > 0, "the job does not run");
-        assertEquals(before.get(), running(simulation, job), "tasks of a job that can't be judged were stopped");
+        assertEquals(before.get(), running(simulation, job), "tasks of a job with an unreadable record were stopped");
         assertTrue(
                 simulation.commands.startsSince(RESTART_MICROS).stream()
                         .noneMatch(start -> start.task().job().equals(job.id())),
                 "a task of it was started");
-        assertTrue(simulation.store.hasValue(key, garbage), "it was written over");
+        assertTrue(simulation.store.hasValue(key, garbage), "the record was overwritten");
         assertTrue(simulation.recoveryStatus().unreadableRecords() > 0);
         simulation.run(400 * SECOND);
 
@@ -71,7 +69,7 @@
                 .count();
     }
 
-    /** Any machine may have been in it: nothing that is not seen counts as lost, and what is seen goes on. */
+    /** Any machine may have been in that part, so unseen tasks do not count as lost, and tasks that are seen run on. */
     @Test
     void unreadableInventoryPartKeepsRecoveryIncomplete() {
         Simulation simulation = busyDeployment(2);
@@ -85,13 +83,13 @@
         RecoveryStatus status = simulation.recoveryStatus();
         assertEquals(1, status.term().machines().unreadableInventoryParts());
         assertTrue(status.phase().compareTo(RecoveryPhase.RECOVERED) < 0, status.toString());
-        assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "it was written over");
+        assertTrue(simulation.store.hasValue(key, "{\"hosts\":[7]}"), "the record was overwritten");
         simulation.run(300 * SECOND);
 
         assertRules(simulation);
     }
 
-    /** Cancelled at the very moment, submitted at the very moment: what was confirmed holds. */
+    /** Jobs are cancelled and submitted just before the restart. Whatever was confirmed to users holds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void answersGivenJustBeforeTheRestartHold(long seed) {
@@ -119,9 +117,10 @@
         assertTrue(shortJobs.stream().allMatch(spec -> simulation.rules.isAccepted(spec.id())));
     }
 
-    // ---- troubles meanwhile ------------------------------------------------------------------------------------
-
-    /** The store is away, refuses one controller, or answers late while all restart. */
+    /**
+     * While all controllers restart, the store is down, refuses two controllers, or refuses all writes. It also commits
+     * some writes late.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9})
     void workCompletesWhenStoreIsDownOrSlowDuringRestart(long seed) {
@@ -144,33 +143,33 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** What strikes in the middle of a recovery. */
-    private enum Trouble {
-        ALL_END(17),
-        LEADER_ENDS(18),
-        LEADER_STANDS_STILL(19);
+    /** A fault during a recovery, with the seed of its runs. */
+    private enum Fault {
+        ALL_CONTROLLERS_CRASH(17),
+        LEADER_CRASHES(18),
+        LEADER_PAUSES(19);
 
         private final long seed;
 
-        Trouble(long seed) {
+        Fault(long seed) {
             this.seed = seed;
         }
     }
 
-    /** In each phase of a recovery everybody ends once more, or the leader alone, or it stands still. */
+    /** In each phase of a recovery all controllers crash again, or only the leader crashes or pauses. */
     @ParameterizedTest
     @EnumSource(RecoveryPhase.class)
     void workCompletesWhenFaultsStrikeInEachPhase(RecoveryPhase phase) {
-        for (Trouble trouble : Trouble.values()) {
-            Simulation simulation = busyDeployment(trouble.seed);
+        for (Fault fault : Fault.values()) {
+            Simulation simulation = busyDeployment(fault.seed);
             simulation.recoveryHoldMicros = phase == RecoveryPhase.RESUMING_BATCH ? SECOND : RECOVERY_HOLD_MICROS;
             simulation.after(RESTART_MICROS, () -> restartAndLoseReplicas(simulation, phase));
 
-            int met = strikeTwice(simulation, phase, trouble);
+            int injected = injectTwice(simulation, phase, fault);
 
-            // Where no machine has capacity for what goes first, its phase is over within one step.
-            int least = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
-            assertTrue(met >= least, "recoveries that were met in " + phase + ", " + trouble);
+            // If no machine has capacity for the work that goes first, its phase ends within one step.
+            int minInjected = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
+            assertTrue(injected >= minInjected, "recoveries with an injected fault in " + phase + ", " + fault);
             simulation.runWithLivenessChecks(RESTART_MICROS + 70 * SECOND, 500 * SECOND);
             assertRulesAndAllDone(simulation);
         }
@@ -190,32 +189,32 @@
         simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::isService, ExitCause.STOPPED));
     }
 
-    /** Runs for a minute; the first two times that a recovery is in this phase, the trouble strikes. */
-    private static int strikeTwice(Simulation simulation, RecoveryPhase phase, Trouble trouble) {
-        AtomicInteger met = new AtomicInteger();
+    /** Runs for a minute and causes the fault the first two times that a recovery is in this phase. */
+    private static int injectTwice(Simulation simulation, RecoveryPhase phase, Fault fault) {
+        AtomicInteger injected = new AtomicInteger();
         simulation.environment.run(RESTART_MICROS + 60 * SECOND, () -> {
             simulation.rules.check();
             RecoveryStatus status = simulation.environment.nowMicros() > RESTART_MICROS
                     ? simulation.recoveryStatusInPhase(phase)
                     : null;
-            if (status != null && met.get() < 2) {
-                met.incrementAndGet();
+            if (status != null && injected.get() < 2) {
+                injected.incrementAndGet();
                 endReplicas(simulation);
-                strike(simulation, status.node(), trouble);
+                inject(simulation, status.node(), fault);
             }
         });
-        return met.get();
+        return injected.get();
     }
 
-    private static void strike(Simulation simulation, String leader, Trouble trouble) {
-        switch (trouble) {
-            case ALL_END -> simulation.faults.crashAll(SECOND);
-            case LEADER_ENDS -> simulation.faults.crash(leader, 100_000);
-            case LEADER_STANDS_STILL -> simulation.faults.pause(leader, 6 * SECOND);
+    private static void inject(Simulation simulation, String leader, Fault fault) {
+        switch (fault) {
+            case ALL_CONTROLLERS_CRASH -> simulation.faults.crashAll(SECOND);
+            case LEADER_CRASHES -> simulation.faults.crash(leader, 100_000);
+            case LEADER_PAUSES -> simulation.faults.pause(leader, 6 * SECOND);
         }
     }
 
-    /** Only the leader tells of the recovery; others name it, and one that can't know says so. */
+    /** Only the leader reports the recovery. Others name the leader, or report that they can't know it. */
     @Test
     void controllersReportTheirRoleAndWhenItIsUnconfirmed() {
         Simulation simulation = busyDeployment(3);
--- a/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -25,13 +25,13 @@
 import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of writes, or of reads, when the store allows few. */
+/** Tests that controllers keep within the rates and sizes that the store allows when they need far more of them. */
 class StoreLimitsTest {
-    private static final int MOST_CHANGES = 8;
+    private static final int MAX_TRANSACTION_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
     private final SimEnvironment environment = new SimEnvironment(1);
-    private final SimStore store = new SimStore(environment, MOST_CHANGES, 2048, 1000, 200);
+    private final SimStore store = new SimStore(environment, MAX_TRANSACTION_CHANGES, 2048, 1000, 200);
     private final Timers timers = new Timers() {
         @Override
         public long nowMicros() {
@@ -70,10 +70,20 @@
     private WriteQueue writeQueue(
             SimStore of, String node, RecordReplica replica, double writesPerSecond, RateControl control) {
         return new WriteQueue(
-                of.portFor(node), replica, timers, MOST_CHANGES, writesPerSecond, control, List::of, () -> true);
+                of.portFor(node),
+                replica,
+                timers,
+                MAX_TRANSACTION_CHANGES,
+                writesPerSecond,
+                control,
+                List::of,
+                () -> true);
     }
 
-    /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
+    /**
+     * Barriers and long polls share the read rate. They once ran concurrently, each at the full rate, while the records
+     * changed.
+     */
     @Test
     void barriersAndLongPollsShareTheReadRate() {
         RecordReplica replica = replica();
@@ -103,7 +113,7 @@
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 10, RateControl.FIXED);
         List<String> written = new ArrayList<>();
-        AtomicInteger made = new AtomicInteger();
+        AtomicInteger buildCount = new AtomicInteger();
         for (int i = 0; i < 300; i++) {
             String key = "g/n/" + i;
             writeQueue.enqueue(
@@ -111,7 +121,7 @@
                     Urgency.PROGRESS_ONLY,
                     0,
                     () -> {
-                        made.incrementAndGet();
+                        buildCount.incrementAndGet();
                         return List.of(Change.write(key, SOME_RECORD));
                     },
                     storeRevision -> written.add(key));
@@ -125,26 +135,26 @@
                 storeRevision -> written.add("g/safe"));
         environment.run(3_300_000, () -> {});
 
-        assertTrue(written.contains("g/safe"), "an urgent write waits behind progress");
+        assertTrue(written.contains("g/safe"), "the urgent write waits behind progress writes");
         environment.run(61_000_000, () -> {});
 
         assertEquals(301, written.size());
-        assertTrue(made.get() <= 310, "contents were made " + made + " times");
+        assertTrue(buildCount.get() <= 310, "the changes were built " + buildCount + " times");
     }
 
-    /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
+    /** Request handlers of five controllers need more writes than the store allows; the leader still gets its rate. */
     @Test
     void adaptiveWritersYieldToTheLeader() {
-        SimStore tight = new SimStore(environment, MOST_CHANGES, 2048, 1000, 18);
+        SimStore limitedStore = new SimStore(environment, MAX_TRANSACTION_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
             String node = "n" + number;
             String prefix = "g/" + number + "/";
             boolean leads = number == 0;
-            RecordReplica replica = replicaOf(tight, node);
+            RecordReplica replica = replicaOf(limitedStore, node);
             double writesPerSecond = leads ? 11.7 : 9;
             RateControl control = leads ? RateControl.FIXED : RateControl.ADAPTIVE;
-            WriteQueue writeQueue = writeQueue(tight, node, replica, writesPerSecond, control);
+            WriteQueue writeQueue = writeQueue(limitedStore, node, replica, writesPerSecond, control);
             for (int i = 0; i < 900; i++) {
                 String key = prefix + i;
                 environment.after(
@@ -162,13 +172,13 @@
         assertTrue(writesOfLeader.get() > 60 * 7, writesOfLeader + " writes of the leader in a minute");
     }
 
-    /** What the store will never take is given up, once, and all else is written. */
+    /** A write that the store can never accept is abandoned, and all other writes succeed. */
     @Test
     void rejectedWriteIsAbandonedAndDelaysNoOtherWrite() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         List<String> written = new ArrayList<>();
-        AtomicInteger made = new AtomicInteger();
+        AtomicInteger buildCount = new AtomicInteger();
         StoredRecord large = new UnknownRecord(Map.of("x", "y".repeat(3_000)));
         for (int i = 0; i < 12; i++) {
             String key = "g/n/" + i;
@@ -178,7 +188,7 @@
                     Urgency.WORK,
                     0,
                     () -> {
-                        made.addAndGet(tooLarge ? 1 : 0);
+                        buildCount.addAndGet(tooLarge ? 1 : 0);
                         return List.of(Change.write(key, tooLarge ? large : SOME_RECORD));
                     },
                     storeRevision -> written.add(key));
@@ -186,10 +196,10 @@
         environment.run(20_000_000, () -> {});
 
         assertEquals(11, written.size());
-        assertTrue(made.get() <= 8, "sent " + made + " times");
+        assertTrue(buildCount.get() <= 8, "sent " + buildCount + " times");
     }
 
-    /** A job of which finished and open tasks alternate: its progress still fits, with the longest ranges. */
+    /** Finished and unfinished tasks of a job alternate: its progress record fits, and keeps the longest ranges. */
     @Test
     void progressRecordIsReducedToTheValueLimit() {
         RangeSet<Integer> done = TreeRangeSet.create();
@@ -205,7 +215,7 @@
         assertEquals(whole, whole.truncatedTo(100_000));
     }
 
-    /** Whatever a record holds, its size is not underrated. */
+    /** The estimated size of a record is at least its encoded size, whatever the record holds. */
     @Test
     void recordSizeIsAnUpperBound() {
         StoredRecord record = new UnknownRecord(
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leaders that end, hand over, or come back at once. */
+/** Leaders that crash, hand over, or restart at once. */
 class TakeoverTest {
     private static final long SECOND = Simulation.SECOND;
 
-    private static void submitWork(Simulation simulation, int tasksOfABatch) {
+    private static void submitWork(Simulation simulation, int tasksPerBatch) {
         for (int i = 0; i < 8; i++) {
-            simulation.users.submit(simulation.jobs.batch(tasksOfABatch, 30 * SECOND));
+            simulation.users.submit(simulation.jobs.batch(tasksPerBatch, 30 * SECOND));
             simulation.users.submit(simulation.jobs.service(6));
         }
     }
 
-    /** Repeated crashes of whoever owns the machines, in the middle of each takeover. */
+    /** The current leader crashes again and again, in the middle of each takeover. */
     @ParameterizedTest
     @ValueSource(longs = {5, 6, 7})
     void workCompletesWhenLeadersCrashDuringTakeover(long seed) {
@@ -37,21 +37,22 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A leader that alone has lost the machines hands them over before their leases run out. */
+    /** A leader that is the only one to have lost the machines hands them over before their leases expire. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
     void leaderCutOffFromItsWorkersStepsDown(long seed) {
         Simulation simulation = new Simulation(seed, 5, 12);
         submitWork(simulation, 100);
-        Observation<String> cut = new Observation<>();
+        Observation<String> cutOff = new Observation<>();
         simulation.after(50 * SECOND, () -> {
-            cut.set(simulation.leader());
-            simulation.faults.partitionFromWorkers(cut.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
+            cutOff.set(simulation.leader());
+            simulation.faults.partitionFromWorkers(cutOff.get(), SimEnvironment.PartitionMode.DROP, 60 * SECOND);
         });
         simulation.run(50 * SECOND + Simulation.LEASE_MICROS);
 
-        assertNotEquals(cut.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
-        // Their heartbeats end one after the other; the first are not to be given up before the rest tell what it is.
+        assertNotEquals(cutOff.get(), simulation.leader(), "the leader that reaches no machine is still the leader");
+        // Their heartbeats stop one after the other. The first machines must not be returned before the others show
+        // that the leader is cut off.
         assertEquals(List.of(), simulation.cloud.terminatedWhileBusy(), "returned with tasks on them");
         simulation.runWithLivenessChecks(120 * SECOND, 300 * SECOND);
 
@@ -59,35 +60,35 @@
     }
 
     /**
-     * A leader cut from the store goes on answering its workers, and some machines can't be reached at all: the
-     * successor must not take those for dead that it has not yet asked, or that still reach the former leader.
+     * A leader that is cut off from the store still answers its workers, and some machines can't be reached at all. The
+     * successor must not treat machines as dead that it has not yet contacted or that still reach the former leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93})
     void takeoverTerminatesNoHealthyMachine(long seed) {
         Simulation simulation = new Simulation(seed, 5, 20);
         submitWork(simulation, 150);
-        List<String> cut = new ArrayList<>();
+        List<String> cutOff = new ArrayList<>();
         simulation.after(45 * SECOND, () -> {
             simulation.faults.partitionFromPeersAndStore(
                     simulation.leader(), SimEnvironment.PartitionMode.DROP, 40 * SECOND);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 7) {
-                cut.add(all.get(i).id);
+                cutOff.add(all.get(i).id);
                 simulation.faults.partitionMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 25 * SECOND);
             }
         });
         simulation.run(100 * SECOND);
 
         List<String> healthy = new ArrayList<>(simulation.cloud.terminatedWhileBusy());
-        healthy.removeAll(cut);
+        healthy.removeAll(cutOff);
         assertEquals(List.of(), healthy, "returned with tasks on them");
         simulation.runWithLivenessChecks(100 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
 
-    /** Back within a fraction of a second: controllers, at any moment of an election, and machines. */
+    /** Controllers restart, at any moment of an election, and machines resume within a fraction of a second. */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void workCompletesAfterRestartsWithinAFractionOfASecond(long seed) {
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A new version replaces the one in production while both serve. Records and messages are the same in both, which
- * StoredFormatsTest pins; what differs is that the former keeps to the limits that the store has, and the new
- * one also to those that it will have.
+ * A new version replaces the version in production while both serve. Records and messages are the same in both, as
+ * StoredFormatsTest ensures. The versions differ in the limits that they keep: the former version keeps to the present
+ * limits of the store, the new one also to its future limits.
  */
 class UpgradeTest {
     private static final long SECOND = Simulation.SECOND;
-    private static final StoreLimits NEXT = new StoreLimits(15, 2 * 1024, 4);
-    /** As many machines to a value as the version in production puts there, whose rows and values are longer. */
-    private static final SimulationConfig PRODUCTION = FaultScenarios.SHORT_LEASES
+    private static final StoreLimits FUTURE_LIMITS = new StoreLimits(15, 2 * 1024, 4);
+    /** Puts as many machines into a value as the version in production does, whose rows and values are longer. */
+    private static final SimulationConfig PRODUCTION_CONFIG = FaultScenarios.SHORT_LEASES
             .withMachinesPerOffer(40)
             .withRequestsPerSecond(150)
             .withWritesPerSecond(20)
@@ -31,7 +31,7 @@
 
     private static Simulation busyDeployment(long seed, SimulationConfig shape) {
         Simulation simulation = new Simulation(seed, shape);
-        simulation.upgradedLimits = NEXT;
+        simulation.upgradedLimits = FUTURE_LIMITS;
         submitServices(simulation, 60, 6);
         for (int i = 0; i < 12; i++) {
             simulation.after(
@@ -40,40 +40,42 @@
         return withRandomJobs(simulation, 20, 150 * SECOND);
     }
 
-    /** One controller after the other, then the limits change, and leaders that have to split values end as well. */
+    /** Controllers are upgraded one by one, then the limits change, and leaders that have to split values crash. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void workCompletesWhileBothVersionsServeAndLimitsChange(long seed) {
-        Simulation simulation = busyDeployment(seed, PRODUCTION);
-        Observation<Integer> largest = simulation.observe(39 * SECOND, simulation.store::largestValueLength);
+        Simulation simulation = busyDeployment(seed, PRODUCTION_CONFIG);
+        Observation<Integer> largestValueBefore = simulation.observe(39 * SECOND, simulation.store::largestValueLength);
         for (int i = 0; i < simulation.nodeNames.size(); i++) {
             String node = simulation.nodeNames.get((int) (seed + i) % simulation.nodeNames.size());
             simulation.after((40 + 10L * i) * SECOND, () -> simulation.faults.upgrade(node, 4 * SECOND));
         }
-        // One that dies before its turn comes back as it was, and may lead the others meanwhile.
+        // A controller that crashes before its upgrade restarts with the former version, and may become the leader.
         crashLeaderAfter(simulation, 53 * SECOND, 200_000);
         crashLeaderAfter(simulation, 64 * SECOND, SECOND);
-        simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(NEXT));
+        simulation.after(100 * SECOND, () -> simulation.store.lowerLimits(FUTURE_LIMITS));
         crashLeaderAfter(simulation, 115 * SECOND, 2 * SECOND);
         simulation.after(
                 130 * SECOND, () -> simulation.nodeNames.forEach(node -> simulation.faults.crash(node, 2 * SECOND)));
         simulation.runWithLivenessChecks(140 * SECOND, 400 * SECOND);
 
-        assertTrue(largest.get() > NEXT.valueBytes(), "no value of the former version is larger than the next limit");
+        assertTrue(
+                largestValueBefore.get() > FUTURE_LIMITS.valueBytes(),
+                "no value of the former version is larger than the next limit");
         assertRulesAndAllDone(simulation);
         assertTrue(
-                simulation.store.largestValueLength() <= NEXT.valueBytes(),
+                simulation.store.largestValueLength() <= FUTURE_LIMITS.valueBytes(),
                 simulation.store.largestValueLength() + " bytes");
     }
 
-    /** The limits change while large values of the former version are still there. */
+    /** The limits change while the store still holds large values of the former version. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void largeValuesOfTheFormerVersionAreSplit(long seed) {
-        Simulation simulation = busyDeployment(seed, PRODUCTION);
+        Simulation simulation = busyDeployment(seed, PRODUCTION_CONFIG);
         simulation.after(40 * SECOND, () -> {
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
-            simulation.store.lowerLimits(NEXT);
+            simulation.store.lowerLimits(FUTURE_LIMITS);
         });
         crashLeaderAfter(simulation, 46 * SECOND, SECOND);
         simulation.runWithLivenessChecks(60 * SECOND, 300 * SECOND);
@@ -81,19 +83,19 @@
         assertRulesAndAllDone(simulation);
         assertEquals(List.of(), simulation.rules.violations());
         assertTrue(
-                simulation.store.largestValueLength() <= NEXT.valueBytes(),
+                simulation.store.largestValueLength() <= FUTURE_LIMITS.valueBytes(),
                 simulation.store.largestValueLength() + " bytes");
     }
 
-    /** Values that hold more than one transaction may spread: they stay as they are, and work goes on beside them. */
+    /** Values hold more than one transaction may split up. They stay as they are, and work continues nevertheless. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWithValuesTooLargeToSplitAtOnce(long seed) {
         Simulation simulation =
-                busyDeployment(seed, PRODUCTION.withMachinesPerOffer(60).withValueBytes(12 * 1024));
+                busyDeployment(seed, PRODUCTION_CONFIG.withMachinesPerOffer(60).withValueBytes(12 * 1024));
         simulation.after(40 * SECOND, () -> {
             simulation.nodeNames.forEach(node -> simulation.faults.upgrade(node, SECOND));
-            simulation.store.lowerLimits(NEXT);
+            simulation.store.lowerLimits(FUTURE_LIMITS);
         });
         crashLeaderAfter(simulation, 60 * SECOND, SECOND);
         simulation.after(
--- a/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRulesTest.java
@@ -7,7 +7,7 @@
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.junit.jupiter.api.Test;
 
-/** A job that waits beside free capacity is noticed. */
+/** Tests that {@link WaitingRules} reports a job that waits although capacity is free. */
 class WaitingRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
@@ -19,7 +19,7 @@
         fixture.assertNoViolations();
         fixture.runUntil(91_000_000);
         fixture.rules().checkNotStarved(List.of());
-        assertTrue(fixture.rules().violations().isEmpty(), "no machine is there");
+        assertTrue(fixture.rules().violations().isEmpty(), "no machine is available");
 
         checkEachSecond(92, 183, worker);
 
