--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -47,7 +47,8 @@
         System.out.printf(
                 Locale.ROOT,
                 "%d machines, %s, hold %.2f s, median (min to max) of %d: first service start %s,"
-                        + " last service start %s, first batch start %s, last machine resolved %s; in 30 s %s requests, %s changes%n",
+                        + " last service start %s, first batch start %s, last machine resolved %s;"
+                        + " in 30 s %s requests, %s changes%n",
                 size.machines,
                 machinesDie ? "one in a hundred dies" : "none dies",
                 hold / 1e6,
--- a/src/test/java/org/granitepath/simulation/SimCloud.java
+++ b/src/test/java/org/granitepath/simulation/SimCloud.java
@@ -74,16 +74,16 @@
     /** The live workers, ordered by machine id. */
     List<SimWorker> workers() {
         return machines.values().stream()
-                .filter(host -> host.worker != null && host.worker.isAlive())
-                .map(host -> host.worker)
+                .filter(machine -> machine.worker != null && machine.worker.isAlive())
+                .map(machine -> machine.worker)
                 .toList();
     }
 
     /** The live worker on the machine with this id; null if the machine is not up. */
     @Nullable
     SimWorker worker(String id) {
-        Machine host = machines.get(id);
-        return host == null || host.worker == null || !host.worker.isAlive() ? null : host.worker;
+        Machine machine = machines.get(id);
+        return machine == null || machine.worker == null || !machine.worker.isAlive() ? null : machine.worker;
     }
 
     /** The ids of the machines that controllers terminated while tasks ran on them, in order. */
@@ -93,10 +93,10 @@
 
     private void recordSnapshot() {
         List<CloudPort.ListedMachine> list = machines.values().stream()
-                .map(host -> toListedMachine(
-                        host,
-                        host.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
-                        environment.nowMicros() - host.launchedAtMicros))
+                .map(machine -> toListedMachine(
+                        machine,
+                        machine.worker == null ? CloudPort.MachineState.BOOTING : CloudPort.MachineState.RUNNING,
+                        environment.nowMicros() - machine.launchedAtMicros))
                 .toList();
         snapshots.put(environment.nowMicros(), list);
         snapshots
@@ -110,9 +110,9 @@
             return new CloudPort.LaunchResult(CloudPort.Outcome.OK, launchedIdsByKey.get(request.idempotencyKey()));
         }
         long existing = machines.values().stream()
-                .filter(host -> host.type.name().equals(request.type())
-                        && host.zone.equals(request.zone())
-                        && host.spot == request.spot())
+                .filter(machine -> machine.type.name().equals(request.type())
+                        && machine.zone.equals(request.zone())
+                        && machine.spot == request.spot())
                 .count();
         int count = (int) Math.min(request.count(), machinesPerOffer - existing);
         if (count <= 0) {
@@ -132,32 +132,35 @@
                 .filter(each -> each.name().equals(request.type()))
                 .findFirst()
                 .orElseThrow();
-        Machine host = new Machine(String.format("i-%06d", ++launchedMachines), type, request, environment.nowMicros());
+        Machine machine =
+                new Machine(String.format("i-%06d", ++launchedMachines), type, request, environment.nowMicros());
         boolean neverBoots = environment.random.nextInt(30) == 0 || remainingBootFailures-- > 0;
-        machines.put(host.id, host);
+        machines.put(machine.id, machine);
         if (!neverBoots) {
-            long bootMicros = (long) (host.type.bootMicros() * (0.1 + 1.4 * environment.random.nextDouble()));
+            long bootMicros = (long) (machine.type.bootMicros() * (0.1 + 1.4 * environment.random.nextDouble()));
             environment.after(bootMicros, () -> {
-                if (machines.containsKey(host.id)) {
-                    host.worker =
-                            workerFactory.apply(host.id, toListedMachine(host, CloudPort.MachineState.RUNNING, 0));
+                if (machines.containsKey(machine.id)) {
+                    machine.worker = workerFactory.apply(
+                            machine.id, toListedMachine(machine, CloudPort.MachineState.RUNNING, 0));
                 }
             });
         }
-        return host;
+        return machine;
     }
 
-    private static CloudPort.ListedMachine toListedMachine(Machine host, CloudPort.MachineState state, long ageMicros) {
-        return new CloudPort.ListedMachine(host.id, host.id, host.type.name(), host.zone, host.spot, state, ageMicros);
+    private static CloudPort.ListedMachine toListedMachine(
+            Machine machine, CloudPort.MachineState state, long ageMicros) {
+        return new CloudPort.ListedMachine(
+                machine.id, machine.id, machine.type.name(), machine.zone, machine.spot, state, ageMicros);
     }
 
     private void remove(String id) {
-        Machine host = machines.remove(id);
-        if (host != null && host.worker != null) {
-            if (host.worker.isAlive() && host.worker.attempts().hasRunningTask()) {
+        Machine machine = machines.remove(id);
+        if (machine != null && machine.worker != null) {
+            if (machine.worker.isAlive() && machine.worker.attempts().hasRunningTask()) {
                 terminatedWhileBusy.add(id);
             }
-            host.worker.die();
+            machine.worker.die();
         }
     }
 
@@ -173,10 +176,12 @@
         long snapshotMicros =
                 environment.nowMicros() - listLagMicros - (environment.random.nextInt(4) == 0 ? listLagMicros : 0);
         var snapshot = snapshots.floorEntry(snapshotMicros);
-        List<CloudPort.ListedMachine> hosts = snapshot == null ? List.of() : snapshot.getValue();
+        List<CloudPort.ListedMachine> listedMachines = snapshot == null ? List.of() : snapshot.getValue();
         return new CloudPort.Listing(
                 outageActive ? CloudPort.Outcome.REFUSED : CloudPort.Outcome.OK,
-                hosts.stream().filter(host -> host.id().compareTo(from) > 0).toList(),
+                listedMachines.stream()
+                        .filter(host -> host.id().compareTo(from) > 0)
+                        .toList(),
                 false);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -99,16 +99,17 @@
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
         simulation.nodeNames.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
         simulation.cloud.workers().forEach(worker -> (worker.zone.equals(zone) ? inside : outside).add(worker.id));
-        for (String here : inside) {
-            boolean node = simulation.nodeNames.contains(here);
-            for (String there : outside) {
-                if (node || simulation.nodeNames.contains(there)) {
-                    partition(here, there, mode, durationMicros);
+        for (String insideHost : inside) {
+            boolean isController = simulation.nodeNames.contains(insideHost);
+            for (String outsideHost : outside) {
+                if (isController || simulation.nodeNames.contains(outsideHost)) {
+                    partition(insideHost, outsideHost, mode, durationMicros);
                 }
             }
-            if (node) {
-                simulation.nodesUnreachableByUsers.add(here);
-                simulation.environment.after(durationMicros, () -> simulation.nodesUnreachableByUsers.remove(here));
+            if (isController) {
+                simulation.nodesUnreachableByUsers.add(insideHost);
+                simulation.environment.after(
+                        durationMicros, () -> simulation.nodesUnreachableByUsers.remove(insideHost));
             }
         }
     }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -62,10 +62,10 @@
         private ExitCause exitCause;
         private boolean progressSaved;
 
-        private Member(Attempt attempt, TaskId task, BooleanSupplier hangs) {
+        private Member(Attempt attempt, TaskId task, BooleanSupplier machineHangs) {
             this.attempt = attempt;
             this.task = task;
-            this.machineHangs = hangs;
+            this.machineHangs = machineHangs;
         }
 
         boolean isRunning() {
@@ -214,11 +214,11 @@
             savedProgressMicros.merge(spec.id(), progress, Math::max);
         }
 
-        private void end(ExitCause cause, boolean kept) {
+        private void end(ExitCause exitCause, boolean progressSaved) {
             phase = Phase.ENDED;
             for (Member member : members.values()) {
-                member.exitCause = cause;
-                member.progressSaved = kept;
+                member.exitCause = exitCause;
+                member.progressSaved = progressSaved;
             }
         }
 
@@ -246,9 +246,9 @@
     }
 
     /** Adds a task that has its image to a gang attempt; it exits at once if the attempt is no longer forming. */
-    Member join(JobSpec spec, TaskId task, long number, BooleanSupplier hangs) {
+    Member join(JobSpec spec, TaskId task, long number, BooleanSupplier machineHangs) {
         Attempt attempt = attempts.computeIfAbsent(spec.id() + "#" + number, unknown -> new Attempt(spec));
-        Member member = new Member(attempt, task, hangs);
+        Member member = new Member(attempt, task, machineHangs);
         if (attempt.phase != Phase.FORMING) {
             member.exitCause = ExitCause.PEER_GONE;
         }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -84,7 +84,8 @@
         }
         if ((team.cpuLimitMillis() > 0 && cpu > team.cpuLimitMillis())
                 || (team.gpuLimitMillis() > 0 && gpu > team.gpuLimitMillis())) {
-            violations.report("quota", "team " + name + " uses " + cpu + " and " + gpu);
+            violations.report(
+                    "quota", "team " + name + " uses " + cpu + " thousandths of a CPU and " + gpu + " of a GPU");
         }
     }
 
