--- a/src/test/java/org/granitepath/simulation/SimEnvironment.java
+++ b/src/test/java/org/granitepath/simulation/SimEnvironment.java
@@ -37,10 +37,9 @@
     private final Map<String, Integer> processEnds = new HashMap<>();
     /** Packets that have arrived at each host whose process is paused. */
     private final Map<String, ArrayDeque<Runnable>> packetsOfPausedHosts = new HashMap<>();
-
     /** Timers that have expired at each host whose process is paused. */
     private final Map<String, ArrayDeque<Runnable>> timersOfPausedHosts = new HashMap<>();
-    /** Probability that a copy of a request arrives again 0.1 to 60.1 s after it was sent. */
+    /** Probability that a copy of a request arrives 0.1 to 60.1 s after it was sent; the answer to it is dropped. */
     double duplicateRequestShare;
     /** Probability that a packet is delayed by a further 1 to 10 s. */
     double delayedPacketShare;
@@ -73,24 +72,24 @@
         nowMicros = endMicros;
     }
 
-    private static String link(String from, String to) {
+    private static String linkKey(String from, String to) {
         return from + ">" + to;
     }
 
     /** Cuts the connection between two hosts in both directions until {@link #heal}. */
     void partition(String one, String other, PartitionMode mode) {
-        partitions.put(link(one, other), mode);
-        partitions.put(link(other, one), mode);
+        partitions.put(linkKey(one, other), mode);
+        partitions.put(linkKey(other, one), mode);
     }
 
     /** Drops all packets in one direction until {@link #heal}. */
     void blockOneWay(String from, String to) {
-        partitions.put(link(from, to), PartitionMode.DROP);
+        partitions.put(linkKey(from, to), PartitionMode.DROP);
     }
 
     /** Restores both directions between two hosts and delivers the packets that the partition kept. */
     void heal(String one, String other) {
-        for (String direction : List.of(link(one, other), link(other, one))) {
+        for (String direction : List.of(linkKey(one, other), linkKey(other, one))) {
             partitions.remove(direction);
             ArrayDeque<Runnable> queue = heldPackets.remove(direction);
             if (queue != null) {
@@ -114,13 +113,13 @@
 
     /** Sends one packet, which arrives once after a random delay, or is lost if the receiver is down or cut off. */
     void send(String from, String to, Runnable packet) {
-        PartitionMode partition = partitions.get(link(from, to));
+        PartitionMode partition = partitions.get(linkKey(from, to));
         if (downHosts.contains(to) || partition == PartitionMode.DROP) {
             return;
         }
         if (partition == PartitionMode.HOLD) {
             heldPackets
-                    .computeIfAbsent(link(from, to), direction -> new ArrayDeque<>())
+                    .computeIfAbsent(linkKey(from, to), direction -> new ArrayDeque<>())
                     .add(packet);
             return;
         }
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -210,8 +210,8 @@
             }
         }
 
-        private void saveProgress(long progress) {
-            savedProgressMicros.merge(spec.id(), progress, Math::max);
+        private void saveProgress(long newProgressMicros) {
+            savedProgressMicros.merge(spec.id(), newProgressMicros, Math::max);
         }
 
         private void end(ExitCause exitCause, boolean progressSaved) {
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -22,7 +22,7 @@
     private final SimStoreKeys keys = new SimStoreKeys();
     private final SimLeases leases = new SimLeases();
     private final SimWatches watches;
-    private final SimRateLimiter rates;
+    private final SimRateLimiter rateLimiter;
     private final Set<String> refusedNodes = new HashSet<>();
     private final Set<String> nodesWithoutReads = new HashSet<>();
     private final Set<String> readOnlyNodes = new HashSet<>();
@@ -48,7 +48,7 @@
             double writesPerSecond) {
         this.environment = environment;
         this.watches = new SimWatches(environment, keys);
-        this.rates = new SimRateLimiter(requestsPerSecond, writesPerSecond);
+        this.rateLimiter = new SimRateLimiter(requestsPerSecond, writesPerSecond);
         this.limits = new TransactionLimits(transactionChanges, valueBytes);
         environment.after(EXPIRY_INTERVAL_MICROS, this::expireLeases);
     }
@@ -61,7 +61,7 @@
     /** Lowers the limits without notice; stored values that exceed them stay readable. */
     void lowerLimits(StoreLimits next) {
         limits = new TransactionLimits(next.transactionChanges(), next.valueBytes());
-        rates.setWritesPerSecond(next.writesPerSecond());
+        rateLimiter.setWritesPerSecond(next.writesPerSecond());
     }
 
     /** Refuses all requests for a while. Leases do not expire meanwhile and are renewed at the end. */
@@ -210,7 +210,7 @@
     /** Counts the request. Returns whether it is refused because of its rate, an outage or a fault of this node. */
     private boolean refuseIfUnavailable(String node, int changes) {
         requestCount++;
-        boolean tooFast = !rates.tryAcquire(environment.nowMicros(), changes);
+        boolean tooFast = !rateLimiter.tryAcquire(environment.nowMicros(), changes);
         rateLimitedRequestCount += tooFast ? 1 : 0;
         return tooFast || outageActive || refusedNodes.contains(node);
     }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -164,7 +164,7 @@
         changed = true;
     }
 
-    /** Removes all attempts, exited ones included, without reporting their exit. */
+    /** Removes all attempts, exited ones included, as when a machine is lost; heartbeats do not report their exit. */
     void killAll() {
         attempts.all().forEach(this::removeFromMachine);
         attempts.clear();
--- a/src/test/java/org/granitepath/simulation/Simulation.java
+++ b/src/test/java/org/granitepath/simulation/Simulation.java
@@ -80,7 +80,7 @@
     long directStartDelayMicros;
     /** How long a recovery holds back batch work for services; applies to controllers that start from now on. */
     long recoveryHoldMicros;
-    /** Drops the cancellations that peers pass on, because safety must not depend on them. */
+    /** Whether cancellations that peers pass on are dropped: safety must not depend on them. */
     boolean dropPeerCancellations;
     /** Probability that a job is cancelled at the moment at which its last task completes. */
     double cancelAtCompletionShare;
