--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -154,7 +154,7 @@
     private PeerPort.PeerStatus status() {
         return new PeerPort.PeerStatus(
                 config.node(),
-                replica.loaded() ? storeContact.ageMicros() : -1,
+                replica.isLoaded() ? storeContact.ageMicros() : -1,
                 currentTerm.isPresent(),
                 redirectedMachines.count());
     }
@@ -170,7 +170,8 @@
      * at once, even if this controller cannot read the store at the moment.
      */
     public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
-        replica.applied(Keys.finalOf(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
+        replica.applyCommitted(
+                Keys.finalRecord(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
     /** Returns whether this controller is the leader and its term has started. */
@@ -211,13 +212,13 @@
     /** Dispatches each changed record to the component that uses it. */
     private final class ReplicaListener implements RecordReplica.Listener {
         @Override
-        public void changed(String key, @Nullable StoredRecord record, long revision) {
+        public void onRecordChanged(String key, @Nullable StoredRecord record, long revision) {
             if (key.equals(Keys.LEADER)) {
                 leadership.onLeaderRecordChanged();
             } else if (record instanceof MachineTypesRecord recorded) {
                 machineTypes.onRecordRead(recorded.types());
             } else {
-                jobIndex.changed(key, record);
+                jobIndex.applyRecord(key, record);
                 if (record != null) {
                     endedJobEviction.onRecordWritten(key);
                 }
@@ -225,7 +226,7 @@
         }
 
         @Override
-        public void loaded() {
+        public void onLoaded() {
             LOG.info(
                     "records read: {} open jobs, leader {}", jobIndex.openJobs().size(), leadership.leaderNode());
         }
--- a/src/main/java/org/granitepath/coordination/ControllerChecks.java
+++ b/src/main/java/org/granitepath/coordination/ControllerChecks.java
@@ -39,8 +39,8 @@
     /** Makes all checks now, and schedules the next run in one second. */
     void run() {
         timers.after(INTERVAL_MICROS, this::run);
-        if (replica.loaded()) {
-            replica.barrier(fresh -> {});
+        if (replica.isLoaded()) {
+            replica.requestBarrier(fresh -> {});
         }
         long nowMicros = timers.nowMicros();
         redirectedMachines.removeExpired(nowMicros);
--- a/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/OfferCost.java
@@ -68,7 +68,7 @@
      * @param spot whether the machine is a spot instance, for which the answer is always false
      */
     boolean shouldWaitForSpot(long startupMicros, boolean spot) {
-        return missesDeadline(startupMicros) && !spot && spec.spot();
+        return missesDeadline(startupMicros) && !spot && spec.spotAllowed();
     }
 
     /**
@@ -82,11 +82,11 @@
      */
     double costPerTask(MachineType type, boolean spot, int tasks, long startupMicros, int launches, int tasksInZone) {
         long paidMicros = Math.max(startupMicros + runMicros, Machine.MINIMUM_CHARGE_MICROS);
-        double cost = type.priceFor(spot) * paidMicros / tasks;
+        double cost = type.hourlyPrice(spot) * paidMicros / tasks;
         if (missesDeadline(startupMicros)) {
             cost *= MISSED_DEADLINE_FACTOR;
         }
-        if (spec.service()) {
+        if (spec.isService()) {
             cost *= 1 + startupMicros / LATE_START_MICROS;
         }
         return cost * (1 + PENALTY_PER_LAUNCH * launches + PENALTY_PER_TASK_IN_ZONE * tasksInZone);
--- a/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskEvidence.java
@@ -63,7 +63,7 @@
 
     private RecordedTaskState recordedStateOf(@Nullable ActiveJob job, TaskId task) {
         if (job == null || job.phase() == ActiveJob.Phase.ENDED) {
-            return jobIndex.recorded(task.job());
+            return jobIndex.recordedTaskState(task.job());
         }
         if (task.index() >= job.spec().tasks()) {
             return RecordedTaskState.NOT_IN_JOB;
@@ -93,7 +93,7 @@
             return ListedTaskState.LIVE;
         }
         boolean completes =
-                status.cause() == ExitCause.DONE && (job == null || !job.spec().service());
+                status.cause() == ExitCause.DONE && (job == null || !job.spec().isService());
         return completes ? ListedTaskState.COMPLETED : ListedTaskState.EXITED;
     }
 }
--- a/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
+++ b/src/main/java/org/granitepath/coordination/fleet/TaskStatusUpdater.java
@@ -96,7 +96,7 @@
         placement.markSaving();
         GangAttempt attempt = currentGangAttempt(placement);
         if (attempt != null && attempt.phase() == GangAttempt.Phase.RUNNING) {
-            tasks.stop(placement, placement.job().spec().saveMicros(), "a task of its gang is saving");
+            tasks.stop(placement, placement.job().spec().saveDurationMicros(), "a task of its gang is saving");
         }
     }
 
@@ -125,7 +125,7 @@
 
     /** Whether the task has completed; a task of a service never counts as completed, however it exits. */
     private static boolean hasCompleted(ActiveJob job, TaskStatus status) {
-        return status.cause() == ExitCause.DONE && !job.spec().service();
+        return status.cause() == ExitCause.DONE && !job.spec().isService();
     }
 
     private static boolean wasStartRefused(TaskStatus status) {
@@ -158,7 +158,7 @@
 
     /** Marks the task as done; for a gang, whose tasks complete together, marks all tasks of the job. */
     private static void markDone(ActiveJob job, int task) {
-        if (!job.spec().gang()) {
+        if (!job.spec().isGang()) {
             job.markDone(task);
             return;
         }
@@ -176,7 +176,7 @@
         Placement placement = job.placement(task);
         markDone(job, task);
         jobs.recordTaskDone(job);
-        if (placement != null && !job.spec().gang()) {
+        if (placement != null && !job.spec().isGang()) {
             tasks.stop(placement, 0, "completed by another attempt");
         } else {
             jobs.completeIfDone(job);
--- a/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobLifecycle.java
@@ -54,20 +54,20 @@
         for (JobRecord record : jobIndex.openJobs()) {
             open(record);
         }
-        jobIndex.listen(this);
+        jobIndex.setListener(this);
         loop.requestCycle();
     }
 
     /** Ends the term: changes of the records are no longer followed. */
     public void end() {
-        jobIndex.stopListening();
+        jobIndex.clearListener();
     }
 
     private void open(JobRecord record) {
         if (recorder.isClaimedBySuccessor(record)) {
             return;
         }
-        if (jobIndex.unreadable(record.spec().id())) {
+        if (jobIndex.isUnreadable(record.spec().id())) {
             LOG.error(
                     "job {}: one of its records is unreadable; its running tasks are left alone and none is started"
                             + " in this term",
@@ -77,7 +77,7 @@
         ActiveJob job = new ActiveJob(record, jobIndex.progressOf(record.spec().id()), timers.nowMicros());
         jobs.add(job);
         if (recorder.isClaimedByThisTerm(record)) {
-            // Tasks that were claimed for this term from the first cannot have been started by a previous leader.
+            // The tasks were claimed for this term when the job was accepted: no previous leader can have started them.
             job.resolveUnconfirmed();
         } else {
             recovery.resolveTasks(job);
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void accepted(JobRecord record) {
+    public void onJobAccepted(JobRecord record) {
         if (jobs.get(record.spec().id()) != null) {
             return;
         }
@@ -107,16 +107,16 @@
     }
 
     @Override
-    public void progressed(String id, ProgressRecord progress) {
+    public void onProgressRecorded(String id, ProgressRecord progress) {
         ActiveJob job = jobs.get(id);
-        if (job != null && progress.claimed() > job.claimedTasks()) {
-            job.confirmClaim(progress.claimed());
+        if (job != null && progress.claimedTasks() > job.claimedTasks()) {
+            job.confirmClaim(progress.claimedTasks());
             loop.requestCycle();
         }
     }
 
     @Override
-    public void ended(String id, FinalRecord.Outcome outcome) {
+    public void onJobEnded(String id, FinalRecord.Outcome outcome) {
         ActiveJob job = jobs.get(id);
         if (job == null) {
             return;
--- a/src/main/java/org/granitepath/coordination/leadership/Campaign.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Campaign.java
@@ -14,8 +14,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * One attempt to become leader. It opens a lease, brings the replica up to date, and commits the transaction that writes
- * the leader key and takes the next fencing token. It ends with exactly one call of its listener.
+ * One attempt to become leader. It opens a lease, brings the replica up to date, and commits the transaction that
+ * writes the leader key and takes the next fencing token. It ends with exactly one call of its listener.
  */
 final class Campaign {
     /** Why this controller may campaign. */
@@ -81,7 +81,7 @@
     void start() {
         store.openLease(config.tuning().leaderLeaseMicros(), leased -> {
             if (leased.outcome() == Outcome.OK) {
-                replica.barrier(fresh -> commitIfLeaderKeyIsFree(fresh, leased.lease()));
+                replica.requestBarrier(fresh -> commitIfLeaderKeyIsFree(fresh, leased.leaseId()));
             } else {
                 listener.onAbandoned("the store granted no lease");
             }
@@ -106,7 +106,7 @@
 
     private void commit(long lease) {
         FencingTokenRecord counter = replica.fencingToken();
-        long fencingToken = (counter == null ? 0 : counter.last()) + 1;
+        long fencingToken = (counter == null ? 0 : counter.lastIssuedToken()) + 1;
         LeaderRecord leader = new LeaderRecord(config.node(), config.identity().incarnation(), fencingToken);
         FencingTokenRecord nextToken = new FencingTokenRecord(config.node(), fencingToken, fencingToken);
         List<Change> changes =
--- a/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
+++ b/src/main/java/org/granitepath/coordination/leadership/CampaignEligibility.java
@@ -7,8 +7,8 @@
 import org.granitepath.storage.Timers;
 
 /**
- * Decides whether this controller may campaign now: the records are read, they name no leader that may still be running,
- * and no backoff from an earlier campaign or term is in effect.
+ * Decides whether this controller may campaign now: the records are read, they name no leader that may still be
+ * running, and no backoff from an earlier campaign or term is in effect.
  */
 final class CampaignEligibility {
     /** Long enough for the other controllers to campaign first. */
@@ -27,7 +27,7 @@
 
     /** Returns why a campaign may start now, or empty if none may. */
     Optional<Campaign.Reason> reason() {
-        if (!replica.loaded() || timers.nowMicros() < backoffUntilMicros) {
+        if (!replica.isLoaded() || timers.nowMicros() < backoffUntilMicros) {
             return Optional.empty();
         }
         LeaderRecord leader = replica.leader();
--- a/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerCommand.java
@@ -3,7 +3,7 @@
 /**
  * A command to a worker.
  *
- * @param graceMicros for {@link Verb#STOP}, the time that the task has to save its progress, in microseconds; otherwise 0
+ * @param graceMicros the time that a stopped task has to save its progress, in microseconds; 0 for other commands
  */
 public record WorkerCommand(Verb verb, TaskId task, long attempt, long graceMicros) {
     /** The kind of a command. */
@@ -12,7 +12,7 @@
         START,
         /** Stops an attempt. */
         STOP,
-        /** Removes an attempt that has exited from the heartbeats. */
+        /** Makes the worker stop listing an exited attempt in its heartbeats. */
         CLEAR
     }
 
@@ -26,7 +26,7 @@
         return new WorkerCommand(Verb.STOP, task, attempt, graceMicros);
     }
 
-    /** Returns a command that removes an exited attempt from the heartbeats. */
+    /** Returns a command that makes the worker stop listing an exited attempt in its heartbeats. */
     public static WorkerCommand clear(TaskId task, long attempt) {
         return new WorkerCommand(Verb.CLEAR, task, attempt, 0);
     }
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -29,7 +29,7 @@
     private CloudCodec() {}
 
     /** Reads the machine types that the cloud launches. */
-    public static List<MachineType> decodeTypes(Map<String, Object> body) {
+    public static List<MachineType> decodeMachineTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
         for (Object element : Fields.listOf(body, "models")) {
             Map<String, Object> fields = Fields.requiredObject(element, "models");
@@ -43,7 +43,7 @@
                             Fields.doubleOf(fields, "fetch_gb_per_s", DEFAULT_FETCH_GB_PER_SECOND)),
                     Fields.doubleOf(fields, "rate", 0),
                     Fields.doubleOf(fields, "market_price", 0),
-                    Units.micros(Fields.doubleOf(fields, "ready_s", DEFAULT_BOOT_SECONDS)),
+                    Units.secondsToMicros(Fields.doubleOf(fields, "ready_s", DEFAULT_BOOT_SECONDS)),
                     Fields.textsOf(fields, "sites")));
         }
         return types;
@@ -51,7 +51,7 @@
 
     /** In thousandths: a machine is not taken for larger than it is. */
     private static long thousandths(Map<String, Object> fields, String name) {
-        return Units.thousandthsOffered(Fields.doubleOf(fields, name, 0));
+        return Units.toThousandthsRoundedDown(Fields.doubleOf(fields, name, 0));
     }
 
     /** The request for a launch. */
@@ -62,16 +62,16 @@
         fields.put("site", request.zone());
         fields.put("loaner", request.spot());
         fields.put("count", request.count());
-        return Json.text(fields);
+        return Json.encode(fields);
     }
 
     /** The request to return machines. */
-    public static String encodeHosts(List<String> hosts) {
-        return Json.text(Map.of(HOSTS, hosts));
+    public static String encodeTermination(List<String> hosts) {
+        return Json.encode(Map.of(HOSTS, hosts));
     }
 
     /** Reads the names of the machines that a launch brought. */
-    public static List<String> decodeHosts(Map<String, Object> body) {
+    public static List<String> decodeLaunchedMachines(Map<String, Object> body) {
         return Fields.textsOf(body, HOSTS);
     }
 
@@ -87,7 +87,7 @@
                     Fields.textOf(fields, "site", UNKNOWN),
                     Fields.boolOf(fields, "loaner"),
                     hostState(String.valueOf(fields.get("status"))),
-                    Units.micros(Fields.doubleOf(fields, "held_s", 0))));
+                    Units.secondsToMicros(Fields.doubleOf(fields, "held_s", 0))));
         }
         return hosts;
     }
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Item;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
@@ -45,7 +45,7 @@
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("guards", preconditions);
         body.put("apply", changes);
-        return Json.text(body);
+        return Json.encode(body);
     }
 
     private static Map<String, Object> encodeChange(Change change) {
@@ -56,15 +56,15 @@
         }
         fields.put(WRITE, change.key());
         fields.put(VALUE, StoredRecordCodec.encode(change.record()));
-        if (change.lease() != 0) {
-            fields.put(PERMIT, change.lease());
+        if (change.leaseId() != 0) {
+            fields.put(PERMIT, change.leaseId());
         }
         return fields;
     }
 
     /** Reads how a transaction ended, of which the status has told the outcome. */
-    public static Committed decodeCommitted(Outcome outcome, Map<String, Object> body) {
-        return new Committed(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
+    public static CommitResult decodeCommitted(Outcome outcome, Map<String, Object> body) {
+        return new CommitResult(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
     }
 
     /** Reads a page of keys. */
@@ -79,7 +79,7 @@
     }
 
     /** Reads the changes that a watch brought. */
-    public static Page decodeFollow(Map<String, Object> body) {
+    public static Page decodeEvents(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
         for (Object element : Fields.listOf(body, "events")) {
             Map<String, Object> fields = Fields.requiredObject(element, "events");
@@ -93,8 +93,8 @@
     }
 
     /** The request for a lease. */
-    public static String encodeLease(long lifeMicros) {
-        return Json.text(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
+    public static String encodeLeaseRequest(long lifeMicros) {
+        return Json.encode(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
     }
 
     /** Reads the number of a new lease. */
--- a/src/main/java/org/granitepath/recovery/AwaitedMachines.java
+++ b/src/main/java/org/granitepath/recovery/AwaitedMachines.java
@@ -6,8 +6,8 @@
 import org.pcollections.PSet;
 
 /**
- * The machines taken over that have neither sent a heartbeat under the current fencing token nor are proved gone. They
- * are counted by profile, so that the check whether a task may be on one of them takes as many steps as there are
+ * The machines taken over that have neither sent a heartbeat under the current fencing token nor are proven to be gone.
+ * They are counted by profile, so that the check whether a task may be on one of them takes as many steps as there are
  * profiles, not machines.
  */
 final class AwaitedMachines {
@@ -29,7 +29,9 @@
         unreadableParts += parts;
     }
 
-    /** Removes a machine that has sent a heartbeat or is gone, and returns whether it was the last one of its profile. */
+    /**
+     * Removes a machine that has sent a heartbeat or is gone, and returns whether it was the last one of its profile.
+     */
     boolean remove(String machine, MachineProfile profile) {
         int remaining = countByProfile.addTo(profile, -1) - 1;
         ids = ids.minus(machine);
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -11,7 +11,7 @@
  * @param zone the only zone that may be used; null: any
  * @param oneZone whether all tasks must run in one zone
  * @param spread whether no zone may hold more than half of the tasks, rounded up
- * @param spot whether spot instances may be used
+ * @param spotAllowed whether spot instances may be used
  * @param deadlineMicros time after acceptance, or {@link #NO_DEADLINE}
  */
 public record JobSpec(
@@ -30,10 +30,10 @@
         @Nullable String zone,
         boolean oneZone,
         boolean spread,
-        boolean spot,
-        long estimateMicros,
-        long checkpointMicros,
-        long saveMicros,
+        boolean spotAllowed,
+        long estimatedRunMicros,
+        long checkpointIntervalMicros,
+        long saveDurationMicros,
         long deadlineMicros) {
 
     /** How the tasks of a job relate to one another and to time. */
@@ -50,12 +50,12 @@
     public static final long NO_DEADLINE = -1;
 
     /** Whether its tasks run until it is cancelled. */
-    public boolean service() {
+    public boolean isService() {
         return shape == Shape.SERVICE;
     }
 
     /** Whether its tasks start together or not at all. */
-    public boolean gang() {
+    public boolean isGang() {
         return shape == Shape.GANG;
     }
 
@@ -65,17 +65,17 @@
     }
 
     /** Whether machines of this type may be used. */
-    public boolean allowsType(String type) {
+    public boolean isTypeAllowed(String type) {
         return types == null || types.contains(type);
     }
 
     /** Whether machines of this zone may be used. */
-    public boolean allowsZone(String candidate) {
+    public boolean isZoneAllowed(String candidate) {
         return zone == null || zone.equals(candidate);
     }
 
     /** At most this many tasks may stand in one zone. */
-    public int zoneCap() {
+    public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 }
--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -15,8 +15,8 @@
         List<String> zones) {
 
     /** Whether a task of this job fits an empty machine of this type. */
-    public boolean fits(JobSpec spec) {
-        return spec.allowsType(name)
+    public boolean canFit(JobSpec spec) {
+        return spec.isTypeAllowed(name)
                 && spec.cpuMillis() <= cpuMillis
                 && spec.gpuMillis() <= gpuMillis
                 && spec.memoryMillis() <= memoryMillis
@@ -44,7 +44,7 @@
     }
 
     /** The nominal price of an hour. */
-    public double priceFor(boolean spot) {
+    public double hourlyPrice(boolean spot) {
         return spot ? spotPrice : price;
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordLoader.java
+++ b/src/main/java/org/granitepath/storage/RecordLoader.java
@@ -46,7 +46,7 @@
 
         private void requestPage(String from) {
             long sentMicros = timers.nowMicros();
-            store.list(Keys.ALL, from, PAGE, page -> {
+            store.list(Keys.ROOT_PREFIX, from, PAGE, page -> {
                 if (page.outcome() == Outcome.OK) {
                     takePage(page, from, sentMicros);
                 } else {
@@ -65,7 +65,7 @@
                 records.apply(item);
                 last = item.key();
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 requestPage(last);
                 return;
             }
--- a/src/main/java/org/granitepath/transport/JsonClient.java
+++ b/src/main/java/org/granitepath/transport/JsonClient.java
@@ -6,30 +6,30 @@
 final class JsonClient {
     private final HttpCalls http;
     private final String address;
-    private final AfterCall afterCall;
+    private final ConnectionPolicy connectionPolicy;
     private final long timeoutMicros;
 
     /** @param timeoutMicros how long a call may take that does not say otherwise */
-    JsonClient(HttpCalls http, String address, AfterCall afterCall, long timeoutMicros) {
+    JsonClient(HttpCalls http, String address, ConnectionPolicy connectionPolicy, long timeoutMicros) {
         this.http = http;
         this.address = address;
-        this.afterCall = afterCall;
+        this.connectionPolicy = connectionPolicy;
         this.timeoutMicros = timeoutMicros;
     }
 
-    void get(String path, Consumer<HttpAnswer> then) {
+    void get(String path, Consumer<HttpResponse> then) {
         get(path, timeoutMicros, then);
     }
 
-    void get(String path, long callTimeoutMicros, Consumer<HttpAnswer> then) {
-        http.call(OutgoingRequest.get(address, path, afterCall), callTimeoutMicros, then);
+    void get(String path, long callTimeoutMicros, Consumer<HttpResponse> then) {
+        http.call(OutgoingRequest.get(address, path, connectionPolicy), callTimeoutMicros, then);
     }
 
-    void post(String path, String body, Consumer<HttpAnswer> then) {
+    void post(String path, String body, Consumer<HttpResponse> then) {
         post(path, body, timeoutMicros, then);
     }
 
-    void post(String path, String body, long callTimeoutMicros, Consumer<HttpAnswer> then) {
-        http.call(OutgoingRequest.postJson(address, path, body, afterCall), callTimeoutMicros, then);
+    void post(String path, String body, long callTimeoutMicros, Consumer<HttpResponse> then) {
+        http.call(OutgoingRequest.postJson(address, path, body, connectionPolicy), callTimeoutMicros, then);
     }
 }
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -22,17 +22,17 @@
 
     /** Calls the store at this address. */
     public KeyValueStoreClient(HttpCalls http, String address) {
-        this.store = new JsonClient(http, address, AfterCall.KEEP, TIMEOUT_MICROS);
+        this.store = new JsonClient(http, address, ConnectionPolicy.KEEP_ALIVE, TIMEOUT_MICROS);
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), answer -> {
             Map<String, Object> body = answer.json();
             Outcome outcome = outcome(answer.status(), body);
             then.accept(
                     body == null
-                            ? new Committed(outcome, 0, List.of())
+                            ? new CommitResult(outcome, 0, List.of())
                             : KeyValueStoreCodec.decodeCommitted(outcome, body));
         });
     }
@@ -49,15 +49,15 @@
         store.get(
                 path,
                 waitMicros + TIMEOUT_MICROS,
-                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeFollow)));
+                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeEvents)));
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
-        store.post("/leases", KeyValueStoreCodec.encodeLease(lifeMicros), answer -> {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
+        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), answer -> {
             Map<String, Object> body = answer.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
-            then.accept(new Leased(outcome(answer.status(), body), lease));
+            then.accept(new LeaseResult(outcome(answer.status(), body), lease));
         });
     }
 
@@ -71,7 +71,7 @@
                 answer -> then.accept(outcome(answer.status(), Map.of())));
     }
 
-    private static Page page(HttpAnswer answer, Function<Map<String, Object>, Page> decoder) {
+    private static Page page(HttpResponse answer, Function<Map<String, Object>, Page> decoder) {
         Map<String, Object> body = answer.json();
         return answer.isOk() && body != null
                 ? decoder.apply(body)
@@ -81,9 +81,9 @@
     /** @param body null when there was none or it is no JSON object: then nothing is known of a success */
     private static Outcome outcome(int status, @Nullable Map<String, Object> body) {
         return switch (status) {
-            case HttpStatus.NO_ANSWER -> Outcome.UNKNOWN;
+            case HttpStatus.NO_RESPONSE -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
-            case HttpStatus.BAD_REQUEST -> Outcome.REJECTED;
+            case HttpStatus.BAD_REQUEST -> Outcome.INVALID;
             case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
             case HttpStatus.CONFLICT -> Outcome.CONFLICT;
             case HttpStatus.GONE -> Outcome.GONE;
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -20,29 +20,29 @@
 /** The replica keeps only the final record of an ended job, in whatever order the job's records arrive. */
 class EndedJobEvictionTest {
     private static final String JOB = "run-1";
-    private static final List<String> KEYS = List.of(Keys.job(JOB), Keys.progress(JOB), Keys.finalOf(JOB));
+    private static final List<String> KEYS = List.of(Keys.job(JOB), Keys.progress(JOB), Keys.finalRecord(JOB));
 
     private final ManualTimers timers = new ManualTimers();
     private final JobIndex jobIndex = new JobIndex();
     private final RecordReplica replica =
             new RecordReplica(new MemoryStore(timers), timers, 100_000, new RecordReplica.Listener() {
                 @Override
-                public void changed(String key, StoredRecord record, long revision) {
-                    jobIndex.changed(key, record);
+                public void onRecordChanged(String key, StoredRecord record, long revision) {
+                    jobIndex.applyRecord(key, record);
                 }
 
                 @Override
-                public void loaded() {}
+                public void onLoaded() {}
             });
     private final EndedJobEviction eviction = new EndedJobEviction(replica, jobIndex);
 
     private void write(String key) {
-        StoredRecord record = switch (Keys.jobKey(key).orElseThrow().kind()) {
+        StoredRecord record = switch (Keys.parseJobKey(key).orElseThrow().kind()) {
             case JOB -> new JobRecord(Fixtures.spec(JobSpec.Shape.BATCH, false, false), 0, 0, 0);
-            case PROGRESS -> ProgressRecord.none();
+            case PROGRESS -> ProgressRecord.empty();
             case FINAL -> new FinalRecord(FinalRecord.Outcome.DONE);
         };
-        replica.applied(key, record, 1);
+        replica.applyCommitted(key, record, 1);
         eviction.onRecordWritten(key);
     }
 
@@ -54,7 +54,7 @@
     @ValueSource(strings = {"g/j/run-1 g/p/run-1 g/f/run-1", "g/f/run-1 g/p/run-1 g/j/run-1"})
     void onlyTheFinalRecordOfAnEndedJobIsKept(String order) {
         Stream.of(order.split(" ")).forEach(this::write);
-        assertEquals(List.of(Keys.finalOf(JOB)), keysInReplica());
+        assertEquals(List.of(Keys.finalRecord(JOB)), keysInReplica());
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -31,12 +31,12 @@
     final WaitingRequests waitingRequests = new WaitingRequests();
     final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {
-            jobIndex.changed(key, record);
+        public void onRecordChanged(String key, StoredRecord record, long revision) {
+            jobIndex.applyRecord(key, record);
         }
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     final WriteQueue writeQueue = new WriteQueue(
             store,
@@ -60,7 +60,7 @@
 
     /** It is on record how the job ended. */
     void putEnd(FinalRecord.Outcome outcome) {
-        store.put(Keys.finalOf(JOB), new FinalRecord(outcome), 0);
+        store.put(Keys.finalRecord(JOB), new FinalRecord(outcome), 0);
     }
 
     /** Reads what is on record so far. */
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -56,12 +56,12 @@
     private static RecordReplica newReplica(MemoryStore store, JobIndex jobIndex, Timers timers) {
         return new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {
-                jobIndex.changed(key, record);
+            public void onRecordChanged(String key, StoredRecord record, long revision) {
+                jobIndex.applyRecord(key, record);
             }
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
     }
 
@@ -89,7 +89,7 @@
     /** Returns an open job whose ten tasks are all claimed for this term and free to start. */
     ActiveJob openJob(JobSpec spec) {
         ActiveJob job =
-                new ActiveJob(new JobRecord(spec, 0, spec.tasks(), TOKEN), ProgressRecord.none(), timers.nowMicros());
+                new ActiveJob(new JobRecord(spec, 0, spec.tasks(), TOKEN), ProgressRecord.empty(), timers.nowMicros());
         job.resolveUnconfirmed();
         jobs.add(job);
         return job;
@@ -102,7 +102,11 @@
         return placement;
     }
 
-    /** Adopts a running task that a heartbeat lists and a previous leader started. */
+    /**
+     * Adopts a running task that a heartbeat lists and a previous leader started.
+     *
+     * @param onlyOnThisMachine false for an old heartbeat: the task may be on another machine by now
+     */
     Placement adopt(ActiveJob job, int index, Machine machine, long attempt, boolean onlyOnThisMachine) {
         Heartbeat.TaskStatus status = new Heartbeat.TaskStatus(
                 new TaskId(job.spec().id(), index),
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -28,7 +28,7 @@
 
 /** Which workers a controller that is cut off with its zone answers on behalf of the leader, and how it answers. */
 class ZoneLeaseKeeperTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final String ZONE = "zone-c1";
     private static final long TERM_TOKEN = 7;
     private static final long OWN_TOKEN = 9;
@@ -38,13 +38,14 @@
     private final Config config = TestConfigs.of("c1", "c1-1", "c2");
     private final ManualTimers timers = new ManualTimers();
     private final MemoryStore store = new MemoryStore(timers);
-    private final RecordReplica replica = new RecordReplica(store, timers, SECOND / 10, new RecordReplica.Listener() {
-        @Override
-        public void changed(String key, StoredRecord record, long revision) {}
-
-        @Override
-        public void loaded() {}
-    });
+    private final RecordReplica replica =
+            new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
+                @Override
+                public void onRecordChanged(String key, StoredRecord record, long revision) {}
+
+                @Override
+                public void onLoaded() {}
+            });
     private final Peers peers = new Peers(config, new UnreachablePeers(), timers, () -> null);
     private final ZoneLeaseKeeper keeper =
             new ZoneLeaseKeeper(config, replica, Set.of(ENDED.job())::contains, peers, timers);
@@ -63,13 +64,13 @@
     void recordTwoMachines() {
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", TERM_TOKEN, OWN_TOKEN), 0);
         store.put(
-                Keys.inventory(0),
+                Keys.inventoryPart(0),
                 new InventoryRecord(List.of(
-                        new InventoryRecord.Host("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
-                        new InventoryRecord.Host("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
+                        new InventoryRecord.MachineRow("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
+                        new InventoryRecord.MachineRow("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
                 0);
         replica.start();
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
     }
 
     private void loseContactFor(long micros) {
@@ -82,7 +83,7 @@
         return new Heartbeat(machine, machine + ":1", "g8", zone, false, 1, 1, fencingToken, -1, List.of(tasks));
     }
 
-    private boolean mayRenewFirstMachine() {
+    private boolean canRenewFirstMachine() {
         return keeper.canRenew(heartbeat("m1", ZONE, TERM_TOKEN));
     }
 
@@ -93,21 +94,21 @@
     @Test
     void inContactWithTheStoreNoMachineIsAnswered() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS - 1);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
     void aControllerThatIsCutOffAnswersMachinesOfItsZone() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
     }
 
     @Test
     void machinesAreAnsweredAsLongAsALeaderWithoutContactMayAnswer() {
         loseContactFor(config.workers().maxDisconnectedMicros());
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
         timers.advance(1);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
@@ -120,21 +121,21 @@
     void withARecentStatusOfTheLeaderTheControllerIsNotCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(-1, true);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
     void withAPeerInContactTheControllerIsNotCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(0, false);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
     }
 
     @Test
     void withAPeerOutOfContactTheControllerIsStillCutOff() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
         receive(Config.CONTACT_TIMEOUT_MICROS + 1, false);
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
     }
 
     @Test
@@ -157,12 +158,12 @@
     @Test
     void tokensAreReadAgainAfterEachContact() {
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertTrue(mayRenewFirstMachine());
+        assertTrue(canRenewFirstMachine());
         store.unreachable = false;
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", OWN_TOKEN + 1, OWN_TOKEN + 1), 0);
-        timers.advance(SECOND);
+        timers.advance(SECOND_MICROS);
         loseContactFor(Config.CONTACT_TIMEOUT_MICROS);
-        assertFalse(mayRenewFirstMachine());
+        assertFalse(canRenewFirstMachine());
         assertTrue(keeper.canRenew(heartbeat("m1", ZONE, OWN_TOKEN + 1)));
     }
 
--- a/src/test/java/org/granitepath/loopback/CloudStandIn.java
+++ b/src/test/java/org/granitepath/loopback/FakeCloud.java
@@ -7,22 +7,25 @@
 import java.util.concurrent.Executor;
 import org.granitepath.storage.Fields;
 
-/** A stand-in for a cloud with a fixed set of machines, all of one type: nothing more is to be had. */
-final class CloudStandIn extends HttpStandIn {
+/** A fake cloud with a fixed set of machines, all of one type. It refuses to launch more. */
+final class FakeCloud extends FakeHttpServer {
     static final String TYPE = "box";
     static final String ZONE = "here";
     static final int CPUS = 4;
-    /** Idle machines are kept for a part of the time that a new one takes to boot: no test lasts that long. */
+    /**
+     * The boot time of a machine. A controller keeps idle machines for a fraction of it; with this value that is longer
+     * than any test runs.
+     */
     private static final int BOOT_SECONDS = 1_200;
 
-    private final Map<String, WorkerStandIn> machines = new LinkedHashMap<>();
+    private final Map<String, FakeWorker> machines = new LinkedHashMap<>();
 
-    CloudStandIn(Executor executor) {
+    FakeCloud(Executor executor) {
         super(executor);
         listen();
     }
 
-    synchronized void add(WorkerStandIn worker) {
+    synchronized void add(FakeWorker worker) {
         machines.put(worker.id(), worker);
     }
 
@@ -41,7 +44,7 @@
 
     private void terminate(List<?> ids) {
         for (Object id : ids) {
-            WorkerStandIn worker = machines.remove(String.valueOf(id));
+            FakeWorker worker = machines.remove(String.valueOf(id));
             if (worker != null) {
                 worker.close();
             }
@@ -64,7 +67,7 @@
 
     private List<Object> rows(String from) {
         List<Object> rows = new ArrayList<>();
-        for (WorkerStandIn worker : machines.values()) {
+        for (FakeWorker worker : machines.values()) {
             if (worker.id().compareTo(from) > 0) {
                 rows.add(row(worker));
             }
@@ -72,7 +75,7 @@
         return rows;
     }
 
-    private static Map<String, Object> row(WorkerStandIn worker) {
+    private static Map<String, Object> row(FakeWorker worker) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("uid", worker.id());
         row.put("address", worker.address());
--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -13,7 +13,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void noAnswerForLong() {
+    void acceptedJobWithoutLaterAnswerIsReported() {
         fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         fixture.deliverStatus(SPREAD, JobState.PENDING);
         fixture.runUntil(70_000_000);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void unschedulableJobIsAccepted() {
+    void acceptanceOfUnschedulableJobIsReported() {
         fixture.rules().recordUnschedulableSubmission("run-9");
         fixture.rules().recordResponse("run-9", new JobResponse.Unschedulable("too large"));
         fixture.assertNoViolations();
@@ -42,7 +42,7 @@
 
     /** An accepted job is not found; then it is called done before it is; then it is called running again. */
     @Test
-    void wrongAnswers() {
+    void contradictoryAnswersAreReported() {
         fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         fixture.rules().recordResponse(ANYWHERE, new JobResponse.NotFound());
         fixture.assertViolation("forgotten");
--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -87,7 +87,7 @@
 
     /** Sorts the fields of objects, because their order has no meaning and may differ between processes. */
     private static String sorted(String json) {
-        return Json.text(sorted(Json.object(json)));
+        return Json.encode(sorted(Json.decodeObject(json)));
     }
 
     private static Object sorted(Object value) {
@@ -117,7 +117,7 @@
     KeyValueStore tracing(String node, KeyValueStore port) {
         return new KeyValueStore() {
             @Override
-            public void commit(Transaction transaction, Consumer<Committed> then) {
+            public void commit(Transaction transaction, Consumer<CommitResult> then) {
                 add(node, "commit", sorted(KeyValueStoreCodec.encodeTransaction(transaction)));
                 port.commit(transaction, then);
             }
@@ -135,8 +135,8 @@
             }
 
             @Override
-            public void openLease(long lifeMicros, Consumer<Leased> then) {
-                add(node, "open lease", KeyValueStoreCodec.encodeLease(lifeMicros));
+            public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
+                add(node, "open lease", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros));
                 port.openLease(lifeMicros, then);
             }
 
@@ -164,7 +164,7 @@
 
             @Override
             public void terminate(List<String> hosts, Consumer<Boolean> then) {
-                add(node, "return", CloudCodec.encodeHosts(hosts));
+                add(node, "return", CloudCodec.encodeTermination(hosts));
                 port.terminate(hosts, then);
             }
 
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -68,7 +68,7 @@
                         JobSpec spec = simulation.jobs.randomJob();
                         simulation.users.submit(
                                 spec,
-                                spec.service()
+                                spec.isService()
                                         ? 60 * SECOND
                                         : simulation.environment.random.nextInt(6) == 0 ? 12 * SECOND : -1);
                         simulation.users.pollUnknownJob();
--- a/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryMeasurement.java
@@ -118,7 +118,7 @@
 
     private static List<Long> startTimes(Simulation simulation, List<SimCommands.Start> starts, boolean services) {
         return starts.stream()
-                .filter(start -> simulation.users.specOf(start.task().job()).service() == services)
+                .filter(start -> simulation.users.specOf(start.task().job()).isService() == services)
                 .map(SimCommands.Start::sentMicros)
                 .toList();
     }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -63,12 +63,12 @@
     }
 
     private static boolean isService(Simulation simulation, SimCommands.Start start) {
-        return simulation.users.specOf(start.task().job()).service();
+        return simulation.users.specOf(start.task().job()).isService();
     }
 
     /** Without a hold the same restart starts batch work first: what the test above shows is the hold's doing. */
     @Test
-    void withoutAHoldBatchWorkStartsAmongThem() {
+    void batchWorkStartsAmongServicesWithoutHold() {
         int mixed = 0;
         for (long seed = 1; seed <= 6; seed++) {
             Simulation simulation = busyDeployment(seed);
@@ -89,7 +89,7 @@
     /** Machines that stay unresponsive keep other work back no longer than the hold, and live work not at all. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void unresponsiveMachinesHoldNobodyBeyondTheBound(long seed) {
+    void unresponsiveMachinesDelayBatchWorkNoLongerThanTheHold(long seed) {
         Simulation simulation = busyDeployment(seed);
 
         simulation.after(RESTART_MICROS, () -> {
@@ -98,11 +98,11 @@
             all.stream()
                     .filter(worker -> worker.attempts().active().stream()
                             .anyMatch(attempt ->
-                                    simulation.users.specOf(attempt.task.job()).service()))
+                                    simulation.users.specOf(attempt.task.job()).isService()))
                     .limit(2)
                     .forEach(worker ->
                             simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.DROP, 90 * SECOND));
-            all.forEach(worker -> worker.endTasks(spec -> !spec.service(), ExitCause.STOPPED));
+            all.forEach(worker -> worker.endTasks(spec -> !spec.isService(), ExitCause.STOPPED));
         });
         simulation.run(RESTART_MICROS + 30 * SECOND);
 
@@ -134,7 +134,7 @@
             assertFalse(spot.isEmpty());
             spot.forEach(worker ->
                     simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 60 * SECOND));
-            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::service, ExitCause.STOPPED));
+            simulation.cloud.workers().forEach(worker -> worker.endTasks(JobSpec::isService, ExitCause.STOPPED));
         });
         simulation.run(RESTART_MICROS + Simulation.LEASE_MICROS);
 
--- a/src/test/java/org/granitepath/simulation/ServedRules.java
+++ b/src/test/java/org/granitepath/simulation/ServedRules.java
@@ -49,7 +49,7 @@
 
     private boolean mustBeServed(JobSpec spec) {
         return (jobs.isAccepted(spec.id()) && !jobs.isCancellationRequested(spec.id()))
-                || (spec.service() && jobs.hasStarted(spec.id()));
+                || (spec.isService() && jobs.hasStarted(spec.id()));
     }
 
     private static List<JobSpec> largestQuarter(List<JobSpec> group) {
@@ -67,7 +67,7 @@
 
     /** Whether a service has started a task, or a batch job has completed all its tasks. */
     private boolean isServed(JobSpec spec) {
-        return spec.service() ? jobs.hasStarted(spec.id()) : jobs.completedTaskCount(spec.id()) == spec.tasks();
+        return spec.isService() ? jobs.hasStarted(spec.id()) : jobs.completedTaskCount(spec.id()) == spec.tasks();
     }
 
     private void checkStartDelay(String name, List<JobSpec> group) {
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -14,7 +14,7 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void jobsNotServed() {
+    void unservedJobsAreReported() {
         fixture.deliverStatus(ANYWHERE, JobState.PENDING);
         fixture.deliverStatus(SPREAD, JobState.PENDING);
         fixture.deliverStatus(ONE_ZONE, JobState.PENDING);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void largestBeginsLate() {
+    void lateStartOfLargestJobIsReported() {
         fixture.submitJob("run-4", 3);
         fixture.deliverStatus("run-4", JobState.PENDING);
         fixture.runUntil(241_000_000);
--- a/src/test/java/org/granitepath/simulation/SimGangs.java
+++ b/src/test/java/org/granitepath/simulation/SimGangs.java
@@ -178,7 +178,7 @@
          */
         private void handleTaskLoss() {
             if (lossDetectedMicros == Long.MAX_VALUE) {
-                long interval = spec.checkpointMicros();
+                long interval = spec.checkpointIntervalMicros();
                 if (interval > 0) {
                     saveProgress(progressMicros() / interval * interval);
                 }
@@ -194,7 +194,7 @@
         private void updateStopping() {
             long saves = members.values().stream()
                     .filter(member -> member.isSaving()
-                            && environment.nowMicros() - member.stopRequestMicros >= spec.saveMicros())
+                            && environment.nowMicros() - member.stopRequestMicros >= spec.saveDurationMicros())
                     .count();
             if (hasLostTask()) {
                 handleTaskLoss();
@@ -241,8 +241,8 @@
     private long totalRunMicros(JobSpec spec) {
         return totalRunMicrosByJob.computeIfAbsent(
                 spec.id(),
-                unknown ->
-                        spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros()));
+                unknown -> spec.estimatedRunMicros() / 2
+                        + (long) (environment.random.nextDouble() * spec.estimatedRunMicros()));
     }
 
     /** Adds a task that has its image to a gang attempt; it exits at once if the attempt is no longer forming. */
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import org.granitepath.coordination.config.StoreLimits;
 import org.granitepath.storage.KeyValueStore;
-import org.granitepath.storage.KeyValueStore.Committed;
-import org.granitepath.storage.KeyValueStore.Leased;
+import org.granitepath.storage.KeyValueStore.CommitResult;
+import org.granitepath.storage.KeyValueStore.LeaseResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
 import org.granitepath.storage.KeyValueStore.Transaction;
@@ -161,9 +161,9 @@
         followRequestCount++;
     }
 
-    void commit(String node, Transaction transaction, Consumer<Committed> answer) {
+    void commit(String node, Transaction transaction, Consumer<CommitResult> answer) {
         if (refuseIfUnavailable(node, transaction.changes().size()) || readOnlyNodes.contains(node)) {
-            answer.accept(new Committed(Outcome.REFUSED, 0, List.of()));
+            answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of()));
         } else if (lateCommitShare > 0 && environment.random.nextDouble() < lateCommitShare) {
             environment.after(2_000_000 + environment.random.nextInt(10_000_000), () -> commitLate(transaction));
         } else {
@@ -186,10 +186,10 @@
         watches.follow(prefix, from, waitMicros, answer);
     }
 
-    Leased openLease(String node, long leaseMicros) {
+    LeaseResult openLease(String node, long leaseMicros) {
         return refuseIfUnavailable(node, 0)
-                ? new Leased(Outcome.REFUSED, 0)
-                : new Leased(Outcome.OK, leases.open(environment.nowMicros(), leaseMicros));
+                ? new LeaseResult(Outcome.REFUSED, 0)
+                : new LeaseResult(Outcome.OK, leases.open(environment.nowMicros(), leaseMicros));
     }
 
     Outcome renewLease(String node, long lease) {
@@ -221,10 +221,10 @@
         }
     }
 
-    private Committed commit(Transaction transaction) {
+    private CommitResult commit(Transaction transaction) {
         if (limits.isExceededBy(transaction)) {
             oversizedTransactionCount++;
-            return committed(Outcome.REJECTED, List.of());
+            return committed(Outcome.INVALID, List.of());
         }
         if (acceptsJob(transaction) && !requiresLeaderKey(transaction)) {
             unfencedAcceptanceCount++;
@@ -236,7 +236,8 @@
         if (!failed.isEmpty()) {
             return committed(Outcome.CONFLICT, failed);
         }
-        if (transaction.changes().stream().anyMatch(change -> change.lease() != 0 && !leases.exists(change.lease()))) {
+        if (transaction.changes().stream()
+                .anyMatch(change -> change.leaseId() != 0 && !leases.exists(change.leaseId()))) {
             return committed(Outcome.REFUSED, List.of());
         }
         keys.apply(transaction.changes());
@@ -246,7 +247,7 @@
     }
 
     private static boolean acceptsJob(Transaction transaction) {
-        return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB));
+        return transaction.changes().stream().anyMatch(change -> change.key().startsWith(Keys.JOB_PREFIX));
     }
 
     private static boolean requiresLeaderKey(Transaction transaction) {
@@ -254,8 +255,8 @@
                 .anyMatch(precondition -> precondition.key().equals(Keys.LEADER));
     }
 
-    private Committed committed(Outcome outcome, List<String> failed) {
-        return new Committed(outcome, keys.revision(), failed);
+    private CommitResult committed(Outcome outcome, List<String> failed) {
+        return new CommitResult(outcome, keys.revision(), failed);
     }
 
     private void expireLeases() {
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -66,7 +66,7 @@
             if (change.record() == null) {
                 remove(change.key());
             } else {
-                write(change.key(), TransactionLimits.encodedValue(change), change.lease());
+                write(change.key(), TransactionLimits.encodedValue(change), change.leaseId());
             }
         }
     }
@@ -132,7 +132,7 @@
     }
 
     private static KeyValueStore.Item item(String key, @Nullable String json, long revision) {
-        return new KeyValueStore.Item(key, json == null ? null : Json.object(json), revision);
+        return new KeyValueStore.Item(key, json == null ? null : Json.decodeObject(json), revision);
     }
 
     private KeyValueStore.Page page(List<KeyValueStore.Item> items, boolean more) {
--- a/src/test/java/org/granitepath/simulation/SimStorePort.java
+++ b/src/test/java/org/granitepath/simulation/SimStorePort.java
@@ -8,9 +8,9 @@
 /** The connection of one controller to the simulated store, over the simulated network. */
 final class SimStorePort implements KeyValueStore {
     private static final long TIMEOUT_MICROS = 2_000_000;
-    private static final Committed UNKNOWN_COMMIT = new Committed(Outcome.UNKNOWN, 0, List.of());
+    private static final CommitResult UNKNOWN_COMMIT = new CommitResult(Outcome.UNKNOWN, 0, List.of());
     private static final Page UNKNOWN_PAGE = new Page(Outcome.UNKNOWN, List.of(), false, 0);
-    private static final Leased UNKNOWN_LEASE = new Leased(Outcome.UNKNOWN, 0);
+    private static final LeaseResult UNKNOWN_LEASE = new LeaseResult(Outcome.UNKNOWN, 0);
 
     private final SimEnvironment environment;
     private final SimStore store;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         callLater(TIMEOUT_MICROS, answer -> store.commit(node, transaction, answer), UNKNOWN_COMMIT, then);
     }
 
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void openLease(long leaseMicros, Consumer<Leased> then) {
+    public void openLease(long leaseMicros, Consumer<LeaseResult> then) {
         call(TIMEOUT_MICROS, () -> store.openLease(node, leaseMicros), UNKNOWN_LEASE, then);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -106,7 +106,7 @@
         JobSpec spec = jobs.apply(attempt.task.job());
         cachedImages.add(spec.image());
         rules.recordTaskStarted(attempt.task, worker.id, worker.type.name(), worker.zone, worker.spot);
-        if (spec.gang() && !completedTasks.contains(attempt.task) && !mustFail(attempt)) {
+        if (spec.isGang() && !completedTasks.contains(attempt.task) && !mustFail(attempt)) {
             attempt.state = TaskState.WAITING;
             attempt.stateEndMicros = Long.MAX_VALUE;
             attempt.gangMember = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
@@ -114,7 +114,7 @@
         }
         attempt.state = TaskState.RUNNING;
         long runMicros = runTimeMicros(attempt, spec);
-        attempt.stateEndMicros = spec.service() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
+        attempt.stateEndMicros = spec.isService() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
         if (mustFail(attempt)) {
             failedTaskCount++;
             attempt.stateEndMicros = environment.nowMicros() + FAILURE_DELAY_MICROS;
@@ -125,7 +125,7 @@
     private long runTimeMicros(TaskAttempt attempt, JobSpec spec) {
         return completedTasks.contains(attempt.task)
                 ? 0
-                : spec.estimateMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimateMicros());
+                : spec.estimatedRunMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimatedRunMicros());
     }
 
     private boolean mustFail(TaskAttempt attempt) {
@@ -225,15 +225,17 @@
     private void stop(TaskAttempt attempt, long graceMicros) {
         JobSpec spec = jobs.apply(attempt.task.job());
         boolean canSaveInGang =
-                attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointMicros() > 0;
-        if (canSaveInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
+                attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointIntervalMicros() > 0;
+        if (canSaveInGang && graceMicros > 0 && graceMicros >= spec.saveDurationMicros()) {
             attempt.gangMember.stop();
             changed = true;
             return;
         }
-        if (attempt.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
+        if (attempt.state == TaskState.RUNNING
+                && spec.checkpointIntervalMicros() > 0
+                && graceMicros >= spec.saveDurationMicros()) {
             attempt.state = TaskState.SAVING;
-            attempt.stateEndMicros = environment.nowMicros() + spec.saveMicros();
+            attempt.stateEndMicros = environment.nowMicros() + spec.saveDurationMicros();
             changed = true;
         } else if (attempt.state != TaskState.SAVING || graceMicros == 0) {
             end(attempt, ExitCause.STOPPED);
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -216,7 +216,7 @@
     List<String> unfinishedBatchJobs() {
         List<String> list = new ArrayList<>();
         for (JobSpec spec : specs.values()) {
-            if (!spec.service()
+            if (!spec.isService()
                     && simulation.rules.isAccepted(spec.id())
                     && simulation.rules.finalState(spec.id()) == null) {
                 list.add(spec.id());
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -116,9 +116,9 @@
                 && !tasks.isFaulty()
                 && terminationMicros < 0
                 && attempts().hasCapacityFor(spec, null)
-                && spec.allowsType(type.name())
-                && spec.allowsZone(zone)
-                && (spec.spot() || !spot);
+                && spec.isTypeAllowed(type.name())
+                && spec.isZoneAllowed(zone)
+                && (spec.spotAllowed() || !spot);
     }
 
     /** Sets whether heartbeats are lost; commands still reach the worker. */
--- a/src/test/java/org/granitepath/simulation/BudgetTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of writes, or of reads, when the store allows few. */
-class BudgetTest {
+class StoreLimitsTest {
     private static final int MOST_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
 
@@ -58,10 +58,10 @@
     private RecordReplica replicaOf(SimStore of, String node) {
         RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {}
+            public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
         replica.start();
         return replica;
@@ -75,12 +75,12 @@
 
     /** Barriers and long polls once ran side by side, each at the full rate, while the records changed. */
     @Test
-    void manyQuestionsShareFewReads() {
+    void barriersAndLongPollsShareTheReadRate() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         AtomicInteger answered = new AtomicInteger();
         for (int i = 0; i < 2_000; i++) {
-            environment.after(i * 5_000L, () -> replica.barrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
+            environment.after(i * 5_000L, () -> replica.requestBarrier(fresh -> answered.addAndGet(fresh ? 1 : 0)));
         }
         for (int i = 0; i < 150; i++) {
             String key = "g/n/" + i;
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void urgentWritesOvertakeAndWaitingOnesCostNothing() {
+    void safetyWriteOvertakesQueuedWritesThatAreNotRebuilt() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 10, RateControl.FIXED);
         List<String> written = new ArrayList<>();
@@ -134,7 +134,7 @@
 
     /** Request handlers of five controllers want more than there is: the leader's writes still go out at their rate. */
     @Test
-    void requestHandlersYieldToTheLeader() {
+    void adaptiveWritersYieldToTheLeader() {
         SimStore tight = new SimStore(environment, MOST_CHANGES, 2048, 1000, 18);
         AtomicInteger writesOfLeader = new AtomicInteger();
         for (int number = 0; number < 6; number++) {
@@ -164,7 +164,7 @@
 
     /** What the store will never take is given up, once, and all else is written. */
     @Test
-    void aRejectedWriteIsAbandonedAndHoldsNothingUp() {
+    void rejectedWriteIsAbandonedAndDelaysNoOtherWrite() {
         RecordReplica replica = replica();
         WriteQueue writeQueue = writeQueue(store, "n", replica, 20, RateControl.FIXED);
         List<String> written = new ArrayList<>();
@@ -191,26 +191,26 @@
 
     /** A job of which finished and open tasks alternate: its progress still fits, with the longest ranges. */
     @Test
-    void progressFitsItsValue() {
+    void progressRecordIsReducedToTheValueLimit() {
         RangeSet<Integer> done = TreeRangeSet.create();
         for (int task = 0; task < 2_000; task += 2) {
             ProgressRecord.addTask(done, task);
         }
         done.add(Range.closedOpen(3_000, 3_500));
         ProgressRecord whole = new ProgressRecord("n", 5_000, done, 12);
-        ProgressRecord kept = whole.atMost(2048);
-        assertTrue(Json.text(StoredRecordCodec.encode(kept)).length() <= 2048);
-        assertTrue(kept.done().encloses(Range.closedOpen(3_000, 3_500)));
-        assertTrue(ProgressRecord.count(kept.done()) > 600, ProgressRecord.count(kept.done()) + " kept");
-        assertEquals(whole, whole.atMost(100_000));
+        ProgressRecord kept = whole.truncatedTo(2048);
+        assertTrue(Json.encode(StoredRecordCodec.encode(kept)).length() <= 2048);
+        assertTrue(kept.doneTasks().encloses(Range.closedOpen(3_000, 3_500)));
+        assertTrue(ProgressRecord.count(kept.doneTasks()) > 600, ProgressRecord.count(kept.doneTasks()) + " kept");
+        assertEquals(whole, whole.truncatedTo(100_000));
     }
 
     /** Whatever a record holds, its size is not underrated. */
     @Test
-    void sizesAreNotUnderrated() {
+    void recordSizeIsAnUpperBound() {
         StoredRecord record = new UnknownRecord(
                 Map.of("a\"\\/", List.of(1, 2.5, true, "\u0001\u00e9\u4e2d"), "b", Map.of("c", List.of(), "d", -17L)));
-        int bytes = Json.text(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
+        int bytes = Json.encode(StoredRecordCodec.encode(record)).getBytes(StandardCharsets.UTF_8).length;
         assertTrue(RecordSize.of(record) >= bytes, RecordSize.of(record) + " < " + bytes);
     }
 }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRules.java
@@ -45,7 +45,7 @@
     }
 
     private void checkMachineAllowed(TaskId task, JobSpec spec, String type, String zone, boolean spot) {
-        if (!spec.allowsType(type) || !spec.allowsZone(zone) || (spot && !spec.spot())) {
+        if (!spec.isTypeAllowed(type) || !spec.isZoneAllowed(zone) || (spot && !spec.spotAllowed())) {
             violations.report("wrong_place", task + " on " + type + " " + zone + (spot ? " spot" : ""));
         }
     }
@@ -63,7 +63,7 @@
                 elsewhere += sameZone ? 0 : 1;
             }
         }
-        if ((spec.spread() && here > spec.zoneCap()) || (spec.oneZone() && elsewhere > 0)) {
+        if ((spec.spread() && here > spec.maxTasksPerZone()) || (spec.oneZone() && elsewhere > 0)) {
             violations.report("wrong_place", task + ": " + here + " of its job in " + zone);
         }
     }
@@ -145,7 +145,7 @@
     /** How many tasks of services are on a machine. */
     long runningReplicaCount() {
         return locations.keySet().stream()
-                .filter(task -> jobs.spec(task.job()).service())
+                .filter(task -> jobs.spec(task.job()).isService())
                 .count();
     }
 }
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -57,26 +57,36 @@
         DelayedMessagesTest delayed = new DelayedMessagesTest();
         CancellationFaultsTest cancellation = new CancellationFaultsTest();
         return List.of(
-                new Scenario("any troubles together", simulation::anyTroublesTogether, 0, 1, 2, 3, 4, 129, 553),
-                new Scenario("any two troubles meet", new RandomFaultPairsTest()::anyTwoTroublesMeet, 0, 1, 2, 3, 4, 5),
-                new Scenario("faulty machines", new FaultyMachinesTest()::faultyMachinesAreFoundAfterFewFailures, 1),
-                new Scenario("faulty jobs", new FaultyMachinesTest()::jobsThatFailEverywhereTakeNoMachines, 11),
-                new Scenario("overload over slow links", combined::overloadOverSlowLinksLeavesNobodyUnserved, 1),
-                new Scenario("one-zone jobs lose machines", combined::jobsOfOneZoneStayThereWhenTheyLoseMachines, 1, 2),
+                new Scenario("any troubles together", simulation::rulesHoldUnderRandomFaults, 0, 1, 2, 3, 4, 129, 553),
                 new Scenario(
-                        "zone cut off for long", cancellation::cancelledTasksEndInAZoneCutOffForLongerThanALease, 1, 2),
-                new Scenario("team at its limit", combined::aTeamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
+                        "any two troubles meet",
+                        new RandomFaultPairsTest()::rulesHoldUnderAnyTwoFaults,
+                        0,
+                        1,
+                        2,
+                        3,
+                        4,
+                        5),
+                new Scenario("faulty machines", new FaultyMachinesTest()::faultyMachinesAreDetectedAfterFewFailures, 1),
+                new Scenario("faulty jobs", new FaultyMachinesTest()::jobsThatFailEverywhereCostNoMachines, 11),
+                new Scenario("overload over slow links", combined::noKindOfJobStarvesUnderOverloadOverSlowLinks, 1),
+                new Scenario(
+                        "one-zone jobs lose machines", combined::oneZoneJobsStayInTheirZoneWhenTheyLoseMachines, 1, 2),
+                new Scenario(
+                        "zone cut off for long", cancellation::cancelledTasksEndInZoneCutOffForLongerThanALease, 1, 2),
+                new Scenario("team at its limit", combined::teamStaysWithinItsLimitWhenTheLeaderChanges, 1, 2),
                 new Scenario("writes carried out late", delayed::lateTransactionsDoNotOverwriteNewerOnes, 1, 2),
-                new Scenario("heartbeats of before", delayed::heartbeatsOfBeforeProveNothingToTheNewLeader, 1, 2),
-                new Scenario("commands held up", delayed::commandsHeldUpWhileMachinesHangStartNothingTwice, 1),
-                new Scenario("starts held up", delayed::answersOfLaterCallsAreNotTakenForThoseOfHeldStarts, 1),
-                new Scenario("cancelled at the end", cancellation::jobsCancelledAtTheirEndHaveOneOutcome, 1),
+                new Scenario(
+                        "heartbeats of before", delayed::heartbeatsSentBeforeTakeoverProveNothingToTheNewLeader, 1, 2),
+                new Scenario("commands held up", delayed::delayedCommandsToHangingMachinesStartNothingTwice, 1),
+                new Scenario("starts held up", delayed::answersToLaterCallsAreNotTakenForAnswersToDelayedStarts, 1),
+                new Scenario("cancelled at the end", cancellation::jobsCancelledAsTheyCompleteHaveOneOutcome, 1),
                 new Scenario(
                         "cancelled through the new leader",
-                        cancellation::tasksCancelledThroughTheNewLeaderEndAtTheFormerOne,
+                        cancellation::tasksOfReplacedLeaderEndWhenNewLeaderCancelsThem,
                         1,
                         2),
-                new Scenario("cancelled on hanging machines", cancellation::cancelledTasksEndOnMachinesThatHang, 1));
+                new Scenario("cancelled on hanging machines", cancellation::cancelledTasksEndOnHangingMachines, 1));
     }
 
     private static List<Scenario> gangsAndGuarantees() {
@@ -84,43 +94,54 @@
         GuaranteeTest guarantees = new GuaranteeTest();
         return List.of(
                 new Scenario("gangs start whole", gangs::gangsStartWholeAndFinish, 1, 2, 3),
-                new Scenario("gang task lost early", gangs::aTaskLostBeforeTheStartIsReplacedInTheSameAttempt, 1),
-                new Scenario("gang task lost late", gangs::aTaskLostWhileRunningEndsTheAttempt, 1),
-                new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsTakenBack, 1),
-                new Scenario("gang across a failover", gangs::aTakeoverWithAnUnresponsiveMachine, 1, 2),
-                new Scenario("gang beside small work", gangs::aGangIsNotStarvedBySmallWork, 1),
+                new Scenario("gang task lost early", gangs::taskLostBeforeTheStartIsReplacedInTheSameAttempt, 1),
+                new Scenario("gang task lost late", gangs::taskLostWhileRunningEndsTheAttempt, 1),
+                new Scenario("gang checkpoints", gangs::allTasksSaveWhenOneMachineIsPreempted, 1),
+                new Scenario(
+                        "gang across a failover",
+                        gangs::takeoverWithUnresponsiveMachineStartsNoConcurrentAttempt,
+                        1,
+                        2),
+                new Scenario("gang beside small work", gangs::gangIsNotStarvedBySmallJobs, 1),
                 new Scenario("borrowed capacity", guarantees::borrowedCapacityIsReclaimed, 1, 2),
-                new Scenario("borrowed capacity, bounded", guarantees::nobodyGivesBackMoreThanItBorrowed, 1),
-                new Scenario("a swarm of jobs", guarantees::aSwarmDoesNotStarveOthers, 1),
-                new Scenario("urgent beside full price", guarantees::urgentWorkDoesNotWaitBesideFullPriceCapacity, 1));
+                new Scenario("borrowed capacity, bounded", guarantees::teamsGiveBackNoMoreThanTheyBorrowed, 1),
+                new Scenario("a swarm of jobs", guarantees::manyJobsOfOneTeamDoNotStarveGuaranteedWork, 1),
+                new Scenario("urgent beside full price", guarantees::urgentWorkUsesIdleFullPriceCapacity, 1));
     }
 
     private static List<Scenario> changesOfLeader() {
         TakeoverTest takeover = new TakeoverTest();
         RecoveryTest recovery = new RecoveryTest();
-        RecoveryTroublesTest troubles = new RecoveryTroublesTest();
+        RecoveryFaultsTest troubles = new RecoveryFaultsTest();
         UpgradeTest upgrade = new UpgradeTest();
         return List.of(
-                new Scenario("leaders crash during takeover", takeover::leadersCrashDuringTakeover, 5, 6),
-                new Scenario("leader cut from workers", takeover::leaderCutFromItsWorkersStepsDown, 41, 42),
-                new Scenario("back within a second", takeover::backWithinAFractionOfASecond, 51, 52),
+                new Scenario(
+                        "leaders crash during takeover", takeover::workCompletesWhenLeadersCrashDuringTakeover, 5, 6),
+                new Scenario("leader cut from workers", takeover::leaderCutOffFromItsWorkersStepsDown, 41, 42),
+                new Scenario(
+                        "back within a second", takeover::workCompletesAfterRestartsWithinAFractionOfASecond, 51, 52),
                 new Scenario("cold restart", new RecoveryOrderTest()::servicesResumeBeforeBatchWork, 1, 2),
-                new Scenario("cold restart, forbidden work", recovery::whatMayNotRunIsStoppedAndCleared, 1),
-                new Scenario("cold restart, gangs", recovery::gangsWithAPartUnresponsiveEndAndStartWhole, 1),
-                new Scenario("cold restart, store away", troubles::theStoreIsAwayOrSlow, 1, 2),
-                new Scenario("upgrade and new limits", upgrade::bothVersionsServeAndTheLimitsChange, 1, 2),
-                new Scenario("large values of before", upgrade::largeValuesLeftByTheFormerVersion, 1));
+                new Scenario("cold restart, forbidden work", recovery::forbiddenTasksAreStoppedAndCleared, 1),
+                new Scenario("cold restart, gangs", recovery::gangsWithUnresponsiveMachinesEndAndStartWhole, 1),
+                new Scenario(
+                        "cold restart, store away", troubles::workCompletesWhenStoreIsDownOrSlowDuringRestart, 1, 2),
+                new Scenario(
+                        "upgrade and new limits", upgrade::workCompletesWhileBothVersionsServeAndLimitsChange, 1, 2),
+                new Scenario("large values of before", upgrade::largeValuesOfTheFormerVersionAreSplit, 1));
     }
 
     private static List<Scenario> fleets() {
         CapacityTest capacity = new CapacityTest();
-        FleetTest fleet = new FleetTest();
+        LargeFleetTest fleet = new LargeFleetTest();
         return List.of(
-                new Scenario("hundreds of machines", capacity::fiveControllersAndHundredsOfMachines, 61),
-                new Scenario("overload", capacity::overloadStarvesNobody, 71),
-                new Scenario("headroom for services", seed -> capacity.headroomForServicesToCome(), 0),
-                new Scenario("late boots", capacity::lateBootsAreNotWaitedFor, 77),
-                new Scenario("seven hundred machines", seed -> fleet.sevenHundredMachinesWithFrequentHeartbeats(), 0),
-                new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesAfterAColdRestart(), 0));
+                new Scenario("hundreds of machines", capacity::workCompletesWhenLeadersOfHundredsOfMachinesCrash, 61),
+                new Scenario("overload", capacity::noKindOfJobStarvesUnderOverload, 71),
+                new Scenario("headroom for services", seed -> capacity.arrivingServicesFindHeadroom(), 0),
+                new Scenario("late boots", capacity::machinesThatNeverBootAreReplacedEarly, 77),
+                new Scenario(
+                        "seven hundred machines",
+                        seed -> fleet.rulesHoldWithSevenHundredMachinesAndFrequentHeartbeats(),
+                        0),
+                new Scenario("four thousand machines", seed -> fleet.fourThousandMachinesRecoverAfterColdRestart(), 0));
     }
 }
--- a/src/test/java/org/granitepath/simulation/TransactionLimits.java
+++ b/src/test/java/org/granitepath/simulation/TransactionLimits.java
@@ -25,6 +25,6 @@
 
     /** The JSON text of the record of a change, as the store keeps it. */
     static String encodedValue(KeyValueStore.Change change) {
-        return Json.text(StoredRecordCodec.encode(change.record()));
+        return Json.encode(StoredRecordCodec.encode(change.record()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -55,21 +55,21 @@
         return !jobs.isCancellationRequested(spec.id())
                 && jobs.finalState(spec.id()) == null
                 && isWithinTeamLimit(spec, held)
-                && (!spec.gang() || hasCapacityForGang(spec, remainingTasks, held, machines))
+                && (!spec.isGang() || hasCapacityForGang(spec, remainingTasks, held, machines))
                 && machines.stream().anyMatch(machine -> canStartOn(machine, spec, held));
     }
 
     private boolean isWithinTeamLimit(JobSpec spec, HeldTasks held) {
         long limit = teams.get(spec.team()).cpuLimitMillis();
         // The least CPU that another start needs: a gang starts all its tasks at once.
-        long needed = spec.cpuMillis() * (spec.gang() ? spec.tasks() : 1);
+        long needed = spec.cpuMillis() * (spec.isGang() ? spec.tasks() : 1);
         return limit == 0 || held.cpuMillisOf(spec.team()) + needed <= limit;
     }
 
     private static boolean canStartOn(SimWorker machine, JobSpec spec, HeldTasks held) {
         return machine.canStart(spec)
                 && (!spec.oneZone() || Set.of(machine.zone).containsAll(held.zonesOf(spec.id())))
-                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.zoneCap());
+                && (!spec.spread() || held.tasksIn(spec.id(), machine.zone) < spec.maxTasksPerZone());
     }
 
     /** Whether no task of the gang is on a machine and all find capacity, in one zone if the job requires it. */
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.granitepath.coordination.ManualTimers;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
 import org.granitepath.storage.KeyValueStore.Precondition;
@@ -33,10 +33,10 @@
     private final ScriptedStore store = new ScriptedStore();
     private final RecordReplica replica = new RecordReplica(store, timers, SPACING, new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {}
+        public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     private final List<String> committed = new ArrayList<>();
     private boolean open = true;
@@ -76,7 +76,7 @@
     }
 
     private void answer(Outcome outcome, long revision) {
-        store.commits.remove().answer().accept(new Committed(outcome, revision, List.of()));
+        store.commits.remove().answer().accept(new CommitResult(outcome, revision, List.of()));
     }
 
     /** The names of the writes of the transaction that is under way. */
@@ -178,7 +178,7 @@
     @Test
     void aRejectedWriteIsAbandonedAndTheNextGoesOn() {
         write("a");
-        answer(Outcome.REJECTED, 0);
+        answer(Outcome.INVALID, 0);
         timers.advance(SECOND);
         assertTrue(store.commits.isEmpty());
         write("b");
@@ -246,8 +246,8 @@
         for (int i = 0; i < 3 * WRITES_PER_SECOND + TRANSACTION_CHANGES + 1; i++) {
             write("waits" + i, urgency, 0);
         }
-        assertFalse(queue.behind(), "judged when a transaction goes out");
+        assertFalse(queue.isBehind(), "judged when a transaction goes out");
         answer(Outcome.OK, 8);
-        assertEquals(urgency != Urgency.PROGRESS_ONLY, queue.behind());
+        assertEquals(urgency != Urgency.PROGRESS_ONLY, queue.isBehind());
     }
 }
