--- a/src/test/java/org/granitepath/simulation/EdgeTrace.java
+++ b/src/test/java/org/granitepath/simulation/EdgeTrace.java
@@ -192,9 +192,9 @@
             }
 
             @Override
-            public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-                add(node, "status to " + peer, PeerCodec.encode(ours));
-                port.exchangeStatus(peer, ours, then);
+            public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {
+                add(node, "status to " + peer, PeerCodec.encode(ownStatus));
+                port.exchangeStatus(peer, ownStatus, then);
             }
         };
     }
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -36,8 +36,8 @@
         }
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-            call(peer, (controller, answer) -> answer.accept(controller.handlePeerStatus(ours)), then);
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {
+            call(peer, (controller, answer) -> answer.accept(controller.handlePeerStatus(ownStatus)), then);
         }
 
         @Override
