--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -14,10 +14,10 @@
 import org.granitepath.transport.OutgoingRequest;
 
 /**
- * The training run for class data sharing: starts a controller on loopback with nothing to talk to, sends it one
- * request of each kind and ends. The build runs this to record the classes that a start needs.
+ * Training run for class data sharing (CDS). Starts a controller on loopback without a store or a cloud, sends it one
+ * request of each kind and exits. The build runs this command to record the classes that are loaded at startup.
  */
-@Parameters(hidden = true, commandDescription = "runs a short start for the build's class archive")
+@Parameters(hidden = true, commandDescription = "starts a controller briefly to train the class archive of the build")
 final class ClassArchiveTrainingCommand extends Command {
     private static final String SUBMISSION = """
             {"uid":"run-1","lane":"a","owner":"t","shape":"batch","rank":"high","pieces":1,\
@@ -28,14 +28,14 @@
             "shift":1,"tally":1,"baton":0,"pieces":[]}""";
 
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
-    private static final int ANSWERS_TIMEOUT_SECONDS = 5;
+    private static final int RESPONSES_TIMEOUT_SECONDS = 5;
 
     @Override
     int run() throws IOException, InterruptedException {
         int port = freePort();
         startController(port);
-        callEach("127.0.0.1:" + port);
-        // The controller would keep the process alive.
+        sendRequests("127.0.0.1:" + port);
+        // The threads of the controller would keep the process alive.
         System.exit(OK);
         return OK;
     }
@@ -49,22 +49,22 @@
         Files.delete(file);
     }
 
-    /** Sends a request of each kind and waits until all are answered or too much time has passed. */
-    private static void callEach(String address) throws IOException, InterruptedException {
+    /** Sends one request of each kind and waits until all have ended or {@link #RESPONSES_TIMEOUT_SECONDS} have passed. */
+    private static void sendRequests(String address) throws IOException, InterruptedException {
         List<OutgoingRequest> requests = List.of(
                 OutgoingRequest.get(address, "/up", ConnectionPolicy.CLOSE),
                 OutgoingRequest.postJson(address, "/submissions", SUBMISSION, ConnectionPolicy.KEEP_ALIVE),
                 OutgoingRequest.postJson(address, "/agent/beat", HEARTBEAT, ConnectionPolicy.KEEP_ALIVE),
                 OutgoingRequest.get(address, "/submissions/run-1", ConnectionPolicy.KEEP_ALIVE));
-        CountDownLatch answered = new CountDownLatch(requests.size());
+        CountDownLatch remaining = new CountDownLatch(requests.size());
         EventLoop loop = new EventLoop();
         HttpCalls http = new HttpCalls(loop);
         loop.execute(() -> {
             for (OutgoingRequest request : requests) {
-                http.call(request, REQUEST_TIMEOUT_MICROS, answer -> answered.countDown());
+                http.call(request, REQUEST_TIMEOUT_MICROS, response -> remaining.countDown());
             }
         });
-        answered.await(ANSWERS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        remaining.await(RESPONSES_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static int freePort() throws IOException {
--- a/src/main/java/org/granitepath/cli/Command.java
+++ b/src/main/java/org/granitepath/cli/Command.java
@@ -7,49 +7,52 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** A subcommand. Its options are the annotated fields. */
+/** A subcommand of the program. The annotated fields are its options. */
 abstract class Command {
-    /** The exit status of a command that did its work, or began it. */
+    /** Exit status of a command that completed, or that started a process that continues to run. */
     static final int OK = 0;
 
-    /** The exit status of a command that could not go on. */
+    /** Exit status of a command that failed. */
     static final int FAILED = 1;
-    /** The exit status for arguments or settings that can't be used. */
+    /** Exit status for invalid arguments or settings. */
     static final int USAGE_ERROR = 2;
 
     @Parameter(
             names = {"-h", "--help"},
             help = true,
-            description = "shows this text")
+            description = "shows this help")
     boolean help;
 
-    /** Runs and returns the exit status; {@code OK} leaves the process alive while its threads live. */
+    /** Runs the command and returns the exit status. After {@code OK} the process lives as long as its threads. */
     abstract int run() throws InvalidSettingException, IOException, InterruptedException;
 
-    /** The options of commands that read settings. */
+    /** A command that reads settings, with the options for them. */
     abstract static class WithSettings extends Command {
         @Parameter(
                 names = "--config",
                 required = true,
                 converter = PathConverter.class,
-                description = "FILE: the platform's settings (TOML)")
+                description = "FILE: settings of the platform (TOML)")
         @Nullable
         Path config;
 
         @Parameter(
                 names = "--tuning",
                 converter = PathConverter.class,
-                description = "FILE: operators' own settings (YAML)")
+                description = "FILE: tuning settings of the operators (YAML)")
         @Nullable
         Path tuning;
 
         @Parameter(
                 names = "--live-first",
-                description =
-                        "after a change of leader, holds other work until services are placed, for a bounded time")
+                description = "after a leader change, delays other work until services are placed, for a limited time")
         boolean liveFirst;
 
-        /** Reads the settings that the options name. */
+        /**
+         * Reads and validates the settings files that the options name.
+         *
+         * @throws InvalidSettingException if a setting is invalid
+         */
         Settings settings() throws InvalidSettingException {
             return Settings.read(Objects.requireNonNull(config, "--config"), tuning, liveFirst);
         }
--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -13,21 +13,23 @@
 import org.granitepath.coordination.config.Tuning;
 import org.granitepath.coordination.config.WorkerTiming;
 
-/** Makes the decision code's configuration from the platform's settings. The first field that is wrong is reported. */
+/** Creates the configuration of the decision code from the platform settings. Reports the first invalid field. */
 final class ConfigReader {
-    /** The limits of the store that hold now, and those that it will have later. */
-    private static final String STORE = "facts.state.";
+    /** Path of the current limits of the store. */
+    private static final String CURRENT_STORE_LIMITS = "facts.state.";
+
+    /** Path of the limits that the store will have later. */
+    private static final String NEXT_STORE_LIMITS = "facts.state.next.";
 
-    private static final String NEXT_STORE = "facts.state.next.";
     private static final String WRITES_PER_SECOND = "write_rps";
     private static final String VALUE_KB = "value_kb";
     private static final String TRANSACTION_CHANGES = "txn_ops";
 
     private static final int DEFAULT_CONNECTIONS = 1_000;
-    /** Fewer leave no capacity for the store, the cloud, the other controllers and a few machines and users. */
+    /** With fewer connections, the store, the cloud, the other controllers and a few machines and users have no room. */
     private static final int MIN_CONNECTIONS = 64;
 
-    /** For platforms whose settings say nothing of gangs. */
+    /** Default for platforms whose settings do not mention gangs. */
     private static final long DEFAULT_GANG_WAIT_MICROS = 30_000_000;
 
     private static final long DEFAULT_GANG_PEER_MICROS = 5_000_000;
@@ -41,7 +43,7 @@
 
     private final TomlFields fields;
 
-    /** Reads from the top of the settings. */
+    /** Creates a reader of the top-level table of the platform settings. */
     ConfigReader(TomlFields fields) {
         this.fields = fields;
     }
@@ -50,13 +52,14 @@
      * Reads the configuration.
      *
      * @param peerZones the zones of the other controllers, by name
-     * @param tuning the operators' own choices
+     * @param tuning the tuning settings of the operators
+     * @throws InvalidSettingException for the first invalid field
      */
     Config read(Map<String, String> peerZones, Tuning tuning) throws InvalidSettingException {
         return new Config(
                 new ControllerIdentity(
                         fields.text("node_name"), UUID.randomUUID().toString(), fields.text("site")),
-                new Topology(fields.textsOrNone("facts.zones"), peerZones),
+                new Topology(fields.textsOrEmpty("facts.zones"), peerZones),
                 teams(),
                 objectives(),
                 workerTiming(),
@@ -84,24 +87,24 @@
         for (TomlFields table : fields.tables("facts.objectives")) {
             String jobClass = table.textOrNull("class");
             if (jobClass != null) {
-                Objective former = objectives.getOrDefault(jobClass, Objective.NONE);
-                objectives.put(jobClass, with(former, table));
+                Objective current = objectives.getOrDefault(jobClass, Objective.NONE);
+                objectives.put(jobClass, extend(current, table));
             }
         }
         return objectives;
     }
 
-    /** What is expected of a class so far, with what one more table says. Kinds that we don't know change nothing. */
-    private static Objective with(Objective former, TomlFields table) throws InvalidSettingException {
+    /** Returns the objective of a job class extended by one more table. Unknown kinds change nothing. */
+    private static Objective extend(Objective current, TomlFields table) throws InvalidSettingException {
         return switch (table.anyAsText("kind")) {
-            case "wait" -> new Objective(table.micros("within_s"), former.deadlineFactor(), former.finishMicros());
+            case "wait" -> new Objective(table.micros("within_s"), current.deadlineFactor(), current.finishMicros());
             case "deadline" ->
                 new Objective(
-                        former.waitMicros(),
-                        Math.max(former.deadlineFactor(), table.numberOr("times", 1)),
-                        former.finishMicros());
-            case "finished" -> new Objective(former.waitMicros(), former.deadlineFactor(), table.micros("within_s"));
-            default -> former;
+                        current.waitMicros(),
+                        Math.max(current.deadlineFactor(), table.numberOr("times", 1)),
+                        current.finishMicros());
+            case "finished" -> new Objective(current.waitMicros(), current.deadlineFactor(), table.micros("within_s"));
+            default -> current;
         };
     }
 
@@ -122,34 +125,36 @@
                 (int) fields.numberIfPresent("facts.resources.max_connections", MIN_CONNECTIONS, DEFAULT_CONNECTIONS));
     }
 
-    /** Limits that the store will have later are kept from the beginning. */
+    /** Returns the stricter of the current and the later limits, because the later ones apply from the first start. */
     private StoreLimits storeLimits() throws InvalidSettingException {
-        StoreLimits present = presentStoreLimits();
+        StoreLimits current = currentStoreLimits();
         if (!fields.has("facts.state.next")) {
-            return present;
+            return current;
         }
         if (!fields.isTable("facts.state.next")) {
-            throw InvalidSettingException.wrong("facts.state.next", "must be a table of limits");
+            throw InvalidSettingException.invalid("facts.state.next", "must be a table of limits");
         }
-        return present.strictest(nextStoreLimits(present));
+        return current.strictest(nextStoreLimits(current));
     }
 
-    private StoreLimits presentStoreLimits() throws InvalidSettingException {
+    private StoreLimits currentStoreLimits() throws InvalidSettingException {
         return storeLimits(
-                fields.number(STORE + WRITES_PER_SECOND, MIN_WRITES_PER_SECOND),
-                fields.number(STORE + VALUE_KB, MIN_VALUE_KB),
-                fields.number(STORE + TRANSACTION_CHANGES, MIN_TRANSACTION_CHANGES));
+                fields.number(CURRENT_STORE_LIMITS + WRITES_PER_SECOND, MIN_WRITES_PER_SECOND),
+                fields.number(CURRENT_STORE_LIMITS + VALUE_KB, MIN_VALUE_KB),
+                fields.number(CURRENT_STORE_LIMITS + TRANSACTION_CHANGES, MIN_TRANSACTION_CHANGES));
     }
 
-    /** A limit that is not named stays as it is at present. */
-    private StoreLimits nextStoreLimits(StoreLimits present) throws InvalidSettingException {
-        double presentValueKb = (double) present.valueBytes() / BYTES_PER_KB;
+    /** Returns the later limits of the store. A limit that is not set keeps its current value. */
+    private StoreLimits nextStoreLimits(StoreLimits current) throws InvalidSettingException {
+        double currentValueKb = (double) current.valueBytes() / BYTES_PER_KB;
         return storeLimits(
                 fields.numberIfPresent(
-                        NEXT_STORE + WRITES_PER_SECOND, MIN_WRITES_PER_SECOND, present.writesPerSecond()),
-                fields.numberIfPresent(NEXT_STORE + VALUE_KB, MIN_VALUE_KB, presentValueKb),
+                        NEXT_STORE_LIMITS + WRITES_PER_SECOND, MIN_WRITES_PER_SECOND, current.writesPerSecond()),
+                fields.numberIfPresent(NEXT_STORE_LIMITS + VALUE_KB, MIN_VALUE_KB, currentValueKb),
                 fields.numberIfPresent(
-                        NEXT_STORE + TRANSACTION_CHANGES, MIN_TRANSACTION_CHANGES, present.transactionChanges()));
+                        NEXT_STORE_LIMITS + TRANSACTION_CHANGES,
+                        MIN_TRANSACTION_CHANGES,
+                        current.transactionChanges()));
     }
 
     private static StoreLimits storeLimits(double writesPerSecond, double valueKb, double transactionChanges) {
--- a/src/main/java/org/granitepath/cli/InvalidSettingException.java
+++ b/src/main/java/org/granitepath/cli/InvalidSettingException.java
@@ -3,11 +3,15 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Settings that can't be used, in words for the operator: the message is all that is shown. */
+/** A setting or a settings file is invalid. The operator sees only the message. */
 final class InvalidSettingException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** @param message what is wrong, in one line that names the setting */
+    /**
+     * Creates an exception.
+     *
+     * @param message one line that names the setting and says what is wrong
+     */
     InvalidSettingException(String message) {
         super(message);
     }
@@ -17,21 +21,21 @@
     }
 
     /**
-     * One setting is wrong by itself.
+     * Returns an exception for one invalid setting.
      *
-     * @param setting its name, with the tables that it is in
-     * @param expected what it must be, as the end of a sentence that begins with the name
+     * @param setting the name of the setting, with the path of its table
+     * @param expected the requirement, as the end of a sentence that starts with the name
      */
-    static InvalidSettingException wrong(String setting, String expected) {
+    static InvalidSettingException invalid(String setting, String expected) {
         return new InvalidSettingException(setting + " " + expected);
     }
 
-    /** A file of settings can't be read. */
+    /** Returns an exception for a settings file that cannot be read. */
     static InvalidSettingException unreadable(Path file, IOException cause) {
         return new InvalidSettingException("can't read " + file + ": " + cause.getMessage(), cause);
     }
 
-    /** A file of settings is not written in the format that it should be. */
+    /** Returns an exception for a settings file that is not in the expected format. */
     static InvalidSettingException malformed(Path file, String format, Exception cause) {
         return new InvalidSettingException(file + " is not valid " + format + ": " + cause.getMessage(), cause);
     }
--- a/src/main/java/org/granitepath/cli/LoopbackSettings.java
+++ b/src/main/java/org/granitepath/cli/LoopbackSettings.java
@@ -1,8 +1,8 @@
 package org.granitepath.cli;
 
-/** Settings of a controller that runs by itself on one machine, with neither store nor cloud. */
+/** Settings of a controller that runs alone on one machine, without a store or a cloud. */
 final class LoopbackSettings {
-    /** What the platform says of workers, store and cloud: small values that pass every check. */
+    /** Settings for workers, store and cloud, with small values that pass validation. */
     static final String PLATFORM_FACTS = """
             [facts.workers]
             report_s = 1.0
@@ -41,11 +41,12 @@
     private LoopbackSettings() {}
 
     /**
-     * Settings of a controller whose only peer is itself, so that messages between controllers pass too.
+     * Returns the settings of a controller whose only peer is itself, so that messages between controllers are
+     * exchanged.
      *
-     * @param port where users and workers call
-     * @param peerPort where other controllers call
-     * @param closedPort where nothing listens: the address of cloud and store
+     * @param port the port of the API for users and workers
+     * @param peerPort the port of the peer interface
+     * @param closedPort a port on which nothing listens, used for the cloud and the store
      */
     static String withItselfAsPeer(int port, int peerPort, int closedPort) {
         return WITH_A_PEER.formatted(port, peerPort, peerPort, closedPort, closedPort);
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -9,13 +9,13 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** The granitepath program. Each operation is a subcommand of its own. */
+/** Entry point of the granitepath program. Each operation is a subcommand. */
 public final class Main {
     private static final String VERSION = "granitepath 0.1.0";
 
     private Main() {}
 
-    /** Runs the subcommand that the arguments name. */
+    /** Runs the subcommand that the arguments name and exits with its status unless it succeeded. */
     public static void main(String[] args) {
         configureLogging(System.getenv("LOG_LEVEL"));
         int status = execute(args);
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Runs the subcommand that the arguments name and returns the exit status; what is wrong is told on stderr. */
+    /** Runs the subcommand that the arguments name and returns the exit status. Errors are written to stderr. */
     static int execute(String... args) {
         try {
             return run(args);
@@ -32,11 +32,11 @@
             System.err.println("granitepath: " + e.getMessage());
             return Command.USAGE_ERROR;
         } catch (ParameterException e) {
-            System.err.println("granitepath: " + inOurWords(e));
+            System.err.println("granitepath: " + usageErrorMessage(e));
             return Command.USAGE_ERROR;
         } catch (Exception e) {
-            // The outermost edge: whatever went wrong is told in one line, and the status says so.
-            System.err.println("granitepath: can't go on: " + e.getMessage());
+            // Top-level handler: reports any other error in one line and by the exit status.
+            System.err.println("granitepath: failed: " + e.getMessage());
             return Command.FAILED;
         }
     }
@@ -75,13 +75,13 @@
         return command.run();
     }
 
-    /** The parser takes an option that it does not know for an argument. */
-    private static String inOurWords(ParameterException exception) {
+    /** Returns the parser's message. The parser mistakes an unknown option for an argument, so that message is replaced. */
+    private static String usageErrorMessage(ParameterException exception) {
         return String.valueOf(exception.getMessage())
                 .replaceFirst("Was passed main parameter ('.*?') but.*", "unknown option or argument $1");
     }
 
-    /** Before the first logger is made. */
+    /** Configures SLF4J's simple logger. Must be called before the first logger is created. */
     private static void configureLogging(@Nullable String level) {
         String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
         System.setProperty(
--- a/src/main/java/org/granitepath/cli/ServeCommand.java
+++ b/src/main/java/org/granitepath/cli/ServeCommand.java
@@ -25,7 +25,7 @@
 final class ServeCommand extends Command.WithSettings {
     @Parameter(
             names = "--trace-recovery",
-            description = "records recoveries as OpenTelemetry spans; needs an agent that brings the SDK")
+            description = "records recoveries as OpenTelemetry spans; requires an agent that provides the SDK")
     boolean traceRecovery;
 
     @Override
@@ -35,8 +35,10 @@
     }
 
     /**
-     * Starts a controller; its threads keep the process alive. All is set up on the event loop, so that one thread
-     * alone reads during a start: see the known faults in docs/results.md.
+     * Starts a controller, whose threads keep the process alive. Everything is created on the event loop, so that only
+     * one thread reads during startup: see the known faults in docs/results.md.
+     *
+     * @throws IOException if the controller cannot start
      */
     static void start(Settings settings, boolean traceRecovery) throws IOException {
         EventLoop loop = new EventLoop();
@@ -58,7 +60,7 @@
     }
 
     private static void serve(Settings settings, EventLoop loop, boolean traceRecovery) {
-        // Made here, on the event loop, as all that a start sets up.
+        // Created here, on the event loop, like everything else during startup.
         Logger log = LoggerFactory.getLogger(ServeCommand.class);
         HttpCalls http = new HttpCalls(loop);
         Controller controller = new Controller(
@@ -73,7 +75,7 @@
                 controller, settings.config().limits(), loop, settings.listenAddress(), settings.peerListenAddress());
         controller.start();
         log.info(
-                "{} serves on {}:{}",
+                "{}: serving requests on {}:{}",
                 settings.config().node(),
                 settings.listenAddress().host(),
                 settings.listenAddress().port());
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -8,14 +8,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's settings file, checked. Fields that we don't know are left alone.
+ * The validated settings of a controller. Unknown fields of the platform settings file are ignored.
  *
- * @param config what the decision code needs
- * @param listenAddress where users and workers call
- * @param peerListenAddress where other controllers and operators call
- * @param peerAddresses where to call the other controllers, by name
- * @param cloudAddress where to call the cloud
- * @param storeAddress where to call the key-value store
+ * @param config the configuration of the decision code
+ * @param listenAddress the address to listen on for users and workers
+ * @param peerListenAddress the address to listen on for other controllers and operators
+ * @param peerAddresses HOST:PORT of the other controllers, by node name
+ * @param cloudAddress HOST:PORT of the cloud
+ * @param storeAddress HOST:PORT of the key-value store
  */
 record Settings(
         Config config,
@@ -24,15 +24,17 @@
         Map<String, String> peerAddresses,
         String cloudAddress,
         String storeAddress) {
-    /** By default the hold of a recovery is this part of a worker's lease: two heartbeats and a little. */
+    /** The default recovery hold is a worker's lease divided by this, which is slightly more than two heartbeats. */
     private static final int HOLDS_PER_LEASE = 4;
 
     /**
-     * Reads and checks the platform's file and, if {@code tuningFile} is not null, the operators' own.
+     * Reads and validates the settings files.
      *
-     * @param liveFirst whether a recovery holds other work for services, for a time that follows from the leases
-     *     unless the operators' file names one
-     * @throws InvalidSettingException when a setting can't be used
+     * @param file the platform settings
+     * @param tuningFile the tuning settings of the operators; null if there are none
+     * @param liveFirst whether a recovery holds other work until services are placed; the length of the hold is derived
+     *     from the worker lease unless the tuning settings set it
+     * @throws InvalidSettingException if a setting is invalid
      */
     static Settings read(Path file, @Nullable Path tuningFile, boolean liveFirst) throws InvalidSettingException {
         TomlFields fields = TomlFields.parse(file);
--- a/src/main/java/org/granitepath/cli/TomlFields.java
+++ b/src/main/java/org/granitepath/cli/TomlFields.java
@@ -14,8 +14,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Typed fields of a TOML table. A field is named by its path from the table, with dots; a field that is missing or of
- * another kind is reported by that path.
+ * Typed access to the fields of a TOML table. A field is named by its path from the table, separated by dots. An
+ * exception for a missing field or one of the wrong type names this path.
  */
 final class TomlFields {
     private static final double MIN_POSITIVE_SECONDS = 0.001;
@@ -28,7 +28,11 @@
         this.table = table;
     }
 
-    /** Reads the file's fields. */
+    /**
+     * Parses a TOML file.
+     *
+     * @throws InvalidSettingException if the file cannot be read or is not valid TOML
+     */
     static TomlFields parse(Path file) throws InvalidSettingException {
         try {
             return new TomlFields(new TomlParser().parse(Files.readString(file)));
@@ -39,77 +43,77 @@
         }
     }
 
-    /** Whether there is such a field, of whatever kind. */
+    /** Returns whether the field exists, with any type. */
     boolean has(String path) {
         return table.get(path) != null;
     }
 
-    /** Whether the field is a table. */
+    /** Returns whether the field is a table. */
     boolean isTable(String path) {
         return table.get(path) instanceof UnmodifiableConfig;
     }
 
-    /** A list of tables; empty if it is missing. */
+    /** Returns a list of tables; empty if the field is missing. */
     List<TomlFields> tables(String path) throws InvalidSettingException {
         Object value = table.get(path);
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof List<?> list)) {
-            throw InvalidSettingException.wrong(path, "must be a list of tables");
+            throw InvalidSettingException.invalid(path, "must be a list of tables");
         }
         List<TomlFields> tables = new ArrayList<>();
         for (Object element : list) {
             if (!(element instanceof UnmodifiableConfig elementTable)) {
-                throw InvalidSettingException.wrong(path, "must be a list of tables");
+                throw InvalidSettingException.invalid(path, "must be a list of tables");
             }
             tables.add(new TomlFields(elementTable));
         }
         return tables;
     }
 
-    /** A text that is not empty. */
+    /** Returns a non-empty text. */
     String text(String path) throws InvalidSettingException {
         if (!(table.get(path) instanceof String text) || text.isEmpty()) {
-            throw InvalidSettingException.wrong(path, "is missing or not a text");
+            throw InvalidSettingException.invalid(path, "is missing or not a text");
         }
         return text;
     }
 
-    /** A text; null if it is missing. */
+    /** Returns a text; null if the field is missing. */
     @Nullable
     String textOrNull(String path) {
         return table.get(path);
     }
 
-    /** Whatever the field holds, as a text; "null" if it is missing. */
+    /** Returns a value of any type as text; "null" if the field is missing. */
     String anyAsText(String path) {
         Object value = table.get(path);
         return String.valueOf(value);
     }
 
-    /** The elements of a list as texts; empty if it is missing or no list. */
-    List<String> textsOrNone(String path) {
+    /** Returns the elements of a list as texts; empty if the field is missing or not a list. */
+    List<String> textsOrEmpty(String path) {
         return table.get(path) instanceof List<?> list
                 ? list.stream().map(String::valueOf).toList()
                 : List.of();
     }
 
-    /** A HOST:PORT. */
+    /** Returns an address, written as HOST:PORT. */
     Address address(String path) throws InvalidSettingException {
         String text = text(path);
-        return hostAndPort(text)
-                .orElseThrow(() -> InvalidSettingException.wrong(path, "must be HOST:PORT, not " + text));
+        return parseAddress(text)
+                .orElseThrow(() -> InvalidSettingException.invalid(path, "must be HOST:PORT, not " + text));
     }
 
-    private static Optional<Address> hostAndPort(String text) {
+    private static Optional<Address> parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         int port = portOrZero(text.substring(colon + 1));
-        boolean usable = colon > 0 && port > 0 && port <= MAX_PORT;
-        return usable ? Optional.of(new Address(text.substring(0, colon), port)) : Optional.empty();
+        boolean isValid = colon > 0 && port > 0 && port <= MAX_PORT;
+        return isValid ? Optional.of(new Address(text.substring(0, colon), port)) : Optional.empty();
     }
 
-    /** 0, which is no port to call or to listen on, when it is no number. */
+    /** Parses a port; returns 0, which is not a valid port, if the text is not a number. */
     private static int portOrZero(String text) {
         try {
             return Integer.parseInt(text);
@@ -118,46 +122,49 @@
         }
     }
 
-    /** A HOST:PORT as it is written. */
+    /** Returns an address as its text HOST:PORT. */
     String addressText(String path) throws InvalidSettingException {
         address(path);
         return text(path);
     }
 
-    /** A number that is not less than the least. */
-    double number(String path, double least) throws InvalidSettingException {
-        if (!(table.get(path) instanceof Number number) || !(number.doubleValue() >= least)) {
-            throw InvalidSettingException.wrong(path, "must be a number of at least " + least);
+    /** Returns a number of at least {@code min}. */
+    double number(String path, double min) throws InvalidSettingException {
+        if (!(table.get(path) instanceof Number number) || !(number.doubleValue() >= min)) {
+            throw InvalidSettingException.invalid(path, "must be a number of at least " + min);
         }
         return number.doubleValue();
     }
 
-    /** A number that is not less than the least; {@code otherwise} if it is missing. */
-    double numberIfPresent(String path, double least, double otherwise) throws InvalidSettingException {
-        return has(path) ? number(path, least) : otherwise;
+    /** Returns a number of at least {@code min}; {@code defaultValue} if the field is missing. */
+    double numberIfPresent(String path, double min, double defaultValue) throws InvalidSettingException {
+        return has(path) ? number(path, min) : defaultValue;
     }
 
-    /** A number; {@code otherwise} if it is missing or no number. */
-    double numberOr(String path, double otherwise) {
-        return table.get(path) instanceof Number number ? number.doubleValue() : otherwise;
+    /** Returns a number; {@code defaultValue} if the field is missing or not a number. */
+    double numberOr(String path, double defaultValue) {
+        return table.get(path) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** A time in seconds, which may be zero. */
+    /** Returns a non-negative duration in microseconds. The field is in seconds. */
     long micros(String path) throws InvalidSettingException {
         return Units.secondsToMicros(number(path, 0));
     }
 
-    /** A time in seconds, which is more than zero. */
+    /** Returns a duration in microseconds. The field is in seconds and at least {@link #MIN_POSITIVE_SECONDS}. */
     long positiveMicros(String path) throws InvalidSettingException {
         return Units.secondsToMicros(number(path, MIN_POSITIVE_SECONDS));
     }
 
-    /** A time in seconds, which is more than zero; {@code otherwise} if it is missing. */
-    long positiveMicrosOr(String path, long otherwise) throws InvalidSettingException {
-        return has(path) ? positiveMicros(path) : otherwise;
+    /**
+     * Returns a duration in microseconds; {@code defaultMicros} if the field is missing. The field is in seconds and at
+     * least {@link #MIN_POSITIVE_SECONDS}.
+     */
+    long positiveMicrosOr(String path, long defaultMicros) throws InvalidSettingException {
+        return has(path) ? positiveMicros(path) : defaultMicros;
     }
 
-    /** An amount in thousandths; 0 if it is missing or no number. */
+    /** Returns an amount in thousandths; 0 if the field is missing or not a number. */
     long thousandthsOrZero(String path) {
         return Math.round(numberOr(path, 0) * THOUSANDTHS_PER_UNIT);
     }
--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -14,12 +14,12 @@
 import org.snakeyaml.engine.v2.api.LoadSettings;
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
-/** Operators' own settings: a YAML file, of which every name must be known. */
+/** Reads the tuning settings of the operators from a YAML file. Unknown names are errors. */
 final class TuningFile {
-    /** Operators' settings that had another name in earlier versions. */
+    /** Names of settings in earlier versions, mapped to the current names. */
     private static final Map<String, String> RENAMED =
             Map.of("patience-share", "deferral-share", "longest-yield-s", "max-starvation-s");
-    /** Users allow no job to be left waiting for 90 s beside capacity that fits. */
+    /** Users do not accept that a job waits for 90 s while there is capacity for it, so a hold must be shorter. */
     private static final double MAX_HOLD_SECONDS = 60;
 
     private static final double MAX_LEASE_SECONDS = 60;
@@ -31,7 +31,7 @@
     private static final double MAX_WEIGHT = 1e6;
 
     private final Path file;
-    /** What the file holds and was not read yet; in the end, what is unknown. */
+    /** Settings in the file that have not been read yet. Those that remain at the end are unknown. */
     private final Map<String, Object> unread = new LinkedHashMap<>();
 
     private TuningFile(Path file, Map<?, ?> yaml) {
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Reads and checks the file.
+     * Reads and validates the file.
      *
-     * @param file null: there is none
-     * @param defaultHoldMicros how long a recovery holds other work unless the file says so
-     * @throws InvalidSettingException when a setting is unknown or can't be used
+     * @param file the file; null for the defaults
+     * @param defaultHoldMicros how long a recovery holds other work unless the file sets it, in microseconds
+     * @throws InvalidSettingException if a setting is unknown or invalid
      */
     static Tuning read(@Nullable Path file, long defaultHoldMicros) throws InvalidSettingException {
         Tuning defaults = Tuning.defaults().withRecoveryHold(defaultHoldMicros);
@@ -55,16 +55,16 @@
         if (yaml == null) {
             return defaults;
         }
-        if (!(yaml instanceof Map<?, ?> byName)) {
-            throw new InvalidSettingException(file + " must hold settings by name");
+        if (!(yaml instanceof Map<?, ?> valuesByName)) {
+            throw new InvalidSettingException(file + " must map names of settings to values");
         }
-        TuningFile settings = new TuningFile(file, byName);
+        TuningFile settings = new TuningFile(file, valuesByName);
         Tuning tuning = settings.tuning(defaults);
         settings.checkAllRead();
         return tuning;
     }
 
-    /** What the file holds; null: nothing. */
+    /** Returns the content of the file; null if it is empty. */
     private static @Nullable Object parse(Path file) throws InvalidSettingException {
         try {
             return new Load(LoadSettings.builder().build()).loadFromString(Files.readString(file));
@@ -108,22 +108,22 @@
         }
         String unknown = unread.keySet().iterator().next();
         String renamed = RENAMED.get(unknown);
-        String hint = renamed == null ? "" : ", which is called " + renamed + " now";
+        String hint = renamed == null ? "" : ", which is now named " + renamed;
         throw new InvalidSettingException(file + ": unknown setting " + unknown + hint);
     }
 
-    private long micros(String name, long otherwiseMicros, double leastSeconds, double mostSeconds)
+    private long micros(String name, long defaultMicros, double minSeconds, double maxSeconds)
             throws InvalidSettingException {
-        return Units.secondsToMicros(number(name, Units.microsToSeconds(otherwiseMicros), leastSeconds, mostSeconds));
+        return Units.secondsToMicros(number(name, Units.microsToSeconds(defaultMicros), minSeconds, maxSeconds));
     }
 
-    private double number(String name, double otherwise, double least, double most) throws InvalidSettingException {
+    private double number(String name, double defaultValue, double min, double max) throws InvalidSettingException {
         Object value = unread.remove(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof Number number) || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
-            throw InvalidSettingException.wrong(name, "must be a number from " + least + " to " + most);
+        if (!(value instanceof Number number) || !(number.doubleValue() >= min && number.doubleValue() <= max)) {
+            throw InvalidSettingException.invalid(name, "must be a number from " + min + " to " + max);
         }
         return number.doubleValue();
     }
--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -11,11 +11,11 @@
 import org.granitepath.storage.MachineType;
 
 /**
- * Calls to the cloud.
+ * Encodes requests to the cloud and decodes its responses.
  *
- * <p>Words of the pages: {@code model}, {@code sku} machine type; {@code cards} GPUs; {@code site} zone; {@code loaner}
- * spot instance; {@code market_price} spot price; {@code booking} idempotency key; {@code uid} machine id;
- * {@code ready_s} boot time; {@code held_s} time since the launch.
+ * <p>Names in the cloud's protocol and their meaning: {@code model}, {@code sku}: machine type; {@code cards}: GPUs;
+ * {@code site}: zone; {@code loaner}: spot instance; {@code market_price}: spot price; {@code booking}: idempotency
+ * key; {@code uid}: machine id; {@code ready_s}: boot time; {@code held_s}: time since the launch.
  */
 public final class CloudCodec {
     private static final String HOSTS = "hosts";
@@ -23,12 +23,12 @@
     private static final double DEFAULT_FETCH_GB_PER_SECOND = 0.1;
     private static final double DEFAULT_BOOT_SECONDS = 60;
 
-    /** Where a row names no type or zone: machines of no known type are passed over. */
+    /** Stands for a missing type or zone. Machines of an unknown type are ignored. */
     private static final String UNKNOWN = "";
 
     private CloudCodec() {}
 
-    /** Reads the machine types that the cloud launches. */
+    /** Decodes the machine types that the cloud offers. */
     public static List<MachineType> decodeMachineTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
         for (Object element : Fields.listOf(body, "models")) {
@@ -49,12 +49,12 @@
         return types;
     }
 
-    /** In thousandths: a machine is not taken for larger than it is. */
+    /** Returns a capacity in thousandths, rounded down so that a machine is not taken for larger than it is. */
     private static long thousandths(Map<String, Object> fields, String name) {
         return Units.toThousandthsRoundedDown(Fields.doubleOf(fields, name, 0));
     }
 
-    /** The request for a launch. */
+    /** Returns the body of a launch request. */
     public static String encodeLaunch(LaunchRequest request) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("booking", request.idempotencyKey());
@@ -65,35 +65,35 @@
         return Json.encode(fields);
     }
 
-    /** The request to return machines. */
-    public static String encodeTermination(List<String> hosts) {
-        return Json.encode(Map.of(HOSTS, hosts));
+    /** Returns the body of the request to terminate machines. */
+    public static String encodeTermination(List<String> machineIds) {
+        return Json.encode(Map.of(HOSTS, machineIds));
     }
 
-    /** Reads the names of the machines that a launch brought. */
+    /** Decodes the ids of the machines that a launch created. */
     public static List<String> decodeLaunchedMachines(Map<String, Object> body) {
         return Fields.textsOf(body, HOSTS);
     }
 
-    /** Reads a page of the list of machines. */
+    /** Decodes a page of the list of machines. */
     public static List<ListedMachine> decodeListing(Map<String, Object> body) {
-        List<ListedMachine> hosts = new ArrayList<>();
+        List<ListedMachine> machines = new ArrayList<>();
         for (Object element : Fields.listOf(body, HOSTS)) {
             Map<String, Object> fields = Fields.requiredObject(element, HOSTS);
-            hosts.add(new ListedMachine(
+            machines.add(new ListedMachine(
                     Fields.requiredText(fields, "uid"),
                     Fields.textOf(fields, "address"),
                     Fields.textOf(fields, "model", UNKNOWN),
                     Fields.textOf(fields, "site", UNKNOWN),
                     Fields.boolOf(fields, "loaner"),
-                    hostState(String.valueOf(fields.get("status"))),
+                    machineState(String.valueOf(fields.get("status"))),
                     Units.secondsToMicros(Fields.doubleOf(fields, "held_s", 0))));
         }
-        return hosts;
+        return machines;
     }
 
-    /** A state that we don't know counts as booting: the machine is there, but not yet of use. */
-    private static MachineState hostState(String word) {
+    /** An unknown state counts as booting: the machine exists, but cannot be used yet. */
+    private static MachineState machineState(String word) {
         return switch (word) {
             case "running" -> MachineState.RUNNING;
             case "failed" -> MachineState.FAILED;
@@ -101,12 +101,12 @@
         };
     }
 
-    /** Whether more pages follow this one of the list of machines. */
+    /** Returns whether more pages of the list of machines follow this one. */
     public static boolean hasMore(Map<String, Object> body) {
         return Fields.boolOf(body, "has_next");
     }
 
-    /** Whether a launch was refused as the cloud has no machine of the type at present. */
+    /** Returns whether the cloud rejected a launch because it has no machine of the type at present. */
     public static boolean isNoCapacity(Map<String, Object> body) {
         return "no capacity".equals(body.get("error"));
     }
--- a/src/main/java/org/granitepath/protocol/HttpStatus.java
+++ b/src/main/java/org/granitepath/protocol/HttpStatus.java
@@ -1,28 +1,28 @@
 package org.granitepath.protocol;
 
-/** The HTTP statuses that the interfaces use, and the one that stands for a call without an answer. */
+/** The HTTP status codes that the interfaces use, and a value for a call without a response. */
 public final class HttpStatus {
-    /** No HTTP status: the call ended without an answer. */
+    /** Not an HTTP status: the call ended without a response. */
     public static final int NO_RESPONSE = 0;
-    /** Carried out. */
+    /** The request was processed. */
     public static final int OK = 200;
-    /** Carried out, and something is there that was not before. */
+    /** The request was processed and created something new. */
     public static final int CREATED = 201;
     /** The request is malformed. */
     public static final int BAD_REQUEST = 400;
-    /** There is no such thing. */
+    /** The requested resource does not exist. */
     public static final int NOT_FOUND = 404;
-    /** The path is known, but not with this method. */
+    /** The path exists, but does not support the request method. */
     public static final int METHOD_NOT_ALLOWED = 405;
-    /** The state is not the one that the request expects. */
+    /** The state of the resource is not the one that the request expects. */
     public static final int CONFLICT = 409;
-    /** What was asked for is no longer kept. */
+    /** The requested data existed, but is no longer kept. */
     public static final int GONE = 410;
-    /** Another controller answers for this. */
+    /** Another controller is responsible for the request. */
     public static final int MISDIRECTED_REQUEST = 421;
-    /** The request is well formed, but can never be fulfilled. */
+    /** The request is well-formed, but can never be fulfilled. */
     public static final int UNPROCESSABLE_CONTENT = 422;
-    /** Not now. */
+    /** The request cannot be processed at present; the client may retry it later. */
     public static final int SERVICE_UNAVAILABLE = 503;
 
     private HttpStatus() {}
--- a/src/main/java/org/granitepath/protocol/Json.java
+++ b/src/main/java/org/granitepath/protocol/Json.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** JSON objects as maps. A field named twice is an error. */
+/** Reads and writes JSON objects as maps. An object with a duplicate field is invalid. */
 public final class Json {
     private static final JSON JSON_MAPPER = JSON.builder(JsonFactory.builder()
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -19,7 +19,7 @@
 
     private Json() {}
 
-    /** Reads an object; null when the text is not exactly one JSON object. */
+    /** Parses a JSON object; returns null if {@code text} is not exactly one JSON object. */
     public static @Nullable Map<String, Object> decodeObject(String text) {
         try (JsonParser parser = JSON_MAPPER.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -32,12 +32,16 @@
         }
     }
 
-    /** The value as JSON text. */
+    /**
+     * Returns a value as JSON text.
+     *
+     * @throws IllegalStateException if the value cannot be written as JSON
+     */
     public static String encode(Object value) {
         try {
             return JSON_MAPPER.asString(value);
         } catch (IOException e) {
-            throw new IllegalStateException("unwritable value", e);
+            throw new IllegalStateException("value cannot be written as JSON", e);
         }
     }
 }
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -15,10 +15,10 @@
 import org.granitepath.storage.StoredRecordCodec;
 
 /**
- * Calls to the store.
+ * Encodes requests to the key-value store and decodes its responses.
  *
- * <p>Words of the pages: {@code guards} preconditions; {@code stamp} revision of a key; {@code epoch} revision of the
- * store; {@code permit} lease.
+ * <p>Names in the store's protocol and their meaning: {@code guards}: preconditions; {@code stamp}: revision of a key;
+ * {@code epoch}: revision of the store; {@code permit}: lease.
  */
 public final class KeyValueStoreCodec {
     private static final String KEY = "key";
@@ -32,7 +32,7 @@
 
     private KeyValueStoreCodec() {}
 
-    /** The request for a transaction. */
+    /** Returns the body of a transaction request. */
     public static String encodeTransaction(Transaction transaction) {
         List<Object> preconditions = new ArrayList<>();
         for (Precondition precondition : transaction.preconditions()) {
@@ -62,12 +62,12 @@
         return fields;
     }
 
-    /** Reads how a transaction ended, of which the status has told the outcome. */
+    /** Decodes the result of a transaction. The caller derives {@code outcome} from the HTTP status. */
     public static Committed decodeCommitted(Outcome outcome, Map<String, Object> body) {
         return new Committed(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
     }
 
-    /** Reads a page of keys. */
+    /** Decodes a page of records. */
     public static Page decodeList(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
         for (Object element : Fields.listOf(body, "items")) {
@@ -78,26 +78,26 @@
         return new Page(Outcome.OK, items, Fields.boolOf(body, "has_next"), Fields.longOf(body, EPOCH, 0));
     }
 
-    /** Reads the changes that a watch brought. */
+    /** Decodes the changes that a watch returned. */
     public static Page decodeEvents(Map<String, Object> body) {
         List<Item> items = new ArrayList<>();
         for (Object element : Fields.listOf(body, "events")) {
             Map<String, Object> fields = Fields.requiredObject(element, "events");
-            String written = Fields.textOf(fields, WRITE);
+            String writtenKey = Fields.textOf(fields, WRITE);
             items.add(new Item(
-                    written != null ? written : Fields.requiredText(fields, REMOVE),
-                    written != null ? Fields.mapOf(fields, VALUE) : null,
+                    writtenKey != null ? writtenKey : Fields.requiredText(fields, REMOVE),
+                    writtenKey != null ? Fields.mapOf(fields, VALUE) : null,
                     Fields.longOf(fields, STAMP, 0)));
         }
         return new Page(Outcome.OK, items, false, Fields.longOf(body, EPOCH, 0));
     }
 
-    /** The request for a lease. */
+    /** Returns the body of a request for a lease of {@code lifeMicros} microseconds. */
     public static String encodeLeaseRequest(long lifeMicros) {
         return Json.encode(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
     }
 
-    /** Reads the number of a new lease. */
+    /** Decodes the id of a new lease. */
     public static long decodeLease(Map<String, Object> body) {
         return Fields.longOf(body, PERMIT, 0);
     }
--- a/src/main/java/org/granitepath/protocol/PeerCodec.java
+++ b/src/main/java/org/granitepath/protocol/PeerCodec.java
@@ -10,9 +10,10 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Messages between controllers, in MessagePack: an array that begins with the version of its layout.
+ * Encodes and decodes the messages between controllers. Each message is a MessagePack array that starts with the
+ * version of its layout.
  *
- * <p>The pages call a status message a greeting; its fields have no names on the wire, only an order.
+ * <p>The fields have no names on the wire, only an order. The protocol calls a status message a greeting.
  */
 public final class PeerCodec {
     private static final int VERSION = 2;
@@ -21,7 +22,7 @@
 
     private PeerCodec() {}
 
-    /** A status message. */
+    /** Returns a status message. */
     public static byte[] encode(PeerStatus status) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packArrayHeader(STATUS_FIELDS)
@@ -32,11 +33,11 @@
                     .packInt(status.redirectedMachines());
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("packing in memory failed", e);
+            throw new IllegalStateException("MessagePack encoding in memory failed", e);
         }
     }
 
-    /** A notice of a cancellation. */
+    /** Returns a cancellation notice. */
     public static byte[] encode(CancellationNotice notice) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packArrayHeader(CANCELLATION_FIELDS)
@@ -45,11 +46,11 @@
                     .packLong(notice.revision());
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("packing in memory failed", e);
+            throw new IllegalStateException("MessagePack encoding in memory failed", e);
         }
     }
 
-    /** Reads a notice of a cancellation; null when it is none that we understand. */
+    /** Decodes a cancellation notice; returns null if the message is malformed or has another version. */
     public static @Nullable CancellationNotice decodeCancellation(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < CANCELLATION_FIELDS || unpacker.unpackInt() != VERSION) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Reads a status message; null when it is none that we understand. */
+    /** Decodes a status message; returns null if the message is malformed or has another version. */
     public static @Nullable PeerStatus decodeStatus(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             if (unpacker.unpackArrayHeader() < STATUS_FIELDS || unpacker.unpackInt() != VERSION) {
--- a/src/main/java/org/granitepath/protocol/RecoveryLabels.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryLabels.java
@@ -5,13 +5,13 @@
 import org.granitepath.recovery.Verdict;
 
 /**
- * The words by which operators' tools know the parts of a recovery: in the JSON of {@code GET /recovery}, in the labels
- * of metrics and in the names of spans. They are fixed, whatever the code calls its constants.
+ * The labels of recovery states in the JSON of {@code GET /recovery}, in the tags of metrics and in the names of spans.
+ * Operators' tools depend on them, so they stay the same when a constant in the code is renamed.
  */
 public final class RecoveryLabels {
     private RecoveryLabels() {}
 
-    /** The label of a phase. */
+    /** Returns the label of a phase. */
     public static String of(RecoveryPhase phase) {
         return switch (phase) {
             case READING -> "reading";
@@ -22,7 +22,7 @@
         };
     }
 
-    /** The label of a verdict on a task. */
+    /** Returns the label of a verdict on a task. */
     public static String of(Verdict verdict) {
         return switch (verdict) {
             case CONFIRMED -> "confirmed";
@@ -36,7 +36,7 @@
         };
     }
 
-    /** The label of what a controller can tell. */
+    /** Returns the label of a controller's role. */
     public static String of(Role role) {
         return switch (role) {
             case LEADING -> "leading";
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import org.granitepath.recovery.RecoveryStatus;
 
-/** The state of a recovery as JSON, for operators and their scripts. */
+/** Encodes the status of a recovery as JSON for operators and their scripts. */
 public final class RecoveryStatusCodec {
-    /** A whole fleet may be missing: a few names are enough to begin with. */
-    private static final int MAX_NAMES = 20;
+    /** A whole fleet may be missing; the response lists only the first few machines. */
+    private static final int MAX_MISSING_NAMES = 20;
 
     private RecoveryStatusCodec() {}
 
-    /** One JSON object. What does not apply is left out; {@code role} and {@code reason} say what is not known. */
+    /** Returns one JSON object. Fields that do not apply are omitted; {@code role} and {@code reason} explain why. */
     public static String encode(RecoveryStatus status) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("node", status.node());
@@ -55,7 +55,9 @@
         fields.put("taken_over", machines.takenOver());
         fields.put("heard_or_gone", machines.takenOver() - missing);
         fields.put("missing", missing);
-        fields.put("missing_names", machines.awaited().stream().limit(MAX_NAMES).toList());
+        fields.put(
+                "missing_names",
+                machines.awaited().stream().limit(MAX_MISSING_NAMES).toList());
         fields.put("unreadable_inventory_parts", machines.unreadableInventoryParts());
         return fields;
     }
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -11,13 +11,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What users send and are told.
+ * Decodes the submissions of users and encodes the responses.
  *
- * <p>Words of the pages: {@code uid} job id; {@code lane} job class; {@code owner} team; {@code pieces} tasks;
- * {@code daemon} service; {@code rank} priority; {@code cards} GPUs; {@code bundle} image; {@code models} machine
- * types; {@code site} zone; {@code same_place} all tasks in one zone; {@code scatter} spread over zones; {@code loaner}
- * spot instances allowed; {@code expect_s} estimate; {@code snapshot_s} time between checkpoints; {@code flush_s} time
- * to save; {@code due_s} deadline; {@code aborted} cancelled.
+ * <p>Names in the protocol with users and their meaning: {@code uid}: job id; {@code lane}: job class; {@code owner}:
+ * team; {@code pieces}: tasks; {@code daemon}: service; {@code rank}: priority; {@code cards}: GPUs; {@code bundle}:
+ * image; {@code models}: machine types; {@code site}: zone; {@code same_place}: all tasks in one zone;
+ * {@code scatter}: spread over zones; {@code loaner}: spot instances allowed; {@code expect_s}: estimate;
+ * {@code snapshot_s}: time between checkpoints; {@code flush_s}: time to save; {@code due_s}: deadline;
+ * {@code aborted}: cancelled.
  */
 public final class SubmissionCodec {
     private static final Pattern JOB_ID = Pattern.compile("run-[0-9]{1,18}");
@@ -27,7 +28,7 @@
 
     private static final String ERROR = "error";
 
-    /** Why a submission is malformed, in words for its sender. */
+    /** A submission is malformed. The message says why and is sent to the user. */
     public static final class MalformedSubmissionException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -38,12 +39,16 @@
 
     private SubmissionCodec() {}
 
-    /** Whether a text has the form of a job id. */
+    /** Returns whether a text has the form of a job id. */
     public static boolean isJobId(String id) {
         return JOB_ID.matcher(id).matches();
     }
 
-    /** Reads and checks a submission. */
+    /**
+     * Decodes and validates a submission.
+     *
+     * @throws MalformedSubmissionException if the body is not a valid submission
+     */
     public static JobSpec decode(String body) throws MalformedSubmissionException {
         Map<String, Object> fields = Json.decodeObject(body);
         if (fields == null) {
@@ -99,7 +104,7 @@
         };
     }
 
-    /** Null: any. */
+    /** Returns the allowed machine types; null if any type is allowed. */
     private static @Nullable List<String> machineTypes(@Nullable Object value) throws MalformedSubmissionException {
         if (value == null) {
             return null;
@@ -143,7 +148,7 @@
         return amount;
     }
 
-    /** In thousandths: a task gets no less than was asked for. */
+    /** Returns an amount in thousandths, rounded up so that a task gets at least what was requested. */
     private static long thousandths(Map<String, Object> fields, String name) throws MalformedSubmissionException {
         return Units.toThousandthsRoundedUp(amount(fields, name));
     }
@@ -152,29 +157,29 @@
         return Units.secondsToMicros(amount(fields, name));
     }
 
-    /** The status that tells the user how the request ended. */
-    public static int httpStatus(JobResponse answer) {
-        if (answer instanceof JobResponse.Status status) {
+    /** Returns the HTTP status of the response to a user. */
+    public static int httpStatus(JobResponse response) {
+        if (response instanceof JobResponse.Status status) {
             return status.created() ? HttpStatus.CREATED : HttpStatus.OK;
-        } else if (answer instanceof JobResponse.NotFound) {
+        } else if (response instanceof JobResponse.NotFound) {
             return HttpStatus.NOT_FOUND;
         }
-        return answer instanceof JobResponse.Unschedulable
+        return response instanceof JobResponse.Unschedulable
                 ? HttpStatus.UNPROCESSABLE_CONTENT
                 : HttpStatus.SERVICE_UNAVAILABLE;
     }
 
-    /** The body of the answer to a user. */
-    public static String encode(JobResponse answer) {
+    /** Returns the body of the response to a user. */
+    public static String encode(JobResponse response) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        if (answer instanceof JobResponse.Status status) {
+        if (response instanceof JobResponse.Status status) {
             fields.put("uid", status.job());
-            fields.put("status", word(status.state()));
+            fields.put("status", stateName(status.state()));
             fields.put("done", status.finishedTasks());
             fields.put("running", status.runningTasks());
-        } else if (answer instanceof JobResponse.Unschedulable unschedulable) {
+        } else if (response instanceof JobResponse.Unschedulable unschedulable) {
             fields.put(ERROR, unschedulable.reason());
-        } else if (answer instanceof JobResponse.RetryLater later) {
+        } else if (response instanceof JobResponse.RetryLater later) {
             fields.put(ERROR, later.reason());
         } else {
             fields.put(ERROR, "no such job");
@@ -182,12 +187,12 @@
         return Json.encode(fields);
     }
 
-    /** The body of the answer to a user whose submission is malformed. */
+    /** Returns the body of the response to a malformed submission. */
     public static String encode(MalformedSubmissionException malformed) {
         return Json.encode(Map.of(ERROR, malformed.getMessage()));
     }
 
-    private static String word(JobResponse.JobState state) {
+    private static String stateName(JobResponse.JobState state) {
         return switch (state) {
             case PENDING -> "pending";
             case RUNNING -> "running";
--- a/src/main/java/org/granitepath/protocol/Units.java
+++ b/src/main/java/org/granitepath/protocol/Units.java
@@ -1,33 +1,33 @@
 package org.granitepath.protocol;
 
 /**
- * The units of the wire and of settings, which are seconds and whole CPUs, GPUs and gigabytes, in those of the code:
- * whole microseconds, and whole thousandths, so that sums are exact.
+ * Converts between external and internal units. The protocols and the settings use seconds and whole CPUs, GPUs and
+ * gigabytes. The code uses integer microseconds and integer thousandths, so that sums are exact.
  */
 public final class Units {
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double THOUSANDTHS_PER_UNIT = 1000;
-    /** In thousandths: what is a whole number but for the error of binary fractions is not rounded to the next one. */
+    /** In thousandths. Keeps values that binary fractions put just off an integer from rounding to the next integer. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private Units() {}
 
-    /** Seconds in microseconds, rounded to the nearest. */
+    /** Converts seconds to microseconds, rounded to the nearest microsecond. */
     public static long secondsToMicros(double seconds) {
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    /** Microseconds in seconds. */
+    /** Converts microseconds to seconds. */
     public static double microsToSeconds(long micros) {
         return micros / MICROS_PER_SECOND;
     }
 
-    /** An amount in thousandths, rounded down: what is offered is not taken for more than it is. */
+    /** Converts an offered amount to thousandths, rounded down so that no capacity is overestimated. */
     static long toThousandthsRoundedDown(double amount) {
         return (long) Math.floor(amount * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE);
     }
 
-    /** An amount in thousandths, rounded up: who asks for it gets no less. */
+    /** Converts a requested amount to thousandths, rounded up so that a task gets at least what was requested. */
     static long toThousandthsRoundedUp(double amount) {
         return (long) Math.ceil(amount * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE);
     }
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -17,13 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Heartbeats of workers and commands to them.
+ * Decodes the heartbeats of workers and encodes commands to them.
  *
- * <p>Words of the pages: report heartbeat; {@code shift} agent epoch; {@code tally} heartbeat sequence number;
- * {@code baton} fencing token; {@code piece} task; {@code try} attempt; {@code model} machine type; {@code site} zone;
- * {@code loaner} spot instance; {@code warning_s} notice of the end of a spot instance; {@code pulling} fetching;
- * {@code mates_gone} peer gone; {@code alone} gang incomplete; {@code supervisor} leader; {@code orders} commands;
- * {@code verb} kind of command; {@code halt} stop; {@code leeway_s} grace period.
+ * <p>Names in the protocol with workers and their meaning: report: heartbeat; {@code shift}: agent epoch;
+ * {@code tally}: heartbeat sequence number; {@code baton}: fencing token; {@code piece}: task; {@code try}: attempt;
+ * {@code model}: machine type; {@code site}: zone; {@code loaner}: spot instance; {@code warning_s}: notice of the end
+ * of a spot instance; {@code pulling}: fetching; {@code mates_gone}: peer gone; {@code alone}: gang incomplete;
+ * {@code supervisor}: leader; {@code orders}: commands; {@code verb}: kind of command; {@code halt}: stop;
+ * {@code leeway_s}: grace period.
  */
 public final class WorkerCodec {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
@@ -37,14 +38,14 @@
     private static final String BATON = "baton";
     private static final String PIECE = "piece";
     private static final String TRY = "try";
-    /** The cloud has not said that it takes the machine back. */
+    /** The cloud has not announced the end of the spot instance. */
     private static final long NO_NOTICE = -1;
-    /** In the place of an agent epoch: the message names none. */
+    /** Stands for an agent epoch in a message that has none. */
     private static final long NO_AGENT_EPOCH = -1;
 
     private WorkerCodec() {}
 
-    /** Reads a heartbeat; null when it is none. */
+    /** Decodes a heartbeat; returns null if it is malformed. */
     public static @Nullable Heartbeat decodeHeartbeat(String body) {
         Map<String, Object> fields = Json.decodeObject(body);
         return fields == null ? null : decodeHeartbeat(fields);
@@ -55,8 +56,8 @@
         String address = Fields.textOf(fields, ADDRESS);
         String type = Fields.textOf(fields, MODEL);
         String zone = Fields.textOf(fields, SITE);
-        boolean ordered = Fields.isNumber(fields, SHIFT) && Fields.isNumber(fields, TALLY);
-        if (machine == null || address == null || type == null || zone == null || !ordered) {
+        boolean hasSequence = Fields.isNumber(fields, SHIFT) && Fields.isNumber(fields, TALLY);
+        if (machine == null || address == null || type == null || zone == null || !hasSequence) {
             return null;
         }
         List<TaskStatus> tasks = decodeTasks(Fields.listOf(fields, "pieces"));
@@ -80,7 +81,7 @@
         return seconds < 0 ? NO_NOTICE : Units.secondsToMicros(seconds);
     }
 
-    /** Null when one of them can't be read. */
+    /** Returns null if one of the tasks is malformed. */
     private static @Nullable List<TaskStatus> decodeTasks(List<?> elements) {
         List<TaskStatus> tasks = new ArrayList<>();
         for (Object element : elements) {
@@ -94,7 +95,7 @@
         return tasks;
     }
 
-    /** Null when it can't be read. */
+    /** Returns null if the task is malformed. */
     private static @Nullable TaskStatus decodeTask(Map<String, Object> fields) {
         String piece = Fields.textOf(fields, PIECE);
         String status = Fields.textOf(fields, "status");
@@ -106,11 +107,11 @@
                 task,
                 Fields.longOf(fields, TRY, 0),
                 taskState(task, status),
-                cause(task, Fields.textOf(fields, "cause")),
+                exitCause(task, Fields.textOf(fields, "cause")),
                 Fields.boolOf(fields, "kept"));
     }
 
-    /** Null when it is no job id and number with a slash between. */
+    /** Returns null if the text is not a job id and a task number separated by a slash. */
     private static @Nullable TaskId decodeTaskId(String piece) {
         int slash = piece.lastIndexOf('/');
         if (slash < 0) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /** A state that we don't know may be anything: the task counts as being on the machine. */
+    /** An unknown state may mean anything, so the task counts as present on the machine. */
     private static TaskState taskState(TaskId task, String word) {
         return switch (word) {
             case "pulling" -> TaskState.FETCHING;
@@ -132,13 +133,13 @@
             case "saving" -> TaskState.SAVING;
             case "ended" -> TaskState.EXITED;
             default -> {
-                LOG.warn("task {} is in the unknown state {}", task, word);
+                LOG.warn("task {}: unknown state {}; treated as fetching", task, word);
                 yield TaskState.FETCHING;
             }
         };
     }
 
-    private static ExitCause cause(TaskId task, @Nullable String word) {
+    private static ExitCause exitCause(TaskId task, @Nullable String word) {
         if (word == null) {
             return ExitCause.NONE;
         }
@@ -152,45 +153,49 @@
             case "mates_gone" -> ExitCause.PEER_GONE;
             case "alone" -> ExitCause.INCOMPLETE;
             default -> {
-                LOG.warn("task {} has exited for the unknown reason {}", task, word);
+                LOG.warn("task {}: unknown exit cause {}; treated as stopped", task, word);
                 yield ExitCause.STOPPED;
             }
         };
     }
 
-    /** The status that tells the worker what to do. */
-    public static int httpStatus(HeartbeatResponse answer) {
-        if (answer instanceof HeartbeatResponse.Accepted) {
+    /** Returns the HTTP status of the response to a heartbeat. */
+    public static int httpStatus(HeartbeatResponse response) {
+        if (response instanceof HeartbeatResponse.Accepted) {
             return HttpStatus.OK;
         }
-        return answer instanceof HeartbeatResponse.Redirect
+        return response instanceof HeartbeatResponse.Redirect
                 ? HttpStatus.MISDIRECTED_REQUEST
                 : HttpStatus.SERVICE_UNAVAILABLE;
     }
 
-    /** The body of the answer to a heartbeat. */
-    public static String encode(HeartbeatResponse answer) {
-        if (answer instanceof HeartbeatResponse.Accepted accepted) {
+    /** Returns the body of the response to a heartbeat. */
+    public static String encode(HeartbeatResponse response) {
+        if (response instanceof HeartbeatResponse.Accepted accepted) {
             return encodeCommands(accepted.fencingToken(), NO_AGENT_EPOCH, accepted.commands());
         }
-        if (answer instanceof HeartbeatResponse.Redirect redirect && redirect.node() != null) {
+        if (response instanceof HeartbeatResponse.Redirect redirect && redirect.node() != null) {
             return Json.encode(Map.of("supervisor", redirect.node()));
         }
         return "{}";
     }
 
-    /** Commands to a worker. {@code agentEpoch} negative: left out, as in the answer to a heartbeat. */
+    /**
+     * Returns a message with commands to a worker.
+     *
+     * @param agentEpoch the agent epoch of the worker; negative to omit it, as in the response to a heartbeat
+     */
     public static String encodeCommands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
-        List<Object> orders = new ArrayList<>(commands.size());
+        List<Object> encodedCommands = new ArrayList<>(commands.size());
         for (WorkerCommand command : commands) {
-            orders.add(encodeCommand(command));
+            encodedCommands.add(encodeCommand(command));
         }
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(BATON, fencingToken);
         if (agentEpoch >= 0) {
             fields.put(SHIFT, agentEpoch);
         }
-        fields.put("orders", orders);
+        fields.put("orders", encodedCommands);
         return Json.encode(fields);
     }
 
--- a/src/main/java/org/granitepath/protocol/package-info.java
+++ b/src/main/java/org/granitepath/protocol/package-info.java
@@ -1,2 +1,5 @@
-/** The wire: words, codecs and validation. Wire words appear here and nowhere else. */
+/**
+ * Codecs for the external protocols, with their names and validation. The names that the protocols use for fields and
+ * values appear only in this package.
+ */
 package org.granitepath.protocol;
--- a/src/main/java/org/granitepath/transport/ApiServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -13,7 +13,7 @@
 import org.granitepath.protocol.SubmissionCodec;
 import org.granitepath.protocol.WorkerCodec;
 
-/** What users, workers and health checks talk to. */
+/** HTTP server of the API, which users, workers and health checks use. */
 final class ApiServer {
     private static final String HEARTBEAT_PATH = "/agent/beat";
     private static final String JOBS_PATH = "/submissions";
@@ -32,54 +32,58 @@
     private final Controller controller;
     private final Metrics metrics;
     private final EventLoop loop;
-    private final ConnectionLimiter connections;
+    private final ConnectionLimiter connectionLimiter;
 
-    ApiServer(Controller controller, Metrics metrics, EventLoop loop, ConnectionLimiter connections) {
+    ApiServer(Controller controller, Metrics metrics, EventLoop loop, ConnectionLimiter connectionLimiter) {
         this.controller = controller;
         this.metrics = metrics;
         this.loop = loop;
-        this.connections = connections;
+        this.connectionLimiter = connectionLimiter;
     }
 
-    /** Answers a request; runs on the event loop. */
+    /** Handles a request. Must be called on the event loop. */
     void route(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
-        boolean post = exchange.getRequestMethod().equals(Methods.POST);
-        boolean get = exchange.getRequestMethod().equals(Methods.GET);
-        connections.onRequest(exchange, path.equals(HEARTBEAT_PATH));
-        if (path.equals(HEARTBEAT_PATH) && post) {
-            readBody(exchange, text -> heartbeat(exchange, text));
-        } else if (path.equals(HEALTH_PATH) && get) {
-            tellHealth(exchange);
-        } else if (path.equals(JOBS_PATH) && post) {
+        boolean isPost = exchange.getRequestMethod().equals(Methods.POST);
+        boolean isGet = exchange.getRequestMethod().equals(Methods.GET);
+        connectionLimiter.onRequest(exchange, path.equals(HEARTBEAT_PATH));
+        if (path.equals(HEARTBEAT_PATH) && isPost) {
+            readBody(exchange, text -> handleHeartbeat(exchange, text));
+        } else if (path.equals(HEALTH_PATH) && isGet) {
+            reportHealth(exchange);
+        } else if (path.equals(JOBS_PATH) && isPost) {
             measure(exchange, "submit");
             readBody(exchange, text -> submit(exchange, text));
         } else if (path.startsWith(JOB_PREFIX)) {
-            routeJob(exchange, path.substring(JOB_PREFIX.length()), post, get);
+            routeJob(exchange, path.substring(JOB_PREFIX.length()), isPost, isGet);
         } else {
             reply(exchange, HttpStatus.NOT_FOUND, NO_SUCH_PATH);
         }
     }
 
-    /** @param rest the path after the prefix of jobs: the id, and perhaps what is to be done with the job */
-    private void routeJob(HttpServerExchange exchange, String rest, boolean post, boolean get) {
+    /**
+     * Handles a request for one job.
+     *
+     * @param rest the path after {@link #JOB_PREFIX}: the job id, for a cancellation followed by {@link #CANCEL_SUFFIX}
+     */
+    private void routeJob(HttpServerExchange exchange, String rest, boolean isPost, boolean isGet) {
         boolean cancel = rest.endsWith(CANCEL_SUFFIX);
         String id = cancel ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
-        boolean methodAllowed = cancel ? post : get;
+        boolean methodAllowed = cancel ? isPost : isGet;
         if (!methodAllowed) {
             reply(exchange, HttpStatus.METHOD_NOT_ALLOWED, METHOD_NOT_ALLOWED);
         } else if (!SubmissionCodec.isJobId(id)) {
-            answer(exchange, new JobResponse.NotFound());
+            respond(exchange, new JobResponse.NotFound());
         } else if (cancel) {
             measure(exchange, "cancel");
-            readBody(exchange, unused -> controller.cancel(id, response -> answer(exchange, response)));
+            readBody(exchange, unused -> controller.cancel(id, response -> respond(exchange, response)));
         } else {
             measure(exchange, "poll");
-            controller.poll(id, response -> answer(exchange, response));
+            controller.poll(id, response -> respond(exchange, response));
         }
     }
 
-    private void tellHealth(HttpServerExchange exchange) {
+    private void reportHealth(HttpServerExchange exchange) {
         if (controller.isHealthy()) {
             reply(exchange, HttpStatus.OK, EMPTY_OBJECT);
         } else {
@@ -87,52 +91,52 @@
         }
     }
 
-    /** Has the latency and the status counted once the exchange is complete. */
+    /** Records the latency and the status of the request when the exchange is complete. */
     private void measure(HttpServerExchange exchange, String request) {
-        long beganMicros = loop.nowMicros();
+        long startMicros = loop.nowMicros();
         exchange.addExchangeCompleteListener((completed, next) -> {
-            metrics.recordRequest(request, completed.getStatusCode(), loop.nowMicros() - beganMicros);
+            metrics.recordRequest(request, completed.getStatusCode(), loop.nowMicros() - startMicros);
             next.proceed();
         });
     }
 
     private void submit(HttpServerExchange exchange, String text) {
         try {
-            controller.submit(SubmissionCodec.decode(text), response -> answer(exchange, response));
+            controller.submit(SubmissionCodec.decode(text), response -> respond(exchange, response));
         } catch (SubmissionCodec.MalformedSubmissionException e) {
             reply(exchange, HttpStatus.BAD_REQUEST, SubmissionCodec.encode(e));
         }
     }
 
-    private void heartbeat(HttpServerExchange exchange, String text) {
+    private void handleHeartbeat(HttpServerExchange exchange, String text) {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
         if (heartbeat == null) {
             metrics.recordUnreadableHeartbeat(exchange.getSourceAddress().toString());
             reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
-        HeartbeatResponse answer = controller.handleHeartbeat(heartbeat);
-        if (!(answer instanceof HeartbeatResponse.Accepted)) {
-            exchange.setPersistent(false); // it goes elsewhere
+        HeartbeatResponse response = controller.handleHeartbeat(heartbeat);
+        if (!(response instanceof HeartbeatResponse.Accepted)) {
+            exchange.setPersistent(false); // The worker sends its next heartbeat to another controller.
         }
-        reply(exchange, WorkerCodec.httpStatus(answer), WorkerCodec.encode(answer));
+        reply(exchange, WorkerCodec.httpStatus(response), WorkerCodec.encode(response));
     }
 
-    /** The body may come later than its request, in an event of its own, which is guarded anew. */
+    /** The body may arrive in a later event than the head of the request, so its handler has its own error logging. */
     private static void readBody(HttpServerExchange exchange, Consumer<String> then) {
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (received, bytes) -> EventLoop.guarded(
+                        (received, bytes) -> EventLoop.withErrorLogging(
                                         () -> then.accept(new String(bytes, StandardCharsets.UTF_8)))
                                 .run(),
                         (received, cause) -> reply(received, HttpStatus.BAD_REQUEST, UNREADABLE_BODY));
     }
 
-    private static void answer(HttpServerExchange exchange, JobResponse answer) {
-        if (answer instanceof JobResponse.RetryLater later) {
+    private static void respond(HttpServerExchange exchange, JobResponse response) {
+        if (response instanceof JobResponse.RetryLater later) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(later.afterSeconds()));
         }
-        reply(exchange, SubmissionCodec.httpStatus(answer), SubmissionCodec.encode(answer));
+        reply(exchange, SubmissionCodec.httpStatus(response), SubmissionCodec.encode(response));
     }
 
     private static void reply(HttpServerExchange exchange, int status, String text) {
--- a/src/main/java/org/granitepath/transport/CancellableConnector.java
+++ b/src/main/java/org/granitepath/transport/CancellableConnector.java
@@ -10,31 +10,32 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Opens connections on the event loop in a way that can be given up. An attempt to reach a machine that is gone stays
- * under way for minutes, and Undertow's client has no means to end it: calls that have long timed out would hold a
- * socket each, by the hundred when a zone is cut off. The client asks this stand-in of the event loop's thread to
- * connect, which keeps hold of the attempt; it is never started as a thread itself.
+ * Opens connections on the event loop so that the caller can cancel the attempt. An attempt to connect to a machine
+ * that is gone stays pending for minutes, and Undertow's client cannot cancel it: calls that timed out long ago would
+ * each hold a socket, hundreds of them when a zone is unreachable. Undertow's client is given this object in place of
+ * the event loop's thread. It delegates to that thread and keeps a reference to the attempt. It is never started as a
+ * thread itself.
  */
 final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread thread;
-    private @Nullable IoFuture<StreamConnection> latest;
+    private @Nullable IoFuture<StreamConnection> latestAttempt;
 
     CancellableConnector(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
         this.thread = thread;
     }
 
-    /** The attempt that was begun last; null: none was. */
+    /** Returns the most recent connection attempt; null if there was none. */
     @Nullable
     IoFuture<StreamConnection> latestAttempt() {
-        return latest;
+        return latestAttempt;
     }
 
     @Override
     public IoFuture<StreamConnection> openStreamConnection(
             SocketAddress destination, ChannelListener<? super StreamConnection> listener, OptionMap options) {
         IoFuture<StreamConnection> attempt = thread.openStreamConnection(destination, listener, options);
-        latest = attempt;
+        latestAttempt = attempt;
         return attempt;
     }
 
--- a/src/main/java/org/granitepath/transport/ConnectionLimiter.java
+++ b/src/main/java/org/granitepath/transport/ConnectionLimiter.java
@@ -7,90 +7,100 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections that users and machines hold open. A fleet can have more machines than a controller has sockets, so
- * beyond a bound a connection is closed after its answer, and whoever comes next still finds a socket.
+ * Limits the persistent inbound connections of machines and of all clients together. A fleet can have more machines
+ * than a controller has sockets. Above a limit, the server therefore closes a connection after the response, so that
+ * sockets stay available for new connections.
  */
 final class ConnectionLimiter {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionLimiter.class);
 
-    /** What is known of a connection. */
-    private static final class Held {
-        /** Whether its last request was a heartbeat. */
-        private boolean machine;
+    /** The state of one open connection. */
+    private static final class ConnectionState {
+        /** Whether the last request on the connection was a heartbeat. */
+        private boolean isMachine;
     }
 
-    private static final AttachmentKey<Held> HELD = AttachmentKey.create(Held.class);
+    private static final AttachmentKey<ConnectionState> STATE = AttachmentKey.create(ConnectionState.class);
 
-    private final int maxMachines;
-    private final int maxInAll;
-    private int machines;
-    private int others;
-    /** As of the last request, so that only a change is logged. */
-    private boolean full;
+    private final int maxMachineConnections;
+    private final int maxConnections;
+    private int machineConnections;
+    private int otherConnections;
+    /** Whether a limit was exceeded at the last request; only a change is logged. */
+    private boolean limitExceeded;
 
-    /** Holds at most so many connections of machines open, and so many in all. */
-    ConnectionLimiter(int maxMachines, int maxInAll) {
-        this.maxMachines = maxMachines;
-        this.maxInAll = maxInAll;
+    /**
+     * Creates a limiter.
+     *
+     * @param maxMachineConnections the maximum number of persistent connections of machines
+     * @param maxConnections the maximum number of persistent connections of all clients together
+     */
+    ConnectionLimiter(int maxMachineConnections, int maxConnections) {
+        this.maxMachineConnections = maxMachineConnections;
+        this.maxConnections = maxConnections;
     }
 
-    int machines() {
-        return machines;
+    /** Returns the number of open connections whose last request was a heartbeat. */
+    int machineConnections() {
+        return machineConnections;
     }
 
-    int others() {
-        return others;
+    /** Returns the number of all other open connections. */
+    int otherConnections() {
+        return otherConnections;
     }
 
-    /** Counts the connection of this request, and lets it close after the answer when too many are held open. */
-    void onRequest(HttpServerExchange exchange, boolean machine) {
-        markAs(machine, held(exchange.getConnection()));
-        boolean over = (machine && machines > maxMachines) || machines + others > maxInAll;
-        if (over) {
+    /** Counts the connection of the request and has it closed after the response if a limit is exceeded. */
+    void onRequest(HttpServerExchange exchange, boolean isMachine) {
+        classify(isMachine, stateOf(exchange.getConnection()));
+        boolean exceeded = (isMachine && machineConnections > maxMachineConnections)
+                || machineConnections + otherConnections > maxConnections;
+        if (exceeded) {
             exchange.setPersistent(false);
         }
-        logChange(over);
+        logChange(exceeded);
     }
 
-    /** What is known of this connection, which counts as one of a user until it has brought a heartbeat. */
-    private Held held(ServerConnection connection) {
-        Held known = connection.getAttachment(HELD);
+    /** Returns the state of the connection. A connection counts as a user's until it carries a heartbeat. */
+    private ConnectionState stateOf(ServerConnection connection) {
+        ConnectionState known = connection.getAttachment(STATE);
         if (known != null) {
             return known;
         }
-        Held opened = new Held();
-        connection.putAttachment(HELD, opened);
+        ConnectionState opened = new ConnectionState();
+        connection.putAttachment(STATE, opened);
         count(opened, 1);
         connection.addCloseListener(closed -> count(opened, -1));
         return opened;
     }
 
-    private void markAs(boolean machine, Held held) {
-        if (machine != held.machine) {
-            count(held, -1);
-            held.machine = machine;
-            count(held, 1);
+    private void classify(boolean isMachine, ConnectionState state) {
+        if (isMachine != state.isMachine) {
+            count(state, -1);
+            state.isMachine = isMachine;
+            count(state, 1);
         }
     }
 
-    private void logChange(boolean over) {
-        if (over == full) {
+    private void logChange(boolean exceeded) {
+        if (exceeded == limitExceeded) {
             return;
         }
-        full = over;
+        limitExceeded = exceeded;
         LOG.debug(
-                "connections of machines {} (kept {}), of others {} (kept in all {})",
-                machines,
-                maxMachines,
-                others,
-                maxInAll);
+                "{} machine connections (limit {}), {} other connections (total limit {});"
+                        + " above a limit, connections are closed after the response",
+                machineConnections,
+                maxMachineConnections,
+                otherConnections,
+                maxConnections);
     }
 
-    private void count(Held held, int by) {
-        if (held.machine) {
-            machines += by;
+    private void count(ConnectionState state, int change) {
+        if (state.isMachine) {
+            machineConnections += change;
         } else {
-            others += by;
+            otherConnections += change;
         }
     }
 }
--- a/src/main/java/org/granitepath/transport/ConnectionPolicy.java
+++ b/src/main/java/org/granitepath/transport/ConnectionPolicy.java
@@ -1,9 +1,9 @@
 package org.granitepath.transport;
 
-/** What becomes of the connection after a call. */
+/** Whether the client keeps a connection open after a call. */
 public enum ConnectionPolicy {
-    /** It is kept for later calls to the same address. */
+    /** The client keeps the connection open for later calls to the same address. */
     KEEP_ALIVE,
-    /** It is closed: the next call to this address is far off. */
+    /** The client closes the connection, because the next call to the address is not expected soon. */
     CLOSE
 }
--- a/src/main/java/org/granitepath/transport/ConnectionPool.java
+++ b/src/main/java/org/granitepath/transport/ConnectionPool.java
@@ -15,8 +15,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * Opens connections to other programs and keeps some that are idle for later calls to the same address. ConnectionLimiter are
- * kept only to addresses of the settings, so addresses are never forgotten.
+ * Opens connections to other processes and keeps a few idle ones per address for reuse. Connections are kept only to
+ * addresses from the settings, so the pool never has to remove an address.
  */
 final class ConnectionPool {
     private static final int MAX_IDLE_PER_ADDRESS = 4;
@@ -24,7 +24,7 @@
 
     private final EventLoop loop;
     private final CancellableConnector connector;
-    /** By address; the one that was used last is first. */
+    /** Idle connections by address, the most recently used one first. */
     private final Map<String, ArrayDeque<ClientConnection>> idle = new HashMap<>();
 
     ConnectionPool(EventLoop loop) {
@@ -33,23 +33,25 @@
     }
 
     /**
-     * Opens a connection to this address.
+     * Opens a connection.
      *
-     * @return the attempt, by which the caller may give it up; null when it failed before it began
+     * @param address HOST:PORT
+     * @param onOpened takes the open connection or the error
+     * @return the connection attempt, with which the caller can cancel it; null if it failed before it started
      */
     @Nullable
-    IoFuture<StreamConnection> open(String address, ClientCallback<ClientConnection> opened) {
+    IoFuture<StreamConnection> open(String address, ClientCallback<ClientConnection> onOpened) {
         UndertowClient.getInstance()
-                .connect(opened, URI.create("http://" + address), connector, loop.buffers(), OPTIONS);
+                .connect(onOpened, URI.create("http://" + address), connector, loop.buffers(), OPTIONS);
         return connector.latestAttempt();
     }
 
-    /** A connection to this address that was kept and is still open; null: there is none. */
+    /** Removes and returns an idle connection to the address that is still open; null if there is none. */
     @Nullable
     ClientConnection takeIdle(String address) {
-        ArrayDeque<ClientConnection> kept = idle.get(address);
-        while (kept != null && !kept.isEmpty()) {
-            ClientConnection connection = kept.pop();
+        ArrayDeque<ClientConnection> idleConnections = idle.get(address);
+        while (idleConnections != null && !idleConnections.isEmpty()) {
+            ClientConnection connection = idleConnections.pop();
             if (connection.isOpen()) {
                 return connection;
             }
@@ -57,11 +59,11 @@
         return null;
     }
 
-    /** Keeps a connection that carries no request any more, or closes it when enough are kept. */
+    /** Puts an open connection that carries no request into the pool; closes it if the address has enough idle ones. */
     void keepIdle(String address, ClientConnection connection) {
-        ArrayDeque<ClientConnection> kept = idle.computeIfAbsent(address, unused -> new ArrayDeque<>());
-        if (connection.isOpen() && kept.size() < MAX_IDLE_PER_ADDRESS) {
-            kept.push(connection);
+        ArrayDeque<ClientConnection> idleConnections = idle.computeIfAbsent(address, unused -> new ArrayDeque<>());
+        if (connection.isOpen() && idleConnections.size() < MAX_IDLE_PER_ADDRESS) {
+            idleConnections.push(connection);
         } else {
             IoUtils.safeClose(connection);
         }
--- a/src/main/java/org/granitepath/transport/EventLoop.java
+++ b/src/main/java/org/granitepath/transport/EventLoop.java
@@ -14,12 +14,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * The one thread that owns all state: all I/O, timers and decisions run on it one after the other, so that none of them
- * needs a lock. It must never wait.
+ * The single thread that owns all state. All I/O, timers and scheduling decisions run on it one after the other, so
+ * none of them needs a lock. Code on the event loop must never block.
  */
 public final class EventLoop implements Timers {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    /** Buffers are outside the heap, for which deploy/service.toml sets a bound of its own. */
+    /** Buffers are allocated outside the heap; deploy/service.toml has a separate limit for that memory. */
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private static final int MAX_POOLED_BUFFERS = 256;
@@ -31,7 +31,7 @@
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
 
-    /** Starts the loop's thread. */
+    /** Creates the event loop and starts its thread. */
     public EventLoop() throws IOException {
         worker = Xnio.getInstance("nio", EventLoop.class.getClassLoader())
                 .createWorker(OptionMap.builder()
@@ -44,24 +44,24 @@
         buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_CACHED_BY_THREAD);
     }
 
-    /** The XNIO worker whose only I/O thread is the loop. */
+    /** Returns the XNIO worker whose only I/O thread is the event loop. */
     public XnioWorker worker() {
         return worker;
     }
 
-    /** The thread on which all events are handled. */
+    /** Returns the thread that handles all events. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** The buffers of all connections. */
+    /** Returns the buffer pool that all connections share. */
     public ByteBufferPool buffers() {
         return buffers;
     }
 
-    /** Runs on the event loop, soon, after what was handed over before. May be called on any thread. */
+    /** Queues an action to run on the event loop after all actions queued before it. Any thread may call this. */
     public void execute(Runnable action) {
-        thread.execute(guarded(action));
+        thread.execute(withErrorLogging(action));
     }
 
     @Override
@@ -79,17 +79,18 @@
         if (delayMicros <= 0) {
             execute(action);
         } else {
-            thread.executeAfter(guarded(action), Math.max(1, delayMicros / MICROS_PER_MILLI), TimeUnit.MILLISECONDS);
+            thread.executeAfter(
+                    withErrorLogging(action), Math.max(1, delayMicros / MICROS_PER_MILLI), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The action, of which a failure is logged and goes no further: one bad event must not end the loop. */
-    static Runnable guarded(Runnable action) {
+    /** Wraps an action so that its exceptions are logged and not thrown: one bad event must not end the event loop. */
+    static Runnable withErrorLogging(Runnable action) {
         return () -> {
             try {
                 action.run();
             } catch (RuntimeException e) {
-                LOG.error("an event could not be handled", e);
+                LOG.error("event handler failed; the event loop continues with the next event", e);
             }
         };
     }
--- a/src/main/java/org/granitepath/transport/HttpCall.java
+++ b/src/main/java/org/granitepath/transport/HttpCall.java
@@ -14,9 +14,9 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 
-/** One call, from its beginning to its end: an answer, a failure or a timeout, whichever comes first. */
+/** One HTTP call. It ends with a response, a failure or a timeout, whichever comes first. */
 final class HttpCall {
-    /** Named after the class that others call: operators know these lines by its name. */
+    /** Logs under the name of {@link HttpCalls}, by which operators identify these log lines. */
     private static final Logger LOG = LoggerFactory.getLogger(HttpCalls.class);
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -25,12 +25,16 @@
     private final ConnectionPool connections;
     private final OutgoingRequest request;
     private final Consumer<HttpResponse> then;
-    private @Nullable IoFuture<StreamConnection> connecting;
+    private @Nullable IoFuture<StreamConnection> connectionAttempt;
     private @Nullable ClientConnection connection;
-    private XnioExecutor.@Nullable Key deadline;
+    private XnioExecutor.@Nullable Key timeout;
     private boolean ended;
 
-    /** @param then takes the end of the call, once, on the event loop */
+    /**
+     * Creates a call.
+     *
+     * @param then takes the outcome of the call, exactly once, on the event loop
+     */
     HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpResponse> then) {
         this.loop = loop;
         this.connections = connections;
@@ -38,22 +42,22 @@
         this.then = then;
     }
 
-    /** Begins the call, which ends without an answer when none has come within this time. */
-    void begin(long timeoutMicros) {
-        deadline = loop.thread()
+    /** Starts the call. It ends without a response if none arrives within {@code timeoutMicros}. */
+    void start(long timeoutMicros) {
+        timeout = loop.thread()
                 .executeAfter(
-                        EventLoop.guarded(() -> fail("timed out")),
+                        EventLoop.withErrorLogging(() -> fail("timed out")),
                         timeoutMicros / MICROS_PER_MILLI,
                         TimeUnit.MILLISECONDS);
-        ClientConnection kept = request.sharesConnection() ? connections.takeIdle(request.address()) : null;
-        if (kept != null) {
-            send(kept);
+        ClientConnection idle = request.usesPooledConnection() ? connections.takeIdle(request.address()) : null;
+        if (idle != null) {
+            send(idle);
         } else {
-            connecting = connections.open(request.address(), step(this::connected));
+            connectionAttempt = connections.open(request.address(), failCallOnError(this::onConnected));
         }
     }
 
-    private void connected(ClientConnection opened) {
+    private void onConnected(ClientConnection opened) {
         if (ended) {
             IoUtils.safeClose(opened);
         } else {
@@ -63,22 +67,22 @@
 
     private void send(ClientConnection open) {
         connection = open;
-        open.sendRequest(request.toClientRequest(), step(this::sent));
+        open.sendRequest(request.toClientRequest(), failCallOnError(this::onRequestSent));
     }
 
-    /** The head of the request is under way: its body follows, and an answer may come from now on. */
-    private void sent(ClientExchange exchange) {
-        exchange.setResponseListener(step(this::read));
+    /** Sends the body after the head of the request. From now on, the response may arrive. */
+    private void onRequestSent(ClientExchange exchange) {
+        exchange.setResponseListener(failCallOnError(this::readResponse));
         byte[] body = request.body();
         if (body != null) {
-            new RequestBodyWriter(body).begin(exchange.getRequestChannel());
+            new RequestBodyWriter(body).start(exchange.getRequestChannel());
         }
     }
 
-    private void read(ClientExchange exchange) {
+    private void readResponse(ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
         new ResponseBodyReader(loop.buffers(), body -> succeed(status, body), this::fail)
-                .begin(exchange.getResponseChannel());
+                .start(exchange.getResponseChannel());
     }
 
     private void succeed(int status, byte[] body) {
@@ -87,7 +91,7 @@
         }
         end();
         releaseConnection();
-        answer(HttpResponse.of(status, body));
+        deliver(HttpResponse.of(status, body));
     }
 
     private void fail(IOException cause) {
@@ -99,37 +103,37 @@
             return;
         }
         end();
-        LOG.debug("{}: {}", request, why);
+        LOG.debug("{}: call failed: {}", request, why);
         IoUtils.safeClose(connection);
-        if (connecting != null) {
-            connecting.cancel();
+        if (connectionAttempt != null) {
+            connectionAttempt.cancel();
         }
-        answer(HttpResponse.NONE);
+        deliver(HttpResponse.NONE);
     }
 
     private void end() {
         ended = true;
-        if (deadline != null) {
-            deadline.remove();
+        if (timeout != null) {
+            timeout.remove();
         }
     }
 
     private void releaseConnection() {
         ClientConnection used = connection;
-        if (request.sharesConnection() && used != null && used.isOpen()) {
-            // Only after the exchange has been closed by the client may the connection take the next request.
+        if (request.usesPooledConnection() && used != null && used.isOpen()) {
+            // The connection can carry the next request only after Undertow's client has closed this exchange.
             loop.execute(() -> connections.keepIdle(request.address(), used));
         } else {
             IoUtils.safeClose(used);
         }
     }
 
-    private void answer(HttpResponse answer) {
-        EventLoop.guarded(() -> then.accept(answer)).run();
+    private void deliver(HttpResponse response) {
+        EventLoop.withErrorLogging(() -> then.accept(response)).run();
     }
 
-    /** A step of the call, whose failure is that of the call. */
-    private <T> ClientCallback<T> step(Consumer<T> next) {
+    /** Returns a callback that runs {@code next}; an I/O error fails the call. */
+    private <T> ClientCallback<T> failCallOnError(Consumer<T> next) {
         return new ClientCallback<>() {
             @Override
             public void completed(T result) {
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -3,14 +3,14 @@
 import java.util.function.Consumer;
 
 /**
- * Outgoing HTTP requests, one at a time on a connection; each ends with an answer or, in time, without one. Calls are
- * begun and answered on the event loop.
+ * HTTP client of the event loop. A connection carries one request at a time. Each call ends with a response or, at the
+ * latest after its timeout, without one. Calls are started and completed on the event loop.
  */
 public final class HttpCalls {
     private final EventLoop loop;
     private final ConnectionPool connections;
 
-    /** Makes calls on this event loop. */
+    /** Creates a client that uses {@code loop}. */
     public HttpCalls(EventLoop loop) {
         this.loop = loop;
         this.connections = new ConnectionPool(loop);
@@ -19,10 +19,11 @@
     /**
      * Sends a request.
      *
-     * @param timeoutMicros the time from now until the call ends without an answer
-     * @param then takes the end of the call, exactly once
+     * @param request the request to send
+     * @param timeoutMicros the time in microseconds after which the call ends without a response
+     * @param then takes the outcome of the call, exactly once
      */
     public void call(OutgoingRequest request, long timeoutMicros, Consumer<HttpResponse> then) {
-        new HttpCall(loop, connections, request, then).begin(timeoutMicros);
+        new HttpCall(loop, connections, request, then).start(timeoutMicros);
     }
 }
--- a/src/main/java/org/granitepath/transport/HttpListener.java
+++ b/src/main/java/org/granitepath/transport/HttpListener.java
@@ -7,19 +7,24 @@
 import java.util.function.Consumer;
 import org.xnio.Options;
 
-/** Opens the listening sockets of a controller, with the bounds that hold for all who call it. */
+/** Opens the listening sockets of a controller, with the same size and time limits for all clients. */
 final class HttpListener {
     private static final long MAX_BODY_BYTES = 64 * 1024;
     private static final int PARSE_TIMEOUT_MILLIS = 10_000;
-    /** A machine that is gone closes nothing: what is silent for longer than any lease or poll is closed from here. */
+    /**
+     * A machine that is gone does not close its connections, so the server closes connections that are idle for longer
+     * than any lease or polling interval.
+     */
     private static final int IDLE_TIMEOUT_MILLIS = 40_000;
 
     private HttpListener() {}
 
     /**
-     * Begins to listen; requests are handled on the event loop, and a failure of one is logged and ends nothing else.
+     * Opens a listening socket. Requests are handled on the event loop. If a handler fails, the error is logged and
+     * other requests are not affected.
      *
-     * @param backlog how many connections may wait to be accepted
+     * @param backlog the maximum number of connections that wait to be accepted
+     * @param handler handles each request
      */
     static Undertow listen(EventLoop loop, Address address, int backlog, Consumer<HttpServerExchange> handler) {
         Undertow server = Undertow.builder()
@@ -33,7 +38,7 @@
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, false)
                 .addHttpListener(address.port(), address.host())
                 .setHandler(exchange -> exchange.dispatch(
-                        SameThreadExecutor.INSTANCE, EventLoop.guarded(() -> handler.accept(exchange))))
+                        SameThreadExecutor.INSTANCE, EventLoop.withErrorLogging(() -> handler.accept(exchange))))
                 .build();
         server.start();
         return server;
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -9,27 +9,27 @@
 import org.granitepath.storage.KeyValueStore;
 import org.jspecify.annotations.Nullable;
 
-/** The store over HTTP. */
+/** Client of the key-value store's HTTP API. */
 public final class KeyValueStoreClient implements KeyValueStore {
     private static final long TIMEOUT_MICROS = 2_000_000;
-    /** A renewal must have ended in time for another before the lease expires. */
+    /** A renewal must end early enough for another attempt before the lease expires. */
     private static final long RENEWAL_TIMEOUT_MICROS = TIMEOUT_MICROS / 2;
 
     private static final long MICROS_PER_MILLI = 1000;
-    private static final String NO_PARAMETERS = "{}";
+    private static final String EMPTY_OBJECT = "{}";
 
     private final JsonClient store;
 
-    /** Calls the store at this address. */
+    /** Creates a client of the store at {@code address}, given as HOST:PORT. */
     public KeyValueStoreClient(HttpCalls http, String address) {
         this.store = new JsonClient(http, address, ConnectionPolicy.KEEP_ALIVE, TIMEOUT_MICROS);
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<Committed> then) {
-        store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), answer -> {
-            Map<String, Object> body = answer.json();
-            Outcome outcome = outcome(answer.status(), body);
+        store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), response -> {
+            Map<String, Object> body = response.json();
+            Outcome outcome = outcome(response.status(), body);
             then.accept(
                     body == null
                             ? new Committed(outcome, 0, List.of())
@@ -40,7 +40,7 @@
     @Override
     public void list(String prefix, String from, int limit, Consumer<Page> then) {
         String path = "/keys?prefix=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&most=" + limit;
-        store.get(path, answer -> then.accept(page(answer, KeyValueStoreCodec::decodeList)));
+        store.get(path, response -> then.accept(page(response, KeyValueStoreCodec::decodeList)));
     }
 
     @Override
@@ -49,15 +49,15 @@
         store.get(
                 path,
                 waitMicros + TIMEOUT_MICROS,
-                answer -> then.accept(page(answer, KeyValueStoreCodec::decodeEvents)));
+                response -> then.accept(page(response, KeyValueStoreCodec::decodeEvents)));
     }
 
     @Override
     public void openLease(long lifeMicros, Consumer<Leased> then) {
-        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), answer -> {
-            Map<String, Object> body = answer.json();
+        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), response -> {
+            Map<String, Object> body = response.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
-            then.accept(new Leased(outcome(answer.status(), body), lease));
+            then.accept(new Leased(outcome(response.status(), body), lease));
         });
     }
 
@@ -65,20 +65,24 @@
     public void renewLease(long lease, Consumer<Outcome> then) {
         store.post(
                 "/leases/" + lease + "/touch",
-                NO_PARAMETERS,
+                EMPTY_OBJECT,
                 RENEWAL_TIMEOUT_MICROS,
-                // The status says all: the body is not looked at.
-                answer -> then.accept(outcome(answer.status(), Map.of())));
+                // The status determines the outcome; the body is ignored.
+                response -> then.accept(outcome(response.status(), Map.of())));
     }
 
-    private static Page page(HttpResponse answer, Function<Map<String, Object>, Page> decoder) {
-        Map<String, Object> body = answer.json();
-        return answer.isOk() && body != null
+    private static Page page(HttpResponse response, Function<Map<String, Object>, Page> decoder) {
+        Map<String, Object> body = response.json();
+        return response.isOk() && body != null
                 ? decoder.apply(body)
-                : new Page(outcome(answer.status(), body), List.of(), false, 0);
+                : new Page(outcome(response.status(), body), List.of(), false, 0);
     }
 
-    /** @param body null when there was none or it is no JSON object: then nothing is known of a success */
+    /**
+     * Returns the outcome of a request.
+     *
+     * @param body null if there was none or it is not a JSON object; the outcome of a successful status is then unknown
+     */
     private static Outcome outcome(int status, @Nullable Map<String, Object> body) {
         return switch (status) {
             case HttpStatus.NO_RESPONSE -> Outcome.UNKNOWN;
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -18,46 +18,63 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts and latencies of the requests served. The registry is made when first asked for: starts stay short. */
+/** Counts and latencies of the requests served. The registry is created on first use, which keeps startup short. */
 final class Metrics {
     private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
-    private static final long LONGEST_MICROS = 60_000_000;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
     private static final int SIGNIFICANT_DIGITS = 2;
     private static final double[] PERCENTILES = {50, 90, 99, 100};
 
-    private final ConnectionLimiter connections;
+    private final ConnectionLimiter connectionLimiter;
     private final Supplier<RecoveryStatus> recovery;
     private final Map<String, Histogram> latencies = new TreeMap<>();
-    /** Counts by kind of request and status, with a space between. */
-    private final Object2LongOpenHashMap<String> answers = new Object2LongOpenHashMap<>();
+    /** Response counts. A key is the kind of request and the status, separated by a space. */
+    private final Object2LongOpenHashMap<String> responseCounts = new Object2LongOpenHashMap<>();
 
     private long unreadableHeartbeats;
-    /** Null until the metrics are first asked for. */
+    /** Null until the metrics are first requested. */
     private @Nullable SimpleMeterRegistry registry;
 
-    /** Shows these connections and this state of the recovery beside what it is told. */
-    Metrics(ConnectionLimiter connections, Supplier<RecoveryStatus> recovery) {
-        this.connections = connections;
+    /**
+     * Creates the metrics.
+     *
+     * @param connectionLimiter source of the connection counts
+     * @param recovery source of the recovery status, read on each request for the metrics
+     */
+    Metrics(ConnectionLimiter connectionLimiter, Supplier<RecoveryStatus> recovery) {
+        this.connectionLimiter = connectionLimiter;
         this.recovery = recovery;
     }
 
-    /** A heartbeat that can't be read came from this address. Such heartbeats may come without end: few are logged. */
+    /**
+     * Counts an unreadable heartbeat from {@code address}. A worker may send such heartbeats indefinitely, so only
+     * every count that is a power of two is logged.
+     */
     void recordUnreadableHeartbeat(String address) {
         unreadableHeartbeats++;
         if (Long.bitCount(unreadableHeartbeats) == 1) {
-            LOG.warn("a heartbeat from {} can't be read ({} such heartbeats so far)", address, unreadableHeartbeats);
+            LOG.warn(
+                    "{}: unreadable heartbeat rejected; {} unreadable heartbeats so far",
+                    address,
+                    unreadableHeartbeats);
         }
     }
 
-    /** Counts a request of this kind that was answered. */
-    void recordRequest(String request, int status, long micros) {
+    /**
+     * Records a request that was answered.
+     *
+     * @param request the kind of request
+     * @param status the HTTP status of the response
+     * @param latencyMicros the latency in microseconds; values out of range count as the nearest value in range
+     */
+    void recordRequest(String request, int status, long latencyMicros) {
         latencies
-                .computeIfAbsent(request, unused -> new Histogram(LONGEST_MICROS, SIGNIFICANT_DIGITS))
-                .recordValue(Math.max(0, Math.min(micros, LONGEST_MICROS)));
-        answers.addTo(request + " " + status, 1);
+                .computeIfAbsent(request, unused -> new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS))
+                .recordValue(Math.max(0, Math.min(latencyMicros, MAX_LATENCY_MICROS)));
+        responseCounts.addTo(request + " " + status, 1);
     }
 
-    /** The phase is a set of gauges of which the present one is 1; all are 0 while this controller has no term. */
+    /** Each phase has a gauge. The one of the current phase is 1; all are 0 while this controller has no term. */
     private void registerRecovery(MeterRegistry meters) {
         for (RecoveryPhase phase : RecoveryPhase.values()) {
             Gauge.builder(
@@ -87,12 +104,13 @@
         }
     }
 
-    /** One line a meter: name, tags, value. */
+    /** Returns all metrics as text, one meter on each line: name, tags, value. */
     String text() {
         MeterRegistry meters = registry();
-        // Requests of a kind may have come for the first time since: what is registered already stays as it is.
+        // New kinds of requests may have arrived since the last call. Registering an existing meter again has no
+        // effect.
         registerLatencies(meters);
-        registerAnswers(meters);
+        registerResponseCounts(meters);
         StringBuilder text = new StringBuilder();
         for (Meter meter : meters.getMeters()) {
             text.append(meter.getId().getName()).append(meter.getId().getTags()).append(' ');
@@ -114,10 +132,10 @@
     private void registerConnections(MeterRegistry meters) {
         Gauge.builder("granitepath.reports.unreadable", this, metrics -> metrics.unreadableHeartbeats)
                 .register(meters);
-        Gauge.builder("granitepath.connections", connections, ConnectionLimiter::machines)
+        Gauge.builder("granitepath.connections", connectionLimiter, ConnectionLimiter::machineConnections)
                 .tags("of", "machines")
                 .register(meters);
-        Gauge.builder("granitepath.connections", connections, ConnectionLimiter::others)
+        Gauge.builder("granitepath.connections", connectionLimiter, ConnectionLimiter::otherConnections)
                 .tags("of", "others")
                 .register(meters);
     }
@@ -135,10 +153,10 @@
         }
     }
 
-    private void registerAnswers(MeterRegistry meters) {
-        for (String key : answers.keySet()) {
+    private void registerResponseCounts(MeterRegistry meters) {
+        for (String key : responseCounts.keySet()) {
             int space = key.lastIndexOf(' ');
-            Gauge.builder("granitepath.request.answers", answers, counts -> counts.getLong(key))
+            Gauge.builder("granitepath.request.answers", responseCounts, counts -> counts.getLong(key))
                     .tags(Tags.of("request", key.substring(0, space), "status", key.substring(space + 1)))
                     .register(meters);
         }
--- a/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
+++ b/src/main/java/org/granitepath/transport/OpenTelemetryRecoveryTracer.java
@@ -12,9 +12,9 @@
 import org.granitepath.recovery.RecoveryTracer;
 
 /**
- * A recovery as spans: one for the term, and under it one for each phase and each machine unconfirmed. The term's span
- * ends with the recovery or, if that is sooner, with the term. Where spans go is decided by whoever provides the SDK;
- * without one nothing is recorded.
+ * Records a recovery as OpenTelemetry spans: one for the term, with a child span for each phase and for each
+ * unconfirmed machine. The span of the term ends with the recovery or with the term, whichever is first. The SDK that
+ * is provided at run time decides where spans are exported; without an SDK nothing is recorded.
  */
 public final class OpenTelemetryRecoveryTracer implements RecoveryTracer {
     private static final AttributeKey<Long> FENCING_TOKEN = AttributeKey.longKey("granitepath.fencing_token");
@@ -23,19 +23,19 @@
     private static final AttributeKey<String> PROOF = AttributeKey.stringKey("granitepath.proof");
 
     private final Tracer tracer;
-    private final Map<String, Span> machines = new HashMap<>();
-    private Span term = Span.getInvalid();
-    private Span phase = Span.getInvalid();
+    private final Map<String, Span> machineSpans = new HashMap<>();
+    private Span termSpan = Span.getInvalid();
+    private Span phaseSpan = Span.getInvalid();
 
-    /** Records through this instance. */
+    /** Creates a tracer that records spans through {@code openTelemetry}. */
     public OpenTelemetryRecoveryTracer(OpenTelemetry openTelemetry) {
         this.tracer = openTelemetry.getTracer("org.granitepath.recovery");
     }
 
     @Override
     public void onTermBegan(long fencingToken) {
-        end();
-        term = tracer.spanBuilder("recovery")
+        endAllSpans();
+        termSpan = tracer.spanBuilder("recovery")
                 .setNoParent()
                 .setAttribute(FENCING_TOKEN, fencingToken)
                 .startSpan();
@@ -43,25 +43,25 @@
 
     @Override
     public void onPhaseEntered(RecoveryPhase next, String reason) {
-        phase.end();
+        phaseSpan.end();
         if (next == RecoveryPhase.RECOVERED) {
-            end();
+            endAllSpans();
             return;
         }
-        phase = child(RecoveryLabels.of(next));
-        phase.setAttribute(REASON, reason);
+        phaseSpan = startChild(RecoveryLabels.of(next));
+        phaseSpan.setAttribute(REASON, reason);
     }
 
     @Override
     public void onMachineAwaited(String machine) {
-        Span span = child("machine in doubt");
+        Span span = startChild("machine in doubt");
         span.setAttribute(MACHINE, machine);
-        machines.put(machine, span);
+        machineSpans.put(machine, span);
     }
 
     @Override
     public void onMachineResolved(String machine, String proof) {
-        Span span = machines.remove(machine);
+        Span span = machineSpans.remove(machine);
         if (span != null) {
             span.setAttribute(PROOF, proof);
             span.end();
@@ -70,17 +70,17 @@
 
     @Override
     public void onTermEnded() {
-        end();
+        endAllSpans();
     }
 
-    private Span child(String name) {
-        return tracer.spanBuilder(name).setParent(Context.root().with(term)).startSpan();
+    private Span startChild(String name) {
+        return tracer.spanBuilder(name).setParent(Context.root().with(termSpan)).startSpan();
     }
 
-    private void end() {
-        machines.values().forEach(Span::end);
-        machines.clear();
-        phase.end();
-        term.end();
+    private void endAllSpans() {
+        machineSpans.values().forEach(Span::end);
+        machineSpans.clear();
+        phaseSpan.end();
+        termSpan.end();
     }
 }
--- a/src/main/java/org/granitepath/transport/OutgoingRequest.java
+++ b/src/main/java/org/granitepath/transport/OutgoingRequest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.jspecify.annotations.Nullable;
 
-/** A request to another program, and what becomes of its connection. It does not change once it is made. */
+/** An HTTP request to another process, with the policy for its connection. Immutable. */
 public final class OutgoingRequest {
     private static final String JSON_TYPE = "application/json";
 
@@ -34,41 +34,43 @@
     }
 
     /**
-     * A request without a body.
+     * Creates a GET request without a body.
      *
-     * @param address HOST:PORT of the program that is asked
-     * @param path the path with its query, encoded as it is to be sent
+     * @param address HOST:PORT of the server
+     * @param path the path with its query, already encoded
      */
     public static OutgoingRequest get(String address, String path, ConnectionPolicy connectionPolicy) {
         return new OutgoingRequest(address, Methods.GET, path, connectionPolicy, JSON_TYPE, null);
     }
 
-    /** A request with a JSON text for its body. */
+    /** Creates a POST request whose body is JSON text. */
     public static OutgoingRequest postJson(
             String address, String path, String json, ConnectionPolicy connectionPolicy) {
         return post(address, path, JSON_TYPE, json.getBytes(StandardCharsets.UTF_8), connectionPolicy);
     }
 
-    /** A request with a body of any type. The array is not copied: the caller leaves it alone from here on. */
+    /** Creates a POST request with a body of any type. The array is not copied, so the caller must not change it. */
     static OutgoingRequest post(
             String address, String path, String contentType, byte[] body, ConnectionPolicy connectionPolicy) {
         return new OutgoingRequest(address, Methods.POST, path, connectionPolicy, contentType, body);
     }
 
+    /** Returns HOST:PORT of the server. */
     String address() {
         return address;
     }
 
-    /** Whether the connection is kept for later calls to the address, and may be one that an earlier call left. */
-    boolean sharesConnection() {
+    /** Returns whether the request may use a pooled connection and returns its connection to the pool. */
+    boolean usesPooledConnection() {
         return connectionPolicy == ConnectionPolicy.KEEP_ALIVE;
     }
 
+    /** Returns the body; null if there is none. */
     byte @Nullable [] body() {
         return body;
     }
 
-    /** The request as Undertow's client sends it; the body is written apart. */
+    /** Returns the head of the request for Undertow's client. The caller writes the body separately. */
     ClientRequest toClientRequest() {
         ClientRequest request = new ClientRequest().setMethod(method).setPath(path);
         request.getRequestHeaders().put(Headers.HOST, address);
@@ -82,7 +84,7 @@
         return request;
     }
 
-    /** Method, address and path, for the log. */
+    /** Returns method, address and path, for log lines. */
     @Override
     public String toString() {
         return method + " " + address + path;
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -7,7 +7,7 @@
 import org.granitepath.protocol.PeerCodec;
 import org.jspecify.annotations.Nullable;
 
-/** The other controllers over HTTP, each at its peer address. */
+/** HTTP client of the other controllers' peer interfaces. */
 public final class PeerClient implements PeerPort {
     static final String STATUS_PATH = "/greeting";
     static final String CANCELLATION_PATH = "/cancelled";
@@ -17,30 +17,35 @@
     private final HttpCalls http;
     private final Map<String, String> addresses;
 
-    /** Calls the other controllers, each at its address. */
+    /**
+     * Creates a client.
+     *
+     * @param addresses HOST:PORT of each other controller's peer interface, by node name
+     */
     public PeerClient(HttpCalls http, Map<String, String> addresses) {
         this.http = http;
         this.addresses = addresses;
     }
 
     @Override
-    public void exchangeStatus(String peer, PeerStatus ours, Consumer<PeerStatus> then) {
-        post(peer, STATUS_PATH, PeerCodec.encode(ours), answer -> then.accept(status(answer)));
+    public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {
+        post(peer, STATUS_PATH, PeerCodec.encode(ownStatus), response -> then.accept(decodeStatus(response)));
     }
 
-    private static @Nullable PeerStatus status(HttpResponse answer) {
-        byte[] body = answer.body();
-        return answer.isOk() && body != null ? PeerCodec.decodeStatus(body) : null;
+    private static @Nullable PeerStatus decodeStatus(HttpResponse response) {
+        byte[] body = response.body();
+        return response.isOk() && body != null ? PeerCodec.decodeStatus(body) : null;
     }
 
     @Override
     public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
-        post(peer, CANCELLATION_PATH, PeerCodec.encode(notice), answer -> then.accept(answer.isOk()));
+        post(peer, CANCELLATION_PATH, PeerCodec.encode(notice), response -> then.accept(response.isOk()));
     }
 
     private void post(String peer, String path, byte[] message, Consumer<HttpResponse> then) {
-        // Peers are those of the settings, which have an address for each.
-        String address = Objects.requireNonNull(addresses.get(peer), () -> "no address of peer " + peer);
+        // Peers come from the settings, which have an address for each of them.
+        String address =
+                Objects.requireNonNull(addresses.get(peer), () -> "no address in the settings for peer " + peer);
         http.call(
                 OutgoingRequest.post(address, path, CONTENT_TYPE, message, ConnectionPolicy.KEEP_ALIVE),
                 TIMEOUT_MICROS,
--- a/src/main/java/org/granitepath/transport/PeerServer.java
+++ b/src/main/java/org/granitepath/transport/PeerServer.java
@@ -9,7 +9,7 @@
 import org.granitepath.protocol.PeerCodec;
 import org.granitepath.protocol.RecoveryStatusCodec;
 
-/** The peer interface: what the other controllers and the operators talk to. */
+/** HTTP server of the peer interface, which the other controllers and the operators use. */
 final class PeerServer {
     private static final String METRICS_PATH = "/metrics";
     private static final String RECOVERY_PATH = "/recovery";
@@ -24,7 +24,7 @@
         this.metrics = metrics;
     }
 
-    /** Answers a request; runs on the event loop. */
+    /** Handles a request. Must be called on the event loop. */
     void route(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
             case METRICS_PATH -> send(exchange, TEXT, metrics.text());
@@ -42,13 +42,13 @@
     }
 
     private void exchangeStatus(HttpServerExchange exchange, byte[] bytes) {
-        PeerPort.PeerStatus theirs = PeerCodec.decodeStatus(bytes);
-        if (theirs == null) {
+        PeerPort.PeerStatus peerStatus = PeerCodec.decodeStatus(bytes);
+        if (peerStatus == null) {
             exchange.setStatusCode(HttpStatus.BAD_REQUEST).endExchange();
             return;
         }
-        byte[] ours = PeerCodec.encode(controller.handlePeerStatus(theirs));
-        exchange.getResponseSender().send(ByteBuffer.wrap(ours));
+        byte[] ownStatus = PeerCodec.encode(controller.handlePeerStatus(peerStatus));
+        exchange.getResponseSender().send(ByteBuffer.wrap(ownStatus));
     }
 
     private void receiveCancellation(HttpServerExchange exchange, byte[] bytes) {
--- a/src/main/java/org/granitepath/transport/RequestBodyWriter.java
+++ b/src/main/java/org/granitepath/transport/RequestBodyWriter.java
@@ -8,19 +8,19 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes a request body and ends it. A failure closes the channel and is told to nobody: the call finds its connection
- * closed, or its deadline ends it.
+ * Writes the body of an HTTP request to a channel and ends the request. On a failure, it closes the channel and reports
+ * nothing: the call then fails because its connection is closed or because its timeout expires.
  */
 final class RequestBodyWriter implements ChannelListener<StreamSinkChannel> {
     private final ByteBuffer unwritten;
 
-    /** The array is not copied. */
+    /** Creates a writer for the body. The array is not copied, so the caller must not change it. */
     RequestBodyWriter(byte[] body) {
         this.unwritten = ByteBuffer.wrap(body);
     }
 
-    /** Writes what the channel takes, and the rest as it takes more. */
-    void begin(StreamSinkChannel channel) {
+    /** Writes as much as the channel accepts and continues whenever it accepts more. */
+    void start(StreamSinkChannel channel) {
         handleEvent(channel);
     }
 
@@ -28,7 +28,7 @@
     public void handleEvent(StreamSinkChannel channel) {
         try {
             if (writeAll(channel)) {
-                end(channel);
+                finish(channel);
             } else {
                 channel.getWriteSetter().set(this);
                 channel.resumeWrites();
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Writes until all is written or the channel takes no more; whether all is. */
+    /** Writes until the body is complete or the channel accepts no more. Returns whether the body is complete. */
     private boolean writeAll(StreamSinkChannel channel) throws IOException {
         while (unwritten.hasRemaining()) {
             if (channel.write(unwritten) == 0) {
@@ -48,7 +48,7 @@
         return true;
     }
 
-    private static void end(StreamSinkChannel channel) throws IOException {
+    private static void finish(StreamSinkChannel channel) throws IOException {
         channel.shutdownWrites();
         if (!channel.flush()) {
             channel.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, null));
--- a/src/main/java/org/granitepath/transport/ResponseBodyReader.java
+++ b/src/main/java/org/granitepath/transport/ResponseBodyReader.java
@@ -10,27 +10,33 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads a response body to its end, up to a bound. */
+/** Reads the body of an HTTP response from a channel, up to {@link #MAX_BODY_BYTES}. */
 final class ResponseBodyReader implements ChannelListener<StreamSourceChannel> {
-    /** A controller has a heap of 64 MiB: an answer without end must not fill it. */
+    /** Bounds the memory that one response can take: the heap of a controller is 64 MiB. */
     static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
     private static final int END_OF_BODY = -1;
 
     private final ByteBufferPool pool;
-    private final Consumer<byte[]> done;
-    private final Consumer<IOException> failed;
+    private final Consumer<byte[]> onBody;
+    private final Consumer<IOException> onFailure;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-    /** Tells the whole body, or why it can't be had; either closes the channel first. */
-    ResponseBodyReader(ByteBufferPool pool, Consumer<byte[]> done, Consumer<IOException> failed) {
+    /**
+     * Creates a reader. It closes the channel before it calls one of the callbacks.
+     *
+     * @param pool the buffers to read into
+     * @param onBody takes the complete body
+     * @param onFailure takes the error if the body cannot be read or is too long
+     */
+    ResponseBodyReader(ByteBufferPool pool, Consumer<byte[]> onBody, Consumer<IOException> onFailure) {
         this.pool = pool;
-        this.done = done;
-        this.failed = failed;
+        this.onBody = onBody;
+        this.onFailure = onFailure;
     }
 
-    /** Reads what is there, and the rest as it comes. */
-    void begin(StreamSourceChannel channel) {
+    /** Reads the available part of the body and continues whenever more arrives. */
+    void start(StreamSourceChannel channel) {
         channel.getReadSetter().set(this);
         handleEvent(channel);
     }
@@ -40,17 +46,17 @@
         try (PooledByteBuffer pooled = pool.allocate()) {
             if (readAvailable(channel, pooled.getBuffer()) == END_OF_BODY) {
                 IoUtils.safeClose(channel);
-                done.accept(body.toByteArray());
+                onBody.accept(body.toByteArray());
             } else {
                 channel.resumeReads();
             }
         } catch (IOException e) {
             IoUtils.safeClose(channel);
-            failed.accept(e);
+            onFailure.accept(e);
         }
     }
 
-    /** Reads until nothing is there; returns the channel's last word, 0 or {@link #END_OF_BODY}. */
+    /** Reads until the channel has no more data. Returns 0 if more may arrive, {@link #END_OF_BODY} at the end. */
     private int readAvailable(StreamSourceChannel channel, ByteBuffer buffer) throws IOException {
         while (true) {
             buffer.clear();
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -7,14 +7,14 @@
 import org.granitepath.protocol.HttpStatus;
 import org.granitepath.protocol.WorkerCodec;
 
-/** Direct calls to workers over HTTP. */
+/** HTTP client of the workers, for commands that a controller sends outside the responses to heartbeats. */
 public final class WorkerClient implements WorkerPort {
     private static final String COMMANDS_PATH = "/orders";
     private static final long TIMEOUT_MICROS = 2_000_000;
 
     private final HttpCalls http;
 
-    /** Calls workers through {@code http}. */
+    /** Creates a client that calls workers through {@code http}. */
     public WorkerClient(HttpCalls http) {
         this.http = http;
     }
@@ -27,13 +27,13 @@
                 COMMANDS_PATH,
                 WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands),
                 ConnectionPolicy.CLOSE);
-        http.call(request, TIMEOUT_MICROS, answer -> then.accept(reply(answer)));
+        http.call(request, TIMEOUT_MICROS, response -> then.accept(toReply(response)));
     }
 
-    /** A worker that refuses, as it has another fencing token or agent epoch, tells its state all the same. */
-    private static Reply reply(HttpResponse answer) {
-        String text = answer.text();
-        boolean hasHeartbeat = answer.isOk() || answer.status() == HttpStatus.CONFLICT;
-        return new Reply(answer.isOk(), hasHeartbeat && text != null ? WorkerCodec.decodeHeartbeat(text) : null);
+    /** A worker that rejects commands because its fencing token or agent epoch differs still returns its state. */
+    private static Reply toReply(HttpResponse response) {
+        String text = response.text();
+        boolean hasHeartbeat = response.isOk() || response.status() == HttpStatus.CONFLICT;
+        return new Reply(response.isOk(), hasHeartbeat && text != null ? WorkerCodec.decodeHeartbeat(text) : null);
     }
 }
--- a/src/main/java/org/granitepath/transport/package-info.java
+++ b/src/main/java/org/granitepath/transport/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Servers, clients and timers on one XNIO I/O thread, which is the {@code EventLoop}.
+ * HTTP servers, HTTP clients and timers, all on one XNIO I/O thread, the {@code EventLoop}.
  *
- * <p>In: {@code HttpServers} starts {@code ApiServer} and {@code PeerServer}, each behind an {@code HttpListener}.
- * Out: a client of each other program turns calls of the decision code into an {@code OutgoingRequest}, which
- * {@code HttpCalls} answers with an {@code HttpResponse}.
+ * <p>Inbound: {@code HttpServers} starts {@code ApiServer} and {@code PeerServer}, each behind an {@code HttpListener}.
+ * Outbound: the client of each other process turns calls of the decision code into an {@code OutgoingRequest}, and
+ * {@code HttpCalls} returns an {@code HttpResponse}.
  */
 package org.granitepath.transport;
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Settings files as the commands read them, and the status with which the program ends. */
+/** Validation of the settings files and the exit status of the commands. */
 class MainTest {
     @TempDir
     Path dir;
@@ -29,21 +29,21 @@
         return Settings.read(file("platform.toml", toml), null, false);
     }
 
-    /** What the operator is told of settings that can't be used, which must be one line. */
-    private static String refusal(Path toml, @Nullable Path yaml, boolean liveFirst) {
+    /** Returns the error message for invalid settings, which must be a single line. */
+    private static String errorMessage(Path toml, @Nullable Path yaml, boolean liveFirst) {
         InvalidSettingException thrown =
                 assertThrows(InvalidSettingException.class, () -> Settings.read(toml, yaml, liveFirst));
         assertFalse(thrown.getMessage().contains("\n"), thrown.getMessage());
         return thrown.getMessage();
     }
 
-    private void assertRefusedWith(String named, String toml) throws IOException {
-        String refusal = refusal(file("bad.toml", toml), null, false);
-        assertTrue(refusal.contains(named), refusal);
+    private void assertErrorNames(String named, String toml) throws IOException {
+        String message = errorMessage(file("bad.toml", toml), null, false);
+        assertTrue(message.contains(named), message);
     }
 
     @Test
-    void goodSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
+    void validSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
         Settings settings = read(SettingsFixture.VALID_TOML);
         assertEquals(12_500, settings.config().teams().get("t").cpuLimitMillis());
         assertEquals(1.5, settings.config().objectives().get("c").deadlineFactor());
@@ -60,11 +60,11 @@
                 "facts.workers.gang_peer_s | cancel_s = 30.0 | `cancel_s = 30.0\ngang_peer_s = \"5\"`",
                 "facts.state.next | txn_ops = 8 | `txn_ops = 8\nnext = 3`"
             })
-    void aSettingOfTheWrongKindOrRangeIsNamed(String named, String good, String bad) throws IOException {
-        assertRefusedWith(named, SettingsFixture.validWith(good, bad));
+    void errorNamesASettingOfTheWrongTypeOrRange(String named, String good, String bad) throws IOException {
+        assertErrorNames(named, SettingsFixture.validWith(good, bad));
     }
 
-    /** Under these no rule could be kept, whatever the service does. */
+    /** With these settings no controller could meet the time limits or the guarantees. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -75,48 +75,46 @@
                 "team t | cpus_max = 12.5 | `cpus = 13.0\ncpus_max = 12.5`",
                 "team t | cpus_max = 12.5 | cpus_max = -1.0"
             })
-    void impossibleTimesAndTeamsAreNamed(String named, String good, String bad) throws IOException {
-        assertRefusedWith(named, SettingsFixture.validWith(good, bad));
+    void errorNamesContradictoryTimesAndTeams(String named, String good, String bad) throws IOException {
+        assertErrorNames(named, SettingsFixture.validWith(good, bad));
     }
 
     @Test
-    void tooFewConnectionsAreNamed() throws IOException {
-        assertRefusedWith(
+    void errorNamesTooFewConnections() throws IOException {
+        assertErrorNames(
                 "facts.resources.max_connections",
                 SettingsFixture.VALID_TOML + "[facts.resources]\nmax_connections = 0\n");
     }
 
     @Test
-    void leastTimesAreAccepted() throws Exception {
+    void smallestValidCancellationTimeIsAccepted() throws Exception {
         Settings settings = read(SettingsFixture.validWith("cancel_s = 30.0", "cancel_s = 14.1"));
         assertTrue(settings.config().workers().maxDisconnectedMicros() >= 1_000_000);
     }
 
-    // ---- limits of the store -----------------------------------------------------------------------------------
-
     private static final String NEXT_LIMITS = "write_rps = 7.5\nvalue_kb = 2.0\ntxn_ops = 5\n";
 
-    /** The good settings with limits that the store will have later. */
+    /** Returns the valid settings with limits that the store will have later. */
     private static String withNextLimits(String limits) {
         return SettingsFixture.validWith("txn_ops = 8\n", "txn_ops = 8\n[facts.state.next]\n" + limits);
     }
 
     @Test
-    void presentLimitsAreKept() throws Exception {
+    void currentLimitsAreRead() throws Exception {
         assertEquals(
                 new StoreLimits(10, 8192, 8),
                 read(SettingsFixture.VALID_TOML).config().limits().store());
     }
 
-    /** Limits that the store will have later hold from the first start, since they come without notice. */
+    /** Later limits of the store apply from the first start, because they come into force without notice. */
     @Test
-    void nextLimitsAreKeptFromTheStart() throws Exception {
+    void laterLimitsApplyFromTheStart() throws Exception {
         Settings settings = read(withNextLimits(NEXT_LIMITS));
         assertEquals(new StoreLimits(7.5, 2048, 5), settings.config().limits().store());
     }
 
     @Test
-    void aLimitThatWillNotChangeStaysAsItIs() throws Exception {
+    void limitWithoutALaterValueKeepsItsCurrentValue() throws Exception {
         Settings settings = read(withNextLimits("value_kb = 4.0\n"));
         assertEquals(new StoreLimits(10, 4096, 8), settings.config().limits().store());
     }
@@ -127,18 +125,16 @@
         "value_kb, value_kb = 2.0, value_kb = 0",
         "write_rps, write_rps = 7.5, write_rps = \"fast\""
     })
-    void anImpossibleNextLimitIsNamed(String name, String good, String bad) throws IOException {
-        assertRefusedWith("facts.state.next." + name, withNextLimits(NEXT_LIMITS.replace(good, bad)));
+    void errorNamesAnInvalidLaterLimit(String name, String good, String bad) throws IOException {
+        assertErrorNames("facts.state.next." + name, withNextLimits(NEXT_LIMITS.replace(good, bad)));
     }
 
-    // ---- operators' own settings -------------------------------------------------------------------------------
-
     @ParameterizedTest
     @CsvSource({"idle-shar: 2,idle-shar", "patience-share: 0.4,deferral-share"})
-    void anUnknownOrRenamedTuningIsNamed(String yaml, String named) throws IOException {
-        String refusal =
-                refusal(file("platform.toml", SettingsFixture.VALID_TOML), file("tuning.yaml", yaml + "\n"), false);
-        assertTrue(refusal.contains(named), refusal);
+    void errorNamesAnUnknownOrRenamedTuningSetting(String yaml, String named) throws IOException {
+        String errorMessage = errorMessage(
+                file("platform.toml", SettingsFixture.VALID_TOML), file("tuning.yaml", yaml + "\n"), false);
+        assertTrue(errorMessage.contains(named), errorMessage);
     }
 
     private long recoveryHoldMicros(@Nullable Path tuning, boolean liveFirst) throws Exception {
@@ -147,18 +143,18 @@
     }
 
     @Test
-    void aRecoveryHoldsNothingUnlessAskedTo() throws Exception {
+    void recoveryHoldIsZeroByDefault() throws Exception {
         assertEquals(0, recoveryHoldMicros(null, false));
     }
 
     @Test
-    void theHoldOfARecoveryFollowsFromTheLeases() throws Exception {
+    void liveFirstDerivesTheRecoveryHoldFromTheLease() throws Exception {
         long leaseMicros = read(SettingsFixture.VALID_TOML).config().workers().leaseMicros();
         assertEquals(leaseMicros / 4, recoveryHoldMicros(null, true));
     }
 
     @Test
-    void operatorsNameAnotherHold() throws Exception {
+    void tuningFileOverridesTheRecoveryHold() throws Exception {
         assertEquals(5_000_000, recoveryHoldMicros(file("tuning.yaml", "recovery-hold-s: 5\n"), true));
     }
 
@@ -171,28 +167,27 @@
                 "recovery-hold-s: 0\n",
                 "recovery-hold-s: 30\nmax-starvation-s: 20\n"
             })
-    void aHoldThatContradictsTheOtherSettingsIsNamed(String yaml) throws IOException {
-        String refusal = refusal(file("platform.toml", SettingsFixture.VALID_TOML), file("tuning.yaml", yaml), true);
-        assertTrue(refusal.contains("recovery-hold-s"), refusal);
+    void errorNamesAnInvalidOrContradictoryRecoveryHold(String yaml) throws IOException {
+        String message =
+                errorMessage(file("platform.toml", SettingsFixture.VALID_TOML), file("tuning.yaml", yaml), true);
+        assertTrue(message.contains("recovery-hold-s"), message);
     }
 
-    // ---- the program -------------------------------------------------------------------------------------------
-
     @ParameterizedTest
     @ValueSource(strings = {"serve --confg x", "serve", "serve --config /nonexistent", "dance"})
-    void wrongUseEndsWithItsStatus(String commandLine) {
+    void wrongUseReturnsTheUsageErrorStatus(String commandLine) {
         assertEquals(Command.USAGE_ERROR, Main.execute(commandLine.split(" ")));
     }
 
     @Test
-    void goodSettingsPassTheCheck() throws IOException {
+    void checkConfigAcceptsValidSettings() throws IOException {
         Path platform = file("platform.toml", SettingsFixture.VALID_TOML);
         assertEquals(Command.OK, Main.execute("check-config", "--config", platform.toString()));
     }
 
-    /** The build does not look at how its training run ends: settings that are refused would only make starts slow. */
+    /** The build ignores the result of its training run: with invalid settings, startup would only become slower. */
     @Test
-    void theSettingsOfTheTrainingRunPassTheCheck() throws IOException {
+    void checkConfigAcceptsTheSettingsOfTheTrainingRun() throws IOException {
         Path platform = file("platform.toml", LoopbackSettings.withItselfAsPeer(1, 2, 3));
         assertEquals(Command.OK, Main.execute("check-config", "--config", platform.toString()));
     }
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The real server on loopback, with neither store nor cloud to be reached: it must answer all the same. */
+/** The real server on loopback without a reachable store or cloud. It must still answer every request. */
 class ServeHttpTest {
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
     private static final int MAX_CONNECTIONS = 64;
@@ -45,37 +45,37 @@
         ServeCommand.start(Settings.read(file, null, false), false);
     }
 
-    private static HttpResponse<String> ask(String method, String path, String body) throws Exception {
-        return ask(port, method, path, body);
+    private static HttpResponse<String> send(String method, String path, String body) throws Exception {
+        return send(port, method, path, body);
     }
 
-    private static HttpResponse<String> ask(int at, String method, String path, String body) throws Exception {
+    private static HttpResponse<String> send(int serverPort, String method, String path, String body) throws Exception {
         return CLIENT.send(
-                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at + path))
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + serverPort + path))
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
-    void notHealthyWithoutRecords() throws Exception {
-        assertEquals(503, ask("GET", "/up", "").statusCode());
+    void controllerWithoutRecordsIsNotHealthy() throws Exception {
+        assertEquals(503, send("GET", "/up", "").statusCode());
     }
 
-    /** A controller that has read no records can't know who leads. */
+    /** A controller that has not read the records cannot know which controller is the leader. */
     @Test
-    void tellsThatItCannotKnowOfARecovery() throws Exception {
-        HttpResponse<String> response = ask(peerPort, "GET", "/recovery", "");
+    void controllerWithoutRecordsReportsAnUnknownRole() throws Exception {
+        HttpResponse<String> response = send(peerPort, "GET", "/recovery", "");
         assertEquals(200, response.statusCode());
         assertTrue(response.body().contains("\"role\":\"unknown\""), response.body());
         assertTrue(response.body().contains("the records have not been read yet"), response.body());
-        assertEquals(404, ask(peerPort, "GET", "/nowhere", "").statusCode());
+        assertEquals(404, send(peerPort, "GET", "/nowhere", "").statusCode());
     }
 
     @Test
     void unreadableHeartbeatsAreCounted() throws Exception {
-        ask("POST", "/agent/beat", "{\"host\":7}");
-        String metrics = ask(peerPort, "GET", "/metrics", "").body();
+        send("POST", "/agent/beat", "{\"host\":7}");
+        String metrics = send(peerPort, "GET", "/metrics", "").body();
         assertTrue(
                 metrics.lines().anyMatch(line -> line.matches("granitepath\\.reports\\.unreadable.* [1-9].*")),
                 metrics);
@@ -83,11 +83,11 @@
     }
 
     @Test
-    void refusesAtOnceAndSaysWhenToComeBack() throws Exception {
-        HttpResponse<String> response = ask("GET", "/submissions/run-000001", "");
+    void unavailableControllerAnswersImmediatelyWithRetryAfter() throws Exception {
+        HttpResponse<String> response = send("GET", "/submissions/run-000001", "");
         assertEquals(503, response.statusCode());
         assertTrue(response.headers().firstValue("Retry-After").isPresent());
-        assertEquals(503, ask("POST", "/submissions/run-000001/cancel", "").statusCode());
+        assertEquals(503, send("POST", "/submissions/run-000001/cancel", "").statusCode());
     }
 
     @ParameterizedTest
@@ -100,19 +100,20 @@
                 "404,GET,/nowhere,``",
                 "405,POST,/submissions/run-000001,``"
             })
-    void malformedRequestsAreNotToBeRetried(int status, String method, String path, String body) throws Exception {
-        assertEquals(status, ask(method, path, body).statusCode());
+    void malformedRequestsGetAPermanentErrorStatus(int status, String method, String path, String body)
+            throws Exception {
+        assertEquals(status, send(method, path, body).statusCode());
     }
 
     @Test
-    void aBodyBeyondTheBoundIsRefused() throws Exception {
+    void bodyAboveTheMaximumSizeIsRejected() throws Exception {
         String body = "{\"uid\":\"" + "x".repeat(70_000) + "\"}";
-        assertEquals(400, ask("POST", "/submissions", body).statusCode());
+        assertEquals(400, send("POST", "/submissions", body).statusCode());
     }
 
-    /** Beyond a bound connections close after the answer, so that whoever comes next finds a socket. */
+    /** Above a limit, the server closes connections after the response, so that sockets stay available. */
     @Test
-    void idleConnectionsLeaveSocketsFree() throws Exception {
+    void connectionsAboveTheLimitAreClosed() throws Exception {
         List<Socket> open = new ArrayList<>();
         int kept = 0;
         for (int i = 0; i < 2 * MAX_CONNECTIONS; i++) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Asks for the health, and reads in the head of the answer whether another request may follow. */
+    /** Sends a health check and returns whether the head of the response allows another request. */
     private static boolean keepsOpen(Socket socket) throws IOException {
         socket.setSoTimeout(5_000);
         socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -140,10 +141,10 @@
     }
 
     @Test
-    void workersAreSentElsewhereWhileNoLeaderIsKnown() throws Exception {
+    void heartbeatIsUnavailableWhileNoLeaderIsKnown() throws Exception {
         String heartbeat = """
                 {"host":"i-1","address":"127.0.0.1:1","model":"m","site":"z","loaner":false,\
                 "shift":1,"tally":1,"baton":0,"pieces":[]}""";
-        assertEquals(503, ask("POST", "/agent/beat", heartbeat).statusCode());
+        assertEquals(503, send("POST", "/agent/beat", heartbeat).statusCode());
     }
 }
--- a/src/test/java/org/granitepath/cli/SettingsFixture.java
+++ b/src/test/java/org/granitepath/cli/SettingsFixture.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Settings that the tests start from, each changing what it is about. */
+/** Valid settings, from which each test changes what it needs. */
 final class SettingsFixture {
-    /** Valid settings of a controller without peers; nothing listens where it calls. */
+    /** Valid settings of a controller without peers. Nothing listens at the addresses of the cloud and the store. */
     static final String VALID_TOML = """
             node_name = "n0"
             site = "z"
@@ -28,9 +28,9 @@
 
     private SettingsFixture() {}
 
-    /** The valid settings with another text in the place of one that they must have. */
-    static String validWith(String present, String instead) {
-        assertTrue(VALID_TOML.contains(present), () -> "the settings have no " + present);
-        return VALID_TOML.replace(present, instead);
+    /** Returns the valid settings with {@code present}, which they must contain, replaced by {@code replacement}. */
+    static String validWith(String present, String replacement) {
+        assertTrue(VALID_TOML.contains(present), () -> "the valid settings do not contain " + present);
+        return VALID_TOML.replace(present, replacement);
     }
 }
--- a/src/test/java/org/granitepath/cli/TomlFieldsTest.java
+++ b/src/test/java/org/granitepath/cli/TomlFieldsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Typed fields of TOML, and the texts for those that are wrong. */
+/** Typed access to TOML fields and the error messages for invalid fields. */
 class TomlFieldsTest {
     @TempDir
     Path dir;
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void fieldsOfEachKindAreRead() throws Exception {
+    void fieldsOfEachTypeAreRead() throws Exception {
         TomlFields fields = parse("""
                 name = "n0"
                 addr = "host:80"
@@ -43,23 +43,23 @@
         assertEquals(1_500_000, fields.micros("part.period_s"));
         assertEquals(1_500_000, fields.positiveMicros("part.period_s"));
         assertEquals(2_500, fields.thousandthsOrZero("part.cpus"));
-        assertEquals(List.of("a", "7"), fields.textsOrNone("part.zones"));
+        assertEquals(List.of("a", "7"), fields.textsOrEmpty("part.zones"));
         assertTrue(fields.isTable("part") && fields.has("part.cpus"));
     }
 
     @Test
-    void missingFieldsHaveDefaults() throws Exception {
+    void missingFieldsHaveDefaultValues() throws Exception {
         TomlFields fields = parse("");
         assertFalse(fields.has("part.cpus"));
         assertEquals(List.of(), fields.tables("teams"));
-        assertEquals(List.of(), fields.textsOrNone("zones"));
+        assertEquals(List.of(), fields.textsOrEmpty("zones"));
         assertEquals(0, fields.thousandthsOrZero("cpus"));
         assertEquals(7, fields.positiveMicrosOr("period_s", 7));
         assertEquals("null", fields.anyAsText("kind"));
     }
 
     @Test
-    void wrongFieldsAreNamed() throws Exception {
+    void errorsNameTheInvalidField() throws Exception {
         TomlFields fields = parse("name = \"\"\naddr = \"host:65536\"\nperiod_s = 0\nteams = 3\nlist = [1]\n");
         assertInvalid("name is missing or not a text", () -> fields.text("name"));
         assertInvalid("addr must be HOST:PORT, not host:65536", () -> fields.address("addr"));
@@ -70,11 +70,11 @@
     }
 
     @Test
-    void aFileThatCannotBeReadIsNamed() throws IOException {
+    void errorsNameTheUnreadableOrMalformedFile() throws IOException {
         Path missing = dir.resolve("missing.toml");
         assertInvalid("can't read " + missing + ": " + missing, () -> TomlFields.parse(missing));
-        Path bad = Files.writeString(dir.resolve("bad.toml"), "= 1\n");
-        InvalidSettingException thrown = assertThrows(InvalidSettingException.class, () -> TomlFields.parse(bad));
-        assertTrue(thrown.getMessage().startsWith(bad + " is not valid TOML: "), thrown.getMessage());
+        Path malformed = Files.writeString(dir.resolve("bad.toml"), "= 1\n");
+        InvalidSettingException thrown = assertThrows(InvalidSettingException.class, () -> TomlFields.parse(malformed));
+        assertTrue(thrown.getMessage().startsWith(malformed + " is not valid TOML: "), thrown.getMessage());
     }
 }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Encoding, decoding and validation of the messages of all protocols. */
 class CodecTest {
     private static final String GOOD = "{\"uid\":\"run-000412\",\"lane\":\"train\",\"owner\":\"vision\","
             + "\"shape\":\"batch\",\"rank\":\"high\",\"pieces\":16,\"cpus\":8.0,\"cards\":1.0,\"mem_gb\":64.0,"
@@ -30,7 +31,7 @@
             + "\"due_s\":900.0,\"new_field\":{\"a\":[1]}}";
 
     @Test
-    void submissionIsRead() throws SubmissionCodec.MalformedSubmissionException {
+    void submissionIsDecoded() throws SubmissionCodec.MalformedSubmissionException {
         JobSpec spec = SubmissionCodec.decode(GOOD);
         assertEquals(8_000, spec.cpuMillis());
         assertEquals(900_000_000, spec.deadlineMicros());
@@ -60,7 +61,7 @@
                 "\"lane\":\"train\">\"lane\":\"train\",\"lane\":\"x\"",
                 "{\"uid\">[\"uid\""
             })
-    void malformedSubmissionsAreRefused(String change) {
+    void malformedSubmissionsAreRejected(String change) {
         int at = change.indexOf('>');
         assertTrue(GOOD.contains(change.substring(0, at)), change);
         String body = GOOD.replace(change.substring(0, at), change.substring(at + 1));
@@ -68,7 +69,7 @@
     }
 
     @Test
-    void heartbeatIsRead() {
+    void heartbeatIsDecoded() {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(
                 "{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\",\"site\":\"a\","
                         + "\"loaner\":false,\"shift\":2,\"tally\":88,\"baton\":41,\"warning_s\":null,\"pieces\":["
@@ -83,7 +84,7 @@
             + "\"status\":\"running\"}]}";
 
     @Test
-    void theLeastHeartbeatIsRead() {
+    void heartbeatWithOnlyRequiredFieldsIsDecoded() {
         assertNotNull(WorkerCodec.decodeHeartbeat(HEARTBEAT));
     }
 
@@ -101,7 +102,7 @@
                 "\"status\":\"running\">\"status\":3",
                 "[{>[3,{"
             })
-    void aHeartbeatThatCannotBeReadIsNone(String change) {
+    void heartbeatWithAnInvalidFieldIsRejected(String change) {
         int at = change.indexOf('>');
         assertTrue(HEARTBEAT.contains(change.substring(0, at)), change);
         assertNull(WorkerCodec.decodeHeartbeat(HEARTBEAT.replace(change.substring(0, at), change.substring(at + 1))));
@@ -109,7 +110,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"host\":\"i-1\"}", "nonsense"})
-    void whatIsNoHeartbeatIsNone(String body) {
+    void otherMessagesAreRejectedAsHeartbeats(String body) {
         assertNull(WorkerCodec.decodeHeartbeat(body));
     }
 
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void messagesPassBetweenControllers() {
+    void messagesBetweenControllersAreDecoded() {
         PeerPort.PeerStatus status = new PeerPort.PeerStatus("worker-1", 1234, true, 17);
         assertEquals(status, PeerCodec.decodeStatus(PeerCodec.encode(status)));
         assertNull(PeerCodec.decodeStatus(new byte[] {1, 2, 3}));
@@ -133,9 +134,12 @@
         assertNull(PeerCodec.decodeCancellation(new byte[] {1, 2, 3}));
     }
 
-    /** Words that a newer platform may use: the task counts as on its machine, or as exited, and nothing fails. */
+    /**
+     * A newer platform may use unknown states and causes. Decoding does not fail: the task counts as on its machine, or
+     * as exited.
+     */
     @Test
-    void statesOfGangsAndUnknownWordsAreRead() {
+    void statesOfGangsAndUnknownStatesAreDecoded() {
         String body = "{\"host\":\"i-1\",\"address\":\"10.1.0.1:9000\",\"model\":\"g8\",\"site\":\"a\",\"shift\":1,"
                 + "\"tally\":2,\"baton\":3,\"pieces\":["
                 + "{\"piece\":\"run-1/0\",\"try\":7,\"status\":\"waiting\"},"
@@ -163,7 +167,7 @@
     }
 
     @Test
-    void endOfTransactionsIsRead() {
+    void resultsOfTransactionsAreDecoded() {
         assertEquals(
                 new Committed(Outcome.CONFLICT, 12, List.of("g/leader")),
                 KeyValueStoreCodec.decodeCommitted(
@@ -174,7 +178,7 @@
     }
 
     @Test
-    void answersOfTheCloudAreRead() {
+    void responsesOfTheCloudAreDecoded() {
         assertTrue(CloudCodec.isNoCapacity(Json.decodeObject("{\"error\":\"no capacity\"}")));
         assertFalse(CloudCodec.isNoCapacity(Json.decodeObject("{\"error\":\"busy\"}")));
         assertFalse(CloudCodec.isNoCapacity(Map.of()));
@@ -183,7 +187,7 @@
     }
 
     @Test
-    void malformedSubmissionsAreAnswered() {
+    void responseToAMalformedSubmissionHasTheReason() {
         SubmissionCodec.MalformedSubmissionException malformed =
                 assertThrows(SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode("[]"));
         assertEquals("{\"error\":\"not a JSON object\"}", SubmissionCodec.encode(malformed));
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -40,32 +40,30 @@
 import org.pcollections.OrderedPSet;
 
 /**
- * The messages exchanged with workers, the cloud, the store, users and operators, byte for byte: the other side knows
- * them by these names, whatever the code calls its parts.
+ * The exact bytes of the messages that are exchanged with workers, the cloud, the store, users and operators. The other
+ * sides depend on these names, so the names must not change when identifiers in the code do.
  */
 class OutsideFormatsTest {
     private static final TaskId TASK = new TaskId("run-000412", 3);
 
-    // ---- workers -----------------------------------------------------------------------------------------------
-
     @Test
-    void commandsInTheAnswerToAHeartbeat() {
-        HeartbeatResponse answer = new HeartbeatResponse.Accepted(
+    void commandsInTheResponseToAHeartbeat() {
+        HeartbeatResponse response = new HeartbeatResponse.Accepted(
                 41,
                 List.of(
                         WorkerCommand.start(TASK, 7),
                         WorkerCommand.stop(TASK, 6, 2_500_000),
                         WorkerCommand.clear(TASK, 5)));
-        assertEquals(200, WorkerCodec.httpStatus(answer));
+        assertEquals(200, WorkerCodec.httpStatus(response));
         assertEquals(
                 "{\"baton\":41,\"orders\":[{\"verb\":\"start\",\"piece\":\"run-000412/3\",\"try\":7},"
                         + "{\"verb\":\"halt\",\"piece\":\"run-000412/3\",\"try\":6,\"leeway_s\":2.5},"
                         + "{\"verb\":\"clear\",\"piece\":\"run-000412/3\",\"try\":5}]}",
-                WorkerCodec.encode(answer));
+                WorkerCodec.encode(response));
     }
 
     @Test
-    void otherAnswersToAHeartbeat() {
+    void otherResponsesToAHeartbeat() {
         HeartbeatResponse known = new HeartbeatResponse.Redirect("worker-2");
         HeartbeatResponse unknown = new HeartbeatResponse.Redirect(null);
         HeartbeatResponse none = new HeartbeatResponse.Unavailable();
@@ -107,7 +105,7 @@
     @ParameterizedTest
     @CsvSource({"pulling,FETCHING", "waiting,WAITING", "running,RUNNING", "saving,SAVING", "ended,EXITED"})
     void statesOfTasks(String word, TaskState state) {
-        assertEquals(state, reported("\"status\":\"" + word + "\"").state());
+        assertEquals(state, decodeTaskStatus("\"status\":\"" + word + "\"").state());
     }
 
     @ParameterizedTest
@@ -124,10 +122,11 @@
     void causesOfExits(String word, ExitCause cause) {
         assertEquals(
                 cause,
-                reported("\"status\":\"ended\",\"cause\":\"" + word + "\"").cause());
+                decodeTaskStatus("\"status\":\"ended\",\"cause\":\"" + word + "\"")
+                        .cause());
     }
 
-    private static Heartbeat.TaskStatus reported(String fields) {
+    private static Heartbeat.TaskStatus decodeTaskStatus(String fields) {
         return WorkerCodec.decodeHeartbeat("{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\","
                         + "\"site\":\"a\",\"shift\":2,\"tally\":88,\"pieces\":[{\"piece\":\"run-1/0\",\"try\":7,"
                         + fields + "}]}")
@@ -135,8 +134,6 @@
                 .get(0);
     }
 
-    // ---- cloud -------------------------------------------------------------------------------------------------
-
     @Test
     void requestsToTheCloud() {
         assertEquals(
@@ -146,7 +143,7 @@
     }
 
     @Test
-    void answersOfTheCloud() {
+    void responsesOfTheCloud() {
         assertEquals(List.of("i-1"), CloudCodec.decodeLaunchedMachines(Json.decodeObject("{\"hosts\":[\"i-1\"]}")));
         assertEquals(
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))),
@@ -159,7 +156,7 @@
 
     @ParameterizedTest
     @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
-    void machinesAsTheCloudListsThem(String word, MachineState state) {
+    void machinesInTheListOfTheCloud(String word, MachineState state) {
         assertEquals(
                 List.of(new ListedMachine("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
                 CloudCodec.decodeListing(Json.decodeObject("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
@@ -167,8 +164,6 @@
                         + "\",\"held_s\":61.5}],\"has_next\":false}")));
     }
 
-    // ---- store -------------------------------------------------------------------------------------------------
-
     @Test
     void transactions() {
         Transaction transaction = new Transaction(
@@ -186,7 +181,7 @@
     }
 
     @Test
-    void answersOfTheStore() {
+    void responsesOfTheStore() {
         assertEquals(
                 new Page(Outcome.OK, List.of(new Item("a/b", Map.of("x", 1), 412)), true, 431),
                 KeyValueStoreCodec.decodeList(
@@ -205,7 +200,7 @@
     }
 
     @Test
-    void machineTypesOnRecord() throws Exception {
+    void machineTypesInTheStore() throws Exception {
         MachineTypesRecord record = new MachineTypesRecord(
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))));
         String json = "{\"types\":[{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,"
@@ -214,8 +209,6 @@
         assertEquals(record, StoredRecordCodec.decode(Keys.TYPES, Json.decodeObject(json)));
     }
 
-    // ---- users and operators -----------------------------------------------------------------------------------
-
     @ParameterizedTest
     @CsvSource({"PENDING,pending", "RUNNING,running", "DONE,done", "CANCELLED,aborted"})
     void jobStates(JobState state, String word) {
@@ -227,7 +220,7 @@
     }
 
     @Test
-    void answersToUsers() {
+    void responsesToUsers() {
         Map<String, JobResponse> answers = new LinkedHashMap<>();
         answers.put(
                 "201 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}",
@@ -243,7 +236,7 @@
     }
 
     @Test
-    void recoveryOfALeader() {
+    void recoveryStatusOfALeader() {
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.put(Verdict.ADOPTED, 5);
         tasks.put(Verdict.UNCONFIRMED, 2);
@@ -274,7 +267,7 @@
     }
 
     @Test
-    void recoveryAsOthersTellIt() {
+    void recoveryStatusOfOtherControllers() {
         assertEquals(
                 "{\"node\":\"n1\",\"role\":\"following\",\"leader\":\"n0\",\"reason\":\"ask the leader\","
                         + "\"records_age_s\":0.1,\"unreadable_records\":1}",
--- a/src/test/java/org/granitepath/protocol/RecoveryLabelsTest.java
+++ b/src/test/java/org/granitepath/protocol/RecoveryLabelsTest.java
@@ -9,7 +9,7 @@
 import org.granitepath.recovery.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** Dashboards and scripts of operators name these words, so they stay when constants of the code are renamed. */
+/** Operators' dashboards and scripts use these labels, so they must not change when a constant is renamed. */
 class RecoveryLabelsTest {
     @Test
     void phases() {
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The records in the store and the messages between controllers, byte for byte: running controllers of other
- * versions and stored records use them, so they stay as they are whatever the code calls its parts.
+ * The exact bytes of the records in the store and of the messages between controllers. Stored records and running
+ * controllers of other versions depend on them, so they must not change when identifiers in the code do.
  */
 class StoredFormatsTest {
     private static final String SPEC = "{\"id\":\"run-000412\",\"class\":\"train\",\"team\":\"vision\",\"shape\":0,"
@@ -135,7 +135,7 @@
                         Keys.FENCING_TOKEN, Json.decodeObject(Json.encode(StoredRecordCodec.encode(token)))));
     }
 
-    /** What can't be read is an error that names the record; kinds of later versions are let be. */
+    /** A malformed record causes an error that names its key. Records of kinds from later versions are accepted. */
     @Test
     void malformedAndUnknownRecords() throws MalformedRecordException {
         for (String key : List.of(Keys.JOB + "run-1", Keys.LEADER)) {
--- a/src/test/java/org/granitepath/transport/BodyTransferTest.java
+++ b/src/test/java/org/granitepath/transport/BodyTransferTest.java
@@ -17,9 +17,9 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Bodies that are written by {@link RequestBodyWriter} into a pipe of the event loop and read by {@link ResponseBodyReader}. */
+/** Transfers bodies from {@link RequestBodyWriter} to {@link ResponseBodyReader} through a pipe of the event loop. */
 class BodyTransferTest {
-    /** Only a body that never comes to an end is stopped by it. */
+    /** Bounds the wait for a body that never ends. */
     private static final int TIMEOUT_SECONDS = 60;
 
     private EventLoop loop;
@@ -45,18 +45,18 @@
     }
 
     private void write(byte[] body) {
-        loop.execute(() -> new RequestBodyWriter(body).begin(pipe.getRightSide()));
+        loop.execute(() -> new RequestBodyWriter(body).start(pipe.getRightSide()));
     }
 
     private void read() {
         loop.execute(() ->
-                new ResponseBodyReader(loop.buffers(), read::complete, failed::complete).begin(pipe.getLeftSide()));
+                new ResponseBodyReader(loop.buffers(), read::complete, failed::complete).start(pipe.getLeftSide()));
     }
 
-    /** A pipe takes less than the largest of these at once, and a buffer less than the second. */
+    /** The largest body exceeds what a pipe accepts at once; 20 000 bytes exceed one buffer. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 20_000, 1_000_000})
-    void aBodyArrivesWholeWhenItIsReadAfterwards(int bytes) throws Exception {
+    void bodyWrittenBeforeTheReaderStartsIsReadCompletely(int bytes) throws Exception {
         byte[] body = body(bytes);
         write(body);
         read();
@@ -66,7 +66,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 20_000, 1_000_000})
-    void aBodyArrivesWholeWhenItsReaderWaits(int bytes) throws Exception {
+    void bodyWrittenAfterTheReaderStartsIsReadCompletely(int bytes) throws Exception {
         byte[] body = body(bytes);
         read();
         write(body);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void theWriterEndsTheBodyAndTheReaderClosesItsChannel() throws Exception {
+    void readerClosesItsChannelAtTheEndOfTheBody() throws Exception {
         write(body(1));
         read();
         read.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aBodyBeyondTheBoundFails() throws Exception {
+    void bodyAboveTheMaximumSizeFails() throws Exception {
         write(new byte[ResponseBodyReader.MAX_BODY_BYTES + 1]);
         read();
         assertEquals(
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aBodyAtTheBoundIsRead() throws Exception {
+    void bodyOfTheMaximumSizeIsRead() throws Exception {
         write(new byte[ResponseBodyReader.MAX_BODY_BYTES]);
         read();
         assertEquals(ResponseBodyReader.MAX_BODY_BYTES, read.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).length);
--- a/src/test/java/org/granitepath/transport/EventLoopTest.java
+++ b/src/test/java/org/granitepath/transport/EventLoopTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The order of events, which the decision code relies on in place of locks. */
+/** The order of events, on which the decision code relies instead of locks. */
 class EventLoopTest {
-    /** Only a loop that never comes to an end is stopped by it. */
+    /** Bounds the wait for an event that never runs. */
     private static final int TIMEOUT_SECONDS = 30;
 
     private EventLoop loop;
-    /** Touched on the loop only, until the event that ends the test. */
+    /** Accessed only on the event loop until the event that ends the test. */
     private final List<String> events = new ArrayList<>();
 
     @BeforeEach
@@ -32,7 +32,7 @@
         loop.worker().shutdown();
     }
 
-    /** Runs the set-up on the loop and returns the events up to the one that completes the future. */
+    /** Runs the set-up on the event loop and returns the events up to the one that completes the future. */
     private List<String> eventsOf(Consumer<CompletableFuture<Void>> setUp) throws Exception {
         CompletableFuture<Void> ended = new CompletableFuture<>();
         loop.execute(() -> setUp.accept(ended));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void actionsRunInTheOrderInWhichTheyWereHandedOver() throws Exception {
+    void actionsRunInTheOrderInWhichTheyWereQueued() throws Exception {
         List<String> ran = eventsOf(ended -> {
             loop.execute(event("first"));
             loop.execute(event("second"));
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void anActionEndsBeforeTheOnesThatItHandsOver() throws Exception {
+    void actionEndsBeforeTheActionsThatItQueues() throws Exception {
         List<String> ran = eventsOf(ended -> {
-            loop.execute(event("handed over"));
+            loop.execute(event("queued"));
             events.add("end of the action");
             loop.execute(end(ended));
         });
-        assertEquals(List.of("end of the action", "handed over"), ran);
+        assertEquals(List.of("end of the action", "queued"), ran);
     }
 
     @Test
-    void aTimerWithoutADelayTakesItsTurn() throws Exception {
+    void timersWithoutDelayRunInQueueOrder() throws Exception {
         List<String> ran = eventsOf(ended -> {
             loop.execute(event("before"));
             loop.after(0, event("timer"));
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void timersRunByTheirTimeNotByTheirOrder() throws Exception {
+    void timersRunInOrderOfTheirDelays() throws Exception {
         List<String> ran = eventsOf(ended -> {
             loop.after(60_000, end(ended));
             loop.after(40_000, event("later"));
@@ -91,16 +91,16 @@
     }
 
     @Test
-    void aTimerIsNotEarlierThanItsDelayInWholeMillis() throws Exception {
+    void timerRunsNoEarlierThanItsDelayInWholeMillis() throws Exception {
         CompletableFuture<Long> waitedMicros = new CompletableFuture<>();
-        long beganMicros = loop.nowMicros();
-        loop.after(20_000, () -> waitedMicros.complete(loop.nowMicros() - beganMicros));
+        long startMicros = loop.nowMicros();
+        loop.after(20_000, () -> waitedMicros.complete(loop.nowMicros() - startMicros));
         long waited = waitedMicros.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(waited >= 20_000, waited + " us");
     }
 
     @Test
-    void aFailureEndsItsActionOnly() throws Exception {
+    void failedActionDoesNotStopTheLoop() throws Exception {
         List<String> ran = eventsOf(ended -> {
             loop.execute(() -> {
                 events.add("began");
@@ -117,12 +117,12 @@
     }
 
     @Test
-    void allActionsAndTimersRunOnOneThread() throws Exception {
-        CompletableFuture<Thread> ofAction = new CompletableFuture<>();
-        CompletableFuture<Thread> ofTimer = new CompletableFuture<>();
-        loop.execute(() -> ofAction.complete(Thread.currentThread()));
-        loop.after(1_000, () -> ofTimer.complete(Thread.currentThread()));
-        assertSame(loop.thread(), ofAction.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertSame(loop.thread(), ofTimer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    void actionsAndTimersRunOnTheLoopThread() throws Exception {
+        CompletableFuture<Thread> actionThread = new CompletableFuture<>();
+        CompletableFuture<Thread> timerThread = new CompletableFuture<>();
+        loop.execute(() -> actionThread.complete(Thread.currentThread()));
+        loop.after(1_000, () -> timerThread.complete(Thread.currentThread()));
+        assertSame(loop.thread(), actionThread.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertSame(loop.thread(), timerThread.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -17,30 +17,31 @@
 import org.granitepath.protocol.HttpStatus;
 import org.junit.jupiter.api.Test;
 
+/** Calls to a host on which connection attempts hang. */
 class HttpCallsTest {
     private static final int CALLS = 40;
 
-    private static long descriptors() throws IOException {
+    private static long openFileDescriptors() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/self/fd"))) {
             return all.count();
         }
     }
 
-    /** A host that lets connection attempts hang: a call that has timed out must not hold its socket any longer. */
+    /** The host's accept queue is full, so connection attempts hang. A call must free its socket when it times out. */
     @Test
-    void callsThatTimedOutHoldNoSocket() throws Exception {
+    void timedOutCallsReleaseTheirSockets() throws Exception {
         EventLoop loop = new EventLoop();
         HttpCalls http = new HttpCalls(loop);
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> filling = new ArrayList<>();
+        try (ServerSocket fullSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            List<Socket> queuedSockets = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                filling.add(new Socket(full.getInetAddress(), full.getLocalPort()));
+                queuedSockets.add(new Socket(fullSocket.getInetAddress(), fullSocket.getLocalPort()));
             }
-            long before = descriptors();
+            long descriptorsBefore = openFileDescriptors();
             CountDownLatch ended = new CountDownLatch(CALLS);
             List<Integer> statuses = new ArrayList<>();
             OutgoingRequest request =
-                    OutgoingRequest.get("127.0.0.1:" + full.getLocalPort(), "/", ConnectionPolicy.CLOSE);
+                    OutgoingRequest.get("127.0.0.1:" + fullSocket.getLocalPort(), "/", ConnectionPolicy.CLOSE);
             loop.execute(() -> {
                 for (int i = 0; i < CALLS; i++) {
                     http.call(request, 300_000, answer -> {
@@ -58,9 +59,9 @@
                     statuses.stream()
                             .filter(status -> status == HttpStatus.NO_RESPONSE)
                             .count());
-            long held = descriptors() - before;
-            assertTrue(held < CALLS / 4, held + " sockets held");
-            for (Socket socket : filling) {
+            long leaked = openFileDescriptors() - descriptorsBefore;
+            assertTrue(leaked < CALLS / 4, leaked + " sockets held");
+            for (Socket socket : queuedSockets) {
                 socket.close();
             }
         } finally {
--- a/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Calls that go over a socket on 127.0.0.1, with the listener that the controller's servers use. */
+/** Calls from {@link HttpCalls} to an {@link HttpListener} over a socket on 127.0.0.1. */
 class HttpCallsToAListenerTest {
     private static final long CALL_TIMEOUT_MICROS = 30_000_000;
     private static final long SHORT_TIMEOUT_MICROS = 50_000;
-    /** Only a call that never ends is stopped by it. */
+    /** Bounds the wait for a call that never ends. */
     private static final int TIMEOUT_SECONDS = 60;
 
     private static final int BACKLOG = 16;
@@ -61,7 +61,7 @@
             case "/refused" -> exchange.setStatusCode(409).getResponseSender().send("why");
             case "/failing" -> throw new IllegalStateException("on purpose");
             default -> {
-                // Never answered: the exchange stays open until its connection is closed.
+                // No response: the exchange stays open until its connection is closed.
             }
         }
     }
@@ -71,9 +71,9 @@
     }
 
     private HttpResponse call(OutgoingRequest request, long timeoutMicros) throws Exception {
-        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        loop.execute(() -> http.call(request, timeoutMicros, answer::complete));
-        return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        CompletableFuture<HttpResponse> response = new CompletableFuture<>();
+        loop.execute(() -> http.call(request, timeoutMicros, response::complete));
+        return response.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private HttpResponse get(String path, ConnectionPolicy connectionPolicy) throws Exception {
@@ -81,45 +81,45 @@
     }
 
     @Test
-    void theStatusAndTheBodyAreTold() throws Exception {
-        HttpResponse answer = get("/refused", ConnectionPolicy.KEEP_ALIVE);
-        assertEquals(409, answer.status());
-        assertEquals("why", answer.text());
+    void statusAndBodyAreReturned() throws Exception {
+        HttpResponse response = get("/refused", ConnectionPolicy.KEEP_ALIVE);
+        assertEquals(409, response.status());
+        assertEquals("why", response.text());
     }
 
     @Test
-    void aBodyGoesOverWhole() throws Exception {
+    void bodyIsTransferredCompletely() throws Exception {
         byte[] body = "ä".repeat(20_000).getBytes(StandardCharsets.UTF_8);
         OutgoingRequest request = OutgoingRequest.post(address, "/echo", "text/plain", body, ConnectionPolicy.CLOSE);
         assertArrayEquals(body, call(request, CALL_TIMEOUT_MICROS).body());
     }
 
     @Test
-    void aBodyHasItsTypeAndItsLengthInBytes() throws Exception {
+    void jsonBodyHasItsTypeAndItsLengthInBytes() throws Exception {
         OutgoingRequest json = OutgoingRequest.postJson(address, "/type", "ä", ConnectionPolicy.KEEP_ALIVE);
         assertEquals("application/json 2", call(json, CALL_TIMEOUT_MICROS).text());
     }
 
     @Test
-    void aBodyThatIsNoJsonHasATypeOfItsOwn() throws Exception {
+    void otherBodyHasTheGivenType() throws Exception {
         OutgoingRequest bytes =
                 OutgoingRequest.post(address, "/type", "application/msgpack", new byte[3], ConnectionPolicy.KEEP_ALIVE);
         assertEquals("application/msgpack 3", call(bytes, CALL_TIMEOUT_MICROS).text());
     }
 
     @Test
-    void aRequestWithoutABodyHasNeither() throws Exception {
+    void requestWithoutBodyHasNeitherTypeNorLength() throws Exception {
         assertEquals("null null", get("/type", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
-    void aConnectionThatIsKeptTakesTheNextCall() throws Exception {
+    void keptConnectionCarriesTheNextCall() throws Exception {
         String first = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
         assertEquals(first, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
-    void aConnectionThatIsClosedTakesNoOther() throws Exception {
+    void closedConnectionCarriesNoOtherCall() throws Exception {
         String kept = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
         String closed = get("/caller", ConnectionPolicy.CLOSE).text();
         assertNotEquals(kept, closed);
@@ -127,29 +127,29 @@
     }
 
     @Test
-    void aCallThatIsNotAnsweredEndsInTime() throws Exception {
-        long beganMicros = loop.nowMicros();
-        HttpResponse answer =
+    void callWithoutResponseTimesOut() throws Exception {
+        long startMicros = loop.nowMicros();
+        HttpResponse response =
                 call(OutgoingRequest.get(address, "/silent", ConnectionPolicy.KEEP_ALIVE), SHORT_TIMEOUT_MICROS);
-        assertTrue(answer.isMissing());
-        assertTrue(loop.nowMicros() - beganMicros >= SHORT_TIMEOUT_MICROS);
+        assertTrue(response.isMissing());
+        assertTrue(loop.nowMicros() - startMicros >= SHORT_TIMEOUT_MICROS);
     }
 
     @Test
-    void aConnectionOfACallThatTimedOutIsNotUsedAgain() throws Exception {
+    void connectionOfATimedOutCallIsNotReused() throws Exception {
         String kept = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
         call(OutgoingRequest.get(address, "/silent", ConnectionPolicy.KEEP_ALIVE), SHORT_TIMEOUT_MICROS);
         assertNotEquals(kept, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
-    void aCallToAnAddressWhereNobodyListensEndsWithoutAnAnswer() throws Exception {
+    void callToAClosedPortEndsWithoutResponse() throws Exception {
         listener.stop();
         assertTrue(get("/echo", ConnectionPolicy.KEEP_ALIVE).isMissing());
     }
 
     @Test
-    void aRequestThatCannotBeHandledEndsNothingElse() throws Exception {
+    void failingHandlerDoesNotAffectOtherRequests() throws Exception {
         call(OutgoingRequest.get(address, "/failing", ConnectionPolicy.CLOSE), SHORT_TIMEOUT_MICROS);
         assertEquals(409, get("/refused", ConnectionPolicy.CLOSE).status());
     }
--- a/src/test/java/org/granitepath/transport/HttpResponseTest.java
+++ b/src/test/java/org/granitepath/transport/HttpResponseTest.java
@@ -9,13 +9,14 @@
 import org.granitepath.protocol.HttpStatus;
 import org.junit.jupiter.api.Test;
 
+/** The body of an {@link HttpResponse} by status and content. */
 class HttpResponseTest {
-    private static HttpResponse answer(int status, String body) {
+    private static HttpResponse response(int status, String body) {
         return HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void aCallWithoutAnAnswerHasNoBody() {
+    void missingResponseHasNoBody() {
         assertTrue(HttpResponse.NONE.isMissing());
         assertNull(HttpResponse.NONE.body());
         assertNull(HttpResponse.NONE.text());
@@ -24,21 +25,21 @@
     }
 
     @Test
-    void aBodyIsDecodedWhateverTheStatus() {
+    void bodyIsDecodedForAnyStatus() {
         assertEquals(
                 Map.of("error", "busy"),
-                answer(HttpStatus.CONFLICT, "{\"error\":\"busy\"}").json());
+                response(HttpStatus.CONFLICT, "{\"error\":\"busy\"}").json());
     }
 
     @Test
-    void aBodyOfARefusalIsNoResult() {
-        assertNull(answer(HttpStatus.CONFLICT, "{\"error\":\"busy\"}").jsonIfOk());
-        assertEquals(Map.of("a", 1), answer(HttpStatus.OK, "{\"a\":1}").jsonIfOk());
+    void bodyOfAnErrorStatusIsNotReturnedAsAResult() {
+        assertNull(response(HttpStatus.CONFLICT, "{\"error\":\"busy\"}").jsonIfOk());
+        assertEquals(Map.of("a", 1), response(HttpStatus.OK, "{\"a\":1}").jsonIfOk());
     }
 
     @Test
-    void aBodyThatIsNoObjectCannotBeDecoded() {
-        assertNull(answer(HttpStatus.OK, "[]").json());
-        assertEquals("[]", answer(HttpStatus.OK, "[]").text());
+    void bodyThatIsNotAJsonObjectIsOnlyText() {
+        assertNull(response(HttpStatus.OK, "[]").json());
+        assertEquals("[]", response(HttpStatus.OK, "[]").text());
     }
 }
--- a/src/test/java/org/granitepath/transport/MetricsTest.java
+++ b/src/test/java/org/granitepath/transport/MetricsTest.java
@@ -8,7 +8,7 @@
 import org.granitepath.recovery.RecoveryStatus.Role;
 import org.junit.jupiter.api.Test;
 
-/** The lines of GET /metrics, which operators' dashboards read. */
+/** The lines of GET /metrics, on which operators' dashboards depend. */
 class MetricsTest {
     private static final int LATENCY_MICROS = 1_000;
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void answersAreCountedByRequestAndStatus() {
+    void responsesAreCountedByRequestAndStatus() {
         metrics.recordRequest("submit", 201, LATENCY_MICROS);
         metrics.recordRequest("submit", 201, LATENCY_MICROS);
         metrics.recordRequest("poll", 503, LATENCY_MICROS);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void latenciesAreTheSamePercentilesForEachRequest() {
+    void latenciesHaveTheSamePercentilesForEachRequest() {
         metrics.recordRequest("poll", 200, 100);
         assertEquals(
                 List.of(
@@ -48,16 +48,16 @@
                 linesOf("granitepath.request.micros"));
     }
 
-    /** The histogram holds up to a minute: what is out of its range counts at its edge and is no failure. */
+    /** The histogram covers up to one minute. Values out of its range count as its nearest bound and do not fail. */
     @Test
-    void latenciesOutOfRangeAreCountedToo() {
+    void latenciesOutOfRangeAreCounted() {
         metrics.recordRequest("poll", 200, -1);
         metrics.recordRequest("poll", 200, Long.MAX_VALUE);
         assertEquals(4, linesOf("granitepath.request.micros").size());
     }
 
     @Test
-    void requestsThatCameSinceTheLastLookAreShown() {
+    void requestsSinceTheLastReadAreIncluded() {
         metrics.recordRequest("poll", 200, LATENCY_MICROS);
         assertEquals(1, linesOf("granitepath.request.answers").size());
         metrics.recordRequest("poll", 200, LATENCY_MICROS);
@@ -77,21 +77,21 @@
     }
 
     @Test
-    void connectionsAreShownByWhoHoldsThem() {
+    void connectionsAreCountedByKindOfClient() {
         assertEquals(
                 List.of("granitepath.connections[tag(of=machines)] 0.0", "granitepath.connections[tag(of=others)] 0.0"),
                 linesOf("granitepath.connections"));
     }
 
     @Test
-    void aControllerWithoutATermIsInNoPhaseOfARecovery() {
+    void controllerWithoutTermHasNoRecoveryPhase() {
         List<String> phases = linesOf("granitepath.recovery.phase");
         assertEquals(5, phases.size());
         assertTrue(phases.stream().allMatch(line -> line.endsWith(" 0.0")), phases.toString());
     }
 
     @Test
-    void unreadableRecordsAreShown() {
+    void unreadableRecordsAreCounted() {
         assertEquals(
                 List.of("granitepath.recovery.records.unreadable[] 3.0"),
                 linesOf("granitepath.recovery.records.unreadable"));
