--- a/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
+++ b/src/test/java/org/granitepath/transport/OpenTelemetryRecoveryTracerTest.java
@@ -14,6 +14,7 @@
 import org.granitepath.recovery.RecoveryPlan;
 import org.junit.jupiter.api.Test;
 
+/** The spans that a recovery records. */
 class OpenTelemetryRecoveryTracerTest {
     private static final MachineProfile PROFILE = new MachineProfile("small", "north", false);
 
@@ -24,7 +25,7 @@
                     .build())
             .build());
 
-    private List<String> finished() {
+    private List<String> finishedSpanNames() {
         return exporter.getFinishedSpanItems().stream().map(SpanData::getName).toList();
     }
 
@@ -37,7 +38,7 @@
     }
 
     @Test
-    void oneSpanForTheTermEachPhaseAndEachMachineInDoubt() {
+    void termPhasesAndUnconfirmedMachinesHaveOneSpanEach() {
         RecoveryPlan plan = plan();
         plan.resolveMachine("a", PROFILE, "heard");
         plan.onCycleEnded(LiveWorkBacklog.NONE);
@@ -51,19 +52,21 @@
                         "machine in doubt",
                         "resuming_batch",
                         "recovery"),
-                finished());
+                finishedSpanNames());
         List<SpanData> spans = exporter.getFinishedSpanItems();
-        String term = spans.get(spans.size() - 1).getSpanId();
+        String termSpanId = spans.get(spans.size() - 1).getSpanId();
         assertTrue(spans.stream()
                 .limit(spans.size() - 1)
-                .allMatch(span -> span.getParentSpanId().equals(term)));
+                .allMatch(span -> span.getParentSpanId().equals(termSpanId)));
     }
 
-    /** A term that ends before its recovery does leaves no span open. */
+    /** A term that ends before its recovery leaves no span open. */
     @Test
-    void aTermThatEndsEarlyEndsItsSpans() {
+    void endOfTheTermEndsAllItsSpans() {
         plan().end();
-        assertEquals(2, finished().stream().filter("machine in doubt"::equals).count());
-        assertTrue(finished().containsAll(List.of("reconciling", "recovery")));
+        assertEquals(
+                2,
+                finishedSpanNames().stream().filter("machine in doubt"::equals).count());
+        assertTrue(finishedSpanNames().containsAll(List.of("reconciling", "recovery")));
     }
 }
