--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -26,7 +26,10 @@
     private static final String TRANSACTION_CHANGES = "txn_ops";
 
     private static final int DEFAULT_CONNECTIONS = 1_000;
-    /** With fewer connections, the store, the cloud, the other controllers and a few machines and users have no room. */
+    /**
+     * With fewer connections, there is no capacity for the store, the cloud, the other controllers and a few machines
+     * and users.
+     */
     private static final int MIN_CONNECTIONS = 64;
 
     /** Default for platforms whose settings do not mention gangs. */
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -75,7 +75,7 @@
         return command.run();
     }
 
-    /** Returns the parser's message. The parser mistakes an unknown option for an argument, so that message is replaced. */
+    /** Returns the parser's message, reworded for unknown options, which the parser mistakes for arguments. */
     private static String usageErrorMessage(ParameterException exception) {
         return String.valueOf(exception.getMessage())
                 .replaceFirst("Was passed main parameter ('.*?') but.*", "unknown option or argument $1");
--- a/src/main/java/org/granitepath/protocol/Units.java
+++ b/src/main/java/org/granitepath/protocol/Units.java
@@ -7,7 +7,7 @@
 public final class Units {
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double THOUSANDTHS_PER_UNIT = 1000;
-    /** In thousandths. Keeps values that binary fractions put just off an integer from rounding to the next integer. */
+    /** In thousandths. A value that differs from an integer only by binary rounding error counts as that integer. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private Units() {}
--- a/src/test/java/org/granitepath/transport/EventLoopTest.java
+++ b/src/test/java/org/granitepath/transport/EventLoopTest.java
@@ -61,11 +61,11 @@
     @Test
     void actionEndsBeforeTheActionsThatItQueues() throws Exception {
         List<String> ran = eventsOf(ended -> {
-            loop.execute(event("queued"));
+            loop.execute(event("handed over"));
             events.add("end of the action");
             loop.execute(end(ended));
         });
-        assertEquals(List.of("end of the action", "queued"), ran);
+        assertEquals(List.of("end of the action", "handed over"), ran);
     }
 
     @Test
