--- a/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
@@ -41,7 +41,7 @@
 
     /** Whether the cancellation is on record, but whoever asked for it has no answer yet. */
     boolean isBeingConfirmed(String jobId) {
-        return jobIndex.finalOf(jobId) == FinalRecord.Outcome.CANCELLED && pending.isAwaited(jobId);
+        return jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED && pending.isAwaited(jobId);
     }
 
     /** Lets a request wait for a cancellation that is being confirmed. */
@@ -56,7 +56,7 @@
             return;
         }
         writeQueue.enqueue(
-                Keys.finalOf(jobId),
+                Keys.finalRecord(jobId),
                 WriteQueue.Urgency.SAFETY,
                 0,
                 () -> cancellation(jobId),
@@ -70,7 +70,7 @@
             return List.of();
         }
         return pending.isAwaited(jobId)
-                ? List.of(Change.write(Keys.finalOf(jobId), new FinalRecord(FinalRecord.Outcome.CANCELLED)))
+                ? List.of(Change.write(Keys.finalRecord(jobId), new FinalRecord(FinalRecord.Outcome.CANCELLED)))
                 : List.of();
     }
 
@@ -79,9 +79,9 @@
      * leader may be out of contact with the records: so it is told first.
      */
     private void confirm(String jobId) {
-        if (jobIndex.finalOf(jobId) == FinalRecord.Outcome.CANCELLED) {
+        if (jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED) {
             announcer.announce(
-                    new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalOf(jobId))),
+                    new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalRecord(jobId))),
                     () -> pending.resolve(jobId, answers.knownJob(jobId)));
         } else {
             pending.resolve(jobId, answers.knownJob(jobId));
--- a/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/ScaleOutPlan.java
@@ -107,13 +107,13 @@
         return headroomPlan.spareCpuMillis();
     }
 
-    /** Returns how long the present batch work takes on the present, the pending and the planned machines. */
-    double batchDrainMicros() {
+    /** Returns how many microseconds the present batch work takes on the present, pending and planned machines. */
+    double batchCompletionMicros() {
         return batchPlanner.batchCompletionMicros(plannedCapacity.batchCpuMillis());
     }
 
     private void planJob(ActiveJob job) {
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             gangPlan.plan(job);
             return;
         }
@@ -146,7 +146,7 @@
     private void planNewMachines(ActiveJob job, int tasks, int equivalentTasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
         while (left > 0 && plannedCapacity.canPlanNewMachine(0)) {
-            plannedCapacity.countNewMachine();
+            plannedCapacity.countNewMachineAttempt();
             Offer offer = market.cheapestOffer(new OfferRequest(
                     job, !isDeferrable(job), left + equivalentTasks, tasksByZone, ZoneFilter.ANY_ZONE));
             if (offer == null) {
@@ -165,7 +165,9 @@
     /** Reserves capacity for as many of the tasks as the machine holds, and returns how many are left. */
     private static int reserve(PlannedMachine machine, JobSpec spec, int tasks, Map<String, Integer> tasksByZone) {
         int left = tasks;
-        while (left > 0 && tasksByZone.getOrDefault(machine.zone(), 0) < spec.zoneCap() && machine.reserve(spec)) {
+        while (left > 0
+                && tasksByZone.getOrDefault(machine.zone(), 0) < spec.maxTasksPerZone()
+                && machine.reserve(spec)) {
             tasksByZone.merge(machine.zone(), 1, Integer::sum);
             left--;
         }
--- a/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
+++ b/src/main/java/org/granitepath/coordination/placement/DeferralPolicy.java
@@ -29,7 +29,7 @@
 
     /** See {@link BatchPlanner#isDeferrable}. */
     boolean isDeferrable(ActiveJob job, double pendingCpuMillis, long nowMicros) {
-        if (job.spec().service() || job.spec().gang() || !job.spec().spot()) {
+        if (job.spec().isService() || job.spec().isGang() || !job.spec().spotAllowed()) {
             return false;
         }
         if (job.spec().hasDeadline() && objectives.deadlineOverrideMicros(job) == 0) {
@@ -58,11 +58,11 @@
         long waitedMicros =
                 job.scheduling().isWaiting() ? nowMicros - job.scheduling().waitingSinceMicros() : 0;
         return waitedMicros + workload.completionOnCheapCapacityMicros(pendingCpuMillis)
-                <= latestStartMicros(job, objective) * tuning.deferralShare();
+                <= maxWaitMicros(job, objective) * tuning.deferralShare();
     }
 
     /** Returns how many microseconds the job's tasks can wait for their start and still meet the objective. */
-    private double latestStartMicros(ActiveJob job, Objective objective) {
+    private double maxWaitMicros(ActiveJob job, Objective objective) {
         double byWait = objective.waitMicros() == 0 ? Double.MAX_VALUE : objective.waitMicros();
         double byFinish = objective.finishMicros() == 0
                 ? Double.MAX_VALUE
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.granitepath.storage.Fields;
 import org.granitepath.storage.KeyValueStore.Change;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Item;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.granitepath.storage.KeyValueStore.Page;
@@ -56,15 +56,15 @@
         }
         fields.put(WRITE, change.key());
         fields.put(VALUE, StoredRecordCodec.encode(change.record()));
-        if (change.lease() != 0) {
-            fields.put(PERMIT, change.lease());
+        if (change.leaseId() != 0) {
+            fields.put(PERMIT, change.leaseId());
         }
         return fields;
     }
 
     /** Decodes the result of a transaction. The caller derives {@code outcome} from the HTTP status. */
-    public static Committed decodeCommitted(Outcome outcome, Map<String, Object> body) {
-        return new Committed(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
+    public static CommitResult decodeCommitted(Outcome outcome, Map<String, Object> body) {
+        return new CommitResult(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
     }
 
     /** Decodes a page of records. */
--- a/src/main/java/org/granitepath/storage/StoredRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/StoredRecordCodec.java
@@ -49,19 +49,19 @@
     private static StoredRecord decodeByKey(String key, Map<String, Object> fields) {
         if (key == null) {
             throw new MalformedFieldException("key", "a text", null);
-        } else if (key.startsWith(Keys.JOB)) {
+        } else if (key.startsWith(Keys.JOB_PREFIX)) {
             return JobRecordCodec.decode(fields);
-        } else if (key.startsWith(Keys.PROGRESS)) {
+        } else if (key.startsWith(Keys.PROGRESS_PREFIX)) {
             return ProgressRecordCodec.decode(fields);
-        } else if (key.startsWith(Keys.FINAL)) {
+        } else if (key.startsWith(Keys.FINAL_PREFIX)) {
             return FinalRecordCodec.decode(fields);
-        } else if (key.startsWith(Keys.INVENTORY)) {
+        } else if (key.startsWith(Keys.INVENTORY_PREFIX)) {
             return InventoryRecordCodec.decode(fields);
         }
         return switch (key) {
             case Keys.LEADER -> LeaderRecordCodec.decode(fields);
             case Keys.FENCING_TOKEN -> FencingTokenRecordCodec.decode(fields);
-            case Keys.TYPES -> MachineTypesRecordCodec.decode(fields);
+            case Keys.MACHINE_TYPES -> MachineTypesRecordCodec.decode(fields);
             default -> new UnknownRecord(fields);
         };
     }
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -26,13 +26,13 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<Committed> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), response -> {
             Map<String, Object> body = response.json();
             Outcome outcome = outcome(response.status(), body);
             then.accept(
                     body == null
-                            ? new Committed(outcome, 0, List.of())
+                            ? new CommitResult(outcome, 0, List.of())
                             : KeyValueStoreCodec.decodeCommitted(outcome, body));
         });
     }
@@ -53,11 +53,11 @@
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<Leased> then) {
+    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), response -> {
             Map<String, Object> body = response.json();
             long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
-            then.accept(new Leased(outcome(response.status(), body), lease));
+            then.accept(new LeaseResult(outcome(response.status(), body), lease));
         });
     }
 
@@ -87,7 +87,7 @@
         return switch (status) {
             case HttpStatus.NO_RESPONSE -> Outcome.UNKNOWN;
             case HttpStatus.OK, HttpStatus.CREATED -> body == null ? Outcome.UNKNOWN : Outcome.OK;
-            case HttpStatus.BAD_REQUEST -> Outcome.REJECTED;
+            case HttpStatus.BAD_REQUEST -> Outcome.INVALID;
             case HttpStatus.NOT_FOUND -> Outcome.NOT_FOUND;
             case HttpStatus.CONFLICT -> Outcome.CONFLICT;
             case HttpStatus.GONE -> Outcome.GONE;
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -28,10 +28,10 @@
     private final RecordReplica replica =
             new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
                 @Override
-                public void changed(String key, StoredRecord record, long revision) {}
+                public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
                 @Override
-                public void loaded() {}
+                public void onLoaded() {}
             });
     private final Peers peers =
             new Peers(TestConfigs.of("c1", "c1-1", "c2"), new UnreachablePeers(), timers, () -> status("c1", 0));
@@ -99,7 +99,7 @@
         "60000000, true", // no controller is in contact with the store
         "-1, true",
     })
-    void withoutTheStoreIsHealthyOnlyIfNoPeerHasContact(long peerContactAgeMicros, boolean healthy) {
+    void isHealthyWithoutTheStoreOnlyIfNoPeerHasContact(long peerContactAgeMicros, boolean healthy) {
         readRecords();
         learnMachineTypes();
         store.unreachable = true;
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -90,10 +90,10 @@
                 BATCH.zone(),
                 BATCH.oneZone(),
                 BATCH.spread(),
-                BATCH.spot(),
-                BATCH.estimateMicros(),
-                BATCH.checkpointMicros(),
-                BATCH.saveMicros(),
+                BATCH.spotAllowed(),
+                BATCH.estimatedRunMicros(),
+                BATCH.checkpointIntervalMicros(),
+                BATCH.saveDurationMicros(),
                 BATCH.deadlineMicros());
     }
 
--- a/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
@@ -50,8 +50,8 @@
     @Test
     void aCancellationIsAnnouncedWithTheRevisionOfItsRecord() {
         cancelAndWait();
-        assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.finalOf(JOB));
-        assertEquals(List.of(new CancellationNotice(JOB, fixture.replica.revision(Keys.finalOf(JOB)))), notices);
+        assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.outcomeOf(JOB));
+        assertEquals(List.of(new CancellationNotice(JOB, fixture.replica.revision(Keys.finalRecord(JOB)))), notices);
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -163,7 +163,7 @@
                 new Class<?>[] {KeyValueStore.class},
                 (proxy, method, arguments) -> {
                     switch (method.getName()) {
-                        case "commit" -> respondLater((Consumer<KeyValueStore.Committed>) arguments[1], committed());
+                        case "commit" -> respondLater((Consumer<KeyValueStore.CommitResult>) arguments[1], committed());
                         case "list" -> respondLater((Consumer<KeyValueStore.Page>) arguments[3], emptyPage());
                         default -> storeReads++;
                     }
@@ -179,18 +179,18 @@
         return new KeyValueStore.Page(KeyValueStore.Outcome.OK, List.of(), false, 1);
     }
 
-    private KeyValueStore.Committed committed() {
+    private KeyValueStore.CommitResult committed() {
         storeRevision++;
-        return new KeyValueStore.Committed(commitOutcome, storeRevision, List.of());
+        return new KeyValueStore.CommitResult(commitOutcome, storeRevision, List.of());
     }
 
     private static RecordReplica.Listener replicaListener() {
         return new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {}
+            public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         };
     }
 
@@ -234,10 +234,11 @@
 
     /** Takes over machines that a previous leader has stored and that have sent no message in this term. */
     List<Machine> takeOver(String... ids) {
-        List<InventoryRecord.Host> rows = Arrays.stream(ids)
-                .map(id -> new InventoryRecord.Host(id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
+        List<InventoryRecord.MachineRow> rows = Arrays.stream(ids)
+                .map(id -> new InventoryRecord.MachineRow(
+                        id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
-        replica.applied(Keys.inventory(0), new InventoryRecord(rows), 1);
+        replica.applyCommitted(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
         return takeOverStoredMachines();
     }
 
@@ -293,7 +294,7 @@
     /** Opens a job of {@link Fixtures#TASKS} tasks, the first {@code claimed} of which are claimed under this token. */
     ActiveJob job(JobSpec.Shape shape, int claimed, long claimedByToken) {
         JobSpec spec = Fixtures.spec(shape, false, false);
-        jobIndex.changed(Keys.JOB + spec.id(), new JobRecord(spec, 0, claimed, claimedByToken));
+        jobIndex.applyRecord(Keys.JOB_PREFIX + spec.id(), new JobRecord(spec, 0, claimed, claimedByToken));
         return activeJobs.get(spec.id());
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -22,8 +22,8 @@
     private final FleetFixture fixture = new FleetFixture();
 
     private List<String> storedIds() {
-        return fixture.replica.inventory(0).hosts().stream()
-                .map(InventoryRecord.Host::id)
+        return fixture.replica.inventoryPart(0).machines().stream()
+                .map(InventoryRecord.MachineRow::id)
                 .toList();
     }
 
@@ -47,7 +47,7 @@
 
     @Test
     void unreadablePartIsCountedAndNotWritten() {
-        fixture.replica.applied(Keys.inventory(0), new UnknownRecord(Map.of()), 1);
+        fixture.replica.applyCommitted(Keys.inventoryPart(0), new UnknownRecord(Map.of()), 1);
         assertEquals(List.of(), fixture.takeOverStoredMachines());
         assertEquals(1, fixture.inventory.unreadablePartCount());
         assertEquals(1, fixture.readyMachine("m").inventory().part());
@@ -63,7 +63,7 @@
         assertFalse(first.isSchedulable(), "not before the token is stored");
         fixture.timers.advance(SECOND_MICROS);
         assertEquals(List.of(TERM_TOKEN + 1, TERM_TOKEN + 1, TERM_TOKEN), tokens(first, second, third));
-        assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().last());
+        assertEquals(TERM_TOKEN + 1, fixture.replica.fencingToken().lastIssuedToken());
         assertEquals(List.of("m1", "m2"), fixture.tokensRaised);
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/LeadershipTest.java
@@ -31,14 +31,14 @@
         Config config = TestConfigs.of(NODE, "c1-2", "c2");
         RecordReplica replica = new RecordReplica(store, timers, SECOND_MICROS / 10, new RecordReplica.Listener() {
             @Override
-            public void changed(String key, StoredRecord record, long revision) {
+            public void onRecordChanged(String key, StoredRecord record, long revision) {
                 if (key.equals(Keys.LEADER)) {
                     leadership.onLeaderRecordChanged();
                 }
             }
 
             @Override
-            public void loaded() {}
+            public void onLoaded() {}
         });
         leadership = new Leadership(config, store, replica, timers, () -> peersDisconnected, new Leadership.Listener() {
             @Override
@@ -94,7 +94,7 @@
         assertTrue(leadership.canStartTasks(), "no peer can have confirmed one");
         timers.advance(15 * SECOND_MICROS);
         assertFalse(leadership.canAnswerWorkers() || leadership.canStartTasks(), "fenced off");
-        assertTrue(leadership.isLeader(), "the term is not known to be over");
+        assertTrue(leadership.isLeader(), "the term is not known to have ended");
         store.unreachable = false;
         timers.advance(3 * SECOND_MICROS);
         assertTrue(leadership.isLeaseConfirmed());
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -206,7 +206,7 @@
 
     @Test
     void oneZoneJobIsBoundToZoneOfItsFirstPlacement() {
-        ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.none());
+        ActiveJob oneZone = Fixtures.job(Fixtures.spec(JobSpec.Shape.GANG, true, false), 0, ProgressRecord.empty());
         assertTrue(oneZone.canPlaceInZone("north"));
         Placement placement = Fixtures.placement(oneZone, 0, south, 1);
         oneZone.addPlacement(placement);
@@ -220,7 +220,7 @@
     void unconfirmedTasksCountInEveryZone() {
         assertFalse(inherited(Fixtures.spec(JobSpec.Shape.GANG, true, false)).canPlaceInZone("north"));
         ActiveJob spread = inherited(Fixtures.spec(JobSpec.Shape.SERVICE, false, true));
-        int cap = spread.spec().zoneCap();
+        int cap = spread.spec().maxTasksPerZone();
         assertEquals(4 + 1 <= cap, spread.canPlaceInZone("north"));
         while (spread.tasksByZone().getOrDefault("north", 0) + spread.unconfirmedTasks() < cap) {
             spread.addPlacement(
@@ -233,7 +233,7 @@
     @CsvSource({"SERVICE, CRITICAL, true", "SERVICE, HIGH, true", "SERVICE, STANDARD, false", "BATCH, CRITICAL, false"})
     void servicesOfHighPriorityAreLiveServices(JobSpec.Shape shape, Priority priority, boolean live) {
         JobSpec spec = Fixtures.spec(shape, false, false, priority);
-        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.none()).isLiveService());
+        assertEquals(live, Fixtures.job(spec, 0, ProgressRecord.empty()).isLiveService());
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -16,7 +16,7 @@
 import org.granitepath.coordination.ports.WorkerCommand;
 import org.granitepath.storage.JobSpec;
 import org.granitepath.storage.JobSpecCodec;
-import org.granitepath.storage.KeyValueStore.Committed;
+import org.granitepath.storage.KeyValueStore.CommitResult;
 import org.granitepath.storage.KeyValueStore.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,7 +36,7 @@
         assertEquals(8_000, spec.cpuMillis());
         assertEquals(900_000_000, spec.deadlineMicros());
         assertEquals(List.of("g8"), spec.types());
-        assertFalse(spec.service());
+        assertFalse(spec.isService());
         assertEquals(spec, JobSpecCodec.decode(Json.decodeObject(Json.encode(JobSpecCodec.encode(spec)))));
     }
 
@@ -169,11 +169,11 @@
     @Test
     void resultsOfTransactionsAreDecoded() {
         assertEquals(
-                new Committed(Outcome.CONFLICT, 12, List.of("g/leader")),
+                new CommitResult(Outcome.CONFLICT, 12, List.of("g/leader")),
                 KeyValueStoreCodec.decodeCommitted(
                         Outcome.CONFLICT, Json.decodeObject("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
         assertEquals(
-                new Committed(Outcome.REFUSED, 0, List.of()),
+                new CommitResult(Outcome.REFUSED, 0, List.of()),
                 KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.decodeObject("{\"error\":\"busy\"}")));
     }
 
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -1,12 +1,12 @@
 package org.granitepath.simulation;
 
 import static org.granitepath.simulation.FaultScenarios.SECOND;
-import static org.granitepath.simulation.FaultScenarios.crowded;
-import static org.granitepath.simulation.FaultScenarios.leaderEnds;
-import static org.granitepath.simulation.FaultScenarios.longWork;
-import static org.granitepath.simulation.FaultScenarios.shapeOf;
+import static org.granitepath.simulation.FaultScenarios.configOf;
+import static org.granitepath.simulation.FaultScenarios.crashLeaderAfter;
 import static org.granitepath.simulation.FaultScenarios.simulation;
-import static org.granitepath.simulation.FaultScenarios.withJobs;
+import static org.granitepath.simulation.FaultScenarios.submitLongRunningJobs;
+import static org.granitepath.simulation.FaultScenarios.withFewMachines;
+import static org.granitepath.simulation.FaultScenarios.withRandomJobs;
 import static org.granitepath.simulation.SimulationAssertions.assertRules;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -41,16 +41,16 @@
     /** More work than capacity, urgent and not, over links on which packets are held up. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void overloadOverSlowLinksLeavesNobodyUnserved(long seed) {
-        Simulation simulation = crowded(seed);
-        withJobs(simulation, 30, 60 * SECOND);
-        longWork(simulation, 4, 6, 20 * SECOND);
+    void noKindOfJobStarvesUnderOverloadOverSlowLinks(long seed) {
+        Simulation simulation = withFewMachines(seed);
+        withRandomJobs(simulation, 30, 60 * SECOND);
+        submitLongRunningJobs(simulation, 4, 6, 20 * SECOND);
 
-        simulation.after(20 * SECOND, () -> simulation.world.heldUp = 0.03);
+        simulation.after(20 * SECOND, () -> simulation.environment.delayedPacketShare = 0.03);
         Observation<Integer> waiting = simulation.observe(
-                60 * SECOND, () -> simulation.users.unfinishedBatches().size());
-        simulation.after(90 * SECOND, () -> simulation.world.heldUp = 0);
-        simulation.run(100 * SECOND, 700 * SECOND);
+                60 * SECOND, () -> simulation.users.unfinishedBatchJobs().size());
+        simulation.after(90 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
+        simulation.runWithLivenessChecks(100 * SECOND, 700 * SECOND);
 
         assertTrue(waiting.get() > 5, "only " + waiting.get() + " jobs wait");
         assertRulesAndAllDone(simulation);
@@ -61,9 +61,9 @@
     /** A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answers. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workIsDoneWhenALeaderEndsWhileMachinesAreCutOrDeaf(long seed) {
+    void workCompletesWhenLeaderCrashesWhileMachinesAreCutOff(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 8, 60 * SECOND);
+        submitLongRunningJobs(simulation, 5, 8, 60 * SECOND);
 
         Observation<String> former = new Observation<>();
         simulation.after(50 * SECOND, () -> {
@@ -71,15 +71,15 @@
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i++) {
                 if (i % 3 == 0) {
-                    simulation.faults.cutMachine(all.get(i), World.Cut.HOLD, 40 * SECOND);
+                    simulation.faults.partitionMachine(all.get(i), SimEnvironment.PartitionMode.HOLD, 40 * SECOND);
                 } else if (i % 3 == 1) {
-                    simulation.faults.deafen(all.get(i), 25 * SECOND);
+                    simulation.faults.dropMessagesTo(all.get(i), 25 * SECOND);
                 }
             }
             simulation.faults.crash(former.get(), 20 * SECOND);
         });
         simulation.after(60 * SECOND, () -> assertNotEquals(former.get(), simulation.leader()));
-        simulation.run(95 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(95 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -87,7 +87,7 @@
     /** Jobs bound to one zone, arrays too, lose machines. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneStayThereWhenTheyLoseMachines(long seed) {
+    void oneZoneJobsStayInTheirZoneWhenTheyLoseMachines(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 12; i++) {
             simulation.users.submit(simulation.jobs.oneZoneBatch(3 + i % 5, 25 * SECOND));
@@ -96,15 +96,15 @@
         AtomicInteger lostAtWork = new AtomicInteger();
         for (int i = 0; i < 6; i++) {
             simulation.after((35 + 4 * i) * SECOND, () -> {
-                SimWorker worker = simulation.anyWorker();
+                SimWorker worker = simulation.randomWorker();
                 if (worker != null) {
-                    lostAtWork.addAndGet(worker.runs().busy() ? 1 : 0);
+                    lostAtWork.addAndGet(worker.attempts().hasRunningTask() ? 1 : 0);
                     worker.die();
                 }
             });
         }
-        leaderEnds(simulation, 45 * SECOND, 300_000);
-        simulation.run(60 * SECOND, 400 * SECOND);
+        crashLeaderAfter(simulation, 45 * SECOND, 300_000);
+        simulation.runWithLivenessChecks(60 * SECOND, 400 * SECOND);
 
         assertTrue(lostAtWork.get() > 0, "no machine at work was lost");
         assertRulesAndAllDone(simulation);
@@ -116,7 +116,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsOfOneZoneStayThereWhileTheyAreUnconfirmed(long seed) {
+    void oneZoneJobsStayInTheirZoneWhileItIsUnconfirmed(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 6; i++) {
             simulation.users.submit(simulation.jobs.oneZoneBatch(21, 40 * SECOND));
@@ -124,13 +124,14 @@
 
         Observation<Integer> cut = new Observation<>();
         simulation.after(40 * SECOND, () -> {
-            List<SimWorker> machines =
-                    machinesOf(simulation, simulation.rules.running().stream().limit(3));
+            List<SimWorker> machines = machinesOf(
+                    simulation, simulation.rules.runningJobs().stream().limit(3));
             cut.set(machines.size());
-            machines.forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 10 * SECOND));
+            machines.forEach(worker ->
+                    simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 10 * SECOND));
             simulation.faults.crash(simulation.leader(), 6 * SECOND);
         });
-        simulation.run(60 * SECOND, 700 * SECOND);
+        simulation.runWithLivenessChecks(60 * SECOND, 700 * SECOND);
 
         assertTrue(cut.get() > 2, cut.get() + " machines were cut off");
         assertRulesAndAllDone(simulation);
@@ -139,18 +140,18 @@
     /** All controllers are away for longer than a lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void workGoesOnAfterAllControllersWereAwayForLongerThanALease(long seed) {
+    void workResumesAfterAllControllersWereDownForLongerThanALease(long seed) {
         Simulation simulation = simulation(seed);
-        longWork(simulation, 5, 6, 70 * SECOND);
+        submitLongRunningJobs(simulation, 5, 6, 70 * SECOND);
 
         simulation.after(
                 50 * SECOND,
-                () -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, simulation.shape.lease() + 5 * SECOND)));
+                () -> simulation.nodeNames.forEach(
+                        node -> simulation.faults.crash(node, simulation.config.leaseMicros() + 5 * SECOND)));
         Observation<Integer> left = simulation.observe(
-                54 * SECOND + simulation.shape.lease(),
-                () -> simulation.rules.running().size());
-        simulation.run(57 * SECOND + simulation.shape.lease(), 400 * SECOND);
+                54 * SECOND + simulation.config.leaseMicros(),
+                () -> simulation.rules.runningJobs().size());
+        simulation.runWithLivenessChecks(57 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
         assertEquals(0, left.get(), "every lease ran out");
         assertRulesAndAllDone(simulation);
@@ -164,7 +165,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsAreDoneWhenTheirTasksEndFarApart(long seed) {
+    void jobsCompleteWhenTheirTasksEndUnderDifferentLeaders(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 15; i++) {
             simulation.users.submit(simulation.jobs.batch(2 + i % 2, (10 + 4 * i) * SECOND));
@@ -174,12 +175,12 @@
         for (int i = 0; i < 4; i++) {
             simulation.after((28 + 9 * i) * SECOND, () -> {
                 leaders.add(simulation.leader());
-                simulation.store.lateWrites = 0.2;
+                simulation.store.lateCommitShare = 0.2;
                 simulation.faults.crash(simulation.leader(), 5 * SECOND);
             });
         }
-        simulation.after(65 * SECOND, () -> simulation.store.lateWrites = 0);
-        simulation.run(78 * SECOND, 300 * SECOND);
+        simulation.after(65 * SECOND, () -> simulation.store.lateCommitShare = 0);
+        simulation.runWithLivenessChecks(78 * SECOND, 300 * SECOND);
 
         assertTrue(leaders.size() > 1, "one leader throughout");
         assertRulesAndAllDone(simulation);
@@ -191,7 +192,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aTeamStaysWithinItsLimitWhenTheLeaderChanges(long seed) {
+    void teamStaysWithinItsLimitWhenTheLeaderChanges(long seed) {
         Simulation simulation = simulation(seed);
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(simulation.jobs.limitedBatch(6, 40 * SECOND));
@@ -199,11 +200,12 @@
 
         Observation<Boolean> atLimit = new Observation<>();
         simulation.after(55 * SECOND, () -> {
-            List<SimWorker> machines = machinesOf(simulation, simulation.rules.running().stream());
-            atLimit.set(simulation.rules.usedBy("tight") == 12_000 && !machines.isEmpty());
+            List<SimWorker> machines = machinesOf(simulation, simulation.rules.runningJobs().stream());
+            atLimit.set(simulation.rules.usedCpuMillis("tight") == 12_000 && !machines.isEmpty());
             machines.stream()
                     .limit(2)
-                    .forEach(worker -> simulation.faults.cutMachine(worker, World.Cut.HOLD, 20 * SECOND));
+                    .forEach(worker ->
+                            simulation.faults.partitionMachine(worker, SimEnvironment.PartitionMode.HOLD, 20 * SECOND));
             simulation.faults.crash(simulation.leader(), 10 * SECOND);
             simulation.after(2 * SECOND, () -> simulation.users.cancelRunning(2, 0));
             // Accepted in the new leader's own term, so nothing but the limit holds them back.
@@ -213,7 +215,7 @@
                         () -> simulation.users.submit(simulation.jobs.limitedBatch(3, 20 * SECOND)));
             }
         });
-        simulation.run(80 * SECOND, 600 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND, 600 * SECOND);
 
         assertTrue(atLimit.get(), "the team was not at its limit");
         assertRulesAndAllDone(simulation);
@@ -222,26 +224,26 @@
     /** Ten leaders in two minutes, also with an outage among them, and cancellations all the time. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workIsDoneUnderTenLeadersInTwoMinutes(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 120 * SECOND);
-        longWork(simulation, 6, 4, 60 * SECOND);
+    void workCompletesUnderTenLeadersInTwoMinutes(long seed) {
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 120 * SECOND);
+        submitLongRunningJobs(simulation, 6, 4, 60 * SECOND);
 
         AtomicInteger changes = new AtomicInteger();
         for (int i = 0; i < 11; i++) {
             simulation.after((35 + 11 * i) * SECOND, () -> {
                 String was = simulation.leader();
-                if (simulation.world.random.nextBoolean()) {
-                    simulation.faults.crash(was, 300_000 + simulation.world.random.nextInt(6_000_000));
+                if (simulation.environment.random.nextBoolean()) {
+                    simulation.faults.crash(was, 300_000 + simulation.environment.random.nextInt(6_000_000));
                 } else {
-                    simulation.faults.cutFromPeersAndStore(was, World.Cut.HOLD, 9 * SECOND);
+                    simulation.faults.partitionFromPeersAndStore(was, SimEnvironment.PartitionMode.HOLD, 9 * SECOND);
                 }
                 simulation.after(
                         10 * SECOND, () -> changes.addAndGet(simulation.leader().equals(was) ? 0 : 1));
                 simulation.users.cancelRunning(1, 0);
             });
         }
-        simulation.after(90 * SECOND, () -> simulation.store.outage(20 * SECOND));
-        simulation.run(160 * SECOND, 600 * SECOND);
+        simulation.after(90 * SECOND, () -> simulation.store.startOutage(20 * SECOND));
+        simulation.runWithLivenessChecks(160 * SECOND, 600 * SECOND);
 
         assertTrue(changes.get() >= 5, changes + " changes of leader");
         assertRulesAndAllDone(simulation);
@@ -250,21 +252,21 @@
     /** Controllers hand over and back, all end, and one returns, also within a second. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void theOneThatReturnsAtOnceLeadsAfterAllHaveEnded(long seed) {
-        Simulation simulation = withJobs(simulation(seed), 30, 80 * SECOND);
-        simulation.world.lateCopies = 0.1;
+    void firstControllerToRestartLeadsAfterAllHaveCrashed(long seed) {
+        Simulation simulation = withRandomJobs(simulation(seed), 30, 80 * SECOND);
+        simulation.environment.duplicateRequestShare = 0.1;
 
         simulation.after(40 * SECOND, () -> {
             String first = simulation.leader();
             simulation.faults.crash(first, 400_000);
-            leaderEnds(simulation, 6 * SECOND, 200_000);
+            crashLeaderAfter(simulation, 6 * SECOND, 200_000);
             simulation.after(
                     12 * SECOND,
-                    () -> simulation.names.forEach(
+                    () -> simulation.nodeNames.forEach(
                             node -> simulation.faults.crash(node, node.equals(first) ? 100_000 : 25 * SECOND)));
             simulation.after(20 * SECOND, () -> assertEquals(first, simulation.leader()));
         });
-        simulation.run(80 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -275,24 +277,24 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void deferrableWorkIsNotLeftWaitingBesideCapacity(long seed) {
+    void deferrableWorkEventuallyUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation =
-                new Simulation(seed, shapeOf(seed).withControllers(3).withPerOffer(1));
-        JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
+                new Simulation(seed, configOf(seed).withControllers(3).withMachinesPerOffer(1));
+        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         // Fills the spot machines, and asks for no others.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         SimJobs jobs = simulation.jobs;
-        JobSpec late = jobs.work(2, 20 * SECOND)
+        JobSpec late = jobs.batchBuilder(2, 20 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .onSpot()
                 .withoutDeadline()
-                .create();
+                .build();
 
         simulation.after(60 * SECOND, () -> simulation.users.submit(late));
-        simulation.run(20 * SECOND, 400 * SECOND);
+        simulation.runWithLivenessChecks(20 * SECOND, 400 * SECOND);
 
-        assertTrue(simulation.rules.begunAfter(late.id()) > 30 * SECOND, "it found capacity at once");
+        assertTrue(simulation.rules.startDelayMicros(late.id()) > 30 * SECOND, "it found capacity at once");
         assertRules(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -21,7 +21,11 @@
 
     private static JobSpec wide(Simulation simulation, String team, int tasks, long runMicros) {
         SimJobs jobs = simulation.jobs;
-        return jobs.work(tasks, runMicros).team(team).onSpot().withoutDeadline().create();
+        return jobs.batchBuilder(tasks, runMicros)
+                .team(team)
+                .onSpot()
+                .withoutDeadline()
+                .build();
     }
 
     /**
@@ -37,7 +41,7 @@
         }
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            usedBefore.set(simulation.rules.usedBy("free"));
+            usedBefore.set(simulation.rules.usedCpuMillis("free"));
             if (seed % 2 == 1) {
                 simulation.faults.crash(simulation.leader(), 300_000);
             }
@@ -50,11 +54,11 @@
         Observation<Long> usedAfter = new Observation<>();
         for (long i = 1; i <= within; i++) {
             simulation.after((60 + i) * SECOND, () -> {
-                mostGranted.accumulateAndGet(simulation.rules.usedBy("granted"), Math::max);
-                usedAfter.set(simulation.rules.usedBy("free"));
+                mostGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
+                usedAfter.set(simulation.rules.usedCpuMillis("free"));
             });
         }
-        simulation.run(80 * SECOND, 900 * SECOND);
+        simulation.runWithLivenessChecks(80 * SECOND, 900 * SECOND);
 
         assertTrue(usedBefore.get() > 20_000, "the others use only " + usedBefore.get());
         assertTrue(mostGranted.get() >= 16_000, "the guaranteed team uses " + mostGranted);
@@ -67,21 +71,21 @@
     /** A job that goes beyond its team's guarantee is borrowed in part: no more than that part is taken back. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void nobodyGivesBackMoreThanItBorrowed(long seed) {
+    void teamsGiveBackNoMoreThanTheyBorrowed(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         simulation.users.submit(wide(simulation, "free", 10, 300 * SECOND));
         // Of low priority, so that stopping it costs least, and on all machines, so that many of its tasks could go at
         // once.
         SimJobs jobs = simulation.jobs;
-        simulation.users.submit(jobs.work(10, 300 * SECOND)
+        simulation.users.submit(jobs.batchBuilder(10, 300 * SECOND)
                 .priority(Priority.BEST_EFFORT)
                 .team("lender")
                 .onSpot()
                 .withoutDeadline()
-                .create());
+                .build());
         Observation<Long> usedByLender = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            usedByLender.set(simulation.rules.usedBy("lender"));
+            usedByLender.set(simulation.rules.usedCpuMillis("lender"));
             simulation.users.submit(wide(simulation, "free", 40, 300 * SECOND));
         });
         simulation.after(75 * SECOND, () -> simulation.users.submit(wide(simulation, "granted", 8, 60 * SECOND)));
@@ -89,8 +93,8 @@
         AtomicLong mostGranted = new AtomicLong();
         for (long i = 1; i <= 12; i++) {
             simulation.after((75 + i) * SECOND, () -> {
-                leastLeft.accumulateAndGet(simulation.rules.usedBy("lender"), Math::min);
-                mostGranted.accumulateAndGet(simulation.rules.usedBy("granted"), Math::max);
+                leastLeft.accumulateAndGet(simulation.rules.usedCpuMillis("lender"), Math::min);
+                mostGranted.accumulateAndGet(simulation.rules.usedCpuMillis("granted"), Math::max);
             });
         }
         simulation.run(90 * SECOND);
@@ -105,7 +109,7 @@
     /** A team with many jobs at once: guaranteed work of another does not wait behind the swarm. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aSwarmDoesNotStarveOthers(long seed) {
+    void manyJobsOfOneTeamDoNotStarveGuaranteedWork(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         for (int i = 0; i < 40; i++) {
             simulation.users.submit(wide(simulation, "free", 5, 12 * SECOND));
@@ -121,8 +125,8 @@
         assertRules(simulation);
         for (JobSpec job : granted) {
             assertTrue(
-                    simulation.rules.begunAfter(job.id()) < 6 * SECOND,
-                    "begun after " + simulation.rules.begunAfter(job.id()) / 1e6 + " s");
+                    simulation.rules.startDelayMicros(job.id()) < 6 * SECOND,
+                    "begun after " + simulation.rules.startDelayMicros(job.id()) / 1e6 + " s");
         }
     }
 
@@ -133,33 +137,33 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void urgentWorkDoesNotWaitBesideFullPriceCapacity(long seed) {
+    void urgentWorkUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
-        JobSpec like = simulation.jobs.work(1, 600 * SECOND).create();
+        JobSpec like = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
         simulation.users.submit(simulation.jobs.withCpu(like, 1, 9_000)); // holds a part of a full-price machine
         simulation.users.submit(
                 wide(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and asks for no others
         boolean guaranteed = seed % 2 == 1;
         SimJobs jobs = simulation.jobs;
-        JobSpec job = jobs.work(2, 300 * SECOND)
+        JobSpec job = jobs.batchBuilder(2, 300 * SECOND)
                 .team(guaranteed ? "granted" : "free")
                 .onSpot()
-                .create();
-        JobSpec urgent = guaranteed ? job : simulation.jobs.ofClass(job, Simulation.PROMPT);
+                .build();
+        JobSpec urgent = guaranteed ? job : simulation.jobs.withJobClass(job, Simulation.URGENT_CLASS);
         Observation<Long> usedBefore = new Observation<>();
         simulation.after(60 * SECOND, () -> {
-            usedBefore.set(simulation.rules.usedBy("free"));
+            usedBefore.set(simulation.rules.usedCpuMillis("free"));
             simulation.users.submit(urgent);
         });
-        Observation<Long> usedAfter =
-                simulation.observe(80 * SECOND, () -> simulation.rules.usedBy("free") - (guaranteed ? 0 : 4_000));
+        Observation<Long> usedAfter = simulation.observe(
+                80 * SECOND, () -> simulation.rules.usedCpuMillis("free") - (guaranteed ? 0 : 4_000));
         simulation.run(90 * SECOND);
 
         assertRules(simulation);
         assertEquals(usedBefore.get(), usedAfter.get(), "what the others use");
         assertTrue(
-                simulation.rules.begunAfter(urgent.id()) < 6 * SECOND,
-                "begun after " + simulation.rules.begunAfter(urgent.id()) / 1e6 + " s");
+                simulation.rules.startDelayMicros(urgent.id()) < 6 * SECOND,
+                "begun after " + simulation.rules.startDelayMicros(urgent.id()) / 1e6 + " s");
     }
 
     /**
@@ -168,7 +172,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void tasksAreNotStoppedOverAndOver(long seed) {
+    void tasksAreNotStoppedRepeatedlyForGuaranteedWork(long seed) {
         Simulation simulation = new Simulation(seed, 3, 3);
         for (int i = 0; i < 30; i++) {
             simulation.users.submit(wide(simulation, "free", 20, 60 * SECOND));
@@ -180,7 +184,7 @@
         simulation.run(200 * SECOND);
 
         assertRules(simulation);
-        int most = simulation.rules.mostStartsOfATask();
+        int most = simulation.rules.maxStartsPerTask();
         assertTrue(most > 1 && most <= MOST_STARTS, "one task was started " + most + " times");
     }
 }
--- a/src/test/java/org/granitepath/simulation/Observation.java
+++ b/src/test/java/org/granitepath/simulation/Observation.java
@@ -3,16 +3,20 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** A value that a scenario takes at one moment of the simulated time, and looks at after the run. */
+/** A value that a scenario records at one simulated time and checks after the run. */
 final class Observation<T> {
     private @Nullable T value;
 
-    void set(T now) {
-        value = now;
+    void set(T observed) {
+        value = observed;
     }
 
-    /** Fails when that moment never came. */
+    /**
+     * The recorded value.
+     *
+     * @throws NullPointerException if no value was recorded
+     */
     T get() {
-        return Objects.requireNonNull(value, "the moment to look never came");
+        return Objects.requireNonNull(value, "no value was recorded during the run");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -1,9 +1,9 @@
 package org.granitepath.simulation;
 
-import static org.granitepath.simulation.RecoveryScenarios.HOLD;
-import static org.granitepath.simulation.RecoveryScenarios.RESTART;
-import static org.granitepath.simulation.RecoveryScenarios.busy;
-import static org.granitepath.simulation.RecoveryScenarios.restart;
+import static org.granitepath.simulation.RecoveryScenarios.RECOVERY_HOLD_MICROS;
+import static org.granitepath.simulation.RecoveryScenarios.RESTART_MICROS;
+import static org.granitepath.simulation.RecoveryScenarios.busyDeployment;
+import static org.granitepath.simulation.RecoveryScenarios.restartControllers;
 import static org.granitepath.simulation.SimulationAssertions.assertRulesAndAllDone;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,34 +25,34 @@
     /** Runs of jobs that are done, cancelled or unknown, of tasks held elsewhere, here under another attempt. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void whatMayNotRunIsStoppedAndCleared(long seed) {
-        Simulation simulation = busy(seed);
+    void forbiddenTasksAreStoppedAndCleared(long seed) {
+        Simulation simulation = busyDeployment(seed);
         JobSpec done = simulation.jobs.batch(3, SECOND);
-        JobSpec cancelled = simulation.jobs.replicas(2).create();
+        JobSpec cancelled = simulation.jobs.serviceBuilder(2).build();
         JobSpec unknown = simulation.jobs.batch(3, SECOND);
         simulation.users.submit(done);
         simulation.users.submit(cancelled, 30 * SECOND);
-        simulation.users.describe(unknown);
+        simulation.users.addSpec(unknown);
 
         Observation<Planted> observed = new Observation<>();
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
             observed.set(plant(
                     simulation, new TaskId(done.id(), 0), new TaskId(cancelled.id(), 1), new TaskId(unknown.id(), 2)));
         });
-        simulation.run(RESTART + 20 * SECOND);
+        simulation.run(RESTART_MICROS + 20 * SECOND);
 
         Planted planted = observed.get();
         for (TaskId task : planted.forbidden) {
-            assertNull(planted.host.runs().get(task, 3), task + " is not stopped and cleared");
+            assertNull(planted.host.attempts().get(task, 3), task + " is not stopped and cleared");
         }
         TaskId held = planted.held;
         long attempts = simulation.cloud.workers().stream()
-                .flatMap(worker -> worker.runs().live().stream())
-                .filter(run -> run.task.equals(held))
+                .flatMap(worker -> worker.attempts().active().stream())
+                .filter(attempt -> attempt.task.equals(held))
                 .count();
         assertTrue(attempts <= 1, held + " runs " + attempts + " times");
-        Map<Verdict, Integer> tasks = simulation.recovery().taskCountsByVerdict();
+        Map<Verdict, Integer> tasks = simulation.recoveryStatus().taskCountsByVerdict();
         assertTrue(tasks.get(Verdict.UNKNOWN_JOB) >= 2, tasks.toString());
         assertTrue(tasks.get(Verdict.STALE) >= 3, tasks.toString());
         assertTrue(tasks.get(Verdict.ADOPTED) > 0, tasks.toString());
@@ -64,41 +64,44 @@
     /** Plants these tasks, one beyond the end of a job, and one that another machine holds, under two attempts. */
     private static Planted plant(Simulation simulation, TaskId... tasks) {
         List<SimWorker> atWork = simulation.cloud.workers().stream()
-                .filter(worker -> worker.runs().busy())
+                .filter(worker -> worker.attempts().hasRunningTask())
                 .toList();
         SimWorker busy = atWork.get(0);
-        TaskId held = busy.runs().live().get(0).task;
+        TaskId held = busy.attempts().active().get(0).task;
         SimWorker other = atWork.get(1);
         List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
         forbidden.add(new TaskId(held.job(), 99));
-        forbidden.forEach(task -> other.runs().plant(task, 3));
-        other.runs().plant(held, 3);
-        busy.runs().plant(held, 5);
+        forbidden.forEach(task -> other.attempts().addUnknown(task, 3));
+        other.attempts().addUnknown(held, 3);
+        busy.attempts().addUnknown(held, 5);
         return new Planted(other, forbidden, held);
     }
 
     /** Results that came while nobody led count; first heartbeats come twice, late, and from an earlier agent epoch. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void resultsOfMeanwhileCountAndHeartbeatsOfBeforeDoNot(long seed) {
-        Simulation simulation = busy(seed);
-        simulation.world.lateCopies = 0.2;
+    void resultsDuringDowntimeCountAndStaleHeartbeatsDoNot(long seed) {
+        Simulation simulation = busyDeployment(seed);
+        simulation.environment.duplicateRequestShare = 0.2;
 
         List<Heartbeat> before = new ArrayList<>();
         simulation.after(
-                RESTART - 3 * SECOND, () -> simulation.cloud.workers().forEach(worker -> before.add(worker.latest())));
+                RESTART_MICROS - 3 * SECOND,
+                () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
         // Half of the machines run into the end of their lease before anybody is back.
-        long down = seed % 2 == 0 ? SECOND : Simulation.LEASE + 2 * SECOND;
+        long down = seed % 2 == 0 ? SECOND : Simulation.LEASE_MICROS + 2 * SECOND;
         simulation.after(
-                RESTART,
-                () -> simulation.names.forEach(
-                        node -> simulation.faults.crash(node, down + simulation.world.random.nextInt(1_000_000))));
+                RESTART_MICROS,
+                () -> simulation.nodeNames.forEach(node ->
+                        simulation.faults.crash(node, down + simulation.environment.random.nextInt(1_000_000))));
         for (int i = 0; i < 30; i++) {
             simulation.after(
-                    RESTART + down + i * SECOND / 2,
-                    () -> before.stream().filter(heartbeat -> heartbeat != null).forEach(simulation.faults::deliver));
+                    RESTART_MICROS + down + i * SECOND / 2,
+                    () -> before.stream()
+                            .filter(heartbeat -> heartbeat != null)
+                            .forEach(simulation.faults::deliverHeartbeat));
         }
-        simulation.run(RESTART + 40 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 40 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -106,19 +109,19 @@
     /** Machines that boot, are terminated by the cloud or die while nobody leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workIsDoneWhenMachinesComeAndGoMeanwhile(long seed) {
-        Simulation simulation = busy(seed);
+    void workCompletesWhenMachinesComeAndGoDuringDowntime(long seed) {
+        Simulation simulation = busyDeployment(seed);
 
         // The restart comes while machines boot, so that some are on no record yet.
-        simulation.after(4 * SECOND, () -> restart(simulation, seed % 2 == 0));
-        simulation.after(RESTART, () -> {
-            restart(simulation, false);
+        simulation.after(4 * SECOND, () -> restartControllers(simulation, seed % 2 == 0));
+        simulation.after(RESTART_MICROS, () -> {
+            restartControllers(simulation, false);
             List<SimWorker> all = simulation.cloud.workers();
             for (int i = 0; i < all.size(); i += 5) {
                 all.get(i).die();
             }
         });
-        simulation.run(RESTART + 5 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(RESTART_MICROS + 5 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
@@ -126,27 +129,30 @@
     /** A gang of which one machine is gone, or one zone cut off, ends as a whole and starts as a whole. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void gangsWithAPartUnresponsiveEndAndStartWhole(long seed) {
+    void gangsWithUnresponsiveMachinesEndAndStartWhole(long seed) {
         Simulation simulation = new Simulation(seed, 3, 10);
-        simulation.recoveryHold = HOLD;
+        simulation.recoveryHoldMicros = RECOVERY_HOLD_MICROS;
         for (int i = 0; i < 5; i++) {
-            simulation.users.submit(
-                    simulation.jobs.work(9, 40 * SECOND).inOneZone(i % 2 == 0).create());
+            simulation.users.submit(simulation
+                    .jobs
+                    .batchBuilder(9, 40 * SECOND)
+                    .inOneZone(i % 2 == 0)
+                    .build());
             simulation.users.submit(simulation.jobs.service(4));
         }
 
         simulation.after(40 * SECOND, () -> {
-            restart(simulation, false);
+            restartControllers(simulation, false);
             if (seed % 2 == 0) {
-                simulation.faults.cutZone("south", World.Cut.HOLD, 30 * SECOND);
+                simulation.faults.partitionZone("south", SimEnvironment.PartitionMode.HOLD, 30 * SECOND);
             } else {
                 simulation.cloud.workers().stream()
-                        .filter(worker -> worker.runs().busy())
+                        .filter(worker -> worker.attempts().hasRunningTask())
                         .findFirst()
                         .ifPresent(SimWorker::die);
             }
         });
-        simulation.run(75 * SECOND, 500 * SECOND);
+        simulation.runWithLivenessChecks(75 * SECOND, 500 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
--- a/src/test/java/org/granitepath/simulation/ServedRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/ServedRulesTest.java
@@ -14,46 +14,46 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void jobsNotServed() {
-        fixture.tell(ANYWHERE, JobState.PENDING);
-        fixture.tell(SPREAD, JobState.PENDING);
-        fixture.tell(ONE_ZONE, JobState.PENDING);
+    void unservedJobsAreReported() {
+        fixture.deliverStatus(ANYWHERE, JobState.PENDING);
+        fixture.deliverStatus(SPREAD, JobState.PENDING);
+        fixture.deliverStatus(ONE_ZONE, JobState.PENDING);
         for (String job : List.of(ANYWHERE, SPREAD)) {
             runBothTasks(job);
         }
         fixture.rules().checkServed();
-        fixture.assertNoneBroken();
+        fixture.assertNoViolations();
 
         fixture.runUntil(241_000_000);
-        fixture.submit("run-0", 2);
-        fixture.submit("run-4", 3);
-        fixture.tell("run-4", JobState.PENDING);
+        fixture.submitJob("run-0", 2);
+        fixture.submitJob("run-4", 3);
+        fixture.deliverStatus("run-4", JobState.PENDING);
         fixture.rules().checkServed();
 
-        fixture.assertBroken("unserved at 241.0 s: largest of class c: 0 of 1");
+        fixture.assertViolation("unserved at 241.0 s: largest of class c: 0 of 1");
     }
 
     private void runBothTasks(String job) {
-        fixture.start(job, 0, "a", "y");
-        fixture.start(job, 1, "b", "z");
-        fixture.rules().completed(new TaskId(job, 0));
-        fixture.rules().completed(new TaskId(job, 1));
-        fixture.rules().left(new TaskId(job, 0), "a");
-        fixture.rules().left(new TaskId(job, 1), "b");
+        fixture.startTask(job, 0, "a", "y");
+        fixture.startTask(job, 1, "b", "z");
+        fixture.rules().recordTaskCompleted(new TaskId(job, 0));
+        fixture.rules().recordTaskCompleted(new TaskId(job, 1));
+        fixture.rules().recordTaskRemoved(new TaskId(job, 0), "a");
+        fixture.rules().recordTaskRemoved(new TaskId(job, 1), "b");
     }
 
     @Test
-    void largestBeginsLate() {
-        fixture.submit("run-4", 3);
-        fixture.tell("run-4", JobState.PENDING);
+    void lateStartOfLargestJobIsReported() {
+        fixture.submitJob("run-4", 3);
+        fixture.deliverStatus("run-4", JobState.PENDING);
         fixture.runUntil(241_000_000);
         for (int i = 0; i < 3; i++) {
-            fixture.start("run-4", i, "a", "z");
-            fixture.rules().completed(new TaskId("run-4", i));
+            fixture.startTask("run-4", i, "a", "z");
+            fixture.rules().recordTaskCompleted(new TaskId("run-4", i));
         }
 
         fixture.rules().checkServed();
 
-        fixture.assertBroken("unserved at 241.0 s: largest of class c: run-4 begins after 241 s");
+        fixture.assertViolation("unserved at 241.0 s: largest of class c: run-4 begins after 241 s");
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -5,7 +5,7 @@
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.ports.Heartbeat;
 
-/** Troubles of controllers, machines and the network. Those of the store and the cloud are theirs. */
+/** Injects faults of controllers, machines and the network. {@link SimStore} and {@link SimCloud} have their own. */
 final class SimFaults {
     private final Simulation simulation;
 
@@ -13,107 +13,110 @@
         this.simulation = simulation;
     }
 
-    /** A controller that is up ends and comes back after a while. */
-    void crash(String node, long forMicros) {
+    /** Crashes a controller, if it is up, and boots it again after the given time. */
+    void crash(String node, long downMicros) {
         SimNode crashed = simulation.nodes.get(node);
         if (crashed.controller() != null) {
             crashed.crash();
-            simulation.world.after(forMicros, crashed::boot);
+            simulation.environment.after(downMicros, crashed::boot);
         }
     }
 
-    /** All controllers end at once; each comes back within the given time. */
-    void crashAll(long longestDownMicros) {
-        simulation.names.forEach(
-                name -> crash(name, 20_000 + (long) (simulation.world.random.nextDouble() * longestDownMicros)));
+    /** Crashes all controllers at once; each boots again 20 ms to 20 ms plus the given time later. */
+    void crashAll(long maxDownMicros) {
+        simulation.nodeNames.forEach(
+                name -> crash(name, 20_000 + (long) (simulation.environment.random.nextDouble() * maxDownMicros)));
     }
 
-    /** A controller ends and comes back with the next version, which knows of the next limits. */
+    /** Restarts a controller with the next version, which respects {@link Simulation#upgradedLimits}. */
     void upgrade(String node, long downMicros) {
-        simulation.upgraded.add(node);
+        simulation.upgradedNodes.add(node);
         crash(node, downMicros);
     }
 
-    /** A controller stands still while its clocks run on. */
-    void freeze(String node, long forMicros) {
-        simulation.world.freeze(node);
-        simulation.world.after(forMicros, () -> simulation.world.thaw(node));
+    /** Pauses the process of a controller while its clocks run on. */
+    void pause(String node, long durationMicros) {
+        simulation.environment.pause(node);
+        simulation.environment.after(durationMicros, () -> simulation.environment.resume(node));
     }
 
-    /** Nothing passes between the two, in either direction. */
-    void cut(String one, String other, World.Cut how, long forMicros) {
-        simulation.world.cut(one, other, how);
-        simulation.world.after(forMicros, () -> simulation.world.heal(one, other));
+    /** Partitions two hosts in both directions. */
+    void partition(String one, String other, SimEnvironment.PartitionMode mode, long durationMicros) {
+        simulation.environment.partition(one, other, mode);
+        simulation.environment.after(durationMicros, () -> simulation.environment.heal(one, other));
     }
 
-    /** A controller loses all machines that are up. */
-    void cutFromWorkers(String node, World.Cut how, long forMicros) {
+    /** Partitions a controller from all machines that are up. */
+    void partitionFromWorkers(String node, SimEnvironment.PartitionMode mode, long durationMicros) {
         for (SimWorker worker : simulation.cloud.workers()) {
-            cut(node, worker.id, how, forMicros);
+            partition(node, worker.id, mode, durationMicros);
         }
     }
 
-    /** Its heartbeats arrive, but neither answers nor commands reach it. */
-    void deafen(SimWorker worker, long forMicros) {
-        for (String name : simulation.names) {
-            simulation.world.block(name, worker.id);
-            simulation.world.after(forMicros, () -> simulation.world.heal(name, worker.id));
+    /** Drops responses and commands to a machine, whose heartbeats still arrive. */
+    void dropMessagesTo(SimWorker worker, long durationMicros) {
+        for (String name : simulation.nodeNames) {
+            simulation.environment.blockOneWay(name, worker.id);
+            simulation.environment.after(durationMicros, () -> simulation.environment.heal(name, worker.id));
         }
     }
 
-    /** Answers and commands reach it, but its heartbeats are lost. */
-    void mute(SimWorker worker, long forMicros) {
-        worker.mute(true);
-        simulation.world.after(forMicros, () -> worker.mute(false));
+    /** Drops the heartbeats of a machine, which still receives commands. */
+    void dropHeartbeatsFrom(SimWorker worker, long durationMicros) {
+        worker.setHeartbeatsDropped(true);
+        simulation.environment.after(durationMicros, () -> worker.setHeartbeatsDropped(false));
     }
 
-    /** A copy of a heartbeat arrives at the leader; its answer gets lost. */
-    void deliver(Heartbeat late) {
-        deliver(simulation.leader(), late);
+    /** Delivers a copy of a heartbeat to the leader and drops the response. */
+    void deliverHeartbeat(Heartbeat heartbeat) {
+        deliverHeartbeat(simulation.leader(), heartbeat);
     }
 
-    /** The same at one controller. */
-    void deliver(String node, Heartbeat late) {
+    /** Delivers a copy of a heartbeat to one controller, if it is up, and drops the response. */
+    void deliverHeartbeat(String node, Heartbeat heartbeat) {
         Controller controller = simulation.controllerAt(node);
         if (controller != null) {
-            controller.handleHeartbeat(late);
+            controller.handleHeartbeat(heartbeat);
         }
     }
 
-    /** Loses the store and the other controllers, but not its workers. */
-    void cutFromPeersAndStore(String node, World.Cut how, long forMicros) {
-        cut(node, SimStore.NAME, how, forMicros);
-        for (String name : simulation.names) {
+    /** Partitions a controller from the store and the other controllers, but not from machines. */
+    void partitionFromPeersAndStore(String node, SimEnvironment.PartitionMode mode, long durationMicros) {
+        partition(node, SimStore.NAME, mode, durationMicros);
+        for (String name : simulation.nodeNames) {
             if (!name.equals(node)) {
-                cut(node, name, how, forMicros);
+                partition(node, name, mode, durationMicros);
             }
         }
     }
 
-    /** A zone with its controllers and machines is cut off from everything outside. */
-    void cutZone(String zone, World.Cut how, long forMicros) {
+    /**
+     * Partitions the controllers and machines of a zone from the controllers and machines of other zones, the store and
+     * the cloud. Users get no answers from the controllers of the zone meanwhile.
+     */
+    void partitionZone(String zone, SimEnvironment.PartitionMode mode, long durationMicros) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of(SimStore.NAME, SimCloud.NAME));
-        simulation.names.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
+        simulation.nodeNames.forEach(name -> (simulation.zoneOf(name).equals(zone) ? inside : outside).add(name));
         simulation.cloud.workers().forEach(worker -> (worker.zone.equals(zone) ? inside : outside).add(worker.id));
         for (String here : inside) {
-            boolean node = simulation.names.contains(here);
+            boolean node = simulation.nodeNames.contains(here);
             for (String there : outside) {
-                if (node || simulation.names.contains(there)) {
-                    cut(here, there, how, forMicros);
+                if (node || simulation.nodeNames.contains(there)) {
+                    partition(here, there, mode, durationMicros);
                 }
             }
             if (node) {
-                simulation.unreachable.add(here);
-                simulation.world.after(forMicros, () -> simulation.unreachable.remove(here));
+                simulation.nodesUnreachableByUsers.add(here);
+                simulation.environment.after(durationMicros, () -> simulation.nodesUnreachableByUsers.remove(here));
             }
         }
     }
 
-    /** A machine loses all controllers. */
-    void cutMachine(SimWorker worker, World.Cut how, long forMicros) {
-        for (String name : simulation.names) {
-            cut(name, worker.id, how, forMicros);
+    /** Partitions a machine from all controllers. */
+    void partitionMachine(SimWorker worker, SimEnvironment.PartitionMode mode, long durationMicros) {
+        for (String name : simulation.nodeNames) {
+            partition(name, worker.id, mode, durationMicros);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimLeases.java
+++ b/src/test/java/org/granitepath/simulation/SimLeases.java
@@ -4,39 +4,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** The leases of the store. */
+/** The leases of the simulated store. Ids are counted up from one; all times are in microseconds. */
 final class SimLeases {
-    private final Map<Long, Long> ends = new HashMap<>();
-    private final Map<Long, Long> lives = new HashMap<>();
-    private long opened;
+    private final Map<Long, Long> expiryMicros = new HashMap<>();
+    private final Map<Long, Long> durationMicros = new HashMap<>();
+    private long lastLeaseId;
 
-    long open(long now, long lifeMicros) {
-        opened++;
-        lives.put(opened, lifeMicros);
-        ends.put(opened, now + lifeMicros);
-        return opened;
+    long open(long now, long leaseMicros) {
+        lastLeaseId++;
+        durationMicros.put(lastLeaseId, leaseMicros);
+        expiryMicros.put(lastLeaseId, now + leaseMicros);
+        return lastLeaseId;
     }
 
-    boolean holds(long lease) {
-        return ends.containsKey(lease);
+    boolean exists(long lease) {
+        return expiryMicros.containsKey(lease);
     }
 
     void renew(long lease, long now) {
-        ends.put(lease, now + lives.get(lease));
+        expiryMicros.put(lease, now + durationMicros.get(lease));
     }
 
     void renewAll(long now) {
-        ends.replaceAll((lease, end) -> now + lives.get(lease));
+        expiryMicros.replaceAll((lease, end) -> now + durationMicros.get(lease));
     }
 
-    /** Those whose time is over, in order: they are leases no longer. */
-    List<Long> removeOver(long now) {
-        List<Long> over = ends.entrySet().stream()
+    /** Removes the leases that have expired and returns their ids in ascending order. */
+    List<Long> removeExpired(long now) {
+        List<Long> expired = expiryMicros.entrySet().stream()
                 .filter(entry -> entry.getValue() < now)
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
-        over.forEach(ends::remove);
-        return over;
+        expired.forEach(expiryMicros::remove);
+        return expired;
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimNode.java
+++ b/src/test/java/org/granitepath/simulation/SimNode.java
@@ -5,89 +5,89 @@
 import org.granitepath.storage.Timers;
 import org.jspecify.annotations.Nullable;
 
-/** Where one controller runs, one process after the other, with a clock that drifts and a time of day that is off. */
+/** The host of one controller, with successive processes, a drifting monotonic clock and an offset wall clock. */
 final class SimNode {
-    private final World world;
+    private final SimEnvironment environment;
     private final String name;
-    private final Function<SimNode, Controller> newController;
-    private final double drift;
-    private final long skewMicros;
-    /** Counts starts and ends, so that a process can tell whether it is the present one. */
-    private int life;
+    private final Function<SimNode, Controller> controllerFactory;
+    private final double clockRate;
+    private final long clockOffsetMicros;
+    /** Counts boots and crashes, so that timers of an earlier process can be recognized. */
+    private int processGeneration;
 
     private @Nullable Controller controller;
 
-    /** @param newController makes the controller of a process that starts */
-    SimNode(World world, String name, Function<SimNode, Controller> newController) {
-        this.world = world;
+    /** @param controllerFactory creates the controller when a process starts */
+    SimNode(SimEnvironment environment, String name, Function<SimNode, Controller> controllerFactory) {
+        this.environment = environment;
         this.name = name;
-        this.newController = newController;
-        this.drift = 1 + world.random.nextDouble() * 0.0005;
-        this.skewMicros = world.random.nextInt(500_000) - 250_000L;
+        this.controllerFactory = controllerFactory;
+        this.clockRate = 1 + environment.random.nextDouble() * 0.0005;
+        this.clockOffsetMicros = environment.random.nextInt(500_000) - 250_000L;
     }
 
     String name() {
         return name;
     }
 
-    /** The name of the present process, which no other one has. */
+    /** The unique name of the current process. */
     String incarnation() {
-        return name + "-" + life;
+        return name + "-" + processGeneration;
     }
 
-    /** The controller of the present process; null while the node is down. */
+    /** The controller of the current process; null while the node is down. */
     @Nullable
     Controller controller() {
         return controller;
     }
 
-    /** Whether the node is up and takes itself for the leader. */
-    boolean leads() {
+    /** Whether the node is up and its controller considers itself the leader. */
+    boolean isLeader() {
         return controller != null && controller.isLeader();
     }
 
     void boot() {
-        life++;
-        world.setDown(name, false);
-        Controller started = newController.apply(this);
-        controller = started;
-        started.start();
+        processGeneration++;
+        environment.setProcessDown(name, false);
+        Controller booted = controllerFactory.apply(this);
+        controller = booted;
+        booted.start();
     }
 
     void crash() {
-        life++;
+        processGeneration++;
         controller = null;
-        world.setDown(name, true);
+        environment.setProcessDown(name, true);
     }
 
-    /** The clocks and timers of the present process: what it has asked for ends with it. */
+    /** The clocks and timers of the current process; its timers do not fire after it has ended. */
     Timers timers() {
-        return new ProcessTimers(life);
+        return new ProcessTimers(processGeneration);
     }
 
     private final class ProcessTimers implements Timers {
-        private final int process;
+        private final int generation;
 
-        ProcessTimers(int process) {
-            this.process = process;
+        ProcessTimers(int generation) {
+            this.generation = generation;
         }
 
         @Override
         public long nowMicros() {
-            return (long) (world.now() * drift) + 77;
+            return (long) (environment.nowMicros() * clockRate) + 77;
         }
 
         @Override
         public long timeOfDayMicros() {
-            return world.now() + skewMicros;
+            return environment.nowMicros() + clockOffsetMicros;
         }
 
         @Override
         public void after(long delayMicros, Runnable action) {
-            world.after(
-                    (long) (Math.max(0, delayMicros) / drift) + world.random.nextInt(2_000),
-                    () -> world.fire(name, () -> {
-                        if (life == process && controller != null) {
+            environment.after(
+                    (long) (Math.max(0, delayMicros) / clockRate) + environment.random.nextInt(2_000),
+                    () -> environment.runTimer(name, () -> {
+                        if (processGeneration == generation && controller != null) {
                             action.run();
                         }
                     }));
--- a/src/test/java/org/granitepath/simulation/SimStoreKeys.java
+++ b/src/test/java/org/granitepath/simulation/SimStoreKeys.java
@@ -9,56 +9,56 @@
 import org.granitepath.storage.KeyValueStore;
 import org.jspecify.annotations.Nullable;
 
-/** The keys of the simulated store and its latest changes. Values are kept as JSON text, as they go over the wire. */
+/** The keys of the simulated store and its latest changes. Values are kept as JSON text, as on the wire. */
 final class SimStoreKeys {
-    private static final int CHANGES_KEPT = 400;
-    private static final int MOST_LISTED = 20;
+    private static final int MAX_LOGGED_CHANGES = 400;
+    private static final int MAX_PAGE_SIZE = 20;
 
-    private record Stored(String json, long revision, long lease) {}
+    private record StoredValue(String json, long revision, long lease) {}
 
-    /** @param json the new value; null when the key was removed */
-    private record Logged(String key, @Nullable String json, long revision) {}
+    /** @param json the new value; null if the key was removed */
+    private record LoggedChange(String key, @Nullable String json, long revision) {}
 
-    private final TreeMap<String, Stored> keys = new TreeMap<>();
-    private final List<Logged> log = new ArrayList<>();
+    private final TreeMap<String, StoredValue> values = new TreeMap<>();
+    private final List<LoggedChange> log = new ArrayList<>();
     private final Map<String, Integer> writesByKey = new HashMap<>();
     private long revision;
 
-    /** The revision of the whole store. */
+    /** The revision of the latest change of the store. */
     long revision() {
         return revision;
     }
 
-    /** The revision of the key's last change; zero when it does not exist. */
+    /** The revision of the latest change of a key; zero if the key does not exist. */
     long revisionOf(String key) {
-        Stored stored = keys.get(key);
+        StoredValue stored = values.get(key);
         return stored == null ? 0 : stored.revision();
     }
 
-    /** How often transactions have changed this key. */
-    int writesOf(String key) {
+    /** How many changes transactions have made to a key so far. */
+    int writeCount(String key) {
         return writesByKey.getOrDefault(key, 0);
     }
 
-    /** The size of the largest value, in characters. */
-    int largestValue() {
-        return keys.values().stream()
+    /** The length of the largest value in characters; 0 if there is none. */
+    int largestValueLength() {
+        return values.values().stream()
                 .mapToInt(stored -> stored.json().length())
                 .max()
                 .orElse(0);
     }
 
-    boolean holds(String key, String json) {
-        return keys.containsKey(key) && keys.get(key).json().equals(json);
+    boolean hasValue(String key, String json) {
+        return values.containsKey(key) && values.get(key).json().equals(json);
     }
 
-    /** Someone else writes this value. */
-    void plant(String key, String json) {
+    /** Writes a value as a client other than the controllers, under a revision of its own. */
+    void writeExternally(String key, String json) {
         revision++;
         write(key, json, 0);
     }
 
-    /** The changes of one transaction, under one revision. */
+    /** Applies the changes of one transaction under one revision. */
     void apply(List<KeyValueStore.Change> changes) {
         revision++;
         for (KeyValueStore.Change change : changes) {
@@ -66,42 +66,46 @@
             if (change.record() == null) {
                 remove(change.key());
             } else {
-                write(change.key(), TransactionLimits.json(change), change.lease());
+                write(change.key(), TransactionLimits.encodedValue(change), change.leaseId());
             }
         }
     }
 
-    /** A lease is over: its keys go away, each under a revision of its own. */
-    void removeAllOf(long lease) {
-        List<String> gone = keys.entrySet().stream()
+    /** Removes the keys of an expired lease, each under a revision of its own. */
+    void removeKeysOfLease(long lease) {
+        List<String> expiredKeys = values.entrySet().stream()
                 .filter(entry -> entry.getValue().lease() == lease)
                 .map(Map.Entry::getKey)
                 .toList();
-        for (String key : gone) {
+        for (String key : expiredKeys) {
             revision++;
             remove(key);
         }
     }
 
     private void write(String key, String json, long lease) {
-        keys.put(key, new Stored(json, revision, lease));
-        log.add(new Logged(key, json, revision));
+        values.put(key, new StoredValue(json, revision, lease));
+        log.add(new LoggedChange(key, json, revision));
     }
 
     private void remove(String key) {
-        keys.remove(key);
-        log.add(new Logged(key, null, revision));
+        values.remove(key);
+        log.add(new LoggedChange(key, null, revision));
     }
 
-    /** The keys with this prefix, in their order, after {@code from}, or from the first one when that is empty. */
+    /**
+     * The keys with this prefix in ascending order, at most 20 a page.
+     *
+     * @param from the key after which the page begins; empty for the first page
+     */
     KeyValueStore.Page list(String prefix, String from, int limit) {
         List<KeyValueStore.Item> items = new ArrayList<>();
         boolean first = from.isEmpty();
-        for (var entry : keys.tailMap(first ? prefix : from, first).entrySet()) {
+        for (var entry : values.tailMap(first ? prefix : from, first).entrySet()) {
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
-            if (items.size() == Math.min(limit, MOST_LISTED)) {
+            if (items.size() == Math.min(limit, MAX_PAGE_SIZE)) {
                 return page(items, true);
             }
             items.add(item(
@@ -110,16 +114,16 @@
         return page(items, false);
     }
 
-    /** The changes of keys with this prefix after a revision; {@code GONE} when not all of them are kept any more. */
+    /** The changes of keys with a prefix after a revision; {@code GONE} if some of them are no longer kept. */
     KeyValueStore.Page changes(String prefix, long from) {
-        if (log.size() > CHANGES_KEPT) {
-            log.subList(0, log.size() - CHANGES_KEPT).clear();
+        if (log.size() > MAX_LOGGED_CHANGES) {
+            log.subList(0, log.size() - MAX_LOGGED_CHANGES).clear();
         }
         if (from < revision && !log.isEmpty() && log.get(0).revision() > from + 1) {
             return new KeyValueStore.Page(KeyValueStore.Outcome.GONE, List.of(), false, revision);
         }
         List<KeyValueStore.Item> items = new ArrayList<>();
-        for (Logged logged : log) {
+        for (LoggedChange logged : log) {
             if (logged.revision() > from && logged.key().startsWith(prefix)) {
                 items.add(item(logged.key(), logged.json(), logged.revision()));
             }
--- a/src/test/java/org/granitepath/simulation/SimTaskRunner.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskRunner.java
@@ -8,194 +8,197 @@
 import org.granitepath.coordination.ports.Heartbeat.TaskState;
 import org.granitepath.coordination.ports.TaskId;
 import org.granitepath.coordination.ports.WorkerCommand;
-import org.granitepath.simulation.SimRuns.Run;
+import org.granitepath.simulation.SimTaskAttempts.TaskAttempt;
 import org.granitepath.storage.JobSpec;
 
-/** Runs the tasks of one simulated machine: fetches images, starts, saves and ends tasks, and tells the rules. */
+/** Runs the tasks of one simulated machine, from image fetch to exit, and reports starts and ends to the rules. */
 final class SimTaskRunner {
-    /** A task on a faulty machine, or of a broken job, fails after so long. */
-    private static final long FAILS_AFTER = 200_000;
+    /** How long a task runs before it fails, on a faulty machine or if its job fails everywhere. */
+    private static final long FAILURE_DELAY_MICROS = 200_000;
 
-    private final World world;
+    private final SimEnvironment environment;
     private final Rules rules;
     private final SimWorker worker;
     private final Function<String, JobSpec> jobs;
     private final Predicate<String> failsEverywhere;
-    private final Set<TaskId> results;
+    private final Set<TaskId> completedTasks;
     private final SimGangs gangs;
-    private final SimRuns runs;
-    private final Set<String> images = new HashSet<>();
+    private final SimTaskAttempts attempts;
+    private final Set<String> cachedImages = new HashSet<>();
     private boolean changed;
     private boolean faulty;
-    private int failures;
+    private int failedTaskCount;
 
     /**
-     * @param results tasks that have their result, on whichever machine
-     * @param failsEverywhere whether every task of a job fails
+     * @param completedTasks the tasks that have a result, shared by all machines
+     * @param failsEverywhere whether every task of a job fails, by job id
      */
     SimTaskRunner(
-            World world,
+            SimEnvironment environment,
             Rules rules,
             SimWorker worker,
             Function<String, JobSpec> jobs,
             Predicate<String> failsEverywhere,
-            Set<TaskId> results,
+            Set<TaskId> completedTasks,
             SimGangs gangs) {
-        this.world = world;
+        this.environment = environment;
         this.rules = rules;
         this.worker = worker;
         this.jobs = jobs;
         this.failsEverywhere = failsEverywhere;
-        this.results = results;
+        this.completedTasks = completedTasks;
         this.gangs = gangs;
-        this.runs = new SimRuns(worker.type, jobs);
+        this.attempts = new SimTaskAttempts(worker.type, jobs);
     }
 
-    /** What is on the machine, exited attempts included. */
-    SimRuns runs() {
-        return runs;
+    /** The task attempts on this machine, exited ones included. */
+    SimTaskAttempts attempts() {
+        return attempts;
     }
 
-    /** From now on every task fails here. */
+    /** Makes tasks fail on this machine from now on. */
     void becomeFaulty() {
         faulty = true;
     }
 
-    boolean faulty() {
+    boolean isFaulty() {
         return faulty;
     }
 
-    /** How many tasks have failed here. */
-    int failures() {
-        return failures;
+    /** How many tasks have failed on this machine. */
+    int failedTaskCount() {
+        return failedTaskCount;
     }
 
-    /** Whether a task has changed its state since {@link #resetChanged}. */
-    boolean changed() {
+    /** Whether a task has changed state since {@link #clearChanged}. */
+    boolean hasChanged() {
         return changed;
     }
 
-    void resetChanged() {
+    void clearChanged() {
         changed = false;
     }
 
-    /** Each task does what is due now. */
+    /** Performs the state changes of tasks that are due. */
     void advance() {
-        for (Run run : runs.all()) {
-            if (run.member != null) {
-                advanceInGang(run);
-            } else if (run.state != TaskState.EXITED && world.now() >= run.until) {
-                advance(run);
+        for (TaskAttempt attempt : attempts.all()) {
+            if (attempt.gangMember != null) {
+                advanceInGang(attempt);
+            } else if (attempt.state != TaskState.EXITED && environment.nowMicros() >= attempt.stateEndMicros) {
+                advance(attempt);
             }
         }
     }
 
-    private void advance(Run run) {
+    private void advance(TaskAttempt attempt) {
         changed = true;
-        if (run.state == TaskState.FETCHING) {
-            begin(run);
+        if (attempt.state == TaskState.FETCHING) {
+            onImageFetched(attempt);
             return;
         }
-        boolean saving = run.state == TaskState.SAVING;
-        end(run, saving ? ExitCause.STOPPED : fails(run) ? ExitCause.FAILED : ExitCause.DONE);
-        run.saved = saving;
-    }
-
-    /** The image is here: the task runs, or waits for the others of its gang. */
-    private void begin(Run run) {
-        JobSpec spec = jobs.apply(run.task.job());
-        images.add(spec.image());
-        rules.started(run.task, worker.id, worker.type.name(), worker.zone, worker.spot);
-        if (spec.gang() && !results.contains(run.task) && !fails(run)) {
-            run.state = TaskState.WAITING;
-            run.until = Long.MAX_VALUE;
-            run.member = gangs.join(spec, run.task, run.attempt, worker::hangs);
+        boolean saving = attempt.state == TaskState.SAVING;
+        end(attempt, saving ? ExitCause.STOPPED : mustFail(attempt) ? ExitCause.FAILED : ExitCause.DONE);
+        attempt.progressSaved = saving;
+    }
+
+    /** Starts a task whose image has been fetched, or lets it wait for the other tasks of its gang. */
+    private void onImageFetched(TaskAttempt attempt) {
+        JobSpec spec = jobs.apply(attempt.task.job());
+        cachedImages.add(spec.image());
+        rules.recordTaskStarted(attempt.task, worker.id, worker.type.name(), worker.zone, worker.spot);
+        if (spec.isGang() && !completedTasks.contains(attempt.task) && !mustFail(attempt)) {
+            attempt.state = TaskState.WAITING;
+            attempt.stateEndMicros = Long.MAX_VALUE;
+            attempt.gangMember = gangs.join(spec, attempt.task, attempt.number, worker::isHanging);
             return;
         }
-        run.state = TaskState.RUNNING;
-        long runMicros = runMicros(run, spec);
-        run.until = spec.service() ? Long.MAX_VALUE : world.now() + runMicros;
-        if (fails(run)) {
-            failures++;
-            run.until = world.now() + FAILS_AFTER;
+        attempt.state = TaskState.RUNNING;
+        long runMicros = runTimeMicros(attempt, spec);
+        attempt.stateEndMicros = spec.isService() ? Long.MAX_VALUE : environment.nowMicros() + runMicros;
+        if (mustFail(attempt)) {
+            failedTaskCount++;
+            attempt.stateEndMicros = environment.nowMicros() + FAILURE_DELAY_MICROS;
         }
     }
 
-    /** Half of what was estimated to half as much again; nothing is left to do where the result is there already. */
-    private long runMicros(Run run, JobSpec spec) {
-        return results.contains(run.task)
+    /** The run time: 0.5 to 1.5 times the estimate, or zero if the task already has its result. */
+    private long runTimeMicros(TaskAttempt attempt, JobSpec spec) {
+        return completedTasks.contains(attempt.task)
                 ? 0
-                : spec.estimateMicros() / 2 + (long) (world.random.nextDouble() * spec.estimateMicros());
+                : spec.estimatedRunMicros() / 2 + (long) (environment.random.nextDouble() * spec.estimatedRunMicros());
     }
 
-    private boolean fails(Run run) {
-        return faulty || failsEverywhere.test(run.task.job());
+    private boolean mustFail(TaskAttempt attempt) {
+        return faulty || failsEverywhere.test(attempt.task.job());
     }
 
-    private void advanceInGang(Run run) {
-        ExitCause cause = run.member.exit();
+    private void advanceInGang(TaskAttempt attempt) {
+        ExitCause cause = attempt.gangMember.updateAndGetExitCause();
         if (cause != null) {
-            run.saved = run.member.kept();
-            end(run, cause);
+            attempt.progressSaved = attempt.gangMember.progressSaved();
+            end(attempt, cause);
             return;
         }
-        TaskState state =
-                run.member.saves() ? TaskState.SAVING : run.member.running() ? TaskState.RUNNING : TaskState.WAITING;
-        changed |= state != run.state;
-        run.state = state;
+        TaskState state = attempt.gangMember.isSaving()
+                ? TaskState.SAVING
+                : attempt.gangMember.isRunning() ? TaskState.RUNNING : TaskState.WAITING;
+        changed |= state != attempt.state;
+        attempt.state = state;
     }
 
-    /** All tasks whose jobs fit are over, each for this reason. */
+    /** Ends all tasks whose jobs match, with the given cause. */
     void end(Predicate<JobSpec> which, ExitCause cause) {
-        runs.live().stream()
-                .filter(run -> which.test(jobs.apply(run.task.job())))
-                .forEach(run -> end(run, cause));
+        attempts.active().stream()
+                .filter(attempt -> which.test(jobs.apply(attempt.task.job())))
+                .forEach(attempt -> end(attempt, cause));
     }
 
-    private void end(Run run, ExitCause cause) {
-        leave(run);
+    private void end(TaskAttempt attempt, ExitCause cause) {
+        removeFromMachine(attempt);
         if (cause == ExitCause.DONE) {
-            results.add(run.task);
-            rules.completed(run.task);
+            completedTasks.add(attempt.task);
+            rules.recordTaskCompleted(attempt.task);
         }
-        run.state = TaskState.EXITED;
-        run.cause = cause;
+        attempt.state = TaskState.EXITED;
+        attempt.cause = cause;
         changed = true;
     }
 
-    /** All tasks are gone without a word. */
+    /** Removes all attempts, exited ones included, without reporting their exit. */
     void killAll() {
-        runs.all().forEach(this::leave);
-        runs.clear();
+        attempts.all().forEach(this::removeFromMachine);
+        attempts.clear();
     }
 
-    /** A task that is on the machine is so no longer. */
-    private void leave(Run run) {
-        if (run.state == TaskState.WAITING || run.state == TaskState.RUNNING || run.state == TaskState.SAVING) {
-            rules.left(run.task, worker.id);
+    /** Records that a task no longer runs on this machine and removes it from its gang. */
+    private void removeFromMachine(TaskAttempt attempt) {
+        if (attempt.state == TaskState.WAITING
+                || attempt.state == TaskState.RUNNING
+                || attempt.state == TaskState.SAVING) {
+            rules.recordTaskRemoved(attempt.task, worker.id);
         }
-        if (run.member != null) {
-            run.member.leave();
-            run.member = null;
+        if (attempt.gangMember != null) {
+            attempt.gangMember.leave();
+            attempt.gangMember = null;
         }
     }
 
     void execute(WorkerCommand command) {
-        Run run = runs.get(command.task(), command.attempt());
+        TaskAttempt attempt = attempts.get(command.task(), command.attempt());
         switch (command.verb()) {
             case START -> {
-                if (run == null) {
+                if (attempt == null) {
                     start(command);
                 }
             }
             case STOP -> {
-                if (run != null && run.state != TaskState.EXITED) {
-                    stop(run, command.graceMicros());
+                if (attempt != null && attempt.state != TaskState.EXITED) {
+                    stop(attempt, command.graceMicros());
                 }
             }
             case CLEAR -> {
-                if (run != null && run.state == TaskState.EXITED) {
-                    runs.remove(run);
+                if (attempt != null && attempt.state == TaskState.EXITED) {
+                    attempts.remove(attempt);
                 }
             }
         }
@@ -203,36 +206,39 @@
 
     private void start(WorkerCommand command) {
         changed = true;
-        Run run = new Run(command.task(), command.attempt());
+        TaskAttempt attempt = new TaskAttempt(command.task(), command.attempt());
         JobSpec spec = jobs.apply(command.task().job());
-        runs.add(run);
-        ExitCause refusal = runs.refusal(spec, run);
+        attempts.add(attempt);
+        ExitCause refusal = attempts.refusalCause(spec, attempt);
         if (refusal != ExitCause.NONE) {
-            run.state = TaskState.EXITED;
-            run.cause = refusal;
+            attempt.state = TaskState.EXITED;
+            attempt.cause = refusal;
             return;
         }
-        run.until = world.now() + fetchMicros(spec);
+        attempt.stateEndMicros = environment.nowMicros() + fetchMicros(spec);
     }
 
     private long fetchMicros(JobSpec spec) {
-        return images.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
+        return cachedImages.contains(spec.image()) ? 0 : (long) (spec.imageGb() / worker.type.fetchGbPerSecond() * 1e6);
     }
 
-    private void stop(Run run, long graceMicros) {
-        JobSpec spec = jobs.apply(run.task.job());
-        boolean savesInGang = run.member != null && run.member.running() && spec.checkpointMicros() > 0;
-        if (savesInGang && graceMicros > 0 && graceMicros >= spec.saveMicros()) {
-            run.member.stop();
+    private void stop(TaskAttempt attempt, long graceMicros) {
+        JobSpec spec = jobs.apply(attempt.task.job());
+        boolean canSaveInGang =
+                attempt.gangMember != null && attempt.gangMember.isRunning() && spec.checkpointIntervalMicros() > 0;
+        if (canSaveInGang && graceMicros > 0 && graceMicros >= spec.saveDurationMicros()) {
+            attempt.gangMember.stop();
             changed = true;
             return;
         }
-        if (run.state == TaskState.RUNNING && spec.checkpointMicros() > 0 && graceMicros >= spec.saveMicros()) {
-            run.state = TaskState.SAVING;
-            run.until = world.now() + spec.saveMicros();
+        if (attempt.state == TaskState.RUNNING
+                && spec.checkpointIntervalMicros() > 0
+                && graceMicros >= spec.saveDurationMicros()) {
+            attempt.state = TaskState.SAVING;
+            attempt.stateEndMicros = environment.nowMicros() + spec.saveDurationMicros();
             changed = true;
-        } else if (run.state != TaskState.SAVING || graceMicros == 0) {
-            end(run, ExitCause.STOPPED);
+        } else if (attempt.state != TaskState.SAVING || graceMicros == 0) {
+            end(attempt, ExitCause.STOPPED);
         }
     }
 }
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -13,202 +13,212 @@
 import org.granitepath.storage.JobSpec;
 import org.jspecify.annotations.Nullable;
 
-/** Users who submit jobs, ask for them until they are over, and call some off. */
+/** Simulated users, who submit jobs, poll their status, retry, and cancel some of them. */
 final class SimUsers {
-    private static final long TIMEOUT = 5 * Simulation.SECOND;
+    private static final long TIMEOUT_MICROS = 5 * Simulation.SECOND;
 
-    /** What a user asks of a controller, and where the answer goes. */
-    private interface Question {
-        void ask(Controller controller, Consumer<JobResponse> then);
+    /** A request of a user to a controller. */
+    private interface JobRequest {
+        void send(Controller controller, Consumer<JobResponse> then);
     }
 
     private final Simulation simulation;
-    private final Map<String, JobSpec> described = new LinkedHashMap<>();
-    /** Jobs for which a question is under way. */
-    private final Set<String> asking = new HashSet<>();
+    private final Map<String, JobSpec> specs = new LinkedHashMap<>();
+    /** Ids of the jobs for which a request is under way. */
+    private final Set<String> jobsWithRequestInFlight = new HashSet<>();
 
-    private int unschedulableRefused;
-    private int doneTold;
+    private int unschedulableRejectionCount;
+    private int doneResponseCount;
 
     SimUsers(Simulation simulation) {
         this.simulation = simulation;
     }
 
-    /** The description of this job, or null when nobody has made one known. */
+    /** The spec of a job; null if it is unknown. */
     @Nullable
-    JobSpec describedAs(String job) {
-        return described.get(job);
+    JobSpec specOf(String job) {
+        return specs.get(job);
     }
 
-    /** How often a job that can never run was refused as such. */
-    int unschedulableRefused() {
-        return unschedulableRefused;
+    /** How many jobs that can never run were rejected as unschedulable. */
+    int unschedulableRejectionCount() {
+        return unschedulableRejectionCount;
     }
 
-    /** How often users were told that a job is done. */
-    int doneTold() {
-        return doneTold;
+    /** How many responses reported a job as done. */
+    int doneResponseCount() {
+        return doneResponseCount;
     }
 
-    /** Users cancel so many jobs that run, within a fifth of a second; up to eight of their machines hang. */
+    /**
+     * Cancels this many running jobs, each within 0.2 s, and lets up to eight of their machines hang for a while.
+     *
+     * @param hangMicros how long the machines hang; zero if they do not
+     * @return the ids of the jobs
+     */
     List<String> cancelRunning(int count, long hangMicros) {
-        List<String> chosen = simulation.rules.running().stream().limit(count).toList();
+        List<String> chosen =
+                simulation.rules.runningJobs().stream().limit(count).toList();
         List<String> hosts = chosen.stream()
                 .flatMap(job -> simulation.rules.hostsOf(job).stream())
                 .distinct()
                 .limit(8)
                 .toList();
-        chosen.forEach(job -> simulation.world.after(simulation.world.random.nextInt(200_000), () -> cancel(job)));
+        chosen.forEach(
+                job -> simulation.environment.after(simulation.environment.random.nextInt(200_000), () -> cancel(job)));
         simulation.cloud.workers().stream()
                 .filter(worker -> hangMicros > 0 && hosts.contains(worker.id))
                 .forEach(worker -> worker.hangFor(hangMicros));
         return chosen;
     }
 
-    /** Users repeat submissions, cancel what is done, and send jobs that can never run. */
-    void oddRequests(long forMicros) {
-        for (long at = 0; at < forMicros; at += 700_000) {
-            simulation.world.after(at, () -> {
-                repeatARequest();
+    /**
+     * Every 0.7 s, takes a random known job, submits it again if it was accepted and cancels it if it is done; also
+     * submits a job that can never run.
+     */
+    void sendUnusualRequests(long durationMicros) {
+        for (long at = 0; at < durationMicros; at += 700_000) {
+            simulation.environment.after(at, () -> {
+                repeatRequest();
                 submitUnschedulable();
             });
         }
     }
 
-    private void repeatARequest() {
-        List<String> known = List.copyOf(described.keySet());
+    private void repeatRequest() {
+        List<String> known = List.copyOf(specs.keySet());
         if (known.isEmpty()) {
             return;
         }
-        JobSpec spec = described.get(known.get(simulation.world.random.nextInt(known.size())));
-        if (simulation.rules.acceptedJob(spec.id())) {
-            ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
+        JobSpec spec = specs.get(known.get(simulation.environment.random.nextInt(known.size())));
+        if (simulation.rules.isAccepted(spec.id())) {
+            request(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {});
         }
-        if (simulation.rules.finalTold(spec.id()) == JobState.DONE) {
+        if (simulation.rules.finalState(spec.id()) == JobState.DONE) {
             cancel(spec.id());
         }
     }
 
-    /** Each task takes more than the largest machine has. */
+    /** Submits a job whose tasks each take more CPU than the largest machine has. */
     private void submitUnschedulable() {
         JobSpec like = simulation.jobs.batch(3, Simulation.SECOND);
         JobSpec spec = simulation.jobs.withCpu(like, 3, 90_000);
-        simulation.rules.submittingUnschedulable(spec.id());
-        ask(
+        simulation.rules.recordUnschedulableSubmission(spec.id());
+        request(
                 spec.id(),
                 (controller, then) -> controller.submit(spec, then),
-                answer -> unschedulableRefused += answer instanceof JobResponse.Unschedulable ? 1 : 0);
+                answer -> unschedulableRejectionCount += answer instanceof JobResponse.Unschedulable ? 1 : 0);
     }
 
-    /** Workers find the description of this job, although no user has submitted it to a controller. */
-    void describe(JobSpec spec) {
-        described.put(spec.id(), spec);
+    /** Makes the spec of a job known to workers, although no user has submitted it to a controller. */
+    void addSpec(JobSpec spec) {
+        specs.put(spec.id(), spec);
     }
 
-    /** A user submits and polls to the end. */
+    /** Submits a job, retries until a controller accepts or rejects it, and polls its status. */
     void submit(JobSpec spec) {
         submit(spec, -1);
     }
 
-    /** A user submits, polls to the end and may cancel after a while (negative: never). */
-    void submit(JobSpec spec, long cancelAfter) {
-        described.put(spec.id(), spec);
-        simulation.rules.submitting(spec);
-        ask(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
+    /** Submits and polls a job, and cancels it this long after its acceptance; never if the delay is negative. */
+    void submit(JobSpec spec, long cancelAfterMicros) {
+        specs.put(spec.id(), spec);
+        simulation.rules.recordSubmission(spec);
+        request(spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
-                if (cancelAfter >= 0) {
-                    simulation.world.after(cancelAfter, () -> cancel(spec.id()));
+                if (cancelAfterMicros >= 0) {
+                    simulation.environment.after(cancelAfterMicros, () -> cancel(spec.id()));
                 }
                 poll(spec.id());
             } else if (!(answer instanceof JobResponse.Unschedulable)) {
-                simulation.world.after(2 * Simulation.SECOND, () -> submit(spec, cancelAfter));
+                simulation.environment.after(2 * Simulation.SECOND, () -> submit(spec, cancelAfterMicros));
             }
         });
     }
 
-    /** The same at one controller alone, until it accepts. */
+    /** Submits a job to one controller only, retries until it accepts, and polls the status of the job. */
     void submitAt(String node, JobSpec spec) {
-        described.put(spec.id(), spec);
-        simulation.rules.submitting(spec);
-        askAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
+        specs.put(spec.id(), spec);
+        simulation.rules.recordSubmission(spec);
+        requestAt(node, spec.id(), (controller, then) -> controller.submit(spec, then), answer -> {
             if (answer instanceof JobResponse.Status) {
                 poll(spec.id());
             } else {
-                simulation.world.after(300_000, () -> submitAt(node, spec));
+                simulation.environment.after(300_000, () -> submitAt(node, spec));
             }
         });
     }
 
     private void poll(String id) {
-        simulation.world.after(
+        simulation.environment.after(
                 5 * Simulation.SECOND,
-                () -> ask(id, (controller, then) -> controller.poll(id, then), answer -> {
+                () -> request(id, (controller, then) -> controller.poll(id, then), answer -> {
                     poll(id);
                     if (answer instanceof JobResponse.Status status && status.state() == JobState.DONE) {
-                        doneTold++;
+                        doneResponseCount++;
                     }
                 }));
     }
 
-    /** A user calls the job off, at any controller until one has confirmed it. */
+    /** Cancels a job at a random controller; retries until a controller has confirmed the cancellation. */
     void cancel(String id) {
-        cancelAt(simulation.anyNode(), id);
+        cancelAt(simulation.randomNode(), id);
     }
 
-    /** The same at one controller first. */
+    /** Cancels a job at one controller first; retries at random controllers until one has confirmed it. */
     void cancelAt(String node, String id) {
-        simulation.rules.cancelling(id);
-        askAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
+        simulation.rules.recordCancellationRequest(id);
+        requestAt(node, id, (controller, then) -> controller.cancel(id, then), answer -> {
             if (!(answer instanceof JobResponse.Status)) {
-                simulation.world.after(2 * Simulation.SECOND, () -> cancel(id));
+                simulation.environment.after(2 * Simulation.SECOND, () -> cancel(id));
             }
         });
     }
 
-    private void ask(String id, Question question, Consumer<JobResponse> then) {
-        askAt(simulation.anyNode(), id, question, then);
+    private void request(String id, JobRequest request, Consumer<JobResponse> then) {
+        requestAt(simulation.randomNode(), id, request, then);
     }
 
-    private void askAt(String node, String id, Question question, Consumer<JobResponse> then) {
+    private void requestAt(String node, String id, JobRequest request, Consumer<JobResponse> then) {
         String user = "user-" + id;
-        // Answers are compared only when the question was put after the earlier answer: so one question at a time.
-        if (asking.contains(id)) {
-            simulation.world.after(200_000, () -> askAt(node, id, question, then));
+        // The rules compare a response only with responses that arrived before the request, so requests do not overlap.
+        if (jobsWithRequestInFlight.contains(id)) {
+            simulation.environment.after(200_000, () -> requestAt(node, id, request, then));
             return;
         }
-        asking.add(id);
-        simulation.world.<JobResponse>callLater(
+        jobsWithRequestInFlight.add(id);
+        simulation.environment.<JobResponse>callAsync(
                 user,
                 node,
-                TIMEOUT,
+                TIMEOUT_MICROS,
                 answer -> {
                     Controller controller = simulation.controllerAt(node);
-                    if (controller != null && !simulation.unreachable.contains(node)) {
-                        question.ask(controller, simulation.traced(node, user, answer));
+                    if (controller != null && !simulation.nodesUnreachableByUsers.contains(node)) {
+                        request.send(controller, simulation.traced(node, user, answer));
                     }
                 },
                 answer -> {
-                    asking.remove(id);
+                    jobsWithRequestInFlight.remove(id);
                     if (answer != null) {
-                        simulation.rules.told(id, answer);
+                        simulation.rules.recordResponse(id, answer);
                     }
                     then.accept(answer);
                 });
     }
 
-    /** A user asks for a job that nobody has submitted. */
+    /** Polls the status of a job that nobody has submitted. */
     void pollUnknownJob() {
-        String id = "run-999" + simulation.world.random.nextInt(1000);
-        ask(id, (controller, then) -> controller.poll(id, then), answer -> {});
+        String id = "run-999" + simulation.environment.random.nextInt(1000);
+        request(id, (controller, then) -> controller.poll(id, then), answer -> {});
     }
 
-    /** Accepted jobs, services aside, of which no user was told the end. */
-    List<String> unfinishedBatches() {
+    /** Ids of the accepted jobs other than services for which no response reported a final state. */
+    List<String> unfinishedBatchJobs() {
         List<String> list = new ArrayList<>();
-        for (JobSpec spec : described.values()) {
-            if (!spec.service()
-                    && simulation.rules.acceptedJob(spec.id())
-                    && simulation.rules.finalTold(spec.id()) == null) {
+        for (JobSpec spec : specs.values()) {
+            if (!spec.isService()
+                    && simulation.rules.isAccepted(spec.id())
+                    && simulation.rules.finalState(spec.id()) == null) {
                 list.add(spec.id());
             }
         }
--- a/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/TaskPlacementRulesTest.java
@@ -12,56 +12,56 @@
     private final RulesFixture fixture = new RulesFixture();
 
     @Test
-    void keptRulesAreNotCalledBroken() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.rules().left(new TaskId(ANYWHERE, 0), "a");
-        fixture.start(ANYWHERE, 0, "b", "z");
-        fixture.start(SPREAD, 0, "a", "z");
-        fixture.start(SPREAD, 1, "b", "y");
-
-        fixture.assertNoneBroken();
+    void validPlacementsAreNotReported() {
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.rules().recordTaskRemoved(new TaskId(ANYWHERE, 0), "a");
+        fixture.startTask(ANYWHERE, 0, "b", "z");
+        fixture.startTask(SPREAD, 0, "a", "z");
+        fixture.startTask(SPREAD, 1, "b", "y");
+
+        fixture.assertNoViolations();
     }
 
     @Test
-    void sameTaskOnTwoMachines() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.start(ANYWHERE, 0, "b", "z");
+    void sameTaskOnTwoMachinesIsReported() {
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 0, "b", "z");
 
-        fixture.assertBroken("ran_twice");
+        fixture.assertViolation("ran_twice");
     }
 
     @Test
-    void spotMachineNotAllowed() {
-        fixture.rules().started(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
+    void forbiddenSpotMachineIsReported() {
+        fixture.rules().recordTaskStarted(new TaskId(ANYWHERE, 0), "a", "m", "z", true);
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
-    void spreadJobInOneZone() {
-        fixture.start(SPREAD, 0, "a", "z");
-        fixture.start(SPREAD, 1, "b", "z");
+    void spreadJobInOneZoneIsReported() {
+        fixture.startTask(SPREAD, 0, "a", "z");
+        fixture.startTask(SPREAD, 1, "b", "z");
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
-    void oneZoneJobInTwoZones() {
-        fixture.start(ONE_ZONE, 0, "a", "z");
-        fixture.start(ONE_ZONE, 1, "b", "y");
+    void oneZoneJobInTwoZonesIsReported() {
+        fixture.startTask(ONE_ZONE, 0, "a", "z");
+        fixture.startTask(ONE_ZONE, 1, "b", "y");
 
-        fixture.assertBroken("wrong_place");
+        fixture.assertViolation("wrong_place");
     }
 
     @Test
-    void teamOverItsLimit() {
-        fixture.start(ANYWHERE, 0, "a", "z");
-        fixture.start(ANYWHERE, 1, "a", "z");
-        fixture.start(ONE_ZONE, 0, "a", "z");
-        fixture.assertNoneBroken();
+    void teamOverItsLimitIsReported() {
+        fixture.startTask(ANYWHERE, 0, "a", "z");
+        fixture.startTask(ANYWHERE, 1, "a", "z");
+        fixture.startTask(ONE_ZONE, 0, "a", "z");
+        fixture.assertNoViolations();
 
-        fixture.start(ONE_ZONE, 1, "a", "z");
+        fixture.startTask(ONE_ZONE, 1, "a", "z");
 
-        fixture.assertBroken("quota");
+        fixture.assertViolation("quota");
     }
 }
--- a/src/test/java/org/granitepath/storage/ReplicaFixture.java
+++ b/src/test/java/org/granitepath/storage/ReplicaFixture.java
@@ -19,12 +19,12 @@
 
     final ReplicaRecords records = new ReplicaRecords(new RecordReplica.Listener() {
         @Override
-        public void changed(String key, StoredRecord record, long revision) {
+        public void onRecordChanged(String key, StoredRecord record, long revision) {
             changes.add((record == null ? "-" : "") + key + "@" + revision);
         }
 
         @Override
-        public void loaded() {}
+        public void onLoaded() {}
     });
     final ReplicaPosition position = new ReplicaPosition(records, timers.nowMicros());
 
