--- a/src/main/java/org/granitepath/protocol/CloudCodec.java
+++ b/src/main/java/org/granitepath/protocol/CloudCodec.java
@@ -93,8 +93,8 @@
     }
 
     /** An unknown state counts as booting: the machine exists, but cannot be used yet. */
-    private static MachineState machineState(String word) {
-        return switch (word) {
+    private static MachineState machineState(String wireName) {
+        return switch (wireName) {
             case "running" -> MachineState.RUNNING;
             case "failed" -> MachineState.FAILED;
             default -> MachineState.BOOTING;
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -63,7 +63,7 @@
     }
 
     /** Decodes the result of a transaction. The caller derives {@code outcome} from the HTTP status. */
-    public static CommitResult decodeCommitted(Outcome outcome, Map<String, Object> body) {
+    public static CommitResult decodeCommitResult(Outcome outcome, Map<String, Object> body) {
         return new CommitResult(outcome, Fields.longOf(body, EPOCH, 0), Fields.textsOf(body, "failed"));
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Decodes the id of a new lease. */
-    public static long decodeLease(Map<String, Object> body) {
+    public static long decodeLeaseId(Map<String, Object> body) {
         return Fields.longOf(body, PERMIT, 0);
     }
 }
--- a/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
+++ b/src/main/java/org/granitepath/protocol/RecoveryStatusCodec.java
@@ -11,7 +11,7 @@
 
     private RecoveryStatusCodec() {}
 
-    /** Returns a JSON object without the fields that do not apply; {@code role} and {@code reason} say what is unknown. */
+    /** Returns a JSON object. Inapplicable fields are omitted; {@code role} and {@code reason} say what is unknown. */
     public static String encode(RecoveryStatus status) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("node", status.node());
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -85,8 +85,8 @@
                 due == null ? JobSpec.NO_DEADLINE : micros(fields, "due_s"));
     }
 
-    private static JobSpec.Shape shape(String word) throws MalformedSubmissionException {
-        return switch (word) {
+    private static JobSpec.Shape shape(String wireName) throws MalformedSubmissionException {
+        return switch (wireName) {
             case "batch" -> JobSpec.Shape.BATCH;
             case "gang" -> JobSpec.Shape.GANG;
             case "daemon" -> JobSpec.Shape.SERVICE;
@@ -94,8 +94,8 @@
         };
     }
 
-    private static Priority priority(String word) throws MalformedSubmissionException {
-        return switch (word) {
+    private static Priority priority(String wireName) throws MalformedSubmissionException {
+        return switch (wireName) {
             case "critical" -> Priority.CRITICAL;
             case "high" -> Priority.HIGH;
             case "standard" -> Priority.STANDARD;
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -125,25 +125,25 @@
     }
 
     /** An unknown state may mean anything, so the task counts as present on the machine. */
-    private static TaskState taskState(TaskId task, String word) {
-        return switch (word) {
+    private static TaskState taskState(TaskId task, String wireName) {
+        return switch (wireName) {
             case "pulling" -> TaskState.FETCHING;
             case "waiting" -> TaskState.WAITING;
             case "running" -> TaskState.RUNNING;
             case "saving" -> TaskState.SAVING;
             case "ended" -> TaskState.EXITED;
             default -> {
-                LOG.warn("task {}: unknown state {}; treated as fetching", task, word);
+                LOG.warn("task {}: unknown state {}; treated as fetching", task, wireName);
                 yield TaskState.FETCHING;
             }
         };
     }
 
-    private static ExitCause exitCause(TaskId task, @Nullable String word) {
-        if (word == null) {
+    private static ExitCause exitCause(TaskId task, @Nullable String wireName) {
+        if (wireName == null) {
             return ExitCause.NONE;
         }
-        return switch (word) {
+        return switch (wireName) {
             case "done" -> ExitCause.DONE;
             case "stopped" -> ExitCause.STOPPED;
             case "error" -> ExitCause.FAILED;
@@ -153,7 +153,7 @@
             case "mates_gone" -> ExitCause.PEER_GONE;
             case "alone" -> ExitCause.INCOMPLETE;
             default -> {
-                LOG.warn("task {}: unknown exit cause {}; treated as stopped", task, word);
+                LOG.warn("task {}: unknown exit cause {}; treated as stopped", task, wireName);
                 yield ExitCause.STOPPED;
             }
         };
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -33,7 +33,7 @@
             then.accept(
                     body == null
                             ? new CommitResult(outcome, 0, List.of())
-                            : KeyValueStoreCodec.decodeCommitted(outcome, body));
+                            : KeyValueStoreCodec.decodeCommitResult(outcome, body));
         });
     }
 
@@ -56,15 +56,15 @@
     public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
         store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), response -> {
             Map<String, Object> body = response.json();
-            long lease = body == null ? 0 : KeyValueStoreCodec.decodeLease(body);
-            then.accept(new LeaseResult(outcome(response.status(), body), lease));
+            long leaseId = body == null ? 0 : KeyValueStoreCodec.decodeLeaseId(body);
+            then.accept(new LeaseResult(outcome(response.status(), body), leaseId));
         });
     }
 
     @Override
-    public void renewLease(long lease, Consumer<Outcome> then) {
+    public void renewLease(long leaseId, Consumer<Outcome> then) {
         store.post(
-                "/leases/" + lease + "/touch",
+                "/leases/" + leaseId + "/touch",
                 EMPTY_OBJECT,
                 RENEWAL_TIMEOUT_MICROS,
                 // The status determines the outcome; the body is ignored.
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -115,13 +115,15 @@
     @Test
     void connectionsAboveTheLimitAreClosed() throws Exception {
         List<Socket> open = new ArrayList<>();
-        int kept = 0;
+        int keptConnections = 0;
         for (int i = 0; i < 2 * MAX_CONNECTIONS; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             open.add(socket);
-            kept += keepsOpen(socket) ? 1 : 0;
+            keptConnections += keepsOpen(socket) ? 1 : 0;
         }
-        assertTrue(kept > MAX_CONNECTIONS / 2 && kept < MAX_CONNECTIONS * 0.9, kept + " connections kept");
+        assertTrue(
+                keptConnections > MAX_CONNECTIONS / 2 && keptConnections < MAX_CONNECTIONS * 0.9,
+                keptConnections + " connections kept");
         for (Socket socket : open) {
             socket.close();
         }
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -116,11 +116,11 @@
 
     @Test
     void commandsAreEncoded() {
-        Map<String, Object> answer = Json.decodeObject(WorkerCodec.encode(
+        Map<String, Object> response = Json.decodeObject(WorkerCodec.encode(
                 new HeartbeatResponse.Accepted(41, List.of(WorkerCommand.stop(new TaskId("run-1", 3), 9, 2_500_000)))));
         assertEquals(
                 Map.of("verb", "halt", "piece", "run-1/3", "try", 9, "leeway_s", 2.5),
-                ((List<?>) answer.get("orders")).get(0));
+                ((List<?>) response.get("orders")).get(0));
     }
 
     @Test
@@ -170,11 +170,11 @@
     void resultsOfTransactionsAreDecoded() {
         assertEquals(
                 new CommitResult(Outcome.CONFLICT, 12, List.of("g/leader")),
-                KeyValueStoreCodec.decodeCommitted(
+                KeyValueStoreCodec.decodeCommitResult(
                         Outcome.CONFLICT, Json.decodeObject("{\"epoch\":12,\"failed\":[\"g/leader\"],\"later\":{}}")));
         assertEquals(
                 new CommitResult(Outcome.REFUSED, 0, List.of()),
-                KeyValueStoreCodec.decodeCommitted(Outcome.REFUSED, Json.decodeObject("{\"error\":\"busy\"}")));
+                KeyValueStoreCodec.decodeCommitResult(Outcome.REFUSED, Json.decodeObject("{\"error\":\"busy\"}")));
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -104,8 +104,8 @@
 
     @ParameterizedTest
     @CsvSource({"pulling,FETCHING", "waiting,WAITING", "running,RUNNING", "saving,SAVING", "ended,EXITED"})
-    void statesOfTasks(String word, TaskState state) {
-        assertEquals(state, decodeTaskStatus("\"status\":\"" + word + "\"").state());
+    void statesOfTasks(String wireName, TaskState state) {
+        assertEquals(state, decodeTaskStatus("\"status\":\"" + wireName + "\"").state());
     }
 
     @ParameterizedTest
@@ -119,10 +119,10 @@
         "mates_gone,PEER_GONE",
         "alone,INCOMPLETE"
     })
-    void causesOfExits(String word, ExitCause cause) {
+    void causesOfExits(String wireName, ExitCause cause) {
         assertEquals(
                 cause,
-                decodeTaskStatus("\"status\":\"ended\",\"cause\":\"" + word + "\"")
+                decodeTaskStatus("\"status\":\"ended\",\"cause\":\"" + wireName + "\"")
                         .cause());
     }
 
@@ -156,11 +156,11 @@
 
     @ParameterizedTest
     @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
-    void machinesInTheListOfTheCloud(String word, MachineState state) {
+    void machinesInTheListOfTheCloud(String wireName, MachineState state) {
         assertEquals(
                 List.of(new ListedMachine("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
                 CloudCodec.decodeListing(Json.decodeObject("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
-                        + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + word
+                        + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + wireName
                         + "\",\"held_s\":61.5}],\"has_next\":false}")));
     }
 
@@ -196,7 +196,7 @@
                 KeyValueStoreCodec.decodeEvents(
                         Json.decodeObject("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
                                 + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
-        assertEquals(7, KeyValueStoreCodec.decodeLease(Json.decodeObject("{\"permit\":7}")));
+        assertEquals(7, KeyValueStoreCodec.decodeLeaseId(Json.decodeObject("{\"permit\":7}")));
     }
 
     @Test
@@ -211,28 +211,29 @@
 
     @ParameterizedTest
     @CsvSource({"PENDING,pending", "RUNNING,running", "DONE,done", "CANCELLED,aborted"})
-    void jobStates(JobState state, String word) {
+    void jobStates(JobState state, String wireName) {
         JobResponse status = new JobResponse.Status(false, "run-1", state, 3, 13);
         assertEquals(
-                "{\"uid\":\"run-1\",\"status\":\"" + word + "\",\"done\":3,\"running\":13}",
+                "{\"uid\":\"run-1\",\"status\":\"" + wireName + "\",\"done\":3,\"running\":13}",
                 SubmissionCodec.encode(status));
         assertEquals(200, SubmissionCodec.httpStatus(status));
     }
 
     @Test
     void responsesToUsers() {
-        Map<String, JobResponse> answers = new LinkedHashMap<>();
-        answers.put(
+        Map<String, JobResponse> responses = new LinkedHashMap<>();
+        responses.put(
                 "201 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}",
                 new JobResponse.Status(true, "run-1", JobState.PENDING, 0, 0));
-        answers.put("404 {\"error\":\"no such job\"}", new JobResponse.NotFound());
-        answers.put("422 {\"error\":\"unknown team\"}", new JobResponse.Unschedulable("unknown team"));
-        answers.put("503 {\"error\":\"starting\"}", new JobResponse.RetryLater("starting", 2));
+        responses.put("404 {\"error\":\"no such job\"}", new JobResponse.NotFound());
+        responses.put("422 {\"error\":\"unknown team\"}", new JobResponse.Unschedulable("unknown team"));
+        responses.put("503 {\"error\":\"starting\"}", new JobResponse.RetryLater("starting", 2));
         List<String> encoded = new ArrayList<>();
-        answers.values()
-                .forEach(answer ->
-                        encoded.add(SubmissionCodec.httpStatus(answer) + " " + SubmissionCodec.encode(answer)));
-        assertEquals(List.copyOf(answers.keySet()), encoded);
+        responses
+                .values()
+                .forEach(response ->
+                        encoded.add(SubmissionCodec.httpStatus(response) + " " + SubmissionCodec.encode(response)));
+        assertEquals(List.copyOf(responses.keySet()), encoded);
     }
 
     @Test
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -124,8 +124,9 @@
         assertEquals(
                 "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41}",
                 Json.encode(StoredRecordCodec.encode(leader)));
-        String former = "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41,\"at\":1700000000000000}";
-        assertEquals(leader, StoredRecordCodec.decode(Keys.LEADER, Json.decodeObject(former)));
+        String jsonOfEarlierVersion =
+                "{\"node\":\"worker-1\",\"incarnation\":\"worker-1-2\",\"baton\":41,\"at\":1700000000000000}";
+        assertEquals(leader, StoredRecordCodec.decode(Keys.LEADER, Json.decodeObject(jsonOfEarlierVersion)));
         FencingTokenRecord token = new FencingTokenRecord("worker-1", 41, 43);
         assertEquals(
                 Map.of("owner", "worker-1", "term", 41, "last", 43),
--- a/src/test/java/org/granitepath/transport/HttpCallsTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsTest.java
@@ -44,8 +44,8 @@
                     OutgoingRequest.get("127.0.0.1:" + fullSocket.getLocalPort(), "/", ConnectionPolicy.CLOSE);
             loop.execute(() -> {
                 for (int i = 0; i < CALLS; i++) {
-                    http.call(request, 300_000, answer -> {
-                        statuses.add(answer.status());
+                    http.call(request, 300_000, response -> {
+                        statuses.add(response.status());
                         ended.countDown();
                     });
                 }
@@ -60,7 +60,7 @@
                             .filter(status -> status == HttpStatus.NO_RESPONSE)
                             .count());
             long leaked = openFileDescriptors() - descriptorsBefore;
-            assertTrue(leaked < CALLS / 4, leaked + " sockets held");
+            assertTrue(leaked < CALLS / 4, leaked + " sockets still open");
             for (Socket socket : queuedSockets) {
                 socket.close();
             }
--- a/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
+++ b/src/test/java/org/granitepath/transport/HttpCallsToAListenerTest.java
@@ -120,10 +120,11 @@
 
     @Test
     void closedConnectionCarriesNoOtherCall() throws Exception {
-        String kept = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
-        String closed = get("/caller", ConnectionPolicy.CLOSE).text();
-        assertNotEquals(kept, closed);
-        assertEquals(kept, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
+        String keptConnectionPort = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
+        String closedConnectionPort = get("/caller", ConnectionPolicy.CLOSE).text();
+        assertNotEquals(keptConnectionPort, closedConnectionPort);
+        assertEquals(
+                keptConnectionPort, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
@@ -137,9 +138,10 @@
 
     @Test
     void connectionOfATimedOutCallIsNotReused() throws Exception {
-        String kept = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
+        String keptConnectionPort = get("/caller", ConnectionPolicy.KEEP_ALIVE).text();
         call(OutgoingRequest.get(address, "/silent", ConnectionPolicy.KEEP_ALIVE), SHORT_TIMEOUT_MICROS);
-        assertNotEquals(kept, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
+        assertNotEquals(
+                keptConnectionPort, get("/caller", ConnectionPolicy.KEEP_ALIVE).text());
     }
 
     @Test
