--- a/src/main/java/org/granitepath/transport/ApiServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -57,7 +57,7 @@
         } else if (path.startsWith(JOB_PREFIX)) {
             routeJob(exchange, path.substring(JOB_PREFIX.length()), isPost, isGet);
         } else {
-            reply(exchange, HttpStatus.NOT_FOUND, NO_SUCH_PATH);
+            sendJson(exchange, HttpStatus.NOT_FOUND, NO_SUCH_PATH);
         }
     }
 
@@ -71,7 +71,7 @@
         String id = cancel ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
         boolean methodAllowed = cancel ? isPost : isGet;
         if (!methodAllowed) {
-            reply(exchange, HttpStatus.METHOD_NOT_ALLOWED, METHOD_NOT_ALLOWED);
+            sendJson(exchange, HttpStatus.METHOD_NOT_ALLOWED, METHOD_NOT_ALLOWED);
         } else if (!SubmissionCodec.isJobId(id)) {
             respond(exchange, new JobResponse.NotFound());
         } else if (cancel) {
@@ -85,9 +85,9 @@
 
     private void reportHealth(HttpServerExchange exchange) {
         if (controller.isHealthy()) {
-            reply(exchange, HttpStatus.OK, EMPTY_OBJECT);
+            sendJson(exchange, HttpStatus.OK, EMPTY_OBJECT);
         } else {
-            reply(exchange, HttpStatus.SERVICE_UNAVAILABLE, NOT_HEALTHY);
+            sendJson(exchange, HttpStatus.SERVICE_UNAVAILABLE, NOT_HEALTHY);
         }
     }
 
@@ -104,7 +104,7 @@
         try {
             controller.submit(SubmissionCodec.decode(text), response -> respond(exchange, response));
         } catch (SubmissionCodec.MalformedSubmissionException e) {
-            reply(exchange, HttpStatus.BAD_REQUEST, SubmissionCodec.encode(e));
+            sendJson(exchange, HttpStatus.BAD_REQUEST, SubmissionCodec.encode(e));
         }
     }
 
@@ -112,14 +112,14 @@
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(text);
         if (heartbeat == null) {
             metrics.recordUnreadableHeartbeat(exchange.getSourceAddress().toString());
-            reply(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
+            sendJson(exchange, HttpStatus.BAD_REQUEST, NOT_A_HEARTBEAT);
             return;
         }
         HeartbeatResponse response = controller.handleHeartbeat(heartbeat);
         if (!(response instanceof HeartbeatResponse.Accepted)) {
             exchange.setPersistent(false); // The worker sends its next heartbeat to another controller.
         }
-        reply(exchange, WorkerCodec.httpStatus(response), WorkerCodec.encode(response));
+        sendJson(exchange, WorkerCodec.httpStatus(response), WorkerCodec.encode(response));
     }
 
     /** The body may arrive in a later event than the head of the request, so its handler has its own error logging. */
@@ -129,17 +129,17 @@
                         (received, bytes) -> EventLoop.withErrorLogging(
                                         () -> then.accept(new String(bytes, StandardCharsets.UTF_8)))
                                 .run(),
-                        (received, cause) -> reply(received, HttpStatus.BAD_REQUEST, UNREADABLE_BODY));
+                        (received, cause) -> sendJson(received, HttpStatus.BAD_REQUEST, UNREADABLE_BODY));
     }
 
     private static void respond(HttpServerExchange exchange, JobResponse response) {
         if (response instanceof JobResponse.RetryLater later) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(later.afterSeconds()));
         }
-        reply(exchange, SubmissionCodec.httpStatus(response), SubmissionCodec.encode(response));
+        sendJson(exchange, SubmissionCodec.httpStatus(response), SubmissionCodec.encode(response));
     }
 
-    private static void reply(HttpServerExchange exchange, int status, String text) {
+    private static void sendJson(HttpServerExchange exchange, int status, String text) {
         if (exchange.isResponseStarted()) {
             return;
         }
