--- a/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
+++ b/src/main/java/org/granitepath/cli/ClassArchiveTrainingCommand.java
@@ -49,7 +49,7 @@
         Files.delete(file);
     }
 
-    /** Sends one request of each kind and waits for their ends, at most {@link #RESPONSES_TIMEOUT_SECONDS}. */
+    /** Sends one request of each kind and waits until all have ended, at most {@link #RESPONSES_TIMEOUT_SECONDS}. */
     private static void sendRequests(String address) throws IOException, InterruptedException {
         List<OutgoingRequest> requests = List.of(
                 OutgoingRequest.get(address, "/up", ConnectionPolicy.CLOSE),
--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -32,12 +32,12 @@
      */
     private static final int MIN_CONNECTIONS = 64;
 
-    /** Default for platforms whose settings do not mention gangs. */
+    // Defaults for platforms whose settings do not mention gangs.
     private static final long DEFAULT_GANG_WAIT_MICROS = 30_000_000;
 
     private static final long DEFAULT_GANG_PEER_MICROS = 5_000_000;
-    private static final double MIN_STORE_REQUESTS = 0.1;
-    private static final double MIN_CLOUD_REQUESTS = 0.01;
+    private static final double MIN_STORE_REQUESTS_PER_SECOND = 0.1;
+    private static final double MIN_CLOUD_REQUESTS_PER_SECOND = 0.01;
     private static final double MIN_WRITES_PER_SECOND = 0.1;
     private static final double MIN_VALUE_KB = 0.5;
     private static final double MIN_TRANSACTION_CHANGES = 4;
@@ -97,7 +97,7 @@
         return objectives;
     }
 
-    /** Returns the objective of a job class extended by one more table. Unknown kinds change nothing. */
+    /** Returns {@code current} with the value of one more table. Tables of unknown kinds change nothing. */
     private static Objective extend(Objective current, TomlFields table) throws InvalidSettingException {
         return switch (table.anyAsText("kind")) {
             case "wait" -> new Objective(table.micros("within_s"), current.deadlineFactor(), current.finishMicros());
@@ -122,13 +122,16 @@
 
     private PlatformLimits platformLimits() throws InvalidSettingException {
         return new PlatformLimits(
-                fields.number("facts.state.rps", MIN_STORE_REQUESTS),
+                fields.number("facts.state.rps", MIN_STORE_REQUESTS_PER_SECOND),
                 storeLimits(),
-                fields.number("facts.cloud.rps", MIN_CLOUD_REQUESTS),
+                fields.number("facts.cloud.rps", MIN_CLOUD_REQUESTS_PER_SECOND),
                 (int) fields.numberIfPresent("facts.resources.max_connections", MIN_CONNECTIONS, DEFAULT_CONNECTIONS));
     }
 
-    /** Returns the stricter of the current and the later limits, because the later ones apply from the first start. */
+    /**
+     * Returns the stricter of the current and the later limits. The later ones are observed from the first start, because
+     * they come into force without notice.
+     */
     private StoreLimits storeLimits() throws InvalidSettingException {
         StoreLimits current = currentStoreLimits();
         if (!fields.has("facts.state.next")) {
--- a/src/main/java/org/granitepath/cli/Main.java
+++ b/src/main/java/org/granitepath/cli/Main.java
@@ -83,9 +83,10 @@
 
     /** Configures SLF4J's simple logger. Must be called before the first logger is created. */
     private static void configureLogging(@Nullable String level) {
-        String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
+        String requestedLevel = level == null ? "info" : level.toLowerCase(Locale.ROOT);
         System.setProperty(
-                "org.slf4j.simpleLogger.defaultLogLevel", wanted.matches("error|warn|info|debug") ? wanted : "info");
+                "org.slf4j.simpleLogger.defaultLogLevel",
+                requestedLevel.matches("error|warn|info|debug") ? requestedLevel : "info");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         System.setProperty("org.slf4j.simpleLogger.log.org.xnio", "warn");
--- a/src/main/java/org/granitepath/cli/Settings.java
+++ b/src/main/java/org/granitepath/cli/Settings.java
@@ -24,7 +24,7 @@
         Map<String, String> peerAddresses,
         String cloudAddress,
         String storeAddress) {
-    /** The default recovery hold is a worker's lease divided by this, which is slightly more than two heartbeats. */
+    /** The default recovery hold is a worker's lease divided by this: slightly more than two heartbeat intervals. */
     private static final int HOLDS_PER_LEASE = 4;
 
     /**
--- a/src/main/java/org/granitepath/cli/TuningFile.java
+++ b/src/main/java/org/granitepath/cli/TuningFile.java
@@ -60,7 +60,7 @@
         }
         TuningFile settings = new TuningFile(file, valuesByName);
         Tuning tuning = settings.tuning(defaults);
-        settings.checkAllRead();
+        settings.rejectUnknownSettings();
         return tuning;
     }
 
@@ -102,7 +102,7 @@
                 number("weight-best-effort", defaults.bestEffort(), 1, MAX_WEIGHT));
     }
 
-    private void checkAllRead() throws InvalidSettingException {
+    private void rejectUnknownSettings() throws InvalidSettingException {
         if (unread.isEmpty()) {
             return;
         }
--- a/src/main/java/org/granitepath/protocol/SubmissionCodec.java
+++ b/src/main/java/org/granitepath/protocol/SubmissionCodec.java
@@ -16,8 +16,8 @@
  * <p>Names in the protocol with users and their meaning: {@code uid}: job id; {@code lane}: job class; {@code owner}:
  * team; {@code pieces}: tasks; {@code daemon}: service; {@code rank}: priority; {@code cards}: GPUs; {@code bundle}:
  * image; {@code models}: machine types; {@code site}: zone; {@code same_place}: all tasks in one zone;
- * {@code scatter}: spread over zones; {@code loaner}: spot instances allowed; {@code expect_s}: estimate;
- * {@code snapshot_s}: time between checkpoints; {@code flush_s}: time to save; {@code due_s}: deadline;
+ * {@code scatter}: spread over zones; {@code loaner}: spot instances allowed; {@code expect_s}: estimated run time;
+ * {@code snapshot_s}: time between checkpoints; {@code flush_s}: time to save state; {@code due_s}: deadline;
  * {@code aborted}: cancelled.
  */
 public final class SubmissionCodec {
--- a/src/main/java/org/granitepath/protocol/WorkerCodec.java
+++ b/src/main/java/org/granitepath/protocol/WorkerCodec.java
@@ -38,7 +38,7 @@
     private static final String BATON = "baton";
     private static final String PIECE = "piece";
     private static final String TRY = "try";
-    /** The cloud has not announced the end of the spot instance. */
+    /** Stands for the notice period of a machine whose termination the cloud has not announced. */
     private static final long NO_NOTICE = -1;
     /** Stands for an agent epoch in a message that has none. */
     private static final long NO_AGENT_EPOCH = -1;
--- a/src/main/java/org/granitepath/transport/HttpServers.java
+++ b/src/main/java/org/granitepath/transport/HttpServers.java
@@ -3,7 +3,7 @@
 import org.granitepath.coordination.Controller;
 import org.granitepath.coordination.config.PlatformLimits;
 
-/** The two HTTP servers of a controller: the API and the peer interface, which has the metrics of both. */
+/** The two HTTP servers of a controller: the API and the peer interface, which also serves the metrics of both. */
 public final class HttpServers {
     private HttpServers() {}
 
--- a/src/main/java/org/granitepath/transport/JsonClient.java
+++ b/src/main/java/org/granitepath/transport/JsonClient.java
@@ -13,7 +13,7 @@
      * Creates a client.
      *
      * @param address HOST:PORT of the server
-     * @param timeoutMicros the timeout in microseconds of calls that do not name another
+     * @param timeoutMicros the default timeout of a call, in microseconds
      */
     JsonClient(HttpCalls http, String address, ConnectionPolicy connectionPolicy, long timeoutMicros) {
         this.http = http;
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -81,7 +81,7 @@
     /**
      * Returns the outcome of a request.
      *
-     * @param body null if there was none or it is not a JSON object; the outcome of a successful status is then unknown
+     * @param body null if it is missing or not a JSON object; a successful status then has an unknown outcome
      */
     private static Outcome outcome(int status, @Nullable Map<String, Object> body) {
         return switch (status) {
--- a/src/main/java/org/granitepath/transport/Metrics.java
+++ b/src/main/java/org/granitepath/transport/Metrics.java
@@ -74,7 +74,10 @@
         responseCounts.addTo(request + " " + status, 1);
     }
 
-    /** Each phase has a gauge. The one of the current phase is 1; all are 0 while this controller has no term. */
+    /**
+     * Registers the gauges of the recovery. Each phase has a gauge, which is 1 for the current phase; all of them are 0
+     * while this controller has no term.
+     */
     private void registerRecovery(MeterRegistry meters) {
         for (RecoveryPhase phase : RecoveryPhase.values()) {
             Gauge.builder(
--- a/src/test/java/org/granitepath/cli/MainTest.java
+++ b/src/test/java/org/granitepath/cli/MainTest.java
@@ -175,7 +175,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"serve --confg x", "serve", "serve --config /nonexistent", "dance"})
-    void wrongUseReturnsTheUsageErrorStatus(String commandLine) {
+    void invalidArgumentsReturnTheUsageErrorStatus(String commandLine) {
         assertEquals(Command.USAGE_ERROR, Main.execute(commandLine.split(" ")));
     }
 
--- a/src/test/java/org/granitepath/cli/ServeHttpTest.java
+++ b/src/test/java/org/granitepath/cli/ServeHttpTest.java
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void heartbeatIsUnavailableWhileNoLeaderIsKnown() throws Exception {
+    void heartbeatIsRejectedWhileNoLeaderIsKnown() throws Exception {
         String heartbeat = """
                 {"host":"i-1","address":"127.0.0.1:1","model":"m","site":"z","loaner":false,\
                 "shift":1,"tally":1,"baton":0,"pieces":[]}""";
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -137,7 +137,7 @@
                         Keys.FENCING_TOKEN, Json.decodeObject(Json.encode(StoredRecordCodec.encode(token)))));
     }
 
-    /** A malformed record causes an error that names its key. Records of kinds from later versions are accepted. */
+    /** A malformed record causes an error that names its key. Records of later versions' kinds are no error. */
     @Test
     void malformedAndUnknownRecords() throws MalformedRecordException {
         for (String key : List.of(Keys.JOB_PREFIX + "run-1", Keys.LEADER)) {
