--- a/src/main/java/org/granitepath/storage/PendingWrites.java
+++ b/src/main/java/org/granitepath/storage/PendingWrites.java
@@ -87,19 +87,19 @@
         List<String> withdrawn = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
             int capacity = urgency == Urgency.PROGRESS_ONLY ? maxChangesWithProgress : maxChanges;
-            for (var named : writes.entrySet()) {
+            for (var entry : writes.entrySet()) {
                 if (batch.size() >= capacity) {
                     break;
                 }
-                Write write = named.getValue();
+                Write write = entry.getValue();
                 if (write.urgency() != urgency || (write.dueMicros() > nowMicros && isHalfFull(batch))) {
                     continue;
                 }
                 List<Change> content = write.content().get();
                 if (content.isEmpty()) {
-                    withdrawn.add(named.getKey());
+                    withdrawn.add(entry.getKey());
                 } else {
-                    batch.addIfFits(named.getKey(), write, content);
+                    batch.addIfFits(entry.getKey(), write, content);
                 }
             }
         }
@@ -107,10 +107,7 @@
         return batch;
     }
 
-    /**
-     * Returns whether the transaction is half full. Writes that are not due yet are only added to a transaction with
-     * less.
-     */
+    /** Returns whether the transaction is at least half full. From then on, only writes that are due are added. */
     private boolean isHalfFull(WriteBatch batch) {
         return batch.size() * 2 >= transactionChanges;
     }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -25,7 +25,7 @@
     private final Listener listener;
     private final ReplicaRecords records;
     private final ReplicaPosition position;
-    private final ReadBarrier requestBarrier;
+    private final ReadBarrier readBarrier;
     private final RecordFollower follower;
     private final RecordLoader loader;
     private boolean loadedOnce;
@@ -38,8 +38,8 @@
         this.listener = listener;
         this.records = new ReplicaRecords(listener);
         this.position = new ReplicaPosition(records, timers.nowMicros());
-        this.requestBarrier = new ReadBarrier(store, timers, spacingMicros, position);
-        this.follower = new RecordFollower(store, timers, spacingMicros, position, requestBarrier, this::startLoad);
+        this.readBarrier = new ReadBarrier(store, timers, spacingMicros, position);
+        this.follower = new RecordFollower(store, timers, spacingMicros, position, readBarrier, this::startLoad);
         this.loader = new RecordLoader(store, timers, records, this::onLoadCompleted);
     }
 
@@ -117,7 +117,7 @@
      * cannot be reached now.
      */
     public void requestBarrier(Consumer<Boolean> callback) {
-        requestBarrier.request(callback);
+        readBarrier.request(callback);
     }
 
     private void startLoad() {
--- a/src/main/java/org/granitepath/storage/RetryPolicy.java
+++ b/src/main/java/org/granitepath/storage/RetryPolicy.java
@@ -72,7 +72,7 @@
         if (writes == 1) {
             return new Decision(Action.ABANDON, SHORT_RETRY_DELAY_MICROS);
         }
-        maxChanges = 1; // isolates the rejected write, so that the others are written
+        maxChanges = 1; // isolates the invalid write, so that the others are written
         return new Decision(Action.SEND_AGAIN, SHORT_RETRY_DELAY_MICROS);
     }
 }
--- a/src/main/java/org/granitepath/storage/TokenBucket.java
+++ b/src/main/java/org/granitepath/storage/TokenBucket.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits the rate of changes. Each change takes a token; tokens arrive at the present rate, and the bucket holds at
- * most the tokens of one second.
+ * most the tokens of one second, or one token if that is more.
  */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
--- a/src/main/java/org/granitepath/storage/WritePace.java
+++ b/src/main/java/org/granitepath/storage/WritePace.java
@@ -40,17 +40,17 @@
     }
 
     /** Returns the largest number of changes that the budget allows now, at least one. */
-    int maxChanges(int largestTransaction) {
-        return Math.min(largestTransaction, Math.max(1, (int) budget.tokens()));
+    int maxChanges(int maxTransactionChanges) {
+        return Math.min(maxTransactionChanges, Math.max(1, (int) budget.tokens()));
     }
 
     /**
      * Returns the number of changes from which on no progress write is added. Progress writes leave part of the budget
      * free, so that urgent writes need not wait for them.
      */
-    int maxProgressChanges(int mostChanges) {
+    int maxProgressChanges(int maxChanges) {
         return Math.min(
-                mostChanges, (int) (budget.tokens() - budget.sharePerSecond() * RESERVED_FROM_PROGRESS_FRACTION));
+                maxChanges, (int) (budget.tokens() - budget.sharePerSecond() * RESERVED_FROM_PROGRESS_FRACTION));
     }
 
     /** Returns whether so many waiting writes are more than the queue can send within a few seconds. */
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -46,7 +46,7 @@
     /** Whether a transaction is in progress, or the delay after a failed one has not passed. */
     private boolean busy;
 
-    private boolean isBehind;
+    private boolean behind;
 
     /**
      * @param transactionChanges the largest number of changes that the store accepts in a transaction
@@ -85,7 +85,7 @@
      * is determined whenever a transaction is sent.
      */
     public boolean isBehind() {
-        return isBehind;
+        return behind;
     }
 
     /**
@@ -132,7 +132,7 @@
         busy = true;
         pace.recordSent(batch.size());
         pending.remove(batch.writes());
-        isBehind = pace.isBehind(pending.countExcludingProgress());
+        behind = pace.isBehind(pending.countExcludingProgress());
         store.commit(transaction, result -> onAnswer(batch, result));
     }
 
@@ -196,7 +196,7 @@
     private static void logAbandoned(WriteBatch batch) {
         for (Change change : batch.changes()) {
             LOG.error(
-                    "record {} ({} bytes, {} changes in the write): store rejected the write as invalid; abandoning the write",
+                    "record {} ({} bytes, {} changes in the write): store rejected it as invalid; abandoning it",
                     change.key(),
                     WriteBatch.estimatedBytes(change),
                     batch.size());
--- a/src/test/java/org/granitepath/storage/PendingWritesTest.java
+++ b/src/test/java/org/granitepath/storage/PendingWritesTest.java
@@ -10,7 +10,7 @@
 import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
-/** Pending writes are gatheredNames into transactions by urgency, due time and size. */
+/** Pending writes are gathered into transactions by urgency, due time and size. */
 class PendingWritesTest {
     private static final StoredRecord SMALL = new UnknownRecord(Map.of("x", 1));
     private static final StoredRecord LARGE = new UnknownRecord(Map.of("x", "y".repeat(30_000)));
