--- a/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/OutsideFormatsTest.java
@@ -40,32 +40,30 @@
 import org.pcollections.OrderedPSet;
 
 /**
- * The messages exchanged with workers, the cloud, the store, users and operators, byte for byte: the other side knows
- * them by these names, whatever the code calls its parts.
+ * The exact bytes of the messages that are exchanged with workers, the cloud, the store, users and operators. The other
+ * sides depend on these names, so the names must not change when identifiers in the code do.
  */
 class OutsideFormatsTest {
     private static final TaskId TASK = new TaskId("run-000412", 3);
 
-    // ---- workers -----------------------------------------------------------------------------------------------
-
     @Test
-    void commandsInTheAnswerToAHeartbeat() {
-        HeartbeatResponse answer = new HeartbeatResponse.Accepted(
+    void commandsInTheResponseToAHeartbeat() {
+        HeartbeatResponse response = new HeartbeatResponse.Accepted(
                 41,
                 List.of(
                         WorkerCommand.start(TASK, 7),
                         WorkerCommand.stop(TASK, 6, 2_500_000),
                         WorkerCommand.clear(TASK, 5)));
-        assertEquals(200, WorkerCodec.httpStatus(answer));
+        assertEquals(200, WorkerCodec.httpStatus(response));
         assertEquals(
                 "{\"baton\":41,\"orders\":[{\"verb\":\"start\",\"piece\":\"run-000412/3\",\"try\":7},"
                         + "{\"verb\":\"halt\",\"piece\":\"run-000412/3\",\"try\":6,\"leeway_s\":2.5},"
                         + "{\"verb\":\"clear\",\"piece\":\"run-000412/3\",\"try\":5}]}",
-                WorkerCodec.encode(answer));
+                WorkerCodec.encode(response));
     }
 
     @Test
-    void otherAnswersToAHeartbeat() {
+    void otherResponsesToAHeartbeat() {
         HeartbeatResponse known = new HeartbeatResponse.Redirect("worker-2");
         HeartbeatResponse unknown = new HeartbeatResponse.Redirect(null);
         HeartbeatResponse none = new HeartbeatResponse.Unavailable();
@@ -106,8 +104,8 @@
 
     @ParameterizedTest
     @CsvSource({"pulling,FETCHING", "waiting,WAITING", "running,RUNNING", "saving,SAVING", "ended,EXITED"})
-    void statesOfTasks(String word, TaskState state) {
-        assertEquals(state, reported("\"status\":\"" + word + "\"").state());
+    void statesOfTasks(String wireName, TaskState state) {
+        assertEquals(state, decodeTaskStatus("\"status\":\"" + wireName + "\"").state());
     }
 
     @ParameterizedTest
@@ -121,13 +119,14 @@
         "mates_gone,PEER_GONE",
         "alone,INCOMPLETE"
     })
-    void causesOfExits(String word, ExitCause cause) {
+    void causesOfExits(String wireName, ExitCause cause) {
         assertEquals(
                 cause,
-                reported("\"status\":\"ended\",\"cause\":\"" + word + "\"").cause());
+                decodeTaskStatus("\"status\":\"ended\",\"cause\":\"" + wireName + "\"")
+                        .cause());
     }
 
-    private static Heartbeat.TaskStatus reported(String fields) {
+    private static Heartbeat.TaskStatus decodeTaskStatus(String fields) {
         return WorkerCodec.decodeHeartbeat("{\"host\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"model\":\"g8\","
                         + "\"site\":\"a\",\"shift\":2,\"tally\":88,\"pieces\":[{\"piece\":\"run-1/0\",\"try\":7,"
                         + fields + "}]}")
@@ -135,8 +134,6 @@
                 .get(0);
     }
 
-    // ---- cloud -------------------------------------------------------------------------------------------------
-
     @Test
     void requestsToTheCloud() {
         assertEquals(
@@ -146,7 +143,7 @@
     }
 
     @Test
-    void answersOfTheCloud() {
+    void responsesOfTheCloud() {
         assertEquals(List.of("i-1"), CloudCodec.decodeLaunchedMachines(Json.decodeObject("{\"hosts\":[\"i-1\"]}")));
         assertEquals(
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))),
@@ -159,16 +156,14 @@
 
     @ParameterizedTest
     @CsvSource({"starting,BOOTING", "running,RUNNING", "failed,FAILED"})
-    void machinesAsTheCloudListsThem(String word, MachineState state) {
+    void machinesInTheListOfTheCloud(String wireName, MachineState state) {
         assertEquals(
                 List.of(new ListedMachine("i-1", "10.1.0.2:9000", "g8", "a", true, state, 61_500_000)),
                 CloudCodec.decodeListing(Json.decodeObject("{\"hosts\":[{\"uid\":\"i-1\",\"address\":\"10.1.0.2:9000\","
-                        + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + word
+                        + "\"model\":\"g8\",\"site\":\"a\",\"loaner\":true,\"status\":\"" + wireName
                         + "\",\"held_s\":61.5}],\"has_next\":false}")));
     }
 
-    // ---- store -------------------------------------------------------------------------------------------------
-
     @Test
     void transactions() {
         Transaction transaction = new Transaction(
@@ -186,7 +181,7 @@
     }
 
     @Test
-    void answersOfTheStore() {
+    void responsesOfTheStore() {
         assertEquals(
                 new Page(Outcome.OK, List.of(new Item("a/b", Map.of("x", 1), 412)), true, 431),
                 KeyValueStoreCodec.decodeList(
@@ -201,11 +196,11 @@
                 KeyValueStoreCodec.decodeEvents(
                         Json.decodeObject("{\"epoch\":433,\"events\":[{\"write\":\"c/9\",\"v\":{\"x\":1},"
                                 + "\"stamp\":433},{\"remove\":\"c/d\",\"stamp\":432}]}")));
-        assertEquals(7, KeyValueStoreCodec.decodeLease(Json.decodeObject("{\"permit\":7}")));
+        assertEquals(7, KeyValueStoreCodec.decodeLeaseId(Json.decodeObject("{\"permit\":7}")));
     }
 
     @Test
-    void machineTypesOnRecord() throws Exception {
+    void machineTypesInTheStore() throws Exception {
         MachineTypesRecord record = new MachineTypesRecord(
                 List.of(new MachineType("g8", 96_000, 8_000, 768_000, 1.0, 12.0, 4.5, 45_000_000, List.of("a", "b"))));
         String json = "{\"types\":[{\"name\":\"g8\",\"cpu\":96000,\"gpu\":8000,\"mem\":768000,\"fetch\":1.0,"
@@ -214,36 +209,35 @@
         assertEquals(record, StoredRecordCodec.decode(Keys.MACHINE_TYPES, Json.decodeObject(json)));
     }
 
-    // ---- users and operators -----------------------------------------------------------------------------------
-
     @ParameterizedTest
     @CsvSource({"PENDING,pending", "RUNNING,running", "DONE,done", "CANCELLED,aborted"})
-    void jobStates(JobState state, String word) {
+    void jobStates(JobState state, String wireName) {
         JobResponse status = new JobResponse.Status(false, "run-1", state, 3, 13);
         assertEquals(
-                "{\"uid\":\"run-1\",\"status\":\"" + word + "\",\"done\":3,\"running\":13}",
+                "{\"uid\":\"run-1\",\"status\":\"" + wireName + "\",\"done\":3,\"running\":13}",
                 SubmissionCodec.encode(status));
         assertEquals(200, SubmissionCodec.httpStatus(status));
     }
 
     @Test
-    void answersToUsers() {
-        Map<String, JobResponse> answers = new LinkedHashMap<>();
-        answers.put(
+    void responsesToUsers() {
+        Map<String, JobResponse> responses = new LinkedHashMap<>();
+        responses.put(
                 "201 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}",
                 new JobResponse.Status(true, "run-1", JobState.PENDING, 0, 0));
-        answers.put("404 {\"error\":\"no such job\"}", new JobResponse.NotFound());
-        answers.put("422 {\"error\":\"unknown team\"}", new JobResponse.Unschedulable("unknown team"));
-        answers.put("503 {\"error\":\"starting\"}", new JobResponse.RetryLater("starting", 2));
+        responses.put("404 {\"error\":\"no such job\"}", new JobResponse.NotFound());
+        responses.put("422 {\"error\":\"unknown team\"}", new JobResponse.Unschedulable("unknown team"));
+        responses.put("503 {\"error\":\"starting\"}", new JobResponse.RetryLater("starting", 2));
         List<String> encoded = new ArrayList<>();
-        answers.values()
-                .forEach(answer ->
-                        encoded.add(SubmissionCodec.httpStatus(answer) + " " + SubmissionCodec.encode(answer)));
-        assertEquals(List.copyOf(answers.keySet()), encoded);
+        responses
+                .values()
+                .forEach(response ->
+                        encoded.add(SubmissionCodec.httpStatus(response) + " " + SubmissionCodec.encode(response)));
+        assertEquals(List.copyOf(responses.keySet()), encoded);
     }
 
     @Test
-    void recoveryOfALeader() {
+    void recoveryStatusOfALeader() {
         Map<Verdict, Integer> tasks = new EnumMap<>(Verdict.class);
         tasks.put(Verdict.ADOPTED, 5);
         tasks.put(Verdict.UNCONFIRMED, 2);
@@ -274,7 +268,7 @@
     }
 
     @Test
-    void recoveryAsOthersTellIt() {
+    void recoveryStatusOfOtherControllers() {
         assertEquals(
                 "{\"node\":\"n1\",\"role\":\"following\",\"leader\":\"n0\",\"reason\":\"ask the leader\","
                         + "\"records_age_s\":0.1,\"unreadable_records\":1}",
--- a/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRulesTest.java
@@ -8,7 +8,7 @@
 import org.granitepath.coordination.ports.JobResponse.JobState;
 import org.junit.jupiter.api.Test;
 
-/** Planted wrong answers to users, and answers that do not come, are noticed. */
+/** Tests that {@link AnswerRules} reports wrong and missing answers to users. */
 class AnswerRulesTest {
     private final RulesFixture fixture = new RulesFixture();
 
@@ -22,7 +22,7 @@
         fixture.assertNoViolations();
         fixture.runUntil(76_000_000);
         fixture.rules().checkAnswered(5_000_000);
-        assertTrue(fixture.rules().violations().isEmpty(), "troubles were over only 71 s ago");
+        assertTrue(fixture.rules().violations().isEmpty(), "the faults ended only 71 s ago");
 
         fixture.rules().checkAnswered(0);
 
@@ -40,7 +40,7 @@
         fixture.assertViolation("accepted_impossible");
     }
 
-    /** An accepted job is not found; then it is called done before it is; then it is called running again. */
+    /** An accepted job is reported as not found, then as done before it is, then as running again. */
     @Test
     void contradictoryAnswersAreReported() {
         fixture.deliverStatus(ANYWHERE, JobState.PENDING);
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cancellations that meet other faults: no task starts or goes on for too long after one is confirmed. */
+/** Cancellations during other faults: no task starts, or runs on for too long, after its cancellation is confirmed. */
 class CancellationFaultsTest {
-    /** Cancellations, questions and repeated submissions meet the end of a job's last task. */
+    /** Cancellations, status requests and repeated submissions arrive just as the last task of a job completes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsCancelledAsTheyCompleteHaveOneOutcome(long seed) {
@@ -39,10 +39,10 @@
     }
 
     /**
-     * The store refuses the leader alone, another controller confirms cancellations, and a second or two
-     * later it is out for everybody for longer than cancel_s, while workers go on sending heartbeats to the leader.
-     * With some seeds nobody tells it of the cancellations: only the bound on the time for which anyone may keep a
-     * lease alive can end the tasks.
+     * The store refuses only the leader, another controller confirms cancellations, and one or two seconds later the
+     * store is down for all controllers for longer than cancel_s, while workers go on sending heartbeats to the leader.
+     * With seeds above 2 no controller tells the leader of the cancellations: only the bound on how long any controller
+     * may keep a lease alive can end the tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -81,7 +81,9 @@
         assertRules(simulation);
     }
 
-    /** The store answers slowly, refuses the leader alone and then everybody, while users cancel and ask. */
+    /**
+     * The store answers slowly, then refuses only the leader, then all controllers, while users cancel jobs and poll.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsHoldWhileStoreIsSlowThenRefusesLeaderThenIsDown(long seed) {
@@ -90,22 +92,24 @@
 
         simulation.after(45 * SECOND, () -> simulation.environment.delayedPacketShare = 0.05);
         simulation.after(60 * SECOND, () -> simulation.environment.delayedPacketShare = 0);
-        Observation<Integer> toldBefore = new Observation<>();
-        Observation<Integer> toldAfter = new Observation<>();
+        Observation<Integer> confirmedBefore = new Observation<>();
+        Observation<Integer> confirmedAfter = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             simulation.store.refuseRequestsOf(simulation.leader(), 12 * SECOND);
-            toldBefore.set(simulation.rules.cancelledJobCount());
+            confirmedBefore.set(simulation.rules.cancelledJobCount());
             simulation.users.cancelRunning(4, 0);
         });
         simulation.after(66 * SECOND, () -> {
             simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 6 * SECOND);
             simulation.users.cancelRunning(3, 0);
-            toldAfter.set(simulation.rules.cancelledJobCount());
+            confirmedAfter.set(simulation.rules.cancelledJobCount());
         });
         simulation.runWithLivenessChecks(
                 70 * SECOND + simulation.config.cancellationTimeoutMicros() + 6 * SECOND, 600 * SECOND);
 
-        assertTrue(toldAfter.get() > toldBefore.get(), "nothing was cancelled while the leader was refused");
+        assertTrue(
+                confirmedAfter.get() > confirmedBefore.get(),
+                "no cancellation was confirmed while the store refused the leader");
         assertRulesAndAllDone(simulation);
     }
 
@@ -123,17 +127,18 @@
                         partitionModeOf(seed),
                         simulation.config.leaseMicros() + 12 * SECOND));
         simulation.after(53 * SECOND, () -> simulation.users.cancelRunning(5, 0));
-        Observation<Integer> told =
+        Observation<Integer> confirmed =
                 simulation.observe(50 * SECOND + simulation.config.leaseMicros(), simulation.rules::cancelledJobCount);
         simulation.runWithLivenessChecks(65 * SECOND + simulation.config.leaseMicros(), 500 * SECOND);
 
-        assertTrue(told.get() > 0, "nothing was cancelled in the cut");
+        assertTrue(confirmed.get() > 0, "no cancellation was confirmed while the zone was cut off");
         assertRulesAndAllDone(simulation);
     }
 
     /**
-     * The same, when the leader's stops had not reached the zone's machines before: a zone lease keeper knows of the
-     * cancellations as of its last read, so for it the bound is no help, and it has to stop the tasks itself.
+     * The leader's stop commands have not reached the machines of a zone before the zone is cut off. The zone lease
+     * keeper knows of the cancellations from its last read, so the bound on leases does not help with it: it has to
+     * stop the tasks itself.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -141,7 +146,7 @@
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> told = new Observation<>();
+        Observation<Integer> confirmed = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String zone = simulation.zoneOf(simulation.leader()).equals("south") ? "north" : "south";
             simulation.cloud.workers().stream()
@@ -150,50 +155,48 @@
                             simulation.leader(), worker.id, SimEnvironment.PartitionMode.DROP, 60 * SECOND));
             simulation.users.cancelRunning(10, 0);
             simulation.after(6 * SECOND, () -> {
-                told.set(simulation.rules.cancelledJobCount());
+                confirmed.set(simulation.rules.cancelledJobCount());
                 simulation.faults.partitionZone(zone, SimEnvironment.PartitionMode.DROP, 50 * SECOND);
             });
         });
         simulation.runWithLivenessChecks(125 * SECOND, 900 * SECOND);
 
-        assertEquals(10, told.get(), "cancellations confirmed before the cut");
+        assertEquals(10, confirmed.get(), "cancellations confirmed before the cut");
         assertRulesAndAllDone(simulation);
     }
 
-    /**
-     * A leader loses the store and its peers, not its workers and users; jobs are cancelled through the
-     * new one.
-     */
+    /** A leader loses the store and its peers, but not its workers and users. Jobs are cancelled at the new leader. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void tasksOfReplacedLeaderEndWhenNewLeaderCancelsThem(long seed) {
         Simulation simulation = simulation(seed);
         List<JobSpec> jobs = submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> told = new Observation<>();
+        Observation<Integer> confirmed = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             String former = simulation.leader();
             simulation.faults.partitionFromPeersAndStore(former, partitionModeOf(seed), 70 * SECOND);
             simulation.after(6 * SECOND, () -> {
                 String leader = simulation.leaderOtherThan(former);
                 assertNotEquals(former, leader);
-                // It can't reach any machine either: only leases can end what the former one keeps alive.
+                // The new leader can't reach any machine: only lease expiry can end tasks that the former one keeps
+                // alive.
                 otherNodes(simulation, former)
                         .forEach(node -> simulation.faults.partitionFromWorkers(
                                 node, SimEnvironment.PartitionMode.DROP, 64 * SECOND));
                 jobs.stream().limit(9).forEach(job -> simulation.users.cancelAt(leader, job.id()));
             });
-            simulation.after(12 * SECOND, () -> told.set(simulation.rules.cancelledJobCount()));
+            simulation.after(12 * SECOND, () -> confirmed.set(simulation.rules.cancelledJobCount()));
         });
         simulation.runWithLivenessChecks(135 * SECOND, 900 * SECOND);
 
-        assertEquals(9, told.get(), "cancellations confirmed by the new leader");
+        assertEquals(9, confirmed.get(), "cancellations confirmed by the new leader");
         assertRulesAndAllDone(simulation);
     }
 
     /**
-     * A leader whose renewals get through while its reads don't can't see cancellations: its word on leases must end
-     * all the same.
+     * A leader can renew its own lease, but not read from the store, so it sees no cancellations. It must nevertheless
+     * stop extending the leases of its workers.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -216,29 +219,29 @@
         assertRules(simulation);
     }
 
-    /** Machines hang with tasks of cancelled jobs, for less and for more than a lease, and the leader ends. */
+    /** Machines with tasks of cancelled jobs hang, for less or for more than a lease, and the leader crashes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksEndOnHangingMachines(long seed) {
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> hung = new Observation<>();
+        Observation<Integer> hungCount = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.leaseMicros() + 6 * SECOND;
-            hung.set(simulation.users.cancelRunning(8, hangMicros).size());
+            hungCount.set(simulation.users.cancelRunning(8, hangMicros).size());
             crashLeaderAfter(simulation, SECOND, 300_000);
         });
         simulation.runWithLivenessChecks(75 * SECOND + simulation.config.leaseMicros(), 800 * SECOND);
 
-        assertTrue(hung.get() > 4);
+        assertTrue(hungCount.get() > 4);
         assertRulesAndAllDone(simulation);
     }
 
     /**
-     * A leader's reads lag, for less than it takes to count as out of contact, while others confirm cancellations of
-     * jobs that it still starts tasks of. It is told by its peers, or, with odd seeds, the answer waits until it has
-     * to stop.
+     * The leader's reads lag, for less time than it takes to count as out of contact, while other controllers confirm
+     * cancellations of jobs whose tasks it still starts. Its peers tell it of the cancellations; with odd seeds they do
+     * not, and the confirmation waits until the leader has to stop.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/org/granitepath/simulation/CapacityTest.java
+++ b/src/test/java/org/granitepath/simulation/CapacityTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** More work than capacity, and the machines that are launched for it. */
+/** Scheduling when there is more work than capacity, and the machines that are launched for it. */
 class CapacityTest {
     private static final long SECOND = Simulation.SECOND;
 
     /**
-     * More machines than one transaction could name: the takeover once rewrote every machine inventory, and beyond
-     * some machines nobody could take them over any more. Leaders crash, also in the middle of a takeover, and the
-     * store goes away.
+     * More machines than one transaction could name. A takeover once rewrote every part of the machine inventory, so
+     * that beyond some number of machines no controller could take them over. Here leaders crash, also during a
+     * takeover, and the store has an outage.
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62})
@@ -56,7 +56,8 @@
     }
 
     /**
-     * Far more work than capacity, for minutes: wide and low jobs begin all the same, and half of every kind is served.
+     * There is far more work than capacity for minutes. Jobs with many tasks or low priority start nevertheless, and
+     * half of the jobs of every kind are served.
      */
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
@@ -95,37 +96,39 @@
                 .build();
     }
 
-    /** Services keep arriving: for most of them there is capacity already when they come. */
+    /** Services keep arriving, and for most of them capacity is free when they arrive. */
     @Test
     void arrivingServicesFindHeadroom() {
         Simulation simulation = new Simulation(75, 3, 10);
-        List<JobSpec> late = new ArrayList<>();
+        List<JobSpec> lateServices = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             JobSpec job = simulation.jobs.service(2);
             simulation.after(2 * SECOND + 3L * i * SECOND, () -> simulation.users.submit(job));
             if (i >= 25) {
-                late.add(job);
+                lateServices.add(job);
             }
         }
         simulation.run(200 * SECOND);
 
         assertRules(simulation);
-        long prompt = late.stream()
+        long startedAtOnce = lateServices.stream()
                 .filter(job -> simulation.rules.startDelayMicros(job.id()) < 5 * SECOND)
                 .count();
-        assertTrue(prompt >= late.size() * 0.9, prompt + " of " + late.size() + " began at once");
+        assertTrue(
+                startedAtOnce >= lateServices.size() * 0.9,
+                startedAtOnce + " of " + lateServices.size() + " started at once");
     }
 
     /**
-     * Machines on which many small tasks run and are replaced: new fencing tokens, which let their exited attempts be
-     * cleared, are drawn now and then for all together, and never for what runs.
+     * Many small tasks run on the same machines and are replaced. The new fencing tokens that allow their exited
+     * attempts to be cleared are drawn rarely, one for all of them, and never for running tasks.
      */
     @Test
     void cleanupOfMachinesWithManyTasksDrawsFewFencingTokens() {
         Simulation simulation = new Simulation(85, 3, 3);
-        JobSpec like = simulation.jobs.serviceBuilder(31).build();
+        JobSpec template = simulation.jobs.serviceBuilder(31).build();
         for (int i = 0; i < 4; i++) {
-            simulation.users.submit(simulation.jobs.withCpu(like, 31, 250));
+            simulation.users.submit(simulation.jobs.withCpu(template, 31, 250));
         }
         JobSpec batch = simulation.jobs.batch(60, 2 * SECOND);
         for (int i = 0; i < 30; i++) {
@@ -135,11 +138,11 @@
         simulation.run(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        int drawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
-        assertTrue(drawn < 60, drawn + " fencing tokens drawn");
+        int fencingTokensDrawn = simulation.store.writeCount(Keys.FENCING_TOKEN);
+        assertTrue(fencingTokensDrawn < 60, fencingTokensDrawn + " fencing tokens drawn");
     }
 
-    /** Each service alone would take small machines; together they also fill large ones, which are up sooner. */
+    /** Each service by itself would need small machines; together they also fill large ones, which boot faster. */
     @Test
     void servicesOfAClassShareLargeMachines() {
         Simulation simulation = new Simulation(76, 3, 20);
@@ -147,13 +150,13 @@
         simulation.run(30 * SECOND);
 
         assertRules(simulation);
-        long large = simulation.cloud.workers().stream()
+        long largeMachines = simulation.cloud.workers().stream()
                 .filter(worker -> worker.type.name().equals("large"))
                 .count();
-        assertTrue(large >= 2, large + " large machines");
+        assertTrue(largeMachines >= 2, largeMachines + " large machines");
     }
 
-    /** Machines that never come up are not waited for until they are given back. */
+    /** Some machines never boot. A service does not wait until these have been returned to the cloud. */
     @ParameterizedTest
     @ValueSource(longs = {77, 78, 79})
     void machinesThatNeverBootAreReplacedEarly(long seed) {
@@ -166,10 +169,12 @@
         assertRules(simulation);
         assertTrue(
                 simulation.rules.startDelayMicros(job.id()) < 45 * SECOND,
-                "begun after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
+                "started after " + simulation.rules.startDelayMicros(job.id()) / SECOND + " s");
     }
 
-    /** On a full site the jobs that can be in time together are, instead of all being late together. */
+    /**
+     * When all machines are in use, as many jobs as can meet their deadlines together do, instead of all missing them.
+     */
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83})
     void someJobsMeetTheirDeadlinesWhenNotAllCan(long seed) {
--- a/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
+++ b/src/test/java/org/granitepath/simulation/DelayedMessagesTest.java
@@ -18,7 +18,7 @@
 
 /** Heartbeats, commands and transactions that arrive late, twice, or after newer ones. */
 class DelayedMessagesTest {
-    /** Transactions without an answer are carried out late, after newer ones of the same controller. */
+    /** The store applies transactions that got no answer late, after newer ones of the same controller. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void lateTransactionsDoNotOverwriteNewerOnes(long seed) {
@@ -34,72 +34,70 @@
         simulation.after(120 * SECOND, () -> simulation.store.lateCommitShare = 0);
         simulation.runWithLivenessChecks(135 * SECOND, 500 * SECOND);
 
-        assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction went in");
+        assertTrue(simulation.store.lateCommitCount() > 0, "no late transaction was applied");
         assertRulesAndAllDone(simulation);
     }
 
-    /**
-     * Workers can't open connections to any controller, while direct commands still reach them; the leader
-     * changes.
-     */
+    /** Workers can't connect to any controller, but direct commands still reach them, and the leader changes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesOnMachinesThatCannotSendHeartbeats(long seed) {
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 5, 8, 40 * SECOND);
 
-        AtomicInteger muted = new AtomicInteger();
+        AtomicInteger silentMachines = new AtomicInteger();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream()
                         .filter(worker -> worker.attempts().hasRunningTask())
                         .limit(6)
                         .forEach(worker -> {
-                            muted.incrementAndGet();
+                            silentMachines.incrementAndGet();
                             simulation.faults.dropHeartbeatsFrom(worker, simulation.config.leaseMicros() + 10 * SECOND);
                         }));
         crashLeaderAfter(simulation, 48 * SECOND, 5 * SECOND);
         simulation.after(50 * SECOND, () -> simulation.users.cancelRunning(3, 0));
         simulation.runWithLivenessChecks(60 * SECOND + simulation.config.leaseMicros(), 400 * SECOND);
 
-        assertTrue(muted.get() > 2, muted + " machines at work fell mute");
+        assertTrue(silentMachines.get() > 2, silentMachines + " busy machines could not send heartbeats");
         assertRulesAndAllDone(simulation);
     }
 
-    /** Heartbeats are held back until a new leader has acted, and then arrive there and at the former one. */
+    /** Heartbeats are delayed until a new leader has acted, and then arrive at the new and at the former leader. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsSentBeforeTakeoverProveNothingToTheNewLeader(long seed) {
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 5, 8, 20 * SECOND);
 
-        Observation<Integer> heldBack = new Observation<>();
+        Observation<Integer> delayedCount = new Observation<>();
         Observation<Integer> tokensDrawn = new Observation<>();
         simulation.after(45 * SECOND, () -> {
             int fencingTokens = simulation.store.writeCount(Keys.FENCING_TOKEN);
             String former = simulation.leader();
-            List<Heartbeat> held = simulation.cloud.workers().stream()
+            List<Heartbeat> delayedHeartbeats = simulation.cloud.workers().stream()
                     .map(SimWorker::lastHeartbeat)
                     .toList();
             simulation.faults.crash(former, 300_000);
             simulation.after(9 * SECOND, () -> {
-                heldBack.set(held.size());
+                delayedCount.set(delayedHeartbeats.size());
                 tokensDrawn.set(simulation.store.writeCount(Keys.FENCING_TOKEN) - fencingTokens);
-                held.forEach(heartbeat ->
+                delayedHeartbeats.forEach(heartbeat ->
                         simulation.nodeNames.forEach(node -> simulation.faults.deliverHeartbeat(node, heartbeat)));
             });
             simulation.after(
-                    3 * simulation.config.leaseMicros(), () -> held.forEach(simulation.faults::deliverHeartbeat));
+                    3 * simulation.config.leaseMicros(),
+                    () -> delayedHeartbeats.forEach(simulation.faults::deliverHeartbeat));
         });
         simulation.runWithLivenessChecks(50 * SECOND + 3 * simulation.config.leaseMicros(), 400 * SECOND);
 
         assertTrue(
-                heldBack.get() > 2 && tokensDrawn.get() > 0,
-                heldBack.get() + " heartbeats held back, " + tokensDrawn.get() + " fencing tokens drawn meanwhile");
+                delayedCount.get() > 2 && tokensDrawn.get() > 0,
+                delayedCount.get() + " heartbeats delayed, " + tokensDrawn.get() + " fencing tokens drawn meanwhile");
         assertRulesAndAllDone(simulation);
     }
 
-    /** Old heartbeats arrive after newer ones, also of earlier agent epochs and attempts. */
+    /** Old heartbeats, also of earlier agent epochs and attempts, arrive after newer ones. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsOfEarlierAgentEpochsAndAttemptsProveNothing(long seed) {
@@ -130,7 +128,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Commands and their answers are held up for seconds, machines hang and go on, and jobs are cancelled. */
+    /** Commands and their answers are delayed for seconds, machines hang and resume, and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void delayedCommandsToHangingMachinesStartNothingTwice(long seed) {
@@ -152,9 +150,9 @@
     }
 
     /**
-     * Direct starts are held up while the leader's writes are refused, so that it can't draw new fencing tokens, and
-     * jobs are cancelled: later calls to the same machines, which hold stops alone, are answered. Their answers were
-     * once taken for those of the starts.
+     * Direct start commands are delayed while the store refuses the leader's writes, so that it can't draw new fencing
+     * tokens, and jobs are cancelled. Later calls to the same machines contain only stop commands and are answered
+     * first. These answers were once taken for answers to the start commands.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -162,21 +160,21 @@
         Simulation simulation = withFewMachines(seed);
         submitLongRunningJobs(simulation, 2, 16, 25 * SECOND);
 
-        Observation<Integer> toldBefore = new Observation<>();
+        Observation<Integer> confirmedBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             simulation.store.refuseWritesOf(simulation.leader(), 15 * SECOND);
             simulation.directStartDelayMicros = 7 * SECOND;
-            toldBefore.set(simulation.rules.cancelledJobCount());
+            confirmedBefore.set(simulation.rules.cancelledJobCount());
         });
         for (int i = 0; i < 12; i++) {
             simulation.after((41 + i) * SECOND, () -> simulation.users.cancelRunning(1, 0));
         }
         simulation.after(55 * SECOND, () -> simulation.directStartDelayMicros = 0);
-        Observation<Integer> toldAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
+        Observation<Integer> confirmedAfter = simulation.observe(55 * SECOND, simulation.rules::cancelledJobCount);
         simulation.runWithLivenessChecks(65 * SECOND, 500 * SECOND);
 
-        int told = toldAfter.get() - toldBefore.get();
-        assertTrue(told > 3, told + " cancellations");
+        int confirmed = confirmedAfter.get() - confirmedBefore.get();
+        assertTrue(confirmed > 3, confirmed + " cancellations");
         assertRulesAndAllDone(simulation);
     }
 }
--- a/src/test/java/org/granitepath/simulation/GangTest.java
+++ b/src/test/java/org/granitepath/simulation/GangTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Gangs: all tasks of a job run together or none does, whatever happens to one of them or to the leader. */
+/** Gangs: all tasks of a job run together or none runs, whatever happens to one of them or to the leader. */
 class GangTest {
     private static final long SECOND = Simulation.SECOND;
     private static final int SIZE = 4;
@@ -32,10 +32,10 @@
 
         assertRulesAndAllDone(simulation);
         assertEquals(12, simulation.gangs.startedAttemptCount(), "each gang starts once");
-        assertEquals(0, simulation.gangs.startTimeoutCount(), "tasks that waited in vain");
+        assertEquals(0, simulation.gangs.startTimeoutCount(), "tasks that timed out waiting for their gang");
     }
 
-    /** Its machine dies while it fetches its image: the others wait, and another task joins them. */
+    /** A task's machine dies while it pulls its image. The other tasks wait, and a replacement joins them. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void taskLostBeforeTheStartIsReplacedInTheSameAttempt(long seed) {
@@ -50,7 +50,7 @@
         assertEquals(1, gang.attemptCount());
     }
 
-    /** Nothing starts before the old attempt is gone, and the next one goes on from the last checkpoint. */
+    /** No task starts before the old attempt has ended, and the next attempt resumes from the last checkpoint. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void taskLostWhileRunningEndsTheAttempt(long seed) {
@@ -65,7 +65,7 @@
         assertEquals(2, gang.attemptCount());
     }
 
-    /** A hanging machine may go on later: no task of it is started elsewhere before its lease is over. */
+    /** A hanging machine may resume later, so its tasks start on no other machine before its lease has expired. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void hangingMachineKeepsItsTaskUntilItsLeaseExpires(long seed) {
@@ -78,7 +78,7 @@
         assertRulesAndAllDone(gang.simulation());
     }
 
-    /** The cloud takes one machine back: all tasks save together, and nothing is lost. */
+    /** The cloud takes back one spot machine. All tasks save a checkpoint together, and no progress is lost. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void allTasksSaveWhenOneMachineIsPreempted(long seed) {
@@ -87,16 +87,16 @@
         gang.runUntilRunning();
 
         gang.runFor(5 * SECOND);
-        SimWorker taken = gang.workersWithTasks().get(0);
-        taken.announceTermination(8 * SECOND);
-        simulation.after(8 * SECOND, taken::die);
+        SimWorker preemptedMachine = gang.workersWithTasks().get(0);
+        preemptedMachine.announceTermination(8 * SECOND);
+        simulation.after(8 * SECOND, preemptedMachine::die);
         gang.runFor(150 * SECOND);
 
         assertRulesAndAllDone(simulation);
         assertEquals(1, simulation.gangs.savedAttemptCount(), "its progress was not saved");
     }
 
-    /** Whatever the gang does when the leader ends, the next leader carries the same attempt on. */
+    /** Whatever state the gang is in when the leader crashes, the next leader continues the same attempt. */
     @ParameterizedTest
     @ValueSource(longs = {0, 300, 800, 1_500, 2_200, 3_000, 5_000, 8_000, 12_000})
     void newLeaderContinuesTheAttempt(long millis) {
@@ -113,7 +113,7 @@
         assertEquals(1, gang.attemptCount());
     }
 
-    /** A machine can't be reached while the leader changes: no other attempt starts beside what may run there. */
+    /** A machine can't be reached while the leader changes. No other attempt starts while tasks may run there. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void takeoverWithUnresponsiveMachineStartsNoConcurrentAttempt(long seed) {
@@ -147,13 +147,13 @@
         assertEquals(0, gang.heldTaskCount());
     }
 
-    /** A gang that fills a whole large machine of this deployment. */
-    private static JobSpec gangForALargeMachine(Simulation simulation) {
+    /** A gang that needs the whole of a large machine of this deployment. */
+    private static JobSpec gangOfLargeMachineSize(Simulation simulation) {
         return simulation.jobs.withCpu(
                 simulation.jobs.batchBuilder(SIZE, 8 * SECOND).inOneZone().build(), SIZE, 4_000);
     }
 
-    /** Small work that never ends must not take for ever the capacity that a gang needs: a whole large machine. */
+    /** A steady stream of small jobs must not keep a gang from ever getting the whole large machine that it needs. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void gangIsNotStarvedBySmallJobs(long seed) {
@@ -162,22 +162,22 @@
         for (int i = 0; i < 130; i++) {
             simulation.after(SECOND * i, () -> simulation.users.submit(simulation.jobs.batch(8, 8 * SECOND)));
         }
-        JobSpec spec = gangForALargeMachine(simulation);
+        JobSpec spec = gangOfLargeMachineSize(simulation);
         simulation.after(20 * SECOND, () -> simulation.users.submit(spec));
         simulation.run(110 * SECOND);
 
         assertRules(simulation);
-        assertEquals(JobState.DONE, simulation.rules.finalState(spec.id()), "the gang waits");
+        assertEquals(JobState.DONE, simulation.rules.finalState(spec.id()), "the gang still waits");
     }
 
-    /** There is capacity for one of them at a time: neither holds what the other needs. */
+    /** There is capacity for one gang at a time. No gang keeps a part of the capacity that another one needs. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void gangsThatNeedTheSameCapacityAllComplete(long seed) {
         Simulation simulation =
                 new Simulation(seed, SimulationConfig.small().withControllers(3).withMachinesPerOffer(1));
         for (int i = 0; i < 6; i++) {
-            JobSpec spec = gangForALargeMachine(simulation);
+            JobSpec spec = gangOfLargeMachineSize(simulation);
             simulation.after(2 * SECOND, () -> simulation.users.submit(spec));
         }
         simulation.run(250 * SECOND);
@@ -197,7 +197,7 @@
 
         assertRules(simulation);
         assertNull(simulation.rules.finalState(wide.id()));
-        assertTrue(!simulation.rules.isAccepted(wide.id()), "accepted, though it can't run");
+        assertTrue(!simulation.rules.isAccepted(wide.id()), "a job that can't run was accepted");
         assertEquals(JobState.DONE, simulation.rules.finalState(narrow.id()));
     }
 }
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -14,12 +14,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines that can't be reached or can't reach anybody, or no longer exist: they are not filled again and again. */
+/**
+ * Machines that can't be reached, can't reach any controller, or no longer exist. Controllers do not place tasks on
+ * them again and again.
+ */
 class MachineIsolationTest {
     private static final long SECOND = Simulation.SECOND;
     private static final long TASK_CPU_MILLIS = 2_000;
 
-    /** A machine that is about to be isolated, and how many starts were sent to it before. */
+    /** A machine that is about to be isolated, and the number of start commands sent to it before. */
     private record FilledMachine(SimWorker worker, int startsBefore) {
         static FilledMachine now(Simulation simulation, SimWorker worker) {
             return new FilledMachine(worker, simulation.commands.startCount(worker.id));
@@ -27,14 +30,15 @@
 
         void assertFilledAtMostTwice(Simulation simulation) {
             int slots = (int) (worker.type.cpuMillis() / TASK_CPU_MILLIS);
-            int filled = simulation.commands.startCount(worker.id) - startsBefore;
-            assertTrue(filled <= 2 * slots, "filled again and again: " + filled + " starts on " + slots + " places");
+            int starts = simulation.commands.startCount(worker.id) - startsBefore;
+            assertTrue(starts <= 2 * slots, "filled again and again: " + starts + " starts on " + slots + " slots");
         }
     }
 
     /**
-     * One direction only: heartbeats arrive, but answers and commands don't, or the other way round. Such a machine is
-     * not filled again and again, but given back, while work waits all the time that would fit on it.
+     * A machine is cut off in one direction: its heartbeats arrive, but answers and commands don't reach it, or the
+     * other way round. It is returned to the cloud and not filled again and again, although work that would fit on it
+     * waits all the time.
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
@@ -58,13 +62,13 @@
         simulation.runWithLivenessChecks(200 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
-        assertFalse(observed.get().worker().isAlive(), "it is to be returned");
+        assertFalse(observed.get().worker().isAlive(), "the machine was not returned to the cloud");
         observed.get().assertFilledAtMostTwice(simulation);
     }
 
     /**
-     * So many machines stop hearing at once that their missing heartbeats are not trusted: they are not filled again
-     * and again either.
+     * So many machines stop receiving messages at once that their missing heartbeats do not count as evidence of a
+     * failure. They are not filled again and again either.
      */
     @ParameterizedTest
     @ValueSource(longs = {16, 17})
@@ -72,33 +76,33 @@
         Simulation simulation = new Simulation(seed, 3, 1);
         submitBatches(simulation, 8, 200, 8 * SECOND);
 
-        List<FilledMachine> deaf = new ArrayList<>();
+        List<FilledMachine> isolatedMachines = new ArrayList<>();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream().limit(5).forEach(worker -> {
-                    deaf.add(FilledMachine.now(simulation, worker));
+                    isolatedMachines.add(FilledMachine.now(simulation, worker));
                     simulation.faults.dropMessagesTo(worker, 80 * SECOND);
                 }));
         simulation.run(125 * SECOND);
 
-        deaf.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
+        isolatedMachines.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
 
         simulation.runWithLivenessChecks(130 * SECOND, 700 * SECOND);
 
         assertRulesAndAllDone(simulation);
     }
 
-    /** A heartbeat of a machine that is gone arrives once more, much later: nothing is placed there. */
+    /** A heartbeat of a lost machine arrives once more, much later. No task is placed on that machine. */
     @Test
     void lateHeartbeatOfLostMachineBringsItNoWork() {
         Simulation simulation = new Simulation(15, 3, 1);
 
         simulation.after(2 * SECOND, () -> simulation.users.submit(simulation.jobs.batch(900, 8 * SECOND)));
-        Observation<SimWorker> gone = new Observation<>();
+        Observation<SimWorker> lostWorker = new Observation<>();
         Observation<Integer> startsBefore = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             SimWorker worker = simulation.randomWorker();
-            gone.set(worker);
+            lostWorker.set(worker);
             Heartbeat late = worker.lastHeartbeat();
             worker.die();
             simulation.after(30 * SECOND, () -> startsBefore.set(simulation.commands.startCount(worker.id)));
@@ -111,7 +115,7 @@
         assertRules(simulation);
         assertEquals(
                 startsBefore.get(),
-                simulation.commands.startCount(gone.get().id),
-                "work was placed on a machine that is gone");
+                simulation.commands.startCount(lostWorker.get().id),
+                "tasks were placed on a lost machine");
     }
 }
--- a/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryOrderTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All controllers end and come back while the machines go on: in which order lost work starts again. */
+/** The order in which lost work starts again after all controllers restart while the machines keep running. */
 class RecoveryOrderTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Replicas that ended while nobody led start again before any batch task does, on proof by their machines. */
+    /** Replicas that their machines report as ended during the downtime start again before any batch task does. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void servicesResumeBeforeBatchWork(long seed) {
@@ -36,10 +36,10 @@
 
         assertRulesAndAllDone(simulation);
         List<SimCommands.Start> starts = simulation.commands.startsSince(RESTART_MICROS);
-        List<Boolean> liveWorkBacklog =
+        List<Boolean> startsOfServices =
                 starts.stream().map(start -> isService(simulation, start)).toList();
-        int firstBatch = liveWorkBacklog.indexOf(false);
-        assertTrue(firstBatch >= 0, "nothing to put in order");
+        int firstBatch = startsOfServices.indexOf(false);
+        assertTrue(firstBatch >= 0, "no batch task was started");
         long replicas = starts.subList(0, firstBatch).stream()
                 .map(SimCommands.Start::task)
                 .distinct()
@@ -47,7 +47,7 @@
         assertEquals(6 * 6, replicas, "replicas started before the first batch task");
     }
 
-    /** All tasks end, new jobs come, and one machine that may hold replicas is reached seconds after the others. */
+    /** Ends all tasks, submits new jobs, and cuts off one machine, which may hold replicas, for a few seconds. */
     private static void endAllWork(Simulation simulation) {
         simulation.after(2 * SECOND, () -> {
             for (int i = 0; i < 3; i++) {
@@ -66,10 +66,10 @@
         return simulation.users.specOf(start.task().job()).isService();
     }
 
-    /** Without a hold the same restart starts batch work first: what the test above shows is the hold's doing. */
+    /** Without a hold the same restart starts batch tasks before some services, so the hold causes the order above. */
     @Test
     void batchWorkStartsAmongServicesWithoutHold() {
-        int mixed = 0;
+        int mixedRuns = 0;
         for (long seed = 1; seed <= 6; seed++) {
             Simulation simulation = busyDeployment(seed);
             simulation.recoveryHoldMicros = 0;
@@ -81,12 +81,12 @@
             List<Boolean> services = simulation.commands.startsSince(RESTART_MICROS).stream()
                     .map(start -> isService(simulation, start))
                     .toList();
-            mixed += services.indexOf(false) < services.lastIndexOf(true) ? 1 : 0;
+            mixedRuns += services.indexOf(false) < services.lastIndexOf(true) ? 1 : 0;
         }
-        assertTrue(mixed > 0, "the order comes by itself");
+        assertTrue(mixedRuns > 0, "services start first even without a hold");
     }
 
-    /** Machines that stay unresponsive keep other work back no longer than the hold, and live work not at all. */
+    /** Machines that stay unresponsive delay batch work no longer than the hold, and live work not at all. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void unresponsiveMachinesDelayBatchWorkNoLongerThanTheHold(long seed) {
@@ -120,7 +120,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A replica lost on a machine that responds does not wait for unresponsive machines that it may not use. */
+    /** A replica lost on a responsive machine does not wait for unresponsive machines that it may not run on. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void servicesDoNotWaitForUnresponsiveSpotMachines(long seed) {
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All controllers end and come back while the machines go on: what a new leader makes of heartbeats. */
+/** How a new leader evaluates heartbeats after all controllers restart while the machines keep running. */
 class RecoveryTest {
     private static final long SECOND = Simulation.SECOND;
 
-    /** Runs of jobs that are done, cancelled or unknown, of tasks held elsewhere, here under another attempt. */
+    /** Machines run tasks of jobs that are done, cancelled or unknown, and another attempt of a task held elsewhere. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void forbiddenTasksAreStoppedAndCleared(long seed) {
@@ -34,19 +34,19 @@
         simulation.users.submit(cancelled, 30 * SECOND);
         simulation.users.addSpec(unknown);
 
-        Observation<Planted> observed = new Observation<>();
+        Observation<AddedTasks> observed = new Observation<>();
         simulation.after(RESTART_MICROS, () -> {
             restartControllers(simulation, false);
-            observed.set(plant(
+            observed.set(addTasks(
                     simulation, new TaskId(done.id(), 0), new TaskId(cancelled.id(), 1), new TaskId(unknown.id(), 2)));
         });
         simulation.run(RESTART_MICROS + 20 * SECOND);
 
-        Planted planted = observed.get();
-        for (TaskId task : planted.forbidden) {
-            assertNull(planted.host.attempts().get(task, 3), task + " is not stopped and cleared");
+        AddedTasks added = observed.get();
+        for (TaskId task : added.forbidden) {
+            assertNull(added.host.attempts().get(task, 3), task + " is not stopped and cleared");
         }
-        TaskId held = planted.held;
+        TaskId held = added.held;
         long attempts = simulation.cloud.workers().stream()
                 .flatMap(worker -> worker.attempts().active().stream())
                 .filter(attempt -> attempt.task.equals(held))
@@ -58,26 +58,28 @@
         assertTrue(tasks.get(Verdict.ADOPTED) > 0, tasks.toString());
     }
 
-    /** What was planted on a machine: tasks that may not run anywhere, and one that runs elsewhere already. */
-    private record Planted(SimWorker host, List<TaskId> forbidden, TaskId held) {}
+    /** The tasks added to a machine: forbidden ones, and one that another machine already runs. */
+    private record AddedTasks(SimWorker host, List<TaskId> forbidden, TaskId held) {}
 
-    /** Plants these tasks, one beyond the end of a job, and one that another machine holds, under two attempts. */
-    private static Planted plant(Simulation simulation, TaskId... tasks) {
-        List<SimWorker> atWork = simulation.cloud.workers().stream()
+    /**
+     * Adds these tasks, one with an index beyond its job's tasks, and one that another machine holds as two attempts.
+     */
+    private static AddedTasks addTasks(Simulation simulation, TaskId... tasks) {
+        List<SimWorker> busyWorkers = simulation.cloud.workers().stream()
                 .filter(worker -> worker.attempts().hasRunningTask())
                 .toList();
-        SimWorker busy = atWork.get(0);
+        SimWorker busy = busyWorkers.get(0);
         TaskId held = busy.attempts().active().get(0).task;
-        SimWorker other = atWork.get(1);
+        SimWorker other = busyWorkers.get(1);
         List<TaskId> forbidden = new ArrayList<>(List.of(tasks));
         forbidden.add(new TaskId(held.job(), 99));
         forbidden.forEach(task -> other.attempts().addUnknown(task, 3));
         other.attempts().addUnknown(held, 3);
         busy.attempts().addUnknown(held, 5);
-        return new Planted(other, forbidden, held);
+        return new AddedTasks(other, forbidden, held);
     }
 
-    /** Results that came while nobody led count; first heartbeats come twice, late, and from an earlier agent epoch. */
+    /** Results from the downtime count. First heartbeats arrive twice, late, and from an earlier agent epoch. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void resultsDuringDowntimeCountAndStaleHeartbeatsDoNot(long seed) {
@@ -88,7 +90,7 @@
         simulation.after(
                 RESTART_MICROS - 3 * SECOND,
                 () -> simulation.cloud.workers().forEach(worker -> before.add(worker.lastHeartbeat())));
-        // Half of the machines run into the end of their lease before anybody is back.
+        // With odd seeds the leases of the machines expire before any controller is back.
         long down = seed % 2 == 0 ? SECOND : Simulation.LEASE_MICROS + 2 * SECOND;
         simulation.after(
                 RESTART_MICROS,
@@ -106,13 +108,13 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Machines that boot, are terminated by the cloud or die while nobody leads. */
+    /** Machines boot, are terminated by the cloud or die while no controller leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workCompletesWhenMachinesComeAndGoDuringDowntime(long seed) {
         Simulation simulation = busyDeployment(seed);
 
-        // The restart comes while machines boot, so that some are on no record yet.
+        // The restart happens while machines boot, so that some are not on record yet.
         simulation.after(4 * SECOND, () -> restartControllers(simulation, seed % 2 == 0));
         simulation.after(RESTART_MICROS, () -> {
             restartControllers(simulation, false);
@@ -126,7 +128,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** A gang of which one machine is gone, or one zone cut off, ends as a whole and starts as a whole. */
+    /** A gang that loses a machine, or whose zone is cut off, ends as a whole and starts as a whole. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void gangsWithUnresponsiveMachinesEndAndStartWhole(long seed) {
