--- a/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
+++ b/src/main/java/org/granitepath/coordination/admission/BarrierReads.java
@@ -37,7 +37,7 @@
         OneShot firstOutcome = new OneShot();
         Runnable answerUnavailable = () -> callback.accept(JobAnswers.retryLater(STORE_UNAVAILABLE));
         firstOutcome.fireAfter(timers, TIMEOUT_MICROS, () -> finish(answerUnavailable));
-        replica.requestBarrier(fresh -> firstOutcome.fire(() -> finish(fresh ? action : answerUnavailable)));
+        replica.requestBarrier(upToDate -> firstOutcome.fire(() -> finish(upToDate ? action : answerUnavailable)));
     }
 
     private void finish(Runnable action) {
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -42,7 +42,7 @@
         public void onJobEnded(String id, FinalRecord.Outcome outcome) {}
     };
 
-    /** The part of a job that cannot be read. Each value includes those before it. */
+    /** The part of a job that cannot be read. {@link #STATUS} includes {@link #PROGRESS}. */
     private enum Unreadable {
         /** The progress. Users receive answers from the other records, but no leader decides about the job. */
         PROGRESS,
@@ -108,7 +108,10 @@
         return unreadableJobs.get(id) == Unreadable.STATUS && !hasEnded(id);
     }
 
-    /** Returns what the records say about the tasks of a job that no leader on this controller has open. */
+    /**
+     * Returns what the records say about the tasks of a job. To be called only if no leader on this controller has the job
+     * open.
+     */
     public RecordedTaskState recordedTaskState(String id) {
         FinalRecord.Outcome outcome = outcomes.get(id);
         if (outcome != null) {
--- a/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
+++ b/src/main/java/org/granitepath/protocol/KeyValueStoreCodec.java
@@ -92,9 +92,9 @@
         return new Page(Outcome.OK, items, false, Fields.longOf(body, EPOCH, 0));
     }
 
-    /** Returns the body of a request for a lease of {@code lifeMicros} microseconds. */
-    public static String encodeLeaseRequest(long lifeMicros) {
-        return Json.encode(Map.of("life_ms", lifeMicros / MICROS_PER_MILLI));
+    /** Returns the body of a request for a lease of {@code ttlMicros} microseconds. */
+    public static String encodeLeaseRequest(long ttlMicros) {
+        return Json.encode(Map.of("life_ms", ttlMicros / MICROS_PER_MILLI));
     }
 
     /** Decodes the id of a new lease. */
--- a/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/InventoryRecordCodec.java
@@ -49,11 +49,11 @@
 
     /** @throws MalformedFieldException if a row is not a list, is too short or has a value of another type */
     static InventoryRecord decode(Map<String, Object> fields) {
-        List<MachineRow> hosts = new ArrayList<>();
+        List<MachineRow> machines = new ArrayList<>();
         for (Object row : Fields.requiredList(fields, HOSTS)) {
-            hosts.add(decodeRow(Fields.requiredList(row, HOSTS)));
+            machines.add(decodeRow(Fields.requiredList(row, HOSTS)));
         }
-        return new InventoryRecord(hosts);
+        return new InventoryRecord(machines);
     }
 
     private static MachineRow decodeRow(List<?> row) {
--- a/src/main/java/org/granitepath/storage/PendingWrites.java
+++ b/src/main/java/org/granitepath/storage/PendingWrites.java
@@ -79,14 +79,14 @@
      * stay pending until they are removed.
      *
      * @param maxChanges the largest number of changes, unless a single write has more
-     * @param maxChangesWithProgress the number of changes from which on no write of urgency
-     *     {@link Urgency#PROGRESS_ONLY} is added
+     * @param maxChangesBeforeProgress a write of urgency {@link Urgency#PROGRESS_ONLY} is added only while the
+     *     transaction has fewer changes than this
      */
-    WriteBatch gather(long nowMicros, int maxChanges, int maxChangesWithProgress) {
+    WriteBatch gather(long nowMicros, int maxChanges, int maxChangesBeforeProgress) {
         WriteBatch batch = new WriteBatch(maxChanges);
         List<String> withdrawn = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
-            int capacity = urgency == Urgency.PROGRESS_ONLY ? maxChangesWithProgress : maxChanges;
+            int capacity = urgency == Urgency.PROGRESS_ONLY ? maxChangesBeforeProgress : maxChanges;
             for (var entry : writes.entrySet()) {
                 if (batch.size() >= capacity) {
                     break;
--- a/src/main/java/org/granitepath/storage/RecordSize.java
+++ b/src/main/java/org/granitepath/storage/RecordSize.java
@@ -15,12 +15,12 @@
 
     private RecordSize() {}
 
-    /** Returns the bytes of a record, never fewer than it takes. */
+    /** Returns an upper bound of the bytes that a record takes. */
     public static int of(StoredRecord record) {
         return ofValue(StoredRecordCodec.encode(record));
     }
 
-    /** Returns the bytes of a JSON value, never fewer than it takes. */
+    /** Returns an upper bound of the bytes that a JSON value takes. */
     static int ofValue(Object value) {
         if (value instanceof Map<?, ?> map) {
             int bytes = 2;
--- a/src/main/java/org/granitepath/storage/WriteBatch.java
+++ b/src/main/java/org/granitepath/storage/WriteBatch.java
@@ -38,7 +38,7 @@
 
     /** Adds a write with its changes, unless the transaction has other writes and would become too large. */
     void addIfFits(String name, PendingWrites.Write write, List<Change> content) {
-        int size = content.stream().mapToInt(WriteBatch::estimatedBytes).sum();
+        int size = content.stream().mapToInt(WriteBatch::maxChangeBytes).sum();
         boolean fits = changes.size() + content.size() <= maxChanges && bytes + size <= MAX_TRANSACTION_BYTES;
         if (changes.isEmpty() || fits) {
             changes.addAll(content);
@@ -47,8 +47,8 @@
         }
     }
 
-    /** Returns an estimate of the bytes that a change takes in a transaction, never fewer than it takes. */
-    static int estimatedBytes(Change change) {
+    /** Returns an upper bound of the bytes that a change takes in a transaction. */
+    static int maxChangeBytes(Change change) {
         return CHANGE_OVERHEAD_BYTES + (change.record() == null ? 0 : RecordSize.of(change.record()));
     }
 }
--- a/src/main/java/org/granitepath/storage/WritePace.java
+++ b/src/main/java/org/granitepath/storage/WritePace.java
@@ -3,7 +3,7 @@
 import org.granitepath.storage.KeyValueStore.Outcome;
 
 /**
- * Controls how fast a queue writes. It keeps the queue's share of the write budget, and the timer that wakes the queue
+ * Controls how fast a queue writes. It limits the queue to its share of the write budget, and wakes the queue by a timer
  * when there may be a write to send.
  */
 final class WritePace {
@@ -69,7 +69,8 @@
     }
 
     /**
-     * Wakes the queue after the delay, or earlier to check again. Does nothing while an earlier delay has not passed.
+     * Wakes the queue after the delay, or earlier so that it checks again. Does nothing if a wake-up is already
+     * scheduled.
      */
     void wakeAfter(long delayMicros) {
         if (wakeScheduled) {
--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -82,7 +82,7 @@
 
     /**
      * Returns whether more writes wait, progress writes aside, than the queue can send within a few seconds. The value
-     * is determined whenever a transaction is sent.
+     * is updated whenever a transaction is sent.
      */
     public boolean isBehind() {
         return behind;
@@ -198,7 +198,7 @@
             LOG.error(
                     "record {} ({} bytes, {} changes in the write): store rejected the write as invalid; abandoning it",
                     change.key(),
-                    WriteBatch.estimatedBytes(change),
+                    WriteBatch.maxChangeBytes(change),
                     batch.size());
         }
     }
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -44,8 +44,9 @@
     }
 
     @Override
-    public void terminate(List<String> hosts, Consumer<Boolean> then) {
-        cloud.post("/rentals/return", CloudCodec.encodeTermination(hosts), response -> then.accept(response.isOk()));
+    public void terminate(List<String> machineIds, Consumer<Boolean> then) {
+        cloud.post(
+                "/rentals/return", CloudCodec.encodeTermination(machineIds), response -> then.accept(response.isOk()));
     }
 
     @Override
--- a/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
+++ b/src/main/java/org/granitepath/transport/KeyValueStoreClient.java
@@ -26,11 +26,11 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<CommitResult> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> callback) {
         store.post("/commit", KeyValueStoreCodec.encodeTransaction(transaction), response -> {
             Map<String, Object> body = response.json();
             Outcome outcome = outcome(response.status(), body);
-            then.accept(
+            callback.accept(
                     body == null
                             ? new CommitResult(outcome, 0, List.of())
                             : KeyValueStoreCodec.decodeCommitResult(outcome, body));
@@ -38,37 +38,38 @@
     }
 
     @Override
-    public void list(String prefix, String from, int limit, Consumer<Page> then) {
-        String path = "/keys?prefix=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&most=" + limit;
-        store.get(path, response -> then.accept(page(response, KeyValueStoreCodec::decodeList)));
+    public void list(String prefix, String afterKey, int limit, Consumer<Page> callback) {
+        String path = "/keys?prefix=" + prefix + (afterKey.isEmpty() ? "" : "&from=" + afterKey) + "&most=" + limit;
+        store.get(path, response -> callback.accept(page(response, KeyValueStoreCodec::decodeList)));
     }
 
     @Override
-    public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-        String path = "/follow?prefix=" + prefix + "&from=" + from + "&wait_ms=" + waitMicros / MICROS_PER_MILLI;
+    public void follow(String prefix, long afterRevision, long waitMicros, Consumer<Page> callback) {
+        String path =
+                "/follow?prefix=" + prefix + "&from=" + afterRevision + "&wait_ms=" + waitMicros / MICROS_PER_MILLI;
         store.get(
                 path,
                 waitMicros + TIMEOUT_MICROS,
-                response -> then.accept(page(response, KeyValueStoreCodec::decodeEvents)));
+                response -> callback.accept(page(response, KeyValueStoreCodec::decodeEvents)));
     }
 
     @Override
-    public void openLease(long lifeMicros, Consumer<LeaseResult> then) {
-        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(lifeMicros), response -> {
+    public void openLease(long ttlMicros, Consumer<LeaseResult> callback) {
+        store.post("/leases", KeyValueStoreCodec.encodeLeaseRequest(ttlMicros), response -> {
             Map<String, Object> body = response.json();
             long leaseId = body == null ? 0 : KeyValueStoreCodec.decodeLeaseId(body);
-            then.accept(new LeaseResult(outcome(response.status(), body), leaseId));
+            callback.accept(new LeaseResult(outcome(response.status(), body), leaseId));
         });
     }
 
     @Override
-    public void renewLease(long leaseId, Consumer<Outcome> then) {
+    public void renewLease(long leaseId, Consumer<Outcome> callback) {
         store.post(
                 "/leases/" + leaseId + "/touch",
                 EMPTY_OBJECT,
                 RENEWAL_TIMEOUT_MICROS,
                 // The status determines the outcome; the body is ignored.
-                response -> then.accept(outcome(response.status(), Map.of())));
+                response -> callback.accept(outcome(response.status(), Map.of())));
     }
 
     private static Page page(HttpResponse response, Function<Map<String, Object>, Page> decoder) {
--- a/src/test/java/org/granitepath/storage/PendingWritesTest.java
+++ b/src/test/java/org/granitepath/storage/PendingWritesTest.java
@@ -25,9 +25,9 @@
         pending.add(name, new PendingWrites.Write(urgency, () -> changes, revision -> {}, dueMicros));
     }
 
-    private List<String> gatheredNames(int maxChanges, int maxChangesWithProgress) {
+    private List<String> gatheredNames(int maxChanges, int maxChangesBeforeProgress) {
         return List.copyOf(
-                pending.gather(0, maxChanges, maxChangesWithProgress).writes().keySet());
+                pending.gather(0, maxChanges, maxChangesBeforeProgress).writes().keySet());
     }
 
     @Test
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -138,7 +138,7 @@
         assertTrue(e.getMessage().contains(key) && e.getMessage().contains("field " + field), e.getMessage());
     }
 
-    /** Fields that earlier versions replaced by a default when they were missing still are. */
+    /** Missing optional fields have the same defaults as in earlier versions. */
     @Test
     void optionalFieldsHaveDefaults() throws MalformedRecordException {
         assertEquals(new FencingTokenRecord(null, 0, 0), StoredRecordCodec.decode(Keys.FENCING_TOKEN, Map.of()));
--- a/src/test/java/org/granitepath/storage/WriteQueueTest.java
+++ b/src/test/java/org/granitepath/storage/WriteQueueTest.java
@@ -242,7 +242,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void theQueueIsBehindIfOtherWritesThanProgressWaitForSeconds(Urgency urgency) {
+    void theQueueIsBehindIfWritesOtherThanProgressWaitForSeconds(Urgency urgency) {
         write("first");
         for (int i = 0; i < 3 * WRITES_PER_SECOND + TRANSACTION_CHANGES + 1; i++) {
             write("waits" + i, urgency, 0);
