--- a/src/main/java/org/granitepath/cli/ConfigReader.java
+++ b/src/main/java/org/granitepath/cli/ConfigReader.java
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Returns the stricter of the current and the later limits. The later ones are observed from the first start, because
-     * they come into force without notice.
+     * Returns the stricter of the current and the later limits. The later ones are observed from the first start,
+     * because they come into force without notice.
      */
     private StoreLimits storeLimits() throws InvalidSettingException {
         StoreLimits current = currentStoreLimits();
--- a/src/main/java/org/granitepath/coordination/admission/JobIndex.java
+++ b/src/main/java/org/granitepath/coordination/admission/JobIndex.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Returns what the records say about the tasks of a job. To be called only if no leader on this controller has the job
-     * open.
+     * Returns what the records say about the tasks of a job. To be called only if no leader on this controller has the
+     * job open.
      */
     public RecordedTaskState recordedTaskState(String id) {
         FinalRecord.Outcome outcome = outcomes.get(id);
--- a/src/main/java/org/granitepath/storage/ProgressRecord.java
+++ b/src/main/java/org/granitepath/storage/ProgressRecord.java
@@ -27,7 +27,8 @@
 
     /**
      * Returns this record, if necessary with fewer finished tasks so that it takes at most {@code maxBytes} bytes. The
-     * ranges with the most tasks are kept. A finished task that is left out does no harm: it is started again and then found to be complete.
+     * ranges with the most tasks are kept. A finished task that is left out does no harm: it is started again and then
+     * found to be complete.
      */
     public ProgressRecord truncatedTo(int maxBytes) {
         int spare = maxBytes - RecordSize.of(this);
--- a/src/main/java/org/granitepath/storage/RateControl.java
+++ b/src/main/java/org/granitepath/storage/RateControl.java
@@ -6,8 +6,8 @@
     FIXED,
     /**
      * Writes less when the store refuses writes, and more again when it does not (additive increase, multiplicative
-     * decrease). For queues whose shares add up to more than the budget, so that a queue can use all of it
-     * while the others are idle.
+     * decrease). For queues whose shares add up to more than the budget, so that a queue can use all of it while the
+     * others are idle.
      */
     ADAPTIVE
 }
--- a/src/main/java/org/granitepath/transport/ConnectionLimiter.java
+++ b/src/main/java/org/granitepath/transport/ConnectionLimiter.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Limits how many inbound connections stay open. One limit applies to machines, another to all clients together. A fleet
- * can have more machines than a controller has sockets. Above a limit, the server therefore closes a connection after
- * the response, so that sockets stay available for new connections.
+ * Limits how many inbound connections stay open. One limit applies to machines, another to all clients together. A
+ * fleet can have more machines than a controller has sockets. Above a limit, the server therefore closes a connection
+ * after the response, so that sockets stay available for new connections.
  */
 final class ConnectionLimiter {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionLimiter.class);
