--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -60,30 +60,36 @@
     }
 
     /** A copy of a job with a new id, this many tasks, this much CPU per task, and 0.1 GB of memory per task. */
-    JobSpec withCpu(JobSpec like, int tasks, long cpuMillis) {
-        return copy(like, nextId(), like.jobClass(), tasks, cpuMillis, 100, like.deadlineMicros());
+    JobSpec withCpu(JobSpec original, int tasks, long cpuMillis) {
+        return copy(original, nextId(), original.jobClass(), tasks, cpuMillis, 100, original.deadlineMicros());
     }
 
     /** The same job without a deadline. */
-    JobSpec withoutDeadline(JobSpec like) {
+    JobSpec withoutDeadline(JobSpec original) {
         return copy(
-                like,
-                like.id(),
-                like.jobClass(),
-                like.tasks(),
-                like.cpuMillis(),
-                like.memoryMillis(),
+                original,
+                original.id(),
+                original.jobClass(),
+                original.tasks(),
+                original.cpuMillis(),
+                original.memoryMillis(),
                 JobSpec.NO_DEADLINE);
     }
 
     /** The same job with another class. */
-    JobSpec withJobClass(JobSpec like, String jobClass) {
+    JobSpec withJobClass(JobSpec original, String jobClass) {
         return copy(
-                like, like.id(), jobClass, like.tasks(), like.cpuMillis(), like.memoryMillis(), like.deadlineMicros());
+                original,
+                original.id(),
+                jobClass,
+                original.tasks(),
+                original.cpuMillis(),
+                original.memoryMillis(),
+                original.deadlineMicros());
     }
 
     private static JobSpec copy(
-            JobSpec like,
+            JobSpec original,
             String id,
             String jobClass,
             int tasks,
@@ -93,23 +99,23 @@
         return new JobSpec(
                 id,
                 jobClass,
-                like.team(),
-                like.shape(),
-                like.priority(),
+                original.team(),
+                original.shape(),
+                original.priority(),
                 tasks,
                 cpuMillis,
                 0,
                 memoryMillis,
-                like.image(),
-                like.imageGb(),
-                like.types(),
-                like.zone(),
-                like.oneZone(),
-                like.spread(),
-                like.spotAllowed(),
-                like.estimatedRunMicros(),
-                like.checkpointIntervalMicros(),
-                like.saveDurationMicros(),
+                original.image(),
+                original.imageGb(),
+                original.types(),
+                original.zone(),
+                original.oneZone(),
+                original.spread(),
+                original.spotAllowed(),
+                original.estimatedRunMicros(),
+                original.checkpointIntervalMicros(),
+                original.saveDurationMicros(),
                 deadlineMicros);
     }
 
--- a/src/test/java/org/granitepath/simulation/SimLeases.java
+++ b/src/test/java/org/granitepath/simulation/SimLeases.java
@@ -10,10 +10,10 @@
     private final Map<Long, Long> durationMicros = new HashMap<>();
     private long lastLeaseId;
 
-    long open(long now, long leaseMicros) {
+    long open(long nowMicros, long leaseMicros) {
         lastLeaseId++;
         durationMicros.put(lastLeaseId, leaseMicros);
-        expiryMicros.put(lastLeaseId, now + leaseMicros);
+        expiryMicros.put(lastLeaseId, nowMicros + leaseMicros);
         return lastLeaseId;
     }
 
@@ -21,18 +21,18 @@
         return expiryMicros.containsKey(lease);
     }
 
-    void renew(long lease, long now) {
-        expiryMicros.put(lease, now + durationMicros.get(lease));
+    void renew(long lease, long nowMicros) {
+        expiryMicros.put(lease, nowMicros + durationMicros.get(lease));
     }
 
-    void renewAll(long now) {
-        expiryMicros.replaceAll((lease, end) -> now + durationMicros.get(lease));
+    void renewAll(long nowMicros) {
+        expiryMicros.replaceAll((lease, end) -> nowMicros + durationMicros.get(lease));
     }
 
     /** Removes the leases that have expired and returns their ids in ascending order. */
-    List<Long> removeExpired(long now) {
+    List<Long> removeExpired(long nowMicros) {
         List<Long> expired = expiryMicros.entrySet().stream()
-                .filter(entry -> entry.getValue() < now)
+                .filter(entry -> entry.getValue() < nowMicros)
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
--- a/src/test/java/org/granitepath/simulation/SimRateLimiter.java
+++ b/src/test/java/org/granitepath/simulation/SimRateLimiter.java
@@ -20,9 +20,9 @@
     }
 
     /** Takes the tokens of a request with this many changes; returns false and takes none if there are too few. */
-    boolean tryAcquire(long now, int changes) {
-        double elapsedSeconds = (now - lastRefillMicros) / 1e6;
-        lastRefillMicros = now;
+    boolean tryAcquire(long nowMicros, int changes) {
+        double elapsedSeconds = (nowMicros - lastRefillMicros) / 1e6;
+        lastRefillMicros = nowMicros;
         requestTokens = Math.min(requestsPerSecond, requestTokens + elapsedSeconds * requestsPerSecond) - 1;
         writeTokens = Math.min(writesPerSecond, writeTokens + elapsedSeconds * writesPerSecond) - changes;
         boolean tooFast = requestTokens < 0 || writeTokens < 0;
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -26,9 +26,9 @@
         /** The membership in a gang attempt; null unless the job is a gang and the image has been fetched. */
         SimGangs.Member gangMember;
 
-        TaskAttempt(TaskId task, long attempt) {
+        TaskAttempt(TaskId task, long number) {
             this.task = task;
-            this.number = attempt;
+            this.number = number;
         }
     }
 
--- a/src/test/java/org/granitepath/simulation/SimUsers.java
+++ b/src/test/java/org/granitepath/simulation/SimUsers.java
@@ -101,8 +101,8 @@
 
     /** Submits a job whose tasks each take more CPU than the largest machine has. */
     private void submitUnschedulable() {
-        JobSpec like = simulation.jobs.batch(3, Simulation.SECOND);
-        JobSpec spec = simulation.jobs.withCpu(like, 3, 90_000);
+        JobSpec template = simulation.jobs.batch(3, Simulation.SECOND);
+        JobSpec spec = simulation.jobs.withCpu(template, 3, 90_000);
         simulation.rules.recordUnschedulableSubmission(spec.id());
         request(
                 spec.id(),
--- a/src/test/java/org/granitepath/simulation/TraceDigest.java
+++ b/src/test/java/org/granitepath/simulation/TraceDigest.java
@@ -25,7 +25,7 @@
 
     @TestFactory
     Stream<DynamicTest> digests() {
-        return Stream.of(faults(), gangsAndGuarantees(), changesOfLeader(), fleets())
+        return Stream.of(faults(), gangsAndGuarantees(), leaderChanges(), fleets())
                 .flatMap(List::stream)
                 .flatMap(scenario -> scenario.seeds.stream()
                         .map(seed -> DynamicTest.dynamicTest(scenario.name + " " + seed, () -> print(scenario, seed))));
@@ -109,10 +109,10 @@
                 new Scenario("urgent beside full price", guarantees::urgentWorkUsesIdleFullPriceCapacity, 1));
     }
 
-    private static List<Scenario> changesOfLeader() {
+    private static List<Scenario> leaderChanges() {
         TakeoverTest takeover = new TakeoverTest();
         RecoveryTest recovery = new RecoveryTest();
-        RecoveryFaultsTest troubles = new RecoveryFaultsTest();
+        RecoveryFaultsTest recoveryFaults = new RecoveryFaultsTest();
         UpgradeTest upgrade = new UpgradeTest();
         return List.of(
                 new Scenario(
@@ -124,7 +124,10 @@
                 new Scenario("cold restart, forbidden work", recovery::forbiddenTasksAreStoppedAndCleared, 1),
                 new Scenario("cold restart, gangs", recovery::gangsWithUnresponsiveMachinesEndAndStartWhole, 1),
                 new Scenario(
-                        "cold restart, store away", troubles::workCompletesWhenStoreIsDownOrSlowDuringRestart, 1, 2),
+                        "cold restart, store away",
+                        recoveryFaults::workCompletesWhenStoreIsDownOrSlowDuringRestart,
+                        1,
+                        2),
                 new Scenario(
                         "upgrade and new limits", upgrade::workCompletesWhileBothVersionsServeAndLimitsChange, 1, 2),
                 new Scenario("large values of before", upgrade::largeValuesOfTheFormerVersionAreSplit, 1));
