--- a/src/main/java/org/granitepath/storage/WriteQueue.java
+++ b/src/main/java/org/granitepath/storage/WriteQueue.java
@@ -196,7 +196,7 @@
     private static void logAbandoned(WriteBatch batch) {
         for (Change change : batch.changes()) {
             LOG.error(
-                    "record {} ({} bytes, {} changes in the write): store rejected the write as invalid; abandoning it",
+                    "the store rejects the write of {} ({} bytes, {} changes together): it is abandoned",
                     change.key(),
                     WriteBatch.estimatedBytes(change),
                     batch.size());
