--- a/src/main/java/org/granitepath/storage/WritePace.java
+++ b/src/main/java/org/granitepath/storage/WritePace.java
@@ -3,8 +3,8 @@
 import org.granitepath.storage.KeyValueStore.Outcome;
 
 /**
- * Controls how fast a queue writes. It limits the queue to its share of the write budget, and wakes the queue by a timer
- * when there may be a write to send.
+ * Controls how fast a queue writes. It limits the queue to its share of the write budget, and wakes the queue by a
+ * timer when there may be a write to send.
  */
 final class WritePace {
     /** The part of one second's share of the budget that progress writes leave free. */
