--- a/src/test/java/org/granitepath/loopback/FakeWorker.java
+++ b/src/test/java/org/granitepath/loopback/FakeWorker.java
@@ -16,8 +16,8 @@
 import org.granitepath.storage.Fields;
 
 /**
- * A fake worker of a machine over real sockets. It implements the protocol's heartbeats, agent epochs, leases, fencing
- * tokens and commands. Images are available at once, and tasks save no checkpoints.
+ * A fake worker on one machine that communicates over real sockets. It implements the protocol's heartbeats, agent
+ * epochs, leases, fencing tokens and commands. Images are available at once, and tasks save no checkpoints.
  */
 final class FakeWorker extends FakeHttpServer {
     /** How long the tasks of a job run. A negative time means until they are stopped. */
@@ -100,7 +100,7 @@
                         && jobs.test(History.jobOf(entry.getKey().task())));
     }
 
-    /** Ends the tasks of matching jobs, as if a controller had stopped them that is no longer there. */
+    /** Ends the tasks of matching jobs, as if a former controller had stopped them. */
     synchronized void endTasks(Predicate<String> jobs) {
         runs.forEach((key, run) -> {
             if (run.cause == null && jobs.test(History.jobOf(key.task()))) {
@@ -111,16 +111,16 @@
 
     private void sendHeartbeats() {
         List<String> names = List.copyOf(deployment.controllers().keySet());
-        int at = Math.floorMod(id.hashCode(), names.size());
+        int current = Math.floorMod(id.hashCode(), names.size());
         try {
             while (true) {
-                String leader = sendHeartbeatTo(names.get(at));
-                if (leader != null && names.get(at).equals(leader)) {
+                String leader = sendHeartbeatTo(names.get(current));
+                if (leader != null && names.get(current).equals(leader)) {
                     awaitNextHeartbeat();
                 } else if (leader != null && names.contains(leader)) {
-                    at = names.indexOf(leader);
+                    current = names.indexOf(leader);
                 } else {
-                    at = (at + 1) % names.size();
+                    current = (current + 1) % names.size();
                     Thread.sleep(NEXT_CONTROLLER_DELAY_MILLIS);
                 }
             }
--- a/src/test/java/org/granitepath/loopback/History.java
+++ b/src/test/java/org/granitepath/loopback/History.java
@@ -40,7 +40,7 @@
         return task.substring(0, task.lastIndexOf('/'));
     }
 
-    /** Records that a worker received a start command; each attempt's may be received once in an agent epoch. */
+    /** Records that a worker received a start command, which it may receive once for each attempt and agent epoch. */
     synchronized void startReceived(String host, long agentEpoch, String task, long attempt) {
         if (!receivedStarts.add(new ReceivedStart(host, agentEpoch, task, attempt))) {
             violations.add("commanded to start twice: " + task + " attempt " + attempt + " on " + host);
--- a/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CancellationFaultsTest.java
@@ -41,8 +41,8 @@
     /**
      * The store refuses only the leader, another controller confirms cancellations, and one or two seconds later the
      * store is down for all controllers for longer than cancel_s, while workers go on sending heartbeats to the leader.
-     * With seeds above 2 no controller tells the leader of the cancellations: only the bound on how long any controller
-     * may keep a lease alive can end the tasks.
+     * With seeds above 2 no controller tells the leader of the cancellations. Then the tasks end only because the time
+     * for which a controller may extend leases without contact to the store is bounded.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -53,8 +53,8 @@
 
         Observation<Integer> running = new Observation<>();
         Observation<Integer> confirmed = new Observation<>();
-        Observation<Integer> answeredBefore = new Observation<>();
-        Observation<Integer> answeredAfter = new Observation<>();
+        Observation<Integer> heartbeatsBefore = new Observation<>();
+        Observation<Integer> heartbeatsAfter = new Observation<>();
         simulation.after(70 * SECOND, () -> {
             String leader = simulation.leader();
             running.set(simulation.rules.runningJobs().size());
@@ -63,11 +63,11 @@
                     otherNodes(simulation, leader).get(simulation.environment.random.nextInt(4)), job.id()));
             simulation.after((1 + seed % 2) * SECOND, () -> {
                 simulation.store.startOutage(simulation.config.cancellationTimeoutMicros() + 15 * SECOND);
-                answeredBefore.set(simulation.acceptedHeartbeatCount(leader));
+                heartbeatsBefore.set(simulation.acceptedHeartbeatCount(leader));
             });
             simulation.after(9 * SECOND, () -> {
                 confirmed.set(simulation.rules.cancelledJobCount());
-                answeredAfter.set(simulation.acceptedHeartbeatCount(leader));
+                heartbeatsAfter.set(simulation.acceptedHeartbeatCount(leader));
             });
         });
         simulation.runWithLivenessChecks(
@@ -76,7 +76,7 @@
         assertTrue(
                 running.get() >= 10 && confirmed.get() >= 10,
                 running.get() + " jobs ran, " + confirmed.get() + " cancellations confirmed");
-        int answered = answeredAfter.get() - answeredBefore.get();
+        int answered = heartbeatsAfter.get() - heartbeatsBefore.get();
         assertTrue(answered > 5, "the leader answered " + answered + " heartbeats in the outage");
         assertRules(simulation);
     }
@@ -137,8 +137,8 @@
 
     /**
      * The leader's stop commands have not reached the machines of a zone before the zone is cut off. The zone lease
-     * keeper knows of the cancellations from its last read, so the bound on leases does not help with it: it has to
-     * stop the tasks itself.
+     * keeper knows of the cancellations from its last read. The bound on renewing leases without contact counts from
+     * that read, so it would end the tasks too late: the keeper has to stop them itself.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -226,15 +226,15 @@
         Simulation simulation = simulation(seed);
         submitLongRunningJobs(simulation, 6, 8, 200 * SECOND);
 
-        Observation<Integer> hungCount = new Observation<>();
+        Observation<Integer> cancelledCount = new Observation<>();
         simulation.after(60 * SECOND, () -> {
             long hangMicros = seed < 3 ? 8 * SECOND : simulation.config.leaseMicros() + 6 * SECOND;
-            hungCount.set(simulation.users.cancelRunning(8, hangMicros).size());
+            cancelledCount.set(simulation.users.cancelRunning(8, hangMicros).size());
             crashLeaderAfter(simulation, SECOND, 300_000);
         });
         simulation.runWithLivenessChecks(75 * SECOND + simulation.config.leaseMicros(), 800 * SECOND);
 
-        assertTrue(hungCount.get() > 4);
+        assertTrue(cancelledCount.get() > 4);
         assertRulesAndAllDone(simulation);
     }
 
--- a/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/CombinedFaultsTest.java
@@ -273,7 +273,7 @@
     }
 
     /**
-     * Best-effort work without a deadline does not use full-price machines at first, but does not wait so long that it
+     * Best-effort work without a deadline does not use on-demand machines at first, but does not wait so long that it
      * is starved while these machines have capacity that no other work uses.
      */
     @ParameterizedTest
@@ -282,8 +282,8 @@
         Simulation simulation =
                 new Simulation(seed, configOf(seed).withControllers(3).withMachinesPerOffer(1));
         JobSpec template = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
-        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of a full-price machine
-        // This job fills the spot machines, and launches no others.
+        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of an on-demand machine
+        // This job fills the spot machines; no other machines are launched for it.
         simulation.users.submit(simulation.jobs.withoutDeadline(simulation.jobs.batch(30, 300 * SECOND)));
         SimJobs jobs = simulation.jobs;
         JobSpec deferrableJob = jobs.batchBuilder(2, 20 * SECOND)
--- a/src/test/java/org/granitepath/simulation/GuaranteeTest.java
+++ b/src/test/java/org/granitepath/simulation/GuaranteeTest.java
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Spot machines are full and a full-price machine has free capacity. Jobs whose deadlines would let them wait for
+     * Spot machines are full and an on-demand machine has free capacity. Jobs whose deadlines would let them wait for
      * cheap capacity use it nevertheless if they are within their team's guarantee, or of a class that has to start
      * sooner than a machine boots. No task is stopped for them.
      */
@@ -140,9 +140,9 @@
     void urgentWorkUsesIdleFullPriceCapacity(long seed) {
         Simulation simulation = new Simulation(seed, 3, 1);
         JobSpec template = simulation.jobs.batchBuilder(1, 600 * SECOND).build();
-        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of a full-price machine
-        simulation.users.submit(
-                spotJob(simulation, "free", 30, 300 * SECOND)); // fills the spot machines, and launches no others
+        simulation.users.submit(simulation.jobs.withCpu(template, 1, 9_000)); // holds a part of an on-demand machine
+        // This job fills the spot machines; no other machines are launched for it.
+        simulation.users.submit(spotJob(simulation, "free", 30, 300 * SECOND));
         boolean guaranteed = seed % 2 == 1;
         SimJobs jobs = simulation.jobs;
         JobSpec job = jobs.batchBuilder(2, 300 * SECOND)
--- a/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/LeaderIsolationTest.java
@@ -65,7 +65,8 @@
 
     /**
      * A leader that was replaced without noticing records a submission before it learns of its successor, which so far
-     * reaches only half of the machines. The tasks that the acceptance claims belong to the successor alone.
+     * reaches only half of the machines. The tasks that are claimed when the job is accepted belong to the successor
+     * alone.
      */
     @ParameterizedTest
     @ValueSource(longs = {35, 36, 37, 38})
@@ -97,10 +98,10 @@
     }
 
     /**
-     * A leader's process pauses while its clocks run on, for longer than it may keep its machines without contact to
-     * the store, but for less than a lease, and is also cut off. When it resumes it finds queued heartbeats of machines
-     * that reach no other controller. If it answered them, it would keep tasks alive of jobs that another controller
-     * has confirmed as cancelled.
+     * A leader is cut off, and its process pauses while its clocks run on. The pause is longer than the time for which
+     * a leader may extend leases without contact to the store, but shorter than a lease. When the leader resumes, it
+     * finds queued heartbeats of machines that reach no other controller. If it accepted them, it would keep tasks
+     * alive whose jobs another controller has confirmed as cancelled.
      */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103})
--- a/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
+++ b/src/test/java/org/granitepath/simulation/MachineIsolationTest.java
@@ -23,12 +23,12 @@
     private static final long TASK_CPU_MILLIS = 2_000;
 
     /** A machine that is about to be isolated, and the number of start commands sent to it before. */
-    private record FilledMachine(SimWorker worker, int startsBefore) {
-        static FilledMachine now(Simulation simulation, SimWorker worker) {
-            return new FilledMachine(worker, simulation.commands.startCount(worker.id));
+    private record IsolatedMachine(SimWorker worker, int startsBefore) {
+        static IsolatedMachine now(Simulation simulation, SimWorker worker) {
+            return new IsolatedMachine(worker, simulation.commands.startCount(worker.id));
         }
 
-        void assertFilledAtMostTwice(Simulation simulation) {
+        void assertStartsFillItAtMostTwice(Simulation simulation) {
             int slots = (int) (worker.type.cpuMillis() / TASK_CPU_MILLIS);
             int starts = simulation.commands.startCount(worker.id) - startsBefore;
             assertTrue(starts <= 2 * slots, "filled again and again: " + starts + " starts on " + slots + " slots");
@@ -49,10 +49,10 @@
             simulation.after(
                     2 * SECOND + 8L * i * SECOND, () -> simulation.users.submit(simulation.jobs.batch(40, 8 * SECOND)));
         }
-        Observation<FilledMachine> observed = new Observation<>();
+        Observation<IsolatedMachine> observed = new Observation<>();
         simulation.after(40 * SECOND, () -> {
             SimWorker worker = simulation.randomWorker();
-            observed.set(FilledMachine.now(simulation, worker));
+            observed.set(IsolatedMachine.now(simulation, worker));
             if (seed % 2 == 0) {
                 simulation.faults.dropMessagesTo(worker, 150 * SECOND);
             } else {
@@ -63,7 +63,7 @@
 
         assertRulesAndAllDone(simulation);
         assertFalse(observed.get().worker().isAlive(), "the machine was not returned to the cloud");
-        observed.get().assertFilledAtMostTwice(simulation);
+        observed.get().assertStartsFillItAtMostTwice(simulation);
     }
 
     /**
@@ -76,16 +76,16 @@
         Simulation simulation = new Simulation(seed, 3, 1);
         submitBatches(simulation, 8, 200, 8 * SECOND);
 
-        List<FilledMachine> isolatedMachines = new ArrayList<>();
+        List<IsolatedMachine> isolatedMachines = new ArrayList<>();
         simulation.after(
                 45 * SECOND,
                 () -> simulation.cloud.workers().stream().limit(5).forEach(worker -> {
-                    isolatedMachines.add(FilledMachine.now(simulation, worker));
+                    isolatedMachines.add(IsolatedMachine.now(simulation, worker));
                     simulation.faults.dropMessagesTo(worker, 80 * SECOND);
                 }));
         simulation.run(125 * SECOND);
 
-        isolatedMachines.forEach(machine -> machine.assertFilledAtMostTwice(simulation));
+        isolatedMachines.forEach(machine -> machine.assertStartsFillItAtMostTwice(simulation));
 
         simulation.runWithLivenessChecks(130 * SECOND, 700 * SECOND);
 
--- a/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryFaultsTest.java
@@ -69,7 +69,10 @@
                 .count();
     }
 
-    /** Any machine may have been in that part, so unseen tasks do not count as lost, and tasks that are seen run on. */
+    /**
+     * An unreadable part may have listed any machine. Tasks that no machine reports therefore do not count as lost, and
+     * reported tasks run on.
+     */
     @Test
     void unreadableInventoryPartKeepsRecoveryIncomplete() {
         Simulation simulation = busyDeployment(2);
@@ -167,7 +170,7 @@
 
             int injected = injectTwice(simulation, phase, fault);
 
-            // If no machine has capacity for the work that goes first, its phase ends within one step.
+            // If no machine has capacity for the lost replicas, the phase that restarts them ends within one step.
             int minInjected = phase == RecoveryPhase.RESUMING_LIVE ? 1 : 2;
             assertTrue(injected >= minInjected, "recoveries with an injected fault in " + phase + ", " + fault);
             simulation.runWithLivenessChecks(RESTART_MICROS + 70 * SECOND, 500 * SECOND);
--- a/src/test/java/org/granitepath/simulation/RecoveryTest.java
+++ b/src/test/java/org/granitepath/simulation/RecoveryTest.java
@@ -62,7 +62,8 @@
     private record AddedTasks(SimWorker host, List<TaskId> forbidden, TaskId held) {}
 
     /**
-     * Adds these tasks, one with an index beyond its job's tasks, and one that another machine holds as two attempts.
+     * Adds to one machine these tasks, a task whose index is beyond the size of its job, and a second attempt of a task
+     * that another machine runs. Also adds a third attempt of that task to the other machine.
      */
     private static AddedTasks addTasks(Simulation simulation, TaskId... tasks) {
         List<SimWorker> busyWorkers = simulation.cloud.workers().stream()
--- a/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/granitepath/simulation/StoreLimitsTest.java
@@ -25,7 +25,7 @@
 import org.granitepath.storage.WriteQueue.Urgency;
 import org.junit.jupiter.api.Test;
 
-/** Tests that controllers keep within the rates and sizes that the store allows when they need far more of them. */
+/** Tests that controllers respect the store's rate and size limits when they have far more to read or write. */
 class StoreLimitsTest {
     private static final int MAX_TRANSACTION_CHANGES = 8;
     private static final StoredRecord SOME_RECORD = new UnknownRecord(Map.of("x", 1));
@@ -55,8 +55,8 @@
         return replica;
     }
 
-    private RecordReplica replicaOf(SimStore of, String node) {
-        RecordReplica replica = new RecordReplica(of.portFor(node), timers, 50_000, new RecordReplica.Listener() {
+    private RecordReplica replicaOf(SimStore simStore, String node) {
+        RecordReplica replica = new RecordReplica(simStore.portFor(node), timers, 50_000, new RecordReplica.Listener() {
             @Override
             public void onRecordChanged(String key, StoredRecord record, long revision) {}
 
@@ -68,9 +68,9 @@
     }
 
     private WriteQueue writeQueue(
-            SimStore of, String node, RecordReplica replica, double writesPerSecond, RateControl control) {
+            SimStore simStore, String node, RecordReplica replica, double writesPerSecond, RateControl control) {
         return new WriteQueue(
-                of.portFor(node),
+                simStore.portFor(node),
                 replica,
                 timers,
                 MAX_TRANSACTION_CHANGES,
@@ -199,7 +199,7 @@
         assertTrue(buildCount.get() <= 8, "sent " + buildCount + " times");
     }
 
-    /** Finished and unfinished tasks of a job alternate: its progress record fits, and keeps the longest ranges. */
+    /** Finished and unfinished tasks of a job alternate: its progress record is cut down to the longest ranges. */
     @Test
     void progressRecordIsReducedToTheValueLimit() {
         RangeSet<Integer> done = TreeRangeSet.create();
--- a/src/test/java/org/granitepath/simulation/TakeoverTest.java
+++ b/src/test/java/org/granitepath/simulation/TakeoverTest.java
@@ -88,7 +88,7 @@
         assertRulesAndAllDone(simulation);
     }
 
-    /** Controllers restart, at any moment of an election, and machines resume within a fraction of a second. */
+    /** Controllers restart within a fraction of a second, at any moment of an election. Machines hang as briefly. */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void workCompletesAfterRestartsWithinAFractionOfASecond(long seed) {
--- a/src/test/java/org/granitepath/simulation/UpgradeTest.java
+++ b/src/test/java/org/granitepath/simulation/UpgradeTest.java
@@ -14,13 +14,13 @@
 
 /**
  * A new version replaces the version in production while both serve. Records and messages are the same in both, as
- * StoredFormatsTest ensures. The versions differ in the limits that they keep: the former version keeps to the present
+ * StoredFormatsTest verifies. The versions differ in the limits that they keep: the former version keeps to the present
  * limits of the store, the new one also to its future limits.
  */
 class UpgradeTest {
     private static final long SECOND = Simulation.SECOND;
     private static final StoreLimits FUTURE_LIMITS = new StoreLimits(15, 2 * 1024, 4);
-    /** Puts as many machines into a value as the version in production does, whose rows and values are longer. */
+    /** Limits at which a value holds as many machines as in production, where rows and values are longer. */
     private static final SimulationConfig PRODUCTION_CONFIG = FaultScenarios.SHORT_LEASES
             .withMachinesPerOffer(40)
             .withRequestsPerSecond(150)
@@ -29,8 +29,8 @@
             .withTransactionChanges(8)
             .withMaxConnections(1_500);
 
-    private static Simulation busyDeployment(long seed, SimulationConfig shape) {
-        Simulation simulation = new Simulation(seed, shape);
+    private static Simulation busyDeployment(long seed, SimulationConfig config) {
+        Simulation simulation = new Simulation(seed, config);
         simulation.upgradedLimits = FUTURE_LIMITS;
         submitServices(simulation, 60, 6);
         for (int i = 0; i < 12; i++) {
