--- a/src/test/java/org/granitepath/simulation/AnswerRules.java
+++ b/src/test/java/org/granitepath/simulation/AnswerRules.java
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Checks that no accepted job that nobody asked to cancel has been without a status response for more than 75 s.
+     * Reports each accepted job without a cancellation request that has had no status response for more than 75 s.
      *
      * @param faultsEndMicros the end of the last fault; time before it does not count
      */
--- a/src/test/java/org/granitepath/simulation/FaultScenarios.java
+++ b/src/test/java/org/granitepath/simulation/FaultScenarios.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Lets users submit random jobs to a deployment, from 2 s on and for the given period. They cancel services 60 s
-     * after acceptance, and one of six other jobs after 12 s.
+     * Lets users submit random jobs to a deployment, from 2 s on and for the given period. They cancel each service
+     * 60 s after its acceptance, and each other job with a probability of one in six 12 s after its acceptance.
      */
     static Simulation withRandomJobs(Simulation simulation, int jobs, long submissionPeriodMicros) {
         for (int i = 0; i < jobs; i++) {
@@ -94,7 +94,7 @@
         simulation.after(delayMicros, () -> simulation.faults.crash(simulation.leader(), downMicros));
     }
 
-    /** Submits services and batch jobs of ten long tasks, so that faults meet running work. */
+    /** Submits services and batch jobs of ten long tasks, so that faults occur while work is running. */
     static List<JobSpec> submitLongRunningJobs(Simulation simulation, int services, int batches, long runMicros) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int i = 0; i < services; i++) {
--- a/src/test/java/org/granitepath/simulation/JobBuilder.java
+++ b/src/test/java/org/granitepath/simulation/JobBuilder.java
@@ -32,13 +32,13 @@
         this.priority = service ? Priority.CRITICAL : Priority.STANDARD;
     }
 
-    JobBuilder priority(Priority other) {
-        priority = other;
+    JobBuilder priority(Priority newPriority) {
+        priority = newPriority;
         return this;
     }
 
-    JobBuilder team(String other) {
-        team = other;
+    JobBuilder team(String newTeam) {
+        team = newTeam;
         return this;
     }
 
--- a/src/test/java/org/granitepath/simulation/SimFaults.java
+++ b/src/test/java/org/granitepath/simulation/SimFaults.java
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Crashes all controllers at once; each boots again 20 ms to 20 ms plus the given time later. */
+    /** Crashes all controllers at once; each boots again after 20 ms plus a random part of the given time. */
     void crashAll(long maxDownMicros) {
         simulation.nodeNames.forEach(
                 name -> crash(name, 20_000 + (long) (simulation.environment.random.nextDouble() * maxDownMicros)));
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -21,8 +21,8 @@
     }
 
     /** A builder of a critical service, for the team without limits, on on-demand machines. */
-    JobBuilder serviceBuilder(int count) {
-        return new JobBuilder(this, true, count);
+    JobBuilder serviceBuilder(int replicas) {
+        return new JobBuilder(this, true, replicas);
     }
 
     /** A batch job of the team without limits that may use spot machines and has no checkpoints. */
--- a/src/test/java/org/granitepath/simulation/SimPorts.java
+++ b/src/test/java/org/granitepath/simulation/SimPorts.java
@@ -50,7 +50,7 @@
                             answer.accept(true);
                         }
                     },
-                    taken -> then.accept(taken != null));
+                    acknowledged -> then.accept(acknowledged != null));
         }
 
         /** A peer that is down does not answer. */
--- a/src/test/java/org/granitepath/simulation/SimStore.java
+++ b/src/test/java/org/granitepath/simulation/SimStore.java
@@ -131,7 +131,10 @@
         return oversizedTransactionCount;
     }
 
-    /** How many transactions wrote a job without a precondition on the leader key, which fences former leaders. */
+    /**
+     * How many transactions wrote a job without a precondition on the leader key. Without it, an acceptance would
+     * succeed whichever controller leads by then.
+     */
     int unfencedAcceptanceCount() {
         return unfencedAcceptanceCount;
     }
--- a/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
+++ b/src/test/java/org/granitepath/simulation/SimTaskAttempts.java
@@ -103,7 +103,11 @@
                         other != attempt && other.state != TaskState.EXITED && other.task.equals(attempt.task));
     }
 
-    /** Why the machine refuses to start an attempt, {@code NONE} if it does not; the spec of an unknown job is null. */
+    /**
+     * Why the machine refuses to start an attempt; {@code NONE} if it does not refuse.
+     *
+     * @param spec the spec of the attempt's job; null if the job is unknown
+     */
     ExitCause refusalCause(JobSpec spec, TaskAttempt attempt) {
         if (spec == null || attempt.task.index() >= spec.tasks()) {
             return ExitCause.UNKNOWN_JOB;
@@ -113,7 +117,7 @@
                 : hasCapacityFor(spec, attempt) ? ExitCause.NONE : ExitCause.INSUFFICIENT_CAPACITY;
     }
 
-    /** How many tasks of each job are on the machine and have not exited, by job id. */
+    /** How many tasks of each job are on the machine, fetching their image or later, and have not exited, by job id. */
     Map<String, Integer> taskCountsByJob() {
         Map<String, Integer> held = new HashMap<>();
         attempts.values().stream()
--- a/src/test/java/org/granitepath/simulation/SimWorker.java
+++ b/src/test/java/org/granitepath/simulation/SimWorker.java
@@ -289,7 +289,7 @@
 
     private void execute(List<WorkerCommand> commands) {
         for (WorkerCommand command : commands) {
-            // Encodes the command to check that it has a wire format; tasks get the command itself.
+            // Between real processes the command would be encoded. Here that is only checked to be possible.
             assert WorkerCodec.encodeCommands(fencingToken, agentEpoch, List.of(command)) != null;
             tasks.execute(command);
         }
--- a/src/test/java/org/granitepath/simulation/WaitingRules.java
+++ b/src/test/java/org/granitepath/simulation/WaitingRules.java
@@ -9,8 +9,8 @@
 import org.granitepath.storage.JobSpec;
 
 /**
- * Checks that no job starves: waits for more than 90 s while a machine could start one of its tasks, or machines its
- * whole gang, and its team is within its limit.
+ * Checks that no job starves. A job starves if it waits for more than 90 s while its team is within its limit and a
+ * machine could start one of its tasks, or, for a gang, the machines together could start all of them.
  */
 final class WaitingRules {
     private static final long MAX_WAIT_MICROS = 90_000_000;
