--- a/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
+++ b/src/test/java/org/granitepath/simulation/RandomFaultPairsTest.java
@@ -19,7 +19,7 @@
      * The seeds: 16 from 0 on in every build. {@code -Dgranitepath.pairs=N} and {@code -Dgranitepath.firstpair=S}
      * select another number and first seed, {@code -Dgranitepath.pair=S} a single seed.
      */
-    static LongStream pairs() {
+    static LongStream seeds() {
         Long one = Long.getLong("granitepath.pair");
         long first = Long.getLong("granitepath.firstpair", 0);
         return one != null
@@ -29,7 +29,7 @@
 
     /** Two random faults occur close in time, three times in a run. */
     @ParameterizedTest
-    @MethodSource("pairs")
+    @MethodSource("seeds")
     void rulesHoldUnderAnyTwoFaults(long seed) {
         Simulation simulation = withRandomJobs(simulation(seed), 35, 150 * SECOND);
         submitLongRunningJobs(simulation, 4, 4, 60 * SECOND);
