--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -42,12 +42,12 @@
 
     /** Returns whether the first claim on the job is for a later term that this controller does not know of yet. */
     boolean isClaimedBySuccessor(JobRecord record) {
-        return record.term() > term.fencingToken();
+        return record.fencingToken() > term.fencingToken();
     }
 
     /** Returns whether the first claim on the job is for this term, so no previous leader has started it. */
     boolean isClaimedByThisTerm(JobRecord record) {
-        return record.term() == term.fencingToken();
+        return record.fencingToken() == term.fencingToken();
     }
 
     /** Claims the next block of tasks if not enough of the current block is left. */
--- a/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
+++ b/src/main/java/org/granitepath/coordination/leadership/ZoneLeaseKeeper.java
@@ -91,7 +91,7 @@
     private void readTokens() {
         fencingTokens.clear();
         FencingTokenRecord counter = replica.fencingToken();
-        long termToken = counter == null ? 0 : counter.term();
+        long termToken = counter == null ? 0 : counter.fencingToken();
         for (int part = 0; part < replica.inventoryPartCount(); part++) {
             InventoryRecord inventory = replica.inventoryPart(part);
             if (inventory != null) {
--- a/src/main/java/org/granitepath/storage/FencingTokenRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/FencingTokenRecordCodec.java
@@ -14,7 +14,7 @@
     static Map<String, Object> encode(FencingTokenRecord counter) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(OWNER, counter.leader());
-        fields.put(TERM, counter.term());
+        fields.put(TERM, counter.fencingToken());
         fields.put(LAST, counter.lastIssuedToken());
         return fields;
     }
--- a/src/main/java/org/granitepath/storage/JobRecord.java
+++ b/src/main/java/org/granitepath/storage/JobRecord.java
@@ -6,6 +6,7 @@
  *
  * @param acceptedMicros the time of day of the acceptance, in microseconds
  * @param claimedTasks the number of tasks claimed for the leader; 0 if there is none
- * @param term the fencing token of the leader's term; 0 if there is no leader
+ * @param fencingToken the fencing token of the leader's term; 0 if there is no leader
  */
-public record JobRecord(JobSpec spec, long acceptedMicros, int claimedTasks, long term) implements StoredRecord {}
+public record JobRecord(JobSpec spec, long acceptedMicros, int claimedTasks, long fencingToken)
+        implements StoredRecord {}
--- a/src/main/java/org/granitepath/storage/JobRecordCodec.java
+++ b/src/main/java/org/granitepath/storage/JobRecordCodec.java
@@ -17,7 +17,7 @@
         fields.put(SPEC, JobSpecCodec.encode(job.spec()));
         fields.put(AT, job.acceptedMicros());
         fields.put(CLAIMED, job.claimedTasks());
-        fields.put(TERM, job.term());
+        fields.put(TERM, job.fencingToken());
         return fields;
     }
 
--- a/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/SubmissionWriterTest.java
@@ -53,7 +53,7 @@
         fixture.readRecords();
         submissions.record(SPEC, answers::add);
         fixture.timers.advance(SECOND_MICROS);
-        assertEquals(FENCING_TOKEN, jobRecord().term());
+        assertEquals(FENCING_TOKEN, jobRecord().fencingToken());
         assertEquals(
                 fixture.config.tuning().firstClaimBlockSize(SPEC), jobRecord().claimedTasks());
     }
@@ -73,7 +73,7 @@
         fixture.writeLeader(FENCING_TOKEN + 1);
         submissions.record(SPEC, answers::add);
         fixture.timers.advance(SECOND_MICROS);
-        assertEquals(FENCING_TOKEN + 1, jobRecord().term());
+        assertEquals(FENCING_TOKEN + 1, jobRecord().fencingToken());
     }
 
     @Test
