--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -171,7 +171,7 @@
      */
     public void handleCancellationNotice(PeerPort.CancellationNotice notice) {
         replica.applyCommitted(
-                Keys.finalRecord(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
+                Keys.finalRecordKey(notice.job()), new FinalRecord(FinalRecord.Outcome.CANCELLED), notice.revision());
     }
 
     /** Returns whether this controller is the leader and its term has started. */
--- a/src/main/java/org/granitepath/coordination/EndedJobEviction.java
+++ b/src/main/java/org/granitepath/coordination/EndedJobEviction.java
@@ -26,7 +26,7 @@
     }
 
     private void evict(String jobId) {
-        replica.evict(Keys.job(jobId));
-        replica.evict(Keys.progress(jobId));
+        replica.evict(Keys.jobKey(jobId));
+        replica.evict(Keys.progressKey(jobId));
     }
 }
--- a/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/CancellationWriter.java
@@ -62,7 +62,7 @@
             return;
         }
         writeQueue.enqueue(
-                Keys.finalRecord(jobId),
+                Keys.finalRecordKey(jobId),
                 WriteQueue.Urgency.SAFETY,
                 0,
                 () -> cancellationChange(jobId),
@@ -79,7 +79,7 @@
             return List.of();
         }
         return pending.isAwaited(jobId)
-                ? List.of(Change.write(Keys.finalRecord(jobId), new FinalRecord(FinalRecord.Outcome.CANCELLED)))
+                ? List.of(Change.write(Keys.finalRecordKey(jobId), new FinalRecord(FinalRecord.Outcome.CANCELLED)))
                 : List.of();
     }
 
@@ -91,7 +91,7 @@
     private void confirm(String jobId) {
         if (jobIndex.outcomeOf(jobId) == FinalRecord.Outcome.CANCELLED) {
             announcer.announce(
-                    new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalRecord(jobId))),
+                    new PeerPort.CancellationNotice(jobId, replica.revision(Keys.finalRecordKey(jobId))),
                     () -> pending.resolve(jobId, answers.knownJob(jobId)));
         } else {
             pending.resolve(jobId, answers.knownJob(jobId));
--- a/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
+++ b/src/main/java/org/granitepath/coordination/admission/SubmissionWriter.java
@@ -52,7 +52,7 @@
             return;
         }
         writeQueue.enqueue(
-                Keys.job(spec.id()),
+                Keys.jobKey(spec.id()),
                 WriteQueue.Urgency.WORK,
                 0,
                 () -> acceptanceChange(spec),
@@ -68,7 +68,9 @@
             pending.resolve(spec.id(), answers.knownJob(spec.id()));
             return List.of();
         }
-        return pending.isAwaited(spec.id()) ? List.of(Change.write(Keys.job(spec.id()), acceptedJob(spec))) : List.of();
+        return pending.isAwaited(spec.id())
+                ? List.of(Change.write(Keys.jobKey(spec.id()), acceptedJob(spec)))
+                : List.of();
     }
 
     /**
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryReader.java
@@ -57,7 +57,7 @@
     private void skipUnreadablePart(int part) {
         LOG.error(
                 "record {} can't be read: its machines are unknown, and no task is declared lost during this term",
-                Keys.inventoryPart(part));
+                Keys.inventoryPartKey(part));
         layout.addUnreadablePart();
         unreadableParts++;
     }
--- a/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
+++ b/src/main/java/org/granitepath/coordination/fleet/InventoryTransaction.java
@@ -49,7 +49,7 @@
             rows.add(machine.inventoryRow(tokenToWrite(machine)));
         }
         parts.add(part);
-        changes.add(Change.write(Keys.inventoryPart(part), new InventoryRecord(rows)));
+        changes.add(Change.write(Keys.inventoryPartKey(part), new InventoryRecord(rows)));
     }
 
     private long tokenToWrite(Machine machine) {
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -69,7 +69,7 @@
     }
 
     private void recordProgress(ActiveJob job, WriteQueue.Urgency urgency, long delayMicros) {
-        String key = Keys.progress(job.spec().id());
+        String key = Keys.progressKey(job.spec().id());
         writeQueue.enqueue(
                 key, urgency, delayMicros, () -> progressChange(key, job), storeRevision -> loop.requestCycle());
     }
@@ -86,7 +86,7 @@
 
     /** Records without delay that all tasks of the job are done, unless the job has a final record already. */
     void recordDone(ActiveJob job) {
-        String key = Keys.finalRecord(job.spec().id());
+        String key = Keys.finalRecordKey(job.spec().id());
         writeQueue.enqueue(
                 key,
                 WriteQueue.Urgency.SAFETY,
--- a/src/main/java/org/granitepath/storage/Keys.java
+++ b/src/main/java/org/granitepath/storage/Keys.java
@@ -53,22 +53,22 @@
     }
 
     /** Returns the key of the record of an accepted job. */
-    public static String job(String jobId) {
+    public static String jobKey(String jobId) {
         return JOB_PREFIX + jobId;
     }
 
     /** Returns the key of the record of a job's progress. */
-    public static String progress(String jobId) {
+    public static String progressKey(String jobId) {
         return PROGRESS_PREFIX + jobId;
     }
 
     /** Returns the key of the record of how a job ended. */
-    public static String finalRecord(String jobId) {
+    public static String finalRecordKey(String jobId) {
         return FINAL_PREFIX + jobId;
     }
 
     /** Returns the key of a part of the machine inventory. Parts are numbered from 0. */
-    public static String inventoryPart(int part) {
+    public static String inventoryPartKey(int part) {
         return INVENTORY_PREFIX + part;
     }
 }
--- a/src/main/java/org/granitepath/storage/RecordReplica.java
+++ b/src/main/java/org/granitepath/storage/RecordReplica.java
@@ -86,7 +86,7 @@
     /** Returns how many parts the machine inventory has, including those that cannot be read. */
     public int inventoryPartCount() {
         int parts = 0;
-        while (has(Keys.inventoryPart(parts))) {
+        while (has(Keys.inventoryPartKey(parts))) {
             parts++;
         }
         return parts;
@@ -94,7 +94,7 @@
 
     /** Returns a part of the machine inventory, or null if there is no such part or it cannot be read. */
     public @Nullable InventoryRecord inventoryPart(int part) {
-        return records.record(Keys.inventoryPart(part), InventoryRecord.class);
+        return records.record(Keys.inventoryPartKey(part), InventoryRecord.class);
     }
 
     /** Returns the revision of the last change of a record, for use in preconditions; 0 if there is no such record. */
--- a/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
+++ b/src/test/java/org/granitepath/coordination/EndedJobEvictionTest.java
@@ -20,7 +20,7 @@
 /** The replica keeps only the final record of an ended job, in whatever order the job's records arrive. */
 class EndedJobEvictionTest {
     private static final String JOB = "run-1";
-    private static final List<String> KEYS = List.of(Keys.job(JOB), Keys.progress(JOB), Keys.finalRecord(JOB));
+    private static final List<String> KEYS = List.of(Keys.jobKey(JOB), Keys.progressKey(JOB), Keys.finalRecordKey(JOB));
 
     private final ManualTimers timers = new ManualTimers();
     private final JobIndex jobIndex = new JobIndex();
@@ -54,13 +54,13 @@
     @ValueSource(strings = {"g/j/run-1 g/p/run-1 g/f/run-1", "g/f/run-1 g/p/run-1 g/j/run-1"})
     void onlyTheFinalRecordOfAnEndedJobIsKept(String order) {
         Stream.of(order.split(" ")).forEach(this::write);
-        assertEquals(List.of(Keys.finalRecord(JOB)), keysInReplica());
+        assertEquals(List.of(Keys.finalRecordKey(JOB)), keysInReplica());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"g/j/run-1 g/p/run-1", "g/p/run-1 g/j/run-1"})
     void allRecordsOfAnOpenJobAreKept(String order) {
         Stream.of(order.split(" ")).forEach(this::write);
-        assertEquals(List.of(Keys.job(JOB), Keys.progress(JOB)), keysInReplica());
+        assertEquals(List.of(Keys.jobKey(JOB), Keys.progressKey(JOB)), keysInReplica());
     }
 }
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionFixture.java
@@ -55,12 +55,12 @@
 
     /** Writes the job's record to the store, as another controller that accepted the job does. */
     void writeJob() {
-        store.put(Keys.job(JOB_ID), new JobRecord(SPEC, 0, 0, 0), 0);
+        store.put(Keys.jobKey(JOB_ID), new JobRecord(SPEC, 0, 0, 0), 0);
     }
 
     /** Writes the job's outcome to the store. */
     void writeOutcome(FinalRecord.Outcome outcome) {
-        store.put(Keys.finalRecord(JOB_ID), new FinalRecord(outcome), 0);
+        store.put(Keys.finalRecordKey(JOB_ID), new FinalRecord(outcome), 0);
     }
 
     /** Starts the replica and lets it read all records. */
--- a/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/CancellationWriterTest.java
@@ -52,7 +52,8 @@
         cancelAndWait();
         assertEquals(FinalRecord.Outcome.CANCELLED, fixture.jobIndex.outcomeOf(JOB_ID));
         assertEquals(
-                List.of(new CancellationNotice(JOB_ID, fixture.replica.revision(Keys.finalRecord(JOB_ID)))), notices);
+                List.of(new CancellationNotice(JOB_ID, fixture.replica.revision(Keys.finalRecordKey(JOB_ID)))),
+                notices);
     }
 
     @Test
--- a/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/JobIndexTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void unreadableProgressLeavesTheStatusKnown() {
-        jobIndex.applyRecord(Keys.progress("a"), UNREADABLE);
+        jobIndex.applyRecord(Keys.progressKey("a"), UNREADABLE);
         assertTrue(jobIndex.isUnreadable("a"));
         assertFalse(jobIndex.isStatusUnknown("a"));
         assertEquals(RecordedTaskState.UNREADABLE, jobIndex.recordedTaskState("a"));
@@ -27,15 +27,15 @@
 
     @Test
     void theStatusStaysUnknownIfProgressIsUnreadableAfterTheDescription() {
-        jobIndex.applyRecord(Keys.job("a"), UNREADABLE);
-        jobIndex.applyRecord(Keys.progress("a"), UNREADABLE);
+        jobIndex.applyRecord(Keys.jobKey("a"), UNREADABLE);
+        jobIndex.applyRecord(Keys.progressKey("a"), UNREADABLE);
         assertTrue(jobIndex.isStatusUnknown("a"));
     }
 
     @Test
     void theOutcomeOfAJobIsKnownWithoutItsDescription() {
-        jobIndex.applyRecord(Keys.job("a"), UNREADABLE);
-        jobIndex.applyRecord(Keys.finalRecord("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        jobIndex.applyRecord(Keys.jobKey("a"), UNREADABLE);
+        jobIndex.applyRecord(Keys.finalRecordKey("a"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         assertFalse(jobIndex.isStatusUnknown("a"));
         assertTrue(jobIndex.isKnown("a") && jobIndex.hasEnded("a"));
         assertEquals(RecordedTaskState.JOB_CANCELLED, jobIndex.recordedTaskState("a"));
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -238,7 +238,7 @@
                 .map(id -> new InventoryRecord.MachineRow(
                         id, id + ":1", Fixtures.TYPE.name(), ZONE, false, PREVIOUS_TOKEN))
                 .toList();
-        replica.applyCommitted(Keys.inventoryPart(0), new InventoryRecord(rows), 1);
+        replica.applyCommitted(Keys.inventoryPartKey(0), new InventoryRecord(rows), 1);
         return takeOverStoredMachines();
     }
 
--- a/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/MachineInventoryTest.java
@@ -47,7 +47,7 @@
 
     @Test
     void unreadablePartIsCountedAndNotWritten() {
-        fixture.replica.applyCommitted(Keys.inventoryPart(0), new UnknownRecord(Map.of()), 1);
+        fixture.replica.applyCommitted(Keys.inventoryPartKey(0), new UnknownRecord(Map.of()), 1);
         assertEquals(List.of(), fixture.takeOverStoredMachines());
         assertEquals(1, fixture.inventory.unreadablePartCount());
         assertEquals(1, fixture.readyMachine("m").inventory().part());
--- a/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobLifecycleTest.java
@@ -32,17 +32,17 @@
     private final JobLifecycle lifecycle = fixture.lifecycle;
 
     private void recordAccepted(JobSpec spec, int claimed, long term) {
-        fixture.jobIndex.applyRecord(Keys.job(spec.id()), new JobRecord(spec, 0, claimed, term));
+        fixture.jobIndex.applyRecord(Keys.jobKey(spec.id()), new JobRecord(spec, 0, claimed, term));
     }
 
     private void recordProgress(int claimed, int doneTasks) {
         var done = TreeRangeSet.<Integer>create();
         ProgressRecord.addTasksBelow(done, doneTasks);
-        fixture.jobIndex.applyRecord(Keys.progress(JOB), new ProgressRecord("c1", claimed, done, 0));
+        fixture.jobIndex.applyRecord(Keys.progressKey(JOB), new ProgressRecord("c1", claimed, done, 0));
     }
 
     private void recordEnded(FinalRecord.Outcome outcome) {
-        fixture.jobIndex.applyRecord(Keys.finalRecord(JOB), new FinalRecord(outcome));
+        fixture.jobIndex.applyRecord(Keys.finalRecordKey(JOB), new FinalRecord(outcome));
     }
 
     private ActiveJob job() {
@@ -75,7 +75,7 @@
     @Test
     void jobWithUnreadableRecordIsNotOpened() {
         recordAccepted(BATCH, 4, TOKEN);
-        fixture.jobIndex.applyRecord(Keys.progress(JOB), new UnknownRecord(Map.of()));
+        fixture.jobIndex.applyRecord(Keys.progressKey(JOB), new UnknownRecord(Map.of()));
         lifecycle.start();
         assertNull(job());
     }
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -64,7 +64,7 @@
     void recordTwoMachines() {
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", TERM_TOKEN, OWN_TOKEN), 0);
         store.put(
-                Keys.inventoryPart(0),
+                Keys.inventoryPartKey(0),
                 new InventoryRecord(List.of(
                         new InventoryRecord.MachineRow("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
                         new InventoryRecord.MachineRow("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
--- a/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
+++ b/src/test/java/org/granitepath/protocol/StoredFormatsTest.java
@@ -50,7 +50,7 @@
     @Test
     void jobs() throws MalformedRecordException {
         String json = "{\"spec\":" + SPEC + ",\"at\":1700000000000000,\"claimed\":6,\"term\":41}";
-        JobRecord record = (JobRecord) StoredRecordCodec.decode(Keys.job("run-000412"), Json.decodeObject(json));
+        JobRecord record = (JobRecord) StoredRecordCodec.decode(Keys.jobKey("run-000412"), Json.decodeObject(json));
         assertEquals(JobSpec.Shape.BATCH, record.spec().shape());
         assertEquals("HIGH", record.spec().priority().name());
         assertEquals(json, Json.encode(StoredRecordCodec.encode(record)));
@@ -73,7 +73,7 @@
     void progress() throws MalformedRecordException {
         String json = "{\"owner\":\"worker-1\",\"claimed\":12,\"done\":[0,3,5,6],\"running\":4}";
         ProgressRecord record =
-                (ProgressRecord) StoredRecordCodec.decode(Keys.progress("run-000412"), Json.decodeObject(json));
+                (ProgressRecord) StoredRecordCodec.decode(Keys.progressKey("run-000412"), Json.decodeObject(json));
         assertEquals(4, ProgressRecord.count(record.doneTasks()));
         assertEquals(json, Json.encode(StoredRecordCodec.encode(record)));
     }
@@ -89,7 +89,7 @@
     void machines() throws MalformedRecordException {
         String json = "{\"hosts\":[[\"i-000231\",\"10.1.0.232:9000\",\"g8\",\"a\",1,41]]}";
         InventoryRecord record =
-                (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPart(0), Json.decodeObject(json));
+                (InventoryRecord) StoredRecordCodec.decode(Keys.inventoryPartKey(0), Json.decodeObject(json));
         assertEquals(
                 new InventoryRecord.MachineRow("i-000231", "10.1.0.232:9000", "g8", "a", true, 41),
                 record.machines().get(0));
--- a/src/test/java/org/granitepath/storage/JobKeyTest.java
+++ b/src/test/java/org/granitepath/storage/JobKeyTest.java
@@ -12,7 +12,7 @@
 class JobKeyTest {
     @Test
     void aParsedKeyContainsTheKindAndTheJob() {
-        assertEquals(Optional.of(new Keys.JobKey(Keys.JobRecordKind.JOB, "a/b")), Keys.parseJobKey(Keys.job("a/b")));
+        assertEquals(Optional.of(new Keys.JobKey(Keys.JobRecordKind.JOB, "a/b")), Keys.parseJobKey(Keys.jobKey("a/b")));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
+++ b/src/test/java/org/granitepath/storage/StoredRecordCodecTest.java
@@ -52,11 +52,11 @@
         done.add(Range.closedOpen(0, 3));
         done.add(Range.closedOpen(5, 6));
         Map<String, StoredRecord> records = new LinkedHashMap<>();
-        records.put(Keys.job("run-1"), new JobRecord(SPEC, 1_700_000_000_000_000L, 4, 41));
-        records.put(Keys.progress("run-1"), new ProgressRecord("worker-1", 4, done, 2));
-        records.put(Keys.finalRecord("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
+        records.put(Keys.jobKey("run-1"), new JobRecord(SPEC, 1_700_000_000_000_000L, 4, 41));
+        records.put(Keys.progressKey("run-1"), new ProgressRecord("worker-1", 4, done, 2));
+        records.put(Keys.finalRecordKey("run-1"), new FinalRecord(FinalRecord.Outcome.CANCELLED));
         records.put(
-                Keys.inventoryPart(0),
+                Keys.inventoryPartKey(0),
                 new InventoryRecord(
                         List.of(new InventoryRecord.MachineRow("i-1", "10.1.0.2:9000", "g8", "a", true, 41))));
         records.put(Keys.LEADER, new LeaderRecord("worker-1", "worker-1-2", 41));
@@ -99,25 +99,27 @@
     private static Stream<Arguments> malformedRecords() {
         Map<String, Object> spec = Map.of("id", "run-1", "class", "train", "team", "vision");
         return Stream.of(
-                Arguments.of(Keys.job("run-1"), Map.of("claimed", 1), "spec"),
-                Arguments.of(Keys.job("run-1"), Map.of("spec", List.of(), "claimed", 1), "spec"),
-                Arguments.of(Keys.job("run-1"), Map.of("spec", Map.of("id", "run-1"), "claimed", 1), "class"),
-                Arguments.of(Keys.job("run-1"), Map.of("spec", spec), "claimed"),
-                Arguments.of(Keys.job("run-1"), Map.of("spec", spec, "claimed", "1"), "claimed"),
-                Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1), "done"),
-                Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1, "done", 3), "done"),
-                Arguments.of(Keys.progress("run-1"), Map.of("claimed", 1, "done", List.of(0, "3")), "done"),
-                Arguments.of(Keys.progress("run-1"), Map.of("done", List.of()), "claimed"),
-                Arguments.of(Keys.finalRecord("run-1"), Map.of(), "how"),
-                Arguments.of(Keys.finalRecord("run-1"), Map.of("how", "done"), "how"),
-                Arguments.of(Keys.inventoryPart(0), Map.of(), "hosts"),
-                Arguments.of(Keys.inventoryPart(0), Map.of("hosts", List.of("i-1")), "hosts"),
+                Arguments.of(Keys.jobKey("run-1"), Map.of("claimed", 1), "spec"),
+                Arguments.of(Keys.jobKey("run-1"), Map.of("spec", List.of(), "claimed", 1), "spec"),
+                Arguments.of(Keys.jobKey("run-1"), Map.of("spec", Map.of("id", "run-1"), "claimed", 1), "class"),
+                Arguments.of(Keys.jobKey("run-1"), Map.of("spec", spec), "claimed"),
+                Arguments.of(Keys.jobKey("run-1"), Map.of("spec", spec, "claimed", "1"), "claimed"),
+                Arguments.of(Keys.progressKey("run-1"), Map.of("claimed", 1), "done"),
+                Arguments.of(Keys.progressKey("run-1"), Map.of("claimed", 1, "done", 3), "done"),
+                Arguments.of(Keys.progressKey("run-1"), Map.of("claimed", 1, "done", List.of(0, "3")), "done"),
+                Arguments.of(Keys.progressKey("run-1"), Map.of("done", List.of()), "claimed"),
+                Arguments.of(Keys.finalRecordKey("run-1"), Map.of(), "how"),
+                Arguments.of(Keys.finalRecordKey("run-1"), Map.of("how", "done"), "how"),
+                Arguments.of(Keys.inventoryPartKey(0), Map.of(), "hosts"),
+                Arguments.of(Keys.inventoryPartKey(0), Map.of("hosts", List.of("i-1")), "hosts"),
                 Arguments.of(
-                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
+                        Keys.inventoryPartKey(0), Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", 1))), "hosts"),
                 Arguments.of(
-                        Keys.inventoryPart(0), Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))), "hosts"),
+                        Keys.inventoryPartKey(0),
+                        Map.of("hosts", List.of(List.of("i-1", 7, "g8", "a", 1, 2))),
+                        "hosts"),
                 Arguments.of(
-                        Keys.inventoryPart(0),
+                        Keys.inventoryPartKey(0),
                         Map.of("hosts", List.of(List.of("i-1", "b", "g8", "a", true, 2))),
                         "hosts"),
                 Arguments.of(Keys.LEADER, Map.of("incarnation", "n-2"), "node"),
@@ -146,7 +148,7 @@
                 new MachineTypesRecord(List.of()), StoredRecordCodec.decode(Keys.MACHINE_TYPES, Map.of("types", 1)));
         assertEquals(
                 new ProgressRecord(null, 2, TreeRangeSet.create(), 0),
-                StoredRecordCodec.decode(Keys.progress("run-1"), Map.of("claimed", 2, "done", List.of(7))));
+                StoredRecordCodec.decode(Keys.progressKey("run-1"), Map.of("claimed", 2, "done", List.of(7))));
         JobSpec spec = JobSpecCodec.decode(Map.of("id", "run-1", "class", "train", "team", "vision"));
         assertEquals(JobSpec.Shape.BATCH, spec.shape());
         assertEquals(Priority.BEST_EFFORT, spec.priority());
@@ -163,6 +165,6 @@
         assertEquals(Priority.BEST_EFFORT, spec.priority());
         assertEquals(
                 new FinalRecord(FinalRecord.Outcome.DONE),
-                StoredRecordCodec.decode(Keys.finalRecord("run-1"), Map.of("how", 9)));
+                StoredRecordCodec.decode(Keys.finalRecordKey("run-1"), Map.of("how", 9)));
     }
 }
