--- a/src/main/java/org/granitepath/storage/MachineType.java
+++ b/src/main/java/org/granitepath/storage/MachineType.java
@@ -16,7 +16,7 @@
         long gpuMillis,
         long memoryMillis,
         double fetchGbPerSecond,
-        double price,
+        double onDemandPrice,
         double spotPrice,
         long bootMicros,
         List<String> zones) {
@@ -55,6 +55,6 @@
 
     /** Returns the nominal price per hour, of a spot instance or at full price. */
     public double hourlyPrice(boolean spot) {
-        return spot ? spotPrice : price;
+        return spot ? spotPrice : onDemandPrice;
     }
 }
--- a/src/main/java/org/granitepath/storage/MachineTypeCodec.java
+++ b/src/main/java/org/granitepath/storage/MachineTypeCodec.java
@@ -25,7 +25,7 @@
         fields.put(GPU, type.gpuMillis());
         fields.put(MEMORY, type.memoryMillis());
         fields.put(FETCH, type.fetchGbPerSecond());
-        fields.put(PRICE, type.price());
+        fields.put(PRICE, type.onDemandPrice());
         fields.put(SPOT, type.spotPrice());
         fields.put(BOOT, type.bootMicros());
         fields.put(ZONES, type.zones());
