--- a/src/main/java/org/granitepath/coordination/autoscaling/WaitingLiveTasks.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/WaitingLiveTasks.java
@@ -27,7 +27,7 @@
                     spec.cpuMillis(),
                     spec.gpuMillis(),
                     spec.memoryMillis(),
-                    spec.types(),
+                    spec.allowedTypeNames(),
                     spec.zone(),
                     spec.spotAllowed());
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ResourceRequest.java
@@ -38,7 +38,7 @@
                 spec.cpuMillis(),
                 spec.gpuMillis(),
                 spec.memoryMillis(),
-                spec.types(),
+                spec.allowedTypeNames(),
                 spec.zone(),
                 closedZones,
                 spec.spotAllowed(),
--- a/src/main/java/org/granitepath/storage/JobSpec.java
+++ b/src/main/java/org/granitepath/storage/JobSpec.java
@@ -8,7 +8,7 @@
  * rounded up, so that sums are exact. Times are in microseconds.
  *
  * @param imageGb the size of the image in gigabytes
- * @param types the names of the machine types that may be used; null for any
+ * @param allowedTypeNames the names of the machine types that may be used; null for any
  * @param zone the only zone that may be used; null for any
  * @param oneZone whether all tasks must run in one zone
  * @param spread whether no zone may hold more than half of the tasks, rounded up
@@ -30,7 +30,7 @@
         long memoryMillis,
         String image,
         double imageGb,
-        @Nullable List<String> types,
+        @Nullable List<String> allowedTypeNames,
         @Nullable String zone,
         boolean oneZone,
         boolean spread,
@@ -70,7 +70,7 @@
 
     /** Returns whether machines of this type may be used. */
     public boolean isTypeAllowed(String type) {
-        return types == null || types.contains(type);
+        return allowedTypeNames == null || allowedTypeNames.contains(type);
     }
 
     /** Returns whether machines in this zone may be used. */
--- a/src/main/java/org/granitepath/storage/JobSpecCodec.java
+++ b/src/main/java/org/granitepath/storage/JobSpecCodec.java
@@ -59,8 +59,8 @@
         fields.put(MEMORY, spec.memoryMillis());
         fields.put(IMAGE, spec.image());
         fields.put(IMAGE_GB, spec.imageGb());
-        if (spec.types() != null) {
-            fields.put(TYPES, spec.types());
+        if (spec.allowedTypeNames() != null) {
+            fields.put(TYPES, spec.allowedTypeNames());
         }
         if (spec.zone() != null) {
             fields.put(ZONE, spec.zone());
--- a/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/admission/AdmissionRulesTest.java
@@ -88,7 +88,7 @@
                 BATCH.memoryMillis(),
                 image,
                 BATCH.imageGb(),
-                BATCH.types(),
+                BATCH.allowedTypeNames(),
                 BATCH.zone(),
                 BATCH.oneZone(),
                 BATCH.spread(),
--- a/src/test/java/org/granitepath/protocol/CodecTest.java
+++ b/src/test/java/org/granitepath/protocol/CodecTest.java
@@ -35,7 +35,7 @@
         JobSpec spec = SubmissionCodec.decode(GOOD);
         assertEquals(8_000, spec.cpuMillis());
         assertEquals(900_000_000, spec.deadlineMicros());
-        assertEquals(List.of("g8"), spec.types());
+        assertEquals(List.of("g8"), spec.allowedTypeNames());
         assertFalse(spec.isService());
         assertEquals(spec, JobSpecCodec.decode(Json.decodeObject(Json.encode(JobSpecCodec.encode(spec)))));
     }
--- a/src/test/java/org/granitepath/simulation/SimJobs.java
+++ b/src/test/java/org/granitepath/simulation/SimJobs.java
@@ -108,7 +108,7 @@
                 memoryMillis,
                 original.image(),
                 original.imageGb(),
-                original.types(),
+                original.allowedTypeNames(),
                 original.zone(),
                 original.oneZone(),
                 original.spread(),
