--- a/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
+++ b/src/main/java/org/granitepath/coordination/autoscaling/IdleMachines.java
@@ -30,7 +30,7 @@
 
     /** Reads the present state of the fleet and the recovery. To be called before each round of decisions. */
     void refresh() {
-        keepAll = recovery.isKeepingIdleMachines();
+        keepAll = recovery.shouldKeepIdleMachines();
         gangHeadroom.update();
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -108,7 +108,7 @@
      * Returns whether idle machines are to be kept because live work may need them shortly: it is not known yet which
      * of its tasks are lost.
      */
-    public boolean isKeepingIdleMachines() {
+    public boolean shouldKeepIdleMachines() {
         return plan.isBatchWorkHeld()
                 || (!plan.isEveryMachineResolved() && liveWorkBacklog(0).unconfirmedTasks() > 0);
     }
