--- a/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TermRecovery.java
@@ -94,7 +94,7 @@
      *
      * @param tasksAwaitingPreemption the number of live tasks without capacity for which others are being preempted
      */
-    public void onCycleEnd(int tasksAwaitingPreemption) {
+    public void onCycleEnded(int tasksAwaitingPreemption) {
         if (!plan.isBatchWorkHeld()) {
             return;
         }
--- a/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/Scheduler.java
@@ -62,7 +62,7 @@
     public void runCycle() {
         long nowMicros = timers.nowMicros();
         recovery.onCycleStart(nowMicros);
-        recovery.onCycleEnd(scheduleAll(nowMicros));
+        recovery.onCycleEnded(scheduleAll(nowMicros));
     }
 
     /**
