--- a/src/main/java/org/granitepath/recovery/RecoveryPhase.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPhase.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns whether live work may start while batch work is held back. */
-    public boolean isHoldingBatchWork() {
+    public boolean isBatchWorkHeld() {
         return this == RECONCILING || this == RESUMING_LIVE;
     }
 }
--- a/src/main/java/org/granitepath/recovery/RecoveryPlan.java
+++ b/src/main/java/org/granitepath/recovery/RecoveryPlan.java
@@ -143,7 +143,7 @@
 
     /** Returns whether batch work is held back in favour of live work. */
     public boolean isBatchWorkHeld() {
-        return phase.isHoldingBatchWork();
+        return phase.isBatchWorkHeld();
     }
 
     /** Returns what batch work waits for, as operators read it in {@code GET /recovery}. */
--- a/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
+++ b/src/test/java/org/granitepath/recovery/RecoveryPhaseTest.java
@@ -16,7 +16,7 @@
         "RECOVERED, false, true"
     })
     void batchWorkIsHeldAfterTheRecordsAreReadUntilItMayStart(RecoveryPhase phase, boolean held, boolean canStart) {
-        assertEquals(held, phase.isHoldingBatchWork());
+        assertEquals(held, phase.isBatchWorkHeld());
         assertEquals(canStart, phase.canStartBatchWork());
     }
 }
