--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether the headroom allows a task of the job on this machine. Other conditions are not checked. */
-    public boolean canPlace(Machine machine, ActiveJob job, long nowMicros) {
+    public boolean allows(Machine machine, ActiveJob job, long nowMicros) {
         JobSpec spec = job.spec();
         if (!isPartOfHeadroom(machine) || spec.isService() || spec.isGang() || !spec.spotAllowed()) {
             return true;
--- a/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/MachineSelector.java
@@ -77,6 +77,6 @@
     }
 
     private boolean isUsable(Machine machine, ActiveJob job, long nowMicros) {
-        return rules.canPlace(job, machine, nowMicros) && gangHeadroom.canPlace(machine, job, nowMicros);
+        return rules.canPlace(job, machine, nowMicros) && gangHeadroom.allows(machine, job, nowMicros);
     }
 }
--- a/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
+++ b/src/test/java/org/granitepath/coordination/gang/GangHeadroomTest.java
@@ -43,7 +43,7 @@
         update();
         headroom.onTaskPlaced(first, batch.spec());
         headroom.onTaskPlaced(first, batch.spec());
-        assertTrue(headroom.canPlace(first, batch, NOW));
+        assertTrue(headroom.allows(first, batch, NOW));
         assertFalse(headroom.isNeeded(first));
     }
 
@@ -51,10 +51,10 @@
     void batchTasksLeaveTheHeadroomOfTheGangFree() {
         addUrgentGang();
         update();
-        assertTrue(headroom.canPlace(first, batch, NOW));
+        assertTrue(headroom.allows(first, batch, NOW));
         headroom.onTaskPlaced(first, batch.spec());
-        assertFalse(headroom.canPlace(first, batch, NOW));
-        assertTrue(headroom.canPlace(fixture.addMachine("spot", true), batch, NOW));
+        assertFalse(headroom.allows(first, batch, NOW));
+        assertTrue(headroom.allows(fixture.addMachine("spot", true), batch, NOW));
     }
 
     @Test
@@ -62,7 +62,7 @@
         addUrgentGang();
         update();
         headroom.onTaskPlaced(first, batch.spec());
-        assertTrue(headroom.canPlace(first, batch, NOW + 76 * SECOND));
+        assertTrue(headroom.allows(first, batch, NOW + 76 * SECOND));
     }
 
     @Test
