--- a/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/granitepath/coordination/placement/PlacementRules.java
@@ -115,7 +115,7 @@
      * Returns how many thousandths of a CPU a team's tasks use beyond its guaranteed quota. Tasks that are being
      * stopped do not count.
      */
-    public long borrowedCpuMillis(String team) {
+    public long reclaimableCpuMillis(String team) {
         long stoppingCpuMillis = 0;
         for (ActiveJob job : jobs.all()) {
             if (job.spec().team().equals(team)) {
--- a/src/main/java/org/granitepath/coordination/scheduling/ReclaimableCpu.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/ReclaimableCpu.java
@@ -20,7 +20,7 @@
     /** Returns whether the team still uses more than its guaranteed quota. Looks the amount up on the first call. */
     boolean isAvailableFrom(String team) {
         if (!millisByTeam.containsKey(team)) {
-            millisByTeam.put(team, rules.borrowedCpuMillis(team));
+            millisByTeam.put(team, rules.reclaimableCpuMillis(team));
         }
         return millisByTeam.getLong(team) > 0;
     }
--- a/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementRulesTest.java
@@ -65,8 +65,8 @@
         fixture.addRunningTask(batch, machine, SECOND);
         fixture.addRunningTask(batch, machine, SECOND);
         Placement third = fixture.addRunningTask(batch, machine, SECOND);
-        assertEquals(CPU, fixture.rules.borrowedCpuMillis("t"));
+        assertEquals(CPU, fixture.rules.reclaimableCpuMillis("t"));
         fixture.tasks.stop(third, 0, "test");
-        assertEquals(0, fixture.rules.borrowedCpuMillis("t"));
+        assertEquals(0, fixture.rules.reclaimableCpuMillis("t"));
     }
 }
