--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -67,7 +67,7 @@
             return true;
         }
         return spareCpuMillis >= spec.cpuMillis()
-                || StartDelay.micros(job, nowMicros) > StartDelay.MAX_WITH_FREE_CAPACITY_MICROS;
+                || StartDelay.delayMicros(job, nowMicros) > StartDelay.MAX_WITH_FREE_CAPACITY_MICROS;
     }
 
     /** Takes account of a task that was placed on this machine. */
--- a/src/main/java/org/granitepath/coordination/placement/StartDelay.java
+++ b/src/main/java/org/granitepath/coordination/placement/StartDelay.java
@@ -15,7 +15,7 @@
     /**
      * Returns the microseconds since the job's tasks began to wait or since one was last placed, whichever is later.
      */
-    public static long micros(ActiveJob job, long nowMicros) {
+    public static long delayMicros(ActiveJob job, long nowMicros) {
         return nowMicros
                 - Math.max(
                         job.scheduling().waitingSinceMicros(), job.scheduling().lastStartMicros());
--- a/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/CandidateQueue.java
@@ -100,7 +100,7 @@
      * free.
      */
     private boolean isDeferrable(ActiveJob job, long nowMicros) {
-        return StartDelay.micros(job, nowMicros) < StartDelay.MAX_WITH_FREE_CAPACITY_MICROS
+        return StartDelay.delayMicros(job, nowMicros) < StartDelay.MAX_WITH_FREE_CAPACITY_MICROS
                 && !batchPlanner.needsImmediateStart(job)
                 && batchPlanner.isDeferrable(job, 0, nowMicros);
     }
--- a/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/granitepath/coordination/scheduling/PreemptionPolicy.java
@@ -31,7 +31,7 @@
         this.job = job;
         this.nowMicros = nowMicros;
         this.canReclaimBorrowed = job.scheduling().schedulingClass() == SchedulingClass.GUARANTEED
-                && StartDelay.micros(job, nowMicros) > RECLAIM_DELAY_MICROS;
+                && StartDelay.delayMicros(job, nowMicros) > RECLAIM_DELAY_MICROS;
         this.reclaimableCpu = new ReclaimableCpu(rules);
     }
 
