--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -40,7 +40,7 @@
                 mostCpuMillis = entry.getLongValue();
             }
         }
-        spareCpuMillis = mostCpuMillis - batchPlanner.largestUrgentGangCpuMillis();
+        spareCpuMillis = mostCpuMillis - batchPlanner.largestImmediateStartGangCpuMillis();
     }
 
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
@@ -55,7 +55,7 @@
 
     /** Returns whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
-        return batchPlanner.largestUrgentGangCpuMillis() > 0
+        return batchPlanner.largestImmediateStartGangCpuMillis() > 0
                 && !machine.isSpot()
                 && machine.zone().equals(zone);
     }
--- a/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
+++ b/src/main/java/org/granitepath/coordination/placement/BatchPlanner.java
@@ -21,7 +21,7 @@
     private final DeadlineClassifier deadlineClassifier;
     private final GuaranteeClassifier guaranteeClassifier;
     private long nextUpdateMicros;
-    private long largestUrgentGangCpuMillis;
+    private long largestImmediateStartGangCpuMillis;
 
     /** Creates a planner that has no data before the first update. */
     public BatchPlanner(Config config, Fleet fleet, ActiveJobs activeJobs, RuntimeEstimator runtimeEstimator) {
@@ -42,7 +42,7 @@
         workload.update(nowMicros);
         deadlineClassifier.classify(nowMicros);
         guaranteeClassifier.classify();
-        largestUrgentGangCpuMillis = activeJobs.all().stream()
+        largestImmediateStartGangCpuMillis = activeJobs.all().stream()
                 .filter(job -> job.spec().isGang() && needsImmediateStart(job))
                 .mapToLong(job -> job.spec().cpuMillis() * job.spec().tasks())
                 .max()
@@ -53,8 +53,8 @@
      * Returns the total CPU of all tasks of the largest gang that {@linkplain #needsImmediateStart needs an immediate
      * start}, in thousandths of a CPU; 0 if there is no such gang.
      */
-    public long largestUrgentGangCpuMillis() {
-        return largestUrgentGangCpuMillis;
+    public long largestImmediateStartGangCpuMillis() {
+        return largestImmediateStartGangCpuMillis;
     }
 
     /**
