--- a/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
+++ b/src/main/java/org/granitepath/coordination/jobs/RuntimeEstimator.java
@@ -70,6 +70,6 @@
             estimateMicros *= history.correctionFactor();
         }
         return (long)
-                ((job.totalRunMicros() + JOB_PRIOR_TASKS * estimateMicros) / (job.measuredTasks() + JOB_PRIOR_TASKS));
+                ((job.totalRunMicros() + JOB_PRIOR_TASKS * estimateMicros) / (job.runTimeCount() + JOB_PRIOR_TASKS));
     }
 }
--- a/src/main/java/org/granitepath/coordination/model/ActiveJob.java
+++ b/src/main/java/org/granitepath/coordination/model/ActiveJob.java
@@ -47,7 +47,7 @@
 
     private Phase phase = Phase.OPEN;
     private double totalRunMicros;
-    private int measuredTasks;
+    private int runTimeCount;
     private @Nullable GangAttempt gangAttempt;
 
     /**
@@ -288,7 +288,7 @@
     /** Adds the run time of a completed task that was observed from its start in this term. */
     public void addRunTime(long runMicros) {
         totalRunMicros += runMicros;
-        measuredTasks++;
+        runTimeCount++;
     }
 
     /** Returns the sum of all run times added in this term. */
@@ -297,8 +297,8 @@
     }
 
     /** Returns the number of run times added in this term. */
-    public int measuredTasks() {
-        return measuredTasks;
+    public int runTimeCount() {
+        return runTimeCount;
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
+++ b/src/test/java/org/granitepath/coordination/fleet/TaskStatusUpdaterTest.java
@@ -130,7 +130,7 @@
         Placement adopted = job.placement(0);
         update(adopted, exited(adopted, ExitCause.DONE));
         assertTrue(job.isDone(0));
-        assertEquals(0, job.measuredTasks());
+        assertEquals(0, job.runTimeCount());
     }
 
     // ---- gangs -------------------------------------------------------------------------------------------------
--- a/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
+++ b/src/test/java/org/granitepath/coordination/model/ActiveJobTest.java
@@ -240,7 +240,7 @@
     void runTimesAddUp() {
         job.addRunTime(3 * SECOND);
         job.addRunTime(5 * SECOND);
-        assertEquals(2, job.measuredTasks());
+        assertEquals(2, job.runTimeCount());
         assertEquals(8.0 * SECOND, job.totalRunMicros());
     }
 }
