--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -78,6 +78,6 @@
     /** Terminates machines. {@code then} receives whether the machines are gone. */
     void terminate(List<String> machineIds, Consumer<Boolean> then);
 
-    /** Lists at most {@code limit} machines in the order of their ids, starting after the id {@code from}. */
-    void listMachines(String from, int limit, Consumer<Listing> then);
+    /** Lists at most {@code limit} machines in the order of their ids, starting after the id {@code afterId}. */
+    void listMachines(String afterId, int limit, Consumer<Listing> then);
 }
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void listMachines(String from, int limit, Consumer<Listing> then) {
-        String path = "/rentals?most=" + limit + (from.isEmpty() ? "" : "&from=" + from);
+    public void listMachines(String afterId, int limit, Consumer<Listing> then) {
+        String path = "/rentals?most=" + limit + (afterId.isEmpty() ? "" : "&from=" + afterId);
         cloud.get(path, response -> {
             Map<String, Object> body = response.jsonIfOk();
             then.accept(
--- a/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public void listMachines(String from, int limit, Consumer<Listing> then) {
-        listedAfter.add(from);
+    public void listMachines(String afterId, int limit, Consumer<Listing> then) {
+        listedAfter.add(afterId);
         unansweredList = then;
     }
 
