--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -99,7 +99,7 @@
                 jobIndex,
                 timers,
                 machineTypes::all,
-                (notice, then) -> peers.announceCancellation(notice, leadership.leaderNode(), then));
+                (notice, callback) -> peers.announceCancellation(notice, leadership.leaderNode(), callback));
         this.health = new ControllerHealth(replica, machineTypes, storeContact, peers);
         this.heartbeatRouter = createHeartbeatRouter();
         this.checks =
@@ -189,19 +189,19 @@
         return RecoveryStatusFactory.of(config, leadership, replica, currentTerm.get(), timers.nowMicros());
     }
 
-    /** Submits a job. {@code then} receives the response once the job is committed to the store. */
-    public void submit(JobSpec spec, Consumer<JobResponse> then) {
-        requestHandler.submit(spec, then);
+    /** Submits a job. {@code callback} receives the response once the job is committed to the store. */
+    public void submit(JobSpec spec, Consumer<JobResponse> callback) {
+        requestHandler.submit(spec, callback);
     }
 
-    /** Looks up a job. {@code then} receives its state. */
-    public void poll(String id, Consumer<JobResponse> then) {
-        requestHandler.poll(id, then);
+    /** Looks up a job. {@code callback} receives its state. */
+    public void poll(String id, Consumer<JobResponse> callback) {
+        requestHandler.poll(id, callback);
     }
 
-    /** Cancels a job. {@code then} receives the response once no controller can start a task of the job any more. */
-    public void cancel(String id, Consumer<JobResponse> then) {
-        requestHandler.cancel(id, then);
+    /** Cancels a job. {@code callback} receives the response once no controller can start a task of the job any more. */
+    public void cancel(String id, Consumer<JobResponse> callback) {
+        requestHandler.cancel(id, callback);
     }
 
     /** Processes a worker's heartbeat and returns the response to it. */
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -109,31 +109,31 @@
     }
 
     /**
-     * Sends a cancellation that is committed to the store to all peers. {@code then} runs once no task of the job can
+     * Sends a cancellation that is committed to the store to all peers. {@code callback} runs once no task of the job can
      * be started any more, which is so as soon as the leader has applied the cancellation. If the leader does not
-     * confirm this, {@code then} runs after a timeout. By that time the leader's last contact with the records is too
+     * confirm this, {@code callback} runs after a timeout. By that time the leader's last contact with the records is too
      * old for it to start tasks. A leader without contact may also start tasks if all peers have reported that they
      * have no contact either. If this controller has sent the leader such a report, the report is too old by then as
      * well.
      *
      * @param leader the leader on record, or null if there is none
      */
-    public void announceCancellation(PeerPort.CancellationNotice notice, @Nullable String leader, Runnable then) {
+    public void announceCancellation(PeerPort.CancellationNotice notice, @Nullable String leader, Runnable callback) {
         boolean leaderIsPeer = config.topology().peers().contains(leader);
         OneShot whenEffective = new OneShot();
         for (String peer : config.topology().peers()) {
             port.sendCancellation(peer, notice, applied -> {
                 if (applied && peer.equals(leader)) {
-                    whenEffective.fire(then);
+                    whenEffective.fire(callback);
                 }
             });
         }
         if (leaderIsPeer) {
             long leaderTimeoutMicros = Math.max(config.tuning().leaderLeaseMicros(), MAX_STATUS_AGE_MICROS);
             whenEffective.fireAfter(
-                    timers, WorkerTiming.withClockDrift(leaderTimeoutMicros) + ANNOUNCEMENT_MARGIN_MICROS, then);
+                    timers, WorkerTiming.withClockDrift(leaderTimeoutMicros) + ANNOUNCEMENT_MARGIN_MICROS, callback);
         } else {
-            whenEffective.fire(then); // no other controller can start tasks
+            whenEffective.fire(callback); // no other controller can start tasks
         }
     }
 }
--- a/src/main/java/org/granitepath/coordination/ports/CloudPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/CloudPort.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls to the cloud. Every call returns at once and passes its result to {@code then} exactly once, later, on the
+ * Calls to the cloud. Every call returns at once and passes its result to {@code callback} exactly once, later, on the
  * event loop.
  */
 public interface CloudPort {
@@ -69,15 +69,15 @@
      */
     record Listing(Outcome outcome, List<ListedMachine> machines, boolean hasMore) {}
 
-    /** Fetches the machine types. {@code then} receives null if they could not be fetched. */
-    void fetchMachineTypes(Consumer<@Nullable List<MachineType>> then);
+    /** Fetches the machine types. {@code callback} receives null if they could not be fetched. */
+    void fetchMachineTypes(Consumer<@Nullable List<MachineType>> callback);
 
     /** Launches machines of one type in one zone. */
-    void launch(LaunchRequest request, Consumer<LaunchResult> then);
+    void launch(LaunchRequest request, Consumer<LaunchResult> callback);
 
-    /** Terminates machines. {@code then} receives whether the machines are gone. */
-    void terminate(List<String> machineIds, Consumer<Boolean> then);
+    /** Terminates machines. {@code callback} receives whether the machines are gone. */
+    void terminate(List<String> machineIds, Consumer<Boolean> callback);
 
     /** Lists at most {@code limit} machines in the order of their ids, starting after the id {@code afterId}. */
-    void listMachines(String afterId, int limit, Consumer<Listing> then);
+    void listMachines(String afterId, int limit, Consumer<Listing> callback);
 }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Direct calls to workers. Every call returns at once and passes its result to {@code then} exactly once, later, on the
+ * Direct calls to workers. Every call returns at once and passes its result to {@code callback} exactly once, later, on the
  * event loop.
  */
 public interface WorkerPort {
@@ -24,5 +24,5 @@
      * @param agentEpoch the agent epoch of the worker that the commands are meant for
      */
     void sendCommands(
-            String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then);
+            String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> callback);
 }
--- a/src/main/java/org/granitepath/transport/ApiServer.java
+++ b/src/main/java/org/granitepath/transport/ApiServer.java
@@ -123,11 +123,11 @@
     }
 
     /** The body may arrive in a later event than the head of the request, so its handler has its own error logging. */
-    private static void readBody(HttpServerExchange exchange, Consumer<String> then) {
+    private static void readBody(HttpServerExchange exchange, Consumer<String> callback) {
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (received, bytes) -> EventLoop.withErrorLogging(
-                                        () -> then.accept(new String(bytes, StandardCharsets.UTF_8)))
+                                        () -> callback.accept(new String(bytes, StandardCharsets.UTF_8)))
                                 .run(),
                         (received, cause) -> sendJson(received, HttpStatus.BAD_REQUEST, UNREADABLE_BODY));
     }
--- a/src/main/java/org/granitepath/transport/CloudClient.java
+++ b/src/main/java/org/granitepath/transport/CloudClient.java
@@ -20,16 +20,16 @@
     }
 
     @Override
-    public void fetchMachineTypes(Consumer<List<MachineType>> then) {
+    public void fetchMachineTypes(Consumer<List<MachineType>> callback) {
         cloud.get("/flavors", response -> {
             Map<String, Object> body = response.jsonIfOk();
-            then.accept(body == null ? null : CloudCodec.decodeMachineTypes(body));
+            callback.accept(body == null ? null : CloudCodec.decodeMachineTypes(body));
         });
     }
 
     @Override
-    public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
-        cloud.post("/rentals", CloudCodec.encodeLaunch(request), response -> then.accept(launchResult(response)));
+    public void launch(LaunchRequest request, Consumer<LaunchResult> callback) {
+        cloud.post("/rentals", CloudCodec.encodeLaunch(request), response -> callback.accept(launchResult(response)));
     }
 
     private static LaunchResult launchResult(HttpResponse response) {
@@ -44,17 +44,19 @@
     }
 
     @Override
-    public void terminate(List<String> machineIds, Consumer<Boolean> then) {
+    public void terminate(List<String> machineIds, Consumer<Boolean> callback) {
         cloud.post(
-                "/rentals/return", CloudCodec.encodeTermination(machineIds), response -> then.accept(response.isOk()));
+                "/rentals/return",
+                CloudCodec.encodeTermination(machineIds),
+                response -> callback.accept(response.isOk()));
     }
 
     @Override
-    public void listMachines(String afterId, int limit, Consumer<Listing> then) {
+    public void listMachines(String afterId, int limit, Consumer<Listing> callback) {
         String path = "/rentals?most=" + limit + (afterId.isEmpty() ? "" : "&from=" + afterId);
         cloud.get(path, response -> {
             Map<String, Object> body = response.jsonIfOk();
-            then.accept(
+            callback.accept(
                     body == null
                             ? new Listing(Outcome.UNKNOWN, List.of(), false)
                             : new Listing(Outcome.OK, CloudCodec.decodeListing(body), CloudCodec.hasMore(body)));
--- a/src/main/java/org/granitepath/transport/HttpCall.java
+++ b/src/main/java/org/granitepath/transport/HttpCall.java
@@ -24,7 +24,7 @@
     private final EventLoop loop;
     private final ConnectionPool connections;
     private final OutgoingRequest request;
-    private final Consumer<HttpResponse> then;
+    private final Consumer<HttpResponse> callback;
     private @Nullable IoFuture<StreamConnection> connectionAttempt;
     private @Nullable ClientConnection connection;
     private XnioExecutor.@Nullable Key timeout;
@@ -33,13 +33,13 @@
     /**
      * Creates a call.
      *
-     * @param then takes the outcome of the call, exactly once, on the event loop
+     * @param callback takes the outcome of the call, exactly once, on the event loop
      */
-    HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpResponse> then) {
+    HttpCall(EventLoop loop, ConnectionPool connections, OutgoingRequest request, Consumer<HttpResponse> callback) {
         this.loop = loop;
         this.connections = connections;
         this.request = request;
-        this.then = then;
+        this.callback = callback;
     }
 
     /** Starts the call. It ends without a response if none arrives within {@code timeoutMicros}. */
@@ -129,7 +129,7 @@
     }
 
     private void deliver(HttpResponse response) {
-        EventLoop.withErrorLogging(() -> then.accept(response)).run();
+        EventLoop.withErrorLogging(() -> callback.accept(response)).run();
     }
 
     /** Returns a callback that runs {@code next}; an I/O error fails the call. */
--- a/src/main/java/org/granitepath/transport/HttpCalls.java
+++ b/src/main/java/org/granitepath/transport/HttpCalls.java
@@ -21,9 +21,9 @@
      *
      * @param request the request to send
      * @param timeoutMicros the time in microseconds after which the call ends without a response
-     * @param then takes the outcome of the call, exactly once
+     * @param callback takes the outcome of the call, exactly once
      */
-    public void call(OutgoingRequest request, long timeoutMicros, Consumer<HttpResponse> then) {
-        new HttpCall(loop, connections, request, then).start(timeoutMicros);
+    public void call(OutgoingRequest request, long timeoutMicros, Consumer<HttpResponse> callback) {
+        new HttpCall(loop, connections, request, callback).start(timeoutMicros);
     }
 }
--- a/src/main/java/org/granitepath/transport/JsonClient.java
+++ b/src/main/java/org/granitepath/transport/JsonClient.java
@@ -23,22 +23,22 @@
     }
 
     /** Sends a GET request with the default timeout. */
-    void get(String path, Consumer<HttpResponse> then) {
-        get(path, timeoutMicros, then);
+    void get(String path, Consumer<HttpResponse> callback) {
+        get(path, timeoutMicros, callback);
     }
 
     /** Sends a GET request with the given timeout in microseconds. */
-    void get(String path, long callTimeoutMicros, Consumer<HttpResponse> then) {
-        http.call(OutgoingRequest.get(address, path, connectionPolicy), callTimeoutMicros, then);
+    void get(String path, long callTimeoutMicros, Consumer<HttpResponse> callback) {
+        http.call(OutgoingRequest.get(address, path, connectionPolicy), callTimeoutMicros, callback);
     }
 
     /** Sends a POST request with the default timeout. */
-    void post(String path, String body, Consumer<HttpResponse> then) {
-        post(path, body, timeoutMicros, then);
+    void post(String path, String body, Consumer<HttpResponse> callback) {
+        post(path, body, timeoutMicros, callback);
     }
 
     /** Sends a POST request with the given timeout in microseconds. */
-    void post(String path, String body, long callTimeoutMicros, Consumer<HttpResponse> then) {
-        http.call(OutgoingRequest.postJson(address, path, body, connectionPolicy), callTimeoutMicros, then);
+    void post(String path, String body, long callTimeoutMicros, Consumer<HttpResponse> callback) {
+        http.call(OutgoingRequest.postJson(address, path, body, connectionPolicy), callTimeoutMicros, callback);
     }
 }
--- a/src/main/java/org/granitepath/transport/PeerClient.java
+++ b/src/main/java/org/granitepath/transport/PeerClient.java
@@ -28,8 +28,8 @@
     }
 
     @Override
-    public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {
-        post(peer, STATUS_PATH, PeerCodec.encode(ownStatus), response -> then.accept(decodeStatus(response)));
+    public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> callback) {
+        post(peer, STATUS_PATH, PeerCodec.encode(ownStatus), response -> callback.accept(decodeStatus(response)));
     }
 
     private static @Nullable PeerStatus decodeStatus(HttpResponse response) {
@@ -38,17 +38,17 @@
     }
 
     @Override
-    public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
-        post(peer, CANCELLATION_PATH, PeerCodec.encode(notice), response -> then.accept(response.isOk()));
+    public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> callback) {
+        post(peer, CANCELLATION_PATH, PeerCodec.encode(notice), response -> callback.accept(response.isOk()));
     }
 
-    private void post(String peer, String path, byte[] message, Consumer<HttpResponse> then) {
+    private void post(String peer, String path, byte[] message, Consumer<HttpResponse> callback) {
         // Peers come from the settings, which have an address for each of them.
         String address =
                 Objects.requireNonNull(addresses.get(peer), () -> "no address in the settings for peer " + peer);
         http.call(
                 OutgoingRequest.post(address, path, CONTENT_TYPE, message, ConnectionPolicy.KEEP_ALIVE),
                 TIMEOUT_MICROS,
-                then);
+                callback);
     }
 }
--- a/src/main/java/org/granitepath/transport/WorkerClient.java
+++ b/src/main/java/org/granitepath/transport/WorkerClient.java
@@ -21,13 +21,17 @@
 
     @Override
     public void sendCommands(
-            String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands, Consumer<Reply> then) {
+            String address,
+            long fencingToken,
+            long agentEpoch,
+            List<WorkerCommand> commands,
+            Consumer<Reply> callback) {
         OutgoingRequest request = OutgoingRequest.postJson(
                 address,
                 COMMANDS_PATH,
                 WorkerCodec.encodeCommands(fencingToken, agentEpoch, commands),
                 ConnectionPolicy.CLOSE);
-        http.call(request, TIMEOUT_MICROS, response -> then.accept(toReply(response)));
+        http.call(request, TIMEOUT_MICROS, response -> callback.accept(toReply(response)));
     }
 
     /** A worker that rejects commands because its fencing token or agent epoch differs still returns its state. */
--- a/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
+++ b/src/test/java/org/granitepath/coordination/ControllerHealthTest.java
@@ -49,10 +49,10 @@
     /** Peers that never answer a call; the test delivers their status messages itself. */
     private static final class UnreachablePeers implements PeerPort {
         @Override
-        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
+        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> callback) {}
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> callback) {}
     }
 
     private static PeerPort.PeerStatus status(String node, long contactAgeMicros) {
--- a/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
+++ b/src/test/java/org/granitepath/coordination/autoscaling/RecordingCloud.java
@@ -19,26 +19,26 @@
     private Consumer<Listing> unansweredList;
 
     @Override
-    public void fetchMachineTypes(Consumer<List<MachineType>> then) {
+    public void fetchMachineTypes(Consumer<List<MachineType>> callback) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void launch(LaunchRequest request, Consumer<LaunchResult> then) {
+    public void launch(LaunchRequest request, Consumer<LaunchResult> callback) {
         launches.add(request);
-        unansweredLaunch = then;
+        unansweredLaunch = callback;
     }
 
     @Override
-    public void terminate(List<String> machineIds, Consumer<Boolean> then) {
+    public void terminate(List<String> machineIds, Consumer<Boolean> callback) {
         terminations.add(machineIds);
-        unansweredTermination = then;
+        unansweredTermination = callback;
     }
 
     @Override
-    public void listMachines(String afterId, int limit, Consumer<Listing> then) {
+    public void listMachines(String afterId, int limit, Consumer<Listing> callback) {
         listedAfter.add(afterId);
-        unansweredList = then;
+        unansweredList = callback;
     }
 
     void answerLaunch(Outcome outcome, String... ids) {
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -65,17 +65,17 @@
             long fencingToken,
             long agentEpoch,
             List<WorkerCommand> commands,
-            Consumer<WorkerPort.Reply> then) {
+            Consumer<WorkerPort.Reply> callback) {
         void respond(Heartbeat heartbeat) {
-            then.accept(new WorkerPort.Reply(true, heartbeat));
+            callback.accept(new WorkerPort.Reply(true, heartbeat));
         }
 
         void refuse(Heartbeat heartbeat) {
-            then.accept(new WorkerPort.Reply(false, heartbeat));
+            callback.accept(new WorkerPort.Reply(false, heartbeat));
         }
 
         void timeOut() {
-            then.accept(new WorkerPort.Reply(false, null));
+            callback.accept(new WorkerPort.Reply(false, null));
         }
     }
 
@@ -171,8 +171,8 @@
                 });
     }
 
-    private <T> void respondLater(Consumer<T> then, T response) {
-        timers.after(STORE_LATENCY_MICROS, () -> then.accept(response));
+    private <T> void respondLater(Consumer<T> callback, T response) {
+        timers.after(STORE_LATENCY_MICROS, () -> callback.accept(response));
     }
 
     private static KeyValueStore.Page emptyPage() {
@@ -221,8 +221,8 @@
             long fencingToken,
             long agentEpoch,
             List<WorkerCommand> commands,
-            Consumer<WorkerPort.Reply> then) {
-        calls.add(new Call(address, fencingToken, agentEpoch, commands, then));
+            Consumer<WorkerPort.Reply> callback) {
+        calls.add(new Call(address, fencingToken, agentEpoch, commands, callback));
     }
 
     /** Returns how many requests other than commits and listings the store has received. */
--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -67,8 +67,8 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<CommitResult> then) {
-        answer(() -> then.accept(execute(transaction)), () -> then.accept(result(Outcome.UNKNOWN)));
+    public void commit(Transaction transaction, Consumer<CommitResult> callback) {
+        answer(() -> callback.accept(execute(transaction)), () -> callback.accept(result(Outcome.UNKNOWN)));
     }
 
     private CommitResult execute(Transaction transaction) {
@@ -91,42 +91,42 @@
     }
 
     @Override
-    public void list(String prefix, String from, int limit, Consumer<Page> then) {
-        read(0, then);
+    public void list(String prefix, String from, int limit, Consumer<Page> callback) {
+        read(0, callback);
     }
 
     @Override
-    public void follow(String prefix, long from, long waitMicros, Consumer<Page> then) {
-        read(from, then);
+    public void follow(String prefix, long from, long waitMicros, Consumer<Page> callback) {
+        read(from, callback);
     }
 
-    private void read(long from, Consumer<Page> then) {
+    private void read(long from, Consumer<Page> callback) {
         answer(
                 unreachable || readsWithheld,
-                () -> then.accept(new Page(
+                () -> callback.accept(new Page(
                         Outcome.OK,
                         items.values().stream()
                                 .filter(item -> item.revision() > from)
                                 .toList(),
                         false,
                         storeRevision)),
-                () -> then.accept(new Page(Outcome.UNKNOWN, List.of(), false, 0)));
+                () -> callback.accept(new Page(Outcome.UNKNOWN, List.of(), false, 0)));
     }
 
     @Override
-    public void openLease(long durationMicros, Consumer<LeaseResult> then) {
+    public void openLease(long durationMicros, Consumer<LeaseResult> callback) {
         answer(
-                () -> then.accept(new LeaseResult(Outcome.OK, ++leasesOpened)),
-                () -> then.accept(new LeaseResult(Outcome.UNKNOWN, 0)));
+                () -> callback.accept(new LeaseResult(Outcome.OK, ++leasesOpened)),
+                () -> callback.accept(new LeaseResult(Outcome.UNKNOWN, 0)));
     }
 
     @Override
-    public void renewLease(long lease, Consumer<Outcome> then) {
-        Runnable onAnswer = () -> then.accept(leaseOfKey.containsValue(lease) ? Outcome.OK : Outcome.NOT_FOUND);
+    public void renewLease(long lease, Consumer<Outcome> callback) {
+        Runnable onAnswer = () -> callback.accept(leaseOfKey.containsValue(lease) ? Outcome.OK : Outcome.NOT_FOUND);
         if (renewalsWithheld) {
             withheldRenewals.add(onAnswer);
         } else {
-            answer(onAnswer, () -> then.accept(Outcome.UNKNOWN));
+            answer(onAnswer, () -> callback.accept(Outcome.UNKNOWN));
         }
     }
 
--- a/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/PeersTest.java
@@ -21,12 +21,12 @@
     private final Map<String, Consumer<Boolean>> announcements = new LinkedHashMap<>();
     private final PeerPort port = new PeerPort() {
         @Override
-        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {
-            announcements.put(peer, then);
+        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> callback) {
+            announcements.put(peer, callback);
         }
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> callback) {}
     };
     private final Peers peers = new Peers(TestConfigs.of("c1", "c1-1", "c2", "c3"), port, timers, () -> null);
     private int effective;
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -53,10 +53,10 @@
     /** Peers that never answer a call; the test delivers their status messages itself. */
     private static final class UnreachablePeers implements PeerPort {
         @Override
-        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
+        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> callback) {}
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> callback) {}
     }
 
     /** Records two machines, the second of which has a fencing token of its own. */
