--- a/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CleanupCommands.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 import org.granitepath.coordination.admission.JobIndex;
-import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.ports.Heartbeat;
@@ -30,7 +30,7 @@
     private final JobIndex jobIndex;
     private final RecoveryPlan plan;
     private final MachineInventory inventory;
-    private final CommandQueue commands;
+    private final MachinesWithCommands machinesWithCommands;
     private final SchedulingLoop loop;
 
     /** Creates an instance that queues cleanup commands for machines and requests new fencing tokens for cleanup. */
@@ -38,12 +38,12 @@
             JobIndex jobIndex,
             RecoveryPlan plan,
             MachineInventory inventory,
-            CommandQueue commands,
+            MachinesWithCommands machinesWithCommands,
             SchedulingLoop loop) {
         this.jobIndex = jobIndex;
         this.plan = plan;
         this.inventory = inventory;
-        this.commands = commands;
+        this.machinesWithCommands = machinesWithCommands;
         this.loop = loop;
     }
 
@@ -56,7 +56,7 @@
     void stopOrphan(Machine machine, TaskStatus status, Verdict verdict, Set<WorkerCommand> previousCommands) {
         WorkerCommand stop = WorkerCommand.stop(status.task(), status.attempt(), 0);
         machine.addCleanupCommand(stop);
-        commands.enqueue(machine);
+        machinesWithCommands.enqueue(machine);
         loop.markCycleNeeded();
         if (!previousCommands.contains(stop)) {
             plan.countVerdicts(verdict, 1);
--- a/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
+++ b/src/main/java/org/granitepath/coordination/fleet/CommandSender.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.granitepath.coordination.config.Config;
-import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.coordination.model.Fleet;
 import org.granitepath.coordination.model.Machine;
@@ -19,7 +19,7 @@
     private final Leadership leadership;
     private final Fleet fleet;
     private final MachineCommands machineCommands;
-    private final CommandQueue commands;
+    private final MachinesWithCommands machinesWithCommands;
     private final WorkerCalls calls;
     private final Timers timers;
 
@@ -29,14 +29,14 @@
             Leadership leadership,
             Fleet fleet,
             MachineCommands machineCommands,
-            CommandQueue commands,
+            MachinesWithCommands machinesWithCommands,
             WorkerCalls calls,
             Timers timers) {
         this.config = config;
         this.leadership = leadership;
         this.fleet = fleet;
         this.machineCommands = machineCommands;
-        this.commands = commands;
+        this.machinesWithCommands = machinesWithCommands;
         this.calls = calls;
         this.timers = timers;
     }
@@ -51,7 +51,7 @@
             return; // another controller may have become the leader without this one knowing
         }
         long nowMicros = timers.nowMicros();
-        for (Machine machine : commands.machines()) {
+        for (Machine machine : machinesWithCommands.machines()) {
             if (!calls.canCall()) {
                 return;
             }
@@ -69,7 +69,7 @@
 
     private void sendDirectly(Machine machine) {
         List<WorkerCommand> toSend = MachineCommands.stopAndClearCommands(machine);
-        commands.remove(machine);
+        machinesWithCommands.remove(machine);
         // A response confirms only the starts of its own call: an earlier call without a response may still arrive.
         List<Placement> starts = machineCommands.startablePlacements(machine);
         for (Placement placement : starts) {
--- a/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineCommands.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.granitepath.coordination.jobs.CommandQueue;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.leadership.Leadership;
 import org.granitepath.coordination.model.Machine;
 import org.granitepath.coordination.model.Placement;
@@ -14,12 +14,12 @@
  */
 public final class MachineCommands {
     private final Leadership leadership;
-    private final CommandQueue commands;
+    private final MachinesWithCommands machinesWithCommands;
 
-    /** Creates an instance that removes machines from this queue when their commands are sent. */
-    public MachineCommands(Leadership leadership, CommandQueue commands) {
+    /** Creates an instance that removes machines from this set when their commands are sent. */
+    public MachineCommands(Leadership leadership, MachinesWithCommands machinesWithCommands) {
         this.leadership = leadership;
-        this.commands = commands;
+        this.machinesWithCommands = machinesWithCommands;
     }
 
     /**
@@ -55,7 +55,7 @@
      */
     public List<WorkerCommand> collectForResponse(Machine machine) {
         List<WorkerCommand> due = stopAndClearCommands(machine);
-        commands.remove(machine);
+        machinesWithCommands.remove(machine);
         for (Placement placement : startablePlacements(machine)) {
             due.add(WorkerCommand.start(placement.task(), placement.attempt()));
             placement.markSentInResponse();
--- a/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/fleet/MachineLifecycle.java
@@ -1,8 +1,8 @@
 package org.granitepath.coordination.fleet;
 
 import java.util.List;
-import org.granitepath.coordination.jobs.CommandQueue;
 import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
 import org.granitepath.coordination.jobs.TermRecovery;
@@ -21,7 +21,7 @@
     private final TaskLifecycle tasks;
     private final TermRecovery recovery;
     private final FaultTracker faults;
-    private final CommandQueue commands;
+    private final MachinesWithCommands machinesWithCommands;
     private final Timers timers;
     private final SchedulingLoop loop;
 
@@ -32,7 +32,7 @@
             TaskLifecycle tasks,
             TermRecovery recovery,
             FaultTracker faults,
-            CommandQueue commands,
+            MachinesWithCommands machinesWithCommands,
             Timers timers,
             SchedulingLoop loop) {
         this.fleet = fleet;
@@ -40,7 +40,7 @@
         this.tasks = tasks;
         this.recovery = recovery;
         this.faults = faults;
-        this.commands = commands;
+        this.machinesWithCommands = machinesWithCommands;
         this.timers = timers;
         this.loop = loop;
     }
@@ -134,7 +134,7 @@
         tasks.freeAll(machine, "machine gone: " + why);
         fleet.remove(machine);
         faults.forget(machine);
-        commands.remove(machine);
+        machinesWithCommands.remove(machine);
         inventory.remove(machine);
         recovery.resolve(machine, why);
         loop.requestCycle();
--- a/src/main/java/org/granitepath/coordination/jobs/CommandQueue.java
+++ b/src/main/java/org/granitepath/coordination/jobs/MachinesWithCommands.java
@@ -6,16 +6,16 @@
 import org.granitepath.coordination.model.Machine;
 
 /** The machines that have commands to be sent. */
-public final class CommandQueue {
+public final class MachinesWithCommands {
     private final Set<Machine> machines = new LinkedHashSet<>();
     private final Runnable requestSend;
 
     /**
-     * Creates an empty queue.
+     * Creates an instance that holds no machines yet.
      *
      * @param requestSend asks for the commands to be sent shortly
      */
-    public CommandQueue(Runnable requestSend) {
+    public MachinesWithCommands(Runnable requestSend) {
         this.requestSend = requestSend;
     }
 
--- a/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
+++ b/src/main/java/org/granitepath/coordination/jobs/TaskLifecycle.java
@@ -28,7 +28,7 @@
     private final TeamLimits teamLimits;
     private final Timers timers;
     private final SchedulingLoop loop;
-    private final CommandQueue commands;
+    private final MachinesWithCommands machinesWithCommands;
     private final GangMembership gangs = new GangMembership();
     private long lastAttemptInTerm;
 
@@ -40,14 +40,14 @@
             TeamLimits teamLimits,
             Timers timers,
             SchedulingLoop loop,
-            CommandQueue commands) {
+            MachinesWithCommands machinesWithCommands) {
         this.term = term;
         this.recovery = recovery;
         this.jobs = jobs;
         this.teamLimits = teamLimits;
         this.timers = timers;
         this.loop = loop;
-        this.commands = commands;
+        this.machinesWithCommands = machinesWithCommands;
     }
 
     /**
@@ -67,7 +67,7 @@
         job.scheduling().recordStart(nowMicros);
         Placement placement = new Placement(task, job, machine, attempt, nowMicros);
         place(placement);
-        commands.enqueue(machine);
+        machinesWithCommands.enqueue(machine);
         LOG.debug(
                 "task {} attempt {} assigned to machine {} (job has {} running and {} unfinished tasks)",
                 task,
@@ -133,16 +133,16 @@
             free(placement, why);
         } else if (placement.phase() == Placement.Phase.STOPPING && graceMicros < placement.graceMicros()) {
             placement.shortenGrace(graceMicros);
-            commands.enqueue(placement.machine());
+            machinesWithCommands.enqueue(placement.machine());
         } else if (placement.isActive() && placement.phase() != Placement.Phase.STOPPING) {
             placement.stop(graceMicros, why);
-            commands.enqueue(placement.machine());
+            machinesWithCommands.enqueue(placement.machine());
         }
     }
 
     /** Sends again a stop that has not taken effect yet. */
     public void resendStop(Placement placement) {
-        commands.enqueue(placement.machine());
+        machinesWithCommands.enqueue(placement.machine());
     }
 
     /** Frees a task that is proven not to be on the machine. */
--- a/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
+++ b/src/main/java/org/granitepath/coordination/term/LeaderTermFactory.java
@@ -18,10 +18,10 @@
 import org.granitepath.coordination.fleet.WorkerCalls;
 import org.granitepath.coordination.gang.GangHeadroom;
 import org.granitepath.coordination.jobs.ArrivalRate;
-import org.granitepath.coordination.jobs.CommandQueue;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
 import org.granitepath.coordination.jobs.JobRecorder;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
@@ -77,7 +77,7 @@
     private final FaultTracker faults = new FaultTracker();
     private final ArrivalRate arrivalRate = new ArrivalRate();
     private final SchedulingLoop loop;
-    private final CommandQueue commands;
+    private final MachinesWithCommands machinesWithCommands;
     private final TermRecovery recovery;
     private final TaskLifecycle tasks;
     private final JobLifecycle jobs;
@@ -121,18 +121,20 @@
         this.teamLimits = new TeamLimits(config.teams());
 
         this.loop = createSchedulingLoop();
-        this.commands = new CommandQueue(loop::requestSend);
+        this.machinesWithCommands = new MachinesWithCommands(loop::requestSend);
         this.recovery = new TermRecovery(createRecoveryPlan(recoveryTracer), activeJobs, timers, loop);
-        this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
+        this.tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, machinesWithCommands);
         this.jobs = createJobLifecycle();
 
         this.inventory = createInventory();
-        this.machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, commands, timers, loop);
+        this.machines =
+                new MachineLifecycle(fleet, inventory, tasks, recovery, faults, machinesWithCommands, timers, loop);
         this.tokenRaiseHandler = new TokenRaiseHandler(config, fleet, timers);
         this.reconciler = createReconciler();
-        this.machineCommands = new MachineCommands(leadership, commands);
+        this.machineCommands = new MachineCommands(leadership, machinesWithCommands);
         this.calls = new WorkerCalls(config, ports.workers(), inventory, reconciler, timers, loop, termEnd::isEnded);
-        this.sender = new CommandSender(config, leadership, fleet, machineCommands, commands, calls, timers);
+        this.sender =
+                new CommandSender(config, leadership, fleet, machineCommands, machinesWithCommands, calls, timers);
 
         this.rules = new PlacementRules(fleet, recovery, activeJobs, teamLimits, faults, runtimeEstimator);
         this.batchPlanner = new BatchPlanner(config, fleet, activeJobs, runtimeEstimator);
@@ -198,7 +200,7 @@
 
     private HeartbeatReconciler createReconciler() {
         TaskStatusUpdater statusUpdater = new TaskStatusUpdater(jobs, tasks, machines, faults, runtimeEstimator, loop);
-        CleanupCommands cleanup = new CleanupCommands(jobIndex, recovery.plan(), inventory, commands, loop);
+        CleanupCommands cleanup = new CleanupCommands(jobIndex, recovery.plan(), inventory, machinesWithCommands, loop);
         TaskReconciler taskReconciler =
                 new TaskReconciler(jobIndex, activeJobs, tasks, inventory, recovery.plan(), statusUpdater, cleanup);
         return new HeartbeatReconciler(config, fleet, inventory, machines, taskReconciler, recovery, timers, loop);
--- a/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
+++ b/src/test/java/org/granitepath/coordination/fleet/FleetFixture.java
@@ -10,10 +10,10 @@
 import org.granitepath.coordination.admission.JobIndex;
 import org.granitepath.coordination.config.Config;
 import org.granitepath.coordination.jobs.ArrivalRate;
-import org.granitepath.coordination.jobs.CommandQueue;
 import org.granitepath.coordination.jobs.FaultTracker;
 import org.granitepath.coordination.jobs.JobLifecycle;
 import org.granitepath.coordination.jobs.JobRecorder;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
@@ -120,15 +120,15 @@
                 new WriteQueue(store, replica, timers, 20, 50, RateControl.FIXED, List::of, () -> !termEnded);
         activeJobs = new ActiveJobs(0, timers, faults::forget);
         loop = new SchedulingLoop(timers, () -> termEnded, () -> true, () -> {}, () -> {});
-        CommandQueue commands = new CommandQueue(loop::requestSend);
+        MachinesWithCommands machinesWithCommands = new MachinesWithCommands(loop::requestSend);
         recovery = new TermRecovery(plan, activeJobs, timers, loop);
         TeamLimits teamLimits = new TeamLimits(config.teams());
-        tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, commands);
+        tasks = new TaskLifecycle(term, recovery, activeJobs, teamLimits, timers, loop, machinesWithCommands);
         JobRecorder recorder = new JobRecorder(config, term, replica, writeQueue, loop);
         JobLifecycle jobs =
                 new JobLifecycle(jobIndex, recorder, recovery, activeJobs, tasks, new ArrivalRate(), timers, loop);
         inventory = new MachineInventory(config, term, replica, writeQueue, timers, fleet, inventoryListener());
-        machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, commands, timers, loop);
+        machines = new MachineLifecycle(fleet, inventory, tasks, recovery, faults, machinesWithCommands, timers, loop);
         statusUpdater = new TaskStatusUpdater(jobs, tasks, machines, faults, new RuntimeEstimator(), loop);
         reconciler = new HeartbeatReconciler(
                 config,
@@ -142,12 +142,12 @@
                         inventory,
                         plan,
                         statusUpdater,
-                        new CleanupCommands(jobIndex, plan, inventory, commands, loop)),
+                        new CleanupCommands(jobIndex, plan, inventory, machinesWithCommands, loop)),
                 recovery,
                 timers,
                 loop);
         Leadership leadership = new Leadership(config, store, replica, timers, () -> false, leadershipListener());
-        machineCommands = new MachineCommands(leadership, commands);
+        machineCommands = new MachineCommands(leadership, machinesWithCommands);
         workerCalls = new WorkerCalls(config, this::sendCommands, inventory, reconciler, timers, loop, () -> termEnded);
         fleet.updateTypes(List.of(Fixtures.TYPE));
         jobs.start();
--- a/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
+++ b/src/test/java/org/granitepath/coordination/jobs/JobsFixture.java
@@ -46,7 +46,7 @@
     final ActiveJobs jobs = new ActiveJobs(0, timers, job -> {});
     final TeamLimits teamLimits = new TeamLimits(Map.of());
     final SchedulingLoop loop = new SchedulingLoop(timers, () -> false, () -> true, () -> {}, () -> {});
-    final CommandQueue commands = new CommandQueue(() -> {});
+    final MachinesWithCommands machinesWithCommands = new MachinesWithCommands(() -> {});
     final TermRecovery recovery = new TermRecovery(new RecoveryPlan(TOKEN, 0, RecoveryTracer.NONE), jobs, timers, loop);
     final TaskLifecycle tasks = tasksForTerm(TOKEN);
     final ArrivalRate arrivalRate = new ArrivalRate();
@@ -74,7 +74,7 @@
     /** Returns a life cycle of tasks in the term with the given fencing token. */
     TaskLifecycle tasksForTerm(long fencingToken) {
         return new TaskLifecycle(
-                new Leadership.Term(fencingToken, 1), recovery, jobs, teamLimits, timers, loop, commands);
+                new Leadership.Term(fencingToken, 1), recovery, jobs, teamLimits, timers, loop, machinesWithCommands);
     }
 
     /** Takes over a machine from a previous leader that has not sent a heartbeat yet, so it may hold any task. */
--- a/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
+++ b/src/test/java/org/granitepath/coordination/jobs/TaskLifecycleTest.java
@@ -32,7 +32,7 @@
         Placement placement = tasks.start(job, machine, fixture.timers.nowMicros());
         assertEquals(Placement.Phase.ASSIGNED, placement.phase());
         assertTrue(machine.placements().contains(placement) && job.placements().contains(placement));
-        assertEquals(List.of(machine), fixture.commands.machines());
+        assertEquals(List.of(machine), fixture.machinesWithCommands.machines());
         assertEquals(BATCH.cpuMillis(), fixture.teamLimits.borrowedCpuMillis(BATCH.team()));
     }
 
@@ -58,10 +58,10 @@
     @Test
     void sentTaskKeepsItsPlacementWhileStopping() {
         Placement placement = fixture.startAndSend(fixture.openJob(BATCH), machine);
-        fixture.commands.remove(machine);
+        fixture.machinesWithCommands.remove(machine);
         tasks.stop(placement, 10 * SECOND, "test");
         assertEquals(Placement.Phase.STOPPING, placement.phase());
-        assertEquals(List.of(machine), fixture.commands.machines());
+        assertEquals(List.of(machine), fixture.machinesWithCommands.machines());
         assertTrue(machine.hasPlacements());
     }
 
--- a/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
+++ b/src/test/java/org/granitepath/coordination/placement/PlacementFixture.java
@@ -14,8 +14,8 @@
 import org.granitepath.coordination.config.Topology;
 import org.granitepath.coordination.config.Tuning;
 import org.granitepath.coordination.config.WorkerTiming;
-import org.granitepath.coordination.jobs.CommandQueue;
 import org.granitepath.coordination.jobs.FaultTracker;
+import org.granitepath.coordination.jobs.MachinesWithCommands;
 import org.granitepath.coordination.jobs.RuntimeEstimator;
 import org.granitepath.coordination.jobs.SchedulingLoop;
 import org.granitepath.coordination.jobs.TaskLifecycle;
@@ -75,7 +75,13 @@
         TeamLimits teamLimits = new TeamLimits(byName);
         rules = new PlacementRules(fleet, recovery, jobs, teamLimits, faults, runtimeEstimator);
         tasks = new TaskLifecycle(
-                new Leadership.Term(1, 1), recovery, jobs, teamLimits, timers, loop, new CommandQueue(() -> {}));
+                new Leadership.Term(1, 1),
+                recovery,
+                jobs,
+                teamLimits,
+                timers,
+                loop,
+                new MachinesWithCommands(() -> {}));
     }
 
     private static Config config(Map<String, Team> teams) {
