--- a/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
+++ b/src/test/java/org/granitepath/coordination/leadership/MemoryStore.java
@@ -91,22 +91,22 @@
     }
 
     @Override
-    public void list(String prefix, String from, int limit, Consumer<Page> callback) {
+    public void list(String prefix, String afterKey, int limit, Consumer<Page> callback) {
         read(0, callback);
     }
 
     @Override
-    public void follow(String prefix, long from, long waitMicros, Consumer<Page> callback) {
-        read(from, callback);
+    public void follow(String prefix, long afterRevision, long waitMicros, Consumer<Page> callback) {
+        read(afterRevision, callback);
     }
 
-    private void read(long from, Consumer<Page> callback) {
+    private void read(long afterRevision, Consumer<Page> callback) {
         answer(
                 unreachable || readsWithheld,
                 () -> callback.accept(new Page(
                         Outcome.OK,
                         items.values().stream()
-                                .filter(item -> item.revision() > from)
+                                .filter(item -> item.revision() > afterRevision)
                                 .toList(),
                         false,
                         storeRevision)),
