--- a/src/main/java/org/granitepath/coordination/Controller.java
+++ b/src/main/java/org/granitepath/coordination/Controller.java
@@ -199,7 +199,9 @@
         requestHandler.poll(id, callback);
     }
 
-    /** Cancels a job. {@code callback} receives the response once no controller can start a task of the job any more. */
+    /**
+     * Cancels a job. {@code callback} receives the response once no controller can start a task of the job any more.
+     */
     public void cancel(String id, Consumer<JobResponse> callback) {
         requestHandler.cancel(id, callback);
     }
--- a/src/main/java/org/granitepath/coordination/leadership/Peers.java
+++ b/src/main/java/org/granitepath/coordination/leadership/Peers.java
@@ -109,10 +109,10 @@
     }
 
     /**
-     * Sends a cancellation that is committed to the store to all peers. {@code callback} runs once no task of the job can
-     * be started any more, which is so as soon as the leader has applied the cancellation. If the leader does not
-     * confirm this, {@code callback} runs after a timeout. By that time the leader's last contact with the records is too
-     * old for it to start tasks. A leader without contact may also start tasks if all peers have reported that they
+     * Sends a cancellation that is committed to the store to all peers. {@code callback} runs once no task of the job
+     * can be started any more, which is so as soon as the leader has applied the cancellation. If the leader does not
+     * confirm this, {@code callback} runs after a timeout. By that time the leader's last contact with the records is
+     * too old for it to start tasks. A leader without contact may also start tasks if all peers have reported that they
      * have no contact either. If this controller has sent the leader such a report, the report is too old by then as
      * well.
      *
--- a/src/main/java/org/granitepath/coordination/ports/PeerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/PeerPort.java
@@ -4,8 +4,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls to the other controllers. Every call returns at once and passes its result to {@code callback} exactly once, later,
- * on the event loop.
+ * Calls to the other controllers. Every call returns at once and passes its result to {@code callback} exactly once,
+ * later, on the event loop.
  */
 public interface PeerPort {
     /**
@@ -29,11 +29,13 @@
     record CancellationNotice(String job, long revision) {}
 
     /**
-     * Sends the notice of a cancellation to a peer. {@code callback} receives whether the peer has applied it. Correctness
-     * does not depend on the delivery of the notice.
+     * Sends the notice of a cancellation to a peer. {@code callback} receives whether the peer has applied it.
+     * Correctness does not depend on the delivery of the notice.
      */
     void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> callback);
 
-    /** Sends this controller's status to a peer. {@code callback} receives the peer's status, or null without an answer. */
+    /**
+     * Sends this controller's status to a peer. {@code callback} receives the peer's status, or null without an answer.
+     */
     void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<@Nullable PeerStatus> callback);
 }
--- a/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
+++ b/src/main/java/org/granitepath/coordination/ports/WorkerPort.java
@@ -5,8 +5,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Direct calls to workers. Every call returns at once and passes its result to {@code callback} exactly once, later, on the
- * event loop.
+ * Direct calls to workers. Every call returns at once and passes its result to {@code callback} exactly once, later, on
+ * the event loop.
  */
 public interface WorkerPort {
     /**
