--- a/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
+++ b/src/main/java/org/granitepath/coordination/gang/GangHeadroom.java
@@ -40,7 +40,7 @@
                 mostCpuMillis = entry.getLongValue();
             }
         }
-        spareCpuMillis = mostCpuMillis - batchPlanner.largestUrgentGangCpuMillis();
+        spareCpuMillis = mostCpuMillis - batchPlanner.largestImmediateStartGangCpuMillis();
     }
 
     private Object2LongOpenHashMap<String> freeCpuMillisByZone() {
@@ -55,19 +55,19 @@
 
     /** Returns whether the machine's free capacity counts as headroom. */
     private boolean isPartOfHeadroom(Machine machine) {
-        return batchPlanner.largestUrgentGangCpuMillis() > 0
+        return batchPlanner.largestImmediateStartGangCpuMillis() > 0
                 && !machine.isSpot()
                 && machine.zone().equals(zone);
     }
 
     /** Returns whether the headroom allows a task of the job on this machine. Other conditions are not checked. */
-    public boolean canPlace(Machine machine, ActiveJob job, long nowMicros) {
+    public boolean allows(Machine machine, ActiveJob job, long nowMicros) {
         JobSpec spec = job.spec();
         if (!isPartOfHeadroom(machine) || spec.isService() || spec.isGang() || !spec.spotAllowed()) {
             return true;
         }
         return spareCpuMillis >= spec.cpuMillis()
-                || StartDelay.micros(job, nowMicros) > StartDelay.MAX_WITH_FREE_CAPACITY_MICROS;
+                || StartDelay.delayMicros(job, nowMicros) > StartDelay.MAX_WITH_FREE_CAPACITY_MICROS;
     }
 
     /** Takes account of a task that was placed on this machine. */
--- a/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
+++ b/src/main/java/org/granitepath/coordination/jobs/JobRecorder.java
@@ -42,12 +42,12 @@
 
     /** Returns whether the first claim on the job is for a later term that this controller does not know of yet. */
     boolean isClaimedBySuccessor(JobRecord record) {
-        return record.term() > term.fencingToken();
+        return record.fencingToken() > term.fencingToken();
     }
 
     /** Returns whether the first claim on the job is for this term, so no previous leader has started it. */
     boolean isClaimedByThisTerm(JobRecord record) {
-        return record.term() == term.fencingToken();
+        return record.fencingToken() == term.fencingToken();
     }
 
     /** Claims the next block of tasks if not enough of the current block is left. */
@@ -69,7 +69,7 @@
     }
 
     private void recordProgress(ActiveJob job, WriteQueue.Urgency urgency, long delayMicros) {
-        String key = Keys.progress(job.spec().id());
+        String key = Keys.progressKey(job.spec().id());
         writeQueue.enqueue(
                 key, urgency, delayMicros, () -> progressChange(key, job), storeRevision -> loop.requestCycle());
     }
@@ -86,7 +86,7 @@
 
     /** Records without delay that all tasks of the job are done, unless the job has a final record already. */
     void recordDone(ActiveJob job) {
-        String key = Keys.finalRecord(job.spec().id());
+        String key = Keys.finalRecordKey(job.spec().id());
         writeQueue.enqueue(
                 key,
                 WriteQueue.Urgency.SAFETY,
--- a/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
+++ b/src/test/java/org/granitepath/coordination/leadership/ZoneLeaseKeeperTest.java
@@ -53,10 +53,10 @@
     /** Peers that never answer a call; the test delivers their status messages itself. */
     private static final class UnreachablePeers implements PeerPort {
         @Override
-        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> then) {}
+        public void sendCancellation(String peer, CancellationNotice notice, Consumer<Boolean> callback) {}
 
         @Override
-        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> then) {}
+        public void exchangeStatus(String peer, PeerStatus ownStatus, Consumer<PeerStatus> callback) {}
     }
 
     /** Records two machines, the second of which has a fencing token of its own. */
@@ -64,7 +64,7 @@
     void recordTwoMachines() {
         store.put(Keys.FENCING_TOKEN, new FencingTokenRecord("c2", TERM_TOKEN, OWN_TOKEN), 0);
         store.put(
-                Keys.inventoryPart(0),
+                Keys.inventoryPartKey(0),
                 new InventoryRecord(List.of(
                         new InventoryRecord.MachineRow("m1", "m1:1", "g8", ZONE, false, TERM_TOKEN - 1),
                         new InventoryRecord.MachineRow("m2", "m2:1", "g8", ZONE, false, OWN_TOKEN))),
